--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -66,19 +66,21 @@
 
 // Statement is what a book comes to.
 type Statement struct {
-	Customer, Plan string
-	Mode           Mode
-	Ways           int           // instances that the channel comes through
-	Demand, Others float64       // units a second asked for here; taken by the others, as last seen
-	Age            time.Duration // of the last total; -1: none was heard
-	Held           float64       // units that this instance may pass on by right: its block, and what waits to go out
-	Untold         float64       // units of them, or spent already, that the counter has not been told of
-	Room           float64       // units that the store is held to have besides; below 0 a debt
-	For            time.Duration
-	Spend          float64 // units that it passes on at the most within For, should nothing be heard from now on
-	Uncounted      float64 // of Spend and of what is spent, what the counter does not know of: the others may take as much again
-	Part           float64 // of the plan's figures that is held here: even, or by agreement with others
-	Overrun        float64 // units by which this instance may overdraw the budget at the most: Uncounted, or what is spent before the others reckon with it
+	Customer  string        `json:"Customer"`
+	Plan      string        `json:"Plan"`
+	Mode      Mode          `json:"Mode"`
+	Ways      int           `json:"Ways"` // instances that the channel comes through
+	Demand    float64       `json:"Demand"`
+	Others    float64       `json:"Others"` // units a second asked for here; taken by the others, as last seen
+	Age       time.Duration `json:"Age"`    // of the last total; -1: none was heard
+	Held      float64       `json:"Held"`   // units that this instance may pass on by right: its block, and what waits to go out
+	Untold    float64       `json:"Untold"` // units of them, or spent already, that the counter has not been told of
+	Room      float64       `json:"Room"`   // units that the store is held to have besides; below 0 a debt
+	For       time.Duration `json:"For"`
+	Spend     float64       `json:"Spend"`     // units that it passes on at the most within For, should nothing be heard from now on
+	Uncounted float64       `json:"Uncounted"` // of Spend and of what is spent, what the counter does not know of: the others may take as much again
+	Part      float64       `json:"Part"`      // of the plan's figures that is held here: even, or by agreement with others
+	Overrun   float64       `json:"Overrun"`   // units by which this instance may overdraw the budget at the most: Uncounted, or what is spent before the others reckon with it
 }
 
 // Of states what a book comes to, should nothing be heard for so long.
--- /dev/null
+++ b/internal/core/golden_test.go
@@ -0,0 +1,107 @@
+package core
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"hitchspring/internal/budget"
+	"hitchspring/internal/custody"
+	"hitchspring/internal/golden"
+	"hitchspring/internal/halls"
+	"hitchspring/internal/lease"
+	"hitchspring/internal/rights"
+	"hitchspring/logic"
+)
+
+// Instances of different versions send each other these messages.
+func TestGoldenMessages(t *testing.T) {
+	golden.RequireTags(t, "cbor", parcel{})
+	messages := map[string]parcel{}
+	add := func(name string, fill func(*parcel)) {
+		var p parcel
+		fill(&p)
+		messages[name] = p
+	}
+	add("work-intent", func(p *parcel) { p.Intent = filled[custody.Intent]() })
+	add("work-reply", func(p *parcel) { p.Reply = filled[custody.Reply]() })
+	add("work-end", func(p *parcel) { p.End = filled[custody.End]() })
+	add("work-end-acknowledged", func(p *parcel) { p.Ended = filled[custody.End]() })
+	add("work-outcome", func(p *parcel) { p.Told = filled[custody.Told]() })
+	add("quota-parts", func(p *parcel) { p.Rights = filled[rights.Message]() })
+	add("all", func(p *parcel) { golden.Fill(p) })
+	for name, p := range messages {
+		t.Run(name, func(t *testing.T) {
+			written, err := cbor.Marshal(p)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Compare(t, "message-"+name, written)
+			var read parcel
+			if err := cbor.Unmarshal(golden.Read(t, "message-"+name), &read); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(read, p) {
+				t.Errorf("got %+v, want %+v", read, p)
+			}
+		})
+	}
+}
+
+func filled[T any]() *T {
+	v := new(T)
+	golden.Fill(v)
+	return v
+}
+
+// What `hitchspring status` reads from a running instance, which may be of another version.
+func TestGoldenStatus(t *testing.T) {
+	for name, v := range map[string]any{
+		"nodes":   filled[NodesStatus](),
+		"work":    filled[WorkStatus](),
+		"rights":  filled[RightsStatus](),
+		"budgets": filled[budget.Statement](),
+		"halls":   filled[halls.Status](),
+	} {
+		t.Run(name, func(t *testing.T) {
+			golden.RequireTags(t, "json", v)
+			written, err := json.MarshalIndent(v, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Compare(t, "status-"+name, written)
+		})
+	}
+}
+
+// The words that logs, metrics and reports use for reasons, outcomes and states are searched for and counted by others.
+func TestGoldenTerms(t *testing.T) {
+	var b strings.Builder
+	for r := range logic.Reasons {
+		b.WriteString("reason " + logic.Reason(r).String() + "\n")
+	}
+	for _, name := range outcomeNames {
+		b.WriteString("outcome " + name + "\n")
+	}
+	for _, name := range figureNames {
+		b.WriteString("summary " + name + "\n")
+	}
+	for _, name := range halls.States() {
+		b.WriteString("hall " + name + "\n")
+	}
+	for m := range budget.Mode(16) {
+		b.WriteString("budget " + m.String() + "\n")
+	}
+	for s := lease.Open; s <= lease.Lapsed; s++ {
+		b.WriteString("request " + s.String() + "\n")
+	}
+	for i, word := range []string{"served", "refused", "failed", "unsent"} {
+		if o, known := lease.ParseOutcome(word); !known || int(o) != i+1 {
+			t.Errorf("outcome %q: got %d, %v, want %d", word, o, known, i+1)
+		}
+	}
+	golden.Compare(t, "terms", []byte(b.String()))
+}
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -52,29 +52,34 @@
 
 // NodesStatus is what is believed of nodes, and from whom.
 type NodesStatus struct {
-	Lifted  bool // too many nodes are blamed at once: nobody's word counts
-	Strange int  // words that could not be read
-	Nodes   []NodeStatus
+	Lifted  bool         `json:"Lifted"`  // too many nodes are blamed at once: nobody's word counts
+	Strange int          `json:"Strange"` // words that could not be read
+	Nodes   []NodeStatus `json:"Nodes"`
 }
 
 // NodeStatus is one node of which something is known or told.
 type NodeStatus struct {
-	Node              logic.ServerID
-	Good, Bad         float64 // this instance's own evidence
-	Own               string  // what speaks against it here
-	Told              float64 // times the usual latency that others' word makes it; 1: nothing
-	Cause             string
-	Accusers, Defence []string // "" is this instance
-	Why               string
-	AgeMS             int64
-	Words             []Word
+	Node     logic.ServerID `json:"Node"`
+	Good     float64        `json:"Good"`
+	Bad      float64        `json:"Bad"`  // this instance's own evidence
+	Own      string         `json:"Own"`  // what speaks against it here
+	Told     float64        `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
+	Cause    string         `json:"Cause"`
+	Accusers []string       `json:"Accusers"`
+	Defence  []string       `json:"Defence"` // "" is this instance
+	Why      string         `json:"Why"`
+	AgeMS    int64          `json:"AgeMS"`
+	Words    []Word         `json:"Words"`
 }
 
 // Word is what one other instance says.
 type Word struct {
-	Owner, Hall, Cause string
-	Good, Bad          float64
-	AgeMS              int64
+	Owner string  `json:"Owner"`
+	Hall  string  `json:"Hall"`
+	Cause string  `json:"Cause"`
+	Good  float64 `json:"Good"`
+	Bad   float64 `json:"Bad"`
+	AgeMS int64   `json:"AgeMS"`
 }
 
 // longAims is as in the module: half of a server's slowness is forgotten in so many longest aims.
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -150,7 +150,7 @@
 // RightsStatus is what is held of budgets, for people and tests.
 type RightsStatus struct {
 	rights.Counts
-	Budgets []rights.Status
+	Budgets []rights.Status `json:"Budgets"`
 }
 
 // RightsStatus is what this instance holds, as of a moment ago; false where parts are even. It may be called by many goroutines.
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -149,10 +149,10 @@
 
 // WorkStatus is what is in custody here, for people and tests.
 type WorkStatus struct {
-	InHand  int // of this instance's clients, and taken over
-	Records int // that it keeps for all
-	Bytes   int // that they take
-	Unread  int // messages that could not be read
+	InHand  int `json:"InHand"`  // of this instance's clients, and taken over
+	Records int `json:"Records"` // that it keeps for all
+	Bytes   int `json:"Bytes"`   // that they take
+	Unread  int `json:"Unread"`  // messages that could not be read
 	custody.Counts
 }
 
--- a/internal/custody/desk.go
+++ b/internal/custody/desk.go
@@ -86,8 +86,18 @@
 
 // Counts is what became of this instance's tries.
 type Counts struct {
-	Covered, Partly, Uncovered, NoKeeper, Joined, Bound, Answered, TakenFrom, Over, Halted, Asked int
-	Keeper                                                                                        KeeperCounts
+	Covered   int          `json:"Covered"`
+	Partly    int          `json:"Partly"`
+	Uncovered int          `json:"Uncovered"`
+	NoKeeper  int          `json:"NoKeeper"`
+	Joined    int          `json:"Joined"`
+	Bound     int          `json:"Bound"`
+	Answered  int          `json:"Answered"`
+	TakenFrom int          `json:"TakenFrom"`
+	Over      int          `json:"Over"`
+	Halted    int          `json:"Halted"`
+	Asked     int          `json:"Asked"`
+	Keeper    KeeperCounts `json:"Keeper"`
 }
 
 // NewDesk returns one that knows nobody. clock returns the newest reading of a member's clock that was heard.
--- a/internal/custody/keeper.go
+++ b/internal/custody/keeper.go
@@ -62,7 +62,15 @@
 
 // KeeperCounts is what a keeper has done.
 type KeeperCounts struct {
-	Granted, Again, Joined, Bound, Refused, Full, Taken, Failed, Late int
+	Granted int `json:"Granted"`
+	Again   int `json:"Again"`
+	Joined  int `json:"Joined"`
+	Bound   int `json:"Bound"`
+	Refused int `json:"Refused"`
+	Full    int `json:"Full"`
+	Taken   int `json:"Taken"`
+	Failed  int `json:"Failed"`
+	Late    int `json:"Late"`
 }
 
 func newKeeper(self string, life uint64) *Keeper {
--- /dev/null
+++ b/internal/front/forwardauth/golden_test.go
@@ -0,0 +1,61 @@
+package forwardauth
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"hitchspring/internal/core"
+	"hitchspring/internal/golden"
+	"hitchspring/internal/lease"
+)
+
+// Gates read these answers, headers and bodies.
+func TestGoldenAnswers(t *testing.T) {
+	f := &Front{cfg: Config{Header: "X-Hitch"}, met: newMetrics(prometheus.NewRegistry())}
+	var all bytes.Buffer
+	for _, a := range []core.Answer{
+		{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Node: "node-1", Addr: "10.0.0.1:99", Attempt: 2, StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}},
+		{Kind: core.Refused, RetryAfter: 1500 * time.Millisecond},
+		{Kind: core.Over, State: lease.Served},
+		{Kind: core.Other},
+		{Kind: core.Failed},
+	} {
+		w := httptest.NewRecorder()
+		f.answer(w, httptest.NewRequest(http.MethodGet, "/", nil), a)
+		fmt.Fprintln(&all, w.Code)
+		writeHeaders(&all, w.Header())
+		all.WriteString(w.Body.String() + "\n")
+	}
+	golden.Compare(t, "answers", all.Bytes())
+}
+
+func writeHeaders(b *bytes.Buffer, h http.Header) {
+	var names []string
+	for name := range h {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		fmt.Fprintf(b, "%s: %s\n", name, h.Get(name))
+	}
+}
+
+func TestGoldenReports(t *testing.T) {
+	for _, v := range []any{report{}, reported{}, problemBody{}} {
+		golden.RequireTags(t, "json", v)
+	}
+	var in report
+	var out reported
+	golden.Fill(&in)
+	golden.Fill(&out)
+	w := httptest.NewRecorder()
+	(&Front{}).json(w, http.StatusOK, []any{in, out})
+	golden.Compare(t, "reports", w.Body.Bytes())
+}
--- /dev/null
+++ b/internal/guard/golden_test.go
@@ -0,0 +1,17 @@
+package guard
+
+import (
+	"strings"
+	"testing"
+
+	"hitchspring/internal/golden"
+)
+
+// Metrics, logs and alerts know the invariants by these names.
+func TestGoldenNames(t *testing.T) {
+	var names []string
+	for _, i := range Invariants() {
+		names = append(names, i.String())
+	}
+	golden.Compare(t, "invariants", []byte(strings.Join(names, "\n")+"\n"))
+}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -107,7 +107,7 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if bad := nonsense(v.Field(i), name+"."+v.Type().Field(i).Name, now); bad != "" {
+			if bad := nonsense(v.Field(i), name+"."+v.Type().Field(i).Tag.Get("json"), now); bad != "" {
 				return bad
 			}
 		}
--- /dev/null
+++ b/internal/ingress/golden_test.go
@@ -0,0 +1,42 @@
+package ingress
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"hitchspring/internal/figures"
+	"hitchspring/internal/golden"
+	"hitchspring/internal/guard"
+	"hitchspring/internal/halls"
+	"hitchspring/internal/peers"
+)
+
+// Dashboards and alerts know the metrics by these names and labels.
+func TestGoldenPrometheusNames(t *testing.T) {
+	var h halls.Status
+	var p peers.Status
+	golden.Fill(&h)
+	golden.Fill(&p)
+	reg := prometheus.NewPedanticRegistry()
+	reg.MustRegister(newHallFigures(func() (halls.Status, bool) { return h, true }),
+		newPeerFigures(func() (peers.Status, bool) { return p, true }),
+		newRequestFigures(figures.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
+	families, err := reg.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b bytes.Buffer
+	for _, f := range families {
+		for _, m := range f.GetMetric() {
+			fmt.Fprint(&b, f.GetType(), " ", f.GetName())
+			for _, l := range m.GetLabel() {
+				fmt.Fprintf(&b, " %s=%q", l.GetName(), l.GetValue())
+			}
+			fmt.Fprintln(&b)
+		}
+	}
+	golden.Compare(t, "prometheus-names", b.Bytes())
+}
--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -84,12 +84,15 @@
 
 // Counts is what came and what was left aside.
 type Counts struct {
-	In, Out, BytesIn, BytesOut int
-	WrongKey                   int // that no key opens
-	Malformed                  int // that say nothing that can be read
-	Newer                      int // that only a later version can read
-	Strange                    int // answers to no question
-	Oversized                  int // messages for a member that were larger than MostParcel: not sent
+	In        int `json:"In"`
+	Out       int `json:"Out"`
+	BytesIn   int `json:"BytesIn"`
+	BytesOut  int `json:"BytesOut"`
+	WrongKey  int `json:"WrongKey"`  // that no key opens
+	Malformed int `json:"Malformed"` // that say nothing that can be read
+	Newer     int `json:"Newer"`     // that only a later version can read
+	Strange   int `json:"Strange"`   // answers to no question
+	Oversized int `json:"Oversized"` // messages for a member that were larger than MostParcel: not sent
 }
 
 type question struct {
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -7,32 +7,36 @@
 
 // Status is what this instance believes of its peers, for people and tests.
 type Status struct {
-	Name     string
-	Addr     string
-	Hall     string
-	Life     uint64
-	Inc      uint32
-	Over     string `json:",omitempty"` // why it takes part no longer
-	Version  uint64 // of the view
-	Alive    int    // others that are held to be there
-	Members  []MemberStatus
-	Facts    int
-	Bytes    int    // that they take
-	FactsSum uint64 // of what is held; alike where two hold the same
-	Counts   Counts
-	Unsent   int
-	Unqueued int // messages that were dropped because the queue was full
-	Swim     swim.Counts
-	Shared   shared.Counts
+	Name     string         `json:"Name"`
+	Addr     string         `json:"Addr"`
+	Hall     string         `json:"Hall"`
+	Life     uint64         `json:"Life"`
+	Inc      uint32         `json:"Inc"`
+	Over     string         `json:"Over,omitempty"` // why it takes part no longer
+	Version  uint64         `json:"Version"`        // of the view
+	Alive    int            `json:"Alive"`          // others that are held to be there
+	Members  []MemberStatus `json:"Members"`
+	Facts    int            `json:"Facts"`
+	Bytes    int            `json:"Bytes"`    // that they take
+	FactsSum uint64         `json:"FactsSum"` // of what is held; alike where two hold the same
+	Counts   Counts         `json:"Counts"`
+	Unsent   int            `json:"Unsent"`
+	Unqueued int            `json:"Unqueued"` // messages that were dropped because the queue was full
+	Swim     swim.Counts    `json:"Swim"`
+	Shared   shared.Counts  `json:"Shared"`
 }
 
 // MemberStatus is one member.
 type MemberStatus struct {
-	Name, Addr, Hall, State, By string
-	Life                        uint64
-	Inc                         uint32
-	SinceMS                     int64 // its state holds for so long
-	HeardMS                     int64 // it was last heard itself so long ago; -1: never
+	Name    string `json:"Name"`
+	Addr    string `json:"Addr"`
+	Hall    string `json:"Hall"`
+	State   string `json:"State"`
+	By      string `json:"By"`
+	Life    uint64 `json:"Life"`
+	Inc     uint32 `json:"Inc"`
+	SinceMS int64  `json:"SinceMS"` // its state holds for so long
+	HeardMS int64  `json:"HeardMS"` // it was last heard itself so long ago; -1: never
 }
 
 // Status is what is believed now.
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -119,10 +119,12 @@
 
 // Counts is what happened so far.
 type Counts struct {
-	Lent, Borrowed, Denied int // loans, and tries in vain
-	Strange                int // messages that no instance of this fleet can mean
-	Conflicts              int // members with the number of another
-	Full                   int // times that a budget found no room: its parts stay even
+	Lent      int `json:"Lent"`
+	Borrowed  int `json:"Borrowed"`
+	Denied    int `json:"Denied"`    // loans, and tries in vain
+	Strange   int `json:"Strange"`   // messages that no instance of this fleet can mean
+	Conflicts int `json:"Conflicts"` // members with the number of another
+	Full      int `json:"Full"`      // times that a budget found no room: its parts stay even
 }
 
 // loan is one, lent or borrowed.
@@ -571,10 +573,14 @@
 
 // Status is one budget's, for people.
 type Status struct {
-	Key                  string
-	Home, Share          float64
-	Lent, Borrowed, Away float64
-	To, From             []string
+	Key      string   `json:"Key"`
+	Home     float64  `json:"Home"`
+	Share    float64  `json:"Share"`
+	Lent     float64  `json:"Lent"`
+	Borrowed float64  `json:"Borrowed"`
+	Away     float64  `json:"Away"`
+	To       []string `json:"To"`
+	From     []string `json:"From"`
 }
 
 // Status is what is held, of the budgets with loans or with others who spend unheard, by key.
--- a/internal/shared/shared.go
+++ b/internal/shared/shared.go
@@ -84,9 +84,12 @@
 
 // Counts is what was not taken over so far, and why.
 type Counts struct {
-	Late, EndedLife, Own, Malformed int
+	Late      int `json:"Late"`
+	EndedLife int `json:"EndedLife"`
+	Own       int `json:"Own"`
+	Malformed int `json:"Malformed"`
 	// Full is the facts and owners for which there was no room. A fact of another owner is asked for again, and counts each time.
-	Full int
+	Full int `json:"Full"`
 }
 
 type key struct{ kind, subject string }
--- /dev/null
+++ b/internal/store/redis/golden_test.go
@@ -0,0 +1,28 @@
+package redis
+
+import (
+	"bytes"
+	"log/slog"
+	"testing"
+	"time"
+
+	"hitchspring/internal/golden"
+	"hitchspring/internal/store"
+	"hitchspring/internal/store/ledger"
+)
+
+// Instances of different versions share one Redis: its keys, its fields and the script are the same for all of them.
+func TestGoldenCommands(t *testing.T) {
+	c, err := New(Options{Address: "127.0.0.1:1", Prefix: "hitchspring", Lanes: 3}, slog.New(slog.DiscardHandler), func(*store.Call, store.Result) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := ledger.Write{Name: "0000000000000001/p", Since: 35, Seq: 7, Sum: -42, Keep: 1500 * time.Millisecond}
+	var b bytes.Buffer
+	for _, l := range c.lanes {
+		for _, byText := range []bool{false, true} {
+			b.Write(appendAdd(nil, l.key, "00112233aabbccdd", w, byText))
+		}
+	}
+	golden.Compare(t, "commands", b.Bytes())
+}
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -170,12 +170,12 @@
 
 // Counts is what went wrong so far.
 type Counts struct {
-	Stalls    int // times that this process did not run for long
-	Refuted   int // suspicions of this member that it has answered
-	EndedLife int // messages from a life that has ended
-	Refusals  int // members that were suspected for turning a message back
-	Stray     int // messages that were meant for another, or of oneself
-	Full      int // updates about members for whom there was no room
+	Stalls    int `json:"Stalls"`    // times that this process did not run for long
+	Refuted   int `json:"Refuted"`   // suspicions of this member that it has answered
+	EndedLife int `json:"EndedLife"` // messages from a life that has ended
+	Refusals  int `json:"Refusals"`  // members that were suspected for turning a message back
+	Stray     int `json:"Stray"`     // messages that were meant for another, or of oneself
+	Full      int `json:"Full"`      // updates about members for whom there was no room
 }
 
 // Machine is one member's view and protocol. It is used by one goroutine at a time.
--- a/logic/state.go
+++ b/logic/state.go
@@ -9,47 +9,63 @@
 // Learned is what a gateway knows, as facts with their times, for another process of the same gateway. It holds nothing of
 // requests but how much is out for them.
 type Learned struct {
-	Window, Lag, Flow float64
-	FlowAt            time.Duration
-	AskShare          float64
-	Busy              int // attempts that fill the window
-	Classes           []LearnedClass
-	Servers           []LearnedServer
-	Customers         []LearnedCustomer
+	Window    float64           `json:"Window"`
+	Lag       float64           `json:"Lag"`
+	Flow      float64           `json:"Flow"`
+	FlowAt    time.Duration     `json:"FlowAt"`
+	AskShare  float64           `json:"AskShare"`
+	Busy      int               `json:"Busy"` // attempts that fill the window
+	Classes   []LearnedClass    `json:"Classes"`
+	Servers   []LearnedServer   `json:"Servers"`
+	Customers []LearnedCustomer `json:"Customers"`
 }
 
 // LearnedClass is a class's latency, in seconds.
 type LearnedClass struct {
-	Name      string
-	Mean, Dev float64
+	Name string  `json:"Name"`
+	Mean float64 `json:"Mean"`
+	Dev  float64 `json:"Dev"`
 }
 
 // LearnedServer is what is known of a server that was started at a time.
 type LearnedServer struct {
-	ID                                ServerID
-	Started, SlowAt, LastSent, Banned time.Duration
-	Slow                              float64
-	Fails                             int
+	ID       ServerID      `json:"ID"`
+	Started  time.Duration `json:"Started"`
+	SlowAt   time.Duration `json:"SlowAt"`
+	LastSent time.Duration `json:"LastSent"`
+	Banned   time.Duration `json:"Banned"`
+	Slow     float64       `json:"Slow"`
+	Fails    int           `json:"Fails"`
 }
 
 // LearnedCustomer is the picture of a customer's store, and what is leased of it.
 type LearnedCustomer struct {
-	ID, Plan               string // ID: the books' name, Request.Account
-	Customer               string
-	Spread, First          int
-	Block, Owed            float64 // leased and not spent; to tell the counter
-	Level, Demand, Others  float64
-	At, Looked, Spent      time.Duration
-	Epoch                  int64
-	Total                  float64
-	SeenUnits, SeenFor     float64
-	SeenAt, Seen, NextCall time.Duration
-	Refreshed              time.Duration
-	Silent                 bool
-	Ceiling                float64
-	CeilingAt              time.Duration
-	Open                   int     // attempts out
-	Part                   float64 // held of the plan's figures
+	ID        string        `json:"ID"`
+	Plan      string        `json:"Plan"` // ID: the books' name, Request.Account
+	Customer  string        `json:"Customer"`
+	Spread    int           `json:"Spread"`
+	First     int           `json:"First"`
+	Block     float64       `json:"Block"`
+	Owed      float64       `json:"Owed"` // leased and not spent; to tell the counter
+	Level     float64       `json:"Level"`
+	Demand    float64       `json:"Demand"`
+	Others    float64       `json:"Others"`
+	At        time.Duration `json:"At"`
+	Looked    time.Duration `json:"Looked"`
+	Spent     time.Duration `json:"Spent"`
+	Epoch     int64         `json:"Epoch"`
+	Total     float64       `json:"Total"`
+	SeenUnits float64       `json:"SeenUnits"`
+	SeenFor   float64       `json:"SeenFor"`
+	SeenAt    time.Duration `json:"SeenAt"`
+	Seen      time.Duration `json:"Seen"`
+	NextCall  time.Duration `json:"NextCall"`
+	Refreshed time.Duration `json:"Refreshed"`
+	Silent    bool          `json:"Silent"`
+	Ceiling   float64       `json:"Ceiling"`
+	CeilingAt time.Duration `json:"CeilingAt"`
+	Open      int           `json:"Open"` // attempts out
+	Part      float64       `json:"Part"` // held of the plan's figures
 }
 
 // Learned returns what is known now.
