--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -9,11 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"hitchspring/internal/budget"
-	"hitchspring/internal/custody"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/halls"
 	"hitchspring/internal/lease"
 	"hitchspring/internal/rights"
+	"hitchspring/internal/takeover"
 	"hitchspring/logic"
 )
 
@@ -26,11 +26,11 @@
 		fill(&p)
 		messages[name] = p
 	}
-	add("work-intent", func(p *parcel) { p.Intent = filled[custody.Intent]() })
-	add("work-reply", func(p *parcel) { p.Reply = filled[custody.Reply]() })
-	add("work-end", func(p *parcel) { p.End = filled[custody.End]() })
-	add("work-end-acknowledged", func(p *parcel) { p.Ended = filled[custody.End]() })
-	add("work-outcome", func(p *parcel) { p.Told = filled[custody.Told]() })
+	add("work-intent", func(p *parcel) { p.Intent = filled[takeover.Intent]() })
+	add("work-reply", func(p *parcel) { p.Reply = filled[takeover.Reply]() })
+	add("work-end", func(p *parcel) { p.End = filled[takeover.End]() })
+	add("work-end-acknowledged", func(p *parcel) { p.Ended = filled[takeover.End]() })
+	add("work-outcome", func(p *parcel) { p.Told = filled[takeover.Told]() })
 	add("quota-parts", func(p *parcel) { p.Rights = filled[rights.Message]() })
 	add("all", func(p *parcel) { golden.Fill(p) })
 	for name, p := range messages {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -6,9 +6,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hitchspring/internal/custody"
 	"hitchspring/internal/nodes"
 	"hitchspring/internal/rights"
+	"hitchspring/internal/takeover"
 	"hitchspring/logic"
 )
 
@@ -27,7 +27,7 @@
 
 // Takeover is what the core needs so that work in hand survives an instance.
 type Takeover struct {
-	Self    custody.Member
+	Self    takeover.Member
 	Life    uint64
 	Works   Works
 	Rebuild func(words [][]byte) (*Request, error) // a request of another instance's, from its command's words
@@ -41,7 +41,7 @@
 		data []byte
 	}
 	fellows struct {
-		members []custody.Member // who is there, this instance not among them
+		members []takeover.Member // who is there, this instance not among them
 		gone    []Life
 		back    []Life
 		left    []Life // of gone: those that have surely ended
@@ -57,7 +57,7 @@
 // taking is custody of keyed work: what waits for a keeper's word, and what is kept for others. The loop's alone.
 type taking struct {
 	cfg    Takeover
-	desk   *custody.Desk
+	desk   *takeover.Desk
 	byTry  map[uint64]*Request
 	shown  atomic.Pointer[WorkStatus]
 	showAt time.Duration
@@ -65,7 +65,7 @@
 
 // keeping is a request in custody.
 type keeping struct {
-	at     custody.Place
+	at     takeover.Place
 	waits  *nodes.Attempt // for the keepers' word; nil: none does
 	to     logic.ServerID
 	ran    int     // attempts that may have run
@@ -77,7 +77,7 @@
 }
 
 func newTaking(cfg Takeover) *taking {
-	return &taking{cfg: cfg, desk: custody.NewDesk(cfg.Self, cfg.Life, cfg.Works.ClockOf), byTry: map[uint64]*Request{}}
+	return &taking{cfg: cfg, desk: takeover.NewDesk(cfg.Self, cfg.Life, cfg.Works.ClockOf), byTry: map[uint64]*Request{}}
 }
 
 // HeardWork takes in what another instance's life has sent.
@@ -87,7 +87,7 @@
 
 // Fellows tells who else is there now, and which lives have ended or begun since.
 // left are those of ended of which that is sure.
-func (g *Core) Fellows(members []custody.Member, ended, begun, left []Life) {
+func (g *Core) Fellows(members []takeover.Member, ended, begun, left []Life) {
 	g.post(fellows{members, ended, begun, left})
 }
 
@@ -102,7 +102,7 @@
 	if m.Rights != nil && g.holding != nil {
 		g.heardRights(ev.from, ev.life, *m.Rights)
 	}
-	if g.taking == nil || m.Message == (custody.Message{}) {
+	if g.taking == nil || m.Message == (takeover.Message{}) {
 		return
 	}
 	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)
@@ -111,7 +111,7 @@
 
 // parcel is what one instance sends another: of work, or of parts of budgets.
 type parcel struct {
-	custody.Message
+	takeover.Message
 	Rights *rights.Message `cbor:"10,keyasint,omitempty"`
 }
 
@@ -129,7 +129,7 @@
 	for _, x := range ev.back {
 		t.desk.Back(x.Name, x.Life)
 	}
-	t.desk.Members(append([]custody.Member{t.cfg.Self}, ev.members...))
+	t.desk.Members(append([]takeover.Member{t.cfg.Self}, ev.members...))
 	g.drainDesk()
 }
 
@@ -153,7 +153,7 @@
 	Records int `json:"Records"` // that it keeps for all
 	Bytes   int `json:"Bytes"`   // that they take
 	Unread  int `json:"Unread"`  // messages that could not be read
-	custody.Counts
+	takeover.Counts
 }
 
 // WorkStatus is what is in custody, as of a moment ago; false where nothing is. It may be called by many goroutines.
@@ -169,7 +169,7 @@
 
 // covers says whether keepers can hold a request.
 func (g *Core) covers(r *Request) bool {
-	if g.classes[r.Class].Effect != logic.Keyed || r.Idem == "" || r.Size > custody.MostBody {
+	if g.classes[r.Class].Effect != logic.Keyed || r.Idem == "" || r.Size > takeover.MostBody {
 		return false
 	}
 	_, ok := r.Command.(interface{ Words() [][]byte })
@@ -179,8 +179,8 @@
 // workKey is what a piece of keyed work is known by among all instances.
 func workKey(r *Request) string { return r.Customer + "/" + r.Idem }
 
-func (g *Core) workOf(r *Request) custody.Work {
-	return custody.Work{Key: workKey(r), Class: r.Class, Plan: r.Plan, Customer: r.Customer, Units: r.Units, Spread: r.Spread, First: r.First,
+func (g *Core) workOf(r *Request) takeover.Work {
+	return takeover.Work{Key: workKey(r), Class: r.Class, Plan: r.Plan, Customer: r.Customer, Units: r.Units, Spread: r.Spread, First: r.First,
 		Memory: g.classes[r.Class].RepeatWindow, Words: r.Command.(interface{ Words() [][]byte }).Words()}
 }
 
@@ -189,11 +189,11 @@
 	if r.final || r.kept != nil || len(r.attempts) > 0 || g.requests[r.ID] != r {
 		return
 	}
-	r.kept = &keeping{at: custody.Nowhere}
+	r.kept = &keeping{at: takeover.Nowhere}
 	g.taking.byTry[r.Key] = r
 	w := g.workOf(r)
 	w.Paid = g.mod.Holds(r.ID)
-	g.taking.desk.Begin(g.now, w, r.Key, custody.Nowhere, r.GiveUpAt)
+	g.taking.desk.Begin(g.now, w, r.Key, takeover.Nowhere, r.GiveUpAt)
 	g.drainDesk()
 }
 
@@ -246,15 +246,15 @@
 }
 
 // place is where a repeat has no further effect.
-func (g *Core) place(c logic.Class, id logic.ServerID) custody.Place {
+func (g *Core) place(c logic.Class, id logic.ServerID) takeover.Place {
 	t := g.ops.listed[id]
 	switch c.Group {
 	case logic.GroupAll:
-		return custody.Place{}
+		return takeover.Place{}
 	case logic.GroupZone:
-		return custody.Place{Zone: t.Zone}
+		return takeover.Place{Zone: t.Zone}
 	}
-	return custody.Place{Zone: t.Zone, Rack: t.Group}
+	return takeover.Place{Zone: t.Zone, Rack: t.Group}
 }
 
 // drainDesk sends what the desk has to say, and does what may be done.
@@ -273,7 +273,7 @@
 			return
 		}
 		for _, a := range acts {
-			if a.Do == custody.Finish {
+			if a.Do == takeover.Finish {
 				g.finish(*a.Take)
 			} else if r := t.byTry[a.Try]; r != nil && r.kept != nil && !r.final {
 				g.decided(r, a)
@@ -283,14 +283,14 @@
 }
 
 // decided does what custody has come to for one of this instance's requests.
-func (g *Core) decided(r *Request, a custody.Act) {
+func (g *Core) decided(r *Request, a takeover.Act) {
 	if refuse := r.kept.refuse; refuse != nil { // nothing of it will be sent
 		switch {
-		case a.Do == custody.Join:
+		case a.Do == takeover.Join:
 			r.kept.joined = true
-		case a.Do == custody.Answered && a.Answer.Kind == custody.Served:
+		case a.Do == takeover.Answered && a.Answer.Kind == takeover.Served:
 			g.answer(r, Answer{Kind: Served, Value: a.Answer.Value})
-		case r.kept.was && a.Do != custody.Go && a.Do != custody.Free: // it may have been sent elsewhere: that is no refusal
+		case r.kept.was && a.Do != takeover.Go && a.Do != takeover.Free: // it may have been sent elsewhere: that is no refusal
 			g.answer(r, Answer{Kind: Failed})
 		default:
 			g.answer(r, *refuse)
@@ -298,7 +298,7 @@
 		return
 	}
 	switch a.Do {
-	case custody.Go:
+	case takeover.Go:
 		w := r.kept.waits
 		if r.kept.waits = nil; w == nil {
 			return
@@ -310,25 +310,25 @@
 		g.taking.desk.Sent(g.now, r.Key)
 		r.kept.went(w)
 		g.launch(r, w, r.kept.to)
-	case custody.Join:
+	case takeover.Join:
 		r.kept.joined = true
 		g.withdraw(r)
-	case custody.Answered:
+	case takeover.Answered:
 		g.withdraw(r)
-		if a.Answer.Kind == custody.Served {
+		if a.Answer.Kind == takeover.Served {
 			g.answer(r, Answer{Kind: Served, Value: a.Answer.Value})
 		} else {
 			g.answer(r, Answer{Kind: Failed})
 		}
-	case custody.Free: // what was waited for never ran: from the beginning
+	case takeover.Free: // what was waited for never ran: from the beginning
 		g.again(r, nil)
 		r.kept = nil
-	case custody.Bind:
+	case takeover.Bind:
 		g.withdraw(r)
 		r.kept.joined = false
 		r.kept.at = a.At
 		g.again(r, &logic.Prior{Zone: a.At.Zone, Cell: a.At.Rack, At: a.Began})
-	case custody.Halt:
+	case takeover.Halt:
 		g.withdraw(r)
 		g.answer(r, Answer{Kind: Refused, RetryAfter: FullRetry})
 	}
@@ -352,7 +352,7 @@
 func (g *Core) withdraw(r *Request) {
 	w := r.kept.waits
 	if r.kept.waits = nil; w == nil {
-		if r.kept.at == custody.Nowhere { // it waits in the module
+		if r.kept.at == takeover.Nowhere { // it waits in the module
 			g.tell(logic.Abandoned{ID: r.ID})
 		}
 		return
@@ -393,12 +393,12 @@
 	}
 	k.ended = true
 	delete(g.taking.byTry, r.Key)
-	end := custody.Answer{Kind: custody.Failed}
+	end := takeover.Answer{Kind: takeover.Failed}
 	switch {
 	case a.Kind == Served:
-		end = custody.Answer{Kind: custody.Served, Value: a.Value, Cut: a.Stream != nil}
+		end = takeover.Answer{Kind: takeover.Served, Value: a.Value, Cut: a.Stream != nil}
 	case k.ran <= 0:
-		end.Kind = custody.Never
+		end.Kind = takeover.Never
 	}
 	g.taking.desk.Finish(g.now, r.Key, end)
 	g.drainDesk()
@@ -418,10 +418,10 @@
 func (takenPlace) Gone() bool { return false }
 
 // finish goes on with a piece of work whose instance has gone.
-func (g *Core) finish(t custody.Take) {
+func (g *Core) finish(t takeover.Take) {
 	fail := func(why string, err error) {
 		g.log.Warn("work that was taken over is not finished", "from", t.From, "why", why, "err", err)
-		g.taking.desk.Finish(g.now, t.Try, custody.Answer{Kind: custody.Failed})
+		g.taking.desk.Finish(g.now, t.Try, takeover.Answer{Kind: takeover.Failed})
 	}
 	if g.taking.byTry[t.Try] != nil || g.taking.cfg.Rebuild == nil {
 		fail("it is in hand here, or there is no front yet", nil)
@@ -440,8 +440,8 @@
 	g.fig.Took()
 	g.lastID++
 	r.ID, r.came = g.lastID, g.now
-	r.kept, r.Paid = &keeping{at: t.At}, t.Paid || t.At != custody.Nowhere
-	if t.At != custody.Nowhere {
+	r.kept, r.Paid = &keeping{at: t.At}, t.Paid || t.At != takeover.Nowhere
+	if t.At != takeover.Nowhere {
 		r.Prior = &logic.Prior{Zone: t.At.Zone, Cell: t.At.Rack, At: t.Began}
 		r.attempts = []*nodes.Attempt{{}} // its owner's
 		r.kept.ran = 1
@@ -449,7 +449,7 @@
 	g.taking.byTry[t.Try] = r
 	g.requests[r.ID] = r
 	g.heldBytes += r.Size
-	g.log.Info("work is taken over", "from", t.From, "sent", t.At != custody.Nowhere, "class", r.Class, "key", r.Idem, "left", (t.Until - g.now).Round(time.Millisecond))
+	g.log.Info("work is taken over", "from", t.From, "sent", t.At != takeover.Nowhere, "class", r.Class, "key", r.Idem, "left", (t.Until - g.now).Round(time.Millisecond))
 	g.tell(logic.Arrival{Request: r.Request})
 	g.at(r.GiveUpAt+overdue, func() { g.cutOff(r) })
 }
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -11,10 +11,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"hitchspring/internal/core"
-	"hitchspring/internal/custody"
 	"hitchspring/internal/peers"
 	"hitchspring/internal/shared"
 	"hitchspring/internal/swim"
+	"hitchspring/internal/takeover"
 )
 
 // company is the other instances, once this one takes part: until then it has heard nothing.
@@ -102,9 +102,9 @@
 	if p == nil {
 		return
 	}
-	var members []custody.Member
+	var members []takeover.Member
 	for _, m := range p.Members() {
-		members = append(members, custody.Member{Name: m.Name, Hall: m.Hall})
+		members = append(members, takeover.Member{Name: m.Name, Hall: m.Hall})
 	}
 	var ended, begun, left []core.Life
 	for _, c := range changes {
--- a/internal/custody/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -1,4 +1,4 @@
-package custody
+package takeover
 
 import (
 	"fmt"
--- a/internal/custody/custody.go
+++ b/internal/takeover/takeover.go
@@ -16,7 +16,7 @@
 // How old an intent is, a keeper knows by its own clock alone: the intent brings the newest reading of that clock that its sender has
 // heard of, and was sent no earlier. One whose reading is older than a second is asked for again. So the rack's memory is never
 // held to last longer than it does, whatever a message or a process has waited.
-package custody
+package takeover
 
 import (
 	"cmp"
