--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -9,10 +9,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"hitchspring/internal/budget"
+	"hitchspring/internal/escrow"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/halls"
 	"hitchspring/internal/lease"
-	"hitchspring/internal/rights"
 	"hitchspring/internal/takeover"
 	"hitchspring/logic"
 )
@@ -31,7 +31,7 @@
 	add("work-end", func(p *parcel) { p.End = filled[takeover.End]() })
 	add("work-end-acknowledged", func(p *parcel) { p.Ended = filled[takeover.End]() })
 	add("work-outcome", func(p *parcel) { p.Told = filled[takeover.Told]() })
-	add("quota-parts", func(p *parcel) { p.Rights = filled[rights.Message]() })
+	add("quota-parts", func(p *parcel) { p.Rights = filled[escrow.Message]() })
 	add("all", func(p *parcel) { golden.Fill(p) })
 	for name, p := range messages {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hitchspring/internal/rights"
+	"hitchspring/internal/escrow"
 	"hitchspring/logic"
 )
 
@@ -22,10 +22,10 @@
 
 // holding is this instance's parts of budgets, which move between instances. The loop's alone, but for shown.
 type holding struct {
-	book    *rights.Book
+	book    *escrow.Book
 	works   Works
 	ticked  time.Duration
-	members []rights.Member
+	members []escrow.Member
 	passed  map[string]*passing
 	told    bool // a line was written on two members with one number
 
@@ -47,7 +47,7 @@
 }
 
 func newHolding(cfg Config, now time.Duration) *holding {
-	return &holding{book: rights.New(cfg.Settings.Me, cfg.Settings.Gateways, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Rights, ticked: now, passed: map[string]*passing{}}
+	return &holding{book: escrow.New(cfg.Settings.Me, cfg.Settings.Gateways, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Rights, ticked: now, passed: map[string]*passing{}}
 }
 
 // passes counts a request's units, when it is first sent on.
@@ -68,7 +68,7 @@
 func (h *holding) fellows(ev fellows) {
 	h.members = h.members[:0]
 	for _, m := range ev.members {
-		h.members = append(h.members, rights.Member{Name: m.Name})
+		h.members = append(h.members, escrow.Member{Name: m.Name})
 	}
 	for _, x := range ev.left {
 		h.book.Gone(x.Name, x.Life)
@@ -86,9 +86,9 @@
 	h := g.holding
 	stopped := g.now-h.ticked > stoppedAfter
 	h.ticked = g.now
-	var needs []rights.Need
+	var needs []escrow.Need
 	for _, n := range g.mod.Needs(g.now) {
-		x := rights.Need{Key: n.Account, Spread: n.Spread, First: n.First, Want: n.Want, Others: n.Others / n.Rate, Places: n.Places, Alone: n.Alone}
+		x := escrow.Need{Key: n.Account, Spread: n.Spread, First: n.First, Want: n.Want, Others: n.Others / n.Rate, Places: n.Places, Alone: n.Alone}
 		if p := h.passed[n.Account]; p != nil {
 			x.Passed = p.now(g.now) / n.Rate
 		}
@@ -114,7 +114,7 @@
 	if full == h.fullTold || h.fullTold > 0 && g.now-h.fullAt < fullLogged {
 		return
 	}
-	g.log.Warn("rights: no room for further budgets: their parts stay even at this instance", "refused", full-h.fullTold, "max_budgets", rights.MaxBudgets)
+	g.log.Warn("rights: no room for further budgets: their parts stay even at this instance", "refused", full-h.fullTold, "max_budgets", escrow.MaxBudgets)
 	h.fullTold, h.fullAt = full, g.now
 }
 
@@ -129,15 +129,15 @@
 
 // heardRights takes in what another instance's life says of budgets. What it lends or has back holds from the next look on at the latest; what this
 // instance lends counts at once.
-func (g *Core) heardRights(from string, life uint64, m rights.Message) {
-	out := g.holding.book.Receive(g.now, rights.Member{Name: from, Life: life}, m)
+func (g *Core) heardRights(from string, life uint64, m escrow.Message) {
+	out := g.holding.book.Receive(g.now, escrow.Member{Name: from, Life: life}, m)
 	if len(out) > 0 || len(m.Grants) > 0 {
 		g.holdParts(false)
 	}
 	g.sendRights(out)
 }
 
-func (g *Core) sendRights(out []rights.Send) {
+func (g *Core) sendRights(out []escrow.Send) {
 	for _, s := range out {
 		b, err := cbor.Marshal(parcel{Rights: &s.Msg})
 		if err != nil { // of plain fields
@@ -149,8 +149,8 @@
 
 // RightsStatus is what is held of budgets, for people and tests.
 type RightsStatus struct {
-	rights.Counts
-	Budgets []rights.Status `json:"Budgets"`
+	escrow.Counts
+	Budgets []escrow.Status `json:"Budgets"`
 }
 
 // RightsStatus is what this instance holds, as of a moment ago; false where parts are even. It may be called by many goroutines.
--- a/internal/core/rights_test.go
+++ b/internal/core/rights_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/internal/rights"
+	"hitchspring/internal/escrow"
 )
 
 // Budgets that find no room again and again are one line at once, and one in ten seconds after that.
@@ -22,9 +22,9 @@
 	}
 	g.now = time.Hour
 	g.holding = newHolding(cfg, g.now)
-	var needs []rights.Need
-	for i := range rights.MaxBudgets + 1 {
-		needs = append(needs, rights.Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, Want: 0.1})
+	var needs []escrow.Need
+	for i := range escrow.MaxBudgets + 1 {
+		needs = append(needs, escrow.Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, Want: 0.1})
 	}
 	count := func() int { return strings.Count(out.String(), "no room for further budgets") }
 	for range 100 {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"hitchspring/internal/escrow"
 	"hitchspring/internal/nodes"
-	"hitchspring/internal/rights"
 	"hitchspring/internal/takeover"
 	"hitchspring/logic"
 )
@@ -112,7 +112,7 @@
 // parcel is what one instance sends another: of work, or of parts of budgets.
 type parcel struct {
 	takeover.Message
-	Rights *rights.Message `cbor:"10,keyasint,omitempty"`
+	Rights *escrow.Message `cbor:"10,keyasint,omitempty"`
 }
 
 func (g *Core) fellows(ev fellows) {
--- a/internal/rights/bounds_test.go
+++ b/internal/escrow/bounds_test.go
@@ -1,4 +1,4 @@
-package rights
+package escrow
 
 import (
 	"fmt"
--- a/internal/rights/rights.go
+++ b/internal/escrow/escrow.go
@@ -16,7 +16,7 @@
 //     others have said to this very life that they hold none; from then on they take none of an earlier one.
 //
 // No two clocks are compared. A process that was stopped holds nothing that it had borrowed once it looks at its clock.
-package rights
+package escrow
 
 import (
 	"cmp"
