--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -13,16 +13,16 @@
 	"strings"
 	"testing"
 
-	"hitchspring/internal/budget"
 	"hitchspring/internal/core"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/halls"
+	"hitchspring/internal/overrun"
 	"hitchspring/internal/peers"
 )
 
 // The tables of `hitchspring status`, for an answer with a value in every field.
 func TestGoldenStatusTables(t *testing.T) {
-	var budgets [1]budget.Statement
+	var budgets [1]overrun.Statement
 	for name, v := range map[string]any{
 		"halls": &halls.Status{}, "peers": &peers.Status{}, "nodes": &core.NodesStatus{}, "work": &core.WorkStatus{},
 		"rights": &core.RightsStatus{}, "budgets": &budgets,
--- a/cmd/hitchspring/status.go
+++ b/cmd/hitchspring/status.go
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 	"time"
 
-	"hitchspring/internal/budget"
 	"hitchspring/internal/config"
 	"hitchspring/internal/core"
+	"hitchspring/internal/overrun"
 	"hitchspring/internal/peers"
 )
 
@@ -145,7 +145,7 @@
 	return err
 }
 
-func printBudgets(out io.Writer, all []budget.Statement) error {
+func printBudgets(out io.Writer, all []overrun.Statement) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "channel\tplan\tmode\tways\tdemand/s\tothers/s\ttotal heard\tpart\theld\tuntold\troom\tmay pass on\tuncounted\tmay overdraw\twithin")
 	for _, s := range all {
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"hitchspring/internal/budget"
 	"hitchspring/internal/core"
+	"hitchspring/internal/overrun"
 	"hitchspring/logic"
 )
 
@@ -77,7 +77,7 @@
 // A list of budgets that is as long as it may be says that there may be more.
 func TestStatusBudgetsAtTheBound(t *testing.T) {
 	for _, n := range []int{core.MaxBudgetsShown - 1, core.MaxBudgetsShown} {
-		out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(make([]budget.Statement, n)) }, "budgets")
+		out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(make([]overrun.Statement, n)) }, "budgets")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/budgets_test.go
+++ b/internal/core/budgets_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/internal/budget"
+	"hitchspring/internal/overrun"
 	"hitchspring/logic"
 )
 
@@ -23,7 +23,7 @@
 			l.Customers = append(l.Customers, logic.LearnedCustomer{ID: fmt.Sprintf("c%05d", i), Customer: fmt.Sprintf("c%05d", i), Plan: "p", Spread: 1, Demand: float64(i)})
 		}
 		g.mod.Learn(time.Second, l)
-		reply := make(chan []budget.Statement, 1)
+		reply := make(chan []overrun.Statement, 1)
 		g.budgets(budgetsAsked{reply: reply})
 		all := <-reply
 		if len(all) != want || all[0].Customer != fmt.Sprintf("c%05d", channels-1) || all[len(all)-1].Customer != fmt.Sprintf("c%05d", channels-want) {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hitchspring/internal/budget"
 	"hitchspring/internal/escrow"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/halls"
 	"hitchspring/internal/lease"
+	"hitchspring/internal/overrun"
 	"hitchspring/internal/takeover"
 	"hitchspring/logic"
 )
@@ -63,7 +63,7 @@
 		"nodes":   filled[NodesStatus](),
 		"work":    filled[WorkStatus](),
 		"rights":  filled[RightsStatus](),
-		"budgets": filled[budget.Statement](),
+		"budgets": filled[overrun.Statement](),
 		"halls":   filled[halls.Status](),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 	for _, name := range halls.States() {
 		b.WriteString("hall " + name + "\n")
 	}
-	for m := range budget.Mode(16) {
+	for m := range overrun.Mode(16) {
 		b.WriteString("budget " + m.String() + "\n")
 	}
 	for s := lease.Open; s <= lease.Lapsed; s++ {
--- a/internal/lab/trial/budgets.go
+++ b/internal/lab/trial/budgets.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"hitchspring/internal/budget"
 	"hitchspring/internal/lab"
+	"hitchspring/internal/overrun"
 )
 
 // budgets is instances that do not hear the counter while a channel asks for five times its quota: what each passes on, by the nodes' records, beside what it
@@ -75,7 +75,7 @@
 		}
 	}
 	var mu sync.Mutex
-	stated, modes := map[int]map[string]budget.Statement{}, map[budget.Mode]int{}
+	stated, modes := map[int]map[string]overrun.Statement{}, map[overrun.Mode]int{}
 	statedAt := map[int]time.Duration{}
 	cfg := lab.Config{Day: "calm", Seed: c.Seed, For: unheardAt + unheardFor + rejoinFor, Ingresses: c.Instances, Nodes: 24, Hot: 5, Ingress: program, Tolerance: tolerance, Linked: true, Peers: true, Rights: c.On,
 		Faults: faults}
@@ -103,7 +103,7 @@
 					}
 				}
 				if t == unheardAt {
-					stated[i], statedAt[i] = map[string]budget.Statement{}, w.Now()
+					stated[i], statedAt[i] = map[string]overrun.Statement{}, w.Now()
 					for _, x := range s {
 						stated[i][x.Customer] = x
 					}
@@ -123,7 +123,7 @@
 			if lost[i] {
 				continue
 			}
-			if s.Mode == budget.Asked || s.Plan != "storby" { // others may be passed on beyond their quota on purpose
+			if s.Mode == overrun.Asked || s.Plan != "storby" { // others may be passed on beyond their quota on purpose
 				continue
 			}
 			from, passed := statedAt[i], 0.0
@@ -167,11 +167,11 @@
 		}
 	}
 	r.Figures["clips"] = float64(inTime) / float64(max(1, clips))
-	r.Figures["looks_alone"], r.Figures["looks"] = float64(modes[budget.Alone]+modes[budget.Unheard]), float64(modes[budget.Normal]+modes[budget.Late]+modes[budget.Alone]+modes[budget.Unheard])
+	r.Figures["looks_alone"], r.Figures["looks"] = float64(modes[overrun.Alone]+modes[overrun.Unheard]), float64(modes[overrun.Normal]+modes[overrun.Late]+modes[overrun.Alone]+modes[overrun.Unheard])
 	if len(list) > 0 && r.Figures["looks_alone"] == 0 {
 		r.Breaks = append(r.Breaks, "no instance said that it was alone")
 	}
-	if len(list) == 0 && modes[budget.Alone] > 0 {
+	if len(list) == 0 && modes[overrun.Alone] > 0 {
 		r.Breaks = append(r.Breaks, "an instance said that it was alone, and nothing had happened")
 	}
 	return r, nil
--- a/internal/budget/budget.go
+++ b/internal/overrun/overrun.go
@@ -2,7 +2,7 @@
 // instance may pass on, from now on and for a while, should it hear nothing more from the counter: stated before it happens. In: the
 // module's books on a channel, the time. Out: statements. It does no I/O, changes nothing, and must never decide whether a request
 // goes out; what it states holds because of how the module spends (logic: admit, refresh, callFailed).
-package budget
+package overrun
 
 import (
 	"cmp"
--- a/internal/budget/budget_test.go
+++ b/internal/overrun/overrun_test.go
@@ -1,4 +1,4 @@
-package budget
+package overrun
 
 import (
 	"encoding/json"
