--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,9 +19,9 @@
 	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/halls"
-	"hitchspring/internal/judge"
 	"hitchspring/internal/lease"
 	"hitchspring/internal/nodes"
+	"hitchspring/internal/outlier"
 	"hitchspring/internal/resp"
 	"hitchspring/internal/settings"
 	"hitchspring/internal/store"
@@ -676,7 +676,7 @@
 		g.holding.passes(g.now, r)
 	}
 	if g.judged != nil {
-		g.judged.sight.Sent(g.now, to, judge.Try{Request: r.ID, N: a.N}, r.Class)
+		g.judged.sight.Sent(g.now, to, outlier.Try{Request: r.ID, N: a.N}, r.Class)
 	}
 	g.at(a.Stop, func() { g.nodes.GiveUp(a, logic.TimedOut) })
 	g.nodes.Start(a, to)
@@ -742,7 +742,7 @@
 		g.halls.Ended(g.now, ev.Server, g.now-ev.Took, r.Class, ev.Outcome)
 	}
 	if g.judged != nil {
-		g.judged.sight.Ended(g.now, judge.Try{Request: r.ID, N: ev.Attempt}, ev.Outcome)
+		g.judged.sight.Ended(g.now, outlier.Try{Request: r.ID, N: ev.Attempt}, ev.Outcome)
 	}
 	g.tell(ev)
 	g.forget(r)
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"hitchspring/internal/judge"
+	"hitchspring/internal/outlier"
 	"hitchspring/internal/shared"
 	"hitchspring/logic"
 )
@@ -33,15 +33,15 @@
 // judgements is what is believed of nodes by this instance's own evidence and by others' word. The loop's alone, but for shown.
 type judgements struct {
 	peers   Peers
-	cfg     judge.Config
-	sight   *judge.Sight
-	teller  *judge.Teller
-	fader   *judge.Fader
-	trials  *judge.Trials
+	cfg     outlier.Config
+	sight   *outlier.Sight
+	teller  *outlier.Teller
+	fader   *outlier.Fader
+	trials  *outlier.Trials
 	starts  map[logic.ServerID]time.Duration
 	version uint64
 	weighed time.Duration
-	heard   map[logic.ServerID][]judge.Heard
+	heard   map[logic.ServerID][]outlier.Heard
 	force   map[logic.ServerID]float64 // slowness by others' word, as the module has it
 	blamed  map[logic.ServerID]bool    // of which a line was written
 	held    bool                       // blames are lifted, for there are too many
@@ -90,8 +90,8 @@
 	for _, c := range cfg.Settings.Classes {
 		longest = max(longest, c.Aim)
 	}
-	return &judgements{peers: cfg.Peers, cfg: judge.Config{Hall: cfg.Settings.Zone, Memory: longAims * longest}, sight: judge.NewSight(), teller: judge.NewTeller(),
-		fader: judge.NewFader(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: judge.NewTrials(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Gateways),
+	return &judgements{peers: cfg.Peers, cfg: outlier.Config{Hall: cfg.Settings.Zone, Memory: longAims * longest}, sight: outlier.NewSight(), teller: outlier.NewTeller(),
+		fader: outlier.NewFader(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: outlier.NewTrials(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Gateways),
 		starts: map[logic.ServerID]time.Duration{}, blamed: map[logic.ServerID]bool{}}
 }
 
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, o := range j.teller.Tell(g.now, own, accused) {
-		j.peers.Tell(judge.Kind, string(o.Node), o.Born(), o.Encode())
+		j.peers.Tell(outlier.Kind, string(o.Node), o.Born(), o.Encode())
 	}
 	if g.now-j.weighed >= weighAgain || len(j.force) > 0 {
 		j.weighed = g.now
@@ -151,37 +151,37 @@
 
 // read takes over what others tell.
 func (j *judgements) read() {
-	facts, halls := j.peers.Facts(judge.Kind)
-	j.heard = map[logic.ServerID][]judge.Heard{}
+	facts, halls := j.peers.Facts(outlier.Kind)
+	j.heard = map[logic.ServerID][]outlier.Heard{}
 	for _, f := range facts {
 		if f.Owner == j.peers.Name() {
 			continue
 		}
-		o, err := judge.Decode(f.Subject, f.Born, f.Data)
+		o, err := outlier.Decode(f.Subject, f.Born, f.Data)
 		if err != nil {
 			j.strange++
 			continue
 		}
 		if start, there := j.starts[o.Node]; there && start.Milliseconds() == o.Started.Milliseconds() { // of this start of it
-			j.heard[o.Node] = append(j.heard[o.Node], judge.Heard{Owner: f.Owner, Hall: halls[f.Owner], Opinion: o})
+			j.heard[o.Node] = append(j.heard[o.Node], outlier.Heard{Owner: f.Owner, Hall: halls[f.Owner], Opinion: o})
 		}
 	}
 }
 
 // weigh comes to a verdict on each node that others speak of, and lets the module know.
-func (g *Core) weigh(own []judge.Opinion) {
+func (g *Core) weigh(own []outlier.Opinion) {
 	j := g.judged
-	mine := map[logic.ServerID]judge.Opinion{}
+	mine := map[logic.ServerID]outlier.Opinion{}
 	for _, o := range own {
 		mine[o.Node] = o
 	}
-	var verdicts []judge.Verdict
+	var verdicts []outlier.Verdict
 	for id, words := range j.heard {
 		o := mine[id]
 		o.Node = id
-		verdicts = append(verdicts, judge.Judge(g.now, j.cfg, o, words))
+		verdicts = append(verdicts, outlier.Judge(g.now, j.cfg, o, words))
 	}
-	lifted := judge.Restrain(verdicts, len(j.starts))
+	lifted := outlier.Restrain(verdicts, len(j.starts))
 	if lifted != j.held {
 		j.held = lifted
 		g.log.Warn("others' word on nodes", "counts", !lifted, "nodes", len(verdicts), "listed", len(j.starts))
@@ -209,13 +209,13 @@
 }
 
 // show lets others see what is believed.
-func (j *judgements) show(now time.Duration, own []judge.Opinion, verdicts []judge.Verdict) {
+func (j *judgements) show(now time.Duration, own []outlier.Opinion, verdicts []outlier.Verdict) {
 	s := &NodesStatus{Lifted: j.held, Strange: j.strange}
-	by := map[logic.ServerID]judge.Verdict{}
+	by := map[logic.ServerID]outlier.Verdict{}
 	for _, v := range verdicts {
 		by[v.Node] = v
 	}
-	add := func(o judge.Opinion) {
+	add := func(o outlier.Opinion) {
 		v := by[o.Node]
 		n := NodeStatus{Node: o.Node, Good: o.Good, Bad: o.Bad, Told: max(1, j.force[o.Node]), Cause: v.Cause.String(), Accusers: v.Accusers, Defence: v.Defence, Why: v.Why,
 			AgeMS: v.Age.Milliseconds()}
@@ -232,7 +232,7 @@
 		add(o)
 	}
 	for id := range by {
-		add(judge.Opinion{Node: id})
+		add(outlier.Opinion{Node: id})
 	}
 	j.shown.Store(s)
 }
--- a/internal/judge/sight.go
+++ b/internal/outlier/sight.go
@@ -2,7 +2,7 @@
 // tell of what they have seen (verdict.go). In: starts and ends of attempts, facts with their owners, halls and times. Out:
 // opinions worth telling, and for each node a slowness to reckon with that others' words justify. It does no I/O, reads no
 // clock, and must never know a connection, a message or a request's content. No single instance's word changes anything.
-package judge
+package outlier
 
 import (
 	"math"
--- a/internal/judge/verdict.go
+++ b/internal/outlier/verdict.go
@@ -1,4 +1,4 @@
-package judge
+package outlier
 
 import (
 	"maps"
