--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -15,16 +15,16 @@
 
 	"hitchspring/internal/core"
 	"hitchspring/internal/golden"
-	"hitchspring/internal/halls"
 	"hitchspring/internal/overrun"
 	"hitchspring/internal/peers"
+	"hitchspring/internal/zones"
 )
 
 // The tables of `hitchspring status`, for an answer with a value in every field.
 func TestGoldenStatusTables(t *testing.T) {
 	var budgets [1]overrun.Statement
 	for name, v := range map[string]any{
-		"halls": &halls.Status{}, "peers": &peers.Status{}, "nodes": &core.NodesStatus{}, "work": &core.WorkStatus{},
+		"halls": &zones.Status{}, "peers": &peers.Status{}, "nodes": &core.NodesStatus{}, "work": &core.WorkStatus{},
 		"rights": &core.RightsStatus{}, "budgets": &budgets,
 	} {
 		golden.Fill(v)
--- a/cmd/hitchspring/halls.go
+++ b/cmd/hitchspring/halls.go
@@ -9,10 +9,10 @@
 
 	"hitchspring/internal/config"
 	"hitchspring/internal/drill"
-	"hitchspring/internal/halls"
+	"hitchspring/internal/zones"
 )
 
-func printHalls(out io.Writer, s halls.Status) error {
+func printHalls(out io.Writer, s zones.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "hall\ttier\tstate\tfor\tnodes\tproven\tcapacity\tof\toffered/s\tanswered/s\tshare\tlate\tramp\tmost/s\tprice\tcaution\t")
 	for _, h := range s.Halls {
--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -21,13 +21,13 @@
 	"hitchspring/internal/core"
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/front/forwardauth"
-	"hitchspring/internal/halls"
 	"hitchspring/internal/handover"
 	"hitchspring/internal/ingress"
 	"hitchspring/internal/peers"
 	"hitchspring/internal/settings"
 	"hitchspring/internal/store"
 	"hitchspring/internal/store/redis"
+	"hitchspring/internal/zones"
 	"hitchspring/logic"
 )
 
@@ -121,7 +121,7 @@
 	}
 	if h := o.Halls; h != nil {
 		cfg.Drills = h.Drills
-		cfg.Halls = &halls.Config{Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
+		cfg.Halls = &zones.Config{Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
 			Ramp: time.Duration(h.Ramp), RampFrom: h.RampFrom, Forget: time.Duration(h.Forget)}
 	}
 	if p := o.Peers; p != nil {
--- a/internal/config/halls.go
+++ b/internal/config/halls.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/internal/halls"
+	"hitchspring/internal/zones"
 )
 
 // Halls says how work is kept in the instance's own hall, and what becomes of it when a hall is lost. Absent: another hall
@@ -38,14 +38,14 @@
 			wrong(key, "%v is out of range, %v to %v", *v, least, most)
 		}
 	}
-	number("near_price", &h.NearPrice, halls.DefaultNearPrice, 1, 100)
-	number("far_price", &h.FarPrice, max(halls.DefaultFarPrice, h.NearPrice), 1, 100)
+	number("near_price", &h.NearPrice, zones.DefaultNearPrice, 1, 100)
+	number("far_price", &h.FarPrice, max(zones.DefaultFarPrice, h.NearPrice), 1, 100)
 	if h.FarPrice < h.NearPrice {
 		wrong("far_price", "%v is below near_price %v", h.FarPrice, h.NearPrice)
 	}
-	number("overprovision", &h.Overprovision, halls.DefaultOverprovision, 1, 10)
-	number("panic", &h.Panic, halls.DefaultPanic, 0.01, 1)
-	number("ramp_from", &h.RampFrom, halls.DefaultRampFrom, 0.01, 1)
+	number("overprovision", &h.Overprovision, zones.DefaultOverprovision, 1, 10)
+	number("panic", &h.Panic, zones.DefaultPanic, 0.01, 1)
+	number("ramp_from", &h.RampFrom, zones.DefaultRampFrom, 0.01, 1)
 	span := func(key string, v *Duration, usual, least, most time.Duration) {
 		if *v == 0 {
 			*v = Duration(usual)
@@ -54,7 +54,7 @@
 			wrong(key, "%v is out of range, %v to %v", d, least, most)
 		}
 	}
-	span("ramp", &h.Ramp, halls.DefaultRamp, time.Second, 10*time.Minute)
-	span("forget", &h.Forget, halls.DefaultForget, time.Second, 24*time.Hour)
+	span("ramp", &h.Ramp, zones.DefaultRamp, time.Second, 10*time.Minute)
+	span("forget", &h.Forget, zones.DefaultForget, time.Second, 24*time.Hour)
 	return faults
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,7 +18,6 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
-	"hitchspring/internal/halls"
 	"hitchspring/internal/lease"
 	"hitchspring/internal/nodes"
 	"hitchspring/internal/outlier"
@@ -26,6 +25,7 @@
 	"hitchspring/internal/settings"
 	"hitchspring/internal/store"
 	"hitchspring/internal/suspend"
+	"hitchspring/internal/zones"
 	"hitchspring/logic"
 )
 
@@ -54,7 +54,7 @@
 	Store       func(store.Sink) (store.Counter, error) // makes the shared counter; nil: the settings know none
 	Connections settings.Connections
 	Leases      *Leases       // of attempts that who asks sends itself; nil: none are granted
-	Halls       *halls.Config // what an operator says of halls; nil: another hall costs a fixed factor
+	Halls       *zones.Config // what an operator says of halls; nil: another hall costs a fixed factor
 	Summary     time.Duration // between two lines of the log that sum up what happened; 0: none
 	LogRequests bool          // a line of the log for the end of each request
 	Company     int           // other processes of this ingress that there may be at the start: limits hold for all together
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -10,10 +10,10 @@
 
 	"hitchspring/internal/escrow"
 	"hitchspring/internal/golden"
-	"hitchspring/internal/halls"
 	"hitchspring/internal/lease"
 	"hitchspring/internal/overrun"
 	"hitchspring/internal/takeover"
+	"hitchspring/internal/zones"
 	"hitchspring/logic"
 )
 
@@ -64,7 +64,7 @@
 		"work":    filled[WorkStatus](),
 		"rights":  filled[RightsStatus](),
 		"budgets": filled[overrun.Statement](),
-		"halls":   filled[halls.Status](),
+		"halls":   filled[zones.Status](),
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.RequireTags(t, "json", v)
@@ -89,7 +89,7 @@
 	for _, name := range figureNames {
 		b.WriteString("summary " + name + "\n")
 	}
-	for _, name := range halls.States() {
+	for _, name := range zones.States() {
 		b.WriteString("hall " + name + "\n")
 	}
 	for m := range overrun.Mode(16) {
--- a/internal/core/halls.go
+++ b/internal/core/halls.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"hitchspring/internal/halls"
+	"hitchspring/internal/zones"
 	"hitchspring/logic"
 )
 
@@ -18,8 +18,8 @@
 
 // hallBook is what is known of halls, and what was last shown of it.
 type hallBook struct {
-	*halls.Book
-	shown  atomic.Pointer[halls.Status]
+	*zones.Book
+	shown  atomic.Pointer[zones.Status]
 	showAt time.Duration
 	logged float64 // the spill
 	logAt  time.Duration
@@ -29,33 +29,33 @@
 // drills are the halls that are taken out on purpose, each until a time.
 type drills map[string]time.Time
 
-func newHallBook(cfg halls.Config, set logic.Settings) *hallBook {
+func newHallBook(cfg zones.Config, set logic.Settings) *hallBook {
 	cfg.Own, cfg.WarmAfter, cfg.ColdShare, cfg.Probe = set.Zone, set.WarmAfter, set.ColdShare, set.MayProbe
 	cfg.Aims = map[string]time.Duration{}
 	for _, c := range set.Classes {
 		cfg.Aims[c.Name] = c.Aim
 	}
-	return &hallBook{Book: halls.New(cfg)}
+	return &hallBook{Book: zones.New(cfg)}
 }
 
 // list hands a list of nodes on.
 func (h *hallBook) list(now time.Duration, ev logic.FleetChanged) {
-	list := make([]halls.Node, len(ev.Servers))
+	list := make([]zones.Node, len(ev.Servers))
 	for i, s := range ev.Servers {
-		list[i] = halls.Node{ID: s.ID, Hall: s.Zone, State: s.State, Size: s.Size, Started: s.Started}
+		list[i] = zones.Node{ID: s.ID, Hall: s.Zone, State: s.State, Size: s.Size, Started: s.Started}
 	}
 	h.Fleet(now, list, ev.Whole)
 }
 
 // HallStatus is what is known of the halls, as of a quarter of a second ago; false where [halls] is off or nothing has
 // been seen yet. It may be called by many goroutines.
-func (g *Core) HallStatus() (halls.Status, bool) {
+func (g *Core) HallStatus() (zones.Status, bool) {
 	if g.halls == nil {
-		return halls.Status{}, false
+		return zones.Status{}, false
 	}
 	s := g.halls.shown.Load()
 	if s == nil {
-		return halls.Status{}, false
+		return zones.Status{}, false
 	}
 	return *s, true
 }
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -10,18 +10,18 @@
 	"hitchspring/internal/figures"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/guard"
-	"hitchspring/internal/halls"
 	"hitchspring/internal/peers"
+	"hitchspring/internal/zones"
 )
 
 // Dashboards and alerts know the metrics by these names and labels.
 func TestGoldenPrometheusNames(t *testing.T) {
-	var h halls.Status
+	var h zones.Status
 	var p peers.Status
 	golden.Fill(&h)
 	golden.Fill(&p)
 	reg := prometheus.NewPedanticRegistry()
-	reg.MustRegister(newHallFigures(func() (halls.Status, bool) { return h, true }),
+	reg.MustRegister(newHallFigures(func() (zones.Status, bool) { return h, true }),
 		newPeerFigures(func() (peers.Status, bool) { return p, true }),
 		newRequestFigures(figures.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
 	families, err := reg.Gather()
--- a/internal/ingress/halls.go
+++ b/internal/ingress/halls.go
@@ -6,17 +6,17 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"hitchspring/internal/halls"
+	"hitchspring/internal/zones"
 )
 
 // hallFigures exports what is known of halls, read when it is asked for.
 type hallFigures struct {
-	status func() (halls.Status, bool)
+	status func() (zones.Status, bool)
 	reach, planned, spilled, panicking,
 	capacity, nominal, offered, answered, late, ramp, price, state, caution, nodes *prometheus.Desc
 }
 
-func newHallFigures(status func() (halls.Status, bool)) *hallFigures {
+func newHallFigures(status func() (zones.Status, bool)) *hallFigures {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("hitchspring_"+name, help, labels, nil)
 	}
@@ -64,7 +64,7 @@
 		put(f.caution, float64(h.Caution), h.Name)
 		put(f.nodes, float64(h.Nodes), h.Name, "listed")
 		put(f.nodes, float64(h.Proven), h.Name, "proven")
-		for _, state := range halls.States() {
+		for _, state := range zones.States() {
 			put(f.state, map[bool]float64{true: 1}[state == h.State], h.Name, state)
 		}
 	}
--- a/internal/halls/status.go
+++ b/internal/zones/status.go
@@ -1,4 +1,4 @@
-package halls
+package zones
 
 import (
 	"fmt"
--- a/internal/halls/halls.go
+++ b/internal/zones/zones.go
@@ -3,7 +3,7 @@
 // with its time. Out: facts for the decision module (a price, a rate and a state for each hall, the nodes that are not proven
 // again), probes to send, and a status in figures and words. It chooses no node and refuses no request, does no I/O, reads no
 // clock and draws nothing: the same calls give the same facts. A Book is for one goroutine.
-package halls
+package zones
 
 import (
 	"cmp"
