--- a/cmd/hitchspring/halls.go
+++ b/cmd/hitchspring/halls.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hitchspring/internal/config"
-	"hitchspring/internal/drill"
+	"hitchspring/internal/zonedrain"
 	"hitchspring/internal/zones"
 )
 
@@ -53,11 +53,11 @@
 }
 
 func (c *hallDrainCmd) Run(e *env) error {
-	return e.drills(func(l drill.List, now time.Time) (drill.List, error) {
-		if c.For <= 0 || c.For > drill.Most {
-			return l, fmt.Errorf("--for: %v is out of range, up to %v", c.For, drill.Most)
+	return e.drills(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
+		if c.For <= 0 || c.For > zonedrain.Most {
+			return l, fmt.Errorf("--for: %v is out of range, up to %v", c.For, zonedrain.Most)
 		}
-		return l.Begin(drill.Drill{Hall: c.Hall, Until: now.Add(c.For).Truncate(time.Millisecond), By: c.By, Why: c.Why}, now)
+		return l.Begin(zonedrain.Drill{Hall: c.Hall, Until: now.Add(c.For).Truncate(time.Millisecond), By: c.By, Why: c.Why}, now)
 	})
 }
 
@@ -66,7 +66,7 @@
 }
 
 func (c *hallReturnCmd) Run(e *env) error {
-	return e.drills(func(l drill.List, now time.Time) (drill.List, error) {
+	return e.drills(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
 		if _, out := l.Out(now)[c.Hall]; !out {
 			return l, fmt.Errorf("hall %q is in no drill", c.Hall)
 		}
@@ -81,7 +81,7 @@
 }
 
 // drills changes the file of drills, and prints what is in force then.
-func (e *env) drills(change func(drill.List, time.Time) (drill.List, error)) error {
+func (e *env) drills(change func(zonedrain.List, time.Time) (zonedrain.List, error)) error {
 	o, err := config.Load(e.options)
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 		return errors.New("hall: the options have no halls.drills: no file that the instances read")
 	}
 	now := time.Now()
-	l, err := drill.Load(o.Halls.Drills, now)
+	l, err := zonedrain.Load(o.Halls.Drills, now)
 	if err != nil {
 		return err
 	}
--- a/cmd/hitchspring/halls_test.go
+++ b/cmd/hitchspring/halls_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/internal/drill"
+	"hitchspring/internal/zonedrain"
 )
 
 // A hall is taken out and let in again through the file that the options name; what cannot be done is one line.
@@ -36,7 +36,7 @@
 	if got := do("hall", "drain", "hall-a", "--for", "10m", "--by", "kari"); !strings.HasPrefix(got, "hall-a is out until ") || !strings.Contains(got, "kari") {
 		t.Fatal(got)
 	}
-	l, err := drill.Load(drills, time.Now())
+	l, err := zonedrain.Load(drills, time.Now())
 	if err != nil || len(l.Out(time.Now())) != 1 {
 		t.Fatal(l, err)
 	}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -17,13 +17,13 @@
 
 	"hitchspring/internal/admin"
 	"hitchspring/internal/core"
-	"hitchspring/internal/drill"
 	"hitchspring/internal/front/forwardauth"
 	"hitchspring/internal/front/resp"
 	"hitchspring/internal/peers"
 	"hitchspring/internal/store"
 	"hitchspring/internal/store/tally"
 	"hitchspring/internal/takeover"
+	"hitchspring/internal/zonedrain"
 )
 
 const (
@@ -179,7 +179,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			drill.Watch(watching, g.cfg.Drills, drillsEvery, g.core.SetDrills, g.log)
+			zonedrain.Watch(watching, g.cfg.Drills, drillsEvery, g.core.SetDrills, g.log)
 		}()
 		defer func() {
 			end()
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -8,10 +8,10 @@
 	"syscall"
 	"time"
 
-	"hitchspring/internal/drill"
 	"hitchspring/internal/lab/day"
 	"hitchspring/internal/standin/fault"
 	"hitchspring/internal/standin/node"
+	"hitchspring/internal/zonedrain"
 )
 
 // timeline does the steps at their times, until ctx ends.
@@ -140,9 +140,9 @@
 // drill takes a hall out by the file that all instances read.
 func (w *World) drill(hall string, d time.Duration) error {
 	now := time.Now()
-	l, err := drill.Load(w.drills, now)
+	l, err := zonedrain.Load(w.drills, now)
 	if err == nil {
-		l, err = l.Begin(drill.Drill{Hall: hall, Until: now.Add(d), Why: "the lab's"}, now)
+		l, err = l.Begin(zonedrain.Drill{Hall: hall, Until: now.Add(d), Why: "the lab's"}, now)
 	}
 	if err == nil {
 		err = l.Save(w.drills)
--- a/internal/drill/drill.go
+++ b/internal/zonedrain/zonedrain.go
@@ -1,7 +1,7 @@
 // Package drill keeps the file of drills: halls that are taken out on purpose, each until a time. In: a path that all instances
 // share, as they do their options, and an operator's words. Out: which halls are out by now. A file that cannot be read
 // changes nothing. It knows neither nodes nor the decision module.
-package drill
+package zonedrain
 
 import (
 	"bytes"
--- a/internal/drill/drill_test.go
+++ b/internal/zonedrain/zonedrain_test.go
@@ -1,4 +1,4 @@
-package drill
+package zonedrain
 
 import (
 	"bytes"
