--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/outlier"
-	"hitchspring/internal/shared"
 	"hitchspring/logic"
 )
 
@@ -23,7 +23,7 @@
 	// Tell states a fact of this instance's own, seen at a time of the core's clock.
 	Tell(kind, subject string, born time.Duration, data []byte)
 	// Facts are all that are held of a kind, with the halls of their owners.
-	Facts(kind string) (facts []shared.Fact, halls map[string]string)
+	Facts(kind string) (facts []gossip.Fact, halls map[string]string)
 	// Version changes when the facts have.
 	Version() uint64
 	// Name is this instance's, as an owner of facts.
--- a/internal/shared/bounds_test.go
+++ b/internal/gossip/bounds_test.go
@@ -1,4 +1,4 @@
-package shared
+package gossip
 
 import (
 	"fmt"
--- a/internal/shared/shared.go
+++ b/internal/gossip/gossip.go
@@ -9,7 +9,7 @@
 // seen no earlier than q-a by the asker's clock: the asker takes that, which makes it too old by one round trip for each
 // hand that it went through, and never too young. An answer that took longer than MostTrip is not used at all. A clock that
 // runs wrong by a share makes ages wrong by that share.
-package shared
+package gossip
 
 import (
 	"cmp"
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"hitchspring/internal/core"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/peers"
-	"hitchspring/internal/shared"
 	"hitchspring/internal/swim"
 	"hitchspring/internal/takeover"
 )
@@ -30,7 +30,7 @@
 	}
 }
 
-func (c *company) Facts(kind string) ([]shared.Fact, map[string]string) {
+func (c *company) Facts(kind string) ([]gossip.Fact, map[string]string) {
 	if p := c.p.Load(); p != nil {
 		return p.Facts(kind)
 	}
--- a/internal/peers/bounds.go
+++ b/internal/peers/bounds.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hitchspring/internal/shared"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/swim"
 )
 
@@ -36,8 +36,8 @@
 	held, bytes := p.engine.store.Len(), p.engine.store.Bytes()
 	p.mu.Unlock()
 	if n, due := p.bounds.facts.due(now, facts); due {
-		p.log.Warn("peers: no room for further facts: they are asked for again", "refused", n, "held", held, "bytes", bytes, "max_bytes", shared.MaxBytes,
-			"max_facts_per_owner", shared.MaxFactsPerOwner)
+		p.log.Warn("peers: no room for further facts: they are asked for again", "refused", n, "held", held, "bytes", bytes, "max_bytes", gossip.MaxBytes,
+			"max_facts_per_owner", gossip.MaxFactsPerOwner)
 	}
 	if n, due := p.bounds.members.due(now, members); due {
 		p.log.Warn("peers: no room for further members: they are not seen from here", "refused", n, "max_members", swim.MaxMembers)
--- a/internal/peers/bounds_test.go
+++ b/internal/peers/bounds_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/internal/shared"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/swim"
 )
 
@@ -67,7 +67,7 @@
 	const line = "no room for further facts"
 	log, now := &lines{}, time.Hour
 	p := unstarted(t, log, &now)
-	for i := range shared.MaxFactsPerOwner {
+	for i := range gossip.MaxFactsPerOwner {
 		p.engine.Tell("node", fmt.Sprint(i), now, nil)
 	}
 	p.reportBounds(now)
@@ -88,7 +88,7 @@
 	}
 	now += lineSpan
 	p.reportBounds(now)
-	if log.count(line) != 2 || p.engine.store.Len() != shared.MaxFactsPerOwner {
+	if log.count(line) != 2 || p.engine.store.Len() != gossip.MaxFactsPerOwner {
 		t.Fatal(log.b.String())
 	}
 }
--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -11,7 +11,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hitchspring/internal/shared"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/swim"
 )
 
@@ -54,7 +54,7 @@
 	Swim    *swim.Message `cbor:"3,keyasint,omitempty"`
 	Ask     *ask          `cbor:"4,keyasint,omitempty"`
 	Answer  *answer       `cbor:"5,keyasint,omitempty"`
-	Nudge   []shared.Mark `cbor:"6,keyasint,omitempty"` // the sender has news of these: ask it
+	Nudge   []gossip.Mark `cbor:"6,keyasint,omitempty"` // the sender has news of these: ask it
 	Work    []byte        `cbor:"7,keyasint,omitempty"` // for who is there, whatever it is
 	Clock   int64         `cbor:"8,keyasint,omitempty"` // of the sender, in microseconds
 }
@@ -73,12 +73,12 @@
 
 type ask struct {
 	Nonce  uint64        `cbor:"1,keyasint"`
-	Digest shared.Digest `cbor:"2,keyasint"`
+	Digest gossip.Digest `cbor:"2,keyasint"`
 }
 
 type answer struct {
 	Nonce  uint64         `cbor:"1,keyasint"`
-	Shares []shared.Share `cbor:"2,keyasint,omitempty"`
+	Shares []gossip.Share `cbor:"2,keyasint,omitempty"`
 	More   bool           `cbor:"3,keyasint,omitempty"` // it did not all fit
 }
 
@@ -98,7 +98,7 @@
 type question struct {
 	at     time.Duration
 	addr   string
-	digest shared.Digest
+	digest gossip.Digest
 }
 
 // Engine is one instance's membership and facts. It is used by one goroutine at a time.
@@ -106,7 +106,7 @@
 	rng     *rand.Rand
 	sealer  *Sealer
 	member  *swim.Machine
-	store   *shared.Store
+	store   *gossip.Store
 	asks    map[uint64]question
 	next    time.Duration // question
 	sweep   time.Duration
@@ -125,7 +125,7 @@
 
 // NewEngine returns an instance that knows nobody.
 func NewEngine(cfg swim.Config, sealer *Sealer, now time.Duration, rng *rand.Rand) *Engine {
-	return &Engine{rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: shared.New(cfg.Name, cfg.Life, horizon),
+	return &Engine{rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: gossip.New(cfg.Name, cfg.Life, horizon),
 		asks: map[uint64]question{}, clocks: map[string]reading{}, next: now + time.Duration(rng.Int64N(int64(askEvery))), sweep: now + sweepEvery}
 }
 
@@ -133,7 +133,7 @@
 func (e *Engine) Member() *swim.Machine { return e.member }
 
 // Store is the facts, to be looked at.
-func (e *Engine) Store() *shared.Store { return e.store }
+func (e *Engine) Store() *gossip.Store { return e.store }
 
 // Counts is what came and went.
 func (e *Engine) Counts() Counts { return e.counts }
@@ -214,7 +214,7 @@
 			}
 		}
 		for n, q := range e.asks {
-			if now-q.at > shared.MostTrip {
+			if now-q.at > gossip.MostTrip {
 				delete(e.asks, n)
 			}
 		}
@@ -275,7 +275,7 @@
 
 func (e *Engine) ask(now time.Duration, addr string) { e.askFor(now, addr, e.store.Ask()) }
 
-func (e *Engine) askFor(now time.Duration, addr string, d shared.Digest) {
+func (e *Engine) askFor(now time.Duration, addr string, d gossip.Digest) {
 	if len(e.asks) >= mostAsks {
 		return
 	}
--- a/internal/peers/engine_test.go
+++ b/internal/peers/engine_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hitchspring/internal/shared"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/swim"
 )
 
@@ -241,8 +241,8 @@
 	}
 	s, _ := NewSealer([]string{key})
 	before := e.Store().Sum(n.now)
-	for _, plain := range [][]byte{nil, {0xff}, []byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []shared.Mark{{Owner: "x", Life: 1, Have: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
-		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Life: 1}}, Nudge: []shared.Mark{{Owner: "x", Life: 1, Have: 1}}})} {
+	for _, plain := range [][]byte{nil, {0xff}, []byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []gossip.Mark{{Owner: "x", Life: 1, Have: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
+		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Life: 1}}, Nudge: []gossip.Mark{{Owner: "x", Life: 1, Have: 1}}})} {
 		if out, _ := e.Receive(n.now, s.Seal(plain)); len(out) > 1 || e.Store().Sum(n.now) != before {
 			t.Errorf("%q: %d answers", plain, len(out))
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"hitchspring/internal/shared"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/swim"
 )
 
@@ -450,7 +450,7 @@
 }
 
 // Facts are all facts of a kind that are held, this instance's own among them, with the halls of their owners.
-func (p *Peers) Facts(kind string) (facts []shared.Fact, halls map[string]string) {
+func (p *Peers) Facts(kind string) (facts []gossip.Fact, halls map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	facts, halls = p.engine.store.Facts(p.cfg.Clock(), kind), map[string]string{}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,7 +1,7 @@
 package peers
 
 import (
-	"hitchspring/internal/shared"
+	"hitchspring/internal/gossip"
 	"hitchspring/internal/swim"
 )
 
@@ -23,7 +23,7 @@
 	Unsent   int            `json:"Unsent"`
 	Unqueued int            `json:"Unqueued"` // messages that were dropped because the queue was full
 	Swim     swim.Counts    `json:"Swim"`
-	Shared   shared.Counts  `json:"Shared"`
+	Shared   gossip.Counts  `json:"Shared"`
 }
 
 // MemberStatus is one member.
