--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 )
 
 const (
@@ -113,7 +113,7 @@
 				return
 			}
 			switch err := do(id); {
-			case errors.Is(err, suspend.ErrUnknown):
+			case errors.Is(err, override.ErrUnknown):
 				http.Error(w, fmt.Sprintf("backend %s: %v", id, err), http.StatusNotFound)
 			case err != nil:
 				log.Error("an operator's call failed", "call", verb, "node", id, "err", err)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,10 +21,10 @@
 	"hitchspring/internal/lease"
 	"hitchspring/internal/nodes"
 	"hitchspring/internal/outlier"
+	"hitchspring/internal/override"
 	"hitchspring/internal/resp"
 	"hitchspring/internal/settings"
 	"hitchspring/internal/store"
-	"hitchspring/internal/suspend"
 	"hitchspring/internal/zones"
 	"hitchspring/logic"
 )
@@ -240,7 +240,7 @@
 		keys: map[uint64]bool{}, mostConns: cfg.Sockets * 3 / 8,
 		fig:      newFigures(cfg.Settings.Classes),
 		guard:    guard.NewMonitor(log),
-		ops:      operators{book: suspend.New(), store: cfg.Words, spoke: make(chan struct{}, 1)},
+		ops:      operators{book: override.New(), store: cfg.Words, spoke: make(chan struct{}, 1)},
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64)}
 	g.nodes = nodes.New(owner{g}, nodes.Config{Sent: g.fig.Sent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MostConns: g.nodeConns(cfg.Company),
 		Frames: resp.NewBudget(cfg.Memory / memoryShare)})
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -8,7 +8,7 @@
 	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/nodes"
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 	"hitchspring/logic"
 )
 
@@ -19,13 +19,13 @@
 // by many goroutines, and may take the time of a disk.
 type WordStore interface {
 	// Save puts words into stable storage, beside those that another process has put there.
-	Save([]suspend.Word) error
+	Save([]override.Word) error
 }
 
 // operators is what operators have said, and the list that it lies over. Its lock is never held over a wait.
 type operators struct {
 	mu    sync.Mutex
-	book  *suspend.Book
+	book  *override.Book
 	store WordStore     // nil: words end with the process
 	spoke chan struct{} // room for one: the loop shall look at the book
 
@@ -64,7 +64,7 @@
 }
 
 // Heard takes in words that another process of this ingress has recorded. It may be called at any time.
-func (g *Core) Heard(words []suspend.Word) {
+func (g *Core) Heard(words []override.Word) {
 	o := &g.ops
 	o.mu.Lock()
 	changed := o.book.Merge(words)
--- a/internal/handover/dir.go
+++ b/internal/handover/dir.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 )
 
 const (
@@ -152,13 +152,13 @@
 
 // wordsFile is the form of the operators' words.
 type wordsFile struct {
-	Version int            `json:"version"`
-	Listen  string         `json:"listen"`
-	Words   []suspend.Word `json:"words"`
+	Version int             `json:"version"`
+	Listen  string          `json:"listen"`
+	Words   []override.Word `json:"words"`
 }
 
 // Save puts words into the file beside those that are there; it returns when they are on the disk.
-func (d *Dir) Save(words []suspend.Word) error {
+func (d *Dir) Save(words []override.Word) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	lock, err := os.OpenFile(d.base+".words.lock", os.O_CREATE|os.O_RDWR, 0o600)
@@ -169,7 +169,7 @@
 	if err := flock(lock, syscall.LOCK_EX); err != nil {
 		return fmt.Errorf("words: %w", err)
 	}
-	book := suspend.New()
+	book := override.New()
 	there, err := d.words()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		d.log.Warn("the file of suspensions could not be read, and is written anew", "err", err)
@@ -184,7 +184,7 @@
 }
 
 // Words are the words on file; none where there is no file, or it cannot be used.
-func (d *Dir) Words() []suspend.Word {
+func (d *Dir) Words() []override.Word {
 	words, err := d.words()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		d.log.Warn("the file of suspensions is not used", "err", err)
@@ -192,7 +192,7 @@
 	return words
 }
 
-func (d *Dir) words() ([]suspend.Word, error) {
+func (d *Dir) words() ([]override.Word, error) {
 	b, err := read(d.base + ".words")
 	if err != nil {
 		return nil, err
@@ -201,7 +201,7 @@
 }
 
 // Watch tells others of their number and of new words, each time that they change, until ctx ends.
-func (d *Dir) Watch(ctx context.Context, others func(int), words func([]suspend.Word)) {
+func (d *Dir) Watch(ctx context.Context, others func(int), words func([]override.Word)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	last := -1
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,7 +10,7 @@
 
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/golden"
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 	"hitchspring/logic"
 )
 
@@ -72,7 +72,7 @@
 	if err := d.Leave(State{At: time.Second, List: discovery.List{}, Learned: logic.Learned{}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Save([]suspend.Word{{ID: "s0", Out: true, At: 1}}); err != nil {
+	if err := d.Save([]override.Word{{ID: "s0", Out: true, At: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"hitchspring/internal/discovery"
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 	"hitchspring/logic"
 )
 
@@ -154,7 +154,7 @@
 }
 
 // decodeWords reads and checks the words that were written for an address.
-func decodeWords(b []byte, listen string) ([]suspend.Word, error) {
+func decodeWords(b []byte, listen string) ([]override.Word, error) {
 	var f wordsFile
 	if err := strict(b, &f); err != nil {
 		return nil, fmt.Errorf("words: %w", err)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 
 	"hitchspring/internal/discovery"
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 	"hitchspring/logic"
 )
 
@@ -148,8 +148,8 @@
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir, "127.0.0.1:1"), open(t, dir, "127.0.0.1:1")
-	for d, w := range map[*Dir]suspend.Word{a: {ID: "s1", Out: true, At: 1}, b: {ID: "s2", Out: true, At: 2}} {
-		if err := d.Save([]suspend.Word{w}); err != nil {
+	for d, w := range map[*Dir]override.Word{a: {ID: "s1", Out: true, At: 1}, b: {ID: "s2", Out: true, At: 2}} {
+		if err := d.Save([]override.Word{w}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -179,7 +179,7 @@
 	if _, ok := b.Left(now); ok || len(b.Words()) > 0 {
 		t.Fatal("torn files were believed")
 	}
-	if err := b.Save([]suspend.Word{{ID: "s3", Out: true, At: 3}}); err != nil || len(b.Words()) != 1 {
+	if err := b.Save([]override.Word{{ID: "s3", Out: true, At: 3}}); err != nil || len(b.Words()) != 1 {
 		t.Fatal(err, b.Words())
 	}
 }
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -9,7 +9,7 @@
 
 	"hitchspring/internal/admin"
 	"hitchspring/internal/handover"
-	"hitchspring/internal/suspend"
+	"hitchspring/internal/override"
 )
 
 // giveTime is what giving over may take; after it the next process starts without.
@@ -113,7 +113,7 @@
 type words struct{ dir atomic.Pointer[handover.Dir] }
 
 // Save is core.WordStore's.
-func (w *words) Save(said []suspend.Word) error {
+func (w *words) Save(said []override.Word) error {
 	if d := w.dir.Load(); d != nil {
 		return d.Save(said)
 	}
--- a/internal/suspend/suspend.go
+++ b/internal/override/override.go
@@ -2,7 +2,7 @@
 // until it is put back, whatever the list says of it, and one that was put back counts as started then, unless discovery has told of a
 // restart since it was taken out. In: ids as they are listed, calls with the time of the call. Out: entries of the list as the decision
 // module shall have them. It does no I/O and is not safe for many goroutines.
-package suspend
+package override
 
 import (
 	"cmp"
--- a/internal/suspend/suspend_test.go
+++ b/internal/override/override_test.go
@@ -1,4 +1,4 @@
-package suspend
+package override
 
 import (
 	"errors"
