--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"hitchspring/internal/discovery"
-	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/lease"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/nodes"
 	"hitchspring/internal/outlier"
 	"hitchspring/internal/override"
@@ -198,7 +198,7 @@
 	holding   *holding    // nil: each instance holds an even part
 	taking    *taking     // nil: work in hand ends with this instance
 	sum       *summary    // nil: no lines that sum up
-	fig       *figures.Set
+	fig       *metrics.Set
 	guard     *guard.Monitor
 	ending    bool // the last answers have been given
 	ops       operators
--- a/internal/core/departure.go
+++ b/internal/core/departure.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"hitchspring/internal/figures"
+	"hitchspring/internal/metrics"
 	"hitchspring/logic"
 )
 
@@ -26,7 +26,7 @@
 	}
 	r.final = true
 	r.withdrawHanded()
-	g.fig.Left(figures.BeforeAdmission)
+	g.fig.Left(metrics.BeforeAdmission)
 	return true
 }
 
@@ -60,15 +60,15 @@
 }
 
 // stage says how far a request has come that is not answered.
-func (r *Request) stage() figures.Stage {
-	stage := figures.BeforeAttempt
+func (r *Request) stage() metrics.Stage {
+	stage := metrics.BeforeAttempt
 	for _, a := range r.attempts {
 		switch {
 		case !a.Written():
 		case !a.Ended():
-			return figures.InFlight
+			return metrics.InFlight
 		default:
-			stage = figures.BeforeRetry
+			stage = metrics.BeforeRetry
 		}
 	}
 	return stage
--- a/internal/core/departure_test.go
+++ b/internal/core/departure_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/internal/figures"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/nodes"
 	"hitchspring/internal/standin/scripted"
 	"hitchspring/logic"
@@ -19,9 +19,9 @@
 }
 
 // wantDepartures checks how many clients were found gone, by stage.
-func wantDepartures(t *testing.T, g *Core, want map[figures.Stage]int64) {
+func wantDepartures(t *testing.T, g *Core, want map[metrics.Stage]int64) {
 	t.Helper()
-	for _, at := range figures.Stages() {
+	for _, at := range metrics.Stages() {
 		if got := g.fig.Departures(at); got != want[at] {
 			t.Errorf("%s: %d clients gone, want %d", at, got, want[at])
 		}
@@ -39,7 +39,7 @@
 		t.Fatalf("it was taken: %d requests, %d attempts", len(g.requests), len(r.attempts))
 	}
 	g.handle(abandoned{[]*Request{r}})
-	wantDepartures(t, g, map[figures.Stage]int64{figures.BeforeAdmission: 1})
+	wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAdmission: 1})
 }
 
 // A request whose client goes while it waits is found out when an attempt is about to be sent, whatever has become of the front's word: in the
@@ -84,7 +84,7 @@
 		if n := g.nodes.Dials(); n != 1 {
 			t.Errorf("%d connections were begun", n)
 		}
-		wantDepartures(t, g, map[figures.Stage]int64{figures.BeforeAttempt: 1})
+		wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAttempt: 1})
 	})
 	t.Run("waiting for a connection", func(t *testing.T) {
 		g := newCore(t)
@@ -100,7 +100,7 @@
 		if !r.final || !a.Ended() || !a.NeverRan() {
 			t.Errorf("final %v, ended %v, never ran %v", r.final, a.Ended(), a.NeverRan())
 		}
-		wantDepartures(t, g, map[figures.Stage]int64{figures.BeforeAttempt: 1})
+		wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAttempt: 1})
 	})
 }
 
@@ -144,7 +144,7 @@
 	if left.got.Kind == Granted || len(g.handing.leases) != 0 || len(g.handing.open) != 0 {
 		t.Fatalf("answered %v, %d leases, %d open", left.got, len(g.handing.leases), len(g.handing.open))
 	}
-	wantDepartures(t, g, map[figures.Stage]int64{figures.BeforeAdmission: 1})
+	wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAdmission: 1})
 	g.now += time.Millisecond
 	if ask(stays); stays.got.Kind != Granted {
 		t.Errorf("the next call was answered %v", stays.got)
--- a/internal/core/guarded.go
+++ b/internal/core/guarded.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/nodes"
 	"hitchspring/logic"
 )
@@ -44,7 +44,7 @@
 		return true
 	}
 	if broken == guard.SendAfterDeadline { // time has passed since it was decided on: nobody's fault
-		g.fig.Stopped(figures.TimeOver)
+		g.fig.Stopped(metrics.TimeOver)
 		return false
 	}
 	g.guard.Violated(broken, append(r.ids(), "attempt", a.N, "backend", a.Node(), "earlier", len(send.Earlier))...)
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"hitchspring/internal/discovery"
-	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/nodes"
 	"hitchspring/internal/override"
 	"hitchspring/logic"
@@ -36,7 +36,7 @@
 }
 
 // Figures is what this process has done since its start.
-func (g *Core) Figures() *figures.Set { return g.fig }
+func (g *Core) Figures() *metrics.Set { return g.fig }
 
 // Suspend takes a node out until Resume: the list has it as draining from now on, whatever discovery says. It returns
 // suspend.ErrUnknown for a node that was never listed, and never waits for the core's goroutine.
@@ -159,7 +159,7 @@
 }
 
 // newFigures are the figures of the settings' classes.
-func newFigures(classes []logic.Class) *figures.Set {
+func newFigures(classes []logic.Class) *metrics.Set {
 	names := make([]string, len(classes))
 	for i, c := range classes {
 		names[i] = c.Name
@@ -168,15 +168,15 @@
 	for i := range reasons {
 		reasons[i] = logic.Reason(i).String()
 	}
-	return figures.New(names, reasons, outcomeNames[:])
+	return metrics.New(names, reasons, outcomeNames[:])
 }
 
 // endOf is how a request counts that ended with an attempt.
-func endOf(o logic.Outcome) figures.End {
+func endOf(o logic.Outcome) metrics.End {
 	if o == logic.Done {
-		return figures.Answered
+		return metrics.Answered
 	}
-	return figures.Errored
+	return metrics.Errored
 }
 
 // final hands out the one final answer of a request, and counts it.
@@ -187,12 +187,12 @@
 	}
 	r.final = true
 	g.endCustody(r, a)
-	end := figures.Errored
+	end := metrics.Errored
 	switch a.Kind {
 	case Served, Granted, Over:
-		end = figures.Answered
+		end = metrics.Answered
 	case Refused:
-		end = figures.Deferred
+		end = metrics.Deferred
 	}
 	g.fig.Ended(r.Class, end)
 	g.deliver(r, a)
--- a/internal/front/resp/connection.go
+++ b/internal/front/resp/connection.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"hitchspring/internal/core"
-	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/resp"
 	"hitchspring/internal/socket"
 )
@@ -74,10 +74,10 @@
 		defer close(c.written)
 		c.write(done)
 	}()
-	why := figures.ByClient
+	why := metrics.ByClient
 	switch c.read() {
 	case protocolFailed:
-		why = figures.ByProtocol
+		why = metrics.ByProtocol
 		// What came before is answered, then the protocol error, then the connection ends. Little more is read until then, for its end: a flood
 		// costs its sender's time only.
 		c.mu.Lock()
@@ -90,7 +90,7 @@
 			io.CopyN(io.Discard, c.nc, lingerBytes)
 		}
 	case endedByServer:
-		why = figures.ByServer
+		why = metrics.ByServer
 		c.linger()
 	}
 	c.nc.Close()
@@ -98,19 +98,19 @@
 	c.closeStreams()
 	<-c.written
 	if by := c.aborted.Load(); by != 0 {
-		why = figures.Close(by - 1)
+		why = metrics.Close(by - 1)
 	}
 	c.release(why)
 }
 
 // abort closes the connection under way; the first reason counts.
-func (c *connection) abort(why figures.Close) {
+func (c *connection) abort(why metrics.Close) {
 	c.aborted.CompareAndSwap(0, int32(why)+1)
 	c.nc.Close()
 }
 
 // release gives back what the connection holds, once its goroutines write nothing any more, and abandons the requests that are not answered.
-func (c *connection) release(why figures.Close) {
+func (c *connection) release(why metrics.Close) {
 	c.f.fig.Closed(why)
 	c.mu.Lock()
 	var left []*core.Request
@@ -124,7 +124,7 @@
 	c.mu.Unlock()
 	c.closeStreams() // that came meanwhile
 	if len(left) > 0 {
-		if why == figures.ByServer || why == figures.ByLimit {
+		if why == metrics.ByServer || why == metrics.ByLimit {
 			c.f.guard.Violated(guard.ClosedUnanswered, "request", fmt.Sprintf("%016x", left[0].Key), "requests", len(left), "client", c.nc.RemoteAddr(), "why", why.String())
 		}
 		c.f.core.Abandon(left)
--- a/internal/front/resp/drain.go
+++ b/internal/front/resp/drain.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"hitchspring/internal/figures"
+	"hitchspring/internal/metrics"
 )
 
 const (
@@ -64,7 +64,7 @@
 	case <-ctx.Done():
 		f.mu.Lock()
 		for c := range f.connections {
-			c.abort(figures.ByLimit)
+			c.abort(metrics.ByLimit)
 		}
 		f.mu.Unlock()
 		<-done
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"hitchspring/internal/core"
-	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/resp"
 	"hitchspring/logic"
 )
@@ -38,7 +38,7 @@
 type Front struct {
 	ln            net.Listener
 	core          Core
-	fig           *figures.Set
+	fig           *metrics.Set
 	guard         *guard.Monitor
 	requestMemory *resp.Budget // bytes of commands that are being read
 	mostUnsent    int64        // bytes of answers that clients have not read, all together
@@ -67,7 +67,7 @@
 	return &Front{
 		ln:            ln,
 		core:          c,
-		fig:           figures.New(nil, nil, nil),
+		fig:           metrics.New(nil, nil, nil),
 		requestMemory: resp.NewBudget(memory),
 		mostUnsent:    int64(memory),
 		places:        make(chan struct{}, most),
@@ -77,7 +77,7 @@
 }
 
 // Observe has the front count in a process' figures and invariants; it is called before Start.
-func (f *Front) Observe(fig *figures.Set, m *guard.Monitor) { f.fig, f.guard = fig, m }
+func (f *Front) Observe(fig *metrics.Set, m *guard.Monitor) { f.fig, f.guard = fig, m }
 
 // Start serves until Drain.
 func (f *Front) Start() {
--- a/internal/front/resp/places.go
+++ b/internal/front/resp/places.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hitchspring/internal/figures"
+	"hitchspring/internal/metrics"
 )
 
 const (
@@ -107,6 +107,6 @@
 		c.mu.Unlock()
 	}
 	if slowest != nil {
-		slowest.abort(figures.BySlow)
+		slowest.abort(metrics.BySlow)
 	}
 }
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"hitchspring/internal/figures"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/resp"
 	"hitchspring/internal/socket"
 )
@@ -115,11 +115,11 @@
 }
 
 // writeFailure says why a connection ends on which an answer could not be written.
-func writeFailure(err error) figures.Close {
+func writeFailure(err error) metrics.Close {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return figures.BySlow
+		return metrics.BySlow
 	}
-	return figures.ByClient
+	return metrics.ByClient
 }
 
 // nextBatch takes the answers that are due; spare is the buffer for the next ones.
--- a/internal/ingress/door.go
+++ b/internal/ingress/door.go
@@ -4,9 +4,9 @@
 	"errors"
 	"net"
 
-	"hitchspring/internal/figures"
 	"hitchspring/internal/front/resp"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 	"hitchspring/logic"
 )
 
@@ -22,7 +22,7 @@
 func (d door) Figures() []byte {
 	text := d.g.core.Figures().Text()
 	for _, i := range guard.Invariants() {
-		text = figures.AppendLine(text, "invariants."+i.String(), d.g.core.Guard().Count(i))
+		text = metrics.AppendLine(text, "invariants."+i.String(), d.g.core.Guard().Count(i))
 	}
 	return text
 }
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -3,18 +3,18 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"hitchspring/internal/figures"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 )
 
 // requestFigures exports to [metrics] what the operators' door shows: the same counters, read when they are asked for.
 type requestFigures struct {
-	set                                                          *figures.Set
+	set                                                          *metrics.Set
 	guard                                                        *guard.Monitor
 	ended, gone, sends, open, size, unhealthy, reasons, violated *prometheus.Desc
 }
 
-func newRequestFigures(set *figures.Set, m *guard.Monitor) *requestFigures {
+func newRequestFigures(set *metrics.Set, m *guard.Monitor) *requestFigures {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("hitchspring_"+name, help, labels, nil)
 	}
@@ -38,11 +38,11 @@
 		ch <- prometheus.MustNewConstMetric(d, kind, float64(v), labels...)
 	}
 	for _, class := range f.set.Classes() {
-		for _, end := range figures.Ends() {
+		for _, end := range metrics.Ends() {
 			put(f.ended, prometheus.CounterValue, f.set.Count(class, end), class, end.String())
 		}
 	}
-	for _, stage := range figures.Stages() {
+	for _, stage := range metrics.Stages() {
 		put(f.gone, prometheus.CounterValue, f.set.Departures(stage), stage.String())
 	}
 	f.set.Each(func(group, name string, n int64) { put(f.reasons, prometheus.CounterValue, n, group, name) })
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"hitchspring/internal/figures"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/guard"
+	"hitchspring/internal/metrics"
 	"hitchspring/internal/peers"
 	"hitchspring/internal/zones"
 )
@@ -23,7 +23,7 @@
 	reg := prometheus.NewPedanticRegistry()
 	reg.MustRegister(newHallFigures(func() (zones.Status, bool) { return h, true }),
 		newPeerFigures(func() (peers.Status, bool) { return p, true }),
-		newRequestFigures(figures.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
+		newRequestFigures(metrics.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
 	families, err := reg.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/figures/groups.go
+++ b/internal/metrics/groups.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import "sync/atomic"
 
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package figures counts what an ingress does with requests, and words it as plain text for operators. In: one call for each
 // request taken, for its one end, for each attempt that was written whole. Out: lines NAME=NUMBER in a stable order. It decides
 // nothing. All of it is safe for many goroutines, and none of it waits.
-package figures
+package metrics
 
 import (
 	"strconv"
