--- a/internal/nodes/idle.go
+++ b/internal/backend/idle.go
@@ -1,4 +1,4 @@
-package nodes
+package backend
 
 import (
 	"slices"
--- a/internal/nodes/pool.go
+++ b/internal/backend/pool.go
@@ -2,7 +2,7 @@
 // what is known of each attempt's end. In: the list of nodes, attempts to start and to give up. Out: one outcome for each
 // attempt, which says whether it may have run. It decides neither where an attempt goes nor whether there is another, and
 // knows no client.
-package nodes
+package backend
 
 import (
 	"context"
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,11 +15,11 @@
 	"sync"
 	"time"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/lease"
 	"hitchspring/internal/metrics"
-	"hitchspring/internal/nodes"
 	"hitchspring/internal/outlier"
 	"hitchspring/internal/override"
 	"hitchspring/internal/resp"
@@ -96,10 +96,10 @@
 type Answer struct {
 	Kind       Kind
 	Value      []byte
-	Stream     *nodes.Stream // of a Served one whose value is passed on as it comes, in place of Value; the front reads or closes it
-	RetryAfter time.Duration // of a refusal; 0: no advice
-	Grant      Grant         // of Granted
-	State      lease.State   // of Over
+	Stream     *backend.Stream // of a Served one whose value is passed on as it comes, in place of Value; the front reads or closes it
+	RetryAfter time.Duration   // of a refusal; 0: no advice
+	Grant      Grant           // of Granted
+	State      lease.State     // of Over
 }
 
 // Place is where a front waits for the one final answer.
@@ -113,13 +113,13 @@
 
 // pool is the connections to the nodes, as package nodes keeps them.
 type pool interface {
-	Set(list []nodes.Entry, whole bool)
+	Set(list []backend.Entry, whole bool)
 	Servers() []logic.Server
-	Start(a *nodes.Attempt, id logic.ServerID)
-	Moot(a *nodes.Attempt, id logic.ServerID)
-	GiveUp(a *nodes.Attempt, why logic.Outcome)
-	Withdraw(a *nodes.Attempt)
-	Handle(nodes.Event)
+	Start(a *backend.Attempt, id logic.ServerID)
+	Moot(a *backend.Attempt, id logic.ServerID)
+	GiveUp(a *backend.Attempt, why logic.Outcome)
+	Withdraw(a *backend.Attempt)
+	Handle(backend.Event)
 	Knows(id logic.ServerID) bool
 	Addr(id logic.ServerID) (addr string, serves bool)
 	CloseIdle(id logic.ServerID)
@@ -134,13 +134,13 @@
 	logic.Request
 	Key      uint64 // the client's own id: of two open requests of one id, the later is answered Repeated
 	Place    Place
-	Command  nodes.Command
+	Command  backend.Command
 	Idem     string // the client's key, of a class that has one
 	Size     int    // bytes that it holds
-	attempts []*nodes.Attempt
+	attempts []*backend.Attempt
 	came     time.Duration
-	asked    time.Duration  // when Gone was asked last
-	passing  *nodes.Attempt // brings a value that is passed on to the client
+	asked    time.Duration    // when Gone was asked last
+	passing  *backend.Attempt // brings a value that is passed on to the client
 	out      int
 	final    bool
 	why      logic.Reason // of its refusal or failure
@@ -242,7 +242,7 @@
 		guard:    guard.NewMonitor(log),
 		ops:      operators{book: override.New(), store: cfg.Words, spoke: make(chan struct{}, 1)},
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64)}
-	g.nodes = nodes.New(owner{g}, nodes.Config{Sent: g.fig.Sent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MostConns: g.nodeConns(cfg.Company),
+	g.nodes = backend.New(owner{g}, backend.Config{Sent: g.fig.Sent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MostConns: g.nodeConns(cfg.Company),
 		Frames: resp.NewBudget(cfg.Memory / memoryShare)})
 	if cfg.Leases != nil {
 		g.handing = newHanding(*cfg.Leases)
@@ -464,7 +464,7 @@
 		for _, r := range ev.reqs {
 			g.abandon(r)
 		}
-	case nodes.Event:
+	case backend.Event:
 		g.nodes.Handle(ev)
 	case counted:
 		g.counted(ev)
@@ -630,7 +630,7 @@
 	if r == nil {
 		return
 	}
-	a := &nodes.Attempt{Ref: r, N: len(r.attempts), Command: r.Command, Began: g.now, Stop: r.GiveUpAt, By: g.repeatBy(r)}
+	a := &backend.Attempt{Ref: r, N: len(r.attempts), Command: r.Command, Began: g.now, Stop: r.GiveUpAt, By: g.repeatBy(r)}
 	if s.StopAt > 0 {
 		a.Stop = min(s.StopAt, r.GiveUpAt)
 	}
@@ -670,7 +670,7 @@
 }
 
 // launch lets an attempt go out.
-func (g *Core) launch(r *Request, a *nodes.Attempt, to logic.ServerID) {
+func (g *Core) launch(r *Request, a *backend.Attempt, to logic.ServerID) {
 	g.sum.sent(a.N, g.now-r.came)
 	if g.holding != nil && a.N == 0 {
 		g.holding.passes(g.now, r)
@@ -683,7 +683,7 @@
 }
 
 // attemptEnded tells the module how an attempt ended; the first that is served answers the client.
-func (g *Core) attemptEnded(a *nodes.Attempt, o logic.Outcome, rep nodes.Reply) {
+func (g *Core) attemptEnded(a *backend.Attempt, o logic.Outcome, rep backend.Reply) {
 	if a.Ref == nil {
 		if g.halls != nil {
 			g.halls.Probed(g.now, a.Node(), o == logic.Done)
@@ -712,7 +712,7 @@
 
 // attemptBegan hands a value on that has begun to come. For the module that is the answer: it is served, its time counts from the
 // first bytes, and what else is out for it is called off.
-func (g *Core) attemptBegan(a *nodes.Attempt, s *nodes.Stream) (wanted bool) {
+func (g *Core) attemptBegan(a *backend.Attempt, s *backend.Stream) (wanted bool) {
 	r := a.Ref.(*Request)
 	if r.final { // another attempt was first, or the client has gone: no fault of this node's
 		return false
@@ -752,7 +752,7 @@
 	if !g.nodes.Knows(id) || g.out(id) {
 		return false
 	}
-	a := &nodes.Attempt{Began: g.now, Stop: g.now + probeTimeout}
+	a := &backend.Attempt{Began: g.now, Stop: g.now + probeTimeout}
 	g.at(a.Stop, func() { g.nodes.GiveUp(a, logic.TimedOut) })
 	g.nodes.Start(a, id)
 	return true
@@ -764,14 +764,14 @@
 // Now, After, Post, Spawn and AttemptEnded are for the pool.
 func (o owner) Now() time.Duration               { return o.g.now }
 func (o owner) After(d time.Duration, do func()) { o.g.after(d, do) }
-func (o owner) Post(ev nodes.Event)              { o.g.post(ev) }
+func (o owner) Post(ev backend.Event)            { o.g.post(ev) }
 func (o owner) Spawn(run func(context.Context))  { o.g.spawn(run) }
-func (o owner) AttemptEnded(a *nodes.Attempt, out logic.Outcome, r nodes.Reply) {
+func (o owner) AttemptEnded(a *backend.Attempt, out logic.Outcome, r backend.Reply) {
 	o.g.attemptEnded(a, out, r)
 }
 
 // AttemptWanted is for the pool.
-func (o owner) AttemptWanted(a *nodes.Attempt) bool {
+func (o owner) AttemptWanted(a *backend.Attempt) bool {
 	r, ok := a.Ref.(*Request)
 	if !ok { // a probe
 		return true
@@ -781,7 +781,9 @@
 }
 
 // AttemptBegan is for the pool.
-func (o owner) AttemptBegan(a *nodes.Attempt, s *nodes.Stream) bool { return o.g.attemptBegan(a, s) }
+func (o owner) AttemptBegan(a *backend.Attempt, s *backend.Stream) bool {
+	return o.g.attemptBegan(a, s)
+}
 
 // --- the list and the counter ---
 
--- a/internal/core/departure_test.go
+++ b/internal/core/departure_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/metrics"
-	"hitchspring/internal/nodes"
 	"hitchspring/internal/standin/scripted"
 	"hitchspring/logic"
 )
@@ -51,7 +51,7 @@
 			t.Fatalf("%d attempts", len(r.attempts))
 		}
 		g.now += time.Millisecond
-		g.attemptEnded(r.attempts[0], logic.NoConnect, nodes.Reply{})
+		g.attemptEnded(r.attempts[0], logic.NoConnect, backend.Reply{})
 		g.flush()
 	}
 	newCore := func(t *testing.T) *Core {
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -5,8 +5,8 @@
 	"encoding/hex"
 	"time"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/lease"
-	"hitchspring/internal/nodes"
 	"hitchspring/logic"
 )
 
@@ -45,7 +45,7 @@
 	r       *Request
 	entry   *lease.Request
 	waiting []Place
-	attempt *nodes.Attempt // of the entry's lease, while that is out
+	attempt *backend.Attempt // of the entry's lease, while that is out
 }
 
 func newHanding(c Leases) *handing {
@@ -183,7 +183,7 @@
 }
 
 // grant gives an attempt to those who wait for it. false: nobody may send it.
-func (g *Core) grant(r *Request, a *nodes.Attempt, id logic.ServerID) bool {
+func (g *Core) grant(r *Request, a *backend.Attempt, id logic.ServerID) bool {
 	x, ok := r.Place.(*handed)
 	addr, serves := g.nodes.Addr(id)
 	if !ok || !serves || x.attempt != nil {
--- a/internal/core/guarded.go
+++ b/internal/core/guarded.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/metrics"
-	"hitchspring/internal/nodes"
 	"hitchspring/logic"
 )
 
@@ -36,7 +36,7 @@
 }
 
 // maySend is asked right before an attempt is written.
-func (g *Core) maySend(r *Request, a *nodes.Attempt) bool {
+func (g *Core) maySend(r *Request, a *backend.Attempt) bool {
 	to, serves := a.Server()
 	send := guard.Send{Class: g.class(r), Parallel: g.cfg.Settings.SecondCopies, Answered: r.final, GiveUpAt: r.GiveUpAt, Serves: serves, Zone: to.Zone, Cell: to.Cell, Earlier: r.handed(a)}
 	broken := send.Check(g.now)
@@ -61,7 +61,7 @@
 }
 
 // handed are the attempts of a request that were given to a connection, but for one that is about to be.
-func (r *Request) handed(next *nodes.Attempt) (out []guard.Attempt) {
+func (r *Request) handed(next *backend.Attempt) (out []guard.Attempt) {
 	if r.Prior != nil {
 		out = append(out, guard.Attempt{Zone: r.Prior.Zone, Cell: r.Prior.Cell, At: r.Prior.At, Ended: true})
 	}
@@ -125,7 +125,7 @@
 }
 
 // outcomeOf words how an attempt has ended.
-func outcomeOf(a *nodes.Attempt) string {
+func outcomeOf(a *backend.Attempt) string {
 	if o, ended := a.Outcome(); ended {
 		return outcomeNames[o]
 	}
--- a/internal/core/guarded_test.go
+++ b/internal/core/guarded_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/guard"
-	"hitchspring/internal/nodes"
 	"hitchspring/internal/standin/scripted"
 	"hitchspring/logic"
 )
@@ -57,7 +57,7 @@
 	if !r.attempts[0].Handed() {
 		t.Fatal("the first attempt was not written")
 	}
-	next := &nodes.Attempt{Ref: r, N: 1, Command: r.Command, Began: g.now, Stop: r.GiveUpAt}
+	next := &backend.Attempt{Ref: r, N: 1, Command: r.Command, Began: g.now, Stop: r.GiveUpAt}
 	r.attempts = append(r.attempts, next)
 	r.out++
 	g.nodes.Start(next, "s0")
@@ -68,12 +68,12 @@
 }
 
 // connected waits for the connection of an attempt to come up, and returns that event.
-func connected(t *testing.T, g *Core) nodes.Event {
+func connected(t *testing.T, g *Core) backend.Event {
 	t.Helper()
 	for {
 		select {
 		case ev := <-g.events:
-			if up, ok := ev.(nodes.Event); ok {
+			if up, ok := ev.(backend.Event); ok {
 				return up
 			}
 		case <-time.After(10 * time.Second):
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -4,10 +4,10 @@
 	"sync"
 	"time"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/metrics"
-	"hitchspring/internal/nodes"
 	"hitchspring/internal/override"
 	"hitchspring/logic"
 )
@@ -126,11 +126,11 @@
 // overlaid tells connections, halls and the module the list as it holds under the operators' word.
 func (g *Core) overlaid(f discovery.List) {
 	ev := logic.FleetChanged{Whole: f.All, Servers: make([]logic.Server, 0, len(f.Targets))}
-	entries := make([]nodes.Entry, 0, len(f.Targets))
+	entries := make([]backend.Entry, 0, len(f.Targets))
 	g.ops.mu.Lock()
 	for _, t := range f.Targets {
 		s := g.ops.book.Over(t.Server())
-		entries = append(entries, nodes.Entry{Server: s, Addr: t.Endpoint})
+		entries = append(entries, backend.Entry{Server: s, Addr: t.Endpoint})
 		ev.Servers = append(ev.Servers, s)
 	}
 	g.ops.mu.Unlock()
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/escrow"
-	"hitchspring/internal/nodes"
 	"hitchspring/internal/takeover"
 	"hitchspring/logic"
 )
@@ -66,7 +66,7 @@
 // keeping is a request in custody.
 type keeping struct {
 	at     takeover.Place
-	waits  *nodes.Attempt // for the keepers' word; nil: none does
+	waits  *backend.Attempt // for the keepers' word; nil: none does
 	to     logic.ServerID
 	ran    int     // attempts that may have run
 	out    uint64  // a bit for each attempt that has gone out
@@ -198,7 +198,7 @@
 }
 
 // inCustody says whether an attempt has to wait for the keepers' word, and asks for it.
-func (g *Core) inCustody(r *Request, a *nodes.Attempt, to logic.ServerID) bool {
+func (g *Core) inCustody(r *Request, a *backend.Attempt, to logic.ServerID) bool {
 	if !g.covers(r) {
 		return false
 	}
@@ -335,7 +335,7 @@
 }
 
 // went counts an attempt that goes out: it may run.
-func (k *keeping) went(a *nodes.Attempt) {
+func (k *keeping) went(a *backend.Attempt) {
 	k.ran++
 	k.out |= 1 << min(a.N, 63)
 }
@@ -367,7 +367,7 @@
 	g.lastID++
 	r.ID, r.attempts, r.Prior, r.Paid = g.lastID, nil, prior, prior != nil
 	if prior != nil {
-		r.attempts = []*nodes.Attempt{{}} // the other's
+		r.attempts = []*backend.Attempt{{}} // the other's
 		r.kept.ran, r.kept.out = 1, 0
 	}
 	g.requests[r.ID] = r
@@ -443,7 +443,7 @@
 	r.kept, r.Paid = &keeping{at: t.At}, t.Paid || t.At != takeover.Nowhere
 	if t.At != takeover.Nowhere {
 		r.Prior = &logic.Prior{Zone: t.At.Zone, Cell: t.At.Rack, At: t.Began}
-		r.attempts = []*nodes.Attempt{{}} // its owner's
+		r.attempts = []*backend.Attempt{{}} // its owner's
 		r.kept.ran = 1
 	}
 	g.taking.byTry[t.Try] = r
--- a/internal/front/resp/pending.go
+++ b/internal/front/resp/pending.go
@@ -6,16 +6,16 @@
 
 	"github.com/tidwall/redcon"
 
+	"hitchspring/internal/backend"
 	"hitchspring/internal/core"
-	"hitchspring/internal/nodes"
 	"hitchspring/internal/socket"
 )
 
 // pendingReply is one command's answer, in its place in the order of commands, until it is written.
 type pendingReply struct {
 	c     *connection
-	reply []byte        // nil until answered; of a value that is passed on: its head
-	value *nodes.Stream // that value; nil: reply is all
+	reply []byte          // nil until answered; of a value that is passed on: its head
+	value *backend.Stream // that value; nil: reply is all
 	req   *core.Request
 }
 
@@ -125,7 +125,7 @@
 }
 
 // stream completes the reply with a value that is passed on as it comes. The goroutine that writes reads it when its turn has come.
-func (p *pendingReply) stream(v *nodes.Stream) {
+func (p *pendingReply) stream(v *backend.Stream) {
 	c := p.c
 	c.mu.Lock()
 	if c.phase == released {
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const takeover, core, operate, nodes = "internal/core/takeover.go", "internal/core/core.go", "internal/core/operate.go", "internal/nodes/conn.go"
+	const takeover, core, operate, nodes = "internal/core/takeover.go", "internal/core/core.go", "internal/core/operate.go", "internal/backend/conn.go"
 	first := func(file string) []edit {
 		imports := "	\"os\"\n	\"syscall\"\n"
 		if file != takeover {
