--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -28,7 +28,7 @@
 	"hitchspring/internal/store"
 	"hitchspring/internal/store/redis"
 	"hitchspring/internal/zones"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // processes of one ingress that may be there at one time, where the platform replaces them in service.
@@ -138,15 +138,15 @@
 }
 
 // forwardAuth is the front for gates; its rules must name classes and plans of the settings.
-func forwardAuth(fa *config.ForwardAuth, set *logic.Settings) (*ingress.Auth, *core.Leases, error) {
+func forwardAuth(fa *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, *core.Leases, error) {
 	networks, _, err := fa.Networks()
 	if err != nil {
 		return nil, nil, err
 	}
 	var rules []forwardauth.Rule
 	for i, r := range fa.Rules {
-		known := r.Class != "" && slices.ContainsFunc(set.Classes, func(c logic.Class) bool { return c.Name == r.Class })
-		planned := r.Plan == "" || slices.ContainsFunc(set.Plans, func(p logic.Plan) bool { return p.Name == r.Plan })
+		known := r.Class != "" && slices.ContainsFunc(set.Classes, func(c policy.Class) bool { return c.Name == r.Class })
+		planned := r.Plan == "" || slices.ContainsFunc(set.Plans, func(p policy.Plan) bool { return p.Name == r.Plan })
 		switch {
 		case !known:
 			return nil, nil, fmt.Errorf("forward_auth.rule[%d]: class %q is none of the settings", i, r.Class)
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -12,7 +12,7 @@
 
 	"hitchspring/internal/core"
 	"hitchspring/internal/overrun"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // printed runs a status command against a server that answers so, and returns what it prints.
@@ -29,7 +29,7 @@
 func TestStatusOfManyNodes(t *testing.T) {
 	var s core.NodesStatus
 	for i := range 1200 {
-		n := core.NodeStatus{Node: logic.ServerID(fmt.Sprintf("node-%04d", i)), Told: 1}
+		n := core.NodeStatus{Node: policy.ServerID(fmt.Sprintf("node-%04d", i)), Told: 1}
 		for w := range 60 {
 			n.Words = append(n.Words, core.Word{Owner: fmt.Sprintf("instance-%03d", w), Hall: "zone-a", Cause: "slow", Bad: 1})
 		}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -6,10 +6,10 @@
 
 	"github.com/tidwall/redcon"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
-const still = logic.Failed // the zero outcome: an attempt that nobody has given up
+const still = policy.Failed // the zero outcome: an attempt that nobody has given up
 
 // Command is what an attempt writes to a node.
 type Command interface {
@@ -26,13 +26,13 @@
 	Stop    time.Duration // when the owner gives it up
 	By      time.Duration // its last byte goes out by then, or it is never sent; 0: at any time before Stop
 	node    *node
-	at      logic.Server  // node's entry when it was sent; the list may change it
-	conn    *conn         // carries it; nil while it waits for one
-	handed  time.Duration // when it was given to conn
-	why     logic.Outcome // given up by the owner: TimedOut or Cancelled; else still
-	stream  *Stream       // of a large value that has begun to come
+	at      policy.Server  // node's entry when it was sent; the list may change it
+	conn    *conn          // carries it; nil while it waits for one
+	handed  time.Duration  // when it was given to conn
+	why     policy.Outcome // given up by the owner: TimedOut or Cancelled; else still
+	stream  *Stream        // of a large value that has begun to come
 	ended   bool
-	outcome logic.Outcome // once it has ended
+	outcome policy.Outcome // once it has ended
 }
 
 // NeverRan says whether it has ended as one that surely never ran.
@@ -48,15 +48,15 @@
 func (a *Attempt) Handed() bool { return a.conn != nil }
 
 // Server is the entry of the list for where it was sent, as it was then, and whether that server serves by the list now.
-func (a *Attempt) Server() (entry logic.Server, serves bool) {
-	return a.at, a.node != nil && a.node.State == logic.Running
+func (a *Attempt) Server() (entry policy.Server, serves bool) {
+	return a.at, a.node != nil && a.node.State == policy.Running
 }
 
 // Outcome is how it has ended; ended is false where it has not.
-func (a *Attempt) Outcome() (o logic.Outcome, ended bool) { return a.outcome, a.ended }
+func (a *Attempt) Outcome() (o policy.Outcome, ended bool) { return a.outcome, a.ended }
 
 // Node is where it was sent; empty before Start.
-func (a *Attempt) Node() logic.ServerID {
+func (a *Attempt) Node() policy.ServerID {
 	if a.node == nil {
 		return ""
 	}
@@ -65,7 +65,7 @@
 
 // fits says whether a reply is of the form that its command asks for. An error line fits any.
 func (a *Attempt) fits(r Reply) bool {
-	if r.outcome != logic.Done || a.stream != nil {
+	if r.outcome != policy.Done || a.stream != nil {
 		return true
 	}
 	return (a.Command == nil) == (r.Value == nil)
@@ -81,23 +81,23 @@
 
 // Start sends an attempt to a node, on an idle connection or on the first that comes free. Where the node is not
 // one that serves, it ends at once as one that never ran.
-func (p *Pool) Start(a *Attempt, id logic.ServerID) {
+func (p *Pool) Start(a *Attempt, id policy.ServerID) {
 	n := p.nodes[id]
 	if n == nil { // gone and forgotten
-		n = &node{Server: logic.Server{ID: id, State: logic.Gone}}
+		n = &node{Server: policy.Server{ID: id, State: policy.Gone}}
 	}
 	a.node, a.at = n, n.Server
-	if n.State != logic.Running && a.Command != nil {
-		p.end(a, logic.Moot, Reply{})
+	if n.State != policy.Running && a.Command != nil {
+		p.end(a, policy.Moot, Reply{})
 		return
 	}
 	p.place(a)
 }
 
 // Moot ends an attempt that is not to be sent at all.
-func (p *Pool) Moot(a *Attempt, id logic.ServerID) {
-	a.node = &node{Server: logic.Server{ID: id}}
-	p.end(a, logic.Moot, Reply{})
+func (p *Pool) Moot(a *Attempt, id policy.ServerID) {
+	a.node = &node{Server: policy.Server{ID: id}}
+	p.end(a, policy.Moot, Reply{})
 }
 
 // place gives an attempt an idle connection that has rested, or lets it wait for whichever comes first: one that has rested, or a new one.
@@ -108,7 +108,7 @@
 		wait = min(wait, a.By-p.owner.Now())
 	}
 	if wait <= 0 {
-		p.end(a, logic.Moot, Reply{})
+		p.end(a, policy.Moot, Reply{})
 		return
 	}
 	n.waiting = append(n.waiting, a)
@@ -124,9 +124,9 @@
 			return
 		}
 		if wait < p.cfg.ConnectTimeout {
-			p.end(a, logic.Moot, Reply{})
+			p.end(a, policy.Moot, Reply{})
 		} else {
-			p.end(a, logic.NoConnect, Reply{})
+			p.end(a, policy.NoConnect, Reply{})
 		}
 	})
 }
@@ -144,18 +144,18 @@
 // over. It leaves others as they are.
 func (p *Pool) Withdraw(a *Attempt) {
 	if !a.ended && a.node != nil && a.conn == nil && p.unwait(a) {
-		p.end(a, logic.Moot, Reply{})
+		p.end(a, policy.Moot, Reply{})
 	}
 }
 
 // GiveUp ends an attempt from the owner's side, as TimedOut or Cancelled. One that waits was never sent, one that is written has its outcome at
 // once. Of one in between only the connection knows: it is closed, and its last event tells.
-func (p *Pool) GiveUp(a *Attempt, why logic.Outcome) {
+func (p *Pool) GiveUp(a *Attempt, why policy.Outcome) {
 	switch {
 	case a.ended || a.why != still || a.stream != nil:
 	case a.conn == nil:
 		p.unwait(a)
-		p.end(a, logic.Moot, Reply{})
+		p.end(a, policy.Moot, Reply{})
 	default:
 		a.why = why
 		p.close(a.conn)
@@ -174,13 +174,13 @@
 }
 
 // end tells the owner how an attempt ended, once.
-func (p *Pool) end(a *Attempt, o logic.Outcome, rep Reply) {
+func (p *Pool) end(a *Attempt, o policy.Outcome, rep Reply) {
 	if a.ended {
 		return
 	}
 	a.ended, a.outcome = true, o
-	if o == logic.Done && a.Command != nil && rep.Value == nil && a.stream == nil { // PONG to a request
-		o = logic.Failed
+	if o == policy.Done && a.Command != nil && rep.Value == nil && a.stream == nil { // PONG to a request
+		o = policy.Failed
 	}
 	p.owner.AttemptEnded(a, o, rep)
 	p.drop(a.node)
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const writeTimeout = 5 * time.Second
@@ -14,9 +14,9 @@
 func (p *Pool) serve(n *node) {
 	for len(n.waiting) > 0 {
 		a := n.waiting[0]
-		if n.State != logic.Running || len(n.idle) > 0 && !p.sendable(a) {
+		if n.State != policy.Running || len(n.idle) > 0 && !p.sendable(a) {
 			p.unwait(a)
-			p.end(a, logic.Moot, Reply{})
+			p.end(a, policy.Moot, Reply{})
 			continue
 		}
 		c := p.take(n)
@@ -37,7 +37,7 @@
 	if now >= a.Stop || a.By > 0 && now >= a.By {
 		return false
 	}
-	return a.Command == nil || a.node.State == logic.Running && p.owner.AttemptWanted(a)
+	return a.Command == nil || a.node.State == policy.Running && p.owner.AttemptWanted(a)
 }
 
 // take takes an idle connection that may carry a command now; nil: none. One that has not rested may where the node is known to
@@ -129,7 +129,7 @@
 // free takes a connection that has nothing to do: for the first that waits, or to the idle ones.
 func (p *Pool) free(c *conn) {
 	n := c.node
-	if c.down || c.closed || c.addr != n.addr || n.State != logic.Running {
+	if c.down || c.closed || c.addr != n.addr || n.State != policy.Running {
 		p.close(c)
 		return
 	}
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // The events of a connection.
@@ -62,7 +62,7 @@
 	}
 	a.stream, c.answered = ev.s, true
 	if !p.owner.AttemptBegan(a, ev.s) {
-		a.why = logic.Cancelled
+		a.why = policy.Cancelled
 		ev.s.Close()
 		p.close(c)
 	}
@@ -84,7 +84,7 @@
 		c.node.second.saw(p.owner.Now())
 	}
 	if !a.fits(ev.Reply) { // it is another command's
-		ev.Reply = Reply{outcome: logic.Failed}
+		ev.Reply = Reply{outcome: policy.Failed}
 	}
 	switch {
 	case a.why != still: // it is closed
@@ -135,20 +135,20 @@
 	if len(n.waiting) > n.dialing+len(n.idle) {
 		a := n.waiting[0]
 		n.waiting = n.waiting[1:]
-		p.end(a, logic.NoConnect, Reply{})
+		p.end(a, policy.NoConnect, Reply{})
 	}
 }
 
 // outcome is how the attempt that a connection carries has ended with it.
-func (c *conn) outcome() logic.Outcome {
+func (c *conn) outcome() policy.Outcome {
 	a := c.cur
 	switch {
 	case c.whole.Load() != a && a.why != still:
-		return logic.Moot
+		return policy.Moot
 	case c.whole.Load() != a:
-		return logic.NoConnect
+		return policy.NoConnect
 	case a.why != still:
 		return a.why
 	}
-	return logic.Reset
+	return policy.Reset
 }
--- a/internal/backend/explore_test.go
+++ b/internal/backend/explore_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hitchspring/internal/resp"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // The pool explored: two attempts to one node, and everything that can end one of them, a connection or the node, in every order. The pool is the
@@ -61,7 +61,7 @@
 	now    time.Duration
 	alarms []testAlarm
 	tries  []*Attempt
-	ends   map[*Attempt]logic.Outcome
+	ends   map[*Attempt]policy.Outcome
 	whole  map[*Attempt]bool // came to the node to its last byte
 	conns  []*playedConn
 	broken string
@@ -88,15 +88,15 @@
 	return false
 }
 
-func (o *orders) AttemptEnded(a *Attempt, out logic.Outcome, _ Reply) {
+func (o *orders) AttemptEnded(a *Attempt, out policy.Outcome, _ Reply) {
 	if was, twice := o.ends[a]; twice {
 		o.breaks("attempt %d ended twice: %d, then %d", a.N, was, out)
 	}
 	o.ends[a] = out
-	if out.NeverRan() && out != logic.Full && o.whole[a] {
+	if out.NeverRan() && out != policy.Full && o.whole[a] {
 		o.breaks("attempt %d has come to the node, and ended as one that never ran", a.N)
 	}
-	if out == logic.Done && !o.whole[a] {
+	if out == policy.Done && !o.whole[a] {
 		o.breaks("attempt %d was never sent, and is served", a.N)
 	}
 }
@@ -108,7 +108,7 @@
 }
 
 func newOrders() *orders {
-	o := &orders{now: time.Minute, ends: map[*Attempt]logic.Outcome{}, whole: map[*Attempt]bool{}}
+	o := &orders{now: time.Minute, ends: map[*Attempt]policy.Outcome{}, whole: map[*Attempt]bool{}}
 	o.p = New(o, Config{ConnectTimeout: 250 * time.Millisecond, Idle: 15 * time.Second, MostConns: 2, Frames: resp.NewBudget(1 << 20)})
 	o.p.begin = func(c *conn) { o.conns = append(o.conns, &playedConn{c: c}) }
 	o.p.Set(entries("127.0.0.1:1"), true)
@@ -133,7 +133,7 @@
 }
 
 // exploredReplies are what a node may say to a command.
-var exploredReplies = []Reply{{Value: []byte("v"), outcome: logic.Done, keep: true}, {outcome: logic.Failed}, {outcome: logic.Full, keep: true}}
+var exploredReplies = []Reply{{Value: []byte("v"), outcome: policy.Done, keep: true}, {outcome: policy.Failed}, {outcome: policy.Full, keep: true}}
 
 // steps are all that can happen now, always in the same order.
 func (o *orders) steps() (out []step) {
@@ -147,7 +147,7 @@
 			}
 		default:
 			if a.why == still {
-				add(func() { o.p.GiveUp(a, logic.TimedOut) }, "time out %d", i)
+				add(func() { o.p.GiveUp(a, policy.TimedOut) }, "time out %d", i)
 			}
 			if a.conn == nil {
 				add(func() { o.p.Withdraw(a) }, "withdraw %d", i)
@@ -215,13 +215,13 @@
 		}
 	}
 	n := o.p.nodes["s0"]
-	state := logic.Gone
+	state := policy.Gone
 	if n != nil {
 		state = n.State
 	}
-	if state == logic.Running {
+	if state == policy.Running {
 		f := entries("127.0.0.1:1")
-		f[0].State = logic.Draining
+		f[0].State = policy.Draining
 		add(func() { o.p.Set(f, false) }, "the node drains", -1)
 		add(func() { o.p.Set(nil, true) }, "the node is gone", -1)
 		if n.addr == "127.0.0.1:1" {
@@ -311,7 +311,7 @@
 				o.breaks("a connection is idle with attempt %d on it", c.cur.N)
 			}
 		}
-		if n.State != logic.Running {
+		if n.State != policy.Running {
 			for _, c := range n.idle {
 				if len(c.work) > 0 {
 					o.breaks("a node that drains is to be sent something on an idle connection")
@@ -330,7 +330,7 @@
 	for round := 0; round < 100 && open(); round++ {
 		for _, a := range o.tries {
 			if a.node != nil {
-				o.p.GiveUp(a, logic.TimedOut)
+				o.p.GiveUp(a, policy.TimedOut)
 			}
 		}
 		for _, pc := range o.conns {
@@ -364,7 +364,7 @@
 		if n.conns != 0 || n.dialing != 0 || n.waking || len(n.waiting) != 0 || len(n.idle) != 0 {
 			o.breaks("%s: %d connections, %d begun, waking %v, %d wait, %d idle, and all is over", id, n.conns, n.dialing, n.waking, len(n.waiting), len(n.idle))
 		}
-		if n.State == logic.Gone {
+		if n.State == policy.Gone {
 			o.breaks("%s is gone and is not forgotten", id)
 		}
 	}
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // RetireIdle closes connections that the node is about to close: a command that crossed that would be a reset, and may not be
@@ -13,7 +13,7 @@
 func (p *Pool) RetireIdle() {
 	now := p.owner.Now()
 	for _, n := range p.nodes {
-		for len(n.idle) > 0 && (n.State != logic.Running || n.idle[0].addr != n.addr || now-n.idle[0].since > p.retireAfter()) {
+		for len(n.idle) > 0 && (n.State != policy.Running || n.idle[0].addr != n.addr || now-n.idle[0].since > p.retireAfter()) {
 			p.closeIdle(n)
 		}
 		p.trim(n, now)
@@ -37,7 +37,7 @@
 func (p *Pool) retireAfter() time.Duration { return p.cfg.Idle * 2 / 3 }
 
 // CloseIdle closes all idle connections to a node.
-func (p *Pool) CloseIdle(id logic.ServerID) {
+func (p *Pool) CloseIdle(id policy.ServerID) {
 	n := p.nodes[id]
 	for n != nil && len(n.idle) > 0 {
 		p.closeIdle(n)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"hitchspring/internal/resp"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Entry is a node of the list, with its address.
 type Entry struct {
-	logic.Server
+	policy.Server
 	Addr string
 }
 
@@ -35,7 +35,7 @@
 	// AttemptWanted is asked right before an attempt is handed to a connection. False: it ends as Moot, never sent.
 	AttemptWanted(a *Attempt) bool
 	// AttemptEnded tells how an attempt ended, once for each.
-	AttemptEnded(a *Attempt, o logic.Outcome, r Reply)
+	AttemptEnded(a *Attempt, o policy.Outcome, r Reply)
 	// AttemptBegan tells of an attempt whose value has begun to come and is passed on; its end is told later. From now on the
 	// time does not end it any more: want of progress does, or Close of the stream. False: the value is not wanted, the attempt ends
 	// as Cancelled.
@@ -55,7 +55,7 @@
 type Pool struct {
 	cfg     Config
 	owner   Owner
-	nodes   map[logic.ServerID]*node
+	nodes   map[policy.ServerID]*node
 	conns   int  // to all of them
 	starved bool // an attempt waits because of MostConns
 	dials   int
@@ -70,7 +70,7 @@
 	if cfg.Sent == nil {
 		cfg.Sent = func() {}
 	}
-	return &Pool{cfg: cfg, owner: owner, nodes: map[logic.ServerID]*node{}, begin: func(c *conn) {
+	return &Pool{cfg: cfg, owner: owner, nodes: map[policy.ServerID]*node{}, begin: func(c *conn) {
 		owner.Spawn(func(ctx context.Context) { c.run(ctx, cfg.ConnectTimeout, owner.Post) })
 	}}
 }
@@ -80,7 +80,7 @@
 func (p *Pool) Set(list []Entry, whole bool) {
 	if whole {
 		for _, n := range p.nodes {
-			n.State = logic.Gone
+			n.State = policy.Gone
 		}
 	}
 	for _, e := range list {
@@ -90,13 +90,13 @@
 			p.nodes[e.ID] = n
 		}
 		n.Server = e.Server
-		if e.Addr != "" && e.State != logic.Gone {
+		if e.Addr != "" && e.State != policy.Gone {
 			n.addr = e.Addr
 		}
 	}
 	p.RetireIdle()
 	for _, n := range p.nodes {
-		if n.State != logic.Running {
+		if n.State != policy.Running {
 			p.turnAway(n)
 		}
 		p.drop(n)
@@ -107,15 +107,15 @@
 func (p *Pool) turnAway(n *node) {
 	for _, a := range slices.Clone(n.waiting) {
 		if a.Command != nil && p.unwait(a) {
-			p.end(a, logic.Moot, Reply{})
+			p.end(a, policy.Moot, Reply{})
 		}
 	}
 }
 
 // Servers are the nodes that are not gone.
-func (p *Pool) Servers() (out []logic.Server) {
+func (p *Pool) Servers() (out []policy.Server) {
 	for _, n := range p.nodes {
-		if n.State != logic.Gone {
+		if n.State != policy.Gone {
 			out = append(out, n.Server)
 		}
 	}
@@ -123,20 +123,20 @@
 }
 
 // Knows says whether a node is on the list, or has not been forgotten yet.
-func (p *Pool) Knows(id logic.ServerID) bool { return p.nodes[id] != nil }
+func (p *Pool) Knows(id policy.ServerID) bool { return p.nodes[id] != nil }
 
 // Addr is where a node listens, and whether it serves by the list.
-func (p *Pool) Addr(id logic.ServerID) (addr string, serves bool) {
+func (p *Pool) Addr(id policy.ServerID) (addr string, serves bool) {
 	n := p.nodes[id]
 	if n == nil {
 		return "", false
 	}
-	return n.addr, n.State == logic.Running
+	return n.addr, n.State == policy.Running
 }
 
 // drop forgets a node that is gone for good once nothing is out or open there: ids are ever new.
 func (p *Pool) drop(n *node) {
-	if n.State == logic.Gone && n.conns == 0 && len(n.waiting) == 0 && p.nodes[n.ID] == n {
+	if n.State == policy.Gone && n.conns == 0 && len(n.waiting) == 0 && p.nodes[n.ID] == n {
 		delete(p.nodes, n.ID)
 	}
 }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -10,7 +10,7 @@
 	"github.com/tidwall/redcon"
 
 	"hitchspring/internal/resp"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -122,7 +122,7 @@
 		return Reply{}, resp.ErrFraming
 	}
 	in.Drop(2)
-	rep := Reply{outcome: logic.Done, keep: true}
+	rep := Reply{outcome: policy.Done, keep: true}
 	for i := 0; i < 2; {
 		f, err := in.Next()
 		if err != nil {
--- a/internal/core/budgets_test.go
+++ b/internal/core/budgets_test.go
@@ -6,21 +6,21 @@
 	"time"
 
 	"hitchspring/internal/overrun"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // The quotas of hundreds of channels are all stated; beyond the bound, those with the most demand.
 func TestBudgetsOfManyChannels(t *testing.T) {
 	for channels, want := range map[int]int{300: 300, MaxBudgetsShown + 6: MaxBudgetsShown} {
 		cfg := testConfig("", fleetOf())
-		cfg.Settings.Plans = []logic.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
+		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
 		g, err := New(cfg, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var l logic.Learned
+		var l policy.Learned
 		for i := range channels {
-			l.Customers = append(l.Customers, logic.LearnedCustomer{ID: fmt.Sprintf("c%05d", i), Customer: fmt.Sprintf("c%05d", i), Plan: "p", Spread: 1, Demand: float64(i)})
+			l.Customers = append(l.Customers, policy.LearnedCustomer{ID: fmt.Sprintf("c%05d", i), Customer: fmt.Sprintf("c%05d", i), Plan: "p", Spread: 1, Demand: float64(i)})
 		}
 		g.mod.Learn(time.Second, l)
 		reply := make(chan []overrun.Statement, 1)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,7 +26,7 @@
 	"hitchspring/internal/settings"
 	"hitchspring/internal/store"
 	"hitchspring/internal/zones"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -50,7 +50,7 @@
 	Sockets     int // descriptors that it may hold
 	Memory      int // bytes that it may use; 0: not told
 	Known       discovery.List
-	Settings    logic.Settings
+	Settings    policy.Settings
 	Store       func(store.Sink) (store.Counter, error) // makes the shared counter; nil: the settings know none
 	Connections settings.Connections
 	Leases      *Leases       // of attempts that who asks sends itself; nil: none are granted
@@ -114,15 +114,15 @@
 // pool is the connections to the nodes, as package nodes keeps them.
 type pool interface {
 	Set(list []backend.Entry, whole bool)
-	Servers() []logic.Server
-	Start(a *backend.Attempt, id logic.ServerID)
-	Moot(a *backend.Attempt, id logic.ServerID)
-	GiveUp(a *backend.Attempt, why logic.Outcome)
+	Servers() []policy.Server
+	Start(a *backend.Attempt, id policy.ServerID)
+	Moot(a *backend.Attempt, id policy.ServerID)
+	GiveUp(a *backend.Attempt, why policy.Outcome)
 	Withdraw(a *backend.Attempt)
 	Handle(backend.Event)
-	Knows(id logic.ServerID) bool
-	Addr(id logic.ServerID) (addr string, serves bool)
-	CloseIdle(id logic.ServerID)
+	Knows(id policy.ServerID) bool
+	Addr(id policy.ServerID) (addr string, serves bool)
+	CloseIdle(id policy.ServerID)
 	RetireIdle()
 	SetMost(conns int)
 	Dials() int
@@ -131,7 +131,7 @@
 // Request is a client's request as a front hands it in. Its exported fields are set before and not changed after, but by
 // the core, which numbers it.
 type Request struct {
-	logic.Request
+	policy.Request
 	Key      uint64 // the client's own id: of two open requests of one id, the later is answered Repeated
 	Place    Place
 	Command  backend.Command
@@ -143,8 +143,8 @@
 	passing  *backend.Attempt // brings a value that is passed on to the client
 	out      int
 	final    bool
-	why      logic.Reason // of its refusal or failure
-	kept     *keeping     // in custody; nil: it is not
+	why      policy.Reason // of its refusal or failure
+	kept     *keeping      // in custody; nil: it is not
 }
 
 // The events of a front.
@@ -165,7 +165,7 @@
 	cfg     Config
 	net     settings.Connections
 	log     *slog.Logger
-	classes map[string]logic.Class
+	classes map[string]policy.Class
 	plans   map[string]bool
 	counter store.Counter // nil: the settings know none
 	disc    lister
@@ -177,17 +177,17 @@
 	start   time.Time
 	epoch   time.Duration // start on the clock that all ingresses share
 
-	mod       *logic.Gateway
+	mod       *policy.Gateway
 	now       time.Duration
 	alarms    alarms
-	requests  map[logic.RequestID]*Request
+	requests  map[policy.RequestID]*Request
 	keys      map[uint64]bool // ids of requests whose time is not up, ended or not
-	lastID    logic.RequestID
+	lastID    policy.RequestID
 	unread    int // messages of other instances that could not be read
 	nodes     pool
 	heldBytes int // bytes of their commands
-	actions   []logic.Action
-	queue     []logic.Event // for the module, from actions that ended at once
+	actions   []policy.Action
+	queue     []policy.Event // for the module, from actions that ended at once
 
 	handing   *handing    // nil: no front hands attempts out
 	halls     *hallBook   // nil: nothing is known of halls
@@ -217,7 +217,7 @@
 			return nil, fmt.Errorf("not an address: %w", err)
 		}
 	}
-	mod, err := logic.New(cfg.Settings, cfg.Seed)
+	mod, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -234,9 +234,9 @@
 		cfg.Memory = usualMemory
 	}
 	start := time.Now()
-	g := &Core{cfg: cfg, net: cfg.Connections, log: log, classes: map[string]logic.Class{}, plans: map[string]bool{},
+	g := &Core{cfg: cfg, net: cfg.Connections, log: log, classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), start: start,
-		epoch: time.Duration(start.UnixNano()) + cfg.Clock.Ahead, mod: mod, requests: map[logic.RequestID]*Request{},
+		epoch: time.Duration(start.UnixNano()) + cfg.Clock.Ahead, mod: mod, requests: map[policy.RequestID]*Request{},
 		keys: map[uint64]bool{}, mostConns: cfg.Sockets * 3 / 8,
 		fig:      newFigures(cfg.Settings.Classes),
 		guard:    guard.NewMonitor(log),
@@ -330,7 +330,7 @@
 }
 
 // Class returns a class of the settings by its name.
-func (g *Core) Class(name string) (logic.Class, bool) {
+func (g *Core) Class(name string) (policy.Class, bool) {
 	c, ok := g.classes[name]
 	return c, ok
 }
@@ -351,7 +351,7 @@
 
 // GiveUpAt is when a client gives up that says so at a time, and will wait for so long; d is not believed beyond twice
 // the class's deadline. The answer goes out a little before.
-func (g *Core) GiveUpAt(c logic.Class, at time.Time, d time.Duration) time.Duration {
+func (g *Core) GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration {
 	wait := min(d, 2*c.Deadline)
 	return g.clock(at) + wait - min(answerMargin, wait/4)
 }
@@ -505,7 +505,7 @@
 }
 
 // tell queues an event for the module; flush hands it over.
-func (g *Core) tell(ev logic.Event) { g.queue = append(g.queue, ev) }
+func (g *Core) tell(ev policy.Event) { g.queue = append(g.queue, ev) }
 
 // flush lets the module handle what is queued and carries out its actions, which may queue more.
 func (g *Core) flush() {
@@ -522,33 +522,33 @@
 	g.queue = g.queue[:0]
 }
 
-func (g *Core) act(a logic.Action) {
+func (g *Core) act(a policy.Action) {
 	switch a := a.(type) {
-	case logic.Send:
+	case policy.Send:
 		g.send(a)
-	case logic.Cancel:
+	case policy.Cancel:
 		if r := g.requests[a.ID]; r != nil && !r.Handed && a.Attempt < len(r.attempts) && !g.calledOff(r, a.Attempt) {
-			g.nodes.GiveUp(r.attempts[a.Attempt], logic.Cancelled)
+			g.nodes.GiveUp(r.attempts[a.Attempt], policy.Cancelled)
 		}
-	case logic.Refuse:
+	case policy.Refuse:
 		g.refused(a)
 		if r := g.requests[a.ID]; g.taking == nil || !g.askForAnswer(r, a.RetryAfter) {
 			g.answer(r, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 		}
-	case logic.Fail:
+	case policy.Fail:
 		g.failed(a)
 		g.answer(g.requests[a.ID], Answer{Kind: Failed})
-	case logic.SetTimer:
-		g.after(a.After, func() { g.tell(logic.TimerFired{}) })
-	case logic.Count:
+	case policy.SetTimer:
+		g.after(a.After, func() { g.tell(policy.TimerFired{}) })
+	case policy.Count:
 		g.count(a)
-	case logic.Probe:
+	case policy.Probe:
 		g.probe(a.Server)
-	case logic.CloseIdle:
+	case policy.CloseIdle:
 		g.nodes.CloseIdle(a.Server)
-	case logic.Watch, logic.Fetch: // the watch is always on: the list held is the answer
+	case policy.Watch, policy.Fetch: // the watch is always on: the list held is the answer
 		g.tell(g.held())
-	case logic.Log:
+	case policy.Log:
 		g.log.Info(a.Text)
 	default:
 		g.log.Warn("no such action on sockets", "action", fmt.Sprintf("%T", a))
@@ -571,7 +571,7 @@
 	g.requests[r.ID], g.keys[r.Key] = r, true
 	g.heldBytes += r.Size
 	g.sum.add(arrivals, 1)
-	g.tell(logic.Arrival{Request: r.Request})
+	g.tell(policy.Arrival{Request: r.Request})
 	if g.taking != nil && g.covers(r) {
 		g.after(acceptAfter, func() { g.accept(r) })
 	}
@@ -612,7 +612,7 @@
 		a = Answer{Kind: Refused, RetryAfter: FullRetry}
 	}
 	g.answer(r, a)
-	g.tell(logic.Abandoned{ID: r.ID})
+	g.tell(policy.Abandoned{ID: r.ID})
 }
 
 func (g *Core) forget(r *Request) {
@@ -625,7 +625,7 @@
 
 // --- attempts ---
 
-func (g *Core) send(s logic.Send) {
+func (g *Core) send(s policy.Send) {
 	r := g.requests[s.ID]
 	if r == nil {
 		return
@@ -654,7 +654,7 @@
 // that may have run. The module decides a little earlier, and doesn't know how long the attempt waits for a connection. 0: no repeat.
 func (g *Core) repeatBy(r *Request) time.Duration {
 	c := g.classes[r.Class]
-	if c.Effect != logic.Keyed {
+	if c.Effect != policy.Keyed {
 		return 0
 	}
 	remembered := c.RepeatWindow * 19 / 20
@@ -670,7 +670,7 @@
 }
 
 // launch lets an attempt go out.
-func (g *Core) launch(r *Request, a *backend.Attempt, to logic.ServerID) {
+func (g *Core) launch(r *Request, a *backend.Attempt, to policy.ServerID) {
 	g.sum.sent(a.N, g.now-r.came)
 	if g.holding != nil && a.N == 0 {
 		g.holding.passes(g.now, r)
@@ -678,17 +678,17 @@
 	if g.judged != nil {
 		g.judged.sight.Sent(g.now, to, outlier.Try{Request: r.ID, N: a.N}, r.Class)
 	}
-	g.at(a.Stop, func() { g.nodes.GiveUp(a, logic.TimedOut) })
+	g.at(a.Stop, func() { g.nodes.GiveUp(a, policy.TimedOut) })
 	g.nodes.Start(a, to)
 }
 
 // attemptEnded tells the module how an attempt ended; the first that is served answers the client.
-func (g *Core) attemptEnded(a *backend.Attempt, o logic.Outcome, rep backend.Reply) {
+func (g *Core) attemptEnded(a *backend.Attempt, o policy.Outcome, rep backend.Reply) {
 	if a.Ref == nil {
 		if g.halls != nil {
-			g.halls.Probed(g.now, a.Node(), o == logic.Done)
+			g.halls.Probed(g.now, a.Node(), o == policy.Done)
 		}
-		g.tell(logic.ProbeEnded{Server: a.Node(), Outcome: o, Took: g.now - a.Began, Load: rep.Load})
+		g.tell(policy.ProbeEnded{Server: a.Node(), Outcome: o, Took: g.now - a.Began, Load: rep.Load})
 		return
 	}
 	r := a.Ref.(*Request)
@@ -698,14 +698,14 @@
 		g.passed(r, o)
 		return
 	}
-	if o == logic.Done && !r.final {
+	if o == policy.Done && !r.final {
 		g.sum.served(g.now-r.came, g.classes[r.Class].Aim)
 		g.final(r, Answer{Kind: Served, Value: rep.Value})
 	}
 	r.out--
-	g.ended(r, logic.AttemptEnded{ID: r.ID, Attempt: a.N, Server: a.Node(), Outcome: o, Took: g.now - a.Began,
+	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Server: a.Node(), Outcome: o, Took: g.now - a.Began,
 		Finished: r.final, Load: rep.Load})
-	if o == logic.Done {
+	if o == policy.Done {
 		g.recall(r)
 	}
 }
@@ -721,20 +721,20 @@
 	g.endCustody(r, Answer{Kind: Served, Stream: s})
 	g.sum.served(g.now-r.came, g.classes[r.Class].Aim)
 	g.deliver(r, Answer{Kind: Served, Stream: s})
-	g.ended(r, logic.AttemptEnded{ID: r.ID, Attempt: a.N, Server: a.Node(), Outcome: logic.Done, Took: g.now - a.Began, Finished: true})
+	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Server: a.Node(), Outcome: policy.Done, Took: g.now - a.Began, Finished: true})
 	g.recall(r)
 	return true
 }
 
 // passed counts the end of a value that was passed on.
-func (g *Core) passed(r *Request, o logic.Outcome) {
+func (g *Core) passed(r *Request, o policy.Outcome) {
 	g.fig.Ended(r.Class, endOf(o))
 	r.out--
 	g.forget(r)
 }
 
 // ended tells the module of an attempt's end.
-func (g *Core) ended(r *Request, ev logic.AttemptEnded) {
+func (g *Core) ended(r *Request, ev policy.AttemptEnded) {
 	if r.kept != nil {
 		r.kept.left(ev)
 	}
@@ -748,12 +748,12 @@
 	g.forget(r)
 }
 
-func (g *Core) probe(id logic.ServerID) (sent bool) {
+func (g *Core) probe(id policy.ServerID) (sent bool) {
 	if !g.nodes.Knows(id) || g.out(id) {
 		return false
 	}
 	a := &backend.Attempt{Began: g.now, Stop: g.now + probeTimeout}
-	g.at(a.Stop, func() { g.nodes.GiveUp(a, logic.TimedOut) })
+	g.at(a.Stop, func() { g.nodes.GiveUp(a, policy.TimedOut) })
 	g.nodes.Start(a, id)
 	return true
 }
@@ -766,7 +766,7 @@
 func (o owner) After(d time.Duration, do func()) { o.g.after(d, do) }
 func (o owner) Post(ev backend.Event)            { o.g.post(ev) }
 func (o owner) Spawn(run func(context.Context))  { o.g.spawn(run) }
-func (o owner) AttemptEnded(a *backend.Attempt, out logic.Outcome, r backend.Reply) {
+func (o owner) AttemptEnded(a *backend.Attempt, out policy.Outcome, r backend.Reply) {
 	o.g.attemptEnded(a, out, r)
 }
 
@@ -788,8 +788,8 @@
 // --- the list and the counter ---
 
 // held is the list as it stands.
-func (g *Core) held() logic.Event {
-	return logic.FleetChanged{Whole: true, Servers: g.nodes.Servers()}
+func (g *Core) held() policy.Event {
+	return policy.FleetChanged{Whole: true, Servers: g.nodes.Servers()}
 }
 
 // counted is the event of an answer of the shared counter.
@@ -798,7 +798,7 @@
 	result store.Result
 }
 
-func (g *Core) count(a logic.Count) {
+func (g *Core) count(a policy.Count) {
 	k := &store.Call{Name: a.Name, Amount: a.Add, Keep: a.Keep, Began: g.now}
 	if g.counter == nil {
 		g.counted(counted{k, store.Result{Certainty: store.NotAdded}})
@@ -821,17 +821,17 @@
 	if !ev.call.End() {
 		return
 	}
-	o := logic.TimedOut // may have been added
+	o := policy.TimedOut // may have been added
 	switch {
 	case ev.result.Certainty == store.NotAdded:
-		o = logic.NoConnect
+		o = policy.NoConnect
 	case ev.result.Certainty == store.Added && ev.result.Seen:
-		o = logic.Done
+		o = policy.Done
 	case ev.result.Certainty == store.Added:
-		o = logic.Failed
+		o = policy.Failed
 	}
 	g.sum.counted(o, g.now-ev.call.Began)
-	g.tell(logic.CountReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
+	g.tell(policy.CountReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
 }
 
 // --- timers ---
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,7 +10,7 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/settings"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -44,9 +44,9 @@
 
 func testConfig(disc string, known discovery.List) Config {
 	return Config{Discovery: disc, Sockets: 256, Known: known,
-		Settings: logic.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
-			Classes: []logic.Class{{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Safe}},
-			Plans:   []logic.Plan{{Name: "p", Price: 1}}},
+		Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+			Classes: []policy.Class{{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe}},
+			Plans:   []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
 
--- a/internal/core/departure.go
+++ b/internal/core/departure.go
@@ -2,7 +2,7 @@
 
 import (
 	"hitchspring/internal/metrics"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Whether a request's client is still there is asked here and nowhere else: when the request is taken in, when the module has chosen a
@@ -54,7 +54,7 @@
 	r.final = true
 	g.endCustody(r, Answer{Kind: Failed})
 	g.fig.Left(r.stage())
-	g.tell(logic.Abandoned{ID: r.ID})
+	g.tell(policy.Abandoned{ID: r.ID})
 	g.recall(r)
 	g.forget(r)
 }
--- a/internal/core/departure_test.go
+++ b/internal/core/departure_test.go
@@ -7,7 +7,7 @@
 	"hitchspring/internal/backend"
 	"hitchspring/internal/metrics"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // arriving hands a request in.
@@ -51,7 +51,7 @@
 			t.Fatalf("%d attempts", len(r.attempts))
 		}
 		g.now += time.Millisecond
-		g.attemptEnded(r.attempts[0], logic.NoConnect, backend.Reply{})
+		g.attemptEnded(r.attempts[0], policy.NoConnect, backend.Reply{})
 		g.flush()
 	}
 	newCore := func(t *testing.T) *Core {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -14,7 +14,7 @@
 	"hitchspring/internal/overrun"
 	"hitchspring/internal/takeover"
 	"hitchspring/internal/zones"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Instances of different versions send each other these messages.
@@ -80,8 +80,8 @@
 // The words that logs, metrics and reports use for reasons, outcomes and states are searched for and counted by others.
 func TestGoldenTerms(t *testing.T) {
 	var b strings.Builder
-	for r := range logic.Reasons {
-		b.WriteString("reason " + logic.Reason(r).String() + "\n")
+	for r := range policy.Reasons {
+		b.WriteString("reason " + policy.Reason(r).String() + "\n")
 	}
 	for _, name := range outcomeNames {
 		b.WriteString("outcome " + name + "\n")
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -7,7 +7,7 @@
 
 	"hitchspring/internal/backend"
 	"hitchspring/internal/lease"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Leases says how attempts are handed out to those who send them themselves.
@@ -183,7 +183,7 @@
 }
 
 // grant gives an attempt to those who wait for it. false: nobody may send it.
-func (g *Core) grant(r *Request, a *backend.Attempt, id logic.ServerID) bool {
+func (g *Core) grant(r *Request, a *backend.Attempt, id policy.ServerID) bool {
 	x, ok := r.Place.(*handed)
 	addr, serves := g.nodes.Addr(id)
 	if !ok || !serves || x.attempt != nil {
@@ -233,13 +233,13 @@
 		delete(h.leases, l.Name)
 		switch ev.out {
 		case lease.OutServed:
-			g.endHanded(x, logic.Done, true, false)
+			g.endHanded(x, policy.Done, true, false)
 		case lease.OutUnsent:
-			g.endHanded(x, logic.Moot, true, true)
+			g.endHanded(x, policy.Moot, true, true)
 		case lease.OutRefused:
-			g.endHanded(x, logic.Full, false, false)
+			g.endHanded(x, policy.Full, false, false)
 		default:
-			g.endHanded(x, logic.Failed, false, false)
+			g.endHanded(x, policy.Failed, false, false)
 		}
 		g.flush()
 	}
@@ -252,7 +252,7 @@
 }
 
 // endHanded tells the module how a lease's attempt ended; over: there is no other, whatever the module would have.
-func (g *Core) endHanded(x *handed, o logic.Outcome, over, unsent bool) {
+func (g *Core) endHanded(x *handed, o policy.Outcome, over, unsent bool) {
 	a := x.attempt
 	x.attempt = nil
 	x.r.out--
@@ -262,7 +262,7 @@
 		x.close()
 		x.tell(Answer{Kind: Over, State: x.entry.State})
 	}
-	g.ended(x.r, logic.AttemptEnded{ID: x.r.ID, Attempt: a.N, Server: logic.ServerID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.Began, Finished: x.r.final, Unsent: unsent})
+	g.ended(x.r, policy.AttemptEnded{ID: x.r.ID, Attempt: a.N, Server: policy.ServerID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.Began, Finished: x.r.final, Unsent: unsent})
 }
 
 // lapse ends the leases that have run out: their attempts may have run.
@@ -270,7 +270,7 @@
 	for _, e := range g.handing.book.Expire(g.now) {
 		if x := g.handing.leases[e.Lease.Name]; x != nil {
 			delete(g.handing.leases, e.Lease.Name)
-			g.endHanded(x, logic.TimedOut, true, false)
+			g.endHanded(x, policy.TimedOut, true, false)
 		}
 	}
 }
--- a/internal/core/guarded.go
+++ b/internal/core/guarded.go
@@ -7,7 +7,7 @@
 	"hitchspring/internal/backend"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/metrics"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Each of the steps that can break a promise has one function here, through which every path goes: taking a request in (admission), writing an
@@ -52,10 +52,10 @@
 }
 
 // class is the class of a request; one that the settings don't know may not be repeated.
-func (g *Core) class(r *Request) logic.Class {
+func (g *Core) class(r *Request) policy.Class {
 	c, known := g.classes[r.Class]
 	if !known {
-		c.Effect = logic.Unsafe
+		c.Effect = policy.Unsafe
 	}
 	return c
 }
@@ -98,7 +98,7 @@
 }
 
 // refused takes in that the module refuses a request, and why.
-func (g *Core) refused(a logic.Refuse) {
+func (g *Core) refused(a policy.Refuse) {
 	g.sum.refused(a.Why)
 	g.fig.Refused(int(a.Why))
 	if r := g.requests[a.ID]; r != nil {
@@ -107,7 +107,7 @@
 }
 
 // failed is the same of a failure.
-func (g *Core) failed(a logic.Fail) {
+func (g *Core) failed(a policy.Fail) {
 	g.sum.failed(a.Why)
 	g.fig.Failed(int(a.Why))
 	if r := g.requests[a.ID]; r != nil {
--- a/internal/core/guarded_test.go
+++ b/internal/core/guarded_test.go
@@ -7,7 +7,7 @@
 	"hitchspring/internal/backend"
 	"hitchspring/internal/guard"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // newGuarded is a core with two backends, whose requests are unsafe and may have three attempts.
@@ -15,7 +15,7 @@
 	t.Helper()
 	cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr, scripted.NewNode(t, nil).Addr))
 	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies = 3, true
-	cfg.Settings.Classes[0].Effect = logic.Unsafe
+	cfg.Settings.Classes[0].Effect = policy.Unsafe
 	g, err := New(cfg, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 	p := &counting{}
 	r := arriving(g, 1, p)
 	g.handle(connected(t, g))
-	g.act(logic.Refuse{ID: r.ID, Why: logic.NoRetry})
+	g.act(policy.Refuse{ID: r.ID, Why: policy.NoRetry})
 	if p.answers != 1 || p.got.Kind != Failed {
 		t.Errorf("%d answers, the last %v", p.answers, p.got.Kind)
 	}
--- a/internal/core/halls.go
+++ b/internal/core/halls.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"hitchspring/internal/zones"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -29,7 +29,7 @@
 // drills are the halls that are taken out on purpose, each until a time.
 type drills map[string]time.Time
 
-func newHallBook(cfg zones.Config, set logic.Settings) *hallBook {
+func newHallBook(cfg zones.Config, set policy.Settings) *hallBook {
 	cfg.Own, cfg.WarmAfter, cfg.ColdShare, cfg.Probe = set.Zone, set.WarmAfter, set.ColdShare, set.MayProbe
 	cfg.Aims = map[string]time.Duration{}
 	for _, c := range set.Classes {
@@ -39,7 +39,7 @@
 }
 
 // list hands a list of nodes on.
-func (h *hallBook) list(now time.Duration, ev logic.FleetChanged) {
+func (h *hallBook) list(now time.Duration, ev policy.FleetChanged) {
 	list := make([]zones.Node, len(ev.Servers))
 	for i, s := range ev.Servers {
 		list[i] = zones.Node{ID: s.ID, Hall: s.Zone, State: s.State, Size: s.Size, Started: s.Started}
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -8,7 +8,7 @@
 
 	"hitchspring/internal/gossip"
 	"hitchspring/internal/outlier"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -38,14 +38,14 @@
 	teller  *outlier.Teller
 	fader   *outlier.Fader
 	trials  *outlier.Trials
-	starts  map[logic.ServerID]time.Duration
+	starts  map[policy.ServerID]time.Duration
 	version uint64
 	weighed time.Duration
-	heard   map[logic.ServerID][]outlier.Heard
-	force   map[logic.ServerID]float64 // slowness by others' word, as the module has it
-	blamed  map[logic.ServerID]bool    // of which a line was written
-	held    bool                       // blames are lifted, for there are too many
-	strange int                        // words that no instance can have meant
+	heard   map[policy.ServerID][]outlier.Heard
+	force   map[policy.ServerID]float64 // slowness by others' word, as the module has it
+	blamed  map[policy.ServerID]bool    // of which a line was written
+	held    bool                        // blames are lifted, for there are too many
+	strange int                         // words that no instance can have meant
 	shown   atomic.Pointer[NodesStatus]
 	showAt  time.Duration
 }
@@ -59,17 +59,17 @@
 
 // NodeStatus is one node of which something is known or told.
 type NodeStatus struct {
-	Node     logic.ServerID `json:"Node"`
-	Good     float64        `json:"Good"`
-	Bad      float64        `json:"Bad"`  // this instance's own evidence
-	Own      string         `json:"Own"`  // what speaks against it here
-	Told     float64        `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
-	Cause    string         `json:"Cause"`
-	Accusers []string       `json:"Accusers"`
-	Defence  []string       `json:"Defence"` // "" is this instance
-	Why      string         `json:"Why"`
-	AgeMS    int64          `json:"AgeMS"`
-	Words    []Word         `json:"Words"`
+	Node     policy.ServerID `json:"Node"`
+	Good     float64         `json:"Good"`
+	Bad      float64         `json:"Bad"`  // this instance's own evidence
+	Own      string          `json:"Own"`  // what speaks against it here
+	Told     float64         `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
+	Cause    string          `json:"Cause"`
+	Accusers []string        `json:"Accusers"`
+	Defence  []string        `json:"Defence"` // "" is this instance
+	Why      string          `json:"Why"`
+	AgeMS    int64           `json:"AgeMS"`
+	Words    []Word          `json:"Words"`
 }
 
 // Word is what one other instance says.
@@ -92,7 +92,7 @@
 	}
 	return &judgements{peers: cfg.Peers, cfg: outlier.Config{Hall: cfg.Settings.Zone, Memory: longAims * longest}, sight: outlier.NewSight(), teller: outlier.NewTeller(),
 		fader: outlier.NewFader(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: outlier.NewTrials(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Gateways),
-		starts: map[logic.ServerID]time.Duration{}, blamed: map[logic.ServerID]bool{}}
+		starts: map[policy.ServerID]time.Duration{}, blamed: map[policy.ServerID]bool{}}
 }
 
 // listJudged hands on which starts of nodes there are.
@@ -101,7 +101,7 @@
 	clear(j.starts)
 	g.ops.mu.Lock()
 	for id, t := range g.ops.listed {
-		if s := g.ops.book.Over(t.Server()); s.State != logic.Gone {
+		if s := g.ops.book.Over(t.Server()); s.State != policy.Gone {
 			j.starts[id] = s.Started
 		}
 	}
@@ -131,8 +131,8 @@
 		j.weighed = 0
 	}
 	// Most nodes are fine, and nobody speaks of them: looking at all was half of what judging took (a profile of 36 processes).
-	own := j.sight.Opinions(g.now, func(id logic.ServerID) bool { return len(j.heard[id]) > 0 || j.teller.Told(id) })
-	accused := map[logic.ServerID]time.Duration{}
+	own := j.sight.Opinions(g.now, func(id policy.ServerID) bool { return len(j.heard[id]) > 0 || j.teller.Told(id) })
+	accused := map[policy.ServerID]time.Duration{}
 	for _, o := range own {
 		for _, w := range j.heard[o.Node] {
 			if w.Accuses() && w.Onset < o.LastGood {
@@ -152,7 +152,7 @@
 // read takes over what others tell.
 func (j *judgements) read() {
 	facts, halls := j.peers.Facts(outlier.Kind)
-	j.heard = map[logic.ServerID][]outlier.Heard{}
+	j.heard = map[policy.ServerID][]outlier.Heard{}
 	for _, f := range facts {
 		if f.Owner == j.peers.Name() {
 			continue
@@ -171,7 +171,7 @@
 // weigh comes to a verdict on each node that others speak of, and lets the module know.
 func (g *Core) weigh(own []outlier.Opinion) {
 	j := g.judged
-	mine := map[logic.ServerID]outlier.Opinion{}
+	mine := map[policy.ServerID]outlier.Opinion{}
 	for _, o := range own {
 		mine[o.Node] = o
 	}
@@ -191,7 +191,7 @@
 	if before > 0 || len(j.force) > 0 {
 		heard := maps.Clone(j.force)
 		for _, id := range j.trials.Open(g.now, j.force, verdicts, j.sight.LastSent) {
-			heard[id] = logic.Try
+			heard[id] = policy.Try
 		}
 		g.mod.Hear(heard)
 	}
@@ -211,7 +211,7 @@
 // show lets others see what is believed.
 func (j *judgements) show(now time.Duration, own []outlier.Opinion, verdicts []outlier.Verdict) {
 	s := &NodesStatus{Lifted: j.held, Strange: j.strange}
-	by := map[logic.ServerID]outlier.Verdict{}
+	by := map[policy.ServerID]outlier.Verdict{}
 	for _, v := range verdicts {
 		by[v.Node] = v
 	}
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -9,7 +9,7 @@
 	"hitchspring/internal/guard"
 	"hitchspring/internal/metrics"
 	"hitchspring/internal/override"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // clusterEvery is the time between two looks at how many nodes are avoided.
@@ -30,7 +30,7 @@
 	spoke chan struct{} // room for one: the loop shall look at the book
 
 	// The loop's alone: the list without the operators' word, its revision, and how often one has come.
-	listed map[logic.ServerID]discovery.Target
+	listed map[policy.ServerID]discovery.Target
 	rev    int64
 	lists  int
 }
@@ -40,12 +40,12 @@
 
 // Suspend takes a node out until Resume: the list has it as draining from now on, whatever discovery says. It returns
 // suspend.ErrUnknown for a node that was never listed, and never waits for the core's goroutine.
-func (g *Core) Suspend(id logic.ServerID) error { return g.say(id, true) }
+func (g *Core) Suspend(id policy.ServerID) error { return g.say(id, true) }
 
 // Resume puts a node back, as one that has just started.
-func (g *Core) Resume(id logic.ServerID) error { return g.say(id, false) }
+func (g *Core) Resume(id policy.ServerID) error { return g.say(id, false) }
 
-func (g *Core) say(id logic.ServerID, out bool) error {
+func (g *Core) say(id policy.ServerID, out bool) error {
 	o := &g.ops
 	o.mu.Lock()
 	changed, err := o.book.Say(id, out, g.clock(time.Now()))
@@ -76,7 +76,7 @@
 }
 
 // out reports whether operators have taken a node out.
-func (g *Core) out(id logic.ServerID) bool {
+func (g *Core) out(id policy.ServerID) bool {
 	g.ops.mu.Lock()
 	defer g.ops.mu.Unlock()
 	return g.ops.book.Out(id)
@@ -95,11 +95,11 @@
 	g.ops.lists++
 	g.ops.rev = max(g.ops.rev, f.Rev)
 	if f.All || g.ops.listed == nil {
-		g.ops.listed = make(map[logic.ServerID]discovery.Target, len(f.Targets))
+		g.ops.listed = make(map[policy.ServerID]discovery.Target, len(f.Targets))
 	}
-	ids := make([]logic.ServerID, 0, len(f.Targets))
+	ids := make([]policy.ServerID, 0, len(f.Targets))
 	for _, t := range f.Targets {
-		id := logic.ServerID(t.UID)
+		id := policy.ServerID(t.UID)
 		ids = append(ids, id)
 		if t.State == discovery.Deleted {
 			delete(g.ops.listed, id)
@@ -125,7 +125,7 @@
 
 // overlaid tells connections, halls and the module the list as it holds under the operators' word.
 func (g *Core) overlaid(f discovery.List) {
-	ev := logic.FleetChanged{Whole: f.All, Servers: make([]logic.Server, 0, len(f.Targets))}
+	ev := policy.FleetChanged{Whole: f.All, Servers: make([]policy.Server, 0, len(f.Targets))}
 	entries := make([]backend.Entry, 0, len(f.Targets))
 	g.ops.mu.Lock()
 	for _, t := range f.Targets {
@@ -159,21 +159,21 @@
 }
 
 // newFigures are the figures of the settings' classes.
-func newFigures(classes []logic.Class) *metrics.Set {
+func newFigures(classes []policy.Class) *metrics.Set {
 	names := make([]string, len(classes))
 	for i, c := range classes {
 		names[i] = c.Name
 	}
-	reasons := make([]string, logic.Reasons)
+	reasons := make([]string, policy.Reasons)
 	for i := range reasons {
-		reasons[i] = logic.Reason(i).String()
+		reasons[i] = policy.Reason(i).String()
 	}
 	return metrics.New(names, reasons, outcomeNames[:])
 }
 
 // endOf is how a request counts that ended with an attempt.
-func endOf(o logic.Outcome) metrics.End {
-	if o == logic.Done {
+func endOf(o policy.Outcome) metrics.End {
+	if o == policy.Done {
 		return metrics.Answered
 	}
 	return metrics.Errored
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"hitchspring/internal/escrow"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -120,9 +120,9 @@
 
 // holdParts lets the module know what this instance holds now.
 func (g *Core) holdParts(stopped bool) {
-	p := logic.Parts{Home: g.holding.book.Home(g.now), Of: map[string]logic.Part{}}
+	p := policy.Parts{Home: g.holding.book.Home(g.now), Of: map[string]policy.Part{}}
 	for key, x := range g.holding.book.Parts(g.now) {
-		p.Of[key] = logic.Part(x)
+		p.Of[key] = policy.Part(x)
 	}
 	g.mod.Hold(g.now, p, stopped)
 }
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -8,7 +8,7 @@
 
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/store"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // heldStore keeps the calls that it is given and answers none.
@@ -27,22 +27,22 @@
 	k := &store.Call{Name: "a"}
 	g.counted(counted{k, store.Result{}})
 	g.counted(counted{k, store.Result{Certainty: store.Added, Seen: true, Total: 7}})
-	if len(g.queue) != 1 || g.queue[0].(logic.CountReply).Outcome != logic.TimedOut {
+	if len(g.queue) != 1 || g.queue[0].(policy.CountReply).Outcome != policy.TimedOut {
 		t.Fatalf("told: %v", g.queue)
 	}
 }
 
 // What a store is sure of reaches the module as just that.
 func TestCounterCertainty(t *testing.T) {
-	for want, r := range map[logic.Outcome]store.Result{
-		logic.Done:      {Certainty: store.Added, Seen: true, Total: 3},
-		logic.Failed:    {Certainty: store.Added},
-		logic.NoConnect: {Certainty: store.NotAdded},
-		logic.TimedOut:  {},
+	for want, r := range map[policy.Outcome]store.Result{
+		policy.Done:      {Certainty: store.Added, Seen: true, Total: 3},
+		policy.Failed:    {Certainty: store.Added},
+		policy.NoConnect: {Certainty: store.NotAdded},
+		policy.TimedOut:  {},
 	} {
 		g := idleGateway(t, "127.0.0.1:1")
 		g.counted(counted{&store.Call{Name: "a"}, r})
-		if ev := g.queue[len(g.queue)-1].(logic.CountReply); ev.Outcome != want || ev.Total != r.Total {
+		if ev := g.queue[len(g.queue)-1].(policy.CountReply); ev.Outcome != want || ev.Total != r.Total {
 			t.Errorf("%+v: told %+v, want outcome %v", r, ev, want)
 		}
 	}
@@ -52,14 +52,14 @@
 func TestSilentCounterTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		taken bool
-		want  logic.Outcome
-	}{"unwritten": {false, logic.NoConnect}, "written": {true, logic.TimedOut}} {
+		want  policy.Outcome
+	}{"unwritten": {false, policy.NoConnect}, "written": {true, policy.TimedOut}} {
 		t.Run(name, func(t *testing.T) {
 			g := idleGateway(t, "127.0.0.1:1")
 			held := &heldStore{}
 			g.counter = held
 			g.cfg.Settings.CounterTimeout = 80 * time.Millisecond
-			g.count(logic.Count{Name: "a", Add: 1})
+			g.count(policy.Count{Name: "a", Add: 1})
 			if c.taken {
 				held.calls[0].Take()
 			}
@@ -67,7 +67,7 @@
 			for len(g.queue) == 0 && len(g.alarms) > 0 && g.alarms[0].at <= g.now {
 				heap.Pop(&g.alarms).(alarm).ring()
 			}
-			if ev, ok := g.queue[len(g.queue)-1].(logic.CountReply); !ok || ev.Outcome != c.want {
+			if ev, ok := g.queue[len(g.queue)-1].(policy.CountReply); !ok || ev.Outcome != c.want {
 				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
 			}
 			if held.calls[0].Take() {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // figure is one count of what happened between two lines.
@@ -28,16 +28,16 @@
 
 var figureNames = [allFigures]string{"arrived", "served", "late", "cut", "first", "further", "hold_ms", "dials", "lists", "calls", "call_ms"}
 
-var outcomeNames = [...]string{logic.Failed: "failed", logic.Done: "done", logic.Full: "full", logic.TimedOut: "timeout",
-	logic.NoConnect: "noconnect", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.Moot: "moot"}
+var outcomeNames = [...]string{policy.Failed: "failed", policy.Done: "done", policy.Full: "full", policy.TimedOut: "timeout",
+	policy.NoConnect: "noconnect", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "moot"}
 
 // summary counts what happens and writes a line of it at a time, so that the logs of many instances can be added up
 // (lab fleet-logs). A nil one counts nothing. The core's goroutine owns it.
 type summary struct {
 	dialed  int // as of the last line
 	counts  [allFigures]float64
-	refuse  [logic.Reasons]int
-	fail    [logic.Reasons]int
+	refuse  [policy.Reasons]int
+	fail    [policy.Reasons]int
 	ends    [len(outcomeNames)]int
 	answers [len(outcomeNames)]int // of the counter
 }
@@ -48,13 +48,13 @@
 	}
 }
 
-func (s *summary) refused(why logic.Reason) {
+func (s *summary) refused(why policy.Reason) {
 	if s != nil {
 		s.refuse[why]++
 	}
 }
 
-func (s *summary) failed(why logic.Reason) {
+func (s *summary) failed(why policy.Reason) {
 	if s != nil {
 		s.fail[why]++
 	}
@@ -69,7 +69,7 @@
 	s.add(holdMillis, held.Seconds()*1000)
 }
 
-func (s *summary) ended(o logic.Outcome) {
+func (s *summary) ended(o policy.Outcome) {
 	if s != nil {
 		s.ends[o]++
 	}
@@ -83,13 +83,13 @@
 	}
 }
 
-func (s *summary) counted(o logic.Outcome, took time.Duration) {
+func (s *summary) counted(o policy.Outcome, took time.Duration) {
 	if s == nil {
 		return
 	}
 	s.answers[o]++
 	s.counts[countCalls]++
-	if o == logic.Done {
+	if o == policy.Done {
 		s.counts[countMillis] += took.Seconds() * 1000
 	}
 }
@@ -122,7 +122,7 @@
 	for f, n := range s.counts {
 		put("", figureNames[f], n)
 	}
-	for why := range logic.Reasons {
+	for why := range policy.Reasons {
 		put("refused.", why.String(), float64(s.refuse[why]))
 		put("failed.", why.String(), float64(s.fail[why]))
 	}
--- a/internal/core/summary_test.go
+++ b/internal/core/summary_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hitchspring/internal/discovery"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // A line a second says what came and how it ended, and why; the next one begins from nothing.
@@ -23,7 +23,7 @@
 	run(t, g)
 	g.summarize()
 	p := &place{}
-	g.handle(arrived{&Request{Request: logic.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Place: p, Key: 1, Command: noCommand{}}})
+	g.handle(arrived{&Request{Request: policy.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Place: p, Key: 1, Command: noCommand{}}})
 	for range 220 { // the module's sweeps are timers too
 		g.now += 10 * time.Millisecond
 		g.ring()
@@ -49,10 +49,10 @@
 		t.Error("it sums up though nobody asked")
 	}
 	g.sum.add(arrivals, 1)
-	g.sum.refused(logic.Quota)
-	g.sum.failed(logic.Quota)
+	g.sum.refused(policy.Quota)
+	g.sum.failed(policy.Quota)
 	g.sum.sent(0, time.Second)
-	g.sum.ended(logic.Done)
+	g.sum.ended(policy.Done)
 	g.sum.served(1, 2)
-	g.sum.counted(logic.Done, 1)
+	g.sum.counted(policy.Done, 1)
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -9,7 +9,7 @@
 	"hitchspring/internal/backend"
 	"hitchspring/internal/escrow"
 	"hitchspring/internal/takeover"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -67,7 +67,7 @@
 type keeping struct {
 	at     takeover.Place
 	waits  *backend.Attempt // for the keepers' word; nil: none does
-	to     logic.ServerID
+	to     policy.ServerID
 	ran    int     // attempts that may have run
 	out    uint64  // a bit for each attempt that has gone out
 	joined bool    // another try's answer is waited for
@@ -169,7 +169,7 @@
 
 // covers says whether keepers can hold a request.
 func (g *Core) covers(r *Request) bool {
-	if g.classes[r.Class].Effect != logic.Keyed || r.Idem == "" || r.Size > takeover.MostBody {
+	if g.classes[r.Class].Effect != policy.Keyed || r.Idem == "" || r.Size > takeover.MostBody {
 		return false
 	}
 	_, ok := r.Command.(interface{ Words() [][]byte })
@@ -198,7 +198,7 @@
 }
 
 // inCustody says whether an attempt has to wait for the keepers' word, and asks for it.
-func (g *Core) inCustody(r *Request, a *backend.Attempt, to logic.ServerID) bool {
+func (g *Core) inCustody(r *Request, a *backend.Attempt, to policy.ServerID) bool {
 	if !g.covers(r) {
 		return false
 	}
@@ -229,7 +229,7 @@
 		g.drainDesk()
 		return true
 	}
-	if r == nil || r.final || r.kept != nil || r.out > 0 || len(r.attempts) > 0 || r.Idem == "" || g.classes[r.Class].Effect != logic.Keyed {
+	if r == nil || r.final || r.kept != nil || r.out > 0 || len(r.attempts) > 0 || r.Idem == "" || g.classes[r.Class].Effect != policy.Keyed {
 		return false
 	}
 	refuse := &Answer{Kind: Refused, RetryAfter: after}
@@ -246,12 +246,12 @@
 }
 
 // place is where a repeat has no further effect.
-func (g *Core) place(c logic.Class, id logic.ServerID) takeover.Place {
+func (g *Core) place(c policy.Class, id policy.ServerID) takeover.Place {
 	t := g.ops.listed[id]
 	switch c.Group {
-	case logic.GroupAll:
+	case policy.GroupAll:
 		return takeover.Place{}
-	case logic.GroupZone:
+	case policy.GroupZone:
 		return takeover.Place{Zone: t.Zone}
 	}
 	return takeover.Place{Zone: t.Zone, Rack: t.Group}
@@ -327,7 +327,7 @@
 		g.withdraw(r)
 		r.kept.joined = false
 		r.kept.at = a.At
-		g.again(r, &logic.Prior{Zone: a.At.Zone, Cell: a.At.Rack, At: a.Began})
+		g.again(r, &policy.Prior{Zone: a.At.Zone, Cell: a.At.Rack, At: a.Began})
 	case takeover.Halt:
 		g.withdraw(r)
 		g.answer(r, Answer{Kind: Refused, RetryAfter: FullRetry})
@@ -341,7 +341,7 @@
 }
 
 // left takes the end of an attempt that surely never ran out of the count.
-func (k *keeping) left(ev logic.AttemptEnded) {
+func (k *keeping) left(ev policy.AttemptEnded) {
 	if bit := uint64(1) << min(ev.Attempt, 63); ev.Outcome.NeverRan() && k.out&bit != 0 {
 		k.ran--
 		k.out &^= bit
@@ -353,16 +353,16 @@
 	w := r.kept.waits
 	if r.kept.waits = nil; w == nil {
 		if r.kept.at == takeover.Nowhere { // it waits in the module
-			g.tell(logic.Abandoned{ID: r.ID})
+			g.tell(policy.Abandoned{ID: r.ID})
 		}
 		return
 	}
 	r.out--
-	g.tell(logic.AttemptEnded{ID: r.ID, Attempt: w.N, Server: r.kept.to, Outcome: logic.Moot, Finished: true, Unsent: true})
+	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: w.N, Server: r.kept.to, Outcome: policy.Moot, Finished: true, Unsent: true})
 }
 
 // again hands a request to the module once more, under a number of its own.
-func (g *Core) again(r *Request, prior *logic.Prior) {
+func (g *Core) again(r *Request, prior *policy.Prior) {
 	delete(g.requests, r.ID)
 	g.lastID++
 	r.ID, r.attempts, r.Prior, r.Paid = g.lastID, nil, prior, prior != nil
@@ -371,7 +371,7 @@
 		r.kept.ran, r.kept.out = 1, 0
 	}
 	g.requests[r.ID] = r
-	g.tell(logic.Arrival{Request: r.Request})
+	g.tell(policy.Arrival{Request: r.Request})
 }
 
 // calledOff ends an attempt that waits for the keepers' word.
@@ -442,7 +442,7 @@
 	r.ID, r.came = g.lastID, g.now
 	r.kept, r.Paid = &keeping{at: t.At}, t.Paid || t.At != takeover.Nowhere
 	if t.At != takeover.Nowhere {
-		r.Prior = &logic.Prior{Zone: t.At.Zone, Cell: t.At.Rack, At: t.Began}
+		r.Prior = &policy.Prior{Zone: t.At.Zone, Cell: t.At.Rack, At: t.Began}
 		r.attempts = []*backend.Attempt{{}} // its owner's
 		r.kept.ran = 1
 	}
@@ -450,6 +450,6 @@
 	g.requests[r.ID] = r
 	g.heldBytes += r.Size
 	g.log.Info("work is taken over", "from", t.From, "sent", t.At != takeover.Nowhere, "class", r.Class, "key", r.Idem, "left", (t.Until - g.now).Round(time.Millisecond))
-	g.tell(logic.Arrival{Request: r.Request})
+	g.tell(policy.Arrival{Request: r.Request})
 	g.at(r.GiveUpAt+overdue, func() { g.cutOff(r) })
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -75,13 +75,13 @@
 		}
 		for _, l := range told {
 			for _, x := range l.Targets {
-				if s := x.Server(); s.State == logic.Running && x.check() != nil || s.Started < 0 {
+				if s := x.Server(); s.State == policy.Running && x.check() != nil || s.Started < 0 {
 					t.Errorf("%s: told %+v", c.in, x)
 				}
 			}
 		}
 	}
-	if s := (Target{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).Server(); s.State != logic.Draining {
+	if s := (Target{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}).Server(); s.State != policy.Draining {
 		t.Errorf("an unknown state is %v, want draining", s.State)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,7 +9,7 @@
 	"net"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // List is the list of backends, or the entries of it that changed.
@@ -38,14 +38,14 @@
 }
 
 // Server is the entry as the decision module has it; an unknown state is draining.
-func (t Target) Server() logic.Server {
-	s := logic.Server{ID: logic.ServerID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
+func (t Target) Server() policy.Server {
+	s := policy.Server{ID: policy.ServerID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
 		Started: time.Duration(t.BootMS) * time.Millisecond}
 	switch t.State {
 	case serving:
-		s.State = logic.Running
+		s.State = policy.Running
 	case Deleted:
-		s.State = logic.Gone
+		s.State = policy.Gone
 	}
 	return s
 }
--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -25,7 +25,7 @@
 	"hitchspring/internal/core"
 	"hitchspring/internal/lease"
 	"hitchspring/internal/socket"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Core is what the front wants of the core.
@@ -33,11 +33,11 @@
 	Ask(r *core.Request, id string, print uint64, place core.Place)
 	Leave(id string, place core.Place)
 	Report(name string, out lease.Outcome, tell func(core.ReportAnswer))
-	Class(name string) (logic.Class, bool)
+	Class(name string) (policy.Class, bool)
 	Plan(name string) bool
 	Gateways() int
 	MostUnits() float64
-	GiveUpAt(c logic.Class, at time.Time, d time.Duration) time.Duration
+	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
 // Config is the front's settings, checked.
@@ -340,7 +340,7 @@
 	}
 	req.GiveUpAt = f.core.GiveUpAt(class, at, wait)
 	key := get("Key")
-	if class.Effect == logic.Keyed && (key == "" || len(key) > mostKey) {
+	if class.Effect == policy.Keyed && (key == "" || len(key) > mostKey) {
 		return nil, "", 0, fmt.Errorf("class %s wants a key of up to %d characters", req.Class, mostKey)
 	}
 	req.Key = f.key.Add(1)
--- a/internal/front/forwardauth/front_test.go
+++ b/internal/front/forwardauth/front_test.go
@@ -22,7 +22,7 @@
 
 	"hitchspring/internal/core"
 	"hitchspring/internal/lease"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -51,14 +51,14 @@
 func (f *fake) Report(name string, o lease.Outcome, tell func(core.ReportAnswer)) {
 	tell(f.report(name, o))
 }
-func (f *fake) Class(name string) (logic.Class, bool) {
-	c := map[string]logic.Class{"read": {Name: "read", Deadline: time.Second, Effect: logic.Safe}, "publish": {Name: "publish", Deadline: 5 * time.Second, Effect: logic.Keyed}}[name]
+func (f *fake) Class(name string) (policy.Class, bool) {
+	c := map[string]policy.Class{"read": {Name: "read", Deadline: time.Second, Effect: policy.Safe}, "publish": {Name: "publish", Deadline: 5 * time.Second, Effect: policy.Keyed}}[name]
 	return c, c.Name != ""
 }
 func (f *fake) Plan(name string) bool { return name == "storby" }
 func (f *fake) Gateways() int         { return 3 }
 func (f *fake) MostUnits() float64    { return 6 }
-func (f *fake) GiveUpAt(c logic.Class, at time.Time, d time.Duration) time.Duration {
+func (f *fake) GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration {
 	return min(d, 2*c.Deadline)
 }
 
--- a/internal/front/resp/age_test.go
+++ b/internal/front/resp/age_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"hitchspring/internal/core"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // agedCore notes how old each command was when its deadline was reckoned, by the test's clock.
@@ -21,7 +21,7 @@
 }
 
 // GiveUpAt returns the time from which a request's deadline counts, instead of its end.
-func (c agedCore) GiveUpAt(_ logic.Class, at time.Time, _ time.Duration) time.Duration {
+func (c agedCore) GiveUpAt(_ policy.Class, at time.Time, _ time.Duration) time.Duration {
 	return at.Sub(c.start)
 }
 
--- a/internal/front/resp/command.go
+++ b/internal/front/resp/command.go
@@ -10,7 +10,7 @@
 	"github.com/tidwall/redcon"
 
 	"hitchspring/internal/core"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -137,7 +137,7 @@
 
 // check holds a request's fields against the settings in force; do: the command is one that may have effects. The module takes a customer's
 // plan and set from the first request that names it, so only what can be true goes on.
-func (f *Front) check(given fields, do bool) (logic.Class, error) {
+func (f *Front) check(given fields, do bool) (policy.Class, error) {
 	class, known := f.core.Class(given.class)
 	gateways := uint64(f.core.Gateways())
 	switch {
@@ -145,9 +145,9 @@
 		return class, errors.New("unknown class")
 	case !f.core.Plan(given.plan):
 		return class, errors.New("unknown plan")
-	case do == (class.Effect == logic.Safe):
+	case do == (class.Effect == policy.Safe):
 		return class, errors.New("the class does not go with the command")
-	case class.Effect == logic.Keyed && (given.key == "" || len(given.key) > mostKey):
+	case class.Effect == policy.Keyed && (given.key == "" || len(given.key) > mostKey):
 		return class, errors.New("field k is missing or too long")
 	case given.deadline == 0 || !given.hasFirst:
 		return class, errors.New("field d or first is missing or nought")
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -16,7 +16,7 @@
 
 	"hitchspring/internal/core"
 	"hitchspring/internal/socket"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // deskCore hands each request to the test, which answers it.
@@ -31,13 +31,13 @@
 		d.left <- r
 	}
 }
-func (deskCore) Class(name string) (logic.Class, bool) {
-	return logic.Class{Name: name, Aim: time.Second, Deadline: time.Minute, Effect: logic.Safe}, name == "read"
+func (deskCore) Class(name string) (policy.Class, bool) {
+	return policy.Class{Name: name, Aim: time.Second, Deadline: time.Minute, Effect: policy.Safe}, name == "read"
 }
-func (deskCore) Plan(string) bool                                             { return true }
-func (deskCore) Gateways() int                                                { return 1 }
-func (deskCore) MostUnits() float64                                           { return 4 }
-func (deskCore) GiveUpAt(logic.Class, time.Time, time.Duration) time.Duration { return time.Minute }
+func (deskCore) Plan(string) bool                                              { return true }
+func (deskCore) Gateways() int                                                 { return 1 }
+func (deskCore) MostUnits() float64                                            { return 4 }
+func (deskCore) GiveUpAt(policy.Class, time.Time, time.Duration) time.Duration { return time.Minute }
 
 // heldConn is a real connection whose reads a test holds back: before the kernel is asked, or with what it has brought in hand.
 type heldConn struct {
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -19,18 +19,18 @@
 	"hitchspring/internal/guard"
 	"hitchspring/internal/metrics"
 	"hitchspring/internal/resp"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Core is what the front needs of the core.
 type Core interface {
 	Submit(*core.Request)
 	Abandon([]*core.Request)
-	Class(name string) (logic.Class, bool)
+	Class(name string) (policy.Class, bool)
 	Plan(name string) bool
 	Gateways() int
 	MostUnits() float64
-	GiveUpAt(c logic.Class, at time.Time, d time.Duration) time.Duration
+	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
 // Front accepts clients on one address. Its methods may be called from any goroutine. Locks are taken in the order reserving, mu, and the
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -9,21 +9,21 @@
 
 	"pgregory.net/rapid"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const now = 10 * time.Second
 
 // allowed is a first attempt of a request of a class that nothing speaks against.
-func allowed(effect logic.Effect) Send {
-	return Send{Class: logic.Class{Effect: effect, RepeatWindow: 3 * time.Second}, Parallel: true, GiveUpAt: now + time.Second, Serves: true, Zone: "a", Cell: 1}
+func allowed(effect policy.Effect) Send {
+	return Send{Class: policy.Class{Effect: effect, RepeatWindow: 3 * time.Second}, Parallel: true, GiveUpAt: now + time.Second, Serves: true, Zone: "a", Cell: 1}
 }
 
 func TestCheck(t *testing.T) {
 	ran := Attempt{Zone: "a", Cell: 1, At: now - time.Second, Ended: true}
 	out := Attempt{Zone: "a", Cell: 1, At: now - time.Second}
 	never := Attempt{Zone: "b", Cell: 2, At: now - time.Second, Ended: true, NeverRan: true}
-	after := func(effect logic.Effect, change func(*Send), earlier ...Attempt) Send {
+	after := func(effect policy.Effect, change func(*Send), earlier ...Attempt) Send {
 		s := allowed(effect)
 		s.Earlier = earlier
 		if change != nil {
@@ -31,29 +31,29 @@
 		}
 		return s
 	}
-	inZone := func(s *Send) { s.Class.Group, s.Cell = logic.GroupZone, 7 }
+	inZone := func(s *Send) { s.Class.Group, s.Cell = policy.GroupZone, 7 }
 	for name, c := range map[string]struct {
 		send Send
 		want Invariant
 	}{
-		"first":                              {after(logic.Unsafe, nil), None},
-		"answered":                           {after(logic.Safe, func(s *Send) { s.Answered = true }), SendAfterEnd},
-		"at its client's time":               {after(logic.Safe, func(s *Send) { s.GiveUpAt = now }), SendAfterDeadline},
-		"to a drained backend":               {after(logic.Safe, func(s *Send) { s.Serves = false }), SendToDrained},
-		"unsafe after one that never ran":    {after(logic.Unsafe, nil, never), None},
-		"unsafe after one that may have":     {after(logic.Unsafe, nil, never, ran), RepeatOfUnsafe},
-		"unsafe beside another":              {after(logic.Unsafe, nil, out), RepeatOfUnsafe},
-		"unknown effect":                     {after(logic.Effect(9), nil, ran), RepeatOfUnsafe},
-		"safe beside another":                {after(logic.Safe, nil, out), None},
-		"safe beside another, not allowed":   {after(logic.Safe, func(s *Send) { s.Parallel = false }, out), TwoAttemptsOut},
-		"safe after another, no two allowed": {after(logic.Safe, func(s *Send) { s.Parallel = false }, ran), None},
-		"keyed in its cell":                  {after(logic.Keyed, nil, ran), None},
-		"keyed in another cell":              {after(logic.Keyed, func(s *Send) { s.Cell = 2 }, ran), RepeatElsewhere},
-		"keyed in its zone":                  {after(logic.Keyed, inZone, ran), None},
-		"keyed in another zone":              {after(logic.Keyed, func(s *Send) { inZone(s); s.Zone = "b" }, ran), RepeatElsewhere},
-		"keyed anywhere":                     {after(logic.Keyed, func(s *Send) { s.Class.Group, s.Zone, s.Cell = logic.GroupAll, "z", 9 }, ran), None},
-		"keyed after its window":             {after(logic.Keyed, func(s *Send) { s.Class.RepeatWindow = time.Second - 1 }, ran), RepeatAfterWindow},
-		"keyed, the first binds":             {after(logic.Keyed, func(s *Send) { s.Cell = 2 }, never, ran, Attempt{Cell: 2, At: now, Ended: true}), RepeatElsewhere},
+		"first":                              {after(policy.Unsafe, nil), None},
+		"answered":                           {after(policy.Safe, func(s *Send) { s.Answered = true }), SendAfterEnd},
+		"at its client's time":               {after(policy.Safe, func(s *Send) { s.GiveUpAt = now }), SendAfterDeadline},
+		"to a drained backend":               {after(policy.Safe, func(s *Send) { s.Serves = false }), SendToDrained},
+		"unsafe after one that never ran":    {after(policy.Unsafe, nil, never), None},
+		"unsafe after one that may have":     {after(policy.Unsafe, nil, never, ran), RepeatOfUnsafe},
+		"unsafe beside another":              {after(policy.Unsafe, nil, out), RepeatOfUnsafe},
+		"unknown effect":                     {after(policy.Effect(9), nil, ran), RepeatOfUnsafe},
+		"safe beside another":                {after(policy.Safe, nil, out), None},
+		"safe beside another, not allowed":   {after(policy.Safe, func(s *Send) { s.Parallel = false }, out), TwoAttemptsOut},
+		"safe after another, no two allowed": {after(policy.Safe, func(s *Send) { s.Parallel = false }, ran), None},
+		"keyed in its cell":                  {after(policy.Keyed, nil, ran), None},
+		"keyed in another cell":              {after(policy.Keyed, func(s *Send) { s.Cell = 2 }, ran), RepeatElsewhere},
+		"keyed in its zone":                  {after(policy.Keyed, inZone, ran), None},
+		"keyed in another zone":              {after(policy.Keyed, func(s *Send) { inZone(s); s.Zone = "b" }, ran), RepeatElsewhere},
+		"keyed anywhere":                     {after(policy.Keyed, func(s *Send) { s.Class.Group, s.Zone, s.Cell = policy.GroupAll, "z", 9 }, ran), None},
+		"keyed after its window":             {after(policy.Keyed, func(s *Send) { s.Class.RepeatWindow = time.Second - 1 }, ran), RepeatAfterWindow},
+		"keyed, the first binds":             {after(policy.Keyed, func(s *Send) { s.Cell = 2 }, never, ran, Attempt{Cell: 2, At: now, Ended: true}), RepeatElsewhere},
 	} {
 		if got := c.send.Check(now); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -64,7 +64,7 @@
 // Whatever has been before, a request that may not be repeated is not sent after an attempt that may have run, nor refused.
 func TestUnsafeIsNeverRepeated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := allowed(logic.Unsafe)
+		s := allowed(policy.Unsafe)
 		s.Parallel = rapid.Bool().Draw(t, "parallel")
 		mayHave := false
 		for range rapid.IntRange(0, 5).Draw(t, "attempts") {
@@ -84,12 +84,12 @@
 func TestMayRefuse(t *testing.T) {
 	ran := []Attempt{{Ended: true}}
 	for name, c := range map[string]struct {
-		class logic.Class
+		class policy.Class
 		want  bool
 	}{
-		"safe":           {logic.Class{Effect: logic.Safe}, true},
-		"keyed in cells": {logic.Class{Effect: logic.Keyed}, false},
-		"keyed anywhere": {logic.Class{Effect: logic.Keyed, Group: logic.GroupAll}, true},
+		"safe":           {policy.Class{Effect: policy.Safe}, true},
+		"keyed in cells": {policy.Class{Effect: policy.Keyed}, false},
+		"keyed anywhere": {policy.Class{Effect: policy.Keyed, Group: policy.GroupAll}, true},
 	} {
 		if got := MayRefuse(c.class, ran); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Attempt is what is known of an attempt that was handed to a connection.
@@ -20,7 +20,7 @@
 
 // Send is an attempt that is about to be written, and the request that it is of.
 type Send struct {
-	Class    logic.Class
+	Class    policy.Class
 	Parallel bool // the settings allow two attempts out
 	Answered bool // the request has its final answer
 	GiveUpAt time.Duration
@@ -56,11 +56,11 @@
 // repeat checks an attempt after one that may have run.
 func (s *Send) repeat(first Attempt, now time.Duration) Invariant {
 	switch {
-	case s.Class.Effect == logic.Safe:
+	case s.Class.Effect == policy.Safe:
 		return None
-	case s.Class.Effect != logic.Keyed:
+	case s.Class.Effect != policy.Keyed:
 		return RepeatOfUnsafe
-	case s.Class.Group == logic.GroupZone && s.Zone != first.Zone, s.Class.Group == logic.GroupCell && s.Cell != first.Cell:
+	case s.Class.Group == policy.GroupZone && s.Zone != first.Zone, s.Class.Group == policy.GroupCell && s.Cell != first.Cell:
 		return RepeatElsewhere
 	case now-first.At > s.Class.RepeatWindow:
 		return RepeatAfterWindow
@@ -69,8 +69,8 @@
 }
 
 // MayRefuse reports whether a request may be refused: trying again is harmless.
-func MayRefuse(class logic.Class, attempts []Attempt) bool {
-	if class.Effect == logic.Safe || class.Effect == logic.Keyed && class.Group == logic.GroupAll {
+func MayRefuse(class policy.Class, attempts []Attempt) bool {
+	if class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Group == policy.GroupAll {
 		return true
 	}
 	for _, a := range attempts {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/golden"
 	"hitchspring/internal/override"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const goldenListen = "127.0.0.1:1"
@@ -69,7 +69,7 @@
 	if err := d.Take(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Leave(State{At: time.Second, List: discovery.List{}, Learned: logic.Learned{}}); err != nil {
+	if err := d.Leave(State{At: time.Second, List: discovery.List{}, Learned: policy.Learned{}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := d.Save([]override.Word{{ID: "s0", Out: true, At: 1}}); err != nil {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -13,7 +13,7 @@
 
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/override"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -35,15 +35,15 @@
 	Listen  string         `json:"listen"` // of which ingress it is
 	At      time.Duration  `json:"at"`     // on the clock that all instances share
 	List    discovery.List `json:"list"`   // the nodes as last heard, without the operators' word
-	Learned logic.Learned  `json:"learned"`
+	Learned policy.Learned `json:"learned"`
 }
 
 // Split parts what a gateway knows between its old process and its new one. The sum of all units is what it was: nothing is
 // doubled, and nothing lost. The counter is told by the new one alone.
-func Split(l logic.Learned) (kept []logic.LearnedCustomer, given logic.Learned) {
+func Split(l policy.Learned) (kept []policy.LearnedCustomer, given policy.Learned) {
 	given = l
-	given.Customers = make([]logic.LearnedCustomer, len(l.Customers))
-	kept = make([]logic.LearnedCustomer, len(l.Customers))
+	given.Customers = make([]policy.LearnedCustomer, len(l.Customers))
+	kept = make([]policy.LearnedCustomer, len(l.Customers))
 	for i, c := range l.Customers {
 		k, g := c, c
 		need := c.Demand * keepFor.Seconds()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,7 +16,7 @@
 
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/override"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -26,10 +26,10 @@
 // No unit is doubled or lost in a split, and only one of the two tells the counter.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l logic.Learned
+		var l policy.Learned
 		for range rapid.IntRange(0, 20).Draw(t, "customers") {
 			unit := rapid.Float64Range(-50, 500)
-			l.Customers = append(l.Customers, logic.LearnedCustomer{Block: unit.Draw(t, "block"), Owed: unit.Draw(t, "owed"),
+			l.Customers = append(l.Customers, policy.LearnedCustomer{Block: unit.Draw(t, "block"), Owed: unit.Draw(t, "owed"),
 				Ceiling: unit.Draw(t, "ceiling"), Demand: rapid.Float64Range(0, 1000).Draw(t, "demand")})
 		}
 		kept, given := Split(l)
@@ -48,7 +48,7 @@
 
 func example(now time.Duration) State {
 	return State{Listen: "127.0.0.1:1", At: now, List: discovery.List{Rev: 7, All: true, Targets: []discovery.Target{{UID: "s0"}}},
-		Learned: logic.Learned{Window: 3, Customers: []logic.LearnedCustomer{{ID: "c", Plan: "p", Spread: 2, Block: -1, At: now}}}}
+		Learned: policy.Learned{Window: 3, Customers: []policy.LearnedCustomer{{ID: "c", Plan: "p", Spread: 2, Block: -1, At: now}}}}
 }
 
 // What cannot be the file of this ingress's last process is left aside whole.
--- a/internal/ingress/budgets_test.go
+++ b/internal/ingress/budgets_test.go
@@ -10,7 +10,7 @@
 
 	"hitchspring/internal/overrun"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // A real ingress states how its quotas stand; a span that is none is one line that names it.
@@ -18,7 +18,7 @@
 	list := fleetOf(scripted.NewNode(t, func(int, []string, net.Conn) string { return served }).Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Metrics = freeAddr(t)
-	cfg.Settings.Plans = []logic.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
+	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
 	addr, _ := startGateway(t, cfg)
 	nc, in := dial(t, addr)
 	io.WriteString(nc, ask(1, readFields))
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -20,7 +20,7 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/standin/scripted"
 	"hitchspring/internal/standin/tally"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -321,7 +321,7 @@
 	cfg := testConfig(registry.addr, list)
 	cfg.Sockets, cfg.Settings.Gateways = crowdSockets, 2 // the other one says nothing to the counter
 	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
-	cfg.Settings.Plans = []logic.Plan{{Name: "p", Price: 1, Rate: 200, Burst: 100, ExcessCost: 0.5}}
+	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 200, Burst: 100, ExcessCost: 0.5}}
 	addr, g := startGateway(t, cfg)
 	front := g.front.Load()
 
--- a/internal/ingress/door_test.go
+++ b/internal/ingress/door_test.go
@@ -19,7 +19,7 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/standin/scripted"
 	"hitchspring/internal/store"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // call makes one operator's call, with the second that operators wait.
@@ -106,7 +106,7 @@
 	list := fleetOf(be.Addr)
 	cfg := doorConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.Counter, cfg.Settings.CounterTimeout = true, 50*time.Millisecond
-	cfg.Settings.Plans = []logic.Plan{{Name: "p", Price: 1, Rate: 1, Burst: 4}}
+	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 1, Burst: 4}}
 	stall := &stalling{hold: 2 * time.Second, holding: make(chan struct{}, 1)}
 	cfg.Store = func(store.Sink) (store.Counter, error) { return stall, nil }
 	g, _ := runIngress(t, cfg)
@@ -442,7 +442,7 @@
 	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies, cfg.Settings.MaxRetryAfter = 4, true, 100*time.Millisecond
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = time.Second, 2*time.Second
-		cfg.Settings.Classes[i].Group, cfg.Settings.Classes[i].RepeatWindow = logic.GroupAll, 5*time.Second
+		cfg.Settings.Classes[i].Group, cfg.Settings.Classes[i].RepeatWindow = policy.GroupAll, 5*time.Second
 	}
 	g, _ := runIngress(t, cfg)
 	c := crowd{pause: time.Millisecond, fields: "c=read,t=p,d=1000,units=1,spread=1,first=0"}
--- a/internal/ingress/gate_test.go
+++ b/internal/ingress/gate_test.go
@@ -18,7 +18,7 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/front/forwardauth"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // gateConfig is an ingress with a front for gates and so many nodes, which nothing is ever sent to but by gates.
@@ -31,7 +31,7 @@
 	list.Rev, list.All = 1, true
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies, cfg.Settings.MaxRetryAfter = 3, true, time.Second
-	cfg.Settings.Plans = append(cfg.Settings.Plans, logic.Plan{Name: "four", Price: 1, Rate: 0.001, Burst: 4, ExcessCost: 1})
+	cfg.Settings.Plans = append(cfg.Settings.Plans, policy.Plan{Name: "four", Price: 1, Rate: 0.001, Burst: 4, ExcessCost: 1})
 	cfg.Sockets = 2048
 	table, err := forwardauth.NewTable(nil)
 	if err != nil {
@@ -235,7 +235,7 @@
 func TestGateDiesWithGrantsOpen(t *testing.T) {
 	g, _ := runIngress(t, gateConfig(t, 60, func(c *Config) {
 		c.Leases.Timeout = time.Second
-		c.Settings.Plans = append(c.Settings.Plans, logic.Plan{Name: "capped", Price: 1, Open: 200})
+		c.Settings.Plans = append(c.Settings.Plans, policy.Plan{Name: "capped", Price: 1, Open: 200})
 	}))
 	c := newCaller(t, g)
 	capped := []string{"Plan", "capped"}
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -15,7 +15,7 @@
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/standin/scripted"
 	standtally "hitchspring/internal/standin/tally"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // held is a listening socket that the platform holds, and the folder that the processes on it have in common.
@@ -194,7 +194,7 @@
 	start := func(known discovery.List) (*Gateway, func() error) {
 		cfg := doorConfig(mute, known)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = mute, true, 50*time.Millisecond
-		cfg.Settings.Plans = []logic.Plan{{Name: "p", Price: 1, Rate: 100, Burst: 100, ExcessCost: 0.5}}
+		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 100, Burst: 100, ExcessCost: 0.5}}
 		return ln.start(t, cfg)
 	}
 	first, stopFirst := start(list)
@@ -293,7 +293,7 @@
 		cfg := doorConfig(registry, list)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
 		cfg.Settings.MaxUnits, cfg.Settings.MaxRetryAfter = 1, 200*time.Millisecond
-		cfg.Settings.Plans = []logic.Plan{{Name: "p", Price: 1, Rate: quotaRate, Burst: quotaBurst, ExcessCost: 0.5,
+		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: quotaRate, Burst: quotaBurst, ExcessCost: 0.5,
 			CeilingRate: rate, CeilingBurst: burst, CeilingSlack: slack}}
 		return ln.start(t, cfg)
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -19,7 +19,7 @@
 	"hitchspring/internal/resp"
 	"hitchspring/internal/settings"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 func fleetOf(addrs ...string) discovery.List {
@@ -34,12 +34,12 @@
 
 func testConfig(disc string, known discovery.List) Config {
 	return Config{Listen: "127.0.0.1:0", Config: core.Config{Discovery: disc, Sockets: 256, Known: known,
-		Settings: logic.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
-			Classes: []logic.Class{
-				{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Safe},
-				{Name: "write", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Unsafe},
-				{Name: "keyed", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: logic.Keyed}},
-			Plans: []logic.Plan{{Name: "p", Price: 1}}},
+		Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+			Classes: []policy.Class{
+				{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
+				{Name: "write", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
+				{Name: "keyed", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed}},
+			Plans: []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}}
 }
 
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"hitchspring/internal/front/resp"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -65,7 +65,7 @@
 
 // graceAll is when an ingress is gone after SIGTERM: before the platform's SIGKILL, which comes no sooner than the longest time that a client
 // waits after the last request that is taken.
-func graceAll(set logic.Settings) time.Duration {
+func graceAll(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -70,8 +70,8 @@
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
 	program := planted(t,
-		edit{"logic/servers.go", "return g.coldTokens() >= 1 && g.now-s.lastSent > time.Second", "return true"},
-		edit{"logic/servers.go", "		score := g.slowness(s)\n", "		score := g.slowness(s) * math.Pow(g.warmth(s), 4)\n"})
+		edit{"policy/servers.go", "return g.coldTokens() >= 1 && g.now-s.lastSent > time.Second", "return true"},
+		edit{"policy/servers.go", "		score := g.slowness(s)\n", "		score := g.slowness(s) * math.Pow(g.warmth(s), 4)\n"})
 	peak, calls := coldReturn{seed: 1, ingresses: 24, times: 4.7, work: 3, program: program}.play(t)
 	t.Logf("%d attempts at the cold node, nearest %v", calls, peak)
 	if !peak.Breaks() {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const ms = time.Millisecond
@@ -160,13 +160,13 @@
 // warm is a sight of two nodes that both have answered in 100 ms for a while.
 func warm() (*Sight, time.Duration) {
 	s := NewSight()
-	s.Listed(map[logic.ServerID]time.Duration{"n": 1, "m": 1})
+	s.Listed(map[policy.ServerID]time.Duration{"n": 1, "m": 1})
 	at := time.Minute
 	for i := range 20 {
-		for k, id := range []logic.ServerID{"n", "m"} {
-			try := Try{logic.RequestID(2*i + k), 0}
+		for k, id := range []policy.ServerID{"n", "m"} {
+			try := Try{policy.RequestID(2*i + k), 0}
 			s.Sent(at, id, try, "read")
-			s.Ended(at+100*ms, try, logic.Done)
+			s.Ended(at+100*ms, try, policy.Done)
 		}
 		at += 100 * ms
 	}
@@ -183,7 +183,7 @@
 	}{
 		"answers in time": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
-			s.Ended(at+150*ms, Try{900, 0}, logic.Done)
+			s.Ended(at+150*ms, Try{900, 0}, policy.Done)
 			return at + 150*ms
 		}, false, NoCause},
 		"takes long, and has not ended": {func(s *Sight, at time.Duration) time.Duration {
@@ -194,49 +194,49 @@
 		"takes long, and is served at last": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
 			s.Tick(at + 700*ms)
-			s.Ended(at+800*ms, Try{900, 0}, logic.Done)
+			s.Ended(at+800*ms, Try{900, 0}, policy.Done)
 			return at + 800*ms
 		}, true, Slow},
 		"beaten by a later copy": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
 			s.Sent(at+200*ms, "m", Try{900, 1}, "read")
-			s.Ended(at+300*ms, Try{900, 1}, logic.Done)
-			s.Ended(at+300*ms, Try{900, 0}, logic.Cancelled)
+			s.Ended(at+300*ms, Try{900, 1}, policy.Done)
+			s.Ended(at+300*ms, Try{900, 0}, policy.Cancelled)
 			return at + 300*ms
 		}, true, Slow},
 		"the later copy is beaten": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "m", Try{900, 0}, "read")
 			s.Sent(at+200*ms, "n", Try{900, 1}, "read")
-			s.Ended(at+300*ms, Try{900, 0}, logic.Done)
-			s.Ended(at+300*ms, Try{900, 1}, logic.Cancelled)
+			s.Ended(at+300*ms, Try{900, 0}, policy.Done)
+			s.Ended(at+300*ms, Try{900, 1}, policy.Cancelled)
 			return at + 300*ms
 		}, false, NoCause},
 		"called off, for its client has left": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
-			s.Ended(at+300*ms, Try{900, 0}, logic.Cancelled)
+			s.Ended(at+300*ms, Try{900, 0}, policy.Cancelled)
 			return at + 300*ms
 		}, false, NoCause},
 		"can't be reached": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
-			s.Ended(at+ms, Try{900, 0}, logic.NoConnect)
+			s.Ended(at+ms, Try{900, 0}, policy.NoConnect)
 			return at + ms
 		}, true, Unreachable},
 		"turned away for it was full": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
-			s.Ended(at+ms, Try{900, 0}, logic.Full)
+			s.Ended(at+ms, Try{900, 0}, policy.Full)
 			return at + ms
 		}, false, NoCause},
 		"bad, then good": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
-			s.Ended(at+ms, Try{900, 0}, logic.Reset)
+			s.Ended(at+ms, Try{900, 0}, policy.Reset)
 			s.Sent(at+ms, "n", Try{901, 0}, "read")
-			s.Ended(at+100*ms, Try{901, 0}, logic.Done)
+			s.Ended(at+100*ms, Try{901, 0}, policy.Done)
 			return at + 100*ms
 		}, false, Failing},
 		"another start": {func(s *Sight, at time.Duration) time.Duration {
 			s.Sent(at, "n", Try{900, 0}, "read")
-			s.Listed(map[logic.ServerID]time.Duration{"n": 2, "m": 1})
-			s.Ended(at+ms, Try{900, 0}, logic.Reset)
+			s.Listed(map[policy.ServerID]time.Duration{"n": 2, "m": 1})
+			s.Ended(at+ms, Try{900, 0}, policy.Reset)
 			return at + ms
 		}, false, NoCause},
 	} {
@@ -276,23 +276,23 @@
 func TestTeller(t *testing.T) {
 	s, at := warm()
 	tell := NewTeller()
-	none := map[logic.ServerID]time.Duration{}
+	none := map[policy.ServerID]time.Duration{}
 	if out := tell.Tell(at, s.Opinions(at, nil), none); len(out) != 0 {
 		t.Fatal("healthy nodes are told of", out)
 	}
-	if out := tell.Tell(at, s.Opinions(at, nil), map[logic.ServerID]time.Duration{"n": at - time.Minute}); len(out) != 1 || out[0].Node != "n" || out[0].Accuses() {
+	if out := tell.Tell(at, s.Opinions(at, nil), map[policy.ServerID]time.Duration{"n": at - time.Minute}); len(out) != 1 || out[0].Node != "n" || out[0].Accuses() {
 		t.Fatal("an accused node is not defended", out)
 	}
-	if out := tell.Tell(at+ms, s.Opinions(at, nil), map[logic.ServerID]time.Duration{"n": at - time.Minute}); len(out) != 0 {
+	if out := tell.Tell(at+ms, s.Opinions(at, nil), map[policy.ServerID]time.Duration{"n": at - time.Minute}); len(out) != 0 {
 		t.Fatal("twice", out)
 	}
-	if out := tell.Tell(at+ms, s.Opinions(at, nil), map[logic.ServerID]time.Duration{"m": at + ms}); len(out) != 0 {
+	if out := tell.Tell(at+ms, s.Opinions(at, nil), map[policy.ServerID]time.Duration{"m": at + ms}); len(out) != 0 {
 		t.Fatal("it served before the trouble began, which says nothing", out)
 	}
 	for i := range 5 {
-		try := Try{logic.RequestID(900 + i), 0}
+		try := Try{policy.RequestID(900 + i), 0}
 		s.Sent(at, "m", try, "read")
-		s.Ended(at+time.Duration(i)*ms, try, logic.Reset)
+		s.Ended(at+time.Duration(i)*ms, try, policy.Reset)
 	}
 	told := 0
 	for i := range 100 {
@@ -309,30 +309,30 @@
 	usual := 50 * ms
 	for name, c := range map[string]struct {
 		slow   func(node int) float64
-		ends   logic.Outcome
+		ends   policy.Outcome
 		accuse int // nodes
 	}{
-		"all are fine":                  {func(int) float64 { return 1 }, logic.Done, 0},
-		"one crawls":                    {func(n int) float64 { return []float64{10, 1}[min(n, 1)] }, logic.Done, 1},
-		"one is cut off":                {func(n int) float64 { return []float64{20, 1}[min(n, 1)] }, logic.TimedOut, 1},
-		"one of them is beaten":         {func(n int) float64 { return []float64{5, 1}[min(n, 1)] }, logic.Cancelled, 1},
-		"all crawl":                     {func(int) float64 { return 10 }, logic.Done, 0},
-		"all crawl, unevenly":           {func(n int) float64 { return 8 + float64(n%3) }, logic.Done, 0},
-		"all crawl and run out of time": {func(int) float64 { return 10 }, logic.TimedOut, 0},
-		"all crawl, and are beaten":     {func(int) float64 { return 10 }, logic.Cancelled, 0},
-		"all are slower, one crawls":    {func(n int) float64 { return []float64{30, 3}[min(n, 1)] }, logic.Done, 1},
-		"a quarter crawls":              {func(n int) float64 { return []float64{10, 1, 1, 1}[n%4] }, logic.Done, 3},
+		"all are fine":                  {func(int) float64 { return 1 }, policy.Done, 0},
+		"one crawls":                    {func(n int) float64 { return []float64{10, 1}[min(n, 1)] }, policy.Done, 1},
+		"one is cut off":                {func(n int) float64 { return []float64{20, 1}[min(n, 1)] }, policy.TimedOut, 1},
+		"one of them is beaten":         {func(n int) float64 { return []float64{5, 1}[min(n, 1)] }, policy.Cancelled, 1},
+		"all crawl":                     {func(int) float64 { return 10 }, policy.Done, 0},
+		"all crawl, unevenly":           {func(n int) float64 { return 8 + float64(n%3) }, policy.Done, 0},
+		"all crawl and run out of time": {func(int) float64 { return 10 }, policy.TimedOut, 0},
+		"all crawl, and are beaten":     {func(int) float64 { return 10 }, policy.Cancelled, 0},
+		"all are slower, one crawls":    {func(n int) float64 { return []float64{30, 3}[min(n, 1)] }, policy.Done, 1},
+		"a quarter crawls":              {func(n int) float64 { return []float64{10, 1, 1, 1}[n%4] }, policy.Done, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewSight()
 			const nodes = 12
-			starts := map[logic.ServerID]time.Duration{}
-			id := func(n int) logic.ServerID { return logic.ServerID(string(rune('a' + n))) }
+			starts := map[policy.ServerID]time.Duration{}
+			id := func(n int) policy.ServerID { return policy.ServerID(string(rune('a' + n))) }
 			for n := range nodes {
 				starts[id(n)] = 1
 			}
 			s.Listed(starts)
-			at, request := time.Hour, logic.RequestID(0)
+			at, request := time.Hour, policy.RequestID(0)
 			try := func(n int, slow float64) (Try, time.Duration) {
 				request++
 				s.Sent(at, id(n), Try{request, 0}, "c")
@@ -341,18 +341,18 @@
 			for range 20 {
 				for n := range nodes {
 					x, end := try(n, 1)
-					s.Ended(end, x, logic.Done)
+					s.Ended(end, x, policy.Done)
 				}
 				at += usual
 			}
 			type end struct {
 				try Try
 				at  time.Duration
-				how logic.Outcome
+				how policy.Outcome
 			}
 			var ends []end
 			for n := range nodes {
-				slow, how := c.slow(n), logic.Done
+				slow, how := c.slow(n), policy.Done
 				if slow > 3 {
 					how = c.ends
 				}
@@ -364,13 +364,13 @@
 				for ; at < e.at; at += 5 * ms {
 					s.Tick(at)
 				}
-				if e.how == logic.Cancelled { // a later copy was served first
+				if e.how == policy.Cancelled { // a later copy was served first
 					s.Sent(e.at-usual, "z", Try{e.try.Request, 1}, "c")
 					s.won = Try{e.try.Request, 1}
 				}
 				s.Ended(e.at, e.try, e.how)
 			}
-			var accused []logic.ServerID
+			var accused []policy.ServerID
 			for _, o := range s.Opinions(at, nil) {
 				if o.Accuses() {
 					accused = append(accused, o.Node)
--- a/internal/outlier/sight.go
+++ b/internal/outlier/sight.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -52,13 +52,13 @@
 
 // Try names one attempt.
 type Try struct {
-	Request logic.RequestID
+	Request policy.RequestID
 	N       int
 }
 
 // Opinion is what one instance has seen of a node's start.
 type Opinion struct {
-	Node      logic.ServerID
+	Node      policy.ServerID
 	Started   time.Duration // the start that it speaks of, as the list has it
 	Good, Bad float64       // evidence, aged
 	LastGood  time.Duration // when a good end came; 0: never
@@ -94,7 +94,7 @@
 
 // Sight is what this instance sees of nodes itself. It is used by one goroutine at a time.
 type Sight struct {
-	nodes   map[logic.ServerID]*sight
+	nodes   map[policy.ServerID]*sight
 	classes map[string]*class
 	tries   map[Try]*sight
 	won     Try // that was served last
@@ -102,11 +102,11 @@
 
 // NewSight returns one that has seen nothing.
 func NewSight() *Sight {
-	return &Sight{nodes: map[logic.ServerID]*sight{}, classes: map[string]*class{}, tries: map[Try]*sight{}}
+	return &Sight{nodes: map[policy.ServerID]*sight{}, classes: map[string]*class{}, tries: map[Try]*sight{}}
 }
 
 // Listed tells which starts of nodes there are; what is known of others is forgotten.
-func (s *Sight) Listed(starts map[logic.ServerID]time.Duration) {
+func (s *Sight) Listed(starts map[policy.ServerID]time.Duration) {
 	for id, x := range s.nodes {
 		if at, there := starts[id]; !there || at != x.Started {
 			for _, o := range x.out {
@@ -123,7 +123,7 @@
 }
 
 // Sent tells of an attempt that goes out.
-func (s *Sight) Sent(now time.Duration, node logic.ServerID, try Try, of string) {
+func (s *Sight) Sent(now time.Duration, node policy.ServerID, try Try, of string) {
 	if x := s.nodes[node]; x != nil {
 		x.sent = now
 		x.out = append(x.out, &open{try: try, class: of, sent: now})
@@ -132,7 +132,7 @@
 }
 
 // LastSent is when an attempt last went out to a node; 0: never.
-func (s *Sight) LastSent(node logic.ServerID) time.Duration {
+func (s *Sight) LastSent(node policy.ServerID) time.Duration {
 	if x := s.nodes[node]; x != nil {
 		return x.sent
 	}
@@ -140,7 +140,7 @@
 }
 
 // Ended tells how an attempt ended.
-func (s *Sight) Ended(now time.Duration, try Try, o logic.Outcome) {
+func (s *Sight) Ended(now time.Duration, try Try, o policy.Outcome) {
 	x := s.tries[try]
 	if x == nil { // its node's start is no more
 		return
@@ -150,15 +150,15 @@
 	a := x.out[i]
 	x.out = slices.Delete(x.out, i, i+1)
 	took := (now - a.sent).Seconds()
-	if c := s.class(a.class); c.seen >= meansWanted && (o == logic.Done || (o == logic.Cancelled || o == logic.TimedOut) && took > c.mean) { // at least so slow
+	if c := s.class(a.class); c.seen >= meansWanted && (o == policy.Done || (o == policy.Cancelled || o == policy.TimedOut) && took > c.mean) { // at least so slow
 		x.pace, x.paced = took/c.mean, now
 	}
 	switch o {
-	case logic.Cancelled: // the usual fate of an attempt at a slow node: a copy that began later was served first
+	case policy.Cancelled: // the usual fate of an attempt at a slow node: a copy that began later was served first
 		if won := s.won; won.Request == try.Request && won.N > try.N && !a.over && took > beatenFrom*s.class(a.class).mean*s.mood(now, x) {
 			x.bad(now, Slow)
 		}
-	case logic.Done:
+	case policy.Done:
 		s.won = try
 		c := s.class(a.class)
 		over := took > c.limit() && took > c.limit()*s.mood(now, x)
@@ -168,13 +168,13 @@
 		} else if !a.over {
 			x.bad(now, Slow)
 		}
-	case logic.TimedOut:
+	case policy.TimedOut:
 		if mood := s.mood(now, x); !a.over && (mood < beatenFrom || took > s.class(a.class).limit()*mood) {
 			x.bad(now, Slow)
 		}
-	case logic.NoConnect:
+	case policy.NoConnect:
 		x.bad(now, Unreachable)
-	case logic.Failed, logic.Reset:
+	case policy.Failed, policy.Reset:
 		x.bad(now, Failing)
 	}
 }
@@ -270,7 +270,7 @@
 }
 
 // Opinion is what has been seen of a node.
-func (s *Sight) Opinion(now time.Duration, node logic.ServerID) (Opinion, bool) {
+func (s *Sight) Opinion(now time.Duration, node policy.ServerID) (Opinion, bool) {
 	x := s.nodes[node]
 	if x == nil {
 		return Opinion{}, false
@@ -281,7 +281,7 @@
 
 // Opinions are those of the nodes that are wanted and of which something was seen, by id. Nodes of which nothing bad is remembered are
 // asked for through wanted; nil wants all.
-func (s *Sight) Opinions(now time.Duration, wanted func(logic.ServerID) bool) (out []Opinion) {
+func (s *Sight) Opinions(now time.Duration, wanted func(policy.ServerID) bool) (out []Opinion) {
 	for id, x := range s.nodes {
 		if x.LastGood == 0 && x.LastBad == 0 || wanted != nil && x.Bad < traceOfBad && !wanted(id) {
 			continue
--- a/internal/outlier/trial.go
+++ b/internal/outlier/trial.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -23,7 +23,7 @@
 type Trials struct {
 	rng       *rand.Rand
 	instances int
-	nodes     map[logic.ServerID]*trial
+	nodes     map[policy.ServerID]*trial
 }
 
 type trial struct {
@@ -33,12 +33,12 @@
 
 // NewTrials returns one for one of so many instances.
 func NewTrials(rng *rand.Rand, instances int) *Trials {
-	return &Trials{rng: rng, instances: min(max(1, instances), trialVoices), nodes: map[logic.ServerID]*trial{}}
+	return &Trials{rng: rng, instances: min(max(1, instances), trialVoices), nodes: map[policy.ServerID]*trial{}}
 }
 
 // Open takes the blames in force, their verdicts, and when this instance last sent to a node, and returns the nodes whose blame does not count at
 // the moment: until an attempt of this instance has gone there, or for a second.
-func (t *Trials) Open(now time.Duration, force map[logic.ServerID]float64, verdicts []Verdict, sent func(logic.ServerID) time.Duration) (out []logic.ServerID) {
+func (t *Trials) Open(now time.Duration, force map[policy.ServerID]float64, verdicts []Verdict, sent func(policy.ServerID) time.Duration) (out []policy.ServerID) {
 	for id := range t.nodes {
 		if force[id] < trialLeast {
 			delete(t.nodes, id)
--- a/internal/outlier/trial_test.go
+++ b/internal/outlier/trial_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // A node that all have left is tried again: by all together often enough that it is back soon, seldom enough that a node that is still bad gets
@@ -31,7 +31,7 @@
 					sent := time.Duration(0)
 					for now := began + 300*ms; now < began+10*time.Second; now += 50 * ms {
 						v := Verdict{Node: "n", Slow: 8, Cause: c.cause, Since: began}
-						open := trials.Open(now, map[logic.ServerID]float64{"n": 8}, []Verdict{v, {Node: "m", Slow: 1}}, func(logic.ServerID) time.Duration { return sent })
+						open := trials.Open(now, map[policy.ServerID]float64{"n": 8}, []Verdict{v, {Node: "m", Slow: 1}}, func(policy.ServerID) time.Duration { return sent })
 						if len(open) > 1 || len(open) == 1 && open[0] != "n" {
 							t.Fatal(open)
 						}
@@ -60,7 +60,7 @@
 	trials := NewTrials(rand.New(rand.NewPCG(1, 2)), 1)
 	v := []Verdict{{Node: "n", Slow: 8, Cause: Unreachable, Since: time.Minute}}
 	for now := time.Minute; now < 2*time.Minute; now += 50 * ms {
-		if open := trials.Open(now, map[logic.ServerID]float64{"n": 1.5}, v, func(logic.ServerID) time.Duration { return 0 }); len(open) > 0 {
+		if open := trials.Open(now, map[policy.ServerID]float64{"n": 1.5}, v, func(policy.ServerID) time.Duration { return 0 }); len(open) > 0 {
 			t.Fatal("a trial for a node that is used")
 		}
 	}
--- a/internal/outlier/verdict.go
+++ b/internal/outlier/verdict.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 // Verdict is what others' words come to for one node, and why.
 type Verdict struct {
-	Node     logic.ServerID
+	Node     policy.ServerID
 	Slow     float64 // times the usual latency that it is to be reckoned with; 1: nothing
 	Cause    Cause
 	Accusers []string      // whose words count against it; "" is this instance
@@ -187,7 +187,7 @@
 type Fader struct {
 	rng  *rand.Rand
 	now  time.Duration
-	held map[logic.ServerID]fading
+	held map[policy.ServerID]fading
 }
 
 type fading struct {
@@ -196,14 +196,14 @@
 }
 
 // NewFader returns one that holds nothing.
-func NewFader(rng *rand.Rand) *Fader { return &Fader{rng: rng, held: map[logic.ServerID]fading{}} }
+func NewFader(rng *rand.Rand) *Fader { return &Fader{rng: rng, held: map[policy.ServerID]fading{}} }
 
 // Hold takes the verdicts of a time and returns the slowness that is in force for each node that has any: a blame holds at once,
 // and goes slowly unless this instance is served by the node itself.
-func (f *Fader) Hold(now time.Duration, verdicts []Verdict) map[logic.ServerID]float64 {
+func (f *Fader) Hold(now time.Duration, verdicts []Verdict) map[policy.ServerID]float64 {
 	dt := (now - f.now).Seconds()
 	f.now = now
-	seen := map[logic.ServerID]Verdict{}
+	seen := map[policy.ServerID]Verdict{}
 	for _, v := range verdicts {
 		seen[v.Node] = v
 		if h, has := f.held[v.Node]; v.Slow > 1 && v.Slow >= h.slow {
@@ -214,7 +214,7 @@
 			f.held[v.Node] = h
 		}
 	}
-	out := map[logic.ServerID]float64{}
+	out := map[policy.ServerID]float64{}
 	for id, h := range f.held {
 		v := seen[id]
 		if slices.Contains(v.Defence, "") {
@@ -235,7 +235,7 @@
 }
 
 // Teller decides which own opinions are worth telling.
-type Teller struct{ told map[logic.ServerID]telling }
+type Teller struct{ told map[policy.ServerID]telling }
 
 type telling struct {
 	at, born time.Duration
@@ -244,15 +244,15 @@
 }
 
 // NewTeller returns one that has told nothing.
-func NewTeller() *Teller { return &Teller{told: map[logic.ServerID]telling{}} }
+func NewTeller() *Teller { return &Teller{told: map[policy.ServerID]telling{}} }
 
 // Told says whether something was told of a node: then its opinion goes on being looked at.
-func (t *Teller) Told(node logic.ServerID) bool { _, told := t.told[node]; return told }
+func (t *Teller) Told(node policy.ServerID) bool { _, told := t.told[node]; return told }
 
 // Tell picks the opinions to tell now: those that speak against a node, and those of ends that went well after the trouble of one who
 // accuses it began, or after this instance has accused it. accused has the last such beginning that the own end came after, by node.
-func (t *Teller) Tell(now time.Duration, own []Opinion, accused map[logic.ServerID]time.Duration) (out []Opinion) {
-	there := map[logic.ServerID]bool{}
+func (t *Teller) Tell(now time.Duration, own []Opinion, accused map[policy.ServerID]time.Duration) (out []Opinion) {
+	there := map[policy.ServerID]bool{}
 	for _, o := range own {
 		there[o.Node] = true
 		last, has := t.told[o.Node]
@@ -270,7 +270,7 @@
 		t.told[o.Node] = next
 		out = append(out, o)
 	}
-	maps.DeleteFunc(t.told, func(id logic.ServerID, _ telling) bool { return !there[id] })
+	maps.DeleteFunc(t.told, func(id policy.ServerID, _ telling) bool { return !there[id] })
 	return out
 }
 
--- a/internal/outlier/word.go
+++ b/internal/outlier/word.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Kind is the kind of an opinion among the facts that instances tell one another; its subject is the node's id.
@@ -50,7 +50,7 @@
 	if w.OnsetMS < 0 || w.OnsetMS > time.Hour.Milliseconds() || w.Started < 0 || w.Started > math.MaxInt64/int64(time.Millisecond) {
 		return Opinion{}, fmt.Errorf("opinion on %q: onset %d ms before, started %d", node, w.OnsetMS, w.Started)
 	}
-	o := Opinion{Node: logic.ServerID(node), Started: time.Duration(w.Started) * time.Millisecond, Good: min(float64(w.Good), mostBad), Bad: min(float64(w.Bad), mostBad),
+	o := Opinion{Node: policy.ServerID(node), Started: time.Duration(w.Started) * time.Millisecond, Good: min(float64(w.Good), mostBad), Bad: min(float64(w.Bad), mostBad),
 		Cause: w.Cause}
 	if w.Accuses {
 		o.LastBad, o.Onset = born, born-time.Duration(w.OnsetMS)*time.Millisecond
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // maxKnown is how many ids are remembered, more than twice the 7,700 backends of the largest fleet that is designed for: a change to
@@ -23,9 +23,9 @@
 
 // Word is the last thing that operators said of a node.
 type Word struct {
-	ID  logic.ServerID `json:"id"`
-	Out bool           `json:"out"`
-	At  time.Duration  `json:"at"` // on the clock that all instances share
+	ID  policy.ServerID `json:"id"`
+	Out bool            `json:"out"`
+	At  time.Duration   `json:"at"` // on the clock that all instances share
 	// Since is when a node that was put back had been taken out.
 	Since time.Duration `json:"since,omitempty"`
 }
@@ -39,15 +39,15 @@
 
 // Book is the words on all nodes.
 type Book struct {
-	known map[logic.ServerID]*entry
+	known map[policy.ServerID]*entry
 	lists uint64
 }
 
 // New returns a book in which nothing is known.
-func New() *Book { return &Book{known: map[logic.ServerID]*entry{}} }
+func New() *Book { return &Book{known: map[policy.ServerID]*entry{}} }
 
 // Listed remembers the ids of a list or of a change to it.
-func (b *Book) Listed(ids []logic.ServerID) {
+func (b *Book) Listed(ids []policy.ServerID) {
 	b.lists++
 	for _, id := range ids {
 		b.entry(id).listed = b.lists
@@ -55,7 +55,7 @@
 	b.shorten()
 }
 
-func (b *Book) entry(id logic.ServerID) *entry {
+func (b *Book) entry(id policy.ServerID) *entry {
 	e := b.known[id]
 	if e == nil {
 		e = &entry{}
@@ -70,7 +70,7 @@
 		return
 	}
 	type aged struct {
-		id     logic.ServerID
+		id     policy.ServerID
 		listed uint64
 	}
 	var old []aged
@@ -86,7 +86,7 @@
 }
 
 // Say records a call. A repeat changes nothing; an id that was never listed is ErrUnknown.
-func (b *Book) Say(id logic.ServerID, out bool, now time.Duration) (changed bool, err error) {
+func (b *Book) Say(id policy.ServerID, out bool, now time.Duration) (changed bool, err error) {
 	e := b.known[id]
 	if e == nil {
 		return false, ErrUnknown
@@ -103,7 +103,7 @@
 }
 
 // Merge takes in words that were recorded elsewhere; of two on one node the later counts. It returns the ids that changed.
-func (b *Book) Merge(words []Word) (changed []logic.ServerID) {
+func (b *Book) Merge(words []Word) (changed []policy.ServerID) {
 	for _, w := range words {
 		if w.ID == "" {
 			continue
@@ -133,21 +133,21 @@
 }
 
 // Out reports whether a node is taken out.
-func (b *Book) Out(id logic.ServerID) bool {
+func (b *Book) Out(id policy.ServerID) bool {
 	e := b.known[id]
 	return e != nil && e.word.Out
 }
 
 // Over is an entry of the list as it holds under the operators' word.
-func (b *Book) Over(s logic.Server) logic.Server {
+func (b *Book) Over(s policy.Server) policy.Server {
 	e := b.known[s.ID]
 	switch {
 	case e == nil || !e.spoken:
 	case !e.word.Out && s.Started <= e.word.Since: // its restart has not been told: at the latest, it was when it was put back
 		s.Started = e.word.At
 	case !e.word.Out:
-	case s.State == logic.Running:
-		s.State = logic.Draining
+	case s.State == policy.Running:
+		s.State = policy.Draining
 	}
 	return s
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -8,22 +8,22 @@
 
 	"pgregory.net/rapid"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Whatever is listed and called in whatever order: a node is draining exactly while the last word on it is out, its start is
 // never before it was put back, and a book that merges another's words says the same.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, out, back, listed := New(), map[logic.ServerID]bool{}, map[logic.ServerID]time.Duration{}, map[logic.ServerID]bool{}
-		ids := []logic.ServerID{"a", "b", "c", "d"}
+		b, out, back, listed := New(), map[policy.ServerID]bool{}, map[policy.ServerID]time.Duration{}, map[policy.ServerID]bool{}
+		ids := []policy.ServerID{"a", "b", "c", "d"}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "passes")) * time.Second
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			switch rapid.SampledFrom([]string{"list", "out", "back", "merge"}).Draw(t, "step") {
 			case "list":
-				b.Listed([]logic.ServerID{id})
+				b.Listed([]policy.ServerID{id})
 				listed[id] = true
 			case "out", "back":
 				isOut := rapid.Bool().Draw(t, "out")
@@ -54,11 +54,11 @@
 				}
 			}
 			for _, id := range ids {
-				for _, state := range []logic.ServerState{logic.Running, logic.Draining, logic.Gone} {
-					s := b.Over(logic.Server{ID: id, State: state})
+				for _, state := range []policy.ServerState{policy.Running, policy.Draining, policy.Gone} {
+					s := b.Over(policy.Server{ID: id, State: state})
 					want := state
-					if out[id] && state == logic.Running {
-						want = logic.Draining
+					if out[id] && state == policy.Running {
+						want = policy.Draining
 					}
 					if s.State != want {
 						t.Fatalf("%s out: %v, listed as %v: it is %v", id, out[id], state, s.State)
@@ -76,10 +76,10 @@
 func TestToldRestartCounts(t *testing.T) {
 	for _, c := range []struct{ listed, want time.Duration }{{0, 20}, {9, 20}, {10, 20}, {12, 12}, {25, 25}} {
 		b := New()
-		b.Listed([]logic.ServerID{"a"})
+		b.Listed([]policy.ServerID{"a"})
 		b.Say("a", true, 10)
 		b.Say("a", false, 20)
-		if s := b.Over(logic.Server{ID: "a", State: logic.Running, Started: c.listed}); s.Started != c.want {
+		if s := b.Over(policy.Server{ID: "a", State: policy.Running, Started: c.listed}); s.Started != c.want {
 			t.Errorf("out at 10, back at 20, listed as started at %d: counts as started at %d, want %d", c.listed, s.Started, c.want)
 		}
 	}
@@ -88,15 +88,15 @@
 // Ids are ever new: the book stays bounded, and forgets nobody who is out.
 func TestBounded(t *testing.T) {
 	b := New()
-	b.Listed([]logic.ServerID{"kept"})
+	b.Listed([]policy.ServerID{"kept"})
 	b.Say("kept", true, 1)
 	for i := range 3 * maxKnown {
-		b.Listed([]logic.ServerID{logic.ServerID(fmt.Sprint("s", i))})
+		b.Listed([]policy.ServerID{policy.ServerID(fmt.Sprint("s", i))})
 	}
 	if len(b.known) > maxKnown || !b.Out("kept") {
 		t.Fatalf("%d ids known, kept is out: %v", len(b.known), b.Out("kept"))
 	}
-	if _, err := b.Say(logic.ServerID(fmt.Sprint("s", 3*maxKnown-1)), true, 2); err != nil {
+	if _, err := b.Say(policy.ServerID(fmt.Sprint("s", 3*maxKnown-1)), true, 2); err != nil {
 		t.Fatal("the id that was listed last is forgotten: ", err)
 	}
 }
@@ -104,12 +104,12 @@
 // A change that names few nodes has none of a large list forgotten: operators can speak of each.
 func TestLargeList(t *testing.T) {
 	b := New()
-	var ids []logic.ServerID
+	var ids []policy.ServerID
 	for i := range 7700 {
-		ids = append(ids, logic.ServerID(fmt.Sprint("s", i)))
+		ids = append(ids, policy.ServerID(fmt.Sprint("s", i)))
 	}
 	b.Listed(ids)
-	b.Listed([]logic.ServerID{"another"})
+	b.Listed([]policy.ServerID{"another"})
 	for _, id := range ids {
 		if _, err := b.Say(id, true, 1); err != nil {
 			t.Fatalf("%s is listed: %v", id, err)
--- a/internal/overrun/overrun.go
+++ b/internal/overrun/overrun.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Mode is how a quota is kept at the moment.
@@ -59,8 +59,8 @@
 
 // Book is what this instance knows of one channel's quota.
 type Book struct {
-	logic.LearnedCustomer
-	logic.Standing
+	policy.LearnedCustomer
+	policy.Standing
 	Plan Plan
 }
 
@@ -142,7 +142,7 @@
 }
 
 // Books are those of all channels with a quota that a module knows.
-func Books(l logic.Learned, standings map[string]logic.Standing, set logic.Settings) (out []Book) {
+func Books(l policy.Learned, standings map[string]policy.Standing, set policy.Settings) (out []Book) {
 	plans := map[string]Plan{}
 	for _, p := range set.Plans {
 		if p.Rate > 0 {
--- a/internal/overrun/overrun_test.go
+++ b/internal/overrun/overrun_test.go
@@ -8,15 +8,15 @@
 
 	"pgregory.net/rapid"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const ms = time.Millisecond
 
-func settings(rate, burst float64, ways int) logic.Settings {
-	return logic.Settings{Gateways: ways, MaxAttempts: 1, MaxUnits: 3, Counter: true, CounterTimeout: 80 * ms, MaxRetryAfter: time.Second,
-		Classes: []logic.Class{{Name: "read", Worth: 1, Aim: 300 * ms, Deadline: 2 * time.Second, Effect: logic.Safe}},
-		Plans:   []logic.Plan{{Name: "p", Price: 1, Rate: rate, Burst: burst, ExcessCost: 1}}}
+func settings(rate, burst float64, ways int) policy.Settings {
+	return policy.Settings{Gateways: ways, MaxAttempts: 1, MaxUnits: 3, Counter: true, CounterTimeout: 80 * ms, MaxRetryAfter: time.Second,
+		Classes: []policy.Class{{Name: "read", Worth: 1, Aim: 300 * ms, Deadline: 2 * time.Second, Effect: policy.Safe}},
+		Plans:   []policy.Plan{{Name: "p", Price: 1, Rate: rate, Burst: burst, ExcessCost: 1}}}
 }
 
 // What an instance passes on after it has heard the counter for the last time stays within what was stated before, whatever its load, its part,
@@ -33,7 +33,7 @@
 		slow := rapid.Bool().Draw(t, "a narrow window")
 		refuses := rapid.Bool().Draw(t, "calls fail at once")
 		set := settings(rate, burst, ways)
-		g, err := logic.New(set, rapid.Uint64().Draw(t, "seed"))
+		g, err := policy.New(set, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,36 +43,36 @@
 		}
 		type later struct {
 			at time.Duration
-			ev logic.Event
+			ev policy.Event
 		}
 		var queue []later
 		totals := map[string]float64{}
-		units := map[logic.RequestID]float64{}
+		units := map[policy.RequestID]float64{}
 		began, stated := now, Statement{}
 		sent, isCut := 0.0, false
-		handle := func(ev logic.Event) {
+		handle := func(ev policy.Event) {
 			for _, a := range g.Handle(now, ev, nil) {
 				switch a := a.(type) {
-				case logic.Send:
+				case policy.Send:
 					if isCut {
 						sent += units[a.ID]
 					}
-					queue = append(queue, later{now + took, logic.AttemptEnded{ID: a.ID, Outcome: logic.Done, Took: took, Finished: true}})
-				case logic.Count:
+					queue = append(queue, later{now + took, policy.AttemptEnded{ID: a.ID, Outcome: policy.Done, Took: took, Finished: true}})
+				case policy.Count:
 					switch {
 					case isCut && refuses:
-						queue = append(queue, later{now + ms, logic.CountReply{Name: a.Name, Outcome: logic.NoConnect}})
+						queue = append(queue, later{now + ms, policy.CountReply{Name: a.Name, Outcome: policy.NoConnect}})
 					case isCut:
-						queue = append(queue, later{now + set.CounterTimeout, logic.CountReply{Name: a.Name, Outcome: logic.TimedOut}})
+						queue = append(queue, later{now + set.CounterTimeout, policy.CountReply{Name: a.Name, Outcome: policy.TimedOut}})
 					default:
 						totals[a.Name] += a.Add + others*rate*0.01
-						queue = append(queue, later{now + 2*ms, logic.CountReply{Name: a.Name, Outcome: logic.Done, Total: totals[a.Name]}})
+						queue = append(queue, later{now + 2*ms, policy.CountReply{Name: a.Name, Outcome: policy.Done, Total: totals[a.Name]}})
 					}
 				}
 			}
 		}
-		handle(logic.FleetChanged{Whole: true, Servers: []logic.Server{{ID: "s", State: logic.Running}, {ID: "u", State: logic.Running}}})
-		id, due := logic.RequestID(0), now
+		handle(policy.FleetChanged{Whole: true, Servers: []policy.Server{{ID: "s", State: policy.Running}, {ID: "u", State: policy.Running}}})
+		id, due := policy.RequestID(0), now
 		for ; now < began+cut+span; now += 5 * ms {
 			if !isCut && now >= began+cut {
 				for _, b := range Books(g.Learned(), g.Standings(), set) {
@@ -83,8 +83,8 @@
 				}
 				isCut = true
 				for i := range queue { // what is under way does not come any more
-					if r, is := queue[i].ev.(logic.CountReply); is {
-						r.Outcome = logic.TimedOut
+					if r, is := queue[i].ev.(policy.CountReply); is {
+						r.Outcome = policy.TimedOut
 						queue[i] = later{now + set.CounterTimeout, r}
 					}
 				}
@@ -100,9 +100,9 @@
 			for ; due <= now; due += time.Duration(float64(time.Second) / (load * rate / float64(ways))) {
 				id++
 				units[id] = 1
-				handle(logic.Arrival{Request: logic.Request{ID: id, Class: "read", Plan: "p", Customer: "c", Units: 1, GiveUpAt: now + time.Second, Spread: ways}})
+				handle(policy.Arrival{Request: policy.Request{ID: id, Class: "read", Plan: "p", Customer: "c", Units: 1, GiveUpAt: now + time.Second, Spread: ways}})
 			}
-			handle(logic.TimerFired{})
+			handle(policy.TimerFired{})
 		}
 		if slack := 1.0; sent > stated.Spend+slack {
 			t.Fatalf("%.1f units were passed on in %v, %.1f were stated before: %+v", sent, span, stated.Spend, stated)
@@ -115,7 +115,7 @@
 	plan := Plan{Rate: 10, Burst: 60, MaxUnits: 2}
 	now := time.Hour
 	book := func(change func(*Book)) Book {
-		b := Book{Plan: plan, LearnedCustomer: logic.LearnedCustomer{ID: "c", Plan: "p", Spread: 3, Block: 5, Demand: 4, Looked: now - 100*ms, Refreshed: now}, Standing: logic.Standing{Room: 10}}
+		b := Book{Plan: plan, LearnedCustomer: policy.LearnedCustomer{ID: "c", Plan: "p", Spread: 3, Block: 5, Demand: 4, Looked: now - 100*ms, Refreshed: now}, Standing: policy.Standing{Room: 10}}
 		change(&b)
 		return b
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // facts mirrors the settings object; keys that are not here are skipped.
@@ -81,12 +81,12 @@
 func us(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
 // Parse reads the settings object; keys that it does not know are skipped.
-func Parse(text []byte) (*logic.Settings, Connections, error) {
+func Parse(text []byte) (*policy.Settings, Connections, error) {
 	var f facts
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := &logic.Settings{Me: f.Me, Gateways: f.Replicas, Zone: f.MyZone,
+	s := &policy.Settings{Me: f.Me, Gateways: f.Replicas, Zone: f.MyZone,
 		MaxUnits: f.FamilyInfo.MaxUnits, Counter: f.FamilyInfo.SharedCounter,
 		CounterTimeout: us(f.FamilyInfo.CounterTimeoutUs), MaxAttempts: f.Permissions.MaxAttempts,
 		MayCancel: f.Permissions.MayCancel, MayProbe: f.Permissions.Probing,
@@ -98,12 +98,12 @@
 		s.MaxRetryAfter = us(f.Permissions.MaxRetryAfterUs)
 	}
 	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, logic.Class{Name: c.Name, Worth: c.Value, Aim: us(c.ObjectiveUs),
+		s.Classes = append(s.Classes, policy.Class{Name: c.Name, Worth: c.Value, Aim: us(c.ObjectiveUs),
 			Deadline: us(c.DeadlineUs), LateShare: c.LateShare, Effect: effect(c.Effect), Group: group(c.Group),
 			RepeatWindow: us(c.WindowUs)})
 	}
 	for _, c := range f.Contracts {
-		s.Plans = append(s.Plans, logic.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
+		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
 			Open: c.Concurrency, ExcessWorth: c.ExcessWorth, ExcessCost: c.ExcessCost, CeilingRate: c.HardRate,
 			CeilingBurst: c.CapDepth, CeilingSlack: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
 	}
@@ -111,22 +111,22 @@
 		ConnectTimeout: us(f.Permissions.ConnectTimeoutUs), MaxOpen: f.Permissions.MaxOpen}, nil
 }
 
-func effect(s string) logic.Effect {
+func effect(s string) policy.Effect {
 	switch s {
 	case "read_like":
-		return logic.Safe
+		return policy.Safe
 	case "idempotency_key":
-		return logic.Keyed
+		return policy.Keyed
 	}
-	return logic.Unsafe
+	return policy.Unsafe
 }
 
-func group(s string) logic.Group {
+func group(s string) policy.Group {
 	switch s {
 	case "all":
-		return logic.GroupAll
+		return policy.GroupAll
 	case "zone":
-		return logic.GroupZone
+		return policy.GroupZone
 	}
-	return logic.GroupCell
+	return policy.GroupCell
 }
--- a/internal/sim/cold.go
+++ b/internal/sim/cold.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"hitchspring/internal/slowstart"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // coldRule is the slow start as all gateways are told of it.
@@ -12,7 +12,7 @@
 
 // ColdStart is what one start of a node got while it was cold, from all gateways together, at its nearest to the limit.
 type ColdStart struct {
-	Node  logic.ServerID
+	Node  policy.ServerID
 	Calls int            // attempts that came while it was cold
 	Mean  slowstart.Peak // each attempt as the mean work of its class
 	Drawn slowstart.Peak // each attempt as its own work, which no gateway knows
@@ -20,7 +20,7 @@
 
 // coldStart records what comes to a node from a cold start on.
 type coldStart struct {
-	node        logic.ServerID
+	node        policy.ServerID
 	backend     slowstart.Backend
 	mean, drawn []slowstart.Arrival
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Kill ends so many gateways within a second; each comes back after down, and knows the nodes as they then are.
@@ -45,13 +45,13 @@
 }
 
 func (w *world) stop(n *node) {
-	n.gone, n.State = true, logic.Gone
+	n.gone, n.State = true, policy.Gone
 	n.boots++
 	n.queue, n.running = nil, 0
 }
 
 func (w *world) boot(n *node) {
-	n.gone, n.State, n.Started = false, logic.Running, epoch+w.now
+	n.gone, n.State, n.Started = false, policy.Running, epoch+w.now
 	n.sent = nil
 	w.begin(n)
 }
@@ -62,7 +62,7 @@
 		for k, i := range w.rng.Perm(len(w.nodes))[:min(nodes, len(w.nodes))] {
 			old := w.nodes[i]
 			w.after(within*time.Duration(k)/time.Duration(nodes), func() {
-				old.State = logic.Draining
+				old.State = policy.Draining
 				fresh := &node{Server: old.Server, cores: old.cores, speed: old.speed, crawl: 1}
 				fresh.ID += "-new"
 				w.boot(fresh)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Fleet is what is played. Times are from the start of the run.
@@ -49,7 +49,7 @@
 	Lost          int // requests of gateways that were killed
 	Twice         int // requests with more than one final answer
 	Late          int // final answers after the client's time
-	Fallen        []logic.ServerID
+	Fallen        []policy.ServerID
 	Drained       int     // sends to a node more than the grace after its gateway was told
 	Over          float64 // the most that a channel with a ceiling went over it, units
 	Inside        float64 // worth that one gateway would have let in that saw all first tries
@@ -72,7 +72,7 @@
 
 // node is a queue with cores; a cold one does a part of its work.
 type node struct {
-	logic.Server
+	policy.Server
 	cores         int
 	speed         float64
 	crawl         float64 // its work takes so many times as long
@@ -92,18 +92,18 @@
 
 // gateway is one module with its timers; boots tells events of an earlier life apart.
 type gateway struct {
-	mod   *logic.Gateway
+	mod   *policy.Gateway
 	me    int
 	boots int
 	up    bool
 	late  time.Duration
-	told  map[logic.ServerID]time.Duration // when it heard that a node drains or is gone
-	knows map[logic.ServerID]time.Duration // the start of each node that it has heard of
+	told  map[policy.ServerID]time.Duration // when it heard that a node drains or is gone
+	knows map[policy.ServerID]time.Duration // the start of each node that it has heard of
 }
 
 type request struct {
-	logic.Request
-	class   logic.Class
+	policy.Request
+	class   policy.Class
 	g       *gateway
 	came    time.Duration
 	answers int
@@ -157,8 +157,8 @@
 	totals   map[string]float64
 	callEnds time.Duration // when the counter is through with what it has
 	channels []*channel
-	requests map[logic.RequestID]*request
-	lastID   logic.RequestID
+	requests map[policy.RequestID]*request
+	lastID   policy.RequestID
 	rep      Report
 	burst    float64 // times the usual arrivals
 	colds    []*coldStart
@@ -166,7 +166,7 @@
 
 type channel struct {
 	id            string
-	plan          logic.Plan
+	plan          policy.Plan
 	spread, first int
 	store         float64 // of its ceiling
 	at            time.Duration
@@ -183,13 +183,13 @@
 }
 
 // fill brings a store up to now.
-func (l *level) fill(p logic.Plan, now time.Duration) {
+func (l *level) fill(p policy.Plan, now time.Duration) {
 	l.units = min(p.Burst, l.units+p.Rate*(now-l.at).Seconds())
 	l.at = now
 }
 
 // take takes units that a store holds; false: it doesn't.
-func (l *level) take(p logic.Plan, now time.Duration, units float64) bool {
+func (l *level) take(p policy.Plan, now time.Duration, units float64) bool {
 	if l.fill(p, now); l.units < units {
 		return false
 	}
@@ -204,22 +204,22 @@
 	}
 }
 
-func (r *request) worth(p logic.Plan) float64 { return r.class.Worth * p.Price * r.Units }
+func (r *request) worth(p policy.Plan) float64 { return r.class.Worth * p.Price * r.Units }
 
 // epoch is the clock at the start: a module's clock is the same at all gateways, and never near 0.
 const epoch = time.Hour
 
-func plans() []logic.Plan {
-	return []logic.Plan{
+func plans() []policy.Plan {
+	return []policy.Plan{
 		{Name: "small", Price: 0.5, Rate: 1, Burst: 8, ExcessCost: 1},
 		{Name: "large", Price: 1.5, Rate: 15, Burst: 30, Open: 8, ExcessCost: 0.6, CeilingRate: ceilRate, CeilingBurst: ceilMost, CeilingSlack: 6},
 	}
 }
 
-func classes() []logic.Class {
-	return []logic.Class{
-		{Name: "read", Worth: 2, Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Effect: logic.Safe, Group: logic.GroupAll},
-		{Name: "publish", Worth: 5, Aim: 4 * time.Second, Deadline: 10 * time.Second, Effect: logic.Keyed, RepeatWindow: 6 * time.Second},
+func classes() []policy.Class {
+	return []policy.Class{
+		{Name: "read", Worth: 2, Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Effect: policy.Safe, Group: policy.GroupAll},
+		{Name: "publish", Worth: 5, Aim: 4 * time.Second, Deadline: 10 * time.Second, Effect: policy.Keyed, RepeatWindow: 6 * time.Second},
 	}
 }
 
@@ -232,10 +232,10 @@
 	if !(f.Work >= 0) {
 		return nil, fmt.Errorf("sim: work %v is below 0", f.Work)
 	}
-	w := &world{Fleet: f, rng: rand.New(rand.NewPCG(f.Seed, 1)), totals: map[string]float64{}, requests: map[logic.RequestID]*request{}, burst: 1}
+	w := &world{Fleet: f, rng: rand.New(rand.NewPCG(f.Seed, 1)), totals: map[string]float64{}, requests: map[policy.RequestID]*request{}, burst: 1}
 	for i := range f.Nodes {
-		n := &node{Server: logic.Server{ID: logic.ServerID(fmt.Sprintf("n-%08x", uint32(i*2654435761))), Zone: string(rune('a' + i%3)),
-			Cell: i / 4, State: logic.Running}, cores: 2, speed: 0.95, crawl: 1}
+		n := &node{Server: policy.Server{ID: policy.ServerID(fmt.Sprintf("n-%08x", uint32(i*2654435761))), Zone: string(rune('a' + i%3)),
+			Cell: i / 4, State: policy.Running}, cores: 2, speed: 0.95, crawl: 1}
 		if i%3 == i/3%3 {
 			n.cores, n.speed = 3, 0.6
 		}
@@ -286,18 +286,18 @@
 // start gives a gateway a new module, which knows the nodes as they are at that moment.
 func (w *world) start(g *gateway) error {
 	gateways := cmp.Or(w.toldGateways, w.Gateways)
-	mod, err := logic.New(logic.Settings{Me: g.me % gateways, Gateways: gateways, Zone: string(rune('a' + g.me%3)), Classes: classes(), Plans: plans(),
+	mod, err := policy.New(policy.Settings{Me: g.me % gateways, Gateways: gateways, Zone: string(rune('a' + g.me%3)), Classes: classes(), Plans: plans(),
 		MaxUnits: 3, MaxAttempts: 4, MaxRetryAfter: 500 * time.Millisecond, MayCancel: true, SecondCopies: true, Counter: true,
 		CounterTimeout: callTime, ColdShare: coldFrom, WarmAfter: warmTime, FallMultiple: fallOver, FallSpan: time.Second, DrainGrace: grace,
 		CrossZonePrice: 0.01}, w.Seed*1000+uint64(g.me)+uint64(g.boots)<<32)
 	if err != nil {
 		return fmt.Errorf("sim: %w", err)
 	}
-	g.mod, g.up, g.told, g.knows = mod, true, map[logic.ServerID]time.Duration{}, map[logic.ServerID]time.Duration{}
+	g.mod, g.up, g.told, g.knows = mod, true, map[policy.ServerID]time.Duration{}, map[policy.ServerID]time.Duration{}
 	g.boots++
-	ev := logic.FleetChanged{Whole: true}
+	ev := policy.FleetChanged{Whole: true}
 	for _, n := range w.nodes {
-		if n.State == logic.Running {
+		if n.State == policy.Running {
 			ev.Servers = append(ev.Servers, n.Server)
 			g.knows[n.ID] = n.Started
 		}
@@ -307,14 +307,14 @@
 }
 
 // tell hands an event to a gateway's module and carries out what it wants.
-func (w *world) tell(g *gateway, ev logic.Event) {
+func (w *world) tell(g *gateway, ev policy.Event) {
 	for _, a := range g.mod.Handle(epoch+w.now, ev, nil) {
 		w.act(g, a)
 	}
 }
 
 // later tells a gateway after a while, if it still lives the same life.
-func (w *world) later(g *gateway, d time.Duration, ev func() logic.Event) {
+func (w *world) later(g *gateway, d time.Duration, ev func() policy.Event) {
 	boots := g.boots
 	w.after(d, func() {
 		if g.up && g.boots == boots {
@@ -325,45 +325,45 @@
 	})
 }
 
-func (w *world) act(g *gateway, a logic.Action) {
+func (w *world) act(g *gateway, a policy.Action) {
 	switch a := a.(type) {
-	case logic.SetTimer:
-		w.later(g, a.After, func() logic.Event { return logic.TimerFired{} })
-	case logic.Refuse:
+	case policy.SetTimer:
+		w.later(g, a.After, func() policy.Event { return policy.TimerFired{} })
+	case policy.Refuse:
 		w.answer(g, a.ID, false)
-	case logic.Fail:
+	case policy.Fail:
 		w.answer(g, a.ID, false)
-	case logic.Send:
+	case policy.Send:
 		w.send(g, a)
-	case logic.Cancel:
+	case policy.Cancel:
 		r := w.requests[a.ID]
 		if r != nil && a.Attempt < len(r.tries) {
-			w.end(r.tries[a.Attempt], logic.Cancelled)
+			w.end(r.tries[a.Attempt], policy.Cancelled)
 		}
-	case logic.Count:
+	case policy.Count:
 		w.count(g, a)
-	case logic.Watch:
+	case policy.Watch:
 	}
 }
 
-func (w *world) count(g *gateway, a logic.Count) {
-	reply := logic.CountReply{Name: a.Name}
+func (w *world) count(g *gateway, a policy.Count) {
+	reply := policy.CountReply{Name: a.Name}
 	took := 2 * way
 	switch {
 	case w.rng.Float64() < w.Busy:
-		reply.Outcome = logic.NoConnect
+		reply.Outcome = policy.NoConnect
 	default:
 		if w.Calls > 0 {
 			w.callEnds = max(w.callEnds, w.now) + time.Duration(float64(time.Second)/w.Calls)
 			took += w.callEnds - w.now
 		}
 		w.totals[a.Name] += a.Add
-		reply.Outcome, reply.Total = logic.Done, w.totals[a.Name]
+		reply.Outcome, reply.Total = policy.Done, w.totals[a.Name]
 		if took > callTime {
-			took, reply.Outcome = callTime, logic.TimedOut
+			took, reply.Outcome = callTime, policy.TimedOut
 		}
 	}
-	w.later(g, took, func() logic.Event { return reply })
+	w.later(g, took, func() policy.Event { return reply })
 }
 
 // arrive draws the next request; channels differ in what they ask for, the first ask for the most.
@@ -380,7 +380,7 @@
 		g := w.gateways[(c.first+w.rng.IntN(c.spread))%w.Gateways]
 		w.lastID++
 		wait := time.Duration((0.5 + w.rng.Float64()/2) * float64(cls.Deadline))
-		r := &request{class: cls, g: g, came: w.now, Request: logic.Request{ID: w.lastID, Class: cls.Name, Plan: c.plan.Name, Customer: c.id,
+		r := &request{class: cls, g: g, came: w.now, Request: policy.Request{ID: w.lastID, Class: cls.Name, Plan: c.plan.Name, Customer: c.id,
 			GiveUpAt: epoch + w.now + wait, Units: float64(1 + w.rng.IntN(2)), Spread: c.spread, First: c.first}}
 		w.rep.Requests++
 		w.rep.Asked += r.worth(c.plan)
@@ -390,7 +390,7 @@
 			w.rep.Lost++
 			r.answers = -1
 		} else {
-			w.tell(g, logic.Arrival{Request: r.Request})
+			w.tell(g, policy.Arrival{Request: r.Request})
 		}
 		w.arrive()
 	})
@@ -430,7 +430,7 @@
 }
 
 // answer counts a final answer; the first is the client's.
-func (w *world) answer(g *gateway, id logic.RequestID, served bool) {
+func (w *world) answer(g *gateway, id policy.RequestID, served bool) {
 	r := w.requests[id]
 	if r == nil || r.answers < 0 {
 		return
@@ -462,7 +462,7 @@
 	}
 }
 
-func (w *world) find(id logic.ServerID) *node {
+func (w *world) find(id policy.ServerID) *node {
 	i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.ID == id })
 	if i < 0 {
 		return nil
@@ -470,13 +470,13 @@
 	return w.nodes[i]
 }
 
-func (w *world) send(g *gateway, s logic.Send) {
+func (w *world) send(g *gateway, s policy.Send) {
 	r := w.requests[s.ID]
 	n := w.find(s.Server)
 	a := &attempt{r: r, n: len(r.tries), node: n, sent: w.now}
 	r.tries = append(r.tries, a)
 	if n == nil { // a machine that was replaced
-		w.later(g, way, func() logic.Event { w.end(a, logic.NoConnect); return nil })
+		w.later(g, way, func() policy.Event { w.end(a, policy.NoConnect); return nil })
 		return
 	}
 	if at, ok := g.told[s.Server]; ok && w.now > at+grace {
@@ -484,7 +484,7 @@
 	}
 	a.work = w.rng.ExpFloat64() * w.workOf(r.class)
 	w.after(way, func() { w.come(a) })
-	w.later(g, r.GiveUpAt-epoch-w.now, func() logic.Event { w.end(a, logic.TimedOut); return nil })
+	w.later(g, r.GiveUpAt-epoch-w.now, func() policy.Event { w.end(a, policy.TimedOut); return nil })
 }
 
 // Seconds of work of the classes, and of a request of the usual mix.
@@ -496,7 +496,7 @@
 )
 
 // workOf is the mean work of a class.
-func (w *world) workOf(c logic.Class) float64 {
+func (w *world) workOf(c policy.Class) float64 {
 	if c.Name == "publish" {
 		return publishWork * w.work()
 	}
@@ -511,10 +511,10 @@
 	n := a.node
 	switch {
 	case n.gone:
-		w.after(dialTime, func() { w.end(a, logic.NoConnect) })
+		w.after(dialTime, func() { w.end(a, policy.NoConnect) })
 		return
 	case n.refuses:
-		w.after(way, func() { w.end(a, logic.NoConnect) })
+		w.after(way, func() { w.end(a, policy.NoConnect) })
 		return
 	case n.silent:
 		return
@@ -524,7 +524,7 @@
 	}
 	w.judge(a)
 	if len(n.queue) >= queueCap {
-		w.after(way, func() { w.end(a, logic.Full) })
+		w.after(way, func() { w.end(a, policy.Full) })
 		return
 	}
 	n.queue = append(n.queue, a)
@@ -585,7 +585,7 @@
 			}
 			n.running--
 			if !n.gone && !n.silent {
-				w.after(way, func() { w.end(a, logic.Done) })
+				w.after(way, func() { w.end(a, policy.Done) })
 			}
 			w.serve(n)
 		})
@@ -593,7 +593,7 @@
 }
 
 // end is an attempt's end as its gateway sees it.
-func (w *world) end(a *attempt, o logic.Outcome) {
+func (w *world) end(a *attempt, o policy.Outcome) {
 	if a.counts != nil {
 		a.counts.out--
 		a.counts = nil
@@ -603,27 +603,27 @@
 		return
 	}
 	a.ended = true
-	if o == logic.Done && a.r.answers == 0 {
+	if o == policy.Done && a.r.answers == 0 {
 		w.answer(g, a.r.ID, true)
 	}
-	ev := logic.AttemptEnded{ID: a.r.ID, Attempt: a.n, Outcome: o, Took: w.now - a.sent, Finished: a.r.answers > 0}
+	ev := policy.AttemptEnded{ID: a.r.ID, Attempt: a.n, Outcome: o, Took: w.now - a.sent, Finished: a.r.answers > 0}
 	if a.node != nil {
 		ev.Server = a.node.ID
 	}
-	w.later(g, 0, func() logic.Event { return ev })
+	w.later(g, 0, func() policy.Event { return ev })
 }
 
 // list tells all gateways of nodes, each when it hears of them.
 func (w *world) list(nodes ...*node) {
-	var ev logic.FleetChanged
+	var ev policy.FleetChanged
 	for _, n := range nodes {
 		ev.Servers = append(ev.Servers, n.Server)
 	}
 	for _, g := range w.gateways {
-		w.later(g, w.ListLate+g.late+time.Duration(w.rng.Float64()*float64(300*time.Millisecond)), func() logic.Event {
+		w.later(g, w.ListLate+g.late+time.Duration(w.rng.Float64()*float64(300*time.Millisecond)), func() policy.Event {
 			for _, s := range ev.Servers {
 				g.knows[s.ID] = s.Started
-				if delete(g.told, s.ID); s.State != logic.Running {
+				if delete(g.told, s.ID); s.State != policy.Running {
 					g.told[s.ID] = w.now
 				}
 			}
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -25,7 +25,7 @@
 	"hitchspring/internal/store/redis"
 	"hitchspring/internal/store/storetest"
 	"hitchspring/internal/store/tally"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const (
@@ -167,9 +167,9 @@
 			node, agent := silentPeers(b)
 			cfg := ingress.Config{Listen: "127.0.0.1:0", Counter: addr, Config: core.Config{Discovery: agent, Sockets: 256,
 				Known: discovery.List{Rev: 1, All: true, Targets: []discovery.Target{{UID: "s", Endpoint: node, State: "SERVING"}}},
-				Settings: logic.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4, Counter: true, CounterTimeout: time.Second,
-					Classes: []logic.Class{{Name: "read", Worth: 1, Aim: 10 * time.Second, Deadline: 20 * time.Second, Effect: logic.Safe}},
-					Plans:   []logic.Plan{{Name: "p", Price: 1, Rate: 1e6, Burst: 1e5}}},
+				Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4, Counter: true, CounterTimeout: time.Second,
+					Classes: []policy.Class{{Name: "read", Worth: 1, Aim: 10 * time.Second, Deadline: 20 * time.Second, Effect: policy.Safe}},
+					Plans:   []policy.Plan{{Name: "p", Price: 1, Rate: 1e6, Burst: 1e5}}},
 				Connections: settings.Connections{Idle: time.Minute, ConnectTimeout: time.Second}}}
 			if kind == "redis" {
 				cfg.Store = func(sink store.Sink) (store.Counter, error) {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"io"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Host runs many instances, each with events of its own only, until input ends.
 func Host(in io.Reader, out io.Writer) error {
 	r, w := NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	gateways := map[int]*logic.Gateway{}
+	gateways := map[int]*policy.Gateway{}
 	var buf []byte
 	for {
 		batch, err := r.Read()
@@ -37,7 +37,7 @@
 }
 
 // handle plays one message; a panic of the module becomes that instance's fault.
-func handle(buf []byte, gateways map[int]*logic.Gateway, batch *Batch, m Message) (reply []byte) {
+func handle(buf []byte, gateways map[int]*policy.Gateway, batch *Batch, m Message) (reply []byte) {
 	mark := len(buf)
 	defer func() {
 		if p := recover(); p != nil {
@@ -49,7 +49,7 @@
 	case m.Name == "DESTROY":
 		delete(gateways, m.Instance)
 	case m.Settings != nil:
-		g, err := logic.New(*m.Settings, m.Seed)
+		g, err := policy.New(*m.Settings, m.Seed)
 		if err != nil {
 			return AppendFault(buf, m.Instance, err.Error())
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"hitchspring/internal/settings"
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // fields are the name=value parts of a line.
@@ -24,8 +24,8 @@
 	Name     string
 	Instance int
 	Seed     uint64
-	Settings *logic.Settings // with Begin
-	Event    logic.Event     // nil where there is nothing to tell
+	Settings *policy.Settings // with Begin
+	Event    policy.Event     // nil where there is nothing to tell
 }
 
 // Batch is what one exchange brings.
@@ -130,26 +130,26 @@
 		m.Event = arrival(p)
 	case "STARTED":
 		p.need("call", "try")
-		m.Event = logic.StreamStarted{ID: p.id(), Attempt: p.int("try")}
+		m.Event = policy.StreamStarted{ID: p.id(), Attempt: p.int("try")}
 	case "ATTEMPT_END":
 		p.need("call", "try", "backend", "stateCode")
-		m.Event = logic.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Server: logic.ServerID(p.f["backend"]),
+		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Server: policy.ServerID(p.f["backend"]),
 			Outcome: outcome(p.f["stateCode"]), Took: p.micros("lagUs"), Finished: p.bool("over"),
 			Settled: p.float("settled"), Load: p.load("metrics")}
 	case "DROPPED":
 		p.need("call")
-		m.Event = logic.Abandoned{ID: p.id()}
+		m.Event = policy.Abandoned{ID: p.id()}
 	case "TICK_DUE":
-		m.Event = logic.TimerFired{}
+		m.Event = policy.TimerFired{}
 	case "PROBE_DONE":
 		p.need("backend", "stateCode")
-		m.Event = logic.ProbeEnded{Server: logic.ServerID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
+		m.Event = policy.ProbeEnded{Server: policy.ServerID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
 			Took: p.micros("lagUs"), Load: p.load("metrics")}
 	case "INBOX":
-		m.Event = logic.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
+		m.Event = policy.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
 	case "COUNTER_REPLY":
 		p.need("counter", "stateCode")
-		m.Event = logic.CountReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
+		m.Event = policy.CountReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
 	default:
 		return m, false
 	}
@@ -161,18 +161,18 @@
 	return m, true
 }
 
-func arrival(p *parser) logic.Event {
+func arrival(p *parser) policy.Event {
 	p.need("call", "giveUpAtUs")
-	return logic.Arrival{Request: logic.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
+	return policy.Arrival{Request: policy.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
 		Customer: p.f["holder"], GiveUpAt: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
 		Spread: p.int("width"), First: p.int("setFrom")}}
 }
 
 // fleet parses a list and the entry lines that follow it.
-func (r *Reader) fleet(p *parser) logic.Event {
+func (r *Reader) fleet(p *parser) policy.Event {
 	p.need("form")
 	form := p.f["form"]
-	ev := logic.FleetChanged{Whole: form == "full" || form == "cached", Failed: form == "failed"}
+	ev := policy.FleetChanged{Whole: form == "full" || form == "cached", Failed: form == "failed"}
 	for n := p.int("members"); n > 0 && p.err == nil; n-- {
 		s, err := r.next()
 		if err != nil {
@@ -186,7 +186,7 @@
 		}
 		e := parser{f: f}
 		e.need("backend")
-		ev.Servers = append(ev.Servers, logic.Server{ID: logic.ServerID(f["backend"]), Zone: f["az"],
+		ev.Servers = append(ev.Servers, policy.Server{ID: policy.ServerID(f["backend"]), Zone: f["az"],
 			Kind: f["flavor"], Cell: e.int("block"), State: state(f["lifecycle"]), Size: e.float("scale"),
 			Started: e.micros("sinceUs")})
 		p.err = e.err
@@ -194,34 +194,34 @@
 	return ev
 }
 
-func state(s string) logic.ServerState {
+func state(s string) policy.ServerState {
 	switch s {
 	case "on":
-		return logic.Running
+		return policy.Running
 	case "off":
-		return logic.Gone
+		return policy.Gone
 	}
-	return logic.Draining
+	return policy.Draining
 }
 
-func outcome(s string) logic.Outcome {
+func outcome(s string) policy.Outcome {
 	switch s {
 	case "done":
-		return logic.Done
+		return policy.Done
 	case "busy":
-		return logic.Full
+		return policy.Full
 	case "etimedout":
-		return logic.TimedOut
+		return policy.TimedOut
 	case "econnrefused":
-		return logic.NoConnect
+		return policy.NoConnect
 	case "econnreset":
-		return logic.Reset
+		return policy.Reset
 	case "ecanceled":
-		return logic.Cancelled
+		return policy.Cancelled
 	case "skipped":
-		return logic.Moot
+		return policy.Moot
 	}
-	return logic.Failed
+	return policy.Failed
 }
 
 // parser reads fields and keeps the first error.
@@ -256,7 +256,7 @@
 	return n
 }
 
-func (p *parser) id() logic.RequestID { return logic.RequestID(p.uint("call", 32)) }
+func (p *parser) id() policy.RequestID { return policy.RequestID(p.uint("call", 32)) }
 
 func (p *parser) int(name string) int { return int(p.uint(name, 31)) }
 
@@ -281,12 +281,12 @@
 	return n
 }
 
-func (p *parser) load(name string) logic.Load {
+func (p *parser) load(name string) policy.Load {
 	v := p.f[name]
 	if v == "" || v == "-" {
 		return nil
 	}
-	load := logic.Load{}
+	load := policy.Load{}
 	for _, pair := range strings.Split(v, ",") {
 		k, x, ok := strings.Cut(pair, ":")
 		n, err := strconv.ParseFloat(x, 64)
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // line builds one action's line.
@@ -33,31 +33,31 @@
 func (l *line) end() []byte { return append(l.b, '\n') }
 
 // AppendAction appends the line of one action of an instance.
-func AppendAction(b []byte, instance int, a logic.Action) []byte {
+func AppendAction(b []byte, instance int, a policy.Action) []byte {
 	switch a := a.(type) {
-	case logic.Send:
+	case policy.Send:
 		l := newLine(b, "TRANSMIT", instance).num("call", float64(a.ID)).text("backend", string(a.Server))
 		if a.StopAt > 0 {
 			l.micros("stopAtUs", a.StopAt)
 		}
 		return l.end()
-	case logic.Cancel:
+	case policy.Cancel:
 		return newLine(b, "REVOKE", instance).num("call", float64(a.ID)).num("try", float64(a.Attempt)).end()
-	case logic.Refuse:
+	case policy.Refuse:
 		l := newLine(b, "BUSY", instance).num("call", float64(a.ID))
 		if a.RetryAfter > 0 {
 			l.micros("retryInUs", a.RetryAfter)
 		}
 		return l.end()
-	case logic.Fail:
+	case policy.Fail:
 		return newLine(b, "DROP_REQUEST", instance).num("call", float64(a.ID)).end()
-	case logic.SetTimer:
+	case policy.SetTimer:
 		return newLine(b, "TIMER", instance).micros("spanUs", a.After).text("ref", "t").end()
-	case logic.Probe:
+	case policy.Probe:
 		return newLine(b, "TEST", instance).text("backend", string(a.Server)).end()
-	case logic.CloseIdle:
+	case policy.CloseIdle:
 		return newLine(b, "LET_GO", instance).text("backend", string(a.Server)).end()
-	case logic.Tell:
+	case policy.Tell:
 		dest := "all"
 		if a.To >= 0 {
 			dest = strconv.Itoa(a.To)
@@ -67,14 +67,14 @@
 			msg = base64.StdEncoding.EncodeToString(a.Body)
 		}
 		return newLine(b, "NOTIFY", instance).text("dest", dest).text("msg", msg).end()
-	case logic.Count:
+	case policy.Count:
 		return newLine(b, "INCR", instance).text("counter", a.Name).num("add", a.Add).
 			micros("keepForUs", a.Keep).end()
-	case logic.Watch:
+	case policy.Watch:
 		return newLine(b, "KEEP_INFORMED", instance).text("on", "1").end()
-	case logic.Fetch:
+	case policy.Fetch:
 		return newLine(b, "QUERY_ALL", instance).end()
-	case logic.Log:
+	case policy.Log:
 		return newLine(b, "EMIT", instance).text("text", oneLine(a.Text)).end()
 	}
 	return b
--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // Status is what the book holds, for people and figures. It shares nothing with the book.
@@ -55,7 +55,7 @@
 			if b.takes(now, n) > 0 {
 				x.Proven++
 			}
-			if n.State == logic.Running {
+			if n.State == policy.Running {
 				x.Nodes++
 			}
 		}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 // State is what a hall is held to be.
@@ -94,9 +94,9 @@
 
 // Node is an entry of the list.
 type Node struct {
-	ID      logic.ServerID
+	ID      policy.ServerID
 	Hall    string
-	State   logic.ServerState
+	State   policy.ServerState
 	Size    float64       // 0 counts as 1
 	Started time.Duration // 0: long ago
 }
@@ -163,7 +163,7 @@
 	cfg      Config
 	halls    map[string]*hall
 	order    []*hall // by name
-	nodes    map[logic.ServerID]*node
+	nodes    map[policy.ServerID]*node
 	usual    map[string]float64 // seconds that an answer of a class takes
 	relief   float64            // share of the preference that is given up
 	ticked   time.Duration
@@ -191,14 +191,14 @@
 	cfg.Ramp = cmp.Or(cfg.Ramp, DefaultRamp)
 	cfg.RampFrom = cmp.Or(cfg.RampFrom, DefaultRampFrom)
 	cfg.Forget = cmp.Or(cfg.Forget, DefaultForget)
-	return &Book{cfg: cfg, halls: map[string]*hall{}, nodes: map[logic.ServerID]*node{}, usual: map[string]float64{}, reach: 1}
+	return &Book{cfg: cfg, halls: map[string]*hall{}, nodes: map[policy.ServerID]*node{}, usual: map[string]float64{}, reach: 1}
 }
 
 // Fleet takes the list over, or changes to it.
 func (b *Book) Fleet(now time.Duration, list []Node, whole bool) {
 	if whole {
 		for _, n := range b.nodes {
-			n.State = logic.Gone
+			n.State = policy.Gone
 		}
 	}
 	for _, e := range list {
@@ -210,7 +210,7 @@
 		case n == nil:
 			n = &node{slow: 1, slowAt: now}
 			b.nodes[e.ID] = n
-		case n.Started != e.Started || n.State == logic.Gone && e.State == logic.Running: // another process under the old id
+		case n.Started != e.Started || n.State == policy.Gone && e.State == policy.Running: // another process under the old id
 			*n = node{out: n.out, slow: 1, slowAt: now, probing: n.probing}
 		}
 		n.Node = e
@@ -219,7 +219,7 @@
 		h.nodes = h.nodes[:0]
 	}
 	for id, n := range b.nodes {
-		if n.State == logic.Gone {
+		if n.State == policy.Gone {
 			if len(n.out) == 0 {
 				delete(b.nodes, id)
 			}
@@ -280,7 +280,7 @@
 }
 
 // Sent tells that an attempt went to a node.
-func (b *Book) Sent(now time.Duration, id logic.ServerID) {
+func (b *Book) Sent(now time.Duration, id policy.ServerID) {
 	n := b.nodes[id]
 	if n == nil {
 		return
@@ -290,7 +290,7 @@
 }
 
 // Ended tells how an attempt, sent at a time, ended.
-func (b *Book) Ended(now time.Duration, id logic.ServerID, sent time.Duration, class string, o logic.Outcome) {
+func (b *Book) Ended(now time.Duration, id policy.ServerID, sent time.Duration, class string, o policy.Outcome) {
 	n := b.nodes[id]
 	if n == nil {
 		return
@@ -301,14 +301,14 @@
 	took := (now - sent).Seconds()
 	h := b.hall(n.Hall, now)
 	switch o {
-	case logic.Moot:
+	case policy.Moot:
 		return
-	case logic.Cancelled: // another copy was faster: of a node that has not answered since, that says something
+	case policy.Cancelled: // another copy was faster: of a node that has not answered since, that says something
 		if n.lastOK < sent && took > silentTimes*b.usual[class] {
 			b.failed(sent, n)
 		}
 		return
-	case logic.Done:
+	case policy.Done:
 		usual, seen := b.usual[class]
 		if !seen {
 			usual = took
@@ -320,7 +320,7 @@
 		b.learn(now, n, ratio)
 		h.done.add(now, 1)
 		b.answered(now, n)
-	case logic.Full: // it answers, and has no room
+	case policy.Full: // it answers, and has no room
 		b.learn(now, n, slowMost)
 		b.answered(now, n)
 	default:
@@ -328,7 +328,7 @@
 		b.learn(now, n, slowMost)
 	}
 	h.ends.add(now, 1)
-	if aim := b.cfg.Aims[class]; o != logic.Done || aim > 0 && now-sent > aim/3 {
+	if aim := b.cfg.Aims[class]; o != policy.Done || aim > 0 && now-sent > aim/3 {
 		h.late.add(now, 1)
 	}
 }
@@ -356,7 +356,7 @@
 }
 
 // Probed tells how a probe ended.
-func (b *Book) Probed(now time.Duration, id logic.ServerID, ok bool) {
+func (b *Book) Probed(now time.Duration, id policy.ServerID, ok bool) {
 	n := b.nodes[id]
 	if n == nil || !n.probing {
 		return
@@ -390,7 +390,7 @@
 
 // takes is what a node can take now: 0 where it is out, unproven, or bad.
 func (b *Book) takes(now time.Duration, n *node) float64 {
-	if n.State != logic.Running || n.unproven || b.bad(now, n) {
+	if n.State != policy.Running || n.unproven || b.bad(now, n) {
 		return 0
 	}
 	slow := 1 + (n.slow-1)*math.Exp2(-(now-n.slowAt).Seconds()/slowHalf)
@@ -420,7 +420,7 @@
 	h.byList, h.suspect = false, false
 	var first time.Duration
 	for _, n := range h.nodes {
-		if n.State != logic.Running {
+		if n.State != policy.Running {
 			continue
 		}
 		running++
@@ -445,7 +445,7 @@
 	}
 	h.suspect = 2*bad >= running && bad > 0
 	for _, n := range h.nodes { // an answer since the trouble began, and not long ago
-		if n.State == logic.Running && !b.bad(now, n) && n.lastOK > first && now-n.lastOK < staleProof {
+		if n.State == policy.Running && !b.bad(now, n) && n.lastOK > first && now-n.lastOK < staleProof {
 			alive++
 		}
 	}
@@ -545,7 +545,7 @@
 // prove believes the nodes that have answered often enough since the loss.
 func (b *Book) prove(now time.Duration, h *hall) (proven, running int) {
 	for _, n := range h.nodes {
-		if n.State != logic.Running {
+		if n.State != policy.Running {
 			continue
 		}
 		running++
@@ -560,7 +560,7 @@
 }
 
 // Tick moves everything on and returns the facts as they stand. It wants to be called some ten times a second or more often.
-func (b *Book) Tick(now time.Duration) logic.HallsChanged {
+func (b *Book) Tick(now time.Duration) policy.HallsChanged {
 	dt := max(0, (now - b.ticked).Seconds())
 	if b.ticked == 0 {
 		dt = 0
@@ -581,11 +581,11 @@
 		has := 0.0
 		h.capacity, h.warm = 0, 0
 		for _, n := range h.nodes {
-			if n.State == logic.Running {
+			if n.State == policy.Running {
 				has += n.Size
 			}
 			h.capacity += b.takes(now, n)
-			if n.State == logic.Running && !n.unproven {
+			if n.State == policy.Running && !n.unproven {
 				h.warm += n.Size * b.warmth(now, n)
 			}
 		}
@@ -621,7 +621,7 @@
 			h.share = max(h.share, (1-up/had)/float64(int(1)<<h.caution))
 		}
 		for _, n := range h.nodes {
-			if n.State == logic.Running && !n.unproven && h.share > 0 { // a ramp is no loss: it has a rate of its own
+			if n.State == policy.Running && !n.unproven && h.share > 0 { // a ramp is no loss: it has a rate of its own
 				can += n.Size
 			}
 		}
@@ -694,8 +694,8 @@
 }
 
 // facts are what the module is told.
-func (b *Book) facts(now time.Duration) logic.HallsChanged {
-	ev := logic.HallsChanged{Reach: b.reach}
+func (b *Book) facts(now time.Duration) policy.HallsChanged {
+	ev := policy.HallsChanged{Reach: b.reach}
 	given := b.relief
 	if own := b.halls[b.cfg.Own]; own != nil {
 		given = max(given, 1-b.keeps(own))
@@ -705,7 +705,7 @@
 	}
 	for _, h := range b.order {
 		h.price = 1 + ([...]float64{1, b.cfg.NearPrice, b.cfg.FarPrice}[h.tier]-1)*(1-given)
-		f := logic.Hall{Zone: h.name, Price: h.price, Rate: h.rate, Lost: h.state == Lost && h.rate == 0 && !h.byList}
+		f := policy.Hall{Zone: h.name, Price: h.price, Rate: h.rate, Lost: h.state == Lost && h.rate == 0 && !h.byList}
 		if h.wary && b.cfg.Probe && (h.state == Returning || h.rate == 0) {
 			for _, n := range h.nodes {
 				if n.unproven {
@@ -723,7 +723,7 @@
 
 // Probes are the nodes to ask now: those that are not proven of halls that are lost or return, and all of a hall of which half
 // look bad, so that the rest need not be found out by requests. Each is to be told of by Probed.
-func (b *Book) Probes(now time.Duration) (out []logic.ServerID) {
+func (b *Book) Probes(now time.Duration) (out []policy.ServerID) {
 	if !b.cfg.Probe {
 		return nil
 	}
@@ -733,7 +733,7 @@
 		}
 		h.probed = now
 		for _, n := range h.nodes {
-			if n.State == logic.Running && (n.unproven || h.suspect && h.state == Up) && !n.probing && len(out) < mostProbes {
+			if n.State == policy.Running && (n.unproven || h.suspect && h.state == Up) && !n.probing && len(out) < mostProbes {
 				n.probing = true
 				out = append(out, n.ID)
 			}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"hitchspring/logic"
+	"hitchspring/policy"
 )
 
 const ms = time.Millisecond
@@ -29,10 +29,10 @@
 	moves []Change
 }
 
-type facts struct{ logic.HallsChanged }
+type facts struct{ policy.HallsChanged }
 
 type flight struct {
-	id   logic.ServerID
+	id   policy.ServerID
 	hall string
 	sent time.Duration
 	ends time.Duration // 0: never
@@ -48,20 +48,20 @@
 	r := &rig{t: t, b: New(cfg), now: 100 * time.Second, dead: map[string]bool{}, mute: map[string]bool{}, slow: map[string]float64{}}
 	for i := range 12 {
 		h := string(rune('a' + i%3))
-		r.list = append(r.list, Node{ID: logic.ServerID(fmt.Sprint(h, i/3)), Hall: h, State: logic.Running})
+		r.list = append(r.list, Node{ID: policy.ServerID(fmt.Sprint(h, i/3)), Hall: h, State: policy.Running})
 	}
 	r.b.Fleet(r.now, r.list, true)
 	return r
 }
 
-func (r *rig) fact(hall string) logic.Hall {
+func (r *rig) fact(hall string) policy.Hall {
 	for _, h := range r.Halls {
 		if h.Zone == hall {
 			return h
 		}
 	}
 	r.t.Fatalf("no fact of hall %s", hall)
-	return logic.Hall{}
+	return policy.Hall{}
 }
 
 func (r *rig) state(hall string) Hall {
@@ -83,9 +83,9 @@
 			if f.ends == 0 || f.ends > r.now {
 				return false
 			}
-			o := logic.Done
+			o := policy.Done
 			if !f.ok {
-				o = logic.NoConnect
+				o = policy.NoConnect
 			}
 			r.b.Ended(r.now, f.id, f.sent, "read", o)
 			return true
@@ -112,13 +112,13 @@
 		for range r.list {
 			r.turn++
 			n := r.list[r.turn%len(r.list)]
-			var f logic.Hall
+			var f policy.Hall
 			for _, h := range r.Halls {
 				if h.Zone == n.Hall {
 					f = h
 				}
 			}
-			if n.State != logic.Running || f.Rate == 0 && f.Zone != "" || f.Rate > 0 && credit[n.Hall] < 1 || slices.Contains(f.Unproven, n.ID) {
+			if n.State != policy.Running || f.Rate == 0 && f.Zone != "" || f.Rate > 0 && credit[n.Hall] < 1 || slices.Contains(f.Unproven, n.ID) {
 				continue
 			}
 			if f.Rate > 0 {
@@ -275,7 +275,7 @@
 	r.play(2*time.Second, nil)
 	for i := range r.list {
 		if r.list[i].Hall == "c" {
-			r.list[i].State = logic.Draining
+			r.list[i].State = policy.Draining
 		}
 	}
 	r.b.Fleet(r.now, r.list, false)
@@ -350,10 +350,10 @@
 		cfg := Config{Own: "a", Near: []string{"b"}, Probe: rapid.Bool().Draw(t, "probe"), WarmAfter: 18 * time.Second, ColdShare: 0.25}
 		b, twin := New(cfg), New(cfg)
 		now := 50 * time.Second
-		out := map[logic.ServerID][]time.Duration{}
+		out := map[policy.ServerID][]time.Duration{}
 		var list []Node
 		for i := range 9 {
-			list = append(list, Node{ID: logic.ServerID(fmt.Sprint("n", i)), Hall: string(rune('a' + i%3)), State: logic.Running})
+			list = append(list, Node{ID: policy.ServerID(fmt.Sprint("n", i)), Hall: string(rune('a' + i%3)), State: policy.Running})
 		}
 		both := func(do func(*Book)) { do(b); do(twin) }
 		both(func(b *Book) { b.Fleet(now, list, true) })
@@ -372,7 +372,7 @@
 				}
 				sent := out[id][0]
 				out[id] = out[id][1:]
-				o := logic.Outcome(rapid.IntRange(0, 7).Draw(t, "o"))
+				o := policy.Outcome(rapid.IntRange(0, 7).Draw(t, "o"))
 				both(func(b *Book) { b.Ended(now, id, sent, "c", o) })
 			},
 			"probe": func(t *rapid.T) {
@@ -382,7 +382,7 @@
 				}
 				ok := rapid.Bool().Draw(t, "ok")
 				for _, id := range ids {
-					if b.nodes[id].State != logic.Running {
+					if b.nodes[id].State != policy.Running {
 						t.Fatalf("probe of %s", id)
 					}
 					both(func(b *Book) { b.Probed(now, id, ok) })
@@ -390,7 +390,7 @@
 			},
 			"list": func(t *rapid.T) {
 				i := node.Draw(t, "n")
-				list[i].State = logic.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
+				list[i].State = policy.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
 				if rapid.Bool().Draw(t, "restart") {
 					list[i].Started = now
 				}
@@ -443,7 +443,7 @@
 			r := newRig(b, Config{})
 			var list []Node
 			for i := range n {
-				list = append(list, Node{ID: logic.ServerID(fmt.Sprint("x", i)), Hall: string(rune('a' + i%3)), State: logic.Running})
+				list = append(list, Node{ID: policy.ServerID(fmt.Sprint("x", i)), Hall: string(rune('a' + i%3)), State: policy.Running})
 			}
 			r.b.Fleet(r.now, list, true)
 			for i := range list {
--- /dev/null
+++ b/policy/example_test.go
@@ -0,0 +1,30 @@
+package policy_test
+
+import (
+	"fmt"
+	"time"
+
+	"hitchspring/policy"
+)
+
+func Example() {
+	gateway, err := policy.New(policy.Settings{
+		Me: 0, Gateways: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, SecondCopies: true, MayCancel: true,
+		Counter: true, CounterTimeout: 50 * time.Millisecond,
+		Classes: []policy.Class{{Name: "read", Worth: 1, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
+			Effect: policy.Safe}},
+		Plans: []policy.Plan{{Name: "basic", Price: 1, Rate: 5, Burst: 10, ExcessCost: 1}},
+	}, 1)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	now := time.Hour
+	gateway.Handle(now, policy.FleetChanged{Whole: true,
+		Servers: []policy.Server{{ID: "10.0.0.1:80", State: policy.Running}}}, nil)
+	for _, a := range gateway.Handle(now, policy.Arrival{Request: policy.Request{ID: 1, Class: "read", Plan: "basic",
+		Customer: "c1", Units: 1, Spread: 2, GiveUpAt: now + 2*time.Second}}, nil) {
+		fmt.Printf("%T %+v\n", a, a)
+	}
+	// Output: logic.Send {ID:1 Server:10.0.0.1:80 StopAt:0s}
+}
--- a/logic/logic.go
+++ b/policy/policy.go
@@ -4,7 +4,7 @@
 // the queue of its priority, class worth x plan price, and leaves when the AIMD window of attempts has room,
 // highest first (release). The choice of server, hedges, retries and slow starts never change that order.
 // A Gateway is single-threaded: the clock comes with the events, chance from the seed.
-package logic
+package policy
 
 import (
 	"cmp"
--- a/logic/state_test.go
+++ b/policy/state_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"reflect"
--- a/logic/thin.go
+++ b/policy/thin.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // Many gateways: what each sees of a customer, a server or a hall is little, and what each does is done as
 // often as there are gateways. Constants here are for the fleet, and are divided by their number when used.
