--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"hitchspring/internal/wire"
+	"hitchspring/internal/simproto"
 )
 
 func main() {
-	if err := wire.Host(os.Stdin, os.Stdout); err != nil {
+	if err := simproto.Host(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/wire/wire.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
 // Package wire turns the simulator's lines into a gateway's events, and its actions into lines.
 // It parses and prints only: every decision is in package logic.
-package wire
+package simproto
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simproto/simproto_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
