--- a/internal/lab/brief.go
+++ b/internal/lab/brief.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/measure"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
 
@@ -51,8 +51,8 @@
 func (p *plan) ceilingBurst() float64 { return p.burst() * p.ceiling }
 
 // quota is what a channel may use: no more than its ceiling.
-func (p *plan) quota() audit.Quota {
-	q := audit.Quota{Rate: p.rate, Burst: p.burst()}
+func (p *plan) quota() rulecheck.Quota {
+	q := rulecheck.Quota{Rate: p.rate, Burst: p.burst()}
 	if p.ceiling > 0 && p.ceiling < 1 {
 		q.Rate, q.Burst = p.ceilingRate(), p.ceilingBurst()
 	}
--- a/internal/lab/day/day.go
+++ b/internal/lab/day/day.go
@@ -17,7 +17,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 )
 
 //go:embed days/*.toml
@@ -299,7 +299,7 @@
 }
 
 // Unmet says what a run ought to have exercised and did not; empty: it proves what the day is for.
-func (m Must) Unmet(e audit.Edges) (out []string) {
+func (m Must) Unmet(e rulecheck.Edges) (out []string) {
 	count := func(name string, got, want int) {
 		if got < want {
 			out = append(out, fmt.Sprintf("%s: %d, the day wants %d", name, got, want))
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 )
 
 // Each day that comes with the program is a good one, and says what it is about.
@@ -92,10 +92,10 @@
 func TestUnmet(t *testing.T) {
 	near := -0.1
 	m := Must{Refused: 5, Repeats: 2, ColdPush: 0.5, Ceiling: &near}
-	if out := m.Unmet(audit.Edges{Ceiling: -0.5}); len(out) != 4 {
+	if out := m.Unmet(rulecheck.Edges{Ceiling: -0.5}); len(out) != 4 {
 		t.Fatal(out)
 	}
-	if out := m.Unmet(audit.Edges{Refused: 5, Repeats: 2, ColdPush: 0.5, Ceiling: -0.05}); out != nil {
+	if out := m.Unmet(rulecheck.Edges{Refused: 5, Repeats: 2, ColdPush: 0.5, Ceiling: -0.05}); out != nil {
 		t.Fatal(out)
 	}
 }
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 )
 
 // OnceByKey is the lab's own rule for work that several instances may act on: a key's history is that of one thing which happens at most once, and whose
@@ -52,10 +52,10 @@
 }
 
 // Once judges, by what the nodes saw and the clients were told, whether each key's work happened once and has one answer.
-func (r *Report) Once() (out []audit.Break) {
+func (r *Report) Once() (out []rulecheck.Break) {
 	for _, w := range r.Keyed {
 		if w.Effects > 1 || w.Values > 1 {
-			out = append(out, audit.Break{Rule: OnceByKey, At: w.First, Until: w.First + w.GiveUp, What: fmt.Sprintf("key %s has %d effects in %d racks and %d answers", w.Key, w.Effects, w.Racks, w.Values)})
+			out = append(out, rulecheck.Break{Rule: OnceByKey, At: w.First, Until: w.First + w.GiveUp, What: fmt.Sprintf("key %s has %d effects in %d racks and %d answers", w.Key, w.Effects, w.Racks, w.Values)})
 		}
 	}
 	return out
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/link"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
 
@@ -173,7 +173,7 @@
 
 // LeftForAWord judges, by what the nodes saw, whether the instances but one have left a node that serves them, while that one can't reach it by
 // the first fault of a link.
-func (r *Report) LeftForAWord(node string, but int) (out []audit.Break) {
+func (r *Report) LeftForAWord(node string, but int) (out []rulecheck.Break) {
 	from := time.Duration(0)
 	for _, l := range r.Links {
 		if from == 0 || l.Set < from {
@@ -202,7 +202,7 @@
 		}
 	}
 	if usual := float64(others) / float64(max(1, n)); usual >= wordsSends && float64(sends[node]) < wordsLeast*usual {
-		out = append(out, audit.Break{Rule: Words, At: from, Until: last, What: fmt.Sprintf("%d commands of the others came to %s, %.0f to each other node of its hall", sends[node], node, usual)})
+		out = append(out, rulecheck.Break{Rule: Words, At: from, Until: last, What: fmt.Sprintf("%d commands of the others came to %s, %.0f to each other node of its hall", sends[node], node, usual)})
 	}
 	return out
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/respclient"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/gate"
 )
 
@@ -86,7 +86,7 @@
 
 // tried is a try with what the report needs beyond the audit.
 type tried struct {
-	audit.Asked
+	rulecheck.Asked
 	due   time.Duration // of the first try
 	wish  int
 	ch    *channel
@@ -274,7 +274,7 @@
 	g := l.w.ingresses[at]
 	id := l.lastID.Add(1)
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{Asked: audit.Asked{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, GiveUp: wait}, ch: ch, class: c, retry: retry}
+	t = tried{Asked: rulecheck.Asked{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, GiveUp: wait}, ch: ch, class: c, retry: retry}
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=%d", c.name, ch.plan.name, wait.Milliseconds(), c.units, ch.spread, ch.first)
 	name := "Q.DO"
 	switch c.effect {
@@ -295,7 +295,7 @@
 		t.Sent = l.w.clock()
 		ans, err := nc.ask(command, wait+max(answerSlack, l.w.rules().Tolerance)) // what nobody waits for can't be judged late
 		if err == nil {
-			t.Answers = append(t.Answers, audit.Answer{At: l.w.clock(), Kind: ans.Kind})
+			t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: ans.Kind})
 			if ans.Kind == respclient.Served {
 				t.value = ans.Value
 			}
@@ -304,7 +304,7 @@
 			}
 			t.Spoilt = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !(key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")) // the key's first try may have made it
 			if nc.more() {
-				t.Answers = append(t.Answers, audit.Answer{At: l.w.clock(), Kind: "failed"})
+				t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: "failed"})
 				nc.Close()
 			} else {
 				l.pools[at].put(nc)
@@ -329,22 +329,22 @@
 	g := l.w.ingresses[at]
 	id := fmt.Sprintf("%016x", l.lastID.Add(1))
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{Asked: audit.Asked{ID: id, Instance: g.Name, Class: c.name, GiveUp: wait, Sent: l.w.clock()}, ch: ch, class: c, retry: retry}
+	t = tried{Asked: rulecheck.Asked{ID: id, Instance: g.Name, Class: c.name, GiveUp: wait, Sent: l.w.clock()}, ch: ch, class: c, retry: retry}
 	wish := gate.Wish{ID: id, Channel: fmt.Sprintf("%016x", ch.id), Class: c.name, Plan: ch.plan.name, Units: c.units, Spread: ch.spread, First: ch.first, Wait: wait}
 	if c.effect == "idempotency_key" {
 		wish.Key = id
 	}
 	res := l.w.gates[at].Do(context.Background(), wish)
-	t.Answers = append(t.Answers, audit.Answer{At: l.w.clock(), Kind: res.Kind})
+	t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: res.Kind})
 	t.Spoilt = res.Kind == "served" && res.Value != "value of "+id
 	t.Excused = res.Kind != "served" && g.wasDown(t.Sent, l.w.clock())
 	return t, res.After
 }
 
-func (l *load) asked() []audit.Asked {
+func (l *load) asked() []rulecheck.Asked {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]audit.Asked, len(l.tried))
+	out := make([]rulecheck.Asked, len(l.tried))
 	for i, t := range l.tried {
 		out[i] = t.Asked
 	}
--- a/internal/lab/overlap/client.go
+++ b/internal/lab/overlap/client.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/respclient"
+	"hitchspring/internal/rulecheck"
 )
 
 const (
@@ -37,7 +37,7 @@
 	sent      time.Duration
 	wait      time.Duration // that it said it waits
 	owed      time.Duration // after sent: by when the answer is, where it counts from the answer before it on the connection
-	answers   []audit.Answer
+	answers   []rulecheck.Answer
 	value     string
 	fresh     bool          // the first on its connection
 	noConnect bool          // its connection was not taken
@@ -132,7 +132,7 @@
 	now := r.clock()
 	switch {
 	case err == nil:
-		a.answers = append(a.answers, audit.Answer{At: now, Kind: answer.Kind})
+		a.answers = append(a.answers, rulecheck.Answer{At: now, Kind: answer.Kind})
 		a.value = answer.Value
 	case errors.Is(err, respclient.ErrEnded):
 		a.ended = now
--- a/internal/lab/overlap/deployment.go
+++ b/internal/lab/overlap/deployment.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
 
@@ -136,18 +136,18 @@
 }
 
 // auditRules are the figures of the five rules.
-func (d *deployment) auditRules() audit.Rules {
-	rules := audit.Usual()
+func (d *deployment) auditRules() rulecheck.Rules {
+	rules := rulecheck.Usual()
 	rules.Tolerance = tolerance
 	rules.KeyMemory, rules.DrainGrace = d.window, drainGrace
 	rules.CeilingSlack, rules.MaxUnits = ceilingSlack, maxUnits
-	rules.Classes, rules.Ceilings = map[string]audit.Effect{}, map[string]audit.Ceiling{}
+	rules.Classes, rules.Ceilings = map[string]rulecheck.Effect{}, map[string]rulecheck.Ceiling{}
 	for _, c := range d.classes {
-		rules.Classes[c.name] = map[string]audit.Effect{safe: audit.Safe, keyed: audit.Keyed, unsafe: audit.Unsafe}[c.effect]
+		rules.Classes[c.name] = map[string]rulecheck.Effect{safe: rulecheck.Safe, keyed: rulecheck.Keyed, unsafe: rulecheck.Unsafe}[c.effect]
 	}
 	for _, p := range d.plans {
 		if p.ceilingRate > 0 {
-			rules.Ceilings[p.name] = audit.Ceiling{Rate: p.ceilingRate, Burst: p.ceilingBurst}
+			rules.Ceilings[p.name] = rulecheck.Ceiling{Rate: p.ceilingRate, Burst: p.ceilingBurst}
 		}
 	}
 	return rules
--- a/internal/lab/overlap/judge.go
+++ b/internal/lab/overlap/judge.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
 
@@ -57,7 +57,7 @@
 	for _, rec := range records {
 		byID[rec.ID] = append(byID[rec.ID], rec)
 	}
-	list := make([]audit.Asked, len(r.asked))
+	list := make([]rulecheck.Asked, len(r.asked))
 	requests := map[string]*asked{}
 	for i := range r.asked {
 		a := &r.asked[i]
@@ -66,17 +66,17 @@
 	}
 	r.judgeRecords(records, requests)
 	r.judgeInstances()
-	e := audit.Evidence{Asked: list, Told: r.toldToInstances(), Late: r.meter.Late()}
+	e := rulecheck.Evidence{Asked: list, Told: r.toldToInstances(), Late: r.meter.Late()}
 	for _, rec := range records {
-		e.Sent = append(e.Sent, audit.Sent{Came: rec.Came, Ended: rec.Ended, ID: rec.ID, Node: rec.Node, Instance: fmt.Sprint("n", rec.Instance), Customer: rec.Customer,
+		e.Sent = append(e.Sent, rulecheck.Sent{Came: rec.Came, Ended: rec.Ended, ID: rec.ID, Node: rec.Node, Instance: fmt.Sprint("n", rec.Instance), Customer: rec.Customer,
 			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.How == node.Busy, Cold: rec.Cold})
 	}
 	for _, n := range r.fleet.Nodes() {
 		if why, at := n.Fell(); n.Pushed() > 0 {
-			e.Cold = append(e.Cold, audit.ColdNode{Node: n.ID, At: at, Why: why, Pushed: n.Pushed()})
+			e.Cold = append(e.Cold, rulecheck.ColdNode{Node: n.ID, At: at, Why: why, Pushed: n.Pushed()})
 		}
 	}
-	verdict := audit.Judge(r.deployment.auditRules(), e)
+	verdict := rulecheck.Judge(r.deployment.auditRules(), e)
 	for _, b := range verdict.Breaks {
 		r.findings = append(r.findings, Finding{Rule: b.Rule, At: b.At, What: b.What, Doubtful: b.Doubtful})
 	}
@@ -89,8 +89,8 @@
 }
 
 // asAudited is a request as package audit judges it: excused where nobody owes it an answer.
-func (r *run) asAudited(a *asked, sent []node.Record) audit.Asked {
-	out := audit.Asked{ID: a.id, Instance: a.in.Name, Class: a.class, Sent: a.sent, GiveUp: max(a.wait, a.owed) + lateBy, Answers: a.answers}
+func (r *run) asAudited(a *asked, sent []node.Record) rulecheck.Asked {
+	out := rulecheck.Asked{ID: a.id, Instance: a.in.Name, Class: a.class, Sent: a.sent, GiveUp: max(a.wait, a.owed) + lateBy, Answers: a.answers}
 	out.Spoilt = len(a.answers) > 0 && a.answers[0].Kind == "served" && a.value != "value of "+a.id
 	end := max(a.ended, a.waited)
 	if len(a.answers) > 0 {
@@ -150,16 +150,16 @@
 }
 
 // toldToInstances is what the instances count as told: what their agents had, but for what these could not tell.
-func (r *run) toldToInstances() []audit.Told {
+func (r *run) toldToInstances() []rulecheck.Told {
 	learnt := r.registry.Learnt()
 	slices.SortStableFunc(learnt, func(a, b learntEntry) int { return cmp.Compare(a.At, b.At) })
 	type pair struct {
 		instance int
 		uid      string
 	}
-	drains := map[pair]audit.Told{}
+	drains := map[pair]rulecheck.Told{}
 	serves := map[pair]bool{}
-	var out []audit.Told
+	var out []rulecheck.Told
 	for _, l := range learnt {
 		p := pair{l.Agent % r.cfg.Instances, l.UID}
 		name := fmt.Sprint("n", p.instance)
@@ -170,12 +170,12 @@
 			delete(drains, p)
 			if !serves[p] {
 				serves[p] = true
-				out = append(out, audit.Told{At: l.At, Instance: name, Node: l.UID, Serving: true})
+				out = append(out, rulecheck.Told{At: l.At, Instance: name, Node: l.UID, Serving: true})
 			}
 			continue
 		}
 		serves[p] = false
-		drains[p] = audit.Told{At: max(drains[p].At, r.heardBy(p.instance, l.At)), Instance: name, Node: l.UID}
+		drains[p] = rulecheck.Told{At: max(drains[p].At, r.heardBy(p.instance, l.At)), Instance: name, Node: l.UID}
 	}
 	for _, t := range drains {
 		out = append(out, t)
@@ -233,7 +233,7 @@
 }
 
 // doubtBy marks what the lateness of the observers can explain.
-func (r *run) doubtBy(late []audit.Late) {
+func (r *run) doubtBy(late []rulecheck.Late) {
 	for i := range r.findings {
 		f := &r.findings[i]
 		for _, l := range late {
--- a/internal/lab/overlap/operator.go
+++ b/internal/lab/overlap/operator.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 )
 
 const (
@@ -60,7 +60,7 @@
 	in.mu.Unlock()
 	before := in.generation()
 	if sleep(ctx, drainShows) && in.ping() && in.generation() == before {
-		in.run.found(audit.NoneLost, in.run.clock(), fmt.Sprintf("%s says yes to PING %v after it was drained", in.Name, drainShows))
+		in.run.found(rulecheck.NoneLost, in.run.clock(), fmt.Sprintf("%s says yes to PING %v after it was drained", in.Name, drainShows))
 	}
 	if !sleep(ctx, d) || !in.call("/v1/ingress/activate") {
 		return
@@ -98,5 +98,5 @@
 func (in *instance) say(backend string, serves bool) {
 	in.run.mu.Lock()
 	defer in.run.mu.Unlock()
-	in.run.said = append(in.run.said, audit.Told{At: in.run.clock(), Instance: in.Name, Node: backend, Serving: serves})
+	in.run.said = append(in.run.said, rulecheck.Told{At: in.run.clock(), Instance: in.Name, Node: backend, Serving: serves})
 }
--- a/internal/lab/overlap/overlap.go
+++ b/internal/lab/overlap/overlap.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/lateness"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/discovery"
 	"hitchspring/internal/standin/node"
 	"hitchspring/internal/standin/tally"
@@ -99,7 +99,7 @@
 	hosts    int
 	asked    []asked
 	failures []failure
-	said     []audit.Told // by operators
+	said     []rulecheck.Told // by operators
 	findings []Finding
 }
 
@@ -331,7 +331,7 @@
 	NearestToColdFall float64
 }
 
-func (r *run) report(v audit.Verdict) *Report {
+func (r *run) report(v rulecheck.Verdict) *Report {
 	out := &Report{Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.asked), Troubles: r.notes.lines, Findings: r.findings, LatestObserver: v.Late,
 		NearestToCeiling: v.Edges.Ceiling, NearestToColdFall: v.Edges.ColdPush}
 	for _, a := range r.asked {
--- a/internal/lab/overlap/overlap_test.go
+++ b/internal/lab/overlap/overlap_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"hitchspring/internal/audit"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
 
@@ -181,7 +181,7 @@
 func TestLateObserversLeaveDoubt(t *testing.T) {
 	r, _ := newJudged()
 	r.findings = []Finding{{At: 10 * time.Second}, {At: 20 * time.Second}}
-	r.doubtBy([]audit.Late{{At: 9500 * time.Millisecond, By: 2 * tolerance}, {At: 20 * time.Second, By: tolerance / 2}})
+	r.doubtBy([]rulecheck.Late{{At: 9500 * time.Millisecond, By: 2 * tolerance}, {At: 20 * time.Second, By: tolerance / 2}})
 	if !r.findings[0].Doubtful || r.findings[1].Doubtful {
 		t.Errorf("%+v", r.findings)
 	}
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/lateness"
 	"hitchspring/internal/lab/proc"
+	"hitchspring/internal/rulecheck"
 )
 
 // play loads what is open, by the timeline, and judges.
@@ -73,11 +73,11 @@
 	}
 	time.Sleep(200 * ms) // what was sent last reaches the nodes' record
 	evidence := w.evidence()
-	verdict := audit.Judge(w.rules(), evidence)
+	verdict := rulecheck.Judge(w.rules(), evidence)
 	r := &Report{Day: w.day.Name, Seed: w.cfg.Seed, Store: w.day.Store, Seconds: seconds, BeganS: w.load.began.Seconds(), Faults: w.notes, Dropped: int(w.load.dropped.Load()), Processes: procs,
 		Breaks: verdict.Breaks, Rules: map[string]int{}, Fronts: map[string]Share{}, verdict: verdict, Edges: verdict.Edges, Unmet: append(w.day.Must.Unmet(verdict.Edges), w.idle()...),
 		LateMS: float64(verdict.Late.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost()}
-	for _, rule := range audit.RuleNames {
+	for _, rule := range rulecheck.RuleNames {
 		r.Rules[rule] = len(verdict.Of(rule))
 	}
 	for _, g := range w.ingresses {
--- a/internal/lab/prove/prove.go
+++ b/internal/lab/prove/prove.go
@@ -23,9 +23,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab"
 	"hitchspring/internal/lab/day"
+	"hitchspring/internal/rulecheck"
 )
 
 //go:embed defects/*.toml
@@ -56,7 +56,7 @@
 }
 
 // rules are the short names.
-var rules = map[string]string{"lost": audit.NoneLost, "twice": audit.NoneTwice, "drains": audit.Drains, "cold": audit.Cold, "ceilings": audit.Ceilings, "quotas": lab.Quotas, "words": lab.Words, "once": lab.OnceByKey}
+var rules = map[string]string{"lost": rulecheck.NoneLost, "twice": rulecheck.NoneTwice, "drains": rulecheck.Drains, "cold": rulecheck.Cold, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Words, "once": lab.OnceByKey}
 
 // Defects are all that come with the program, by name.
 func Defects() ([]Defect, error) {
@@ -164,7 +164,7 @@
 	AfterS                  float64 // seconds of load until it shows
 	Also                    []string
 	Doubts                  []string // why the run could not be judged
-	Edges                   audit.Edges
+	Edges                   rulecheck.Edges
 	Err                     string `json:",omitempty"`
 }
 
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/link"
 	"hitchspring/internal/lab/measure"
+	"hitchspring/internal/rulecheck"
 )
 
 // Exit codes of a run.
@@ -129,8 +129,8 @@
 	Fronts          map[string]Share // resp and http
 	BeyondShare     float64          // units passed on beyond quotas, as a share of those inside
 	Rules           map[string]int
-	Breaks          []audit.Break
-	Edges           audit.Edges
+	Breaks          []rulecheck.Break
+	Edges           rulecheck.Edges
 	Unmet           []string // what the day wants exercised and was not
 	LateMS          float64  // the longest time for which the lab itself was not run
 	Crashed         []string
@@ -148,7 +148,7 @@
 	Links           []link.Acted `json:",omitempty"` // what each fault of a link did
 	tolerance       time.Duration
 	lost            int // records that found no room
-	verdict         audit.Verdict
+	verdict         rulecheck.Verdict
 }
 
 // Clean says whether every rule was kept and nothing crashed.
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"hitchspring/internal/audit"
 	"hitchspring/internal/lab/measure"
+	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
 
@@ -170,7 +170,7 @@
 }
 
 // score is the service as the brief counts it, from the clients' and the nodes' records.
-func (w *World) score(r *Report, e audit.Evidence, calls int) (list []measure.Wish) {
+func (w *World) score(r *Report, e rulecheck.Evidence, calls int) (list []measure.Wish) {
 	wishes := map[int]*measure.Wish{}
 	costs := measure.Costs{CounterCalls: calls}
 	w.load.mu.Lock()
@@ -203,7 +203,7 @@
 		}
 	}
 	var beyond []measure.Passed
-	for _, s := range audit.Beyond(w.quotas(), e.Sent) {
+	for _, s := range rulecheck.Beyond(w.quotas(), e.Sent) {
 		beyond = append(beyond, measure.Passed{At: s.Came - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
 	}
 	mc, mp := worths(w.classes, w.plans)
@@ -213,8 +213,8 @@
 }
 
 // channels compares what the nodes saw with what was allowed.
-func (w *World) channels(r *Report, e audit.Evidence) {
-	uses := audit.Uses(w.quotas(), e.Sent)
+func (w *World) channels(r *Report, e rulecheck.Evidence) {
+	uses := rulecheck.Uses(w.quotas(), e.Sent)
 	inside, beyond := 0.0, 0.0
 	for _, u := range uses {
 		inside, beyond = inside+u.Inside, beyond+u.Beyond
@@ -223,7 +223,7 @@
 		r.BeyondShare = beyond / inside
 	}
 	if most := w.day.MostBeyond; most > 0 && r.BeyondShare > most {
-		r.Breaks = append(r.Breaks, audit.Break{Rule: Quotas, At: w.load.began + time.Duration(w.day.Length), Until: w.load.began + time.Duration(w.day.Length), What: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*most)})
+		r.Breaks = append(r.Breaks, rulecheck.Break{Rule: Quotas, At: w.load.began + time.Duration(w.day.Length), Until: w.load.began + time.Duration(w.day.Length), What: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*most)})
 		r.Rules[Quotas] = 1
 	}
 	for _, ch := range w.load.channels {
--- a/internal/audit/audit.go
+++ b/internal/rulecheck/rulecheck.go
@@ -1,6 +1,6 @@
 // Package audit judges the five rules from what the peers saw: the clients' record of what they asked and were answered,
 // the nodes' record of what came, and discovery's record of what it told. It does no I/O and never asks an ingress.
-package audit
+package rulecheck
 
 import (
 	"cmp"
--- a/internal/audit/audit_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -1,4 +1,4 @@
-package audit
+package rulecheck
 
 import (
 	"fmt"
