--- a/cmd/lab/overlap.go
+++ b/cmd/lab/overlap.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hitchspring/internal/lab"
-	"hitchspring/internal/lab/overlap"
+	"hitchspring/internal/lab/soak"
 )
 
 // mostShown is how many breaks of one rule are told in full.
@@ -41,11 +41,11 @@
 	}
 	broken, doubtful := 0, 0
 	for i := range c.Seeds {
-		cfg := overlap.Config{Program: program, Seed: c.Seed + uint64(i), Instances: c.Instances, Length: c.For}
+		cfg := soak.Config{Program: program, Seed: c.Seed + uint64(i), Instances: c.Instances, Length: c.For}
 		if c.Logs != "" {
 			cfg.Logs = filepath.Join(c.Logs, fmt.Sprint(cfg.Seed))
 		}
-		report, err := overlap.Run(ctx, cfg)
+		report, err := soak.Run(ctx, cfg)
 		if err != nil {
 			return failed, fmt.Errorf("seed %d: %w", cfg.Seed, err)
 		}
--- a/internal/lab/overlap/overlap.go
+++ b/internal/lab/soak/soak.go
@@ -2,7 +2,7 @@
 // and given new configurations, backends, discovery and the counter that fail in many ways, and clients that misbehave, all drawn by a
 // seed. In: a program and a seed. Out: each break of a promise, judged by what clients, backends and discovery saw and by what the
 // program says of its own invariants. It must never ask an ingress how it decided.
-package overlap
+package soak
 
 import (
 	"context"
--- a/internal/lab/overlap/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -1,4 +1,4 @@
-package overlap
+package soak
 
 import (
 	"context"
