--- a/cmd/lab/halls.go
+++ b/cmd/lab/halls.go
@@ -6,8 +6,8 @@
 	"io"
 	"strings"
 
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/experiment"
+	"hitchspring/internal/lab/scenario"
 )
 
 type hallsCmd struct {
@@ -26,7 +26,7 @@
 	if c.On {
 		s.Variants = s.Variants[1:]
 	}
-	for _, name := range day.Names() {
+	for _, name := range scenario.Names() {
 		if strings.HasPrefix(name, "hall-") || name == "calm" {
 			s.Days = append(s.Days, name)
 		}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -19,7 +19,7 @@
 
 	"hitchspring/internal/cmdline"
 	"hitchspring/internal/lab"
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/version"
 )
 
@@ -176,7 +176,7 @@
 	defer done()
 	days := []string{c.Day}
 	if c.All == "all" {
-		days = day.Names()
+		days = scenario.Names()
 	} else if c.All != "" {
 		days = strings.Split(c.All, ",")
 	}
@@ -240,15 +240,15 @@
 
 func (c *daysCmd) run(_ context.Context, out io.Writer) (int, error) {
 	if c.Name != "" {
-		text, err := day.Text(c.Name)
+		text, err := scenario.Text(c.Name)
 		if err != nil {
 			return failed, err
 		}
 		io.WriteString(out, text)
 		return lab.Clean, nil
 	}
-	for _, name := range day.Names() {
-		d, err := day.Load(name)
+	for _, name := range scenario.Names() {
+		d, err := scenario.Load(name)
 		if err != nil {
 			return failed, err
 		}
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 )
 
 // Bounds of a run, so that every load is bounded in count and time.
@@ -54,7 +54,7 @@
 }
 
 // resolve is the day that is played: the named one, changed by what else is set.
-func (c *Config) resolve() (*day.Day, error) {
+func (c *Config) resolve() (*scenario.Day, error) {
 	if c.Day == "" {
 		c.Day = DefaultDay
 	}
@@ -64,12 +64,12 @@
 	if c.MemoryMB == 0 {
 		c.MemoryMB = 64
 	}
-	d, err := day.Load(c.Day)
+	d, err := scenario.Load(c.Day)
 	if err != nil {
 		return nil, err
 	}
 	if c.For != 0 {
-		d.Length = day.Duration(c.For)
+		d.Length = scenario.Duration(c.For)
 	}
 	if c.Nodes != 0 {
 		d.Nodes = c.Nodes
@@ -93,7 +93,7 @@
 		return nil, fmt.Errorf("http: %v is no share, 0 to 1", c.HTTP)
 	}
 	if c.Hot > 0 {
-		d.Hot = append(d.Hot, day.Hot{Plan: "storby", Channels: 1, Times: c.Hot})
+		d.Hot = append(d.Hot, scenario.Hot{Plan: "storby", Channels: 1, Times: c.Hot})
 	}
 	return d, d.Check()
 }
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"hitchspring/internal/lab"
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/prove"
+	"hitchspring/internal/lab/scenario"
 )
 
 // Variant is a build with its settings. Of Commit, Program and Defect one at most is set; none is this source.
@@ -35,15 +35,15 @@
 
 // Spec is an experiment.
 type Spec struct {
-	Name     string       `toml:"-"`
-	About    string       `toml:"about"`
-	Days     []string     `toml:"days"`
-	Seeds    int          `toml:"seeds"` // so many, from First on
-	First    uint64       `toml:"first"`
-	Length   day.Duration `toml:"length"` // 0: the day's
-	Rate     float64      `toml:"rate"`
-	Paired   bool         `toml:"paired"` // two variants also share each world, two ingresses each: for their CPU and memory
-	Variants []Variant    `toml:"variant"`
+	Name     string            `toml:"-"`
+	About    string            `toml:"about"`
+	Days     []string          `toml:"days"`
+	Seeds    int               `toml:"seeds"` // so many, from First on
+	First    uint64            `toml:"first"`
+	Length   scenario.Duration `toml:"length"` // 0: the day's
+	Rate     float64           `toml:"rate"`
+	Paired   bool              `toml:"paired"` // two variants also share each world, two ingresses each: for their CPU and memory
+	Variants []Variant         `toml:"variant"`
 }
 
 const mostRuns = 2000
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	s := &Spec{Name: strings.TrimSuffix(path.Base(file), ".toml")}
-	if err := day.Decode("experiment "+s.Name, text, s); err != nil {
+	if err := scenario.Decode("experiment "+s.Name, text, s); err != nil {
 		return nil, err
 	}
 	return s, s.Check()
@@ -88,7 +88,7 @@
 		return bad("%d runs are too many, %d at most", len(s.Cells()), mostRuns)
 	}
 	for _, d := range s.Days {
-		if _, err := day.Load(d); err != nil {
+		if _, err := scenario.Load(d); err != nil {
 			return bad("days: %v", err)
 		}
 	}
--- a/internal/lab/halls_test.go
+++ b/internal/lab/halls_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 )
 
 // sent is what a hall's nodes saw between two times of the load, in seconds.
@@ -54,7 +54,7 @@
 		"all die":             {faults: []string{"hall/a:die 2500ms at 2s", "hall/b:die 2s at 2s", "hall/c:die 2s at 2s"}, quiet: []span{{"a", 2.5, 4}, {"b", 2.5, 4}}, back: "c"},
 		"cut from one":        {faults: []string{"hall/a:cut 0 3s at 2s"}, back: "a"},
 		"half drained":        {faults: []string{"node/0:drain at 500ms", "node/3:drain at 500ms", "node/6:stop at 3s", "node/9:stop at 3s"}, quiet: []span{{"a", 6, 9}}},
-		"with the store":      {faults: []string{"hall/a:die 3s at 2s", "store:stop 2s at 2s"}, store: day.StoreRedis, quiet: []span{{"a", 2.5, 5}}},
+		"with the store":      {faults: []string{"hall/a:die 3s at 2s", "store:stop 2s at 2s"}, store: scenario.StoreRedis, quiet: []span{{"a", 2.5, 5}}},
 		"drill":               {faults: []string{"hall/b:drill 4s at 1500ms"}, quiet: []span{{"b", 3.5, 5}}, back: "b"},
 		"while nodes lose":    {faults: []string{"hall/a:die 3s at 2s", "node/1:drop-after for 4s share 0.2 at 2s", "node/2:drop-before for 4s share 0.2 at 2s"}},
 	} {
--- a/internal/lab/instance.go
+++ b/internal/lab/instance.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/proc"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/standin/fault"
 	"hitchspring/internal/standin/gate"
 	"hitchspring/internal/standin/redis"
@@ -84,9 +84,9 @@
 		return nil, err
 	}
 	g.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "HITCHSPRING_OPTIONS=")
-	if w.day.Store != day.StoreTally {
+	if w.day.Store != scenario.StoreTally {
 		where := fmt.Sprintf("address = %q\n", counter)
-		if w.day.Store == day.StoreSentinel {
+		if w.day.Store == scenario.StoreSentinel {
 			s, name, err := w.store.(redisStore).Group().AddSentinel(redis.Options{Listen: w.net + ".1:0"})
 			if err != nil {
 				return nil, err
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/goleak"
 
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/rulecheck"
 )
 
@@ -103,9 +103,9 @@
 			t.Parallel()
 			cfg := testConfig(t)
 			cfg.Seed += uint64(i)
-			cfg.Store = day.StoreRedis
+			cfg.Store = scenario.StoreRedis
 			if strings.HasPrefix(f, "failover") {
-				cfg.Store = day.StoreSentinel
+				cfg.Store = scenario.StoreSentinel
 				cfg.Faults = []string{"store:lag 500ms at 500ms"}
 			}
 			if f != "none" {
@@ -207,7 +207,7 @@
 // What is drawn for a seed is drawn again for it, whatever happens in a run, and the load is what the day says.
 func TestDraw(t *testing.T) {
 	draw := func(seed uint64) (*World, *load) {
-		d, err := day.Load("evening")
+		d, err := scenario.Load("evening")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/link"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/node"
 )
@@ -105,7 +105,7 @@
 }
 
 // doLink puts a fault in force on links.
-func (w *World) doLink(s day.Step) error {
+func (w *World) doLink(s scenario.Step) error {
 	if w.links == nil {
 		return fmt.Errorf("there are no links in this run")
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/respclient"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/rulecheck"
 	"hitchspring/internal/standin/gate"
 )
@@ -103,7 +103,7 @@
 	l := &load{w: w, open: make(chan struct{}, mostOpen)}
 	l.lastID.Store(w.cfg.Seed<<40 | 1)
 	id := uint64(1000)
-	hot := map[string][]day.Hot{}
+	hot := map[string][]scenario.Hot{}
 	for _, h := range w.day.Hot {
 		for range h.Channels {
 			hot[h.Plan] = append(hot[h.Plan], h)
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -6,14 +6,14 @@
 	"fmt"
 	"time"
 
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/lateness"
 	"hitchspring/internal/lab/proc"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/rulecheck"
 )
 
 // play loads what is open, by the timeline, and judges.
-func (w *World) play(ctx context.Context, steps []day.Step) (*Report, error) {
+func (w *World) play(ctx context.Context, steps []scenario.Step) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer w.wg.Wait()
--- a/internal/lab/prove/prove.go
+++ b/internal/lab/prove/prove.go
@@ -24,7 +24,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"hitchspring/internal/lab"
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/rulecheck"
 )
 
@@ -89,7 +89,7 @@
 		return d, fmt.Errorf("defect %s: rule: %q is none of lost, twice, drains, cold, ceilings, quotas, words, once", name, d.Rule)
 	case d.About == "" || d.Part == "" || len(d.Edits) == 0:
 		return d, fmt.Errorf("defect %s: about, part and edit are wanted", name)
-	case !slices.Contains(day.Names(), d.Day):
+	case !slices.Contains(scenario.Names(), d.Day):
 		return d, fmt.Errorf("defect %s: day: there is no %q", name, d.Day)
 	}
 	d.Edits = append(d.Edits, unguarded)
--- a/internal/lab/day/day.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,7 +1,7 @@
 // Package day is the lab's days: what is asked, what goes wrong and what a run must have exercised to prove anything. In:
 // a TOML file, or the name of one that comes with the program. Out: a Day whose every word has been checked. It starts
 // nothing and knows no process and no socket.
-package day
+package scenario
 
 import (
 	"bytes"
--- a/internal/lab/day/step.go
+++ b/internal/lab/scenario/step.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"errors"
--- a/internal/lab/stores.go
+++ b/internal/lab/stores.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/standin/redis"
 	"hitchspring/internal/standin/tally"
 )
@@ -17,7 +17,7 @@
 
 func (w *World) openStore() error {
 	switch w.day.Store {
-	case day.StoreTally:
+	case scenario.StoreTally:
 		s, err := tally.Start(w.net+".1:0", w.cfg.Seed)
 		if err != nil {
 			return err
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -8,14 +8,14 @@
 	"syscall"
 	"time"
 
-	"hitchspring/internal/lab/day"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/standin/fault"
 	"hitchspring/internal/standin/node"
 	"hitchspring/internal/zonedrain"
 )
 
 // timeline does the steps at their times, until ctx ends.
-func (w *World) timeline(ctx context.Context, began time.Time, steps []day.Step) error {
+func (w *World) timeline(ctx context.Context, began time.Time, steps []scenario.Step) error {
 	for _, s := range steps {
 		t := time.NewTimer(time.Until(began.Add(s.At)))
 		select {
@@ -46,7 +46,7 @@
 	})
 }
 
-func (w *World) do(ctx context.Context, s day.Step) error {
+func (w *World) do(ctx context.Context, s scenario.Step) error {
 	verb := s.Words()[0]
 	switch s.Kind {
 	case "store":
@@ -177,7 +177,7 @@
 	}
 }
 
-func (w *World) doIngress(ctx context.Context, g *ingress, s day.Step) error {
+func (w *World) doIngress(ctx context.Context, g *ingress, s scenario.Step) error {
 	switch s.Words()[0] {
 	case "kill":
 		g.down()
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func (w *World) doNode(i int, s day.Step) error {
+func (w *World) doNode(i int, s scenario.Step) error {
 	n, t := w.node(i)
 	switch words := s.Words(); words[0] {
 	case "slow":
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"hitchspring/internal/lab/day"
 	"hitchspring/internal/lab/lateness"
 	"hitchspring/internal/lab/link"
+	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/standin/discovery"
 	"hitchspring/internal/standin/gate"
 	"hitchspring/internal/standin/node"
@@ -25,7 +25,7 @@
 // World is a run.
 type World struct {
 	cfg       Config
-	day       *day.Day
+	day       *scenario.Day
 	classes   []class
 	plans     []*plan
 	dir       string
@@ -74,7 +74,7 @@
 	return w.play(ctx, steps)
 }
 
-func newWorld(cfg Config, d *day.Day) *World {
+func newWorld(cfg Config, d *scenario.Day) *World {
 	return &World{cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
 		net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256)), rng: rand.New(rand.NewPCG(cfg.Seed, 5)),
 		byName: map[string]*node.Node{}, targets: map[string]discovery.Target{}}
