--- a/cmd/lab/prove.go
+++ b/cmd/lab/prove.go
@@ -7,7 +7,7 @@
 	"io"
 
 	"hitchspring/internal/lab"
-	"hitchspring/internal/lab/prove"
+	"hitchspring/internal/lab/mutation"
 )
 
 type proveCmd struct {
@@ -23,7 +23,7 @@
 
 func (c *proveCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	if c.List {
-		all, err := prove.Defects()
+		all, err := mutation.Defects()
 		if err != nil {
 			return failed, err
 		}
@@ -36,7 +36,7 @@
 		}
 		return lab.Clean, nil
 	}
-	results, err := prove.Run(ctx, prove.Config{Only: c.Names, Short: c.Short, Seed: c.Seed, Seeds: c.Seeds, Clean: c.Clean, Jobs: c.Jobs, Out: out})
+	results, err := mutation.Run(ctx, mutation.Config{Only: c.Names, Short: c.Short, Seed: c.Seed, Seeds: c.Seeds, Clean: c.Clean, Jobs: c.Jobs, Out: out})
 	if err != nil {
 		return failed, err
 	}
@@ -45,9 +45,9 @@
 			return failed, err
 		}
 	}
-	text, err := prove.Sum(results)
+	text, err := mutation.Sum(results)
 	fmt.Fprintln(out, text)
-	if errors.Is(err, prove.ErrMissed) {
+	if errors.Is(err, mutation.ErrMissed) {
 		return lab.Broken, nil
 	}
 	return lab.Clean, err
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"hitchspring/internal/lab"
-	"hitchspring/internal/lab/prove"
+	"hitchspring/internal/lab/mutation"
 	"hitchspring/internal/lab/scenario"
 )
 
@@ -163,15 +163,15 @@
 		}
 		return os.WriteFile(to, b, 0o700)
 	case v.Defect != "":
-		all, err := prove.Defects()
+		all, err := mutation.Defects()
 		if err != nil {
 			return err
 		}
-		i := slices.IndexFunc(all, func(d prove.Defect) bool { return d.Name == v.Defect })
+		i := slices.IndexFunc(all, func(d mutation.Defect) bool { return d.Name == v.Defect })
 		if i < 0 {
 			return fmt.Errorf("variant %s: there is no defect %q", v.Name, v.Defect)
 		}
-		root, err := prove.Root(ctx)
+		root, err := mutation.Root(ctx)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/prove/prove.go
+++ b/internal/lab/mutation/mutation.go
@@ -2,7 +2,7 @@
 // its source that go build -overlay puts in place of the real one, plays the day that should show it, and looks for the
 // expected break in the verdict. In: the defects that come with the program. Out: seen or missed, for each. No source file
 // is written.
-package prove
+package mutation
 
 import (
 	"bytes"
--- a/internal/lab/prove/prove_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -1,4 +1,4 @@
-package prove
+package mutation
 
 import (
 	"context"
