--- a/internal/lab/brief.go
+++ b/internal/lab/brief.go
@@ -5,7 +5,7 @@
 
 	"hitchspring/internal/lab/measure"
 	"hitchspring/internal/rulecheck"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 const ms = time.Millisecond
@@ -14,7 +14,7 @@
 type class struct {
 	name          string
 	share         float64
-	work          node.Work
+	work          backend.Work
 	aim, deadline time.Duration
 	worth         float64
 	late          float64
@@ -25,13 +25,13 @@
 // classes are the brief's; the last is the lab's own, for days that need one which may not be repeated.
 func classes(unsafe bool) []class {
 	out := []class{
-		{"guide-read", 0.60, node.Work{Least: 26 * ms, Most: 45 * ms}, 400 * ms, time.Second, 2, 0.1, "read_like", 1},
-		{"schedule-set", 0.22, node.Work{Least: 57 * ms, Most: 99 * ms}, 750 * ms, 2 * time.Second, 2, 0.1, "read_like", 2},
-		{"clip-publish", 0.18, node.Work{Least: 88 * ms, Most: 150 * ms}, 1500 * ms, 5 * time.Second, 5, 0.2, "idempotency_key", 4},
+		{"guide-read", 0.60, backend.Work{Least: 26 * ms, Most: 45 * ms}, 400 * ms, time.Second, 2, 0.1, "read_like", 1},
+		{"schedule-set", 0.22, backend.Work{Least: 57 * ms, Most: 99 * ms}, 750 * ms, 2 * time.Second, 2, 0.1, "read_like", 2},
+		{"clip-publish", 0.18, backend.Work{Least: 88 * ms, Most: 150 * ms}, 1500 * ms, 5 * time.Second, 5, 0.2, "idempotency_key", 4},
 	}
 	if unsafe {
 		out[0].share = 0.54
-		out = append(out, class{"air-switch", 0.06, node.Work{Least: 57 * ms, Most: 99 * ms}, time.Second, 3 * time.Second, 4, 0.2, "non_idempotent", 3})
+		out = append(out, class{"air-switch", 0.06, backend.Work{Least: 57 * ms, Most: 99 * ms}, time.Second, 3 * time.Second, 4, 0.2, "non_idempotent", 3})
 	}
 	return out
 }
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hitchspring/internal/slowstart"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 // coldReturn is a run of many real processes in which one node comes back cold, told to all at once, under a burst.
@@ -88,7 +88,7 @@
 	if c.program != "" {
 		cfg.Ingress = c.program
 	}
-	var cold *node.Fleet
+	var cold *backend.Fleet
 	cfg.Watch = func(ctx context.Context, w *World) {
 		if err := c.bringBack(ctx, w, cold); err != nil {
 			w.fault(err)
@@ -105,7 +105,7 @@
 		*least, *most = time.Duration(c.work*float64(*least)), time.Duration(c.work*float64(*most))
 	}
 	// The node that returns is of a fleet of its own, in which none falls: all that comes is seen, also beyond the limit.
-	cold = node.NewFleet(c.rules(w), c.seed, w.clock)
+	cold = backend.NewFleet(c.rules(w), c.seed, w.clock)
 	defer cold.Close()
 	if err := w.open(t.Context()); err != nil {
 		t.Fatal(err)
@@ -118,12 +118,12 @@
 }
 
 // rules are those of the cold node.
-func (c coldReturn) rules(w *World) node.Rules {
-	work := map[string]node.Work{}
+func (c coldReturn) rules(w *World) backend.Rules {
+	work := map[string]backend.Work{}
 	for _, k := range w.classes {
 		work[k.name] = k.work
 	}
-	return node.Rules{Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, MostConns: 1500, ConnWork: ms, Knee: 8,
+	return backend.Rules{Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, MostConns: 1500, ConnWork: ms, Knee: 8,
 		LossBeyond: 0.03}
 }
 
@@ -136,7 +136,7 @@
 }
 
 // bringBack takes the node away and starts it cold; all processes are told of both at once.
-func (c coldReturn) bringBack(ctx context.Context, w *World, cold *node.Fleet) error {
+func (c coldReturn) bringBack(ctx context.Context, w *World, cold *backend.Fleet) error {
 	if !sleepUntil(ctx, w, coldGone) {
 		return nil
 	}
@@ -175,7 +175,7 @@
 }
 
 // judge slides the settings' window over what the cold node's observer saw. Each attempt counts as the mean work of its class.
-func (c coldReturn) judge(t *testing.T, w *World, cold *node.Fleet) (slowstart.Peak, int) {
+func (c coldReturn) judge(t *testing.T, w *World, cold *backend.Fleet) (slowstart.Peak, int) {
 	t.Helper()
 	nodes := cold.Nodes()
 	if len(nodes) != 1 {
--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"hitchspring/internal/standin/backend"
 	"hitchspring/internal/standin/discovery"
 	"hitchspring/internal/standin/fault"
-	"hitchspring/internal/standin/node"
 	"hitchspring/internal/standin/tally"
 )
 
@@ -20,8 +20,8 @@
 
 // backends is what stands behind an ingress: the backends, the list of them, and the shared counter.
 type backends struct {
-	fleet    *node.Fleet
-	nodes    []*node.Node
+	fleet    *backend.Fleet
+	nodes    []*backend.Node
 	registry *discovery.Registry
 	agent    string
 	counter  *tally.Server
@@ -31,7 +31,7 @@
 func startBackends(c *Config, build Build, seed uint64) (b *backends, err error) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	b = &backends{fleet: node.NewFleet(node.Rules{Work: map[string]node.Work{class: {Least: c.Work, Most: c.Work}}}, seed, clock),
+	b = &backends{fleet: backend.NewFleet(backend.Rules{Work: map[string]backend.Work{class: {Least: c.Work, Most: c.Work}}}, seed, clock),
 		registry: discovery.New(seed, clock, 0, time.Millisecond)}
 	defer func() {
 		if err != nil {
@@ -56,7 +56,7 @@
 }
 
 func (b *backends) add(i int) error {
-	spec := node.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: cores, Speed: 1, Room: room}
+	spec := backend.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: cores, Speed: 1, Room: room}
 	n, err := b.fleet.Add(spec, loopback, false, 1)
 	if err != nil {
 		return err
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hitchspring/internal/lab/measure"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 // HallTrack is what came to a hall's nodes, and what they could do, for each span of hallSpan.
@@ -146,7 +146,7 @@
 	began := w.load.began
 	for _, rec := range w.fleet.Records(0) {
 		inHall := slices.Contains(lost, strings.TrimPrefix(rec.Zone, "hall-"))
-		if rec.How == node.CutOff && inHall && rec.Came >= began+from && rec.Came < began+to {
+		if rec.How == backend.CutOff && inHall && rec.Came >= began+from && rec.Came < began+to {
 			out.LastSentS = max(out.LastSentS, (rec.Came - began - from).Seconds())
 		}
 	}
@@ -168,7 +168,7 @@
 	runs := map[string]*run{}
 	most := time.Duration(0)
 	for _, rec := range w.fleet.Records(0) {
-		if rec.How != node.Ran {
+		if rec.How != backend.Ran {
 			continue
 		}
 		x := runs[rec.Node]
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/lab/link"
 	"hitchspring/internal/lab/scenario"
 	"hitchspring/internal/rulecheck"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 // peerPort is where an instance hears its peers, at its own host; it is outside the span that the system draws ports from.
@@ -44,7 +44,7 @@
 }
 
 // linkNode is the addresses at which the instances find a node's start, in their order.
-func (w *World) linkNode(spec node.Spec, n *node.Node) ([]string, error) {
+func (w *World) linkNode(spec backend.Spec, n *backend.Node) ([]string, error) {
 	if w.links == nil {
 		return n.Addrs(), nil
 	}
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hitchspring/internal/lab/measure"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 // Text is the report for people.
@@ -155,7 +155,7 @@
 	records := w.fleet.Records(sentFrom)
 	units, allowed := 0.0, 0.0
 	for _, r := range records {
-		if r.Plan == "storby" && r.How == node.Ran {
+		if r.Plan == "storby" && r.How == backend.Ran {
 			units += r.Units
 		}
 	}
--- a/internal/lab/soak/deployment.go
+++ b/internal/lab/soak/deployment.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hitchspring/internal/rulecheck"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 const (
@@ -35,7 +35,7 @@
 type class struct {
 	name, effect string
 	share        float64 // of the requests
-	work         node.Work
+	work         backend.Work
 	aim          time.Duration
 	deadline     time.Duration
 	units        int
@@ -69,9 +69,9 @@
 		return least + time.Duration(rng.Int64N(int64(most-least)))
 	}
 	classes := []class{
-		{name: "look", effect: safe, share: 0.5, work: node.Work{Least: 8 * time.Millisecond, Most: 25 * time.Millisecond}, units: 1, deadline: between(700*time.Millisecond, 1500*time.Millisecond)},
-		{name: "put", effect: keyed, share: 0.3, work: node.Work{Least: 15 * time.Millisecond, Most: 40 * time.Millisecond}, units: 2, deadline: between(time.Second, 3*time.Second)},
-		{name: "fire", effect: unsafe, share: 0.2, work: node.Work{Least: 10 * time.Millisecond, Most: 30 * time.Millisecond}, units: 3, deadline: between(800*time.Millisecond, 3*time.Second)},
+		{name: "look", effect: safe, share: 0.5, work: backend.Work{Least: 8 * time.Millisecond, Most: 25 * time.Millisecond}, units: 1, deadline: between(700*time.Millisecond, 1500*time.Millisecond)},
+		{name: "put", effect: keyed, share: 0.3, work: backend.Work{Least: 15 * time.Millisecond, Most: 40 * time.Millisecond}, units: 2, deadline: between(time.Second, 3*time.Second)},
+		{name: "fire", effect: unsafe, share: 0.2, work: backend.Work{Least: 10 * time.Millisecond, Most: 30 * time.Millisecond}, units: 3, deadline: between(800*time.Millisecond, 3*time.Second)},
 	}
 	for i := range classes {
 		classes[i].aim = classes[i].deadline / 2
@@ -121,17 +121,17 @@
 }
 
 // spec is one backend.
-func (d *deployment) spec(backend int) node.Spec {
-	return node.Spec{ID: fmt.Sprintf("b-%02d", backend), Zone: fmt.Sprint("z", backend%zones), Kind: "std", Rack: d.rack(backend), Cores: 2, Speed: 1, Room: 40}
+func (d *deployment) spec(index int) backend.Spec {
+	return backend.Spec{ID: fmt.Sprintf("b-%02d", index), Zone: fmt.Sprint("z", index%zones), Kind: "std", Rack: d.rack(index), Cores: 2, Speed: 1, Room: 40}
 }
 
 // nodeRules are the figures that hold for all backends.
-func (d *deployment) nodeRules() node.Rules {
-	work := map[string]node.Work{}
+func (d *deployment) nodeRules() backend.Rules {
+	work := map[string]backend.Work{}
 	for _, c := range d.classes {
 		work[c.name] = c.work
 	}
-	return node.Rules{Work: work, KeyMemory: d.window, ColdShare: coldShare, WarmAfter: warmAfter, FallMultiple: fallMultiple, FallSpan: time.Second,
+	return backend.Rules{Work: work, KeyMemory: d.window, ColdShare: coldShare, WarmAfter: warmAfter, FallMultiple: fallMultiple, FallSpan: time.Second,
 		FallSlack: 50 * time.Millisecond, MostConns: 1500}
 }
 
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hitchspring/internal/rulecheck"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 // tolerance is how late an observer may be, and the platform's slack on each time limit.
@@ -53,7 +53,7 @@
 // judge judges the run by what was recorded.
 func (r *run) judge() *Report {
 	records := r.fleet.Records(0)
-	byID := map[string][]node.Record{}
+	byID := map[string][]backend.Record{}
 	for _, rec := range records {
 		byID[rec.ID] = append(byID[rec.ID], rec)
 	}
@@ -69,7 +69,7 @@
 	e := rulecheck.Evidence{Asked: list, Told: r.toldToInstances(), Late: r.meter.Late()}
 	for _, rec := range records {
 		e.Sent = append(e.Sent, rulecheck.Sent{Came: rec.Came, Ended: rec.Ended, ID: rec.ID, Node: rec.Node, Instance: fmt.Sprint("n", rec.Instance), Customer: rec.Customer,
-			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.How == node.Busy, Cold: rec.Cold})
+			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.How == backend.Busy, Cold: rec.Cold})
 	}
 	for _, n := range r.fleet.Nodes() {
 		if why, at := n.Fell(); n.Pushed() > 0 {
@@ -89,7 +89,7 @@
 }
 
 // asAudited is a request as package audit judges it: excused where nobody owes it an answer.
-func (r *run) asAudited(a *asked, sent []node.Record) rulecheck.Asked {
+func (r *run) asAudited(a *asked, sent []backend.Record) rulecheck.Asked {
 	out := rulecheck.Asked{ID: a.id, Instance: a.in.Name, Class: a.class, Sent: a.sent, GiveUp: max(a.wait, a.owed) + lateBy, Answers: a.answers}
 	out.Spoilt = len(a.answers) > 0 && a.answers[0].Kind == "served" && a.value != "value of "+a.id
 	end := max(a.ended, a.waited)
@@ -111,7 +111,7 @@
 }
 
 // judgeRecords judges what attempts told, and what was sent for clients that had gone.
-func (r *run) judgeRecords(records []node.Record, requests map[string]*asked) {
+func (r *run) judgeRecords(records []backend.Record, requests map[string]*asked) {
 	for _, rec := range records {
 		a := requests[rec.ID]
 		if a == nil {
@@ -243,7 +243,7 @@
 }
 
 // tellStory adds to a finding what client and backends saw of the request that it names.
-func (r *run) tellStory(f *Finding, requests map[string]*asked, byID map[string][]node.Record) {
+func (r *run) tellStory(f *Finding, requests map[string]*asked, byID map[string][]backend.Record) {
 	for _, word := range strings.Fields(f.What) {
 		a := requests[word]
 		if a == nil {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -19,8 +19,8 @@
 
 	"hitchspring/internal/lab/lateness"
 	"hitchspring/internal/rulecheck"
+	"hitchspring/internal/standin/backend"
 	"hitchspring/internal/standin/discovery"
-	"hitchspring/internal/standin/node"
 	"hitchspring/internal/standin/tally"
 )
 
@@ -83,7 +83,7 @@
 	began      time.Time
 	dir, logs  string
 	network    string // three bytes of its loopback addresses
-	fleet      *node.Fleet
+	fleet      *backend.Fleet
 	registry   *discovery.Registry
 	counter    *tally.Server
 	instances  []*instance
@@ -94,7 +94,7 @@
 	closers    []func()
 
 	mu       sync.Mutex // of all below
-	backends []*node.Node
+	backends []*backend.Node
 	targets  []discovery.Target
 	hosts    int
 	asked    []asked
@@ -151,7 +151,7 @@
 		return err
 	}
 	r.onClose(r.counter.Close)
-	r.fleet = node.NewFleet(r.deployment.nodeRules(), r.cfg.Seed, r.clock)
+	r.fleet = backend.NewFleet(r.deployment.nodeRules(), r.cfg.Seed, r.clock)
 	r.onClose(r.fleet.Close)
 	r.registry = discovery.New(r.cfg.Seed, r.clock, listLeast, listMost)
 	r.onClose(r.registry.Close)
@@ -224,7 +224,7 @@
 }
 
 // addBackend starts a backend, on a host that none had before.
-func (r *run) addBackend(b int, cold bool) (*node.Node, discovery.Target, error) {
+func (r *run) addBackend(b int, cold bool) (*backend.Node, discovery.Target, error) {
 	r.mu.Lock()
 	r.hosts++
 	host := fmt.Sprintf("%s.%d", r.network, r.hosts)
@@ -247,7 +247,7 @@
 }
 
 // backend is a backend as it runs now.
-func (r *run) backend(b int) *node.Node {
+func (r *run) backend(b int) *backend.Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.backends[b]
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 
 	"hitchspring/internal/rulecheck"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -89,10 +89,10 @@
 
 // What an instance owes an answer to, and what it does not.
 func TestWhoIsExcused(t *testing.T) {
-	forwarded := []node.Record{{ID: "1"}}
+	forwarded := []backend.Record{{ID: "1"}}
 	for name, c := range map[string]struct {
 		change func(*asked, *instance)
-		sent   []node.Record
+		sent   []backend.Record
 		want   bool
 	}{
 		"no answer":                       {func(*asked, *instance) {}, nil, false},
@@ -121,19 +121,19 @@
 // The judge sees time that the client had not, attempts for clients that had gone, and the reverse of both.
 func TestRecordsAreJudged(t *testing.T) {
 	for name, c := range map[string]struct {
-		rec  node.Record
+		rec  backend.Record
 		left time.Duration
 		want string
 	}{
-		"in order":           {node.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, 0, ""},
-		"within the slack":   {node.Record{Came: sentAt + 200*time.Millisecond, Allowed: 990 * time.Millisecond}, 0, ""},
-		"too much is told":   {node.Record{Came: sentAt + 300*time.Millisecond, Allowed: 910 * time.Millisecond}, 0, RuleDeadlineTold},
-		"soon after it left": {node.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 60*time.Millisecond, ""},
-		"after it left":      {node.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 40*time.Millisecond, RuleClientsGone},
+		"in order":           {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, 0, ""},
+		"within the slack":   {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 990 * time.Millisecond}, 0, ""},
+		"too much is told":   {backend.Record{Came: sentAt + 300*time.Millisecond, Allowed: 910 * time.Millisecond}, 0, RuleDeadlineTold},
+		"soon after it left": {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 60*time.Millisecond, ""},
+		"after it left":      {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 40*time.Millisecond, RuleClientsGone},
 	} {
 		r, in := newJudged()
 		c.rec.ID = "1"
-		r.judgeRecords([]node.Record{c.rec}, map[string]*asked{"1": {id: "1", in: in, sent: sentAt, wait: waits, left: c.left}})
+		r.judgeRecords([]backend.Record{c.rec}, map[string]*asked{"1": {id: "1", in: in, sent: sentAt, wait: waits, left: c.left}})
 		got := ""
 		for _, f := range r.findings {
 			got += f.Rule
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -8,7 +8,7 @@
 
 	"hitchspring/internal/lab/measure"
 	"hitchspring/internal/rulecheck"
-	"hitchspring/internal/standin/node"
+	"hitchspring/internal/standin/backend"
 )
 
 // commands are what came to nodes.
@@ -71,7 +71,7 @@
 			x.Helped = c.Came
 		}
 		switch c.How {
-		case node.Ran, node.DroppedAfter, node.Unanswered:
+		case backend.Ran, backend.DroppedAfter, backend.Unanswered:
 			x.Effects++
 			r.History = append(r.History, Step{Key: c.Key, From: c.Came, Until: c.Ended, Effect: true, Who: len(r.History)})
 			racks[c.Key][c.Rack] = true
@@ -195,7 +195,7 @@
 		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Channel, b.Channel))
 	})
 	for _, rec := range w.fleet.Records(0) {
-		if rec.How != node.Busy {
+		if rec.How != backend.Busy {
 			costs.Done += rec.Work
 		}
 		if rec.Zone != "hall-"+string(rune('a'+rec.Instance%3)) {
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"hitchspring/internal/lab/scenario"
+	"hitchspring/internal/standin/backend"
 	"hitchspring/internal/standin/fault"
-	"hitchspring/internal/standin/node"
 	"hitchspring/internal/zonedrain"
 )
 
@@ -227,7 +227,7 @@
 	return nil
 }
 
-func ruleAt(n *node.Node, text string) error {
+func ruleAt(n *backend.Node, text string) error {
 	r, err := fault.Parse(text)
 	if err == nil {
 		n.Fault(r)
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -17,9 +17,9 @@
 	"hitchspring/internal/lab/lateness"
 	"hitchspring/internal/lab/link"
 	"hitchspring/internal/lab/scenario"
+	"hitchspring/internal/standin/backend"
 	"hitchspring/internal/standin/discovery"
 	"hitchspring/internal/standin/gate"
-	"hitchspring/internal/standin/node"
 )
 
 // World is a run.
@@ -36,7 +36,7 @@
 	net       string                    // the loopback network of this run: three bytes of an address
 	began     time.Time
 	rng       *rand.Rand
-	fleet     *node.Fleet
+	fleet     *backend.Fleet
 	capacity  float64 // of all nodes when warm, in seconds of work a second
 	registry  *discovery.Registry
 	store     store
@@ -45,8 +45,8 @@
 	load      *load
 	meter     *lateness.Meter
 	mu        sync.Mutex // of all below
-	specs     []node.Spec
-	byName    map[string]*node.Node
+	specs     []backend.Spec
+	byName    map[string]*backend.Node
 	targets   map[string]discovery.Target
 	lastHost  int
 	restarted int      // nodes that a share of the fleet has restarted so far
@@ -77,7 +77,7 @@
 func newWorld(cfg Config, d *scenario.Day) *World {
 	return &World{cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
 		net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256)), rng: rand.New(rand.NewPCG(cfg.Seed, 5)),
-		byName: map[string]*node.Node{}, targets: map[string]discovery.Target{}}
+		byName: map[string]*backend.Node{}, targets: map[string]discovery.Target{}}
 }
 
 func (w *World) clock() time.Duration { return time.Since(w.began) }
@@ -155,17 +155,17 @@
 }
 
 func (w *World) openFleet() error {
-	work := map[string]node.Work{}
+	work := map[string]backend.Work{}
 	for _, c := range w.classes {
 		work[c.name] = c.work
 	}
-	w.fleet = node.NewFleet(node.Rules{Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, WarmRequests: w.day.WarmBy,
+	w.fleet = backend.NewFleet(backend.Rules{Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, WarmRequests: w.day.WarmBy,
 		FallMultiple: fallMultiple, FallSpan: time.Second, FallSlack: 50 * ms, MostConns: 1500, ConnWork: ms, Knee: 8, LossBeyond: 0.03}, w.cfg.Seed, w.clock)
 	w.onClose(w.fleet.Close)
 	w.registry = discovery.New(w.cfg.Seed, w.clock, 500*ms, 3500*ms)
 	w.onClose(w.registry.Close)
 	for i := range w.day.Nodes {
-		spec := node.Spec{ID: fmt.Sprintf("node-%02d", i), Zone: "hall-" + string(rune('a'+i%3)), Kind: "std-2c", Rack: i%3*10 + i/12,
+		spec := backend.Spec{ID: fmt.Sprintf("node-%02d", i), Zone: "hall-" + string(rune('a'+i%3)), Kind: "std-2c", Rack: i%3*10 + i/12,
 			Cores: 2, Speed: 0.85 + 0.25*w.rng.Float64(), Room: 40}
 		if i%3 == 2 {
 			spec.Kind, spec.Cores, spec.Speed, spec.Room = "slow-3c", 3, 0.51+0.18*w.rng.Float64(), 60
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (w *World) addNode(spec node.Spec, cold bool) (discovery.Target, error) {
+func (w *World) addNode(spec backend.Spec, cold bool) (discovery.Target, error) {
 	host, err := w.nextHost()
 	if err != nil {
 		return discovery.Target{}, err
@@ -214,7 +214,7 @@
 }
 
 // node returns a node with its entry of the list.
-func (w *World) node(i int) (*node.Node, discovery.Target) {
+func (w *World) node(i int) (*backend.Node, discovery.Target) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id := w.specs[i].ID
--- a/internal/standin/node/node.go
+++ b/internal/standin/backend/backend.go
@@ -2,7 +2,7 @@
 // cold starts that fall over, slow spells, pauses, a neighbour, drains, cuts, and a memory for each rack that drops
 // repeats of a key. Each node has an address for each instance, so that it knows who sent what. One observer records
 // every command as it came, with one clock, before any fault acts on it.
-package node
+package backend
 
 import (
 	"fmt"
--- a/internal/standin/node/machine.go
+++ b/internal/standin/backend/machine.go
@@ -1,4 +1,4 @@
-package node
+package backend
 
 import (
 	"fmt"
