--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -22,14 +22,14 @@
 
 // The tables of `hitchspring status`, for an answer with a value in every field.
 func TestGoldenStatusTables(t *testing.T) {
-	var budgets [1]overrun.Statement
+	var budgets [1]overrun.Bound
 	for name, v := range map[string]any{
 		"halls": &zones.Status{}, "peers": &peers.Status{}, "nodes": &core.NodesStatus{}, "work": &core.WorkStatus{},
 		"rights": &core.RightsStatus{}, "budgets": &budgets,
 	} {
 		golden.Fill(v)
 		if s, ok := v.(*peers.Status); ok {
-			s.Over = "" // an instance that has left shows no table
+			s.LeftReason = "" // an instance that has left shows no table
 		}
 		answer, err := json.Marshal(v)
 		if err != nil {
--- a/cmd/hitchspring/halls.go
+++ b/cmd/hitchspring/halls.go
@@ -15,27 +15,27 @@
 func printHalls(out io.Writer, s zones.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "hall\ttier\tstate\tfor\tnodes\tproven\tcapacity\tof\toffered/s\tanswered/s\tshare\tlate\tramp\tmost/s\tprice\tcaution\t")
-	for _, h := range s.Halls {
+	for _, h := range s.Zones {
 		state, rate := h.State, "any"
-		if h.Grey {
+		if h.GrayFailure {
 			state += " (grey)"
 		}
 		if h.Rate >= 0 {
 			rate = fmt.Sprintf("%.1f", h.Rate)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f%%\t%.0f%%\t%.0f%%\t%s\t%.2f\t%d\t\n", h.Name, [...]string{"own", "near", "far"}[min(max(h.Tier, 0), 2)], state,
-			h.Since.Round(100*time.Millisecond), h.Nodes, h.Proven, h.Capacity, h.Nominal, h.Offered, h.Answered, 100*h.Share, 100*h.Late, 100*h.Ramp, rate, h.Price, h.Caution)
+			h.Since.Round(100*time.Millisecond), h.Backends, h.Proven, h.Capacity, h.Nominal, h.Offered, h.Answered, 100*h.Share, 100*h.Late, 100*h.Ramp, rate, h.Price, h.Caution)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, h := range s.Halls {
-		if h.Why != "" {
-			fmt.Fprintf(out, "%s is %s: %s\n", h.Name, h.State, h.Why)
+	for _, h := range s.Zones {
+		if h.Reason != "" {
+			fmt.Fprintf(out, "%s is %s: %s\n", h.Name, h.State, h.Reason)
 		}
 	}
-	_, err := fmt.Fprintf(out, "own hall %s: %.0f%% kept, %.0f%% spilled (planned at least %.0f%%): %s\nto be had of all halls: %.0f%%%s\n", s.Own, 100*(1-s.Spilled), 100*s.Spilled, 100*s.Planned, s.Why,
-		100*s.Reach, map[bool]string{true: ", panic"}[s.Panic])
+	_, err := fmt.Fprintf(out, "own hall %s: %.0f%% kept, %.0f%% spilled (planned at least %.0f%%): %s\nto be had of all halls: %.0f%%%s\n", s.Own, 100*(1-s.Spilled), 100*s.Spilled, 100*s.PlannedSpill, s.Reason,
+		100*s.AvailableShare, map[bool]string{true: ", panic"}[s.Panic])
 	return err
 }
 
@@ -54,10 +54,10 @@
 
 func (c *hallDrainCmd) Run(e *env) error {
 	return e.drills(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
-		if c.For <= 0 || c.For > zonedrain.Most {
-			return l, fmt.Errorf("--for: %v is out of range, up to %v", c.For, zonedrain.Most)
+		if c.For <= 0 || c.For > zonedrain.MaxDuration {
+			return l, fmt.Errorf("--for: %v is out of range, up to %v", c.For, zonedrain.MaxDuration)
 		}
-		return l.Begin(zonedrain.Drill{Hall: c.Hall, Until: now.Add(c.For).Truncate(time.Millisecond), By: c.By, Why: c.Why}, now)
+		return l.Start(zonedrain.Drain{Zone: c.Hall, Until: now.Add(c.For).Truncate(time.Millisecond), By: c.By, Reason: c.Why}, now)
 	})
 }
 
@@ -67,7 +67,7 @@
 
 func (c *hallReturnCmd) Run(e *env) error {
 	return e.drills(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
-		if _, out := l.Out(now)[c.Hall]; !out {
+		if _, out := l.Active(now)[c.Hall]; !out {
 			return l, fmt.Errorf("hall %q is in no drill", c.Hall)
 		}
 		return l.End(c.Hall, now), nil
@@ -102,10 +102,10 @@
 			return err
 		}
 	}
-	out := l.Out(now)
-	for _, d := range l.Drills {
-		if out[d.Hall].Equal(d.Until) {
-			fmt.Fprintf(e.out, "%s is out until %s (%v) %s %s\n", d.Hall, d.Until.Format(time.RFC3339), time.Until(d.Until).Round(time.Second), d.By, d.Why)
+	out := l.Active(now)
+	for _, d := range l.Drains {
+		if out[d.Zone].Equal(d.Until) {
+			fmt.Fprintf(e.out, "%s is out until %s (%v) %s %s\n", d.Zone, d.Until.Format(time.RFC3339), time.Until(d.Until).Round(time.Second), d.By, d.Reason)
 		}
 	}
 	if len(out) == 0 {
--- a/cmd/hitchspring/halls_test.go
+++ b/cmd/hitchspring/halls_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(got)
 	}
 	l, err := zonedrain.Load(drills, time.Now())
-	if err != nil || len(l.Out(time.Now())) != 1 {
+	if err != nil || len(l.Active(time.Now())) != 1 {
 		t.Fatal(l, err)
 	}
 	if got := do("hall", "return", "hall-a"); got != "no hall is taken out\n" {
--- a/cmd/hitchspring/hangup_test.go
+++ b/cmd/hitchspring/hangup_test.go
@@ -23,8 +23,8 @@
 		return discovery.Target{UID: uid, Endpoint: addr, Zone: "a", State: state}
 	}
 	first, second := drains.backend(t), stays.backend(t)
-	before := discovery.List{Rev: 3, All: true, Targets: []discovery.Target{entry("s0", first, "SERVING"), entry("s1", second, "SERVING")}}
-	after := discovery.List{Rev: 4, All: true, Targets: []discovery.Target{entry("s0", first, "DRAINING"), entry("s1", second, "SERVING")}}
+	before := discovery.List{Rev: 3, Complete: true, Targets: []discovery.Target{entry("s0", first, "SERVING"), entry("s1", second, "SERVING")}}
+	after := discovery.List{Rev: 4, Complete: true, Targets: []discovery.Target{entry("s0", first, "DRAINING"), entry("s1", second, "SERVING")}}
 	p := platform{discovery: registry(t, before, healthy), known: before, instances: 1, mode: "push", attempts: 3}
 	i := newInstance(t, 0)
 	i.configure(t, 0, p)
--- a/cmd/hitchspring/held_test.go
+++ b/cmd/hitchspring/held_test.go
@@ -27,7 +27,7 @@
 // connections were closed at a time of their own: a process that woke after both closed them with nothing said.
 func TestTermWhileHeldUp(t *testing.T) {
 	hangs := scripted.Listen(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
-	list := discovery.List{Rev: 1, All: true, Targets: []discovery.Target{{UID: "s0", Endpoint: hangs, Zone: "a", State: "SERVING"}}}
+	list := discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: hangs, Zone: "a", State: "SERVING"}}}
 	var wg sync.WaitGroup
 	for n, heldFrom := range []time.Duration{500, 560, 590, 1370, 1400, 1430, 1460, 1490} {
 		i := newInstance(t, n)
--- a/cmd/hitchspring/kill_test.go
+++ b/cmd/hitchspring/kill_test.go
@@ -135,7 +135,7 @@
 // and nothing reaches one twice. The moments of the kill are spread from before the first accept to after the first answers.
 func TestKillBehindAnAccept(t *testing.T) {
 	var seen sentLog
-	list := discovery.List{Rev: 1, All: true, Targets: []discovery.Target{{UID: "s0", Endpoint: seen.backend(t), Zone: "a", State: "SERVING"}}}
+	list := discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: seen.backend(t), Zone: "a", State: "SERVING"}}}
 	i := newInstance(t, 0)
 	i.configure(t, 0, platform{discovery: registry(t, list, healthy), known: list, instances: 1, mode: "push", attempts: 3})
 	answered, reset, refused := 0, 0, 0
@@ -189,7 +189,7 @@
 // no answer was never sent on. The process ends by itself and cleanly.
 func TestTermBehindAnAccept(t *testing.T) {
 	var seen sentLog
-	list := discovery.List{Rev: 1, All: true, Targets: []discovery.Target{{UID: "s0", Endpoint: seen.backend(t), Zone: "a", State: "SERVING"}}}
+	list := discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: seen.backend(t), Zone: "a", State: "SERVING"}}}
 	i := newInstance(t, 0)
 	i.configure(t, 0, platform{discovery: registry(t, list, healthy), known: list, instances: 1, mode: "push", attempts: 3})
 	if err := i.start(); err != nil {
--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -200,7 +200,7 @@
 		debug.SetMemoryLimit(int64(cfg.Memory) / 4 * 3)
 	}
 	if f.socketFD > 0 {
-		if cfg.Listener, err = handover.Inherited(f.socketFD); err != nil {
+		if cfg.Listener, err = handover.InheritedListener(f.socketFD); err != nil {
 			return fmt.Errorf("ROUTER_SOCKET_FD: %w", err)
 		}
 	}
--- a/cmd/hitchspring/replace_test.go
+++ b/cmd/hitchspring/replace_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	var sent [2]atomic.Int64
-	list := discovery.List{Rev: 1, All: true}
+	list := discovery.List{Rev: 1, Complete: true}
 	for i := range sent {
 		n := scripted.NewNode(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
--- a/cmd/hitchspring/restart_test.go
+++ b/cmd/hitchspring/restart_test.go
@@ -106,7 +106,7 @@
 		number = trialInstances
 	}
 	node := scripted.NewNode(t, func(int, []string, net.Conn) string { return scripted.Served })
-	list := discovery.List{Rev: 7, All: true, Targets: []discovery.Target{{UID: "s0", Endpoint: node.Addr, Zone: "a", State: "SERVING"}}}
+	list := discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: node.Addr, Zone: "a", State: "SERVING"}}}
 	discoveries := []struct {
 		name, addr string
 		tells      bool // the list, sooner or later
--- a/cmd/hitchspring/status.go
+++ b/cmd/hitchspring/status.go
@@ -135,17 +135,17 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "channel\tat home\theld\tlent\tborrowed\tspent unheard by others\tlent to\tborrowed of")
 	for _, b := range s.Budgets {
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%s\t%s\n", b.Key, b.Home, b.Share, b.Lent, b.Borrowed, b.Away, strings.Join(b.To, " "), strings.Join(b.From, " "))
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%s\t%s\n", b.Key, b.Home, b.Share, b.Transferred, b.Received, b.Unreported, strings.Join(b.To, " "), strings.Join(b.From, " "))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(out, "lent %d times, borrowed %d, denied %d; messages that no instance of this fleet can mean %d, from members with another's number %d; "+
-		"budgets without room %d\n", s.Lent, s.Borrowed, s.Denied, s.Strange, s.Conflicts, s.Full)
+		"budgets without room %d\n", s.Transferred, s.Received, s.Denied, s.Invalid, s.Conflicts, s.Full)
 	return err
 }
 
-func printBudgets(out io.Writer, all []overrun.Statement) error {
+func printBudgets(out io.Writer, all []overrun.Bound) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "channel\tplan\tmode\tways\tdemand/s\tothers/s\ttotal heard\tpart\theld\tuntold\troom\tmay pass on\tuncounted\tmay overdraw\twithin")
 	for _, s := range all {
@@ -153,8 +153,8 @@
 		if s.Age >= 0 {
 			heard = s.Age.Round(time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%s\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%v\n", s.Customer, s.Plan, s.Mode, s.Ways, s.Demand, s.Others, heard, s.Part, s.Held, s.Untold, s.Room, s.Spend,
-			s.Uncounted, s.Overrun, s.For)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%s\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%v\n", s.Tenant, s.Plan, s.Mode, s.Instances, s.Demand, s.Others, heard, s.Share, s.ReservedUnits, s.UnreportedUnits, s.AvailableUnits, s.MaxSpend,
+			s.MaxUnreported, s.Overrun, s.Span)
 	}
 	if err := w.Flush(); err != nil || len(all) < core.MaxBudgetsShown {
 		return err
@@ -164,11 +164,11 @@
 }
 
 func printWork(out io.Writer, s core.WorkStatus) error {
-	k := s.Keeper
+	k := s.Replica
 	_, err := fmt.Fprintf(out, "in hand %d; kept for all %d in %d bytes\nown tries: %d covered, %d without a word of some keeper, %d uncovered, %d without any keeper\n"+
 		"           %d joined another try, %d went on with one, %d had its answer, %d may not go on\ntaken over from others: %d\n"+
 		"as keeper: %d granted, %d asked again for an old clock, %d joined, %d bound, %d refused after a takeover, %d without room, %d taken over, %d failed, %d whose end was never told\n"+
-		"messages that could not be read: %d\n", s.InHand, s.Records, s.Bytes, s.Covered, s.Partly, s.Uncovered, s.NoKeeper, s.Joined, s.Bound, s.Answered, s.Halted, s.TakenFrom,
+		"messages that could not be read: %d\n", s.InHand, s.Records, s.Bytes, s.Covered, s.Partly, s.Uncovered, s.NoReplica, s.Joined, s.Bound, s.Answered, s.Halted, s.TakenFrom,
 		k.Granted, k.Again, k.Joined, k.Bound, k.Refused, k.Full, k.Taken, k.Failed, k.Late, s.Unread)
 	return err
 }
@@ -181,19 +181,19 @@
 		if m.HeardMS >= 0 {
 			heard = (time.Duration(m.HeardMS) * time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.State, time.Duration(m.SinceMS)*time.Millisecond, heard, m.Hall, m.Addr, m.Life, m.Inc, m.By)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.State, time.Duration(m.SinceMS)*time.Millisecond, heard, m.Zone, m.Addr, m.Incarnation, m.Refutation, m.SuspectedBy)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(out, "this instance: %s at %s, hall %s, life %d, incarnation %d; %d others are there\n%d facts in %d bytes; %d messages in, %d out (%d and %d bytes)\n"+
 		"left aside: %d that no key opens, %d malformed, %d of a later version, %d too late, %d of an ended life, %d stray\n"+
-		"no room for: %d facts, %d updates on members; not sent: %d without a place in the queue, %d too large, %d by the system\n", s.Name, s.Addr, s.Hall, s.Life, s.Inc, s.Alive, s.Facts,
-		s.Bytes, s.Counts.In, s.Counts.Out, s.Counts.BytesIn, s.Counts.BytesOut, s.Counts.WrongKey, s.Counts.Malformed+s.Shared.Malformed, s.Counts.Newer, s.Shared.Late,
-		s.Swim.EndedLife+s.Shared.EndedLife, s.Swim.Stray+s.Counts.Strange,
-		s.Shared.Full, s.Swim.Full, s.Unqueued, s.Counts.Oversized, s.Unsent)
-	if err == nil && s.Over != "" {
-		err = errors.New("takes no part any more: " + s.Over)
+		"no room for: %d facts, %d updates on members; not sent: %d without a place in the queue, %d too large, %d by the system\n", s.Name, s.Addr, s.Zone, s.Incarnation, s.Refutation, s.Alive, s.Facts,
+		s.Bytes, s.Counts.In, s.Counts.Out, s.Counts.BytesIn, s.Counts.BytesOut, s.Counts.WrongKey, s.Counts.Malformed+s.Gossip.Malformed, s.Counts.Newer, s.Gossip.Late,
+		s.Swim.EndedIncarnation+s.Gossip.EndedIncarnation, s.Swim.Stray+s.Counts.Unsolicited,
+		s.Gossip.Full, s.Swim.Full, s.Unqueued, s.Counts.Oversized, s.Unsent)
+	if err == nil && s.LeftReason != "" {
+		err = errors.New("takes no part any more: " + s.LeftReason)
 	}
 	return err
 }
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -29,7 +29,7 @@
 func TestStatusOfManyNodes(t *testing.T) {
 	var s core.NodesStatus
 	for i := range 1200 {
-		n := core.NodeStatus{Node: policy.ServerID(fmt.Sprintf("node-%04d", i)), Told: 1}
+		n := core.NodeStatus{Node: policy.BackendID(fmt.Sprintf("node-%04d", i)), Told: 1}
 		for w := range 60 {
 			n.Words = append(n.Words, core.Word{Owner: fmt.Sprintf("instance-%03d", w), Hall: "zone-a", Cause: "slow", Bad: 1})
 		}
@@ -77,7 +77,7 @@
 // A list of budgets that is as long as it may be says that there may be more.
 func TestStatusBudgetsAtTheBound(t *testing.T) {
 	for _, n := range []int{core.MaxBudgetsShown - 1, core.MaxBudgetsShown} {
-		out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(make([]overrun.Statement, n)) }, "budgets")
+		out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(make([]overrun.Bound, n)) }, "budgets")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -26,7 +26,7 @@
 	Stop    time.Duration // when the owner gives it up
 	By      time.Duration // its last byte goes out by then, or it is never sent; 0: at any time before Stop
 	node    *node
-	at      policy.Server  // node's entry when it was sent; the list may change it
+	at      policy.Backend // node's entry when it was sent; the list may change it
 	conn    *conn          // carries it; nil while it waits for one
 	handed  time.Duration  // when it was given to conn
 	why     policy.Outcome // given up by the owner: TimedOut or Cancelled; else still
@@ -48,7 +48,7 @@
 func (a *Attempt) Handed() bool { return a.conn != nil }
 
 // Server is the entry of the list for where it was sent, as it was then, and whether that server serves by the list now.
-func (a *Attempt) Server() (entry policy.Server, serves bool) {
+func (a *Attempt) Server() (entry policy.Backend, serves bool) {
 	return a.at, a.node != nil && a.node.State == policy.Running
 }
 
@@ -56,7 +56,7 @@
 func (a *Attempt) Outcome() (o policy.Outcome, ended bool) { return a.outcome, a.ended }
 
 // Node is where it was sent; empty before Start.
-func (a *Attempt) Node() policy.ServerID {
+func (a *Attempt) Node() policy.BackendID {
 	if a.node == nil {
 		return ""
 	}
@@ -65,7 +65,7 @@
 
 // fits says whether a reply is of the form that its command asks for. An error line fits any.
 func (a *Attempt) fits(r Reply) bool {
-	if r.outcome != policy.Done || a.stream != nil {
+	if r.outcome != policy.Succeeded || a.stream != nil {
 		return true
 	}
 	return (a.Command == nil) == (r.Value == nil)
@@ -81,23 +81,23 @@
 
 // Start sends an attempt to a node, on an idle connection or on the first that comes free. Where the node is not
 // one that serves, it ends at once as one that never ran.
-func (p *Pool) Start(a *Attempt, id policy.ServerID) {
+func (p *Pool) Start(a *Attempt, id policy.BackendID) {
 	n := p.nodes[id]
 	if n == nil { // gone and forgotten
-		n = &node{Server: policy.Server{ID: id, State: policy.Gone}}
+		n = &node{Backend: policy.Backend{ID: id, State: policy.Gone}}
 	}
-	a.node, a.at = n, n.Server
+	a.node, a.at = n, n.Backend
 	if n.State != policy.Running && a.Command != nil {
-		p.end(a, policy.Moot, Reply{})
+		p.end(a, policy.NotSent, Reply{})
 		return
 	}
 	p.place(a)
 }
 
 // Moot ends an attempt that is not to be sent at all.
-func (p *Pool) Moot(a *Attempt, id policy.ServerID) {
-	a.node = &node{Server: policy.Server{ID: id}}
-	p.end(a, policy.Moot, Reply{})
+func (p *Pool) Moot(a *Attempt, id policy.BackendID) {
+	a.node = &node{Backend: policy.Backend{ID: id}}
+	p.end(a, policy.NotSent, Reply{})
 }
 
 // place gives an attempt an idle connection that has rested, or lets it wait for whichever comes first: one that has rested, or a new one.
@@ -108,7 +108,7 @@
 		wait = min(wait, a.By-p.owner.Now())
 	}
 	if wait <= 0 {
-		p.end(a, policy.Moot, Reply{})
+		p.end(a, policy.NotSent, Reply{})
 		return
 	}
 	n.waiting = append(n.waiting, a)
@@ -124,7 +124,7 @@
 			return
 		}
 		if wait < p.cfg.ConnectTimeout {
-			p.end(a, policy.Moot, Reply{})
+			p.end(a, policy.NotSent, Reply{})
 		} else {
 			p.end(a, policy.NoConnect, Reply{})
 		}
@@ -144,7 +144,7 @@
 // over. It leaves others as they are.
 func (p *Pool) Withdraw(a *Attempt) {
 	if !a.ended && a.node != nil && a.conn == nil && p.unwait(a) {
-		p.end(a, policy.Moot, Reply{})
+		p.end(a, policy.NotSent, Reply{})
 	}
 }
 
@@ -155,7 +155,7 @@
 	case a.ended || a.why != still || a.stream != nil:
 	case a.conn == nil:
 		p.unwait(a)
-		p.end(a, policy.Moot, Reply{})
+		p.end(a, policy.NotSent, Reply{})
 	default:
 		a.why = why
 		p.close(a.conn)
@@ -179,7 +179,7 @@
 		return
 	}
 	a.ended, a.outcome = true, o
-	if o == policy.Done && a.Command != nil && rep.Value == nil && a.stream == nil { // PONG to a request
+	if o == policy.Succeeded && a.Command != nil && rep.Value == nil && a.stream == nil { // PONG to a request
 		o = policy.Failed
 	}
 	p.owner.AttemptEnded(a, o, rep)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -86,7 +86,7 @@
 
 func entries(addrs ...string) (out []Entry) {
 	for i, a := range addrs {
-		out = append(out, Entry{policy.Server{ID: policy.ServerID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running}, a})
+		out = append(out, Entry{policy.Backend{ID: policy.BackendID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running}, a})
 	}
 	return out
 }
@@ -114,7 +114,7 @@
 	f[0].State = policy.Draining
 	g.p.Set(f, false)
 	g.p.connUp(up)
-	if ev := g.ends[0]; ev.o != policy.Moot || up.c.cur != nil {
+	if ev := g.ends[0]; ev.o != policy.NotSent || up.c.cur != nil {
 		t.Fatalf("outcome %v, want moot and nothing on the connection", ev.o)
 	}
 }
@@ -128,7 +128,7 @@
 	g.p.GiveUp(a, policy.Cancelled)
 	up := (<-g.events).(connUp)
 	g.p.connUp(up)
-	if ev := g.ends[0]; ev.o != policy.Moot || up.c.cur != nil || len(g.ends) != 1 {
+	if ev := g.ends[0]; ev.o != policy.NotSent || up.c.cur != nil || len(g.ends) != 1 {
 		t.Fatalf("told %v, want one moot end", g.ends)
 	}
 }
@@ -160,7 +160,7 @@
 	g.p.place(a)
 	up := (<-g.events).(connUp)
 	up.c.cur = a
-	g.p.Handle(replied{up.c, nil, Reply{outcome: policy.Done, Value: []byte("x"), keep: true}})
+	g.p.Handle(replied{up.c, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), keep: true}})
 	if a.ended {
 		t.Fatal("served with another's answer")
 	}
@@ -173,20 +173,20 @@
 func TestParseReply(t *testing.T) {
 	load := policy.Load{"qps": 7}
 	for in, want := range map[string]Reply{
-		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Done, Value: []byte("x"), Load: load, keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Done, Value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Done, Value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Done, Value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Succeeded, Value: []byte("x"), Load: load, keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Succeeded, Value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Succeeded, Value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Succeeded, Value: []byte("x"), keep: true},
 		"*2\r\n$1\r\nx\r\n$-1\r\n":                        {outcome: policy.Failed},
 		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                      {outcome: policy.Failed},
 		"-ERR failed\r\n":                                 {outcome: policy.Failed, keep: true},
 		"-ERR failed qps=7\r\n":                           {outcome: policy.Failed, Load: load, keep: true},
-		"-BUSY qps=7\r\n":                                 {outcome: policy.Full, Load: load, keep: true},
+		"-BUSY qps=7\r\n":                                 {outcome: policy.Rejected, Load: load, keep: true},
 		"-BUSYBODY\r\n":                                   {outcome: policy.Failed},
 		"-SYNTAX\r\n":                                     {outcome: policy.Failed},
-		"+PONG\r\n":                                       {outcome: policy.Done, keep: true},
+		"+PONG\r\n":                                       {outcome: policy.Succeeded, keep: true},
 		"+OK\r\n":                                         {outcome: policy.Failed},
-		"$6\r\nqps=-1\r\n":                                {outcome: policy.Done, keep: true},
+		"$6\r\nqps=-1\r\n":                                {outcome: policy.Succeeded, keep: true},
 	} {
 		if got := parseReply([]byte(in)); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %+v, want %+v", in, got, want)
@@ -205,7 +205,7 @@
 	up := (<-g.events).(connUp)
 	g.p.Handle(up)
 	g.p.place(second)
-	g.p.Handle(replied{up.c, first, Reply{outcome: policy.Done, keep: true}})
+	g.p.Handle(replied{up.c, first, Reply{outcome: policy.Succeeded, keep: true}})
 	g.now += restTime
 	g.ring()
 	for second.conn == nil {
@@ -256,7 +256,7 @@
 	}
 }
 
-func waitingAttempt(g *testOwner, id policy.ServerID) *Attempt {
+func waitingAttempt(g *testOwner, id policy.BackendID) *Attempt {
 	return &Attempt{Ref: g, Command: noCommand{}, node: g.p.nodes[id], Stop: time.Hour}
 }
 
@@ -361,7 +361,7 @@
 // What waits for a connection to a node is not kept waiting when the node stops serving, and a node that is gone is forgotten with the last that
 // waited for it or was begun for them.
 func TestNobodyWaitsForANodeThatStopsServing(t *testing.T) {
-	for name, list := range map[string][]Entry{"gone": nil, "drains": {{policy.Server{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
+	for name, list := range map[string][]Entry{"gone": nil, "drains": {{policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
 		be := scripted.NewNode(t, func(_ int, _ []string, nc net.Conn) string {
 			io.WriteString(nc, served)
 			nc.Close()
@@ -378,7 +378,7 @@
 			t.Fatalf("%s: the second attempt does not wait", name)
 		}
 		g.p.Set(list, true)
-		if !second.ended || g.ends[1].o != policy.Moot {
+		if !second.ended || g.ends[1].o != policy.NotSent {
 			t.Errorf("%s: the second attempt waits for a node that does not serve", name)
 		}
 		for g.p.conns > 0 { // the end of what was begun for the second attempt
@@ -403,7 +403,7 @@
 	up := (<-g.events).(connUp)
 	g.now = a.Stop
 	g.p.connUp(up)
-	if len(g.ends) != 1 || g.ends[0].o != policy.Moot || up.c.cur != nil {
+	if len(g.ends) != 1 || g.ends[0].o != policy.NotSent || up.c.cur != nil {
 		t.Fatalf("told %v, want one moot end and nothing on the connection", g.ends)
 	}
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -16,7 +16,7 @@
 		a := n.waiting[0]
 		if n.State != policy.Running || len(n.idle) > 0 && !p.sendable(a) {
 			p.unwait(a)
-			p.end(a, policy.Moot, Reply{})
+			p.end(a, policy.NotSent, Reply{})
 			continue
 		}
 		c := p.take(n)
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -144,7 +144,7 @@
 	a := c.cur
 	switch {
 	case c.whole.Load() != a && a.why != still:
-		return policy.Moot
+		return policy.NotSent
 	case c.whole.Load() != a:
 		return policy.NoConnect
 	case a.why != still:
--- a/internal/backend/explore_test.go
+++ b/internal/backend/explore_test.go
@@ -93,10 +93,10 @@
 		o.breaks("attempt %d ended twice: %d, then %d", a.N, was, out)
 	}
 	o.ends[a] = out
-	if out.NeverRan() && out != policy.Full && o.whole[a] {
+	if out.NeverRan() && out != policy.Rejected && o.whole[a] {
 		o.breaks("attempt %d has come to the node, and ended as one that never ran", a.N)
 	}
-	if out == policy.Done && !o.whole[a] {
+	if out == policy.Succeeded && !o.whole[a] {
 		o.breaks("attempt %d was never sent, and is served", a.N)
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 // exploredReplies are what a node may say to a command.
-var exploredReplies = []Reply{{Value: []byte("v"), outcome: policy.Done, keep: true}, {outcome: policy.Failed}, {outcome: policy.Full, keep: true}}
+var exploredReplies = []Reply{{Value: []byte("v"), outcome: policy.Succeeded, keep: true}, {outcome: policy.Failed}, {outcome: policy.Rejected, keep: true}}
 
 // steps are all that can happen now, always in the same order.
 func (o *orders) steps() (out []step) {
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -37,7 +37,7 @@
 func (p *Pool) retireAfter() time.Duration { return p.cfg.Idle * 2 / 3 }
 
 // CloseIdle closes all idle connections to a node.
-func (p *Pool) CloseIdle(id policy.ServerID) {
+func (p *Pool) CloseIdle(id policy.BackendID) {
 	n := p.nodes[id]
 	for n != nil && len(n.idle) > 0 {
 		p.closeIdle(n)
--- a/internal/backend/node.go
+++ b/internal/backend/node.go
@@ -18,7 +18,7 @@
 // node is what is kept of a node: its entry, its connections, and the attempts that wait for one. A connection carries one
 // attempt at a time, so that giving one up hurts no other.
 type node struct {
-	policy.Server
+	policy.Backend
 	addr     string
 	idle     []*conn // with nothing to do, rested or not; the one that has been idle longest is first
 	waiting  []*Attempt
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -15,7 +15,7 @@
 
 // Entry is a node of the list, with its address.
 type Entry struct {
-	policy.Server
+	policy.Backend
 	Addr string
 }
 
@@ -55,7 +55,7 @@
 type Pool struct {
 	cfg     Config
 	owner   Owner
-	nodes   map[policy.ServerID]*node
+	nodes   map[policy.BackendID]*node
 	conns   int  // to all of them
 	starved bool // an attempt waits because of MostConns
 	dials   int
@@ -70,7 +70,7 @@
 	if cfg.Sent == nil {
 		cfg.Sent = func() {}
 	}
-	return &Pool{cfg: cfg, owner: owner, nodes: map[policy.ServerID]*node{}, begin: func(c *conn) {
+	return &Pool{cfg: cfg, owner: owner, nodes: map[policy.BackendID]*node{}, begin: func(c *conn) {
 		owner.Spawn(func(ctx context.Context) { c.run(ctx, cfg.ConnectTimeout, owner.Post) })
 	}}
 }
@@ -89,7 +89,7 @@
 			n = &node{}
 			p.nodes[e.ID] = n
 		}
-		n.Server = e.Server
+		n.Backend = e.Backend
 		if e.Addr != "" && e.State != policy.Gone {
 			n.addr = e.Addr
 		}
@@ -107,26 +107,26 @@
 func (p *Pool) turnAway(n *node) {
 	for _, a := range slices.Clone(n.waiting) {
 		if a.Command != nil && p.unwait(a) {
-			p.end(a, policy.Moot, Reply{})
+			p.end(a, policy.NotSent, Reply{})
 		}
 	}
 }
 
 // Servers are the nodes that are not gone.
-func (p *Pool) Servers() (out []policy.Server) {
+func (p *Pool) Servers() (out []policy.Backend) {
 	for _, n := range p.nodes {
 		if n.State != policy.Gone {
-			out = append(out, n.Server)
+			out = append(out, n.Backend)
 		}
 	}
 	return out
 }
 
 // Knows says whether a node is on the list, or has not been forgotten yet.
-func (p *Pool) Knows(id policy.ServerID) bool { return p.nodes[id] != nil }
+func (p *Pool) Knows(id policy.BackendID) bool { return p.nodes[id] != nil }
 
 // Addr is where a node listens, and whether it serves by the list.
-func (p *Pool) Addr(id policy.ServerID) (addr string, serves bool) {
+func (p *Pool) Addr(id policy.BackendID) (addr string, serves bool) {
 	n := p.nodes[id]
 	if n == nil {
 		return "", false
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -30,7 +30,7 @@
 		word, rest, _ := strings.Cut(string(r.Data), " ")
 		out.keep = word == "ERR" || word == "BUSY"
 		if word == "BUSY" {
-			out.outcome = policy.Full
+			out.outcome = policy.Rejected
 		}
 		if i := strings.LastIndexByte(rest, ' '); i >= 0 {
 			rest = rest[i+1:]
@@ -38,11 +38,11 @@
 		out.Load = parseLoad(rest)
 	case redcon.String:
 		if string(r.Data) == "PONG" {
-			out.outcome, out.keep = policy.Done, true
+			out.outcome, out.keep = policy.Succeeded, true
 		}
 	case redcon.Bulk:
 		if r.Data != nil {
-			out.outcome, out.keep, out.Load = policy.Done, true, parseLoad(string(r.Data))
+			out.outcome, out.keep, out.Load = policy.Succeeded, true, parseLoad(string(r.Data))
 		}
 	case redcon.Array: // the value, the figures on use, the load report: the latter may be unreadable
 		if r.Count != 3 {
@@ -52,7 +52,7 @@
 		r.ForEach(func(e redcon.RESP) bool {
 			switch {
 			case i == 0 && e.Type == redcon.Bulk && e.Data != nil:
-				out.outcome, out.keep, out.Value = policy.Done, true, append(make([]byte, 0, len(e.Data)), e.Data...)
+				out.outcome, out.keep, out.Value = policy.Succeeded, true, append(make([]byte, 0, len(e.Data)), e.Data...)
 			case i == 2 && e.Type == redcon.Bulk:
 				out.Load = parseLoad(string(e.Data))
 			}
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -122,7 +122,7 @@
 		return Reply{}, resp.ErrFraming
 	}
 	in.Drop(2)
-	rep := Reply{outcome: policy.Done, keep: true}
+	rep := Reply{outcome: policy.Succeeded, keep: true}
 	for i := 0; i < 2; {
 		f, err := in.Next()
 		if err != nil {
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -114,7 +114,7 @@
 	seq   int
 	rng   *rand.Rand
 	conns map[*conn]*socket
-	open  map[policy.ServerID]int
+	open  map[policy.BackendID]int
 	out   []int // attempts at each backend that have not ended
 	begun int   // requests
 	measured
@@ -146,7 +146,7 @@
 func (t *traffic) AttemptEnded(a *Attempt, o policy.Outcome, r Reply) {
 	t.out[a.Ref.(int)]--
 	t.ends[o]++
-	if o != policy.Done {
+	if o != policy.Succeeded {
 		return
 	}
 	t.waits = append(t.waits, a.handed-a.Began)
@@ -163,7 +163,7 @@
 
 // play plays a scenario to its end.
 func (s scenario) play() measured {
-	t := &traffic{scenario: s, now: time.Minute, rng: rand.New(rand.NewPCG(s.seed+1, 7)), conns: map[*conn]*socket{}, open: map[policy.ServerID]int{},
+	t := &traffic{scenario: s, now: time.Minute, rng: rand.New(rand.NewPCG(s.seed+1, 7)), conns: map[*conn]*socket{}, open: map[policy.BackendID]int{},
 		out: make([]int, s.backends)}
 	t.ends = map[policy.Outcome]int{}
 	if t.connectAfter == 0 {
@@ -173,7 +173,7 @@
 	t.p.begin = t.begin
 	list := make([]Entry, s.backends)
 	for i := range list {
-		list[i] = Entry{policy.Server{ID: backendID(i), Zone: "a", State: policy.Running}, "127.0.0.1:1"}
+		list[i] = Entry{policy.Backend{ID: backendID(i), Zone: "a", State: policy.Running}, "127.0.0.1:1"}
 	}
 	t.p.Set(list, true)
 	t.arrive()
@@ -188,7 +188,7 @@
 	return t.measured
 }
 
-func backendID(i int) policy.ServerID { return policy.ServerID("s" + strconv.Itoa(i)) }
+func backendID(i int) policy.BackendID { return policy.BackendID("s" + strconv.Itoa(i)) }
 
 // arrive starts the next requests and lays down when the ones after them come.
 func (t *traffic) arrive() {
@@ -275,7 +275,7 @@
 	if s.closed {
 		return
 	}
-	rep := Reply{Value: []byte(strconv.Itoa(a.N)), outcome: policy.Done, keep: true}
+	rep := Reply{Value: []byte(strconv.Itoa(a.N)), outcome: policy.Succeeded, keep: true}
 	if again {
 		t.seconds++
 		t.at(late, func() {
@@ -330,7 +330,7 @@
 		if p50, p99 := quantile(m.waits, 0.5), quantile(m.waits, 0.99); p50 > ms/2 || p99 > bound {
 			t.Errorf("%s: requests wait %v at the median and %v at the 99th percentile, %v at most is wanted", s.name, p50, p99, bound)
 		}
-		if lost := max(s.requests, m.began) - m.ends[policy.Done]; lost > s.requests/1000+s.burst/64 {
+		if lost := max(s.requests, m.began) - m.ends[policy.Succeeded]; lost > s.requests/1000+s.burst/64 {
 			t.Errorf("%s: %d of %d were not served: %v", s.name, lost, s.requests, m.ends)
 		}
 	}
@@ -396,7 +396,7 @@
 	s.once = true
 	m := s.play()
 	t.Log(m)
-	if p99 := quantile(m.waits, 0.99); p99 > mostAdded || m.ends[policy.Done] != s.requests {
+	if p99 := quantile(m.waits, 0.99); p99 > mostAdded || m.ends[policy.Succeeded] != s.requests {
 		t.Errorf("requests wait %v at the 99th percentile, ends %v", p99, m.ends)
 	}
 }
--- a/internal/core/budgets.go
+++ b/internal/core/budgets.go
@@ -16,13 +16,13 @@
 // budgetsAsked asks for statements on the channels with the most demand.
 type budgetsAsked struct {
 	span  time.Duration
-	reply chan<- []overrun.Statement // has room for one
+	reply chan<- []overrun.Bound // has room for one
 }
 
 // Budgets states how the quotas of the channels with the most demand stand, and what this instance would pass on in so long if it heard nothing more from the
 // counter; 0: a minute. It waits for the loop, or for ctx's end, and may be called by many goroutines.
-func (g *Core) Budgets(ctx context.Context, span time.Duration) ([]overrun.Statement, error) {
-	reply := make(chan []overrun.Statement, 1)
+func (g *Core) Budgets(ctx context.Context, span time.Duration) ([]overrun.Bound, error) {
+	reply := make(chan []overrun.Bound, 1)
 	g.post(budgetsAsked{span, reply})
 	select {
 	case s := <-reply:
@@ -36,5 +36,5 @@
 	if ev.span <= 0 {
 		ev.span = budgetsFor
 	}
-	ev.reply <- overrun.Top(g.now, overrun.Books(g.mod.Learned(), g.mod.Standings(), g.cfg.Settings), ev.span, MaxBudgetsShown)
+	ev.reply <- overrun.TopBounds(g.now, overrun.QuotaStates(g.mod.ExportState(), g.mod.QuotaStandings(), g.cfg.Settings), ev.span, MaxBudgetsShown)
 }
--- a/internal/core/budgets_test.go
+++ b/internal/core/budgets_test.go
@@ -18,16 +18,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var l policy.Learned
+		var l policy.LearnedState
 		for i := range channels {
-			l.Customers = append(l.Customers, policy.LearnedCustomer{ID: fmt.Sprintf("c%05d", i), Customer: fmt.Sprintf("c%05d", i), Plan: "p", Spread: 1, Demand: float64(i)})
+			l.Tenants = append(l.Tenants, policy.LearnedTenant{ID: fmt.Sprintf("c%05d", i), Tenant: fmt.Sprintf("c%05d", i), Plan: "p", Spread: 1, Demand: float64(i)})
 		}
-		g.mod.Learn(time.Second, l)
-		reply := make(chan []overrun.Statement, 1)
+		g.mod.ImportState(time.Second, l)
+		reply := make(chan []overrun.Bound, 1)
 		g.budgets(budgetsAsked{reply: reply})
 		all := <-reply
-		if len(all) != want || all[0].Customer != fmt.Sprintf("c%05d", channels-1) || all[len(all)-1].Customer != fmt.Sprintf("c%05d", channels-want) {
-			t.Errorf("%d of %d channels are stated, from %q to %q", len(all), channels, all[0].Customer, all[len(all)-1].Customer)
+		if len(all) != want || all[0].Tenant != fmt.Sprintf("c%05d", channels-1) || all[len(all)-1].Tenant != fmt.Sprintf("c%05d", channels-want) {
+			t.Errorf("%d of %d channels are stated, from %q to %q", len(all), channels, all[0].Tenant, all[len(all)-1].Tenant)
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -69,8 +69,8 @@
 // lister keeps the list of nodes up to date, as package discovery does.
 type lister interface {
 	Run(context.Context)
-	Move(addr string)
-	Listed() <-chan struct{}
+	SetAddress(addr string)
+	Ready() <-chan struct{}
 }
 
 // Kind is what a final answer says.
@@ -114,15 +114,15 @@
 // pool is the connections to the nodes, as package nodes keeps them.
 type pool interface {
 	Set(list []backend.Entry, whole bool)
-	Servers() []policy.Server
-	Start(a *backend.Attempt, id policy.ServerID)
-	Moot(a *backend.Attempt, id policy.ServerID)
+	Servers() []policy.Backend
+	Start(a *backend.Attempt, id policy.BackendID)
+	Moot(a *backend.Attempt, id policy.BackendID)
 	GiveUp(a *backend.Attempt, why policy.Outcome)
 	Withdraw(a *backend.Attempt)
 	Handle(backend.Event)
-	Knows(id policy.ServerID) bool
-	Addr(id policy.ServerID) (addr string, serves bool)
-	CloseIdle(id policy.ServerID)
+	Knows(id policy.BackendID) bool
+	Addr(id policy.BackendID) (addr string, serves bool)
+	CloseIdle(id policy.BackendID)
 	RetireIdle()
 	SetMost(conns int)
 	Dials() int
@@ -177,7 +177,7 @@
 	start   time.Time
 	epoch   time.Duration // start on the clock that all ingresses share
 
-	mod       *policy.Gateway
+	mod       *policy.Engine
 	now       time.Duration
 	alarms    alarms
 	requests  map[policy.RequestID]*Request
@@ -272,8 +272,8 @@
 		}
 	}
 	sharing := 1 // where the list is pushed, the agent answers by itself
-	if cfg.Settings.AskForFleet {
-		sharing = cfg.Settings.Gateways
+	if cfg.Settings.PollEndpoints {
+		sharing = cfg.Settings.Instances
 	}
 	g.disc = discovery.New(cfg.Discovery, cfg.Known.Rev, sharing, len(cfg.Known.Targets) > 0,
 		func(f discovery.List) { g.post(f) }, log)
@@ -283,7 +283,7 @@
 // Move goes over to discovery and a counter at other addresses. It waits for nothing, may come at any time, and
 // the last of several counts. Clients, nodes and the module's books are left as they are.
 func (g *Core) Move(discovery, counter string) {
-	g.disc.Move(discovery)
+	g.disc.SetAddress(discovery)
 	if g.counter != nil {
 		g.counter.Move(counter)
 	}
@@ -301,7 +301,7 @@
 }
 
 // Listed closes when discovery has brought a first list, or that has failed.
-func (g *Core) Listed() <-chan struct{} { return g.disc.Listed() }
+func (g *Core) Listed() <-chan struct{} { return g.disc.Ready() }
 
 // End stops at once, whatever is open, and waits for all goroutines.
 func (g *Core) End() {
@@ -339,7 +339,7 @@
 func (g *Core) Plan(name string) bool { return g.plans[name] }
 
 // Gateways is how many instances there are.
-func (g *Core) Gateways() int { return g.cfg.Settings.Gateways }
+func (g *Core) Gateways() int { return g.cfg.Settings.Instances }
 
 // MostUnits is the most that one request may take.
 func (g *Core) MostUnits() float64 { return g.mostUnits }
@@ -396,7 +396,7 @@
 func (g *Core) known() {
 	g.now = g.clock(time.Now())
 	f := g.cfg.Known.Usable(g.log)
-	f.All = true
+	f.Complete = true
 	g.handle(f)
 }
 
@@ -524,13 +524,13 @@
 
 func (g *Core) act(a policy.Action) {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.SendAttempt:
 		g.send(a)
-	case policy.Cancel:
-		if r := g.requests[a.ID]; r != nil && !r.Handed && a.Attempt < len(r.attempts) && !g.calledOff(r, a.Attempt) {
+	case policy.CancelAttempt:
+		if r := g.requests[a.ID]; r != nil && !r.Delegated && a.Attempt < len(r.attempts) && !g.calledOff(r, a.Attempt) {
 			g.nodes.GiveUp(r.attempts[a.Attempt], policy.Cancelled)
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		g.refused(a)
 		if r := g.requests[a.ID]; g.taking == nil || !g.askForAnswer(r, a.RetryAfter) {
 			g.answer(r, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
@@ -540,15 +540,15 @@
 		g.answer(g.requests[a.ID], Answer{Kind: Failed})
 	case policy.SetTimer:
 		g.after(a.After, func() { g.tell(policy.TimerFired{}) })
-	case policy.Count:
+	case policy.AddToCounter:
 		g.count(a)
-	case policy.Probe:
-		g.probe(a.Server)
-	case policy.CloseIdle:
-		g.nodes.CloseIdle(a.Server)
-	case policy.Watch, policy.Fetch: // the watch is always on: the list held is the answer
+	case policy.ProbeBackend:
+		g.probe(a.Backend)
+	case policy.CloseIdleConnections:
+		g.nodes.CloseIdle(a.Backend)
+	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
 		g.tell(g.held())
-	case policy.Log:
+	case policy.LogLine:
 		g.log.Info(a.Text)
 	default:
 		g.log.Warn("no such action on sockets", "action", fmt.Sprintf("%T", a))
@@ -612,7 +612,7 @@
 		a = Answer{Kind: Refused, RetryAfter: FullRetry}
 	}
 	g.answer(r, a)
-	g.tell(policy.Abandoned{ID: r.ID})
+	g.tell(policy.Disconnected{ID: r.ID})
 }
 
 func (g *Core) forget(r *Request) {
@@ -625,7 +625,7 @@
 
 // --- attempts ---
 
-func (g *Core) send(s policy.Send) {
+func (g *Core) send(s policy.SendAttempt) {
 	r := g.requests[s.ID]
 	if r == nil {
 		return
@@ -637,17 +637,17 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	if g.halls != nil {
-		g.halls.Sent(g.now, s.Server)
+		g.halls.AttemptSent(g.now, s.Backend)
 	}
 	g.dropIfGone(r)
-	if r.final || a.Stop <= g.now || a.N >= g.cfg.Settings.MaxAttempts || r.Handed && !g.grant(r, a, s.Server) {
-		g.nodes.Moot(a, s.Server)
+	if r.final || a.Stop <= g.now || a.N >= g.cfg.Settings.MaxAttempts || r.Delegated && !g.grant(r, a, s.Backend) {
+		g.nodes.Moot(a, s.Backend)
 		return
 	}
-	if r.Handed || g.taking != nil && g.inCustody(r, a, s.Server) {
+	if r.Delegated || g.taking != nil && g.inCustody(r, a, s.Backend) {
 		return
 	}
-	g.launch(r, a, s.Server)
+	g.launch(r, a, s.Backend)
 }
 
 // repeatBy is when a further attempt of a keyed request reaches its node at the latest: while that, or those beside it, still know the first
@@ -670,13 +670,13 @@
 }
 
 // launch lets an attempt go out.
-func (g *Core) launch(r *Request, a *backend.Attempt, to policy.ServerID) {
+func (g *Core) launch(r *Request, a *backend.Attempt, to policy.BackendID) {
 	g.sum.sent(a.N, g.now-r.came)
 	if g.holding != nil && a.N == 0 {
 		g.holding.passes(g.now, r)
 	}
 	if g.judged != nil {
-		g.judged.sight.Sent(g.now, to, outlier.Try{Request: r.ID, N: a.N}, r.Class)
+		g.judged.sight.AttemptSent(g.now, to, outlier.AttemptID{Request: r.ID, Number: a.N}, r.Class)
 	}
 	g.at(a.Stop, func() { g.nodes.GiveUp(a, policy.TimedOut) })
 	g.nodes.Start(a, to)
@@ -686,9 +686,9 @@
 func (g *Core) attemptEnded(a *backend.Attempt, o policy.Outcome, rep backend.Reply) {
 	if a.Ref == nil {
 		if g.halls != nil {
-			g.halls.Probed(g.now, a.Node(), o == policy.Done)
+			g.halls.ProbeEnded(g.now, a.Node(), o == policy.Succeeded)
 		}
-		g.tell(policy.ProbeEnded{Server: a.Node(), Outcome: o, Took: g.now - a.Began, Load: rep.Load})
+		g.tell(policy.ProbeEnded{Backend: a.Node(), Outcome: o, Took: g.now - a.Began, Load: rep.Load})
 		return
 	}
 	r := a.Ref.(*Request)
@@ -698,14 +698,14 @@
 		g.passed(r, o)
 		return
 	}
-	if o == policy.Done && !r.final {
-		g.sum.served(g.now-r.came, g.classes[r.Class].Aim)
+	if o == policy.Succeeded && !r.final {
+		g.sum.served(g.now-r.came, g.classes[r.Class].LatencyObjective)
 		g.final(r, Answer{Kind: Served, Value: rep.Value})
 	}
 	r.out--
-	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Server: a.Node(), Outcome: o, Took: g.now - a.Began,
+	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Backend: a.Node(), Outcome: o, Took: g.now - a.Began,
 		Finished: r.final, Load: rep.Load})
-	if o == policy.Done {
+	if o == policy.Succeeded {
 		g.recall(r)
 	}
 }
@@ -719,9 +719,9 @@
 	}
 	r.passing, r.final = a, true
 	g.endCustody(r, Answer{Kind: Served, Stream: s})
-	g.sum.served(g.now-r.came, g.classes[r.Class].Aim)
+	g.sum.served(g.now-r.came, g.classes[r.Class].LatencyObjective)
 	g.deliver(r, Answer{Kind: Served, Stream: s})
-	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Server: a.Node(), Outcome: policy.Done, Took: g.now - a.Began, Finished: true})
+	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Backend: a.Node(), Outcome: policy.Succeeded, Took: g.now - a.Began, Finished: true})
 	g.recall(r)
 	return true
 }
@@ -739,16 +739,16 @@
 		r.kept.left(ev)
 	}
 	if g.halls != nil {
-		g.halls.Ended(g.now, ev.Server, g.now-ev.Took, r.Class, ev.Outcome)
+		g.halls.AttemptEnded(g.now, ev.Backend, g.now-ev.Took, r.Class, ev.Outcome)
 	}
 	if g.judged != nil {
-		g.judged.sight.Ended(g.now, outlier.Try{Request: r.ID, N: ev.Attempt}, ev.Outcome)
+		g.judged.sight.AttemptEnded(g.now, outlier.AttemptID{Request: r.ID, Number: ev.Attempt}, ev.Outcome)
 	}
 	g.tell(ev)
 	g.forget(r)
 }
 
-func (g *Core) probe(id policy.ServerID) (sent bool) {
+func (g *Core) probe(id policy.BackendID) (sent bool) {
 	if !g.nodes.Knows(id) || g.out(id) {
 		return false
 	}
@@ -789,7 +789,7 @@
 
 // held is the list as it stands.
 func (g *Core) held() policy.Event {
-	return policy.FleetChanged{Whole: true, Servers: g.nodes.Servers()}
+	return policy.EndpointsChanged{Complete: true, Backends: g.nodes.Servers()}
 }
 
 // counted is the event of an answer of the shared counter.
@@ -798,7 +798,7 @@
 	result store.Result
 }
 
-func (g *Core) count(a policy.Count) {
+func (g *Core) count(a policy.AddToCounter) {
 	k := &store.Call{Name: a.Name, Amount: a.Add, Keep: a.Keep, Began: g.now}
 	if g.counter == nil {
 		g.counted(counted{k, store.Result{Certainty: store.NotAdded}})
@@ -826,12 +826,12 @@
 	case ev.result.Certainty == store.NotAdded:
 		o = policy.NoConnect
 	case ev.result.Certainty == store.Added && ev.result.Seen:
-		o = policy.Done
+		o = policy.Succeeded
 	case ev.result.Certainty == store.Added:
 		o = policy.Failed
 	}
 	g.sum.counted(o, g.now-ev.call.Began)
-	g.tell(policy.CountReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
+	g.tell(policy.CounterReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
 }
 
 // --- timers ---
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -35,7 +35,7 @@
 func (noCommand) Encode(time.Duration) []byte { return []byte("*1\r\n$4\r\nNONE\r\n") }
 
 func fleetOf(addrs ...string) discovery.List {
-	f := discovery.List{Rev: 1, All: true}
+	f := discovery.List{Rev: 1, Complete: true}
 	for i, a := range addrs {
 		f.Targets = append(f.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: a, Zone: "a", State: "SERVING"})
 	}
@@ -44,8 +44,8 @@
 
 func testConfig(disc string, known discovery.List) Config {
 	return Config{Discovery: disc, Sockets: 256, Known: known,
-		Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
-			Classes: []policy.Class{{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe}},
+		Settings: policy.Settings{Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+			Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe}},
 			Plans:   []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
 }
--- a/internal/core/departure.go
+++ b/internal/core/departure.go
@@ -32,7 +32,7 @@
 
 // dropIfGone abandons a request before an attempt of it is sent, if its client has gone.
 func (g *Core) dropIfGone(r *Request) {
-	if r.final || r.passing != nil || r.Handed && len(r.attempts) > 1 || !g.gone(r) { // what was granted before is remembered
+	if r.final || r.passing != nil || r.Delegated && len(r.attempts) > 1 || !g.gone(r) { // what was granted before is remembered
 		return
 	}
 	r.withdrawHanded()
@@ -54,7 +54,7 @@
 	r.final = true
 	g.endCustody(r, Answer{Kind: Failed})
 	g.fig.Left(r.stage())
-	g.tell(policy.Abandoned{ID: r.ID})
+	g.tell(policy.Disconnected{ID: r.ID})
 	g.recall(r)
 	g.forget(r)
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -28,9 +28,9 @@
 	}
 	add("work-intent", func(p *parcel) { p.Intent = filled[takeover.Intent]() })
 	add("work-reply", func(p *parcel) { p.Reply = filled[takeover.Reply]() })
-	add("work-end", func(p *parcel) { p.End = filled[takeover.End]() })
-	add("work-end-acknowledged", func(p *parcel) { p.Ended = filled[takeover.End]() })
-	add("work-outcome", func(p *parcel) { p.Told = filled[takeover.Told]() })
+	add("work-end", func(p *parcel) { p.Completion = filled[takeover.Completion]() })
+	add("work-end-acknowledged", func(p *parcel) { p.CompletionAck = filled[takeover.Completion]() })
+	add("work-outcome", func(p *parcel) { p.Notification = filled[takeover.Notification]() })
 	add("quota-parts", func(p *parcel) { p.Rights = filled[escrow.Message]() })
 	add("all", func(p *parcel) { golden.Fill(p) })
 	for name, p := range messages {
@@ -63,7 +63,7 @@
 		"nodes":   filled[NodesStatus](),
 		"work":    filled[WorkStatus](),
 		"rights":  filled[RightsStatus](),
-		"budgets": filled[overrun.Statement](),
+		"budgets": filled[overrun.Bound](),
 		"halls":   filled[zones.Status](),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 // The words that logs, metrics and reports use for reasons, outcomes and states are searched for and counted by others.
 func TestGoldenTerms(t *testing.T) {
 	var b strings.Builder
-	for r := range policy.Reasons {
+	for r := range policy.ReasonCount {
 		b.WriteString("reason " + policy.Reason(r).String() + "\n")
 	}
 	for _, name := range outcomeNames {
@@ -95,7 +95,7 @@
 	for m := range overrun.Mode(16) {
 		b.WriteString("budget " + m.String() + "\n")
 	}
-	for s := lease.Open; s <= lease.Lapsed; s++ {
+	for s := lease.Open; s <= lease.Expired; s++ {
 		b.WriteString("request " + s.String() + "\n")
 	}
 	for i, word := range []string{"served", "refused", "failed", "unsent"} {
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -33,7 +33,7 @@
 
 // handing is the books of attempts that were handed out, with those who wait. The core's goroutine owns it.
 type handing struct {
-	book    *lease.Book
+	book    *lease.Registry
 	open    map[string]*handed // by id
 	leases  map[string]*handed // by lease
 	ringing time.Duration      // when the next alarm is set for; 0: none
@@ -49,7 +49,7 @@
 }
 
 func newHanding(c Leases) *handing {
-	return &handing{book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Keep: c.Keep, Most: c.Most}),
+	return &handing{book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Keep, MaxRequests: c.Most}),
 		open: map[string]*handed{}, leases: map[string]*handed{}}
 }
 
@@ -124,7 +124,7 @@
 	}
 	x := &handed{g: g, r: ev.r, entry: entry, waiting: []Place{ev.place}}
 	h.open[ev.id] = x
-	ev.r.Handed, ev.r.Place = true, x
+	ev.r.Delegated, ev.r.Place = true, x
 	g.arm()
 	g.arrived(ev.r)
 }
@@ -136,8 +136,8 @@
 		return Answer{}, false
 	case lease.Granted:
 		l := e.Lease
-		return Answer{Kind: Granted, Grant: Grant{Lease: l.Name, Node: l.Node, Addr: l.Addr, Attempt: l.N, StartWithin: max(0, l.StartBy-g.now), EndsWithin: max(0, l.Ends-g.now)}}, true
-	case lease.Refused:
+		return Answer{Kind: Granted, Grant: Grant{Lease: l.Name, Node: l.Node, Addr: l.Addr, Attempt: l.Attempt, StartWithin: max(0, l.StartBy-g.now), EndsWithin: max(0, l.ExpiresAt-g.now)}}, true
+	case lease.Rejected:
 		return Answer{Kind: Refused, RetryAfter: e.RetryAfter}, true
 	case lease.Failed:
 		return Answer{Kind: Failed}, true
@@ -149,7 +149,7 @@
 func (x *handed) Answer(a Answer) {
 	s := lease.Failed
 	if a.Kind == Refused {
-		s = lease.Refused
+		s = lease.Rejected
 	}
 	x.g.handing.book.Decide(x.entry, s, a.RetryAfter)
 	x.close()
@@ -183,7 +183,7 @@
 }
 
 // grant gives an attempt to those who wait for it. false: nobody may send it.
-func (g *Core) grant(r *Request, a *backend.Attempt, id policy.ServerID) bool {
+func (g *Core) grant(r *Request, a *backend.Attempt, id policy.BackendID) bool {
 	x, ok := r.Place.(*handed)
 	addr, serves := g.nodes.Addr(id)
 	if !ok || !serves || x.attempt != nil {
@@ -232,12 +232,12 @@
 		x := h.leases[l.Name]
 		delete(h.leases, l.Name)
 		switch ev.out {
-		case lease.OutServed:
-			g.endHanded(x, policy.Done, true, false)
-		case lease.OutUnsent:
-			g.endHanded(x, policy.Moot, true, true)
-		case lease.OutRefused:
-			g.endHanded(x, policy.Full, false, false)
+		case lease.OutcomeServed:
+			g.endHanded(x, policy.Succeeded, true, false)
+		case lease.OutcomeUnsent:
+			g.endHanded(x, policy.NotSent, true, true)
+		case lease.OutcomeRejected:
+			g.endHanded(x, policy.Rejected, false, false)
 		default:
 			g.endHanded(x, policy.Failed, false, false)
 		}
@@ -262,7 +262,7 @@
 		x.close()
 		x.tell(Answer{Kind: Over, State: x.entry.State})
 	}
-	g.ended(x.r, policy.AttemptEnded{ID: x.r.ID, Attempt: a.N, Server: policy.ServerID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.Began, Finished: x.r.final, Unsent: unsent})
+	g.ended(x.r, policy.AttemptEnded{ID: x.r.ID, Attempt: a.N, Backend: policy.BackendID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.Began, Finished: x.r.final, Unsent: unsent})
 }
 
 // lapse ends the leases that have run out: their attempts may have run.
@@ -278,7 +278,7 @@
 // arm sets the alarm for what runs out next.
 func (g *Core) arm() {
 	h := g.handing
-	next, any := h.book.Next()
+	next, any := h.book.NextExpiry()
 	if !any || h.ringing > g.now && h.ringing <= next {
 		return
 	}
--- a/internal/core/guarded.go
+++ b/internal/core/guarded.go
@@ -38,7 +38,7 @@
 // maySend is asked right before an attempt is written.
 func (g *Core) maySend(r *Request, a *backend.Attempt) bool {
 	to, serves := a.Server()
-	send := guard.Send{Class: g.class(r), Parallel: g.cfg.Settings.SecondCopies, Answered: r.final, GiveUpAt: r.GiveUpAt, Serves: serves, Zone: to.Zone, Cell: to.Cell, Earlier: r.handed(a)}
+	send := guard.Send{Class: g.class(r), Parallel: g.cfg.Settings.Hedging, Answered: r.final, GiveUpAt: r.GiveUpAt, Serves: serves, Zone: to.Zone, Cell: to.Cell, Earlier: r.handed(a)}
 	broken := send.Check(g.now)
 	if broken == guard.None {
 		return true
@@ -77,7 +77,7 @@
 
 // ids are what names a request in a line of the log.
 func (r *Request) ids() []any {
-	return []any{"request", fmt.Sprintf("%016x", r.Key), "customer", r.Customer, "class", r.Class}
+	return []any{"request", fmt.Sprintf("%016x", r.Key), "customer", r.Tenant, "class", r.Class}
 }
 
 // deliver hands the one final answer of a request to its front.
@@ -85,7 +85,7 @@
 	if late := g.now - r.GiveUpAt; late > answeredLate && r.came > 0 {
 		g.guard.Violated(guard.AnsweredLate, append(r.ids(), "late", late, "attempts", len(r.attempts))...)
 	}
-	if a.Kind == Refused && !r.Handed && !guard.MayRefuse(g.class(r), r.handed(nil)) {
+	if a.Kind == Refused && !r.Delegated && !guard.MayRefuse(g.class(r), r.handed(nil)) {
 		g.guard.Violated(guard.RefusedThoughRun, append(r.ids(), "attempts", len(r.attempts))...)
 		if enforced {
 			a = Answer{Kind: Failed}
@@ -98,20 +98,20 @@
 }
 
 // refused takes in that the module refuses a request, and why.
-func (g *Core) refused(a policy.Refuse) {
-	g.sum.refused(a.Why)
-	g.fig.Refused(int(a.Why))
+func (g *Core) refused(a policy.Reject) {
+	g.sum.refused(a.Reason)
+	g.fig.Refused(int(a.Reason))
 	if r := g.requests[a.ID]; r != nil {
-		r.why = a.Why
+		r.why = a.Reason
 	}
 }
 
 // failed is the same of a failure.
 func (g *Core) failed(a policy.Fail) {
-	g.sum.failed(a.Why)
-	g.fig.Failed(int(a.Why))
+	g.sum.failed(a.Reason)
+	g.fig.Failed(int(a.Reason))
 	if r := g.requests[a.ID]; r != nil {
-		r.why = a.Why
+		r.why = a.Reason
 	}
 }
 
@@ -135,7 +135,7 @@
 // checkOpen counts the requests that have no answer when the process has ended its work.
 func (g *Core) checkOpen() {
 	for _, r := range g.requests {
-		if !r.final && !r.Handed {
+		if !r.final && !r.Delegated {
 			g.guard.Violated(guard.OpenAtExit, r.ids()...)
 		}
 	}
--- a/internal/core/guarded_test.go
+++ b/internal/core/guarded_test.go
@@ -14,7 +14,7 @@
 func newGuarded(t *testing.T) *Core {
 	t.Helper()
 	cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr, scripted.NewNode(t, nil).Addr))
-	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies = 3, true
+	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
 	cfg.Settings.Classes[0].Effect = policy.Unsafe
 	g, err := New(cfg, quiet)
 	if err != nil {
@@ -88,7 +88,7 @@
 	p := &counting{}
 	r := arriving(g, 1, p)
 	g.handle(connected(t, g))
-	g.act(policy.Refuse{ID: r.ID, Why: policy.NoRetry})
+	g.act(policy.Reject{ID: r.ID, Reason: policy.NoRetry})
 	if p.answers != 1 || p.got.Kind != Failed {
 		t.Errorf("%d answers, the last %v", p.answers, p.got.Kind)
 	}
--- a/internal/core/halls.go
+++ b/internal/core/halls.go
@@ -18,7 +18,7 @@
 
 // hallBook is what is known of halls, and what was last shown of it.
 type hallBook struct {
-	*zones.Book
+	*zones.Tracker
 	shown  atomic.Pointer[zones.Status]
 	showAt time.Duration
 	logged float64 // the spill
@@ -30,21 +30,21 @@
 type drills map[string]time.Time
 
 func newHallBook(cfg zones.Config, set policy.Settings) *hallBook {
-	cfg.Own, cfg.WarmAfter, cfg.ColdShare, cfg.Probe = set.Zone, set.WarmAfter, set.ColdShare, set.MayProbe
-	cfg.Aims = map[string]time.Duration{}
+	cfg.Own, cfg.SlowStartWindow, cfg.SlowStartShare, cfg.Probe = set.Zone, set.SlowStartWindow, set.SlowStartShare, set.MayProbe
+	cfg.LatencyObjectives = map[string]time.Duration{}
 	for _, c := range set.Classes {
-		cfg.Aims[c.Name] = c.Aim
+		cfg.LatencyObjectives[c.Name] = c.LatencyObjective
 	}
-	return &hallBook{Book: zones.New(cfg)}
+	return &hallBook{Tracker: zones.New(cfg)}
 }
 
 // list hands a list of nodes on.
-func (h *hallBook) list(now time.Duration, ev policy.FleetChanged) {
-	list := make([]zones.Node, len(ev.Servers))
-	for i, s := range ev.Servers {
-		list[i] = zones.Node{ID: s.ID, Hall: s.Zone, State: s.State, Size: s.Size, Started: s.Started}
+func (h *hallBook) list(now time.Duration, ev policy.EndpointsChanged) {
+	list := make([]zones.Backend, len(ev.Backends))
+	for i, s := range ev.Backends {
+		list[i] = zones.Backend{ID: s.ID, Zone: s.Zone, State: s.State, Size: s.Size, Started: s.Started}
 	}
-	h.Fleet(now, list, ev.Whole)
+	h.UpdateBackends(now, list, ev.Complete)
 }
 
 // HallStatus is what is known of the halls, as of a quarter of a second ago; false where [halls] is off or nothing has
@@ -73,7 +73,7 @@
 	for name, t := range d {
 		until[name] = g.clock(t)
 	}
-	g.halls.Drain(g.now, until)
+	g.halls.SetDrains(g.now, until)
 }
 
 // tickHalls brings the facts up to date, tells the module, and sends the probes that are due.
@@ -81,13 +81,13 @@
 	g.after(hallsEvery, g.tickHalls)
 	h := g.halls
 	g.tell(h.Tick(g.now))
-	for _, id := range h.Probes(g.now) {
+	for _, id := range h.DueProbes(g.now) {
 		if !g.probe(id) {
-			h.Probed(g.now, id, false)
+			h.ProbeEnded(g.now, id, false)
 		}
 	}
-	for _, c := range h.Changes() {
-		g.log.Info("hall", "hall", c.Hall, "from", c.From.String(), "to", c.To.String(), "why", c.Why, "caution", c.Caution)
+	for _, c := range h.TakeChanges() {
+		g.log.Info("hall", "hall", c.Zone, "from", c.From.String(), "to", c.To.String(), "why", c.Reason, "caution", c.Caution)
 	}
 	if g.now < h.showAt {
 		return
@@ -97,10 +97,10 @@
 	h.shown.Store(&s)
 	if s.Panic != h.panics {
 		h.panics = s.Panic
-		g.log.Warn("halls: panic", "on", s.Panic, "reach", math.Round(100*s.Reach)/100)
+		g.log.Warn("halls: panic", "on", s.Panic, "reach", math.Round(100*s.AvailableShare)/100)
 	}
 	if math.Abs(s.Spilled-h.logged) >= spillLogged && g.now >= h.logAt {
-		g.log.Info("spill", "spilled", math.Round(100*s.Spilled)/100, "before", math.Round(100*h.logged)/100, "planned", math.Round(100*s.Planned)/100, "why", s.Why)
+		g.log.Info("spill", "spilled", math.Round(100*s.Spilled)/100, "before", math.Round(100*h.logged)/100, "planned", math.Round(100*s.PlannedSpill)/100, "why", s.Reason)
 		h.logged, h.logAt = s.Spilled, g.now+spillLogWait
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -48,7 +48,7 @@
 func (g *Core) company(others int) {
 	g.nodes.SetMost(g.nodeConns(others))
 	if others == 0 {
-		g.mod.Release()
+		g.mod.ReleasePredecessor()
 	}
 }
 
@@ -61,9 +61,9 @@
 }
 
 func (g *Core) giveOver(ev giveOver) {
-	kept, given := handover.Split(g.mod.Learned())
-	g.mod.Keep(kept)
-	s := handover.State{At: g.now, Learned: given, List: discovery.List{Rev: g.ops.rev, All: true}}
+	kept, given := handover.Split(g.mod.ExportState())
+	g.mod.RetainUnits(kept)
+	s := handover.State{At: g.now, Learned: given, List: discovery.List{Rev: g.ops.rev, Complete: true}}
 	for _, t := range g.ops.listed {
 		s.List.Targets = append(s.List.Targets, t)
 	}
@@ -75,7 +75,7 @@
 		g.fleet(s.List.Usable(g.log))
 		g.flush()
 	}
-	g.mod.Learn(g.now, s.Learned)
-	g.after(lentFor, g.mod.Release)
-	g.log.Info("went on from the process before", "channels", len(s.Learned.Customers), "nodes", len(s.Learned.Servers), "age", g.now-s.At)
+	g.mod.ImportState(g.now, s.Learned)
+	g.after(lentFor, g.mod.ReleasePredecessor)
+	g.log.Info("went on from the process before", "channels", len(s.Learned.Tenants), "nodes", len(s.Learned.Backends), "age", g.now-s.At)
 }
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -34,18 +34,18 @@
 type judgements struct {
 	peers   Peers
 	cfg     outlier.Config
-	sight   *outlier.Sight
-	teller  *outlier.Teller
-	fader   *outlier.Fader
-	trials  *outlier.Trials
-	starts  map[policy.ServerID]time.Duration
+	sight   *outlier.LocalDetector
+	teller  *outlier.Publisher
+	fader   *outlier.Decay
+	trials  *outlier.Probation
+	starts  map[policy.BackendID]time.Duration
 	version uint64
 	weighed time.Duration
-	heard   map[policy.ServerID][]outlier.Heard
-	force   map[policy.ServerID]float64 // slowness by others' word, as the module has it
-	blamed  map[policy.ServerID]bool    // of which a line was written
-	held    bool                        // blames are lifted, for there are too many
-	strange int                         // words that no instance can have meant
+	heard   map[policy.BackendID][]outlier.PeerObservation
+	force   map[policy.BackendID]float64 // slowness by others' word, as the module has it
+	blamed  map[policy.BackendID]bool    // of which a line was written
+	held    bool                         // blames are lifted, for there are too many
+	strange int                          // words that no instance can have meant
 	shown   atomic.Pointer[NodesStatus]
 	showAt  time.Duration
 }
@@ -59,17 +59,17 @@
 
 // NodeStatus is one node of which something is known or told.
 type NodeStatus struct {
-	Node     policy.ServerID `json:"Node"`
-	Good     float64         `json:"Good"`
-	Bad      float64         `json:"Bad"`  // this instance's own evidence
-	Own      string          `json:"Own"`  // what speaks against it here
-	Told     float64         `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
-	Cause    string          `json:"Cause"`
-	Accusers []string        `json:"Accusers"`
-	Defence  []string        `json:"Defence"` // "" is this instance
-	Why      string          `json:"Why"`
-	AgeMS    int64           `json:"AgeMS"`
-	Words    []Word          `json:"Words"`
+	Node     policy.BackendID `json:"Node"`
+	Good     float64          `json:"Good"`
+	Bad      float64          `json:"Bad"`  // this instance's own evidence
+	Own      string           `json:"Own"`  // what speaks against it here
+	Told     float64          `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
+	Cause    string           `json:"Cause"`
+	Accusers []string         `json:"Accusers"`
+	Defence  []string         `json:"Defence"` // "" is this instance
+	Why      string           `json:"Why"`
+	AgeMS    int64            `json:"AgeMS"`
+	Words    []Word           `json:"Words"`
 }
 
 // Word is what one other instance says.
@@ -88,11 +88,11 @@
 func newJudgements(cfg Config) *judgements {
 	longest := time.Duration(0)
 	for _, c := range cfg.Settings.Classes {
-		longest = max(longest, c.Aim)
+		longest = max(longest, c.LatencyObjective)
 	}
-	return &judgements{peers: cfg.Peers, cfg: outlier.Config{Hall: cfg.Settings.Zone, Memory: longAims * longest}, sight: outlier.NewSight(), teller: outlier.NewTeller(),
-		fader: outlier.NewFader(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: outlier.NewTrials(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Gateways),
-		starts: map[policy.ServerID]time.Duration{}, blamed: map[policy.ServerID]bool{}}
+	return &judgements{peers: cfg.Peers, cfg: outlier.Config{Zone: cfg.Settings.Zone, HalfLife: longAims * longest}, sight: outlier.NewLocalDetector(), teller: outlier.NewPublisher(),
+		fader: outlier.NewDecay(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: outlier.NewProbation(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Instances),
+		starts: map[policy.BackendID]time.Duration{}, blamed: map[policy.BackendID]bool{}}
 }
 
 // listJudged hands on which starts of nodes there are.
@@ -101,12 +101,12 @@
 	clear(j.starts)
 	g.ops.mu.Lock()
 	for id, t := range g.ops.listed {
-		if s := g.ops.book.Over(t.Server()); s.State != policy.Gone {
+		if s := g.ops.book.Apply(t.Server()); s.State != policy.Gone {
 			j.starts[id] = s.Started
 		}
 	}
 	g.ops.mu.Unlock()
-	j.sight.Listed(j.starts)
+	j.sight.SetBackends(j.starts)
 	j.version = 0 // what others tell may be of a start that was not listed until now
 }
 
@@ -131,17 +131,17 @@
 		j.weighed = 0
 	}
 	// Most nodes are fine, and nobody speaks of them: looking at all was half of what judging took (a profile of 36 processes).
-	own := j.sight.Opinions(g.now, func(id policy.ServerID) bool { return len(j.heard[id]) > 0 || j.teller.Told(id) })
-	accused := map[policy.ServerID]time.Duration{}
+	own := j.sight.Observations(g.now, func(id policy.BackendID) bool { return len(j.heard[id]) > 0 || j.teller.HasPublished(id) })
+	accused := map[policy.BackendID]time.Duration{}
 	for _, o := range own {
-		for _, w := range j.heard[o.Node] {
-			if w.Accuses() && w.Onset < o.LastGood {
-				accused[o.Node] = max(accused[o.Node], w.Onset)
+		for _, w := range j.heard[o.Backend] {
+			if w.IsAdverse() && w.Onset < o.LastGood {
+				accused[o.Backend] = max(accused[o.Backend], w.Onset)
 			}
 		}
 	}
-	for _, o := range j.teller.Tell(g.now, own, accused) {
-		j.peers.Tell(outlier.Kind, string(o.Node), o.Born(), o.Encode())
+	for _, o := range j.teller.Select(g.now, own, accused) {
+		j.peers.Tell(outlier.FactKind, string(o.Backend), o.ObservedAt(), o.Encode())
 	}
 	if g.now-j.weighed >= weighAgain || len(j.force) > 0 {
 		j.weighed = g.now
@@ -151,88 +151,88 @@
 
 // read takes over what others tell.
 func (j *judgements) read() {
-	facts, halls := j.peers.Facts(outlier.Kind)
-	j.heard = map[policy.ServerID][]outlier.Heard{}
+	facts, halls := j.peers.Facts(outlier.FactKind)
+	j.heard = map[policy.BackendID][]outlier.PeerObservation{}
 	for _, f := range facts {
 		if f.Owner == j.peers.Name() {
 			continue
 		}
-		o, err := outlier.Decode(f.Subject, f.Born, f.Data)
+		o, err := outlier.Decode(f.Subject, f.ObservedAt, f.Data)
 		if err != nil {
 			j.strange++
 			continue
 		}
-		if start, there := j.starts[o.Node]; there && start.Milliseconds() == o.Started.Milliseconds() { // of this start of it
-			j.heard[o.Node] = append(j.heard[o.Node], outlier.Heard{Owner: f.Owner, Hall: halls[f.Owner], Opinion: o})
+		if start, there := j.starts[o.Backend]; there && start.Milliseconds() == o.Started.Milliseconds() { // of this start of it
+			j.heard[o.Backend] = append(j.heard[o.Backend], outlier.PeerObservation{Owner: f.Owner, Zone: halls[f.Owner], Observation: o})
 		}
 	}
 }
 
 // weigh comes to a verdict on each node that others speak of, and lets the module know.
-func (g *Core) weigh(own []outlier.Opinion) {
+func (g *Core) weigh(own []outlier.Observation) {
 	j := g.judged
-	mine := map[policy.ServerID]outlier.Opinion{}
+	mine := map[policy.BackendID]outlier.Observation{}
 	for _, o := range own {
-		mine[o.Node] = o
+		mine[o.Backend] = o
 	}
-	var verdicts []outlier.Verdict
+	var verdicts []outlier.Assessment
 	for id, words := range j.heard {
 		o := mine[id]
-		o.Node = id
-		verdicts = append(verdicts, outlier.Judge(g.now, j.cfg, o, words))
+		o.Backend = id
+		verdicts = append(verdicts, outlier.Assess(g.now, j.cfg, o, words))
 	}
-	lifted := outlier.Restrain(verdicts, len(j.starts))
+	lifted := outlier.LimitEjections(verdicts, len(j.starts))
 	if lifted != j.held {
 		j.held = lifted
 		g.log.Warn("others' word on nodes", "counts", !lifted, "nodes", len(verdicts), "listed", len(j.starts))
 	}
 	before := len(j.force)
-	j.force = j.fader.Hold(g.now, verdicts)
+	j.force = j.fader.Apply(g.now, verdicts)
 	if before > 0 || len(j.force) > 0 {
 		heard := maps.Clone(j.force)
 		for _, id := range j.trials.Open(g.now, j.force, verdicts, j.sight.LastSent) {
-			heard[id] = policy.Try
+			heard[id] = policy.ProbationSlowness
 		}
-		g.mod.Hear(heard)
+		g.mod.SetPeerSlowness(heard)
 	}
 	for _, v := range verdicts {
-		if blamed := j.force[v.Node] >= blameLogged; blamed != j.blamed[v.Node] {
-			j.blamed[v.Node] = blamed
-			g.log.Info("a node by others' word", "node", v.Node, "slow", float64(int(10*j.force[v.Node]))/10, "cause", v.Cause.String(), "accusers", v.Accusers,
-				"defence", v.Defence, "why", v.Why)
+		if blamed := j.force[v.Backend] >= blameLogged; blamed != j.blamed[v.Backend] {
+			j.blamed[v.Backend] = blamed
+			g.log.Info("a node by others' word", "node", v.Backend, "slow", float64(int(10*j.force[v.Backend]))/10, "cause", v.Cause.String(), "accusers", v.Reporters,
+				"defence", v.Defenders, "why", v.Reason)
 		}
 	}
 	if g.now-j.showAt >= nodesShown {
 		j.showAt = g.now
-		j.show(g.now, j.sight.Opinions(g.now, nil), verdicts)
+		j.show(g.now, j.sight.Observations(g.now, nil), verdicts)
 	}
 }
 
 // show lets others see what is believed.
-func (j *judgements) show(now time.Duration, own []outlier.Opinion, verdicts []outlier.Verdict) {
+func (j *judgements) show(now time.Duration, own []outlier.Observation, verdicts []outlier.Assessment) {
 	s := &NodesStatus{Lifted: j.held, Strange: j.strange}
-	by := map[policy.ServerID]outlier.Verdict{}
+	by := map[policy.BackendID]outlier.Assessment{}
 	for _, v := range verdicts {
-		by[v.Node] = v
+		by[v.Backend] = v
 	}
-	add := func(o outlier.Opinion) {
-		v := by[o.Node]
-		n := NodeStatus{Node: o.Node, Good: o.Good, Bad: o.Bad, Told: max(1, j.force[o.Node]), Cause: v.Cause.String(), Accusers: v.Accusers, Defence: v.Defence, Why: v.Why,
+	add := func(o outlier.Observation) {
+		v := by[o.Backend]
+		n := NodeStatus{Node: o.Backend, Good: o.Good, Bad: o.Bad, Told: max(1, j.force[o.Backend]), Cause: v.Cause.String(), Accusers: v.Reporters, Defence: v.Defenders, Why: v.Reason,
 			AgeMS: v.Age.Milliseconds()}
 		if o.Bad > 0.1 {
 			n.Own = o.Cause.String()
 		}
-		for _, w := range j.heard[o.Node] {
-			n.Words = append(n.Words, Word{w.Owner, w.Hall, w.Cause.String(), w.Good, w.Bad, (now - w.Born()).Milliseconds()})
+		for _, w := range j.heard[o.Backend] {
+			n.Words = append(n.Words, Word{w.Owner, w.Zone, w.Cause.String(), w.Good, w.Bad, (now - w.ObservedAt()).Milliseconds()})
 		}
 		s.Nodes = append(s.Nodes, n)
-		delete(by, o.Node)
+		delete(by, o.Backend)
 	}
 	for _, o := range own {
 		add(o)
 	}
 	for id := range by {
-		add(outlier.Opinion{Node: id})
+		add(outlier.Observation{Backend: id})
 	}
 	j.shown.Store(s)
 }
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -19,18 +19,18 @@
 // by many goroutines, and may take the time of a disk.
 type WordStore interface {
 	// Save puts words into stable storage, beside those that another process has put there.
-	Save([]override.Word) error
+	Save([]override.Override) error
 }
 
 // operators is what operators have said, and the list that it lies over. Its lock is never held over a wait.
 type operators struct {
 	mu    sync.Mutex
-	book  *override.Book
+	book  *override.Overrides
 	store WordStore     // nil: words end with the process
 	spoke chan struct{} // room for one: the loop shall look at the book
 
 	// The loop's alone: the list without the operators' word, its revision, and how often one has come.
-	listed map[policy.ServerID]discovery.Target
+	listed map[policy.BackendID]discovery.Target
 	rev    int64
 	lists  int
 }
@@ -40,16 +40,16 @@
 
 // Suspend takes a node out until Resume: the list has it as draining from now on, whatever discovery says. It returns
 // suspend.ErrUnknown for a node that was never listed, and never waits for the core's goroutine.
-func (g *Core) Suspend(id policy.ServerID) error { return g.say(id, true) }
+func (g *Core) Suspend(id policy.BackendID) error { return g.say(id, true) }
 
 // Resume puts a node back, as one that has just started.
-func (g *Core) Resume(id policy.ServerID) error { return g.say(id, false) }
+func (g *Core) Resume(id policy.BackendID) error { return g.say(id, false) }
 
-func (g *Core) say(id policy.ServerID, out bool) error {
+func (g *Core) say(id policy.BackendID, out bool) error {
 	o := &g.ops
 	o.mu.Lock()
-	changed, err := o.book.Say(id, out, g.clock(time.Now()))
-	words := o.book.Words()
+	changed, err := o.book.Set(id, out, g.clock(time.Now()))
+	words := o.book.All()
 	o.mu.Unlock()
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 }
 
 // Heard takes in words that another process of this ingress has recorded. It may be called at any time.
-func (g *Core) Heard(words []override.Word) {
+func (g *Core) Heard(words []override.Override) {
 	o := &g.ops
 	o.mu.Lock()
 	changed := o.book.Merge(words)
@@ -76,10 +76,10 @@
 }
 
 // out reports whether operators have taken a node out.
-func (g *Core) out(id policy.ServerID) bool {
+func (g *Core) out(id policy.BackendID) bool {
 	g.ops.mu.Lock()
 	defer g.ops.mu.Unlock()
-	return g.ops.book.Out(id)
+	return g.ops.book.IsSuspended(id)
 }
 
 func (o *operators) signal() {
@@ -94,12 +94,12 @@
 	g.sum.add(lists, 1)
 	g.ops.lists++
 	g.ops.rev = max(g.ops.rev, f.Rev)
-	if f.All || g.ops.listed == nil {
-		g.ops.listed = make(map[policy.ServerID]discovery.Target, len(f.Targets))
+	if f.Complete || g.ops.listed == nil {
+		g.ops.listed = make(map[policy.BackendID]discovery.Target, len(f.Targets))
 	}
-	ids := make([]policy.ServerID, 0, len(f.Targets))
+	ids := make([]policy.BackendID, 0, len(f.Targets))
 	for _, t := range f.Targets {
-		id := policy.ServerID(t.UID)
+		id := policy.BackendID(t.UID)
 		ids = append(ids, id)
 		if t.State == discovery.Deleted {
 			delete(g.ops.listed, id)
@@ -108,7 +108,7 @@
 		}
 	}
 	g.ops.mu.Lock()
-	g.ops.book.Listed(ids)
+	g.ops.book.NoteListed(ids)
 	g.ops.mu.Unlock()
 	g.overlaid(f)
 }
@@ -125,17 +125,17 @@
 
 // overlaid tells connections, halls and the module the list as it holds under the operators' word.
 func (g *Core) overlaid(f discovery.List) {
-	ev := policy.FleetChanged{Whole: f.All, Servers: make([]policy.Server, 0, len(f.Targets))}
+	ev := policy.EndpointsChanged{Complete: f.Complete, Backends: make([]policy.Backend, 0, len(f.Targets))}
 	entries := make([]backend.Entry, 0, len(f.Targets))
 	g.ops.mu.Lock()
 	for _, t := range f.Targets {
-		s := g.ops.book.Over(t.Server())
-		entries = append(entries, backend.Entry{Server: s, Addr: t.Endpoint})
-		ev.Servers = append(ev.Servers, s)
+		s := g.ops.book.Apply(t.Server())
+		entries = append(entries, backend.Entry{Backend: s, Addr: t.Endpoint})
+		ev.Backends = append(ev.Backends, s)
 	}
 	g.ops.mu.Unlock()
 	g.tell(ev) // before what ends by it, which would be sent to the same nodes again
-	g.nodes.Set(entries, f.All)
+	g.nodes.Set(entries, f.Complete)
 	if g.judged != nil {
 		g.listJudged()
 	}
@@ -150,7 +150,7 @@
 	avoided := 0
 	g.ops.mu.Lock()
 	for id := range g.ops.listed {
-		if g.ops.book.Out(id) || g.mod.Avoids(id) {
+		if g.ops.book.IsSuspended(id) || g.mod.IsAvoided(id) {
 			avoided++
 		}
 	}
@@ -164,7 +164,7 @@
 	for i, c := range classes {
 		names[i] = c.Name
 	}
-	reasons := make([]string, policy.Reasons)
+	reasons := make([]string, policy.ReasonCount)
 	for i := range reasons {
 		reasons[i] = policy.Reason(i).String()
 	}
@@ -173,7 +173,7 @@
 
 // endOf is how a request counts that ended with an attempt.
 func endOf(o policy.Outcome) metrics.End {
-	if o == policy.Done {
+	if o == policy.Succeeded {
 		return metrics.Answered
 	}
 	return metrics.Errored
@@ -181,7 +181,7 @@
 
 // final hands out the one final answer of a request, and counts it.
 func (g *Core) final(r *Request, a Answer) {
-	if r.final && !r.Handed {
+	if r.final && !r.Delegated {
 		g.guard.Violated(guard.AnsweredTwice, append(r.ids(), "second", a.Kind.String())...)
 		return
 	}
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -22,7 +22,7 @@
 
 // holding is this instance's parts of budgets, which move between instances. The loop's alone, but for shown.
 type holding struct {
-	book    *escrow.Book
+	book    *escrow.Allocator
 	works   Works
 	ticked  time.Duration
 	members []escrow.Member
@@ -47,7 +47,7 @@
 }
 
 func newHolding(cfg Config, now time.Duration) *holding {
-	return &holding{book: escrow.New(cfg.Settings.Me, cfg.Settings.Gateways, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Rights, ticked: now, passed: map[string]*passing{}}
+	return &holding{book: escrow.New(cfg.Settings.Index, cfg.Settings.Instances, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Rights, ticked: now, passed: map[string]*passing{}}
 }
 
 // passes counts a request's units, when it is first sent on.
@@ -71,7 +71,7 @@
 		h.members = append(h.members, escrow.Member{Name: m.Name})
 	}
 	for _, x := range ev.left {
-		h.book.Gone(x.Name, x.Life)
+		h.book.PeerEnded(x.Name, x.Life)
 	}
 }
 
@@ -87,10 +87,10 @@
 	stopped := g.now-h.ticked > stoppedAfter
 	h.ticked = g.now
 	var needs []escrow.Need
-	for _, n := range g.mod.Needs(g.now) {
-		x := escrow.Need{Key: n.Account, Spread: n.Spread, First: n.First, Want: n.Want, Others: n.Others / n.Rate, Places: n.Places, Alone: n.Alone}
+	for _, n := range g.mod.QuotaNeeds(g.now) {
+		x := escrow.Need{Key: n.Account, Spread: n.Spread, First: n.First, WantedShare: n.WantedShare, OthersShare: n.OthersRate / n.Rate, MaxInFlight: n.MaxInFlight, CounterLost: n.CounterLost}
 		if p := h.passed[n.Account]; p != nil {
-			x.Passed = p.now(g.now) / n.Rate
+			x.ForwardedShare = p.now(g.now) / n.Rate
 		}
 		needs = append(needs, x)
 	}
@@ -98,7 +98,7 @@
 	g.holdParts(stopped)
 	if h.book.Counts().Conflicts > 0 && !h.told {
 		h.told = true
-		g.log.Warn("two members have one number among the ingresses: what the second says of budgets is left aside", "name", g.cfg.Settings.Me)
+		g.log.Warn("two members have one number among the ingresses: what the second says of budgets is left aside", "name", g.cfg.Settings.Index)
 	}
 	g.reportFullBook()
 	if g.now >= h.showAt {
@@ -120,26 +120,26 @@
 
 // holdParts lets the module know what this instance holds now.
 func (g *Core) holdParts(stopped bool) {
-	p := policy.Parts{Home: g.holding.book.Home(g.now), Of: map[string]policy.Part{}}
-	for key, x := range g.holding.book.Parts(g.now) {
-		p.Of[key] = policy.Part(x)
+	p := policy.Allocations{Default: g.holding.book.DefaultShare(g.now), ByAccount: map[string]policy.Allocation{}}
+	for key, x := range g.holding.book.Allocations(g.now) {
+		p.ByAccount[key] = policy.Allocation(x)
 	}
-	g.mod.Hold(g.now, p, stopped)
+	g.mod.SetAllocations(g.now, p, stopped)
 }
 
 // heardRights takes in what another instance's life says of budgets. What it lends or has back holds from the next look on at the latest; what this
 // instance lends counts at once.
 func (g *Core) heardRights(from string, life uint64, m escrow.Message) {
-	out := g.holding.book.Receive(g.now, escrow.Member{Name: from, Life: life}, m)
+	out := g.holding.book.Receive(g.now, escrow.Member{Name: from, Incarnation: life}, m)
 	if len(out) > 0 || len(m.Grants) > 0 {
 		g.holdParts(false)
 	}
 	g.sendRights(out)
 }
 
-func (g *Core) sendRights(out []escrow.Send) {
+func (g *Core) sendRights(out []escrow.Envelope) {
 	for _, s := range out {
-		b, err := cbor.Marshal(parcel{Rights: &s.Msg})
+		b, err := cbor.Marshal(parcel{Rights: &s.Message})
 		if err != nil { // of plain fields
 			panic(err)
 		}
--- a/internal/core/rights_test.go
+++ b/internal/core/rights_test.go
@@ -15,7 +15,7 @@
 func TestFullBookIsOneLine(t *testing.T) {
 	var out bytes.Buffer
 	cfg := testConfig("", fleetOf())
-	cfg.Settings.Gateways = 3
+	cfg.Settings.Instances = 3
 	g, err := New(cfg, slog.New(slog.NewTextHandler(&out, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	g.holding = newHolding(cfg, g.now)
 	var needs []escrow.Need
 	for i := range escrow.MaxBudgets + 1 {
-		needs = append(needs, escrow.Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, Want: 0.1})
+		needs = append(needs, escrow.Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, WantedShare: 0.1})
 	}
 	count := func() int { return strings.Count(out.String(), "no room for further budgets") }
 	for range 100 {
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -27,7 +27,7 @@
 	k := &store.Call{Name: "a"}
 	g.counted(counted{k, store.Result{}})
 	g.counted(counted{k, store.Result{Certainty: store.Added, Seen: true, Total: 7}})
-	if len(g.queue) != 1 || g.queue[0].(policy.CountReply).Outcome != policy.TimedOut {
+	if len(g.queue) != 1 || g.queue[0].(policy.CounterReply).Outcome != policy.TimedOut {
 		t.Fatalf("told: %v", g.queue)
 	}
 }
@@ -35,14 +35,14 @@
 // What a store is sure of reaches the module as just that.
 func TestCounterCertainty(t *testing.T) {
 	for want, r := range map[policy.Outcome]store.Result{
-		policy.Done:      {Certainty: store.Added, Seen: true, Total: 3},
+		policy.Succeeded: {Certainty: store.Added, Seen: true, Total: 3},
 		policy.Failed:    {Certainty: store.Added},
 		policy.NoConnect: {Certainty: store.NotAdded},
 		policy.TimedOut:  {},
 	} {
 		g := idleGateway(t, "127.0.0.1:1")
 		g.counted(counted{&store.Call{Name: "a"}, r})
-		if ev := g.queue[len(g.queue)-1].(policy.CountReply); ev.Outcome != want || ev.Total != r.Total {
+		if ev := g.queue[len(g.queue)-1].(policy.CounterReply); ev.Outcome != want || ev.Total != r.Total {
 			t.Errorf("%+v: told %+v, want outcome %v", r, ev, want)
 		}
 	}
@@ -59,7 +59,7 @@
 			held := &heldStore{}
 			g.counter = held
 			g.cfg.Settings.CounterTimeout = 80 * time.Millisecond
-			g.count(policy.Count{Name: "a", Add: 1})
+			g.count(policy.AddToCounter{Name: "a", Add: 1})
 			if c.taken {
 				held.calls[0].Take()
 			}
@@ -67,7 +67,7 @@
 			for len(g.queue) == 0 && len(g.alarms) > 0 && g.alarms[0].at <= g.now {
 				heap.Pop(&g.alarms).(alarm).ring()
 			}
-			if ev, ok := g.queue[len(g.queue)-1].(policy.CountReply); !ok || ev.Outcome != c.want {
+			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want {
 				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
 			}
 			if held.calls[0].Take() {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -28,16 +28,16 @@
 
 var figureNames = [allFigures]string{"arrived", "served", "late", "cut", "first", "further", "hold_ms", "dials", "lists", "calls", "call_ms"}
 
-var outcomeNames = [...]string{policy.Failed: "failed", policy.Done: "done", policy.Full: "full", policy.TimedOut: "timeout",
-	policy.NoConnect: "noconnect", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "moot"}
+var outcomeNames = [...]string{policy.Failed: "failed", policy.Succeeded: "done", policy.Rejected: "full", policy.TimedOut: "timeout",
+	policy.NoConnect: "noconnect", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot"}
 
 // summary counts what happens and writes a line of it at a time, so that the logs of many instances can be added up
 // (lab fleet-logs). A nil one counts nothing. The core's goroutine owns it.
 type summary struct {
 	dialed  int // as of the last line
 	counts  [allFigures]float64
-	refuse  [policy.Reasons]int
-	fail    [policy.Reasons]int
+	refuse  [policy.ReasonCount]int
+	fail    [policy.ReasonCount]int
 	ends    [len(outcomeNames)]int
 	answers [len(outcomeNames)]int // of the counter
 }
@@ -89,7 +89,7 @@
 	}
 	s.answers[o]++
 	s.counts[countCalls]++
-	if o == policy.Done {
+	if o == policy.Succeeded {
 		s.counts[countMillis] += took.Seconds() * 1000
 	}
 }
@@ -122,7 +122,7 @@
 	for f, n := range s.counts {
 		put("", figureNames[f], n)
 	}
-	for why := range policy.Reasons {
+	for why := range policy.ReasonCount {
 		put("refused.", why.String(), float64(s.refuse[why]))
 		put("failed.", why.String(), float64(s.fail[why]))
 	}
@@ -130,7 +130,7 @@
 		put("end.", name, float64(s.ends[o]))
 		put("count.", name, float64(s.answers[o]))
 	}
-	window, busy, held, servers := g.mod.State()
+	window, busy, held, servers := g.mod.Stats()
 	put("", "window", window)
 	put("", "busy", float64(busy))
 	put("", "held", float64(held))
--- a/internal/core/summary_test.go
+++ b/internal/core/summary_test.go
@@ -52,7 +52,7 @@
 	g.sum.refused(policy.Quota)
 	g.sum.failed(policy.Quota)
 	g.sum.sent(0, time.Second)
-	g.sum.ended(policy.Done)
+	g.sum.ended(policy.Succeeded)
 	g.sum.served(1, 2)
-	g.sum.counted(policy.Done, 1)
+	g.sum.counted(policy.Succeeded, 1)
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -57,7 +57,7 @@
 // taking is custody of keyed work: what waits for a keeper's word, and what is kept for others. The loop's alone.
 type taking struct {
 	cfg    Takeover
-	desk   *takeover.Desk
+	desk   *takeover.Coordinator
 	byTry  map[uint64]*Request
 	shown  atomic.Pointer[WorkStatus]
 	showAt time.Duration
@@ -65,9 +65,9 @@
 
 // keeping is a request in custody.
 type keeping struct {
-	at     takeover.Place
+	at     takeover.Scope
 	waits  *backend.Attempt // for the keepers' word; nil: none does
-	to     policy.ServerID
+	to     policy.BackendID
 	ran    int     // attempts that may have run
 	out    uint64  // a bit for each attempt that has gone out
 	joined bool    // another try's answer is waited for
@@ -77,7 +77,7 @@
 }
 
 func newTaking(cfg Takeover) *taking {
-	return &taking{cfg: cfg, desk: takeover.NewDesk(cfg.Self, cfg.Life, cfg.Works.ClockOf), byTry: map[uint64]*Request{}}
+	return &taking{cfg: cfg, desk: takeover.NewCoordinator(cfg.Self, cfg.Life, cfg.Works.ClockOf), byTry: map[uint64]*Request{}}
 }
 
 // HeardWork takes in what another instance's life has sent.
@@ -124,12 +124,12 @@
 		return
 	}
 	for _, x := range ev.gone { // first: where a later life is there already, that one counts
-		t.desk.Left(g.now, x.Name, x.Life)
+		t.desk.MemberLeft(g.now, x.Name, x.Life)
 	}
 	for _, x := range ev.back {
-		t.desk.Back(x.Name, x.Life)
+		t.desk.MemberReturned(x.Name, x.Life)
 	}
-	t.desk.Members(append([]takeover.Member{t.cfg.Self}, ev.members...))
+	t.desk.SetMembers(append([]takeover.Member{t.cfg.Self}, ev.members...))
 	g.drainDesk()
 }
 
@@ -142,7 +142,7 @@
 	if g.now >= t.showAt {
 		t.showAt = g.now + statusEvery
 		s := &WorkStatus{Counts: t.desk.Counts(), Unread: g.unread}
-		s.InHand, s.Records, s.Bytes = t.desk.Held()
+		s.InHand, s.Records, s.Bytes = t.desk.Pending()
 		t.shown.Store(s)
 	}
 }
@@ -169,7 +169,7 @@
 
 // covers says whether keepers can hold a request.
 func (g *Core) covers(r *Request) bool {
-	if g.classes[r.Class].Effect != policy.Keyed || r.Idem == "" || r.Size > takeover.MostBody {
+	if g.classes[r.Class].Effect != policy.Keyed || r.Idem == "" || r.Size > takeover.MaxBody {
 		return false
 	}
 	_, ok := r.Command.(interface{ Words() [][]byte })
@@ -177,11 +177,11 @@
 }
 
 // workKey is what a piece of keyed work is known by among all instances.
-func workKey(r *Request) string { return r.Customer + "/" + r.Idem }
+func workKey(r *Request) string { return r.Tenant + "/" + r.Idem }
 
 func (g *Core) workOf(r *Request) takeover.Work {
-	return takeover.Work{Key: workKey(r), Class: r.Class, Plan: r.Plan, Customer: r.Customer, Units: r.Units, Spread: r.Spread, First: r.First,
-		Memory: g.classes[r.Class].RepeatWindow, Words: r.Command.(interface{ Words() [][]byte }).Words()}
+	return takeover.Work{Key: workKey(r), Class: r.Class, Plan: r.Plan, Tenant: r.Tenant, Units: r.Units, Spread: r.Spread, First: r.First,
+		IdempotencyWindow: g.classes[r.Class].RepeatWindow, Command: r.Command.(interface{ Words() [][]byte }).Words()}
 }
 
 // accept lets keepers hold a request that waits here: should this instance end, another sends it.
@@ -189,16 +189,16 @@
 	if r.final || r.kept != nil || len(r.attempts) > 0 || g.requests[r.ID] != r {
 		return
 	}
-	r.kept = &keeping{at: takeover.Nowhere}
+	r.kept = &keeping{at: takeover.ScopeNone}
 	g.taking.byTry[r.Key] = r
 	w := g.workOf(r)
-	w.Paid = g.mod.Holds(r.ID)
-	g.taking.desk.Begin(g.now, w, r.Key, takeover.Nowhere, r.GiveUpAt)
+	w.Charged = g.mod.IsQueued(r.ID)
+	g.taking.desk.RequestSend(g.now, w, r.Key, takeover.ScopeNone, r.GiveUpAt)
 	g.drainDesk()
 }
 
 // inCustody says whether an attempt has to wait for the keepers' word, and asks for it.
-func (g *Core) inCustody(r *Request, a *backend.Attempt, to policy.ServerID) bool {
+func (g *Core) inCustody(r *Request, a *backend.Attempt, to policy.BackendID) bool {
 	if !g.covers(r) {
 		return false
 	}
@@ -207,13 +207,13 @@
 	case r.kept == nil:
 		r.kept = &keeping{at: at, waits: a, to: to}
 		g.taking.byTry[r.Key] = r
-		g.taking.desk.Begin(g.now, g.workOf(r), r.Key, at, r.GiveUpAt)
+		g.taking.desk.RequestSend(g.now, g.workOf(r), r.Key, at, r.GiveUpAt)
 	case r.kept.at == at:
 		r.kept.went(a)
 		return false
 	default: // what went out before surely never ran
 		r.kept.at, r.kept.waits, r.kept.to = at, a, to
-		g.taking.desk.Move(g.now, r.Key, at)
+		g.taking.desk.MigrateAttempt(g.now, r.Key, at)
 	}
 	g.drainDesk()
 	return true
@@ -225,7 +225,7 @@
 func (g *Core) askForAnswer(r *Request, after time.Duration) bool {
 	if r != nil && !r.final && r.kept != nil && !r.kept.joined && r.kept.refuse == nil && r.kept.waits == nil && r.kept.ran <= 0 && r.out == 0 { // another may have taken it over
 		r.kept.refuse, r.kept.was = &Answer{Kind: Refused, RetryAfter: after}, true
-		g.taking.desk.Confirm(g.now, r.Key)
+		g.taking.desk.ConfirmRejection(g.now, r.Key)
 		g.drainDesk()
 		return true
 	}
@@ -235,7 +235,7 @@
 	refuse := &Answer{Kind: Refused, RetryAfter: after}
 	r.kept = &keeping{refuse: refuse}
 	g.taking.byTry[r.Key] = r
-	if !g.taking.desk.Ask(g.now, workKey(r), r.Key, r.GiveUpAt) {
+	if !g.taking.desk.QueryOutcome(g.now, workKey(r), r.Key, r.GiveUpAt) {
 		delete(g.taking.byTry, r.Key)
 		r.kept = nil
 		return false
@@ -246,15 +246,15 @@
 }
 
 // place is where a repeat has no further effect.
-func (g *Core) place(c policy.Class, id policy.ServerID) takeover.Place {
+func (g *Core) place(c policy.Class, id policy.BackendID) takeover.Scope {
 	t := g.ops.listed[id]
 	switch c.Group {
 	case policy.GroupAll:
-		return takeover.Place{}
+		return takeover.Scope{}
 	case policy.GroupZone:
-		return takeover.Place{Zone: t.Zone}
+		return takeover.Scope{Zone: t.Zone}
 	}
-	return takeover.Place{Zone: t.Zone, Rack: t.Group}
+	return takeover.Scope{Zone: t.Zone, Rack: t.Group}
 }
 
 // drainDesk sends what the desk has to say, and does what may be done.
@@ -263,7 +263,7 @@
 	for {
 		out, acts := t.desk.Drain()
 		for _, o := range out {
-			b, err := cbor.Marshal(o.Msg)
+			b, err := cbor.Marshal(o.Message)
 			if err != nil { // of plain fields
 				panic(err)
 			}
@@ -273,9 +273,9 @@
 			return
 		}
 		for _, a := range acts {
-			if a.Do == takeover.Finish {
-				g.finish(*a.Take)
-			} else if r := t.byTry[a.Try]; r != nil && r.kept != nil && !r.final {
+			if a.Kind == takeover.ActionTakeOver {
+				g.finish(*a.Taken)
+			} else if r := t.byTry[a.Attempt]; r != nil && r.kept != nil && !r.final {
 				g.decided(r, a)
 			}
 		}
@@ -283,22 +283,22 @@
 }
 
 // decided does what custody has come to for one of this instance's requests.
-func (g *Core) decided(r *Request, a takeover.Act) {
+func (g *Core) decided(r *Request, a takeover.Action) {
 	if refuse := r.kept.refuse; refuse != nil { // nothing of it will be sent
 		switch {
-		case a.Do == takeover.Join:
+		case a.Kind == takeover.ActionJoin:
 			r.kept.joined = true
-		case a.Do == takeover.Answered && a.Answer.Kind == takeover.Served:
+		case a.Kind == takeover.ActionUseAnswer && a.Answer.Kind == takeover.AnswerServed:
 			g.answer(r, Answer{Kind: Served, Value: a.Answer.Value})
-		case r.kept.was && a.Do != takeover.Go && a.Do != takeover.Free: // it may have been sent elsewhere: that is no refusal
+		case r.kept.was && a.Kind != takeover.ActionSend && a.Kind != takeover.ActionRestart: // it may have been sent elsewhere: that is no refusal
 			g.answer(r, Answer{Kind: Failed})
 		default:
 			g.answer(r, *refuse)
 		}
 		return
 	}
-	switch a.Do {
-	case takeover.Go:
+	switch a.Kind {
+	case takeover.ActionSend:
 		w := r.kept.waits
 		if r.kept.waits = nil; w == nil {
 			return
@@ -307,28 +307,28 @@
 			g.nodes.Moot(w, r.kept.to)
 			return
 		}
-		g.taking.desk.Sent(g.now, r.Key)
+		g.taking.desk.AttemptSent(g.now, r.Key)
 		r.kept.went(w)
 		g.launch(r, w, r.kept.to)
-	case takeover.Join:
+	case takeover.ActionJoin:
 		r.kept.joined = true
 		g.withdraw(r)
-	case takeover.Answered:
+	case takeover.ActionUseAnswer:
 		g.withdraw(r)
-		if a.Answer.Kind == takeover.Served {
+		if a.Answer.Kind == takeover.AnswerServed {
 			g.answer(r, Answer{Kind: Served, Value: a.Answer.Value})
 		} else {
 			g.answer(r, Answer{Kind: Failed})
 		}
-	case takeover.Free: // what was waited for never ran: from the beginning
+	case takeover.ActionRestart: // what was waited for never ran: from the beginning
 		g.again(r, nil)
 		r.kept = nil
-	case takeover.Bind:
+	case takeover.ActionAdopt:
 		g.withdraw(r)
 		r.kept.joined = false
-		r.kept.at = a.At
-		g.again(r, &policy.Prior{Zone: a.At.Zone, Cell: a.At.Rack, At: a.Began})
-	case takeover.Halt:
+		r.kept.at = a.Scope
+		g.again(r, &policy.Prior{Zone: a.Scope.Zone, Cell: a.Scope.Rack, At: a.StartedAt})
+	case takeover.ActionAbort:
 		g.withdraw(r)
 		g.answer(r, Answer{Kind: Refused, RetryAfter: FullRetry})
 	}
@@ -352,20 +352,20 @@
 func (g *Core) withdraw(r *Request) {
 	w := r.kept.waits
 	if r.kept.waits = nil; w == nil {
-		if r.kept.at == takeover.Nowhere { // it waits in the module
-			g.tell(policy.Abandoned{ID: r.ID})
+		if r.kept.at == takeover.ScopeNone { // it waits in the module
+			g.tell(policy.Disconnected{ID: r.ID})
 		}
 		return
 	}
 	r.out--
-	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: w.N, Server: r.kept.to, Outcome: policy.Moot, Finished: true, Unsent: true})
+	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: w.N, Backend: r.kept.to, Outcome: policy.NotSent, Finished: true, Unsent: true})
 }
 
 // again hands a request to the module once more, under a number of its own.
 func (g *Core) again(r *Request, prior *policy.Prior) {
 	delete(g.requests, r.ID)
 	g.lastID++
-	r.ID, r.attempts, r.Prior, r.Paid = g.lastID, nil, prior, prior != nil
+	r.ID, r.attempts, r.Prior, r.Charged = g.lastID, nil, prior, prior != nil
 	if prior != nil {
 		r.attempts = []*backend.Attempt{{}} // the other's
 		r.kept.ran, r.kept.out = 1, 0
@@ -393,14 +393,14 @@
 	}
 	k.ended = true
 	delete(g.taking.byTry, r.Key)
-	end := takeover.Answer{Kind: takeover.Failed}
+	end := takeover.Answer{Kind: takeover.AnswerFailed}
 	switch {
 	case a.Kind == Served:
-		end = takeover.Answer{Kind: takeover.Served, Value: a.Value, Cut: a.Stream != nil}
+		end = takeover.Answer{Kind: takeover.AnswerServed, Value: a.Value, Truncated: a.Stream != nil}
 	case k.ran <= 0:
-		end.Kind = takeover.Never
+		end.Kind = takeover.AnswerNeverRan
 	}
-	g.taking.desk.Finish(g.now, r.Key, end)
+	g.taking.desk.Complete(g.now, r.Key, end)
 	g.drainDesk()
 }
 
@@ -418,21 +418,21 @@
 func (takenPlace) Gone() bool { return false }
 
 // finish goes on with a piece of work whose instance has gone.
-func (g *Core) finish(t takeover.Take) {
+func (g *Core) finish(t takeover.TakenWork) {
 	fail := func(why string, err error) {
-		g.log.Warn("work that was taken over is not finished", "from", t.From, "why", why, "err", err)
-		g.taking.desk.Finish(g.now, t.Try, takeover.Answer{Kind: takeover.Failed})
+		g.log.Warn("work that was taken over is not finished", "from", t.Owner, "why", why, "err", err)
+		g.taking.desk.Complete(g.now, t.Attempt, takeover.Answer{Kind: takeover.AnswerFailed})
 	}
-	if g.taking.byTry[t.Try] != nil || g.taking.cfg.Rebuild == nil {
+	if g.taking.byTry[t.Attempt] != nil || g.taking.cfg.Rebuild == nil {
 		fail("it is in hand here, or there is no front yet", nil)
 		return
 	}
-	r, err := g.taking.cfg.Rebuild(t.Words)
+	r, err := g.taking.cfg.Rebuild(t.Command)
 	if err != nil {
 		fail("its command is none", err)
 		return
 	}
-	r.Place, r.GiveUpAt = takenPlace{}, t.Until
+	r.Place, r.GiveUpAt = takenPlace{}, t.Deadline
 	if len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.Size > g.mostHeld {
 		fail("no room", nil)
 		return
@@ -440,16 +440,16 @@
 	g.fig.Took()
 	g.lastID++
 	r.ID, r.came = g.lastID, g.now
-	r.kept, r.Paid = &keeping{at: t.At}, t.Paid || t.At != takeover.Nowhere
-	if t.At != takeover.Nowhere {
-		r.Prior = &policy.Prior{Zone: t.At.Zone, Cell: t.At.Rack, At: t.Began}
+	r.kept, r.Charged = &keeping{at: t.Scope}, t.Charged || t.Scope != takeover.ScopeNone
+	if t.Scope != takeover.ScopeNone {
+		r.Prior = &policy.Prior{Zone: t.Scope.Zone, Cell: t.Scope.Rack, At: t.StartedAt}
 		r.attempts = []*backend.Attempt{{}} // its owner's
 		r.kept.ran = 1
 	}
-	g.taking.byTry[t.Try] = r
+	g.taking.byTry[t.Attempt] = r
 	g.requests[r.ID] = r
 	g.heldBytes += r.Size
-	g.log.Info("work is taken over", "from", t.From, "sent", t.At != takeover.Nowhere, "class", r.Class, "key", r.Idem, "left", (t.Until - g.now).Round(time.Millisecond))
+	g.log.Info("work is taken over", "from", t.Owner, "sent", t.Scope != takeover.ScopeNone, "class", r.Class, "key", r.Idem, "left", (t.Deadline - g.now).Round(time.Millisecond))
 	g.tell(policy.Arrival{Request: r.Request})
 	g.at(r.GiveUpAt+overdue, func() { g.cutOff(r) })
 }
--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -138,7 +138,7 @@
 		if len(gaps) != 0 {
 			t.Errorf("%d calls, want one", len(gaps)+1)
 		}
-		if len(posted) != 2 || !posted[0].All || !posted[1].All {
+		if len(posted) != 2 || !posted[0].Complete || !posted[1].Complete {
 			t.Fatalf("told %+v, want two whole lists", posted)
 		}
 		if names := uids(posted[0]); !slices.Equal(names, []string{"a", "b"}) {
@@ -159,7 +159,7 @@
 
 // longList is the whole list of so many backends with names of 200 bytes.
 func longList(backends int) []byte {
-	l := List{Rev: 9, All: true}
+	l := List{Rev: 9, Complete: true}
 	for i := range backends {
 		l.Targets = append(l.Targets, Target{UID: fmt.Sprintf("%s-%05d", strings.Repeat("s", 194), i), Endpoint: "10.200.100.18:6379",
 			Zone: "europe-north-1a", Model: "model-2", Group: 1000 + i, State: serving, Capacity: 1.25, BootMS: 1_795_000_000_000})
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -14,9 +14,9 @@
 
 // List is the list of backends, or the entries of it that changed.
 type List struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"` // the whole list: a backend that it doesn't name is gone
-	Targets []Target `json:"targets"`
+	Rev      int64    `json:"rev"`
+	Complete bool     `json:"all"` // the whole list: a backend that it doesn't name is gone
+	Targets  []Target `json:"targets"`
 }
 
 // The states of an entry that are told apart; any other one is draining.
@@ -38,8 +38,8 @@
 }
 
 // Server is the entry as the decision module has it; an unknown state is draining.
-func (t Target) Server() policy.Server {
-	s := policy.Server{ID: policy.ServerID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
+func (t Target) Server() policy.Backend {
+	s := policy.Backend{ID: policy.BackendID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
 		Started: time.Duration(t.BootMS) * time.Millisecond}
 	switch t.State {
 	case serving:
--- a/internal/discovery/many_test.go
+++ b/internal/discovery/many_test.go
@@ -74,7 +74,7 @@
 				wg.Go(func() { d.Run(ctx) })
 				wg.Go(func() {
 					select {
-					case <-d.Listed():
+					case <-d.Ready():
 					case <-time.After(3 * time.Second):
 						t.Errorf("%d instances: one with a list does not serve after 3 s", n)
 					}
@@ -112,7 +112,7 @@
 		})
 		done := make(chan struct{})
 		go func() { defer close(done); d.Run(ctx) }()
-		<-d.Listed()
+		<-d.Ready()
 		cancel()
 		<-done
 		if asked != 0 {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -60,10 +60,10 @@
 func listURL(addr string) string { return "http://" + addr + "/registry/instances" }
 
 // Listed closes when a first list has come, or that has failed.
-func (d *Watcher) Listed() <-chan struct{} { return d.first }
+func (d *Watcher) Ready() <-chan struct{} { return d.first }
 
 // Move goes over to another address; of several the last counts. It waits for nothing.
-func (d *Watcher) Move(addr string) { d.moves.Set(addr) }
+func (d *Watcher) SetAddress(addr string) { d.moves.Set(addr) }
 
 // Run lists and watches until ctx ends, at each address that it is moved to in turn.
 func (d *Watcher) Run(ctx context.Context) {
--- a/internal/escrow/bounds_test.go
+++ b/internal/escrow/bounds_test.go
@@ -12,7 +12,7 @@
 func TestBudgetsAtTheirBound(t *testing.T) {
 	now := time.Hour
 	b := New(0, instances, now, rand.New(rand.NewPCG(1, 2)))
-	need := func(i int) Need { return Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, Want: 0.1} }
+	need := func(i int) Need { return Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, WantedShare: 0.1} }
 	var needs []Need
 	for i := range MaxBudgets + 44 {
 		needs = append(needs, need(i))
@@ -22,13 +22,13 @@
 		t.Fatal(b.Counts())
 	}
 	b.Tick(now, needs, nil)
-	if parts := b.Parts(now); b.Counts().Full != 44 || len(parts) != MaxBudgets {
+	if parts := b.Allocations(now); b.Counts().Full != 44 || len(parts) != MaxBudgets {
 		t.Fatal(b.Counts(), len(parts))
 	}
 	now += reserved + time.Second
 	b.Tick(now, nil, nil)
 	b.Tick(now, needs[MaxBudgets:], nil)
-	if parts := b.Parts(now); b.Counts().Full != 44 || len(parts) != 44 {
+	if parts := b.Allocations(now); b.Counts().Full != 44 || len(parts) != 44 {
 		t.Fatal(b.Counts(), len(parts))
 	}
 }
--- a/internal/escrow/escrow.go
+++ b/internal/escrow/escrow.go
@@ -32,99 +32,99 @@
 
 // Times and bounds.
 const (
-	Lease      = time.Second            // of a loan, by its lender's clock
-	leaseShare = 0.8                    // of it, by its borrower's
-	keepShare  = 0.25                   // of its home, that a way never lends
-	renewEvery = 250 * time.Millisecond // between two tries to have a loan go on
-	askEvery   = 200 * time.Millisecond // between two rounds of asking for more
-	givenUp    = 350 * time.Millisecond // a loan that nobody grants is asked for no longer
-	beatEvery  = 200 * time.Millisecond // between two messages to a fellow, at the most; by chance up to half as much more
-	helloEvery = 2 * time.Second        // the same to a member whose number is not known
-	mostHellos = 8                      // of these at one time
-	unheard    = time.Second            // a fellow that was not heard for so long may be spending without the counter
-	reserved   = time.Minute            // for which what such a one may spend is left to it
-	spare      = 1.2                    // of what is asked for here, that is kept or asked for
-	leastLoan  = 0.02                   // of a budget, below which nothing is lent
-	leastUse   = 0.02                   // of a budget, above what a fellow told, that it may use at any time
-	mostLoans  = 16                     // of one budget, each way
-	mostUses   = 24                     // budgets in one message
-	mostName   = 128
+	TransferTerm = time.Second            // of a loan, by its lender's clock
+	leaseShare   = 0.8                    // of it, by its borrower's
+	keepShare    = 0.25                   // of its home, that a way never lends
+	renewEvery   = 250 * time.Millisecond // between two tries to have a loan go on
+	askEvery     = 200 * time.Millisecond // between two rounds of asking for more
+	givenUp      = 350 * time.Millisecond // a loan that nobody grants is asked for no longer
+	beatEvery    = 200 * time.Millisecond // between two messages to a fellow, at the most; by chance up to half as much more
+	helloEvery   = 2 * time.Second        // the same to a member whose number is not known
+	mostHellos   = 8                      // of these at one time
+	unheard      = time.Second            // a fellow that was not heard for so long may be spending without the counter
+	reserved     = time.Minute            // for which what such a one may spend is left to it
+	spare        = 1.2                    // of what is asked for here, that is kept or asked for
+	leastLoan    = 0.02                   // of a budget, below which nothing is lent
+	leastUse     = 0.02                   // of a budget, above what a fellow told, that it may use at any time
+	mostLoans    = 16                     // of one budget, each way
+	mostUses     = 24                     // budgets in one message
+	mostName     = 128
 )
 
 // Member is another instance that is there.
 type Member struct {
-	Name string
-	Life uint64
+	Name        string
+	Incarnation uint64
 }
 
 // Need is what is asked for at this instance of one channel's budget, all as parts of it.
 type Need struct {
-	Key           string
-	Spread, First int     // ways in, and the number of the first
-	Want          float64 // with which what is asked for would pass
-	Passed        float64 // of its rate, that this instance passes on
-	Others        float64 // the same that the counter's totals show of all others
-	Places        int     // of the cap: a part smaller than one place is none; 0: there is no cap
-	Alone         bool    // the counter is not heard
+	Key            string
+	Spread, First  int     // ways in, and the number of the first
+	WantedShare    float64 // with which what is asked for would pass
+	ForwardedShare float64 // of its rate, that this instance passes on
+	OthersShare    float64 // the same that the counter's totals show of all others
+	MaxInFlight    int     // of the cap: a part smaller than one place is none; 0: there is no cap
+	CounterLost    bool    // the counter is not heard
 }
 
 // Ask asks for a loan, or for one to go on.
-type Ask struct {
-	Key    string  `cbor:"1,keyasint"`
-	Spread int     `cbor:"2,keyasint"`
-	First  int     `cbor:"3,keyasint,omitempty"`
-	Loan   uint64  `cbor:"4,keyasint"` // the asking life's number for it
-	N      uint64  `cbor:"5,keyasint"` // of the times that it was asked for
-	Part   float64 `cbor:"6,keyasint"`
-	Places int     `cbor:"7,keyasint,omitempty"`
+type TransferRequest struct {
+	Key         string  `cbor:"1,keyasint"`
+	Spread      int     `cbor:"2,keyasint"`
+	First       int     `cbor:"3,keyasint,omitempty"`
+	Transfer    uint64  `cbor:"4,keyasint"` // the asking life's number for it
+	Sequence    uint64  `cbor:"5,keyasint"` // of the times that it was asked for
+	Share       float64 `cbor:"6,keyasint"`
+	MaxInFlight int     `cbor:"7,keyasint,omitempty"`
 }
 
 // Grant answers an Ask.
-type Grant struct {
-	Key  string  `cbor:"1,keyasint"`
-	Loan uint64  `cbor:"2,keyasint"`
-	N    uint64  `cbor:"3,keyasint"`
-	Part float64 `cbor:"4,keyasint"`
+type TransferGrant struct {
+	Key      string  `cbor:"1,keyasint"`
+	Transfer uint64  `cbor:"2,keyasint"`
+	Sequence uint64  `cbor:"3,keyasint"`
+	Share    float64 `cbor:"4,keyasint"`
 }
 
 // Use is what an instance does with a budget.
-type Use struct {
-	Key    string  `cbor:"1,keyasint"`
-	Part   float64 `cbor:"2,keyasint"`
-	Want   float64 `cbor:"3,keyasint"`
-	Passed float64 `cbor:"4,keyasint"`
-	Alone  bool    `cbor:"5,keyasint,omitempty"`
+type Usage struct {
+	Key            string  `cbor:"1,keyasint"`
+	Share          float64 `cbor:"2,keyasint"`
+	WantedShare    float64 `cbor:"3,keyasint"`
+	ForwardedShare float64 `cbor:"4,keyasint"`
+	CounterLost    bool    `cbor:"5,keyasint,omitempty"`
 }
 
 // Message is one message between two instances.
 type Message struct {
-	Me       int     `cbor:"1,keyasint"` // the sender's number
-	Gateways int     `cbor:"2,keyasint"`
-	Asks     []Ask   `cbor:"3,keyasint,omitempty"`
-	Grants   []Grant `cbor:"4,keyasint,omitempty"`
-	Uses     []Use   `cbor:"5,keyasint,omitempty"`
-	Book     uint64  `cbor:"6,keyasint"`           // drawn by the sender's life
-	Echo     uint64  `cbor:"7,keyasint,omitempty"` // the receiver's, as last heard; 0: it was not heard
-	Holds    bool    `cbor:"8,keyasint,omitempty"` // the sender holds loans of the receiver's, or has asked it for some
+	Sender         int               `cbor:"1,keyasint"` // the sender's number
+	Instances      int               `cbor:"2,keyasint"`
+	Requests       []TransferRequest `cbor:"3,keyasint,omitempty"`
+	Grants         []TransferGrant   `cbor:"4,keyasint,omitempty"`
+	Usages         []Usage           `cbor:"5,keyasint,omitempty"`
+	SenderNonce    uint64            `cbor:"6,keyasint"`           // drawn by the sender's life
+	ReceiverNonce  uint64            `cbor:"7,keyasint,omitempty"` // the receiver's, as last heard; 0: it was not heard
+	HoldsTransfers bool              `cbor:"8,keyasint,omitempty"` // the sender holds loans of the receiver's, or has asked it for some
 }
 
 // Send is a message to a member.
-type Send struct {
-	To  string
-	Msg Message
+type Envelope struct {
+	To      string
+	Message Message
 }
 
 // Part is what this instance holds of a budget, and what others spend of it unheard.
-type Part struct{ Share, Away float64 }
+type Allocation struct{ Share, Unreported float64 }
 
 // Counts is what happened so far.
 type Counts struct {
-	Lent      int `json:"Lent"`
-	Borrowed  int `json:"Borrowed"`
-	Denied    int `json:"Denied"`    // loans, and tries in vain
-	Strange   int `json:"Strange"`   // messages that no instance of this fleet can mean
-	Conflicts int `json:"Conflicts"` // members with the number of another
-	Full      int `json:"Full"`      // times that a budget found no room: its parts stay even
+	Transferred int `json:"Lent"`
+	Received    int `json:"Borrowed"`
+	Denied      int `json:"Denied"`    // loans, and tries in vain
+	Invalid     int `json:"Strange"`   // messages that no instance of this fleet can mean
+	Conflicts   int `json:"Conflicts"` // members with the number of another
+	Full        int `json:"Full"`      // times that a budget found no room: its parts stay even
 }
 
 // loan is one, lent or borrowed.
@@ -155,14 +155,14 @@
 	Member
 	heard time.Duration
 	beat  time.Duration // when it is told again
-	uses  map[string]Use
+	uses  map[string]Usage
 	book  uint64
 	clear bool // it has told this life that it holds no loans of an earlier one
 	gone  bool // it has surely ended, or left
 }
 
 // Book is one instance's. It is used by one goroutine at a time.
-type Book struct {
+type Allocator struct {
 	me, gateways int
 	rng          *rand.Rand
 	now, began   time.Duration
@@ -176,12 +176,12 @@
 }
 
 // New returns the book of a life that begins now: of what an earlier one has lent it knows nothing.
-func New(me, gateways int, now time.Duration, rng *rand.Rand) *Book {
-	return &Book{me: me, gateways: max(1, gateways), rng: rng, now: now, began: now, id: rng.Uint64() | 1, last: rng.Uint64() >> 1, entries: map[string]*entry{}, fellows: map[int]*fellow{}, numbers: map[string]int{}, hello: map[string]time.Duration{}}
+func New(me, gateways int, now time.Duration, rng *rand.Rand) *Allocator {
+	return &Allocator{me: me, gateways: max(1, gateways), rng: rng, now: now, began: now, id: rng.Uint64() | 1, last: rng.Uint64() >> 1, entries: map[string]*entry{}, fellows: map[int]*fellow{}, numbers: map[string]int{}, hello: map[string]time.Duration{}}
 }
 
 // Counts is what happened so far.
-func (b *Book) Counts() Counts { return b.counts }
+func (b *Allocator) Counts() Counts { return b.counts }
 
 // holds says whether an instance is among the ways of a set.
 func holds(number, spread, first, gateways int) bool {
@@ -189,7 +189,7 @@
 }
 
 // home is this instance's own part of a budget.
-func (b *Book) home(e *entry) float64 {
+func (b *Allocator) home(e *entry) float64 {
 	if !holds(b.me, e.spread, e.first, b.gateways) {
 		return 0
 	}
@@ -206,8 +206,8 @@
 }
 
 // settled says whether nobody can hold a loan of an earlier life of this instance.
-func (b *Book) settled() bool {
-	if b.now >= b.began+Lease {
+func (b *Allocator) settled() bool {
+	if b.now >= b.began+TransferTerm {
 		return true
 	}
 	clear := 0
@@ -220,16 +220,16 @@
 }
 
 // to is a message to a fellow.
-func (b *Book) to(f *fellow, m Message) Send {
-	m.Me, m.Gateways, m.Book, m.Echo = b.me, b.gateways, b.id, f.book
+func (b *Allocator) to(f *fellow, m Message) Envelope {
+	m.Sender, m.Instances, m.SenderNonce, m.ReceiverNonce = b.me, b.gateways, b.id, f.book
 	for _, e := range b.entries {
-		m.Holds = m.Holds || slices.ContainsFunc(e.loans, func(l loan) bool { return l.name == f.Name })
+		m.HoldsTransfers = m.HoldsTransfers || slices.ContainsFunc(e.loans, func(l loan) bool { return l.name == f.Name })
 	}
-	return Send{f.Name, m}
+	return Envelope{f.Name, m}
 }
 
 // own is what is left of the home.
-func (b *Book) own(e *entry) float64 {
+func (b *Allocator) own(e *entry) float64 {
 	p := b.home(e)
 	if !b.settled() { // an earlier life may have lent the rest
 		return keepShare * p
@@ -243,7 +243,7 @@
 }
 
 // share is what this instance holds of a budget now.
-func (b *Book) share(e *entry) float64 {
+func (b *Allocator) share(e *entry) float64 {
 	p := b.own(e)
 	for _, l := range e.loans {
 		if l.held && l.until > b.now {
@@ -254,7 +254,7 @@
 }
 
 // Home is the part of its even part that this instance holds of a budget that is not known yet.
-func (b *Book) Home(now time.Duration) float64 {
+func (b *Allocator) DefaultShare(now time.Duration) float64 {
 	b.now = max(b.now, now)
 	if !b.settled() {
 		return keepShare
@@ -263,18 +263,18 @@
 }
 
 // Parts are what this instance holds now, of each budget that it knows.
-func (b *Book) Parts(now time.Duration) map[string]Part {
+func (b *Allocator) Allocations(now time.Duration) map[string]Allocation {
 	b.now = max(b.now, now)
-	out := make(map[string]Part, len(b.entries))
+	out := make(map[string]Allocation, len(b.entries))
 	for key, e := range b.entries {
-		out[key] = Part{b.share(e), b.away(e)}
+		out[key] = Allocation{b.share(e), b.away(e)}
 	}
 	return out
 }
 
 // away is what others spend of a budget without the counter's hearing of it: those who say that they don't hear it, as much as they hold and are
 // asked for; those who are not heard themselves, what they may hold, but for what the counter's totals show that nobody accounts for.
-func (b *Book) away(e *entry) float64 {
+func (b *Allocator) away(e *entry) float64 {
 	home, sum, lost, explained := 1/float64(max(1, min(e.spread, b.gateways))), 0.0, 0.0, 0.0
 	for number, f := range b.fellows {
 		if !holds(number, e.spread, e.first, b.gateways) {
@@ -283,23 +283,23 @@
 		u, told := f.uses[e.key]
 		switch quiet := b.now - f.heard; {
 		case f.gone, quiet > reserved:
-		case quiet <= unheard && u.Alone:
-			sum += min(u.Part, u.Want+leastUse)
+		case quiet <= unheard && u.CounterLost:
+			sum += min(u.Share, u.WantedShare+leastUse)
 		case quiet <= unheard:
-			explained += u.Passed
+			explained += u.ForwardedShare
 		case told:
-			lost += min(max(home, u.Part), u.Want+leastUse)
+			lost += min(max(home, u.Share), u.WantedShare+leastUse)
 		default:
 			lost += leastUse
 		}
 	}
 	if lost > 0 {
-		lost = max(0, lost-max(0, e.need.Others-explained))
+		lost = max(0, lost-max(0, e.need.OthersShare-explained))
 	}
 	return min(1, sum+lost)
 }
 
-func (b *Book) entry(key string, spread, first, places int) *entry {
+func (b *Allocator) entry(key string, spread, first, places int) *entry {
 	e := b.entries[key]
 	if e == nil {
 		if key == "" || len(key) > mostName || spread < 2 || first < 0 {
@@ -317,18 +317,18 @@
 
 // Tick takes what is asked for here, and who is there, and returns what is to be sent. It is to be called every 50 ms or so. Budgets with the
 // largest needs come first where there are too many.
-func (b *Book) Tick(now time.Duration, needs []Need, members []Member) (out []Send) {
+func (b *Allocator) Tick(now time.Duration, needs []Need, members []Member) (out []Envelope) {
 	b.now = max(b.now, now)
 	b.look(members)
 	for _, n := range needs {
-		if e := b.entry(n.Key, n.Spread, n.First, n.Places); e != nil {
+		if e := b.entry(n.Key, n.Spread, n.First, n.MaxInFlight); e != nil {
 			if (e.spread != n.Spread || e.first != n.First) && len(e.lent)+len(e.loans) == 0 {
 				e.spread, e.first = n.Spread, n.First
 			}
-			e.need, e.seen, e.places = n, b.now, n.Places
+			e.need, e.seen, e.places = n, b.now, n.MaxInFlight
 		}
 	}
-	asks := map[int][]Ask{}
+	asks := map[int][]TransferRequest{}
 	for _, key := range slices.Sorted(maps.Keys(b.entries)) {
 		e := b.entries[key]
 		e.lent = slices.DeleteFunc(e.lent, func(l loan) bool { return l.until <= b.now })
@@ -353,21 +353,21 @@
 			continue
 		}
 		f.beat = b.now + beatEvery + time.Duration(b.rng.Int64N(int64(beatEvery/2)))
-		out = append(out, b.to(f, Message{Asks: asks[number], Uses: uses}))
+		out = append(out, b.to(f, Message{Requests: asks[number], Usages: uses}))
 	}
 	hellos := 0
 	for _, m := range members {
 		if _, known := b.numbers[m.Name]; !known && hellos < mostHellos && b.now >= b.hello[m.Name] {
 			hellos++
 			b.hello[m.Name] = b.now + helloEvery/2 + time.Duration(b.rng.Int64N(int64(helloEvery)))
-			out = append(out, Send{m.Name, Message{Me: b.me, Gateways: b.gateways, Book: b.id}})
+			out = append(out, Envelope{m.Name, Message{Sender: b.me, Instances: b.gateways, SenderNonce: b.id}})
 		}
 	}
 	return out
 }
 
 // look takes over who is there. A fellow that is not among the members any more has not ended for that: Gone says so.
-func (b *Book) look(members []Member) {
+func (b *Allocator) look(members []Member) {
 	there := map[string]bool{}
 	for _, m := range members {
 		there[m.Name] = true
@@ -376,32 +376,32 @@
 }
 
 // Gone tells that a life has surely ended, or has left: nothing is spent there.
-func (b *Book) Gone(name string, life uint64) {
+func (b *Allocator) PeerEnded(name string, life uint64) {
 	if number, known := b.numbers[name]; known {
-		if f := b.fellows[number]; f.Life <= life {
+		if f := b.fellows[number]; f.Incarnation <= life {
 			f.gone = true
 		}
 	}
 }
 
 // uses are what a fellow is told of the budgets that it is a way of: those that are asked for most.
-func (b *Book) uses(number int) (out []Use) {
+func (b *Allocator) uses(number int) (out []Usage) {
 	for _, key := range slices.Sorted(maps.Keys(b.entries)) {
 		e := b.entries[key]
 		if b.now-e.seen <= unheard && holds(number, e.spread, e.first, b.gateways) {
-			out = append(out, Use{key, b.share(e), e.need.Want, e.need.Passed, e.need.Alone})
+			out = append(out, Usage{key, b.share(e), e.need.WantedShare, e.need.ForwardedShare, e.need.CounterLost})
 		}
 	}
 	if len(out) > mostUses {
-		slices.SortStableFunc(out, func(x, y Use) int { return cmp.Compare(y.Want, x.Want) })
+		slices.SortStableFunc(out, func(x, y Usage) int { return cmp.Compare(y.WantedShare, x.WantedShare) })
 		out = out[:mostUses]
 	}
 	return out
 }
 
 // want asks for what lacks, and for loans that are used to go on.
-func (b *Book) want(e *entry, asks map[int][]Ask) {
-	need, have, pending := min(1, spare*e.need.Want), b.own(e), 0.0
+func (b *Allocator) want(e *entry, asks map[int][]TransferRequest) {
+	need, have, pending := min(1, spare*e.need.WantedShare), b.own(e), 0.0
 	ask := func(l *loan) {
 		number, known := b.numbers[l.name]
 		if f := b.fellows[number]; !known || f.gone || b.now-f.heard > unheard {
@@ -409,7 +409,7 @@
 		}
 		l.n++
 		l.asked = b.now
-		asks[number] = append(asks[number], Ask{e.key, e.spread, e.first, l.id, l.n, l.part, e.places})
+		asks[number] = append(asks[number], TransferRequest{e.key, e.spread, e.first, l.id, l.n, l.part, e.places})
 	}
 	for i := range e.loans {
 		l := &e.loans[i]
@@ -448,56 +448,56 @@
 }
 
 // Receive takes a message of a member's life in, and returns what is to be answered.
-func (b *Book) Receive(now time.Duration, from Member, m Message) (out []Send) {
+func (b *Allocator) Receive(now time.Duration, from Member, m Message) (out []Envelope) {
 	b.now = max(b.now, now)
-	if m.Gateways != b.gateways || m.Me < 0 || m.Me >= b.gateways || m.Me == b.me || from.Name == "" {
-		b.counts.Strange++
+	if m.Instances != b.gateways || m.Sender < 0 || m.Sender >= b.gateways || m.Sender == b.me || from.Name == "" {
+		b.counts.Invalid++
 		return nil
 	}
-	f := b.fellows[m.Me]
-	fresh := f == nil || f.book != m.Book
+	f := b.fellows[m.Sender]
+	fresh := f == nil || f.book != m.SenderNonce
 	switch {
 	case f == nil:
-		f = &fellow{Member: from, uses: map[string]Use{}}
-		b.fellows[m.Me] = f
+		f = &fellow{Member: from, uses: map[string]Usage{}}
+		b.fellows[m.Sender] = f
 	case f.Name != from.Name && b.now-f.heard <= unheard && !f.gone: // two with one number: the first is believed while it is heard
 		b.counts.Conflicts++
 		return nil
-	case f.Name == from.Name && from.Life < f.Life:
+	case f.Name == from.Name && from.Incarnation < f.Incarnation:
 		return nil // of an ended life
-	case f.Name != from.Name || from.Life > f.Life:
+	case f.Name != from.Name || from.Incarnation > f.Incarnation:
 		delete(b.numbers, f.Name)
-		*f = fellow{Member: from, uses: map[string]Use{}}
+		*f = fellow{Member: from, uses: map[string]Usage{}}
 	}
 	if fresh { // its loans of an earlier life are no more: nothing is taken from that any longer
-		f.book, f.clear = m.Book, false
+		f.book, f.clear = m.SenderNonce, false
 	}
 	f.heard, f.gone = b.now, false
-	if m.Echo == b.id && !m.Holds {
+	if m.ReceiverNonce == b.id && !m.HoldsTransfers {
 		f.clear = true
 	}
-	b.numbers[from.Name] = m.Me
-	if len(m.Uses) > 0 || len(f.uses) > 0 {
+	b.numbers[from.Name] = m.Sender
+	if len(m.Usages) > 0 || len(f.uses) > 0 {
 		clear(f.uses)
-		for _, u := range m.Uses[:min(len(m.Uses), mostUses)] {
-			if usable(u.Part) && u.Part <= 1 && usable(u.Want) && usable(u.Passed) && len(u.Key) <= mostName {
+		for _, u := range m.Usages[:min(len(m.Usages), mostUses)] {
+			if usable(u.Share) && u.Share <= 1 && usable(u.WantedShare) && usable(u.ForwardedShare) && len(u.Key) <= mostName {
 				f.uses[u.Key] = u
 			} else {
-				b.counts.Strange++
+				b.counts.Invalid++
 			}
 		}
 	}
 	for _, g := range m.Grants[:min(len(m.Grants), MaxBudgets)] {
 		b.granted(from, g)
 	}
-	var grants []Grant
-	for _, a := range m.Asks[:min(len(m.Asks), MaxBudgets)] {
-		if g, ok := b.asked(from, m.Me, a); ok {
+	var grants []TransferGrant
+	for _, a := range m.Requests[:min(len(m.Requests), MaxBudgets)] {
+		if g, ok := b.asked(from, m.Sender, a); ok {
 			grants = append(grants, g)
 		}
 	}
 	if len(grants) > 0 || fresh {
-		out = append(out, b.to(f, Message{Grants: grants, Uses: b.uses(m.Me)}))
+		out = append(out, b.to(f, Message{Grants: grants, Usages: b.uses(m.Sender)}))
 	}
 	return out
 }
@@ -506,98 +506,98 @@
 func usable(x float64) bool { return x >= 0 && x <= 1e6 }
 
 // granted takes a loan over that was asked for.
-func (b *Book) granted(from Member, g Grant) {
+func (b *Allocator) granted(from Member, g TransferGrant) {
 	e := b.entries[g.Key]
 	if e == nil {
 		return
 	}
 	for i := range e.loans {
 		l := &e.loans[i]
-		if l.id != g.Loan || l.name != from.Name {
+		if l.id != g.Transfer || l.name != from.Name {
 			continue
 		}
 		if l.held && l.until <= b.now { // it has ended; what is lent now is another
 			return
 		}
-		if g.N != l.n || !(g.Part > 0 && g.Part <= l.part+1e-9) { // an answer to an earlier try: when that was is not known any more
+		if g.Sequence != l.n || !(g.Share > 0 && g.Share <= l.part+1e-9) { // an answer to an earlier try: when that was is not known any more
 			return
 		}
 		if !l.held {
-			l.held, l.part = true, g.Part
-			b.counts.Borrowed++
+			l.held, l.part = true, g.Share
+			b.counts.Received++
 		}
-		l.until = max(l.until, l.asked+time.Duration(leaseShare*float64(Lease)))
+		l.until = max(l.until, l.asked+time.Duration(leaseShare*float64(TransferTerm)))
 		return
 	}
 }
 
 // asked decides on a loan: it is lent for as long as it is not needed here.
-func (b *Book) asked(from Member, number int, a Ask) (Grant, bool) {
-	if !usable(a.Part) || a.Part <= 0 || a.Part > 1 || a.Spread < 2 || a.First < 0 || !holds(number, a.Spread, a.First, b.gateways) || a.Places < 0 {
-		b.counts.Strange++
-		return Grant{}, false
+func (b *Allocator) asked(from Member, number int, a TransferRequest) (TransferGrant, bool) {
+	if !usable(a.Share) || a.Share <= 0 || a.Share > 1 || a.Spread < 2 || a.First < 0 || !holds(number, a.Spread, a.First, b.gateways) || a.MaxInFlight < 0 {
+		b.counts.Invalid++
+		return TransferGrant{}, false
 	}
-	e := b.entry(a.Key, a.Spread, a.First, a.Places)
+	e := b.entry(a.Key, a.Spread, a.First, a.MaxInFlight)
 	if e == nil || e.spread != a.Spread || e.first != a.First || !b.settled() {
-		return Grant{}, false
+		return TransferGrant{}, false
 	}
-	kept := floor(b.home(e), max(e.places, a.Places))
+	kept := floor(b.home(e), max(e.places, a.MaxInFlight))
 	if b.now-e.seen <= unheard {
-		kept = max(kept, min(b.home(e), spare*e.need.Want))
+		kept = max(kept, min(b.home(e), spare*e.need.WantedShare))
 	}
-	i := slices.IndexFunc(e.lent, func(l loan) bool { return l.id == a.Loan && l.name == from.Name && l.life == from.Life })
+	i := slices.IndexFunc(e.lent, func(l loan) bool { return l.id == a.Transfer && l.name == from.Name && l.life == from.Incarnation })
 	if i >= 0 {
 		l := &e.lent[i]
 		if l.until <= b.now { // its end has come: it is no more
-			return Grant{}, false
+			return TransferGrant{}, false
 		}
 		if b.own(e) < kept-1e-9 { // it is needed here
 			b.counts.Denied++
-			return Grant{}, false
+			return TransferGrant{}, false
 		}
-		l.until = b.now + Lease
-		return Grant{a.Key, a.Loan, a.N, l.part}, true
+		l.until = b.now + TransferTerm
+		return TransferGrant{a.Key, a.Transfer, a.Sequence, l.part}, true
 	}
-	part := min(a.Part, b.own(e)-kept)
+	part := min(a.Share, b.own(e)-kept)
 	if part < leastLoan || len(e.lent) >= mostLoans {
 		b.counts.Denied++
-		return Grant{}, false
+		return TransferGrant{}, false
 	}
-	e.lent = append(e.lent, loan{id: a.Loan, name: from.Name, life: from.Life, part: part, until: b.now + Lease})
+	e.lent = append(e.lent, loan{id: a.Transfer, name: from.Name, life: from.Incarnation, part: part, until: b.now + TransferTerm})
 	if b.now-e.seen > reserved { // nobody asks for it here: it is kept as long as its loans
 		e.seen = b.now - reserved
 	}
-	b.counts.Lent++
-	return Grant{a.Key, a.Loan, a.N, part}, true
+	b.counts.Transferred++
+	return TransferGrant{a.Key, a.Transfer, a.Sequence, part}, true
 }
 
 // Status is one budget's, for people.
 type Status struct {
-	Key      string   `json:"Key"`
-	Home     float64  `json:"Home"`
-	Share    float64  `json:"Share"`
-	Lent     float64  `json:"Lent"`
-	Borrowed float64  `json:"Borrowed"`
-	Away     float64  `json:"Away"`
-	To       []string `json:"To"`
-	From     []string `json:"From"`
+	Key         string   `json:"Key"`
+	Home        float64  `json:"Home"`
+	Share       float64  `json:"Share"`
+	Transferred float64  `json:"Lent"`
+	Received    float64  `json:"Borrowed"`
+	Unreported  float64  `json:"Away"`
+	To          []string `json:"To"`
+	From        []string `json:"From"`
 }
 
 // Status is what is held, of the budgets with loans or with others who spend unheard, by key.
-func (b *Book) Status(now time.Duration) (out []Status) {
+func (b *Allocator) Status(now time.Duration) (out []Status) {
 	b.now = max(b.now, now)
 	for _, key := range slices.Sorted(maps.Keys(b.entries)) {
 		e := b.entries[key]
-		s := Status{Key: key, Home: b.home(e), Share: b.share(e), Away: b.away(e)}
+		s := Status{Key: key, Home: b.home(e), Share: b.share(e), Unreported: b.away(e)}
 		for _, l := range e.lent {
 			if l.until > b.now {
-				s.Lent += l.part
+				s.Transferred += l.part
 				s.To = append(s.To, l.name)
 			}
 		}
 		for _, l := range e.loans {
 			if l.held && l.until > b.now {
-				s.Borrowed += l.part
+				s.Received += l.part
 				s.From = append(s.From, l.name)
 			}
 		}
--- a/internal/escrow/escrow_test.go
+++ b/internal/escrow/escrow_test.go
@@ -21,7 +21,7 @@
 	now   time.Duration
 	rates []float64 // of their clocks
 	began []time.Duration
-	books []*Book // nil: it is down
+	books []*Allocator // nil: it is down
 	lives []uint64
 	wants []float64
 	alone []bool
@@ -38,7 +38,7 @@
 const instances = 3
 
 func newWorld(rates ...float64) *world {
-	w := &world{now: time.Hour, rates: rates, wants: make([]float64, instances), alone: make([]bool, instances), books: make([]*Book, instances), lives: make([]uint64, instances), began: make([]time.Duration, instances)}
+	w := &world{now: time.Hour, rates: rates, wants: make([]float64, instances), alone: make([]bool, instances), books: make([]*Allocator, instances), lives: make([]uint64, instances), began: make([]time.Duration, instances)}
 	for i := range instances {
 		w.start(i)
 	}
@@ -67,9 +67,9 @@
 			members = append(members, Member{w.name(j), w.lives[j]})
 		}
 	}
-	needs := []Need{{Key: "k", Spread: instances, Want: w.wants[i], Alone: w.alone[i]}}
+	needs := []Need{{Key: "k", Spread: instances, WantedShare: w.wants[i], CounterLost: w.alone[i]}}
 	for _, s := range w.books[i].Tick(w.clock(i), needs, members) {
-		w.air = append(w.air, flying{Member{w.name(i), w.lives[i]}, s.To, s.Msg})
+		w.air = append(w.air, flying{Member{w.name(i), w.lives[i]}, s.To, s.Message})
 	}
 }
 
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, s := range w.books[i].Receive(w.clock(i), f.from, f.msg) {
-		w.air = append(w.air, flying{Member{w.name(i), w.lives[i]}, s.To, s.Msg})
+		w.air = append(w.air, flying{Member{w.name(i), w.lives[i]}, s.To, s.Message})
 	}
 }
 
@@ -100,9 +100,9 @@
 		if b == nil {
 			continue
 		}
-		p, known := b.Parts(w.clock(i))["k"]
+		p, known := b.Allocations(w.clock(i))["k"]
 		if !known {
-			p.Share = b.Home(w.clock(i)) / instances
+			p.Share = b.DefaultShare(w.clock(i)) / instances
 		}
 		sum += p.Share
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-func (w *world) share(i int) float64 { return w.books[i].Parts(w.clock(i))["k"].Share }
+func (w *world) share(i int) float64 { return w.books[i].Allocations(w.clock(i))["k"].Share }
 
 // What is asked for at one way comes there within a second, and goes back when the others need it; a way that wakes up has a floor at once.
 func TestFollowsNeed(t *testing.T) {
@@ -240,7 +240,7 @@
 			}
 		}
 		for i, b := range w.books {
-			if b.Counts().Borrowed > 0 && w.lives[i] > 0 {
+			if b.Counts().Received > 0 && w.lives[i] > 0 {
 				moved++
 				break
 			}
@@ -287,7 +287,7 @@
 			t.Fatalf("%v: they hold %.4f together", path, got)
 		}
 		for _, b := range w.books {
-			if b.Counts().Borrowed > 0 {
+			if b.Counts().Received > 0 {
 				lent++
 				break
 			}
@@ -349,14 +349,14 @@
 	} {
 		b := New(0, instances, time.Hour, rand.New(rand.NewPCG(1, 1)))
 		now := time.Hour + 2*time.Second
-		use := Use{Key: "k", Part: 1.0 / 3, Want: 1, Passed: 0.3, Alone: c.alone}
-		b.Receive(now, Member{"b", 1}, Message{Me: 1, Gateways: instances, Uses: []Use{use}})
+		use := Usage{Key: "k", Share: 1.0 / 3, WantedShare: 1, ForwardedShare: 0.3, CounterLost: c.alone}
+		b.Receive(now, Member{"b", 1}, Message{Sender: 1, Instances: instances, Usages: []Usage{use}})
 		now += c.quiet
 		if c.gone {
-			b.Gone("b", 1)
+			b.PeerEnded("b", 1)
 		}
-		b.Tick(now, []Need{{Key: "k", Spread: instances, Want: 1, Others: c.others}}, []Member{{"b", 1}})
-		if got := b.Parts(now)["k"].Away; math.Abs(got-c.want) > 1e-9 {
+		b.Tick(now, []Need{{Key: "k", Spread: instances, WantedShare: 1, OthersShare: c.others}}, []Member{{"b", 1}})
+		if got := b.Allocations(now)["k"].Unreported; math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%s: %.3f, want %.3f", name, got, c.want)
 		}
 	}
@@ -369,27 +369,29 @@
 	b := w.books[0]
 	book := w.books[1].id
 	from := Member{"b", w.lives[1]}
-	before := fmt.Sprint(b.Parts(w.clock(0)))
-	ask := func(a Ask) Message { return Message{Me: 1, Gateways: instances, Asks: []Ask{a}} }
+	before := fmt.Sprint(b.Allocations(w.clock(0)))
+	ask := func(a TransferRequest) Message {
+		return Message{Sender: 1, Instances: instances, Requests: []TransferRequest{a}}
+	}
 	for i, m := range []Message{
-		{Me: 0, Gateways: instances}, {Me: 7, Gateways: instances}, {Me: -1, Gateways: instances}, {Me: 1, Gateways: 4},
-		{Me: 1, Gateways: instances, Uses: []Use{{Key: "k", Part: math.NaN()}, {Key: "k", Part: -1}, {Key: "k", Want: 1e300}}},
-		ask(Ask{Key: "k", Spread: instances, Loan: 1, N: 1, Part: math.NaN()}), ask(Ask{Key: "k", Spread: instances, Loan: 1, N: 1, Part: -1}), ask(Ask{Key: "k", Spread: instances, Loan: 1, N: 1, Part: 2}),
-		ask(Ask{Key: "k", Spread: -3, Loan: 1, N: 1, Part: 0.1}), ask(Ask{Key: "k", Spread: 2, First: -1, Loan: 1, N: 1, Part: 0.1}),
-		ask(Ask{Key: "k", Spread: 2, First: 0, Loan: 1, N: 1, Part: 0.1}), // another set of ways
-		ask(Ask{Key: "", Spread: instances, Loan: 1, N: 1, Part: 0.1}),
-		{Me: 1, Gateways: instances, Grants: []Grant{{Key: "k", Loan: 99, N: 1, Part: 0.3}, {Key: "none", Loan: 1, N: 1, Part: 0.3}, {Key: "k", Loan: 1, N: 1, Part: math.Inf(1)}}},
+		{Sender: 0, Instances: instances}, {Sender: 7, Instances: instances}, {Sender: -1, Instances: instances}, {Sender: 1, Instances: 4},
+		{Sender: 1, Instances: instances, Usages: []Usage{{Key: "k", Share: math.NaN()}, {Key: "k", Share: -1}, {Key: "k", WantedShare: 1e300}}},
+		ask(TransferRequest{Key: "k", Spread: instances, Transfer: 1, Sequence: 1, Share: math.NaN()}), ask(TransferRequest{Key: "k", Spread: instances, Transfer: 1, Sequence: 1, Share: -1}), ask(TransferRequest{Key: "k", Spread: instances, Transfer: 1, Sequence: 1, Share: 2}),
+		ask(TransferRequest{Key: "k", Spread: -3, Transfer: 1, Sequence: 1, Share: 0.1}), ask(TransferRequest{Key: "k", Spread: 2, First: -1, Transfer: 1, Sequence: 1, Share: 0.1}),
+		ask(TransferRequest{Key: "k", Spread: 2, First: 0, Transfer: 1, Sequence: 1, Share: 0.1}), // another set of ways
+		ask(TransferRequest{Key: "", Spread: instances, Transfer: 1, Sequence: 1, Share: 0.1}),
+		{Sender: 1, Instances: instances, Grants: []TransferGrant{{Key: "k", Transfer: 99, Sequence: 1, Share: 0.3}, {Key: "none", Transfer: 1, Sequence: 1, Share: 0.3}, {Key: "k", Transfer: 1, Sequence: 1, Share: math.Inf(1)}}},
 	} {
-		m.Book = book
+		m.SenderNonce = book
 		b.Receive(w.clock(0), from, m)
-		if got := fmt.Sprint(b.Parts(w.clock(0))); got != before {
+		if got := fmt.Sprint(b.Allocations(w.clock(0))); got != before {
 			t.Errorf("message %d: %s, before %s", i, got, before)
 		}
 	}
-	if b.Receive(w.clock(0), Member{"z", 1}, Message{Me: 1, Gateways: instances}); b.Counts().Conflicts != 1 {
+	if b.Receive(w.clock(0), Member{"z", 1}, Message{Sender: 1, Instances: instances}); b.Counts().Conflicts != 1 {
 		t.Errorf("another with the number of one that is heard: %+v", b.Counts())
 	}
-	if b.Receive(w.clock(0), Member{"b", 0}, ask(Ask{Key: "k", Spread: instances, Loan: 5, N: 1, Part: 0.1})); fmt.Sprint(b.Parts(w.clock(0))) != before {
+	if b.Receive(w.clock(0), Member{"b", 0}, ask(TransferRequest{Key: "k", Spread: instances, Transfer: 5, Sequence: 1, Share: 0.1})); fmt.Sprint(b.Allocations(w.clock(0))) != before {
 		t.Error("an ended life has borrowed")
 	}
 }
--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -312,7 +312,7 @@
 	if err != nil || n >= 1<<33 || len(channel) > 16 {
 		return nil, "", 0, fmt.Errorf("channel %q is not up to 16 hex digits below 2^33", channel)
 	}
-	req.Customer = fmt.Sprintf("%016x", n) // as on RESP2: one channel, one quota
+	req.Tenant = fmt.Sprintf("%016x", n) // as on RESP2: one channel, one quota
 	if v := get("Units"); v != "" && req.Units == 0 {
 		if req.Units, err = strconv.ParseFloat(v, 64); err != nil {
 			return nil, "", 0, fmt.Errorf("units %q is no number", v)
@@ -352,7 +352,7 @@
 		return nil, "", 0, fmt.Errorf("id %q is longer than %d characters", id[:mostID], mostID)
 	}
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s\x00%s\x00%s\x00%v\x00%d/%d\x00%s", req.Class, req.Plan, req.Customer, req.Units, req.Spread, req.First, key)
+	fmt.Fprintf(h, "%s\x00%s\x00%s\x00%v\x00%d/%d\x00%s", req.Class, req.Plan, req.Tenant, req.Units, req.Spread, req.First, key)
 	return req, id, h.Sum64(), nil
 }
 
--- a/internal/front/forwardauth/front_test.go
+++ b/internal/front/forwardauth/front_test.go
@@ -238,7 +238,7 @@
 		t.Errorf("envoy: %d %s", resp.StatusCode, body)
 	}
 	for _, r := range f.asked {
-		if r.Class != "read" || r.Units != 2 || r.Customer != "00000000000003e9" || r.Spread != 3 {
+		if r.Class != "read" || r.Units != 2 || r.Tenant != "00000000000003e9" || r.Spread != 3 {
 			t.Errorf("%+v", r.Request)
 		}
 	}
@@ -272,7 +272,7 @@
 		case "gone":
 			return core.ReportAnswer{Err: lease.ErrUnknown}
 		case "late":
-			return core.ReportAnswer{Err: lease.ErrLate, State: lease.Lapsed}
+			return core.ReportAnswer{Err: lease.ErrLate, State: lease.Expired}
 		case "other":
 			return core.ReportAnswer{Err: lease.ErrConflict, State: lease.Served}
 		case "again":
--- a/internal/front/resp/command.go
+++ b/internal/front/resp/command.go
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	r := &core.Request{}
-	r.Key, r.Customer = id, strings.ToLower(string(args[1])) // one number, one customer
+	r.Key, r.Tenant = id, strings.ToLower(string(args[1])) // one number, one customer
 	r.Class, r.Plan, r.Units, r.Idem = given.class, given.plan, given.units, given.key
 	r.Spread, r.First = int(given.spread), int(given.first)
 	// A client that says it will wait for ever is not believed.
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -32,7 +32,7 @@
 	}
 }
 func (deskCore) Class(name string) (policy.Class, bool) {
-	return policy.Class{Name: name, Aim: time.Second, Deadline: time.Minute, Effect: policy.Safe}, name == "read"
+	return policy.Class{Name: name, LatencyObjective: time.Second, Deadline: time.Minute, Effect: policy.Safe}, name == "read"
 }
 func (deskCore) Plan(string) bool                                              { return true }
 func (deskCore) Gateways() int                                                 { return 1 }
@@ -308,7 +308,7 @@
 			words = append(words, []byte(w))
 		}
 		r, err := f.Rebuild(words)
-		if err != nil || r.Customer != "00000000b4d65521" {
+		if err != nil || r.Tenant != "00000000b4d65521" {
 			t.Errorf("%s: %v, %v", digits, r, err)
 		}
 	}
--- a/internal/gossip/bounds_test.go
+++ b/internal/gossip/bounds_test.go
@@ -15,8 +15,8 @@
 // pullAll has one store ask another until there is nothing more, with small answers; it returns the number of questions.
 func pullAll(now time.Duration, from, to *Store) (asked int) {
 	for more := true; more; asked++ {
-		d := from.Ask()
-		shares := to.Answer(now, d, answerBytes)
+		d := from.NextDigest()
+		shares := to.DeltasFor(now, d, answerBytes)
 		before := from.Version()
 		from.Merge(now, now, shares)
 		more = from.Version() != before
@@ -54,7 +54,7 @@
 	for i := range 350 {
 		owner := New(fmt.Sprintf("instance-%03d", i), 1, horizon)
 		fill(owner, now, 100)
-		s.Merge(now, now, owner.Answer(now, Digest{Hi: wholeCircle}, 1<<20))
+		s.Merge(now, now, owner.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
 	}
 	if s.Len() != 35000 || s.Counts().Full != 0 {
 		t.Fatalf("%d of 35000 facts in %d bytes, %d without room", s.Len(), s.Bytes(), s.Counts().Full)
@@ -88,11 +88,11 @@
 	s := New("listener", 1, horizon)
 	large := make([]byte, maxData)
 	flood := func(owner string) {
-		sh := Share{Owner: owner, Life: 1, To: MaxFactsPerOwner}
+		sh := Delta{Owner: owner, Incarnation: 1, To: MaxFactsPerOwner}
 		for i := range MaxFactsPerOwner {
-			sh.Facts = append(sh.Facts, Item{"node", fmt.Sprint(i), uint64(i + 1), 0, large})
+			sh.Facts = append(sh.Facts, DeltaFact{"node", fmt.Sprint(i), uint64(i + 1), 0, large})
 		}
-		s.Merge(now, now, []Share{sh})
+		s.Merge(now, now, []Delta{sh})
 	}
 	flood("first")
 	flood("second")
@@ -106,12 +106,12 @@
 	now += horizon + time.Second
 	fill(late, now, 3)
 	held := s.Len()
-	s.Merge(now, now, late.Answer(now, s.Ask(), answerBytes))
+	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), answerBytes))
 	if s.Len() != held {
 		t.Fatalf("%d facts were taken without room", s.Len()-held)
 	}
 	s.Sweep(now, func(string) bool { return true })
-	s.Merge(now, now, late.Answer(now, s.Ask(), answerBytes))
+	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), answerBytes))
 	if s.Len() != 3 {
 		t.Fatalf("%d of 3 facts when there was room again", s.Len())
 	}
@@ -126,24 +126,24 @@
 	for i := range 300 {
 		other := New(fmt.Sprintf("instance-%03d", i), 1, horizon)
 		fill(other, now, 1)
-		hub.Merge(now, now, other.Answer(now, Digest{Hi: wholeCircle}, answerBytes))
+		hub.Merge(now, now, other.DeltasFor(now, Digest{Hi: wholeCircle}, answerBytes))
 	}
-	d, lacks := late.AskFor([]Mark{{"busy", 1, 600}})
+	d, lacks := late.DigestFor([]Watermark{{"busy", 1, 600}})
 	if !lacks {
 		t.Fatal("nothing lacks")
 	}
 	asked := 0
 	for more := true; more && asked < 100; asked++ {
-		shares := hub.Answer(now, d, answerBytes)
-		more = hub.Lacks(d, shares)
+		shares := hub.DeltasFor(now, d, answerBytes)
+		more = hub.HasMore(d, shares)
 		late.Merge(now, now, shares)
-		d = late.AskOn(d)
+		d = late.ContinueDigest(d)
 	}
 	if late.Len() != 600 || asked > 80 {
 		t.Fatalf("%d of 600 facts of the owner that was asked for, after %d questions", late.Len(), asked)
 	}
 	part := Digest{Lo: 1 << 30, Hi: 1 << 31}
-	if on := late.AskOn(part); on.Lo != part.Lo || on.Hi != part.Hi || on.Only {
+	if on := late.ContinueDigest(part); on.Lo != part.Lo || on.Hi != part.Hi || on.NamedOnly {
 		t.Fatalf("%+v", on)
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -23,7 +23,7 @@
 // Bounds. Memory is taken by need; docs/design/limits-on-record.md has what each bound costs.
 const (
 	// MostTrip is the longest time between a question and its answer for which ages are believed.
-	MostTrip = 500 * time.Millisecond
+	MaxRoundTrip = 500 * time.Millisecond
 	// MaxFactsPerOwner bounds the facts of one owner: one about each of 7,700 backends.
 	MaxFactsPerOwner = 8192
 	// MaxBytes bounds what all owners' facts take: 350 owners with a fact about each of 100 backends take 7.5 MB. An instance's
@@ -44,22 +44,22 @@
 // Fact is one fact as it is held.
 type Fact struct {
 	Owner, Kind, Subject string
-	Life, Seq            uint64
-	Born                 time.Duration // when it was seen, at the earliest, by this instance's clock
+	Incarnation, Seq     uint64
+	ObservedAt           time.Duration // when it was seen, at the earliest, by this instance's clock
 	Data                 []byte        // the kind's own; not to be changed
 }
 
 // Share is facts of one owner on the wire: all that the sender holds of those after From and up to To.
-type Share struct {
-	Owner string `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"`
-	From  uint64 `cbor:"3,keyasint,omitempty"`
-	To    uint64 `cbor:"4,keyasint,omitempty"`
-	Facts []Item `cbor:"5,keyasint,omitempty"`
+type Delta struct {
+	Owner       string      `cbor:"1,keyasint"`
+	Incarnation uint64      `cbor:"2,keyasint"`
+	From        uint64      `cbor:"3,keyasint,omitempty"`
+	To          uint64      `cbor:"4,keyasint,omitempty"`
+	Facts       []DeltaFact `cbor:"5,keyasint,omitempty"`
 }
 
 // Item is one fact on the wire.
-type Item struct {
+type DeltaFact struct {
 	Kind    string `cbor:"1,keyasint"`
 	Subject string `cbor:"2,keyasint"`
 	Seq     uint64 `cbor:"3,keyasint"`
@@ -68,26 +68,26 @@
 }
 
 // Mark says up to which sequence an owner's facts are held.
-type Mark struct {
-	Owner string `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"`
-	Have  uint64 `cbor:"3,keyasint,omitempty"`
+type Watermark struct {
+	Owner       string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Seq         uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Digest is the marks of the owners whose hash is in a part of the circle, from Lo up to Hi.
 type Digest struct {
-	Lo    uint64 `cbor:"1,keyasint,omitempty"`
-	Hi    uint64 `cbor:"2,keyasint"`
-	Marks []Mark `cbor:"3,keyasint,omitempty"`
-	Only  bool   `cbor:"4,keyasint,omitempty"` // of the owners that are named alone
+	Lo         uint64      `cbor:"1,keyasint,omitempty"`
+	Hi         uint64      `cbor:"2,keyasint"`
+	Watermarks []Watermark `cbor:"3,keyasint,omitempty"`
+	NamedOnly  bool        `cbor:"4,keyasint,omitempty"` // of the owners that are named alone
 }
 
 // Counts is what was not taken over so far, and why.
 type Counts struct {
-	Late      int `json:"Late"`
-	EndedLife int `json:"EndedLife"`
-	Own       int `json:"Own"`
-	Malformed int `json:"Malformed"`
+	Late             int `json:"Late"`
+	EndedIncarnation int `json:"EndedLife"`
+	Own              int `json:"Own"`
+	Malformed        int `json:"Malformed"`
 	// Full is the facts and owners for which there was no room. A fact of another owner is asked for again, and counts each time.
 	Full int `json:"Full"`
 }
@@ -132,13 +132,13 @@
 func (s *Store) Bytes() int { return s.bytes }
 
 // SetLife begins another life of this instance: its facts go on as that one's.
-func (s *Store) SetLife(life uint64) {
+func (s *Store) SetIncarnation(life uint64) {
 	if life == s.self.life {
 		return
 	}
 	s.self.life = life
 	for _, f := range s.self.facts {
-		f.Life = life
+		f.Incarnation = life
 	}
 	s.version++
 }
@@ -175,7 +175,7 @@
 	}
 	k := key{kind, subject}
 	old := s.self.facts[k]
-	f := &Fact{Owner: s.self.name, Kind: kind, Subject: subject, Life: s.self.life, Seq: s.self.have + 1, Born: born, Data: data}
+	f := &Fact{Owner: s.self.name, Kind: kind, Subject: subject, Incarnation: s.self.life, Seq: s.self.have + 1, ObservedAt: born, Data: data}
 	if !s.room(s.self, old, f) {
 		return false
 	}
@@ -224,7 +224,7 @@
 func (s *Store) Sweep(now time.Duration, keep func(owner string) bool) {
 	s.order = slices.DeleteFunc(s.order, func(o *owner) bool {
 		for k, f := range o.facts {
-			if now-f.Born > s.horizon {
+			if now-f.ObservedAt > s.horizon {
 				s.drop(o, k)
 			}
 		}
@@ -241,7 +241,7 @@
 func (s *Store) Facts(now time.Duration, kind string) (out []Fact) {
 	for _, o := range s.order {
 		for k, f := range o.facts {
-			if k.kind == kind && now-f.Born <= s.horizon {
+			if k.kind == kind && now-f.ObservedAt <= s.horizon {
 				out = append(out, *f)
 			}
 		}
@@ -251,7 +251,7 @@
 }
 
 // Ask is the next question: marks of as many owners as one message holds, going round all of them.
-func (s *Store) Ask() Digest {
+func (s *Store) NextDigest() Digest {
 	if len(s.order) <= mostAsked {
 		s.asked = 0
 	}
@@ -262,17 +262,17 @@
 
 // AskOn is the question that goes on with an earlier one whose answer did not hold everything: of the same owners or the same part of
 // the circle, with the marks as they are now.
-func (s *Store) AskOn(earlier Digest) Digest {
-	if !earlier.Only {
+func (s *Store) ContinueDigest(earlier Digest) Digest {
+	if !earlier.NamedOnly {
 		return s.digest(earlier.Lo, earlier.Hi)
 	}
-	d := Digest{Lo: earlier.Lo, Hi: earlier.Hi, Only: true}
-	for _, m := range earlier.Marks {
-		next := Mark{Owner: m.Owner}
+	d := Digest{Lo: earlier.Lo, Hi: earlier.Hi, NamedOnly: true}
+	for _, m := range earlier.Watermarks {
+		next := Watermark{Owner: m.Owner}
 		if o := s.owners[m.Owner]; o != nil {
-			next.Life, next.Have = o.life, o.have
+			next.Incarnation, next.Seq = o.life, o.have
 		}
-		d.Marks = append(d.Marks, next)
+		d.Watermarks = append(d.Watermarks, next)
 	}
 	return d
 }
@@ -284,47 +284,47 @@
 		if o.hash < lo || o.hash >= hi {
 			continue
 		}
-		if len(d.Marks) >= mostAsked && o.hash != hashOf(d.Marks[len(d.Marks)-1].Owner) {
+		if len(d.Watermarks) >= mostAsked && o.hash != hashOf(d.Watermarks[len(d.Watermarks)-1].Owner) {
 			d.Hi = o.hash
 			break
 		}
-		d.Marks = append(d.Marks, Mark{o.name, o.life, o.have})
+		d.Watermarks = append(d.Watermarks, Watermark{o.name, o.life, o.have})
 	}
 	return d
 }
 
 // News names the owners of whom something was learned last, with how far each is held here.
-func (s *Store) News() []Mark {
+func (s *Store) RecentWatermarks() []Watermark {
 	list := slices.DeleteFunc(slices.Clone(s.order), func(o *owner) bool { return o.news == 0 })
 	slices.SortFunc(list, func(a, b *owner) int { return cmp.Compare(b.news, a.news) })
-	var out []Mark
+	var out []Watermark
 	for _, o := range list[:min(len(list), mostNews)] {
-		out = append(out, Mark{o.name, o.life, o.have})
+		out = append(out, Watermark{o.name, o.life, o.have})
 	}
 	return out
 }
 
 // AskFor is the question for what another has told the names of; false where nothing of it lacks here.
-func (s *Store) AskFor(news []Mark) (Digest, bool) {
-	d := Digest{Hi: wholeCircle, Only: true}
+func (s *Store) DigestFor(news []Watermark) (Digest, bool) {
+	d := Digest{Hi: wholeCircle, NamedOnly: true}
 	for _, m := range news[:min(len(news), mostNews)] {
 		o := s.owners[m.Owner]
 		switch {
 		case m.Owner == s.self.name:
 		case o == nil:
-			d.Marks = append(d.Marks, Mark{Owner: m.Owner})
-		case o.life < m.Life || o.life == m.Life && o.have < m.Have:
-			d.Marks = append(d.Marks, Mark{o.name, o.life, o.have})
+			d.Watermarks = append(d.Watermarks, Watermark{Owner: m.Owner})
+		case o.life < m.Incarnation || o.life == m.Incarnation && o.have < m.Seq:
+			d.Watermarks = append(d.Watermarks, Watermark{o.name, o.life, o.have})
 		}
 	}
-	return d, len(d.Marks) > 0
+	return d, len(d.Watermarks) > 0
 }
 
 // Answer is what a digest's sender lacks, oldest first, in about so many bytes at the most. An owner's new life is told of also
 // where it has seen nothing yet: what the ended one has seen counts no longer.
-func (s *Store) Answer(now time.Duration, d Digest, most int) (out []Share) {
-	marks := map[string]Mark{}
-	for _, m := range d.Marks {
+func (s *Store) DeltasFor(now time.Duration, d Digest, most int) (out []Delta) {
+	marks := map[string]Watermark{}
+	for _, m := range d.Watermarks {
 		marks[m.Owner] = m
 	}
 	start := 0
@@ -334,12 +334,12 @@
 	for i := range s.order {
 		o := s.order[(start+i)%len(s.order)]
 		m, named := marks[o.name]
-		if d.Only && !named || o.hash < d.Lo || o.hash >= d.Hi || m.Life > o.life || m.Life == o.life && m.Have >= o.have {
+		if d.NamedOnly && !named || o.hash < d.Lo || o.hash >= d.Hi || m.Incarnation > o.life || m.Incarnation == o.life && m.Seq >= o.have {
 			continue
 		}
-		sh := Share{Owner: o.name, Life: o.life}
-		if m.Life == o.life {
-			sh.From = m.Have
+		sh := Delta{Owner: o.name, Incarnation: o.life}
+		if m.Incarnation == o.life {
+			sh.From = m.Seq
 		}
 		if most -= shareHead + len(o.name); most < 0 {
 			break
@@ -357,9 +357,9 @@
 				}
 				break
 			}
-			sh.Facts = append(sh.Facts, Item{f.Kind, f.Subject, f.Seq, max(0, now-f.Born).Microseconds(), f.Data})
+			sh.Facts = append(sh.Facts, DeltaFact{f.Kind, f.Subject, f.Seq, max(0, now-f.ObservedAt).Microseconds(), f.Data})
 		}
-		if sh.To > sh.From || m.Life < o.life {
+		if sh.To > sh.From || m.Incarnation < o.life {
 			out = append(out, sh)
 		}
 		if most < 0 {
@@ -370,8 +370,8 @@
 }
 
 // Merge takes over the answer to a question that was asked at a time of this instance's clock.
-func (s *Store) Merge(now, asked time.Duration, shares []Share) {
-	if now-asked > MostTrip || asked > now {
+func (s *Store) Merge(now, asked time.Duration, shares []Delta) {
+	if now-asked > MaxRoundTrip || asked > now {
 		s.counts.Late++
 		return
 	}
@@ -380,7 +380,7 @@
 	}
 }
 
-func (s *Store) merge(asked time.Duration, sh Share) {
+func (s *Store) merge(asked time.Duration, sh Delta) {
 	if sh.Owner == s.self.name { // nobody says what this instance has seen
 		s.counts.Own++
 		return
@@ -389,19 +389,19 @@
 		s.counts.Malformed++
 		return
 	}
-	o := s.owner(sh.Owner, sh.Life)
+	o := s.owner(sh.Owner, sh.Incarnation)
 	switch {
 	case o == nil:
 		s.counts.Full++
 		return
-	case sh.Life < o.life:
-		s.counts.EndedLife++
+	case sh.Incarnation < o.life:
+		s.counts.EndedIncarnation++
 		return
-	case sh.Life > o.life: // what an ended life has seen is its next life's to tell
+	case sh.Incarnation > o.life: // what an ended life has seen is its next life's to tell
 		for k := range o.facts {
 			s.drop(o, k)
 		}
-		o.life, o.have = sh.Life, 0
+		o.life, o.have = sh.Incarnation, 0
 	}
 	whole := true
 	for _, it := range sh.Facts {
@@ -416,13 +416,13 @@
 		switch {
 		case old != nil && old.Seq > it.Seq:
 		case old != nil && old.Seq == it.Seq: // by another way: both are bounds, the closer one holds
-			if born > old.Born {
-				old.Born = born
+			if born > old.ObservedAt {
+				old.ObservedAt = born
 				s.version++
 			}
 		case asked-born > s.horizon: // gone everywhere before long
 		default:
-			f := &Fact{Owner: o.name, Kind: it.Kind, Subject: it.Subject, Life: o.life, Seq: it.Seq, Born: born, Data: it.Data}
+			f := &Fact{Owner: o.name, Kind: it.Kind, Subject: it.Subject, Incarnation: o.life, Seq: it.Seq, ObservedAt: born, Data: it.Data}
 			if !s.room(o, old, f) {
 				whole = false
 				continue
@@ -436,16 +436,16 @@
 }
 
 // Lacks says whether a digest's sender lacks more than a part of the answer has told it.
-func (s *Store) Lacks(d Digest, told []Share) bool {
-	have := map[string]Mark{}
-	for _, m := range d.Marks {
+func (s *Store) HasMore(d Digest, told []Delta) bool {
+	have := map[string]Watermark{}
+	for _, m := range d.Watermarks {
 		have[m.Owner] = m
 	}
 	for _, sh := range told {
-		have[sh.Owner] = Mark{sh.Owner, sh.Life, sh.To}
+		have[sh.Owner] = Watermark{sh.Owner, sh.Incarnation, sh.To}
 	}
 	for _, o := range s.order {
-		if m, named := have[o.name]; (named || !d.Only) && o.hash >= d.Lo && o.hash < d.Hi && (m.Life < o.life || m.Life == o.life && m.Have < o.have) {
+		if m, named := have[o.name]; (named || !d.NamedOnly) && o.hash >= d.Lo && o.hash < d.Hi && (m.Incarnation < o.life || m.Incarnation == o.life && m.Seq < o.have) {
 			return true
 		}
 	}
@@ -461,10 +461,10 @@
 }
 
 // Sum is alike at two stores that hold the same facts of others and of their own, whatever they hold them to be old.
-func (s *Store) Sum(now time.Duration) (sum uint64) {
+func (s *Store) Checksum(now time.Duration) (sum uint64) {
 	for _, o := range s.order {
 		for k, f := range o.facts {
-			if now-f.Born > s.horizon {
+			if now-f.ObservedAt > s.horizon {
 				continue
 			}
 			h := fnv.New64a()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -18,7 +18,7 @@
 	var out []string
 	for _, o := range s.order {
 		for k, f := range o.facts {
-			out = append(out, fmt.Sprintf("%s %d %s %s %d %s", o.name, f.Life, k.kind, k.subject, f.Seq, f.Data))
+			out = append(out, fmt.Sprintf("%s %d %s %s %d %s", o.name, f.Incarnation, k.kind, k.subject, f.Seq, f.Data))
 		}
 	}
 	slices.Sort(out)
@@ -27,8 +27,8 @@
 
 // pull is one question and its answer, on a network that takes a while each way.
 func pull(now time.Duration, from, to *Store, trip time.Duration) {
-	d := from.Ask()
-	shares := to.Answer(now+trip/2, d, 1<<20)
+	d := from.NextDigest()
+	shares := to.DeltasFor(now+trip/2, d, 1<<20)
 	from.Merge(now+trip, now, shares)
 }
 
@@ -47,20 +47,20 @@
 		if len(f) != 1 || f[0].Owner != "a" || string(f[0].Data) != "bad" {
 			t.Fatal(f)
 		}
-		if late := 3*time.Second - f[0].Born; late < 0 || late > trip {
+		if late := 3*time.Second - f[0].ObservedAt; late < 0 || late > trip {
 			t.Errorf("held to be born %v before it was", late)
 		}
 	}
 	// clocks that have nothing to do with one another change nothing
 	d := New("d", 1, horizon)
 	q := 5000 * time.Hour
-	d.Merge(q+trip, q, a.Answer(now, d.Ask(), 1<<20))
-	if f := d.Facts(q+trip, "node"); len(f) != 1 || q-f[0].Born != 7*time.Second {
+	d.Merge(q+trip, q, a.DeltasFor(now, d.NextDigest(), 1<<20))
+	if f := d.Facts(q+trip, "node"); len(f) != 1 || q-f[0].ObservedAt != 7*time.Second {
 		t.Fatal(f)
 	}
 	// an answer that was long on its way is not believed at all
 	e := New("e", 1, horizon)
-	e.Merge(now+time.Second, now, a.Answer(now, e.Ask(), 1<<20))
+	e.Merge(now+time.Second, now, a.DeltasFor(now, e.NextDigest(), 1<<20))
 	if f := e.Facts(now, "node"); len(f) != 0 || e.Counts().Late != 1 {
 		t.Fatal(f)
 	}
@@ -76,15 +76,15 @@
 			owners[i] = New(fmt.Sprint("o", i), 1, horizon)
 		}
 		now := time.Second
-		var shares [][]Share
+		var shares [][]Delta
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "owner")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				owners[i].Put("k", rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "subject"), now, []byte{byte(rapid.IntRange(0, 9).Draw(t, "value"))})
 			case 2: // a part of what it holds, as an answer to somebody who holds a part
-				d := Digest{Hi: wholeCircle, Marks: []Mark{{owners[i].self.name, life[i], uint64(rapid.IntRange(0, 3).Draw(t, "have"))}}}
-				shares = append(shares, owners[i].Answer(now, d, rapid.SampledFrom([]int{1 << 20, 120, 180}).Draw(t, "bytes")))
+				d := Digest{Hi: wholeCircle, Watermarks: []Watermark{{owners[i].self.name, life[i], uint64(rapid.IntRange(0, 3).Draw(t, "have"))}}}
+				shares = append(shares, owners[i].DeltasFor(now, d, rapid.SampledFrom([]int{1 << 20, 120, 180}).Draw(t, "bytes")))
 			case 3: // it restarts with nothing
 				life[i]++
 				owners[i] = New(fmt.Sprint("o", i), life[i], horizon)
@@ -94,7 +94,7 @@
 			}
 			now += 10 * time.Millisecond
 		}
-		heard := func(list [][]Share) *Store {
+		heard := func(list [][]Delta) *Store {
 			s := New("listener", 1, horizon)
 			for _, x := range list {
 				s.Merge(now, now, x)
@@ -116,7 +116,7 @@
 			if x, y := content(a), content(s); x != y {
 				t.Fatalf("the listener holds\n%s\nand %d\n%s", x, i, y)
 			}
-			if a.Sum(now) != s.Sum(now) {
+			if a.Checksum(now) != s.Checksum(now) {
 				t.Fatal("the sums differ")
 			}
 		}
@@ -127,13 +127,13 @@
 // once or twice. What is held after is the newest of what came, and the same for every order.
 func TestEveryOrder(t *testing.T) {
 	now := time.Second
-	var shares [][]Share
+	var shares [][]Delta
 	for i := range 3 {
 		o := New(fmt.Sprint("o", i), 7, horizon)
 		o.Put("k", "x", now, []byte("old"))
-		shares = append(shares, o.Answer(now, Digest{Hi: wholeCircle}, 1<<20))
+		shares = append(shares, o.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
 		o.Put("k", "x", now, []byte("new"))
-		shares = append(shares, o.Answer(now, Digest{Hi: wholeCircle}, 1<<20))
+		shares = append(shares, o.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
 	}
 	orders := 0
 	for subset := range 1 << len(shares) {
@@ -194,14 +194,14 @@
 	first, second, s := New("o", 1, horizon), New("o", 2, horizon), New("s", 1, horizon)
 	first.Put("k", "x", now, []byte("first"))
 	second.Put("k", "y", now, []byte("second"))
-	old := first.Answer(now, s.Ask(), 1<<20)
+	old := first.DeltasFor(now, s.NextDigest(), 1<<20)
 	s.Merge(now, now, old)
-	s.Merge(now, now, second.Answer(now, s.Ask(), 1<<20))
+	s.Merge(now, now, second.DeltasFor(now, s.NextDigest(), 1<<20))
 	s.Merge(now, now, old)
-	if got := content(s); got != "o 2 k y 1 second" || s.Counts().EndedLife != 1 {
+	if got := content(s); got != "o 2 k y 1 second" || s.Counts().EndedIncarnation != 1 {
 		t.Fatal(got, s.Counts())
 	}
-	second.Merge(now, now, []Share{{Owner: "o", Life: 9, To: 1, Facts: []Item{{"k", "y", 1, 0, []byte("forged")}}}})
+	second.Merge(now, now, []Delta{{Owner: "o", Incarnation: 9, To: 1, Facts: []DeltaFact{{"k", "y", 1, 0, []byte("forged")}}}})
 	if got := content(second); got != "o 2 k y 1 second" || second.Counts().Own != 1 {
 		t.Fatal(got)
 	}
@@ -238,16 +238,16 @@
 		for i := range 3 {
 			s.Put("k", fmt.Sprint(i), now, []byte("data"))
 		}
-		hub.Merge(now, now, s.Answer(now, Digest{Hi: wholeCircle}, 1<<20))
+		hub.Merge(now, now, s.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
 	}
 	late, asked := New("late", 1, horizon), 0
 	for late.Len() < hub.Len() && asked < 400 {
 		asked++
 		now += time.Millisecond
-		d := late.Ask()
-		shares := hub.Answer(now, d, 1000)
-		if len(d.Marks) > mostAsked+4 || len(shares) > 1000/shareHead+1 {
-			t.Fatal(len(d.Marks), len(shares))
+		d := late.NextDigest()
+		shares := hub.DeltasFor(now, d, 1000)
+		if len(d.Watermarks) > mostAsked+4 || len(shares) > 1000/shareHead+1 {
+			t.Fatal(len(d.Watermarks), len(shares))
 		}
 		late.Merge(now, now, shares)
 	}
@@ -261,7 +261,7 @@
 	s := New("s", 1, horizon)
 	now := time.Second
 	long := strings.Repeat("x", 1000)
-	s.Merge(now, now, []Share{{}, {Owner: long, Life: 1}, {Owner: "o", Life: 1, From: 5, To: 4}, {Owner: "o", Life: 1, To: 9, Facts: []Item{{"", "x", 1, 0, nil}, {"k", long, 2, 0, nil},
+	s.Merge(now, now, []Delta{{}, {Owner: long, Incarnation: 1}, {Owner: "o", Incarnation: 1, From: 5, To: 4}, {Owner: "o", Incarnation: 1, To: 9, Facts: []DeltaFact{{"", "x", 1, 0, nil}, {"k", long, 2, 0, nil},
 		{"k", "x", 3, -5, nil}, {"k", "x", 30, 0, nil}, {"k", "x", 4, 0, make([]byte, maxData+1)}, {"k", "x", 5, 1 << 62, nil}}}})
 	if s.Len() != 0 || s.Counts().Malformed != 9 {
 		t.Fatal(s.Len(), s.Counts())
@@ -270,11 +270,11 @@
 		t.Fatal("taken")
 	}
 	for o := range 50 {
-		sh := Share{Owner: fmt.Sprint("flood", o), Life: 1, To: 1000}
+		sh := Delta{Owner: fmt.Sprint("flood", o), Incarnation: 1, To: 1000}
 		for i := range 1000 {
-			sh.Facts = append(sh.Facts, Item{"k", fmt.Sprint(i), uint64(i + 1), 0, make([]byte, maxData)})
+			sh.Facts = append(sh.Facts, DeltaFact{"k", fmt.Sprint(i), uint64(i + 1), 0, make([]byte, maxData)})
 		}
-		s.Merge(now, now, []Share{sh})
+		s.Merge(now, now, []Delta{sh})
 	}
 	if s.Bytes() > MaxBytes || len(s.owners["flood0"].facts) > MaxFactsPerOwner {
 		t.Fatal(s.Bytes(), len(s.owners["flood0"].facts))
--- a/internal/handover/dir.go
+++ b/internal/handover/dir.go
@@ -69,12 +69,12 @@
 
 // Close gives all up that the process holds.
 func (d *Dir) Close() {
-	d.Release()
+	d.Unlock()
 	d.slot.Close()
 }
 
 // Others is how many other processes of this ingress live. A lock tells, which the kernel lets go with the process.
-func (d *Dir) Others() (n int) {
+func (d *Dir) SiblingCount() (n int) {
 	for k := range slots {
 		if k == d.number {
 			continue
@@ -92,7 +92,7 @@
 }
 
 // Take waits for the baton, which one process holds at a time.
-func (d *Dir) Take(ctx context.Context) error {
+func (d *Dir) Lock(ctx context.Context) error {
 	f, err := os.OpenFile(d.base+".baton", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -112,7 +112,7 @@
 }
 
 // Release lets the baton go.
-func (d *Dir) Release() {
+func (d *Dir) Unlock() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.baton != nil {
@@ -122,7 +122,7 @@
 }
 
 // Leave writes what the next process shall know.
-func (d *Dir) Leave(s State) error {
+func (d *Dir) WriteState(s State) error {
 	s.Listen = d.listen
 	b, err := Encode(s)
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 // Left reads and removes what the process before has left; false where there is nothing that can be used.
-func (d *Dir) Left(now time.Duration) (State, bool) {
+func (d *Dir) ReadState(now time.Duration) (State, bool) {
 	path := d.base + ".state"
 	b, err := read(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -152,13 +152,13 @@
 
 // wordsFile is the form of the operators' words.
 type wordsFile struct {
-	Version int             `json:"version"`
-	Listen  string          `json:"listen"`
-	Words   []override.Word `json:"words"`
+	Version int                 `json:"version"`
+	Listen  string              `json:"listen"`
+	Words   []override.Override `json:"words"`
 }
 
 // Save puts words into the file beside those that are there; it returns when they are on the disk.
-func (d *Dir) Save(words []override.Word) error {
+func (d *Dir) Save(words []override.Override) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	lock, err := os.OpenFile(d.base+".words.lock", os.O_CREATE|os.O_RDWR, 0o600)
@@ -176,7 +176,7 @@
 	}
 	book.Merge(there)
 	book.Merge(words)
-	b, err := encodeWords(wordsFile{Version, d.listen, book.Words()})
+	b, err := encodeWords(wordsFile{Version, d.listen, book.All()})
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 }
 
 // Words are the words on file; none where there is no file, or it cannot be used.
-func (d *Dir) Words() []override.Word {
+func (d *Dir) Overrides() []override.Override {
 	words, err := d.words()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		d.log.Warn("the file of suspensions is not used", "err", err)
@@ -192,7 +192,7 @@
 	return words
 }
 
-func (d *Dir) words() ([]override.Word, error) {
+func (d *Dir) words() ([]override.Override, error) {
 	b, err := read(d.base + ".words")
 	if err != nil {
 		return nil, err
@@ -201,18 +201,18 @@
 }
 
 // Watch tells others of their number and of new words, each time that they change, until ctx ends.
-func (d *Dir) Watch(ctx context.Context, others func(int), words func([]override.Word)) {
+func (d *Dir) Watch(ctx context.Context, others func(int), words func([]override.Override)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	last := -1
 	for {
-		if n := d.Others(); n != last {
+		if n := d.SiblingCount(); n != last {
 			last = n
 			others(n)
 		}
 		if stamp := d.stamp(); stamp != d.seen {
 			d.seen = stamp
-			words(d.Words())
+			words(d.Overrides())
 		}
 		select {
 		case <-ctx.Done():
@@ -279,7 +279,7 @@
 
 // Inherited is the listener that the platform holds, by the number of its descriptor. Closing it ends this process's use of it
 // alone.
-func Inherited(fd int) (net.Listener, error) {
+func InheritedListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d: not a descriptor", fd)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -20,7 +20,7 @@
 func filledState() State {
 	var s State
 	golden.Fill(&s)
-	s.Listen, s.Learned.Customers[0].ID = goldenListen, "customer/1"
+	s.Listen, s.Learned.Tenants[0].ID = goldenListen, "customer/1"
 	return s
 }
 
@@ -66,13 +66,13 @@
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, goldenListen)
-	if err := d.Take(t.Context()); err != nil {
+	if err := d.Lock(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Leave(State{At: time.Second, List: discovery.List{}, Learned: policy.Learned{}}); err != nil {
+	if err := d.WriteState(State{At: time.Second, List: discovery.List{}, Learned: policy.LearnedState{}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Save([]override.Word{{ID: "s0", Out: true, At: 1}}); err != nil {
+	if err := d.Save([]override.Override{{ID: "s0", Suspended: true, At: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	entries, err := os.ReadDir(dir)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -31,26 +31,26 @@
 
 // State is what the old process leaves.
 type State struct {
-	Version int            `json:"version"`
-	Listen  string         `json:"listen"` // of which ingress it is
-	At      time.Duration  `json:"at"`     // on the clock that all instances share
-	List    discovery.List `json:"list"`   // the nodes as last heard, without the operators' word
-	Learned policy.Learned `json:"learned"`
+	Version int                 `json:"version"`
+	Listen  string              `json:"listen"` // of which ingress it is
+	At      time.Duration       `json:"at"`     // on the clock that all instances share
+	List    discovery.List      `json:"list"`   // the nodes as last heard, without the operators' word
+	Learned policy.LearnedState `json:"learned"`
 }
 
 // Split parts what a gateway knows between its old process and its new one. The sum of all units is what it was: nothing is
 // doubled, and nothing lost. The counter is told by the new one alone.
-func Split(l policy.Learned) (kept []policy.LearnedCustomer, given policy.Learned) {
+func Split(l policy.LearnedState) (kept []policy.LearnedTenant, given policy.LearnedState) {
 	given = l
-	given.Customers = make([]policy.LearnedCustomer, len(l.Customers))
-	kept = make([]policy.LearnedCustomer, len(l.Customers))
-	for i, c := range l.Customers {
+	given.Tenants = make([]policy.LearnedTenant, len(l.Tenants))
+	kept = make([]policy.LearnedTenant, len(l.Tenants))
+	for i, c := range l.Tenants {
 		k, g := c, c
 		need := c.Demand * keepFor.Seconds()
-		k.Block, g.Block = part(c.Block, need)
-		k.Ceiling, g.Ceiling = part(c.Ceiling, need)
-		k.Owed = 0
-		kept[i], given.Customers[i] = k, g
+		k.LeasedUnits, g.LeasedUnits = part(c.LeasedUnits, need)
+		k.CeilingLevel, g.CeilingLevel = part(c.CeilingLevel, need)
+		k.UnreportedUnits = 0
+		kept[i], given.Tenants[i] = k, g
 	}
 	return kept, given
 }
@@ -88,12 +88,12 @@
 		return State{}, fmt.Errorf("state: of the ingress at %q, this one is at %q", s.Listen, listen)
 	case s.At > now+time.Second || now-s.At > mostAge:
 		return State{}, fmt.Errorf("state: %v old, %v at most", (now - s.At).Round(time.Millisecond), mostAge)
-	case s.Learned.Busy < 0 || s.Learned.Busy > busyMost:
-		return State{}, fmt.Errorf("state: busy is %d", s.Learned.Busy)
+	case s.Learned.InFlight < 0 || s.Learned.InFlight > busyMost:
+		return State{}, fmt.Errorf("state: busy is %d", s.Learned.InFlight)
 	}
-	for _, c := range s.Learned.Customers {
-		if c.Open < 0 || c.Open > busyMost || c.Spread < 1 || c.First < 0 {
-			return State{}, fmt.Errorf("state: customer %q: open %d, spread %d, first %d", c.ID, c.Open, c.Spread, c.First)
+	for _, c := range s.Learned.Tenants {
+		if c.InFlight < 0 || c.InFlight > busyMost || c.Spread < 1 || c.First < 0 {
+			return State{}, fmt.Errorf("state: customer %q: open %d, spread %d, first %d", c.ID, c.InFlight, c.Spread, c.First)
 		}
 	}
 	if name := nonsense(reflect.ValueOf(s.Learned), "learned", now); name != "" {
@@ -154,7 +154,7 @@
 }
 
 // decodeWords reads and checks the words that were written for an address.
-func decodeWords(b []byte, listen string) ([]override.Word, error) {
+func decodeWords(b []byte, listen string) ([]override.Override, error) {
 	var f wordsFile
 	if err := strict(b, &f); err != nil {
 		return nil, fmt.Errorf("words: %w", err)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -26,20 +26,20 @@
 // No unit is doubled or lost in a split, and only one of the two tells the counter.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l policy.Learned
+		var l policy.LearnedState
 		for range rapid.IntRange(0, 20).Draw(t, "customers") {
 			unit := rapid.Float64Range(-50, 500)
-			l.Customers = append(l.Customers, policy.LearnedCustomer{Block: unit.Draw(t, "block"), Owed: unit.Draw(t, "owed"),
-				Ceiling: unit.Draw(t, "ceiling"), Demand: rapid.Float64Range(0, 1000).Draw(t, "demand")})
+			l.Tenants = append(l.Tenants, policy.LearnedTenant{LeasedUnits: unit.Draw(t, "block"), UnreportedUnits: unit.Draw(t, "owed"),
+				CeilingLevel: unit.Draw(t, "ceiling"), Demand: rapid.Float64Range(0, 1000).Draw(t, "demand")})
 		}
 		kept, given := Split(l)
-		for i, c := range l.Customers {
-			k, g := kept[i], given.Customers[i]
+		for i, c := range l.Tenants {
+			k, g := kept[i], given.Tenants[i]
 			near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-			if !near(k.Block+g.Block, c.Block) || !near(k.Ceiling+g.Ceiling, c.Ceiling) || !near(k.Owed+g.Owed, c.Owed) || k.Owed != 0 {
+			if !near(k.LeasedUnits+g.LeasedUnits, c.LeasedUnits) || !near(k.CeilingLevel+g.CeilingLevel, c.CeilingLevel) || !near(k.UnreportedUnits+g.UnreportedUnits, c.UnreportedUnits) || k.UnreportedUnits != 0 {
 				t.Fatalf("%+v was split into %+v and %+v", c, k, g)
 			}
-			if k.Block < 0 || k.Block > max(0, c.Block)*keepMost || k.Ceiling < 0 || k.Ceiling > max(0, c.Ceiling)*keepMost {
+			if k.LeasedUnits < 0 || k.LeasedUnits > max(0, c.LeasedUnits)*keepMost || k.CeilingLevel < 0 || k.CeilingLevel > max(0, c.CeilingLevel)*keepMost {
 				t.Fatalf("the old process keeps %+v of %+v", k, c)
 			}
 		}
@@ -47,8 +47,8 @@
 }
 
 func example(now time.Duration) State {
-	return State{Listen: "127.0.0.1:1", At: now, List: discovery.List{Rev: 7, All: true, Targets: []discovery.Target{{UID: "s0"}}},
-		Learned: policy.Learned{Window: 3, Customers: []policy.LearnedCustomer{{ID: "c", Plan: "p", Spread: 2, Block: -1, At: now}}}}
+	return State{Listen: "127.0.0.1:1", At: now, List: discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0"}}},
+		Learned: policy.LearnedState{Window: 3, Tenants: []policy.LearnedTenant{{ID: "c", Plan: "p", Spread: 2, LeasedUnits: -1, LevelAt: now}}}}
 }
 
 // What cannot be the file of this ingress's last process is left aside whole.
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := Decode(good, "127.0.0.1:1", now+time.Second); err != nil || s.Learned.Customers[0].Block != -1 || s.List.Rev != 7 {
+	if s, err := Decode(good, "127.0.0.1:1", now+time.Second); err != nil || s.Learned.Tenants[0].LeasedUnits != -1 || s.List.Rev != 7 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	change := func(do func(*State)) []byte {
@@ -82,10 +82,10 @@
 		"foreign":  {change(func(s *State) { s.Listen = "127.0.0.1:2" }), "127.0.0.1:2"},
 		"old":      {change(func(s *State) { s.At = now - time.Hour }), "old"},
 		"to come":  {change(func(s *State) { s.At = now + time.Hour }), "old"},
-		"forged":   {change(func(s *State) { s.Learned.Busy = 1 << 40 }), "busy"},
-		"open":     {change(func(s *State) { s.Learned.Customers[0].Open = -1 }), "open -1"},
-		"figure":   {change(func(s *State) { s.Learned.Customers[0].Level = 1e300 }), "Level"},
-		"time":     {change(func(s *State) { s.Learned.Customers[0].Looked = -5 }), "Looked"},
+		"forged":   {change(func(s *State) { s.Learned.InFlight = 1 << 40 }), "busy"},
+		"open":     {change(func(s *State) { s.Learned.Tenants[0].InFlight = -1 }), "open -1"},
+		"figure":   {change(func(s *State) { s.Learned.Tenants[0].Level = 1e300 }), "Level"},
+		"time":     {change(func(s *State) { s.Learned.Tenants[0].TotalAt = -5 }), "Looked"},
 		"key":      {[]byte(`{"version":1,"more":2}`), "more"},
 		"too long": {bytes.Repeat([]byte(" "), mostBytes+1), "at most"},
 	} {
@@ -122,14 +122,14 @@
 	dir := t.TempDir()
 	a, b := open(t, dir, "127.0.0.1:1"), open(t, dir, "127.0.0.1:1")
 	stranger := open(t, dir, "127.0.0.1:2")
-	if a.Others() != 1 || b.Others() != 1 || stranger.Others() != 0 {
-		t.Fatalf("others: %d, %d, %d", a.Others(), b.Others(), stranger.Others())
+	if a.SiblingCount() != 1 || b.SiblingCount() != 1 || stranger.SiblingCount() != 0 {
+		t.Fatalf("others: %d, %d, %d", a.SiblingCount(), b.SiblingCount(), stranger.SiblingCount())
 	}
-	if err := a.Take(t.Context()); err != nil {
+	if err := a.Lock(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	got := make(chan error, 1)
-	go func() { got <- b.Take(t.Context()) }()
+	go func() { got <- b.Lock(t.Context()) }()
 	select {
 	case err := <-got:
 		t.Fatal("two hold the baton: ", err)
@@ -139,7 +139,7 @@
 	if err := <-got; err != nil {
 		t.Fatal(err)
 	}
-	if b.Others() != 0 {
+	if b.SiblingCount() != 0 {
 		t.Fatal("the one that has gone is still there")
 	}
 }
@@ -148,26 +148,26 @@
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir, "127.0.0.1:1"), open(t, dir, "127.0.0.1:1")
-	for d, w := range map[*Dir]override.Word{a: {ID: "s1", Out: true, At: 1}, b: {ID: "s2", Out: true, At: 2}} {
-		if err := d.Save([]override.Word{w}); err != nil {
+	for d, w := range map[*Dir]override.Override{a: {ID: "s1", Suspended: true, At: 1}, b: {ID: "s2", Suspended: true, At: 2}} {
+		if err := d.Save([]override.Override{w}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if w := a.Words(); len(w) != 2 || w[0].ID != "s1" || w[1].ID != "s2" {
+	if w := a.Overrides(); len(w) != 2 || w[0].ID != "s1" || w[1].ID != "s2" {
 		t.Fatalf("on file: %v", w)
 	}
 	now := time.Duration(time.Now().UnixNano())
-	if _, ok := b.Left(now); ok {
+	if _, ok := b.ReadState(now); ok {
 		t.Fatal("a state that nobody has left")
 	}
 	s := example(now)
-	if err := a.Leave(s); err != nil {
+	if err := a.WriteState(s); err != nil {
 		t.Fatal(err)
 	}
-	if s, ok := b.Left(now); !ok || s.List.Rev != 7 {
+	if s, ok := b.ReadState(now); !ok || s.List.Rev != 7 {
 		t.Fatalf("%v %+v", ok, s)
 	}
-	if _, ok := b.Left(now); ok {
+	if _, ok := b.ReadState(now); ok {
 		t.Fatal("a state was read twice")
 	}
 	// Neither file can stop a start, and a bad one does not stop words from being kept.
@@ -176,10 +176,10 @@
 			t.Fatal(err)
 		}
 	}
-	if _, ok := b.Left(now); ok || len(b.Words()) > 0 {
+	if _, ok := b.ReadState(now); ok || len(b.Overrides()) > 0 {
 		t.Fatal("torn files were believed")
 	}
-	if err := b.Save([]override.Word{{ID: "s3", Out: true, At: 3}}); err != nil || len(b.Words()) != 1 {
-		t.Fatal(err, b.Words())
+	if err := b.Save([]override.Override{{ID: "s3", Suspended: true, At: 3}}); err != nil || len(b.Overrides()) != 1 {
+		t.Fatal(err, b.Overrides())
 	}
 }
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -27,8 +27,8 @@
 		}
 		c.Discovery = scripted.Registry(b, c.Known, nil)
 		c.Sockets, c.Leases.Keep, c.Leases.Most = 4096, time.Second, 1<<20
-		c.Settings.MaxAttempts, c.Settings.SecondCopies = 1, false
-		c.Settings.Classes[0].Aim, c.Settings.Classes[0].Deadline = time.Second, time.Second
+		c.Settings.MaxAttempts, c.Settings.Hedging = 1, false
+		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].Deadline = time.Second, time.Second
 	})
 	g, _ := runIngress(b, cfg)
 	var id atomic.Int64
--- a/internal/ingress/budgets_test.go
+++ b/internal/ingress/budgets_test.go
@@ -33,11 +33,11 @@
 		return resp.StatusCode, string(text)
 	}
 	code, text := get("?for=10s")
-	var all []overrun.Statement
+	var all []overrun.Bound
 	if err := json.Unmarshal([]byte(text), &all); code != 200 || err != nil || len(all) != 1 {
 		t.Fatal(code, err, text)
 	}
-	if s := all[0]; s.Customer != "00000000b4d65521" || s.Mode != overrun.Unheard || s.Spend < 50 || s.Spend > 62 { // a block of 9, one spent, and 50 in 10 s
+	if s := all[0]; s.Tenant != "00000000b4d65521" || s.Mode != overrun.NeverHeard || s.MaxSpend < 50 || s.MaxSpend > 62 { // a block of 9, one spent, and 50 in 10 s
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"11h", "x", "-1s"} {
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -319,7 +319,7 @@
 	list := fleetOf(first.Addr)
 	registry := newOutageRegistry(t, silent, list)
 	cfg := testConfig(registry.addr, list)
-	cfg.Sockets, cfg.Settings.Gateways = crowdSockets, 2 // the other one says nothing to the counter
+	cfg.Sockets, cfg.Settings.Instances = crowdSockets, 2 // the other one says nothing to the counter
 	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 200, Burst: 100, ExcessCost: 0.5}}
 	addr, g := startGateway(t, cfg)
--- a/internal/ingress/door.go
+++ b/internal/ingress/door.go
@@ -27,9 +27,9 @@
 	return text
 }
 
-func (d door) Suspend(id string) error { return d.g.core.Suspend(policy.ServerID(id)) }
+func (d door) Suspend(id string) error { return d.g.core.Suspend(policy.BackendID(id)) }
 
-func (d door) Resume(id string) error { return d.g.core.Resume(policy.ServerID(id)) }
+func (d door) Resume(id string) error { return d.g.core.Resume(policy.BackendID(id)) }
 
 func (d door) Leave() error { return d.whileServing((*resp.Front).Leave) }
 
--- a/internal/ingress/door_test.go
+++ b/internal/ingress/door_test.go
@@ -212,7 +212,7 @@
 	list := fleetOf(nodes[0].Addr, nodes[1].Addr)
 	changes := make(chan discovery.List)
 	cfg := doorConfig(scripted.Registry(t, list, changes), list)
-	cfg.Settings.WarmAfter, cfg.Settings.ColdShare = 10*time.Second, 0.25
+	cfg.Settings.SlowStartWindow, cfg.Settings.SlowStartShare = 10*time.Second, 0.25
 	g, _ := runIngress(t, cfg)
 	nc, in := dial(t, g.Addr().String())
 	id := 0
@@ -439,9 +439,9 @@
 	}
 	list := fleetOf(nodes[:]...)
 	cfg := doorConfig(scripted.Registry(t, list, nil), list)
-	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies, cfg.Settings.MaxRetryAfter = 4, true, 100*time.Millisecond
+	cfg.Settings.MaxAttempts, cfg.Settings.Hedging, cfg.Settings.MaxRetryAfter = 4, true, 100*time.Millisecond
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = time.Second, 2*time.Second
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = time.Second, 2*time.Second
 		cfg.Settings.Classes[i].Group, cfg.Settings.Classes[i].RepeatWindow = policy.GroupAll, 5*time.Second
 	}
 	g, _ := runIngress(t, cfg)
--- a/internal/ingress/ends_test.go
+++ b/internal/ingress/ends_test.go
@@ -112,7 +112,7 @@
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxRetryAfter = 500 * time.Millisecond
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 850*time.Millisecond, deadline
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 850*time.Millisecond, deadline
 	}
 	addr, stop := startIngress(t, cfg)
 	fields := strings.Replace(readFields, "d=50000", "d=900", 1)
@@ -307,7 +307,7 @@
 		changes := make(chan discovery.List)
 		list := fleetOf(be.Addr)
 		cfg := testConfig(scripted.Registry(t, list, changes), list)
-		cfg.Settings.MayCancel, cfg.Settings.SecondCopies, cfg.Settings.MaxAttempts = false, true, 2
+		cfg.Settings.MayCancel, cfg.Settings.Hedging, cfg.Settings.MaxAttempts = false, true, 2
 		addr, _ := startIngress(t, cfg)
 		nc, in := dial(t, addr)
 		io.WriteString(nc, ask(1, readFields)) // from now on it is known how long an answer takes
--- a/internal/ingress/gate_test.go
+++ b/internal/ingress/gate_test.go
@@ -28,9 +28,9 @@
 	for i := range nodes {
 		list.Targets = append(list.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1+i), Zone: "a", State: "SERVING"})
 	}
-	list.Rev, list.All = 1, true
+	list.Rev, list.Complete = 1, true
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
-	cfg.Settings.MaxAttempts, cfg.Settings.SecondCopies, cfg.Settings.MaxRetryAfter = 3, true, time.Second
+	cfg.Settings.MaxAttempts, cfg.Settings.Hedging, cfg.Settings.MaxRetryAfter = 3, true, time.Second
 	cfg.Settings.Plans = append(cfg.Settings.Plans, policy.Plan{Name: "four", Price: 1, Rate: 0.001, Burst: 4, ExcessCost: 1})
 	cfg.Sockets = 2048
 	table, err := forwardauth.NewTable(nil)
@@ -235,7 +235,7 @@
 func TestGateDiesWithGrantsOpen(t *testing.T) {
 	g, _ := runIngress(t, gateConfig(t, 60, func(c *Config) {
 		c.Leases.Timeout = time.Second
-		c.Settings.Plans = append(c.Settings.Plans, policy.Plan{Name: "capped", Price: 1, Open: 200})
+		c.Settings.Plans = append(c.Settings.Plans, policy.Plan{Name: "capped", Price: 1, MaxInFlight: 200})
 	}))
 	c := newCaller(t, g)
 	capped := []string{"Plan", "capped"}
@@ -269,7 +269,7 @@
 	g, _ := runIngress(t, cfg)
 	c := newCaller(t, g)
 	list := cfg.Known
-	list.All, list.Rev = false, 2
+	list.Complete, list.Rev = false, 2
 	list.Targets = []discovery.Target{list.Targets[0]}
 	list.Targets[0].State = "DRAINING"
 	told := time.Now()
@@ -384,7 +384,7 @@
 	cfg := gateConfig(t, 1, nil)
 	cfg.Known.Targets[0].Endpoint = be.Addr
 	cfg.Discovery = scripted.Registry(t, cfg.Known, nil)
-	cfg.Settings.Classes[2].Worth, cfg.Settings.Classes[2].RepeatWindow = 5, 3*time.Second
+	cfg.Settings.Classes[2].PriorityWeight, cfg.Settings.Classes[2].RepeatWindow = 5, 3*time.Second
 	g, stop := runIngress(t, cfg)
 	c := newCaller(t, g)
 	granted := make(chan answer, 200)
--- a/internal/ingress/halls.go
+++ b/internal/ingress/halls.go
@@ -49,11 +49,11 @@
 	put := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	put(f.reach, s.Reach)
-	put(f.planned, s.Planned)
+	put(f.reach, s.AvailableShare)
+	put(f.planned, s.PlannedSpill)
 	put(f.spilled, s.Spilled)
 	put(f.panicking, map[bool]float64{true: 1}[s.Panic])
-	for _, h := range s.Halls {
+	for _, h := range s.Zones {
 		put(f.capacity, h.Capacity, h.Name)
 		put(f.nominal, h.Nominal, h.Name)
 		put(f.offered, h.Offered, h.Name)
@@ -62,7 +62,7 @@
 		put(f.ramp, h.Ramp, h.Name)
 		put(f.price, h.Price, h.Name)
 		put(f.caution, float64(h.Caution), h.Name)
-		put(f.nodes, float64(h.Nodes), h.Name, "listed")
+		put(f.nodes, float64(h.Backends), h.Name, "listed")
 		put(f.nodes, float64(h.Proven), h.Name, "proven")
 		for _, state := range zones.States() {
 			put(f.state, map[bool]float64{true: 1}[state == h.State], h.Name, state)
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -27,7 +27,7 @@
 		return func() {}
 	}
 	g.words.dir.Store(dir)
-	g.core.Heard(dir.Words())
+	g.core.Heard(dir.Overrides())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -73,7 +73,7 @@
 		return g.cfg.Listener, nil
 	}
 	began := time.Now()
-	if err := dir.Take(ctx); err != nil {
+	if err := dir.Lock(ctx); err != nil {
 		if ctx.Err() != nil {
 			g.cfg.Listener.Close()
 			return nil, nil
@@ -81,7 +81,7 @@
 		g.log.Warn("takes the clients beside any other process", "err", err)
 		return g.cfg.Listener, nil
 	}
-	if s, ok := dir.Left(time.Duration(time.Now().UnixNano())); ok {
+	if s, ok := dir.ReadState(time.Duration(time.Now().UnixNano())); ok {
 		g.core.TakeOver(s)
 	}
 	g.log.Info("takes the clients", "waited", time.Since(began).Round(time.Millisecond))
@@ -94,15 +94,15 @@
 	if dir == nil {
 		return
 	}
-	defer dir.Release()
-	if dir.Others() == 0 {
+	defer dir.Unlock()
+	if dir.SiblingCount() == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), giveTime)
 	defer cancel()
 	s, err := g.core.GiveOver(ctx)
 	if err == nil {
-		err = dir.Leave(s)
+		err = dir.WriteState(s)
 	}
 	if err != nil {
 		g.log.Warn("the next process starts without what is known here", "err", err)
@@ -113,7 +113,7 @@
 type words struct{ dir atomic.Pointer[handover.Dir] }
 
 // Save is core.WordStore's.
-func (w *words) Save(said []override.Word) error {
+func (w *words) Save(said []override.Override) error {
 	if d := w.dir.Load(); d != nil {
 		return d.Save(said)
 	}
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -207,7 +207,7 @@
 	wantCall(t, first, "PUT", "/v1/backends/s0/suspend", 200)
 
 	// The next one's own list is older than the first one's: what goes over has the node.
-	second, _ := start(discovery.List{All: true})
+	second, _ := start(discovery.List{Complete: true})
 	wantYes(t, second)
 	stopFirst()
 	eventually(t, 5*time.Second, "the list goes over", func() bool { return figure(t, second, "cluster_size") == 1 })
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -117,7 +117,7 @@
 	}
 	var later *Gateway // which takes over, once it is there
 	if cfg.Takeover = nil; cfg.TakesOver && others != nil {
-		cfg.Takeover = &core.Takeover{Self: takeover.Member{Name: others.name, Hall: cfg.Settings.Zone}, Life: 1, Works: others,
+		cfg.Takeover = &core.Takeover{Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Life: 1, Works: others,
 			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuild(words) }}
 	}
 	if cfg.Config.Rights = nil; cfg.Lends && others != nil {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -23,7 +23,7 @@
 )
 
 func fleetOf(addrs ...string) discovery.List {
-	f := discovery.List{Rev: 1, All: true}
+	f := discovery.List{Rev: 1, Complete: true}
 	for i, a := range addrs {
 		f.Targets = append(f.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: a, Zone: "a", State: "SERVING"})
 	}
@@ -34,11 +34,11 @@
 
 func testConfig(disc string, known discovery.List) Config {
 	return Config{Listen: "127.0.0.1:0", Config: core.Config{Discovery: disc, Sockets: 256, Known: known,
-		Settings: policy.Settings{Gateways: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+		Settings: policy.Settings{Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
-				{Name: "read", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
-				{Name: "write", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
-				{Name: "keyed", Worth: 1, Aim: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed}},
+				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
+				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
+				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed}},
 			Plans: []policy.Plan{{Name: "p", Price: 1}}},
 		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}}
 }
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -26,7 +26,7 @@
 // Tell, Facts, Version and Name are core.Peers's.
 func (c *company) Tell(kind, subject string, born time.Duration, data []byte) {
 	if p := c.p.Load(); p != nil {
-		p.Tell(kind, subject, born, data)
+		p.Publish(kind, subject, born, data)
 	}
 }
 
@@ -53,16 +53,16 @@
 	}
 	cfg := *g.cfg.Peers
 	cfg.Clock = g.core.Now
-	cfg.Life = uint64(time.Now().UnixNano())
-	cfg.Hall, cfg.Seed = g.cfg.Settings.Zone, g.cfg.Seed
-	cfg.Patient = g.cfg.Listener != nil
+	cfg.Incarnation = uint64(time.Now().UnixNano())
+	cfg.Zone, cfg.Seed = g.cfg.Settings.Zone, g.cfg.Seed
+	cfg.WaitForAddress = g.cfg.Listener != nil
 	if g.cfg.Takeover != nil || g.cfg.Config.Rights != nil {
-		cfg.Heard = func(list []peers.Parcel) {
+		cfg.OnMessages = func(list []peers.Message) {
 			for _, p := range list {
-				g.core.HeardWork(p.From, p.Life, p.Data)
+				g.core.HeardWork(p.From, p.Incarnation, p.Data)
 			}
 		}
-		cfg.Changed = g.changed
+		cfg.OnChange = g.changed
 	}
 	p, err := peers.Start(cfg, g.log)
 	if err != nil {
@@ -89,7 +89,7 @@
 		return
 	}
 	select {
-	case <-p.Told():
+	case <-p.Synced():
 	case <-time.After(firstWord):
 	case <-ctx.Done():
 	}
@@ -104,21 +104,21 @@
 	}
 	var members []takeover.Member
 	for _, m := range p.Members() {
-		members = append(members, takeover.Member{Name: m.Name, Hall: m.Hall})
+		members = append(members, takeover.Member{Name: m.Name, Zone: m.Zone})
 	}
 	var ended, begun, left []core.Life
 	for _, c := range changes {
 		switch {
 		case c.State > swim.Suspect:
-			ended = append(ended, core.Life{Name: c.Name, Life: c.Life})
-			if c.State == swim.Left || c.Told {
-				left = append(left, core.Life{Name: c.Name, Life: c.Life})
+			ended = append(ended, core.Life{Name: c.Name, Life: c.Incarnation})
+			if c.State == swim.Left || c.Confirmed {
+				left = append(left, core.Life{Name: c.Name, Life: c.Incarnation})
 			}
 		case c.State == swim.Alive:
-			if c.New && c.Life > 0 { // an earlier life of the name has ended, whether or not anybody saw it
-				ended = append(ended, core.Life{Name: c.Name, Life: c.Life - 1})
+			if c.New && c.Incarnation > 0 { // an earlier life of the name has ended, whether or not anybody saw it
+				ended = append(ended, core.Life{Name: c.Name, Life: c.Incarnation - 1})
 			}
-			begun = append(begun, core.Life{Name: c.Name, Life: c.Life})
+			begun = append(begun, core.Life{Name: c.Name, Life: c.Incarnation})
 		}
 	}
 	g.core.Fellows(members, ended, begun, left)
@@ -133,7 +133,7 @@
 
 func (c *company) ClockOf(name string) time.Duration {
 	if p := c.p.Load(); p != nil {
-		return p.ClockOf(name)
+		return p.ClockReading(name)
 	}
 	return 0
 }
@@ -233,8 +233,8 @@
 		put(f.messages, prometheus.CounterValue, float64(n[0]), way)
 		put(f.traffic, prometheus.CounterValue, float64(n[1]), way)
 	}
-	for why, n := range map[string]int{"key": s.Counts.WrongKey, "malformed": s.Counts.Malformed + s.Shared.Malformed, "newer": s.Counts.Newer, "late": s.Shared.Late,
-		"ended life": s.Swim.EndedLife + s.Shared.EndedLife, "stray": s.Swim.Stray + s.Counts.Strange, "full": s.Swim.Full + s.Shared.Full} {
+	for why, n := range map[string]int{"key": s.Counts.WrongKey, "malformed": s.Counts.Malformed + s.Gossip.Malformed, "newer": s.Counts.Newer, "late": s.Gossip.Late,
+		"ended life": s.Swim.EndedIncarnation + s.Gossip.EndedIncarnation, "stray": s.Swim.Stray + s.Counts.Unsolicited, "full": s.Swim.Full + s.Gossip.Full} {
 		put(f.aside, prometheus.CounterValue, float64(n), why)
 	}
 	put(f.own, prometheus.CounterValue, float64(s.Swim.Refuted))
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -91,7 +91,7 @@
 
 // with is a list with another revision and another state of its first node; "" leaves that out.
 func with(list discovery.List, rev int64, state string) discovery.List {
-	out := discovery.List{Rev: rev, All: true}
+	out := discovery.List{Rev: rev, Complete: true}
 	for n, target := range list.Targets {
 		if n == 0 {
 			target.State = state
@@ -213,7 +213,7 @@
 	cfg := testConfig(disc, known)
 	cfg.Settings.MaxAttempts, cfg.Settings.MayProbe = 3, true
 	if many {
-		cfg.Settings.Gateways, cfg.Settings.AskForFleet = 24, true
+		cfg.Settings.Instances, cfg.Settings.PollEndpoints = 24, true
 	}
 	return cfg
 }
--- a/internal/lab/ask.go
+++ b/internal/lab/ask.go
@@ -47,8 +47,8 @@
 }
 
 // Budgets is what an instance states of quotas, should it hear nothing for so long; it is for the run's watcher.
-func (w *World) Budgets(ctx context.Context, i int, span time.Duration) ([]overrun.Statement, error) {
-	return get[[]overrun.Statement](ctx, w.ingresses[i], "/budgets?for="+span.String())
+func (w *World) Budgets(ctx context.Context, i int, span time.Duration) ([]overrun.Bound, error) {
+	return get[[]overrun.Bound](ctx, w.ingresses[i], "/budgets?for="+span.String())
 }
 
 // Now is the time on the clock of the records.
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -56,7 +56,7 @@
 			if calls < coldLeastCalls {
 				t.Errorf("%d attempts came to the cold node: the run shows nothing", calls)
 			}
-			if peak.Falls() {
+			if peak.IsOverload() {
 				t.Errorf("the cold node got %v", peak)
 			}
 		})
@@ -74,7 +74,7 @@
 		edit{"policy/servers.go", "		score := g.slowness(s)\n", "		score := g.slowness(s) * math.Pow(g.warmth(s), 4)\n"})
 	peak, calls := coldReturn{seed: 1, ingresses: 24, times: 4.7, work: 3, program: program}.play(t)
 	t.Logf("%d attempts at the cold node, nearest %v", calls, peak)
-	if !peak.Breaks() {
+	if !peak.IsViolation() {
 		t.Errorf("the cold node got %v: the defect is not seen", peak)
 	}
 }
@@ -181,7 +181,7 @@
 	if len(nodes) != 1 {
 		t.Fatalf("%d nodes came back", len(nodes))
 	}
-	rule := slowstart.Rule{ColdShare: coldShare, WarmAfter: warmAfter, Multiple: fallMultiple, Span: time.Second}
+	rule := slowstart.Rule{InitialShare: coldShare, Window: warmAfter, OverloadMultiple: fallMultiple, Span: time.Second}
 	of := map[string]float64{}
 	for _, k := range w.classes {
 		of[k.name] = (k.work.Least + k.work.Most).Seconds() / 2
@@ -191,7 +191,7 @@
 	backend := slowstart.Backend{Started: w.load.began + coldBack, Capacity: float64(spec.Cores) * spec.Speed, MeanWork: meanWork.Seconds()}
 	var came []slowstart.Arrival
 	for _, r := range cold.Records(0) {
-		came = append(came, slowstart.Arrival{At: r.Came, Work: of[r.Class], Instance: r.Instance, Told: true})
+		came = append(came, slowstart.Arrival{At: r.Came, Work: of[r.Class], Instance: r.Instance, Notified: true})
 	}
 	peak, err := rule.Peak(backend, came)
 	if err != nil {
--- a/internal/lab/takeover_test.go
+++ b/internal/lab/takeover_test.go
@@ -83,7 +83,7 @@
 			for _, s := range last {
 				taken += s.TakenFrom
 				covered += s.Covered
-				loose += s.Partly + s.Uncovered + s.NoKeeper
+				loose += s.Partly + s.Uncovered + s.NoReplica
 			}
 			t.Logf("%d keyed wishes, %d whose first try had no answer: %d of them helped, %d served; %d doubled, %d with two values; covered %d, not %d, taken over %d", len(r.Keyed), lost, helped,
 				served, doubled, differ, covered, loose, taken)
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -142,7 +142,7 @@
 	now := time.Now()
 	l, err := zonedrain.Load(w.drills, now)
 	if err == nil {
-		l, err = l.Begin(zonedrain.Drill{Hall: hall, Until: now.Add(d), Why: "the lab's"}, now)
+		l, err = l.Start(zonedrain.Drain{Zone: hall, Until: now.Add(d), Reason: "the lab's"}, now)
 	}
 	if err == nil {
 		err = l.Save(w.drills)
