--- a/internal/lab/trial/budgets.go
+++ b/internal/lab/trial/budgets.go
@@ -75,7 +75,7 @@
 		}
 	}
 	var mu sync.Mutex
-	stated, modes := map[int]map[string]overrun.Statement{}, map[overrun.Mode]int{}
+	stated, modes := map[int]map[string]overrun.Bound{}, map[overrun.Mode]int{}
 	statedAt := map[int]time.Duration{}
 	cfg := lab.Config{Day: "calm", Seed: c.Seed, For: unheardAt + unheardFor + rejoinFor, Ingresses: c.Instances, Nodes: 24, Hot: 5, Ingress: program, Tolerance: tolerance, Linked: true, Peers: true, Rights: c.On,
 		Faults: faults}
@@ -103,9 +103,9 @@
 					}
 				}
 				if t == unheardAt {
-					stated[i], statedAt[i] = map[string]overrun.Statement{}, w.Now()
+					stated[i], statedAt[i] = map[string]overrun.Bound{}, w.Now()
 					for _, x := range s {
-						stated[i][x.Customer] = x
+						stated[i][x.Tenant] = x
 					}
 				}
 				mu.Unlock()
@@ -123,7 +123,7 @@
 			if lost[i] {
 				continue
 			}
-			if s.Mode == overrun.Asked || s.Plan != "storby" { // others may be passed on beyond their quota on purpose
+			if s.Mode == overrun.PerRequest || s.Plan != "storby" { // others may be passed on beyond their quota on purpose
 				continue
 			}
 			from, passed := statedAt[i], 0.0
@@ -133,10 +133,10 @@
 				}
 			}
 			r.Figures["passed"] += passed
-			r.Figures["stated"] += s.Spend
-			r.Figures["tightest"] = max(r.Figures["tightest"], passed/max(1, s.Spend))
-			if passed > s.Spend+underWay {
-				r.Breaks = append(r.Breaks, fmt.Sprintf("n%d passed on %.1f units of %s in %v, and had stated %.1f (%v)", i, passed, customer, span, s.Spend, s.Mode))
+			r.Figures["stated"] += s.MaxSpend
+			r.Figures["tightest"] = max(r.Figures["tightest"], passed/max(1, s.MaxSpend))
+			if passed > s.MaxSpend+underWay {
+				r.Breaks = append(r.Breaks, fmt.Sprintf("n%d passed on %.1f units of %s in %v, and had stated %.1f (%v)", i, passed, customer, span, s.MaxSpend, s.Mode))
 			}
 		}
 	}
@@ -167,11 +167,11 @@
 		}
 	}
 	r.Figures["clips"] = float64(inTime) / float64(max(1, clips))
-	r.Figures["looks_alone"], r.Figures["looks"] = float64(modes[overrun.Alone]+modes[overrun.Unheard]), float64(modes[overrun.Normal]+modes[overrun.Late]+modes[overrun.Alone]+modes[overrun.Unheard])
+	r.Figures["looks_alone"], r.Figures["looks"] = float64(modes[overrun.Disconnected]+modes[overrun.NeverHeard]), float64(modes[overrun.Normal]+modes[overrun.Late]+modes[overrun.Disconnected]+modes[overrun.NeverHeard])
 	if len(list) > 0 && r.Figures["looks_alone"] == 0 {
 		r.Breaks = append(r.Breaks, "no instance said that it was alone")
 	}
-	if len(list) == 0 && modes[overrun.Alone] > 0 {
+	if len(list) == 0 && modes[overrun.Disconnected] > 0 {
 		r.Breaks = append(r.Breaks, "an instance said that it was alone, and nothing had happened")
 	}
 	return r, nil
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,13 +16,13 @@
 // The states. Open goes to Granted and to the final ones; Granted goes back to Open when its attempt has failed and the
 // request may be tried again.
 const (
-	Open    State = iota // no decision yet, or none on another attempt
-	Granted              // a lease is out
-	Refused              // final: trying again is harmless
-	Failed               // final: promises nothing
-	Served               // final: reported so
-	Unsent               // final: reported as never sent
-	Lapsed               // final: its lease ran out; it may have run
+	Open     State = iota // no decision yet, or none on another attempt
+	Granted               // a lease is out
+	Rejected              // final: trying again is harmless
+	Failed                // final: promises nothing
+	Served                // final: reported so
+	Unsent                // final: reported as never sent
+	Expired               // final: its lease ran out; it may have run
 )
 
 // String is the word for it in answers.
@@ -31,29 +31,29 @@
 }
 
 // Final says whether it changes no more.
-func (s State) Final() bool { return s >= Refused }
+func (s State) Final() bool { return s >= Rejected }
 
 // Outcome is what is reported of an attempt.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutServed  Outcome = iota + 1 // answered by the node
-	OutRefused                    // turned away by the node: it never ran
-	OutFailed                     // anything else: it may have run
-	OutUnsent                     // it never left the caller
+	OutcomeServed   Outcome = iota + 1 // answered by the node
+	OutcomeRejected                    // turned away by the node: it never ran
+	OutcomeFailed                      // anything else: it may have run
+	OutcomeUnsent                      // it never left the caller
 )
 
 // ParseOutcome reads the word of a report.
 func ParseOutcome(s string) (Outcome, bool) {
-	o, ok := map[string]Outcome{"served": OutServed, "refused": OutRefused, "failed": OutFailed, "unsent": OutUnsent}[s]
+	o, ok := map[string]Outcome{"served": OutcomeServed, "refused": OutcomeRejected, "failed": OutcomeFailed, "unsent": OutcomeUnsent}[s]
 	return o, ok
 }
 
 // Errors of asks and reports.
 var (
 	ErrFull     = errors.New("too many requests are open")
-	ErrOther    = errors.New("a request of this id was asked with other particulars")
+	ErrMismatch = errors.New("a request of this id was asked with other particulars")
 	ErrUnknown  = errors.New("no such lease, or it is long over")
 	ErrLate     = errors.New("the lease had run out before the report: the attempt counts as one that may have run")
 	ErrConflict = errors.New("another outcome was reported before, and stands")
@@ -61,39 +61,39 @@
 
 // Lease is one granted attempt.
 type Lease struct {
-	Name    string
-	Node    string        // id
-	Addr    string        // host:port
-	N       int           // the request's attempt
-	StartBy time.Duration // nothing is sent to the node after that
-	Ends    time.Duration // a report after that is late
-	outcome Outcome       // 0: none yet
-	lapsed  bool
+	Name      string
+	Node      string        // id
+	Addr      string        // host:port
+	Attempt   int           // the request's attempt
+	StartBy   time.Duration // nothing is sent to the node after that
+	ExpiresAt time.Duration // a report after that is late
+	outcome   Outcome       // 0: none yet
+	lapsed    bool
 }
 
 // Request is what is kept of one ask.
 type Request struct {
-	ID         string
-	Print      uint64 // of its particulars
-	State      State
-	Lease      *Lease        // the last
-	RetryAfter time.Duration // of Refused
-	leases     []*Lease
-	due        time.Duration // of what comes next: the lease's end, or the end of its memory
-	until      time.Duration
-	at         int // in the heap
+	ID          string
+	Fingerprint uint64 // of its particulars
+	State       State
+	Lease       *Lease        // the last
+	RetryAfter  time.Duration // of Refused
+	leases      []*Lease
+	due         time.Duration // of what comes next: the lease's end, or the end of its memory
+	until       time.Duration
+	at          int // in the heap
 }
 
 // Config is the bounds of a book.
 type Config struct {
 	Timeout     time.Duration // of a lease
 	StartWithin time.Duration // of a lease's beginning, for the sending
-	Keep        time.Duration // a final answer is remembered for so long after its client's time
-	Most        int           // requests that are kept
+	Retention   time.Duration // a final answer is remembered for so long after its client's time
+	MaxRequests int           // requests that are kept
 }
 
 // Book is the books. It is not safe for many goroutines.
-type Book struct {
+type Registry struct {
 	cfg     Config
 	byID    map[string]*Request
 	byLease map[string]*Request
@@ -102,31 +102,31 @@
 }
 
 // New returns an empty book.
-func New(cfg Config) *Book {
-	return &Book{cfg: cfg, byID: map[string]*Request{}, byLease: map[string]*Request{}}
+func New(cfg Config) *Registry {
+	return &Registry{cfg: cfg, byID: map[string]*Request{}, byLease: map[string]*Request{}}
 }
 
 // Len is how many requests are kept, Out how many leases are out.
-func (b *Book) Len() int { return len(b.byID) }
+func (b *Registry) Len() int { return len(b.byID) }
 
 // Out is how many leases are out.
-func (b *Book) Out() int { return b.out }
+func (b *Registry) Outstanding() int { return b.out }
 
 // Find is the request of an id; nil where none is kept. ErrOther where its particulars differ.
-func (b *Book) Find(id string, print uint64) (*Request, error) {
+func (b *Registry) Find(id string, print uint64) (*Request, error) {
 	r := b.byID[id]
-	if r != nil && r.Print != print {
-		return nil, ErrOther
+	if r != nil && r.Fingerprint != print {
+		return nil, ErrMismatch
 	}
 	return r, nil
 }
 
 // Open begins a request that is not kept yet; its client gives up at a time.
-func (b *Book) Open(id string, print uint64, giveUp time.Duration) (*Request, error) {
-	if len(b.byID) >= b.cfg.Most {
+func (b *Registry) Open(id string, print uint64, giveUp time.Duration) (*Request, error) {
+	if len(b.byID) >= b.cfg.MaxRequests {
 		return nil, ErrFull
 	}
-	r := &Request{ID: id, Print: print, until: giveUp + b.cfg.Keep}
+	r := &Request{ID: id, Fingerprint: print, until: giveUp + b.cfg.Retention}
 	r.due = r.until
 	b.byID[id] = r
 	heap.Push(&b.due, r)
@@ -134,7 +134,7 @@
 }
 
 // Forget drops a request that was never granted, because nobody waits for it.
-func (b *Book) Forget(r *Request) {
+func (b *Registry) Forget(r *Request) {
 	if b.byID[r.ID] == r && len(r.leases) == 0 {
 		delete(b.byID, r.ID)
 		heap.Remove(&b.due, r.at)
@@ -144,24 +144,24 @@
 // Grant gives an open request a lease, under a name that nobody can guess; nil where it is not open. It ends with the client's
 // time at the latest. Where by is set, the sending may not begin later than that: a repeat is good only while its rack
 // remembers the first.
-func (b *Book) Grant(now time.Duration, r *Request, name, node, addr string, n int, giveUp, by time.Duration) *Lease {
+func (b *Registry) Grant(now time.Duration, r *Request, name, node, addr string, n int, giveUp, by time.Duration) *Lease {
 	if b.byID[r.ID] != r || r.State != Open || b.byLease[name] != nil || by > 0 && by <= now {
 		return nil
 	}
-	l := &Lease{Name: name, Node: node, Addr: addr, N: n, Ends: min(now+b.cfg.Timeout, giveUp)}
-	if l.StartBy = min(now+b.cfg.StartWithin, l.Ends); by > 0 {
+	l := &Lease{Name: name, Node: node, Addr: addr, Attempt: n, ExpiresAt: min(now+b.cfg.Timeout, giveUp)}
+	if l.StartBy = min(now+b.cfg.StartWithin, l.ExpiresAt); by > 0 {
 		l.StartBy = min(l.StartBy, by)
 	}
 	r.State, r.Lease = Granted, l
 	r.leases = append(r.leases, l)
 	b.byLease[name] = r
 	b.out++
-	b.move(r, l.Ends)
+	b.move(r, l.ExpiresAt)
 	return l
 }
 
 // Decide gives an open request its final answer.
-func (b *Book) Decide(r *Request, s State, retryAfter time.Duration) {
+func (b *Registry) Decide(r *Request, s State, retryAfter time.Duration) {
 	if b.byID[r.ID] == r && r.State == Open && s.Final() {
 		r.State, r.RetryAfter = s, retryAfter
 		b.move(r, r.until)
@@ -169,7 +169,7 @@
 }
 
 // Report takes in how a lease's attempt went. first is set where that is news; the same report again is none, and no error.
-func (b *Book) Report(now time.Duration, name string, o Outcome) (r *Request, l *Lease, first bool, err error) {
+func (b *Registry) Report(now time.Duration, name string, o Outcome) (r *Request, l *Lease, first bool, err error) {
 	r = b.byLease[name]
 	if r == nil {
 		return nil, nil, false, ErrUnknown
@@ -184,18 +184,18 @@
 		return r, l, false, nil
 	case l.outcome != 0:
 		return r, l, false, ErrConflict
-	case l.lapsed || now > l.Ends:
+	case l.lapsed || now > l.ExpiresAt:
 		return r, l, false, ErrLate
 	}
 	l.outcome = o
 	b.out--
 	switch o {
-	case OutServed:
+	case OutcomeServed:
 		r.State = Served
-	case OutUnsent:
+	case OutcomeUnsent:
 		r.State = Unsent
 		for _, x := range r.leases {
-			if x.outcome == OutFailed { // an earlier one may have run: that this was not sent makes nothing harmless
+			if x.outcome == OutcomeFailed { // an earlier one may have run: that this was not sent makes nothing harmless
 				r.State = Failed
 			}
 		}
@@ -207,11 +207,11 @@
 }
 
 // Expire returns the requests whose leases have run out since, and forgets those whose memory is over.
-func (b *Book) Expire(now time.Duration) (lapsed []*Request) {
+func (b *Registry) Expire(now time.Duration) (lapsed []*Request) {
 	for len(b.due) > 0 && b.due[0].due <= now {
 		r := b.due[0]
 		if r.State == Granted {
-			r.State, r.Lease.lapsed = Lapsed, true
+			r.State, r.Lease.lapsed = Expired, true
 			b.out--
 			b.move(r, max(r.until, now))
 			lapsed = append(lapsed, r)
@@ -229,14 +229,14 @@
 }
 
 // Next is when Expire has something to do; false where nothing is kept.
-func (b *Book) Next() (time.Duration, bool) {
+func (b *Registry) NextExpiry() (time.Duration, bool) {
 	if len(b.due) == 0 {
 		return 0, false
 	}
 	return b.due[0].due, true
 }
 
-func (b *Book) move(r *Request, due time.Duration) {
+func (b *Registry) move(r *Request, due time.Duration) {
 	r.due = due
 	heap.Fix(&b.due, r.at)
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,9 +11,11 @@
 
 const s = time.Second
 
-func book() *Book { return New(Config{Timeout: 2 * s, StartWithin: s / 2, Keep: 3 * s, Most: 4}) }
+func book() *Registry {
+	return New(Config{Timeout: 2 * s, StartWithin: s / 2, Retention: 3 * s, MaxRequests: 4})
+}
 
-func open(t *testing.T, b *Book, id string, giveUp time.Duration) *Request {
+func open(t *testing.T, b *Registry, id string, giveUp time.Duration) *Request {
 	t.Helper()
 	r, err := b.Open(id, 1, giveUp)
 	if err != nil {
@@ -27,11 +29,11 @@
 	for name, c := range map[string]struct {
 		report Outcome
 		want   State
-	}{"served": {OutServed, Served}, "unsent": {OutUnsent, Unsent}, "turned away": {OutRefused, Open}, "failed": {OutFailed, Open}, "silent": {0, Lapsed}} {
+	}{"served": {OutcomeServed, Served}, "unsent": {OutcomeUnsent, Unsent}, "turned away": {OutcomeRejected, Open}, "failed": {OutcomeFailed, Open}, "silent": {0, Expired}} {
 		b := book()
 		r := open(t, b, "a", 5*s)
 		l := b.Grant(s, r, "x", "n1", "h:1", 0, 5*s, 0)
-		if l == nil || l.StartBy != s+s/2 || l.Ends != 3*s || r.State != Granted || b.Out() != 1 {
+		if l == nil || l.StartBy != s+s/2 || l.ExpiresAt != 3*s || r.State != Granted || b.Outstanding() != 1 {
 			t.Fatalf("%s: %+v", name, l)
 		}
 		if c.report == 0 {
@@ -41,8 +43,8 @@
 		} else if _, _, first, err := b.Report(2*s, "x", c.report); !first || err != nil {
 			t.Fatal(name, first, err)
 		}
-		if r.State != c.want || b.Out() != 0 {
-			t.Errorf("%s: %v, want %v; %d out", name, r.State, c.want, b.Out())
+		if r.State != c.want || b.Outstanding() != 0 {
+			t.Errorf("%s: %v, want %v; %d out", name, r.State, c.want, b.Outstanding())
 		}
 	}
 }
@@ -57,7 +59,7 @@
 		o     Outcome
 		first bool
 		err   error
-	}{{"x", OutFailed, true, nil}, {"x", OutFailed, false, nil}, {"x", OutServed, false, ErrConflict}, {"y", OutServed, false, ErrUnknown}} {
+	}{{"x", OutcomeFailed, true, nil}, {"x", OutcomeFailed, false, nil}, {"x", OutcomeServed, false, ErrConflict}, {"y", OutcomeServed, false, ErrUnknown}} {
 		if _, _, first, err := b.Report(s, c.name, c.o); first != c.first || !errors.Is(err, c.err) {
 			t.Errorf("%d: %v, %v", i, first, err)
 		}
@@ -66,10 +68,10 @@
 	if out := b.Expire(4 * s); len(out) != 1 {
 		t.Fatal(out)
 	}
-	if _, _, first, err := b.Report(4*s, "z", OutServed); first || !errors.Is(err, ErrLate) {
+	if _, _, first, err := b.Report(4*s, "z", OutcomeServed); first || !errors.Is(err, ErrLate) {
 		t.Fatal(first, err)
 	}
-	if _, l, first, err := b.Report(4*s, "x", OutFailed); first || err != nil || l.Node != "n1" {
+	if _, l, first, err := b.Report(4*s, "x", OutcomeFailed); first || err != nil || l.Node != "n1" {
 		t.Fatal("the first attempt's report is forgotten", err)
 	}
 	if b.Expire(8 * s); b.Len() != 0 {
@@ -79,13 +81,13 @@
 
 // What was never sent is harmless to try again only where nothing else of its request may have run.
 func TestUnsentAfterFailed(t *testing.T) {
-	for o, want := range map[Outcome]State{OutFailed: Failed, OutRefused: Unsent} {
+	for o, want := range map[Outcome]State{OutcomeFailed: Failed, OutcomeRejected: Unsent} {
 		b := book()
 		r := open(t, b, "a", 5*s)
 		b.Grant(0, r, "x", "n1", "h:1", 0, 5*s, 0)
 		b.Report(0, "x", o)
 		b.Grant(0, r, "y", "n2", "h:2", 1, 5*s, 0)
-		if b.Report(0, "y", OutUnsent); r.State != want {
+		if b.Report(0, "y", OutcomeUnsent); r.State != want {
 			t.Errorf("%v, want %v", r.State, want)
 		}
 	}
@@ -110,7 +112,7 @@
 	if got, err := b.Find("Abc", 1); got != r || err != nil {
 		t.Fatal(got, err)
 	}
-	if _, err := b.Find("Abc", 2); !errors.Is(err, ErrOther) {
+	if _, err := b.Find("Abc", 2); !errors.Is(err, ErrMismatch) {
 		t.Fatal(err)
 	}
 	if got, err := b.Find("abc", 1); got != nil || err != nil {
@@ -130,7 +132,7 @@
 
 // machine plays the book against a plain list.
 type machine struct {
-	b     *Book
+	b     *Registry
 	now   time.Duration
 	reqs  map[string]*Request
 	plain map[string]*plainLease
@@ -151,8 +153,8 @@
 			out++
 		}
 	}
-	if m.b.Out() != out {
-		t.Fatalf("%d leases out, want %d", m.b.Out(), out)
+	if m.b.Outstanding() != out {
+		t.Fatalf("%d leases out, want %d", m.b.Outstanding(), out)
 	}
 	for id, r := range m.reqs {
 		live := 0
@@ -171,7 +173,7 @@
 // ended stays so.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{b: New(Config{Timeout: 2 * s, StartWithin: s / 2, Keep: 3 * s, Most: 8}), reqs: map[string]*Request{}, plain: map[string]*plainLease{}}
+		m := &machine{b: New(Config{Timeout: 2 * s, StartWithin: s / 2, Retention: 3 * s, MaxRequests: 8}), reqs: map[string]*Request{}, plain: map[string]*plainLease{}}
 		id := rapid.SampledFrom([]string{"a", "A", "b", "c"})
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.Check,
@@ -201,7 +203,7 @@
 					t.Fatalf("granted %v from %v", l != nil, was)
 				}
 				if l != nil {
-					m.plain[name] = &plainLease{id: r.ID, ends: l.Ends}
+					m.plain[name] = &plainLease{id: r.ID, ends: l.ExpiresAt}
 				}
 			},
 			"report": func(t *rapid.T) {
@@ -225,7 +227,7 @@
 			"decide": func(t *rapid.T) {
 				if r := m.reqs[id.Draw(t, "id")]; r != nil {
 					was := r.State
-					m.b.Decide(r, Refused, s)
+					m.b.Decide(r, Rejected, s)
 					if was != Open && r.State != was {
 						t.Fatalf("%v became %v", was, r.State)
 					}
@@ -234,7 +236,7 @@
 			"time": func(t *rapid.T) {
 				m.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 				for _, r := range m.b.Expire(m.now) {
-					if r.State != Lapsed {
+					if r.State != Expired {
 						t.Fatal(r.State)
 					}
 				}
--- a/internal/outlier/golden_test.go
+++ b/internal/outlier/golden_test.go
@@ -9,9 +9,9 @@
 
 func TestGoldenOpinion(t *testing.T) {
 	golden.RequireTags(t, "cbor", word{})
-	for name, o := range map[string]Opinion{
-		"good": {Node: "n", Started: 3 * time.Second, Good: 7.5, Bad: 0.25, LastGood: 9 * time.Second, Cause: 1},
-		"bad":  {Node: "n", Started: 3 * time.Second, Good: 0.5, Bad: 8, LastBad: 9 * time.Second, Onset: 8 * time.Second, Cause: 2},
+	for name, o := range map[string]Observation{
+		"good": {Backend: "n", Started: 3 * time.Second, Good: 7.5, Bad: 0.25, LastGood: 9 * time.Second, Cause: 1},
+		"bad":  {Backend: "n", Started: 3 * time.Second, Good: 0.5, Bad: 8, LastBad: 9 * time.Second, Onset: 8 * time.Second, Cause: 2},
 	} {
 		golden.Compare(t, "opinion-"+name, o.Encode())
 		read, err := Decode("n", 9*time.Second, golden.Read(t, "opinion-"+name))
@@ -22,7 +22,7 @@
 			t.Errorf("%s: got %+v, want %+v", name, read, o)
 		}
 	}
-	if Kind != "node" {
-		t.Errorf("got kind %q, want %q", Kind, "node")
+	if FactKind != "node" {
+		t.Errorf("got kind %q, want %q", FactKind, "node")
 	}
 }
--- a/internal/outlier/sight.go
+++ b/internal/outlier/sight.go
@@ -51,14 +51,14 @@
 }
 
 // Try names one attempt.
-type Try struct {
+type AttemptID struct {
 	Request policy.RequestID
-	N       int
+	Number  int
 }
 
 // Opinion is what one instance has seen of a node's start.
-type Opinion struct {
-	Node      policy.ServerID
+type Observation struct {
+	Backend   policy.BackendID
 	Started   time.Duration // the start that it speaks of, as the list has it
 	Good, Bad float64       // evidence, aged
 	LastGood  time.Duration // when a good end came; 0: never
@@ -69,10 +69,10 @@
 
 // Accuses says whether it speaks against the node: what was seen last was bad. A node that was fine until then is no less slow
 // for it.
-func (o Opinion) Accuses() bool { return o.Bad >= accuse && o.LastBad > o.LastGood }
+func (o Observation) IsAdverse() bool { return o.Bad >= accuse && o.LastBad > o.LastGood }
 
 type sight struct {
-	Opinion
+	Observation
 	at    time.Duration // of the evidence
 	out   []*open
 	pace  float64       // of its last end: times its class's mean
@@ -81,7 +81,7 @@
 }
 
 type open struct {
-	try   Try
+	try   AttemptID
 	class string
 	sent  time.Duration
 	over  bool // it has spoken against its node already, by taking long
@@ -93,20 +93,20 @@
 }
 
 // Sight is what this instance sees of nodes itself. It is used by one goroutine at a time.
-type Sight struct {
-	nodes   map[policy.ServerID]*sight
+type LocalDetector struct {
+	nodes   map[policy.BackendID]*sight
 	classes map[string]*class
-	tries   map[Try]*sight
-	won     Try // that was served last
+	tries   map[AttemptID]*sight
+	won     AttemptID // that was served last
 }
 
 // NewSight returns one that has seen nothing.
-func NewSight() *Sight {
-	return &Sight{nodes: map[policy.ServerID]*sight{}, classes: map[string]*class{}, tries: map[Try]*sight{}}
+func NewLocalDetector() *LocalDetector {
+	return &LocalDetector{nodes: map[policy.BackendID]*sight{}, classes: map[string]*class{}, tries: map[AttemptID]*sight{}}
 }
 
 // Listed tells which starts of nodes there are; what is known of others is forgotten.
-func (s *Sight) Listed(starts map[policy.ServerID]time.Duration) {
+func (s *LocalDetector) SetBackends(starts map[policy.BackendID]time.Duration) {
 	for id, x := range s.nodes {
 		if at, there := starts[id]; !there || at != x.Started {
 			for _, o := range x.out {
@@ -117,13 +117,13 @@
 	}
 	for id, at := range starts {
 		if s.nodes[id] == nil {
-			s.nodes[id] = &sight{Opinion: Opinion{Node: id, Started: at}}
+			s.nodes[id] = &sight{Observation: Observation{Backend: id, Started: at}}
 		}
 	}
 }
 
 // Sent tells of an attempt that goes out.
-func (s *Sight) Sent(now time.Duration, node policy.ServerID, try Try, of string) {
+func (s *LocalDetector) AttemptSent(now time.Duration, node policy.BackendID, try AttemptID, of string) {
 	if x := s.nodes[node]; x != nil {
 		x.sent = now
 		x.out = append(x.out, &open{try: try, class: of, sent: now})
@@ -132,7 +132,7 @@
 }
 
 // LastSent is when an attempt last went out to a node; 0: never.
-func (s *Sight) LastSent(node policy.ServerID) time.Duration {
+func (s *LocalDetector) LastSent(node policy.BackendID) time.Duration {
 	if x := s.nodes[node]; x != nil {
 		return x.sent
 	}
@@ -140,7 +140,7 @@
 }
 
 // Ended tells how an attempt ended.
-func (s *Sight) Ended(now time.Duration, try Try, o policy.Outcome) {
+func (s *LocalDetector) AttemptEnded(now time.Duration, try AttemptID, o policy.Outcome) {
 	x := s.tries[try]
 	if x == nil { // its node's start is no more
 		return
@@ -150,15 +150,15 @@
 	a := x.out[i]
 	x.out = slices.Delete(x.out, i, i+1)
 	took := (now - a.sent).Seconds()
-	if c := s.class(a.class); c.seen >= meansWanted && (o == policy.Done || (o == policy.Cancelled || o == policy.TimedOut) && took > c.mean) { // at least so slow
+	if c := s.class(a.class); c.seen >= meansWanted && (o == policy.Succeeded || (o == policy.Cancelled || o == policy.TimedOut) && took > c.mean) { // at least so slow
 		x.pace, x.paced = took/c.mean, now
 	}
 	switch o {
 	case policy.Cancelled: // the usual fate of an attempt at a slow node: a copy that began later was served first
-		if won := s.won; won.Request == try.Request && won.N > try.N && !a.over && took > beatenFrom*s.class(a.class).mean*s.mood(now, x) {
+		if won := s.won; won.Request == try.Request && won.Number > try.Number && !a.over && took > beatenFrom*s.class(a.class).mean*s.mood(now, x) {
 			x.bad(now, Slow)
 		}
-	case policy.Done:
+	case policy.Succeeded:
 		s.won = try
 		c := s.class(a.class)
 		over := took > c.limit() && took > c.limit()*s.mood(now, x)
@@ -180,7 +180,7 @@
 }
 
 // Tick looks at what is out: an attempt that takes too long speaks against its node before it ends.
-func (s *Sight) Tick(now time.Duration) {
+func (s *LocalDetector) Tick(now time.Duration) {
 	for _, x := range s.nodes {
 		for _, a := range x.out {
 			took := (now - a.sent).Seconds()
@@ -194,7 +194,7 @@
 
 // mood is how slow all the other nodes are at the moment: the middle one of their last ends and of what they have not answered yet, in times of
 // the usual; 1 where too little is known. A node is judged beside the others: where all are slow at once, none of them is to blame.
-func (s *Sight) mood(now time.Duration, but *sight) float64 {
+func (s *LocalDetector) mood(now time.Duration, but *sight) float64 {
 	paces := make([]float64, 0, len(s.nodes))
 	for _, x := range s.nodes {
 		if x == but {
@@ -222,7 +222,7 @@
 	return max(1, paces[len(paces)/2])
 }
 
-func (s *Sight) class(name string) *class {
+func (s *LocalDetector) class(name string) *class {
 	c := s.classes[name]
 	if c == nil {
 		c = &class{}
@@ -270,25 +270,25 @@
 }
 
 // Opinion is what has been seen of a node.
-func (s *Sight) Opinion(now time.Duration, node policy.ServerID) (Opinion, bool) {
+func (s *LocalDetector) Observation(now time.Duration, node policy.BackendID) (Observation, bool) {
 	x := s.nodes[node]
 	if x == nil {
-		return Opinion{}, false
+		return Observation{}, false
 	}
 	x.age(now)
-	return x.Opinion, true
+	return x.Observation, true
 }
 
 // Opinions are those of the nodes that are wanted and of which something was seen, by id. Nodes of which nothing bad is remembered are
 // asked for through wanted; nil wants all.
-func (s *Sight) Opinions(now time.Duration, wanted func(policy.ServerID) bool) (out []Opinion) {
+func (s *LocalDetector) Observations(now time.Duration, wanted func(policy.BackendID) bool) (out []Observation) {
 	for id, x := range s.nodes {
 		if x.LastGood == 0 && x.LastBad == 0 || wanted != nil && x.Bad < traceOfBad && !wanted(id) {
 			continue
 		}
-		o, _ := s.Opinion(now, id)
+		o, _ := s.Observation(now, id)
 		out = append(out, o)
 	}
-	slices.SortFunc(out, func(a, b Opinion) int { return strings.Compare(string(a.Node), string(b.Node)) })
+	slices.SortFunc(out, func(a, b Observation) int { return strings.Compare(string(a.Backend), string(b.Backend)) })
 	return out
 }
--- a/internal/outlier/trial.go
+++ b/internal/outlier/trial.go
@@ -20,10 +20,10 @@
 
 // Trials opens blamed nodes for one attempt now and then: where all instances have left a node, nobody would ever see that it is well
 // again. All together try once in a while, each by its own chance, whoever is served tells it, and the blame ends. It is used by one goroutine.
-type Trials struct {
+type Probation struct {
 	rng       *rand.Rand
 	instances int
-	nodes     map[policy.ServerID]*trial
+	nodes     map[policy.BackendID]*trial
 }
 
 type trial struct {
@@ -32,41 +32,41 @@
 }
 
 // NewTrials returns one for one of so many instances.
-func NewTrials(rng *rand.Rand, instances int) *Trials {
-	return &Trials{rng: rng, instances: min(max(1, instances), trialVoices), nodes: map[policy.ServerID]*trial{}}
+func NewProbation(rng *rand.Rand, instances int) *Probation {
+	return &Probation{rng: rng, instances: min(max(1, instances), trialVoices), nodes: map[policy.BackendID]*trial{}}
 }
 
 // Open takes the blames in force, their verdicts, and when this instance last sent to a node, and returns the nodes whose blame does not count at
 // the moment: until an attempt of this instance has gone there, or for a second.
-func (t *Trials) Open(now time.Duration, force map[policy.ServerID]float64, verdicts []Verdict, sent func(policy.ServerID) time.Duration) (out []policy.ServerID) {
+func (t *Probation) Open(now time.Duration, force map[policy.BackendID]float64, verdicts []Assessment, sent func(policy.BackendID) time.Duration) (out []policy.BackendID) {
 	for id := range t.nodes {
 		if force[id] < trialLeast {
 			delete(t.nodes, id)
 		}
 	}
 	for _, v := range verdicts {
-		if force[v.Node] < trialLeast {
+		if force[v.Backend] < trialLeast {
 			continue
 		}
-		x := t.nodes[v.Node]
+		x := t.nodes[v.Backend]
 		switch {
 		case x == nil:
 			x = &trial{due: now + t.wait(now, v)}
-			t.nodes[v.Node] = x
+			t.nodes[v.Backend] = x
 		case x.opened == 0 && now >= x.due:
 			x.opened = now
-		case x.opened > 0 && (sent(v.Node) >= x.opened || now-x.opened >= trialLasts):
+		case x.opened > 0 && (sent(v.Backend) >= x.opened || now-x.opened >= trialLasts):
 			x.opened, x.due = 0, now+t.wait(now, v)
 		}
 		if x.opened > 0 {
-			out = append(out, v.Node)
+			out = append(out, v.Backend)
 		}
 	}
 	return out
 }
 
 // wait is the time to this instance's next trial.
-func (t *Trials) wait(now time.Duration, v Verdict) time.Duration {
+func (t *Probation) wait(now time.Duration, v Assessment) time.Duration {
 	every := trialEvery
 	if v.Cause == Slow {
 		every = trialSlow
--- a/internal/outlier/trial_test.go
+++ b/internal/outlier/trial_test.go
@@ -26,12 +26,12 @@
 			for run := range runs {
 				first := time.Duration(0)
 				for i := range c.instances {
-					trials := NewTrials(rand.New(rand.NewPCG(uint64(run), uint64(i))), c.instances)
+					trials := NewProbation(rand.New(rand.NewPCG(uint64(run), uint64(i))), c.instances)
 					began := time.Minute
 					sent := time.Duration(0)
 					for now := began + 300*ms; now < began+10*time.Second; now += 50 * ms {
-						v := Verdict{Node: "n", Slow: 8, Cause: c.cause, Since: began}
-						open := trials.Open(now, map[policy.ServerID]float64{"n": 8}, []Verdict{v, {Node: "m", Slow: 1}}, func(policy.ServerID) time.Duration { return sent })
+						v := Assessment{Backend: "n", Slowness: 8, Cause: c.cause, Since: began}
+						open := trials.Open(now, map[policy.BackendID]float64{"n": 8}, []Assessment{v, {Backend: "m", Slowness: 1}}, func(policy.BackendID) time.Duration { return sent })
 						if len(open) > 1 || len(open) == 1 && open[0] != "n" {
 							t.Fatal(open)
 						}
@@ -57,10 +57,10 @@
 			}
 		})
 	}
-	trials := NewTrials(rand.New(rand.NewPCG(1, 2)), 1)
-	v := []Verdict{{Node: "n", Slow: 8, Cause: Unreachable, Since: time.Minute}}
+	trials := NewProbation(rand.New(rand.NewPCG(1, 2)), 1)
+	v := []Assessment{{Backend: "n", Slowness: 8, Cause: Unreachable, Since: time.Minute}}
 	for now := time.Minute; now < 2*time.Minute; now += 50 * ms {
-		if open := trials.Open(now, map[policy.ServerID]float64{"n": 1.5}, v, func(policy.ServerID) time.Duration { return 0 }); len(open) > 0 {
+		if open := trials.Open(now, map[policy.BackendID]float64{"n": 1.5}, v, func(policy.BackendID) time.Duration { return 0 }); len(open) > 0 {
 			t.Fatal("a trial for a node that is used")
 		}
 	}
--- a/internal/outlier/verdict.go
+++ b/internal/outlier/verdict.go
@@ -24,29 +24,29 @@
 )
 
 // Heard is another instance's opinion, with who it is from.
-type Heard struct {
+type PeerObservation struct {
 	Owner string
-	Hall  string // of the owner; "": not known
-	Opinion
+	Zone  string // of the owner; "": not known
+	Observation
 }
 
 // Config is what the judgement depends on.
 type Config struct {
-	Hall   string        // of this instance
-	Memory time.Duration // half of a node's slowness is forgotten in it, as in the decision module
+	Zone     string        // of this instance
+	HalfLife time.Duration // half of a node's slowness is forgotten in it, as in the decision module
 }
 
 // Verdict is what others' words come to for one node, and why.
-type Verdict struct {
-	Node     policy.ServerID
-	Slow     float64 // times the usual latency that it is to be reckoned with; 1: nothing
-	Cause    Cause
-	Accusers []string      // whose words count against it; "" is this instance
-	Defence  []string      // whose count for it
-	Voices   int           // that speak against it, whether or not they count
-	Why      string        // what it came to
-	Age      time.Duration // of the youngest accusation but one
-	Since    time.Duration // when the first accuser's trouble began; 0: nobody is blamed
+type Assessment struct {
+	Backend      policy.BackendID
+	Slowness     float64 // times the usual latency that it is to be reckoned with; 1: nothing
+	Cause        Cause
+	Reporters    []string      // whose words count against it; "" is this instance
+	Defenders    []string      // whose count for it
+	AdverseCount int           // that speak against it, whether or not they count
+	Reason       string        // what it came to
+	Age          time.Duration // of the youngest accusation but one
+	Since        time.Duration // when the first accuser's trouble began; 0: nobody is blamed
 }
 
 // Judge pools the evidence on one node. mine is this instance's own opinion, heard those of others on the same start of it.
@@ -57,15 +57,15 @@
 //     owner, and was served after the last accuser's trouble began, nobody else's word counts.
 //   - Trouble that began a moment ago may be a moment's queue.
 //   - Words from another hall count only where they come from two halls: what is bad from one hall is bad there.
-func Judge(now time.Duration, cfg Config, mine Opinion, heard []Heard) Verdict {
-	v := Verdict{Node: mine.Node, Slow: 1}
+func Assess(now time.Duration, cfg Config, mine Observation, heard []PeerObservation) Assessment {
+	v := Assessment{Backend: mine.Backend, Slowness: 1}
 	type voice struct {
-		Heard
+		PeerObservation
 		weight float64
 	}
 	var accusers, others []voice
 	for _, h := range heard {
-		if h.Accuses() && now-h.LastBad <= Horizon {
+		if h.IsAdverse() && now-h.LastBad <= Horizon {
 			if w := min(1, h.Bad/fullWeight); w > leastWeight {
 				accusers = append(accusers, voice{h, w})
 			}
@@ -73,13 +73,13 @@
 			others = append(others, voice{h, min(1, h.Good/fullWeight)})
 		}
 	}
-	near := slices.DeleteFunc(slices.Clone(accusers), func(a voice) bool { return a.Hall != cfg.Hall })
+	near := slices.DeleteFunc(slices.Clone(accusers), func(a voice) bool { return a.Zone != cfg.Zone })
 	halls := map[string]bool{}
 	for _, a := range accusers {
-		halls[a.Hall] = true
+		halls[a.Zone] = true
 	}
-	own := mine.Accuses() && now-mine.LastBad <= Horizon
-	v.Voices = len(accusers) + btoi(own)
+	own := mine.IsAdverse() && now-mine.LastBad <= Horizon
+	v.AdverseCount = len(accusers) + btoi(own)
 	switch {
 	case len(accusers) == 0:
 		return v
@@ -87,19 +87,19 @@
 		if !own || len(near) > 0 {
 			accusers = near
 		}
-	case len(halls)+btoi(own && !halls[cfg.Hall]) < quorum:
-		v.Why = "only one hall speaks against it, and it is not this one"
+	case len(halls)+btoi(own && !halls[cfg.Zone]) < quorum:
+		v.Reason = "only one hall speaks against it, and it is not this one"
 		return v
 	}
 	var onset, oldest time.Duration // when the last accuser's trouble began; the first one's
 	for _, a := range accusers {
-		onset, v.Accusers = max(onset, a.Onset), append(v.Accusers, a.Owner)
+		onset, v.Reporters = max(onset, a.Onset), append(v.Reporters, a.Owner)
 		if oldest == 0 || a.Onset < oldest {
 			oldest = a.Onset
 		}
 	}
 	if mine.LastGood > onset && mine.LastGood > mine.LastBad {
-		v.Defence, v.Why = append(v.Defence, ""), "it serves this instance"
+		v.Defenders, v.Reason = append(v.Defenders, ""), "it serves this instance"
 		return v
 	}
 	sum, bad, good := 0.0, 0.0, 0.0
@@ -116,26 +116,26 @@
 	for _, o := range others {
 		if o.LastGood > oldest {
 			good += min(o.Good, fullWeight)
-			v.Defence = append(v.Defence, o.Owner)
+			v.Defenders = append(v.Defenders, o.Owner)
 		}
 	}
 	if own {
-		v.Accusers = append(v.Accusers, "")
+		v.Reporters = append(v.Reporters, "")
 		sum += min(1, mine.Bad/fullWeight)
 		bad += min(mine.Bad, fullWeight)
 		oldest = min(oldest, mine.Onset)
 	}
 	switch {
-	case len(v.Accusers) < quorum:
-		v.Why = "one instance's word"
+	case len(v.Reporters) < quorum:
+		v.Reason = "one instance's word"
 		return v
 	case now-oldest < lasting:
-		v.Why = "it has not lasted"
+		v.Reason = "it has not lasted"
 		return v
 	}
 	share := min(1, max(0, sum-1))
 	if share == 0 {
-		v.Why = "as many speak for it"
+		v.Reason = "as many speak for it"
 		return v
 	}
 	var ages []time.Duration
@@ -150,9 +150,9 @@
 	}
 	slices.Sort(ages)
 	v.Age = ages[min(1, len(ages)-1)]
-	left := math.Exp2(-v.Age.Seconds() / max(cfg.Memory.Seconds(), 0.1))
-	v.Slow = 1 + (mostSlow-1)*bad/(bad+good+0.5)*share*left
-	v.Why, v.Since = "blamed", oldest
+	left := math.Exp2(-v.Age.Seconds() / max(cfg.HalfLife.Seconds(), 0.1))
+	v.Slowness = 1 + (mostSlow-1)*bad/(bad+good+0.5)*share*left
+	v.Reason, v.Since = "blamed", oldest
 	return v
 }
 
@@ -165,10 +165,10 @@
 
 // Restrain lifts all blames where two or more speak against too many nodes for those to be the cause: all are slow at once, or a part's
 // network is. It returns whether it did.
-func Restrain(verdicts []Verdict, nodes int) bool {
+func LimitEjections(verdicts []Assessment, nodes int) bool {
 	n := 0
 	for _, v := range verdicts {
-		if v.Voices >= quorum {
+		if v.AdverseCount >= quorum {
 			n++
 		}
 	}
@@ -176,18 +176,18 @@
 		return false
 	}
 	for i := range verdicts {
-		if verdicts[i].Slow > 1 {
-			verdicts[i].Slow, verdicts[i].Why = 1, "too many nodes are blamed at once"
+		if verdicts[i].Slowness > 1 {
+			verdicts[i].Slowness, verdicts[i].Reason = 1, "too many nodes are blamed at once"
 		}
 	}
 	return true
 }
 
 // Fader lets blames go by this instance's own chance, so that those who left a node together do not come back together.
-type Fader struct {
+type Decay struct {
 	rng  *rand.Rand
 	now  time.Duration
-	held map[policy.ServerID]fading
+	held map[policy.BackendID]fading
 }
 
 type fading struct {
@@ -196,32 +196,32 @@
 }
 
 // NewFader returns one that holds nothing.
-func NewFader(rng *rand.Rand) *Fader { return &Fader{rng: rng, held: map[policy.ServerID]fading{}} }
+func NewDecay(rng *rand.Rand) *Decay { return &Decay{rng: rng, held: map[policy.BackendID]fading{}} }
 
 // Hold takes the verdicts of a time and returns the slowness that is in force for each node that has any: a blame holds at once,
 // and goes slowly unless this instance is served by the node itself.
-func (f *Fader) Hold(now time.Duration, verdicts []Verdict) map[policy.ServerID]float64 {
+func (f *Decay) Apply(now time.Duration, verdicts []Assessment) map[policy.BackendID]float64 {
 	dt := (now - f.now).Seconds()
 	f.now = now
-	seen := map[policy.ServerID]Verdict{}
+	seen := map[policy.BackendID]Assessment{}
 	for _, v := range verdicts {
-		seen[v.Node] = v
-		if h, has := f.held[v.Node]; v.Slow > 1 && v.Slow >= h.slow {
+		seen[v.Backend] = v
+		if h, has := f.held[v.Backend]; v.Slowness > 1 && v.Slowness >= h.slow {
 			if !has {
 				h.over = fadeLeast + time.Duration(f.rng.Int64N(int64(fadeSpread)))
 			}
-			h.slow = v.Slow
-			f.held[v.Node] = h
+			h.slow = v.Slowness
+			f.held[v.Backend] = h
 		}
 	}
-	out := map[policy.ServerID]float64{}
+	out := map[policy.BackendID]float64{}
 	for id, h := range f.held {
 		v := seen[id]
-		if slices.Contains(v.Defence, "") {
+		if slices.Contains(v.Defenders, "") {
 			delete(f.held, id)
 			continue
 		}
-		if goal := max(1, v.Slow); h.slow > goal {
+		if goal := max(1, v.Slowness); h.slow > goal {
 			h.slow = goal + (h.slow-goal)*math.Exp(-dt/h.over.Seconds())
 		}
 		if h.slow < 1.05 {
@@ -235,7 +235,7 @@
 }
 
 // Teller decides which own opinions are worth telling.
-type Teller struct{ told map[policy.ServerID]telling }
+type Publisher struct{ told map[policy.BackendID]telling }
 
 type telling struct {
 	at, born time.Duration
@@ -244,20 +244,20 @@
 }
 
 // NewTeller returns one that has told nothing.
-func NewTeller() *Teller { return &Teller{told: map[policy.ServerID]telling{}} }
+func NewPublisher() *Publisher { return &Publisher{told: map[policy.BackendID]telling{}} }
 
 // Told says whether something was told of a node: then its opinion goes on being looked at.
-func (t *Teller) Told(node policy.ServerID) bool { _, told := t.told[node]; return told }
+func (t *Publisher) HasPublished(node policy.BackendID) bool { _, told := t.told[node]; return told }
 
 // Tell picks the opinions to tell now: those that speak against a node, and those of ends that went well after the trouble of one who
 // accuses it began, or after this instance has accused it. accused has the last such beginning that the own end came after, by node.
-func (t *Teller) Tell(now time.Duration, own []Opinion, accused map[policy.ServerID]time.Duration) (out []Opinion) {
-	there := map[policy.ServerID]bool{}
+func (t *Publisher) Select(now time.Duration, own []Observation, accused map[policy.BackendID]time.Duration) (out []Observation) {
+	there := map[policy.BackendID]bool{}
 	for _, o := range own {
-		there[o.Node] = true
-		last, has := t.told[o.Node]
-		next := telling{now, o.Born(), o.Accuses(), max(o.Good, o.Bad) >= fullWeight}
-		since, under := accused[o.Node]
+		there[o.Backend] = true
+		last, has := t.told[o.Backend]
+		next := telling{now, o.ObservedAt(), o.IsAdverse(), max(o.Good, o.Bad) >= fullWeight}
+		since, under := accused[o.Backend]
 		news := next.accuses != last.accuses || under && o.LastGood > since && next.whole && !last.whole
 		switch {
 		case next.born <= last.born && !news:
@@ -267,16 +267,16 @@
 		case has && !news && now-last.at < tellAfter:
 			continue
 		}
-		t.told[o.Node] = next
+		t.told[o.Backend] = next
 		out = append(out, o)
 	}
-	maps.DeleteFunc(t.told, func(id policy.ServerID, _ telling) bool { return !there[id] })
+	maps.DeleteFunc(t.told, func(id policy.BackendID, _ telling) bool { return !there[id] })
 	return out
 }
 
 // Born is when the opinion was seen: its last bad end where it accuses, else its last good one.
-func (o Opinion) Born() time.Duration {
-	if o.Accuses() {
+func (o Observation) ObservedAt() time.Duration {
+	if o.IsAdverse() {
 		return o.LastBad
 	}
 	return o.LastGood
--- a/internal/outlier/word.go
+++ b/internal/outlier/word.go
@@ -11,7 +11,7 @@
 )
 
 // Kind is the kind of an opinion among the facts that instances tell one another; its subject is the node's id.
-const Kind = "node"
+const FactKind = "node"
 
 // word is an opinion on the wire. Times are before the opinion's own, in milliseconds, so that no clock is shared.
 type word struct {
@@ -24,8 +24,8 @@
 }
 
 // Encode words an opinion for others; what it says of times is relative to Born.
-func (o Opinion) Encode() []byte {
-	w := word{Started: o.Started.Milliseconds(), Good: float32(o.Good), Bad: float32(o.Bad), Accuses: o.Accuses(), Cause: o.Cause}
+func (o Observation) Encode() []byte {
+	w := word{Started: o.Started.Milliseconds(), Good: float32(o.Good), Bad: float32(o.Bad), Accuses: o.IsAdverse(), Cause: o.Cause}
 	if w.Accuses {
 		w.OnsetMS = (o.LastBad - o.Onset).Milliseconds()
 	}
@@ -37,25 +37,25 @@
 }
 
 // Decode reads another's opinion on a node that was seen at a time. What no instance can have seen is an error.
-func Decode(node string, born time.Duration, data []byte) (Opinion, error) {
+func Decode(node string, born time.Duration, data []byte) (Observation, error) {
 	var w word
 	if err := cbor.Unmarshal(data, &w); err != nil {
-		return Opinion{}, fmt.Errorf("opinion on %q: %w", node, err)
+		return Observation{}, fmt.Errorf("opinion on %q: %w", node, err)
 	}
 	for name, f := range map[string]float32{"good": w.Good, "bad": w.Bad} {
 		if !(f >= 0 && float64(f) <= math.MaxFloat32) || math.IsInf(float64(f), 0) {
-			return Opinion{}, fmt.Errorf("opinion on %q: %s is %v", node, name, f)
+			return Observation{}, fmt.Errorf("opinion on %q: %s is %v", node, name, f)
 		}
 	}
 	if w.OnsetMS < 0 || w.OnsetMS > time.Hour.Milliseconds() || w.Started < 0 || w.Started > math.MaxInt64/int64(time.Millisecond) {
-		return Opinion{}, fmt.Errorf("opinion on %q: onset %d ms before, started %d", node, w.OnsetMS, w.Started)
+		return Observation{}, fmt.Errorf("opinion on %q: onset %d ms before, started %d", node, w.OnsetMS, w.Started)
 	}
-	o := Opinion{Node: policy.ServerID(node), Started: time.Duration(w.Started) * time.Millisecond, Good: min(float64(w.Good), mostBad), Bad: min(float64(w.Bad), mostBad),
+	o := Observation{Backend: policy.BackendID(node), Started: time.Duration(w.Started) * time.Millisecond, Good: min(float64(w.Good), mostBad), Bad: min(float64(w.Bad), mostBad),
 		Cause: w.Cause}
 	if w.Accuses {
 		o.LastBad, o.Onset = born, born-time.Duration(w.OnsetMS)*time.Millisecond
-		if !o.Accuses() {
-			return Opinion{}, fmt.Errorf("opinion on %q: it accuses with %v bad", node, w.Bad)
+		if !o.IsAdverse() {
+			return Observation{}, fmt.Errorf("opinion on %q: it accuses with %v bad", node, w.Bad)
 		}
 	} else {
 		o.LastGood = born
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -22,32 +22,32 @@
 var ErrUnknown = errors.New("no such node was ever listed")
 
 // Word is the last thing that operators said of a node.
-type Word struct {
-	ID  policy.ServerID `json:"id"`
-	Out bool            `json:"out"`
-	At  time.Duration   `json:"at"` // on the clock that all instances share
+type Override struct {
+	ID        policy.BackendID `json:"id"`
+	Suspended bool             `json:"out"`
+	At        time.Duration    `json:"at"` // on the clock that all instances share
 	// Since is when a node that was put back had been taken out.
-	Since time.Duration `json:"since,omitempty"`
+	SuspendedAt time.Duration `json:"since,omitempty"`
 }
 
 // entry is what is kept of an id.
 type entry struct {
-	word   Word
+	word   Override
 	spoken bool
 	listed uint64 // number of the list that last had it
 }
 
 // Book is the words on all nodes.
-type Book struct {
-	known map[policy.ServerID]*entry
+type Overrides struct {
+	known map[policy.BackendID]*entry
 	lists uint64
 }
 
 // New returns a book in which nothing is known.
-func New() *Book { return &Book{known: map[policy.ServerID]*entry{}} }
+func New() *Overrides { return &Overrides{known: map[policy.BackendID]*entry{}} }
 
 // Listed remembers the ids of a list or of a change to it.
-func (b *Book) Listed(ids []policy.ServerID) {
+func (b *Overrides) NoteListed(ids []policy.BackendID) {
 	b.lists++
 	for _, id := range ids {
 		b.entry(id).listed = b.lists
@@ -55,7 +55,7 @@
 	b.shorten()
 }
 
-func (b *Book) entry(id policy.ServerID) *entry {
+func (b *Overrides) entry(id policy.BackendID) *entry {
 	e := b.known[id]
 	if e == nil {
 		e = &entry{}
@@ -65,17 +65,17 @@
 }
 
 // shorten forgets the oldest ids that nobody has taken out, a quarter at a time.
-func (b *Book) shorten() {
+func (b *Overrides) shorten() {
 	if len(b.known) <= maxKnown {
 		return
 	}
 	type aged struct {
-		id     policy.ServerID
+		id     policy.BackendID
 		listed uint64
 	}
 	var old []aged
 	for id, e := range b.known {
-		if !e.word.Out && e.listed < b.lists {
+		if !e.word.Suspended && e.listed < b.lists {
 			old = append(old, aged{id, e.listed})
 		}
 	}
@@ -86,24 +86,24 @@
 }
 
 // Say records a call. A repeat changes nothing; an id that was never listed is ErrUnknown.
-func (b *Book) Say(id policy.ServerID, out bool, now time.Duration) (changed bool, err error) {
+func (b *Overrides) Set(id policy.BackendID, out bool, now time.Duration) (changed bool, err error) {
 	e := b.known[id]
 	if e == nil {
 		return false, ErrUnknown
 	}
-	if e.word.Out == out {
+	if e.word.Suspended == out {
 		return false, nil
 	}
-	w := Word{ID: id, Out: out, At: max(now, e.word.At+1)}
+	w := Override{ID: id, Suspended: out, At: max(now, e.word.At+1)}
 	if !out {
-		w.Since = e.word.At
+		w.SuspendedAt = e.word.At
 	}
 	e.word, e.spoken = w, true
 	return true, nil
 }
 
 // Merge takes in words that were recorded elsewhere; of two on one node the later counts. It returns the ids that changed.
-func (b *Book) Merge(words []Word) (changed []policy.ServerID) {
+func (b *Overrides) Merge(words []Override) (changed []policy.BackendID) {
 	for _, w := range words {
 		if w.ID == "" {
 			continue
@@ -112,7 +112,7 @@
 		if e.spoken && e.word.At >= w.At {
 			continue
 		}
-		if e.word.Out != w.Out || e.word.At != w.At {
+		if e.word.Suspended != w.Suspended || e.word.At != w.At {
 			changed = append(changed, w.ID)
 		}
 		e.word, e.spoken = w, true
@@ -122,30 +122,30 @@
 }
 
 // Words is the last word on each node of which there is one, in the order of ids.
-func (b *Book) Words() (out []Word) {
+func (b *Overrides) All() (out []Override) {
 	for _, e := range b.known {
 		if e.spoken {
 			out = append(out, e.word)
 		}
 	}
-	slices.SortFunc(out, func(x, y Word) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(out, func(x, y Override) int { return cmp.Compare(x.ID, y.ID) })
 	return out
 }
 
 // Out reports whether a node is taken out.
-func (b *Book) Out(id policy.ServerID) bool {
+func (b *Overrides) IsSuspended(id policy.BackendID) bool {
 	e := b.known[id]
-	return e != nil && e.word.Out
+	return e != nil && e.word.Suspended
 }
 
 // Over is an entry of the list as it holds under the operators' word.
-func (b *Book) Over(s policy.Server) policy.Server {
+func (b *Overrides) Apply(s policy.Backend) policy.Backend {
 	e := b.known[s.ID]
 	switch {
 	case e == nil || !e.spoken:
-	case !e.word.Out && s.Started <= e.word.Since: // its restart has not been told: at the latest, it was when it was put back
+	case !e.word.Suspended && s.Started <= e.word.SuspendedAt: // its restart has not been told: at the latest, it was when it was put back
 		s.Started = e.word.At
-	case !e.word.Out:
+	case !e.word.Suspended:
 	case s.State == policy.Running:
 		s.State = policy.Draining
 	}
--- a/internal/overrun/overrun.go
+++ b/internal/overrun/overrun.go
@@ -17,11 +17,11 @@
 
 // The modes, the best known first.
 const (
-	Normal  Mode = iota // the counter answers
-	Late                // a call has failed, or nothing was heard for a second though there is demand
-	Alone               // calls fail, and nothing was heard for a while: this instance lives on what it holds and on its part of the refill
-	Unheard             // the counter has never answered for it
-	Asked               // no blocks: each request is asked for, or guessed
+	Normal       Mode = iota // the counter answers
+	Late                     // a call has failed, or nothing was heard for a second though there is demand
+	Disconnected             // calls fail, and nothing was heard for a while: this instance lives on what it holds and on its part of the refill
+	NeverHeard               // the counter has never answered for it
+	PerRequest               // no blocks: each request is asked for, or guessed
 )
 
 var modeNames = [...]string{"normal", "late", "alone", "unheard", "asked"}
@@ -58,65 +58,65 @@
 }
 
 // Book is what this instance knows of one channel's quota.
-type Book struct {
-	policy.LearnedCustomer
-	policy.Standing
+type QuotaState struct {
+	policy.LearnedTenant
+	policy.QuotaStanding
 	Plan Plan
 }
 
 // Statement is what a book comes to.
-type Statement struct {
-	Customer  string        `json:"Customer"`
-	Plan      string        `json:"Plan"`
-	Mode      Mode          `json:"Mode"`
-	Ways      int           `json:"Ways"` // instances that the channel comes through
-	Demand    float64       `json:"Demand"`
-	Others    float64       `json:"Others"` // units a second asked for here; taken by the others, as last seen
-	Age       time.Duration `json:"Age"`    // of the last total; -1: none was heard
-	Held      float64       `json:"Held"`   // units that this instance may pass on by right: its block, and what waits to go out
-	Untold    float64       `json:"Untold"` // units of them, or spent already, that the counter has not been told of
-	Room      float64       `json:"Room"`   // units that the store is held to have besides; below 0 a debt
-	For       time.Duration `json:"For"`
-	Spend     float64       `json:"Spend"`     // units that it passes on at the most within For, should nothing be heard from now on
-	Uncounted float64       `json:"Uncounted"` // of Spend and of what is spent, what the counter does not know of: the others may take as much again
-	Part      float64       `json:"Part"`      // of the plan's figures that is held here: even, or by agreement with others
-	Overrun   float64       `json:"Overrun"`   // units by which this instance may overdraw the budget at the most: Uncounted, or what is spent before the others reckon with it
+type Bound struct {
+	Tenant          string        `json:"Customer"`
+	Plan            string        `json:"Plan"`
+	Mode            Mode          `json:"Mode"`
+	Instances       int           `json:"Ways"` // instances that the channel comes through
+	Demand          float64       `json:"Demand"`
+	Others          float64       `json:"Others"` // units a second asked for here; taken by the others, as last seen
+	Age             time.Duration `json:"Age"`    // of the last total; -1: none was heard
+	ReservedUnits   float64       `json:"Held"`   // units that this instance may pass on by right: its block, and what waits to go out
+	UnreportedUnits float64       `json:"Untold"` // units of them, or spent already, that the counter has not been told of
+	AvailableUnits  float64       `json:"Room"`   // units that the store is held to have besides; below 0 a debt
+	Span            time.Duration `json:"For"`
+	MaxSpend        float64       `json:"Spend"`     // units that it passes on at the most within For, should nothing be heard from now on
+	MaxUnreported   float64       `json:"Uncounted"` // of Spend and of what is spent, what the counter does not know of: the others may take as much again
+	Share           float64       `json:"Part"`      // of the plan's figures that is held here: even, or by agreement with others
+	Overrun         float64       `json:"Overrun"`   // units by which this instance may overdraw the budget at the most: Uncounted, or what is spent before the others reckon with it
 }
 
 // Of states what a book comes to, should nothing be heard for so long.
-func Of(now time.Duration, b Book, span time.Duration) Statement {
-	c, ways := b.LearnedCustomer, float64(max(1, b.Spread))
-	s := Statement{Customer: cmp.Or(c.Customer, c.ID), Plan: c.Plan, Ways: max(1, b.Spread), Demand: c.Demand, Others: c.Others, Age: -1, For: span, Held: max(0, c.Block) + b.Queued, Untold: max(0, c.Owed),
-		Room: b.Room}
-	if c.Looked > 0 {
-		s.Age = now - c.Looked
+func BoundOf(now time.Duration, b QuotaState, span time.Duration) Bound {
+	c, ways := b.LearnedTenant, float64(max(1, b.Spread))
+	s := Bound{Tenant: cmp.Or(c.Tenant, c.ID), Plan: c.Plan, Instances: max(1, b.Spread), Demand: c.Demand, Others: c.Others, Age: -1, Span: span, ReservedUnits: max(0, c.LeasedUnits) + b.QueuedUnits, UnreportedUnits: max(0, c.UnreportedUnits),
+		AvailableUnits: b.AvailableUnits}
+	if c.TotalAt > 0 {
+		s.Age = now - c.TotalAt
 	}
 	switch {
 	case b.Sparse:
-		s.Mode = Asked
-	case c.Looked == 0:
-		s.Mode = Unheard
-	case c.Silent && s.Age > aloneAfter:
-		s.Mode = Alone
-	case c.Silent, s.Age > lateAfter && c.Demand > leastDemand:
+		s.Mode = PerRequest
+	case c.TotalAt == 0:
+		s.Mode = NeverHeard
+	case c.CounterSilent && s.Age > aloneAfter:
+		s.Mode = Disconnected
+	case c.CounterSilent, s.Age > lateAfter && c.Demand > leastDemand:
 		s.Mode = Late
 	}
 	alone := b.Plan.Rate / ways * span.Seconds()
-	if b.Part > 1/ways { // lent by others, who can't be asked any more: it ends
-		alone += b.Plan.Rate * (b.Part - 1/ways) * min(span, loanEnds).Seconds()
+	if b.Share > 1/ways { // lent by others, who can't be asked any more: it ends
+		alone += b.Plan.Rate * (b.Share - 1/ways) * min(span, loanEnds).Seconds()
 	}
-	if c.Silent { // its part of the refill since the block was last looked at is there, up to a full block
-		alone += min(b.Plan.Rate/ways*max(0, now-c.Refreshed).Seconds(), max(0, max(b.Plan.Burst/ways, b.Plan.MaxUnits, 1)-c.Block))
+	if c.CounterSilent { // its part of the refill since the block was last looked at is there, up to a full block
+		alone += min(b.Plan.Rate/ways*max(0, now-c.RefreshedAt).Seconds(), max(0, max(b.Plan.Burst/ways, b.Plan.MaxUnits, 1)-c.LeasedUnits))
 	} else { // when calls fail it takes its part of what is there once, and its calls may still bring some until then
-		alone += max(0, s.Room+b.Plan.Rate*giveUp.Seconds())
+		alone += max(0, s.AvailableUnits+b.Plan.Rate*giveUp.Seconds())
 	}
-	s.Spend, s.Uncounted = s.Held+alone, s.Untold+alone
-	s.Part, s.Overrun = 1/ways, s.Uncounted
-	if b.Part > 0 {
-		s.Part = b.Part
+	s.MaxSpend, s.MaxUnreported = s.ReservedUnits+alone, s.UnreportedUnits+alone
+	s.Share, s.Overrun = 1/ways, s.MaxUnreported
+	if b.Share > 0 {
+		s.Share = b.Share
 	}
-	if b.Agreed { // others leave to this one what it holds, once they know that it does not hear the counter
-		s.Overrun = min(s.Overrun, s.Untold+max(0, s.Room)*s.Part+b.Plan.Rate*max(s.Part, 1/ways)*noticed.Seconds())
+	if b.Escrowed { // others leave to this one what it holds, once they know that it does not hear the counter
+		s.Overrun = min(s.Overrun, s.UnreportedUnits+max(0, s.AvailableUnits)*s.Share+b.Plan.Rate*max(s.Share, 1/ways)*noticed.Seconds())
 	}
 	return s
 }
@@ -132,26 +132,26 @@
 const giveUp = 500 * time.Millisecond
 
 // Top are the statements on the books with the most demand, the most first.
-func Top(now time.Duration, books []Book, span time.Duration, most int) []Statement {
-	slices.SortFunc(books, func(a, b Book) int { return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.ID, b.ID)) })
-	out := make([]Statement, 0, min(most, len(books)))
+func TopBounds(now time.Duration, books []QuotaState, span time.Duration, most int) []Bound {
+	slices.SortFunc(books, func(a, b QuotaState) int { return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.ID, b.ID)) })
+	out := make([]Bound, 0, min(most, len(books)))
 	for _, b := range books[:min(most, len(books))] {
-		out = append(out, Of(now, b, span))
+		out = append(out, BoundOf(now, b, span))
 	}
 	return out
 }
 
 // Books are those of all channels with a quota that a module knows.
-func Books(l policy.Learned, standings map[string]policy.Standing, set policy.Settings) (out []Book) {
+func QuotaStates(l policy.LearnedState, standings map[string]policy.QuotaStanding, set policy.Settings) (out []QuotaState) {
 	plans := map[string]Plan{}
 	for _, p := range set.Plans {
 		if p.Rate > 0 {
 			plans[p.Name] = Plan{p.Rate, max(p.Burst, set.MaxUnits, 1), set.MaxUnits}
 		}
 	}
-	for _, c := range l.Customers {
+	for _, c := range l.Tenants {
 		if p, has := plans[c.Plan]; has {
-			out = append(out, Book{c, standings[c.ID], p})
+			out = append(out, QuotaState{c, standings[c.ID], p})
 		}
 	}
 	return out
--- a/internal/peers/bounds.go
+++ b/internal/peers/bounds.go
@@ -46,7 +46,7 @@
 		p.log.Warn("peers: messages are dropped before they are sent: the queue is full", "dropped", n, "max_queued", maxQueuedSends)
 	}
 	if n, due := p.bounds.oversized.due(now, oversized); due {
-		p.log.Warn("peers: messages are dropped before they are sent: they are too large", "dropped", n, "max_bytes", MostParcel)
+		p.log.Warn("peers: messages are dropped before they are sent: they are too large", "dropped", n, "max_bytes", MaxMessage)
 	}
 	if n, due := p.bounds.lines.due(now, p.lines.omittedSoFar("change")); due {
 		p.log.Info("peers: lines on members are left out: they are in the status", "omitted", n, "max_a_second", mostLines)
--- a/internal/peers/bounds_test.go
+++ b/internal/peers/bounds_test.go
@@ -19,7 +19,7 @@
 	}
 	joined, ok := n.until(2*time.Minute, func() bool {
 		for _, a := range n.addrs {
-			if n.engines[a].Member().Alive() != processes-1 {
+			if n.engines[a].Member().AliveCount() != processes-1 {
 				return false
 			}
 		}
@@ -30,7 +30,7 @@
 	}
 	for _, owner := range n.addrs[:2] {
 		for i := range backends {
-			if !n.engines[owner].Tell("node", fmt.Sprintf("backend-%05d", i), n.now, make([]byte, 32)) {
+			if !n.engines[owner].Publish("node", fmt.Sprintf("backend-%05d", i), n.now, make([]byte, 32)) {
 				t.Fatalf("%s: no room for fact %d", owner, i)
 			}
 		}
@@ -68,14 +68,14 @@
 	log, now := &lines{}, time.Hour
 	p := unstarted(t, log, &now)
 	for i := range gossip.MaxFactsPerOwner {
-		p.engine.Tell("node", fmt.Sprint(i), now, nil)
+		p.engine.Publish("node", fmt.Sprint(i), now, nil)
 	}
 	p.reportBounds(now)
 	if log.count(line) != 0 {
 		t.Fatal("a line before the bound was passed")
 	}
 	for i := range 500 {
-		p.engine.Tell("node", fmt.Sprint("more", i), now, nil)
+		p.engine.Publish("node", fmt.Sprint("more", i), now, nil)
 		p.reportBounds(now)
 	}
 	if log.count(line) != 1 || log.count("refused=1 held=8192") != 1 {
@@ -124,10 +124,10 @@
 	n.run(now)
 	p := unstarted(t, log, &now)
 	p.engine = n.engines["at-i0000"]
-	if out := p.engine.Work(now, "i0001", make([]byte, MostParcel)); len(out) != 1 {
+	if out := p.engine.SendMessage(now, "i0001", make([]byte, MaxMessage)); len(out) != 1 {
 		t.Fatal("the largest message is not sent")
 	}
-	if out := p.engine.Work(now, "i0001", make([]byte, MostParcel+1)); len(out) != 0 {
+	if out := p.engine.SendMessage(now, "i0001", make([]byte, MaxMessage+1)); len(out) != 0 {
 		t.Fatal("a larger message is sent")
 	}
 	p.reportBounds(now)
--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -39,7 +39,7 @@
 )
 
 // MostParcel bounds the bytes that one instance may send another in one message.
-const MostParcel = 12 << 10
+const MaxMessage = 12 << 10
 
 // Packet is a datagram, from one instance to an address.
 type Packet struct {
@@ -49,21 +49,21 @@
 
 // packet is the content of a datagram. Fields that are not known are left aside.
 type packet struct {
-	Version int           `cbor:"1,keyasint"`
-	Least   int           `cbor:"2,keyasint"`
-	Swim    *swim.Message `cbor:"3,keyasint,omitempty"`
-	Ask     *ask          `cbor:"4,keyasint,omitempty"`
-	Answer  *answer       `cbor:"5,keyasint,omitempty"`
-	Nudge   []gossip.Mark `cbor:"6,keyasint,omitempty"` // the sender has news of these: ask it
-	Work    []byte        `cbor:"7,keyasint,omitempty"` // for who is there, whatever it is
-	Clock   int64         `cbor:"8,keyasint,omitempty"` // of the sender, in microseconds
+	Version int                `cbor:"1,keyasint"`
+	Least   int                `cbor:"2,keyasint"`
+	Swim    *swim.Message      `cbor:"3,keyasint,omitempty"`
+	Ask     *ask               `cbor:"4,keyasint,omitempty"`
+	Answer  *answer            `cbor:"5,keyasint,omitempty"`
+	Nudge   []gossip.Watermark `cbor:"6,keyasint,omitempty"` // the sender has news of these: ask it
+	Work    []byte             `cbor:"7,keyasint,omitempty"` // for who is there, whatever it is
+	Clock   int64              `cbor:"8,keyasint,omitempty"` // of the sender, in microseconds
 }
 
 // Parcel is bytes that another instance's life has sent to this one.
-type Parcel struct {
-	From string
-	Life uint64
-	Data []byte
+type Message struct {
+	From        string
+	Incarnation uint64
+	Data        []byte
 }
 
 type reading struct {
@@ -78,21 +78,21 @@
 
 type answer struct {
 	Nonce  uint64         `cbor:"1,keyasint"`
-	Shares []gossip.Share `cbor:"2,keyasint,omitempty"`
+	Shares []gossip.Delta `cbor:"2,keyasint,omitempty"`
 	More   bool           `cbor:"3,keyasint,omitempty"` // it did not all fit
 }
 
 // Counts is what came and what was left aside.
 type Counts struct {
-	In        int `json:"In"`
-	Out       int `json:"Out"`
-	BytesIn   int `json:"BytesIn"`
-	BytesOut  int `json:"BytesOut"`
-	WrongKey  int `json:"WrongKey"`  // that no key opens
-	Malformed int `json:"Malformed"` // that say nothing that can be read
-	Newer     int `json:"Newer"`     // that only a later version can read
-	Strange   int `json:"Strange"`   // answers to no question
-	Oversized int `json:"Oversized"` // messages for a member that were larger than MostParcel: not sent
+	In          int `json:"In"`
+	Out         int `json:"Out"`
+	BytesIn     int `json:"BytesIn"`
+	BytesOut    int `json:"BytesOut"`
+	WrongKey    int `json:"WrongKey"`  // that no key opens
+	Malformed   int `json:"Malformed"` // that say nothing that can be read
+	Newer       int `json:"Newer"`     // that only a later version can read
+	Unsolicited int `json:"Strange"`   // answers to no question
+	Oversized   int `json:"Oversized"` // messages for a member that were larger than MostParcel: not sent
 }
 
 type question struct {
@@ -119,13 +119,13 @@
 	counts  Counts
 	out     []Packet
 	now     time.Duration
-	parcels []Parcel
+	parcels []Message
 	clocks  map[string]reading // of the others, as last heard
 }
 
 // NewEngine returns an instance that knows nobody.
 func NewEngine(cfg swim.Config, sealer *Sealer, now time.Duration, rng *rand.Rand) *Engine {
-	return &Engine{rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: gossip.New(cfg.Name, cfg.Life, horizon),
+	return &Engine{rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: gossip.New(cfg.Name, cfg.Incarnation, horizon),
 		asks: map[uint64]question{}, clocks: map[string]reading{}, next: now + time.Duration(rng.Int64N(int64(askEvery))), sweep: now + sweepEvery}
 }
 
@@ -139,8 +139,8 @@
 func (e *Engine) Counts() Counts { return e.counts }
 
 // Due is when Tick has something to do.
-func (e *Engine) Due() time.Duration {
-	due := min(e.member.Due(), e.next, e.sweep)
+func (e *Engine) NextTick() time.Duration {
+	due := min(e.member.NextTick(), e.next, e.sweep)
 	if e.rounds > 0 {
 		due = min(due, e.nudge)
 	}
@@ -148,7 +148,7 @@
 }
 
 // Tell states a fact of this instance's own; see shared.Store.Put. Those who are nudged ask for it at once.
-func (e *Engine) Tell(kind, subject string, born time.Duration, data []byte) bool {
+func (e *Engine) Publish(kind, subject string, born time.Duration, data []byte) bool {
 	ok := e.store.Put(kind, subject, born, data)
 	if ok {
 		e.rounds, e.newsAt = e.nudges(), max(e.now, born)
@@ -157,13 +157,13 @@
 }
 
 // Work is a datagram that brings bytes to a member; nil where it is not known.
-func (e *Engine) Work(now time.Duration, to string, data []byte) []Packet {
+func (e *Engine) SendMessage(now time.Duration, to string, data []byte) []Packet {
 	e.out, e.now = nil, now
 	m, known := e.member.Member(to)
-	if !known || e.member.Over() != "" {
+	if !known || e.member.LeftReason() != "" {
 		return nil
 	}
-	if len(data) > MostParcel {
+	if len(data) > MaxMessage {
 		e.counts.Oversized++
 		return nil
 	}
@@ -172,21 +172,21 @@
 }
 
 // Parcels hands over what has come for this instance since it was last called.
-func (e *Engine) Parcels() []Parcel {
+func (e *Engine) TakeMessages() []Message {
 	p := e.parcels
 	e.parcels = nil
 	return p
 }
 
 // ClockOf is the newest reading of a member's clock that was heard; 0: none.
-func (e *Engine) ClockOf(name string) time.Duration { return e.clocks[name].at }
+func (e *Engine) ClockReading(name string) time.Duration { return e.clocks[name].at }
 
 // Tick does what is due.
 func (e *Engine) Tick(now time.Duration) []Packet {
 	e.out, e.now = nil, now
 	e.swim(e.member.Tick(now))
-	e.store.SetLife(e.member.Self().Life)
-	if now >= e.next && e.member.Over() == "" {
+	e.store.SetIncarnation(e.member.Self().Incarnation)
+	if now >= e.next && e.member.LeftReason() == "" {
 		every := askEvery
 		if now-e.newsAt > newsLasts {
 			every = askCalm
@@ -197,9 +197,9 @@
 	}
 	if e.rounds > 0 && now >= e.nudge {
 		e.rounds--
-		e.nudge = now + nudgeEvery*time.Duration(1+e.member.Alive()/nudgeMembers)
-		for _, m := range e.member.Some(nudged) {
-			e.send(m.Addr, &packet{Nudge: e.store.News(), Swim: e.hello()})
+		e.nudge = now + nudgeEvery*time.Duration(1+e.member.AliveCount()/nudgeMembers)
+		for _, m := range e.member.RandomMembers(nudged) {
+			e.send(m.Addr, &packet{Nudge: e.store.RecentWatermarks(), Swim: e.hello()})
 		}
 	}
 	if now >= e.sweep {
@@ -214,7 +214,7 @@
 			}
 		}
 		for n, q := range e.asks {
-			if now-q.at > gossip.MostTrip {
+			if now-q.at > gossip.MaxRoundTrip {
 				delete(e.asks, n)
 			}
 		}
@@ -224,19 +224,19 @@
 
 // askSome asks so many members, drawn by chance; more of them the first time that somebody is there.
 func (e *Engine) askSome(now time.Duration, n int) {
-	if !e.started && e.member.Alive() > 0 {
+	if !e.started && e.member.AliveCount() > 0 {
 		e.started, n = true, starterAsks
 	}
-	for _, m := range e.member.Some(n) {
+	for _, m := range e.member.RandomMembers(n) {
 		e.ask(now, m.Addr)
 	}
 }
 
 // Told says whether a first question was answered in full: this instance knows what another one does.
-func (e *Engine) Told() bool { return e.told }
+func (e *Engine) Synced() bool { return e.told }
 
 // nudges is in how many rounds news is told of: enough that hardly anybody is missed by chance.
-func (e *Engine) nudges() int { return 1 + bits.Len(uint(e.member.Alive()))/2 }
+func (e *Engine) nudges() int { return 1 + bits.Len(uint(e.member.AliveCount()))/2 }
 
 // Leave tells the others that this instance goes.
 func (e *Engine) Leave(now time.Duration) []Packet {
@@ -255,9 +255,9 @@
 // hello says who sends, and nothing else.
 func (e *Engine) hello() *swim.Message { return &swim.Message{Self: e.member.Self()} }
 
-func (e *Engine) swim(out []swim.Out) {
+func (e *Engine) swim(out []swim.Envelope) {
 	for _, o := range out {
-		e.send(o.Addr, &packet{Swim: o.Msg})
+		e.send(o.Addr, &packet{Swim: o.Message})
 	}
 }
 
@@ -273,7 +273,7 @@
 	e.out = append(e.out, Packet{addr, b})
 }
 
-func (e *Engine) ask(now time.Duration, addr string) { e.askFor(now, addr, e.store.Ask()) }
+func (e *Engine) ask(now time.Duration, addr string) { e.askFor(now, addr, e.store.NextDigest()) }
 
 func (e *Engine) askFor(now time.Duration, addr string, d gossip.Digest) {
 	if len(e.asks) >= mostAsks {
@@ -313,7 +313,7 @@
 		return nil, errNoSender
 	}
 	self := e.member.Self()
-	if p.Swim.Self.Name == self.Name && p.Swim.Self.Life == self.Life || p.Swim.To != "" && p.Swim.To != self.Name {
+	if p.Swim.Self.Name == self.Name && p.Swim.Self.Incarnation == self.Incarnation || p.Swim.To != "" && p.Swim.To != self.Name {
 		e.member.Receive(now, p.Swim) // it counts that; nothing else in it is for this instance
 		return nil, nil
 	}
@@ -322,22 +322,22 @@
 		e.askSome(now, 0)
 	}
 	x, known := e.member.Member(p.Swim.Self.Name)
-	if !known || x.Life != p.Swim.Self.Life || x.State == swim.Left || e.member.Over() != "" {
+	if !known || x.Incarnation != p.Swim.Self.Incarnation || x.State == swim.Left || e.member.LeftReason() != "" {
 		return e.out, nil // of an ended life, or of one who has gone
 	}
 	to := x.Addr
-	if c := e.clocks[x.Name]; x.Life > c.life || x.Life == c.life && time.Duration(p.Clock)*time.Microsecond > c.at {
-		e.clocks[x.Name] = reading{x.Life, time.Duration(p.Clock) * time.Microsecond}
+	if c := e.clocks[x.Name]; x.Incarnation > c.life || x.Incarnation == c.life && time.Duration(p.Clock)*time.Microsecond > c.at {
+		e.clocks[x.Name] = reading{x.Incarnation, time.Duration(p.Clock) * time.Microsecond}
 	}
 	if len(p.Work) > 0 && len(e.parcels) < maxParcels {
-		e.parcels = append(e.parcels, Parcel{x.Name, x.Life, p.Work})
+		e.parcels = append(e.parcels, Message{x.Name, x.Incarnation, p.Work})
 	}
 	if p.Ask != nil {
-		shares := e.store.Answer(now, p.Ask.Digest, answerBytes)
-		more := e.store.Lacks(p.Ask.Digest, shares)
+		shares := e.store.DeltasFor(now, p.Ask.Digest, answerBytes)
+		more := e.store.HasMore(p.Ask.Digest, shares)
 		e.send(to, &packet{Swim: e.hello(), Answer: &answer{p.Ask.Nonce, shares, more}})
 	}
-	if d, lacks := e.store.AskFor(p.Nudge); lacks {
+	if d, lacks := e.store.DigestFor(p.Nudge); lacks {
 		e.newsAt = now
 		e.askFor(now, to, d)
 	}
@@ -351,7 +351,7 @@
 func (e *Engine) answered(now time.Duration, from string, a *answer) {
 	q, asked := e.asks[a.Nonce]
 	if !asked || q.addr != from {
-		e.counts.Strange++
+		e.counts.Unsolicited++
 		return
 	}
 	delete(e.asks, a.Nonce)
@@ -362,7 +362,7 @@
 	}
 	if a.More && e.store.Version() != before && e.more < mostMore {
 		e.more++
-		e.askFor(now, from, e.store.AskOn(q.digest))
+		e.askFor(now, from, e.store.ContinueDigest(q.digest))
 		return
 	}
 	e.told = true
--- a/internal/peers/engine_test.go
+++ b/internal/peers/engine_test.go
@@ -56,7 +56,7 @@
 	if n.engines[addr] == nil {
 		n.addrs = append(n.addrs, addr)
 	}
-	e := NewEngine(swim.Config{Name: name, Addr: addr, Hall: "h", Life: life, Seeds: []string{"at-i0000", "at-i0001"}}, s, n.now, rand.New(rand.NewPCG(life, uint64(len(n.addrs)))))
+	e := NewEngine(swim.Config{Name: name, Addr: addr, Zone: "h", Incarnation: life, Seeds: []string{"at-i0000", "at-i0001"}}, s, n.now, rand.New(rand.NewPCG(life, uint64(len(n.addrs)))))
 	n.engines[addr] = e
 	return e
 }
@@ -115,7 +115,7 @@
 						x.errs++
 					}
 				}
-				if e.Due() <= n.now {
+				if e.NextTick() <= n.now {
 					x.out = append(x.out, e.Tick(n.now)...)
 				}
 			}
@@ -146,7 +146,7 @@
 		if e == nil {
 			continue
 		}
-		if s := e.Store().Sum(n.now); first {
+		if s := e.Store().Checksum(n.now); first {
 			sum, first = s, false
 		} else if s != sum {
 			return false
@@ -174,14 +174,14 @@
 	}
 	n.run(3 * time.Second)
 	tell := func(i int, what string) {
-		n.engines[n.addrs[i]].Tell("node", what, n.now, []byte(what))
+		n.engines[n.addrs[i]].Publish("node", what, n.now, []byte(what))
 	}
 	tell(3, "x")
 	if took, ok := n.until(time.Second, func() bool { return n.alike() && n.engines["at-i0000"].Store().Len() == 1 }); !ok || took > 300*time.Millisecond {
 		t.Errorf("news needs %v", took)
 	}
 	late := n.start("i0006", 200)
-	if took, ok := n.until(2*time.Second, func() bool { return late.Store().Len() == 1 && late.Told() }); !ok || took > 30*time.Millisecond {
+	if took, ok := n.until(2*time.Second, func() bool { return late.Store().Len() == 1 && late.Synced() }); !ok || took > 30*time.Millisecond {
 		t.Errorf("a starter needs %v: clients come to it sooner", took)
 	}
 	west := func(a string) bool { return a < "at-i0003" }
@@ -230,24 +230,24 @@
 		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
 	n.run(5 * time.Second)
-	n.engines["at-i0002"].Tell("node", "x", n.now, []byte("x"))
+	n.engines["at-i0002"].Publish("node", "x", n.now, []byte("x"))
 	n.run(8 * time.Second)
 	if !n.alike() || n.engines["at-i0000"].Store().Len() != 1 || n.errs < 50 {
 		t.Fatal(n.engines["at-i0000"].Store().Len(), n.errs)
 	}
 	e := n.engines["at-i0000"]
-	if e.Member().Alive() != 3 || e.Counts().WrongKey == 0 {
-		t.Fatal(e.Member().Alive(), e.Counts())
+	if e.Member().AliveCount() != 3 || e.Counts().WrongKey == 0 {
+		t.Fatal(e.Member().AliveCount(), e.Counts())
 	}
 	s, _ := NewSealer([]string{key})
-	before := e.Store().Sum(n.now)
-	for _, plain := range [][]byte{nil, {0xff}, []byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []gossip.Mark{{Owner: "x", Life: 1, Have: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
-		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Life: 1}}, Nudge: []gossip.Mark{{Owner: "x", Life: 1, Have: 1}}})} {
-		if out, _ := e.Receive(n.now, s.Seal(plain)); len(out) > 1 || e.Store().Sum(n.now) != before {
+	before := e.Store().Checksum(n.now)
+	for _, plain := range [][]byte{nil, {0xff}, []byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
+		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Incarnation: 1}}, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}})} {
+		if out, _ := e.Receive(n.now, s.Seal(plain)); len(out) > 1 || e.Store().Checksum(n.now) != before {
 			t.Errorf("%q: %d answers", plain, len(out))
 		}
 	}
-	if e.Counts().Newer != 1 || e.Member().Counts().EndedLife == 0 {
+	if e.Counts().Newer != 1 || e.Member().Counts().EndedIncarnation == 0 {
 		t.Fatal(e.Counts(), e.Member().Counts())
 	}
 }
@@ -265,15 +265,15 @@
 	n := newNet(t, 3)
 	a, b := n.start("i0000", 1), n.start("i0001", 2)
 	n.run(2 * time.Second)
-	b.Tell("node", "x", n.now, []byte("x"))
-	shares := b.Store().Answer(n.now, a.Store().Ask(), 1000)
+	b.Publish("node", "x", n.now, []byte("x"))
+	shares := b.Store().DeltasFor(n.now, a.Store().NextDigest(), 1000)
 	s, _ := NewSealer([]string{key})
 	for nonce := range uint64(3) {
 		if _, err := a.Receive(n.now, s.Seal(must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: b.Member().Self()}, Answer: &answer{Nonce: nonce, Shares: shares}}))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if a.Store().Len() != 0 || a.Counts().Strange != 3 {
+	if a.Store().Len() != 0 || a.Counts().Unsolicited != 3 {
 		t.Fatal(a.Store().Len(), a.Counts())
 	}
 }
@@ -283,12 +283,12 @@
 	n := newNet(t, 4)
 	a, b := n.start("i0000", 1), n.start("i0001", 2)
 	n.run(2 * time.Second)
-	next := map[int]any{1: 2, 2: 1, 3: map[int]any{1: 0, 2: map[int]any{1: "i0001", 2: "at-i0001", 3: "h", 4: b.Member().Self().Life, 5: 4, 77: "later"}, 88: []int{1}}, 99: "new"}
+	next := map[int]any{1: 2, 2: 1, 3: map[int]any{1: 0, 2: map[int]any{1: "i0001", 2: "at-i0001", 3: "h", 4: b.Member().Self().Incarnation, 5: 4, 77: "later"}, 88: []int{1}}, 99: "new"}
 	s, _ := NewSealer([]string{key})
 	if _, err := a.Receive(n.now, s.Seal(must(next))); err != nil {
 		t.Fatal(err)
 	}
-	if m, _ := a.Member().Member("i0001"); m.Inc != 4 {
+	if m, _ := a.Member().Member("i0001"); m.Refutation != 4 {
 		t.Fatal(m)
 	}
 }
@@ -301,8 +301,8 @@
 	}
 	stranger := n.start("i0003", 103, "some other key, as long")
 	n.run(3 * time.Second)
-	if stranger.Member().Alive() != 0 || n.engines["at-i0000"].Member().Alive() != 2 || n.engines["at-i0000"].Counts().WrongKey == 0 {
-		t.Fatal(stranger.Member().Alive(), n.engines["at-i0000"].Counts())
+	if stranger.Member().AliveCount() != 0 || n.engines["at-i0000"].Member().AliveCount() != 2 || n.engines["at-i0000"].Counts().WrongKey == 0 {
+		t.Fatal(stranger.Member().AliveCount(), n.engines["at-i0000"].Counts())
 	}
 	n.engines["at-i0003"] = nil
 	next := "the key that comes next"
@@ -316,7 +316,7 @@
 		n.run(n.now + 4*time.Second)
 		for i := range 3 {
 			for _, m := range n.engines[n.addrs[i]].Member().Members() {
-				if m.State != swim.Alive || n.now-m.Heard > 3*time.Second {
+				if m.State != swim.Alive || n.now-m.HeardAt > 3*time.Second {
 					t.Errorf("with %q %s holds %s to be %v", keys, n.addrs[i], m.Name, m.State)
 				}
 			}
@@ -342,7 +342,7 @@
 	}
 	n.run(2 * time.Second)
 	for i := range 4 {
-		n.engines[n.addrs[i]].Tell("node", "x", n.now, []byte{byte(i)})
+		n.engines[n.addrs[i]].Publish("node", "x", n.now, []byte{byte(i)})
 	}
 	n.run(4 * time.Second)
 	again := n.start("i0002", 900)
@@ -363,9 +363,9 @@
 		n.engines[n.addrs[2*i]] = nil
 		n.run(n.now + 60*time.Millisecond)
 	}
-	n.engines["at-i0001"].Tell("node", "x", n.now, nil)
+	n.engines["at-i0001"].Publish("node", "x", n.now, nil)
 	n.run(n.now + 5*time.Second)
-	if alive := n.engines["at-i0001"].Member().Alive(); alive != 14 {
+	if alive := n.engines["at-i0001"].Member().AliveCount(); alive != 14 {
 		t.Fatalf("%d of 14 are left", alive)
 	}
 	for i := range 15 {
@@ -374,7 +374,7 @@
 	}
 	if took, ok := n.until(5*time.Second, func() bool {
 		for _, a := range n.addrs {
-			if n.engines[a].Member().Alive() != 29 {
+			if n.engines[a].Member().AliveCount() != 29 {
 				return false
 			}
 		}
@@ -399,7 +399,7 @@
 		}
 		joined, ok := n.until(10*time.Minute, func() bool {
 			for _, a := range n.addrs {
-				if n.engines[a].Member().Alive() != size-1 {
+				if n.engines[a].Member().AliveCount() != size-1 {
 					return false
 				}
 			}
@@ -417,7 +417,7 @@
 		for _, e := range n.engines {
 			bytes += e.counts.BytesOut
 		}
-		n.engines["at-i0001"].Tell("node", "x", n.now, make([]byte, 40))
+		n.engines["at-i0001"].Publish("node", "x", n.now, make([]byte, 40))
 		news, _ := n.until(20*time.Second, func() bool {
 			for _, e := range n.engines {
 				if e.Store().Len() == 0 {
@@ -429,7 +429,7 @@
 		n.engines["at-i0002"] = nil
 		dead, _ := n.until(60*time.Second, func() bool {
 			for _, a := range n.addrs {
-				if e := n.engines[a]; e != nil && e.Member().Alive() != size-2 {
+				if e := n.engines[a]; e != nil && e.Member().AliveCount() != size-2 {
 					return false
 				}
 			}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,20 +22,20 @@
 
 // Config is one instance among its peers.
 type Config struct {
-	Name      string
-	Listen    string // host:port, UDP
-	Advertise string // host:port at which others find it; empty: where it listens
-	Hall      string
-	Seeds     []string          // advertised addresses of others
-	SeedsFile string            // one on a line, in place of Seeds; read again when it changes
-	KeyFile   string            // read again when it changes
-	Dial      map[string]string // what is dialled for an advertised address, where that differs
-	Patient   bool              // another process of this instance may still hold Listen: wait for it
-	Clock     func() time.Duration
-	Heard     func([]Parcel)      // bytes that others have sent; called by one goroutine, may wait; nil: nobody listens
-	Changed   func([]swim.Change) // who is there has changed; called by several goroutines, may wait; nil: nobody listens
-	Life      uint64              // of this process: later ones have higher ones
-	Seed      uint64
+	Name           string
+	Listen         string // host:port, UDP
+	Advertise      string // host:port at which others find it; empty: where it listens
+	Zone           string
+	Seeds          []string          // advertised addresses of others
+	SeedsFile      string            // one on a line, in place of Seeds; read again when it changes
+	KeyFile        string            // read again when it changes
+	Dial           map[string]string // what is dialled for an advertised address, where that differs
+	WaitForAddress bool              // another process of this instance may still hold Listen: wait for it
+	Clock          func() time.Duration
+	OnMessages     func([]Message)     // bytes that others have sent; called by one goroutine, may wait; nil: nobody listens
+	OnChange       func([]swim.Change) // who is there has changed; called by several goroutines, may wait; nil: nobody listens
+	Incarnation    uint64              // of this process: later ones have higher ones
+	Seed           uint64
 }
 
 const (
@@ -96,10 +96,10 @@
 }
 
 // ClockOf is the newest reading of a member's clock that was heard; 0: none.
-func (p *Peers) ClockOf(name string) time.Duration {
+func (p *Peers) ClockReading(name string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.engine.ClockOf(name)
+	return p.engine.ClockReading(name)
 }
 
 // Members are the others that are held to be there, the suspected among them.
@@ -122,7 +122,7 @@
 			return
 		case w := <-p.works:
 			p.mu.Lock()
-			out := p.engine.Work(p.cfg.Clock(), w.to, w.data)
+			out := p.engine.SendMessage(p.cfg.Clock(), w.to, w.data)
 			p.mu.Unlock()
 			p.send(out)
 		}
@@ -152,12 +152,12 @@
 	if err := p.others(p.cfg.Seeds); err != nil {
 		return nil, err
 	}
-	rng := rand.New(rand.NewPCG(cfg.Seed, cfg.Life))
-	p.engine = NewEngine(swim.Config{Name: cfg.Name, Addr: cfg.Advertise, Hall: cfg.Hall, Life: cfg.Life, Seeds: p.cfg.Seeds}, sealer, cfg.Clock(), rng)
+	rng := rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation))
+	p.engine = NewEngine(swim.Config{Name: cfg.Name, Addr: cfg.Advertise, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Seeds: p.cfg.Seeds}, sealer, cfg.Clock(), rng)
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	err = p.listen()
-	if err != nil && !(cfg.Patient && errors.Is(err, syscall.EADDRINUSE)) {
+	if err != nil && !(cfg.WaitForAddress && errors.Is(err, syscall.EADDRINUSE)) {
 		cancel()
 		return nil, fmt.Errorf("peers.listen %q: %w", cfg.Listen, err)
 	}
@@ -227,7 +227,7 @@
 			return
 		}
 	}
-	p.log.Info("takes part among its peers", "name", p.cfg.Name, "listen", p.conn.LocalAddr(), "advertise", p.cfg.Advertise, "life", p.cfg.Life)
+	p.log.Info("takes part among its peers", "name", p.cfg.Name, "listen", p.conn.LocalAddr(), "advertise", p.cfg.Advertise, "life", p.cfg.Incarnation)
 	var reading sync.WaitGroup
 	reading.Go(p.read)
 	reading.Go(func() { p.carry(ctx) })
@@ -248,7 +248,7 @@
 		}
 		p.mu.Lock()
 		out := p.engine.Tick(now)
-		changes, due := p.engine.member.Changes(), p.engine.Due()
+		changes, due := p.engine.member.Changes(), p.engine.NextTick()
 		p.mu.Unlock()
 		p.send(out)
 		p.tellOf(changes)
@@ -284,7 +284,7 @@
 			p.asideN++
 			p.aside, p.asideA = err, from.String()
 		}
-		changes, parcels, told := p.engine.member.Changes(), p.engine.Parcels(), p.engine.Told()
+		changes, parcels, told := p.engine.member.Changes(), p.engine.TakeMessages(), p.engine.Synced()
 		p.mu.Unlock()
 		if told && !informed {
 			informed = true
@@ -293,8 +293,8 @@
 		p.send(out)
 		p.tellOf(changes)
 		p.tellAside(now)
-		if len(parcels) > 0 && p.cfg.Heard != nil {
-			p.cfg.Heard(parcels)
+		if len(parcels) > 0 && p.cfg.OnMessages != nil {
+			p.cfg.OnMessages(parcels)
 		}
 		if len(changes) > 0 {
 			p.poke()
@@ -398,26 +398,26 @@
 			continue
 		}
 		switch {
-		case c.Gone:
-			p.log.Info("a member is forgotten", "member", c.Name, "life", c.Life)
+		case c.Forgotten:
+			p.log.Info("a member is forgotten", "member", c.Name, "life", c.Incarnation)
 		case c.State == swim.Alive && c.New:
-			p.log.Info("a member is there", "member", c.Name, "addr", c.Addr, "hall", c.Hall, "life", c.Life)
+			p.log.Info("a member is there", "member", c.Name, "addr", c.Addr, "hall", c.Zone, "life", c.Incarnation)
 		case c.State == swim.Alive:
-			p.log.Info("a member is there after all", "member", c.Name, "was", c.Was.String())
+			p.log.Info("a member is there after all", "member", c.Name, "was", c.Previous.String())
 		case c.State == swim.Suspect:
-			p.log.Warn("a member does not answer", "member", c.Name, "by", c.By)
+			p.log.Warn("a member does not answer", "member", c.Name, "by", c.SuspectedBy)
 		case c.State == swim.Dead:
-			p.log.Warn("a member is held to be dead", "member", c.Name, "by", c.By)
+			p.log.Warn("a member is held to be dead", "member", c.Name, "by", c.SuspectedBy)
 		case c.State == swim.Left:
 			p.log.Info("a member has left", "member", c.Name)
 		}
 	}
-	if len(changes) > 0 && p.cfg.Changed != nil {
-		p.cfg.Changed(changes)
+	if len(changes) > 0 && p.cfg.OnChange != nil {
+		p.cfg.OnChange(changes)
 	}
 	if len(changes) > 0 {
 		p.mu.Lock()
-		over := p.engine.member.Over()
+		over := p.engine.member.LeftReason()
 		p.mu.Unlock()
 		if over != "" && p.lines.once("over") {
 			p.log.Error("takes no part among its peers any more", "err", fmt.Errorf("peers.name %q: %s", p.cfg.Name, over))
@@ -441,10 +441,10 @@
 }
 
 // Tell states a fact of this instance's own.
-func (p *Peers) Tell(kind, subject string, born time.Duration, data []byte) {
+func (p *Peers) Publish(kind, subject string, born time.Duration, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.engine.Tell(kind, subject, born, data) {
+	if p.engine.Publish(kind, subject, born, data) {
 		p.poke()
 	}
 }
@@ -456,14 +456,14 @@
 	facts, halls = p.engine.store.Facts(p.cfg.Clock(), kind), map[string]string{}
 	for _, f := range facts {
 		if m, known := p.engine.member.Member(f.Owner); known {
-			halls[f.Owner] = m.Hall
+			halls[f.Owner] = m.Zone
 		}
 	}
 	return facts, halls
 }
 
 // Told closes when another instance has told all that it knows.
-func (p *Peers) Told() <-chan struct{} { return p.told }
+func (p *Peers) Synced() <-chan struct{} { return p.told }
 
 // Version changes when the facts have.
 func (p *Peers) Version() uint64 {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -62,7 +62,7 @@
 
 func config(name, listen string, key string, seeds ...string) Config {
 	began := time.Now()
-	return Config{Name: name, Listen: listen, KeyFile: key, Seeds: seeds, Life: uint64(began.UnixNano()), Clock: func() time.Duration { return time.Since(began) + time.Hour }}
+	return Config{Name: name, Listen: listen, KeyFile: key, Seeds: seeds, Incarnation: uint64(began.UnixNano()), Clock: func() time.Duration { return time.Since(began) + time.Hour }}
 }
 
 func eventually(t *testing.T, what string, done func() bool) {
@@ -98,7 +98,7 @@
 	eventually(t, "they find one another", func() bool {
 		return all[0].Status().Alive == 2 && all[1].Status().Alive == 2 && all[2].Status().Alive == 2
 	})
-	all[2].Tell("node", "x", time.Hour, []byte("slow"))
+	all[2].Publish("node", "x", time.Hour, []byte("slow"))
 	eventually(t, "the fact is at all", func() bool {
 		a, halls := all[0].Facts("node")
 		b, _ := all[1].Facts("node")
@@ -149,7 +149,7 @@
 	}
 	defer other.Close()
 	cfg := config("n0", at[0], key, at[1])
-	cfg.Patient = true
+	cfg.WaitForAddress = true
 	next, err := Start(cfg, log)
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 	first.Close()
 	eventually(t, "the next is there", func() bool {
 		for _, m := range other.Status().Members {
-			if m.Name == "n0" && m.State == "alive" && m.Life == next.Status().Life {
+			if m.Name == "n0" && m.State == "alive" && m.Incarnation == next.Status().Incarnation {
 				return true
 			}
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,25 +86,25 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := &policy.Settings{Me: f.Me, Gateways: f.Replicas, Zone: f.MyZone,
+	s := &policy.Settings{Index: f.Me, Instances: f.Replicas, Zone: f.MyZone,
 		MaxUnits: f.FamilyInfo.MaxUnits, Counter: f.FamilyInfo.SharedCounter,
 		CounterTimeout: us(f.FamilyInfo.CounterTimeoutUs), MaxAttempts: f.Permissions.MaxAttempts,
 		MayCancel: f.Permissions.MayCancel, MayProbe: f.Permissions.Probing,
-		SecondCopies: f.Permissions.ParallelTries, AskForFleet: f.RegistryMode == "subscribe",
-		CrossZonePrice: f.Prices.CrossZone, ColdShare: f.Invariants.ColdFrom,
-		WarmAfter: us(f.Invariants.WarmAfterUs), FallMultiple: f.Invariants.FallMultiple,
-		FallSpan: us(f.Invariants.FallUs), DrainGrace: us(f.Invariants.DrainGraceUs)}
+		Hedging: f.Permissions.ParallelTries, PollEndpoints: f.RegistryMode == "subscribe",
+		CrossZonePrice: f.Prices.CrossZone, SlowStartShare: f.Invariants.ColdFrom,
+		SlowStartWindow: us(f.Invariants.WarmAfterUs), OverloadMultiple: f.Invariants.FallMultiple,
+		OverloadSpan: us(f.Invariants.FallUs), DrainGrace: us(f.Invariants.DrainGraceUs)}
 	if f.Permissions.RetryAfter {
 		s.MaxRetryAfter = us(f.Permissions.MaxRetryAfterUs)
 	}
 	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, policy.Class{Name: c.Name, Worth: c.Value, Aim: us(c.ObjectiveUs),
+		s.Classes = append(s.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Value, LatencyObjective: us(c.ObjectiveUs),
 			Deadline: us(c.DeadlineUs), LateShare: c.LateShare, Effect: effect(c.Effect), Group: group(c.Group),
 			RepeatWindow: us(c.WindowUs)})
 	}
 	for _, c := range f.Contracts {
 		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
-			Open: c.Concurrency, ExcessWorth: c.ExcessWorth, ExcessCost: c.ExcessCost, CeilingRate: c.HardRate,
+			MaxInFlight: c.Concurrency, ExcessWeight: c.ExcessWorth, ExcessCost: c.ExcessCost, CeilingRate: c.HardRate,
 			CeilingBurst: c.CapDepth, CeilingSlack: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
 	}
 	return s, Connections{Idle: us(f.Permissions.ConnIdleUs),
--- a/internal/sim/cold.go
+++ b/internal/sim/cold.go
@@ -8,11 +8,11 @@
 )
 
 // coldRule is the slow start as all gateways are told of it.
-var coldRule = slowstart.Rule{ColdShare: coldFrom, WarmAfter: warmTime, Multiple: fallOver, Span: time.Second}
+var coldRule = slowstart.Rule{InitialShare: coldFrom, Window: warmTime, OverloadMultiple: fallOver, Span: time.Second}
 
 // ColdStart is what one start of a node got while it was cold, from all gateways together, at its nearest to the limit.
 type ColdStart struct {
-	Node  policy.ServerID
+	Node  policy.BackendID
 	Calls int            // attempts that came while it was cold
 	Mean  slowstart.Peak // each attempt as the mean work of its class
 	Drawn slowstart.Peak // each attempt as its own work, which no gateway knows
@@ -20,7 +20,7 @@
 
 // coldStart records what comes to a node from a cold start on.
 type coldStart struct {
-	node        policy.ServerID
+	node        policy.BackendID
 	backend     slowstart.Backend
 	mean, drawn []slowstart.Arrival
 }
@@ -34,7 +34,7 @@
 
 // enter records an attempt that has come.
 func (c *coldStart) enter(now time.Duration, a *attempt, meanWork float64) {
-	came := slowstart.Arrival{At: now, Work: meanWork, Instance: a.r.g.me, Told: a.r.g.knows[c.node] == epoch+c.backend.Started}
+	came := slowstart.Arrival{At: now, Work: meanWork, Instance: a.r.g.me, Notified: a.r.g.knows[c.node] == epoch+c.backend.Started}
 	c.mean = append(c.mean, came)
 	came.Work = a.work
 	c.drawn = append(c.drawn, came)
@@ -83,7 +83,7 @@
 		for k := range nodes {
 			w.after(within*time.Duration(k)/time.Duration(nodes), func() {
 				like := w.nodes[k]
-				fresh := &node{Server: like.Server, cores: like.cores, speed: like.speed, crawl: 1}
+				fresh := &node{Backend: like.Backend, cores: like.cores, speed: like.speed, crawl: 1}
 				fresh.ID += "-more"
 				w.boot(fresh)
 				w.nodes = append(w.nodes, fresh)
--- a/internal/sim/cold_budget_test.go
+++ b/internal/sim/cold_budget_test.go
@@ -34,7 +34,7 @@
 		}
 		worst.add(r)
 		for _, c := range r.Cold {
-			if c.Mean.Falls() {
+			if c.Mean.IsOverload() {
 				t.Errorf("seed %d: node %s got %v", seed, c.Node, c.Mean)
 			}
 		}
--- a/internal/sim/cold_test.go
+++ b/internal/sim/cold_test.go
@@ -66,7 +66,7 @@
 		if s.Drawn.Ratio() > c.drawn.Drawn.Ratio() {
 			c.drawn = s
 		}
-		if s.Drawn.Falls() {
+		if s.Drawn.IsOverload() {
 			c.drawnOver++
 		}
 	}
@@ -104,7 +104,7 @@
 		}
 		var worst coldWorst
 		worst.add(r)
-		if !worst.mean.Mean.Breaks() {
+		if !worst.mean.Mean.IsViolation() {
 			t.Errorf("%d gateways, each as if alone: %v", gateways, &worst)
 		}
 	}
@@ -123,8 +123,8 @@
 		t.Fatalf("cold starts: %+v", r.Cold)
 	}
 	for _, c := range r.Cold {
-		if c.Calls == 0 || c.Mean.Told != 0 || c.Mean.Breaks() {
-			t.Errorf("%d attempts, %v, of it from those who were told %v", c.Calls, c.Mean, c.Mean.Told)
+		if c.Calls == 0 || c.Mean.Notified != 0 || c.Mean.IsViolation() {
+			t.Errorf("%d attempts, %v, of it from those who were told %v", c.Calls, c.Mean, c.Mean.Notified)
 		}
 	}
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -63,7 +63,7 @@
 			old := w.nodes[i]
 			w.after(within*time.Duration(k)/time.Duration(nodes), func() {
 				old.State = policy.Draining
-				fresh := &node{Server: old.Server, cores: old.cores, speed: old.speed, crawl: 1}
+				fresh := &node{Backend: old.Backend, cores: old.cores, speed: old.speed, crawl: 1}
 				fresh.ID += "-new"
 				w.boot(fresh)
 				w.nodes = append(w.nodes, fresh)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -49,7 +49,7 @@
 	Lost          int // requests of gateways that were killed
 	Twice         int // requests with more than one final answer
 	Late          int // final answers after the client's time
-	Fallen        []policy.ServerID
+	Fallen        []policy.BackendID
 	Drained       int     // sends to a node more than the grace after its gateway was told
 	Over          float64 // the most that a channel with a ceiling went over it, units
 	Inside        float64 // worth that one gateway would have let in that saw all first tries
@@ -72,7 +72,7 @@
 
 // node is a queue with cores; a cold one does a part of its work.
 type node struct {
-	policy.Server
+	policy.Backend
 	cores         int
 	speed         float64
 	crawl         float64 // its work takes so many times as long
@@ -92,13 +92,13 @@
 
 // gateway is one module with its timers; boots tells events of an earlier life apart.
 type gateway struct {
-	mod   *policy.Gateway
+	mod   *policy.Engine
 	me    int
 	boots int
 	up    bool
 	late  time.Duration
-	told  map[policy.ServerID]time.Duration // when it heard that a node drains or is gone
-	knows map[policy.ServerID]time.Duration // the start of each node that it has heard of
+	told  map[policy.BackendID]time.Duration // when it heard that a node drains or is gone
+	knows map[policy.BackendID]time.Duration // the start of each node that it has heard of
 }
 
 type request struct {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (r *request) worth(p policy.Plan) float64 { return r.class.Worth * p.Price * r.Units }
+func (r *request) worth(p policy.Plan) float64 { return r.class.PriorityWeight * p.Price * r.Units }
 
 // epoch is the clock at the start: a module's clock is the same at all gateways, and never near 0.
 const epoch = time.Hour
@@ -212,14 +212,14 @@
 func plans() []policy.Plan {
 	return []policy.Plan{
 		{Name: "small", Price: 0.5, Rate: 1, Burst: 8, ExcessCost: 1},
-		{Name: "large", Price: 1.5, Rate: 15, Burst: 30, Open: 8, ExcessCost: 0.6, CeilingRate: ceilRate, CeilingBurst: ceilMost, CeilingSlack: 6},
+		{Name: "large", Price: 1.5, Rate: 15, Burst: 30, MaxInFlight: 8, ExcessCost: 0.6, CeilingRate: ceilRate, CeilingBurst: ceilMost, CeilingSlack: 6},
 	}
 }
 
 func classes() []policy.Class {
 	return []policy.Class{
-		{Name: "read", Worth: 2, Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Effect: policy.Safe, Group: policy.GroupAll},
-		{Name: "publish", Worth: 5, Aim: 4 * time.Second, Deadline: 10 * time.Second, Effect: policy.Keyed, RepeatWindow: 6 * time.Second},
+		{Name: "read", PriorityWeight: 2, LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Effect: policy.Safe, Group: policy.GroupAll},
+		{Name: "publish", PriorityWeight: 5, LatencyObjective: 4 * time.Second, Deadline: 10 * time.Second, Effect: policy.Keyed, RepeatWindow: 6 * time.Second},
 	}
 }
 
@@ -234,7 +234,7 @@
 	}
 	w := &world{Fleet: f, rng: rand.New(rand.NewPCG(f.Seed, 1)), totals: map[string]float64{}, requests: map[policy.RequestID]*request{}, burst: 1}
 	for i := range f.Nodes {
-		n := &node{Server: policy.Server{ID: policy.ServerID(fmt.Sprintf("n-%08x", uint32(i*2654435761))), Zone: string(rune('a' + i%3)),
+		n := &node{Backend: policy.Backend{ID: policy.BackendID(fmt.Sprintf("n-%08x", uint32(i*2654435761))), Zone: string(rune('a' + i%3)),
 			Cell: i / 4, State: policy.Running}, cores: 2, speed: 0.95, crawl: 1}
 		if i%3 == i/3%3 {
 			n.cores, n.speed = 3, 0.6
@@ -286,19 +286,19 @@
 // start gives a gateway a new module, which knows the nodes as they are at that moment.
 func (w *world) start(g *gateway) error {
 	gateways := cmp.Or(w.toldGateways, w.Gateways)
-	mod, err := policy.New(policy.Settings{Me: g.me % gateways, Gateways: gateways, Zone: string(rune('a' + g.me%3)), Classes: classes(), Plans: plans(),
-		MaxUnits: 3, MaxAttempts: 4, MaxRetryAfter: 500 * time.Millisecond, MayCancel: true, SecondCopies: true, Counter: true,
-		CounterTimeout: callTime, ColdShare: coldFrom, WarmAfter: warmTime, FallMultiple: fallOver, FallSpan: time.Second, DrainGrace: grace,
+	mod, err := policy.New(policy.Settings{Index: g.me % gateways, Instances: gateways, Zone: string(rune('a' + g.me%3)), Classes: classes(), Plans: plans(),
+		MaxUnits: 3, MaxAttempts: 4, MaxRetryAfter: 500 * time.Millisecond, MayCancel: true, Hedging: true, Counter: true,
+		CounterTimeout: callTime, SlowStartShare: coldFrom, SlowStartWindow: warmTime, OverloadMultiple: fallOver, OverloadSpan: time.Second, DrainGrace: grace,
 		CrossZonePrice: 0.01}, w.Seed*1000+uint64(g.me)+uint64(g.boots)<<32)
 	if err != nil {
 		return fmt.Errorf("sim: %w", err)
 	}
-	g.mod, g.up, g.told, g.knows = mod, true, map[policy.ServerID]time.Duration{}, map[policy.ServerID]time.Duration{}
+	g.mod, g.up, g.told, g.knows = mod, true, map[policy.BackendID]time.Duration{}, map[policy.BackendID]time.Duration{}
 	g.boots++
-	ev := policy.FleetChanged{Whole: true}
+	ev := policy.EndpointsChanged{Complete: true}
 	for _, n := range w.nodes {
 		if n.State == policy.Running {
-			ev.Servers = append(ev.Servers, n.Server)
+			ev.Backends = append(ev.Backends, n.Backend)
 			g.knows[n.ID] = n.Started
 		}
 	}
@@ -329,25 +329,25 @@
 	switch a := a.(type) {
 	case policy.SetTimer:
 		w.later(g, a.After, func() policy.Event { return policy.TimerFired{} })
-	case policy.Refuse:
+	case policy.Reject:
 		w.answer(g, a.ID, false)
 	case policy.Fail:
 		w.answer(g, a.ID, false)
-	case policy.Send:
+	case policy.SendAttempt:
 		w.send(g, a)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		r := w.requests[a.ID]
 		if r != nil && a.Attempt < len(r.tries) {
 			w.end(r.tries[a.Attempt], policy.Cancelled)
 		}
-	case policy.Count:
+	case policy.AddToCounter:
 		w.count(g, a)
-	case policy.Watch:
+	case policy.WatchEndpoints:
 	}
 }
 
-func (w *world) count(g *gateway, a policy.Count) {
-	reply := policy.CountReply{Name: a.Name}
+func (w *world) count(g *gateway, a policy.AddToCounter) {
+	reply := policy.CounterReply{Name: a.Name}
 	took := 2 * way
 	switch {
 	case w.rng.Float64() < w.Busy:
@@ -358,7 +358,7 @@
 			took += w.callEnds - w.now
 		}
 		w.totals[a.Name] += a.Add
-		reply.Outcome, reply.Total = policy.Done, w.totals[a.Name]
+		reply.Outcome, reply.Total = policy.Succeeded, w.totals[a.Name]
 		if took > callTime {
 			took, reply.Outcome = callTime, policy.TimedOut
 		}
@@ -380,7 +380,7 @@
 		g := w.gateways[(c.first+w.rng.IntN(c.spread))%w.Gateways]
 		w.lastID++
 		wait := time.Duration((0.5 + w.rng.Float64()/2) * float64(cls.Deadline))
-		r := &request{class: cls, g: g, came: w.now, Request: policy.Request{ID: w.lastID, Class: cls.Name, Plan: c.plan.Name, Customer: c.id,
+		r := &request{class: cls, g: g, came: w.now, Request: policy.Request{ID: w.lastID, Class: cls.Name, Plan: c.plan.Name, Tenant: c.id,
 			GiveUpAt: epoch + w.now + wait, Units: float64(1 + w.rng.IntN(2)), Spread: c.spread, First: c.first}}
 		w.rep.Requests++
 		w.rep.Asked += r.worth(c.plan)
@@ -443,10 +443,10 @@
 	if epoch+w.now > r.GiveUpAt {
 		w.rep.Late++
 	}
-	if served && w.now-r.came <= r.class.Aim {
+	if served && w.now-r.came <= r.class.LatencyObjective {
 		for _, p := range plans() {
 			if p.Name == r.Plan {
-				w.rep.Served += r.class.Worth * p.Price * r.Units
+				w.rep.Served += r.class.PriorityWeight * p.Price * r.Units
 			}
 		}
 	}
@@ -462,7 +462,7 @@
 	}
 }
 
-func (w *world) find(id policy.ServerID) *node {
+func (w *world) find(id policy.BackendID) *node {
 	i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.ID == id })
 	if i < 0 {
 		return nil
@@ -470,16 +470,16 @@
 	return w.nodes[i]
 }
 
-func (w *world) send(g *gateway, s policy.Send) {
+func (w *world) send(g *gateway, s policy.SendAttempt) {
 	r := w.requests[s.ID]
-	n := w.find(s.Server)
+	n := w.find(s.Backend)
 	a := &attempt{r: r, n: len(r.tries), node: n, sent: w.now}
 	r.tries = append(r.tries, a)
 	if n == nil { // a machine that was replaced
 		w.later(g, way, func() policy.Event { w.end(a, policy.NoConnect); return nil })
 		return
 	}
-	if at, ok := g.told[s.Server]; ok && w.now > at+grace {
+	if at, ok := g.told[s.Backend]; ok && w.now > at+grace {
 		w.rep.Drained++
 	}
 	a.work = w.rng.ExpFloat64() * w.workOf(r.class)
@@ -524,7 +524,7 @@
 	}
 	w.judge(a)
 	if len(n.queue) >= queueCap {
-		w.after(way, func() { w.end(a, policy.Full) })
+		w.after(way, func() { w.end(a, policy.Rejected) })
 		return
 	}
 	n.queue = append(n.queue, a)
@@ -545,8 +545,8 @@
 		}
 	}
 	r := a.r
-	c := w.channels[slices.IndexFunc(w.channels, func(c *channel) bool { return c.id == r.Customer })]
-	full := c.plan.Open > 0 && c.out >= c.plan.Open
+	c := w.channels[slices.IndexFunc(w.channels, func(c *channel) bool { return c.id == r.Tenant })]
+	full := c.plan.MaxInFlight > 0 && c.out >= c.plan.MaxInFlight
 	c.out++
 	a.counts = c
 	if r.counted {
@@ -585,7 +585,7 @@
 			}
 			n.running--
 			if !n.gone && !n.silent {
-				w.after(way, func() { w.end(a, policy.Done) })
+				w.after(way, func() { w.end(a, policy.Succeeded) })
 			}
 			w.serve(n)
 		})
@@ -603,25 +603,25 @@
 		return
 	}
 	a.ended = true
-	if o == policy.Done && a.r.answers == 0 {
+	if o == policy.Succeeded && a.r.answers == 0 {
 		w.answer(g, a.r.ID, true)
 	}
 	ev := policy.AttemptEnded{ID: a.r.ID, Attempt: a.n, Outcome: o, Took: w.now - a.sent, Finished: a.r.answers > 0}
 	if a.node != nil {
-		ev.Server = a.node.ID
+		ev.Backend = a.node.ID
 	}
 	w.later(g, 0, func() policy.Event { return ev })
 }
 
 // list tells all gateways of nodes, each when it hears of them.
 func (w *world) list(nodes ...*node) {
-	var ev policy.FleetChanged
+	var ev policy.EndpointsChanged
 	for _, n := range nodes {
-		ev.Servers = append(ev.Servers, n.Server)
+		ev.Backends = append(ev.Backends, n.Backend)
 	}
 	for _, g := range w.gateways {
 		w.later(g, w.ListLate+g.late+time.Duration(w.rng.Float64()*float64(300*time.Millisecond)), func() policy.Event {
-			for _, s := range ev.Servers {
+			for _, s := range ev.Backends {
 				g.knows[s.ID] = s.Started
 				if delete(g.told, s.ID); s.State != policy.Running {
 					g.told[s.ID] = w.now
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -116,7 +116,7 @@
 	w.boot(n)
 	for range 100 {
 		r := &request{}
-		r.Customer, r.Units = "c", 1
+		r.Tenant, r.Units = "c", 1
 		w.judge(&attempt{r: r, node: n, work: 0.1})
 	}
 	if len(w.rep.Fallen) != 1 || w.rep.Over < 30 {
--- a/internal/simproto/host.go
+++ b/internal/simproto/host.go
@@ -12,7 +12,7 @@
 // Host runs many instances, each with events of its own only, until input ends.
 func Host(in io.Reader, out io.Writer) error {
 	r, w := NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	gateways := map[int]*policy.Gateway{}
+	gateways := map[int]*policy.Engine{}
 	var buf []byte
 	for {
 		batch, err := r.Read()
@@ -37,7 +37,7 @@
 }
 
 // handle plays one message; a panic of the module becomes that instance's fault.
-func handle(buf []byte, gateways map[int]*policy.Gateway, batch *Batch, m Message) (reply []byte) {
+func handle(buf []byte, gateways map[int]*policy.Engine, batch *Batch, m Message) (reply []byte) {
 	mark := len(buf)
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -133,23 +133,23 @@
 		m.Event = policy.StreamStarted{ID: p.id(), Attempt: p.int("try")}
 	case "ATTEMPT_END":
 		p.need("call", "try", "backend", "stateCode")
-		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Server: policy.ServerID(p.f["backend"]),
+		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Backend: policy.BackendID(p.f["backend"]),
 			Outcome: outcome(p.f["stateCode"]), Took: p.micros("lagUs"), Finished: p.bool("over"),
-			Settled: p.float("settled"), Load: p.load("metrics")}
+			SettledUnits: p.float("settled"), Load: p.load("metrics")}
 	case "DROPPED":
 		p.need("call")
-		m.Event = policy.Abandoned{ID: p.id()}
+		m.Event = policy.Disconnected{ID: p.id()}
 	case "TICK_DUE":
 		m.Event = policy.TimerFired{}
 	case "PROBE_DONE":
 		p.need("backend", "stateCode")
-		m.Event = policy.ProbeEnded{Server: policy.ServerID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
+		m.Event = policy.ProbeEnded{Backend: policy.BackendID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
 			Took: p.micros("lagUs"), Load: p.load("metrics")}
 	case "INBOX":
 		m.Event = policy.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
 	case "COUNTER_REPLY":
 		p.need("counter", "stateCode")
-		m.Event = policy.CountReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
+		m.Event = policy.CounterReply{Name: p.f["counter"], Outcome: outcome(p.f["stateCode"]), Total: p.float("total")}
 	default:
 		return m, false
 	}
@@ -164,7 +164,7 @@
 func arrival(p *parser) policy.Event {
 	p.need("call", "giveUpAtUs")
 	return policy.Arrival{Request: policy.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
-		Customer: p.f["holder"], GiveUpAt: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
+		Tenant: p.f["holder"], GiveUpAt: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
 		Spread: p.int("width"), First: p.int("setFrom")}}
 }
 
@@ -172,7 +172,7 @@
 func (r *Reader) fleet(p *parser) policy.Event {
 	p.need("form")
 	form := p.f["form"]
-	ev := policy.FleetChanged{Whole: form == "full" || form == "cached", Failed: form == "failed"}
+	ev := policy.EndpointsChanged{Complete: form == "full" || form == "cached", Failed: form == "failed"}
 	for n := p.int("members"); n > 0 && p.err == nil; n-- {
 		s, err := r.next()
 		if err != nil {
@@ -186,7 +186,7 @@
 		}
 		e := parser{f: f}
 		e.need("backend")
-		ev.Servers = append(ev.Servers, policy.Server{ID: policy.ServerID(f["backend"]), Zone: f["az"],
+		ev.Backends = append(ev.Backends, policy.Backend{ID: policy.BackendID(f["backend"]), Zone: f["az"],
 			Kind: f["flavor"], Cell: e.int("block"), State: state(f["lifecycle"]), Size: e.float("scale"),
 			Started: e.micros("sinceUs")})
 		p.err = e.err
@@ -194,7 +194,7 @@
 	return ev
 }
 
-func state(s string) policy.ServerState {
+func state(s string) policy.BackendState {
 	switch s {
 	case "on":
 		return policy.Running
@@ -207,9 +207,9 @@
 func outcome(s string) policy.Outcome {
 	switch s {
 	case "done":
-		return policy.Done
+		return policy.Succeeded
 	case "busy":
-		return policy.Full
+		return policy.Rejected
 	case "etimedout":
 		return policy.TimedOut
 	case "econnrefused":
@@ -219,7 +219,7 @@
 	case "ecanceled":
 		return policy.Cancelled
 	case "skipped":
-		return policy.Moot
+		return policy.NotSent
 	}
 	return policy.Failed
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -70,18 +70,18 @@
 
 func TestActionsBecomeLines(t *testing.T) {
 	for want, a := range map[string]policy.Action{
-		"TRANSMIT\ti=1\tcall=2\tbackend=b\tstopAtUs=7\n":   policy.Send{ID: 2, Server: "b", StopAt: 7 * time.Microsecond},
-		"REVOKE\ti=1\tcall=2\ttry=1\n":                     policy.Cancel{ID: 2, Attempt: 1},
-		"BUSY\ti=1\tcall=2\n":                              policy.Refuse{ID: 2},
+		"TRANSMIT\ti=1\tcall=2\tbackend=b\tstopAtUs=7\n":   policy.SendAttempt{ID: 2, Backend: "b", StopAt: 7 * time.Microsecond},
+		"REVOKE\ti=1\tcall=2\ttry=1\n":                     policy.CancelAttempt{ID: 2, Attempt: 1},
+		"BUSY\ti=1\tcall=2\n":                              policy.Reject{ID: 2},
 		"DROP_REQUEST\ti=1\tcall=2\n":                      policy.Fail{ID: 2},
-		"INCR\ti=1\tcounter=c\tadd=-1.5\tkeepForUs=1000\n": policy.Count{Name: "c", Add: -1.5, Keep: time.Millisecond},
-		"NOTIFY\ti=1\tdest=all\tmsg=aGkgNw==\n":            policy.Tell{To: -1, Body: []byte("hi 7")},
-		"NOTIFY\ti=1\tdest=2\tmsg=-\n":                     policy.Tell{To: 2},
-		"EMIT\ti=1\ttext=a b\n":                            policy.Log{Text: "a\nb"},
-		"TEST\ti=1\tbackend=b\n":                           policy.Probe{Server: "b"},
-		"LET_GO\ti=1\tbackend=b\n":                         policy.CloseIdle{Server: "b"},
-		"KEEP_INFORMED\ti=1\ton=1\n":                       policy.Watch{},
-		"QUERY_ALL\ti=1\n":                                 policy.Fetch{},
+		"INCR\ti=1\tcounter=c\tadd=-1.5\tkeepForUs=1000\n": policy.AddToCounter{Name: "c", Add: -1.5, Keep: time.Millisecond},
+		"NOTIFY\ti=1\tdest=all\tmsg=aGkgNw==\n":            policy.NotifyInstance{To: -1, Body: []byte("hi 7")},
+		"NOTIFY\ti=1\tdest=2\tmsg=-\n":                     policy.NotifyInstance{To: 2},
+		"EMIT\ti=1\ttext=a b\n":                            policy.LogLine{Text: "a\nb"},
+		"TEST\ti=1\tbackend=b\n":                           policy.ProbeBackend{Backend: "b"},
+		"LET_GO\ti=1\tbackend=b\n":                         policy.CloseIdleConnections{Backend: "b"},
+		"KEEP_INFORMED\ti=1\ton=1\n":                       policy.WatchEndpoints{},
+		"QUERY_ALL\ti=1\n":                                 policy.FetchEndpoints{},
 		"TIMER\ti=1\tspanUs=10\tref=t\n":                   policy.SetTimer{After: 10 * time.Microsecond},
 	} {
 		if got := string(AppendAction(nil, 1, a)); got != want {
--- a/internal/simproto/write.go
+++ b/internal/simproto/write.go
@@ -35,15 +35,15 @@
 // AppendAction appends the line of one action of an instance.
 func AppendAction(b []byte, instance int, a policy.Action) []byte {
 	switch a := a.(type) {
-	case policy.Send:
-		l := newLine(b, "TRANSMIT", instance).num("call", float64(a.ID)).text("backend", string(a.Server))
+	case policy.SendAttempt:
+		l := newLine(b, "TRANSMIT", instance).num("call", float64(a.ID)).text("backend", string(a.Backend))
 		if a.StopAt > 0 {
 			l.micros("stopAtUs", a.StopAt)
 		}
 		return l.end()
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		return newLine(b, "REVOKE", instance).num("call", float64(a.ID)).num("try", float64(a.Attempt)).end()
-	case policy.Refuse:
+	case policy.Reject:
 		l := newLine(b, "BUSY", instance).num("call", float64(a.ID))
 		if a.RetryAfter > 0 {
 			l.micros("retryInUs", a.RetryAfter)
@@ -53,11 +53,11 @@
 		return newLine(b, "DROP_REQUEST", instance).num("call", float64(a.ID)).end()
 	case policy.SetTimer:
 		return newLine(b, "TIMER", instance).micros("spanUs", a.After).text("ref", "t").end()
-	case policy.Probe:
-		return newLine(b, "TEST", instance).text("backend", string(a.Server)).end()
-	case policy.CloseIdle:
-		return newLine(b, "LET_GO", instance).text("backend", string(a.Server)).end()
-	case policy.Tell:
+	case policy.ProbeBackend:
+		return newLine(b, "TEST", instance).text("backend", string(a.Backend)).end()
+	case policy.CloseIdleConnections:
+		return newLine(b, "LET_GO", instance).text("backend", string(a.Backend)).end()
+	case policy.NotifyInstance:
 		dest := "all"
 		if a.To >= 0 {
 			dest = strconv.Itoa(a.To)
@@ -67,14 +67,14 @@
 			msg = base64.StdEncoding.EncodeToString(a.Body)
 		}
 		return newLine(b, "NOTIFY", instance).text("dest", dest).text("msg", msg).end()
-	case policy.Count:
+	case policy.AddToCounter:
 		return newLine(b, "INCR", instance).text("counter", a.Name).num("add", a.Add).
 			micros("keepForUs", a.Keep).end()
-	case policy.Watch:
+	case policy.WatchEndpoints:
 		return newLine(b, "KEEP_INFORMED", instance).text("on", "1").end()
-	case policy.Fetch:
+	case policy.FetchEndpoints:
 		return newLine(b, "QUERY_ALL", instance).end()
-	case policy.Log:
+	case policy.LogLine:
 		return newLine(b, "EMIT", instance).text("text", oneLine(a.Text)).end()
 	}
 	return b
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -16,21 +16,21 @@
 
 // Rule is the platform's figures of the slow start.
 type Rule struct {
-	ColdShare float64       // share of its capacity with which a backend starts (coldFrom)
-	WarmAfter time.Duration // age from which it has all of it (warmAfterUs)
-	Multiple  float64       // of its present capacity, that it bears (fallMultiple)
-	Span      time.Duration // of a window (fallUs)
+	InitialShare     float64       // share of its capacity with which a backend starts (coldFrom)
+	Window           time.Duration // age from which it has all of it (warmAfterUs)
+	OverloadMultiple float64       // of its present capacity, that it bears (fallMultiple)
+	Span             time.Duration // of a window (fallUs)
 }
 
 // Check says which figure a budget cannot be reckoned with.
 func (r Rule) Check() error {
 	switch {
-	case !(r.ColdShare > 0 && r.ColdShare <= 1):
-		return fmt.Errorf("slowstart: cold share %v is not above 0 and up to 1", r.ColdShare)
-	case r.WarmAfter < 0:
-		return fmt.Errorf("slowstart: warm after %v is before the start", r.WarmAfter)
-	case !(r.Multiple > 0):
-		return fmt.Errorf("slowstart: multiple %v is not above 0", r.Multiple)
+	case !(r.InitialShare > 0 && r.InitialShare <= 1):
+		return fmt.Errorf("slowstart: cold share %v is not above 0 and up to 1", r.InitialShare)
+	case r.Window < 0:
+		return fmt.Errorf("slowstart: warm after %v is before the start", r.Window)
+	case !(r.OverloadMultiple > 0):
+		return fmt.Errorf("slowstart: multiple %v is not above 0", r.OverloadMultiple)
 	case r.Span <= 0:
 		return fmt.Errorf("slowstart: span %v is not above 0", r.Span)
 	}
@@ -39,11 +39,11 @@
 
 // Warmth is the share of its capacity that a backend has at an age. The platform names both ends and not what lies between: it
 // is taken to grow evenly, as the decision module takes it.
-func (r Rule) Warmth(age time.Duration) float64 {
-	if age >= r.WarmAfter {
+func (r Rule) CapacityShare(age time.Duration) float64 {
+	if age >= r.Window {
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*max(0, age.Seconds())/r.WarmAfter.Seconds()
+	return r.InitialShare + (1-r.InitialShare)*max(0, age.Seconds())/r.Window.Seconds()
 }
 
 // Backend is one start of a backend. Starts of one machine are backends of their own.
@@ -63,7 +63,7 @@
 
 // Budget is N: the requests of mean work that a backend bears within a span at a time.
 func (r Rule) Budget(b Backend, at time.Duration) float64 {
-	return r.Multiple * b.Capacity * r.Warmth(at-b.Started) * r.Span.Seconds() / b.MeanWork
+	return r.OverloadMultiple * b.Capacity * r.CapacityShare(at-b.Started) * r.Span.Seconds() / b.MeanWork
 }
 
 // Limit is the most requests of mean work that are within a budget of n, with what is left to chance.
@@ -74,14 +74,14 @@
 	At       time.Duration
 	Work     float64 // seconds
 	Instance int     // that sent it
-	Told     bool    // the instance had been told of this start
+	Notified bool    // the instance had been told of this start
 }
 
 // Peak is the window in which a backend came nearest to its limit. The zero Peak: nothing came while it was cold.
 type Peak struct {
 	At        time.Duration // end of the window
-	Came      float64       // requests of mean work within it
-	Told      float64       // of these, from instances that had been told of the start
+	Arrivals  float64       // requests of mean work within it
+	Notified  float64       // of these, from instances that had been told of the start
 	Instances int           // that sent them
 	Budget    float64       // N, at the end of the window
 }
@@ -90,20 +90,20 @@
 func (p Peak) Limit() float64 { return Limit(p.Budget) }
 
 // Ratio is how near the limit what came was; above 1 the backend falls.
-func (p Peak) Ratio() float64 { return p.Came / p.Limit() }
+func (p Peak) Ratio() float64 { return p.Arrivals / p.Limit() }
 
 // Falls says whether more came than the limit.
-func (p Peak) Falls() bool { return p.Came > p.Limit() }
+func (p Peak) IsOverload() bool { return p.Arrivals > p.Limit() }
 
 // toldShare of what made a backend fall has to come from instances that were told of its start, for the rule to be broken.
 const toldShare = 2.0 / 3
 
 // Breaks says whether the backend falls and the instances are to blame.
-func (p Peak) Breaks() bool { return p.Falls() && p.Told > toldShare*p.Came }
+func (p Peak) IsViolation() bool { return p.IsOverload() && p.Notified > toldShare*p.Arrivals }
 
 // String is for test logs and reports.
 func (p Peak) String() string {
-	return fmt.Sprintf("%.1f of %.1f (N %.1f, ratio %.2f) from %d instances", p.Came, p.Limit(), p.Budget, p.Ratio(), p.Instances)
+	return fmt.Sprintf("%.1f of %.1f (N %.1f, ratio %.2f) from %d instances", p.Arrivals, p.Limit(), p.Budget, p.Ratio(), p.Instances)
 }
 
 // Peak slides a window of the rule's span over what came, in any order, from the start until the backend is warm.
@@ -112,7 +112,7 @@
 		return Peak{}, err
 	}
 	came = slices.DeleteFunc(slices.Clone(came), func(a Arrival) bool {
-		return a.At < b.Started || r.Warmth(a.At-b.Started) >= 1
+		return a.At < b.Started || r.CapacityShare(a.At-b.Started) >= 1
 	})
 	slices.SortStableFunc(came, func(x, y Arrival) int { return cmp.Compare(x.At, y.At) })
 	var peak Peak
@@ -123,7 +123,7 @@
 		for ; a.At-came[first].At > r.Span; first++ {
 			window.remove(came[first])
 		}
-		now := Peak{At: a.At, Came: window.work / b.MeanWork, Told: window.told / b.MeanWork,
+		now := Peak{At: a.At, Arrivals: window.work / b.MeanWork, Notified: window.told / b.MeanWork,
 			Instances: len(window.by), Budget: r.Budget(b, a.At)}
 		if peak.Budget == 0 || now.Ratio() > peak.Ratio() {
 			peak = now
@@ -140,7 +140,7 @@
 
 func (s *sum) add(a Arrival) {
 	s.work += a.Work
-	if a.Told {
+	if a.Notified {
 		s.told += a.Work
 	}
 	s.by[a.Instance]++
@@ -148,7 +148,7 @@
 
 func (s *sum) remove(a Arrival) {
 	s.work -= a.Work
-	if a.Told {
+	if a.Notified {
 		s.told -= a.Work
 	}
 	if s.by[a.Instance]--; s.by[a.Instance] == 0 {
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	rule    = Rule{ColdShare: 0.25, WarmAfter: 18 * time.Second, Multiple: 4, Span: time.Second}
+	rule    = Rule{InitialShare: 0.25, Window: 18 * time.Second, OverloadMultiple: 4, Span: time.Second}
 	backend = Backend{Started: time.Minute, Capacity: 2, MeanWork: 0.125} // N is 16 at the start, and the limit 26
 )
 
 // at is so many requests of mean work, each from another instance.
 func at(age time.Duration, requests int) (out []Arrival) {
 	for i := range requests {
-		out = append(out, Arrival{At: backend.Started + age, Work: backend.MeanWork, Instance: i, Told: true})
+		out = append(out, Arrival{At: backend.Started + age, Work: backend.MeanWork, Instance: i, Notified: true})
 	}
 	return out
 }
@@ -44,17 +44,17 @@
 
 // At the limit it stands, with one more it falls.
 func TestEdge(t *testing.T) {
-	if p := peak(t, at(0, 26)); p.Falls() || p.Ratio() != 1 || p.Instances != 26 {
+	if p := peak(t, at(0, 26)); p.IsOverload() || p.Ratio() != 1 || p.Instances != 26 {
 		t.Error(p)
 	}
-	if p := peak(t, at(0, 27)); !p.Falls() || !p.Breaks() {
+	if p := peak(t, at(0, 27)); !p.IsOverload() || !p.IsViolation() {
 		t.Error(p)
 	}
 	half := at(0, 27)
 	for i := range half {
-		half[i].Told = i < 18 // two thirds, and not over it
+		half[i].Notified = i < 18 // two thirds, and not over it
 	}
-	if p := peak(t, half); !p.Falls() || p.Breaks() {
+	if p := peak(t, half); !p.IsOverload() || p.IsViolation() {
 		t.Errorf("%v: too few were told of the start", p)
 	}
 }
@@ -67,14 +67,14 @@
 		"warm":           append(at(0, 20), at(18*time.Second, 100)...),
 		"out of order":   append(at(2*time.Second, 20), at(0, 20)...),
 	} {
-		if p := peak(t, came); math.Abs(p.Came-20) > 1e-9 || p.Falls() {
+		if p := peak(t, came); math.Abs(p.Arrivals-20) > 1e-9 || p.IsOverload() {
 			t.Errorf("%s: %v", name, p)
 		}
 	}
-	if p := peak(t, append(at(0, 20), at(time.Second, 20)...)); math.Abs(p.Came-40) > 1e-9 || !p.Falls() {
+	if p := peak(t, append(at(0, 20), at(time.Second, 20)...)); math.Abs(p.Arrivals-40) > 1e-9 || !p.IsOverload() {
 		t.Errorf("within a span: %v", p)
 	}
-	if p := peak(t, nil); p != (Peak{}) || p.Falls() || p.Ratio() != 0 {
+	if p := peak(t, nil); p != (Peak{}) || p.IsOverload() || p.Ratio() != 0 {
 		t.Errorf("nothing came: %v", p)
 	}
 }
@@ -90,7 +90,7 @@
 		}
 		most := 0.0
 		for _, last := range came {
-			if last.At-backend.Started >= rule.WarmAfter {
+			if last.At-backend.Started >= rule.Window {
 				continue
 			}
 			work := 0.0
@@ -110,10 +110,10 @@
 // A figure that no budget can be reckoned with is an error that names it.
 func TestBadFigures(t *testing.T) {
 	for want, change := range map[string]func(*Rule, *Backend){
-		"cold share 0":   func(r *Rule, _ *Backend) { r.ColdShare = 0 },
-		"cold share NaN": func(r *Rule, _ *Backend) { r.ColdShare = math.NaN() },
-		"warm after -1s": func(r *Rule, _ *Backend) { r.WarmAfter = -time.Second },
-		"multiple 0":     func(r *Rule, _ *Backend) { r.Multiple = 0 },
+		"cold share 0":   func(r *Rule, _ *Backend) { r.InitialShare = 0 },
+		"cold share NaN": func(r *Rule, _ *Backend) { r.InitialShare = math.NaN() },
+		"warm after -1s": func(r *Rule, _ *Backend) { r.Window = -time.Second },
+		"multiple 0":     func(r *Rule, _ *Backend) { r.OverloadMultiple = 0 },
 		"span 0s":        func(r *Rule, _ *Backend) { r.Span = 0 },
 		"capacity 0":     func(_ *Rule, b *Backend) { b.Capacity = 0 },
 		"mean work -1":   func(_ *Rule, b *Backend) { b.MeanWork = -1 },
--- a/internal/swim/bounds_test.go
+++ b/internal/swim/bounds_test.go
@@ -10,30 +10,30 @@
 // tell has a member hear of another.
 func tell(m *Machine, now time.Duration, i int, state State) {
 	name := fmt.Sprintf("m%04d", i)
-	m.Receive(now, &Message{Self: Update{Name: name, Addr: "at-" + name, Life: 1, State: state}})
+	m.Receive(now, &Message{Self: Update{Name: name, Addr: "at-" + name, Incarnation: 1, State: state}})
 }
 
 // A member knows as many others as the bound says. One more is counted and changes nothing, and is taken when another has gone.
 func TestMembersAtTheirBound(t *testing.T) {
 	now := time.Second
-	m := New(Config{Name: "self", Addr: "at-self", Life: 1}, now, rand.New(rand.NewPCG(1, 2)))
+	m := New(Config{Name: "self", Addr: "at-self", Incarnation: 1}, now, rand.New(rand.NewPCG(1, 2)))
 	for i := range MaxMembers {
 		tell(m, now, i, Alive)
 	}
 	before := m.sum
-	if m.Alive() != MaxMembers || m.Counts().Full != 0 {
-		t.Fatalf("%d of %d members, %d without room", m.Alive(), MaxMembers, m.Counts().Full)
+	if m.AliveCount() != MaxMembers || m.Counts().Full != 0 {
+		t.Fatalf("%d of %d members, %d without room", m.AliveCount(), MaxMembers, m.Counts().Full)
 	}
 	tell(m, now, MaxMembers, Alive)
-	if m.Alive() != MaxMembers || m.Counts().Full != 1 || m.sum != before {
-		t.Fatalf("%d members, %d without room", m.Alive(), m.Counts().Full)
+	if m.AliveCount() != MaxMembers || m.Counts().Full != 1 || m.sum != before {
+		t.Fatalf("%d members, %d without room", m.AliveCount(), m.Counts().Full)
 	}
 	tell(m, now, 0, Left)
 	now += leftKept + time.Second
 	m.forgot, m.now = now-forgetEvery, now
 	m.forget()
 	tell(m, now, MaxMembers, Alive)
-	if _, known := m.Member(fmt.Sprintf("m%04d", MaxMembers)); !known || m.Alive() != MaxMembers {
-		t.Fatalf("%d members, the last known: %v", m.Alive(), known)
+	if _, known := m.Member(fmt.Sprintf("m%04d", MaxMembers)); !known || m.AliveCount() != MaxMembers {
+		t.Fatalf("%d members, the last known: %v", m.AliveCount(), known)
 	}
 }
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -36,20 +36,20 @@
 // Update is what is believed of a member, as it travels. Updates of one member are ordered by life, incarnation and state;
 // the highest counts, whatever order they come in and however often.
 type Update struct {
-	Name  string `cbor:"1,keyasint"`
-	Addr  string `cbor:"2,keyasint,omitempty"` // host:port that it advertises
-	Hall  string `cbor:"3,keyasint,omitempty"`
-	Life  uint64 `cbor:"4,keyasint"` // of the process: a later start of the name has a higher one
-	Inc   uint32 `cbor:"5,keyasint,omitempty"`
-	State State  `cbor:"6,keyasint,omitempty"`
-	By    string `cbor:"7,keyasint,omitempty"` // who suspects
+	Name        string `cbor:"1,keyasint"`
+	Addr        string `cbor:"2,keyasint,omitempty"` // host:port that it advertises
+	Zone        string `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"4,keyasint"` // of the process: a later start of the name has a higher one
+	Refutation  uint32 `cbor:"5,keyasint,omitempty"`
+	State       State  `cbor:"6,keyasint,omitempty"`
+	SuspectedBy string `cbor:"7,keyasint,omitempty"` // who suspects
 	// Refused says that a message to it was turned back: its host says that nothing listens there.
 	Refused bool `cbor:"8,keyasint,omitempty"`
 }
 
 // over says whether u overrides v.
 func (u Update) over(v Update) bool {
-	return cmp.Or(cmp.Compare(u.Life, v.Life), cmp.Compare(u.Inc, v.Inc), cmp.Compare(u.State, v.State)) > 0
+	return cmp.Or(cmp.Compare(u.Incarnation, v.Incarnation), cmp.Compare(u.Refutation, v.Refutation), cmp.Compare(u.State, v.State)) > 0
 }
 
 // Kind says what a message asks for.
@@ -57,37 +57,37 @@
 
 // The kinds. A kind that is not known is carried by nobody and answered by nobody; the updates in it count.
 const (
-	Gossip    Kind = iota // updates alone
-	Ping                  // answer with Ack
-	Ack                   // answers the Ping of the nonce
-	PingReq               // ping Target, and pass its Ack on
-	RosterAsk             // answer with Roster: all members after a name
+	Gossip        Kind = iota // updates alone
+	Ping                      // answer with Ack
+	Ack                       // answers the Ping of the nonce
+	PingReq                   // ping Target, and pass its Ack on
+	RosterRequest             // answer with Roster: all members after a name
 	Roster
 )
 
 // Message is one message between members.
 type Message struct {
-	Kind    Kind     `cbor:"1,keyasint,omitempty"`
-	Self    Update   `cbor:"2,keyasint"`           // the sender
-	To      string   `cbor:"3,keyasint,omitempty"` // whom it is meant for; empty: whoever is at the address
-	Nonce   uint64   `cbor:"4,keyasint,omitempty"`
-	Target  string   `cbor:"5,keyasint,omitempty"` // of PingReq
-	Updates []Update `cbor:"6,keyasint,omitempty"`
-	View    uint64   `cbor:"7,keyasint,omitempty"` // a sum over all that the sender believes
-	After   string   `cbor:"8,keyasint,omitempty"` // of RosterAsk and Roster
-	More    bool     `cbor:"9,keyasint,omitempty"` // of Roster: there is another page
+	Kind     Kind     `cbor:"1,keyasint,omitempty"`
+	Self     Update   `cbor:"2,keyasint"`           // the sender
+	To       string   `cbor:"3,keyasint,omitempty"` // whom it is meant for; empty: whoever is at the address
+	Nonce    uint64   `cbor:"4,keyasint,omitempty"`
+	Target   string   `cbor:"5,keyasint,omitempty"` // of PingReq
+	Updates  []Update `cbor:"6,keyasint,omitempty"`
+	ViewHash uint64   `cbor:"7,keyasint,omitempty"` // a sum over all that the sender believes
+	After    string   `cbor:"8,keyasint,omitempty"` // of RosterAsk and Roster
+	More     bool     `cbor:"9,keyasint,omitempty"` // of Roster: there is another page
 }
 
 // Out is a message to be sent to an advertised address.
-type Out struct {
-	Addr string
-	Msg  *Message
+type Envelope struct {
+	Addr    string
+	Message *Message
 }
 
 // Config is one member. Times that are zero have their usual value.
 type Config struct {
-	Name, Addr, Hall string
-	Life             uint64
+	Name, Addr, Zone string
+	Incarnation      uint64
 	Seeds            []string      // addresses that are asked while they are not known as members'
 	Period           time.Duration // between two probes
 	Timeout          time.Duration // of a direct probe; then others are asked to try
@@ -164,18 +164,18 @@
 // Member is a member as it is shown.
 type Member struct {
 	Update
-	Since time.Duration // its state holds since then
-	Heard time.Duration // when it was last heard itself; 0: never
+	Since   time.Duration // its state holds since then
+	HeardAt time.Duration // when it was last heard itself; 0: never
 }
 
 // Counts is what went wrong so far.
 type Counts struct {
-	Stalls    int `json:"Stalls"`    // times that this process did not run for long
-	Refuted   int `json:"Refuted"`   // suspicions of this member that it has answered
-	EndedLife int `json:"EndedLife"` // messages from a life that has ended
-	Refusals  int `json:"Refusals"`  // members that were suspected for turning a message back
-	Stray     int `json:"Stray"`     // messages that were meant for another, or of oneself
-	Full      int `json:"Full"`      // updates about members for whom there was no room
+	Stalls           int `json:"Stalls"`    // times that this process did not run for long
+	Refuted          int `json:"Refuted"`   // suspicions of this member that it has answered
+	EndedIncarnation int `json:"EndedLife"` // messages from a life that has ended
+	Refusals         int `json:"Refusals"`  // members that were suspected for turning a message back
+	Stray            int `json:"Stray"`     // messages that were meant for another, or of oneself
+	Full             int `json:"Full"`      // updates about members for whom there was no room
 }
 
 // Machine is one member's view and protocol. It is used by one goroutine at a time.
@@ -204,7 +204,7 @@
 	counts   Counts
 	lastTick time.Duration
 	tries    int
-	out      []Out
+	out      []Envelope
 	notes    []Change
 	alive    int
 	suspects []string      // names, sorted
@@ -214,10 +214,10 @@
 // Change is a change of the view, for the log.
 type Change struct {
 	Update
-	Was  State
-	New  bool // it was not known, or not in this life
-	Gone bool // it is forgotten
-	Told bool // of a death: hosts have turned messages back, two at the least; it was no mere silence
+	Previous  State
+	New       bool // it was not known, or not in this life
+	Forgotten bool // it is forgotten
+	Confirmed bool // of a death: hosts have turned messages back, two at the least; it was no mere silence
 }
 
 // New returns a member that knows nobody.
@@ -225,7 +225,7 @@
 	cfg.Period = cmp.Or(cfg.Period, DefaultPeriod)
 	cfg.Timeout = cmp.Or(cfg.Timeout, min(DefaultTimeout, cfg.Period*2/5))
 	m := &Machine{cfg: cfg, rng: rng, now: now, members: map[string]*member{}, lastTick: now,
-		self: Update{Name: cfg.Name, Addr: cfg.Addr, Hall: cfg.Hall, Life: cfg.Life}}
+		self: Update{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Incarnation: cfg.Incarnation}}
 	m.next = now + m.spread(cfg.Period)
 	m.reach = now
 	m.sum = sumOf(m.self)
@@ -250,17 +250,17 @@
 func (m *Machine) Counts() Counts { return m.counts }
 
 // Over says why this member takes part no longer; empty: it does.
-func (m *Machine) Over() string { return m.over }
+func (m *Machine) LeftReason() string { return m.over }
 
 // Alive is how many others are held to be there, the suspected among them.
-func (m *Machine) Alive() int { return m.alive }
+func (m *Machine) AliveCount() int { return m.alive }
 
 // Members are all others that are known, by name.
 func (m *Machine) Members() []Member {
 	out := make([]Member, 0, len(m.names))
 	for _, n := range m.names {
 		x := m.members[n]
-		out = append(out, Member{Update: x.Update, Since: x.since, Heard: x.direct})
+		out = append(out, Member{Update: x.Update, Since: x.since, HeardAt: x.direct})
 	}
 	return out
 }
@@ -271,7 +271,7 @@
 	if x == nil {
 		return Member{}, false
 	}
-	return Member{Update: x.Update, Since: x.since, Heard: x.direct}, true
+	return Member{Update: x.Update, Since: x.since, HeardAt: x.direct}, true
 }
 
 // Changes hands over what has changed since it was last called.
@@ -282,7 +282,7 @@
 }
 
 // Due is when Tick has something to do.
-func (m *Machine) Due() time.Duration {
+func (m *Machine) NextTick() time.Duration {
 	due := min(m.next, m.reach)
 	if m.probe.began {
 		if m.probe.acked || m.probe.asked {
@@ -298,7 +298,7 @@
 }
 
 // Tick does what is due.
-func (m *Machine) Tick(now time.Duration) []Out {
+func (m *Machine) Tick(now time.Duration) []Envelope {
 	m.now, m.out = max(now, m.now), nil
 	if m.over != "" || m.leaving {
 		m.lastTick, m.next, m.reach = m.now, m.now+time.Hour, m.now+time.Hour
@@ -315,7 +315,7 @@
 			continue
 		}
 		dead, told := x.Update, len(x.refused) >= refusedMembers
-		dead.State, dead.By, dead.Refused = Dead, m.self.Name, false
+		dead.State, dead.SuspectedBy, dead.Refused = Dead, m.self.Name, false
 		m.apply(dead) // it is no suspect any more
 		if told {     // the others have suspected it for a moment only
 			m.spreadWord(dead)
@@ -404,7 +404,7 @@
 	case p.asked && m.now >= p.until:
 		m.worse()
 		u := x.Update
-		u.State, u.By, u.Refused = Suspect, m.self.Name, false
+		u.State, u.SuspectedBy, u.Refused = Suspect, m.self.Name, false
 		*p = probe{}
 		m.apply(u)
 	}
@@ -431,7 +431,7 @@
 }
 
 // Some are the addresses and names of up to n members that are held to be there, drawn by chance.
-func (m *Machine) Some(n int) []Update {
+func (m *Machine) RandomMembers(n int) []Update {
 	var out []Update
 	for _, x := range m.some(n, func(x *member) bool { return x.State <= Suspect }) {
 		out = append(out, x.Update)
@@ -476,7 +476,7 @@
 		if x.State == Left && m.now-x.since > leftKept || x.State == Dead && m.now-x.since > deadKept {
 			m.sum ^= sumOf(x.Update)
 			m.version++
-			m.notes = append(m.notes, Change{Update: x.Update, Was: x.State, Gone: true})
+			m.notes = append(m.notes, Change{Update: x.Update, Previous: x.State, Forgotten: true})
 			delete(m.members, n)
 			return true
 		}
@@ -485,7 +485,7 @@
 }
 
 // Leave tells a few members that this one goes; it takes part no longer.
-func (m *Machine) Leave(now time.Duration) []Out {
+func (m *Machine) Leave(now time.Duration) []Envelope {
 	m.now, m.out = max(now, m.now), nil
 	if m.leaving || m.over != "" {
 		return nil
@@ -499,13 +499,13 @@
 }
 
 // Receive takes a message in, and returns what is to be answered.
-func (m *Machine) Receive(now time.Duration, msg *Message) []Out {
+func (m *Machine) Receive(now time.Duration, msg *Message) []Envelope {
 	m.now, m.out = max(now, m.now), nil
 	from := msg.Self
 	switch {
 	case m.over != "" || m.leaving:
 		return nil
-	case from.Name == m.self.Name && from.Life == m.self.Life, msg.To != "" && msg.To != m.self.Name:
+	case from.Name == m.self.Name && from.Incarnation == m.self.Incarnation, msg.To != "" && msg.To != m.self.Name:
 		m.counts.Stray++
 		return nil
 	case !usable(from):
@@ -516,8 +516,8 @@
 		m.namesake(from)
 		return m.out
 	}
-	if x := m.members[from.Name]; x != nil && x.Life > from.Life {
-		m.counts.EndedLife++
+	if x := m.members[from.Name]; x != nil && x.Incarnation > from.Incarnation {
+		m.counts.EndedIncarnation++
 		if from.State <= Suspect { // whoever it is, it is told who has its name now
 			m.send(from.Addr, &Message{To: from.Name}, x)
 		}
@@ -543,7 +543,7 @@
 			m.relays = append(m.relays, r)
 			m.send(t.Addr, &Message{Kind: Ping, To: t.Name, Nonce: r.nonce}, t)
 		}
-	case RosterAsk:
+	case RosterRequest:
 		m.page(from.Addr, msg.After, from.Name)
 	case Roster:
 		if m.paging != from.Name {
@@ -552,7 +552,7 @@
 		m.pageAt = m.now
 		if m.paging = ""; msg.More && len(msg.Updates) > 0 {
 			m.paging = from.Name
-			m.send(from.Addr, &Message{Kind: RosterAsk, To: from.Name, After: msg.Updates[len(msg.Updates)-1].Name}, nil)
+			m.send(from.Addr, &Message{Kind: RosterRequest, To: from.Name, After: msg.Updates[len(msg.Updates)-1].Name}, nil)
 		}
 	}
 	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool { return m.now > r.until })
@@ -578,12 +578,12 @@
 	if m.paging != "" && m.now-m.pageAt > syncEvery {
 		m.paging = ""
 	}
-	if msg.View == m.sum || m.now < m.sync || m.paging != "" || from.State > Suspect {
+	if msg.ViewHash == m.sum || m.now < m.sync || m.paging != "" || from.State > Suspect {
 		return
 	}
 	m.sync = m.now + m.spread(syncEvery*time.Duration(1+len(m.names)/syncMembers))
 	m.paging, m.pageAt = from.Name, m.now
-	m.send(from.Addr, &Message{Kind: RosterAsk, To: from.Name}, nil)
+	m.send(from.Addr, &Message{Kind: RosterRequest, To: from.Name}, nil)
 }
 
 // page answers with the members after a name.
@@ -597,13 +597,13 @@
 		msg.Updates = append(msg.Updates, m.members[m.names[i]].Update)
 	}
 	msg.More = i < len(m.names)
-	m.out = append(m.out, Out{to, m.stamp(msg)})
+	m.out = append(m.out, Envelope{to, m.stamp(msg)})
 }
 
 // namesake deals with another process of this member's name: an earlier one of its own, or one that should not be there.
 func (m *Machine) namesake(u Update) {
-	if u.Life <= m.self.Life {
-		m.counts.EndedLife++
+	if u.Incarnation <= m.self.Incarnation {
+		m.counts.EndedIncarnation++
 		return
 	}
 	if m.lives++; m.lives > mostLives {
@@ -612,14 +612,14 @@
 		return
 	}
 	m.sum ^= sumOf(m.self)
-	m.self.Life, m.self.Inc = u.Life+1, 0
+	m.self.Incarnation, m.self.Refutation = u.Incarnation+1, 0
 	m.sum ^= sumOf(m.self)
 	m.version++
 	m.tell(m.self)
 }
 
 func usable(u Update) bool {
-	return u.Name != "" && len(u.Name) <= mostName && len(u.Addr) <= mostName && len(u.Hall) <= mostName && u.Addr != "" && u.State <= Left
+	return u.Name != "" && len(u.Name) <= mostName && len(u.Addr) <= mostName && len(u.Zone) <= mostName && u.Addr != "" && u.State <= Left
 }
 
 // apply takes over what overrides what is held.
@@ -630,11 +630,11 @@
 	}
 	if u.Name == m.self.Name {
 		switch {
-		case u.Life > m.self.Life:
+		case u.Incarnation > m.self.Incarnation:
 			m.namesake(u)
-		case u.Life == m.self.Life && u.State != Alive && u.Inc >= m.self.Inc: // it is not so
+		case u.Incarnation == m.self.Incarnation && u.State != Alive && u.Refutation >= m.self.Refutation: // it is not so
 			m.sum ^= sumOf(m.self)
-			m.self.Inc = u.Inc + 1
+			m.self.Refutation = u.Refutation + 1
 			m.sum ^= sumOf(m.self)
 			m.counts.Refuted++
 			m.worse()
@@ -672,8 +672,8 @@
 		return
 	}
 	m.confirm(x, u)
-	if u.State == Suspect && x.State == Suspect && u.Life == x.Life && u.Inc == x.Inc && u.By != "" && !slices.Contains(x.by, u.By) && len(x.by) <= helpers {
-		x.by = append(x.by, u.By)
+	if u.State == Suspect && x.State == Suspect && u.Incarnation == x.Incarnation && u.Refutation == x.Refutation && u.SuspectedBy != "" && !slices.Contains(x.by, u.SuspectedBy) && len(x.by) <= helpers {
+		x.by = append(x.by, u.SuspectedBy)
 		x.until = min(x.until, x.began+m.patience(len(x.by)-1))
 		m.tell(u)
 	}
@@ -682,7 +682,7 @@
 // Refused takes note that a message to an address was turned back by its host: no process listens there. That is a hint and no more (it may
 // be forged, or of one way alone), but one that comes within a moment of a death: the others are told at once, try themselves, and where two
 // were turned back and nobody refutes it, the member is held to be dead without the patience that silence needs.
-func (m *Machine) Refused(now time.Duration, addr string) []Out {
+func (m *Machine) Refused(now time.Duration, addr string) []Envelope {
 	m.now, m.out = max(now, m.now), nil
 	if m.over != "" || m.leaving {
 		return nil
@@ -694,7 +694,7 @@
 		}
 		m.counts.Refusals++
 		u := x.Update
-		u.State, u.By, u.Refused = Suspect, m.self.Name, true
+		u.State, u.SuspectedBy, u.Refused = Suspect, m.self.Name, true
 		m.apply(u)
 		m.spreadWord(u)
 	}
@@ -704,16 +704,16 @@
 // spreadWord tells a few members at once.
 func (m *Machine) spreadWord(u Update) {
 	for _, h := range m.some(refusedFanout, func(h *member) bool { return h.State == Alive }) {
-		m.out = append(m.out, Out{h.Addr, m.stamp(&Message{To: h.Name, Updates: []Update{u}})})
+		m.out = append(m.out, Envelope{h.Addr, m.stamp(&Message{To: h.Name, Updates: []Update{u}})})
 	}
 }
 
 // confirm counts who was turned back by a suspected member, and tries itself where it was not among them.
 func (m *Machine) confirm(x *member, u Update) {
-	if !u.Refused || u.State != Suspect || x.State != Suspect || u.Life != x.Life || u.Inc != x.Inc || u.By == "" || slices.Contains(x.refused, u.By) || len(x.refused) > refusedFanout {
+	if !u.Refused || u.State != Suspect || x.State != Suspect || u.Incarnation != x.Incarnation || u.Refutation != x.Refutation || u.SuspectedBy == "" || slices.Contains(x.refused, u.SuspectedBy) || len(x.refused) > refusedFanout {
 		return
 	}
-	x.refused = append(x.refused, u.By)
+	x.refused = append(x.refused, u.SuspectedBy)
 	if len(x.refused) >= refusedMembers {
 		x.until = min(x.until, m.now+refusedPatience)
 	}
@@ -724,7 +724,7 @@
 }
 
 func (m *Machine) set(x *member, u Update, fresh bool) {
-	was, lived := x.Update, x.Life
+	was, lived := x.Update, x.Incarnation
 	if !fresh {
 		m.sum ^= sumOf(was)
 		if was.State <= Suspect {
@@ -735,29 +735,29 @@
 			m.suspects = slices.Delete(m.suspects, i, i+1)
 		}
 	}
-	if x.refused != nil && u.State == Alive && u.Life == was.Life { // it was there all the time
+	if x.refused != nil && u.State == Alive && u.Incarnation == was.Incarnation { // it was there all the time
 		x.doubted = m.now + refusedDoubted
-	} else if u.Life != was.Life {
+	} else if u.Incarnation != was.Incarnation {
 		x.doubted = 0
 	}
 	told := u.State == Dead && len(x.refused) >= refusedMembers
 	x.refused = nil
-	if u.Hall == "" && u.Life == was.Life {
-		u.Hall = was.Hall
+	if u.Zone == "" && u.Incarnation == was.Incarnation {
+		u.Zone = was.Zone
 	}
 	x.Update = u
 	m.sum ^= sumOf(u)
 	if u.State <= Suspect {
 		m.alive++
 	}
-	if u.State != was.State || u.Life != lived || fresh {
+	if u.State != was.State || u.Incarnation != lived || fresh {
 		x.since = m.now
-		m.notes = append(m.notes, Change{Update: u, Was: was.State, New: fresh || u.Life != lived, Told: told})
+		m.notes = append(m.notes, Change{Update: u, Previous: was.State, New: fresh || u.Incarnation != lived, Confirmed: told})
 	}
 	if x.by = nil; u.State == Suspect {
 		i, _ := slices.BinarySearch(m.suspects, u.Name)
 		m.suspects = slices.Insert(m.suspects, i, u.Name)
-		x.by = []string{u.By}
+		x.by = []string{u.SuspectedBy}
 		x.began = m.now
 		x.until = m.now + m.patience(0)
 	}
@@ -780,7 +780,9 @@
 
 // tell puts an update among those that go with messages.
 func (m *Machine) tell(u Update) {
-	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool { return r.u.Name == u.Name && (r.u.By == u.By || r.u.State != u.State) })
+	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool {
+		return r.u.Name == u.Name && (r.u.SuspectedBy == u.SuspectedBy || r.u.State != u.State)
+	})
 	if len(m.rumors) >= mostRumors {
 		m.rumors = m.rumors[1:]
 	}
@@ -799,12 +801,12 @@
 		r.sent++
 	}
 	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool { return r.sent >= most })
-	m.out = append(m.out, Out{addr, m.stamp(msg)})
+	m.out = append(m.out, Envelope{addr, m.stamp(msg)})
 }
 
 // stamp says who sends.
 func (m *Machine) stamp(msg *Message) *Message {
-	msg.Self, msg.View = m.self, m.sum
+	msg.Self, msg.ViewHash = m.self, m.sum
 	return msg
 }
 
@@ -818,10 +820,10 @@
 	h.Write([]byte(u.Name))
 	var b [8 + 4 + 1]byte
 	for i := range 8 {
-		b[i] = byte(u.Life >> (8 * i))
+		b[i] = byte(u.Incarnation >> (8 * i))
 	}
 	for i := range 4 {
-		b[8+i] = byte(u.Inc >> (8 * i))
+		b[8+i] = byte(u.Refutation >> (8 * i))
 	}
 	b[12] = byte(u.State)
 	h.Write(b[:])
--- a/internal/swim/swim_test.go
+++ b/internal/swim/swim_test.go
@@ -38,12 +38,12 @@
 }
 
 func (w *world) start(name string, life uint64, seeds ...string) *Machine {
-	m := New(Config{Name: name, Addr: "at-" + name, Hall: "hall", Life: life, Seeds: seeds}, w.now, rand.New(rand.NewPCG(life, uint64(len(w.members)))))
+	m := New(Config{Name: name, Addr: "at-" + name, Zone: "hall", Incarnation: life, Seeds: seeds}, w.now, rand.New(rand.NewPCG(life, uint64(len(w.members)))))
 	w.members["at-"+name] = m
 	return m
 }
 
-func (w *world) carry(from string, out []Out) {
+func (w *world) carry(from string, out []Envelope) {
 	for _, o := range out {
 		w.sent++
 		if w.cut(from, o.Addr) || w.rng.Float64() < w.lost {
@@ -51,8 +51,8 @@
 		}
 		for range 1 + map[bool]int{true: 1}[w.rng.Float64() < w.twice] {
 			at := w.now + 100*time.Microsecond + time.Duration(w.rng.Float64()*float64(w.late))
-			msg := *o.Msg
-			msg.Updates = slices.Clone(o.Msg.Updates)
+			msg := *o.Message
+			msg.Updates = slices.Clone(o.Message.Updates)
 			w.queue = append(w.queue, flying{at, w.sent, from, o.Addr, msg})
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 		ticks := ""
 		for _, addr := range w.addrs() {
-			if due := max(w.members[addr].Due(), w.now); due < at {
+			if due := max(w.members[addr].NextTick(), w.now); due < at {
 				next, at, ticks = -1, due, addr
 			}
 		}
@@ -260,25 +260,25 @@
 func TestLives(t *testing.T) {
 	w := grown(17, 4)
 	w.run(3 * time.Second)
-	old := Message{Kind: Ping, Self: w.members["at-m002"].Self(), Updates: []Update{{Name: "m003", Addr: "at-m003", Life: 1003, Inc: 7, State: Dead}}}
+	old := Message{Kind: Ping, Self: w.members["at-m002"].Self(), Updates: []Update{{Name: "m003", Addr: "at-m003", Incarnation: 1003, Refutation: 7, State: Dead}}}
 	w.start("m002", 20, "at-m000") // its clock is far behind
 	w.run(6 * time.Second)
 	if err := w.full(names(4)...); err != nil {
 		t.Fatal(err)
 	}
 	x, _ := w.members["at-m000"].Member("m002")
-	if x.Life <= 1002 {
-		t.Fatalf("life %d", x.Life)
+	if x.Incarnation <= 1002 {
+		t.Fatalf("life %d", x.Incarnation)
 	}
-	before := w.members["at-m000"].Counts().EndedLife
+	before := w.members["at-m000"].Counts().EndedIncarnation
 	w.carry("at-m002", w.members["at-m000"].Receive(w.now, &old))
-	if y, _ := w.members["at-m000"].Member("m003"); y.State != Alive || w.members["at-m000"].Counts().EndedLife != before+1 {
+	if y, _ := w.members["at-m000"].Member("m003"); y.State != Alive || w.members["at-m000"].Counts().EndedIncarnation != before+1 {
 		t.Fatal("an ended life was believed", y)
 	}
-	twin := New(Config{Name: "m002", Addr: "at-twin", Life: 5000, Seeds: []string{"at-m000"}}, w.now, rand.New(rand.NewPCG(1, 1)))
+	twin := New(Config{Name: "m002", Addr: "at-twin", Incarnation: 5000, Seeds: []string{"at-m000"}}, w.now, rand.New(rand.NewPCG(1, 1)))
 	w.members["at-twin"] = twin
 	w.run(30 * time.Second)
-	if over := []bool{twin.Over() != "", w.members["at-m002"].Over() != ""}; over[0] == over[1] {
+	if over := []bool{twin.LeftReason() != "", w.members["at-m002"].LeftReason() != ""}; over[0] == over[1] {
 		t.Fatalf("given up: %v", over)
 	}
 }
@@ -307,15 +307,15 @@
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gen := rapid.Custom(func(t *rapid.T) Update {
-			return Update{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "x", Life: rapid.Uint64Range(1, 3).Draw(t, "life"),
-				Inc: rapid.Uint32Range(0, 2).Draw(t, "inc"), State: State(rapid.IntRange(0, 3).Draw(t, "state"))}
+			return Update{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "x", Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
+				Refutation: rapid.Uint32Range(0, 2).Draw(t, "inc"), State: State(rapid.IntRange(0, 3).Draw(t, "state"))}
 		})
 		list := rapid.SliceOfN(gen, 1, 12).Draw(t, "updates")
 		order := rapid.Permutation(list).Draw(t, "order")
 		twice := slices.Concat(order, list[:rapid.IntRange(0, len(list)).Draw(t, "again")])
-		known := []Update{{Name: "a", Addr: "x", Life: 1}, {Name: "b", Addr: "x", Life: 1}} // both sides have met them
+		known := []Update{{Name: "a", Addr: "x", Incarnation: 1}, {Name: "b", Addr: "x", Incarnation: 1}} // both sides have met them
 		apply := func(list []Update) *Machine {
-			m := New(Config{Name: "self", Addr: "y", Life: 1}, 0, rand.New(rand.NewPCG(1, 1)))
+			m := New(Config{Name: "self", Addr: "y", Incarnation: 1}, 0, rand.New(rand.NewPCG(1, 1)))
 			for _, u := range slices.Concat(known, list) {
 				m.apply(u)
 			}
@@ -354,7 +354,7 @@
 	m := w.members["at-m000"]
 	before := m.sum
 	for _, msg := range []Message{{}, {Self: Update{Name: strings.Repeat("x", 100), Addr: "y"}}, {Self: Update{Name: "z"}}, {Self: Update{Name: "z", Addr: "y", State: 9}},
-		{Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Life: 1}}} {
+		{Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Incarnation: 1}}} {
 		if out := m.Receive(w.now, &msg); len(out) > 0 || m.sum != before {
 			t.Errorf("%+v: %v", msg, out)
 		}
--- a/internal/takeover/desk.go
+++ b/internal/takeover/desk.go
@@ -7,30 +7,30 @@
 )
 
 // Act is what may be done with one of this instance's tries, or with a piece of work that it takes over.
-type Act struct {
-	Do     Do
-	Try    uint64
-	N      int
-	Covers bool          // of Go: a keeper has acknowledged the intent
-	Answer Answer        // of Answered
-	At     Place         // of Bind
-	Began  time.Duration // of Bind: when the first attempt of the key went out, at the earliest
-	Take   *Take         // of Finish
+type Action struct {
+	Kind       ActionKind
+	Attempt    uint64
+	Relocation int
+	Covered    bool          // of Go: a keeper has acknowledged the intent
+	Answer     Answer        // of Answered
+	Scope      Scope         // of Bind
+	StartedAt  time.Duration // of Bind: when the first attempt of the key went out, at the earliest
+	Taken      *TakenWork    // of Finish
 }
 
 // Do is the kind of an act.
-type Do uint8
+type ActionKind uint8
 
 // The kinds.
 const (
-	Go       Do = iota + 1 // the attempt may go out
-	Join                   // another try of the key is open: its answer is this one's too
-	Answered               // this is the final answer
-	Bind                   // another try of the key may have run: this one goes on with it in its place
-	Free                   // what was waited for surely never ran: this one may begin
-	Finish                 // a piece of work is taken over
-	Halt                   // the attempt may not go out, and nothing of the try has run
-	Unknown                // to Ask: no other try of the key has an answer
+	ActionSend      ActionKind = iota + 1 // the attempt may go out
+	ActionJoin                            // another try of the key is open: its answer is this one's too
+	ActionUseAnswer                       // this is the final answer
+	ActionAdopt                           // another try of the key may have run: this one goes on with it in its place
+	ActionRestart                         // what was waited for surely never ran: this one may begin
+	ActionTakeOver                        // a piece of work is taken over
+	ActionAbort                           // the attempt may not go out, and nothing of the try has run
+	ActionUnknown                         // to Ask: no other try of the key has an answer
 )
 
 // hand is one try of this instance's that keepers know of, or are asked about.
@@ -40,7 +40,7 @@
 	epoch    uint64
 	here     uint64 // the epoch of the record that is kept here, where there is one
 	n        int
-	at       Place
+	at       Scope
 	began    time.Duration // its first attempt; 0: none yet
 	until    time.Duration
 	order    []string // the key's keepers, this instance among them where it is one
@@ -52,28 +52,28 @@
 	waits    bool // for the keepers' word
 	covers   bool
 	joined   bool
-	asks     bool   // nothing is to be sent for it
-	nowhere  bool   // it moves from Nowhere: the deciding keeper's word is enough, since who would take it over needs the word of all
-	sure     bool   // all keepers had it as being nowhere
-	from     string // whose it was, of work taken over from nowhere: its word is not needed, for it sends nothing without this one's
-	bound    bool   // to the place of another try of the key
-	end      *End   // that the keepers have not all heard
+	asks     bool        // nothing is to be sent for it
+	nowhere  bool        // it moves from Nowhere: the deciding keeper's word is enough, since who would take it over needs the word of all
+	sure     bool        // all keepers had it as being nowhere
+	from     string      // whose it was, of work taken over from nowhere: its word is not needed, for it sends nothing without this one's
+	bound    bool        // to the place of another try of the key
+	end      *Completion // that the keepers have not all heard
 	heard    []bool
 	ends     int
 	endLast  time.Duration
 }
 
 // Desk is one instance's custody: its own tries, and the records that it keeps for others. It is used by one goroutine at a time.
-type Desk struct {
+type Coordinator struct {
 	self    Member
-	keeper  *Keeper
+	keeper  *ReplicaStore
 	members []Member
 	late    map[string]departed // members that have gone of late
 	hands   map[uint64]*hand
 	clock   func(name string) time.Duration // a keeper's clock as last heard
 	now     time.Duration
-	out     []Send
-	acts    []Act
+	out     []Envelope
+	acts    []Action
 	counts  Counts
 	asking  int // hands that ask and are not told yet
 }
@@ -86,46 +86,46 @@
 
 // Counts is what became of this instance's tries.
 type Counts struct {
-	Covered   int          `json:"Covered"`
-	Partly    int          `json:"Partly"`
-	Uncovered int          `json:"Uncovered"`
-	NoKeeper  int          `json:"NoKeeper"`
-	Joined    int          `json:"Joined"`
-	Bound     int          `json:"Bound"`
-	Answered  int          `json:"Answered"`
-	TakenFrom int          `json:"TakenFrom"`
-	Over      int          `json:"Over"`
-	Halted    int          `json:"Halted"`
-	Asked     int          `json:"Asked"`
-	Keeper    KeeperCounts `json:"Keeper"`
+	Covered   int           `json:"Covered"`
+	Partly    int           `json:"Partly"`
+	Uncovered int           `json:"Uncovered"`
+	NoReplica int           `json:"NoKeeper"`
+	Joined    int           `json:"Joined"`
+	Bound     int           `json:"Bound"`
+	Answered  int           `json:"Answered"`
+	TakenFrom int           `json:"TakenFrom"`
+	Over      int           `json:"Over"`
+	Halted    int           `json:"Halted"`
+	Queried   int           `json:"Asked"`
+	Replica   ReplicaCounts `json:"Keeper"`
 }
 
 // NewDesk returns one that knows nobody. clock returns the newest reading of a member's clock that was heard.
-func NewDesk(self Member, life uint64, clock func(name string) time.Duration) *Desk {
-	return &Desk{self: self, keeper: newKeeper(self.Name, life), hands: map[uint64]*hand{}, late: map[string]departed{}, clock: clock, members: []Member{self}}
+func NewCoordinator(self Member, life uint64, clock func(name string) time.Duration) *Coordinator {
+	return &Coordinator{self: self, keeper: newKeeper(self.Name, life), hands: map[uint64]*hand{}, late: map[string]departed{}, clock: clock, members: []Member{self}}
 }
 
 // Drain returns what has come up since it was last called: messages, and what may be done.
-func (d *Desk) Drain() ([]Send, []Act) {
+func (d *Coordinator) Drain() ([]Envelope, []Action) {
 	out, acts := d.out, d.acts
 	d.out, d.acts = nil, nil
 	return out, acts
 }
 
 // Counts is what has happened so far.
-func (d *Desk) Counts() Counts {
+func (d *Coordinator) Counts() Counts {
 	c := d.counts
-	c.Keeper = d.keeper.counts
+	c.Replica = d.keeper.counts
 	return c
 }
 
 // Held is how many pieces of work of this instance are in hand, and how many records and bytes it keeps for all.
-func (d *Desk) Held() (inHand, records, bytes int) {
+func (d *Coordinator) Pending() (inHand, records, bytes int) {
 	return len(d.hands), len(d.keeper.records), d.keeper.bytes
 }
 
 // Members tells who is there, this instance among them. Who has gone is told by Left, before.
-func (d *Desk) Members(members []Member) {
+func (d *Coordinator) SetMembers(members []Member) {
 	d.members = members
 	for _, m := range members {
 		delete(d.late, m.Name)
@@ -133,7 +133,7 @@
 }
 
 // Left tells that a life of a member has ended, or is held to have.
-func (d *Desk) Left(now time.Duration, name string, life uint64) {
+func (d *Coordinator) MemberLeft(now time.Duration, name string, life uint64) {
 	d.now = max(now, d.now)
 	for _, m := range d.members {
 		if m.Name == name {
@@ -151,44 +151,44 @@
 }
 
 // Back tells that a member is there.
-func (d *Desk) Back(name string, life uint64) { d.keeper.back(name, life) }
+func (d *Coordinator) MemberReturned(name string, life uint64) { d.keeper.back(name, life) }
 
-func (d *Desk) act(a Act) { d.acts = append(d.acts, a) }
+func (d *Coordinator) act(a Action) { d.acts = append(d.acts, a) }
 
 // gather takes what the keeper here has to say and to do.
-func (d *Desk) gather() {
+func (d *Coordinator) gather() {
 	sends, takes := d.keeper.out, d.keeper.takes
 	d.keeper.out, d.keeper.takes = nil, nil
 	for _, s := range sends {
 		if s.To != d.self.Name {
 			d.out = append(d.out, s)
-		} else if h := d.hands[s.Msg.Told.Try]; h != nil && h.joined {
-			d.told(d.now, h, s.Msg.Told.Answer)
+		} else if h := d.hands[s.Message.Notification.Attempt]; h != nil && h.joined {
+			d.told(d.now, h, s.Message.Notification.Answer)
 		}
 	}
 	for _, t := range takes {
 		d.counts.TakenFrom++
 		from := ""
-		if t.At == Nowhere {
-			t.Began, from = 0, t.From
+		if t.Scope == ScopeNone {
+			t.StartedAt, from = 0, t.Owner
 		}
-		d.hands[t.Try] = &hand{Work: t.Work, try: t.Try, epoch: t.Epoch, n: t.N, at: t.At, began: t.Began, until: t.Until, covers: true, from: from}
-		h := d.hands[t.Try]
-		h.order = Keepers(t.Key, d.members)
+		d.hands[t.Attempt] = &hand{Work: t.Work, try: t.Attempt, epoch: t.Epoch, n: t.Relocation, at: t.Scope, began: t.StartedAt, until: t.Deadline, covers: true, from: from}
+		h := d.hands[t.Attempt]
+		h.order = Replicas(t.Key, d.members)
 		h.keepers = d.keepersOf(d.now, h)
 		h.heard = make([]bool, len(h.keepers))
-		d.act(Act{Do: Finish, Try: t.Try, Take: &t})
+		d.act(Action{Kind: ActionTakeOver, Attempt: t.Attempt, Taken: &t})
 	}
 }
 
 // keepersOf are the others whose word a try needs.
-func (d *Desk) keepersOf(now time.Duration, h *hand) []string {
+func (d *Coordinator) keepersOf(now time.Duration, h *hand) []string {
 	return slices.DeleteFunc(d.others(now, h.order, h.Key), func(n string) bool { return n == h.from })
 }
 
 // others are the keepers of a key that are asked: the first two by those that are there, but for this instance, and those that it had before
 // who has gone of late: a death may be false.
-func (d *Desk) others(now time.Duration, order []string, key string) []string {
+func (d *Coordinator) others(now time.Duration, order []string, key string) []string {
 	not := func(n string) bool { return n == d.self.Name }
 	out := slices.DeleteFunc(slices.Clone(order), not)
 	out = out[:min(2, len(out))]
@@ -201,7 +201,7 @@
 			before = append(before, d.late[name].Member)
 		}
 	}
-	old := slices.DeleteFunc(Keepers(key, before), not)
+	old := slices.DeleteFunc(Replicas(key, before), not)
 	for _, n := range old[:min(2, len(old))] {
 		if !slices.Contains(out, n) {
 			out = append(out, n)
@@ -212,7 +212,7 @@
 
 // Begin asks whether the first attempt of a try may go out to a place. The answer is among what Drain returns: often at once where there is no
 // keeper, else when one has replied, and 100 ms later at the latest.
-func (d *Desk) Begin(now time.Duration, w Work, try uint64, at Place, until time.Duration) {
+func (d *Coordinator) RequestSend(now time.Duration, w Work, try uint64, at Scope, until time.Duration) {
 	d.now = max(now, d.now)
 	h := &hand{Work: w, try: try, at: at, until: until}
 	d.hands[try] = h
@@ -221,20 +221,20 @@
 
 // Ask asks whether another try of a key has an answer or will have one, for a try of which nothing is to be sent: it is about to be refused. It
 // returns false where nobody can be asked; else one of Join, Answered and Unknown is among what Drain returns, now or 25 ms later at the latest.
-func (d *Desk) Ask(now time.Duration, key string, try uint64, until time.Duration) bool {
+func (d *Coordinator) QueryOutcome(now time.Duration, key string, try uint64, until time.Duration) bool {
 	d.now = max(now, d.now)
 	h := &hand{Work: Work{Key: key}, try: try, until: until, asks: true, asked: now, last: now, patience: askPatience}
-	h.order = Keepers(key, d.members)
+	h.order = Replicas(key, d.members)
 	h.keepers = d.others(now, h.order, key)
 	if d.asking >= mostAsking || len(h.keepers) == 0 || d.hands[try] != nil || until-now < 2*askPatience {
 		return false
 	}
-	d.counts.Asked++
+	d.counts.Queried++
 	d.asking++
 	d.hands[try] = h
 	h.replied, h.waits = make([]*Reply, len(h.keepers)), true
 	if slices.Contains(h.order, d.self.Name) {
-		if re := d.keeper.intent(now, d.self.Name, d.keeper.life, d.intentOf(now, h, d.self.Name)); re.Kind == Known {
+		if re := d.keeper.intent(now, d.self.Name, d.keeper.life, d.intentOf(now, h, d.self.Name)); re.Kind == ReplyOtherAttempt {
 			d.heardOf(now, h, re)
 			return true
 		}
@@ -244,7 +244,7 @@
 }
 
 // heardOf takes what a keeper says of a key that was asked for.
-func (d *Desk) heardOf(now time.Duration, h *hand, re Reply) {
+func (d *Coordinator) heardOf(now time.Duration, h *hand, re Reply) {
 	h.waits = false
 	d.asking--
 	if re.Answer != nil {
@@ -253,35 +253,35 @@
 	}
 	h.joined = true
 	d.counts.Joined++
-	d.act(Act{Do: Join, Try: h.try})
+	d.act(Action{Kind: ActionJoin, Attempt: h.try})
 }
 
 // unheard ends an Ask to which nobody has said anything.
-func (d *Desk) unheard(h *hand) {
+func (d *Coordinator) unheard(h *hand) {
 	d.asking--
 	delete(d.hands, h.try)
-	d.act(Act{Do: Unknown, Try: h.try})
+	d.act(Action{Kind: ActionUnknown, Attempt: h.try})
 }
 
 // Move asks whether a further attempt may go out to another place: what went out before surely never ran.
-func (d *Desk) Move(now time.Duration, try uint64, at Place) {
+func (d *Coordinator) MigrateAttempt(now time.Duration, try uint64, at Scope) {
 	d.now = max(now, d.now)
 	h := d.hands[try]
 	if h == nil {
-		d.act(Act{Do: Go, Try: try})
+		d.act(Action{Kind: ActionSend, Attempt: try})
 		return
 	}
 	if h.at == at {
-		d.act(Act{Do: Go, Try: try, N: h.n, Covers: h.covers})
+		d.act(Action{Kind: ActionSend, Attempt: try, Relocation: h.n, Covered: h.covers})
 		return
 	}
 	h.n++
-	if h.nowhere = h.at == Nowhere && h.from == ""; h.at == Nowhere {
+	if h.nowhere = h.at == ScopeNone && h.from == ""; h.at == ScopeNone {
 		h.covers = true // it goes with a keeper's word, or not at all
 	}
 	h.at, h.began = at, 0
 	if len(h.keepers) == 0 {
-		d.act(Act{Do: Go, Try: try, N: h.n})
+		d.act(Action{Kind: ActionSend, Attempt: try, Relocation: h.n})
 		return
 	}
 	d.ask(now, h)
@@ -289,17 +289,17 @@
 
 // Confirm asks whether nobody has taken over a try that is about to be refused: a refusal says that nothing has run. Go: nobody has;
 // Halt: it can't be known; Join and Answered as ever. It takes 25 ms at the most.
-func (d *Desk) Confirm(now time.Duration, try uint64) {
+func (d *Coordinator) ConfirmRejection(now time.Duration, try uint64) {
 	d.now = max(now, d.now)
 	h := d.hands[try]
 	if h == nil {
-		d.act(Act{Do: Halt, Try: try})
+		d.act(Action{Kind: ActionAbort, Attempt: try})
 		return
 	}
 	h.n++
-	h.nowhere, h.covers = h.at == Nowhere && h.from == "", true
+	h.nowhere, h.covers = h.at == ScopeNone && h.from == "", true
 	if len(h.keepers) == 0 {
-		d.act(Act{Do: Go, Try: try, N: h.n})
+		d.act(Action{Kind: ActionSend, Attempt: try, Relocation: h.n})
 		return
 	}
 	d.ask(now, h)
@@ -308,29 +308,29 @@
 }
 
 // keep chooses a try's keepers by the members that are there now, and asks them.
-func (d *Desk) keep(now time.Duration, h *hand) {
-	h.order = Keepers(h.Key, d.members)
+func (d *Coordinator) keep(now time.Duration, h *hand) {
+	h.order = Replicas(h.Key, d.members)
 	h.keepers = d.keepersOf(now, h)
 	h.heard = make([]bool, len(h.keepers))
 	if slices.Contains(h.order, d.self.Name) { // the others' tries of the key are decided here
 		re := d.keeper.intent(now, d.self.Name, d.keeper.life, d.intentOf(now, h, d.self.Name))
 		d.gather()
-		if re.Kind != Granted && re.Kind != Full {
+		if re.Kind != ReplyGranted && re.Kind != ReplyFull {
 			d.decided(now, h, re, true)
 			return
 		}
 		h.epoch, h.here = max(h.epoch, re.Epoch), re.Epoch
 	}
 	if len(h.keepers) == 0 {
-		d.counts.NoKeeper++
-		d.act(Act{Do: Go, Try: h.try, N: h.n})
+		d.counts.NoReplica++
+		d.act(Action{Kind: ActionSend, Attempt: h.try, Relocation: h.n})
 		return
 	}
 	d.ask(now, h)
 }
 
 // ask sends the intent to the keepers.
-func (d *Desk) ask(now time.Duration, h *hand) {
+func (d *Coordinator) ask(now time.Duration, h *hand) {
 	first := !h.covers
 	h.asked, h.last, h.replied = now, now, make([]*Reply, len(h.keepers))
 	h.waits = first || h.began == 0
@@ -339,20 +339,20 @@
 }
 
 // request sends a try's intent to the keepers that have not replied to it.
-func (d *Desk) request(now time.Duration, h *hand) {
+func (d *Coordinator) request(now time.Duration, h *hand) {
 	h.last = now
 	for i, k := range h.keepers {
 		if h.replied[i] == nil {
-			d.out = append(d.out, Send{k, Message{Intent: d.intentOf(now, h, k)}})
+			d.out = append(d.out, Envelope{k, Message{Intent: d.intentOf(now, h, k)}})
 		}
 	}
 }
 
-func (d *Desk) intentOf(now time.Duration, h *hand, keeper string) *Intent {
+func (d *Coordinator) intentOf(now time.Duration, h *hand, keeper string) *Intent {
 	if h.asks {
-		return &Intent{Work: h.Work, Try: h.try, Asks: true}
+		return &Intent{Work: h.Work, Attempt: h.try, QueryOnly: true}
 	}
-	in := &Intent{Work: h.Work, Try: h.try, Epoch: h.epoch, N: h.n, At: h.at, Left: max(0, h.until-now), Order: h.order}
+	in := &Intent{Work: h.Work, Attempt: h.try, Epoch: h.epoch, Relocation: h.n, Scope: h.at, Remaining: max(0, h.until-now), Replicas: h.order}
 	if h.began > 0 {
 		in.Age = now - h.began
 	}
@@ -363,14 +363,14 @@
 }
 
 // Sent tells that an attempt has gone out: from now on it may have run.
-func (d *Desk) Sent(now time.Duration, try uint64) {
+func (d *Coordinator) AttemptSent(now time.Duration, try uint64) {
 	if h := d.hands[try]; h != nil && h.began == 0 {
 		h.began = now
 	}
 }
 
 // Finish tells how a try ended here; its keepers are told, now and again until they have heard it.
-func (d *Desk) Finish(now time.Duration, try uint64, a Answer) {
+func (d *Coordinator) Complete(now time.Duration, try uint64, a Answer) {
 	d.now = max(now, d.now)
 	h := d.hands[try]
 	if h == nil || h.end != nil {
@@ -383,27 +383,27 @@
 		delete(d.hands, try)
 		return
 	}
-	if a.Kind == Never && h.began > 0 && h.epoch == 0 {
-		a.Kind = Failed
+	if a.Kind == AnswerNeverRan && h.began > 0 && h.epoch == 0 {
+		a.Kind = AnswerFailed
 	}
 	if len(a.Value) > mostAnswer {
-		a.Value, a.Cut = nil, true
+		a.Value, a.Truncated = nil, true
 	}
-	h.end = &End{h.Key, h.try, h.epoch, a}
+	h.end = &Completion{h.Key, h.try, h.epoch, a}
 	h.waits = false
 	d.keeper.end(now, d.self.Name, h.end)
 	d.gather()
 	d.tellEnd(now, h)
 }
 
-func (d *Desk) tellEnd(now time.Duration, h *hand) {
+func (d *Coordinator) tellEnd(now time.Duration, h *hand) {
 	h.ends++
 	h.endLast = now
 	all := true
 	for i, k := range h.keepers {
 		if !h.heard[i] {
 			all = false
-			d.out = append(d.out, Send{k, Message{End: h.end}})
+			d.out = append(d.out, Envelope{k, Message{Completion: h.end}})
 		}
 	}
 	if all || h.ends >= mostEnds {
@@ -412,25 +412,25 @@
 }
 
 // Receive takes a message of a member's life in.
-func (d *Desk) Receive(now time.Duration, from string, life uint64, m Message) {
+func (d *Coordinator) Receive(now time.Duration, from string, life uint64, m Message) {
 	d.now = max(now, d.now)
 	switch {
 	case m.Intent != nil:
 		if usable(m.Intent) {
 			re := d.keeper.intent(now, from, life, m.Intent)
-			d.out = append(d.out, Send{from, Message{Reply: &re}})
+			d.out = append(d.out, Envelope{from, Message{Reply: &re}})
 		}
 	case m.Reply != nil:
-		if h := d.hands[m.Reply.Try]; h != nil && h.Key == m.Reply.Key {
-			if i := slices.Index(h.keepers, from); i >= 0 && m.Reply.N == h.n {
+		if h := d.hands[m.Reply.Attempt]; h != nil && h.Key == m.Reply.Key {
+			if i := slices.Index(h.keepers, from); i >= 0 && m.Reply.Relocation == h.n {
 				d.reply(now, h, i, *m.Reply)
 			}
 		}
-	case m.End != nil:
-		d.keeper.end(now, from, m.End)
-		d.out = append(d.out, Send{from, Message{Ended: &End{Key: m.End.Key, Try: m.End.Try}}})
-	case m.Ended != nil:
-		if h := d.hands[m.Ended.Try]; h != nil && h.end != nil {
+	case m.Completion != nil:
+		d.keeper.end(now, from, m.Completion)
+		d.out = append(d.out, Envelope{from, Message{CompletionAck: &Completion{Key: m.Completion.Key, Attempt: m.Completion.Attempt}}})
+	case m.CompletionAck != nil:
+		if h := d.hands[m.CompletionAck.Attempt]; h != nil && h.end != nil {
 			if i := slices.Index(h.keepers, from); i >= 0 {
 				h.heard[i] = true
 			}
@@ -438,9 +438,9 @@
 				delete(d.hands, h.try)
 			}
 		}
-	case m.Told != nil:
-		if h := d.hands[m.Told.Try]; h != nil && h.joined && h.Key == m.Told.Key {
-			d.told(now, h, m.Told.Answer)
+	case m.Notification != nil:
+		if h := d.hands[m.Notification.Attempt]; h != nil && h.joined && h.Key == m.Notification.Key {
+			d.told(now, h, m.Notification.Answer)
 		}
 	}
 	d.gather()
@@ -448,33 +448,33 @@
 
 func usable(in *Intent) bool {
 	size := 0
-	for _, w := range in.Words {
+	for _, w := range in.Command {
 		size += len(w)
 	}
-	return in.Key != "" && len(in.Key) <= 512 && size <= MostBody && in.Left >= 0 && in.Left <= time.Minute && in.Age >= 0 && in.Age <= time.Hour && in.Memory >= 0 &&
-		in.Memory <= time.Hour && len(in.Class) <= 128 && len(in.Plan) <= 128 && len(in.Customer) <= 128 && len(in.Words) <= 16
+	return in.Key != "" && len(in.Key) <= 512 && size <= MaxBody && in.Remaining >= 0 && in.Remaining <= time.Minute && in.Age >= 0 && in.Age <= time.Hour && in.IdempotencyWindow >= 0 &&
+		in.IdempotencyWindow <= time.Hour && len(in.Class) <= 128 && len(in.Plan) <= 128 && len(in.Tenant) <= 128 && len(in.Command) <= 16
 }
 
 // reply takes a keeper's word.
-func (d *Desk) reply(now time.Duration, h *hand, i int, re Reply) {
+func (d *Coordinator) reply(now time.Duration, h *hand, i int, re Reply) {
 	if h.asks {
 		if !h.waits {
 			return
 		}
-		if h.replied[i] = &re; re.Kind == Known {
+		if h.replied[i] = &re; re.Kind == ReplyOtherAttempt {
 			d.heardOf(now, h, re)
 		} else if !slices.Contains(h.replied, nil) {
 			d.unheard(h)
 		}
 		return
 	}
-	if re.Kind == Again {
+	if re.Kind == ReplyStaleClock {
 		if now-h.asked < h.patience && h.waits {
-			d.out = append(d.out, Send{h.keepers[i], Message{Intent: d.again(now, h, i, re.Clock)}})
+			d.out = append(d.out, Envelope{h.keepers[i], Message{Intent: d.again(now, h, i, re.Clock)}})
 		}
 		return
 	}
-	if re.Kind == Granted {
+	if re.Kind == ReplyGranted {
 		h.epoch = max(h.epoch, re.Epoch)
 	}
 	if !h.waits || h.end != nil || h.joined {
@@ -486,10 +486,10 @@
 
 // decide comes to a decision when all that were asked have replied, or when the others have been silent for long enough. It returns whether it
 // did.
-func (d *Desk) decide(now time.Duration, h *hand) bool {
+func (d *Coordinator) decide(now time.Duration, h *hand) bool {
 	lead := h.order[0] == d.self.Name // what decides has granted it: here, or there
 	if re := h.replied[0]; re != nil && h.keepers[0] == h.order[0] {
-		lead = re.Kind == Granted
+		lead = re.Kind == ReplyGranted
 	}
 	var first, knows *Reply // who has replied; who knows of another try
 	missing, all := false, true
@@ -500,70 +500,70 @@
 			_, late := d.late[h.keepers[i]]
 			missing = missing || !late || now-h.asked < gonePatience
 			continue
-		case lead && h.from == "" && (re.Kind == Known || re.Kind == Over) && re.Answer == nil && re.First == h.order[0]:
+		case lead && h.from == "" && (re.Kind == ReplyOtherAttempt || re.Kind == ReplyTakenOver) && re.Answer == nil && re.Primary == h.order[0]:
 			continue // that try has asked the same keeper, and lost
 		case first == nil:
 			first = re
 		}
-		if knows == nil && re.Kind != Granted && re.Kind != Full {
+		if knows == nil && re.Kind != ReplyGranted && re.Kind != ReplyFull {
 			knows = re
 		}
 	}
 	switch {
-	case knows != nil && knows.Answer != nil && knows.Answer.Kind == Served: // nobody can say more
+	case knows != nil && knows.Answer != nil && knows.Answer.Kind == AnswerServed: // nobody can say more
 		d.decided(now, h, *knows, true)
 	case missing && now-h.asked < h.patience/2:
 		return false
-	case knows != nil && first.Kind == Bound:
+	case knows != nil && first.Kind == ReplyAdopt:
 		d.decided(now, h, *first, all)
 	case knows != nil: // where views differ, who knows of another try is right
 		d.decided(now, h, *knows, all)
 	case first != nil:
 		d.decided(now, h, *first, all)
 	case lead && !missing:
-		d.decided(now, h, Reply{Kind: Granted, Epoch: h.epoch}, all)
+		d.decided(now, h, Reply{Kind: ReplyGranted, Epoch: h.epoch}, all)
 	default:
 		return false
 	}
 	return true
 }
 
-func (d *Desk) again(now time.Duration, h *hand, i int, clock time.Duration) *Intent {
+func (d *Coordinator) again(now time.Duration, h *hand, i int, clock time.Duration) *Intent {
 	in := d.intentOf(now, h, h.keepers[i])
 	in.Clock = max(in.Clock, clock)
 	return in
 }
 
 // decided does what the keepers have come to.
-func (d *Desk) decided(now time.Duration, h *hand, re Reply, all bool) {
+func (d *Coordinator) decided(now time.Duration, h *hand, re Reply, all bool) {
 	h.waits = false
-	if re.Kind == Known || re.Kind == Over { // who has granted it meanwhile shall not wait for its end
-		d.keeper.end(now, d.self.Name, &End{h.Key, h.try, h.here, Answer{Kind: Never}})
+	if re.Kind == ReplyOtherAttempt || re.Kind == ReplyTakenOver { // who has granted it meanwhile shall not wait for its end
+		d.keeper.end(now, d.self.Name, &Completion{h.Key, h.try, h.here, Answer{Kind: AnswerNeverRan}})
 		for i, k := range h.keepers[:len(h.replied)] {
 			epoch := h.epoch
-			if x := h.replied[i]; x != nil && x.Kind != Granted {
+			if x := h.replied[i]; x != nil && x.Kind != ReplyGranted {
 				continue
 			} else if x != nil {
 				epoch = x.Epoch
 			}
-			d.out = append(d.out, Send{k, Message{End: &End{h.Key, h.try, epoch, Answer{Kind: Never}}}})
+			d.out = append(d.out, Envelope{k, Message{Completion: &Completion{h.Key, h.try, epoch, Answer{Kind: AnswerNeverRan}}}})
 		}
 	}
 	switch {
-	case h.bound && (re.Kind == Granted || re.Kind == Full):
+	case h.bound && (re.Kind == ReplyGranted || re.Kind == ReplyFull):
 		d.bind(h, all)
 		return
-	case re.Kind == Full && h.n > 0 && h.covers: // another may hold it to be nowhere, or elsewhere
+	case re.Kind == ReplyFull && h.n > 0 && h.covers: // another may hold it to be nowhere, or elsewhere
 		d.halt(h)
 		return
 	}
 	switch re.Kind {
-	case Granted:
+	case ReplyGranted:
 		if h.n > 0 && !all && !(h.nowhere && h.decider(d.self.Name)) { // one might still hold it to be elsewhere
 			d.halt(h)
 			return
 		}
-		if h.at == Nowhere {
+		if h.at == ScopeNone {
 			h.sure = all
 		}
 		if h.nowhere {
@@ -575,12 +575,12 @@
 		} else { // some that might know of another try have not replied
 			d.counts.Partly++
 		}
-		d.act(Act{Do: Go, Try: h.try, N: h.n, Covers: all})
-	case Full:
+		d.act(Action{Kind: ActionSend, Attempt: h.try, Relocation: h.n, Covered: all})
+	case ReplyFull:
 		d.counts.Uncovered++
-		d.act(Act{Do: Go, Try: h.try, N: h.n})
-	case Known, Over:
-		if re.Kind == Over {
+		d.act(Action{Kind: ActionSend, Attempt: h.try, Relocation: h.n})
+	case ReplyOtherAttempt, ReplyTakenOver:
+		if re.Kind == ReplyTakenOver {
 			d.counts.Over++
 		}
 		if re.Answer != nil {
@@ -589,10 +589,10 @@
 		}
 		h.joined = true
 		d.counts.Joined++
-		d.act(Act{Do: Join, Try: h.try})
-	case Bound:
-		elsewhere := h.at != re.At
-		h.bound, h.epoch, h.at, h.began = true, re.Epoch, re.At, max(1, now-re.Age)
+		d.act(Action{Kind: ActionJoin, Attempt: h.try})
+	case ReplyAdopt:
+		elsewhere := h.at != re.Scope
+		h.bound, h.epoch, h.at, h.began = true, re.Epoch, re.Scope, max(1, now-re.Age)
 		if elsewhere { // nobody may still hold it to be in the place that it had chosen
 			h.n++
 			d.keeper.bind(h)
@@ -610,37 +610,37 @@
 		return h.here > 0
 	}
 	re := h.replied[0]
-	return h.keepers[0] == h.order[0] && re != nil && re.Kind == Granted
+	return h.keepers[0] == h.order[0] && re != nil && re.Kind == ReplyGranted
 }
 
 // bind lets a try go on with another's work, in its place.
-func (d *Desk) bind(h *hand, all bool) {
+func (d *Coordinator) bind(h *hand, all bool) {
 	d.counts.Bound++
 	h.covers, h.waits = true, false
-	d.act(Act{Do: Bind, Try: h.try, At: h.at, Began: h.began, Covers: all})
+	d.act(Action{Kind: ActionAdopt, Attempt: h.try, Scope: h.at, StartedAt: h.began, Covered: all})
 }
 
 // halt ends a try that may not go on to another place: a keeper has not heard that the attempt before never ran.
-func (d *Desk) halt(h *hand) {
+func (d *Coordinator) halt(h *hand) {
 	d.counts.Halted++
 	h.waits = false
-	d.act(Act{Do: Halt, Try: h.try})
+	d.act(Action{Kind: ActionAbort, Attempt: h.try})
 }
 
 // told takes the answer of the try that this one has joined.
-func (d *Desk) told(now time.Duration, h *hand, a Answer) {
-	if a.Kind == Never {
+func (d *Coordinator) told(now time.Duration, h *hand, a Answer) {
+	if a.Kind == AnswerNeverRan {
 		delete(d.hands, h.try)
-		d.act(Act{Do: Free, Try: h.try})
+		d.act(Action{Kind: ActionRestart, Attempt: h.try})
 		return
 	}
 	d.counts.Answered++
 	delete(d.hands, h.try)
-	d.act(Act{Do: Answered, Try: h.try, Answer: a})
+	d.act(Action{Kind: ActionUseAnswer, Attempt: h.try, Answer: a})
 }
 
 // Tick sends again what has no reply, and lets go uncovered what has waited long enough. It is to be called every 10 ms or so.
-func (d *Desk) Tick(now time.Duration) {
+func (d *Coordinator) Tick(now time.Duration) {
 	d.now = max(now, d.now)
 	for _, try := range slices.Sorted(maps.Keys(d.hands)) {
 		h := d.hands[try]
@@ -663,7 +663,7 @@
 		case now-h.asked >= h.patience:
 			h.waits = false
 			d.counts.Uncovered++
-			d.act(Act{Do: Go, Try: h.try, N: h.n})
+			d.act(Action{Kind: ActionSend, Attempt: h.try, Relocation: h.n})
 		default:
 			if now-h.last >= askAgain {
 				d.request(now, h)
--- a/internal/takeover/desk_test.go
+++ b/internal/takeover/desk_test.go
@@ -11,20 +11,20 @@
 // fleet is desks whose messages arrive at once.
 type fleet struct {
 	now   time.Duration
-	desks map[string]*Desk
-	acts  map[string][]Act
+	desks map[string]*Coordinator
+	acts  map[string][]Action
 	deaf  map[string]bool
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: time.Hour, desks: map[string]*Desk{}, acts: map[string][]Act{}, deaf: map[string]bool{}}
+	f := &fleet{now: time.Hour, desks: map[string]*Coordinator{}, acts: map[string][]Action{}, deaf: map[string]bool{}}
 	var all []Member
 	for i := range n {
 		all = append(all, Member{fmt.Sprint("n", i), fmt.Sprint("hall-", i%3)})
 	}
 	for _, m := range all {
-		f.desks[m.Name] = NewDesk(m, 1, func(string) time.Duration { return f.now })
-		f.desks[m.Name].Members(all)
+		f.desks[m.Name] = NewCoordinator(m, 1, func(string) time.Duration { return f.now })
+		f.desks[m.Name].SetMembers(all)
 	}
 	return f
 }
@@ -39,23 +39,23 @@
 			for _, o := range out {
 				again = true
 				if !f.deaf[o.To] && !f.deaf[name] {
-					f.desks[o.To].Receive(f.now, name, 1, o.Msg)
+					f.desks[o.To].Receive(f.now, name, 1, o.Message)
 				}
 			}
 		}
 	}
 }
 
-func (f *fleet) did(name string, do Do) (n int) {
+func (f *fleet) did(name string, do ActionKind) (n int) {
 	for _, a := range f.acts[name] {
-		if a.Do == do {
+		if a.Kind == do {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *fleet) all(do Do) (n int) {
+func (f *fleet) all(do ActionKind) (n int) {
 	for name := range f.acts {
 		n += f.did(name, do)
 	}
@@ -71,10 +71,10 @@
 	first := map[string]int{}
 	for k := range 9000 {
 		key := fmt.Sprint("customer/", k)
-		x := Keepers(key, all)
+		x := Replicas(key, all)
 		shuffled := slices.Clone(all)
 		slices.Reverse(shuffled)
-		if y := Keepers(key, shuffled); !slices.Equal(x, y) || len(x) != 3 {
+		if y := Replicas(key, shuffled); !slices.Equal(x, y) || len(x) != 3 {
 			t.Fatal(x, y)
 		}
 		if x[0][1]%3 == x[1][1]%3 {
@@ -87,7 +87,7 @@
 			t.Errorf("%s decides on %d of 9000 keys", n, k)
 		}
 	}
-	if x := Keepers("k", all[:1]); len(x) != 1 {
+	if x := Replicas("k", all[:1]); len(x) != 1 {
 		t.Fatal(x)
 	}
 }
@@ -98,51 +98,51 @@
 		f := newFleet(6)
 		w := work()
 		w.Key = fmt.Sprint("customer/", k)
-		f.desks["n0"].Begin(f.now, w, 1, place("a"), f.now+3*time.Second)
+		f.desks["n0"].RequestSend(f.now, w, 1, place("a"), f.now+3*time.Second)
 		f.run()
-		if f.did("n0", Go) != 1 || !f.acts["n0"][0].Covers {
+		if f.did("n0", ActionSend) != 1 || !f.acts["n0"][0].Covered {
 			t.Fatal(f.acts)
 		}
-		f.desks["n0"].Sent(f.now, 1)
+		f.desks["n0"].AttemptSent(f.now, 1)
 		f.deaf["n0"] = true
 		f.now += 100 * ms
-		f.desks["n3"].Begin(f.now, w, 2, place("b"), f.now+3*time.Second) // before anybody has noticed
+		f.desks["n3"].RequestSend(f.now, w, 2, place("b"), f.now+3*time.Second) // before anybody has noticed
 		f.run()
 		for range 25 { // one of its keepers may be the very one that is gone
 			f.now += 10 * ms
 			f.desks["n3"].Tick(f.now)
 			f.run()
 		}
-		if f.did("n3", Join) != 1 || f.did("n3", Go) != 0 {
+		if f.did("n3", ActionJoin) != 1 || f.did("n3", ActionSend) != 0 {
 			t.Fatalf("key %d: the retry does not wait: %+v", k, f.acts["n3"])
 		}
 		f.now += time.Second
 		for name, d := range f.desks {
 			if name != "n0" {
-				d.Left(f.now, "n0", 1)
+				d.MemberLeft(f.now, "n0", 1)
 			}
 		}
 		f.run()
-		if n := f.all(Finish); n != 1 {
+		if n := f.all(ActionTakeOver); n != 1 {
 			t.Fatalf("key %d: taken over %d times", k, n)
 		}
 		for name, acts := range f.acts {
 			for _, a := range acts {
-				if a.Do == Finish {
-					if a.Take.At != place("a") || a.Take.Began > time.Hour {
-						t.Fatal(a.Take)
+				if a.Kind == ActionTakeOver {
+					if a.Taken.Scope != place("a") || a.Taken.StartedAt > time.Hour {
+						t.Fatal(a.Taken)
 					}
-					f.desks[name].Finish(f.now, a.Try, Answer{Kind: Served, Value: []byte("value")})
+					f.desks[name].Complete(f.now, a.Attempt, Answer{Kind: AnswerServed, Value: []byte("value")})
 				}
 			}
 		}
 		f.run()
-		if f.did("n3", Answered) != 1 {
+		if f.did("n3", ActionUseAnswer) != 1 {
 			t.Fatalf("key %d: the retry has no answer: %+v", k, f.acts)
 		}
-		f.desks["n5"].Begin(f.now, w, 3, place("c"), f.now+3*time.Second)
+		f.desks["n5"].RequestSend(f.now, w, 3, place("c"), f.now+3*time.Second)
 		f.run()
-		if f.did("n5", Go) != 0 || f.did("n5", Answered) != 1 {
+		if f.did("n5", ActionSend) != 0 || f.did("n5", ActionUseAnswer) != 1 {
 			t.Fatalf("key %d: a later retry: %+v", k, f.acts["n5"])
 		}
 	}
@@ -151,23 +151,23 @@
 // What is past its rack's memory is not repeated, by a taker or by a retry: an honest failure.
 func TestMemoryOver(t *testing.T) {
 	f := newFleet(4)
-	f.desks["n0"].Begin(f.now, work(), 1, place("a"), f.now+10*time.Second)
+	f.desks["n0"].RequestSend(f.now, work(), 1, place("a"), f.now+10*time.Second)
 	f.run()
-	f.desks["n0"].Sent(f.now, 1)
+	f.desks["n0"].AttemptSent(f.now, 1)
 	f.deaf["n0"] = true
 	f.now += 2800 * ms
 	for name, d := range f.desks {
 		if name != "n0" {
-			d.Left(f.now, "n0", 1)
+			d.MemberLeft(f.now, "n0", 1)
 		}
 	}
 	f.run()
-	if f.all(Finish) != 0 {
+	if f.all(ActionTakeOver) != 0 {
 		t.Fatal("it was taken over")
 	}
-	f.desks["n1"].Begin(f.now, work(), 2, place("b"), f.now+3*time.Second)
+	f.desks["n1"].RequestSend(f.now, work(), 2, place("b"), f.now+3*time.Second)
 	f.run()
-	if f.did("n1", Go)+f.did("n1", Bind) != 0 || f.did("n1", Answered) != 1 {
+	if f.did("n1", ActionSend)+f.did("n1", ActionAdopt) != 0 || f.did("n1", ActionUseAnswer) != 1 {
 		t.Fatal(f.acts["n1"])
 	}
 }
@@ -180,38 +180,38 @@
 		f.deaf[n] = n != "n0"
 	}
 	d := f.desks["n0"]
-	d.Begin(f.now, work(), 1, place("a"), f.now+800*ms)
+	d.RequestSend(f.now, work(), 1, place("a"), f.now+800*ms)
 	f.run()
 	for range 9 {
 		f.now += 10 * ms
 		d.Tick(f.now)
 		f.run()
 	}
-	if f.did("n0", Go) != 0 {
+	if f.did("n0", ActionSend) != 0 {
 		t.Fatal("it did not wait")
 	}
 	f.now += 10 * ms
 	d.Tick(f.now)
 	f.run()
-	if f.did("n0", Go) != 1 || f.acts["n0"][0].Covers || d.Counts().Uncovered != 1 {
+	if f.did("n0", ActionSend) != 1 || f.acts["n0"][0].Covered || d.Counts().Uncovered != 1 {
 		t.Fatal(f.acts, d.Counts())
 	}
 
 	g := newFleet(4)
 	old := g.now - 5*time.Second
 	g.desks["n0"].clock = func(string) time.Duration { return old }
-	g.desks["n0"].Begin(g.now, work(), 1, place("a"), g.now+time.Second)
+	g.desks["n0"].RequestSend(g.now, work(), 1, place("a"), g.now+time.Second)
 	g.run()
-	if g.did("n0", Go) != 1 || !g.acts["n0"][0].Covers {
+	if g.did("n0", ActionSend) != 1 || !g.acts["n0"][0].Covered {
 		t.Fatal(g.acts)
 	}
 
 	h := newFleet(1)
-	h.desks["n0"].Begin(h.now, work(), 1, place("a"), h.now+time.Second)
+	h.desks["n0"].RequestSend(h.now, work(), 1, place("a"), h.now+time.Second)
 	h.run()
-	h.desks["n0"].Begin(h.now, work(), 2, place("a"), h.now+time.Second)
+	h.desks["n0"].RequestSend(h.now, work(), 2, place("a"), h.now+time.Second)
 	h.run()
-	if h.did("n0", Go) != 1 || h.did("n0", Join) != 1 || h.desks["n0"].Counts().NoKeeper != 1 {
+	if h.did("n0", ActionSend) != 1 || h.did("n0", ActionJoin) != 1 || h.desks["n0"].Counts().NoReplica != 1 {
 		t.Fatal(h.acts, h.desks["n0"].Counts())
 	}
 }
@@ -220,22 +220,22 @@
 func TestMove(t *testing.T) {
 	f := newFleet(5)
 	d := f.desks["n0"]
-	d.Begin(f.now, work(), 1, place("a"), f.now+2*time.Second)
+	d.RequestSend(f.now, work(), 1, place("a"), f.now+2*time.Second)
 	f.run()
-	d.Move(f.now, 1, place("b"))
+	d.MigrateAttempt(f.now, 1, place("b"))
 	f.run()
-	if f.did("n0", Go) != 2 {
+	if f.did("n0", ActionSend) != 2 {
 		t.Fatal(f.acts["n0"])
 	}
 	f.deaf[d.hands[1].keepers[1]] = true
-	d.Move(f.now, 1, place("c"))
+	d.MigrateAttempt(f.now, 1, place("c"))
 	f.run()
 	for range 40 {
 		f.now += 10 * ms
 		d.Tick(f.now)
 		f.run()
 	}
-	if f.did("n0", Go) != 2 || f.did("n0", Halt) != 1 {
+	if f.did("n0", ActionSend) != 2 || f.did("n0", ActionAbort) != 1 {
 		t.Fatal(f.acts["n0"])
 	}
 }
@@ -244,7 +244,7 @@
 func TestBounds(t *testing.T) {
 	f := newFleet(3)
 	d := f.desks["n1"]
-	for _, in := range []Intent{{}, {Work: Work{Key: "k", Words: [][]byte{make([]byte, MostBody+1)}}}, {Work: Work{Key: "k"}, Left: -1}, {Work: Work{Key: "k"}, Left: time.Hour}, {Work: Work{Key: "k", Memory: -1}}} {
+	for _, in := range []Intent{{}, {Work: Work{Key: "k", Command: [][]byte{make([]byte, MaxBody+1)}}}, {Work: Work{Key: "k"}, Remaining: -1}, {Work: Work{Key: "k"}, Remaining: time.Hour}, {Work: Work{Key: "k", IdempotencyWindow: -1}}} {
 		d.Receive(f.now, "n0", 1, Message{Intent: &in})
 	}
 	if out, _ := d.Drain(); len(out) != 0 {
@@ -254,16 +254,16 @@
 	for i := range mostRecords + 10 {
 		w := work()
 		w.Key = fmt.Sprint(i)
-		d.Receive(f.now, "n0", 1, Message{Intent: &Intent{Work: w, Try: uint64(i), Left: time.Second, Clock: f.now, Order: []string{"n1"}}})
+		d.Receive(f.now, "n0", 1, Message{Intent: &Intent{Work: w, Attempt: uint64(i), Remaining: time.Second, Clock: f.now, Replicas: []string{"n1"}}})
 	}
-	if _, records, bytes := d.Held(); records > mostRecords || bytes > mostBytes || d.Counts().Keeper.Full != 10 {
-		t.Fatal(records, bytes, d.Counts().Keeper)
+	if _, records, bytes := d.Pending(); records > mostRecords || bytes > mostBytes || d.Counts().Replica.Full != 10 {
+		t.Fatal(records, bytes, d.Counts().Replica)
 	}
 	f.now += 3 * time.Second
 	d.Tick(f.now)
 	f.now += 11 * time.Second
 	d.Tick(f.now)
-	if _, records, bytes := d.Held(); records != 0 || bytes != 0 {
+	if _, records, bytes := d.Pending(); records != 0 || bytes != 0 {
 		t.Fatal(records, bytes)
 	}
 }
@@ -276,9 +276,9 @@
 		f := newFleet(6)
 		w := work()
 		w.Key = fmt.Sprint("customer/", k)
-		f.desks["n0"].Begin(f.now, w, 1, place("a"), until)
+		f.desks["n0"].RequestSend(f.now, w, 1, place("a"), until)
 		f.run()
-		f.desks["n0"].Sent(f.now, 1)
+		f.desks["n0"].AttemptSent(f.now, 1)
 		return f, w
 	}
 	tick := func(f *fleet, times int) {
@@ -296,47 +296,47 @@
 		f, w := begin(t, k)
 		ask := func(who string, try uint64, key string) {
 			t.Helper()
-			if !f.desks[who].Ask(f.now, key, try, until) {
+			if !f.desks[who].QueryOutcome(f.now, key, try, until) {
 				t.Fatal("nobody can be asked")
 			}
 			f.run()
 		}
 		ask("n3", 2, w.Key)
 		ask("n4", 3, "customer/another")
-		if f.did("n3", Join) != 1 || f.did("n4", Unknown) != 1 {
+		if f.did("n3", ActionJoin) != 1 || f.did("n4", ActionUnknown) != 1 {
 			t.Fatalf("key %d: %+v", k, f.acts)
 		}
 		if k%2 == 0 { // its owner dies, and a taker finishes it
 			f.deaf["n0"] = true
 			for name, d := range f.desks {
 				if name != "n0" {
-					d.Left(f.now, "n0", 1)
+					d.MemberLeft(f.now, "n0", 1)
 				}
 			}
 			f.run()
 			for name := range f.desks {
-				if f.did(name, Finish) == 1 {
-					f.desks[name].Finish(f.now, 1, Answer{Kind: Served, Value: []byte("v")})
+				if f.did(name, ActionTakeOver) == 1 {
+					f.desks[name].Complete(f.now, 1, Answer{Kind: AnswerServed, Value: []byte("v")})
 				}
 			}
 		} else {
-			f.desks["n0"].Finish(f.now, 1, Answer{Kind: Served, Value: []byte("v")})
+			f.desks["n0"].Complete(f.now, 1, Answer{Kind: AnswerServed, Value: []byte("v")})
 		}
 		f.run()
 		ask("n5", 4, w.Key)
-		if f.did("n3", Answered) != 1 || f.did("n5", Answered) != 1 || f.all(Go) != 1 || f.all(Bind) != 0 {
+		if f.did("n3", ActionUseAnswer) != 1 || f.did("n5", ActionUseAnswer) != 1 || f.all(ActionSend) != 1 || f.all(ActionAdopt) != 0 {
 			t.Fatalf("key %d: %+v", k, f.acts)
 		}
 	}
 	t.Run("it failed", func(t *testing.T) {
 		f, w := begin(t, 1)
-		f.desks["n3"].Ask(f.now, w.Key, 2, until)
+		f.desks["n3"].QueryOutcome(f.now, w.Key, 2, until)
 		f.run()
-		f.desks["n0"].Finish(f.now, 1, Answer{Kind: Failed})
+		f.desks["n0"].Complete(f.now, 1, Answer{Kind: AnswerFailed})
 		f.run()
-		f.desks["n4"].Ask(f.now, w.Key, 3, until)
+		f.desks["n4"].QueryOutcome(f.now, w.Key, 3, until)
 		f.run()
-		if f.did("n3", Answered) != 1 || f.did("n4", Unknown) != 1 {
+		if f.did("n3", ActionUseAnswer) != 1 || f.did("n4", ActionUnknown) != 1 {
 			t.Fatalf("%+v", f.acts)
 		}
 	})
@@ -347,36 +347,36 @@
 		}
 		d := f.desks["n3"]
 		for try := uint64(10); try < 10+mostAsking; try++ {
-			if !d.Ask(f.now, w.Key, try, until) {
+			if !d.QueryOutcome(f.now, w.Key, try, until) {
 				t.Fatal(try)
 			}
 		}
-		if d.Ask(f.now, w.Key, 1000, until) {
+		if d.QueryOutcome(f.now, w.Key, 1000, until) {
 			t.Error("more ask at a time than may")
 		}
-		if tick(f, 2); f.did("n3", Unknown) != 0 {
+		if tick(f, 2); f.did("n3", ActionUnknown) != 0 {
 			t.Error("the keepers were not waited for")
 		}
-		if tick(f, 1); f.did("n3", Unknown) != mostAsking || len(d.hands) > 0 {
-			t.Errorf("%d of %d are told after 30 ms, %d hands are kept", f.did("n3", Unknown), mostAsking, len(d.hands))
+		if tick(f, 1); f.did("n3", ActionUnknown) != mostAsking || len(d.hands) > 0 {
+			t.Errorf("%d of %d are told after 30 ms, %d hands are kept", f.did("n3", ActionUnknown), mostAsking, len(d.hands))
 		}
-		if !d.Ask(f.now, w.Key, 2000, until) {
+		if !d.QueryOutcome(f.now, w.Key, 2000, until) {
 			t.Error("nobody may ask any more")
 		}
-		if d.Ask(f.now, w.Key, 2001, f.now+askPatience) {
+		if d.QueryOutcome(f.now, w.Key, 2001, f.now+askPatience) {
 			t.Error("there is no time to ask")
 		}
 	})
 	t.Run("too many wait", func(t *testing.T) {
 		f, w := begin(t, 1)
 		for try := range uint64(2 * mostWaiting) {
-			f.desks["n3"].Ask(f.now, w.Key, 100+try, until)
+			f.desks["n3"].QueryOutcome(f.now, w.Key, 100+try, until)
 		}
 		f.run()
-		f.desks["n0"].Finish(f.now, 1, Answer{Kind: Served, Value: []byte("v")})
+		f.desks["n0"].Complete(f.now, 1, Answer{Kind: AnswerServed, Value: []byte("v")})
 		f.run()
-		if got := f.did("n3", Answered) + f.did("n3", Unknown); got != 2*mostWaiting || f.did("n3", Unknown) == 0 {
-			t.Errorf("%d of %d were told: %d that there is no room", got, 2*mostWaiting, f.did("n3", Unknown))
+		if got := f.did("n3", ActionUseAnswer) + f.did("n3", ActionUnknown); got != 2*mostWaiting || f.did("n3", ActionUnknown) == 0 {
+			t.Errorf("%d of %d were told: %d that there is no room", got, 2*mostWaiting, f.did("n3", ActionUnknown))
 		}
 	})
 }
@@ -393,9 +393,9 @@
 	k := newKeeper("a", 1)
 	for i := range 1000 {
 		words := [][]byte{[]byte("Q.DO"), []byte(fmt.Sprintf("%016x", i)), []byte(fmt.Sprintf("%016x", i)), make([]byte, 300)}
-		in := &Intent{Work: Work{Key: fmt.Sprintf("customer/%016x", i), Class: "publish", Plan: "p", Customer: "customer", Units: 1, Memory: time.Second, Words: words}, Try: uint64(i), At: Place{Rack: 1},
-			Left: time.Second, Clock: time.Minute, Order: []string{"a", "b", "c"}}
-		if re := k.intent(time.Minute, "b", 1, in); re.Kind != Granted {
+		in := &Intent{Work: Work{Key: fmt.Sprintf("customer/%016x", i), Class: "publish", Plan: "p", Tenant: "customer", Units: 1, IdempotencyWindow: time.Second, Command: words}, Attempt: uint64(i), Scope: Scope{Rack: 1},
+			Remaining: time.Second, Clock: time.Minute, Replicas: []string{"a", "b", "c"}}
+		if re := k.intent(time.Minute, "b", 1, in); re.Kind != ReplyGranted {
 			t.Fatal(re)
 		}
 	}
@@ -422,38 +422,38 @@
 	}
 	for name, c := range map[string]struct {
 		before func(f *fleet)
-		want   Do
+		want   ActionKind
 	}{
-		"nobody has taken it": {func(f *fleet) {}, Go},
+		"nobody has taken it": {func(f *fleet) {}, ActionSend},
 		"it was taken over": {func(f *fleet) {
 			f.deaf["n0"] = true
 			for n, d := range f.desks {
 				if n != "n0" {
-					d.Left(f.now, "n0", 1)
+					d.MemberLeft(f.now, "n0", 1)
 				}
 			}
 			later(f, 300*ms)
-			if f.all(Finish) != 1 {
+			if f.all(ActionTakeOver) != 1 {
 				t.Fatal("nobody took it over")
 			}
 			f.deaf["n0"] = false
-		}, Join},
+		}, ActionJoin},
 		"nobody answers": {func(f *fleet) {
 			for n := range f.desks {
 				f.deaf[n] = n != "n0"
 			}
-		}, Halt},
+		}, ActionAbort},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(4)
-			f.desks["n0"].Begin(f.now, work(), 7, Nowhere, f.now+4*time.Second)
+			f.desks["n0"].RequestSend(f.now, work(), 7, ScopeNone, f.now+4*time.Second)
 			f.run()
 			later(f, 100*ms)
 			c.before(f)
 			f.acts["n0"] = nil
-			f.desks["n0"].Confirm(f.now, 7)
+			f.desks["n0"].ConfirmRejection(f.now, 7)
 			later(f, 100*ms)
-			if len(f.acts["n0"]) != 1 || f.acts["n0"][0].Do != c.want {
+			if len(f.acts["n0"]) != 1 || f.acts["n0"][0].Kind != c.want {
 				t.Errorf("%+v, want %v", f.acts["n0"], c.want)
 			}
 		})
