--- a/internal/takeover/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -21,7 +21,7 @@
 )
 
 // place is where an instance would send a new try: each to a rack of its own, which is the worst case.
-func place(name string) Place { return Place{Rack: int(name[0]), Zone: halls[name]} }
+func place(name string) Scope { return Scope{Rack: int(name[0]), Zone: halls[name]} }
 
 // packet is a message on its way.
 type packet struct {
@@ -32,9 +32,9 @@
 // state is three instances, what is on its way between them, and what nodes have seen.
 type state struct {
 	now     time.Duration
-	desks   map[string]*Desk
+	desks   map[string]*Coordinator
 	net     []packet
-	sent    map[string]Place  // attempts out, by instance and try
+	sent    map[string]Scope  // attempts out, by instance and try
 	waits   map[string]string // what a client of a try waits for, by instance and try; its end where it has one
 	effects map[int]int       // attempts that ran, by rack
 	loose   bool              // something went out uncovered: nothing is promised
@@ -51,13 +51,13 @@
 const key = "customer/key"
 
 func work() Work {
-	return Work{Key: key, Class: "publish", Plan: "p", Customer: "c", Units: 1, Memory: 3 * time.Second, Words: [][]byte{[]byte("x")}}
+	return Work{Key: key, Class: "publish", Plan: "p", Tenant: "c", Units: 1, IdempotencyWindow: 3 * time.Second, Command: [][]byte{[]byte("x")}}
 }
 
 func begin(plant string, b budget) *state { return beginAt(plant, b, false) }
 
 func beginAt(plant string, b budget, accept bool) *state {
-	s := &state{accept: accept, now: time.Hour, desks: map[string]*Desk{}, sent: map[string]Place{}, waits: map[string]string{}, effects: map[int]int{}, dead: map[string]bool{}, budget: b, plant: plant}
+	s := &state{accept: accept, now: time.Hour, desks: map[string]*Coordinator{}, sent: map[string]Scope{}, waits: map[string]string{}, effects: map[int]int{}, dead: map[string]bool{}, budget: b, plant: plant}
 	for _, m := range all3 {
 		s.desks[m.Name] = s.desk(m)
 	}
@@ -65,16 +65,16 @@
 	return s
 }
 
-func (s *state) desk(m Member) *Desk {
-	d := NewDesk(m, 1, nil)
-	d.Members(all3)
+func (s *state) desk(m Member) *Coordinator {
+	d := NewCoordinator(m, 1, nil)
+	d.SetMembers(all3)
 	return d
 }
 
 // clone copies all that a step may change.
 func (s *state) clone() *state {
 	c := *s
-	c.desks = map[string]*Desk{}
+	c.desks = map[string]*Coordinator{}
 	for n, d := range s.desks {
 		e := *d
 		e.clock = func(string) time.Duration { return c.now }
@@ -174,19 +174,19 @@
 func describe(m Message) string {
 	switch {
 	case m.Intent != nil:
-		return "i" + strconv.Itoa(int(m.Intent.Try)) + "." + strconv.Itoa(int(m.Intent.Epoch)) + "." + strconv.Itoa(m.Intent.At.Rack) + first(m.Intent.Order)
+		return "i" + strconv.Itoa(int(m.Intent.Attempt)) + "." + strconv.Itoa(int(m.Intent.Epoch)) + "." + strconv.Itoa(m.Intent.Scope.Rack) + first(m.Intent.Replicas)
 	case m.Reply != nil:
-		s := "r" + strconv.Itoa(int(m.Reply.Try)) + "." + strconv.Itoa(int(m.Reply.Kind)) + "." + strconv.Itoa(int(m.Reply.Epoch)) + m.Reply.First
+		s := "r" + strconv.Itoa(int(m.Reply.Attempt)) + "." + strconv.Itoa(int(m.Reply.Kind)) + "." + strconv.Itoa(int(m.Reply.Epoch)) + m.Reply.Primary
 		if m.Reply.Answer != nil {
 			s += "." + strconv.Itoa(int(m.Reply.Answer.Kind))
 		}
 		return s
-	case m.End != nil:
-		return fmt.Sprint("end ", m.End.Try, m.End.Epoch, m.End.Answer.Kind)
-	case m.Ended != nil:
-		return fmt.Sprint("ended ", m.Ended.Try)
+	case m.Completion != nil:
+		return fmt.Sprint("end ", m.Completion.Attempt, m.Completion.Epoch, m.Completion.Answer.Kind)
+	case m.CompletionAck != nil:
+		return fmt.Sprint("ended ", m.CompletionAck.Attempt)
 	}
-	return fmt.Sprint("told ", m.Told.Try, m.Told.Answer.Kind)
+	return fmt.Sprint("told ", m.Notification.Attempt, m.Notification.Answer.Kind)
 }
 
 // try begins a client's try at an instance.
@@ -196,9 +196,9 @@
 	s.waits[fmt.Sprint(name, try)] = "waits"
 	at := place(name)
 	if s.accept && try == 1 {
-		at = Nowhere
+		at = ScopeNone
 	}
-	d.Begin(s.now, work(), try, at, s.now+2*time.Second)
+	d.RequestSend(s.now, work(), try, at, s.now+2*time.Second)
 	if s.plant == "does not wait" {
 		s.send(name, try, place(name), true)
 	}
@@ -206,7 +206,7 @@
 }
 
 // send is an attempt that goes out, and runs at its node at some moment: at once is the worst.
-func (s *state) send(name string, try uint64, at Place, covered bool) {
+func (s *state) send(name string, try uint64, at Scope, covered bool) {
 	s.loose = s.loose || !covered
 	s.sent[fmt.Sprint(name, try)] = at
 	s.effects[at.Rack]++
@@ -221,48 +221,48 @@
 			if o.To == name {
 				panic("a message to itself")
 			}
-			s.net = append(s.net, packet{name, o.To, o.Msg})
+			s.net = append(s.net, packet{name, o.To, o.Message})
 		}
 		if len(acts) == 0 {
 			return
 		}
 		for _, a := range acts {
-			id := fmt.Sprint(name, a.Try)
-			switch a.Do {
-			case Go:
-				if h := d.hands[a.Try]; h != nil && h.at == Nowhere && s.plant != "sends from nowhere" {
+			id := fmt.Sprint(name, a.Attempt)
+			switch a.Kind {
+			case ActionSend:
+				if h := d.hands[a.Attempt]; h != nil && h.at == ScopeNone && s.plant != "sends from nowhere" {
 					if h.covers { // else it waits on: nobody has it
-						d.Move(s.now, a.Try, place(name))
+						d.MigrateAttempt(s.now, a.Attempt, place(name))
 						continue
 					}
 				}
 				if _, out := s.sent[id]; !out {
-					d.Sent(s.now, a.Try)
-					s.send(name, a.Try, place(name), a.Covers)
+					d.AttemptSent(s.now, a.Attempt)
+					s.send(name, a.Attempt, place(name), a.Covered)
 				}
-			case Bind:
-				at := a.At
+			case ActionAdopt:
+				at := a.Scope
 				if s.plant == "goes elsewhere" {
 					at = place(name)
 				}
-				s.send(name, a.Try, at, a.Covers)
-			case Finish:
-				if a.Take.At == Nowhere {
+				s.send(name, a.Attempt, at, a.Covered)
+			case ActionTakeOver:
+				if a.Taken.Scope == ScopeNone {
 					s.waits[id+" taken"] = "waits"
 					if s.plant == "takes unasked" {
-						s.send(name, a.Try, place(name), true)
+						s.send(name, a.Attempt, place(name), true)
 						continue
 					}
-					d.Move(s.now, a.Try, place(name))
+					d.MigrateAttempt(s.now, a.Attempt, place(name))
 					continue
 				}
-				s.send(name, a.Try, a.Take.At, true)
+				s.send(name, a.Attempt, a.Taken.Scope, true)
 				s.waits[id+" taken"] = "waits"
-			case Answered:
+			case ActionUseAnswer:
 				s.answered(id, a.Answer)
-			case Free:
-				d.Begin(s.now, work(), a.Try, place(name), s.now+2*time.Second)
-			case Halt:
+			case ActionRestart:
+				d.RequestSend(s.now, work(), a.Attempt, place(name), s.now+2*time.Second)
+			case ActionAbort:
 				s.waits[id] = "halted"
 			}
 		}
@@ -325,7 +325,7 @@
 					c.budget.deaths--
 				}
 				d := c.desks[who]
-				d.Left(c.now, of, 1)
+				d.MemberLeft(c.now, of, 1)
 				c.drain(who)
 			})
 		}
@@ -338,14 +338,14 @@
 		if s.dead[name] || s.waits[id+" over"] != "" {
 			continue
 		}
-		for _, kind := range []Kind{Served, Failed} {
+		for _, kind := range []AnswerKind{AnswerServed, AnswerFailed} {
 			do("end "+id, func(c *state) {
 				c.waits[id+" over"] = "yes"
 				a := Answer{Kind: kind}
-				if kind == Served {
+				if kind == AnswerServed {
 					a.Value = []byte("value")
 				}
-				c.desks[name].Finish(c.now, try, a)
+				c.desks[name].Complete(c.now, try, a)
 				if c.waits[id] == "waits" {
 					c.answered(id, a)
 				}
@@ -375,7 +375,7 @@
 	}
 	answers := map[string]bool{}
 	for id, w := range s.waits {
-		if strings.HasPrefix(w, fmt.Sprint(Served)) && !strings.Contains(id, " ") {
+		if strings.HasPrefix(w, fmt.Sprint(AnswerServed)) && !strings.Contains(id, " ") {
 			answers[w] = true
 		}
 	}
@@ -442,7 +442,7 @@
 			s := beginAt(plant, b, strings.Contains(plant, "nowhere") || strings.Contains(plant, "unasked"))
 			if plant == "goes elsewhere" { // a first try that has failed, and a retry: the walks take it from there
 				s.settle()
-				s.desks["a"].Finish(s.now, 1, Answer{Kind: Failed})
+				s.desks["a"].Complete(s.now, 1, Answer{Kind: AnswerFailed})
 				s.waits["a1 over"] = "yes"
 				s.drain("a")
 			}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -27,7 +27,7 @@
 
 // Bounds and times.
 const (
-	MostBody      = 8 << 10               // of a covered command; a larger one goes uncovered
+	MaxBody       = 8 << 10               // of a covered command; a larger one goes uncovered
 	mostRecords   = 4096                  // that one keeper holds
 	mostBytes     = 4 << 20               // that they take
 	mostAnswer    = 8 << 10               // of a kept answer; of a larger one the kind alone is kept
@@ -50,57 +50,57 @@
 )
 
 // Kind is what a final answer says.
-type Kind uint8
+type AnswerKind uint8
 
 // The kinds of ends.
 const (
-	Served Kind = iota + 1
-	Failed      // it may have run
-	Never       // it surely has not run: the key is free
+	AnswerServed   AnswerKind = iota + 1
+	AnswerFailed              // it may have run
+	AnswerNeverRan            // it surely has not run: the key is free
 )
 
 // Answer is how a piece of work ended.
 type Answer struct {
-	Kind  Kind   `cbor:"1,keyasint"`
-	Value []byte `cbor:"2,keyasint,omitempty"`
-	Cut   bool   `cbor:"3,keyasint,omitempty"` // the value was too large to be kept
+	Kind      AnswerKind `cbor:"1,keyasint"`
+	Value     []byte     `cbor:"2,keyasint,omitempty"`
+	Truncated bool       `cbor:"3,keyasint,omitempty"` // the value was too large to be kept
 }
 
 // Work is what is to be done, as another instance needs it.
 type Work struct {
-	Key      string        `cbor:"1,keyasint"` // of the customer's
-	Class    string        `cbor:"2,keyasint"`
-	Plan     string        `cbor:"3,keyasint"`
-	Customer string        `cbor:"4,keyasint"`
-	Units    float64       `cbor:"5,keyasint"`
-	Spread   int           `cbor:"6,keyasint,omitempty"`
-	First    int           `cbor:"7,keyasint,omitempty"`
-	Memory   time.Duration `cbor:"8,keyasint"`            // of its rack
-	Words    [][]byte      `cbor:"9,keyasint"`            // of the command
-	Paid     bool          `cbor:"10,keyasint,omitempty"` // its units were taken where it was accepted: who takes it over takes none
+	Key               string        `cbor:"1,keyasint"` // of the customer's
+	Class             string        `cbor:"2,keyasint"`
+	Plan              string        `cbor:"3,keyasint"`
+	Tenant            string        `cbor:"4,keyasint"`
+	Units             float64       `cbor:"5,keyasint"`
+	Spread            int           `cbor:"6,keyasint,omitempty"`
+	First             int           `cbor:"7,keyasint,omitempty"`
+	IdempotencyWindow time.Duration `cbor:"8,keyasint"`            // of its rack
+	Command           [][]byte      `cbor:"9,keyasint"`            // of the command
+	Charged           bool          `cbor:"10,keyasint,omitempty"` // its units were taken where it was accepted: who takes it over takes none
 }
 
 // Place is where a repeat has no further effect.
-type Place struct {
+type Scope struct {
 	Rack int    `cbor:"1,keyasint,omitempty"`
 	Zone string `cbor:"2,keyasint,omitempty"`
 }
 
 // Nowhere is the place of work that was accepted and of which nothing has gone out.
-var Nowhere = Place{Rack: -1}
+var ScopeNone = Scope{Rack: -1}
 
 // Intent says that an attempt is about to go out.
 type Intent struct {
 	Work
-	Try   uint64        `cbor:"20,keyasint"` // the client's
-	Epoch uint64        `cbor:"21,keyasint"`
-	N     int           `cbor:"22,keyasint,omitempty"` // of the try's changes of place
-	At    Place         `cbor:"23,keyasint"`
-	Left  time.Duration `cbor:"24,keyasint"`           // until its client gives up, when it was sent
-	Age   time.Duration `cbor:"25,keyasint,omitempty"` // of its first attempt, when it was sent
-	Clock time.Duration `cbor:"26,keyasint,omitempty"` // the keeper's, as last heard
-	Order []string      `cbor:"27,keyasint"`           // the key's keepers as the sender sees them, the deciding one first
-	Asks  bool          `cbor:"28,keyasint,omitempty"` // nothing is to be sent: only whether another try of the key has an answer, or will have
+	Attempt    uint64        `cbor:"20,keyasint"` // the client's
+	Epoch      uint64        `cbor:"21,keyasint"`
+	Relocation int           `cbor:"22,keyasint,omitempty"` // of the try's changes of place
+	Scope      Scope         `cbor:"23,keyasint"`
+	Remaining  time.Duration `cbor:"24,keyasint"`           // until its client gives up, when it was sent
+	Age        time.Duration `cbor:"25,keyasint,omitempty"` // of its first attempt, when it was sent
+	Clock      time.Duration `cbor:"26,keyasint,omitempty"` // the keeper's, as last heard
+	Replicas   []string      `cbor:"27,keyasint"`           // the key's keepers as the sender sees them, the deciding one first
+	QueryOnly  bool          `cbor:"28,keyasint,omitempty"` // nothing is to be sent: only whether another try of the key has an answer, or will have
 }
 
 // ReplyKind is what a keeper says to an intent.
@@ -108,65 +108,65 @@
 
 // The replies.
 const (
-	Granted ReplyKind = iota + 1
-	Again             // with a newer clock
-	Known             // another try of the key is open: its answer follows, or is here
-	Bound             // another try may have run: go on with it, in its place
-	Over              // it was taken over
-	Full              // there is no room
-	None              // to one that only asks: there is no answer to wait for
+	ReplyGranted      ReplyKind = iota + 1
+	ReplyStaleClock             // with a newer clock
+	ReplyOtherAttempt           // another try of the key is open: its answer follows, or is here
+	ReplyAdopt                  // another try may have run: go on with it, in its place
+	ReplyTakenOver              // it was taken over
+	ReplyFull                   // there is no room
+	ReplyNone                   // to one that only asks: there is no answer to wait for
 )
 
 // Reply answers an intent.
 type Reply struct {
-	Key    string        `cbor:"1,keyasint"`
-	Try    uint64        `cbor:"2,keyasint"`
-	N      int           `cbor:"3,keyasint,omitempty"`
-	Kind   ReplyKind     `cbor:"4,keyasint"`
-	Epoch  uint64        `cbor:"5,keyasint,omitempty"`
-	At     Place         `cbor:"6,keyasint"`
-	Age    time.Duration `cbor:"7,keyasint,omitempty"` // of the first attempt, at the most
-	Answer *Answer       `cbor:"8,keyasint,omitempty"`
-	Clock  time.Duration `cbor:"9,keyasint"`
-	First  string        `cbor:"10,keyasint,omitempty"` // of Known and Over: who decides, as the other try's owner saw it
+	Key        string        `cbor:"1,keyasint"`
+	Attempt    uint64        `cbor:"2,keyasint"`
+	Relocation int           `cbor:"3,keyasint,omitempty"`
+	Kind       ReplyKind     `cbor:"4,keyasint"`
+	Epoch      uint64        `cbor:"5,keyasint,omitempty"`
+	Scope      Scope         `cbor:"6,keyasint"`
+	Age        time.Duration `cbor:"7,keyasint,omitempty"` // of the first attempt, at the most
+	Answer     *Answer       `cbor:"8,keyasint,omitempty"`
+	Clock      time.Duration `cbor:"9,keyasint"`
+	Primary    string        `cbor:"10,keyasint,omitempty"` // of Known and Over: who decides, as the other try's owner saw it
 }
 
 // End tells a keeper how a try ended.
-type End struct {
-	Key    string `cbor:"1,keyasint"`
-	Try    uint64 `cbor:"2,keyasint"`
-	Epoch  uint64 `cbor:"3,keyasint"`
-	Answer Answer `cbor:"4,keyasint"`
+type Completion struct {
+	Key     string `cbor:"1,keyasint"`
+	Attempt uint64 `cbor:"2,keyasint"`
+	Epoch   uint64 `cbor:"3,keyasint"`
+	Answer  Answer `cbor:"4,keyasint"`
 }
 
 // Told brings an answer to who waits for it; Never: the key is free.
-type Told struct {
-	Key    string `cbor:"1,keyasint"`
-	Try    uint64 `cbor:"2,keyasint"` // of who waits
-	Answer Answer `cbor:"3,keyasint"`
+type Notification struct {
+	Key     string `cbor:"1,keyasint"`
+	Attempt uint64 `cbor:"2,keyasint"` // of who waits
+	Answer  Answer `cbor:"3,keyasint"`
 }
 
 // Message is one message between instances; one of its fields is set.
 type Message struct {
-	Intent *Intent `cbor:"1,keyasint,omitempty"`
-	Reply  *Reply  `cbor:"2,keyasint,omitempty"`
-	End    *End    `cbor:"3,keyasint,omitempty"`
-	Ended  *End    `cbor:"4,keyasint,omitempty"` // an End was heard
-	Told   *Told   `cbor:"5,keyasint,omitempty"`
+	Intent        *Intent       `cbor:"1,keyasint,omitempty"`
+	Reply         *Reply        `cbor:"2,keyasint,omitempty"`
+	Completion    *Completion   `cbor:"3,keyasint,omitempty"`
+	CompletionAck *Completion   `cbor:"4,keyasint,omitempty"` // an End was heard
+	Notification  *Notification `cbor:"5,keyasint,omitempty"`
 }
 
 // Send is a message to a member.
-type Send struct {
-	To  string
-	Msg Message
+type Envelope struct {
+	To      string
+	Message Message
 }
 
 // Member is one that is there.
-type Member struct{ Name, Hall string }
+type Member struct{ Name, Zone string }
 
 // Keepers are the members that keep a key, the deciding one first: the first two by rendezvous, the second in another hall where there is
 // one, and one more, since an owner does not keep its own work alone. Any instance with the same view names the same.
-func Keepers(key string, members []Member) []string {
+func Replicas(key string, members []Member) []string {
 	type ranked struct {
 		Member
 		rank uint64
@@ -194,9 +194,9 @@
 	if take(any); len(out) == 0 {
 		return nil
 	}
-	hall := members[slices.IndexFunc(members, func(m Member) bool { return m.Name == out[0] })].Hall
+	hall := members[slices.IndexFunc(members, func(m Member) bool { return m.Name == out[0] })].Zone
 	n := len(out)
-	if take(func(m ranked) bool { return m.Hall != hall }); len(out) == n {
+	if take(func(m ranked) bool { return m.Zone != hall }); len(out) == n {
 		take(any)
 	}
 	take(any)
--- a/internal/zonedrain/zonedrain.go
+++ b/internal/zonedrain/zonedrain.go
@@ -22,22 +22,22 @@
 
 // Bounds of a file. A drill ends by itself: nobody has to remember it.
 const (
-	Most     = 4 * time.Hour // from now on that a drill may last
-	mostFile = 64 << 10
-	mostList = 64
+	MaxDuration = 4 * time.Hour // from now on that a drill may last
+	mostFile    = 64 << 10
+	mostList    = 64
 )
 
 // Drill is one hall that is out.
-type Drill struct {
-	Hall  string    `toml:"hall"`
-	Until time.Time `toml:"until"`
-	By    string    `toml:"by,omitempty"`
-	Why   string    `toml:"why,omitempty"`
+type Drain struct {
+	Zone   string    `toml:"hall"`
+	Until  time.Time `toml:"until"`
+	By     string    `toml:"by,omitempty"`
+	Reason string    `toml:"why,omitempty"`
 }
 
 // List is the file.
 type List struct {
-	Drills []Drill `toml:"drill"`
+	Drains []Drain `toml:"drill"`
 }
 
 // Parse reads a file's text; it is taken whole or not at all. now is for the bound on a drill's end.
@@ -54,10 +54,10 @@
 		}
 		return List{}, fmt.Errorf("drills: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if len(l.Drills) > mostList {
-		return List{}, fmt.Errorf("drills: %d are too many, %d at most", len(l.Drills), mostList)
+	if len(l.Drains) > mostList {
+		return List{}, fmt.Errorf("drills: %d are too many, %d at most", len(l.Drains), mostList)
 	}
-	for i, d := range l.Drills {
+	for i, d := range l.Drains {
 		if err := d.check(now); err != nil {
 			return List{}, fmt.Errorf("drill[%d].%w", i, err)
 		}
@@ -65,16 +65,16 @@
 	return l, nil
 }
 
-func (d Drill) check(now time.Time) error {
+func (d Drain) check(now time.Time) error {
 	switch {
-	case d.Hall == "":
+	case d.Zone == "":
 		return errors.New("hall: missing")
-	case len(d.Hall) > 100 || strings.ContainsAny(d.Hall, "\r\n"):
-		return fmt.Errorf("hall: %.20q is no name", d.Hall)
+	case len(d.Zone) > 100 || strings.ContainsAny(d.Zone, "\r\n"):
+		return fmt.Errorf("hall: %.20q is no name", d.Zone)
 	case d.Until.IsZero():
-		return fmt.Errorf("until: missing for hall %q", d.Hall)
-	case d.Until.After(now.Add(Most + time.Minute)):
-		return fmt.Errorf("until: %s is more than %v ahead", d.Until.Format(time.RFC3339), Most)
+		return fmt.Errorf("until: missing for hall %q", d.Zone)
+	case d.Until.After(now.Add(MaxDuration + time.Minute)):
+		return fmt.Errorf("until: %s is more than %v ahead", d.Until.Format(time.RFC3339), MaxDuration)
 	}
 	return nil
 }
@@ -99,35 +99,35 @@
 }
 
 // Out are the halls that are out at a time, with the end of each.
-func (l List) Out(now time.Time) map[string]time.Time {
+func (l List) Active(now time.Time) map[string]time.Time {
 	out := map[string]time.Time{}
-	for _, d := range l.Drills {
-		if d.Until.After(now) && d.Until.After(out[d.Hall]) {
-			out[d.Hall] = d.Until
+	for _, d := range l.Drains {
+		if d.Until.After(now) && d.Until.After(out[d.Zone]) {
+			out[d.Zone] = d.Until
 		}
 	}
 	return out
 }
 
 // Begin adds a drill in place of the hall's earlier one, and leaves out those that are over.
-func (l List) Begin(d Drill, now time.Time) (List, error) {
+func (l List) Start(d Drain, now time.Time) (List, error) {
 	if err := d.check(now); err != nil {
 		return l, err
 	}
 	if !d.Until.After(now) {
 		return l, fmt.Errorf("until: %s is over", d.Until.Format(time.RFC3339))
 	}
-	l = l.End(d.Hall, now)
-	l.Drills = append(l.Drills, d)
-	if len(l.Drills) > mostList {
-		return l, fmt.Errorf("drills: %d are too many, %d at most", len(l.Drills), mostList)
+	l = l.End(d.Zone, now)
+	l.Drains = append(l.Drains, d)
+	if len(l.Drains) > mostList {
+		return l, fmt.Errorf("drills: %d are too many, %d at most", len(l.Drains), mostList)
 	}
 	return l, nil
 }
 
 // End takes a hall's drill out, with those that are over.
 func (l List) End(hall string, now time.Time) List {
-	return List{slices.DeleteFunc(slices.Clone(l.Drills), func(d Drill) bool { return d.Hall == hall || !d.Until.After(now) })}
+	return List{slices.DeleteFunc(slices.Clone(l.Drains), func(d Drain) bool { return d.Zone == hall || !d.Until.After(now) })}
 }
 
 // Save writes the file in place of the old one: whoever reads it meanwhile sees one of the two, whole.
@@ -168,7 +168,7 @@
 			log.Error("the old drills are kept", "err", err)
 		case err == nil:
 			complained = ""
-			if out := l.Out(time.Now()); !maps.EqualFunc(out, told, time.Time.Equal) {
+			if out := l.Active(time.Now()); !maps.EqualFunc(out, told, time.Time.Equal) {
 				told = out
 				tell(out)
 			}
--- a/internal/zonedrain/zonedrain_test.go
+++ b/internal/zonedrain/zonedrain_test.go
@@ -25,11 +25,11 @@
 func TestBeginSaveEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "drills.toml")
 	l, err := Load(path, noon) // none yet
-	if err != nil || len(l.Drills) != 0 {
+	if err != nil || len(l.Drains) != 0 {
 		t.Fatal(l, err)
 	}
 	for i, hall := range []string{"hall-a", "hall-b", "hall-a"} { // the later one of a hall counts
-		if l, err = l.Begin(Drill{Hall: hall, Until: noon.Add(time.Duration(i+1) * time.Minute), By: "kari", Why: "fire drill"}, noon); err != nil {
+		if l, err = l.Start(Drain{Zone: hall, Until: noon.Add(time.Duration(i+1) * time.Minute), By: "kari", Reason: "fire drill"}, noon); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,11 +40,11 @@
 		t.Fatal(err)
 	}
 	for at, want := range map[time.Duration]int{0: 2, 119 * time.Second: 2, 2 * time.Minute: 1, 3 * time.Minute: 0} {
-		if out := l.Out(noon.Add(at)); len(out) != want {
+		if out := l.Active(noon.Add(at)); len(out) != want {
 			t.Errorf("after %v %v are out, want %d", at, out, want)
 		}
 	}
-	if out := l.End("hall-a", noon).Out(noon); len(out) != 1 || out["hall-b"].IsZero() {
+	if out := l.End("hall-a", noon).Active(noon); len(out) != 1 || out["hall-b"].IsZero() {
 		t.Error(out)
 	}
 	if left, _ := filepath.Glob(filepath.Join(filepath.Dir(path), ".drills-*")); len(left) > 0 {
@@ -65,16 +65,16 @@
 		strings.Repeat("[[drill]]\nhall = \"x\"\nuntil = 2026-05-17T12:01:00Z\n", mostList+1): "are too many",
 	} {
 		l, err := Parse([]byte(text), noon)
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || len(l.Drills) > 0 {
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || len(l.Drains) > 0 {
 			t.Errorf("%.40q: %v", text, err)
 		}
 	}
-	for d, want := range map[Drill]string{
-		{Hall: "x", Until: noon.Add(5 * time.Hour)}: "more than 4h",
-		{Hall: "x", Until: noon}:                    "is over",
+	for d, want := range map[Drain]string{
+		{Zone: "x", Until: noon.Add(5 * time.Hour)}: "more than 4h",
+		{Zone: "x", Until: noon}:                    "is over",
 		{Until: noon.Add(time.Minute)}:              "hall: missing",
 	} {
-		if _, err := (List{}).Begin(d, noon); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := (List{}).Start(d, noon); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v", d, err)
 		}
 	}
@@ -131,11 +131,11 @@
 	f.Add([]byte("drill = 3"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Parse(text, noon)
-		if err != nil && (len(l.Drills) > 0 || strings.Contains(err.Error(), "\n")) {
+		if err != nil && (len(l.Drains) > 0 || strings.Contains(err.Error(), "\n")) {
 			t.Fatalf("%v %v", l, err)
 		}
-		for _, until := range l.Out(noon) {
-			if until.After(noon.Add(Most + time.Minute)) {
+		for _, until := range l.Active(noon) {
+			if until.After(noon.Add(MaxDuration + time.Minute)) {
 				t.Fatal(until)
 			}
 		}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -35,19 +35,19 @@
 
 // Config is what an operator says of halls. The zero value of a field is its default.
 type Config struct {
-	Own           string        // the instance's hall
-	Near          []string      // halls of the second tier; those in neither are the third
-	NearPrice     float64       // what a node there counts for against one at home with the same load
-	FarPrice      float64       // the same in the third tier
-	Overprovision float64       // a hall keeps all its work down to 1/Overprovision of its capacity
-	Panic         float64       // below this share of all capacity no hall is preferred and no drill is kept
-	Ramp          time.Duration // from a return to the whole rate, at the most
-	RampFrom      float64       // share of the rate with which a return begins
-	Forget        time.Duration // of a calm hall, after which one step of caution is taken back
-	WarmAfter     time.Duration // of a node's cold start
-	ColdShare     float64       // of its capacity at the start
-	Probe         bool          // nodes may be probed
-	Aims          map[string]time.Duration
+	Own               string        // the instance's hall
+	Near              []string      // halls of the second tier; those in neither are the third
+	NearPrice         float64       // what a node there counts for against one at home with the same load
+	FarPrice          float64       // the same in the third tier
+	Overprovision     float64       // a hall keeps all its work down to 1/Overprovision of its capacity
+	Panic             float64       // below this share of all capacity no hall is preferred and no drill is kept
+	Ramp              time.Duration // from a return to the whole rate, at the most
+	RampFrom          float64       // share of the rate with which a return begins
+	Forget            time.Duration // of a calm hall, after which one step of caution is taken back
+	SlowStartWindow   time.Duration // of a node's cold start
+	SlowStartShare    float64       // of its capacity at the start
+	Probe             bool          // nodes may be probed
+	LatencyObjectives map[string]time.Duration
 }
 
 // The defaults of Config, which the options file has too.
@@ -93,16 +93,16 @@
 )
 
 // Node is an entry of the list.
-type Node struct {
-	ID      policy.ServerID
-	Hall    string
-	State   policy.ServerState
+type Backend struct {
+	ID      policy.BackendID
+	Zone    string
+	State   policy.BackendState
 	Size    float64       // 0 counts as 1
 	Started time.Duration // 0: long ago
 }
 
 type node struct {
-	Node
+	Backend
 	out          []time.Duration // when the attempts that are out were sent, oldest first
 	fails        int             // in a row, since the last answer
 	proved       int             // answers in a row since it was last unproven
@@ -159,11 +159,11 @@
 }
 
 // Book is what one instance knows of the halls.
-type Book struct {
+type Tracker struct {
 	cfg      Config
 	halls    map[string]*hall
 	order    []*hall // by name
-	nodes    map[policy.ServerID]*node
+	nodes    map[policy.BackendID]*node
 	usual    map[string]float64 // seconds that an answer of a class takes
 	relief   float64            // share of the preference that is given up
 	ticked   time.Duration
@@ -176,14 +176,14 @@
 
 // Change is something that people should hear of.
 type Change struct {
-	Hall     string
+	Zone     string
 	From, To State
-	Why      string
+	Reason   string
 	Caution  int
 }
 
 // New returns a book that knows no node yet.
-func New(cfg Config) *Book {
+func New(cfg Config) *Tracker {
 	cfg.NearPrice = cmp.Or(cfg.NearPrice, DefaultNearPrice)
 	cfg.FarPrice = cmp.Or(cfg.FarPrice, DefaultFarPrice)
 	cfg.Overprovision = cmp.Or(cfg.Overprovision, DefaultOverprovision)
@@ -191,11 +191,11 @@
 	cfg.Ramp = cmp.Or(cfg.Ramp, DefaultRamp)
 	cfg.RampFrom = cmp.Or(cfg.RampFrom, DefaultRampFrom)
 	cfg.Forget = cmp.Or(cfg.Forget, DefaultForget)
-	return &Book{cfg: cfg, halls: map[string]*hall{}, nodes: map[policy.ServerID]*node{}, usual: map[string]float64{}, reach: 1}
+	return &Tracker{cfg: cfg, halls: map[string]*hall{}, nodes: map[policy.BackendID]*node{}, usual: map[string]float64{}, reach: 1}
 }
 
 // Fleet takes the list over, or changes to it.
-func (b *Book) Fleet(now time.Duration, list []Node, whole bool) {
+func (b *Tracker) UpdateBackends(now time.Duration, list []Backend, whole bool) {
 	if whole {
 		for _, n := range b.nodes {
 			n.State = policy.Gone
@@ -213,7 +213,7 @@
 		case n.Started != e.Started || n.State == policy.Gone && e.State == policy.Running: // another process under the old id
 			*n = node{out: n.out, slow: 1, slowAt: now, probing: n.probing}
 		}
-		n.Node = e
+		n.Backend = e
 	}
 	for _, h := range b.order {
 		h.nodes = h.nodes[:0]
@@ -225,7 +225,7 @@
 			}
 			continue
 		}
-		h := b.hall(n.Hall, now)
+		h := b.hall(n.Zone, now)
 		h.nodes = append(h.nodes, n)
 		if h.wary && n.lastOK < h.lostAt {
 			n.unproven = true
@@ -238,7 +238,7 @@
 }
 
 // hall finds a hall, or begins one.
-func (b *Book) hall(name string, now time.Duration) *hall {
+func (b *Tracker) hall(name string, now time.Duration) *hall {
 	h := b.halls[name]
 	if h == nil {
 		h = &hall{name: name, since: now, calm: now, price: 1, tier: 2, share: 1, rate: -1}
@@ -257,7 +257,7 @@
 
 // wokeTogether begins a hall's ramp where the list says that most of its nodes have just started, whether or not this
 // instance has seen the loss: so an instance that has just started itself is as careful as the others, from the same time.
-func (b *Book) wokeTogether(now time.Duration, h *hall) {
+func (b *Tracker) wokeTogether(now time.Duration, h *hall) {
 	if h.state == Returning || h.state == Drained || len(h.nodes) < 2 {
 		return
 	}
@@ -280,17 +280,17 @@
 }
 
 // Sent tells that an attempt went to a node.
-func (b *Book) Sent(now time.Duration, id policy.ServerID) {
+func (b *Tracker) AttemptSent(now time.Duration, id policy.BackendID) {
 	n := b.nodes[id]
 	if n == nil {
 		return
 	}
 	n.out = append(n.out, now)
-	b.hall(n.Hall, now).sent.add(now, 1)
+	b.hall(n.Zone, now).sent.add(now, 1)
 }
 
 // Ended tells how an attempt, sent at a time, ended.
-func (b *Book) Ended(now time.Duration, id policy.ServerID, sent time.Duration, class string, o policy.Outcome) {
+func (b *Tracker) AttemptEnded(now time.Duration, id policy.BackendID, sent time.Duration, class string, o policy.Outcome) {
 	n := b.nodes[id]
 	if n == nil {
 		return
@@ -299,16 +299,16 @@
 		n.out = slices.Delete(n.out, i, i+1)
 	}
 	took := (now - sent).Seconds()
-	h := b.hall(n.Hall, now)
+	h := b.hall(n.Zone, now)
 	switch o {
-	case policy.Moot:
+	case policy.NotSent:
 		return
 	case policy.Cancelled: // another copy was faster: of a node that has not answered since, that says something
 		if n.lastOK < sent && took > silentTimes*b.usual[class] {
 			b.failed(sent, n)
 		}
 		return
-	case policy.Done:
+	case policy.Succeeded:
 		usual, seen := b.usual[class]
 		if !seen {
 			usual = took
@@ -320,7 +320,7 @@
 		b.learn(now, n, ratio)
 		h.done.add(now, 1)
 		b.answered(now, n)
-	case policy.Full: // it answers, and has no room
+	case policy.Rejected: // it answers, and has no room
 		b.learn(now, n, slowMost)
 		b.answered(now, n)
 	default:
@@ -328,13 +328,13 @@
 		b.learn(now, n, slowMost)
 	}
 	h.ends.add(now, 1)
-	if aim := b.cfg.Aims[class]; o != policy.Done || aim > 0 && now-sent > aim/3 {
+	if aim := b.cfg.LatencyObjectives[class]; o != policy.Succeeded || aim > 0 && now-sent > aim/3 {
 		h.late.add(now, 1)
 	}
 }
 
 // failed counts something that went without an answer, since a time.
-func (b *Book) failed(since time.Duration, n *node) {
+func (b *Tracker) failed(since time.Duration, n *node) {
 	if n.fails == 0 {
 		n.fail = since
 	}
@@ -342,13 +342,13 @@
 	n.proved = 0
 }
 
-func (b *Book) answered(now time.Duration, n *node) {
+func (b *Tracker) answered(now time.Duration, n *node) {
 	n.lastOK, n.fails = now, 0
 	n.proved++
 }
 
 // learn moves a node's relative latency; what was learned long ago weighs less.
-func (b *Book) learn(now time.Duration, n *node, ratio float64) {
+func (b *Tracker) learn(now time.Duration, n *node, ratio float64) {
 	left := math.Exp2(-(now - n.slowAt).Seconds() / slowHalf)
 	n.slow = 1 + (n.slow-1)*left
 	n.slow += (1 - (1-slowGain)*left) * (ratio - n.slow)
@@ -356,7 +356,7 @@
 }
 
 // Probed tells how a probe ended.
-func (b *Book) Probed(now time.Duration, id policy.ServerID, ok bool) {
+func (b *Tracker) ProbeEnded(now time.Duration, id policy.BackendID, ok bool) {
 	n := b.nodes[id]
 	if n == nil || !n.probing {
 		return
@@ -370,7 +370,7 @@
 }
 
 // Drain sets the drills that are in force: halls taken out on purpose, each until a time. A hall that is in none is back.
-func (b *Book) Drain(now time.Duration, until map[string]time.Duration) {
+func (b *Tracker) SetDrains(now time.Duration, until map[string]time.Duration) {
 	for _, h := range b.order {
 		h.until = until[h.name]
 	}
@@ -380,16 +380,16 @@
 }
 
 // warmth is the share of its capacity that a node has by its age.
-func (b *Book) warmth(now time.Duration, n *node) float64 {
+func (b *Tracker) warmth(now time.Duration, n *node) float64 {
 	age := now - n.Started
-	if n.Started == 0 || b.cfg.WarmAfter <= 0 || age >= b.cfg.WarmAfter {
+	if n.Started == 0 || b.cfg.SlowStartWindow <= 0 || age >= b.cfg.SlowStartWindow {
 		return 1
 	}
-	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*max(0, age.Seconds())/b.cfg.WarmAfter.Seconds()
+	return b.cfg.SlowStartShare + (1-b.cfg.SlowStartShare)*max(0, age.Seconds())/b.cfg.SlowStartWindow.Seconds()
 }
 
 // takes is what a node can take now: 0 where it is out, unproven, or bad.
-func (b *Book) takes(now time.Duration, n *node) float64 {
+func (b *Tracker) takes(now time.Duration, n *node) float64 {
 	if n.State != policy.Running || n.unproven || b.bad(now, n) {
 		return 0
 	}
@@ -398,7 +398,7 @@
 }
 
 // patience is how long an answer may be out before its silence says something.
-func (b *Book) patience() time.Duration {
+func (b *Tracker) patience() time.Duration {
 	most := 0.0
 	for _, u := range b.usual {
 		most = max(most, u)
@@ -407,7 +407,7 @@
 }
 
 // bad says whether a node shows by itself that it is not to be had: failures in a row, or a wait in which nothing was answered.
-func (b *Book) bad(now time.Duration, n *node) bool {
+func (b *Tracker) bad(now time.Duration, n *node) bool {
 	if n.fails >= failsBad {
 		return true
 	}
@@ -415,7 +415,7 @@
 }
 
 // judge says whether a hall's nodes, taken together, show that it is lost.
-func (b *Book) judge(now time.Duration, h *hall) (lost bool, why string) {
+func (b *Tracker) judge(now time.Duration, h *hall) (lost bool, why string) {
 	running, bad, silent, alive := 0, 0, 0, 0
 	h.byList, h.suspect = false, false
 	var first time.Duration
@@ -461,16 +461,16 @@
 	return true, fmt.Sprintf("%d of %d nodes %s for %v", bad, running, what, (now - first).Round(10*time.Millisecond))
 }
 
-func (b *Book) move(now time.Duration, h *hall, to State, why string) {
+func (b *Tracker) move(now time.Duration, h *hall, to State, why string) {
 	if h.state == to {
 		return
 	}
-	b.changes = append(b.changes, Change{Hall: h.name, From: h.state, To: to, Why: why, Caution: h.caution})
+	b.changes = append(b.changes, Change{Zone: h.name, From: h.state, To: to, Reason: why, Caution: h.caution})
 	h.state, h.since, h.why = to, now, why
 }
 
 // lose takes a hall out. A loss while it returns, or not long after, makes the next return more careful.
-func (b *Book) lose(now time.Duration, h *hall, why string) {
+func (b *Tracker) lose(now time.Duration, h *hall, why string) {
 	if h.rampAt > 0 && (h.state == Returning || now-h.calm < b.cfg.Forget) {
 		h.caution = min(h.caution+1, mostCaution)
 	}
@@ -482,11 +482,11 @@
 }
 
 // comeBack begins a hall's return, as of a time.
-func (b *Book) comeBack(now time.Duration, h *hall, at time.Duration, why string) {
+func (b *Tracker) comeBack(now time.Duration, h *hall, at time.Duration, why string) {
 	h.rampAt = at
 	h.ramp = min(b.cfg.Ramp, max(leastRamp, now-h.lostAt))
 	for _, n := range h.nodes { // cold nodes say themselves for how long
-		if n.Started > 0 && now-n.Started < b.cfg.WarmAfter {
+		if n.Started > 0 && now-n.Started < b.cfg.SlowStartWindow {
 			h.ramp = b.cfg.Ramp
 			break
 		}
@@ -496,7 +496,7 @@
 }
 
 // step moves a hall on.
-func (b *Book) step(now time.Duration, h *hall) {
+func (b *Tracker) step(now time.Duration, h *hall) {
 	lost, why := b.judge(now, h)
 	if h.state == Drained || h.until > now {
 		b.drill(now, h, lost, why)
@@ -529,7 +529,7 @@
 }
 
 // drill keeps a hall out that was taken out on purpose, and lets it in again as one that was lost.
-func (b *Book) drill(now time.Duration, h *hall, lost bool, why string) {
+func (b *Tracker) drill(now time.Duration, h *hall, lost bool, why string) {
 	if h.until > now {
 		b.move(now, h, Drained, fmt.Sprintf("taken out on purpose for %v more", (h.until-now).Round(time.Second)))
 		return
@@ -543,7 +543,7 @@
 }
 
 // prove believes the nodes that have answered often enough since the loss.
-func (b *Book) prove(now time.Duration, h *hall) (proven, running int) {
+func (b *Tracker) prove(now time.Duration, h *hall) (proven, running int) {
 	for _, n := range h.nodes {
 		if n.State != policy.Running {
 			continue
@@ -560,7 +560,7 @@
 }
 
 // Tick moves everything on and returns the facts as they stand. It wants to be called some ten times a second or more often.
-func (b *Book) Tick(now time.Duration) policy.HallsChanged {
+func (b *Tracker) Tick(now time.Duration) policy.ZonesChanged {
 	dt := max(0, (now - b.ticked).Seconds())
 	if b.ticked == 0 {
 		dt = 0
@@ -575,7 +575,7 @@
 }
 
 // measure sums up what each hall can take.
-func (b *Book) measure(now time.Duration, dt float64) {
+func (b *Tracker) measure(now time.Duration, dt float64) {
 	answers, units := 0.0, 0.0
 	for _, h := range b.order {
 		has := 0.0
@@ -652,7 +652,7 @@
 }
 
 // relieve gives up the preference for the own hall, a little at a time, while it answers later than the others do.
-func (b *Book) relieve(now time.Duration, dt float64) {
+func (b *Tracker) relieve(now time.Duration, dt float64) {
 	own := b.halls[b.cfg.Own]
 	if own == nil {
 		b.planned = 1
@@ -674,7 +674,7 @@
 }
 
 // keeps is the share of its own work that a hall can keep by what it has: all of it, down to 1/Overprovision.
-func (b *Book) keeps(h *hall) float64 {
+func (b *Tracker) keeps(h *hall) float64 {
 	if h.peak <= 0 {
 		return 0
 	}
@@ -682,7 +682,7 @@
 }
 
 // fair is a hall's part of all that can be taken.
-func (b *Book) fair(h *hall) float64 {
+func (b *Tracker) fair(h *hall) float64 {
 	all := 0.0
 	for _, x := range b.order {
 		all += x.capacity * x.share
@@ -694,8 +694,8 @@
 }
 
 // facts are what the module is told.
-func (b *Book) facts(now time.Duration) policy.HallsChanged {
-	ev := policy.HallsChanged{Reach: b.reach}
+func (b *Tracker) facts(now time.Duration) policy.ZonesChanged {
+	ev := policy.ZonesChanged{AvailableShare: b.reach}
 	given := b.relief
 	if own := b.halls[b.cfg.Own]; own != nil {
 		given = max(given, 1-b.keeps(own))
@@ -705,7 +705,7 @@
 	}
 	for _, h := range b.order {
 		h.price = 1 + ([...]float64{1, b.cfg.NearPrice, b.cfg.FarPrice}[h.tier]-1)*(1-given)
-		f := policy.Hall{Zone: h.name, Price: h.price, Rate: h.rate, Lost: h.state == Lost && h.rate == 0 && !h.byList}
+		f := policy.Zone{Name: h.name, Price: h.price, Rate: h.rate, Lost: h.state == Lost && h.rate == 0 && !h.byList}
 		if h.wary && b.cfg.Probe && (h.state == Returning || h.rate == 0) {
 			for _, n := range h.nodes {
 				if n.unproven {
@@ -713,9 +713,9 @@
 				}
 			}
 		}
-		ev.Halls = append(ev.Halls, f)
+		ev.Zones = append(ev.Zones, f)
 		if h.state == Returning {
-			ev.Pace = max(ev.Pace, min(paceMost, time.Duration((1-h.share)*float64(paceMost))))
+			ev.MinRetryAfter = max(ev.MinRetryAfter, min(paceMost, time.Duration((1-h.share)*float64(paceMost))))
 		}
 	}
 	return ev
@@ -723,7 +723,7 @@
 
 // Probes are the nodes to ask now: those that are not proven of halls that are lost or return, and all of a hall of which half
 // look bad, so that the rest need not be found out by requests. Each is to be told of by Probed.
-func (b *Book) Probes(now time.Duration) (out []policy.ServerID) {
+func (b *Tracker) DueProbes(now time.Duration) (out []policy.BackendID) {
 	if !b.cfg.Probe {
 		return nil
 	}
@@ -743,7 +743,7 @@
 }
 
 // Changes returns what has changed since it was last asked.
-func (b *Book) Changes() []Change {
+func (b *Tracker) TakeChanges() []Change {
 	out := b.changes
 	b.changes = nil
 	return out
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -17,9 +17,9 @@
 // rig is a book with three halls of four nodes, and a world that answers what it sends, or doesn't.
 type rig struct {
 	t    testing.TB
-	b    *Book
+	b    *Tracker
 	now  time.Duration
-	list []Node
+	list []Backend
 	dead map[string]bool // halls that refuse at once
 	mute map[string]bool // halls that say nothing
 	slow map[string]float64
@@ -29,10 +29,10 @@
 	moves []Change
 }
 
-type facts struct{ policy.HallsChanged }
+type facts struct{ policy.ZonesChanged }
 
 type flight struct {
-	id   policy.ServerID
+	id   policy.BackendID
 	hall string
 	sent time.Duration
 	ends time.Duration // 0: never
@@ -43,35 +43,35 @@
 	if cfg.Own == "" {
 		cfg.Own = "a"
 	}
-	cfg.Near, cfg.Probe, cfg.WarmAfter, cfg.ColdShare = []string{"b"}, true, 18*time.Second, 0.25
-	cfg.Aims = map[string]time.Duration{"read": 400 * ms}
+	cfg.Near, cfg.Probe, cfg.SlowStartWindow, cfg.SlowStartShare = []string{"b"}, true, 18*time.Second, 0.25
+	cfg.LatencyObjectives = map[string]time.Duration{"read": 400 * ms}
 	r := &rig{t: t, b: New(cfg), now: 100 * time.Second, dead: map[string]bool{}, mute: map[string]bool{}, slow: map[string]float64{}}
 	for i := range 12 {
 		h := string(rune('a' + i%3))
-		r.list = append(r.list, Node{ID: policy.ServerID(fmt.Sprint(h, i/3)), Hall: h, State: policy.Running})
+		r.list = append(r.list, Backend{ID: policy.BackendID(fmt.Sprint(h, i/3)), Zone: h, State: policy.Running})
 	}
-	r.b.Fleet(r.now, r.list, true)
+	r.b.UpdateBackends(r.now, r.list, true)
 	return r
 }
 
-func (r *rig) fact(hall string) policy.Hall {
-	for _, h := range r.Halls {
-		if h.Zone == hall {
+func (r *rig) fact(hall string) policy.Zone {
+	for _, h := range r.Zones {
+		if h.Name == hall {
 			return h
 		}
 	}
 	r.t.Fatalf("no fact of hall %s", hall)
-	return policy.Hall{}
+	return policy.Zone{}
 }
 
-func (r *rig) state(hall string) Hall {
-	for _, h := range r.b.Status(r.now).Halls {
+func (r *rig) state(hall string) ZoneStatus {
+	for _, h := range r.b.Status(r.now).Zones {
 		if h.Name == hall {
 			return h
 		}
 	}
 	r.t.Fatalf("no hall %s", hall)
-	return Hall{}
+	return ZoneStatus{}
 }
 
 // play lets the world go on: an attempt each 5 ms to the nodes in turn, as far as the facts let it, and a tick each 50.
@@ -83,25 +83,25 @@
 			if f.ends == 0 || f.ends > r.now {
 				return false
 			}
-			o := policy.Done
+			o := policy.Succeeded
 			if !f.ok {
 				o = policy.NoConnect
 			}
-			r.b.Ended(r.now, f.id, f.sent, "read", o)
+			r.b.AttemptEnded(r.now, f.id, f.sent, "read", o)
 			return true
 		})
 		if r.now%(50*ms) == 0 {
 			r.facts = facts{r.b.Tick(r.now)}
-			for _, h := range r.Halls {
+			for _, h := range r.Zones {
 				if h.Rate > 0 {
-					credit[h.Zone] = min(credit[h.Zone]+h.Rate*0.05, 2)
+					credit[h.Name] = min(credit[h.Name]+h.Rate*0.05, 2)
 				}
 			}
-			for _, id := range r.b.Probes(r.now) {
+			for _, id := range r.b.DueProbes(r.now) {
 				hall := string(id[:1])
-				r.b.Probed(r.now, id, !r.dead[hall] && !r.mute[hall])
+				r.b.ProbeEnded(r.now, id, !r.dead[hall] && !r.mute[hall])
 			}
-			r.moves = append(r.moves, r.b.Changes()...)
+			r.moves = append(r.moves, r.b.TakeChanges()...)
 			if until != nil && until() {
 				return r.now - began
 			}
@@ -112,26 +112,26 @@
 		for range r.list {
 			r.turn++
 			n := r.list[r.turn%len(r.list)]
-			var f policy.Hall
-			for _, h := range r.Halls {
-				if h.Zone == n.Hall {
+			var f policy.Zone
+			for _, h := range r.Zones {
+				if h.Name == n.Zone {
 					f = h
 				}
 			}
-			if n.State != policy.Running || f.Rate == 0 && f.Zone != "" || f.Rate > 0 && credit[n.Hall] < 1 || slices.Contains(f.Unproven, n.ID) {
+			if n.State != policy.Running || f.Rate == 0 && f.Name != "" || f.Rate > 0 && credit[n.Zone] < 1 || slices.Contains(f.Unproven, n.ID) {
 				continue
 			}
 			if f.Rate > 0 {
-				credit[n.Hall]--
+				credit[n.Zone]--
 			}
-			x := flight{id: n.ID, hall: n.Hall, sent: r.now, ends: r.now + time.Duration(60*max(1, r.slow[n.Hall])*float64(ms)), ok: true}
+			x := flight{id: n.ID, hall: n.Zone, sent: r.now, ends: r.now + time.Duration(60*max(1, r.slow[n.Zone])*float64(ms)), ok: true}
 			switch {
-			case r.dead[n.Hall]:
+			case r.dead[n.Zone]:
 				x.ends, x.ok = r.now+ms, false
-			case r.mute[n.Hall]:
+			case r.mute[n.Zone]:
 				x.ends = 0
 			}
-			r.b.Sent(r.now, n.ID)
+			r.b.AttemptSent(r.now, n.ID)
 			r.out = append(r.out, x)
 			break
 		}
@@ -152,8 +152,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, Config{})
 			r.play(3*time.Second, nil)
-			if s := r.b.Status(r.now); s.Reach != 1 || s.Panic || s.Planned > 0.1 || r.fact("a").Price != 1 || r.fact("b").Price != 2 || r.fact("c").Price != 3 {
-				t.Fatalf("calm: %+v, %+v", s, r.Halls)
+			if s := r.b.Status(r.now); s.AvailableShare != 1 || s.Panic || s.PlannedSpill > 0.1 || r.fact("a").Price != 1 || r.fact("b").Price != 2 || r.fact("c").Price != 3 {
+				t.Fatalf("calm: %+v, %+v", s, r.Zones)
 			}
 			c.lose(r)
 			took := r.play(5*time.Second, func() bool { return r.state("a").State == "lost" })
@@ -163,10 +163,10 @@
 			if f := r.fact("a"); !f.Lost || f.Rate != 0 {
 				t.Errorf("fact %+v", f)
 			}
-			if s := r.b.Status(r.now); s.Planned != 1 || s.Reach > 0.67 || !strings.Contains(s.Why, "lost") {
+			if s := r.b.Status(r.now); s.PlannedSpill != 1 || s.AvailableShare > 0.67 || !strings.Contains(s.Reason, "lost") {
 				t.Errorf("status %+v", s)
 			}
-			before := r.b.Status(r.now).Halls[0].Offered
+			before := r.b.Status(r.now).Zones[0].Offered
 			r.play(2*time.Second, nil)
 			if after := r.state("a").Offered; after > before/4 {
 				t.Errorf("%.1f a second still go there, %.1f before", after, before)
@@ -232,11 +232,11 @@
 		r := newRig(t, Config{})
 		r.now += age
 		for i := range r.list {
-			if r.list[i].Hall == "b" {
+			if r.list[i].Zone == "b" {
 				r.list[i].Started = started
 			}
 		}
-		r.b.Fleet(r.now, r.list, true)
+		r.b.UpdateBackends(r.now, r.list, true)
 		for r.now < 102*time.Second {
 			r.now += 50 * ms
 			r.facts = facts{r.b.Tick(r.now)}
@@ -258,8 +258,8 @@
 	r.dead["a"] = true
 	r.play(2*time.Second, func() bool { return r.state("a").State == "lost" })
 	for range 3 {
-		for _, id := range r.b.Probes(r.now) {
-			r.b.Probed(r.now, id, id == "a2")
+		for _, id := range r.b.DueProbes(r.now) {
+			r.b.ProbeEnded(r.now, id, id == "a2")
 		}
 		r.now += 200 * ms
 		r.facts = facts{r.b.Tick(r.now)}
@@ -274,13 +274,13 @@
 	r := newRig(t, Config{})
 	r.play(2*time.Second, nil)
 	for i := range r.list {
-		if r.list[i].Hall == "c" {
+		if r.list[i].Zone == "c" {
 			r.list[i].State = policy.Draining
 		}
 	}
-	r.b.Fleet(r.now, r.list, false)
+	r.b.UpdateBackends(r.now, r.list, false)
 	r.play(100*ms, nil)
-	if f := r.fact("c"); f.Lost || f.Rate != 0 || !strings.Contains(r.state("c").Why, "draining") {
+	if f := r.fact("c"); f.Lost || f.Rate != 0 || !strings.Contains(r.state("c").Reason, "draining") {
 		t.Fatalf("%+v %+v", f, r.state("c"))
 	}
 }
@@ -291,7 +291,7 @@
 	r.play(2*time.Second, nil)
 	r.dead = map[string]bool{"a": true, "b": true, "c": true}
 	r.play(2*time.Second, nil)
-	for _, h := range r.Halls {
+	for _, h := range r.Zones {
 		if h.Rate >= 0 || h.Lost || h.Price != 1 || len(h.Unproven) > 0 {
 			t.Errorf("%+v", h)
 		}
@@ -305,7 +305,7 @@
 func TestDrill(t *testing.T) {
 	r := newRig(t, Config{})
 	r.play(2*time.Second, nil)
-	r.b.Drain(r.now, map[string]time.Duration{"a": r.now + 3*time.Second})
+	r.b.SetDrains(r.now, map[string]time.Duration{"a": r.now + 3*time.Second})
 	r.play(100*ms, nil)
 	if f := r.fact("a"); f.Rate != 0 || f.Lost || r.state("a").State != "drained" {
 		t.Fatalf("%+v", f)
@@ -335,7 +335,7 @@
 		}
 		last = r.b.relief
 	}
-	if s := r.state("a"); s.State != "up" || !s.Grey || s.Capacity > 2 {
+	if s := r.state("a"); s.State != "up" || !s.GrayFailure || s.Capacity > 2 {
 		t.Fatalf("%+v", s)
 	}
 	if p := r.fact("b").Price; p > 1.5 {
@@ -347,22 +347,22 @@
 // request, every probe is of a node that runs, and the same calls give the same facts.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Own: "a", Near: []string{"b"}, Probe: rapid.Bool().Draw(t, "probe"), WarmAfter: 18 * time.Second, ColdShare: 0.25}
+		cfg := Config{Own: "a", Near: []string{"b"}, Probe: rapid.Bool().Draw(t, "probe"), SlowStartWindow: 18 * time.Second, SlowStartShare: 0.25}
 		b, twin := New(cfg), New(cfg)
 		now := 50 * time.Second
-		out := map[policy.ServerID][]time.Duration{}
-		var list []Node
+		out := map[policy.BackendID][]time.Duration{}
+		var list []Backend
 		for i := range 9 {
-			list = append(list, Node{ID: policy.ServerID(fmt.Sprint("n", i)), Hall: string(rune('a' + i%3)), State: policy.Running})
+			list = append(list, Backend{ID: policy.BackendID(fmt.Sprint("n", i)), Zone: string(rune('a' + i%3)), State: policy.Running})
 		}
-		both := func(do func(*Book)) { do(b); do(twin) }
-		both(func(b *Book) { b.Fleet(now, list, true) })
+		both := func(do func(*Tracker)) { do(b); do(twin) }
+		both(func(b *Tracker) { b.UpdateBackends(now, list, true) })
 		node := rapid.IntRange(0, len(list)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"wait": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * ms },
 			"send": func(t *rapid.T) {
 				id := list[node.Draw(t, "n")].ID
-				both(func(b *Book) { b.Sent(now, id) })
+				both(func(b *Tracker) { b.AttemptSent(now, id) })
 				out[id] = append(out[id], now)
 			},
 			"end": func(t *rapid.T) {
@@ -373,11 +373,11 @@
 				sent := out[id][0]
 				out[id] = out[id][1:]
 				o := policy.Outcome(rapid.IntRange(0, 7).Draw(t, "o"))
-				both(func(b *Book) { b.Ended(now, id, sent, "c", o) })
+				both(func(b *Tracker) { b.AttemptEnded(now, id, sent, "c", o) })
 			},
 			"probe": func(t *rapid.T) {
-				ids := b.Probes(now)
-				if !slices.Equal(ids, twin.Probes(now)) {
+				ids := b.DueProbes(now)
+				if !slices.Equal(ids, twin.DueProbes(now)) {
 					t.Fatal("two books differ in their probes")
 				}
 				ok := rapid.Bool().Draw(t, "ok")
@@ -385,23 +385,23 @@
 					if b.nodes[id].State != policy.Running {
 						t.Fatalf("probe of %s", id)
 					}
-					both(func(b *Book) { b.Probed(now, id, ok) })
+					both(func(b *Tracker) { b.ProbeEnded(now, id, ok) })
 				}
 			},
 			"list": func(t *rapid.T) {
 				i := node.Draw(t, "n")
-				list[i].State = policy.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
+				list[i].State = policy.BackendState(rapid.IntRange(0, 2).Draw(t, "state"))
 				if rapid.Bool().Draw(t, "restart") {
 					list[i].Started = now
 				}
-				both(func(b *Book) { b.Fleet(now, list[i:i+1], false) })
+				both(func(b *Tracker) { b.UpdateBackends(now, list[i:i+1], false) })
 			},
 			"drill": func(t *rapid.T) {
 				until := map[string]time.Duration{}
 				if rapid.Bool().Draw(t, "on") {
 					until["b"] = now + 2*time.Second
 				}
-				both(func(b *Book) { b.Drain(now, until) })
+				both(func(b *Tracker) { b.SetDrains(now, until) })
 			},
 			"": func(t *rapid.T) {
 				ev := b.Tick(now)
@@ -409,7 +409,7 @@
 					t.Fatal("two books differ in their facts")
 				}
 				open := false
-				for i, h := range ev.Halls {
+				for i, h := range ev.Zones {
 					s := b.order[i]
 					if !(h.Price >= 1 && h.Price <= DefaultFarPrice) || !(h.Rate >= -1 && h.Rate < 1e6) {
 						t.Fatalf("%+v", h)
@@ -425,11 +425,11 @@
 				if !open && b.reach > 0 && !slices.ContainsFunc(b.order, func(h *hall) bool { return h.state == Lost || h.state == Drained }) {
 					t.Fatalf("every hall is closed: %+v", ev)
 				}
-				if !(ev.Reach >= 0 && ev.Reach <= 1) || ev.Pace < 0 || ev.Pace > paceMost {
+				if !(ev.AvailableShare >= 0 && ev.AvailableShare <= 1) || ev.MinRetryAfter < 0 || ev.MinRetryAfter > paceMost {
 					t.Fatalf("%+v", ev)
 				}
 				s := b.Status(now)
-				if !(s.Planned >= 0 && s.Planned <= 1 && s.Spilled >= 0 && s.Spilled <= 1) || s.Why == "" {
+				if !(s.PlannedSpill >= 0 && s.PlannedSpill <= 1 && s.Spilled >= 0 && s.Spilled <= 1) || s.Reason == "" {
 					t.Fatalf("%+v", s)
 				}
 			},
@@ -441,13 +441,13 @@
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(n, "nodes"), func(b *testing.B) {
 			r := newRig(b, Config{})
-			var list []Node
+			var list []Backend
 			for i := range n {
-				list = append(list, Node{ID: policy.ServerID(fmt.Sprint("x", i)), Hall: string(rune('a' + i%3)), State: policy.Running})
+				list = append(list, Backend{ID: policy.BackendID(fmt.Sprint("x", i)), Zone: string(rune('a' + i%3)), State: policy.Running})
 			}
-			r.b.Fleet(r.now, list, true)
+			r.b.UpdateBackends(r.now, list, true)
 			for i := range list {
-				r.b.Sent(r.now, list[i].ID)
+				r.b.AttemptSent(r.now, list[i].ID)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,7 +14,7 @@
 }
 
 // repeatable says whether another attempt may go out now.
-func (g *Gateway) repeatable(r *request) bool {
+func (g *Engine) repeatable(r *request) bool {
 	if len(r.attempts) >= max(g.set.MaxAttempts, 1) || r.stream || r.final {
 		return false
 	}
@@ -23,7 +23,7 @@
 		r.class.Effect == Keyed && g.now-a.sent < r.class.RepeatWindow*9/10
 }
 
-func (g *Gateway) send(r *request, s *server) {
+func (g *Engine) send(r *request, s *server) {
 	if !r.sent {
 		r.sent = true
 		g.retries = min(g.part(), g.retries+retryRatio)
@@ -39,23 +39,23 @@
 		g.cold--
 	}
 	var stop time.Duration
-	if !g.set.SecondCopies && r.class.mean > 0 && r.class.Effect != Unsafe { // ends for another
-		stop = g.now + max(r.class.takes(2*hedgeDevs), r.class.Aim/3)
+	if !g.set.Hedging && r.class.mean > 0 && r.class.Effect != Unsafe { // ends for another
+		stop = g.now + max(r.class.takes(2*hedgeDevs), r.class.LatencyObjective/3)
 	}
-	g.do(Send{ID: r.ID, Server: s.ID, StopAt: stop})
+	g.do(SendAttempt{ID: r.ID, Backend: s.ID, StopAt: stop})
 }
 
 // watch looks after a request that is out: a copy goes to another server when the answer is overdue.
-func (g *Gateway) watch(r *request) {
+func (g *Engine) watch(r *request) {
 	for _, a := range r.attempts {
-		if !a.ended && !a.lost && g.now-a.sent > r.class.Aim {
+		if !a.ended && !a.lost && g.now-a.sent > r.class.LatencyObjective {
 			a.lost = true
 			g.busy--
 			g.judge(a, r.class, TimedOut, 0)
 		}
 	}
-	if !g.set.SecondCopies || r.Handed || r.held || r.outs != 1 || g.retries < 1 || r.beyond ||
-		g.now > r.arrived+r.class.Aim || r.class.mean == 0 || g.pressed() || !g.repeatable(r) || !g.mayGo(r) {
+	if !g.set.Hedging || r.Delegated || r.held || r.outs != 1 || g.retries < 1 || r.beyond ||
+		g.now > r.arrived+r.class.LatencyObjective || r.class.mean == 0 || g.pressed() || !g.repeatable(r) || !g.mayGo(r) {
 		return
 	}
 	if last := r.attempts[len(r.attempts)-1]; g.now-last.sent < r.class.takes(hedgeDevs) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (g *Gateway) attemptEnded(ev AttemptEnded) {
+func (g *Engine) attemptEnded(ev AttemptEnded) {
 	r := g.requests[ev.ID]
 	if r == nil || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
 		return
@@ -88,17 +88,17 @@
 	switch {
 	case r.final:
 	case ev.Finished:
-		if r.plan.SettledByReply && ev.Settled > 0 && r.charged {
-			r.cust.block -= ev.Settled - r.Units
+		if r.plan.SettledByReply && ev.SettledUnits > 0 && r.charged {
+			r.cust.block -= ev.SettledUnits - r.Units
 		}
 		g.close(r)
 	case r.outs > 0 || r.held: // held: since its hall was lost
 	case !g.repeatable(r) || r.GiveUpAt-g.now < r.class.takes(0)+2*g.sweep ||
-		g.retries < 1 && ev.Outcome != Moot:
+		g.retries < 1 && ev.Outcome != NotSent:
 		r.why = NoRetry
 		g.giveUp(r)
 	default: // tried again where its class, its time and the budget allow; what was never sent cost nothing
-		if ev.Outcome != Moot {
+		if ev.Outcome != NotSent {
 			g.retries--
 		}
 		g.hold(r)
@@ -106,22 +106,22 @@
 }
 
 // giveUp answers for good: refused where trying again is surely harmless, else failed.
-func (g *Gateway) giveUp(r *request) {
+func (g *Engine) giveUp(r *request) {
 	if r.anchor() != nil && r.class.Effect != Safe && (r.class.Effect != Keyed || r.class.Group != GroupAll) {
-		g.do(Fail{ID: r.ID, Why: r.why})
+		g.do(Fail{ID: r.ID, Reason: r.why})
 		g.close(r)
 		return
 	}
-	g.refuse(r, r.class.Aim)
+	g.refuse(r, r.class.LatencyObjective)
 }
 
-func (g *Gateway) refuse(r *request, after time.Duration) {
-	g.do(Refuse{ID: r.ID, RetryAfter: g.spread(min(max(after, g.pace), g.set.MaxRetryAfter)), Why: r.why})
+func (g *Engine) refuse(r *request, after time.Duration) {
+	g.do(Reject{ID: r.ID, RetryAfter: g.spread(min(max(after, g.pace), g.set.MaxRetryAfter)), Reason: r.why})
 	g.close(r)
 }
 
 // close marks the request as finally answered and calls off what is still out for it.
-func (g *Gateway) close(r *request) {
+func (g *Engine) close(r *request) {
 	if r.held {
 		g.unhold(r)
 	}
@@ -131,7 +131,7 @@
 	r.final = true
 	for _, a := range r.attempts {
 		if !a.ended && g.set.MayCancel && !r.stream {
-			g.do(Cancel{ID: r.ID, Attempt: a.n})
+			g.do(CancelAttempt{ID: r.ID, Attempt: a.n})
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,9 +9,9 @@
 
 func Example() {
 	gateway, err := policy.New(policy.Settings{
-		Me: 0, Gateways: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, SecondCopies: true, MayCancel: true,
+		Index: 0, Instances: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, Hedging: true, MayCancel: true,
 		Counter: true, CounterTimeout: 50 * time.Millisecond,
-		Classes: []policy.Class{{Name: "read", Worth: 1, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
+		Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
 			Effect: policy.Safe}},
 		Plans: []policy.Plan{{Name: "basic", Price: 1, Rate: 5, Burst: 10, ExcessCost: 1}},
 	}, 1)
@@ -20,10 +20,10 @@
 		return
 	}
 	now := time.Hour
-	gateway.Handle(now, policy.FleetChanged{Whole: true,
-		Servers: []policy.Server{{ID: "10.0.0.1:80", State: policy.Running}}}, nil)
+	gateway.Handle(now, policy.EndpointsChanged{Complete: true,
+		Backends: []policy.Backend{{ID: "10.0.0.1:80", State: policy.Running}}}, nil)
 	for _, a := range gateway.Handle(now, policy.Arrival{Request: policy.Request{ID: 1, Class: "read", Plan: "basic",
-		Customer: "c1", Units: 1, Spread: 2, GiveUpAt: now + 2*time.Second}}, nil) {
+		Tenant: "c1", Units: 1, Spread: 2, GiveUpAt: now + 2*time.Second}}, nil) {
 		fmt.Printf("%T %+v\n", a, a)
 	}
 	// Output: logic.Send {ID:1 Server:10.0.0.1:80 StopAt:0s}
--- a/policy/halls.go
+++ b/policy/halls.go
@@ -4,7 +4,7 @@
 
 // hall is what the gateway was last told of a hall, and what is left of the rate that it may be sent.
 type hall struct {
-	Hall
+	Zone
 	credit float64
 	at     time.Duration
 }
@@ -18,36 +18,36 @@
 
 // hallsChanged takes over what is known of halls. The window shrinks with what is lost, at once: its own way
 // there would cost the work that many round trips bring too much.
-func (g *Gateway) hallsChanged(ev HallsChanged) {
+func (g *Engine) hallsChanged(ev ZonesChanged) {
 	for _, s := range g.fleet {
 		s.unproven = false
 	}
-	for _, f := range ev.Halls {
-		h := g.halls[f.Zone]
+	for _, f := range ev.Zones {
+		h := g.halls[f.Name]
 		if h == nil {
 			h = &hall{at: g.now}
-			g.halls[f.Zone] = h
+			g.halls[f.Name] = h
 		}
 		lost := f.Lost && !h.Lost
 		if h.Rate < 0 && f.Rate >= 0 {
 			h.credit, h.at = 0, g.now
 		}
-		h.Hall = f
+		h.Zone = f
 		for _, id := range f.Unproven {
 			if s := g.servers[id]; s != nil {
 				s.unproven = true
 			}
 		}
 		if lost {
-			g.strand(f.Zone)
+			g.strand(f.Name)
 		}
 	}
-	if ev.Reach < g.reach-reachStep {
-		least := max(leastWindow, float64(len(g.fleet))/float64(g.set.Gateways))
-		g.window = min(g.window, max(g.window*ev.Reach/g.reach, least))
-		g.reach = ev.Reach
+	if ev.AvailableShare < g.reach-reachStep {
+		least := max(leastWindow, float64(len(g.fleet))/float64(g.set.Instances))
+		g.window = min(g.window, max(g.window*ev.AvailableShare/g.reach, least))
+		g.reach = ev.AvailableShare
 	}
-	g.reach, g.pace = max(g.reach, ev.Reach), ev.Pace
+	g.reach, g.pace = max(g.reach, ev.AvailableShare), ev.MinRetryAfter
 }
 
 // hasRoom says whether the hall may be sent another attempt.
@@ -67,7 +67,7 @@
 
 // strand deals with what is out in a hall that has just been lost: it no longer fills the window, and what
 // may be repeated anywhere goes to the queues again, at no cost to the budget of further attempts.
-func (g *Gateway) strand(zone string) {
+func (g *Engine) strand(zone string) {
 	for _, r := range g.live {
 		for _, a := range r.attempts {
 			if a.ended || a.s.Zone != zone {
@@ -78,19 +78,19 @@
 				g.busy--
 			}
 			switch {
-			case r.final || r.held || r.Handed || r.class.Effect != Safe || !g.repeatable(r):
-			case g.set.SecondCopies && r.outs == 1:
+			case r.final || r.held || r.Delegated || r.class.Effect != Safe || !g.repeatable(r):
+			case g.set.Hedging && r.outs == 1:
 				g.hold(r)
-			case !g.set.SecondCopies && g.set.MayCancel:
+			case !g.set.Hedging && g.set.MayCancel:
 				g.retries++
-				g.do(Cancel{ID: r.ID, Attempt: a.n})
+				g.do(CancelAttempt{ID: r.ID, Attempt: a.n})
 			}
 		}
 	}
 }
 
 // spread draws a part of a retry-after while capacity is missing: who was refused together comes back apart.
-func (g *Gateway) spread(after time.Duration) time.Duration {
+func (g *Engine) spread(after time.Duration) time.Duration {
 	if g.reach >= spreadShort || after <= 0 {
 		return after
 	}
--- a/policy/halls_test.go
+++ b/policy/halls_test.go
@@ -9,42 +9,42 @@
 func hallRig(t *testing.T) *rig {
 	set := settings()
 	set.CrossZonePrice = 0.01
-	r := newRig(t, set, Server{ID: "a0", State: Running, Zone: "a"}, Server{ID: "a1", State: Running, Zone: "a", Cell: 1}, Server{ID: "b0", State: Running, Zone: "b", Cell: 2},
-		Server{ID: "b1", State: Running, Zone: "b", Cell: 3})
+	r := newRig(t, set, Backend{ID: "a0", State: Running, Zone: "a"}, Backend{ID: "a1", State: Running, Zone: "a", Cell: 1}, Backend{ID: "b0", State: Running, Zone: "b", Cell: 2},
+		Backend{ID: "b1", State: Running, Zone: "b", Cell: 3})
 	r.pass(20 * ms)
 	return r
 }
 
-func (r *rig) zones(sends []Send) map[string]int {
+func (r *rig) zones(sends []SendAttempt) map[string]int {
 	out := map[string]int{}
 	for _, s := range sends {
-		out[r.g.servers[s.Server].Zone]++
+		out[r.g.servers[s.Backend].Zone]++
 	}
 	return out
 }
 
-func facts(halls ...Hall) HallsChanged { return HallsChanged{Halls: halls, Reach: 1} }
+func facts(halls ...Zone) ZonesChanged { return ZonesChanged{Zones: halls, AvailableShare: 1} }
 
 // The price moves work, a rate bounds it, a closed hall gets none, and neither does a server that is not proven.
 func TestHallFacts(t *testing.T) {
 	for name, c := range map[string]struct {
-		ev    HallsChanged
-		check func(z map[string]int, sends []Send) bool
+		ev    ZonesChanged
+		check func(z map[string]int, sends []SendAttempt) bool
 	}{
-		"price":  {facts(Hall{Zone: "a", Price: 50, Rate: -1}, Hall{Zone: "b", Price: 1, Rate: -1}), func(z map[string]int, _ []Send) bool { return z["a"] == 0 && z["b"] == 6 }},
-		"closed": {facts(Hall{Zone: "a", Price: 1, Rate: 0}, Hall{Zone: "b", Price: 9, Rate: -1}), func(z map[string]int, _ []Send) bool { return z["a"] == 0 && z["b"] == 6 }},
-		"lost":   {facts(Hall{Zone: "a", Price: 1, Lost: true}, Hall{Zone: "b", Price: 9, Rate: -1}), func(z map[string]int, _ []Send) bool { return z["a"] == 0 && z["b"] == 6 }},
-		"rate":   {facts(Hall{Zone: "a", Price: 1, Rate: 1}, Hall{Zone: "b", Price: 9, Rate: -1}), func(z map[string]int, _ []Send) bool { return z["a"] <= 1 && z["b"] >= 5 }},
-		"unproven": {facts(Hall{Zone: "a", Price: 1, Rate: -1, Unproven: []ServerID{"a0"}}, Hall{Zone: "b", Price: 99, Rate: -1}), func(_ map[string]int, s []Send) bool {
-			return len(s) == 6 && s[0].Server == "a1" && s[5].Server == "a1"
+		"price":  {facts(Zone{Name: "a", Price: 50, Rate: -1}, Zone{Name: "b", Price: 1, Rate: -1}), func(z map[string]int, _ []SendAttempt) bool { return z["a"] == 0 && z["b"] == 6 }},
+		"closed": {facts(Zone{Name: "a", Price: 1, Rate: 0}, Zone{Name: "b", Price: 9, Rate: -1}), func(z map[string]int, _ []SendAttempt) bool { return z["a"] == 0 && z["b"] == 6 }},
+		"lost":   {facts(Zone{Name: "a", Price: 1, Lost: true}, Zone{Name: "b", Price: 9, Rate: -1}), func(z map[string]int, _ []SendAttempt) bool { return z["a"] == 0 && z["b"] == 6 }},
+		"rate":   {facts(Zone{Name: "a", Price: 1, Rate: 1}, Zone{Name: "b", Price: 9, Rate: -1}), func(z map[string]int, _ []SendAttempt) bool { return z["a"] <= 1 && z["b"] >= 5 }},
+		"unproven": {facts(Zone{Name: "a", Price: 1, Rate: -1, Unproven: []BackendID{"a0"}}, Zone{Name: "b", Price: 99, Rate: -1}), func(_ map[string]int, s []SendAttempt) bool {
+			return len(s) == 6 && s[0].Backend == "a1" && s[5].Backend == "a1"
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := hallRig(t)
 			r.tell(c.ev)
-			var sends []Send
+			var sends []SendAttempt
 			for id := range RequestID(6) {
-				sends = append(sends, only[Send](r.arrive(id+1, "read", "free"))...)
+				sends = append(sends, only[SendAttempt](r.arrive(id+1, "read", "free"))...)
 			}
 			if z := r.zones(sends); !c.check(z, sends) {
 				t.Fatal(z, sends)
@@ -56,14 +56,14 @@
 // A rate is kept over time, however many wait.
 func TestHallRate(t *testing.T) {
 	r := hallRig(t)
-	r.tell(facts(Hall{Zone: "a", Price: 1, Rate: 10}, Hall{Zone: "b", Price: 1, Rate: 0}))
+	r.tell(facts(Zone{Name: "a", Price: 1, Rate: 10}, Zone{Name: "b", Price: 1, Rate: 0}))
 	sends, id := 0, RequestID(0)
 	for end := r.now + 2*time.Second; r.now < end; {
 		id++
-		got := only[Send](append(r.arrive(id, "read", "free"), r.pass(10*ms)...))
+		got := only[SendAttempt](append(r.arrive(id, "read", "free"), r.pass(10*ms)...))
 		sends += len(got)
 		for _, s := range got {
-			r.tell(AttemptEnded{ID: s.ID, Server: s.Server, Outcome: Done, Took: ms, Finished: true})
+			r.tell(AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})
 		}
 	}
 	if sends < 15 || sends > 23 {
@@ -74,15 +74,15 @@
 // A hall that is closed gets none, also of what its rate had saved up.
 func TestHallClosed(t *testing.T) {
 	r := hallRig(t)
-	b := Hall{Zone: "b", Price: 1, Rate: 0}
-	r.tell(facts(Hall{Zone: "a", Price: 1, Rate: 30}, b))
+	b := Zone{Name: "b", Price: 1, Rate: 0}
+	r.tell(facts(Zone{Name: "a", Price: 1, Rate: 30}, b))
 	r.pass(time.Second)
-	if s := only[Send](r.arrive(1, "read", "free")); len(s) != 1 {
+	if s := only[SendAttempt](r.arrive(1, "read", "free")); len(s) != 1 {
 		t.Fatalf("%v: the rate lets one go", s)
 	}
 	r.pass(time.Second)
-	r.tell(facts(Hall{Zone: "a", Price: 1, Rate: 0}, b))
-	if s := only[Send](append(r.arrive(2, "read", "free"), r.pass(100*ms)...)); len(s) != 0 {
+	r.tell(facts(Zone{Name: "a", Price: 1, Rate: 0}, b))
+	if s := only[SendAttempt](append(r.arrive(2, "read", "free"), r.pass(100*ms)...)); len(s) != 0 {
 		t.Fatalf("%v went to a closed hall", s)
 	}
 }
@@ -91,16 +91,16 @@
 // and unsafe work do not go to another rack, and each request has one final answer.
 func TestStrand(t *testing.T) {
 	r := hallRig(t)
-	r.tell(facts(Hall{Zone: "a", Price: 1, Rate: -1}, Hall{Zone: "b", Price: 99, Rate: -1}))
+	r.tell(facts(Zone{Name: "a", Price: 1, Rate: -1}, Zone{Name: "b", Price: 99, Rate: -1}))
 	for id, class := range []string{"read", "book", "pay"} {
-		if s := only[Send](r.arrive(RequestID(id+1), class, "free")); len(s) != 1 || r.g.servers[s[0].Server].Zone != "a" {
+		if s := only[SendAttempt](r.arrive(RequestID(id+1), class, "free")); len(s) != 1 || r.g.servers[s[0].Backend].Zone != "a" {
 			t.Fatal(class, s)
 		}
 	}
 	busy, retries := r.g.busy, r.g.retries
-	acts := r.tell(HallsChanged{Halls: []Hall{{Zone: "a", Price: 1, Lost: true}, {Zone: "b", Price: 1, Rate: -1}}, Reach: 0.5})
-	sends := only[Send](acts)
-	if len(sends) != 1 || sends[0].ID != 1 || r.g.servers[sends[0].Server].Zone != "b" {
+	acts := r.tell(ZonesChanged{Zones: []Zone{{Name: "a", Price: 1, Lost: true}, {Name: "b", Price: 1, Rate: -1}}, AvailableShare: 0.5})
+	sends := only[SendAttempt](acts)
+	if len(sends) != 1 || sends[0].ID != 1 || r.g.servers[sends[0].Backend].Zone != "b" {
 		t.Fatalf("%v: only the read goes again", acts)
 	}
 	if r.g.busy != busy-3+1 || r.g.retries != retries {
@@ -108,7 +108,7 @@
 	}
 	finals := map[RequestID]int{}
 	count := func(acts []Action) {
-		for _, a := range only[Refuse](acts) {
+		for _, a := range only[Reject](acts) {
 			finals[a.ID]++
 		}
 		for _, a := range only[Fail](acts) {
@@ -116,12 +116,12 @@
 		}
 	}
 	r.now += 50 * ms
-	count(r.tell(AttemptEnded{ID: 1, Attempt: 1, Server: sends[0].Server, Outcome: Done, Took: 50 * ms, Finished: true}))
-	for id, server := range map[RequestID]ServerID{1: "a0", 2: "a0", 3: "a0"} {
+	count(r.tell(AttemptEnded{ID: 1, Attempt: 1, Backend: sends[0].Backend, Outcome: Succeeded, Took: 50 * ms, Finished: true}))
+	for id, server := range map[RequestID]BackendID{1: "a0", 2: "a0", 3: "a0"} {
 		for n, a := range r.g.requests[id].attempts {
 			if !a.ended {
-				acts := r.tell(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: TimedOut, Took: time.Second})
-				if s := only[Send](acts); len(s) > 0 && r.g.servers[s[0].Server].Zone != "a" {
+				acts := r.tell(AttemptEnded{ID: id, Attempt: n, Backend: server, Outcome: TimedOut, Took: time.Second})
+				if s := only[SendAttempt](acts); len(s) > 0 && r.g.servers[s[0].Backend].Zone != "a" {
 					t.Fatalf("%v went to another rack", s)
 				}
 				count(acts)
@@ -142,12 +142,12 @@
 	r := hallRig(t)
 	r.g.window = 20
 	for range 5 {
-		r.tell(HallsChanged{Reach: 0.6})
+		r.tell(ZonesChanged{AvailableShare: 0.6})
 	}
 	if w := r.g.window; w < 11 || w > 13 {
 		t.Fatalf("window %v", w)
 	}
-	r.tell(HallsChanged{Reach: 1})
+	r.tell(ZonesChanged{AvailableShare: 1})
 	if w := r.g.window; w > 13 {
 		t.Fatalf("window %v after the return", w)
 	}
@@ -157,12 +157,12 @@
 // before the pace of a return.
 func TestSpreadRefusals(t *testing.T) {
 	r := hallRig(t)
-	r.tell(HallsChanged{Reach: 0.5, Pace: 800 * ms, Halls: []Hall{{Zone: "a", Price: 1, Lost: true}, {Zone: "b", Price: 1, Lost: true}}})
+	r.tell(ZonesChanged{AvailableShare: 0.5, MinRetryAfter: 800 * ms, Zones: []Zone{{Name: "a", Price: 1, Lost: true}, {Name: "b", Price: 1, Lost: true}}})
 	for id := range RequestID(30) {
 		r.arrive(id+1, "read", "free")
 	}
 	times := map[time.Duration]bool{}
-	for _, a := range only[Refuse](r.pass(3 * time.Second)) {
+	for _, a := range only[Reject](r.pass(3 * time.Second)) {
 		if a.RetryAfter > time.Second || a.RetryAfter < 400*ms {
 			t.Fatalf("retry after %v", a.RetryAfter)
 		}
@@ -184,16 +184,16 @@
 				b.Fatal(err)
 			}
 			now := time.Minute
-			var fleet []Server
+			var fleet []Backend
 			for i := range 32 {
-				fleet = append(fleet, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running, Started: now})
+				fleet = append(fleet, Backend{ID: BackendID(fmt.Sprint("s", i)), State: Running, Started: now})
 			}
-			g.Handle(now, FleetChanged{Whole: true, Servers: fleet}, nil)
+			g.Handle(now, EndpointsChanged{Complete: true, Backends: fleet}, nil)
 			for id := range RequestID(held) {
-				g.Handle(now, Arrival{Request{ID: id + 1, Class: "read", Plan: "free", Customer: "c", Units: 1, GiveUpAt: now + time.Hour, Spread: 2}}, nil)
+				g.Handle(now, Arrival{Request{ID: id + 1, Class: "read", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: now + time.Hour, Spread: 2}}, nil)
 			}
 			for b.Loop() {
-				g.Handle(now, CountReply{Name: "x"}, nil)
+				g.Handle(now, CounterReply{Name: "x"}, nil)
 			}
 		})
 	}
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -13,31 +13,31 @@
 	silent bool // the counter answers nothing
 }
 
-func newCrowd(t *testing.T, n int, set Settings, servers ...Server) *crowd {
+func newCrowd(t *testing.T, n int, set Settings, servers ...Backend) *crowd {
 	t.Helper()
 	c := &crowd{totals: map[string]float64{}}
 	for i := range n {
-		set.Me, set.Gateways = i, n
+		set.Index, set.Instances = i, n
 		g, err := New(set, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := &rig{T: t, g: g, now: time.Minute}
-		r.tell(FleetChanged{Whole: true, Servers: servers})
+		r.tell(EndpointsChanged{Complete: true, Backends: servers})
 		c.rigs = append(c.rigs, r)
 	}
 	return c
 }
 
 // tell gives one gateway an event, answers its calls, and returns what it sent.
-func (c *crowd) tell(r *rig, ev Event) []Send {
+func (c *crowd) tell(r *rig, ev Event) []SendAttempt {
 	acts := r.tell(ev)
-	sends := only[Send](acts)
-	for _, call := range only[Count](acts) {
-		reply := CountReply{Name: call.Name, Outcome: TimedOut}
+	sends := only[SendAttempt](acts)
+	for _, call := range only[AddToCounter](acts) {
+		reply := CounterReply{Name: call.Name, Outcome: TimedOut}
 		if !c.silent {
 			c.totals[call.Name] += call.Add
-			reply.Outcome, reply.Total = Done, c.totals[call.Name]
+			reply.Outcome, reply.Total = Succeeded, c.totals[call.Name]
 		}
 		sends = append(sends, c.tell(r, reply)...)
 	}
@@ -45,8 +45,8 @@
 }
 
 // arrive brings one request to a gateway.
-func (c *crowd) arrive(r *rig, id int, class, plan string) []Send {
-	return c.tell(r, Arrival{Request{ID: RequestID(id), Class: class, Plan: plan, Customer: "c", Units: 1,
+func (c *crowd) arrive(r *rig, id int, class, plan string) []SendAttempt {
+	return c.tell(r, Arrival{Request{ID: RequestID(id), Class: class, Plan: plan, Tenant: "c", Units: 1,
 		GiveUpAt: r.now + 2*time.Second, Spread: len(c.rigs)}})
 }
 
@@ -58,14 +58,14 @@
 			if silent && n > fewGateways {
 				continue // they guess: TestGuessesAddUpToTheRate
 			}
-			c := newCrowd(t, n, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+			c := newCrowd(t, n, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 			c.silent = silent
 			sent := 0
 			for i := range 2 * max(n, 20) { // everyone twice at one moment, the few more often
 				r := c.rigs[i%n]
 				for _, s := range c.arrive(r, i, "read", "small") {
 					sent++
-					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Done, Took: ms, Finished: true})
+					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Succeeded, Took: ms, Finished: true})
 				}
 			}
 			most := 2 * 8 // the burst is 8; the random phases of the fair shares add some chance
@@ -80,12 +80,12 @@
 func TestCeilingHoldsInTheSum(t *testing.T) {
 	for _, n := range []int{1, 3, 20} { // a ceiling's customer comes through no more gateways than half its burst
 		for _, silent := range []bool{false, true} {
-			c := newCrowd(t, n, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+			c := newCrowd(t, n, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 			c.silent = silent
 			sent, id := 0, 0
 			for step := range 300 { // 3 s, all restarted in the middle
 				if step == 150 {
-					fresh := newCrowd(t, n, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+					fresh := newCrowd(t, n, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 					fresh.silent, fresh.totals = silent, c.totals
 					for i, r := range fresh.rigs {
 						r.now = c.rigs[i].now
@@ -98,7 +98,7 @@
 					id++
 					for _, s := range c.arrive(r, id, "read", "capped") {
 						sent++
-						c.tell(r, AttemptEnded{ID: s.ID, Outcome: Done, Took: ms, Finished: true})
+						c.tell(r, AttemptEnded{ID: s.ID, Outcome: Succeeded, Took: ms, Finished: true})
 					}
 				}
 				for _, r := range c.rigs {
@@ -121,7 +121,7 @@
 		c := newCrowd(t, n, settings())
 		sent, id := 0, 0
 		for _, r := range c.rigs {
-			c.tell(r, FleetChanged{Whole: true, Servers: []Server{{ID: "s", State: Running, Started: r.now}}})
+			c.tell(r, EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
 		}
 		for range 30 { // 3 s
 			for _, r := range c.rigs {
@@ -133,7 +133,7 @@
 				}
 				for _, s := range sends {
 					sent++
-					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Full})
+					c.tell(r, AttemptEnded{ID: s.ID, Outcome: Rejected})
 				}
 			}
 		}
@@ -147,15 +147,15 @@
 // Where gateways outnumber the attempts that a customer may have out and going over costs, they take turns.
 func TestOpenCapHoldsInTheSum(t *testing.T) {
 	set := settings()
-	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, Open: 3, ExcessCost: 0.6})
+	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 400, MaxInFlight: 3, ExcessCost: 0.6})
 	for _, n := range []int{1, 3, 8, 20} {
-		c := newCrowd(t, n, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+		c := newCrowd(t, n, set, Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 		for moment := range 20 {
 			out := 0
 			for _, r := range c.rigs {
 				r.now = time.Minute + time.Duration(moment)*37*ms
 				r.g.window = 100
-				out += max(0, r.g.share(&customer{plan: r.g.plans["open"], spread: n, place: r.g.set.Me}))
+				out += max(0, r.g.share(&customer{plan: r.g.plans["open"], spread: n, place: r.g.set.Index}))
 			}
 			if out != 3 {
 				t.Fatalf("%d gateways may have %d out in all, the cap is 3", n, out)
@@ -175,21 +175,21 @@
 // the counter's late answer sends nothing.
 func TestWaitingForTheCounterLosesNoRequest(t *testing.T) {
 	set := settings()
-	set.Gateways = 100
+	set.Instances = 100
 	for _, left := range []time.Duration{2 * ms, 15 * ms, 700 * ms} {
-		r := newRig(t, set, Server{ID: "s", State: Running})
-		acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Customer: "c", Units: 1,
+		r := newRig(t, set, Backend{ID: "s", State: Running})
+		acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Tenant: "c", Units: 1,
 			GiveUpAt: r.now + left, Spread: 100}})
-		calls := only[Count](acts)
+		calls := only[AddToCounter](acts)
 		if len(calls) != 1 || calls[0].Add != 1 {
 			t.Fatalf("calls %v, want one for the request's unit", calls)
 		}
 		acts = append(acts, r.pass(left-left%(10*ms))...)
-		if len(only[Refuse](acts)) != 1 {
+		if len(only[Reject](acts)) != 1 {
 			t.Fatalf("%v left: actions %v, want one refusal", left, acts)
 		}
-		late := r.tell(CountReply{Name: calls[0].Name, Outcome: Done, Total: 1})
-		if len(only[Send](late)) > 0 || len(only[Refuse](late)) > 0 {
+		late := r.tell(CounterReply{Name: calls[0].Name, Outcome: Succeeded, Total: 1})
+		if len(only[SendAttempt](late)) > 0 || len(only[Reject](late)) > 0 {
 			t.Fatalf("%v left: the late answer gave %v", left, late)
 		}
 	}
@@ -199,10 +199,10 @@
 // what it sends then has pauses in between.
 func TestSmallWindowPauses(t *testing.T) {
 	set := settings()
-	set.Gateways = 300
-	var fleet []Server
+	set.Instances = 300
+	var fleet []Backend
 	for i := range 60 {
-		fleet = append(fleet, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+		fleet = append(fleet, Backend{ID: BackendID(fmt.Sprint("s", i)), State: Running})
 	}
 	r := newRig(t, set, fleet...)
 	for i := range 12 {
@@ -213,13 +213,13 @@
 		t.Fatalf("window %v after untimely answers only", r.g.window)
 	}
 	r.g.lag, r.g.window = 0.1, 0.5
-	first := only[Send](r.arrive(1, "read", "free"))
-	r.tell(AttemptEnded{ID: 1, Outcome: Done, Took: 100 * ms, Finished: true})
-	second := only[Send](r.arrive(2, "read", "free"))
+	first := only[SendAttempt](r.arrive(1, "read", "free"))
+	r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Took: 100 * ms, Finished: true})
+	second := only[SendAttempt](r.arrive(2, "read", "free"))
 	if len(first) != 1 || len(second) != 0 {
 		t.Fatalf("sent %v, then %v at once", first, second)
 	}
-	if got := only[Send](r.pass(time.Second)); len(got) == 0 || got[0].ID != 2 {
+	if got := only[SendAttempt](r.pass(time.Second)); len(got) == 0 || got[0].ID != 2 {
 		t.Fatalf("sent %v in the second after, want the one held", got)
 	}
 }
@@ -227,20 +227,20 @@
 // Odd customers and fleets: sane decisions, no panic.
 func TestOddSpreadsAndFleetsStillDecide(t *testing.T) {
 	set := settings()
-	set.Gateways = 100
+	set.Instances = 100
 	for _, q := range []Request{{Spread: 0}, {Spread: 5000}, {Spread: 3, First: 70}, {Spread: 3, First: 4000}, {Spread: 2, First: -7}} {
 		r := newRig(t, set)
-		q.ID, q.Class, q.Plan, q.Customer, q.Units, q.GiveUpAt = 1, "read", "small", "c", 1, r.now+time.Second
-		calls := only[Count](r.tell(Arrival{q}))
+		q.ID, q.Class, q.Plan, q.Tenant, q.Units, q.GiveUpAt = 1, "read", "small", "c", 1, r.now+time.Second
+		calls := only[AddToCounter](r.tell(Arrival{q}))
 		for _, c := range calls {
-			r.tell(CountReply{Name: c.Name, Outcome: Done, Total: c.Add})
+			r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: c.Add})
 		}
-		var more []Server
+		var more []Backend
 		for i := range 100 {
-			more = append(more, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+			more = append(more, Backend{ID: BackendID(fmt.Sprint("s", i)), State: Running})
 		}
-		acts := r.tell(FleetChanged{Servers: more})
-		if got := only[Send](append(acts, r.pass(20*ms)...)); len(got) != 1 {
+		acts := r.tell(EndpointsChanged{Backends: more})
+		if got := only[SendAttempt](append(acts, r.pass(20*ms)...)); len(got) != 1 {
 			t.Errorf("request %+v: sent %v, want it sent once there are servers", q, got)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -43,7 +43,7 @@
 )
 
 // Gateway decides for one gateway; see the package comment.
-type Gateway struct {
+type Engine struct {
 	set               Settings
 	rng               *rand.Rand
 	now               time.Duration
@@ -69,7 +69,7 @@
 	round, lastSent time.Duration // when the window's round ends; last attempt out
 	retries         float64       // budget of further attempts
 
-	servers map[ServerID]*server
+	servers map[BackendID]*server
 	fleet   []*server
 	flow    float64 // answers a second to this gateway
 	flowAt  time.Duration
@@ -86,9 +86,9 @@
 	reach float64       // of the halls' capacity
 	pace  time.Duration // least retry-after while a hall returns
 
-	parts        *Parts  // of customers, held by agreement with others; nil: all are even
-	askShare     float64 // share of the sparse customers' requests that the counter is asked for
-	thin         bool    // so many gateways that none sees much of a customer or of a server
+	parts        *Allocations // of customers, held by agreement with others; nil: all are even
+	askShare     float64      // share of the sparse customers' requests that the counter is asked for
+	thin         bool         // so many gateways that none sees much of a customer or of a server
 	counterFails int
 }
 
@@ -132,19 +132,19 @@
 }
 
 // New returns a gateway, or an error where the settings cannot be decided with.
-func New(set Settings, seed uint64) (*Gateway, error) {
+func New(set Settings, seed uint64) (*Engine, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	g := &Gateway{set: set, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), sweep: time.Second,
+	g := &Engine{set: set, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), sweep: time.Second,
 		classes: map[string]*class{}, plans: map[string]*Plan{}, customers: map[string]*customer{},
-		requests: map[RequestID]*request{}, servers: map[ServerID]*server{}, reach: 1, askShare: 1,
-		halls: map[string]*hall{}, dark: map[string]dark{}, thin: set.Gateways > fewGateways}
+		requests: map[RequestID]*request{}, servers: map[BackendID]*server{}, reach: 1, askShare: 1,
+		halls: map[string]*hall{}, dark: map[string]dark{}, thin: set.Instances > fewGateways}
 	g.cold = g.rng.Float64()
 	for _, c := range set.Classes {
 		g.classes[c.Name] = &class{Class: c}
-		g.sweep = min(g.sweep, max(c.Aim/sweepsPerAim, time.Millisecond))
-		g.longAim = max(g.longAim, c.Aim)
+		g.sweep = min(g.sweep, max(c.LatencyObjective/sweepsPerAim, time.Millisecond))
+		g.longAim = max(g.longAim, c.LatencyObjective)
 	}
 	for _, p := range set.Plans {
 		p.Burst = max(p.Burst, set.MaxUnits, 1) // a store that can never hold a request would shut all out
@@ -155,7 +155,7 @@
 }
 
 // Handle tells the gateway one event at a time on its clock; it appends what is to be done to out.
-func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (g *Engine) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.out = max(now, g.now), out
 	if !g.ticking {
 		g.ticking = true
@@ -170,31 +170,31 @@
 		if r := g.requests[ev.ID]; r != nil {
 			r.stream = true
 		}
-	case Abandoned:
+	case Disconnected:
 		if r := g.requests[ev.ID]; r != nil && !r.final {
 			g.close(r)
 		}
-	case FleetChanged:
+	case EndpointsChanged:
 		g.fleetChanged(ev)
 	case TimerFired:
 		g.tick()
-	case CountReply:
+	case CounterReply:
 		g.counted(ev)
-	case HallsChanged:
+	case ZonesChanged:
 		g.hallsChanged(ev)
 	}
 	g.release()
 	return g.out
 }
 
-func (g *Gateway) do(a Action) { g.out = append(g.out, a) }
+func (g *Engine) do(a Action) { g.out = append(g.out, a) }
 
 // tick is the sweep: expired and overdue requests first, so that no freed slot goes to a dead one.
-func (g *Gateway) tick() {
+func (g *Engine) tick() {
 	g.do(SetTimer{After: g.sweep})
-	if g.set.AskForFleet && !g.watching {
+	if g.set.PollEndpoints && !g.watching {
 		g.watching = true
-		g.do(Watch{})
+		g.do(WatchEndpoints{})
 	}
 	g.endRound()
 	g.live = slices.DeleteFunc(g.live, func(r *request) bool {
@@ -211,10 +211,10 @@
 	}
 }
 
-func (g *Gateway) arrive(q Request) {
+func (g *Engine) arrive(q Request) {
 	r := &request{Request: q, class: g.classes[q.Class], plan: g.plans[q.Plan], arrived: g.now}
 	if r.class == nil { // unknown: unsafe to repeat
-		r.class = &class{Class: Class{Name: q.Class, Aim: max(q.GiveUpAt-g.now, time.Millisecond)}}
+		r.class = &class{Class: Class{Name: q.Class, LatencyObjective: max(q.GiveUpAt-g.now, time.Millisecond)}}
 	}
 	if r.plan == nil {
 		r.plan = &Plan{Name: q.Plan, Price: 1}
@@ -224,11 +224,11 @@
 	g.requests[q.ID] = r
 	g.live = append(g.live, r)
 	if p := q.Prior; p != nil { // begun at another gateway: it is bound as a repeat is
-		at := &server{Server: Server{Zone: p.Zone, Cell: p.Cell}}
+		at := &server{Backend: Backend{Zone: p.Zone, Cell: p.Cell}}
 		first := &attempt{s: at, zone: p.Zone, cell: p.Cell, sent: p.At, ended: true, mayRun: true}
 		r.attempts, r.sent = []*attempt{first}, true
 	}
-	if q.Paid {
+	if q.Charged {
 		g.hold(r)
 	} else {
 		g.ask(r)
@@ -239,8 +239,8 @@
 }
 
 // settle lets a request into the queues by what is known of its customer's store.
-func (g *Gateway) settle(r *request, inside bool) {
-	if r.beyond = !inside; r.beyond && (r.plan.ExcessWorth <= r.plan.ExcessCost || g.pressed()) {
+func (g *Engine) settle(r *request, inside bool) {
+	if r.beyond = !inside; r.beyond && (r.plan.ExcessWeight <= r.plan.ExcessCost || g.pressed()) {
 		r.why = cmp.Or(r.why, Quota) // else it earns more than it costs, and nobody inside a quota waits
 		g.refuse(r, g.untilRoom(r))
 		return
@@ -251,9 +251,9 @@
 
 // worth is the request's priority: class worth x plan price, times what is left of it.
 func (r *request) worth() float64 {
-	w := r.class.Worth * r.plan.Price
+	w := r.class.PriorityWeight * r.plan.Price
 	if r.beyond {
-		w *= r.plan.ExcessWorth
+		w *= r.plan.ExcessWeight
 	}
 	if r.odds > 0 { // what it is worth on the average, with the cost of being wrong
 		w *= max(0.01, r.odds*(1+r.plan.ExcessCost)-r.plan.ExcessCost)
@@ -265,4 +265,4 @@
 }
 
 // pressed says whether requests inside their quotas wait, or are about to.
-func (g *Gateway) pressed() bool { return len(g.queue) > 0 || float64(g.busy) > max(1, 0.7*g.window) }
+func (g *Engine) pressed() bool { return len(g.queue) > 0 || float64(g.busy) > max(1, 0.7*g.window) }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,13 +10,13 @@
 const ms = time.Millisecond
 
 func settings() Settings {
-	return Settings{Me: 0, Gateways: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
-		MayCancel: true, SecondCopies: true, Counter: true, CounterTimeout: 50 * ms,
-		ColdShare: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 4, FallSpan: 3 * time.Second,
+	return Settings{Index: 0, Instances: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
+		MayCancel: true, Hedging: true, Counter: true, CounterTimeout: 50 * ms,
+		SlowStartShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 4, OverloadSpan: 3 * time.Second,
 		Classes: []Class{
-			{Name: "read", Worth: 1, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: Safe},
-			{Name: "book", Worth: 5, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: Keyed, RepeatWindow: 4 * time.Second},
-			{Name: "pay", Worth: 5, Aim: 500 * ms, Deadline: 2 * time.Second},
+			{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Effect: Safe},
+			{Name: "book", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Effect: Keyed, RepeatWindow: 4 * time.Second},
+			{Name: "pay", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second},
 		},
 		Plans: []Plan{{Name: "free", Price: 1}, {Name: "dear", Price: 2},
 			{Name: "small", Price: 1, Rate: 2, Burst: 8, ExcessCost: 0.5},
@@ -26,25 +26,25 @@
 
 type rig struct {
 	*testing.T
-	g   *Gateway
+	g   *Engine
 	now time.Duration
 }
 
-func newRig(t *testing.T, set Settings, servers ...Server) *rig {
+func newRig(t *testing.T, set Settings, servers ...Backend) *rig {
 	t.Helper()
 	g, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{T: t, g: g, now: time.Minute}
-	r.tell(FleetChanged{Whole: true, Servers: servers})
+	r.tell(EndpointsChanged{Complete: true, Backends: servers})
 	return r
 }
 
 func (r *rig) tell(ev Event) []Action { return r.g.Handle(r.now, ev, nil) }
 
 func (r *rig) arrive(id RequestID, class, plan string) []Action {
-	return r.tell(Arrival{Request{ID: id, Class: class, Plan: plan, Customer: "c", Units: 1,
+	return r.tell(Arrival{Request{ID: id, Class: class, Plan: plan, Tenant: "c", Units: 1,
 		GiveUpAt: r.now + 2*time.Second, Spread: 2}})
 }
 
@@ -67,19 +67,19 @@
 }
 
 func TestSendsAtOnceWhileTheWindowHasRoom(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
-	if got := only[Send](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Server != "s" {
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
+	if got := only[SendAttempt](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Backend != "s" {
 		t.Fatalf("sends %v", got)
 	}
 }
 
 func TestFreedSlotTakesTheHighestWorth(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
 	r.arrive(3, "read", "free")
 	r.arrive(4, "read", "dear")
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Done, Took: 20 * ms, Finished: true}))
+	got := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Succeeded, Took: 20 * ms, Finished: true}))
 	if len(got) == 0 || got[0].ID != 4 {
 		t.Fatalf("sends %v, want request 4 first", got)
 	}
@@ -87,18 +87,18 @@
 
 func TestHeldWithLessTimeThanASweepIsAnsweredAtOnce(t *testing.T) {
 	r := newRig(t, settings()) // no servers: nothing can leave
-	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Customer: "c", Units: 1, GiveUpAt: r.now + ms}})
-	if len(only[Refuse](got)) != 1 {
+	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + ms}})
+	if len(only[Reject](got)) != 1 {
 		t.Fatalf("actions %v, want a refusal", got)
 	}
 }
 
 func TestRefusedRequestsGiveNoUnitsBack(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
-		sent += len(only[Send](r.arrive(id, "read", "small")))
-		r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})
+		sent += len(only[SendAttempt](r.arrive(id, "read", "small")))
+		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
 	}
 	if sent < 4 || sent > 8 {
 		t.Fatalf("sent %d of 59, the whole burst is 8", sent)
@@ -107,16 +107,16 @@
 
 // A server that restarts keeps what is still out to it, and survives that work's end.
 func TestRestartedServerKeepsItsOutstandingAttempts(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
 	before := len(r.g.servers["s"].out)
-	r.tell(FleetChanged{Servers: []Server{{ID: "s", State: Running, Started: r.now}}})
+	r.tell(EndpointsChanged{Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
 	if now := len(r.g.servers["s"].out); now != before || before == 0 {
 		t.Fatalf("%d attempts out before the restart, %d after", before, now)
 	}
-	r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Reset})
-	r.tell(AttemptEnded{ID: 2, Server: "s", Outcome: Reset})
+	r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset})
+	r.tell(AttemptEnded{ID: 2, Backend: "s", Outcome: Reset})
 	r.pass(time.Second)
 	for _, a := range r.g.servers["s"].out {
 		if a == nil || a.ended {
@@ -127,11 +127,11 @@
 
 // After a long silence of the counter its customers are not refused for what others took in the meantime.
 func TestCounterSilenceLeavesNoDebt(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	c := r.silence()
 	r.pass(20 * time.Second)
 	r.g.lease(c)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: c.adding + c.total + 30})
+	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding + c.total + 30})
 	if room := r.g.room(c) + c.block; room < 1 {
 		t.Fatalf("room %v after a silence in which others kept to their share", room)
 	}
@@ -140,21 +140,21 @@
 // What others took while nobody heard the counter may never be told: their parts of the rate are reckoned as spent, or each instance would begin
 // again with a full store.
 func TestOthersAreReckonedInASilence(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	c := r.silence()
 	r.pass(5 * time.Second)
 	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: c.adding + 20}) // the store is empty
+	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding + 20}) // the store is empty
 	r.pass(time.Second)
 	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: TimedOut})
+	r.tell(CounterReply{Name: c.name(), Outcome: TimedOut})
 	for range 20 {
 		r.pass(time.Second)
 		r.g.refresh(c)
 		c.block = 0 // its own part is spent
 	}
 	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: c.adding + c.total})
+	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding + c.total})
 	if room := r.g.room(c); room > c.plan.Burst/2 {
 		t.Fatalf("room %v of a burst of %v after a silence of which nothing was told", room, c.plan.Burst)
 	}
@@ -166,9 +166,9 @@
 	for {
 		id++
 		r.arrive(id, "read", "small")
-		r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})
-		if c := r.g.customers[(&Request{Customer: "c", Plan: "small"}).Account()]; c.calling {
-			r.tell(CountReply{Name: c.name(), Outcome: TimedOut})
+		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
+		if c := r.g.customers[(&Request{Tenant: "c", Plan: "small"}).Account()]; c.calling {
+			r.tell(CounterReply{Name: c.name(), Outcome: TimedOut})
 			return c
 		}
 	}
@@ -179,19 +179,19 @@
 func TestSmallBurstOverManyGatewaysIsAskedFor(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
 		set := settings()
-		set.Gateways = n
+		set.Instances = n
 		set.Plans = append(set.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, ExcessCost: 1})
 		totals, sent := map[string]float64{}, 0
 		for i := range 2 * n { // each gateway twice, the second time as one that has just started
-			set.Me = i % n
-			r := newRig(t, set, Server{ID: "s", State: Running})
-			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Customer: "c", Units: 1,
+			set.Index = i % n
+			r := newRig(t, set, Backend{ID: "s", State: Running})
+			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Tenant: "c", Units: 1,
 				GiveUpAt: r.now + time.Second, Spread: n}})
-			for _, c := range only[Count](acts) {
+			for _, c := range only[AddToCounter](acts) {
 				totals[c.Name] += c.Add
-				acts = append(acts, r.tell(CountReply{Name: c.Name, Outcome: Done, Total: totals[c.Name]})...)
+				acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
 			}
-			sent += len(only[Send](acts))
+			sent += len(only[SendAttempt](acts))
 		}
 		if sent != 2 {
 			t.Errorf("%d gateways sent %d at once, the burst is 2", n, sent)
@@ -201,14 +201,14 @@
 
 // A counter that comes back empty tells nothing new, and gives no second burst.
 func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
-	c := r.g.customer(&request{Request: Request{Customer: "c", Spread: 2}, plan: r.g.plans["small"]})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
+	c := r.g.customer(&request{Request: Request{Tenant: "c", Spread: 2}, plan: r.g.plans["small"]})
 	c.block, c.owed, c.level = 0, 0, 0
 	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: 1000})
+	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: 1000})
 	c.nextCall, c.level, c.block = 0, 0, 0
 	r.g.call(c, 0)
-	r.tell(CountReply{Name: c.name(), Outcome: Done, Total: c.adding})
+	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding})
 	if room := r.g.room(c); room > 1 {
 		t.Fatalf("room %v after the counter lost its numbers", room)
 	}
@@ -219,27 +219,27 @@
 func TestSpoiltTotalIsMadeGood(t *testing.T) {
 	set := settings()
 	totals := map[string]float64{}
-	r := newRig(t, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, set, Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 	id, spoilt := RequestID(0), true
 	for range 200 {
 		r.now += 50 * ms
 		id++
 		for acts := r.arrive(id, "read", "capped"); len(acts) > 0; {
 			var next []Action
-			for _, call := range only[Count](acts) {
+			for _, call := range only[AddToCounter](acts) {
 				totals[call.Name] += call.Add // a name holds for a window of time
-				reply := CountReply{Name: call.Name, Outcome: Done, Total: totals[call.Name]}
+				reply := CounterReply{Name: call.Name, Outcome: Succeeded, Total: totals[call.Name]}
 				if spoilt = !spoilt; spoilt {
 					reply.Outcome, reply.Total = Failed, 0
 				}
 				next = append(next, r.tell(reply)...)
 			}
-			for _, s := range only[Send](acts) {
-				next = append(next, r.tell(AttemptEnded{ID: s.ID, Server: s.Server, Outcome: Done, Took: ms, Finished: true})...)
+			for _, s := range only[SendAttempt](acts) {
+				next = append(next, r.tell(AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})...)
 			}
 			acts = next
 		}
-		c := r.g.customers[(&Request{Customer: "c", Plan: "capped"}).Account()]
+		c := r.g.customers[(&Request{Tenant: "c", Plan: "capped"}).Account()]
 		if c.silent || c.others > 1e-6 || math.Abs(c.total-totals[c.name()]) > 1e-6 {
 			t.Fatalf("after request %d: silent %v, others %v, total %v of %v", id, c.silent, c.others, c.total, totals[c.name()])
 		}
@@ -248,14 +248,14 @@
 
 // Servers come under ever new ids: one that is gone is forgotten once nothing is out there.
 func TestGoneServerIsForgotten(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	r.arrive(1, "read", "free")
-	r.tell(FleetChanged{Servers: []Server{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
+	r.tell(EndpointsChanged{Backends: []Backend{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
 	if len(r.g.servers) != 2 {
 		t.Fatal("forgotten while an attempt is out")
 	}
-	r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Done, Took: ms, Finished: true})
-	r.tell(FleetChanged{Servers: []Server{{ID: "v", State: Running}}})
+	r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+	r.tell(EndpointsChanged{Backends: []Backend{{ID: "v", State: Running}}})
 	if r.g.servers["s"] != nil || len(r.g.fleet) != 2 {
 		t.Fatalf("servers %v, fleet %v", r.g.servers, r.g.fleet)
 	}
@@ -266,17 +266,17 @@
 func TestPlansOfOneNameAreKeptApart(t *testing.T) {
 	for _, first := range []string{"small", "large"} {
 		set := settings()
-		set.Gateways, set.Counter = 1, false
+		set.Instances, set.Counter = 1, false
 		set.Plans = append(set.Plans, Plan{Name: "large", Price: 1, Rate: 3, Burst: 20, ExcessCost: 0.5})
-		r := newRig(t, set, Server{ID: "s", State: Running})
+		r := newRig(t, set, Backend{ID: "s", State: Running})
 		sent := map[string]int{}
 		id := RequestID(0)
 		ask := func(plan string) {
 			id++
-			out := r.tell(Arrival{Request{ID: id, Class: "read", Plan: plan, Customer: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1}})
-			if got := only[Send](out); len(got) > 0 {
+			out := r.tell(Arrival{Request{ID: id, Class: "read", Plan: plan, Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1}})
+			if got := only[SendAttempt](out); len(got) > 0 {
 				sent[plan]++
-				r.tell(AttemptEnded{ID: id, Server: "s", Outcome: Done, Took: ms, Finished: true})
+				r.tell(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 			}
 		}
 		ask(first)
@@ -299,13 +299,13 @@
 // with another set, its true requests are still counted together with the others'.
 func TestBooksHaveOneName(t *testing.T) {
 	name := func(before func(r *rig)) string {
-		r := newRig(t, settings(), Server{ID: "s", State: Running})
+		r := newRig(t, settings(), Backend{ID: "s", State: Running})
 		before(r)
 		for id := RequestID(10); id < 20; id++ {
-			if calls := only[Count](r.arrive(id, "read", "small")); len(calls) > 0 {
+			if calls := only[AddToCounter](r.arrive(id, "read", "small")); len(calls) > 0 {
 				return calls[0].Name
 			}
-			r.tell(AttemptEnded{ID: id, Server: "s", Outcome: Done, Took: ms, Finished: true})
+			r.tell(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 		}
 		t.Fatal("the counter was not called")
 		return ""
@@ -314,7 +314,7 @@
 	for what, before := range map[string]func(r *rig){
 		"another plan first": func(r *rig) { r.arrive(1, "read", "capped") },
 		"another set first": func(r *rig) {
-			r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Customer: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1, First: 1}})
+			r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1, First: 1}})
 		},
 	} {
 		if got := name(before); got != want {
@@ -322,8 +322,8 @@
 		}
 	}
 	for _, plan := range []string{"small", "", "with space", "Ünï", "a-plan-with-a-name-that-is-longer-than-the-counter-would-take-it"} {
-		r := Request{Customer: "00000000b4d65521", Plan: plan}
-		other := Request{Customer: r.Customer, Plan: plan + "2"}
+		r := Request{Tenant: "00000000b4d65521", Plan: plan}
+		other := Request{Tenant: r.Tenant, Plan: plan + "2"}
 		if n := r.Account(); len(n) > 24 || strings.ContainsAny(n, " :\r\n") || n == other.Account() {
 			t.Errorf("plan %q: %q", plan, n)
 		}
@@ -335,14 +335,14 @@
 func TestRequestsAreJudgedByTheirOwnSet(t *testing.T) {
 	set := settings()
 	set.Counter = false // the fair share of the rate decides
-	r := newRig(t, set, Server{ID: "s", State: Running})
+	r := newRig(t, set, Backend{ID: "s", State: Running})
 	id, sent := RequestID(0), 0
 	ask := func(spread int) {
 		id++
-		out := r.tell(Arrival{Request{ID: id, Class: "read", Plan: "small", Customer: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: spread}})
-		if got := only[Send](out); len(got) > 0 {
+		out := r.tell(Arrival{Request{ID: id, Class: "read", Plan: "small", Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: spread}})
+		if got := only[SendAttempt](out); len(got) > 0 {
 			sent++
-			r.tell(AttemptEnded{ID: id, Server: "s", Outcome: Done, Took: ms, Finished: true})
+			r.tell(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 		}
 	}
 	ask(1)
@@ -358,11 +358,11 @@
 // What was never sent costs no server anything: its repeat needs nothing of the budget of further attempts, which may be spent where a server
 // begins to drain under many that wait for a connection to it.
 func TestNeverSentIsRepeatedWithoutBudget(t *testing.T) {
-	for o, want := range map[Outcome]int{Moot: 1, NoConnect: 0} {
-		r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		first := only[Send](r.arrive(1, "pay", "free"))[0]
+	for o, want := range map[Outcome]int{NotSent: 1, NoConnect: 0} {
+		r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
+		first := only[SendAttempt](r.arrive(1, "pay", "free"))[0]
 		r.g.retries = 0
-		again := only[Send](r.tell(AttemptEnded{ID: 1, Server: first.Server, Outcome: o}))
+		again := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Backend: first.Backend, Outcome: o}))
 		if len(again) != want || r.g.retries != 0 {
 			t.Errorf("outcome %d: %d further attempts, want %d; the budget is %v", o, len(again), want, r.g.retries)
 		}
@@ -372,19 +372,19 @@
 // What a process of the version before leaves is known under its customers' names alone: the units stay this gateway's, the counter is asked
 // under the new name.
 func TestLearnsFromTheVersionBefore(t *testing.T) {
-	old := newRig(t, settings(), Server{ID: "s", State: Running})
+	old := newRig(t, settings(), Backend{ID: "s", State: Running})
 	for id := RequestID(1); id < 4; id++ {
 		old.arrive(id, "read", "small")
 	}
-	was := old.g.Learned()
-	was.Customers[0].ID, was.Customers[0].Customer = "c", ""
-	was.Customers[0].Total, was.Customers[0].Block = 5, 1.5
-	next := newRig(t, settings(), Server{ID: "s", State: Running})
-	next.g.Learn(old.now, was)
+	was := old.g.ExportState()
+	was.Tenants[0].ID, was.Tenants[0].Tenant = "c", ""
+	was.Tenants[0].Total, was.Tenants[0].LeasedUnits = 5, 1.5
+	next := newRig(t, settings(), Backend{ID: "s", State: Running})
+	next.g.ImportState(old.now, was)
 	next.now = old.now
 	next.arrive(9, "read", "small")
-	got := next.g.Learned().Customers
-	if len(got) != 1 || got[0].ID != (&Request{Customer: "c", Plan: "small"}).Account() || got[0].Customer != "c" || got[0].Block >= 1.5 || got[0].Total != 0 {
+	got := next.g.ExportState().Tenants
+	if len(got) != 1 || got[0].ID != (&Request{Tenant: "c", Plan: "small"}).Account() || got[0].Tenant != "c" || got[0].LeasedUnits >= 1.5 || got[0].Total != 0 {
 		t.Errorf("learned %+v", got)
 	}
 }
--- a/policy/prior_test.go
+++ b/policy/prior_test.go
@@ -18,17 +18,17 @@
 		"no node in its rack":    {500 * time.Millisecond, 7, false, false},
 		"its rack has forgotten": {5 * time.Second, 2, false, true},
 	} {
-		g, err := New(Settings{Gateways: 1, MaxAttempts: 4, MayCancel: true, SecondCopies: true, Classes: []Class{{Name: "publish", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second,
+		g, err := New(Settings{Instances: 1, MaxAttempts: 4, MayCancel: true, Hedging: true, Classes: []Class{{Name: "publish", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second,
 			Effect: Keyed, Group: GroupCell, RepeatWindow: 3 * time.Second}}, Plans: []Plan{{Name: "p", Price: 1, Rate: 1, Burst: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		g.Handle(now, FleetChanged{Whole: true, Servers: []Server{{ID: "one", Cell: 1, State: Running}, {ID: "two", Cell: 2, State: Running}}}, nil)
+		g.Handle(now, EndpointsChanged{Complete: true, Backends: []Backend{{ID: "one", Cell: 1, State: Running}, {ID: "two", Cell: 2, State: Running}}}, nil)
 		for i := range 3 { // the quota is long spent
-			g.Handle(now, Arrival{Request{ID: RequestID(i + 1), Class: "publish", Plan: "p", Customer: "c", GiveUpAt: now + time.Second, Units: 1}}, nil)
+			g.Handle(now, Arrival{Request{ID: RequestID(i + 1), Class: "publish", Plan: "p", Tenant: "c", GiveUpAt: now + time.Second, Units: 1}}, nil)
 		}
-		out := g.Handle(now, Arrival{Request{ID: 9, Class: "publish", Plan: "p", Customer: "c", GiveUpAt: now + time.Second, Units: 1, Paid: true, Prior: &Prior{Cell: c.cell, At: now - c.ago}}}, nil)
+		out := g.Handle(now, Arrival{Request{ID: 9, Class: "publish", Plan: "p", Tenant: "c", GiveUpAt: now + time.Second, Units: 1, Charged: true, Prior: &Prior{Cell: c.cell, At: now - c.ago}}}, nil)
 		for range 20 {
 			now += 20 * time.Millisecond
 			out = g.Handle(now, TimerFired{}, out)
@@ -36,18 +36,18 @@
 		var sent, failed bool
 		for _, a := range out {
 			switch a := a.(type) {
-			case Send:
+			case SendAttempt:
 				if a.ID == 9 {
 					sent = true
-					if a.Server != "two" {
-						t.Errorf("%s: sent to %s", name, a.Server)
+					if a.Backend != "two" {
+						t.Errorf("%s: sent to %s", name, a.Backend)
 					}
 				}
 			case Fail:
 				failed = failed || a.ID == 9
-			case Refuse:
+			case Reject:
 				if a.ID == 9 {
-					t.Errorf("%s: refused, as if it had not run: %v", name, a.Why)
+					t.Errorf("%s: refused, as if it had not run: %v", name, a.Reason)
 				}
 			}
 		}
@@ -61,20 +61,20 @@
 // anywhere, and counts under the ceiling.
 func TestPaid(t *testing.T) {
 	for _, paid := range []bool{false, true} {
-		g, err := New(Settings{Gateways: 1, MaxAttempts: 4, Classes: []Class{{Name: "publish", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Keyed,
+		g, err := New(Settings{Instances: 1, MaxAttempts: 4, Classes: []Class{{Name: "publish", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: Keyed,
 			RepeatWindow: 3 * time.Second}}, Plans: []Plan{{Name: "p", Price: 1, Rate: 1, Burst: 1, CeilingRate: 2, CeilingBurst: 2}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		g.Handle(now, FleetChanged{Whole: true, Servers: []Server{{ID: "one", State: Running}}}, nil)
+		g.Handle(now, EndpointsChanged{Complete: true, Backends: []Backend{{ID: "one", State: Running}}}, nil)
 		ask := func(id RequestID, paid bool) (sent, held bool) {
-			out := g.Handle(now, Arrival{Request{ID: id, Class: "publish", Plan: "p", Customer: "c", GiveUpAt: now + time.Second, Units: 1, Paid: paid}}, nil)
+			out := g.Handle(now, Arrival{Request{ID: id, Class: "publish", Plan: "p", Tenant: "c", GiveUpAt: now + time.Second, Units: 1, Charged: paid}}, nil)
 			for _, a := range out {
-				s, is := a.(Send)
+				s, is := a.(SendAttempt)
 				sent = sent || is && s.ID == id
 			}
-			return sent, g.Holds(id)
+			return sent, g.IsQueued(id)
 		}
 		ask(1, false)
 		now += time.Second // the ceiling's part holds two units, the quota's store none yet
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,13 +8,13 @@
 )
 
 // hold puts a request at the end of the queue of its priority.
-func (g *Gateway) hold(r *request) {
+func (g *Engine) hold(r *request) {
 	r.rank, r.why, r.held = r.worth(), WindowFull, true
 	i := sort.Search(len(g.queue), func(i int) bool { return g.queue[i].rank < r.rank })
 	g.queue = slices.Insert(g.queue, i, r)
 }
 
-func (g *Gateway) unhold(r *request) {
+func (g *Engine) unhold(r *request) {
 	i := slices.Index(g.queue, r)
 	g.queue, r.held = slices.Delete(g.queue, i, i+1), false
 }
@@ -22,7 +22,7 @@
 // release fills the window: the head of the highest queue goes first. One that may not go yet, by its
 // customer's cap or ceiling or for want of a server of its group, lets the next pass. Where one that is bound
 // to no group finds none, nobody does: looking on would cost a look at each server for each that is held.
-func (g *Gateway) release() {
+func (g *Engine) release() {
 	for i := 0; i < len(g.queue) && g.hasRoom(); {
 		r := g.queue[i]
 		if !g.mayGo(r) {
@@ -30,7 +30,7 @@
 		} else if s := g.choose(r); s != nil {
 			g.unhold(r)
 			g.send(r, s)
-		} else if r.why = NoServer; r.anchor() == nil {
+		} else if r.why = NoBackend; r.anchor() == nil {
 			return
 		} else {
 			i++
@@ -39,17 +39,17 @@
 }
 
 // part is this gateway's part of a few attempts for each server: the window's start, the retries saved up.
-func (g *Gateway) part() float64 {
-	return max(1, startPerHost*float64(len(g.fleet))/float64(g.set.Gateways))
+func (g *Engine) part() float64 {
+	return max(1, startPerHost*float64(len(g.fleet))/float64(g.set.Instances))
 }
 
 // hasRoom says whether the window lets another attempt out; below one they go one by one, with pauses.
-func (g *Gateway) hasRoom() bool {
+func (g *Engine) hasRoom() bool {
 	return float64(g.busy) < g.window && (g.window >= 1 || (g.now-g.lastSent).Seconds() >= g.lag/g.window)
 }
 
-func (g *Gateway) mayGo(r *request) bool {
-	if g.now >= r.GiveUpAt || r.plan.Open > 0 && r.cust.open >= g.share(r.cust) {
+func (g *Engine) mayGo(r *request) bool {
+	if g.now >= r.GiveUpAt || r.plan.MaxInFlight > 0 && r.cust.open >= g.share(r.cust) {
 		r.why = CapFull
 		return false
 	}
@@ -65,14 +65,14 @@
 
 // expire ends a held request that cannot be answered in time, by the learned latency; where lateness still
 // earns something it goes on at that worth.
-func (g *Gateway) expire(r *request) {
-	need := min(r.class.takes(sureDevs), r.class.Aim)
+func (g *Engine) expire(r *request) {
+	need := min(r.class.takes(sureDevs), r.class.LatencyObjective)
 	if r.sent && !g.repeatable(r) || g.now+min(need, r.class.takes(0)) >= r.GiveUpAt-2*g.sweep {
 		g.giveUp(r)
 		return
 	}
 	switch {
-	case !r.held, r.late, g.now+need < r.arrived+r.class.Aim: // not held: it waits for the counter
+	case !r.held, r.late, g.now+need < r.arrived+r.class.LatencyObjective: // not held: it waits for the counter
 	case r.class.LateShare <= 0:
 		g.giveUp(r)
 	default:
@@ -83,15 +83,15 @@
 }
 
 // judge counts an attempt's end towards the window.
-func (g *Gateway) judge(a *attempt, c *class, o Outcome, took time.Duration) {
+func (g *Engine) judge(a *attempt, c *class, o Outcome, took time.Duration) {
 	switch {
-	case o == Full || o == TimedOut || o == Done && took > c.Aim/3:
+	case o == Rejected || o == TimedOut || o == Succeeded && took > c.LatencyObjective/3:
 		g.bad, c.bad = g.bad+1, c.bad+1
 		if a.s.badRound != g.roundNo {
 			a.s.badRound = g.roundNo
 			g.hit++
 		}
-	case o == Done:
+	case o == Succeeded:
 		g.good, c.good = g.good+1, c.good+1
 		if float64(g.busy) >= 0.8*g.window-1 || len(g.queue) > 0 {
 			step := 1.0
@@ -104,7 +104,7 @@
 }
 
 // endRound narrows the window, once a round trip at most, where many servers answer late or turn work away.
-func (g *Gateway) endRound() {
+func (g *Engine) endRound() {
 	n := float64(g.good + g.bad)
 	if g.now < g.round || n < 8 && g.bad < 3 {
 		return
@@ -120,7 +120,7 @@
 	if least > lateShareBad && float64(g.hit) >= max(min(3, fleet), localShare*min(n, fleet)) {
 		// Scarce evidence fills a round slowly: it then stands for all the round trips that have gone by.
 		trips := min(1+(g.now-g.round).Seconds()/max(g.lag, g.sweep.Seconds()), mostTrips)
-		g.window = max(g.window*math.Pow(narrowBy, trips), leastWindow, fleet/float64(g.set.Gateways))
+		g.window = max(g.window*math.Pow(narrowBy, trips), leastWindow, fleet/float64(g.set.Instances))
 	}
 	g.roundNo, g.lately, g.good, g.bad, g.hit = g.roundNo+1, g.bad, 0, 0, 0
 	g.round = g.now + max(time.Duration(g.lag*float64(time.Second)), 2*g.sweep)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -33,11 +33,11 @@
 	ceilingAt                 time.Duration
 }
 
-func (g *Gateway) customer(r *request) *customer {
-	id, n := r.Account(), g.set.Gateways
-	c, spread, place := g.customers[id], min(max(r.Spread, 1), n), (g.set.Me-r.First%n+n)%n
+func (g *Engine) customer(r *request) *customer {
+	id, n := r.Account(), g.set.Instances
+	c, spread, place := g.customers[id], min(max(r.Spread, 1), n), (g.set.Index-r.First%n+n)%n
 	if c == nil {
-		c = &customer{id: id, who: r.Customer, plan: r.plan, spread: spread, seenAt: g.now,
+		c = &customer{id: id, who: r.Tenant, plan: r.plan, spread: spread, seenAt: g.now,
 			offset: time.Duration(hashed(id) % uint64(epochLength)), silent: !g.set.Counter, at: g.now,
 			refreshed: g.now, ceilingAt: g.now}
 		c.sparse = !c.silent && c.plan.Rate > 0 && c.plan.Burst < float64(2*c.spread)*max(1, g.set.MaxUnits)
@@ -58,7 +58,7 @@
 }
 
 // refresh brings demand, and the block while the counter is silent, up to now.
-func (g *Gateway) refresh(c *customer) {
+func (g *Engine) refresh(c *customer) {
 	dt := (g.now - c.refreshed).Seconds()
 	c.refreshed, c.demand = g.now, c.demand*math.Exp(-dt)
 	if c.silent { // no totals come: live on the fair share of the rate, and reckon that the others do
@@ -74,7 +74,7 @@
 }
 
 // room is the level by now.
-func (g *Gateway) room(c *customer) float64 {
+func (g *Engine) room(c *customer) float64 {
 	return min(c.most(), c.level+c.filled(g.now))
 }
 
@@ -89,7 +89,7 @@
 }
 
 // sure is the part of the level that others cannot have taken since the last look.
-func (g *Gateway) sure(c *customer) float64 {
+func (g *Engine) sure(c *customer) float64 {
 	if c.silent {
 		return 0
 	}
@@ -99,12 +99,12 @@
 // ask leases one request's units as it comes, for a customer that each gateway sees too seldom to know its
 // store. The name's window is burst over rate long and grants the burst: refused tries need no giving back.
 // Where not all calls get through, the fair share of the rate decides.
-func (g *Gateway) ask(r *request) {
+func (g *Engine) ask(r *request) {
 	c := r.cust
 	switch {
 	case !c.sparse:
 		g.settle(r, g.admit(r))
-	case g.now < c.spent || c.plan.ExcessWorth > c.plan.ExcessCost && g.rng.Float64() > 2*g.askShare-1:
+	case g.now < c.spent || c.plan.ExcessWeight > c.plan.ExcessCost && g.rng.Float64() > 2*g.askShare-1:
 		r.why = QuotaKnown
 		g.settle(r, false)
 	default:
@@ -127,12 +127,12 @@
 }
 
 // unasked settles a request without the counter's word.
-func (g *Gateway) unasked(r *request) {
+func (g *Engine) unasked(r *request) {
 	g.settle(r, g.thin && g.guess(r) || !g.thin && g.admit(r))
 }
 
 // inquire asks the counter for a request's units, which stand for those of the part that is asked for.
-func (g *Gateway) inquire(r *request, part float64) {
+func (g *Engine) inquire(r *request, part float64) {
 	c := r.cust
 	if !g.thin {
 		part = 1
@@ -141,12 +141,12 @@
 		c.epoch, c.total = epoch, 0
 	}
 	r.lease, r.asked = c.name(), r.Units/part
-	c.asked, r.why = append(c.asked, r), Counting
-	g.do(Count{Name: r.lease, Add: r.asked, Keep: min(2*c.span, nameKept)})
+	c.asked, r.why = append(c.asked, r), CounterLate
+	g.do(AddToCounter{Name: r.lease, Add: r.asked, Keep: min(2*c.span, nameKept)})
 }
 
 // answered settles the request that asked first for the name.
-func (g *Gateway) answered(c *customer, ev CountReply) {
+func (g *Engine) answered(c *customer, ev CounterReply) {
 	i := slices.IndexFunc(c.asked, func(r *request) bool { return r.lease == ev.Name })
 	if i < 0 {
 		return
@@ -155,7 +155,7 @@
 	if c.asked = slices.Delete(c.asked, i, i+1); r.final {
 		return
 	}
-	if r.why = NoReason; ev.Outcome != Done {
+	if r.why = NoReason; ev.Outcome != Succeeded {
 		r.why = QuotaBlind
 		if ev.Outcome != Failed { // AIMD: a call that waits too long is work for nothing
 			g.askShare = max(leastAsked, g.askShare*0.7)
@@ -181,7 +181,7 @@
 }
 
 // admit takes the request's units from the block, or on credit from room that the last total showed.
-func (g *Gateway) admit(r *request) bool {
+func (g *Engine) admit(r *request) bool {
 	c := r.cust
 	if c.plan.Rate <= 0 {
 		return true
@@ -200,7 +200,7 @@
 
 // lease asks the counter for the next block once half of this one is spent: some demand ahead, at least one
 // large request, at most a share of the burst.
-func (g *Gateway) lease(c *customer) {
+func (g *Engine) lease(c *customer) {
 	size := min(max(c.demand*leaseAhead, 2*max(1, g.set.MaxUnits/2)), c.plan.Burst/float64(c.spread))
 	if c.block <= size/2 {
 		g.call(c, max(0, min(size-c.block, g.room(c)/float64(c.spread))))
@@ -208,7 +208,7 @@
 }
 
 // call adds what is owed and the next block; one call a customer at a time.
-func (g *Gateway) call(c *customer, want float64) {
+func (g *Engine) call(c *customer, want float64) {
 	if !g.set.Counter || c.sparse || c.calling || g.now < c.nextCall {
 		return
 	}
@@ -216,13 +216,13 @@
 		c.epoch, c.total = epoch, 0
 	}
 	c.calling, c.adding, c.want, c.owed = true, c.owed+want, want, 0
-	g.do(Count{Name: c.name(), Add: c.adding, Keep: nameKept})
+	g.do(AddToCounter{Name: c.name(), Add: c.adding, Keep: nameKept})
 }
 
 func (c *customer) name() string { return c.id + ":" + strconv.FormatInt(c.epoch, 36) }
 
 // counted takes the counter's answer: what others have added since the last total comes off the level.
-func (g *Gateway) counted(ev CountReply) {
+func (g *Engine) counted(ev CounterReply) {
 	c := g.customers[ev.Name[:max(0, strings.LastIndexByte(ev.Name, ':'))]]
 	if c != nil && len(c.asked) > 0 {
 		g.answered(c, ev)
@@ -233,7 +233,7 @@
 	}
 	c.calling = false
 	g.refresh(c)
-	if ev.Outcome != Done {
+	if ev.Outcome != Succeeded {
 		g.callFailed(c, ev.Outcome)
 		return
 	}
@@ -263,7 +263,7 @@
 
 // callFailed goes on without the counter: the block grows at the fair share of the rate until a total comes.
 // A spoilt answer is no silence: the amount was added, and the next total shows the rest.
-func (g *Gateway) callFailed(c *customer, o Outcome) {
+func (g *Engine) callFailed(c *customer, o Outcome) {
 	if o == Failed {
 		c.total, c.owed, c.nextCall = c.total+c.adding, c.owed-c.want, g.now
 		return
@@ -281,7 +281,7 @@
 }
 
 // settleIdle looks at one customer in turn: unspent units go back, and one not seen for long is dropped.
-func (g *Gateway) settleIdle() {
+func (g *Engine) settleIdle() {
 	g.swept = (g.swept + 1) % len(g.roster)
 	c := g.roster[g.swept]
 	idle := (g.now - c.seen).Seconds()
@@ -296,7 +296,7 @@
 }
 
 // untilRoom is the retry-after of a refusal: when the store will hold the units.
-func (g *Gateway) untilRoom(r *request) time.Duration {
+func (g *Engine) untilRoom(r *request) time.Duration {
 	c := r.cust
 	if c.sparse && g.thin {
 		return c.span - (g.now+c.offset)%c.span
@@ -310,8 +310,8 @@
 
 // share is this gateway's part of the customer's attempts out at once, one at least. Where going over costs,
 // more gateways than attempts take turns, if a turn comes round within the shortest aim.
-func (g *Gateway) share(c *customer) int {
-	open, n, turn := c.plan.Open, c.spread, g.sweep*sweepsPerAim/turnsPerAim
+func (g *Engine) share(c *customer) int {
+	open, n, turn := c.plan.MaxInFlight, c.spread, g.sweep*sweepsPerAim/turnsPerAim
 	if g.parts != nil && open >= n {
 		return max(1, int(float64(open)/c.ways+1e-6))
 	}
@@ -323,7 +323,7 @@
 
 // ceilingRoom says whether the ceiling lets the units go: the counter granted them, or this gateway's part of
 // the ceiling's store holds them, which starts empty since a restart cannot tell what was spent before.
-func (g *Gateway) ceilingRoom(r *request) bool {
+func (g *Engine) ceilingRoom(r *request) bool {
 	c, p := r.cust, r.plan
 	if p.CeilingRate <= 0 || r.granted {
 		return true
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,10 +8,10 @@
 
 // Rule 1: each request taken has exactly one final answer before its client gives up.
 func TestEveryRequestHasOneFinalAnswer(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	final := map[RequestID]int{}
 	count := func(acts []Action) {
-		for _, a := range only[Refuse](acts) {
+		for _, a := range only[Reject](acts) {
 			final[a.ID]++
 		}
 		for _, a := range only[Fail](acts) {
@@ -31,7 +31,7 @@
 			t.Fatalf("request %d is still held at its deadline", id)
 		}
 		for _, a := range q.attempts {
-			count(r.tell(AttemptEnded{ID: id, Attempt: a.n, Server: "s", Outcome: TimedOut}))
+			count(r.tell(AttemptEnded{ID: id, Attempt: a.n, Backend: "s", Outcome: TimedOut}))
 		}
 	}
 	for id := RequestID(1); id <= 40; id++ {
@@ -44,20 +44,20 @@
 // Rule 2: unsafe work that may have run is neither sent again nor refused.
 func TestUnsafeWorkThatMayHaveRunIsFailed(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled, Outcome(99)} {
-		r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		s := only[Send](r.arrive(1, "pay", "free"))[0].Server
-		got := r.tell(AttemptEnded{ID: 1, Server: s, Outcome: o})
-		if len(only[Send](got)) > 0 || len(only[Refuse](got)) > 0 || len(only[Fail](got)) != 1 {
+		r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
+		s := only[SendAttempt](r.arrive(1, "pay", "free"))[0].Backend
+		got := r.tell(AttemptEnded{ID: 1, Backend: s, Outcome: o})
+		if len(only[SendAttempt](got)) > 0 || len(only[Reject](got)) > 0 || len(only[Fail](got)) != 1 {
 			t.Errorf("outcome %v: actions %v, want one failure", o, got)
 		}
 	}
 }
 
 func TestWorkThatNeverRanIsSentAgain(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-	s := only[Send](r.arrive(1, "pay", "free"))[0].Server
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Server: s, Outcome: NoConnect}))
-	if len(got) != 1 || got[0].Server == s {
+	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
+	s := only[SendAttempt](r.arrive(1, "pay", "free"))[0].Backend
+	got := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Backend: s, Outcome: NoConnect}))
+	if len(got) != 1 || got[0].Backend == s {
 		t.Fatalf("sends %v, want one to the other server", got)
 	}
 }
@@ -67,18 +67,18 @@
 	set := settings()
 	set.Classes[1].Deadline, set.Classes[1].RepeatWindow = 60*time.Second, time.Second
 	for wait, want := range map[time.Duration]int{100 * ms: 1, 1200 * ms: 0} {
-		r := newRig(t, set, Server{ID: "s", State: Running, Cell: 1}, Server{ID: "u", State: Running, Cell: 1},
-			Server{ID: "v", State: Running, Cell: 2}, Server{ID: "w", State: Running, Cell: 2})
-		q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, GiveUpAt: r.now + time.Minute}
-		s := only[Send](r.tell(Arrival{q}))[0].Server
+		r := newRig(t, set, Backend{ID: "s", State: Running, Cell: 1}, Backend{ID: "u", State: Running, Cell: 1},
+			Backend{ID: "v", State: Running, Cell: 2}, Backend{ID: "w", State: Running, Cell: 2})
+		q := Request{ID: 1, Class: "book", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + time.Minute}
+		s := only[SendAttempt](r.tell(Arrival{q}))[0].Backend
 		r.now += wait
-		got := r.tell(AttemptEnded{ID: 1, Server: s, Outcome: Reset})
-		sends := only[Send](got)
-		if len(sends) != want || len(only[Refuse](got)) > 0 {
+		got := r.tell(AttemptEnded{ID: 1, Backend: s, Outcome: Reset})
+		sends := only[SendAttempt](got)
+		if len(sends) != want || len(only[Reject](got)) > 0 {
 			t.Fatalf("after %v: actions %v, want %d sends and no refusal", wait, got, want)
 		}
-		if want == 1 && r.g.servers[sends[0].Server].Cell != r.g.servers[s].Cell {
-			t.Fatalf("sent to %v after %v: another cell", sends[0].Server, s)
+		if want == 1 && r.g.servers[sends[0].Backend].Cell != r.g.servers[s].Cell {
+			t.Fatalf("sent to %v after %v: another cell", sends[0].Backend, s)
 		}
 	}
 }
@@ -88,39 +88,39 @@
 func TestHeldRepeatEndsWithItsGroupsMemory(t *testing.T) {
 	set := settings()
 	set.Classes[1].Deadline, set.Classes[1].RepeatWindow, set.Classes[1].LateShare = 60*time.Second, time.Second, 0.2
-	r := newRig(t, set, Server{ID: "s", State: Running, Cell: 1})
-	q := Request{ID: 1, Class: "book", Plan: "free", Customer: "c", Units: 1, GiveUpAt: r.now + time.Minute}
-	if sends := only[Send](r.tell(Arrival{q})); len(sends) != 1 {
+	r := newRig(t, set, Backend{ID: "s", State: Running, Cell: 1})
+	q := Request{ID: 1, Class: "book", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + time.Minute}
+	if sends := only[SendAttempt](r.tell(Arrival{q})); len(sends) != 1 {
 		t.Fatal(sends)
 	}
 	r.g.window, r.g.busy = 1, r.g.busy+1 // the window has no room for another
 	r.now += 500 * ms
-	if got := r.tell(AttemptEnded{ID: 1, Server: "s", Outcome: Reset}); len(got) != 0 || !r.g.requests[1].held {
+	if got := r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset}); len(got) != 0 || !r.g.requests[1].held {
 		t.Fatalf("actions %v, want the request held", got)
 	}
 	r.now += 450 * ms
 	r.g.busy, r.g.window = 0, 4
 	got := r.pass(200 * ms)
-	if len(only[Send](got)) > 0 || len(only[Refuse](got)) > 0 || len(only[Fail](got)) != 1 {
+	if len(only[SendAttempt](got)) > 0 || len(only[Reject](got)) > 0 || len(only[Fail](got)) != 1 {
 		t.Fatalf("actions %v, want one failure and nothing sent", got)
 	}
 }
 
 func TestNothingGoesToADrainingServer(t *testing.T) {
-	for _, state := range []ServerState{Draining, Gone, ServerState(9)} {
-		r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		r.tell(FleetChanged{Servers: []Server{{ID: "s", State: state}}})
+	for _, state := range []BackendState{Draining, Gone, BackendState(9)} {
+		r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
+		r.tell(EndpointsChanged{Backends: []Backend{{ID: "s", State: state}}})
 		for id := RequestID(1); id < 20; id++ {
-			for _, a := range only[Send](r.arrive(id, "read", "free")) {
-				if a.Server == "s" {
+			for _, a := range only[SendAttempt](r.arrive(id, "read", "free")) {
+				if a.Backend == "s" {
 					t.Fatalf("state %v: sent to it", state)
 				}
 			}
-			r.tell(AttemptEnded{ID: id, Server: "u", Outcome: Done, Took: 5 * ms, Finished: true})
+			r.tell(AttemptEnded{ID: id, Backend: "u", Outcome: Succeeded, Took: 5 * ms, Finished: true})
 		}
 	}
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-	r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "u", State: Running}}})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
+	r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "u", State: Running}}})
 	if len(r.g.fleet) != 1 {
 		t.Fatal("a server that is not in a whole list is gone")
 	}
@@ -130,7 +130,7 @@
 // all servers are cold.
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	r := newRig(t, settings())
-	r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "s", State: Running, Started: r.now}}})
+	r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
 	r.g.window = 100
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each refused by the server at once
@@ -145,7 +145,7 @@
 						q = l
 					}
 				}
-				r.tell(AttemptEnded{ID: q.ID, Attempt: s.out[0].n, Server: "s", Outcome: Full})
+				r.tell(AttemptEnded{ID: q.ID, Attempt: s.out[0].n, Backend: "s", Outcome: Rejected})
 			}
 		}
 		r.pass(10 * ms)
@@ -160,10 +160,10 @@
 // The same where it is the first to come back after all others have gone: what the whole fleet answered is no measure of it.
 func TestFirstServerBackIsNotPushedOver(t *testing.T) {
 	set := settings()
-	set.Gateways, set.Classes[0].Aim = 1, 400*ms
-	var fleet []Server
+	set.Instances, set.Classes[0].LatencyObjective = 1, 400*ms
+	var fleet []Backend
 	for i := range 20 {
-		fleet = append(fleet, Server{ID: ServerID(fmt.Sprint("w", i)), State: Running})
+		fleet = append(fleet, Backend{ID: BackendID(fmt.Sprint("w", i)), State: Running})
 	}
 	r := newRig(t, set, fleet...)
 	id, toCold := RequestID(0), 0
@@ -181,18 +181,18 @@
 				outs = outs[1:]
 				acts = append(acts, r.tell(ev)...)
 			}
-			for _, s := range only[Send](acts) {
-				if s.Server == "x" { // it answers none of them within the second
+			for _, s := range only[SendAttempt](acts) {
+				if s.Backend == "x" { // it answers none of them within the second
 					toCold++
 					continue
 				}
-				outs = append(outs, out{AttemptEnded{ID: s.ID, Attempt: len(r.g.requests[s.ID].attempts) - 1, Server: s.Server, Outcome: Done, Took: 60 * ms, Finished: true}, r.now + 60*ms})
+				outs = append(outs, out{AttemptEnded{ID: s.ID, Attempt: len(r.g.requests[s.ID].attempts) - 1, Backend: s.Backend, Outcome: Succeeded, Took: 60 * ms, Finished: true}, r.now + 60*ms})
 			}
 		}
 	}
 	play(3 * time.Second)
 	outs = nil
-	r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "x", State: Running, Started: r.now}}})
+	r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "x", State: Running, Started: r.now}}})
 	play(time.Second)
 	// A warm one answered 200/20 = 10 a second; this one has a fifth of that, and may be sent four times as much.
 	if toCold == 0 || toCold > 8 {
@@ -201,14 +201,14 @@
 }
 
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
 	r.g.window = 1000
 	sent := 0
 	for i := range 400 {
 		acts := r.arrive(RequestID(i+1), "read", "capped")
 		acts = append(acts, r.pass(10*ms)...)
-		sent += len(only[Send](acts))
+		sent += len(only[SendAttempt](acts))
 	}
 	if max := 4*20/2 + 1; sent == 0 || sent > max { // 4 s of half the ceiling's rate
 		t.Fatalf("%d sent in 4 s, the part is %d", sent, max)
@@ -217,17 +217,17 @@
 
 func TestOpenCapIsSharedAndWaits(t *testing.T) {
 	set := settings()
-	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, Open: 4, ExcessCost: 1})
-	r := newRig(t, set, Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxInFlight: 4, ExcessCost: 1})
+	r := newRig(t, set, Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 	r.g.window = 100
 	sends := 0
 	for id := RequestID(1); id <= 5; id++ {
-		sends += len(only[Send](r.arrive(id, "read", "open")))
+		sends += len(only[SendAttempt](r.arrive(id, "read", "open")))
 	}
 	if sends != 2 {
 		t.Fatalf("%d out, this gateway's part is 2", sends)
 	}
-	got := only[Send](r.tell(AttemptEnded{ID: 1, Outcome: Done, Took: 5 * ms, Finished: true}))
+	got := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Took: 5 * ms, Finished: true}))
 	if len(got) != 1 {
 		t.Fatalf("sends %v, a waiting request takes the slot", got)
 	}
@@ -235,22 +235,22 @@
 
 // A stall leaves no dead backlog: what has expired goes before a freed slot is given.
 func TestAStalledGatewaySweepsBeforeItReleases(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	for id := RequestID(1); id <= 10; id++ {
 		r.arrive(id, "read", "free")
 	}
 	r.now += 1900 * ms
-	if got := only[Send](r.tell(TimerFired{})); len(got) > 0 {
+	if got := only[SendAttempt](r.tell(TimerFired{})); len(got) > 0 {
 		t.Fatalf("sent %v after the stall", got)
 	}
 }
 
 func TestUnusableSettingsGiveAnError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"gateways": func(s *Settings) { s.Gateways = 0 },
-		"number":   func(s *Settings) { s.Me = 2 },
+		"gateways": func(s *Settings) { s.Instances = 0 },
+		"number":   func(s *Settings) { s.Index = 2 },
 		"classes":  func(s *Settings) { s.Classes = nil },
-		"aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
+		"aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"rate":     func(s *Settings) { s.Plans[0].Rate = -1 },
 	} {
 		set := settings()
@@ -264,15 +264,15 @@
 // Settings with little in them must still decide, and never panic.
 func TestPoorSettingsStillDecide(t *testing.T) {
 	set := settings()
-	set.Counter, set.SecondCopies, set.MayCancel, set.WarmAfter = false, false, false, 0
+	set.Counter, set.Hedging, set.MayCancel, set.SlowStartWindow = false, false, false, 0
 	set.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
-	r := newRig(t, set, Server{ID: "s", State: Running})
+	r := newRig(t, set, Backend{ID: "s", State: Running})
 	sends := 0
 	for id := RequestID(1); id <= 20; id++ {
-		acts := append(r.arrive(id, "read", "small"), r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})...)
+		acts := append(r.arrive(id, "read", "small"), r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})...)
 		acts = append(acts, r.pass(200*ms)...)
-		sends += len(only[Send](acts))
-		if len(only[Count](acts)) > 0 {
+		sends += len(only[SendAttempt](acts))
+		if len(only[AddToCounter](acts)) > 0 {
 			t.Fatal("called a counter that is not there")
 		}
 	}
@@ -283,8 +283,8 @@
 
 func TestAnInstanceActsAlikeAloneAndBesideOthers(t *testing.T) {
 	play := func(beside bool) string {
-		a := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
-		b := newRig(t, settings(), Server{ID: "s", State: Running})
+		a := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
+		b := newRig(t, settings(), Backend{ID: "s", State: Running})
 		log := ""
 		for id := RequestID(1); id <= 200; id++ {
 			if beside {
@@ -301,15 +301,15 @@
 
 // The next block is asked for at half spent, off the path; one call is out at a time.
 func TestNextBlockIsAskedForAtHalfSpent(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running})
-	var calls []Count
+	r := newRig(t, settings(), Backend{ID: "s", State: Running})
+	var calls []AddToCounter
 	for id := RequestID(1); id <= 3; id++ {
 		acts := r.arrive(id, "read", "small")
-		if len(only[Send](acts)) != 1 {
+		if len(only[SendAttempt](acts)) != 1 {
 			t.Fatalf("request %d did not go at once", id)
 		}
-		calls = append(calls, only[Count](acts)...)
-		r.tell(AttemptEnded{ID: id, Outcome: Done, Took: ms, Finished: true})
+		calls = append(calls, only[AddToCounter](acts)...)
+		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
 	}
 	if len(calls) != 1 || calls[0].Add < 4 {
 		t.Fatalf("calls %v, want one that adds the first block and the next", calls)
@@ -318,9 +318,9 @@
 
 // One sick server must not narrow the window for all.
 func TestOneSickServerDoesNotNarrowTheWindow(t *testing.T) {
-	var fleet []Server
+	var fleet []Backend
 	for i := range 12 {
-		fleet = append(fleet, Server{ID: ServerID(fmt.Sprint("s", i)), State: Running})
+		fleet = append(fleet, Backend{ID: BackendID(fmt.Sprint("s", i)), State: Running})
 	}
 	r := newRig(t, settings(), fleet...)
 	before := r.g.window
@@ -343,12 +343,12 @@
 
 // Long calls of one class are not a full back end: while another class is answered in time the window stays.
 func TestOneClassesLongCallsDoNotNarrowTheWindow(t *testing.T) {
-	r := newRig(t, settings(), Server{ID: "s", State: Running}, Server{ID: "u", State: Running})
+	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 	before := r.g.window
 	for i := range 40 {
 		s := r.g.fleet[i%2]
-		r.g.judge(&attempt{s: s}, r.g.classes["book"], Done, 400*ms)
-		r.g.judge(&attempt{s: s}, r.g.classes["read"], Done, 20*ms)
+		r.g.judge(&attempt{s: s}, r.g.classes["book"], Succeeded, 400*ms)
+		r.g.judge(&attempt{s: s}, r.g.classes["read"], Succeeded, 20*ms)
 	}
 	r.pass(2 * time.Second)
 	if r.g.window < before {
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -8,7 +8,7 @@
 )
 
 type server struct {
-	Server
+	Backend
 	out              []*attempt
 	slow, heard      float64 // latency relative to the fleet's: by its answers, by others' word
 	phase            float64 // part of the space to the next send
@@ -20,9 +20,9 @@
 }
 
 // learned is the relative latency as remembered, or as others say; slowness also what the longest wait shows.
-func (g *Gateway) learned(s *server) float64 { return max(1+(s.slow-1)*g.memory(s), s.heard) }
+func (g *Engine) learned(s *server) float64 { return max(1+(s.slow-1)*g.memory(s), s.heard) }
 
-func (g *Gateway) slowness(s *server) float64 {
+func (g *Engine) slowness(s *server) float64 {
 	v := g.learned(s)
 	if len(s.out) > 0 && g.lag > 0 {
 		v = max(v, (g.now-s.out[0].sent).Seconds()/(3*g.lag))
@@ -31,13 +31,13 @@
 }
 
 // memory is the part left of what was learned: half goes in some aims, or between two answers of a server.
-func (g *Gateway) memory(s *server) float64 {
+func (g *Engine) memory(s *server) float64 {
 	half := max(forgetAims*g.longAim.Seconds(), float64(len(g.fleet))/max(g.flow, 1e-3))
 	return math.Exp2(-(g.now - s.slowAt).Seconds() / half)
 }
 
 // choose picks the server with the least expected wait among those that may take the request.
-func (g *Gateway) choose(r *request) *server {
+func (g *Engine) choose(r *request) *server {
 	var best *server
 	bestScore := math.Inf(1)
 	anchor := r.anchor()
@@ -83,13 +83,13 @@
 }
 
 // observe learns from an attempt's end.
-func (g *Gateway) observe(a *attempt, c *class, o Outcome, took time.Duration) {
-	if o == Cancelled || o == Moot {
+func (g *Engine) observe(a *attempt, c *class, o Outcome, took time.Duration) {
+	if o == Cancelled || o == NotSent {
 		return
 	}
 	s, t := a.s, took.Seconds()
 	seen := failPenalty
-	if o == Done {
+	if o == Succeeded {
 		if c.mean == 0 {
 			c.mean, c.dev, g.lag = t, t/2, max(g.lag, t)
 		}
@@ -113,7 +113,7 @@
 	s.slow, s.slowAt = s.slow+(1-(1-slowGain)*left)*(seen-s.slow), g.now
 }
 
-func (g *Gateway) fleetChanged(ev FleetChanged) {
+func (g *Engine) fleetChanged(ev EndpointsChanged) {
 	if ev.Failed {
 		g.watching = false
 		return
@@ -122,12 +122,12 @@
 	if g.thin {
 		g.coldTokens()
 	}
-	if ev.Whole {
+	if ev.Complete {
 		for _, s := range g.fleet {
 			s.State = Gone
 		}
 	}
-	for _, e := range ev.Servers {
+	for _, e := range ev.Backends {
 		s := g.servers[e.ID]
 		if s == nil {
 			s = &server{}
@@ -137,7 +137,7 @@
 			*s = server{out: s.out, slow: 1, slowAt: g.now, badRound: -1, phase: g.rng.Float64(),
 				unproven: s.unproven, draw: g.draw(e.ID)}
 		}
-		s.Server = e
+		s.Backend = e
 	}
 	g.hosts, g.hostsAt, g.fleet = g.earners(), g.now, g.fleet[:0]
 	for id, s := range g.servers {
@@ -157,18 +157,18 @@
 }
 
 // warmth is the share of its capacity that a server surely has: it grows evenly from the cold share.
-func (g *Gateway) warmth(s *server) float64 {
+func (g *Engine) warmth(s *server) float64 {
 	age := g.now - s.Started
-	if s.Started == 0 || age >= g.set.WarmAfter || g.set.WarmAfter <= 0 {
+	if s.Started == 0 || age >= g.set.SlowStartWindow || g.set.SlowStartWindow <= 0 {
 		return 1
 	}
-	cold := max(g.set.ColdShare, 0.01)
-	return cold + (1-cold)*max(0, age.Seconds())/g.set.WarmAfter.Seconds()
+	cold := max(g.set.SlowStartShare, 0.01)
+	return cold + (1-cold)*max(0, age.Seconds())/g.set.SlowStartWindow.Seconds()
 }
 
 // eachAnswers is the answers a second that a warm server gives here. Where most of the fleet has just gone,
 // the few that are left have not earned its answers: both figures fade alike.
-func (g *Gateway) eachAnswers() float64 {
+func (g *Engine) eachAnswers() float64 {
 	if g.eachAt != g.now { // many servers are looked at in one moment
 		g.eachAt = g.now
 		g.each = g.flow * math.Exp(-(g.now - g.flowAt).Seconds()) / max(g.earners(), 0.1)
@@ -178,7 +178,7 @@
 
 // earners is the warm servers that the answers came from; a cold one counts by its warmth, else a fleet that
 // is cold as a whole would take its own slowness for all that servers can do.
-func (g *Gateway) earners() float64 {
+func (g *Engine) earners() float64 {
 	n := 0.0
 	for _, s := range g.fleet {
 		w := g.warmth(s)
@@ -192,7 +192,7 @@
 
 // coldRoom spaces sends to a cold server by what warm ones answer here, scaled to its warmth, so that the sum
 // over all gateways stays within it; the first comes at a random part of the space.
-func (g *Gateway) coldRoom(s *server) bool {
+func (g *Engine) coldRoom(s *server) bool {
 	w := g.warmth(s)
 	if w >= 1 {
 		return true
@@ -200,6 +200,6 @@
 	if g.thin {
 		return g.coldTokens() >= 1 && g.now-s.lastSent > time.Second
 	}
-	rate := coldRate * w * max(g.eachAnswers(), startPerHost/float64(g.set.Gateways))
+	rate := coldRate * w * max(g.eachAnswers(), startPerHost/float64(g.set.Instances))
 	return (g.now - max(s.lastSent, s.Started)).Seconds() >= s.phase/rate
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -8,131 +8,131 @@
 
 // Learned is what a gateway knows, as facts with their times, for another process of the same gateway. It holds nothing of
 // requests but how much is out for them.
-type Learned struct {
-	Window    float64           `json:"Window"`
-	Lag       float64           `json:"Lag"`
-	Flow      float64           `json:"Flow"`
-	FlowAt    time.Duration     `json:"FlowAt"`
-	AskShare  float64           `json:"AskShare"`
-	Busy      int               `json:"Busy"` // attempts that fill the window
-	Classes   []LearnedClass    `json:"Classes"`
-	Servers   []LearnedServer   `json:"Servers"`
-	Customers []LearnedCustomer `json:"Customers"`
+type LearnedState struct {
+	Window           float64          `json:"Window"`
+	Lag              float64          `json:"Lag"`
+	AnswerRate       float64          `json:"Flow"`
+	AnswerRateAt     time.Duration    `json:"FlowAt"`
+	CounterCallShare float64          `json:"AskShare"`
+	InFlight         int              `json:"Busy"` // attempts that fill the window
+	Classes          []LearnedClass   `json:"Classes"`
+	Backends         []LearnedBackend `json:"Servers"`
+	Tenants          []LearnedTenant  `json:"Customers"`
 }
 
 // LearnedClass is a class's latency, in seconds.
 type LearnedClass struct {
-	Name string  `json:"Name"`
-	Mean float64 `json:"Mean"`
-	Dev  float64 `json:"Dev"`
+	Name      string  `json:"Name"`
+	Mean      float64 `json:"Mean"`
+	Deviation float64 `json:"Dev"`
 }
 
 // LearnedServer is what is known of a server that was started at a time.
-type LearnedServer struct {
-	ID       ServerID      `json:"ID"`
-	Started  time.Duration `json:"Started"`
-	SlowAt   time.Duration `json:"SlowAt"`
-	LastSent time.Duration `json:"LastSent"`
-	Banned   time.Duration `json:"Banned"`
-	Slow     float64       `json:"Slow"`
-	Fails    int           `json:"Fails"`
+type LearnedBackend struct {
+	ID                  BackendID     `json:"ID"`
+	Started             time.Duration `json:"Started"`
+	SlownessAt          time.Duration `json:"SlowAt"`
+	LastSent            time.Duration `json:"LastSent"`
+	EjectedUntil        time.Duration `json:"Banned"`
+	Slowness            float64       `json:"Slow"`
+	ConsecutiveFailures int           `json:"Fails"`
 }
 
 // LearnedCustomer is the picture of a customer's store, and what is leased of it.
-type LearnedCustomer struct {
-	ID        string        `json:"ID"`
-	Plan      string        `json:"Plan"` // ID: the books' name, Request.Account
-	Customer  string        `json:"Customer"`
-	Spread    int           `json:"Spread"`
-	First     int           `json:"First"`
-	Block     float64       `json:"Block"`
-	Owed      float64       `json:"Owed"` // leased and not spent; to tell the counter
-	Level     float64       `json:"Level"`
-	Demand    float64       `json:"Demand"`
-	Others    float64       `json:"Others"`
-	At        time.Duration `json:"At"`
-	Looked    time.Duration `json:"Looked"`
-	Spent     time.Duration `json:"Spent"`
-	Epoch     int64         `json:"Epoch"`
-	Total     float64       `json:"Total"`
-	SeenUnits float64       `json:"SeenUnits"`
-	SeenFor   float64       `json:"SeenFor"`
-	SeenAt    time.Duration `json:"SeenAt"`
-	Seen      time.Duration `json:"Seen"`
-	NextCall  time.Duration `json:"NextCall"`
-	Refreshed time.Duration `json:"Refreshed"`
-	Silent    bool          `json:"Silent"`
-	Ceiling   float64       `json:"Ceiling"`
-	CeilingAt time.Duration `json:"CeilingAt"`
-	Open      int           `json:"Open"` // attempts out
-	Part      float64       `json:"Part"` // held of the plan's figures
+type LearnedTenant struct {
+	ID              string        `json:"ID"`
+	Plan            string        `json:"Plan"` // ID: the books' name, Request.Account
+	Tenant          string        `json:"Customer"`
+	Spread          int           `json:"Spread"`
+	First           int           `json:"First"`
+	LeasedUnits     float64       `json:"Block"`
+	UnreportedUnits float64       `json:"Owed"` // leased and not spent; to tell the counter
+	Level           float64       `json:"Level"`
+	Demand          float64       `json:"Demand"`
+	Others          float64       `json:"Others"`
+	LevelAt         time.Duration `json:"At"`
+	TotalAt         time.Duration `json:"Looked"`
+	ExhaustedUntil  time.Duration `json:"Spent"`
+	Epoch           int64         `json:"Epoch"`
+	Total           float64       `json:"Total"`
+	ObservedUnits   float64       `json:"SeenUnits"`
+	ObservedFor     float64       `json:"SeenFor"`
+	ObservedAt      time.Duration `json:"SeenAt"`
+	LastRequest     time.Duration `json:"Seen"`
+	NextCounterCall time.Duration `json:"NextCall"`
+	RefreshedAt     time.Duration `json:"Refreshed"`
+	CounterSilent   bool          `json:"Silent"`
+	CeilingLevel    float64       `json:"Ceiling"`
+	CeilingAt       time.Duration `json:"CeilingAt"`
+	InFlight        int           `json:"Open"` // attempts out
+	Share           float64       `json:"Part"` // held of the plan's figures
 }
 
 // Learned returns what is known now.
-func (g *Gateway) Learned() Learned {
-	l := Learned{Window: g.window, Lag: g.lag, Flow: g.flow, FlowAt: g.flowAt, AskShare: g.askShare, Busy: g.busy}
+func (g *Engine) ExportState() LearnedState {
+	l := LearnedState{Window: g.window, Lag: g.lag, AnswerRate: g.flow, AnswerRateAt: g.flowAt, CounterCallShare: g.askShare, InFlight: g.busy}
 	for _, c := range g.set.Classes {
 		if k := g.classes[c.Name]; k.mean > 0 {
 			l.Classes = append(l.Classes, LearnedClass{c.Name, k.mean, k.dev})
 		}
 	}
 	for _, s := range g.fleet {
-		l.Servers = append(l.Servers, LearnedServer{ID: s.ID, Started: s.Started, SlowAt: s.slowAt, LastSent: s.lastSent, Banned: s.banned,
-			Slow: s.slow, Fails: s.fails})
+		l.Backends = append(l.Backends, LearnedBackend{ID: s.ID, Started: s.Started, SlownessAt: s.slowAt, LastSent: s.lastSent, EjectedUntil: s.banned,
+			Slowness: s.slow, ConsecutiveFailures: s.fails})
 	}
 	for _, c := range g.roster {
-		l.Customers = append(l.Customers, LearnedCustomer{ID: c.id, Customer: c.who, Plan: c.plan.Name, Spread: c.spread,
-			First: (g.set.Me - c.place + g.set.Gateways) % g.set.Gateways, Block: c.block, Owed: c.owed, Level: c.level, Demand: c.demand,
-			Others: c.others, At: c.at, Looked: c.looked, Spent: c.spent, Epoch: c.epoch, Total: c.total, SeenUnits: c.seenUnits,
-			SeenFor: c.seenFor, SeenAt: c.seenAt, Seen: c.seen, NextCall: c.nextCall, Refreshed: c.refreshed, Silent: c.silent,
-			Ceiling: c.ceiling, CeilingAt: c.ceilingAt, Open: c.open, Part: 1 / c.ways})
+		l.Tenants = append(l.Tenants, LearnedTenant{ID: c.id, Tenant: c.who, Plan: c.plan.Name, Spread: c.spread,
+			First: (g.set.Index - c.place + g.set.Instances) % g.set.Instances, LeasedUnits: c.block, UnreportedUnits: c.owed, Level: c.level, Demand: c.demand,
+			Others: c.others, LevelAt: c.at, TotalAt: c.looked, ExhaustedUntil: c.spent, Epoch: c.epoch, Total: c.total, ObservedUnits: c.seenUnits,
+			ObservedFor: c.seenFor, ObservedAt: c.seenAt, LastRequest: c.seen, NextCounterCall: c.nextCall, RefreshedAt: c.refreshed, CounterSilent: c.silent,
+			CeilingLevel: c.ceiling, CeilingAt: c.ceilingAt, InFlight: c.open, Share: 1 / c.ways})
 	}
 	return l
 }
 
 // Learn takes over what another process knew. Its attempts that are out count here until Release.
-func (g *Gateway) Learn(now time.Duration, l Learned) {
+func (g *Engine) ImportState(now time.Duration, l LearnedState) {
 	g.now = max(now, g.now)
-	g.Release()
+	g.ReleasePredecessor()
 	if l.Window > 0 {
-		g.window, g.askShare = max(l.Window, leastWindow), min(1, max(l.AskShare, leastAsked))
-		g.lag, g.flow, g.flowAt = l.Lag, l.Flow, l.FlowAt
+		g.window, g.askShare = max(l.Window, leastWindow), min(1, max(l.CounterCallShare, leastAsked))
+		g.lag, g.flow, g.flowAt = l.Lag, l.AnswerRate, l.AnswerRateAt
 	}
 	for _, k := range l.Classes {
 		if c := g.classes[k.Name]; c != nil {
-			c.mean, c.dev = k.Mean, k.Dev
+			c.mean, c.dev = k.Mean, k.Deviation
 		}
 	}
-	for _, k := range l.Servers {
+	for _, k := range l.Backends {
 		if s := g.servers[k.ID]; s != nil && s.Started == k.Started {
-			s.slow, s.slowAt, s.lastSent, s.fails, s.banned = max(k.Slow, 0.01), k.SlowAt, k.LastSent, k.Fails, k.Banned
+			s.slow, s.slowAt, s.lastSent, s.fails, s.banned = max(k.Slowness, 0.01), k.SlownessAt, k.LastSent, k.ConsecutiveFailures, k.EjectedUntil
 		}
 	}
-	for _, k := range l.Customers {
+	for _, k := range l.Tenants {
 		if p := g.plans[k.Plan]; p != nil && k.ID != "" {
 			g.learnCustomer(p, k)
 		}
 	}
-	g.lentBusy = l.Busy
-	g.busy += l.Busy
+	g.lentBusy = l.InFlight
+	g.busy += l.InFlight
 }
 
-func (g *Gateway) learnCustomer(p *Plan, k LearnedCustomer) {
-	if k.Customer == "" { // told by a version whose books were the customer's alone, under another name at the counter
-		k.Customer, _, _ = strings.Cut(k.ID, "/")
+func (g *Engine) learnCustomer(p *Plan, k LearnedTenant) {
+	if k.Tenant == "" { // told by a version whose books were the customer's alone, under another name at the counter
+		k.Tenant, _, _ = strings.Cut(k.ID, "/")
 		k.Epoch, k.Total = -1, 0
 	}
-	c := g.customer(&request{Request: Request{Customer: k.Customer, Plan: k.Plan, Spread: k.Spread, First: max(k.First, 0)}, plan: p})
-	c.block, c.owed, c.level, c.demand, c.others = k.Block, k.Owed, k.Level, k.Demand, k.Others
-	c.at, c.looked, c.spent, c.epoch, c.total = k.At, k.Looked, k.Spent, k.Epoch, k.Total
-	c.seenUnits, c.seenFor, c.seenAt, c.seen, c.refreshed = k.SeenUnits, k.SeenFor, k.SeenAt, k.Seen, k.Refreshed
-	c.nextCall, c.silent, c.ceiling, c.ceilingAt = k.NextCall, k.Silent, k.Ceiling, k.CeilingAt
-	c.lent = k.Open
-	c.open += k.Open
+	c := g.customer(&request{Request: Request{Tenant: k.Tenant, Plan: k.Plan, Spread: k.Spread, First: max(k.First, 0)}, plan: p})
+	c.block, c.owed, c.level, c.demand, c.others = k.LeasedUnits, k.UnreportedUnits, k.Level, k.Demand, k.Others
+	c.at, c.looked, c.spent, c.epoch, c.total = k.LevelAt, k.TotalAt, k.ExhaustedUntil, k.Epoch, k.Total
+	c.seenUnits, c.seenFor, c.seenAt, c.seen, c.refreshed = k.ObservedUnits, k.ObservedFor, k.ObservedAt, k.LastRequest, k.RefreshedAt
+	c.nextCall, c.silent, c.ceiling, c.ceilingAt = k.NextCounterCall, k.CounterSilent, k.CeilingLevel, k.CeilingAt
+	c.lent = k.InFlight
+	c.open += k.InFlight
 }
 
 // Release ends what Learn has counted for the other process: nothing of it is out any more.
-func (g *Gateway) Release() {
+func (g *Engine) ReleasePredecessor() {
 	g.busy -= g.lentBusy
 	g.lentBusy = 0
 	for _, c := range g.roster {
@@ -143,10 +143,10 @@
 
 // Keep lays down what is left here of the units of each customer, in the order of Learned, after the rest was given to another
 // process of this gateway. From then on stores and ceilings do not fill here any more: they do there.
-func (g *Gateway) Keep(kept []LearnedCustomer) {
+func (g *Engine) RetainUnits(kept []LearnedTenant) {
 	for _, k := range kept {
 		if c := g.customers[k.ID]; c != nil {
-			c.block, c.owed, c.ceiling = k.Block, k.Owed, k.Ceiling
+			c.block, c.owed, c.ceiling = k.LeasedUnits, k.UnreportedUnits, k.CeilingLevel
 			c.level = min(0, c.level) - c.plan.Burst/2 // what the store fills with is lent there
 		}
 	}
@@ -158,35 +158,35 @@
 // Hear takes over how slow servers are to be reckoned with by what other gateways say, in mean latencies; those that are not
 // named are left to what this one sees itself. One at Try is to be tried: what is remembered of it here is put aside as well.
 // Nothing here is told on as this gateway's own.
-func (g *Gateway) Hear(slow map[ServerID]float64) {
+func (g *Engine) SetPeerSlowness(slow map[BackendID]float64) {
 	for id, s := range g.servers {
-		if s.heard = slow[id]; s.heard == Try {
-			s.slow, s.slowAt, s.fails, s.banned = Try, g.now, 0, 0
+		if s.heard = slow[id]; s.heard == ProbationSlowness {
+			s.slow, s.slowAt, s.fails, s.banned = ProbationSlowness, g.now, 0, 0
 		}
 	}
 }
 
 // Try is the slowness, for Hear, of a server that is to be tried: it is sooner chosen than one that is as fast as all.
-const Try = 0.5
+const ProbationSlowness = 0.5
 
 // Standing is how a customer's quota stands at a gateway beside what Learned tells.
-type Standing struct {
-	Queued float64 // units taken from the block by requests that have not gone out
-	Room   float64 // the store's level by now, as this gateway pictures it, less all leases it knows of
-	Sparse bool    // no blocks: each request is asked for
-	Agreed bool    // parts are held by agreement with the others, who reckon with what is spent here unheard
+type QuotaStanding struct {
+	QueuedUnits    float64 // units taken from the block by requests that have not gone out
+	AvailableUnits float64 // the store's level by now, as this gateway pictures it, less all leases it knows of
+	Sparse         bool    // no blocks: each request is asked for
+	Escrowed       bool    // parts are held by agreement with the others, who reckon with what is spent here unheard
 }
 
 // Standings are those of all customers.
-func (g *Gateway) Standings() map[string]Standing {
-	out := map[string]Standing{}
+func (g *Engine) QuotaStandings() map[string]QuotaStanding {
+	out := map[string]QuotaStanding{}
 	for _, c := range g.roster {
-		out[c.id] = Standing{Room: g.room(c), Sparse: c.sparse, Agreed: g.parts != nil && c.spread > 1}
+		out[c.id] = QuotaStanding{AvailableUnits: g.room(c), Sparse: c.sparse, Escrowed: g.parts != nil && c.spread > 1}
 	}
 	for _, r := range g.live {
 		if r.charged && !r.sent && !r.final {
 			s := out[r.cust.id]
-			s.Queued += r.Units
+			s.QueuedUnits += r.Units
 			out[r.cust.id] = s
 		}
 	}
@@ -195,27 +195,27 @@
 
 // Parts are what this gateway holds, by agreement with the others, of what customers may use: of the rate, the burst, the ceiling and the
 // cap. Parts of one customer at all gateways together are one at the most, whatever is lost between them.
-type Parts struct {
-	Home float64         // of the even part, where a customer is not named
-	Of   map[string]Part // by Request.Account
+type Allocations struct {
+	Default   float64               // of the even part, where a customer is not named
+	ByAccount map[string]Allocation // by Request.Account
 }
 
 // Part is one customer's.
-type Part struct {
-	Share float64 // held here, of one
-	Away  float64 // held by those who spend without the counter's hearing of it
+type Allocation struct {
+	Share      float64 // held here, of one
+	Unreported float64 // held by those who spend without the counter's hearing of it
 }
 
 // of is a customer's part, one in so many, and the part that is spent unheard. Without any agreement each gateway has an even part.
-func (p *Parts) of(c *customer) (ways, away float64) {
+func (p *Allocations) of(c *customer) (ways, away float64) {
 	ways = float64(c.spread)
 	if p == nil {
 		return ways, 0
 	}
-	if x, named := p.Of[c.id]; named {
-		return 1 / min(1, max(leastPart, x.Share)), min(1, max(0, x.Away))
+	if x, named := p.ByAccount[c.id]; named {
+		return 1 / min(1, max(leastPart, x.Share)), min(1, max(0, x.Unreported))
 	}
-	return ways / min(1, max(leastPart, p.Home)), 0
+	return ways / min(1, max(leastPart, p.Default)), 0
 }
 
 // leastPart is as good as none.
@@ -224,7 +224,7 @@
 // Hold takes over what this gateway holds from now on. What was let into its block before stays.
 //
 // After a time in which this process did not run (stopped), nothing has come to it meanwhile: what it held then may have ended.
-func (g *Gateway) Hold(now time.Duration, p Parts, stopped bool) {
+func (g *Engine) SetAllocations(now time.Duration, p Allocations, stopped bool) {
 	g.now = max(now, g.now)
 	g.parts = &p
 	for _, c := range g.roster {
@@ -237,7 +237,7 @@
 
 // repart brings this gateway's part of a customer's plan up to date, after what it depends on has changed. What has filled until now came by the
 // part that was.
-func (g *Gateway) repart(c *customer) {
+func (g *Engine) repart(c *customer) {
 	ways, away := g.parts.of(c)
 	if ways == c.ways && away == c.away {
 		return
@@ -250,33 +250,33 @@
 }
 
 // Need is what a customer asks for here beside what this gateway holds of it.
-type Need struct {
+type QuotaNeed struct {
 	Account       string // Request.Account
 	Spread, First int
 	Rate          float64 // units a second
-	Others        float64 // units a second that the counter's totals show of all others
-	Places        int     // of the cap, where parts of it are held
-	Want          float64 // the part with which what is asked for here would pass
-	Alone         bool    // the counter is not heard
+	OthersRate    float64 // units a second that the counter's totals show of all others
+	MaxInFlight   int     // of the cap, where parts of it are held
+	WantedShare   float64 // the part with which what is asked for here would pass
+	CounterLost   bool    // the counter is not heard
 }
 
 // Needs are those of the customers that come through several gateways and whose part counts for something, in order of first sight.
-func (g *Gateway) Needs(now time.Duration) (out []Need) {
+func (g *Engine) QuotaNeeds(now time.Duration) (out []QuotaNeed) {
 	for _, c := range g.roster {
 		if c.spread < 2 || c.plan.Rate <= 0 || c.sparse {
 			continue
 		}
-		n := Need{Account: c.id, Spread: c.spread, First: (g.set.Me - c.place + g.set.Gateways) % g.set.Gateways, Rate: c.plan.Rate, Others: c.others, Alone: c.silent}
+		n := QuotaNeed{Account: c.id, Spread: c.spread, First: (g.set.Index - c.place + g.set.Instances) % g.set.Instances, Rate: c.plan.Rate, OthersRate: c.others, CounterLost: c.silent}
 		demand := c.demand * math.Exp(-(now - c.refreshed).Seconds())
-		if n.Alone {
-			n.Want = demand / c.plan.Rate
+		if n.CounterLost {
+			n.WantedShare = demand / c.plan.Rate
 		}
 		if c.plan.CeilingRate > 0 {
-			n.Want = max(n.Want, demand/c.plan.CeilingRate)
+			n.WantedShare = max(n.WantedShare, demand/c.plan.CeilingRate)
 		}
-		if c.plan.Open >= c.spread {
-			n.Places = c.plan.Open
-			n.Want = max(n.Want, float64(c.open)/float64(c.plan.Open))
+		if c.plan.MaxInFlight >= c.spread {
+			n.MaxInFlight = c.plan.MaxInFlight
+			n.WantedShare = max(n.WantedShare, float64(c.open)/float64(c.plan.MaxInFlight))
 		}
 		out = append(out, n)
 	}
--- a/policy/thin.go
+++ b/policy/thin.go
@@ -34,7 +34,7 @@
 }
 
 // evidence ages what is known of a sparse customer's use up to now, and counts the time at this gateway.
-func (g *Gateway) evidence(c *customer) {
+func (g *Engine) evidence(c *customer) {
 	dt := (g.now - c.seenAt).Seconds()
 	left := math.Exp2(-dt / useHalf.Seconds())
 	c.seenUnits, c.seenFor, c.seenAt = c.seenUnits*left, c.seenFor*left+dt/float64(c.spread), g.now
@@ -42,21 +42,21 @@
 
 // excess is the units a second that a sparse customer asks for at all gateways, in its rate: what has come
 // here and what totals have shown, against what is usual before anything is known.
-func (g *Gateway) excess(c *customer) float64 {
+func (g *Engine) excess(c *customer) float64 {
 	usual := max(1, g.set.MaxUnits/2)
 	return (usual + c.seenUnits) / (usual/(usualUse*c.plan.Rate) + c.seenFor) / c.plan.Rate
 }
 
 // guess says whether a request that the counter is not asked for, or has not answered for, is sent on: of a
 // customer that asks for more than its rate, so many that the gateways together send its rate.
-func (g *Gateway) guess(r *request) bool {
+func (g *Engine) guess(r *request) bool {
 	x := g.excess(r.cust)
 	r.odds = 1 / max(1, x)
 	return g.rng.Float64() < guessFree/x
 }
 
 // look learns from a total of the window; of what it holds a part was counted, and stands for the rest.
-func (g *Gateway) look(c *customer, r *request, total float64) {
+func (g *Engine) look(c *customer, r *request, total float64) {
 	if r.lease != c.name() {
 		return
 	}
@@ -73,7 +73,7 @@
 // coldTokens is what this gateway may send to cold servers taken together: each is worth a send as often as
 // all gateways together may send to it, divided by their number. A space kept for each server would be longer
 // than the time that it is cold.
-func (g *Gateway) coldTokens() float64 {
+func (g *Engine) coldTokens() float64 {
 	if g.coldAt == g.now {
 		return g.cold
 	}
@@ -88,14 +88,14 @@
 	} else if g.cold < 0 { // the first after none: each gateway begins at a part of a send of its own
 		g.cold = g.rng.Float64()
 	}
-	rate *= coldThin * max(g.eachAnswers(), startPerHost/float64(g.set.Gateways))
+	rate *= coldThin * max(g.eachAnswers(), startPerHost/float64(g.set.Instances))
 	g.cold, g.coldAt = min(1+rate*0.1, g.cold+rate*(g.now-g.coldAt).Seconds()), g.now
 	return g.cold
 }
 
 // draw is a server's number in this gateway's round of four: these have each server among them equally.
-func (g *Gateway) draw(id ServerID) uint64 {
-	return hashed(string([]byte{byte(g.set.Me >> 2), byte(g.set.Me >> 10)})+string(id)) >> 7
+func (g *Engine) draw(id BackendID) uint64 {
+	return hashed(string([]byte{byte(g.set.Index >> 2), byte(g.set.Index >> 10)})+string(id)) >> 7
 }
 
 func hashed(text string) uint64 {
@@ -106,7 +106,7 @@
 
 // mine says whether the server is one of those that this gateway prefers. Each gateway of many uses a few
 // often instead of all of them seldom: it learns who is slow from a few answers, and keeps connections warm.
-func (g *Gateway) mine(s *server) bool { return s.draw%uint64(g.rounds) == uint64(g.set.Me%g.rounds) }
+func (g *Engine) mine(s *server) bool { return s.draw%uint64(g.rounds) == uint64(g.set.Index%g.rounds) }
 
 // dark is what speaks against a hall: servers that could not be reached since one there has answered.
 type dark struct {
@@ -117,7 +117,7 @@
 
 // darken takes failures to connect to several servers of one hall for the hall's: to learn it of each of them
 // would take as many failures as it has servers, times the gateways.
-func (g *Gateway) darken(s *server, o Outcome) {
+func (g *Engine) darken(s *server, o Outcome) {
 	d := g.dark[s.Zone]
 	if o != NoConnect || d.until > g.now {
 		return
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -8,16 +8,16 @@
 )
 
 // served ends what was sent, in time.
-func (c *crowd) served(r *rig, sends []Send) {
+func (c *crowd) served(r *rig, sends []SendAttempt) {
 	for _, s := range sends {
-		c.tell(r, AttemptEnded{ID: s.ID, Server: s.Server, Outcome: Done, Took: ms, Finished: true})
+		c.tell(r, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})
 	}
 }
 
 // fleetOf is so many servers over three halls.
-func fleetOf(n int, started time.Duration) (out []Server) {
+func fleetOf(n int, started time.Duration) (out []Backend) {
 	for i := range n {
-		out = append(out, Server{ID: ServerID(fmt.Sprintf("s-%08x", i*2654435761)), State: Running, Zone: string(rune('a' + i%3)),
+		out = append(out, Backend{ID: BackendID(fmt.Sprintf("s-%08x", i*2654435761)), State: Running, Zone: string(rune('a' + i%3)),
 			Started: started})
 	}
 	return out
@@ -56,14 +56,14 @@
 // A counter that cannot take all calls is asked for a sample, and what is asked stands for the rest.
 func TestASampleStandsForTheRest(t *testing.T) {
 	set := settings()
-	set.Gateways = 80
+	set.Instances = 80
 	r := newRig(t, set, fleetOf(6, 0)...)
 	calls, added := 0, 0.0
 	const n = 2000
 	for i := range n {
 		r.g.askShare = 0.5
 		r.now += 10 * ms
-		for _, a := range only[Count](r.tell(Arrival{Request{ID: RequestID(i), Class: "read", Plan: "small", Customer: fmt.Sprint("c", i), Units: 1,
+		for _, a := range only[AddToCounter](r.tell(Arrival{Request{ID: RequestID(i), Class: "read", Plan: "small", Tenant: fmt.Sprint("c", i), Units: 1,
 			GiveUpAt: r.now + time.Second, Spread: 60}})) {
 			calls++
 			added += a.Add
@@ -80,16 +80,16 @@
 // Each server is preferred by the same number of gateways, each gateway prefers some, and keeps them when others go.
 func TestPreferredServersAreSpreadEvenly(t *testing.T) {
 	set := settings()
-	by := map[ServerID]int{}
+	by := map[BackendID]int{}
 	for me := range 80 {
-		set.Me, set.Gateways = me, 80
+		set.Index, set.Instances = me, 80
 		g, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		all := fleetOf(60, 0)
-		g.Handle(0, FleetChanged{Whole: true, Servers: all}, nil)
-		mine := map[ServerID]bool{}
+		g.Handle(0, EndpointsChanged{Complete: true, Backends: all}, nil)
+		mine := map[BackendID]bool{}
 		for _, s := range g.fleet {
 			if g.mine(s) {
 				by[s.ID]++
@@ -99,7 +99,7 @@
 		if len(mine) < 4 || len(mine) > 30 {
 			t.Errorf("gateway %d prefers %d servers of 60", me, len(mine))
 		}
-		g.Handle(1, FleetChanged{Whole: true, Servers: all[:30]}, nil)
+		g.Handle(1, EndpointsChanged{Complete: true, Backends: all[:30]}, nil)
 		for _, s := range g.fleet {
 			if mine[s.ID] && !g.mine(s) {
 				t.Errorf("gateway %d prefers %s no more, though it stayed", me, s.ID)
@@ -120,38 +120,38 @@
 // from there ends it.
 func TestUnreachableServersSpeakForTheirHall(t *testing.T) {
 	set := settings()
-	set.Gateways = 80
+	set.Instances = 80
 	r := newRig(t, set, fleetOf(30, 0)...)
 	r.g.window, r.g.retries = 1000, 1000
-	zone := func(id ServerID) string { return r.g.servers[id].Zone }
-	lost, failed, late := 0, map[ServerID]bool{}, 0
+	zone := func(id BackendID) string { return r.g.servers[id].Zone }
+	lost, failed, late := 0, map[BackendID]bool{}, 0
 	for i := range 200 {
 		r.now += 20 * ms
-		queue := only[Send](r.arrive(RequestID(i), "read", "free"))
+		queue := only[SendAttempt](r.arrive(RequestID(i), "read", "free"))
 		for n := map[RequestID]int{}; len(queue) > 0; queue = queue[1:] {
 			s := queue[0]
-			ev := AttemptEnded{ID: s.ID, Attempt: n[s.ID], Server: s.Server, Outcome: Done, Took: ms, Finished: true}
-			if n[s.ID]++; zone(s.Server) == "a" {
+			ev := AttemptEnded{ID: s.ID, Attempt: n[s.ID], Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true}
+			if n[s.ID]++; zone(s.Backend) == "a" {
 				lost++
 				if len(failed) >= 3 {
 					late++
 				}
-				failed[s.Server] = true
+				failed[s.Backend] = true
 				ev.Outcome, ev.Finished = NoConnect, false
 			}
-			queue = append(queue, only[Send](r.tell(ev))...)
+			queue = append(queue, only[SendAttempt](r.tell(ev))...)
 		}
 	}
 	if lost < 3 || late > 4 { // one more each time that the hall is tried again
 		t.Errorf("%d attempts went to the lost hall, %d of them after three servers there had failed", lost, late)
 	}
-	r.g.observe(&attempt{s: r.g.fleet[firstIn(r.g, "a")]}, r.g.classes["read"], Done, ms)
+	r.g.observe(&attempt{s: r.g.fleet[firstIn(r.g, "a")]}, r.g.classes["read"], Succeeded, ms)
 	if len(r.g.dark) != 0 {
 		t.Errorf("an answer from the hall has not ended it: %v", r.g.dark)
 	}
 }
 
-func firstIn(g *Gateway, zone string) int {
+func firstIn(g *Engine, zone string) int {
 	for i, s := range g.fleet {
 		if s.Zone == zone {
 			return i
@@ -167,14 +167,14 @@
 	chance := rand.New(rand.NewPCG(3, 4))
 	warm, cold := fleetOf(40, 0), fleetOf(60, time.Minute)[40:]
 	set := settings()
-	set.ColdShare, set.WarmAfter = 0.25, 18*time.Second
+	set.SlowStartShare, set.SlowStartWindow = 0.25, 18*time.Second
 	c := newCrowd(t, gateways, set, warm...)
 	id := 0
-	second := map[ServerID]int{}
+	second := map[BackendID]int{}
 	total, worst := 0, 0
 	type running struct {
 		r    *rig
-		s    Send
+		s    SendAttempt
 		ends int
 	}
 	var out []running
@@ -185,14 +185,14 @@
 				for i := range cold {
 					cold[i].Started = r.now
 				}
-				c.tell(r, FleetChanged{Servers: cold})
+				c.tell(r, EndpointsChanged{Backends: cold})
 			}
 		}
 		if step%100 == 0 {
 			clear(second)
 		}
 		for len(out) > 0 && out[0].ends <= step {
-			c.tell(out[0].r, AttemptEnded{ID: out[0].s.ID, Server: out[0].s.Server, Outcome: Done, Took: 300 * ms, Finished: true})
+			c.tell(out[0].r, AttemptEnded{ID: out[0].s.ID, Backend: out[0].s.Backend, Outcome: Succeeded, Took: 300 * ms, Finished: true})
 			out = out[1:]
 		}
 		for range 3 {
@@ -202,10 +202,10 @@
 			id++
 			for _, s := range c.arrive(r, id, "read", "free") {
 				out = append(out, running{r, s, step + 30})
-				if r.g.servers[s.Server].Started > 0 {
-					second[s.Server]++
+				if r.g.servers[s.Backend].Started > 0 {
+					second[s.Backend]++
 					total++
-					worst = max(worst, second[s.Server])
+					worst = max(worst, second[s.Backend])
 				}
 			}
 		}
@@ -220,14 +220,14 @@
 func TestWindowsWidenAsAFleet(t *testing.T) {
 	for _, n := range []int{4, 80} {
 		set := settings()
-		set.Gateways = n
+		set.Instances = n
 		r := newRig(t, set, fleetOf(60, 0)...)
 		g := r.g
 		g.bad, g.window = 1, g.part()
 		c := g.classes["read"]
 		for range int(g.window) { // a round trip
 			g.busy = int(g.window) + 1
-			g.judge(&attempt{s: g.fleet[0]}, c, Done, ms)
+			g.judge(&attempt{s: g.fleet[0]}, c, Succeeded, ms)
 		}
 		if sum := (g.window - g.part()) * float64(n); sum < 3 || sum > 20 {
 			t.Errorf("%d gateways widen by %.1f attempts in a round trip", n, sum)
@@ -240,25 +240,25 @@
 func TestOddListsAreDecidedWith(t *testing.T) {
 	for _, n := range []int{1, 3, 80, 5000} {
 		set := settings()
-		set.Gateways = n
+		set.Instances = n
 		r := newRig(t, set)
-		if acts := r.arrive(1, "read", "free"); len(only[Send](acts)) > 0 {
+		if acts := r.arrive(1, "read", "free"); len(only[SendAttempt](acts)) > 0 {
 			t.Errorf("%d gateways: sent with no server listed", n)
 		}
-		if acts := r.pass(3 * time.Second); len(only[Refuse](acts)) != 1 {
+		if acts := r.pass(3 * time.Second); len(only[Reject](acts)) != 1 {
 			t.Errorf("%d gateways: %v, want one refusal", n, acts)
 		}
-		r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "s", State: Running}, {ID: "s", State: Draining}}})
+		r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running}, {ID: "s", State: Draining}}})
 		if len(r.g.fleet) != 0 {
 			t.Errorf("%d gateways: the entry that drains came last", n)
 		}
-		r.tell(FleetChanged{Whole: true, Servers: []Server{{ID: "u", State: Running, Started: r.now + time.Hour}}})
-		if w := r.g.warmth(r.g.fleet[0]); w != set.ColdShare {
+		r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "u", State: Running, Started: r.now + time.Hour}}})
+		if w := r.g.warmth(r.g.fleet[0]); w != set.SlowStartShare {
 			t.Errorf("%d gateways: a server that has yet to start is %.2f warm", n, w)
 		}
 		r.arrive(2, "read", "free")
 		r.pass(time.Second)
-		r.tell(FleetChanged{Whole: true})
+		r.tell(EndpointsChanged{Complete: true})
 		if len(r.g.fleet) != 0 {
 			t.Errorf("%d gateways: an empty list leaves %d servers", n, len(r.g.fleet))
 		}
