--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -24,8 +24,8 @@
 func TestGoldenStatusTables(t *testing.T) {
 	var budgets [1]overrun.Bound
 	for name, v := range map[string]any{
-		"halls": &zones.Status{}, "peers": &peers.Status{}, "nodes": &core.NodesStatus{}, "work": &core.WorkStatus{},
-		"rights": &core.RightsStatus{}, "budgets": &budgets,
+		"halls": &zones.Status{}, "peers": &peers.Status{}, "nodes": &core.BackendsStatus{}, "work": &core.WorkStatus{},
+		"rights": &core.EscrowStatus{}, "budgets": &budgets,
 	} {
 		golden.Fill(v)
 		if s, ok := v.(*peers.Status); ok {
--- a/cmd/hitchspring/halls.go
+++ b/cmd/hitchspring/halls.go
@@ -86,11 +86,11 @@
 	if err != nil {
 		return err
 	}
-	if o.Halls == nil || o.Halls.Drills == "" {
+	if o.Zones == nil || o.Zones.Drains == "" {
 		return errors.New("hall: the options have no halls.drills: no file that the instances read")
 	}
 	now := time.Now()
-	l, err := zonedrain.Load(o.Halls.Drills, now)
+	l, err := zonedrain.Load(o.Zones.Drains, now)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 		if l, err = change(l, now); err != nil {
 			return fmt.Errorf("hall: %w", err)
 		}
-		if err := l.Save(o.Halls.Drills); err != nil {
+		if err := l.Save(o.Zones.Drains); err != nil {
 			return err
 		}
 	}
--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -119,15 +119,15 @@
 	if o.Log != nil {
 		cfg.Summary, cfg.LogRequests = time.Duration(o.Log.Summary), o.Log.Requests
 	}
-	if h := o.Halls; h != nil {
-		cfg.Drills = h.Drills
-		cfg.Halls = &zones.Config{Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
+	if h := o.Zones; h != nil {
+		cfg.ZoneDrains = h.Drains
+		cfg.Zones = &zones.Config{Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
 			Ramp: time.Duration(h.Ramp), RampFrom: h.RampFrom, Forget: time.Duration(h.Forget)}
 	}
 	if p := o.Peers; p != nil {
 		cfg.Peers = &peers.Config{Name: p.Name, Listen: p.Listen, Advertise: p.Advertise, Seeds: p.Seeds, SeedsFile: p.SeedsFile, KeyFile: p.KeyFile, Dial: p.Dial}
 	}
-	cfg.TakesOver, cfg.Lends = o.Takeover != nil, o.Rights != nil
+	cfg.EnableTakeover, cfg.EnableEscrow = o.Takeover != nil, o.Escrow != nil
 	if c := o.Clock; c != nil {
 		cfg.Clock = core.Clock{Ahead: time.Duration(c.Ahead), Rate: c.Rate}
 	}
@@ -160,15 +160,15 @@
 		return nil, nil, fmt.Errorf("forward_auth.%w", err)
 	}
 	d := func(x config.Duration) time.Duration { return time.Duration(x) }
-	return &ingress.Auth{Listen: fa.Listen, Table: table, Config: forwardauth.Config{Prefix: fa.Prefix, Trusted: networks, Header: fa.Header, MostCalls: fa.Calls, MostConns: fa.Connections,
-			MostHeader: fa.HeaderBytes, MostBody: 64 << 10, HeaderTime: d(fa.HeaderTime), IdleTime: d(fa.IdleTime), MostReports: 1000}},
-		&core.Leases{Timeout: d(fa.LeaseTimeout), StartWithin: d(fa.StartWithin), Keep: d(fa.Keep), Most: fa.Requests}, nil
+	return &ingress.Auth{Listen: fa.Listen, Table: table, Config: forwardauth.Config{Prefix: fa.Prefix, Trusted: networks, Header: fa.Header, MaxCalls: fa.Calls, MaxConnections: fa.Connections,
+			MaxHeaderBytes: fa.HeaderBytes, MaxBodyBytes: 64 << 10, HeaderTimeout: d(fa.HeaderTime), IdleTimeout: d(fa.IdleTime), MaxReports: 1000}},
+		&core.Leases{Timeout: d(fa.LeaseTimeout), StartWithin: d(fa.StartWithin), Retention: d(fa.Keep), MaxRequests: fa.Requests}, nil
 }
 
 // redisOptions are the options of a store on Redis; timeout is that of a call.
 func redisOptions(s *config.Store, timeout time.Duration) redis.Options {
 	o := redis.Options{Address: s.Address, Sentinels: s.Sentinels, Master: s.Master, Username: s.Username, Database: s.Database,
-		Prefix: s.Prefix, Lanes: s.Lanes, ConnectTimeout: time.Duration(s.ConnectTimeout), Timeout: timeout}
+		Prefix: s.Prefix, Shards: s.Shards, ConnectTimeout: time.Duration(s.ConnectTimeout), Timeout: timeout}
 	if s.PasswordFile != "" {
 		o.Password = s.Password
 	}
@@ -224,7 +224,7 @@
 
 // reload moves the ingress to the addresses that the files name now; a bad file changes nothing. began are the options
 // of the start: what else has changed in them waits for the next one.
-func reload(path, options string, began *config.Options, gw *ingress.Gateway, log *slog.Logger) {
+func reload(path, options string, began *config.Options, gw *ingress.Instance, log *slog.Logger) {
 	o, err := config.Load(options)
 	if err != nil {
 		log.Error("the old options are kept", "err", err)
@@ -239,11 +239,11 @@
 		log.Error("the old options are kept: of the store only the address can change in service", "options", options)
 		return
 	}
-	if !reflect.DeepEqual(o.Halls, began.Halls) {
+	if !reflect.DeepEqual(o.Zones, began.Zones) {
 		log.Error("the old options are kept: of halls nothing can change in service but what the file of drills says", "options", options)
 		return
 	}
-	if !reflect.DeepEqual(o.Peers, began.Peers) || !reflect.DeepEqual(o.Clock, began.Clock) || !reflect.DeepEqual(o.Takeover, began.Takeover) || !reflect.DeepEqual(o.Rights, began.Rights) {
+	if !reflect.DeepEqual(o.Peers, began.Peers) || !reflect.DeepEqual(o.Clock, began.Clock) || !reflect.DeepEqual(o.Takeover, began.Takeover) || !reflect.DeepEqual(o.Escrow, began.Escrow) {
 		log.Error("the old options are kept: of peers nothing can change in service but what the files of keys and seeds say", "options", options)
 		return
 	}
@@ -255,5 +255,5 @@
 	if cfg.Auth != nil {
 		gw.SetRules(cfg.Auth.Table)
 	}
-	gw.Move(cfg.Discovery, cfg.Counter)
+	gw.SetAddresses(cfg.Discovery, cfg.Counter)
 }
--- a/cmd/hitchspring/status.go
+++ b/cmd/hitchspring/status.go
@@ -131,10 +131,10 @@
 // Run asks a running ingress and prints a table.
 func (c *statusRightsCmd) Run(e *env) error { return status(c.asking, e, "rights", printRights) }
 
-func printRights(out io.Writer, s core.RightsStatus) error {
+func printRights(out io.Writer, s core.EscrowStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "channel\tat home\theld\tlent\tborrowed\tspent unheard by others\tlent to\tborrowed of")
-	for _, b := range s.Budgets {
+	for _, b := range s.Accounts {
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%s\t%s\n", b.Key, b.Home, b.Share, b.Transferred, b.Received, b.Unreported, strings.Join(b.To, " "), strings.Join(b.From, " "))
 	}
 	if err := w.Flush(); err != nil {
@@ -156,7 +156,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%s\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%v\n", s.Tenant, s.Plan, s.Mode, s.Instances, s.Demand, s.Others, heard, s.Share, s.ReservedUnits, s.UnreportedUnits, s.AvailableUnits, s.MaxSpend,
 			s.MaxUnreported, s.Overrun, s.Span)
 	}
-	if err := w.Flush(); err != nil || len(all) < core.MaxBudgetsShown {
+	if err := w.Flush(); err != nil || len(all) < core.MaxBoundsShown {
 		return err
 	}
 	_, err := fmt.Fprintf(out, "the %d channels with the most demand are shown; there may be more\n", len(all))
@@ -168,8 +168,8 @@
 	_, err := fmt.Fprintf(out, "in hand %d; kept for all %d in %d bytes\nown tries: %d covered, %d without a word of some keeper, %d uncovered, %d without any keeper\n"+
 		"           %d joined another try, %d went on with one, %d had its answer, %d may not go on\ntaken over from others: %d\n"+
 		"as keeper: %d granted, %d asked again for an old clock, %d joined, %d bound, %d refused after a takeover, %d without room, %d taken over, %d failed, %d whose end was never told\n"+
-		"messages that could not be read: %d\n", s.InHand, s.Records, s.Bytes, s.Covered, s.Partly, s.Uncovered, s.NoReplica, s.Joined, s.Bound, s.Answered, s.Halted, s.TakenFrom,
-		k.Granted, k.Again, k.Joined, k.Bound, k.Refused, k.Full, k.Taken, k.Failed, k.Late, s.Unread)
+		"messages that could not be read: %d\n", s.Pending, s.Records, s.Bytes, s.Covered, s.Partly, s.Uncovered, s.NoReplica, s.Joined, s.Bound, s.Answered, s.Halted, s.TakenFrom,
+		k.Granted, k.Again, k.Joined, k.Bound, k.Refused, k.Full, k.Taken, k.Failed, k.Late, s.Unreadable)
 	return err
 }
 
@@ -198,23 +198,23 @@
 	return err
 }
 
-func printNodes(out io.Writer, s core.NodesStatus) error {
+func printNodes(out io.Writer, s core.BackendsStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "node\town good\town bad\town word\tby others' word\tcause\tage\twhy")
-	for _, n := range s.Nodes {
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%s\t%.1f times\t%s\t%v\t%s\n", n.Node, n.Good, n.Bad, n.Own, n.Told, n.Cause, time.Duration(n.AgeMS)*time.Millisecond, n.Why)
+	for _, n := range s.Backends {
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%s\t%.1f times\t%s\t%v\t%s\n", n.Backend, n.Good, n.Bad, n.OwnCause, n.PeerSlowness, n.Cause, time.Duration(n.AgeMS)*time.Millisecond, n.Reason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, n := range s.Nodes {
-		for _, x := range n.Words {
-			if _, err := fmt.Fprintf(out, "%s: %s (hall %s) says %s, bad %.1f, good %.1f, %v ago\n", n.Node, x.Owner, x.Hall, x.Cause, x.Bad, x.Good, time.Duration(x.AgeMS)*time.Millisecond); err != nil {
+	for _, n := range s.Backends {
+		for _, x := range n.Reports {
+			if _, err := fmt.Fprintf(out, "%s: %s (hall %s) says %s, bad %.1f, good %.1f, %v ago\n", n.Backend, x.Owner, x.Zone, x.Cause, x.Bad, x.Good, time.Duration(x.AgeMS)*time.Millisecond); err != nil {
 				return err
 			}
 		}
 	}
-	if s.Lifted {
+	if s.EjectionsLifted {
 		fmt.Fprintln(out, "nobody's word counts now: too many nodes are blamed at once")
 	}
 	return nil
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -27,13 +27,13 @@
 
 // What 60 instances say of each of 1,200 nodes, some 6 MB, is shown whole.
 func TestStatusOfManyNodes(t *testing.T) {
-	var s core.NodesStatus
+	var s core.BackendsStatus
 	for i := range 1200 {
-		n := core.NodeStatus{Node: policy.BackendID(fmt.Sprintf("node-%04d", i)), Told: 1}
+		n := core.BackendStatus{Backend: policy.BackendID(fmt.Sprintf("node-%04d", i)), PeerSlowness: 1}
 		for w := range 60 {
-			n.Words = append(n.Words, core.Word{Owner: fmt.Sprintf("instance-%03d", w), Hall: "zone-a", Cause: "slow", Bad: 1})
+			n.Reports = append(n.Reports, core.PeerReport{Owner: fmt.Sprintf("instance-%03d", w), Zone: "zone-a", Cause: "slow", Bad: 1})
 		}
-		s.Nodes = append(s.Nodes, n)
+		s.Backends = append(s.Backends, n)
 	}
 	text, err := json.Marshal(s)
 	if err != nil || len(text) < 5<<20 {
@@ -76,12 +76,12 @@
 
 // A list of budgets that is as long as it may be says that there may be more.
 func TestStatusBudgetsAtTheBound(t *testing.T) {
-	for _, n := range []int{core.MaxBudgetsShown - 1, core.MaxBudgetsShown} {
+	for _, n := range []int{core.MaxBoundsShown - 1, core.MaxBoundsShown} {
 		out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(make([]overrun.Bound, n)) }, "budgets")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if said := strings.Contains(out, "the 1024 channels with the most demand are shown"); said != (n == core.MaxBudgetsShown) {
+		if said := strings.Contains(out, "the 1024 channels with the most demand are shown"); said != (n == core.MaxBoundsShown) {
 			t.Errorf("%d budgets: said is %v", n, said)
 		}
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,29 +21,29 @@
 
 const (
 	// MostConns is how many descriptors the door may hold, the listener among them.
-	MostConns  = 14
-	mostOpen   = MostConns - 2          // one more for a moment, when a newcomer takes another's place
-	leastStay  = 50 * time.Millisecond  // a connection may stay so long before a newcomer takes its place
-	mostUnread = 500 * time.Millisecond // the same of one that waits for this process
-	callTime   = 900 * time.Millisecond // a caller waits one second
-	mostHeader = 2 << 10
-	mostID     = 128
+	MaxConnections = 14
+	mostOpen       = MaxConnections - 2     // one more for a moment, when a newcomer takes another's place
+	leastStay      = 50 * time.Millisecond  // a connection may stay so long before a newcomer takes its place
+	mostUnread     = 500 * time.Millisecond // the same of one that waits for this process
+	callTime       = 900 * time.Millisecond // a caller waits one second
+	mostHeader     = 2 << 10
+	mostID         = 128
 )
 
 // Service is what the door opens on. None of its methods may wait for the event loop; each is called by many goroutines.
 type Service interface {
 	// Serving says whether this process is ready to serve.
-	Serving() bool
+	Ready() bool
 	// Figures are lines NAME=NUMBER.
-	Figures() []byte
+	Metrics() []byte
 	// Suspend takes a node out, and is in force when it returns; suspend.ErrUnknown where it was never listed.
 	Suspend(id string) error
 	// Resume puts a node back.
 	Resume(id string) error
 	// Leave drains the ingress; an error where there is nothing to drain yet, or any more.
-	Leave() error
+	Drain() error
 	// Return ends the drain.
-	Return() error
+	Activate() error
 }
 
 // Server is a door that is open.
@@ -95,7 +95,7 @@
 func Handler(s Service, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !s.Serving() {
+		if !s.Ready() {
 			http.Error(w, "not serving", http.StatusServiceUnavailable)
 			return
 		}
@@ -103,7 +103,7 @@
 	})
 	mux.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		w.Write(s.Figures())
+		w.Write(s.Metrics())
 	})
 	onNode := func(verb string, do func(id string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -136,8 +136,8 @@
 	}
 	mux.HandleFunc("PUT /v1/backends/{id}/suspend", onNode("suspend", s.Suspend))
 	mux.HandleFunc("PUT /v1/backends/{id}/resume", onNode("resume", s.Resume))
-	mux.HandleFunc("PUT /v1/ingress/drain", onAll("drain", s.Leave))
-	mux.HandleFunc("PUT /v1/ingress/activate", onAll("activate", s.Return))
+	mux.HandleFunc("PUT /v1/ingress/drain", onAll("drain", s.Drain))
+	mux.HandleFunc("PUT /v1/ingress/activate", onAll("activate", s.Activate))
 	return mux
 }
 
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -19,20 +19,20 @@
 
 // Attempt is one command on its way to a node: of a request, or a probe. Its exported fields are the owner's, set before Start.
 type Attempt struct {
-	Ref     any     // the owner's own: what it is an attempt of
-	N       int     // the owner's number for it
-	Command Command // nil: a probe
-	Began   time.Duration
-	Stop    time.Duration // when the owner gives it up
-	By      time.Duration // its last byte goes out by then, or it is never sent; 0: at any time before Stop
-	node    *node
-	at      policy.Backend // node's entry when it was sent; the list may change it
-	conn    *conn          // carries it; nil while it waits for one
-	handed  time.Duration  // when it was given to conn
-	why     policy.Outcome // given up by the owner: TimedOut or Cancelled; else still
-	stream  *Stream        // of a large value that has begun to come
-	ended   bool
-	outcome policy.Outcome // once it has ended
+	Ref       any     // the owner's own: what it is an attempt of
+	Number    int     // the owner's number for it
+	Command   Command // nil: a probe
+	StartedAt time.Duration
+	Deadline  time.Duration // when the owner gives it up
+	By        time.Duration // its last byte goes out by then, or it is never sent; 0: at any time before Stop
+	node      *node
+	at        policy.Backend // node's entry when it was sent; the list may change it
+	conn      *conn          // carries it; nil while it waits for one
+	handed    time.Duration  // when it was given to conn
+	why       policy.Outcome // given up by the owner: TimedOut or Cancelled; else still
+	stream    *Stream        // of a large value that has begun to come
+	ended     bool
+	outcome   policy.Outcome // once it has ended
 }
 
 // NeverRan says whether it has ended as one that surely never ran.
@@ -45,10 +45,10 @@
 func (a *Attempt) Written() bool { return a.conn != nil && !a.NeverRan() }
 
 // Handed says whether it was given to a connection.
-func (a *Attempt) Handed() bool { return a.conn != nil }
+func (a *Attempt) Assigned() bool { return a.conn != nil }
 
 // Server is the entry of the list for where it was sent, as it was then, and whether that server serves by the list now.
-func (a *Attempt) Server() (entry policy.Backend, serves bool) {
+func (a *Attempt) Backend() (entry policy.Backend, serves bool) {
 	return a.at, a.node != nil && a.node.State == policy.Running
 }
 
@@ -56,7 +56,7 @@
 func (a *Attempt) Outcome() (o policy.Outcome, ended bool) { return a.outcome, a.ended }
 
 // Node is where it was sent; empty before Start.
-func (a *Attempt) Node() policy.BackendID {
+func (a *Attempt) BackendID() policy.BackendID {
 	if a.node == nil {
 		return ""
 	}
@@ -76,7 +76,7 @@
 	if a.Command == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(nil, 2), "INFO"), "load")
 	}
-	return a.Command.Encode(a.Stop - now)
+	return a.Command.Encode(a.Deadline - now)
 }
 
 // Start sends an attempt to a node, on an idle connection or on the first that comes free. Where the node is not
@@ -95,7 +95,7 @@
 }
 
 // Moot ends an attempt that is not to be sent at all.
-func (p *Pool) Moot(a *Attempt, id policy.BackendID) {
+func (p *Pool) CancelUnsent(a *Attempt, id policy.BackendID) {
 	a.node = &node{Backend: policy.Backend{ID: id}}
 	p.end(a, policy.NotSent, Reply{})
 }
@@ -150,7 +150,7 @@
 
 // GiveUp ends an attempt from the owner's side, as TimedOut or Cancelled. One that waits was never sent, one that is written has its outcome at
 // once. Of one in between only the connection knows: it is closed, and its last event tells.
-func (p *Pool) GiveUp(a *Attempt, why policy.Outcome) {
+func (p *Pool) Abort(a *Attempt, why policy.Outcome) {
 	switch {
 	case a.ended || a.why != still || a.stream != nil:
 	case a.conn == nil:
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-func entries(addrs ...string) (out []Entry) {
+func entries(addrs ...string) (out []Endpoint) {
 	for i, a := range addrs {
-		out = append(out, Entry{policy.Backend{ID: policy.BackendID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running}, a})
+		out = append(out, Endpoint{policy.Backend{ID: policy.BackendID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running}, a})
 	}
 	return out
 }
@@ -94,8 +94,8 @@
 func newOwner(t *testing.T, addrs ...string) *testOwner {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &testOwner{now: time.Minute, events: make(chan Event, 64), ctx: ctx}
-	g.p = New(g, Config{ConnectTimeout: 5 * time.Second, Idle: 15 * time.Second, MostConns: 96, Frames: resp.NewBudget(1 << 20)})
-	g.p.Set(entries(addrs...), true)
+	g.p = New(g, Config{ConnectTimeout: 5 * time.Second, Idle: 15 * time.Second, MaxConnections: 96, Frames: resp.NewBudget(1 << 20)})
+	g.p.Update(entries(addrs...), true)
 	t.Cleanup(func() {
 		cancel()
 		g.wg.Wait()
@@ -112,7 +112,7 @@
 	up := (<-g.events).(connUp)
 	f := entries(be.Addr)
 	f[0].State = policy.Draining
-	g.p.Set(f, false)
+	g.p.Update(f, false)
 	g.p.connUp(up)
 	if ev := g.ends[0]; ev.o != policy.NotSent || up.c.cur != nil {
 		t.Fatalf("outcome %v, want moot and nothing on the connection", ev.o)
@@ -125,7 +125,7 @@
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
-	g.p.GiveUp(a, policy.Cancelled)
+	g.p.Abort(a, policy.Cancelled)
 	up := (<-g.events).(connUp)
 	g.p.connUp(up)
 	if ev := g.ends[0]; ev.o != policy.NotSent || up.c.cur != nil || len(g.ends) != 1 {
@@ -199,7 +199,7 @@
 func TestWaitingForTheCapOfAll(t *testing.T) {
 	a, b := scripted.NewNode(t, nil), scripted.NewNode(t, nil)
 	g := newOwner(t, a.Addr, b.Addr)
-	g.p.cfg.MostConns = 1
+	g.p.cfg.MaxConnections = 1
 	first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s1")
 	g.p.place(first)
 	up := (<-g.events).(connUp)
@@ -257,14 +257,14 @@
 }
 
 func waitingAttempt(g *testOwner, id policy.BackendID) *Attempt {
-	return &Attempt{Ref: g, Command: noCommand{}, node: g.p.nodes[id], Stop: time.Hour}
+	return &Attempt{Ref: g, Command: noCommand{}, node: g.p.nodes[id], Deadline: time.Hour}
 }
 
 // A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
 // the way. A copy that waits for a connection for longer must not be written any more: it never ran.
 func TestWaitForConnectionEnds(t *testing.T) {
 	g := newOwner(t, scripted.NewNode(t, nil).Addr)
-	g.p.cfg.MostConns = 0
+	g.p.cfg.MaxConnections = 0
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
 	g.now += g.p.cfg.ConnectTimeout
@@ -285,7 +285,7 @@
 	for len(be.Seen()) < 1 || a.conn.whole.Load() != a {
 		time.Sleep(time.Millisecond)
 	}
-	g.p.GiveUp(a, policy.TimedOut)
+	g.p.Abort(a, policy.TimedOut)
 	if !a.ended || g.ends[0].o != policy.TimedOut {
 		t.Fatalf("ended: %v, told %v", a.ended, g.ends)
 	}
@@ -302,7 +302,7 @@
 	g.p.Handle(up)
 	f := entries(be.Addr, be.Addr)
 	f[0].State = policy.Gone
-	g.p.Set(f, false)
+	g.p.Update(f, false)
 	if len(g.p.nodes) != 2 {
 		t.Fatalf("%d nodes while an attempt is out, want 2", len(g.p.nodes))
 	}
@@ -361,7 +361,7 @@
 // What waits for a connection to a node is not kept waiting when the node stops serving, and a node that is gone is forgotten with the last that
 // waited for it or was begun for them.
 func TestNobodyWaitsForANodeThatStopsServing(t *testing.T) {
-	for name, list := range map[string][]Entry{"gone": nil, "drains": {{policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
+	for name, list := range map[string][]Endpoint{"gone": nil, "drains": {{policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
 		be := scripted.NewNode(t, func(_ int, _ []string, nc net.Conn) string {
 			io.WriteString(nc, served)
 			nc.Close()
@@ -377,7 +377,7 @@
 		if second.ended || second.conn != nil { // its own is only begun
 			t.Fatalf("%s: the second attempt does not wait", name)
 		}
-		g.p.Set(list, true)
+		g.p.Update(list, true)
 		if !second.ended || g.ends[1].o != policy.NotSent {
 			t.Errorf("%s: the second attempt waits for a node that does not serve", name)
 		}
@@ -398,10 +398,10 @@
 	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
-	a.Stop = g.now + time.Second
+	a.Deadline = g.now + time.Second
 	g.p.place(a)
 	up := (<-g.events).(connUp)
-	g.now = a.Stop
+	g.now = a.Deadline
 	g.p.connUp(up)
 	if len(g.ends) != 1 || g.ends[0].o != policy.NotSent || up.c.cur != nil {
 		t.Fatalf("told %v, want one moot end and nothing on the connection", g.ends)
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -34,7 +34,7 @@
 // from then on. Its time may be over, while the process stood still; its client may have left.
 func (p *Pool) sendable(a *Attempt) bool {
 	now := p.owner.Now()
-	if now >= a.Stop || a.By > 0 && now >= a.By {
+	if now >= a.Deadline || a.By > 0 && now >= a.By {
 		return false
 	}
 	return a.Command == nil || a.node.State == policy.Running && p.owner.AttemptWanted(a)
@@ -71,13 +71,13 @@
 // write hands an attempt to a free connection.
 func (p *Pool) write(c *conn, a *Attempt) {
 	a.conn, c.cur, c.used, a.handed = c, a, true, p.owner.Now()
-	left := min(writeTimeout, a.Stop-a.handed) // the process may stand still before it writes
+	left := min(writeTimeout, a.Deadline-a.handed) // the process may stand still before it writes
 	if a.By > 0 {
 		left = min(left, a.By-a.handed)
 	}
 	now := time.Now()
 	select {
-	case c.work <- job{a, a.command(a.handed), now.Add(a.Stop - a.handed), now.Add(left)}:
+	case c.work <- job{a, a.command(a.handed), now.Add(a.Deadline - a.handed), now.Add(left)}:
 	default: // it has answered what was not written yet: the order is lost, and this goroutine must not wait
 		p.close(c)
 	}
@@ -85,14 +85,14 @@
 
 // mayGrow says whether there may be a further connection that is not needed, but saves the wait for one to rest.
 func (p *Pool) mayGrow(n *node, now time.Duration) bool {
-	return n.conns < mostPerNode && p.conns < p.cfg.MostConns && now >= n.noGrowth
+	return n.conns < mostPerNode && p.conns < p.cfg.MaxConnections && now >= n.noGrowth
 }
 
 // dial opens connections for those that wait, within the caps: one for each for whom none is idle or begun, and one for each who
 // would wait for longer than a dial takes until one of them has rested.
 func (p *Pool) dial(n *node) {
 	for n.dialing+len(n.idle) < len(n.waiting) && n.conns < mostPerNode {
-		if p.conns >= p.cfg.MostConns && !p.closeOldestIdle(n) {
+		if p.conns >= p.cfg.MaxConnections && !p.closeOldestIdle(n) {
 			p.starved = true
 			return
 		}
@@ -106,7 +106,7 @@
 
 // open begins a connection.
 func (p *Pool) open(n *node) {
-	c := &conn{node: n, addr: n.addr, begun: p.owner.Now(), frames: p.cfg.Frames, sent: p.cfg.Sent, work: make(chan job, 1), dead: make(chan struct{})}
+	c := &conn{node: n, addr: n.addr, begun: p.owner.Now(), frames: p.cfg.Frames, sent: p.cfg.OnSent, work: make(chan job, 1), dead: make(chan struct{})}
 	n.dialing++
 	n.conns++
 	p.conns++
@@ -152,8 +152,8 @@
 
 // SetMost changes the bound on connections to all nodes together. Where there are more, idle ones close now, and busy ones are not
 // followed by others.
-func (p *Pool) SetMost(n int) {
-	p.cfg.MostConns = n
+func (p *Pool) SetMaxConnections(n int) {
+	p.cfg.MaxConnections = n
 	for over := p.conns - n; over > 0 && p.closeOldestIdle(nil); over-- {
 	}
 	p.starved = true
--- a/internal/backend/explore_test.go
+++ b/internal/backend/explore_test.go
@@ -90,14 +90,14 @@
 
 func (o *orders) AttemptEnded(a *Attempt, out policy.Outcome, _ Reply) {
 	if was, twice := o.ends[a]; twice {
-		o.breaks("attempt %d ended twice: %d, then %d", a.N, was, out)
+		o.breaks("attempt %d ended twice: %d, then %d", a.Number, was, out)
 	}
 	o.ends[a] = out
 	if out.NeverRan() && out != policy.Rejected && o.whole[a] {
-		o.breaks("attempt %d has come to the node, and ended as one that never ran", a.N)
+		o.breaks("attempt %d has come to the node, and ended as one that never ran", a.Number)
 	}
 	if out == policy.Succeeded && !o.whole[a] {
-		o.breaks("attempt %d was never sent, and is served", a.N)
+		o.breaks("attempt %d was never sent, and is served", a.Number)
 	}
 }
 
@@ -109,11 +109,11 @@
 
 func newOrders() *orders {
 	o := &orders{now: time.Minute, ends: map[*Attempt]policy.Outcome{}, whole: map[*Attempt]bool{}}
-	o.p = New(o, Config{ConnectTimeout: 250 * time.Millisecond, Idle: 15 * time.Second, MostConns: 2, Frames: resp.NewBudget(1 << 20)})
+	o.p = New(o, Config{ConnectTimeout: 250 * time.Millisecond, Idle: 15 * time.Second, MaxConnections: 2, Frames: resp.NewBudget(1 << 20)})
 	o.p.begin = func(c *conn) { o.conns = append(o.conns, &playedConn{c: c}) }
-	o.p.Set(entries("127.0.0.1:1"), true)
+	o.p.Update(entries("127.0.0.1:1"), true)
 	for n := range 2 {
-		o.tries = append(o.tries, &Attempt{N: n, Command: noCommand{}, Stop: o.now + time.Second})
+		o.tries = append(o.tries, &Attempt{Number: n, Command: noCommand{}, Deadline: o.now + time.Second})
 	}
 	return o
 }
@@ -147,7 +147,7 @@
 			}
 		default:
 			if a.why == still {
-				add(func() { o.p.GiveUp(a, policy.TimedOut) }, "time out %d", i)
+				add(func() { o.p.Abort(a, policy.TimedOut) }, "time out %d", i)
 			}
 			if a.conn == nil {
 				add(func() { o.p.Withdraw(a) }, "withdraw %d", i)
@@ -222,10 +222,10 @@
 	if state == policy.Running {
 		f := entries("127.0.0.1:1")
 		f[0].State = policy.Draining
-		add(func() { o.p.Set(f, false) }, "the node drains", -1)
-		add(func() { o.p.Set(nil, true) }, "the node is gone", -1)
+		add(func() { o.p.Update(f, false) }, "the node drains", -1)
+		add(func() { o.p.Update(nil, true) }, "the node is gone", -1)
 		if n.addr == "127.0.0.1:1" {
-			add(func() { o.p.Set(entries("127.0.0.1:2"), true) }, "the node moves", -1)
+			add(func() { o.p.Update(entries("127.0.0.1:2"), true) }, "the node moves", -1)
 		}
 	}
 	if len(o.alarms) > 0 {
@@ -249,10 +249,10 @@
 func (o *orders) write(pc *playedConn) {
 	j := <-pc.c.work
 	if out, ended := o.ends[j.a]; ended {
-		o.breaks("attempt %d ended with %d, and is sent", j.a.N, out)
+		o.breaks("attempt %d ended with %d, and is sent", j.a.Number, out)
 	}
 	if o.whole[j.a] {
-		o.breaks("attempt %d is sent twice", j.a.N)
+		o.breaks("attempt %d is sent twice", j.a.Number)
 	}
 	o.whole[j.a] = true
 	if o.plant != plantUntold {
@@ -283,12 +283,12 @@
 			}
 		}
 		if a := pc.c.cur; a != nil && pc.heard && a.handed-pc.at < restTime && o.plant != scarce {
-			o.breaks("conn %d is given attempt %d before it has rested", k, a.N)
+			o.breaks("conn %d is given attempt %d before it has rested", k, a.Number)
 		}
 	}
 	for _, a := range o.tries {
 		if o.left[a] && a.conn != nil {
-			o.breaks("attempt %d was handed to a connection after its client had gone", a.N)
+			o.breaks("attempt %d was handed to a connection after its client had gone", a.Number)
 		}
 	}
 	if busy != o.p.conns {
@@ -297,18 +297,18 @@
 	for _, n := range o.p.nodes {
 		for _, a := range n.waiting {
 			if _, ended := o.ends[a]; ended {
-				o.breaks("attempt %d has ended and waits", a.N)
+				o.breaks("attempt %d has ended and waits", a.Number)
 			}
 		}
 		if len(n.waiting) > 0 && len(n.idle) > 0 && !n.waking {
 			o.breaks("%d attempts wait for idle connections, and nothing will serve them", len(n.waiting))
 		}
-		if len(n.waiting) > n.dialing+len(n.idle)+ending[n] && n.conns < mostPerNode && o.p.conns < o.p.cfg.MostConns {
+		if len(n.waiting) > n.dialing+len(n.idle)+ending[n] && n.conns < mostPerNode && o.p.conns < o.p.cfg.MaxConnections {
 			o.breaks("%d attempts wait, with %d connections begun and %d idle", len(n.waiting), n.dialing, len(n.idle))
 		}
 		for _, c := range n.idle {
 			if c.cur != nil {
-				o.breaks("a connection is idle with attempt %d on it", c.cur.N)
+				o.breaks("a connection is idle with attempt %d on it", c.cur.Number)
 			}
 		}
 		if n.State != policy.Running {
@@ -330,7 +330,7 @@
 	for round := 0; round < 100 && open(); round++ {
 		for _, a := range o.tries {
 			if a.node != nil {
-				o.p.GiveUp(a, policy.TimedOut)
+				o.p.Abort(a, policy.TimedOut)
 			}
 		}
 		for _, pc := range o.conns {
@@ -354,7 +354,7 @@
 	}
 	for _, a := range o.tries {
 		if _, ended := o.ends[a]; a.node != nil && !ended {
-			o.breaks("attempt %d never ends", a.N)
+			o.breaks("attempt %d never ends", a.Number)
 		}
 	}
 	if o.p.conns != 0 {
@@ -431,7 +431,7 @@
 	o := newOrders()
 	o.plant = plant
 	if plant == scarce || plant == plantRest {
-		o.p.cfg.MostConns = 1
+		o.p.cfg.MaxConnections = 1
 		o.p.nodes["s0"].second.clean = cleanRests
 	}
 	var played []step
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,7 +14,7 @@
 )
 
 // Entry is a node of the list, with its address.
-type Entry struct {
+type Endpoint struct {
 	policy.Backend
 	Addr string
 }
@@ -46,9 +46,9 @@
 type Config struct {
 	ConnectTimeout time.Duration
 	Idle           time.Duration // a node closes a connection that has been idle for so long
-	MostConns      int           // to all nodes together
+	MaxConnections int           // to all nodes together
 	Frames         *resp.Budget  // memory of answers that are coming in
-	Sent           func()        // told of each attempt that was written to its last byte, from any goroutine
+	OnSent         func()        // told of each attempt that was written to its last byte, from any goroutine
 }
 
 // Pool is the connections to all nodes. It is not safe for many goroutines: its owner's alone calls it.
@@ -67,8 +67,8 @@
 
 // New returns a pool that knows no node.
 func New(owner Owner, cfg Config) *Pool {
-	if cfg.Sent == nil {
-		cfg.Sent = func() {}
+	if cfg.OnSent == nil {
+		cfg.OnSent = func() {}
 	}
 	return &Pool{cfg: cfg, owner: owner, nodes: map[policy.BackendID]*node{}, begin: func(c *conn) {
 		owner.Spawn(func(ctx context.Context) { c.run(ctx, cfg.ConnectTimeout, owner.Post) })
@@ -77,7 +77,7 @@
 
 // Set brings the list of nodes, whole or its changes. A drain counts from here on: what waits for a connection to a node that
 // does not serve any more ends now, as never sent, so that it can go elsewhere.
-func (p *Pool) Set(list []Entry, whole bool) {
+func (p *Pool) Update(list []Endpoint, whole bool) {
 	if whole {
 		for _, n := range p.nodes {
 			n.State = policy.Gone
@@ -113,7 +113,7 @@
 }
 
 // Servers are the nodes that are not gone.
-func (p *Pool) Servers() (out []policy.Backend) {
+func (p *Pool) Backends() (out []policy.Backend) {
 	for _, n := range p.nodes {
 		if n.State != policy.Gone {
 			out = append(out, n.Backend)
@@ -123,7 +123,7 @@
 }
 
 // Knows says whether a node is on the list, or has not been forgotten yet.
-func (p *Pool) Knows(id policy.BackendID) bool { return p.nodes[id] != nil }
+func (p *Pool) Contains(id policy.BackendID) bool { return p.nodes[id] != nil }
 
 // Addr is where a node listens, and whether it serves by the list.
 func (p *Pool) Addr(id policy.BackendID) (addr string, serves bool) {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -91,7 +91,7 @@
 		_, err := s.w.Write(piece)
 		return err
 	}
-	first := in.Begun()[:min(in.Came(), left)]
+	first := in.Begun()[:min(in.ArrivedAt(), left)]
 	in.Drop(len(first))
 	if err := give(first); err != nil {
 		return Reply{}, err
@@ -113,7 +113,7 @@
 // tail reads what stands behind a value that was passed on: the end of its line, the figures on use, the load report.
 func (c *conn) tail(in *resp.Inbox) (Reply, error) {
 	c.nc.SetReadDeadline(c.stall(time.Now()))
-	for in.Came() < 2 {
+	for in.ArrivedAt() < 2 {
 		if err := in.Fill(c.nc.Read); err != nil {
 			return Reply{}, err
 		}
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -149,9 +149,9 @@
 	if o != policy.Succeeded {
 		return
 	}
-	t.waits = append(t.waits, a.handed-a.Began)
-	t.took = append(t.took, t.now-a.Began)
-	if string(r.Value) != strconv.Itoa(a.N) {
+	t.waits = append(t.waits, a.handed-a.StartedAt)
+	t.took = append(t.took, t.now-a.StartedAt)
+	if string(r.Value) != strconv.Itoa(a.Number) {
 		t.taken++
 	}
 }
@@ -169,13 +169,13 @@
 	if t.connectAfter == 0 {
 		t.connectAfter = 250 * ms
 	}
-	t.p = New(t, Config{ConnectTimeout: t.connectAfter, Idle: 15 * time.Second, MostConns: 384, Frames: resp.NewBudget(1 << 20)})
+	t.p = New(t, Config{ConnectTimeout: t.connectAfter, Idle: 15 * time.Second, MaxConnections: 384, Frames: resp.NewBudget(1 << 20)})
 	t.p.begin = t.begin
-	list := make([]Entry, s.backends)
+	list := make([]Endpoint, s.backends)
 	for i := range list {
-		list[i] = Entry{policy.Backend{ID: backendID(i), Zone: "a", State: policy.Running}, "127.0.0.1:1"}
+		list[i] = Endpoint{policy.Backend{ID: backendID(i), Zone: "a", State: policy.Running}, "127.0.0.1:1"}
 	}
-	t.p.Set(list, true)
+	t.p.Update(list, true)
 	t.arrive()
 	t.sweep()
 	for len(t.queue) > 0 {
@@ -194,13 +194,13 @@
 func (t *traffic) arrive() {
 	n := max(t.burst, 1)
 	for range n {
-		a := &Attempt{N: t.begun, Command: noCommand{}, Began: t.now, Stop: t.now + time.Second}
+		a := &Attempt{Number: t.begun, Command: noCommand{}, StartedAt: t.now, Deadline: t.now + time.Second}
 		t.begun++
 		to := t.choose()
 		a.Ref = to
 		t.out[to]++
 		t.p.Start(a, backendID(to))
-		t.at(time.Second, func() { t.p.GiveUp(a, policy.TimedOut) })
+		t.at(time.Second, func() { t.p.Abort(a, policy.TimedOut) })
 	}
 	gap := time.Duration(t.rng.ExpFloat64() * float64(n) / t.rate * float64(time.Second))
 	if t.idleFor > 0 && t.begun >= t.requests/2 && t.begun < t.requests/2+n {
@@ -275,7 +275,7 @@
 	if s.closed {
 		return
 	}
-	rep := Reply{Value: []byte(strconv.Itoa(a.N)), outcome: policy.Succeeded, keep: true}
+	rep := Reply{Value: []byte(strconv.Itoa(a.Number)), outcome: policy.Succeeded, keep: true}
 	if again {
 		t.seconds++
 		t.at(late, func() {
--- a/internal/config/halls.go
+++ b/internal/config/halls.go
@@ -10,7 +10,7 @@
 
 // Halls says how work is kept in the instance's own hall, and what becomes of it when a hall is lost. Absent: another hall
 // costs a fixed factor, and nothing is known of halls.
-type Halls struct {
+type Zones struct {
 	Near          []string `toml:"near,omitempty"`          // halls of the second tier; those in neither are the third
 	NearPrice     float64  `toml:"near_price,omitempty"`    // of a node there, against one at home with the same load
 	FarPrice      float64  `toml:"far_price,omitempty"`     // the same in the third tier
@@ -19,11 +19,11 @@
 	Ramp          Duration `toml:"ramp,omitempty"`          // of a hall that comes back, at the most
 	RampFrom      float64  `toml:"ramp_from,omitempty"`     // share of its rate with which it begins
 	Forget        Duration `toml:"forget,omitempty"`        // of calm, after which one loss is forgotten
-	Drills        string   `toml:"drills,omitempty"`        // file of the halls that are taken out on purpose
+	Drains        string   `toml:"drills,omitempty"`        // file of the halls that are taken out on purpose
 }
 
 // check fills in the defaults and says what is wrong.
-func (h *Halls) check() (faults []fault) {
+func (h *Zones) check() (faults []fault) {
 	wrong := func(key, format string, args ...any) {
 		faults = append(faults, fault{"halls." + key, fmt.Sprintf(format, args...)})
 	}
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -36,11 +36,11 @@
 	Store       *Store       `toml:"store,omitempty"`
 	ForwardAuth *ForwardAuth `toml:"forward_auth,omitempty"`
 	Metrics     *Metrics     `toml:"metrics,omitempty"`
-	Halls       *Halls       `toml:"halls,omitempty"`
+	Zones       *Zones       `toml:"halls,omitempty"`
 	Log         *Log         `toml:"log,omitempty"`
 	Peers       *Peers       `toml:"peers,omitempty"`
 	Takeover    *Takeover    `toml:"takeover,omitempty"`
-	Rights      *Rights      `toml:"rights,omitempty"`
+	Escrow      *Escrow      `toml:"rights,omitempty"`
 	Clock       *Clock       `toml:"clock,omitempty"`
 }
 
@@ -48,7 +48,7 @@
 type Takeover struct{}
 
 // Rights lets parts of budgets move between the instances that a channel comes through. It has no settings.
-type Rights struct{}
+type Escrow struct{}
 
 // Log says what the log holds besides what is out of the ordinary.
 type Log struct {
@@ -72,7 +72,7 @@
 	PasswordFile   string   `toml:"password_file,omitempty"`   // redis: read anew for each connection, last line end left out
 	Database       int      `toml:"database,omitempty"`        // redis: SELECT
 	Prefix         string   `toml:"prefix,omitempty"`          // redis: of all keys; the same at all instances
-	Lanes          int      `toml:"lanes,omitempty"`           // redis: connections, each with its own hash tag; the same at all instances
+	Shards         int      `toml:"lanes,omitempty"`           // redis: connections, each with its own hash tag; the same at all instances
 	ConnectTimeout Duration `toml:"connect_timeout,omitempty"` // redis: dial, TLS and log-in together
 	TLS            *TLS     `toml:"tls,omitempty"`             // redis: absent: plain TCP
 }
@@ -188,8 +188,8 @@
 	if o.Metrics != nil {
 		faults = append(faults, o.Metrics.check()...)
 	}
-	if o.Halls != nil {
-		faults = append(faults, o.Halls.check()...)
+	if o.Zones != nil {
+		faults = append(faults, o.Zones.check()...)
 	}
 	if l := o.Log; l != nil && !(l.Requests && l.Summary == 0) && (l.Summary < Duration(100*time.Millisecond) || l.Summary > Duration(time.Hour)) {
 		faults = append(faults, fault{"log.summary", fmt.Sprintf("%v is out of range, 100ms to 1h", time.Duration(l.Summary))})
@@ -200,7 +200,7 @@
 	if o.Takeover != nil && o.Peers == nil {
 		faults = append(faults, fault{"takeover", "it needs [peers]: who would take over?"})
 	}
-	if o.Rights != nil && o.Peers == nil {
+	if o.Escrow != nil && o.Peers == nil {
 		faults = append(faults, fault{"rights", "it needs [peers]: with whom would parts move?"})
 	}
 	if o.Clock != nil {
@@ -264,11 +264,11 @@
 	if len(s.Prefix) > mostPrefix || strings.ContainsAny(s.Prefix, "{} \t\r\n") {
 		wrong("prefix", "%q: %d characters at most, no braces or spaces", s.Prefix, mostPrefix)
 	}
-	if s.Lanes == 0 {
-		s.Lanes = 1
+	if s.Shards == 0 {
+		s.Shards = 1
 	}
-	if s.Lanes < 1 || s.Lanes > mostLanes {
-		wrong("lanes", "%d is out of range, 1 to %d", s.Lanes, mostLanes)
+	if s.Shards < 1 || s.Shards > mostLanes {
+		wrong("lanes", "%d is out of range, 1 to %d", s.Shards, mostLanes)
 	}
 	if s.ConnectTimeout == 0 {
 		s.ConnectTimeout = Duration(250 * time.Millisecond)
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := o.Store; s.Prefix != "hitchspring" || s.Lanes != 1 || time.Duration(s.ConnectTimeout) != 250*time.Millisecond {
+	if s := o.Store; s.Prefix != "hitchspring" || s.Shards != 1 || time.Duration(s.ConnectTimeout) != 250*time.Millisecond {
 		t.Fatalf("%+v", s)
 	}
 	if p, err := o.Store.Password(); p != "s3cret" || err != nil {
--- a/internal/core/budgets.go
+++ b/internal/core/budgets.go
@@ -11,7 +11,7 @@
 const budgetsFor = time.Minute
 
 // MaxBudgetsShown bounds the channels that Budgets states: those with the most demand. Others hold their quotas just as well.
-const MaxBudgetsShown = 1024
+const MaxBoundsShown = 1024
 
 // budgetsAsked asks for statements on the channels with the most demand.
 type budgetsAsked struct {
@@ -21,7 +21,7 @@
 
 // Budgets states how the quotas of the channels with the most demand stand, and what this instance would pass on in so long if it heard nothing more from the
 // counter; 0: a minute. It waits for the loop, or for ctx's end, and may be called by many goroutines.
-func (g *Core) Budgets(ctx context.Context, span time.Duration) ([]overrun.Bound, error) {
+func (g *Core) QuotaBounds(ctx context.Context, span time.Duration) ([]overrun.Bound, error) {
 	reply := make(chan []overrun.Bound, 1)
 	g.post(budgetsAsked{span, reply})
 	select {
@@ -36,5 +36,5 @@
 	if ev.span <= 0 {
 		ev.span = budgetsFor
 	}
-	ev.reply <- overrun.TopBounds(g.now, overrun.QuotaStates(g.mod.ExportState(), g.mod.QuotaStandings(), g.cfg.Settings), ev.span, MaxBudgetsShown)
+	ev.reply <- overrun.TopBounds(g.now, overrun.QuotaStates(g.mod.ExportState(), g.mod.QuotaStandings(), g.cfg.Settings), ev.span, MaxBoundsShown)
 }
--- a/internal/core/budgets_test.go
+++ b/internal/core/budgets_test.go
@@ -11,7 +11,7 @@
 
 // The quotas of hundreds of channels are all stated; beyond the bound, those with the most demand.
 func TestBudgetsOfManyChannels(t *testing.T) {
-	for channels, want := range map[int]int{300: 300, MaxBudgetsShown + 6: MaxBudgetsShown} {
+	for channels, want := range map[int]int{300: 300, MaxBoundsShown + 6: MaxBoundsShown} {
 		cfg := testConfig("", fleetOf())
 		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
 		g, err := New(cfg, quiet)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,7 +41,7 @@
 )
 
 // FullRetry is when to come back to an ingress whose memory is full.
-const FullRetry = 250 * time.Millisecond
+const OverloadRetryAfter = 250 * time.Millisecond
 
 // Config is all that the core is told.
 type Config struct {
@@ -54,15 +54,15 @@
 	Store       func(store.Sink) (store.Counter, error) // makes the shared counter; nil: the settings know none
 	Connections settings.Connections
 	Leases      *Leases       // of attempts that who asks sends itself; nil: none are granted
-	Halls       *zones.Config // what an operator says of halls; nil: another hall costs a fixed factor
+	Zones       *zones.Config // what an operator says of halls; nil: another hall costs a fixed factor
 	Summary     time.Duration // between two lines of the log that sum up what happened; 0: none
 	LogRequests bool          // a line of the log for the end of each request
-	Company     int           // other processes of this ingress that there may be at the start: limits hold for all together
+	Siblings    int           // other processes of this ingress that there may be at the start: limits hold for all together
 	Operated    bool          // somebody asks for the figures of the cluster
-	Words       WordStore     // of what operators say of nodes; nil: it ends with the process
+	Overrides   OverrideStore // of what operators say of nodes; nil: it ends with the process
 	Peers       Peers         // other instances, with whom judgements on nodes are shared; nil: there are none
 	Clock       Clock         // of this process, where tests have it wrong
-	Rights      Works         // parts of budgets move between instances by it; nil: all are even
+	Escrow      Transport     // parts of budgets move between instances by it; nil: all are even
 	Takeover    *Takeover     // work in hand survives this instance; nil: it does not
 }
 
@@ -74,27 +74,27 @@
 }
 
 // Kind is what a final answer says.
-type Kind uint8
+type AnswerKind uint8
 
 // The kinds of final answers.
 const (
-	Failed   Kind = iota // it promises nothing
-	Served               // with a node's value
-	Refused              // trying again is harmless
-	Repeated             // a request of the same id is open: that one is served, this was not taken
-	Granted              // a node, under a lease: who asked sends it there itself
-	Over                 // of a Handed request: it was reported as served, unsent or never; nothing is granted any more
-	Other                // of a Handed request: its id was asked with other particulars
+	Failed     AnswerKind = iota // it promises nothing
+	Served                       // with a node's value
+	Rejected                     // trying again is harmless
+	Duplicate                    // a request of the same id is open: that one is served, this was not taken
+	Granted                      // a node, under a lease: who asked sends it there itself
+	Concluded                    // of a Handed request: it was reported as served, unsent or never; nothing is granted any more
+	Mismatched                   // of a Handed request: its id was asked with other particulars
 )
 
-var kindNames = [...]string{Failed: "failed", Served: "served", Refused: "refused", Repeated: "repeated", Granted: "granted", Over: "over", Other: "other"}
+var kindNames = [...]string{Failed: "failed", Served: "served", Rejected: "refused", Duplicate: "repeated", Granted: "granted", Concluded: "over", Mismatched: "other"}
 
 // String is the kind's name.
-func (k Kind) String() string { return kindNames[k] }
+func (k AnswerKind) String() string { return kindNames[k] }
 
 // Answer is the one final answer to a request; a front words it in its protocol.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	Value      []byte
 	Stream     *backend.Stream // of a Served one whose value is passed on as it comes, in place of Value; the front reads or closes it
 	RetryAfter time.Duration   // of a refusal; 0: no advice
@@ -103,28 +103,28 @@
 }
 
 // Place is where a front waits for the one final answer.
-type Place interface {
+type ReplySink interface {
 	// Answer hands the final answer over, once. It never blocks.
-	Answer(Answer)
+	Deliver(Answer)
 	// Gone reports whether nobody waits for the answer any more, as far as can be told now: a front has not always been told by the
 	// time that its request is about to be sent. It may ask the kernel, and never blocks.
-	Gone() bool
+	Disconnected() bool
 }
 
 // pool is the connections to the nodes, as package nodes keeps them.
 type pool interface {
-	Set(list []backend.Entry, whole bool)
-	Servers() []policy.Backend
+	Update(list []backend.Endpoint, whole bool)
+	Backends() []policy.Backend
 	Start(a *backend.Attempt, id policy.BackendID)
-	Moot(a *backend.Attempt, id policy.BackendID)
-	GiveUp(a *backend.Attempt, why policy.Outcome)
+	CancelUnsent(a *backend.Attempt, id policy.BackendID)
+	Abort(a *backend.Attempt, why policy.Outcome)
 	Withdraw(a *backend.Attempt)
 	Handle(backend.Event)
-	Knows(id policy.BackendID) bool
+	Contains(id policy.BackendID) bool
 	Addr(id policy.BackendID) (addr string, serves bool)
 	CloseIdle(id policy.BackendID)
 	RetireIdle()
-	SetMost(conns int)
+	SetMaxConnections(conns int)
 	Dials() int
 }
 
@@ -132,19 +132,19 @@
 // the core, which numbers it.
 type Request struct {
 	policy.Request
-	Key      uint64 // the client's own id: of two open requests of one id, the later is answered Repeated
-	Place    Place
-	Command  backend.Command
-	Idem     string // the client's key, of a class that has one
-	Size     int    // bytes that it holds
-	attempts []*backend.Attempt
-	came     time.Duration
-	asked    time.Duration    // when Gone was asked last
-	passing  *backend.Attempt // brings a value that is passed on to the client
-	out      int
-	final    bool
-	why      policy.Reason // of its refusal or failure
-	kept     *keeping      // in custody; nil: it is not
+	ClientID       uint64 // the client's own id: of two open requests of one id, the later is answered Repeated
+	Sink           ReplySink
+	Command        backend.Command
+	IdempotencyKey string // the client's key, of a class that has one
+	Size           int    // bytes that it holds
+	attempts       []*backend.Attempt
+	came           time.Duration
+	asked          time.Duration    // when Gone was asked last
+	passing        *backend.Attempt // brings a value that is passed on to the client
+	out            int
+	final          bool
+	why            policy.Reason // of its refusal or failure
+	kept           *keeping      // in custody; nil: it is not
 }
 
 // The events of a front.
@@ -240,9 +240,9 @@
 		keys: map[uint64]bool{}, mostConns: cfg.Sockets * 3 / 8,
 		fig:      newFigures(cfg.Settings.Classes),
 		guard:    guard.NewMonitor(log),
-		ops:      operators{book: override.New(), store: cfg.Words, spoke: make(chan struct{}, 1)},
+		ops:      operators{book: override.New(), store: cfg.Overrides, spoke: make(chan struct{}, 1)},
 		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64)}
-	g.nodes = backend.New(owner{g}, backend.Config{Sent: g.fig.Sent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MostConns: g.nodeConns(cfg.Company),
+	g.nodes = backend.New(owner{g}, backend.Config{OnSent: g.fig.AttemptSent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MaxConnections: g.nodeConns(cfg.Siblings),
 		Frames: resp.NewBudget(cfg.Memory / memoryShare)})
 	if cfg.Leases != nil {
 		g.handing = newHanding(*cfg.Leases)
@@ -250,13 +250,13 @@
 	for _, c := range cfg.Settings.Classes {
 		g.classes[c.Name] = c
 	}
-	if cfg.Halls != nil {
-		g.halls = newHallBook(*cfg.Halls, cfg.Settings)
+	if cfg.Zones != nil {
+		g.halls = newHallBook(*cfg.Zones, cfg.Settings)
 	}
 	if cfg.Takeover != nil {
 		g.taking = newTaking(*cfg.Takeover)
 	}
-	if cfg.Rights != nil {
+	if cfg.Escrow != nil {
 		g.holding = newHolding(cfg, g.clock(start))
 	}
 	if cfg.Peers != nil {
@@ -282,10 +282,10 @@
 
 // Move goes over to discovery and a counter at other addresses. It waits for nothing, may come at any time, and
 // the last of several counts. Clients, nodes and the module's books are left as they are.
-func (g *Core) Move(discovery, counter string) {
+func (g *Core) SetAddresses(discovery, counter string) {
 	g.disc.SetAddress(discovery)
 	if g.counter != nil {
-		g.counter.Move(counter)
+		g.counter.SetAddress(counter)
 	}
 }
 
@@ -301,7 +301,7 @@
 }
 
 // Listed closes when discovery has brought a first list, or that has failed.
-func (g *Core) Listed() <-chan struct{} { return g.disc.Ready() }
+func (g *Core) DiscoveryReady() <-chan struct{} { return g.disc.Ready() }
 
 // End stops at once, whatever is open, and waits for all goroutines.
 func (g *Core) End() {
@@ -317,10 +317,10 @@
 func (g *Core) Submit(r *Request) { g.post(arrived{r}) }
 
 // Abandon tells that the clients of requests have gone: nothing waits for their answers any more.
-func (g *Core) Abandon(reqs []*Request) { g.post(abandoned{reqs}) }
+func (g *Core) NotifyDisconnected(reqs []*Request) { g.post(abandoned{reqs}) }
 
 // EndAll gives a final answer to all that is open, and returns when each front has it, or when the core has ended.
-func (g *Core) EndAll() {
+func (g *Core) AnswerAll() {
 	done := make(chan struct{})
 	g.post(endAll{done})
 	select {
@@ -339,13 +339,13 @@
 func (g *Core) Plan(name string) bool { return g.plans[name] }
 
 // Gateways is how many instances there are.
-func (g *Core) Gateways() int { return g.cfg.Settings.Instances }
+func (g *Core) Instances() int { return g.cfg.Settings.Instances }
 
 // MostUnits is the most that one request may take.
-func (g *Core) MostUnits() float64 { return g.mostUnits }
+func (g *Core) MaxUnits() float64 { return g.mostUnits }
 
 // Room is what is left for fronts: descriptors, and bytes for each kind of what they hold.
-func (g *Core) Room() (sockets, memory int) {
+func (g *Core) FrontLimits() (sockets, memory int) {
 	return g.cfg.Sockets - g.mostConns, g.cfg.Memory / memoryShare
 }
 
@@ -528,12 +528,12 @@
 		g.send(a)
 	case policy.CancelAttempt:
 		if r := g.requests[a.ID]; r != nil && !r.Delegated && a.Attempt < len(r.attempts) && !g.calledOff(r, a.Attempt) {
-			g.nodes.GiveUp(r.attempts[a.Attempt], policy.Cancelled)
+			g.nodes.Abort(r.attempts[a.Attempt], policy.Cancelled)
 		}
 	case policy.Reject:
 		g.refused(a)
 		if r := g.requests[a.ID]; g.taking == nil || !g.askForAnswer(r, a.RetryAfter) {
-			g.answer(r, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
+			g.answer(r, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 		}
 	case policy.Fail:
 		g.failed(a)
@@ -558,7 +558,7 @@
 // --- requests ---
 
 func (g *Core) arrived(r *Request) {
-	g.fig.Took()
+	g.fig.RequestAccepted()
 	if g.goneOnArrival(r) {
 		return
 	}
@@ -568,7 +568,7 @@
 	}
 	g.lastID++
 	r.ID, r.came = g.lastID, g.now
-	g.requests[r.ID], g.keys[r.Key] = r, true
+	g.requests[r.ID], g.keys[r.ClientID] = r, true
 	g.heldBytes += r.Size
 	g.sum.add(arrivals, 1)
 	g.tell(policy.Arrival{Request: r.Request})
@@ -576,7 +576,7 @@
 		g.after(acceptAfter, func() { g.accept(r) })
 	}
 	g.at(r.GiveUpAt+overdue, func() {
-		delete(g.keys, r.Key)
+		delete(g.keys, r.ClientID)
 		g.cutOff(r)
 	})
 }
@@ -609,7 +609,7 @@
 	g.sum.add(cutOffs, 1)
 	a := Answer{Kind: Failed}
 	if len(r.attempts) == 0 && r.Prior == nil {
-		a = Answer{Kind: Refused, RetryAfter: FullRetry}
+		a = Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}
 	}
 	g.answer(r, a)
 	g.tell(policy.Disconnected{ID: r.ID})
@@ -619,7 +619,7 @@
 	if r.final && r.out == 0 && g.requests[r.ID] == r {
 		g.heldBytes -= r.Size
 		delete(g.requests, r.ID)
-		r.Command, r.Place, r.attempts = nil, nil, nil // its timer may hold it for seconds more
+		r.Command, r.Sink, r.attempts = nil, nil, nil // its timer may hold it for seconds more
 	}
 }
 
@@ -630,9 +630,9 @@
 	if r == nil {
 		return
 	}
-	a := &backend.Attempt{Ref: r, N: len(r.attempts), Command: r.Command, Began: g.now, Stop: r.GiveUpAt, By: g.repeatBy(r)}
+	a := &backend.Attempt{Ref: r, Number: len(r.attempts), Command: r.Command, StartedAt: g.now, Deadline: r.GiveUpAt, By: g.repeatBy(r)}
 	if s.StopAt > 0 {
-		a.Stop = min(s.StopAt, r.GiveUpAt)
+		a.Deadline = min(s.StopAt, r.GiveUpAt)
 	}
 	r.attempts = append(r.attempts, a)
 	r.out++
@@ -640,8 +640,8 @@
 		g.halls.AttemptSent(g.now, s.Backend)
 	}
 	g.dropIfGone(r)
-	if r.final || a.Stop <= g.now || a.N >= g.cfg.Settings.MaxAttempts || r.Delegated && !g.grant(r, a, s.Backend) {
-		g.nodes.Moot(a, s.Backend)
+	if r.final || a.Deadline <= g.now || a.Number >= g.cfg.Settings.MaxAttempts || r.Delegated && !g.grant(r, a, s.Backend) {
+		g.nodes.CancelUnsent(a, s.Backend)
 		return
 	}
 	if r.Delegated || g.taking != nil && g.inCustody(r, a, s.Backend) {
@@ -663,7 +663,7 @@
 	}
 	for _, a := range r.attempts {
 		if !a.NeverRan() {
-			return a.Began + remembered
+			return a.StartedAt + remembered
 		}
 	}
 	return 0
@@ -671,14 +671,14 @@
 
 // launch lets an attempt go out.
 func (g *Core) launch(r *Request, a *backend.Attempt, to policy.BackendID) {
-	g.sum.sent(a.N, g.now-r.came)
-	if g.holding != nil && a.N == 0 {
+	g.sum.sent(a.Number, g.now-r.came)
+	if g.holding != nil && a.Number == 0 {
 		g.holding.passes(g.now, r)
 	}
 	if g.judged != nil {
-		g.judged.sight.AttemptSent(g.now, to, outlier.AttemptID{Request: r.ID, Number: a.N}, r.Class)
+		g.judged.sight.AttemptSent(g.now, to, outlier.AttemptID{Request: r.ID, Number: a.Number}, r.Class)
 	}
-	g.at(a.Stop, func() { g.nodes.GiveUp(a, policy.TimedOut) })
+	g.at(a.Deadline, func() { g.nodes.Abort(a, policy.TimedOut) })
 	g.nodes.Start(a, to)
 }
 
@@ -686,9 +686,9 @@
 func (g *Core) attemptEnded(a *backend.Attempt, o policy.Outcome, rep backend.Reply) {
 	if a.Ref == nil {
 		if g.halls != nil {
-			g.halls.ProbeEnded(g.now, a.Node(), o == policy.Succeeded)
+			g.halls.ProbeEnded(g.now, a.BackendID(), o == policy.Succeeded)
 		}
-		g.tell(policy.ProbeEnded{Backend: a.Node(), Outcome: o, Took: g.now - a.Began, Load: rep.Load})
+		g.tell(policy.ProbeEnded{Backend: a.BackendID(), Outcome: o, Took: g.now - a.StartedAt, Load: rep.Load})
 		return
 	}
 	r := a.Ref.(*Request)
@@ -703,7 +703,7 @@
 		g.final(r, Answer{Kind: Served, Value: rep.Value})
 	}
 	r.out--
-	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Backend: a.Node(), Outcome: o, Took: g.now - a.Began,
+	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: o, Took: g.now - a.StartedAt,
 		Finished: r.final, Load: rep.Load})
 	if o == policy.Succeeded {
 		g.recall(r)
@@ -721,14 +721,14 @@
 	g.endCustody(r, Answer{Kind: Served, Stream: s})
 	g.sum.served(g.now-r.came, g.classes[r.Class].LatencyObjective)
 	g.deliver(r, Answer{Kind: Served, Stream: s})
-	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.N, Backend: a.Node(), Outcome: policy.Succeeded, Took: g.now - a.Began, Finished: true})
+	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: policy.Succeeded, Took: g.now - a.StartedAt, Finished: true})
 	g.recall(r)
 	return true
 }
 
 // passed counts the end of a value that was passed on.
 func (g *Core) passed(r *Request, o policy.Outcome) {
-	g.fig.Ended(r.Class, endOf(o))
+	g.fig.RequestEnded(r.Class, endOf(o))
 	r.out--
 	g.forget(r)
 }
@@ -749,11 +749,11 @@
 }
 
 func (g *Core) probe(id policy.BackendID) (sent bool) {
-	if !g.nodes.Knows(id) || g.out(id) {
+	if !g.nodes.Contains(id) || g.out(id) {
 		return false
 	}
-	a := &backend.Attempt{Began: g.now, Stop: g.now + probeTimeout}
-	g.at(a.Stop, func() { g.nodes.GiveUp(a, policy.TimedOut) })
+	a := &backend.Attempt{StartedAt: g.now, Deadline: g.now + probeTimeout}
+	g.at(a.Deadline, func() { g.nodes.Abort(a, policy.TimedOut) })
 	g.nodes.Start(a, id)
 	return true
 }
@@ -789,7 +789,7 @@
 
 // held is the list as it stands.
 func (g *Core) held() policy.Event {
-	return policy.EndpointsChanged{Complete: true, Backends: g.nodes.Servers()}
+	return policy.EndpointsChanged{Complete: true, Backends: g.nodes.Backends()}
 }
 
 // counted is the event of an answer of the shared counter.
@@ -799,7 +799,7 @@
 }
 
 func (g *Core) count(a policy.AddToCounter) {
-	k := &store.Call{Name: a.Name, Amount: a.Add, Keep: a.Keep, Began: g.now}
+	k := &store.Call{Name: a.Name, Amount: a.Add, TTL: a.Keep, StartedAt: g.now}
 	if g.counter == nil {
 		g.counted(counted{k, store.Result{Certainty: store.NotAdded}})
 		return
@@ -818,7 +818,7 @@
 // counted passes a call's answer on, once: one after the time-out is dropped. A store that has refused a call at the
 // time-out is believed: its answer is under way.
 func (g *Core) counted(ev counted) {
-	if !ev.call.End() {
+	if !ev.call.FirstAnswer() {
 		return
 	}
 	o := policy.TimedOut // may have been added
@@ -830,7 +830,7 @@
 	case ev.result.Certainty == store.Added:
 		o = policy.Failed
 	}
-	g.sum.counted(o, g.now-ev.call.Began)
+	g.sum.counted(o, g.now-ev.call.StartedAt)
 	g.tell(policy.CounterReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,11 +23,11 @@
 	gone bool // its client has left, and no front has told
 }
 
-func (p *place) Answer(a Answer) { p.got = a }
-func (p *place) Gone() bool      { return p.gone }
+func (p *place) Deliver(a Answer)   { p.got = a }
+func (p *place) Disconnected() bool { return p.gone }
 
 func (p *place) refused(after time.Duration) bool {
-	return p.got.Kind == Refused && p.got.RetryAfter == after
+	return p.got.Kind == Rejected && p.got.RetryAfter == after
 }
 
 type noCommand struct{}
@@ -76,17 +76,17 @@
 func TestMostHeld(t *testing.T) {
 	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
 	arrive := func(key uint64) *Request {
-		r := &Request{Key: key, Size: g.mostHeld - 1000, Place: &place{}}
+		r := &Request{ClientID: key, Size: g.mostHeld - 1000, Sink: &place{}}
 		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
 		g.handle(arrived{r})
 		return r
 	}
 	first, second := arrive(1), arrive(2)
-	if first.final || !second.Place.(*place).refused(250*time.Millisecond) {
-		t.Fatalf("first final: %v; second answered %v", first.final, second.Place.(*place).got)
+	if first.final || !second.Sink.(*place).refused(250*time.Millisecond) {
+		t.Fatalf("first final: %v; second answered %v", first.final, second.Sink.(*place).got)
 	}
 	g.handle(abandoned{[]*Request{first}})
 	if third := arrive(3); third.final {
-		t.Fatalf("third answered %v after the first had ended", third.Place.(*place).got)
+		t.Fatalf("third answered %v after the first had ended", third.Sink.(*place).got)
 	}
 }
--- a/internal/core/departure.go
+++ b/internal/core/departure.go
@@ -12,11 +12,11 @@
 
 // gone reports whether nobody waits for a request's answer any more. The kernel is asked once in each turn of the loop.
 func (g *Core) gone(r *Request) bool {
-	if r.Place == nil || r.asked == g.now && r.asked != 0 {
+	if r.Sink == nil || r.asked == g.now && r.asked != 0 {
 		return false
 	}
 	r.asked = g.now
-	return r.Place.Gone()
+	return r.Sink.Disconnected()
 }
 
 // goneOnArrival drops a request, before the module hears of it, whose command came together with the end of its connection.
@@ -26,7 +26,7 @@
 	}
 	r.final = true
 	r.withdrawHanded()
-	g.fig.Left(metrics.BeforeAdmission)
+	g.fig.ClientDisconnected(metrics.BeforeAdmission)
 	return true
 }
 
@@ -41,7 +41,7 @@
 
 // withdrawHanded forgets what the front for gates keeps of a request of its own.
 func (r *Request) withdrawHanded() {
-	if x, ok := r.Place.(*handed); ok {
+	if x, ok := r.Sink.(*handed); ok {
 		x.withdraw()
 	}
 }
@@ -53,14 +53,14 @@
 	}
 	r.final = true
 	g.endCustody(r, Answer{Kind: Failed})
-	g.fig.Left(r.stage())
+	g.fig.ClientDisconnected(r.stage())
 	g.tell(policy.Disconnected{ID: r.ID})
 	g.recall(r)
 	g.forget(r)
 }
 
 // stage says how far a request has come that is not answered.
-func (r *Request) stage() metrics.Stage {
+func (r *Request) stage() metrics.DisconnectStage {
 	stage := metrics.BeforeAttempt
 	for _, a := range r.attempts {
 		switch {
--- a/internal/core/departure_test.go
+++ b/internal/core/departure_test.go
@@ -11,18 +11,18 @@
 )
 
 // arriving hands a request in.
-func arriving(g *Core, key uint64, p Place) *Request {
-	r := &Request{Key: key, Size: 100, Place: p, Command: noCommand{}}
+func arriving(g *Core, key uint64, p ReplySink) *Request {
+	r := &Request{ClientID: key, Size: 100, Sink: p, Command: noCommand{}}
 	r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
 	g.handle(arrived{r})
 	return r
 }
 
 // wantDepartures checks how many clients were found gone, by stage.
-func wantDepartures(t *testing.T, g *Core, want map[metrics.Stage]int64) {
+func wantDepartures(t *testing.T, g *Core, want map[metrics.DisconnectStage]int64) {
 	t.Helper()
 	for _, at := range metrics.Stages() {
-		if got := g.fig.Departures(at); got != want[at] {
+		if got := g.fig.Disconnects(at); got != want[at] {
 			t.Errorf("%s: %d clients gone, want %d", at, got, want[at])
 		}
 	}
@@ -39,7 +39,7 @@
 		t.Fatalf("it was taken: %d requests, %d attempts", len(g.requests), len(r.attempts))
 	}
 	g.handle(abandoned{[]*Request{r}})
-	wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAdmission: 1})
+	wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
 }
 
 // A request whose client goes while it waits is found out when an attempt is about to be sent, whatever has become of the front's word: in the
@@ -84,7 +84,7 @@
 		if n := g.nodes.Dials(); n != 1 {
 			t.Errorf("%d connections were begun", n)
 		}
-		wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAttempt: 1})
+		wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
 	})
 	t.Run("waiting for a connection", func(t *testing.T) {
 		g := newCore(t)
@@ -100,7 +100,7 @@
 		if !r.final || !a.Ended() || !a.NeverRan() {
 			t.Errorf("final %v, ended %v, never ran %v", r.final, a.Ended(), a.NeverRan())
 		}
-		wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAttempt: 1})
+		wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
 	})
 }
 
@@ -120,7 +120,7 @@
 	asked int
 }
 
-func (p *countingPlace) Gone() bool {
+func (p *countingPlace) Disconnected() bool {
 	p.asked++
 	return false
 }
@@ -128,14 +128,14 @@
 // A call of a gate that has hung up is granted nothing, and its id can be asked for anew.
 func TestNothingIsGrantedToCallersThatLeft(t *testing.T) {
 	cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr))
-	cfg.Leases = &Leases{Timeout: time.Second, StartWithin: 500 * time.Millisecond, Keep: time.Second, Most: 10}
+	cfg.Leases = &Leases{Timeout: time.Second, StartWithin: 500 * time.Millisecond, Retention: time.Second, MaxRequests: 10}
 	g, err := New(cfg, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	run(t, g)
 	ask := func(p *place) {
-		r := &Request{Key: 1, Size: 100}
+		r := &Request{ClientID: 1, Size: 100}
 		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
 		g.handle(asked{r, "id", 7, p})
 	}
@@ -144,7 +144,7 @@
 	if left.got.Kind == Granted || len(g.handing.leases) != 0 || len(g.handing.open) != 0 {
 		t.Fatalf("answered %v, %d leases, %d open", left.got, len(g.handing.leases), len(g.handing.open))
 	}
-	wantDepartures(t, g, map[metrics.Stage]int64{metrics.BeforeAdmission: 1})
+	wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
 	g.now += time.Millisecond
 	if ask(stays); stays.got.Kind != Granted {
 		t.Errorf("the next call was answered %v", stays.got)
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -60,9 +60,9 @@
 // What `hitchspring status` reads from a running instance, which may be of another version.
 func TestGoldenStatus(t *testing.T) {
 	for name, v := range map[string]any{
-		"nodes":   filled[NodesStatus](),
+		"nodes":   filled[BackendsStatus](),
 		"work":    filled[WorkStatus](),
-		"rights":  filled[RightsStatus](),
+		"rights":  filled[EscrowStatus](),
 		"budgets": filled[overrun.Bound](),
 		"halls":   filled[zones.Status](),
 	} {
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -14,14 +14,14 @@
 type Leases struct {
 	Timeout     time.Duration // an attempt that nobody reports on counts as out for so long, then as one that may have run
 	StartWithin time.Duration // it must be sent within so long of its grant; well under the grace of a drain
-	Keep        time.Duration // an answer is remembered for so long after its client's time
-	Most        int           // requests that are kept
+	Retention   time.Duration // an answer is remembered for so long after its client's time
+	MaxRequests int           // requests that are kept
 }
 
 // Grant is a node for one attempt.
 type Grant struct {
 	Lease       string
-	Node        string // its id
+	Backend     string // its id
 	Addr        string
 	Attempt     int           // of its request, from 0
 	StartWithin time.Duration // from now
@@ -44,12 +44,12 @@
 	g       *Core
 	r       *Request
 	entry   *lease.Request
-	waiting []Place
+	waiting []ReplySink
 	attempt *backend.Attempt // of the entry's lease, while that is out
 }
 
 func newHanding(c Leases) *handing {
-	return &handing{book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Keep, MaxRequests: c.Most}),
+	return &handing{book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Retention, MaxRequests: c.MaxRequests}),
 		open: map[string]*handed{}, leases: map[string]*handed{}}
 }
 
@@ -59,21 +59,21 @@
 		r     *Request
 		id    string
 		print uint64
-		place Place
+		place ReplySink
 	}
 	left struct {
 		id    string
-		place Place
+		place ReplySink
 	}
 	reported struct {
 		lease string
 		out   lease.Outcome
-		tell  func(ReportAnswer)
+		tell  func(ReportResult)
 	}
 )
 
 // ReportAnswer is what became of a report, and where its request stands after it.
-type ReportAnswer struct {
+type ReportResult struct {
 	Err   error // lease.ErrUnknown, ErrLate or ErrConflict
 	First bool  // it was news
 	State lease.State
@@ -82,15 +82,15 @@
 
 // Ask hands in a request whose attempts its caller sends itself. The same id, within its time, has the same answer, whoever
 // asks; print tells whether it was asked with the same particulars. The place is answered once, unless Leave comes first.
-func (g *Core) Ask(r *Request, id string, print uint64, place Place) {
+func (g *Core) RequestLease(r *Request, id string, print uint64, place ReplySink) {
 	g.post(asked{r, id, print, place})
 }
 
 // Leave tells that a caller waits no longer.
-func (g *Core) Leave(id string, place Place) { g.post(left{id, place}) }
+func (g *Core) CancelWait(id string, place ReplySink) { g.post(left{id, place}) }
 
 // Report tells how a lease's attempt went; tell is called once, on the core's goroutine, and must not block.
-func (g *Core) Report(name string, out lease.Outcome, tell func(ReportAnswer)) {
+func (g *Core) ReportOutcome(name string, out lease.Outcome, tell func(ReportResult)) {
 	g.post(reported{name, out, tell})
 }
 
@@ -100,31 +100,31 @@
 	entry, err := h.book.Find(ev.id, ev.print)
 	switch {
 	case err != nil:
-		ev.place.Answer(Answer{Kind: Other})
+		ev.place.Deliver(Answer{Kind: Mismatched})
 		return
 	case entry != nil:
 		if a, ok := g.stands(entry); ok {
-			ev.place.Answer(a)
+			ev.place.Deliver(a)
 		} else if x := h.open[ev.id]; x != nil && len(x.waiting) >= mostWaiting && entry.Lease != nil {
-			ev.place.Answer(Answer{Kind: Failed}) // an attempt was granted: a refusal would say that trying again is harmless
+			ev.place.Deliver(Answer{Kind: Failed}) // an attempt was granted: a refusal would say that trying again is harmless
 		} else if x == nil || len(x.waiting) >= mostWaiting {
-			ev.place.Answer(Answer{Kind: Refused, RetryAfter: FullRetry})
+			ev.place.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 		} else {
 			x.waiting = append(x.waiting, ev.place)
 		}
 		return
 	}
 	if ev.r.GiveUpAt <= g.now {
-		ev.place.Answer(Answer{Kind: Refused, RetryAfter: FullRetry})
+		ev.place.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 		return
 	}
 	if entry, err = h.book.Open(ev.id, ev.print, ev.r.GiveUpAt); err != nil {
-		ev.place.Answer(Answer{Kind: Refused, RetryAfter: FullRetry})
+		ev.place.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 		return
 	}
-	x := &handed{g: g, r: ev.r, entry: entry, waiting: []Place{ev.place}}
+	x := &handed{g: g, r: ev.r, entry: entry, waiting: []ReplySink{ev.place}}
 	h.open[ev.id] = x
-	ev.r.Delegated, ev.r.Place = true, x
+	ev.r.Delegated, ev.r.Sink = true, x
 	g.arm()
 	g.arrived(ev.r)
 }
@@ -136,19 +136,19 @@
 		return Answer{}, false
 	case lease.Granted:
 		l := e.Lease
-		return Answer{Kind: Granted, Grant: Grant{Lease: l.Name, Node: l.Node, Addr: l.Addr, Attempt: l.Attempt, StartWithin: max(0, l.StartBy-g.now), EndsWithin: max(0, l.ExpiresAt-g.now)}}, true
+		return Answer{Kind: Granted, Grant: Grant{Lease: l.Name, Backend: l.Node, Addr: l.Addr, Attempt: l.Attempt, StartWithin: max(0, l.StartBy-g.now), EndsWithin: max(0, l.ExpiresAt-g.now)}}, true
 	case lease.Rejected:
-		return Answer{Kind: Refused, RetryAfter: e.RetryAfter}, true
+		return Answer{Kind: Rejected, RetryAfter: e.RetryAfter}, true
 	case lease.Failed:
 		return Answer{Kind: Failed}, true
 	}
-	return Answer{Kind: Over, State: e.State}, true
+	return Answer{Kind: Concluded, State: e.State}, true
 }
 
 // Answer is the module's final word on a request that is handed out.
-func (x *handed) Answer(a Answer) {
+func (x *handed) Deliver(a Answer) {
 	s := lease.Failed
-	if a.Kind == Refused {
+	if a.Kind == Rejected {
 		s = lease.Rejected
 	}
 	x.g.handing.book.Decide(x.entry, s, a.RetryAfter)
@@ -159,7 +159,7 @@
 // tell answers all who wait.
 func (x *handed) tell(a Answer) {
 	for _, p := range x.waiting {
-		p.Answer(a)
+		p.Deliver(a)
 	}
 	x.waiting = nil
 }
@@ -167,9 +167,9 @@
 func (x *handed) close() { delete(x.g.handing.open, x.entry.ID) }
 
 // Gone reports whether all who asked have hung up. Where nobody waits, a report's answer or a later call learns the decision.
-func (x *handed) Gone() bool {
+func (x *handed) Disconnected() bool {
 	for _, p := range x.waiting {
-		if !p.Gone() {
+		if !p.Disconnected() {
 			return false
 		}
 	}
@@ -184,14 +184,14 @@
 
 // grant gives an attempt to those who wait for it. false: nobody may send it.
 func (g *Core) grant(r *Request, a *backend.Attempt, id policy.BackendID) bool {
-	x, ok := r.Place.(*handed)
+	x, ok := r.Sink.(*handed)
 	addr, serves := g.nodes.Addr(id)
 	if !ok || !serves || x.attempt != nil {
 		return false
 	}
 	var b [16]byte
 	rand.Read(b[:]) // never fails
-	l := g.handing.book.Grant(g.now, x.entry, hex.EncodeToString(b[:]), string(id), addr, a.N, r.GiveUpAt, a.By)
+	l := g.handing.book.Grant(g.now, x.entry, hex.EncodeToString(b[:]), string(id), addr, a.Number, r.GiveUpAt, a.By)
 	if l == nil {
 		return false
 	}
@@ -243,7 +243,7 @@
 		}
 		g.flush()
 	}
-	out := ReportAnswer{Err: err, First: first}
+	out := ReportResult{Err: err, First: first}
 	if entry != nil {
 		out.State = entry.State
 		out.Next, _ = g.stands(entry)
@@ -258,11 +258,11 @@
 	x.r.out--
 	if over {
 		x.r.final = true
-		g.fig.Ended(x.r.Class, endOf(o))
+		g.fig.RequestEnded(x.r.Class, endOf(o))
 		x.close()
-		x.tell(Answer{Kind: Over, State: x.entry.State})
+		x.tell(Answer{Kind: Concluded, State: x.entry.State})
 	}
-	g.ended(x.r, policy.AttemptEnded{ID: x.r.ID, Attempt: a.N, Backend: policy.BackendID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.Began, Finished: x.r.final, Unsent: unsent})
+	g.ended(x.r, policy.AttemptEnded{ID: x.r.ID, Attempt: a.Number, Backend: policy.BackendID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.StartedAt, Finished: x.r.final, Unsent: unsent})
 }
 
 // lapse ends the leases that have run out: their attempts may have run.
--- a/internal/core/guarded.go
+++ b/internal/core/guarded.go
@@ -24,30 +24,30 @@
 func (g *Core) admission(r *Request) (a Answer, taken bool) {
 	switch {
 	case g.ending: // the last answers have been given: it would have none
-		return Answer{Kind: Refused, RetryAfter: FullRetry}, false
+		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
 	case r.GiveUpAt <= g.now: // it has waited for too long behind others: nothing is spent on it
-		return Answer{Kind: Refused, RetryAfter: FullRetry}, false
+		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
 	case len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.Size > g.mostHeld: // many clients with large bodies must not fill the memory
-		return Answer{Kind: Refused, RetryAfter: FullRetry}, false
-	case g.keys[r.Key]: // the one who asked first has its answer, and nobody else
-		return Answer{Kind: Repeated}, false
+		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
+	case g.keys[r.ClientID]: // the one who asked first has its answer, and nobody else
+		return Answer{Kind: Duplicate}, false
 	}
 	return Answer{}, true
 }
 
 // maySend is asked right before an attempt is written.
 func (g *Core) maySend(r *Request, a *backend.Attempt) bool {
-	to, serves := a.Server()
+	to, serves := a.Backend()
 	send := guard.Send{Class: g.class(r), Parallel: g.cfg.Settings.Hedging, Answered: r.final, GiveUpAt: r.GiveUpAt, Serves: serves, Zone: to.Zone, Cell: to.Cell, Earlier: r.handed(a)}
 	broken := send.Check(g.now)
 	if broken == guard.None {
 		return true
 	}
 	if broken == guard.SendAfterDeadline { // time has passed since it was decided on: nobody's fault
-		g.fig.Stopped(metrics.TimeOver)
+		g.fig.AttemptWithheld(metrics.TimeOver)
 		return false
 	}
-	g.guard.Violated(broken, append(r.ids(), "attempt", a.N, "backend", a.Node(), "earlier", len(send.Earlier))...)
+	g.guard.Violated(broken, append(r.ids(), "attempt", a.Number, "backend", a.BackendID(), "earlier", len(send.Earlier))...)
 	return !enforced
 }
 
@@ -66,18 +66,18 @@
 		out = append(out, guard.Attempt{Zone: r.Prior.Zone, Cell: r.Prior.Cell, At: r.Prior.At, Ended: true})
 	}
 	for _, a := range r.attempts {
-		if a == next || !a.Handed() {
+		if a == next || !a.Assigned() {
 			continue
 		}
-		at, _ := a.Server()
-		out = append(out, guard.Attempt{Zone: at.Zone, Cell: at.Cell, At: a.Began, Ended: a.Ended(), NeverRan: a.NeverRan()})
+		at, _ := a.Backend()
+		out = append(out, guard.Attempt{Zone: at.Zone, Cell: at.Cell, At: a.StartedAt, Ended: a.Ended(), NeverRan: a.NeverRan()})
 	}
 	return out
 }
 
 // ids are what names a request in a line of the log.
 func (r *Request) ids() []any {
-	return []any{"request", fmt.Sprintf("%016x", r.Key), "customer", r.Tenant, "class", r.Class}
+	return []any{"request", fmt.Sprintf("%016x", r.ClientID), "customer", r.Tenant, "class", r.Class}
 }
 
 // deliver hands the one final answer of a request to its front.
@@ -85,7 +85,7 @@
 	if late := g.now - r.GiveUpAt; late > answeredLate && r.came > 0 {
 		g.guard.Violated(guard.AnsweredLate, append(r.ids(), "late", late, "attempts", len(r.attempts))...)
 	}
-	if a.Kind == Refused && !r.Delegated && !guard.MayRefuse(g.class(r), r.handed(nil)) {
+	if a.Kind == Rejected && !r.Delegated && !guard.MayRefuse(g.class(r), r.handed(nil)) {
 		g.guard.Violated(guard.RefusedThoughRun, append(r.ids(), "attempts", len(r.attempts))...)
 		if enforced {
 			a = Answer{Kind: Failed}
@@ -94,13 +94,13 @@
 	if g.cfg.LogRequests {
 		g.logEnd(r, a)
 	}
-	r.Place.Answer(a)
+	r.Sink.Deliver(a)
 }
 
 // refused takes in that the module refuses a request, and why.
 func (g *Core) refused(a policy.Reject) {
 	g.sum.refused(a.Reason)
-	g.fig.Refused(int(a.Reason))
+	g.fig.Rejected(int(a.Reason))
 	if r := g.requests[a.ID]; r != nil {
 		r.why = a.Reason
 	}
@@ -119,7 +119,7 @@
 func (g *Core) logEnd(r *Request, a Answer) {
 	attempts := make([]string, 0, len(r.attempts))
 	for _, x := range r.attempts {
-		attempts = append(attempts, fmt.Sprintf("%s@%.3f:%s", x.Node(), (x.Began-r.came).Seconds(), outcomeOf(x)))
+		attempts = append(attempts, fmt.Sprintf("%s@%.3f:%s", x.BackendID(), (x.StartedAt-r.came).Seconds(), outcomeOf(x)))
 	}
 	g.log.Info("request ended", append(r.ids(), "end", a.Kind.String(), "why", r.why.String(), "after", (g.now-r.came).Round(time.Millisecond), "left", (r.GiveUpAt-g.now).Round(time.Millisecond), "attempts", attempts)...)
 }
--- a/internal/core/guarded_test.go
+++ b/internal/core/guarded_test.go
@@ -30,9 +30,9 @@
 	answers int
 }
 
-func (c *counting) Answer(a Answer) {
+func (c *counting) Deliver(a Answer) {
 	c.answers++
-	c.place.Answer(a)
+	c.place.Deliver(a)
 }
 
 func wantViolations(t *testing.T, g *Core, what guard.Invariant, want int64) {
@@ -54,10 +54,10 @@
 	r := arriving(g, 1, &place{})
 	up := connected(t, g)
 	g.handle(up)
-	if !r.attempts[0].Handed() {
+	if !r.attempts[0].Assigned() {
 		t.Fatal("the first attempt was not written")
 	}
-	next := &backend.Attempt{Ref: r, N: 1, Command: r.Command, Began: g.now, Stop: r.GiveUpAt}
+	next := &backend.Attempt{Ref: r, Number: 1, Command: r.Command, StartedAt: g.now, Deadline: r.GiveUpAt}
 	r.attempts = append(r.attempts, next)
 	r.out++
 	g.nodes.Start(next, "s0")
@@ -123,7 +123,7 @@
 	}
 	late := &counting{}
 	r := arriving(g, 2, late)
-	if first.answers != 1 || late.answers != 1 || late.got.Kind != Refused || len(r.attempts) != 0 {
+	if first.answers != 1 || late.answers != 1 || late.got.Kind != Rejected || len(r.attempts) != 0 {
 		t.Errorf("first %v, late %v after %d attempts", first, late, len(r.attempts))
 	}
 	wantViolations(t, g, guard.None, 0)
@@ -133,10 +133,10 @@
 func TestLateArrivalIsRefused(t *testing.T) {
 	g := newGuarded(t)
 	p := &counting{}
-	r := &Request{Key: 1, Size: 100, Place: p, Command: noCommand{}}
+	r := &Request{ClientID: 1, Size: 100, Sink: p, Command: noCommand{}}
 	r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now-time.Second
 	g.handle(arrived{r})
-	if p.answers != 1 || p.got.Kind != Refused || len(g.requests) != 0 || g.nodes.Dials() != 0 {
+	if p.answers != 1 || p.got.Kind != Rejected || len(g.requests) != 0 || g.nodes.Dials() != 0 {
 		t.Errorf("%v, %d requests, %d dials", p, len(g.requests), g.nodes.Dials())
 	}
 	wantViolations(t, g, guard.None, 0)
--- a/internal/core/halls.go
+++ b/internal/core/halls.go
@@ -49,7 +49,7 @@
 
 // HallStatus is what is known of the halls, as of a quarter of a second ago; false where [halls] is off or nothing has
 // been seen yet. It may be called by many goroutines.
-func (g *Core) HallStatus() (zones.Status, bool) {
+func (g *Core) ZoneStatus() (zones.Status, bool) {
 	if g.halls == nil {
 		return zones.Status{}, false
 	}
@@ -62,7 +62,7 @@
 
 // SetDrills says which halls are taken out on purpose, each until a time; one that is left out is let in again. It does
 // nothing where [halls] is off.
-func (g *Core) SetDrills(d map[string]time.Time) {
+func (g *Core) SetZoneDrains(d map[string]time.Time) {
 	if g.halls != nil {
 		g.post(drills(d))
 	}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -21,7 +21,7 @@
 
 // GiveOver parts what the module knows with the next process of this ingress, and returns that one's part. It is called once,
 // when no more clients are taken; the core goes on with what it has.
-func (g *Core) GiveOver(ctx context.Context) (handover.State, error) {
+func (g *Core) HandOver(ctx context.Context) (handover.State, error) {
 	got := make(chan handover.State, 1)
 	select {
 	case g.events <- giveOver{got}:
@@ -39,14 +39,14 @@
 }
 
 // TakeOver goes on from what the process before has left. It is called before clients are taken.
-func (g *Core) TakeOver(s handover.State) { g.post(takeOver{s}) }
+func (g *Core) AcceptHandover(s handover.State) { g.post(takeOver{s}) }
 
 // SetCompany tells how many other processes of this ingress there are. While there is one, this one uses half of the
 // descriptors for nodes; when there is none any more, what was out there counts no longer.
-func (g *Core) SetCompany(others int) { g.post(company(others)) }
+func (g *Core) SetSiblings(others int) { g.post(company(others)) }
 
 func (g *Core) company(others int) {
-	g.nodes.SetMost(g.nodeConns(others))
+	g.nodes.SetMaxConnections(g.nodeConns(others))
 	if others == 0 {
 		g.mod.ReleasePredecessor()
 	}
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -21,7 +21,7 @@
 // Peers is other instances, as the core needs them. None of its methods may wait for I/O.
 type Peers interface {
 	// Tell states a fact of this instance's own, seen at a time of the core's clock.
-	Tell(kind, subject string, born time.Duration, data []byte)
+	Publish(kind, subject string, born time.Duration, data []byte)
 	// Facts are all that are held of a kind, with the halls of their owners.
 	Facts(kind string) (facts []gossip.Fact, halls map[string]string)
 	// Version changes when the facts have.
@@ -46,36 +46,36 @@
 	blamed  map[policy.BackendID]bool    // of which a line was written
 	held    bool                         // blames are lifted, for there are too many
 	strange int                          // words that no instance can have meant
-	shown   atomic.Pointer[NodesStatus]
+	shown   atomic.Pointer[BackendsStatus]
 	showAt  time.Duration
 }
 
 // NodesStatus is what is believed of nodes, and from whom.
-type NodesStatus struct {
-	Lifted  bool         `json:"Lifted"`  // too many nodes are blamed at once: nobody's word counts
-	Strange int          `json:"Strange"` // words that could not be read
-	Nodes   []NodeStatus `json:"Nodes"`
+type BackendsStatus struct {
+	EjectionsLifted bool            `json:"Lifted"`  // too many nodes are blamed at once: nobody's word counts
+	Unreadable      int             `json:"Strange"` // words that could not be read
+	Backends        []BackendStatus `json:"Nodes"`
 }
 
 // NodeStatus is one node of which something is known or told.
-type NodeStatus struct {
-	Node     policy.BackendID `json:"Node"`
-	Good     float64          `json:"Good"`
-	Bad      float64          `json:"Bad"`  // this instance's own evidence
-	Own      string           `json:"Own"`  // what speaks against it here
-	Told     float64          `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
-	Cause    string           `json:"Cause"`
-	Accusers []string         `json:"Accusers"`
-	Defence  []string         `json:"Defence"` // "" is this instance
-	Why      string           `json:"Why"`
-	AgeMS    int64            `json:"AgeMS"`
-	Words    []Word           `json:"Words"`
+type BackendStatus struct {
+	Backend      policy.BackendID `json:"Node"`
+	Good         float64          `json:"Good"`
+	Bad          float64          `json:"Bad"`  // this instance's own evidence
+	OwnCause     string           `json:"Own"`  // what speaks against it here
+	PeerSlowness float64          `json:"Told"` // times the usual latency that others' word makes it; 1: nothing
+	Cause        string           `json:"Cause"`
+	Reporters    []string         `json:"Accusers"`
+	Defenders    []string         `json:"Defence"` // "" is this instance
+	Reason       string           `json:"Why"`
+	AgeMS        int64            `json:"AgeMS"`
+	Reports      []PeerReport     `json:"Words"`
 }
 
 // Word is what one other instance says.
-type Word struct {
+type PeerReport struct {
 	Owner string  `json:"Owner"`
-	Hall  string  `json:"Hall"`
+	Zone  string  `json:"Hall"`
 	Cause string  `json:"Cause"`
 	Good  float64 `json:"Good"`
 	Bad   float64 `json:"Bad"`
@@ -114,7 +114,7 @@
 type weighNow struct{}
 
 // Weigh takes in what others have told so far, before any request that is submitted later.
-func (g *Core) Weigh() { g.post(weighNow{}) }
+func (g *Core) AssessBackends() { g.post(weighNow{}) }
 
 // judge looks at nodes, and does so again and again.
 func (g *Core) judge() {
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, o := range j.teller.Select(g.now, own, accused) {
-		j.peers.Tell(outlier.FactKind, string(o.Backend), o.ObservedAt(), o.Encode())
+		j.peers.Publish(outlier.FactKind, string(o.Backend), o.ObservedAt(), o.Encode())
 	}
 	if g.now-j.weighed >= weighAgain || len(j.force) > 0 {
 		j.weighed = g.now
@@ -210,22 +210,22 @@
 
 // show lets others see what is believed.
 func (j *judgements) show(now time.Duration, own []outlier.Observation, verdicts []outlier.Assessment) {
-	s := &NodesStatus{Lifted: j.held, Strange: j.strange}
+	s := &BackendsStatus{EjectionsLifted: j.held, Unreadable: j.strange}
 	by := map[policy.BackendID]outlier.Assessment{}
 	for _, v := range verdicts {
 		by[v.Backend] = v
 	}
 	add := func(o outlier.Observation) {
 		v := by[o.Backend]
-		n := NodeStatus{Node: o.Backend, Good: o.Good, Bad: o.Bad, Told: max(1, j.force[o.Backend]), Cause: v.Cause.String(), Accusers: v.Reporters, Defence: v.Defenders, Why: v.Reason,
+		n := BackendStatus{Backend: o.Backend, Good: o.Good, Bad: o.Bad, PeerSlowness: max(1, j.force[o.Backend]), Cause: v.Cause.String(), Reporters: v.Reporters, Defenders: v.Defenders, Reason: v.Reason,
 			AgeMS: v.Age.Milliseconds()}
 		if o.Bad > 0.1 {
-			n.Own = o.Cause.String()
+			n.OwnCause = o.Cause.String()
 		}
 		for _, w := range j.heard[o.Backend] {
-			n.Words = append(n.Words, Word{w.Owner, w.Zone, w.Cause.String(), w.Good, w.Bad, (now - w.ObservedAt()).Milliseconds()})
+			n.Reports = append(n.Reports, PeerReport{w.Owner, w.Zone, w.Cause.String(), w.Good, w.Bad, (now - w.ObservedAt()).Milliseconds()})
 		}
-		s.Nodes = append(s.Nodes, n)
+		s.Backends = append(s.Backends, n)
 		delete(by, o.Backend)
 	}
 	for _, o := range own {
@@ -239,12 +239,12 @@
 
 // NodesStatus is what is believed of nodes, as of a moment ago; false where nobody tells of them. It may be called by many
 // goroutines.
-func (g *Core) NodesStatus() (NodesStatus, bool) {
+func (g *Core) BackendsStatus() (BackendsStatus, bool) {
 	if g.judged == nil {
-		return NodesStatus{}, false
+		return BackendsStatus{}, false
 	}
 	if s := g.judged.shown.Load(); s != nil {
 		return *s, true
 	}
-	return NodesStatus{}, true
+	return BackendsStatus{}, true
 }
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -17,7 +17,7 @@
 
 // WordStore keeps the operators' words on nodes where the next process of this ingress finds them. Both methods may be called
 // by many goroutines, and may take the time of a disk.
-type WordStore interface {
+type OverrideStore interface {
 	// Save puts words into stable storage, beside those that another process has put there.
 	Save([]override.Override) error
 }
@@ -26,7 +26,7 @@
 type operators struct {
 	mu    sync.Mutex
 	book  *override.Overrides
-	store WordStore     // nil: words end with the process
+	store OverrideStore // nil: words end with the process
 	spoke chan struct{} // room for one: the loop shall look at the book
 
 	// The loop's alone: the list without the operators' word, its revision, and how often one has come.
@@ -36,7 +36,7 @@
 }
 
 // Figures is what this process has done since its start.
-func (g *Core) Figures() *metrics.Set { return g.fig }
+func (g *Core) Metrics() *metrics.Set { return g.fig }
 
 // Suspend takes a node out until Resume: the list has it as draining from now on, whatever discovery says. It returns
 // suspend.ErrUnknown for a node that was never listed, and never waits for the core's goroutine.
@@ -64,7 +64,7 @@
 }
 
 // Heard takes in words that another process of this ingress has recorded. It may be called at any time.
-func (g *Core) Heard(words []override.Override) {
+func (g *Core) MergeOverrides(words []override.Override) {
 	o := &g.ops
 	o.mu.Lock()
 	changed := o.book.Merge(words)
@@ -126,16 +126,16 @@
 // overlaid tells connections, halls and the module the list as it holds under the operators' word.
 func (g *Core) overlaid(f discovery.List) {
 	ev := policy.EndpointsChanged{Complete: f.Complete, Backends: make([]policy.Backend, 0, len(f.Targets))}
-	entries := make([]backend.Entry, 0, len(f.Targets))
+	entries := make([]backend.Endpoint, 0, len(f.Targets))
 	g.ops.mu.Lock()
 	for _, t := range f.Targets {
 		s := g.ops.book.Apply(t.Server())
-		entries = append(entries, backend.Entry{Backend: s, Addr: t.Endpoint})
+		entries = append(entries, backend.Endpoint{Backend: s, Addr: t.Endpoint})
 		ev.Backends = append(ev.Backends, s)
 	}
 	g.ops.mu.Unlock()
 	g.tell(ev) // before what ends by it, which would be sent to the same nodes again
-	g.nodes.Set(entries, f.Complete)
+	g.nodes.Update(entries, f.Complete)
 	if g.judged != nil {
 		g.listJudged()
 	}
@@ -155,7 +155,7 @@
 		}
 	}
 	g.ops.mu.Unlock()
-	g.fig.Cluster(len(g.ops.listed), avoided)
+	g.fig.SetBackends(len(g.ops.listed), avoided)
 }
 
 // newFigures are the figures of the settings' classes.
@@ -172,7 +172,7 @@
 }
 
 // endOf is how a request counts that ended with an attempt.
-func endOf(o policy.Outcome) metrics.End {
+func endOf(o policy.Outcome) metrics.RequestEnd {
 	if o == policy.Succeeded {
 		return metrics.Answered
 	}
@@ -189,11 +189,11 @@
 	g.endCustody(r, a)
 	end := metrics.Errored
 	switch a.Kind {
-	case Served, Granted, Over:
+	case Served, Granted, Concluded:
 		end = metrics.Answered
-	case Refused:
+	case Rejected:
 		end = metrics.Deferred
 	}
-	g.fig.Ended(r.Class, end)
+	g.fig.RequestEnded(r.Class, end)
 	g.deliver(r, a)
 }
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -23,7 +23,7 @@
 // holding is this instance's parts of budgets, which move between instances. The loop's alone, but for shown.
 type holding struct {
 	book    *escrow.Allocator
-	works   Works
+	works   Transport
 	ticked  time.Duration
 	members []escrow.Member
 	passed  map[string]*passing
@@ -32,7 +32,7 @@
 	fullTold int           // budgets without room, in lines so far
 	fullAt   time.Duration // of the last of these lines
 
-	shown  atomic.Pointer[RightsStatus]
+	shown  atomic.Pointer[EscrowStatus]
 	showAt time.Duration
 }
 
@@ -47,7 +47,7 @@
 }
 
 func newHolding(cfg Config, now time.Duration) *holding {
-	return &holding{book: escrow.New(cfg.Settings.Index, cfg.Settings.Instances, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Rights, ticked: now, passed: map[string]*passing{}}
+	return &holding{book: escrow.New(cfg.Settings.Index, cfg.Settings.Instances, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Escrow, ticked: now, passed: map[string]*passing{}}
 }
 
 // passes counts a request's units, when it is first sent on.
@@ -71,7 +71,7 @@
 		h.members = append(h.members, escrow.Member{Name: m.Name})
 	}
 	for _, x := range ev.left {
-		h.book.PeerEnded(x.Name, x.Life)
+		h.book.PeerEnded(x.Name, x.Number)
 	}
 }
 
@@ -103,7 +103,7 @@
 	g.reportFullBook()
 	if g.now >= h.showAt {
 		h.showAt = g.now + statusEvery
-		h.shown.Store(&RightsStatus{Counts: h.book.Counts(), Budgets: h.book.Status(g.now)})
+		h.shown.Store(&EscrowStatus{Counts: h.book.Counts(), Accounts: h.book.Status(g.now)})
 	}
 }
 
@@ -148,18 +148,18 @@
 }
 
 // RightsStatus is what is held of budgets, for people and tests.
-type RightsStatus struct {
+type EscrowStatus struct {
 	escrow.Counts
-	Budgets []escrow.Status `json:"Budgets"`
+	Accounts []escrow.Status `json:"Budgets"`
 }
 
 // RightsStatus is what this instance holds, as of a moment ago; false where parts are even. It may be called by many goroutines.
-func (g *Core) RightsStatus() (RightsStatus, bool) {
+func (g *Core) EscrowStatus() (EscrowStatus, bool) {
 	if g.holding == nil {
-		return RightsStatus{}, false
+		return EscrowStatus{}, false
 	}
 	if s := g.holding.shown.Load(); s != nil {
 		return *s, true
 	}
-	return RightsStatus{}, true
+	return EscrowStatus{}, true
 }
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -16,7 +16,7 @@
 
 func (h *heldStore) Add(k *store.Call)     { h.calls = append(h.calls, k) }
 func (*heldStore) Run(ctx context.Context) { <-ctx.Done() }
-func (*heldStore) Move(string)             {}
+func (*heldStore) SetAddress(string)             {}
 
 // The module hears of each call once: an answer after the time-out is dropped.
 func TestCounterLateAnswerIsDropped(t *testing.T) {
@@ -61,7 +61,7 @@
 			g.cfg.Settings.CounterTimeout = 80 * time.Millisecond
 			g.count(policy.AddToCounter{Name: "a", Add: 1})
 			if c.taken {
-				held.calls[0].Take()
+				held.calls[0].Claim()
 			}
 			g.now += g.cfg.Settings.CounterTimeout
 			for len(g.queue) == 0 && len(g.alarms) > 0 && g.alarms[0].at <= g.now {
@@ -70,7 +70,7 @@
 			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want {
 				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
 			}
-			if held.calls[0].Take() {
+			if held.calls[0].Claim() {
 				t.Fatal("a call that was answered may still be sent")
 			}
 		})
--- a/internal/core/summary_test.go
+++ b/internal/core/summary_test.go
@@ -23,12 +23,12 @@
 	run(t, g)
 	g.summarize()
 	p := &place{}
-	g.handle(arrived{&Request{Request: policy.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Place: p, Key: 1, Command: noCommand{}}})
+	g.handle(arrived{&Request{Request: policy.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Sink: p, ClientID: 1, Command: noCommand{}}})
 	for range 220 { // the module's sweeps are timers too
 		g.now += 10 * time.Millisecond
 		g.ring()
 	}
-	if p.got.Kind != Refused {
+	if p.got.Kind != Rejected {
 		t.Fatalf("answer %+v, want a refusal: there is no node", p.got)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -18,19 +18,19 @@
 )
 
 // Works carries bytes between instances. None of its methods may wait for I/O.
-type Works interface {
+type Transport interface {
 	// Send sends bytes to a member, as well as can be.
 	Send(to string, data []byte)
 	// ClockOf is the newest reading of a member's clock that was heard.
-	ClockOf(name string) time.Duration
+	ClockReading(name string) time.Duration
 }
 
 // Takeover is what the core needs so that work in hand survives an instance.
 type Takeover struct {
-	Self    takeover.Member
-	Life    uint64
-	Works   Works
-	Rebuild func(words [][]byte) (*Request, error) // a request of another instance's, from its command's words
+	Self        takeover.Member
+	Incarnation uint64
+	Transport   Transport
+	Rebuild     func(words [][]byte) (*Request, error) // a request of another instance's, from its command's words
 }
 
 // The events of custody.
@@ -42,16 +42,16 @@
 	}
 	fellows struct {
 		members []takeover.Member // who is there, this instance not among them
-		gone    []Life
-		back    []Life
-		left    []Life // of gone: those that have surely ended
+		gone    []Incarnation
+		back    []Incarnation
+		left    []Incarnation // of gone: those that have surely ended
 	}
 )
 
 // Life is one life of a member.
-type Life struct {
-	Name string
-	Life uint64
+type Incarnation struct {
+	Name   string
+	Number uint64
 }
 
 // taking is custody of keyed work: what waits for a keeper's word, and what is kept for others. The loop's alone.
@@ -77,17 +77,17 @@
 }
 
 func newTaking(cfg Takeover) *taking {
-	return &taking{cfg: cfg, desk: takeover.NewCoordinator(cfg.Self, cfg.Life, cfg.Works.ClockOf), byTry: map[uint64]*Request{}}
+	return &taking{cfg: cfg, desk: takeover.NewCoordinator(cfg.Self, cfg.Incarnation, cfg.Transport.ClockReading), byTry: map[uint64]*Request{}}
 }
 
 // HeardWork takes in what another instance's life has sent.
-func (g *Core) HeardWork(from string, life uint64, data []byte) {
+func (g *Core) ReceiveMessage(from string, life uint64, data []byte) {
 	g.post(heardWork{from, life, data})
 }
 
 // Fellows tells who else is there now, and which lives have ended or begun since.
 // left are those of ended of which that is sure.
-func (g *Core) Fellows(members []takeover.Member, ended, begun, left []Life) {
+func (g *Core) UpdateMembers(members []takeover.Member, ended, begun, left []Incarnation) {
 	g.post(fellows{members, ended, begun, left})
 }
 
@@ -124,10 +124,10 @@
 		return
 	}
 	for _, x := range ev.gone { // first: where a later life is there already, that one counts
-		t.desk.MemberLeft(g.now, x.Name, x.Life)
+		t.desk.MemberLeft(g.now, x.Name, x.Number)
 	}
 	for _, x := range ev.back {
-		t.desk.MemberReturned(x.Name, x.Life)
+		t.desk.MemberReturned(x.Name, x.Number)
 	}
 	t.desk.SetMembers(append([]takeover.Member{t.cfg.Self}, ev.members...))
 	g.drainDesk()
@@ -141,18 +141,18 @@
 	g.drainDesk()
 	if g.now >= t.showAt {
 		t.showAt = g.now + statusEvery
-		s := &WorkStatus{Counts: t.desk.Counts(), Unread: g.unread}
-		s.InHand, s.Records, s.Bytes = t.desk.Pending()
+		s := &WorkStatus{Counts: t.desk.Counts(), Unreadable: g.unread}
+		s.Pending, s.Records, s.Bytes = t.desk.Pending()
 		t.shown.Store(s)
 	}
 }
 
 // WorkStatus is what is in custody here, for people and tests.
 type WorkStatus struct {
-	InHand  int `json:"InHand"`  // of this instance's clients, and taken over
-	Records int `json:"Records"` // that it keeps for all
-	Bytes   int `json:"Bytes"`   // that they take
-	Unread  int `json:"Unread"`  // messages that could not be read
+	Pending    int `json:"InHand"`  // of this instance's clients, and taken over
+	Records    int `json:"Records"` // that it keeps for all
+	Bytes      int `json:"Bytes"`   // that they take
+	Unreadable int `json:"Unread"`  // messages that could not be read
 	takeover.Counts
 }
 
@@ -169,19 +169,19 @@
 
 // covers says whether keepers can hold a request.
 func (g *Core) covers(r *Request) bool {
-	if g.classes[r.Class].Effect != policy.Keyed || r.Idem == "" || r.Size > takeover.MaxBody {
+	if g.classes[r.Class].Effect != policy.Keyed || r.IdempotencyKey == "" || r.Size > takeover.MaxBody {
 		return false
 	}
-	_, ok := r.Command.(interface{ Words() [][]byte })
+	_, ok := r.Command.(interface{ Args() [][]byte })
 	return ok
 }
 
 // workKey is what a piece of keyed work is known by among all instances.
-func workKey(r *Request) string { return r.Tenant + "/" + r.Idem }
+func workKey(r *Request) string { return r.Tenant + "/" + r.IdempotencyKey }
 
 func (g *Core) workOf(r *Request) takeover.Work {
 	return takeover.Work{Key: workKey(r), Class: r.Class, Plan: r.Plan, Tenant: r.Tenant, Units: r.Units, Spread: r.Spread, First: r.First,
-		IdempotencyWindow: g.classes[r.Class].RepeatWindow, Command: r.Command.(interface{ Words() [][]byte }).Words()}
+		IdempotencyWindow: g.classes[r.Class].RepeatWindow, Command: r.Command.(interface{ Args() [][]byte }).Args()}
 }
 
 // accept lets keepers hold a request that waits here: should this instance end, another sends it.
@@ -190,10 +190,10 @@
 		return
 	}
 	r.kept = &keeping{at: takeover.ScopeNone}
-	g.taking.byTry[r.Key] = r
+	g.taking.byTry[r.ClientID] = r
 	w := g.workOf(r)
 	w.Charged = g.mod.IsQueued(r.ID)
-	g.taking.desk.RequestSend(g.now, w, r.Key, takeover.ScopeNone, r.GiveUpAt)
+	g.taking.desk.RequestSend(g.now, w, r.ClientID, takeover.ScopeNone, r.GiveUpAt)
 	g.drainDesk()
 }
 
@@ -206,14 +206,14 @@
 	switch {
 	case r.kept == nil:
 		r.kept = &keeping{at: at, waits: a, to: to}
-		g.taking.byTry[r.Key] = r
-		g.taking.desk.RequestSend(g.now, g.workOf(r), r.Key, at, r.GiveUpAt)
+		g.taking.byTry[r.ClientID] = r
+		g.taking.desk.RequestSend(g.now, g.workOf(r), r.ClientID, at, r.GiveUpAt)
 	case r.kept.at == at:
 		r.kept.went(a)
 		return false
 	default: // what went out before surely never ran
 		r.kept.at, r.kept.waits, r.kept.to = at, a, to
-		g.taking.desk.MigrateAttempt(g.now, r.Key, at)
+		g.taking.desk.MigrateAttempt(g.now, r.ClientID, at)
 	}
 	g.drainDesk()
 	return true
@@ -224,19 +224,19 @@
 // that it is refused.
 func (g *Core) askForAnswer(r *Request, after time.Duration) bool {
 	if r != nil && !r.final && r.kept != nil && !r.kept.joined && r.kept.refuse == nil && r.kept.waits == nil && r.kept.ran <= 0 && r.out == 0 { // another may have taken it over
-		r.kept.refuse, r.kept.was = &Answer{Kind: Refused, RetryAfter: after}, true
-		g.taking.desk.ConfirmRejection(g.now, r.Key)
+		r.kept.refuse, r.kept.was = &Answer{Kind: Rejected, RetryAfter: after}, true
+		g.taking.desk.ConfirmRejection(g.now, r.ClientID)
 		g.drainDesk()
 		return true
 	}
-	if r == nil || r.final || r.kept != nil || r.out > 0 || len(r.attempts) > 0 || r.Idem == "" || g.classes[r.Class].Effect != policy.Keyed {
+	if r == nil || r.final || r.kept != nil || r.out > 0 || len(r.attempts) > 0 || r.IdempotencyKey == "" || g.classes[r.Class].Effect != policy.Keyed {
 		return false
 	}
-	refuse := &Answer{Kind: Refused, RetryAfter: after}
+	refuse := &Answer{Kind: Rejected, RetryAfter: after}
 	r.kept = &keeping{refuse: refuse}
-	g.taking.byTry[r.Key] = r
-	if !g.taking.desk.QueryOutcome(g.now, workKey(r), r.Key, r.GiveUpAt) {
-		delete(g.taking.byTry, r.Key)
+	g.taking.byTry[r.ClientID] = r
+	if !g.taking.desk.QueryOutcome(g.now, workKey(r), r.ClientID, r.GiveUpAt) {
+		delete(g.taking.byTry, r.ClientID)
 		r.kept = nil
 		return false
 	}
@@ -267,7 +267,7 @@
 			if err != nil { // of plain fields
 				panic(err)
 			}
-			t.cfg.Works.Send(o.To, b)
+			t.cfg.Transport.Send(o.To, b)
 		}
 		if len(acts) == 0 {
 			return
@@ -303,11 +303,11 @@
 		if r.kept.waits = nil; w == nil {
 			return
 		}
-		if w.Stop <= g.now {
-			g.nodes.Moot(w, r.kept.to)
+		if w.Deadline <= g.now {
+			g.nodes.CancelUnsent(w, r.kept.to)
 			return
 		}
-		g.taking.desk.AttemptSent(g.now, r.Key)
+		g.taking.desk.AttemptSent(g.now, r.ClientID)
 		r.kept.went(w)
 		g.launch(r, w, r.kept.to)
 	case takeover.ActionJoin:
@@ -330,14 +330,14 @@
 		g.again(r, &policy.Prior{Zone: a.Scope.Zone, Cell: a.Scope.Rack, At: a.StartedAt})
 	case takeover.ActionAbort:
 		g.withdraw(r)
-		g.answer(r, Answer{Kind: Refused, RetryAfter: FullRetry})
+		g.answer(r, Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 	}
 }
 
 // went counts an attempt that goes out: it may run.
 func (k *keeping) went(a *backend.Attempt) {
 	k.ran++
-	k.out |= 1 << min(a.N, 63)
+	k.out |= 1 << min(a.Number, 63)
 }
 
 // left takes the end of an attempt that surely never ran out of the count.
@@ -358,7 +358,7 @@
 		return
 	}
 	r.out--
-	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: w.N, Backend: r.kept.to, Outcome: policy.NotSent, Finished: true, Unsent: true})
+	g.tell(policy.AttemptEnded{ID: r.ID, Attempt: w.Number, Backend: r.kept.to, Outcome: policy.NotSent, Finished: true, Unsent: true})
 }
 
 // again hands a request to the module once more, under a number of its own.
@@ -376,12 +376,12 @@
 
 // calledOff ends an attempt that waits for the keepers' word.
 func (g *Core) calledOff(r *Request, n int) bool {
-	if r.kept == nil || r.kept.waits == nil || r.kept.waits.N != n {
+	if r.kept == nil || r.kept.waits == nil || r.kept.waits.Number != n {
 		return false
 	}
 	w := r.kept.waits
 	r.kept.waits = nil
-	g.nodes.Moot(w, r.kept.to)
+	g.nodes.CancelUnsent(w, r.kept.to)
 	return true
 }
 
@@ -392,7 +392,7 @@
 		return
 	}
 	k.ended = true
-	delete(g.taking.byTry, r.Key)
+	delete(g.taking.byTry, r.ClientID)
 	end := takeover.Answer{Kind: takeover.AnswerFailed}
 	switch {
 	case a.Kind == Served:
@@ -400,7 +400,7 @@
 	case k.ran <= 0:
 		end.Kind = takeover.AnswerNeverRan
 	}
-	g.taking.desk.Complete(g.now, r.Key, end)
+	g.taking.desk.Complete(g.now, r.ClientID, end)
 	g.drainDesk()
 }
 
@@ -408,14 +408,14 @@
 type takenPlace struct{}
 
 // Answer is Place's.
-func (takenPlace) Answer(a Answer) {
+func (takenPlace) Deliver(a Answer) {
 	if a.Stream != nil {
 		a.Stream.Close()
 	}
 }
 
 // Gone is Place's: whoever comes back for the answer of work that is taken over asks for it by its key.
-func (takenPlace) Gone() bool { return false }
+func (takenPlace) Disconnected() bool { return false }
 
 // finish goes on with a piece of work whose instance has gone.
 func (g *Core) finish(t takeover.TakenWork) {
@@ -432,12 +432,12 @@
 		fail("its command is none", err)
 		return
 	}
-	r.Place, r.GiveUpAt = takenPlace{}, t.Deadline
+	r.Sink, r.GiveUpAt = takenPlace{}, t.Deadline
 	if len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.Size > g.mostHeld {
 		fail("no room", nil)
 		return
 	}
-	g.fig.Took()
+	g.fig.RequestAccepted()
 	g.lastID++
 	r.ID, r.came = g.lastID, g.now
 	r.kept, r.Charged = &keeping{at: t.Scope}, t.Charged || t.Scope != takeover.ScopeNone
@@ -449,7 +449,7 @@
 	g.taking.byTry[t.Attempt] = r
 	g.requests[r.ID] = r
 	g.heldBytes += r.Size
-	g.log.Info("work is taken over", "from", t.Owner, "sent", t.Scope != takeover.ScopeNone, "class", r.Class, "key", r.Idem, "left", (t.Deadline - g.now).Round(time.Millisecond))
+	g.log.Info("work is taken over", "from", t.Owner, "sent", t.Scope != takeover.ScopeNone, "class", r.Class, "key", r.IdempotencyKey, "left", (t.Deadline - g.now).Round(time.Millisecond))
 	g.tell(policy.Arrival{Request: r.Request})
 	g.at(r.GiveUpAt+overdue, func() { g.cutOff(r) })
 }
--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -30,28 +30,28 @@
 
 // Core is what the front wants of the core.
 type Core interface {
-	Ask(r *core.Request, id string, print uint64, place core.Place)
-	Leave(id string, place core.Place)
-	Report(name string, out lease.Outcome, tell func(core.ReportAnswer))
+	RequestLease(r *core.Request, id string, print uint64, place core.ReplySink)
+	CancelWait(id string, place core.ReplySink)
+	ReportOutcome(name string, out lease.Outcome, tell func(core.ReportResult))
 	Class(name string) (policy.Class, bool)
 	Plan(name string) bool
-	Gateways() int
-	MostUnits() float64
+	Instances() int
+	MaxUnits() float64
 	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
 // Config is the front's settings, checked.
 type Config struct {
-	Prefix      string         // of the paths of calls, left out of the original's: Envoy's path_prefix
-	Trusted     []netip.Prefix // who may call; others are answered 401
-	Header      string         // beginning of the names of its own headers: X-Hitch
-	MostCalls   int            // at once; further ones are answered 503
-	MostConns   int            // at once; further ones are closed
-	MostHeader  int            // bytes
-	MostBody    int64          // bytes of a report
-	HeaderTime  time.Duration  // for a call's headers
-	IdleTime    time.Duration  // of a connection between calls
-	MostReports int            // in one call
+	Prefix         string         // of the paths of calls, left out of the original's: Envoy's path_prefix
+	Trusted        []netip.Prefix // who may call; others are answered 401
+	Header         string         // beginning of the names of its own headers: X-Hitch
+	MaxCalls       int            // at once; further ones are answered 503
+	MaxConnections int            // at once; further ones are closed
+	MaxHeaderBytes int            // bytes
+	MaxBodyBytes   int64          // bytes of a report
+	HeaderTimeout  time.Duration  // for a call's headers
+	IdleTimeout    time.Duration  // of a connection between calls
+	MaxReports     int            // in one call
 }
 
 // Front answers calls. It is safe for many goroutines.
@@ -71,11 +71,11 @@
 
 // New returns a front that does not serve yet. Its metrics are registered with reg.
 func New(cfg Config, table *Table, c Core, log *slog.Logger, reg prometheus.Registerer) *Front {
-	f := &Front{cfg: cfg, core: c, log: log, calls: make(chan struct{}, cfg.MostCalls), ended: make(chan struct{}), met: newMetrics(reg)}
+	f := &Front{cfg: cfg, core: c, log: log, calls: make(chan struct{}, cfg.MaxCalls), ended: make(chan struct{}), met: newMetrics(reg)}
 	f.key.Store(1 << 63) // apart from the ids of other fronts
 	f.table.Store(table)
-	f.srv = &http.Server{Handler: f.handler(), ReadHeaderTimeout: cfg.HeaderTime, ReadTimeout: cfg.HeaderTime + 5*time.Second, IdleTimeout: cfg.IdleTime,
-		MaxHeaderBytes: cfg.MostHeader, ConnState: f.connState,
+	f.srv = &http.Server{Handler: f.handler(), ReadHeaderTimeout: cfg.HeaderTimeout, ReadTimeout: cfg.HeaderTimeout + 5*time.Second, IdleTimeout: cfg.IdleTimeout,
+		MaxHeaderBytes: cfg.MaxHeaderBytes, ConnState: f.connState,
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) }, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	f.srv.Protocols = new(http.Protocols)
 	f.srv.Protocols.SetHTTP1(true)
@@ -114,7 +114,7 @@
 func (f *Front) connState(nc net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
-		if f.conns.Add(1) > int64(f.cfg.MostConns) {
+		if f.conns.Add(1) > int64(f.cfg.MaxConnections) {
 			f.met.shed.WithLabelValues("connections").Inc()
 			nc.Close()
 		}
@@ -171,10 +171,10 @@
 	conn   net.Conn        // that the call came on; nil: not known
 }
 
-func (p *place) Answer(a core.Answer) { p.got <- a } // it has room for the one
+func (p *place) Deliver(a core.Answer) { p.got <- a } // it has room for the one
 
 // Gone reports whether the caller has hung up, whether or not the server has come to that.
-func (p *place) Gone() bool {
+func (p *place) Disconnected() bool {
 	return p.caller.Err() != nil || p.conn != nil && socket.HungUp(p.conn)
 }
 
@@ -184,7 +184,7 @@
 // ask answers one call.
 func (f *Front) ask(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	if r.ContentLength > f.cfg.MostBody {
+	if r.ContentLength > f.cfg.MaxBodyBytes {
 		f.problem(w, r, http.StatusRequestEntityTooLarge, "a call has no use for a body of this size", 0)
 		return
 	}
@@ -204,13 +204,13 @@
 	}
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	p := &place{got: make(chan core.Answer, 1), caller: r.Context(), conn: conn}
-	f.core.Ask(req, id, print, p)
+	f.core.RequestLease(req, id, print, p)
 	select {
 	case a := <-p.got:
 		f.met.took.Observe(time.Since(began).Seconds())
 		f.answer(w, r, a)
 	case <-r.Context().Done():
-		f.core.Leave(id, p)
+		f.core.CancelWait(id, p)
 		f.met.asks.WithLabelValues("left").Inc()
 	}
 }
@@ -224,13 +224,13 @@
 		f.met.asks.WithLabelValues("granted").Inc()
 		f.grant(h, a.Grant)
 		w.WriteHeader(http.StatusOK)
-	case core.Refused:
+	case core.Rejected:
 		f.met.asks.WithLabelValues("refused").Inc()
 		f.problem(w, r, http.StatusTooManyRequests, "the channel's quota or the fleet has no room for this now; it was not sent", max(a.RetryAfter, time.Millisecond))
-	case core.Over:
+	case core.Concluded:
 		f.met.asks.WithLabelValues("over").Inc()
 		f.problem(w, r, http.StatusConflict, "the request of this id is over: "+a.State.String(), 0)
-	case core.Other:
+	case core.Mismatched:
 		f.met.asks.WithLabelValues("other").Inc()
 		f.problem(w, r, http.StatusConflict, "a request of this id was asked with other particulars", 0)
 	default:
@@ -242,7 +242,7 @@
 func (f *Front) grant(h http.Header, g core.Grant) {
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	h.Set(f.cfg.Header+"-Node", g.Addr)
-	h.Set(f.cfg.Header+"-Node-Id", g.Node)
+	h.Set(f.cfg.Header+"-Node-Id", g.Backend)
 	h.Set(f.cfg.Header+"-Lease", g.Lease)
 	h.Set(f.cfg.Header+"-Attempt", strconv.Itoa(g.Attempt))
 	h.Set(f.cfg.Header+"-Start-Within-Ms", ms(g.StartWithin))
@@ -321,13 +321,13 @@
 	if req.Units == 0 {
 		req.Units = 1
 	}
-	if !(req.Units > 0) || req.Units > f.core.MostUnits() {
-		return nil, "", 0, fmt.Errorf("units %v is out of range, up to %v", req.Units, f.core.MostUnits())
+	if !(req.Units > 0) || req.Units > f.core.MaxUnits() {
+		return nil, "", 0, fmt.Errorf("units %v is out of range, up to %v", req.Units, f.core.MaxUnits())
 	}
-	req.Spread, req.First = f.core.Gateways(), 0
+	req.Spread, req.First = f.core.Instances(), 0
 	if v := get("Set"); v != "" {
-		if _, err := fmt.Sscanf(v, "%d/%d", &req.Spread, &req.First); err != nil || req.Spread < 1 || req.Spread > f.core.Gateways() || req.First < 0 || req.First >= f.core.Gateways() {
-			return nil, "", 0, fmt.Errorf("set %q is no SPREAD/FIRST within %d instances", v, f.core.Gateways())
+		if _, err := fmt.Sscanf(v, "%d/%d", &req.Spread, &req.First); err != nil || req.Spread < 1 || req.Spread > f.core.Instances() || req.First < 0 || req.First >= f.core.Instances() {
+			return nil, "", 0, fmt.Errorf("set %q is no SPREAD/FIRST within %d instances", v, f.core.Instances())
 		}
 	}
 	wait := class.Deadline
@@ -343,10 +343,10 @@
 	if class.Effect == policy.Keyed && (key == "" || len(key) > mostKey) {
 		return nil, "", 0, fmt.Errorf("class %s wants a key of up to %d characters", req.Class, mostKey)
 	}
-	req.Key = f.key.Add(1)
+	req.ClientID = f.key.Add(1)
 	req.Size = 256
 	if id = get("Id"); id == "" {
-		id = fmt.Sprintf("\x00%d", req.Key) // nobody can ask for it again
+		id = fmt.Sprintf("\x00%d", req.ClientID) // nobody can ask for it again
 	}
 	if len(id) > mostID {
 		return nil, "", 0, fmt.Errorf("id %q is longer than %d characters", id[:mostID], mostID)
@@ -391,8 +391,8 @@
 	if !f.body(w, r, &in) {
 		return
 	}
-	if len(in) > f.cfg.MostReports {
-		f.problem(w, r, http.StatusRequestEntityTooLarge, fmt.Sprintf("%d reports in one call, %d at most", len(in), f.cfg.MostReports), 0)
+	if len(in) > f.cfg.MaxReports {
+		f.problem(w, r, http.StatusRequestEntityTooLarge, fmt.Sprintf("%d reports in one call, %d at most", len(in), f.cfg.MaxReports), 0)
 		return
 	}
 	out := make([]reported, 0, len(in))
@@ -407,7 +407,7 @@
 }
 
 func (f *Front) body(w http.ResponseWriter, r *http.Request, into any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, f.cfg.MostBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, f.cfg.MaxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
 		status := http.StatusBadRequest
@@ -434,9 +434,9 @@
 		f.met.reports.WithLabelValues("unreadable").Inc()
 		return reported{Lease: in.Lease, Status: http.StatusBadRequest, Error: fmt.Sprintf("outcome %q is none of served, refused, failed, unsent", in.Outcome)}, true
 	}
-	got := make(chan core.ReportAnswer, 1)
-	f.core.Report(in.Lease, o, func(a core.ReportAnswer) { got <- a })
-	var a core.ReportAnswer
+	got := make(chan core.ReportResult, 1)
+	f.core.ReportOutcome(in.Lease, o, func(a core.ReportResult) { got <- a })
+	var a core.ReportResult
 	select {
 	case a = <-got:
 	case <-ctx.Done():
@@ -466,7 +466,7 @@
 		for k := range h {
 			out.Next[k] = h.Get(k)
 		}
-	case core.Refused:
+	case core.Rejected:
 		out.Retry = max(1, a.Next.RetryAfter.Milliseconds())
 	}
 	return out, true
--- a/internal/front/forwardauth/front_test.go
+++ b/internal/front/forwardauth/front_test.go
@@ -30,15 +30,15 @@
 // fake is a core that answers as the test says.
 type fake struct {
 	mu     sync.Mutex
-	answer func(r *core.Request, id string, p core.Place)
-	report func(name string, o lease.Outcome) core.ReportAnswer
+	answer func(r *core.Request, id string, p core.ReplySink)
+	report func(name string, o lease.Outcome) core.ReportResult
 	asked  []*core.Request
 	ids    []string
 	prints []uint64
 	left   chan string
 }
 
-func (f *fake) Ask(r *core.Request, id string, print uint64, p core.Place) {
+func (f *fake) RequestLease(r *core.Request, id string, print uint64, p core.ReplySink) {
 	f.mu.Lock()
 	f.asked, f.ids, f.prints = append(f.asked, r), append(f.ids, id), append(f.prints, print)
 	do := f.answer
@@ -47,8 +47,8 @@
 		do(r, id, p)
 	}
 }
-func (f *fake) Leave(id string, _ core.Place) { f.left <- id }
-func (f *fake) Report(name string, o lease.Outcome, tell func(core.ReportAnswer)) {
+func (f *fake) CancelWait(id string, _ core.ReplySink) { f.left <- id }
+func (f *fake) ReportOutcome(name string, o lease.Outcome, tell func(core.ReportResult)) {
 	tell(f.report(name, o))
 }
 func (f *fake) Class(name string) (policy.Class, bool) {
@@ -56,14 +56,14 @@
 	return c, c.Name != ""
 }
 func (f *fake) Plan(name string) bool { return name == "storby" }
-func (f *fake) Gateways() int         { return 3 }
-func (f *fake) MostUnits() float64    { return 6 }
+func (f *fake) Instances() int        { return 3 }
+func (f *fake) MaxUnits() float64     { return 6 }
 func (f *fake) GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration {
 	return min(d, 2*c.Deadline)
 }
 
-func grantAll(_ *core.Request, _ string, p core.Place) {
-	p.Answer(core.Answer{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Node: "node-1", Addr: "10.0.0.1:99", StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}})
+func grantAll(_ *core.Request, _ string, p core.ReplySink) {
+	p.Deliver(core.Answer{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Backend: "node-1", Addr: "10.0.0.1:99", StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}})
 }
 
 // start serves a front on loopback; trusted are those who may call.
@@ -73,8 +73,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, MostCalls: 100, MostConns: 200, MostHeader: 4096, MostBody: 1024,
-		HeaderTime: 300 * time.Millisecond, IdleTime: time.Minute, MostReports: 3}
+	cfg := Config{Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, MaxCalls: 100, MaxConnections: 200, MaxHeaderBytes: 4096, MaxBodyBytes: 1024,
+		HeaderTimeout: 300 * time.Millisecond, IdleTimeout: time.Minute, MaxReports: 3}
 	if change != nil {
 		change(&cfg)
 	}
@@ -125,13 +125,13 @@
 		want   string
 	}{
 		"granted":  {core.Answer{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Addr: "10.0.0.1:99"}}, 200, ""},
-		"refused":  {core.Answer{Kind: core.Refused, RetryAfter: 1200 * time.Millisecond}, 429, `"retry_after_ms":1200`},
+		"refused":  {core.Answer{Kind: core.Rejected, RetryAfter: 1200 * time.Millisecond}, 429, `"retry_after_ms":1200`},
 		"failed":   {core.Answer{Kind: core.Failed}, 503, `"status":503`},
-		"over":     {core.Answer{Kind: core.Over, State: lease.Served}, 409, "over: served"},
-		"another":  {core.Answer{Kind: core.Other}, 409, "other particulars"},
-		"repeated": {core.Answer{Kind: core.Repeated}, 503, ""},
+		"over":     {core.Answer{Kind: core.Concluded, State: lease.Served}, 409, "over: served"},
+		"another":  {core.Answer{Kind: core.Mismatched}, 409, "other particulars"},
+		"repeated": {core.Answer{Kind: core.Duplicate}, 503, ""},
 	} {
-		f := &fake{answer: func(_ *core.Request, _ string, p core.Place) { p.Answer(c.a) }}
+		f := &fake{answer: func(_ *core.Request, _ string, p core.ReplySink) { p.Deliver(c.a) }}
 		addr, _ := start(t, f, nil)
 		for _, method := range []string{"GET", "HEAD", "POST"} {
 			resp, body := call(t, method, addr, "/any", "", plain...)
@@ -267,18 +267,18 @@
 }
 
 func TestReports(t *testing.T) {
-	f := &fake{report: func(name string, o lease.Outcome) core.ReportAnswer {
+	f := &fake{report: func(name string, o lease.Outcome) core.ReportResult {
 		switch name {
 		case "gone":
-			return core.ReportAnswer{Err: lease.ErrUnknown}
+			return core.ReportResult{Err: lease.ErrUnknown}
 		case "late":
-			return core.ReportAnswer{Err: lease.ErrLate, State: lease.Expired}
+			return core.ReportResult{Err: lease.ErrLate, State: lease.Expired}
 		case "other":
-			return core.ReportAnswer{Err: lease.ErrConflict, State: lease.Served}
+			return core.ReportResult{Err: lease.ErrConflict, State: lease.Served}
 		case "again":
-			return core.ReportAnswer{First: true, State: lease.Granted, Next: core.Answer{Kind: core.Granted, Grant: core.Grant{Lease: "next", Addr: "10.0.0.2:99"}}}
+			return core.ReportResult{First: true, State: lease.Granted, Next: core.Answer{Kind: core.Granted, Grant: core.Grant{Lease: "next", Addr: "10.0.0.2:99"}}}
 		}
-		return core.ReportAnswer{First: true, State: lease.Served}
+		return core.ReportResult{First: true, State: lease.Served}
 	}}
 	addr, _ := start(t, f, nil)
 	for _, c := range []struct {
@@ -390,7 +390,7 @@
 // Beyond the most calls at once further ones are told to come back; a caller that leaves is told of.
 func TestBounds(t *testing.T) {
 	f := &fake{left: make(chan string, 10)}
-	addr, _ := start(t, f, func(c *Config) { c.MostCalls = 1 })
+	addr, _ := start(t, f, func(c *Config) { c.MaxCalls = 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/x", nil)
 	if err != nil {
@@ -471,7 +471,7 @@
 // Whatever a report's body, the answer is one of the known statuses.
 func FuzzReport(f *testing.F) {
 	f.Add(`{"outcome":"served"}`)
-	front := New(Config{Header: "X-Hitch", MostCalls: 1, MostConns: 1, MostBody: 1024, MostReports: 3}, &Table{}, &fake{report: func(string, lease.Outcome) core.ReportAnswer { return core.ReportAnswer{First: true} }},
+	front := New(Config{Header: "X-Hitch", MaxCalls: 1, MaxConnections: 1, MaxBodyBytes: 1024, MaxReports: 3}, &Table{}, &fake{report: func(string, lease.Outcome) core.ReportResult { return core.ReportResult{First: true} }},
 		slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 	f.Fuzz(func(t *testing.T, body string) {
 		var in report
--- a/internal/front/forwardauth/golden_test.go
+++ b/internal/front/forwardauth/golden_test.go
@@ -21,10 +21,10 @@
 	f := &Front{cfg: Config{Header: "X-Hitch"}, met: newMetrics(prometheus.NewRegistry())}
 	var all bytes.Buffer
 	for _, a := range []core.Answer{
-		{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Node: "node-1", Addr: "10.0.0.1:99", Attempt: 2, StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}},
-		{Kind: core.Refused, RetryAfter: 1500 * time.Millisecond},
-		{Kind: core.Over, State: lease.Served},
-		{Kind: core.Other},
+		{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Backend: "node-1", Addr: "10.0.0.1:99", Attempt: 2, StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}},
+		{Kind: core.Rejected, RetryAfter: 1500 * time.Millisecond},
+		{Kind: core.Concluded, State: lease.Served},
+		{Kind: core.Mismatched},
 		{Kind: core.Failed},
 	} {
 		w := httptest.NewRecorder()
--- a/internal/front/resp/accept_test.go
+++ b/internal/front/resp/accept_test.go
@@ -49,7 +49,7 @@
 	drained := make(chan int, 1)
 	go func() {
 		f.Drain(context.Background())
-		drained <- f.Open()
+		drained <- f.OpenConnections()
 	}()
 	for !f.terminating.Load() {
 		time.Sleep(time.Millisecond)
@@ -63,7 +63,7 @@
 			drained <- 0
 		case <-time.After(100 * time.Millisecond):
 		}
-		r.Place.Answer(core.Answer{Kind: core.Refused})
+		r.Sink.Deliver(core.Answer{Kind: core.Rejected})
 	case <-time.After(10 * time.Second):
 		t.Fatal("the request was not taken")
 	}
--- a/internal/front/resp/age_test.go
+++ b/internal/front/resp/age_test.go
@@ -73,7 +73,7 @@
 			if age := time.Since(v.start) - r.GiveUpAt; i >= mostPipelined && age < waited-peerClosedLook {
 				t.Fatalf("command %d came %v ago, its time counts from %v ago", i, time.Since(v.start), age)
 			}
-			r.Place.Answer(core.Answer{Kind: core.Served, Value: []byte("v")})
+			r.Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("v")})
 		}
 	})
 }
@@ -93,7 +93,7 @@
 		if age < passed-peerClosedLook {
 			t.Errorf("the command came %v ago, its time counts from %v ago", passed, age)
 		}
-		r.Place.Answer(core.Answer{Kind: core.Served, Value: []byte("v")})
+		r.Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("v")})
 	})
 }
 
--- a/internal/front/resp/command.go
+++ b/internal/front/resp/command.go
@@ -71,8 +71,8 @@
 		return nil, err
 	}
 	r := &core.Request{}
-	r.Key, r.Tenant = id, strings.ToLower(string(args[1])) // one number, one customer
-	r.Class, r.Plan, r.Units, r.Idem = given.class, given.plan, given.units, given.key
+	r.ClientID, r.Tenant = id, strings.ToLower(string(args[1])) // one number, one customer
+	r.Class, r.Plan, r.Units, r.IdempotencyKey = given.class, given.plan, given.units, given.key
 	r.Spread, r.First = int(given.spread), int(given.first)
 	// A client that says it will wait for ever is not believed.
 	r.GiveUpAt = f.core.GiveUpAt(class, at, time.Duration(given.deadline)*time.Millisecond)
@@ -139,7 +139,7 @@
 // plan and set from the first request that names it, so only what can be true goes on.
 func (f *Front) check(given fields, do bool) (policy.Class, error) {
 	class, known := f.core.Class(given.class)
-	gateways := uint64(f.core.Gateways())
+	gateways := uint64(f.core.Instances())
 	switch {
 	case !known:
 		return class, errors.New("unknown class")
@@ -153,14 +153,14 @@
 		return class, errors.New("field d or first is missing or nought")
 	case given.spread == 0 || given.spread > gateways || given.first >= gateways:
 		return class, errors.New("there is no such set of gateways")
-	case !(given.units > 0) || given.units > f.core.MostUnits():
+	case !(given.units > 0) || given.units > f.core.MaxUnits():
 		return class, errors.New("field units is missing or out of range")
 	}
 	return class, nil
 }
 
 // Words are the command as it came.
-func (c *command) Words() [][]byte { return c.args }
+func (c *command) Args() [][]byte { return c.args }
 
 // Rebuild makes a request of a command's words, as another instance has them; it is checked like a client's.
 func (f *Front) Rebuild(words [][]byte) (*core.Request, error) {
--- a/internal/front/resp/connection.go
+++ b/internal/front/resp/connection.go
@@ -74,10 +74,10 @@
 		defer close(c.written)
 		c.write(done)
 	}()
-	why := metrics.ByClient
+	why := metrics.ClosedByClient
 	switch c.read() {
 	case protocolFailed:
-		why = metrics.ByProtocol
+		why = metrics.ClosedByProtocol
 		// What came before is answered, then the protocol error, then the connection ends. Little more is read until then, for its end: a flood
 		// costs its sender's time only.
 		c.mu.Lock()
@@ -90,7 +90,7 @@
 			io.CopyN(io.Discard, c.nc, lingerBytes)
 		}
 	case endedByServer:
-		why = metrics.ByServer
+		why = metrics.ClosedByServer
 		c.linger()
 	}
 	c.nc.Close()
@@ -98,20 +98,20 @@
 	c.closeStreams()
 	<-c.written
 	if by := c.aborted.Load(); by != 0 {
-		why = metrics.Close(by - 1)
+		why = metrics.CloseReason(by - 1)
 	}
 	c.release(why)
 }
 
 // abort closes the connection under way; the first reason counts.
-func (c *connection) abort(why metrics.Close) {
+func (c *connection) abort(why metrics.CloseReason) {
 	c.aborted.CompareAndSwap(0, int32(why)+1)
 	c.nc.Close()
 }
 
 // release gives back what the connection holds, once its goroutines write nothing any more, and abandons the requests that are not answered.
-func (c *connection) release(why metrics.Close) {
-	c.f.fig.Closed(why)
+func (c *connection) release(why metrics.CloseReason) {
+	c.f.fig.ConnectionClosed(why)
 	c.mu.Lock()
 	var left []*core.Request
 	for _, s := range c.waiting {
@@ -124,10 +124,10 @@
 	c.mu.Unlock()
 	c.closeStreams() // that came meanwhile
 	if len(left) > 0 {
-		if why == metrics.ByServer || why == metrics.ByLimit {
-			c.f.guard.Violated(guard.ClosedUnanswered, "request", fmt.Sprintf("%016x", left[0].Key), "requests", len(left), "client", c.nc.RemoteAddr(), "why", why.String())
+		if why == metrics.ClosedByServer || why == metrics.ClosedShutdownLimit {
+			c.f.guard.Violated(guard.ClosedUnanswered, "request", fmt.Sprintf("%016x", left[0].ClientID), "requests", len(left), "client", c.nc.RemoteAddr(), "why", why.String())
 		}
-		c.f.core.Abandon(left)
+		c.f.core.NotifyDisconnected(left)
 	}
 	c.f.mu.Lock()
 	delete(c.f.connections, c)
--- a/internal/front/resp/connection_test.go
+++ b/internal/front/resp/connection_test.go
@@ -20,7 +20,7 @@
 	left []*core.Request
 }
 
-func (f *fakeCore) Abandon(reqs []*core.Request) { f.left = append(f.left, reqs...) }
+func (f *fakeCore) NotifyDisconnected(reqs []*core.Request) { f.left = append(f.left, reqs...) }
 
 // What comes on a connection that is closing is dropped, however much: a reader that waited there for room
 // kept a shutdown from ending.
--- a/internal/front/resp/drain.go
+++ b/internal/front/resp/drain.go
@@ -15,20 +15,20 @@
 
 // Leave begins a graceful drain, once: PING is answered by an error, each connection is closed after its next answer, after 0.6 s also
 // those without an open request. New ones are served in the same way. The listener stays.
-func (f *Front) Leave() {
+func (f *Front) StartDrain() {
 	if f.drainingSince.CompareAndSwap(0, time.Now().UnixNano()) {
 		f.notify()
 	}
 }
 
 // Return ends the drain that Leave has begun; a connection that is about to be closed is closed all the same.
-func (f *Front) Return() {
+func (f *Front) StopDrain() {
 	f.drainingSince.Store(0)
 	f.notify()
 }
 
 // Leaving reports whether the front is draining.
-func (f *Front) Leaving() bool { return f.drainingSince.Load() != 0 }
+func (f *Front) Draining() bool { return f.drainingSince.Load() != 0 }
 
 // drainingFor is for how long the front has been draining; below 0 where it is not.
 func (f *Front) drainingFor() time.Duration {
@@ -64,7 +64,7 @@
 	case <-ctx.Done():
 		f.mu.Lock()
 		for c := range f.connections {
-			c.abort(metrics.ByLimit)
+			c.abort(metrics.ClosedShutdownLimit)
 		}
 		f.mu.Unlock()
 		<-done
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -26,7 +26,7 @@
 }
 
 func (d deskCore) Submit(r *core.Request) { d.came <- r }
-func (d deskCore) Abandon(reqs []*core.Request) {
+func (d deskCore) NotifyDisconnected(reqs []*core.Request) {
 	for _, r := range reqs {
 		d.left <- r
 	}
@@ -35,8 +35,8 @@
 	return policy.Class{Name: name, LatencyObjective: time.Second, Deadline: time.Minute, Effect: policy.Safe}, name == "read"
 }
 func (deskCore) Plan(string) bool                                              { return true }
-func (deskCore) Gateways() int                                                 { return 1 }
-func (deskCore) MostUnits() float64                                            { return 4 }
+func (deskCore) Instances() int                                                { return 1 }
+func (deskCore) MaxUnits() float64                                             { return 4 }
 func (deskCore) GiveUpAt(policy.Class, time.Time, time.Duration) time.Duration { return time.Minute }
 
 // heldConn is a real connection whose reads a test holds back: before the kernel is asked, or with what it has brought in hand.
@@ -204,7 +204,7 @@
 				b.asks(t)
 				close(gate)
 				r := b.next(t)
-				r.Place.Answer(core.Answer{Kind: core.Served, Value: []byte("value")})
+				r.Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("value")})
 				b.wantLine(t, "$5")
 				b.wantLine(t, "value")
 				b.wantEnd(t)
@@ -236,7 +236,7 @@
 		}
 	}
 	b.say(t, question(4)[40:])
-	first.Place.Answer(core.Answer{Kind: core.Served, Value: []byte("value")})
+	first.Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("value")})
 	b.wantLine(t, "$5")
 	b.wantLine(t, "value")
 	for range 3 {
@@ -293,7 +293,7 @@
 	b := newBench(t, nil)
 	b.f.drainingSince.Store(time.Now().Add(-drainRefuseAfter - time.Second).UnixNano())
 	b.say(t, question(1))
-	b.next(t).Place.Answer(core.Answer{Kind: core.Served, Value: []byte("value")})
+	b.next(t).Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("value")})
 	b.wantLine(t, "$5")
 	b.wantLine(t, "value")
 	b.wantEnd(t)
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -25,11 +25,11 @@
 // Core is what the front needs of the core.
 type Core interface {
 	Submit(*core.Request)
-	Abandon([]*core.Request)
+	NotifyDisconnected([]*core.Request)
 	Class(name string) (policy.Class, bool)
 	Plan(name string) bool
-	Gateways() int
-	MostUnits() float64
+	Instances() int
+	MaxUnits() float64
 	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
@@ -88,16 +88,16 @@
 }
 
 // SetMost changes how many connections there may be, up to what New was told; where there are more, the idlest are closed.
-func (f *Front) SetMost(n int) {
+func (f *Front) SetMaxConnections(n int) {
 	f.toReserve.Store(int64(max(0, cap(f.places)-n)))
 	f.notify()
 }
 
 // Most is how many connections there may be at the most, as New was told.
-func (f *Front) Most() int { return cap(f.places) }
+func (f *Front) MaxConnections() int { return cap(f.places) }
 
 // Open is how many connections there are.
-func (f *Front) Open() int {
+func (f *Front) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.connections)
--- a/internal/front/resp/idle.go
+++ b/internal/front/resp/idle.go
@@ -21,7 +21,7 @@
 			return
 		case <-f.changed:
 			f.reservePlaces(time.Now())
-			if f.Leaving() || f.toReserve.Load() > 0 {
+			if f.Draining() || f.toReserve.Load() > 0 {
 				tick.Reset(drainReapEvery)
 			} else {
 				tick.Reset(reapEvery)
--- a/internal/front/resp/pending.go
+++ b/internal/front/resp/pending.go
@@ -72,7 +72,7 @@
 }
 
 // Answer encodes the final answer of a request; the core calls it once.
-func (p *pendingReply) Answer(a core.Answer) {
+func (p *pendingReply) Deliver(a core.Answer) {
 	switch a.Kind {
 	case core.Served:
 		if v := a.Stream; v != nil {
@@ -80,10 +80,10 @@
 			return
 		}
 		p.answer(redcon.AppendBulk(make([]byte, 0, len(a.Value)+16), a.Value))
-	case core.Refused:
+	case core.Rejected:
 		b := refusal(a)
 		p.answer(b)
-	case core.Repeated:
+	case core.Duplicate:
 		p.c.protocolErrors.Add(1)
 		p.answer([]byte("-ERR a request of this id is being served\r\n"))
 	default:
@@ -93,7 +93,7 @@
 
 // Gone reports whether the client has closed its connection, whether or not the reader has come to that: the command and the end of the
 // connection may have come together, and the reader may be held up. It asks the kernel and never waits.
-func (p *pendingReply) Gone() bool { return socket.HungUp(p.c.nc) }
+func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.c.nc) }
 
 // answer completes the reply and never blocks. Clients that leave their answers unread lose their connections before they
 // can fill the memory.
--- a/internal/front/resp/places.go
+++ b/internal/front/resp/places.go
@@ -107,6 +107,6 @@
 		c.mu.Unlock()
 	}
 	if slowest != nil {
-		slowest.abort(metrics.BySlow)
+		slowest.abort(metrics.ClosedSlowReader)
 	}
 }
--- a/internal/front/resp/queue_test.go
+++ b/internal/front/resp/queue_test.go
@@ -39,7 +39,7 @@
 			select {
 			case r := <-aged.came:
 				check(r)
-				r.Place.Answer(core.Answer{Kind: core.Failed})
+				r.Sink.Deliver(core.Answer{Kind: core.Failed})
 			case <-time.After(10 * time.Second):
 				t.Fatal("a command is not taken")
 			}
@@ -50,7 +50,7 @@
 	last := <-aged.came // its connection has the one place until it is answered
 	sent := time.Since(aged.start)
 	dial(2)
-	time.AfterFunc(waited, func() { last.Place.Answer(core.Answer{Kind: core.Failed}) })
+	time.AfterFunc(waited, func() { last.Sink.Deliver(core.Answer{Kind: core.Failed}) })
 	answer(each, func(r *core.Request) {
 		if r.GiveUpAt-sent > waited/2 {
 			t.Errorf("a command that came at %v, and was taken at %v, counts from %v", sent, time.Since(aged.start), r.GiveUpAt)
@@ -96,7 +96,7 @@
 			if came := r.GiveUpAt; came-sent > waited/2 {
 				t.Fatalf("command %d came at %v, and counts from %v", id, sent, came)
 			}
-			r.Place.Answer(core.Answer{Kind: core.Failed})
+			r.Sink.Deliver(core.Answer{Kind: core.Failed})
 		case <-time.After(10 * time.Second):
 			t.Fatalf("command %d is not taken", id)
 		}
--- a/internal/front/resp/reader.go
+++ b/internal/front/resp/reader.go
@@ -30,14 +30,14 @@
 // read takes commands until the connection ends.
 func (c *connection) read() readResult {
 	in := &c.in
-	in.Budget, in.Most = c.f.requestMemory, resp.MaxLarge
+	in.Budget, in.Max = c.f.requestMemory, resp.MaxLarge
 	defer in.Close()
 	var progress commandProgress
 	for {
 		f, err := in.Next()
 		if f != nil {
 			progress = commandProgress{}
-			c.handle(f, c.receipts.take(in.Came()))
+			c.handle(f, c.receipts.take(in.ArrivedAt()))
 			if n := c.protocolErrors.Load(); c.peerClosed {
 				return clientLeft
 			} else if n >= mostProtocolErrors {
@@ -76,7 +76,7 @@
 	case !partial && c.partial.Load():
 		c.setReadLimit(time.Time{})
 		c.partial.Store(false)
-	case partial && (p.began.IsZero() || c.in.Came()-p.came >= leastProgress):
+	case partial && (p.began.IsZero() || c.in.ArrivedAt()-p.came >= leastProgress):
 		now := time.Now()
 		limit := earlier(now.Add(firstCommand), p.began.Add(wholeCommand))
 		if p.began.IsZero() {
@@ -85,7 +85,7 @@
 			}
 			limit = later(p.began.Add(firstCommand), now.Add(restOfCommand))
 		}
-		p.came = c.in.Came()
+		p.came = c.in.ArrivedAt()
 		c.partial.Store(true)
 		c.setReadLimit(limit)
 	}
@@ -123,7 +123,7 @@
 		return c.receive(b)
 	})
 	if skipped {
-		c.replyNow(refusal(core.Answer{RetryAfter: core.FullRetry}))
+		c.replyNow(refusal(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 		return nil
 	}
 	if err == nil {
@@ -135,13 +135,13 @@
 // refuseReceived refuses the requests that had been read behind the protocol error that ends the connection, up to the next error: a request
 // that was read is owed an answer.
 func (c *connection) refuseReceived() {
-	for left := c.in.Came(); left > 0 && !c.peerClosed; {
+	for left := c.in.ArrivedAt(); left > 0 && !c.peerClosed; {
 		f, err := c.in.Next()
 		if f == nil || err != nil || !c.isRequest(f) {
 			return
 		}
 		left -= len(f)
-		c.replyNow(refusal(core.Answer{RetryAfter: core.FullRetry}))
+		c.replyNow(refusal(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 	}
 }
 
@@ -188,7 +188,7 @@
 		c.mu.Lock()
 		c.takeEndRequest() // what has been read comes first
 		c.mu.Unlock()
-		if ahead = ahead && c.in.Came() < readAheadBytes; !ahead {
+		if ahead = ahead && c.in.ArrivedAt() < readAheadBytes; !ahead {
 			c.receipts.stop(time.Now())
 			if done(peerClosedLook) {
 				return
@@ -262,7 +262,7 @@
 	}
 	switch string(args[0]) {
 	case "PING":
-		if c.f.Leaving() {
+		if c.f.Draining() {
 			c.replyNow(redcon.AppendError(nil, "ERR draining"))
 		} else {
 			c.replyNow(redcon.AppendString(nil, "PONG"))
@@ -274,11 +274,11 @@
 			return
 		}
 		if c.f.terminating.Load() && c.f.drainingFor() > drainRefuseAfter { // something else is owed on this connection
-			c.replyNow(refusal(core.Answer{RetryAfter: core.FullRetry}))
+			c.replyNow(refusal(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 			return
 		}
 		if s := c.addPending(r); s != nil {
-			r.Place = s
+			r.Sink = s
 			c.f.core.Submit(r)
 		}
 	default:
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -115,11 +115,11 @@
 }
 
 // writeFailure says why a connection ends on which an answer could not be written.
-func writeFailure(err error) metrics.Close {
+func writeFailure(err error) metrics.CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return metrics.BySlow
+		return metrics.ClosedSlowReader
 	}
-	return metrics.ByClient
+	return metrics.ClosedByClient
 }
 
 // nextBatch takes the answers that are due; spare is the buffer for the next ones.
@@ -131,7 +131,7 @@
 	if len(c.waiting) > 0 && c.waiting[0].value != nil {
 		b.stream = c.waiting[0]
 	}
-	b.ends = (c.closing || b.ready > 0 && c.f.Leaving()) && len(c.waiting) == 0
+	b.ends = (c.closing || b.ready > 0 && c.f.Draining()) && len(c.waiting) == 0
 	if b.ends && c.phase == readClosed {
 		c.phase = finished
 	}
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -26,7 +26,7 @@
 			c.Known.Targets[i].Endpoint = scripted.NewNode(b, func(int, []string, net.Conn) string { return served }).Addr
 		}
 		c.Discovery = scripted.Registry(b, c.Known, nil)
-		c.Sockets, c.Leases.Keep, c.Leases.Most = 4096, time.Second, 1<<20
+		c.Sockets, c.Leases.Retention, c.Leases.MaxRequests = 4096, time.Second, 1<<20
 		c.Settings.MaxAttempts, c.Settings.Hedging = 1, false
 		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].Deadline = time.Second, time.Second
 	})
--- a/internal/ingress/budgets.go
+++ b/internal/ingress/budgets.go
@@ -13,7 +13,7 @@
 )
 
 // serveBudgets answers how quotas stand and how far their use may go, for `hitchspring status budgets`; ?for=DURATION says for how long.
-func (g *Gateway) serveBudgets(w http.ResponseWriter, r *http.Request) {
+func (g *Instance) serveBudgets(w http.ResponseWriter, r *http.Request) {
 	span := time.Duration(0)
 	if text := r.URL.Query().Get("for"); text != "" {
 		d, err := time.ParseDuration(text)
@@ -25,12 +25,12 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), budgetsWait)
 	defer cancel()
-	s, err := g.core.Budgets(ctx, span)
+	s, err := g.core.QuotaBounds(ctx, span)
 	showJSON(w, s, err == nil, "the event loop has no time")
 }
 
 // serveRights answers which parts of budgets have moved, for `hitchspring status rights`.
-func (g *Gateway) serveRights(w http.ResponseWriter, _ *http.Request) {
-	s, ok := g.core.RightsStatus()
+func (g *Instance) serveRights(w http.ResponseWriter, _ *http.Request) {
+	s, ok := g.core.EscrowStatus()
 	showJSON(w, s, ok, "parts of budgets are even: [rights] is off")
 }
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -336,7 +336,7 @@
 	})
 	defer end()
 	running.Go(func() { crowd.run(addr, stop) })
-	eventually(t, 5*time.Second, "all places are taken", func() bool { return front.Open() == front.Most() })
+	eventually(t, 5*time.Second, "all places are taken", func() bool { return front.OpenConnections() == front.MaxConnections() })
 	for i := range usualClients {
 		running.Go(func() { askOn(addr, i*100_000, 0, &usual, stop) })
 	}
@@ -367,13 +367,13 @@
 	eventually(t, listWithin, "the backend that is new in the list is sent commands", func() bool { return len(second.Seen()) > 0 })
 	t.Logf("the new backend had its first command %v after discovery's return", time.Since(back).Round(time.Millisecond))
 	time.Sleep(500 * time.Millisecond)
-	eventually(t, time.Second, "all places are taken at the end", func() bool { return front.Open() == front.Most() })
+	eventually(t, time.Second, "all places are taken at the end", func() bool { return front.OpenConnections() == front.MaxConnections() })
 	if n := len(counter.Records()) - counted; n == 0 {
 		t.Error("the counter was not asked after its connections were cut")
 	}
 	end()
-	t.Logf("%d idle clients came for %d places; the ingress held %d of %d descriptors at the most", crowd.count(), front.Most(), peak, crowdSockets)
-	if peak < front.Most() || peak > crowdSockets {
+	t.Logf("%d idle clients came for %d places; the ingress held %d of %d descriptors at the most", crowd.count(), front.MaxConnections(), peak, crowdSockets)
+	if peak < front.MaxConnections() || peak > crowdSockets {
 		t.Errorf("the ingress held %d connections, its limit is %d", peak, crowdSockets)
 	}
 	usual.check(t, "usual clients", 50)
--- a/internal/ingress/door.go
+++ b/internal/ingress/door.go
@@ -11,16 +11,16 @@
 )
 
 // door is the ingress as its operators see it.
-type door struct{ g *Gateway }
+type door struct{ g *Instance }
 
 // Serving, Figures, Suspend, Resume, Leave and Return are admin.Service's.
-func (d door) Serving() bool {
+func (d door) Ready() bool {
 	f := d.g.front.Load()
-	return d.g.prepared.Load() && !d.g.over.Load() && (f == nil || !f.Leaving())
+	return d.g.prepared.Load() && !d.g.over.Load() && (f == nil || !f.Draining())
 }
 
-func (d door) Figures() []byte {
-	text := d.g.core.Figures().Text()
+func (d door) Metrics() []byte {
+	text := d.g.core.Metrics().Text()
 	for _, i := range guard.Invariants() {
 		text = metrics.AppendLine(text, "invariants."+i.String(), d.g.core.Guard().Count(i))
 	}
@@ -31,9 +31,9 @@
 
 func (d door) Resume(id string) error { return d.g.core.Resume(policy.BackendID(id)) }
 
-func (d door) Leave() error { return d.whileServing((*resp.Front).Leave) }
+func (d door) Drain() error { return d.whileServing((*resp.Front).StartDrain) }
 
-func (d door) Return() error { return d.whileServing((*resp.Front).Return) }
+func (d door) Activate() error { return d.whileServing((*resp.Front).StopDrain) }
 
 // whileServing does something to the front; before the first client, and during a shutdown, there is nothing to do it to.
 func (d door) whileServing(do func(*resp.Front)) error {
@@ -46,7 +46,7 @@
 }
 
 // AdminAddr is where operators call; nil while the door is not open.
-func (g *Gateway) AdminAddr() net.Addr {
+func (g *Instance) AdminAddr() net.Addr {
 	if a := g.admin.Load(); a != nil {
 		return a
 	}
--- a/internal/ingress/door_test.go
+++ b/internal/ingress/door_test.go
@@ -23,7 +23,7 @@
 )
 
 // call makes one operator's call, with the second that operators wait.
-func call(t testing.TB, g *Gateway, verb, path string) (status int, body string) {
+func call(t testing.TB, g *Instance, verb, path string) (status int, body string) {
 	t.Helper()
 	const prompt = 25 * time.Millisecond // for the caller to say its call, from connecting on; the door waits for 50 ms where it is crowded
 	var began, said time.Time
@@ -48,7 +48,7 @@
 	return resp.StatusCode, string(text)
 }
 
-func wantCall(t testing.TB, g *Gateway, verb, path string, status int) {
+func wantCall(t testing.TB, g *Instance, verb, path string, status int) {
 	t.Helper()
 	if got, body := call(t, g, verb, path); got != status {
 		t.Errorf("%s %s: %d %q, want %d", verb, path, got, body, status)
@@ -56,7 +56,7 @@
 }
 
 // figure reads one of the figures; -1 where it is not there.
-func figure(t testing.TB, g *Gateway, name string) int {
+func figure(t testing.TB, g *Instance, name string) int {
 	t.Helper()
 	_, body := call(t, g, "GET", "/v1/metrics")
 	for line := range strings.Lines(body) {
@@ -96,7 +96,7 @@
 	default:
 	}
 }
-func (s *stalling) Move(string)             {}
+func (s *stalling) SetAddress(string)       {}
 func (s *stalling) Run(ctx context.Context) { <-ctx.Done() }
 
 // A hundred callers who say nothing, a byte a second or a megabyte of headers keep nobody out, and neither does an event
--- a/internal/ingress/ends_test.go
+++ b/internal/ingress/ends_test.go
@@ -81,12 +81,12 @@
 				return n
 			})
 			held := min(len(leftIDs), 64)
-			eventually(t, 10*time.Second, "they wait", func() bool { return g.core.Figures().Current() >= int64(window+held) })
+			eventually(t, 10*time.Second, "they wait", func() bool { return g.core.Metrics().Current() >= int64(window+held) })
 			stays, in := dial(t, addr)
 			gone()
 			<-time.After(leftFor)
 			io.WriteString(stays, ask(99, readFields))
-			eventually(t, 10*time.Second, "one more waits", func() bool { return g.core.Figures().Current() == window+1 })
+			eventually(t, 10*time.Second, "one more waits", func() bool { return g.core.Metrics().Current() == window+1 })
 			release()
 			wantValue(t, in)
 			for range window {
@@ -285,7 +285,7 @@
 		io.WriteString(nc, ask(1, readFields))
 		eventually(t, 10*time.Second, "a connection to the node is begun", be.Begun)
 		nc.Close()
-		eventually(t, 10*time.Second, "its leaving is known", func() bool { return g.core.Figures().Current() == 0 })
+		eventually(t, 10*time.Second, "its leaving is known", func() bool { return g.core.Metrics().Current() == 0 })
 		be.Open()
 		nc, in := dial(t, addr)
 		io.WriteString(nc, later)
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -39,18 +39,18 @@
 	}
 	for _, class := range f.set.Classes() {
 		for _, end := range metrics.Ends() {
-			put(f.ended, prometheus.CounterValue, f.set.Count(class, end), class, end.String())
+			put(f.ended, prometheus.CounterValue, f.set.Requests(class, end), class, end.String())
 		}
 	}
 	for _, stage := range metrics.Stages() {
-		put(f.gone, prometheus.CounterValue, f.set.Departures(stage), stage.String())
+		put(f.gone, prometheus.CounterValue, f.set.Disconnects(stage), stage.String())
 	}
 	f.set.Each(func(group, name string, n int64) { put(f.reasons, prometheus.CounterValue, n, group, name) })
 	for _, i := range guard.Invariants() {
 		put(f.violated, prometheus.CounterValue, f.guard.Count(i), i.String())
 	}
-	size, unhealthy := f.set.Nodes()
-	put(f.sends, prometheus.CounterValue, f.set.Sends())
+	size, unhealthy := f.set.Backends()
+	put(f.sends, prometheus.CounterValue, f.set.AttemptsSent())
 	put(f.open, prometheus.GaugeValue, f.set.Current())
 	put(f.size, prometheus.GaugeValue, size)
 	put(f.unhealthy, prometheus.GaugeValue, unhealthy)
--- a/internal/ingress/gate_test.go
+++ b/internal/ingress/gate_test.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Auth = &Auth{Listen: "127.0.0.1:0", Table: table, Config: forwardauth.Config{Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}, MostCalls: 1000,
-		MostConns: 600, MostHeader: 8 << 10, MostBody: 8 << 10, HeaderTime: 5 * time.Second, IdleTime: time.Minute, MostReports: 10}}
-	cfg.Leases = &core.Leases{Timeout: 10 * time.Second, StartWithin: 500 * time.Millisecond, Keep: 3 * time.Second, Most: 50000}
+	cfg.Auth = &Auth{Listen: "127.0.0.1:0", Table: table, Config: forwardauth.Config{Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}, MaxCalls: 1000,
+		MaxConnections: 600, MaxHeaderBytes: 8 << 10, MaxBodyBytes: 8 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxReports: 10}}
+	cfg.Leases = &core.Leases{Timeout: 10 * time.Second, StartWithin: 500 * time.Millisecond, Retention: 3 * time.Second, MaxRequests: 50000}
 	if change != nil {
 		change(&cfg)
 	}
@@ -53,7 +53,7 @@
 	c    *http.Client
 }
 
-func newCaller(t *testing.T, g *Gateway) *caller {
+func newCaller(t *testing.T, g *Instance) *caller {
 	tr := &http.Transport{MaxIdleConnsPerHost: 500}
 	t.Cleanup(tr.CloseIdleConnections)
 	return &caller{t, "http://" + g.AuthAddr().String(), &http.Client{Transport: tr, Timeout: 30 * time.Second}}
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -101,9 +101,9 @@
 			})
 			list := fleetOf(be.Addr)
 			addr, g := startGateway(t, testConfig(scripted.Registry(t, list, nil), list))
-			places := g.front.Load().Most()
+			places := g.front.Load().MaxConnections()
 			release := occupy(t, addr, places)
-			eventually(t, 10*time.Second, "all places are taken", func() bool { return g.front.Load().Open() == places })
+			eventually(t, 10*time.Second, "all places are taken", func() bool { return g.front.Load().OpenConnections() == places })
 			for i := range c.clients {
 				nc, _ := dial(t, addr)
 				io.WriteString(nc, ask(100+i, readFields))
@@ -114,7 +114,7 @@
 			stays, in := dial(t, addr) // behind them in the queue
 			io.WriteString(stays, ask(99, readFields))
 			wantValue(t, in)
-			eventually(t, 10*time.Second, "nothing is open", func() bool { return g.core.Figures().Current() == 0 })
+			eventually(t, 10*time.Second, "nothing is open", func() bool { return g.core.Metrics().Current() == 0 })
 			left.check(t)
 			if left.count(99) != 1 {
 				t.Errorf("the client that stayed was sent on %d times", left.count(99))
@@ -133,9 +133,9 @@
 	})
 	list := fleetOf(be.Addr)
 	g, stop := runIngress(t, testConfig(scripted.Registry(t, list, nil), list))
-	addr, places := g.Addr().String(), g.front.Load().Most()
+	addr, places := g.Addr().String(), g.front.Load().MaxConnections()
 	release := occupy(t, addr, places)
-	eventually(t, 10*time.Second, "all places are taken", func() bool { return g.front.Load().Open() == places })
+	eventually(t, 10*time.Second, "all places are taken", func() bool { return g.front.Load().OpenConnections() == places })
 	for i := range 200 {
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, ask(100+i, readFields))
@@ -144,7 +144,7 @@
 	time.Sleep(sendGrace)
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	eventually(t, 10*time.Second, "it shuts down", func() bool { return g.front.Load().Leaving() })
+	eventually(t, 10*time.Second, "it shuts down", func() bool { return g.front.Load().Draining() })
 	release()
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -189,7 +189,7 @@
 			eventually(t, 20*time.Second, "all have ended", func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return len(conns) == 0 && g.core.Figures().Current() == 0
+				return len(conns) == 0 && g.core.Metrics().Current() == 0
 			})
 			left.check(t)
 		})
@@ -207,7 +207,7 @@
 			for i := range clients {
 				nc, _ := dial(t, addr)
 				io.WriteString(nc, ask(100+i, readFields))
-				eventually(t, 10*time.Second, "it is taken", func() bool { return g.core.Figures().Current() >= int64(min(i+1, 1)) })
+				eventually(t, 10*time.Second, "it is taken", func() bool { return g.core.Metrics().Current() >= int64(min(i+1, 1)) })
 				left.close(nc, reset, 100+i)
 			}
 			stays, in := dial(t, addr)
--- a/internal/ingress/halls.go
+++ b/internal/ingress/halls.go
@@ -71,8 +71,8 @@
 }
 
 // serveHalls answers what is known of the halls as JSON, for `hitchspring status halls`.
-func (g *Gateway) serveHalls(w http.ResponseWriter, _ *http.Request) {
-	s, ok := g.core.HallStatus()
+func (g *Instance) serveHalls(w http.ResponseWriter, _ *http.Request) {
+	s, ok := g.core.ZoneStatus()
 	if !ok {
 		http.Error(w, "nothing is known of halls: [halls] is off, or no node has been listed yet", http.StatusServiceUnavailable)
 		return
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -17,7 +17,7 @@
 
 // keep takes a place in the folder that the processes of this ingress share, and follows what the others say there. Where that
 // fails, the ingress serves without.
-func (g *Gateway) keep() (end func()) {
+func (g *Instance) keep() (end func()) {
 	if g.cfg.StateDir == "" {
 		return func() {}
 	}
@@ -27,16 +27,16 @@
 		return func() {}
 	}
 	g.words.dir.Store(dir)
-	g.core.Heard(dir.Overrides())
+	g.core.MergeOverrides(dir.Overrides())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		dir.Watch(ctx, func(others int) {
 			g.others.Store(int64(others))
-			g.core.SetCompany(others)
+			g.core.SetSiblings(others)
 			g.room()
-		}, g.core.Heard)
+		}, g.core.MergeOverrides)
 	}()
 	return func() {
 		cancel()
@@ -46,20 +46,20 @@
 }
 
 // room leaves half of the clients' places to another process while there is one.
-func (g *Gateway) room() {
+func (g *Instance) room() {
 	f := g.front.Load()
 	switch {
 	case f == nil:
 	case g.others.Load() > 0:
-		f.SetMost(max(leastConns, (f.Most()-spare-admin.MostConns)/2)) // what is not for clients each has for itself
+		f.SetMaxConnections(max(leastConns, (f.MaxConnections()-spare-admin.MaxConnections)/2)) // what is not for clients each has for itself
 	default:
-		f.SetMost(f.Most())
+		f.SetMaxConnections(f.MaxConnections())
 	}
 }
 
 // listen opens the clients' socket. Where the platform holds it, this process is ready to serve from here on, and takes clients
 // when the one before takes none any more; nil, nil where ctx ends first.
-func (g *Gateway) listen(ctx context.Context) (net.Listener, error) {
+func (g *Instance) listen(ctx context.Context) (net.Listener, error) {
 	if g.cfg.Listener == nil {
 		ln, err := net.Listen("tcp", g.cfg.Listen)
 		if err != nil {
@@ -82,14 +82,14 @@
 		return g.cfg.Listener, nil
 	}
 	if s, ok := dir.ReadState(time.Duration(time.Now().UnixNano())); ok {
-		g.core.TakeOver(s)
+		g.core.AcceptHandover(s)
 	}
 	g.log.Info("takes the clients", "waited", time.Since(began).Round(time.Millisecond))
 	return g.cfg.Listener, nil
 }
 
 // handOn leaves what is known to the next process, if there is one, and lets it take the clients.
-func (g *Gateway) handOn() {
+func (g *Instance) handOn() {
 	dir := g.words.dir.Load()
 	if dir == nil {
 		return
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), giveTime)
 	defer cancel()
-	s, err := g.core.GiveOver(ctx)
+	s, err := g.core.HandOver(ctx)
 	if err == nil {
 		err = dir.WriteState(s)
 	}
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -35,7 +35,7 @@
 }
 
 // start runs a process on its own copy of the socket and waits for its door alone: its clients may still be another's.
-func (h held) start(t *testing.T, cfg Config) (*Gateway, func() error) {
+func (h held) start(t *testing.T, cfg Config) (*Instance, func() error) {
 	t.Helper()
 	f, err := h.File()
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // wantYes waits for a process to say that it is ready.
-func wantYes(t *testing.T, g *Gateway) {
+func wantYes(t *testing.T, g *Instance) {
 	t.Helper()
 	eventually(t, 6*time.Second, "yes", func() bool { s, _ := call(t, g, "GET", "/v1/readyz"); return s == 200 })
 }
@@ -144,7 +144,7 @@
 	list := fleetOf(nodes...)
 	registry := scripted.Registry(t, list, nil)
 	ln := hold(t)
-	start := func() (*Gateway, func() error) {
+	start := func() (*Instance, func() error) {
 		cfg := doorConfig(registry, list)
 		cfg.Settings.MaxAttempts = 3 // an attempt that waits to be written when its node is taken out is not
 		return ln.start(t, cfg)
@@ -191,7 +191,7 @@
 	list := fleetOf(be.Addr)
 	mute := scripted.Listen(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
 	ln := hold(t)
-	start := func(known discovery.List) (*Gateway, func() error) {
+	start := func(known discovery.List) (*Instance, func() error) {
 		cfg := doorConfig(mute, known)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = mute, true, 50*time.Millisecond
 		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 100, Burst: 100, ExcessCost: 0.5}}
@@ -234,13 +234,13 @@
 	list := fleetOf(be.Addr)
 	registry := scripted.Registry(t, list, nil)
 	ln := hold(t)
-	start := func() (*Gateway, func() error) {
+	start := func() (*Instance, func() error) {
 		cfg := doorConfig(registry, list)
 		return ln.start(t, cfg)
 	}
 	first, _ := start()
 	eventually(t, 5*time.Second, "the first process serves", func() bool { return first.front.Load() != nil })
-	most := first.front.Load().Most()
+	most := first.front.Load().MaxConnections()
 	id := 0
 	open := func(n int) {
 		for range n {
@@ -252,14 +252,14 @@
 	}
 	more := func() bool { // than a half of the places can be taken
 		open(most * 3 / 4)
-		return first.front.Load().Open() > most/2
+		return first.front.Load().OpenConnections() > most/2
 	}
 	eventually(t, 2*time.Second, "all places at the start", more)
 	_, stopSecond := start()
-	half := (most - spare - admin.MostConns) / 2
-	eventually(t, time.Second, "half of the places are left", func() bool { return first.front.Load().Open() <= half })
+	half := (most - spare - admin.MaxConnections) / 2
+	eventually(t, time.Second, "half of the places are left", func() bool { return first.front.Load().OpenConnections() <= half })
 	open(most) // each takes the place of one that is idle
-	if n := first.front.Load().Open(); n > half+1 {
+	if n := first.front.Load().OpenConnections(); n > half+1 {
 		t.Fatalf("%d of %d places are taken while another process is there", n, most)
 	}
 	stopSecond()
@@ -289,7 +289,7 @@
 	list := fleetOf(be.Addr)
 	registry := scripted.Registry(t, list, nil)
 	ln := hold(t)
-	start := func() (*Gateway, func() error) {
+	start := func() (*Instance, func() error) {
 		cfg := doorConfig(registry, list)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
 		cfg.Settings.MaxUnits, cfg.Settings.MaxRetryAfter = 1, 200*time.Millisecond
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -48,13 +48,13 @@
 	Listener net.Listener
 	// StateDir is the folder that all processes of this ingress have in common, where the operators' words and what one process
 	// leaves to the next are kept; empty: nothing is kept.
-	StateDir string
-	Drills   string        // file of the halls that are taken out on purpose; empty: there is none
-	Peers    *peers.Config // other instances with whom this one shares what it sees; nil: none
+	StateDir   string
+	ZoneDrains string        // file of the halls that are taken out on purpose; empty: there is none
+	Peers      *peers.Config // other instances with whom this one shares what it sees; nil: none
 	// TakesOver is whether keyed work in hand survives this instance, and this one finishes others'; it needs Peers.
-	TakesOver bool
+	EnableTakeover bool
 	// Lends is whether parts of budgets move between this instance and others; it needs Peers.
-	Lends bool
+	EnableEscrow bool
 	core.Config
 }
 
@@ -66,7 +66,7 @@
 }
 
 // Gateway is one ingress.
-type Gateway struct {
+type Instance struct {
 	cfg      Config
 	core     *core.Core
 	log      *slog.Logger
@@ -85,7 +85,7 @@
 }
 
 // New checks the configuration and returns an ingress that does not run yet.
-func New(cfg Config, log *slog.Logger) (*Gateway, error) {
+func New(cfg Config, log *slog.Logger) (*Instance, error) {
 	for _, addr := range []string{cfg.Listen, cfg.Counter} {
 		if _, _, err := net.SplitHostPort(addr); addr != "" && err != nil {
 			return nil, fmt.Errorf("not an address: %w", err)
@@ -96,7 +96,7 @@
 	}
 	cfg.Operated = cfg.Admin != "" || cfg.Metrics != ""
 	if cfg.Listener != nil { // until the locks have told
-		cfg.Company = 1
+		cfg.Siblings = 1
 	}
 	if cfg.Store == nil {
 		if cfg.Settings.Counter && cfg.Counter == "" {
@@ -108,55 +108,55 @@
 	}
 	kept := &words{}
 	if cfg.StateDir != "" {
-		cfg.Words = kept
+		cfg.Overrides = kept
 	}
 	var others *company
 	if cfg.Peers != nil {
 		others = &company{name: cfg.Peers.Name}
 		cfg.Config.Peers = others
 	}
-	var later *Gateway // which takes over, once it is there
-	if cfg.Takeover = nil; cfg.TakesOver && others != nil {
-		cfg.Takeover = &core.Takeover{Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Life: 1, Works: others,
+	var later *Instance // which takes over, once it is there
+	if cfg.Takeover = nil; cfg.EnableTakeover && others != nil {
+		cfg.Takeover = &core.Takeover{Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Incarnation: 1, Transport: others,
 			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuild(words) }}
 	}
-	if cfg.Config.Rights = nil; cfg.Lends && others != nil {
-		cfg.Config.Rights = others
+	if cfg.Config.Escrow = nil; cfg.EnableEscrow && others != nil {
+		cfg.Config.Escrow = others
 	}
 	c, err := core.New(cfg.Config, log)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, core: c, company: others, log: log, words: kept, ready: make(chan struct{}), reg: prometheus.NewRegistry()}
+	g := &Instance{cfg: cfg, core: c, company: others, log: log, words: kept, ready: make(chan struct{}), reg: prometheus.NewRegistry()}
 	later = g
 	if cfg.Auth != nil {
 		g.auth = forwardauth.New(cfg.Auth.Config, cfg.Auth.Table, c, log, g.reg)
 	}
-	g.others.Store(int64(cfg.Company))
+	g.others.Store(int64(cfg.Siblings))
 	return g, nil
 }
 
 // SetRules puts another table of rules in force at the front for gates; it does nothing where that is off.
-func (g *Gateway) SetRules(t *forwardauth.Table) {
+func (g *Instance) SetRules(t *forwardauth.Table) {
 	if g.auth != nil {
 		g.auth.SetTable(t)
 	}
 }
 
 // AuthAddr is where gates ask, once Ready has closed; nil where that is off.
-func (g *Gateway) AuthAddr() net.Addr { return g.at }
+func (g *Instance) AuthAddr() net.Addr { return g.at }
 
 // Ready closes when clients are taken.
-func (g *Gateway) Ready() <-chan struct{} { return g.ready }
+func (g *Instance) Ready() <-chan struct{} { return g.ready }
 
 // Addr is where, once Ready has closed.
-func (g *Gateway) Addr() net.Addr { return g.addr }
+func (g *Instance) Addr() net.Addr { return g.addr }
 
 // Move goes over to discovery and a counter at other addresses; see core.Core.
-func (g *Gateway) Move(discovery, counter string) { g.core.Move(discovery, counter) }
+func (g *Instance) SetAddresses(discovery, counter string) { g.core.SetAddresses(discovery, counter) }
 
 // Run serves until ctx ends, then answers what it has taken and returns.
-func (g *Gateway) Run(ctx context.Context) error {
+func (g *Instance) Run(ctx context.Context) error {
 	endKeeping := g.keep()
 	defer endKeeping()
 	if g.cfg.Admin != "" { // first, so that a start that takes its time says so
@@ -174,12 +174,12 @@
 	defer leave()
 	g.core.Start()
 	defer g.core.End()
-	if g.cfg.Drills != "" {
+	if g.cfg.ZoneDrains != "" {
 		watching, end := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			zonedrain.Watch(watching, g.cfg.Drills, drillsEvery, g.core.SetDrills, g.log)
+			zonedrain.Watch(watching, g.cfg.ZoneDrains, drillsEvery, g.core.SetZoneDrains, g.log)
 		}()
 		defer func() {
 			end()
@@ -187,7 +187,7 @@
 		}()
 	}
 	select {
-	case <-g.core.Listed():
+	case <-g.core.DiscoveryReady():
 	case <-time.After(firstList):
 	case <-ctx.Done():
 		return nil
@@ -197,15 +197,15 @@
 	if err != nil || ln == nil {
 		return err
 	}
-	conns, memory := g.core.Room()
+	conns, memory := g.core.FrontLimits()
 	if g.auth != nil {
-		conns -= g.cfg.Auth.Config.MostConns
+		conns -= g.cfg.Auth.Config.MaxConnections
 	}
 	if g.cfg.Metrics != "" {
 		conns -= mostMetrics
 	}
 	if g.cfg.Admin != "" {
-		conns -= admin.MostConns
+		conns -= admin.MaxConnections
 	}
 	if conns-spare < leastConns {
 		return fmt.Errorf("the limit on sockets leaves %d for clients, %d at least are wanted: fewer forward_auth.connections", conns-spare, leastConns)
@@ -229,7 +229,7 @@
 	}
 	defer endMetrics()
 	f := resp.New(ln, g.core, conns-spare, memory)
-	f.Observe(g.core.Figures(), g.core.Guard())
+	f.Observe(g.core.Metrics(), g.core.Guard())
 	g.front.Store(f)
 	g.room()
 	f.Start()
@@ -244,7 +244,7 @@
 }
 
 // serveMetrics serves the figures where the settings name a place for them.
-func (g *Gateway) serveMetrics() (end func(), err error) {
+func (g *Instance) serveMetrics() (end func(), err error) {
 	if g.cfg.Metrics == "" {
 		return func() {}, nil
 	}
@@ -252,9 +252,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for metrics: %w", err)
 	}
-	g.reg.MustRegister(newRequestFigures(g.core.Figures(), g.core.Guard()))
-	if g.cfg.Halls != nil {
-		g.reg.MustRegister(newHallFigures(g.core.HallStatus))
+	g.reg.MustRegister(newRequestFigures(g.core.Metrics(), g.core.Guard()))
+	if g.cfg.Zones != nil {
+		g.reg.MustRegister(newHallFigures(g.core.ZoneStatus))
 	}
 	if g.company != nil {
 		g.reg.MustRegister(newPeerFigures(g.PeersStatus))
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -50,13 +50,13 @@
 	return g.Addr().String(), stop
 }
 
-func startGateway(t *testing.T, cfg Config) (addr string, g *Gateway) {
+func startGateway(t *testing.T, cfg Config) (addr string, g *Instance) {
 	t.Helper()
 	g, _ = runIngress(t, cfg)
 	return g.Addr().String(), g
 }
 
-func runIngress(t testing.TB, cfg Config) (g *Gateway, stop func() error) {
+func runIngress(t testing.TB, cfg Config) (g *Instance, stop func() error) {
 	t.Helper()
 	g, stop = runAside(t, cfg)
 	select {
@@ -68,7 +68,7 @@
 }
 
 // runAside runs an ingress and does not wait for it.
-func runAside(t testing.TB, cfg Config) (g *Gateway, stop func() error) {
+func runAside(t testing.TB, cfg Config) (g *Instance, stop func() error) {
 	t.Helper()
 	g, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -366,8 +366,8 @@
 	from, to := scripted.Registry(t, fleetOf(), nil), scripted.Registry(t, list, nil)
 	addr, g := startGateway(t, testConfig(from, fleetOf()))
 	nc, in := dial(t, addr)
-	g.Move("127.0.0.1:1", "")
-	g.Move(to, "")
+	g.SetAddresses("127.0.0.1:1", "")
+	g.SetAddresses(to, "")
 	io.WriteString(nc, ask(1, readFields)) // waits for a backend
 	wantValue(t, in)
 }
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -24,7 +24,7 @@
 }
 
 // Tell, Facts, Version and Name are core.Peers's.
-func (c *company) Tell(kind, subject string, born time.Duration, data []byte) {
+func (c *company) Publish(kind, subject string, born time.Duration, data []byte) {
 	if p := c.p.Load(); p != nil {
 		p.Publish(kind, subject, born, data)
 	}
@@ -47,7 +47,7 @@
 func (c *company) Name() string { return c.name }
 
 // takePart begins to take part among the peers, where the options name any.
-func (g *Gateway) takePart() (leave func(), err error) {
+func (g *Instance) takePart() (leave func(), err error) {
 	if g.cfg.Peers == nil {
 		return func() {}, nil
 	}
@@ -56,10 +56,10 @@
 	cfg.Incarnation = uint64(time.Now().UnixNano())
 	cfg.Zone, cfg.Seed = g.cfg.Settings.Zone, g.cfg.Seed
 	cfg.WaitForAddress = g.cfg.Listener != nil
-	if g.cfg.Takeover != nil || g.cfg.Config.Rights != nil {
+	if g.cfg.Takeover != nil || g.cfg.Config.Escrow != nil {
 		cfg.OnMessages = func(list []peers.Message) {
 			for _, p := range list {
-				g.core.HeardWork(p.From, p.Incarnation, p.Data)
+				g.core.ReceiveMessage(p.From, p.Incarnation, p.Data)
 			}
 		}
 		cfg.OnChange = g.changed
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	g.company.p.Store(p)
-	if g.cfg.Takeover != nil || g.cfg.Config.Rights != nil {
+	if g.cfg.Takeover != nil || g.cfg.Config.Escrow != nil {
 		g.changed(nil) // who was found before that
 	}
 	return p.Close, nil
@@ -80,7 +80,7 @@
 
 // learnFirst has the core know what the others do before the first client comes: else the starter's first requests go to nodes that all others
 // have left.
-func (g *Gateway) learnFirst(ctx context.Context) {
+func (g *Instance) learnFirst(ctx context.Context) {
 	if g.company == nil {
 		return
 	}
@@ -93,11 +93,11 @@
 	case <-time.After(firstWord):
 	case <-ctx.Done():
 	}
-	g.core.Weigh()
+	g.core.AssessBackends()
 }
 
 // changed tells the core who is there, and whose life has ended or begun.
-func (g *Gateway) changed(changes []swim.Change) {
+func (g *Instance) changed(changes []swim.Change) {
 	p := g.company.p.Load()
 	if p == nil {
 		return
@@ -106,22 +106,22 @@
 	for _, m := range p.Members() {
 		members = append(members, takeover.Member{Name: m.Name, Zone: m.Zone})
 	}
-	var ended, begun, left []core.Life
+	var ended, begun, left []core.Incarnation
 	for _, c := range changes {
 		switch {
 		case c.State > swim.Suspect:
-			ended = append(ended, core.Life{Name: c.Name, Life: c.Incarnation})
+			ended = append(ended, core.Incarnation{Name: c.Name, Number: c.Incarnation})
 			if c.State == swim.Left || c.Confirmed {
-				left = append(left, core.Life{Name: c.Name, Life: c.Incarnation})
+				left = append(left, core.Incarnation{Name: c.Name, Number: c.Incarnation})
 			}
 		case c.State == swim.Alive:
 			if c.New && c.Incarnation > 0 { // an earlier life of the name has ended, whether or not anybody saw it
-				ended = append(ended, core.Life{Name: c.Name, Life: c.Incarnation - 1})
+				ended = append(ended, core.Incarnation{Name: c.Name, Number: c.Incarnation - 1})
 			}
-			begun = append(begun, core.Life{Name: c.Name, Life: c.Incarnation})
+			begun = append(begun, core.Incarnation{Name: c.Name, Number: c.Incarnation})
 		}
 	}
-	g.core.Fellows(members, ended, begun, left)
+	g.core.UpdateMembers(members, ended, begun, left)
 }
 
 // Send and ClockOf are core.Works's.
@@ -131,7 +131,7 @@
 	}
 }
 
-func (c *company) ClockOf(name string) time.Duration {
+func (c *company) ClockReading(name string) time.Duration {
 	if p := c.p.Load(); p != nil {
 		return p.ClockReading(name)
 	}
@@ -139,7 +139,7 @@
 }
 
 // rebuild makes a request of another instance's, once there is a front.
-func (g *Gateway) rebuild(words [][]byte) (*core.Request, error) {
+func (g *Instance) rebuild(words [][]byte) (*core.Request, error) {
 	f := g.front.Load()
 	if f == nil {
 		return nil, errors.New("this instance serves nobody yet")
@@ -148,13 +148,13 @@
 }
 
 // serveWork answers what is in custody, for `hitchspring status work`.
-func (g *Gateway) serveWork(w http.ResponseWriter, _ *http.Request) {
+func (g *Instance) serveWork(w http.ResponseWriter, _ *http.Request) {
 	s, ok := g.core.WorkStatus()
 	showJSON(w, s, ok, "work in hand ends with this instance: [takeover] is off")
 }
 
 // PeersStatus is what this instance believes of its peers; false where it has none.
-func (g *Gateway) PeersStatus() (peers.Status, bool) {
+func (g *Instance) PeersStatus() (peers.Status, bool) {
 	if g.company == nil {
 		return peers.Status{}, false
 	}
@@ -165,14 +165,14 @@
 }
 
 // servePeers answers what is known of the peers, for `hitchspring status peers`.
-func (g *Gateway) servePeers(w http.ResponseWriter, _ *http.Request) {
+func (g *Instance) servePeers(w http.ResponseWriter, _ *http.Request) {
 	s, ok := g.PeersStatus()
 	showJSON(w, s, ok, "this instance takes no part among peers: [peers] is off, or its address is not free yet")
 }
 
 // serveNodes answers what is believed of nodes, for `hitchspring status nodes`.
-func (g *Gateway) serveNodes(w http.ResponseWriter, _ *http.Request) {
-	s, ok := g.core.NodesStatus()
+func (g *Instance) serveNodes(w http.ResponseWriter, _ *http.Request) {
+	s, ok := g.core.BackendsStatus()
 	showJSON(w, s, ok, "nobody tells of nodes here: [peers] is off")
 }
 
--- a/internal/ingress/pieces_test.go
+++ b/internal/ingress/pieces_test.go
@@ -77,11 +77,11 @@
 					t.Fatalf("after %d of %d bytes and the end: %q, %v", cut, len(text), rest, err)
 				}
 			}
-			eventually(t, 5*time.Second, "no connection is kept", func() bool { return g.front.Load().Open() == 0 })
+			eventually(t, 5*time.Second, "no connection is kept", func() bool { return g.front.Load().OpenConnections() == 0 })
 			if n, _ := node.commands(); n != (len(text)-1)/5 {
 				t.Errorf("%d commands were sent on, want the %d whole ones", n, (len(text)-1)/5)
 			}
-			if n := g.core.Figures().Current(); n != 0 {
+			if n := g.core.Metrics().Current(); n != 0 {
 				t.Errorf("%d requests are open", n)
 			}
 		})
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -194,7 +194,7 @@
 				awaitLoad(t, drains)
 				to := c.to(t, list, c.state)
 				moved := time.Now()
-				g.Move(to, "")
+				g.SetAddresses(to, "")
 				within := toldWithin
 				switch {
 				case many && c.failed:
@@ -275,7 +275,7 @@
 	told := time.Now()
 	load(t, addr)
 	time.Sleep(quietFor)
-	g.Move(registryOf(t, list), "") // revision 5, in which it serves
+	g.SetAddresses(registryOf(t, list), "") // revision 5, in which it serves
 	nothingMoreAt(t, drains, told, toldWithin)
 }
 
@@ -329,7 +329,7 @@
 		wantValue(t, in)
 	}
 	eventually(t, 2*time.Second, "its connections are closed", func() bool { return leaves.connections() == 0 })
-	if n := g.core.Figures().Current(); n > loadClients {
+	if n := g.core.Metrics().Current(); n > loadClients {
 		t.Errorf("%d requests are open", n)
 	}
 	changes <- with(both, 3, "SERVING")
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -18,10 +18,10 @@
 // shutDown answers what has been taken and returns when all clients have gone, or when their time is over. Each of its times counts from when
 // the process was told to end, whatever the steps before it have taken: the platform's SIGKILL counts from there. Connections are closed no
 // sooner than graceEnd after the last answers, also where the process was held up: these come first, however late they are.
-func (g *Gateway) shutDown(f *resp.Front, told time.Time) {
+func (g *Instance) shutDown(f *resp.Front, told time.Time) {
 	g.log.Info("shutting down")
 	g.over.Store(true)
-	f.Leave()
+	f.StartDrain()
 	if g.cfg.Listener != nil { // the next process has the queue
 		f.Close()
 		g.handOn()
@@ -34,7 +34,7 @@
 	lastAnswers := make(chan struct{})
 	timer := time.AfterFunc(time.Until(told.Add(graceAll(g.cfg.Settings)-graceEnd)), func() {
 		defer close(lastAnswers)
-		g.core.EndAll()
+		g.core.AnswerAll()
 		pause(limit, graceEnd)
 		endLimit()
 	})
--- a/internal/lab/ask.go
+++ b/internal/lab/ask.go
@@ -42,8 +42,8 @@
 }
 
 // NodesBelieved is what an instance believes of nodes; it is for the run's watcher.
-func (w *World) NodesBelieved(ctx context.Context, i int) (core.NodesStatus, error) {
-	return get[core.NodesStatus](ctx, w.ingresses[i], "/nodes")
+func (w *World) NodesBelieved(ctx context.Context, i int) (core.BackendsStatus, error) {
+	return get[core.BackendsStatus](ctx, w.ingresses[i], "/nodes")
 }
 
 // Budgets is what an instance states of quotas, should it hear nothing for so long; it is for the run's watcher.
--- a/internal/lab/judge_test.go
+++ b/internal/lab/judge_test.go
@@ -46,9 +46,9 @@
 				}
 				x.mu.Lock()
 				x.seen++
-				for _, n := range s.Nodes {
-					k := fmt.Sprintf("n%d %s", i, n.Node)
-					if x.most[k] = max(x.most[k], n.Told); n.Told >= leaves {
+				for _, n := range s.Backends {
+					k := fmt.Sprintf("n%d %s", i, n.Backend)
+					if x.most[k] = max(x.most[k], n.PeerSlowness); n.PeerSlowness >= leaves {
 						x.left[k]++
 					}
 				}
--- a/internal/lab/trial/judgements.go
+++ b/internal/lab/trial/judgements.go
@@ -61,10 +61,10 @@
 					if err != nil {
 						continue
 					}
-					for _, n := range s.Nodes {
-						if string(n.Node) != name && n.Told >= 3 {
+					for _, n := range s.Backends {
+						if string(n.Backend) != name && n.PeerSlowness >= 3 {
 							mu.Lock()
-							blamed[fmt.Sprintf("n%d left healthy %s for the word of %s (%.1f times)", i, n.Node, strings.Join(n.Accusers, ","), n.Told)] = true
+							blamed[fmt.Sprintf("n%d left healthy %s for the word of %s (%.1f times)", i, n.Backend, strings.Join(n.Reporters, ","), n.PeerSlowness)] = true
 							mu.Unlock()
 						}
 					}
--- a/internal/metrics/groups.go
+++ b/internal/metrics/groups.go
@@ -20,24 +20,24 @@
 )
 
 // Stop is why an attempt was held back right before it would have been written.
-type Stop uint8
+type WithheldReason uint8
 
 // The reasons to hold an attempt back.
 const (
-	TimeOver Stop = iota // its client waits no longer
+	TimeOver WithheldReason = iota // its client waits no longer
 	stops
 )
 
 // Close is why a client's connection ended.
-type Close uint8
+type CloseReason uint8
 
 // The reasons of an end.
 const (
-	ByClient   Close = iota // the client closed it, or it broke
-	ByProtocol              // the client broke the protocol
-	ByServer                // between two requests: idle, for want of a place, or in a drain
-	BySlow                  // the client took nothing of what it was owed
-	ByLimit                 // at the end of a shutdown
+	ClosedByClient      CloseReason = iota // the client closed it, or it broke
+	ClosedByProtocol                       // the client broke the protocol
+	ClosedByServer                         // between two requests: idle, for want of a place, or in a drain
+	ClosedSlowReader                       // the client took nothing of what it was owed
+	ClosedShutdownLimit                    // at the end of a shutdown
 	closes
 )
 
@@ -47,7 +47,7 @@
 )
 
 // String is the reason's name.
-func (c Close) String() string { return closeNames[min(c, closes-1)] }
+func (c CloseReason) String() string { return closeNames[min(c, closes-1)] }
 
 func newGroups(reasons, outcomes []string) (all [groupCount]group) {
 	for i, g := range []group{{name: "refused", names: reasons}, {name: "failed", names: reasons}, {name: "attempts", names: outcomes},
@@ -65,7 +65,7 @@
 }
 
 // Refused counts a refusal of the module's, by its reason.
-func (s *Set) Refused(reason int) { s.count(refusedGroup, reason) }
+func (s *Set) Rejected(reason int) { s.count(refusedGroup, reason) }
 
 // Failed counts a failure of the module's, by its reason.
 func (s *Set) Failed(reason int) { s.count(failedGroup, reason) }
@@ -74,10 +74,10 @@
 func (s *Set) AttemptEnded(outcome int) { s.count(attemptsGroup, outcome) }
 
 // Stopped counts an attempt that was held back right before it would have been written.
-func (s *Set) Stopped(why Stop) { s.count(stoppedGroup, int(why)) }
+func (s *Set) AttemptWithheld(why WithheldReason) { s.count(stoppedGroup, int(why)) }
 
 // Closed counts the end of a client's connection.
-func (s *Set) Closed(why Close) { s.count(closedGroup, int(why)) }
+func (s *Set) ConnectionClosed(why CloseReason) { s.count(closedGroup, int(why)) }
 
 // Each tells every counter that has a reason.
 func (s *Set) Each(tell func(group, name string, n int64)) {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,43 +12,45 @@
 const prefix = "edge_router."
 
 // End is how a request ended.
-type End uint8
+type RequestEnd uint8
 
 // The ends.
 const (
-	Answered End = iota // served
-	Deferred            // refused: trying again is harmless
-	Errored             // failed
+	Answered RequestEnd = iota // served
+	Deferred                   // refused: trying again is harmless
+	Errored                    // failed
 	ends
 )
 
 var endNames = [ends]string{"answered", "deferred", "errored"}
 
 // Ends are all ends, in their order.
-func Ends() []End { return []End{Answered, Deferred, Errored} }
+func Ends() []RequestEnd { return []RequestEnd{Answered, Deferred, Errored} }
 
 // String is the end's name.
-func (e End) String() string { return endNames[min(e, ends-1)] }
+func (e RequestEnd) String() string { return endNames[min(e, ends-1)] }
 
 // Stage is how far a request has come.
-type Stage uint8
+type DisconnectStage uint8
 
 // The stages at which a client may have gone.
 const (
-	BeforeAdmission Stage = iota // its command and the end of its connection were read together: the decision module never saw it
-	BeforeAttempt                // no attempt of it was handed to a connection
-	BeforeRetry                  // all attempts had ended, and there was to be another
-	InFlight                     // an attempt was out; nothing followed it
+	BeforeAdmission DisconnectStage = iota // its command and the end of its connection were read together: the decision module never saw it
+	BeforeAttempt                          // no attempt of it was handed to a connection
+	BeforeRetry                            // all attempts had ended, and there was to be another
+	InFlight                               // an attempt was out; nothing followed it
 	stages
 )
 
 var stageNames = [stages]string{"before_admission", "before_attempt", "before_retry", "in_flight"}
 
 // Stages are all stages, in their order.
-func Stages() []Stage { return []Stage{BeforeAdmission, BeforeAttempt, BeforeRetry, InFlight} }
+func Stages() []DisconnectStage {
+	return []DisconnectStage{BeforeAdmission, BeforeAttempt, BeforeRetry, InFlight}
+}
 
 // String is the stage's name.
-func (s Stage) String() string { return stageNames[min(s, stages-1)] }
+func (s DisconnectStage) String() string { return stageNames[min(s, stages-1)] }
 
 // Set is the figures of one process; each counts from 0.
 type Set struct {
@@ -73,10 +75,10 @@
 }
 
 // Took counts a request as taken and not ended.
-func (s *Set) Took() { s.current.Add(1) }
+func (s *Set) RequestAccepted() { s.current.Add(1) }
 
 // Ended counts the one end of a request that was taken.
-func (s *Set) Ended(class string, e End) {
+func (s *Set) RequestEnded(class string, e RequestEnd) {
 	s.current.Add(-1)
 	if i, ok := s.index[class]; ok {
 		s.ended[i][e].Add(1)
@@ -84,19 +86,19 @@
 }
 
 // Left counts a request whose client has gone, which has no end of its own, by how far it had come.
-func (s *Set) Left(at Stage) {
+func (s *Set) ClientDisconnected(at DisconnectStage) {
 	s.current.Add(-1)
 	s.left[at].Add(1)
 }
 
 // Departures is how many requests were dropped at a stage because their clients had gone.
-func (s *Set) Departures(at Stage) int64 { return s.left[at].Load() }
+func (s *Set) Disconnects(at DisconnectStage) int64 { return s.left[at].Load() }
 
 // Sent counts an attempt that was written to its last byte.
-func (s *Set) Sent() { s.sends.Add(1) }
+func (s *Set) AttemptSent() { s.sends.Add(1) }
 
 // Cluster says how many nodes are listed, and how many of them are avoided now.
-func (s *Set) Cluster(size, unhealthy int) {
+func (s *Set) SetBackends(size, unhealthy int) {
 	s.size.Store(int64(size))
 	s.unhealthy.Store(int64(unhealthy))
 }
@@ -105,13 +107,13 @@
 func (s *Set) Classes() []string { return s.classes }
 
 // Nodes is how many nodes are listed, and how many of them are avoided.
-func (s *Set) Nodes() (size, unhealthy int64) { return s.size.Load(), s.unhealthy.Load() }
+func (s *Set) Backends() (size, unhealthy int64) { return s.size.Load(), s.unhealthy.Load() }
 
 // Current is the number of requests taken and not ended.
 func (s *Set) Current() int64 { return s.current.Load() }
 
 // Count is how many requests of a class ended so.
-func (s *Set) Count(class string, e End) int64 {
+func (s *Set) Requests(class string, e RequestEnd) int64 {
 	i, ok := s.index[class]
 	if !ok {
 		return 0
@@ -120,7 +122,7 @@
 }
 
 // Sends is the number of attempts written whole.
-func (s *Set) Sends() int64 { return s.sends.Load() }
+func (s *Set) AttemptsSent() int64 { return s.sends.Load() }
 
 // AppendLine appends one figure's line.
 func AppendLine(b []byte, name string, n int64) []byte {
@@ -142,7 +144,7 @@
 	line("cluster_size", s.size.Load())
 	line("cluster_unhealthy", s.unhealthy.Load())
 	for _, at := range Stages() {
-		line("clients_gone."+at.String(), s.Departures(at))
+		line("clients_gone."+at.String(), s.Disconnects(at))
 	}
 	s.Each(func(group, name string, n int64) { line(group+"."+name, n) })
 	return b
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -24,20 +24,20 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 100 {
-				s.Took()
-				s.Took()
-				s.Took()
-				s.Sent()
-				s.Ended("a", Answered)
-				s.Ended("b", Deferred)
-				s.Ended("unknown", Errored)
+				s.RequestAccepted()
+				s.RequestAccepted()
+				s.RequestAccepted()
+				s.AttemptSent()
+				s.RequestEnded("a", Answered)
+				s.RequestEnded("b", Deferred)
+				s.RequestEnded("unknown", Errored)
 			}
 		})
 	}
 	wg.Wait()
-	s.Took()
-	s.Left(BeforeRetry)
-	s.Cluster(7, 2)
+	s.RequestAccepted()
+	s.ClientDisconnected(BeforeRetry)
+	s.SetBackends(7, 2)
 	for _, line := range []string{"transactions.a.answered=800", "transactions.b.deferred=800", "transactions.a.errored=0", "sends=800",
 		"current=0", "cluster_size=7", "cluster_unhealthy=2", "clients_gone.before_retry=1",
 		"clients_gone.in_flight=0"} {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -154,7 +154,7 @@
 	buf         []byte
 	start, have int
 	Budget      *Budget // where what it needs beyond a small buffer comes from; nil is without end
-	Most        int     // bytes of a value; 0: MaxValue
+	Max         int     // bytes of a value; 0: MaxValue
 	taken       int
 	need        need // of the frame that has begun
 }
@@ -166,8 +166,8 @@
 }
 
 func (in *Inbox) most() int {
-	if in.Most > 0 {
-		return in.Most
+	if in.Max > 0 {
+		return in.Max
 	}
 	return MaxValue
 }
@@ -188,7 +188,7 @@
 func (in *Inbox) Partial() bool { return in.have > in.start }
 
 // Came is how much of the frame that has begun is there.
-func (in *Inbox) Came() int { return in.have - in.start }
+func (in *Inbox) ArrivedAt() int { return in.have - in.start }
 
 // Begun is what has come of the frame that has begun; it is valid until Fill.
 func (in *Inbox) Begun() []byte { return in.buf[in.start:in.have] }
@@ -235,7 +235,7 @@
 	if !in.need.whole {
 		return false, nil
 	}
-	left := in.need.bytes - in.Came()
+	left := in.need.bytes - in.ArrivedAt()
 	in.buf, in.start, in.have = make([]byte, SmallBuffer), 0, 0
 	in.Close()
 	for left > 0 {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -63,7 +63,7 @@
 			}
 			want = append(want, f)
 		}
-		in, all := Inbox{Most: 1 << 20}, strings.Join(want, "")
+		in, all := Inbox{Max: 1 << 20}, strings.Join(want, "")
 		var got []string
 		for {
 			f, err := in.Next()
@@ -95,7 +95,7 @@
 
 // A frame for which there is no memory can be read past exactly where its end is known.
 func TestSkip(t *testing.T) {
-	in := Inbox{Most: 1 << 20, Budget: NewBudget(100)}
+	in := Inbox{Max: 1 << 20, Budget: NewBudget(100)}
 	all := "*2\r\n$1\r\nx\r\n$50000\r\n" + strings.Repeat("y", 50000) + "\r\n" + "+OK\r\n"
 	read := func(p []byte) (int, error) {
 		if all == "" {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -139,7 +139,7 @@
 				before := cpu()
 				for i := range b.N {
 					<-free
-					c.Add(&store.Call{Name: names[i%len(names)], Amount: 1.5, Keep: time.Minute})
+					c.Add(&store.Call{Name: names[i%len(names)], Amount: 1.5, TTL: time.Minute})
 				}
 				for range flying {
 					<-free
--- a/internal/store/redis/lane.go
+++ b/internal/store/redis/lane.go
@@ -91,7 +91,7 @@
 			}
 			continue
 		}
-		if first != nil && !first.Open() { // it has timed out: no connection for its sake
+		if first != nil && !first.IsQueued() { // it has timed out: no connection for its sake
 			first = nil
 			continue
 		}
@@ -176,7 +176,7 @@
 
 // refuse answers a call of which nothing was written.
 func (l *lane) refuse(k *store.Call) {
-	if k.Take() {
+	if k.Claim() {
 		l.mu.Lock()
 		l.stats.Refused++
 		l.mu.Unlock()
@@ -207,7 +207,7 @@
 // refused books a write that Redis has refused, which was heard from it, or else one that never went out.
 func (l *lane) refused(it item, heard bool) {
 	it.sent = it.sent || heard
-	out := it.call != nil && it.call.Refuse()
+	out := it.call != nil && it.call.Reject()
 	l.mu.Lock()
 	if out {
 		l.books.Refused(it.w, it.call.Amount, it.sent)
@@ -402,8 +402,8 @@
 	l.mu.Lock()
 	now := l.now()
 	for more := true; more; {
-		if k.Take() {
-			if w, err := l.books.Put(now, k.Name, k.Amount, k.Keep); err == nil {
+		if k.Claim() {
+			if w, err := l.books.Put(now, k.Name, k.Amount, k.TTL); err == nil {
 				batch = append(batch, item{w: w, call: k})
 			} else {
 				l.stats.Refused++
--- a/internal/store/redis/redis.go
+++ b/internal/store/redis/redis.go
@@ -30,7 +30,7 @@
 	Password       func() (string, error) // read anew for each connection; nil: none
 	Database       int
 	Prefix         string                                                   // of all keys
-	Lanes          int                                                      // parts that names are dealt to, each with a hash tag and a connection of its own; 0: 1
+	Shards         int                                                      // parts that names are dealt to, each with a hash tag and a connection of its own; 0: 1
 	ConnectTimeout time.Duration                                            // for the dial, TLS and the log-in together; 0: 250 ms
 	Timeout        time.Duration                                            // of a call, as the core has it: a connection silent for four of them is dead; 0: 80 ms
 	TLS            func() (*tls.Config, error)                              // read anew for each connection; nil: none
@@ -63,8 +63,8 @@
 		return errors.New("address: missing, and no sentinels")
 	case len(o.Sentinels) > 0 && o.Master == "":
 		return errors.New("master: missing, the Sentinels want a name")
-	case o.Lanes < 0 || o.Lanes > 64:
-		return fmt.Errorf("lanes: %d is out of range, 1 to 64", o.Lanes)
+	case o.Shards < 0 || o.Shards > 64:
+		return fmt.Errorf("lanes: %d is out of range, 1 to 64", o.Shards)
 	case o.Database < 0:
 		return fmt.Errorf("database: %d is negative", o.Database)
 	}
@@ -76,8 +76,8 @@
 	if err := opt.Check(); err != nil {
 		return nil, fmt.Errorf("redis store: %w", err)
 	}
-	if opt.Lanes == 0 {
-		opt.Lanes = 1
+	if opt.Shards == 0 {
+		opt.Shards = 1
 	}
 	if opt.ConnectTimeout <= 0 {
 		opt.ConnectTimeout = 250 * time.Millisecond
@@ -96,7 +96,7 @@
 		return nil, fmt.Errorf("redis store: an id for this instance: %w", err)
 	}
 	c := &Counter{}
-	for i := range opt.Lanes {
+	for i := range opt.Shards {
 		key := opt.Prefix + ":{" + strconv.Itoa(i) + "}:"
 		c.lanes = append(c.lanes, newLane(opt, i, key, hex.EncodeToString(id[:]), log, sink))
 	}
@@ -113,7 +113,7 @@
 }
 
 // Move goes over to Redis at another address; all figures that live are told there again.
-func (c *Counter) Move(addr string) {
+func (c *Counter) SetAddress(addr string) {
 	for _, l := range c.lanes {
 		l.moves.Set(addr)
 	}
--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -91,7 +91,7 @@
 			i := start(t, opt)
 			i.Do(t, "a", 10)
 			s.Fault(rule)
-			k := &store.Call{Name: "a", Amount: 1, Keep: time.Minute}
+			k := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 			i.Add(k)
 			got := i.Next(t) // told again on a new connection, it is found
 			if got.Call != k || got.Result != (store.Result{Certainty: store.Added, Seen: true, Total: 11}) {
@@ -130,13 +130,13 @@
 		hold := on(fault.Delay, 1)
 		hold.By = 100 * time.Millisecond
 		s.Fault(hold)
-		i.Add(&store.Call{Name: "a", Keep: time.Minute})
+		i.Add(&store.Call{Name: "a", TTL: time.Minute})
 		rule := on(kind, 1)
 		rule.Text = "OOM command not allowed when used memory > 'maxmemory'."
 		s.Fault(rule)
-		k := &store.Call{Name: "a", Amount: 1, Keep: time.Minute}
+		k := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 		i.Add(k)
-		storetest.Until(t, "the call to be taken", func() bool { return !k.Open() })
+		storetest.Until(t, "the call to be taken", func() bool { return !k.IsQueued() })
 		if !k.Lapse() {
 			t.Fatal("the store has refused it already")
 		}
@@ -160,13 +160,13 @@
 			hold := on(fault.Delay, 1) // so that all hundred are on their way
 			hold.By = 100 * time.Millisecond
 			s.Fault(hold)
-			i.Add(&store.Call{Name: "z", Keep: time.Minute})
+			i.Add(&store.Call{Name: "z", TTL: time.Minute})
 			s.Fault(rule)
 			if !back {
 				s.NextConnections(func(net.Conn) bool { return false })
 			}
 			for j := range 100 {
-				i.Add(&store.Call{Name: fmt.Sprint("n", j%10), Amount: 1, Keep: time.Minute})
+				i.Add(&store.Call{Name: fmt.Sprint("n", j%10), Amount: 1, TTL: time.Minute})
 			}
 			if a := i.Next(t); a.Call.Name != "z" {
 				t.Fatal(a.Call.Name)
@@ -216,7 +216,7 @@
 			s.Fault(hold)
 			s.Fault(rule)
 			for range 11 {
-				i.Add(&store.Call{Name: "a", Amount: 1, Keep: time.Minute})
+				i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 			}
 			for j := range 11 {
 				if a := i.Next(t); a.Result.Certainty != store.Added || a.Result.Total < float64(j+1) {
@@ -246,10 +246,10 @@
 	s.Fault(hold)
 	rule := on(fault.Repeat, 1)
 	s.Full(true)
-	i.Add(&store.Call{Name: "z", Keep: time.Minute})
+	i.Add(&store.Call{Name: "z", TTL: time.Minute})
 	s.Fault(rule)
 	for range 5 {
-		i.Add(&store.Call{Name: "a", Amount: 1, Keep: time.Minute})
+		i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 	}
 	storetest.Until(t, "the repeated error", func() bool { return adds(s) >= 3 })
 	s.Full(false)
@@ -363,8 +363,8 @@
 					t.Fatal("nothing was lost")
 				}
 				if by == "move" {
-					x.Move(b.Addr())
-					y.Move(b.Addr())
+					x.SetAddress(b.Addr())
+					y.SetAddress(b.Addr())
 				} else {
 					a.Kick()
 				}
@@ -456,7 +456,7 @@
 	}
 	t.Cleanup(c.Close)
 	opt := options(c.Shards()[0].Addr())
-	opt.Lanes = 8
+	opt.Shards = 8
 	i := start(t, opt)
 	sum := func() (n float64) {
 		for _, s := range c.Shards() {
@@ -474,7 +474,7 @@
 	want := 0.0
 	add := func() {
 		for j := range 50 {
-			i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: 1, Keep: time.Minute})
+			i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: 1, TTL: time.Minute})
 		}
 		for range 50 {
 			if i.Next(t).Result.Certainty != store.NotAdded {
@@ -517,7 +517,7 @@
 				}
 				for _, i := range []*storetest.Instance{x, y} {
 					for range 10 {
-						i.Add(&store.Call{Name: fmt.Sprint("n", rng.IntN(3)), Amount: float64(rng.IntN(500)-100) / 100, Keep: time.Minute})
+						i.Add(&store.Call{Name: fmt.Sprint("n", rng.IntN(3)), Amount: float64(rng.IntN(500)-100) / 100, TTL: time.Minute})
 					}
 				}
 				for _, i := range []*storetest.Instance{x, y} {
@@ -553,7 +553,7 @@
 	for want, opt := range map[string]Options{
 		"address":  {},
 		"master":   {Sentinels: []string{"127.0.0.1:1"}},
-		"lanes":    {Address: "127.0.0.1:1", Lanes: 65},
+		"lanes":    {Address: "127.0.0.1:1", Shards: 65},
 		"database": {Address: "127.0.0.1:1", Database: -1},
 	} {
 		if _, err := New(opt, storetest.Quiet, nil); err == nil || !strings.Contains(err.Error(), want+":") {
@@ -570,7 +570,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Add(&store.Call{Name: "a", Amount: 1, Keep: time.Minute})
+	c.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -611,7 +611,7 @@
 	hold := on(fault.Hold, 1)
 	hold.By = 200 * time.Millisecond
 	s.Fault(hold)
-	k := &store.Call{Name: "a", Amount: 10, Keep: time.Minute}
+	k := &store.Call{Name: "a", Amount: 10, TTL: time.Minute}
 	x.Add(k)
 	storetest.Until(t, "the add to land", func() bool { return total(s, "a") == 12 })
 	if r := y.Do(t, "a", 100); r.Total != 112 {
