--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -50,17 +50,17 @@
 // decide between them, in any order and from any goroutine, who has the last word on it: a call that its caller has
 // counted as added is never taken out of the total again.
 type Call struct {
-	Name   string        // 1 to 64 bytes, no spaces
-	Amount float64       // units; below 0 gives back
-	Keep   time.Duration // the life of a new name, from its first add on
-	Began  time.Duration // on the caller's clock, for the caller's own books
-	state  atomic.Int32
-	ended  bool
+	Name      string        // 1 to 64 bytes, no spaces
+	Amount    float64       // units; below 0 gives back
+	TTL       time.Duration // the life of a new name, from its first add on
+	StartedAt time.Duration // on the caller's clock, for the caller's own books
+	state     atomic.Int32
+	ended     bool
 }
 
 // Take is the store's: it claims a call before anything of it leaves the process, and reports false for one that was
 // withdrawn, which must then not be sent.
-func (c *Call) Take() bool { return c.state.CompareAndSwap(queued, taken) }
+func (c *Call) Claim() bool { return c.state.CompareAndSwap(queued, taken) }
 
 // Withdraw is the caller's: it reports whether the call was taken back before a store took it, so that it is surely not
 // added.
@@ -72,13 +72,13 @@
 
 // Refuse is the store's, before it takes the amount of a call that it took out of the total: false means that the caller
 // has counted the call as added, and added it must stay.
-func (c *Call) Refuse() bool { return c.state.CompareAndSwap(taken, refused) }
+func (c *Call) Reject() bool { return c.state.CompareAndSwap(taken, refused) }
 
 // Open reports whether nobody has taken or withdrawn the call.
-func (c *Call) Open() bool { return c.state.Load() == queued }
+func (c *Call) IsQueued() bool { return c.state.Load() == queued }
 
 // End is the caller's, on one goroutine: it reports whether this is the call's first answer.
-func (c *Call) End() bool {
+func (c *Call) FirstAnswer() bool {
 	first := !c.ended
 	c.ended = true
 	return first
@@ -95,7 +95,7 @@
 	// Run serves the calls until ctx ends, and leaves no goroutine behind.
 	Run(ctx context.Context)
 	// Move goes over to another address; it waits for nothing, may come at any time, and the last of several counts.
-	Move(addr string)
+	SetAddress(addr string)
 }
 
 // Latest is a place for one value; one that is put there takes the place of one that was not fetched.
--- a/internal/store/storetest/storetest.go
+++ b/internal/store/storetest/storetest.go
@@ -92,7 +92,7 @@
 // Do adds and waits for the answer to just that.
 func (i *Instance) Do(t testing.TB, name string, amount float64) store.Result {
 	t.Helper()
-	k := &store.Call{Name: name, Amount: amount, Keep: time.Minute}
+	k := &store.Call{Name: name, Amount: amount, TTL: time.Minute}
 	i.Add(k)
 	a := i.Next(t)
 	if a.Call != k {
@@ -104,7 +104,7 @@
 // DoLast is Do where earlier calls may be answered first.
 func (i *Instance) DoLast(t testing.TB, name string, amount float64) store.Result {
 	t.Helper()
-	k := &store.Call{Name: name, Amount: amount, Keep: time.Minute}
+	k := &store.Call{Name: name, Amount: amount, TTL: time.Minute}
 	i.Add(k)
 	for {
 		if a := i.Next(t); a.Call == k {
@@ -166,7 +166,7 @@
 		const n = 300
 		calls := make([]*store.Call, n)
 		for j := range calls {
-			calls[j] = &store.Call{Name: "a", Amount: 1, Keep: time.Minute}
+			calls[j] = &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 			i.Add(calls[j])
 		}
 		for j := range calls {
@@ -180,7 +180,7 @@
 		const names, each = 40, 10
 		for range each {
 			for j := range names {
-				i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: float64(j), Keep: time.Minute})
+				i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: float64(j), TTL: time.Minute})
 			}
 		}
 		last := map[string]float64{}
@@ -199,7 +199,7 @@
 	})
 	run("a name's life", func(t *testing.T, b Backend) {
 		i := Start(t, b.New)
-		i.Add(&store.Call{Name: "a", Amount: 5, Keep: 200 * time.Millisecond})
+		i.Add(&store.Call{Name: "a", Amount: 5, TTL: 200 * time.Millisecond})
 		began := i.Next(t).At
 		Until(t, "the name's end", func() bool { return b.Total("a") == 0 })
 		if lived := time.Since(began); lived < 100*time.Millisecond {
@@ -211,7 +211,7 @@
 	})
 	run("withdrawn", func(t *testing.T, b Backend) {
 		i := Start(t, b.New)
-		k := &store.Call{Name: "a", Amount: 7, Keep: time.Minute}
+		k := &store.Call{Name: "a", Amount: 7, TTL: time.Minute}
 		if !k.Withdraw() {
 			t.Fatal("a call that nobody has")
 		}
@@ -241,7 +241,7 @@
 		least, most := 0.0, 0.0
 		for range 3 {
 			for range 50 {
-				i.Add(&store.Call{Name: "a", Amount: 1, Keep: time.Minute})
+				i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 			}
 			b.Stop()
 			b.Listen()
@@ -270,7 +270,7 @@
 		i := Start(t, b.New)
 		calls := make([]*store.Call, 5000)
 		for j := range calls {
-			calls[j] = &store.Call{Name: "a", Amount: 1, Keep: time.Minute}
+			calls[j] = &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 			i.Add(calls[j]) // must not block
 		}
 		answered := 0
@@ -289,7 +289,7 @@
 		i := Start(t, b.New)
 		i.Do(t, "a", 1)
 		other := open(t)
-		i.Move(other.Addr)
+		i.SetAddress(other.Addr)
 		Until(t, "the move", func() bool {
 			i.Do(t, "a", 1)
 			return other.Total("a") > 0
--- a/internal/store/tally/tally.go
+++ b/internal/store/tally/tally.go
@@ -66,7 +66,7 @@
 }
 
 // Move goes over to a counter at another address.
-func (c *Counter) Move(addr string) {
+func (c *Counter) SetAddress(addr string) {
 	for _, l := range c.links {
 		l.moves.Set(addr)
 	}
@@ -94,7 +94,7 @@
 			case l.addr = <-l.moves:
 			default:
 			}
-			if k.Open() { // else it has timed out: no connection for its sake
+			if k.IsQueued() { // else it has timed out: no connection for its sake
 				l.serve(ctx, k)
 			}
 		}
@@ -137,7 +137,7 @@
 		buf, ends = buf[:0], ends[:0]
 		sent = sent[:0]
 		for _, k := range batch {
-			if len(pending) == cap(pending) || !k.Take() {
+			if len(pending) == cap(pending) || !k.Claim() {
 				continue // times out unwritten, or has already
 			}
 			buf = appendCall(buf, k)
@@ -260,6 +260,6 @@
 func appendCall(b []byte, k *store.Call) []byte {
 	b = append(append(b, "tally "...), k.Name...)
 	b = strconv.AppendFloat(append(b, ' '), k.Amount, 'f', -1, 64)
-	b = strconv.AppendInt(append(b, ' '), max(1, k.Keep.Milliseconds()), 10)
+	b = strconv.AppendInt(append(b, ' '), max(1, k.TTL.Milliseconds()), 10)
 	return append(b, '\r', '\n')
 }
--- a/internal/store/tally/tally_test.go
+++ b/internal/store/tally/tally_test.go
@@ -51,7 +51,7 @@
 		}
 	})
 	for i, want := range []store.Result{{Certainty: store.Added, Seen: true}, {Certainty: store.NotAdded}, {Certainty: store.NotAdded}, {}} {
-		k := &store.Call{Name: "a", Amount: -2.5, Keep: 4 * time.Second}
+		k := &store.Call{Name: "a", Amount: -2.5, TTL: 4 * time.Second}
 		l.calls <- k
 		ev := <-events
 		if ev.call != k || ev.result.Certainty != want.Certainty || ev.result.Seen != want.Seen {
@@ -104,7 +104,7 @@
 }
 
 func TestCounterCallText(t *testing.T) {
-	if got := string(appendCall(nil, &store.Call{Name: "n", Amount: -2.5, Keep: 4 * time.Second})); got != "tally n -2.5 4000\r\n" {
+	if got := string(appendCall(nil, &store.Call{Name: "n", Amount: -2.5, TTL: 4 * time.Second})); got != "tally n -2.5 4000\r\n" {
 		t.Fatalf("%q", got)
 	}
 }
