--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -46,8 +46,18 @@
 // The commands and flags.
 func TestGoldenHelp(t *testing.T) {
 	var out strings.Builder
-	for _, args := range [][]string{{"--help"}, {"serve", "--help"}, {"check", "--help"}, {"status", "--help"}, {"status", "budgets", "--help"},
-		{"status", "nodes", "--help"}, {"hall", "--help"}, {"hall", "drain", "--help"}, {"hall", "return", "--help"}, {"version", "--help"}} {
+	for _, args := range [][]string{
+		{"--help"},
+		{"serve", "--help"},
+		{"check", "--help"},
+		{"status", "--help"},
+		{"status", "budgets", "--help"},
+		{"status", "nodes", "--help"},
+		{"hall", "--help"},
+		{"hall", "drain", "--help"},
+		{"hall", "return", "--help"},
+		{"version", "--help"},
+	} {
 		if err := command(args, &out, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(args, err)
 		}
@@ -85,7 +95,8 @@
 		line := goTypes.ReplaceAllString(strings.ReplaceAll(stderr.String(), dir, "DIR"), "GOTYPE")
 		fmt.Fprintf(&all, "%d %q %s", code, stdout.String(), line)
 	}
-	for i, text := range []string{"", "{}", "[]",
+	for i, text := range []string{
+		"", "{}", "[]",
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"zz","settings":{}}`,
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":[]}`,
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{},"limits":{"sockets":3}}`,
@@ -95,9 +106,11 @@
 	} {
 		run(file(fmt.Sprintf("bad-%d.json", i), text))
 	}
-	for i, text := range []string{"[store]\nkind = \"redis\"\n", "[store]\nkind = \"x\"\n", "[nothing]\n", "[store]\nkind = 3\n", "[takeover]\n", "[rights]\n",
+	for i, text := range []string{
+		"[store]\nkind = \"redis\"\n", "[store]\nkind = \"x\"\n", "[nothing]\n", "[store]\nkind = 3\n", "[takeover]\n", "[rights]\n",
 		"[halls]\npanic = 7.0\n", "[peers]\nname = \"a\"\n", "[log]\nsummary = \"1ms\"\n", "[metrics]\nlisten = \"x\"\n", "[clock]\nrate = 9.0\n",
-		"[store]\nkind = \"redis\"\naddress = \"127.0.0.1:1\"\nlanes = 65\n", "[forward_auth]\nlisten = \"127.0.0.1:0\"\n"} {
+		"[store]\nkind = \"redis\"\naddress = \"127.0.0.1:1\"\nlanes = 65\n", "[forward_auth]\nlisten = \"127.0.0.1:0\"\n",
+	} {
 		run(config, "check", "--options", file(fmt.Sprintf("bad-%d.toml", i), text))
 	}
 	run(config, "chekc")
--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -84,8 +84,10 @@
 	if err != nil {
 		return fail(err)
 	}
-	cfg := ingress.Config{Listen: f.Listen, Counter: f.Counter, Config: core.Config{Discovery: f.Discovery, Seed: seed,
-		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMB << 20), Known: f.Known, Settings: *set, Connections: conns}}
+	cfg := ingress.Config{Listen: f.Listen, Counter: f.Counter, Config: core.Config{
+		Discovery: f.Discovery, Seed: seed,
+		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMB << 20), Known: f.Known, Settings: *set, Connections: conns,
+	}}
 	if st := o.Store; st != nil && st.Kind == config.KindRedis {
 		cfg.Counter = st.Address
 		cfg.Store = func(sink store.Sink) (store.Counter, error) {
@@ -121,8 +123,10 @@
 	}
 	if h := o.Zones; h != nil {
 		cfg.ZoneDrains = h.Drains
-		cfg.Zones = &zones.Config{Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
-			Ramp: time.Duration(h.Ramp), RampFrom: h.RampFrom, Forget: time.Duration(h.Forget)}
+		cfg.Zones = &zones.Config{
+			Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
+			Ramp: time.Duration(h.Ramp), RampFrom: h.RampFrom, Forget: time.Duration(h.Forget),
+		}
 	}
 	if p := o.Peers; p != nil {
 		cfg.Peers = &peers.Config{Name: p.Name, Listen: p.Listen, Advertise: p.Advertise, Seeds: p.Seeds, SeedsFile: p.SeedsFile, KeyFile: p.KeyFile, Dial: p.Dial}
@@ -160,15 +164,19 @@
 		return nil, nil, fmt.Errorf("forward_auth.%w", err)
 	}
 	d := func(x config.Duration) time.Duration { return time.Duration(x) }
-	return &ingress.Auth{Listen: fa.Listen, Table: table, Config: forwardauth.Config{Prefix: fa.Prefix, Trusted: networks, Header: fa.Header, MaxCalls: fa.Calls, MaxConnections: fa.Connections,
-			MaxHeaderBytes: fa.HeaderBytes, MaxBodyBytes: 64 << 10, HeaderTimeout: d(fa.HeaderTime), IdleTimeout: d(fa.IdleTime), MaxReports: 1000}},
+	return &ingress.Auth{Listen: fa.Listen, Table: table, Config: forwardauth.Config{
+			Prefix: fa.Prefix, Trusted: networks, Header: fa.Header, MaxCalls: fa.Calls, MaxConnections: fa.Connections,
+			MaxHeaderBytes: fa.HeaderBytes, MaxBodyBytes: 64 << 10, HeaderTimeout: d(fa.HeaderTime), IdleTimeout: d(fa.IdleTime), MaxReports: 1000,
+		}},
 		&core.Leases{Timeout: d(fa.LeaseTimeout), StartWithin: d(fa.StartWithin), Retention: d(fa.Keep), MaxRequests: fa.Requests}, nil
 }
 
 // redisOptions are the options of a store on Redis; timeout is that of a call.
 func redisOptions(s *config.Store, timeout time.Duration) redis.Options {
-	o := redis.Options{Address: s.Address, Sentinels: s.Sentinels, Master: s.Master, Username: s.Username, Database: s.Database,
-		Prefix: s.Prefix, Shards: s.Shards, ConnectTimeout: time.Duration(s.ConnectTimeout), Timeout: timeout}
+	o := redis.Options{
+		Address: s.Address, Sentinels: s.Sentinels, Master: s.Master, Username: s.Username, Database: s.Database,
+		Prefix: s.Prefix, Shards: s.Shards, ConnectTimeout: time.Duration(s.ConnectTimeout), Timeout: timeout,
+	}
 	if s.PasswordFile != "" {
 		o.Password = s.Password
 	}
--- a/cmd/lab/halls.go
+++ b/cmd/lab/halls.go
@@ -21,8 +21,10 @@
 
 // run is an experiment: what an ingress that knows of halls makes of losing one, against one that doesn't.
 func (c *hallsCmd) run(ctx context.Context, out io.Writer) (int, error) {
-	s := &experiment.Spec{Name: "halls", About: "Losing and regaining a hall, with [halls] off and on.", Seeds: c.Seeds, First: c.Seed,
-		Variants: []experiment.Variant{{Name: "off"}, {Name: "on", Halls: true}}}
+	s := &experiment.Spec{
+		Name: "halls", About: "Losing and regaining a hall, with [halls] off and on.", Seeds: c.Seeds, First: c.Seed,
+		Variants: []experiment.Variant{{Name: "off"}, {Name: "on", Halls: true}},
+	}
 	if c.On {
 		s.Variants = s.Variants[1:]
 	}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -111,8 +111,10 @@
 
 // config is what the flags come to; done closes the log.
 func (p *play) config() (cfg lab.Config, done func(), err error) {
-	cfg = lab.Config{Day: p.Day, Seed: p.Seed, For: p.For, Nodes: p.Nodes, Ingresses: p.Ingresses, Store: p.Store, Faults: p.Fault, Rate: p.Rate, Hot: p.Hot,
-		Ingress: p.Ingress, Race: p.Race, Halls: p.Halls, GateFault: p.GateFault}
+	cfg = lab.Config{
+		Day: p.Day, Seed: p.Seed, For: p.For, Nodes: p.Nodes, Ingresses: p.Ingresses, Store: p.Store, Faults: p.Fault, Rate: p.Rate, Hot: p.Hot,
+		Ingress: p.Ingress, Race: p.Race, Halls: p.Halls, GateFault: p.GateFault,
+	}
 	switch p.Fronts {
 	case "resp":
 	case "http":
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -54,8 +54,10 @@
 
 // Open serves calls on ln until Close.
 func Open(ln net.Listener, s Service, log *slog.Logger) *Server {
-	d := &Server{done: make(chan struct{}), srv: &http.Server{Handler: called(Handler(s, log)), ConnContext: of, ReadTimeout: callTime, ReadHeaderTimeout: callTime,
-		WriteTimeout: callTime, MaxHeaderBytes: mostHeader, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelInfo)}}
+	d := &Server{done: make(chan struct{}), srv: &http.Server{
+		Handler: called(Handler(s, log)), ConnContext: of, ReadTimeout: callTime, ReadHeaderTimeout: callTime,
+		WriteTimeout: callTime, MaxHeaderBytes: mostHeader, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelInfo),
+	}}
 	d.srv.SetKeepAlivesEnabled(false)
 	go func() {
 		defer close(d.done)
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -163,8 +163,10 @@
 
 // play plays a scenario to its end.
 func (s scenario) play() measured {
-	t := &traffic{scenario: s, now: time.Minute, rng: rand.New(rand.NewPCG(s.seed+1, 7)), conns: map[*conn]*socket{}, open: map[policy.BackendID]int{},
-		out: make([]int, s.backends)}
+	t := &traffic{
+		scenario: s, now: time.Minute, rng: rand.New(rand.NewPCG(s.seed+1, 7)), conns: map[*conn]*socket{}, open: map[policy.BackendID]int{},
+		out: make([]int, s.backends),
+	}
 	t.ends = map[policy.Outcome]int{}
 	if t.connectAfter == 0 {
 		t.connectAfter = 250 * ms
@@ -311,7 +313,8 @@
 		return s
 	}
 	few, many := usual("190/s", 190, 40000), usual("3,000/s", 3000, 100000)
-	for _, s := range []scenario{few, many,
+	for _, s := range []scenario{
+		few, many,
 		with(few, "190/s, some preferred", func(s *scenario) { s.prefers = true }),
 		with(many, "3,000/s, some preferred", func(s *scenario) { s.prefers = true }),
 		with(few, "3 backends", func(s *scenario) { s.backends = 3 }),
--- a/internal/cmdline/cmdline.go
+++ b/internal/cmdline/cmdline.go
@@ -23,8 +23,10 @@
 			done, err = true, nil
 		}
 	}()
-	parser, err := kong.New(into, append([]kong.Option{kong.Name(name), kong.Description(about), kong.Writers(out, out),
-		kong.Exit(func(int) { panic(printed{}) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true})}, more...)...)
+	parser, err := kong.New(into, append([]kong.Option{
+		kong.Name(name), kong.Description(about), kong.Writers(out, out),
+		kong.Exit(func(int) { panic(printed{}) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+	}, more...)...)
 	if err != nil {
 		return false, err
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -234,16 +234,20 @@
 		cfg.Memory = usualMemory
 	}
 	start := time.Now()
-	g := &Core{cfg: cfg, net: cfg.Connections, log: log, classes: map[string]policy.Class{}, plans: map[string]bool{},
+	g := &Core{
+		cfg: cfg, net: cfg.Connections, log: log, classes: map[string]policy.Class{}, plans: map[string]bool{},
 		events: make(chan event, eventQueue), stopped: make(chan struct{}), start: start,
 		epoch: time.Duration(start.UnixNano()) + cfg.Clock.Ahead, mod: mod, requests: map[policy.RequestID]*Request{},
 		keys: map[uint64]bool{}, mostConns: cfg.Sockets * 3 / 8,
 		fig:      newFigures(cfg.Settings.Classes),
 		guard:    guard.NewMonitor(log),
 		ops:      operators{book: override.New(), store: cfg.Overrides, spoke: make(chan struct{}, 1)},
-		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64)}
-	g.nodes = backend.New(owner{g}, backend.Config{OnSent: g.fig.AttemptSent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MaxConnections: g.nodeConns(cfg.Siblings),
-		Frames: resp.NewBudget(cfg.Memory / memoryShare)})
+		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
+	}
+	g.nodes = backend.New(owner{g}, backend.Config{
+		OnSent: g.fig.AttemptSent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MaxConnections: g.nodeConns(cfg.Siblings),
+		Frames: resp.NewBudget(cfg.Memory / memoryShare),
+	})
 	if cfg.Leases != nil {
 		g.handing = newHanding(*cfg.Leases)
 	}
@@ -703,8 +707,10 @@
 		g.final(r, Answer{Kind: Served, Value: rep.Value})
 	}
 	r.out--
-	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: o, Took: g.now - a.StartedAt,
-		Finished: r.final, Load: rep.Load})
+	g.ended(r, policy.AttemptEnded{
+		ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: o, Took: g.now - a.StartedAt,
+		Finished: r.final, Load: rep.Load,
+	})
 	if o == policy.Succeeded {
 		g.recall(r)
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -43,11 +43,15 @@
 }
 
 func testConfig(disc string, known discovery.List) Config {
-	return Config{Discovery: disc, Sockets: 256, Known: known,
-		Settings: policy.Settings{Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+	return Config{
+		Discovery: disc, Sockets: 256, Known: known,
+		Settings: policy.Settings{
+			Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe}},
-			Plans:   []policy.Plan{{Name: "p", Price: 1}}},
-		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}
+			Plans:   []policy.Plan{{Name: "p", Price: 1}},
+		},
+		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second},
+	}
 }
 
 // idleGateway is one whose goroutine does not run: the test hands it the events itself.
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -49,8 +49,10 @@
 }
 
 func newHanding(c Leases) *handing {
-	return &handing{book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Retention, MaxRequests: c.MaxRequests}),
-		open: map[string]*handed{}, leases: map[string]*handed{}}
+	return &handing{
+		book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Retention, MaxRequests: c.MaxRequests}),
+		open: map[string]*handed{}, leases: map[string]*handed{},
+	}
 }
 
 // The events of a front that hands attempts out.
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -90,9 +90,11 @@
 	for _, c := range cfg.Settings.Classes {
 		longest = max(longest, c.LatencyObjective)
 	}
-	return &judgements{peers: cfg.Peers, cfg: outlier.Config{Zone: cfg.Settings.Zone, HalfLife: longAims * longest}, sight: outlier.NewLocalDetector(), teller: outlier.NewPublisher(),
+	return &judgements{
+		peers: cfg.Peers, cfg: outlier.Config{Zone: cfg.Settings.Zone, HalfLife: longAims * longest}, sight: outlier.NewLocalDetector(), teller: outlier.NewPublisher(),
 		fader: outlier.NewDecay(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: outlier.NewProbation(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Instances),
-		starts: map[policy.BackendID]time.Duration{}, blamed: map[policy.BackendID]bool{}}
+		starts: map[policy.BackendID]time.Duration{}, blamed: map[policy.BackendID]bool{},
+	}
 }
 
 // listJudged hands on which starts of nodes there are.
@@ -217,8 +219,10 @@
 	}
 	add := func(o outlier.Observation) {
 		v := by[o.Backend]
-		n := BackendStatus{Backend: o.Backend, Good: o.Good, Bad: o.Bad, PeerSlowness: max(1, j.force[o.Backend]), Cause: v.Cause.String(), Reporters: v.Reporters, Defenders: v.Defenders, Reason: v.Reason,
-			AgeMS: v.Age.Milliseconds()}
+		n := BackendStatus{
+			Backend: o.Backend, Good: o.Good, Bad: o.Bad, PeerSlowness: max(1, j.force[o.Backend]), Cause: v.Cause.String(), Reporters: v.Reporters, Defenders: v.Defenders, Reason: v.Reason,
+			AgeMS: v.Age.Milliseconds(),
+		}
 		if o.Bad > 0.1 {
 			n.OwnCause = o.Cause.String()
 		}
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -16,7 +16,7 @@
 
 func (h *heldStore) Add(k *store.Call)     { h.calls = append(h.calls, k) }
 func (*heldStore) Run(ctx context.Context) { <-ctx.Done() }
-func (*heldStore) SetAddress(string)             {}
+func (*heldStore) SetAddress(string)       {}
 
 // The module hears of each call once: an answer after the time-out is dropped.
 func TestCounterLateAnswerIsDropped(t *testing.T) {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -28,8 +28,10 @@
 
 var figureNames = [allFigures]string{"arrived", "served", "late", "cut", "first", "further", "hold_ms", "dials", "lists", "calls", "call_ms"}
 
-var outcomeNames = [...]string{policy.Failed: "failed", policy.Succeeded: "done", policy.Rejected: "full", policy.TimedOut: "timeout",
-	policy.NoConnect: "noconnect", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot"}
+var outcomeNames = [...]string{
+	policy.Failed: "failed", policy.Succeeded: "done", policy.Rejected: "full", policy.TimedOut: "timeout",
+	policy.NoConnect: "noconnect", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
+}
 
 // summary counts what happens and writes a line of it at a time, so that the logs of many instances can be added up
 // (lab fleet-logs). A nil one counts nothing. The core's goroutine owns it.
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -180,8 +180,10 @@
 func workKey(r *Request) string { return r.Tenant + "/" + r.IdempotencyKey }
 
 func (g *Core) workOf(r *Request) takeover.Work {
-	return takeover.Work{Key: workKey(r), Class: r.Class, Plan: r.Plan, Tenant: r.Tenant, Units: r.Units, Spread: r.Spread, First: r.First,
-		IdempotencyWindow: g.classes[r.Class].RepeatWindow, Command: r.Command.(interface{ Args() [][]byte }).Args()}
+	return takeover.Work{
+		Key: workKey(r), Class: r.Class, Plan: r.Plan, Tenant: r.Tenant, Units: r.Units, Spread: r.Spread, First: r.First,
+		IdempotencyWindow: g.classes[r.Class].RepeatWindow, Command: r.Command.(interface{ Args() [][]byte }).Args(),
+	}
 }
 
 // accept lets keepers hold a request that waits here: should this instance end, another sends it.
--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -161,8 +161,10 @@
 func longList(backends int) []byte {
 	l := List{Rev: 9, Complete: true}
 	for i := range backends {
-		l.Targets = append(l.Targets, Target{UID: fmt.Sprintf("%s-%05d", strings.Repeat("s", 194), i), Endpoint: "10.200.100.18:6379",
-			Zone: "europe-north-1a", Model: "model-2", Group: 1000 + i, State: serving, Capacity: 1.25, BootMS: 1_795_000_000_000})
+		l.Targets = append(l.Targets, Target{
+			UID: fmt.Sprintf("%s-%05d", strings.Repeat("s", 194), i), Endpoint: "10.200.100.18:6379",
+			Zone: "europe-north-1a", Model: "model-2", Group: 1000 + i, State: serving, Capacity: 1.25, BootMS: 1_795_000_000_000,
+		})
 	}
 	text, _ := json.MarshalIndent(l, "", "    ")
 	return text
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -39,8 +39,10 @@
 
 // Server is the entry as the decision module has it; an unknown state is draining.
 func (t Target) Server() policy.Backend {
-	s := policy.Backend{ID: policy.BackendID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
-		Started: time.Duration(t.BootMS) * time.Millisecond}
+	s := policy.Backend{
+		ID: policy.BackendID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
+		Started: time.Duration(t.BootMS) * time.Millisecond,
+	}
 	switch t.State {
 	case serving:
 		s.State = policy.Running
--- a/internal/discovery/many_test.go
+++ b/internal/discovery/many_test.go
@@ -107,8 +107,10 @@
 			if asked < 0 {
 				asked = time.Since(began)
 			}
-			return &http.Response{StatusCode: http.StatusOK, Status: "200", Request: r,
-				Body: io.NopCloser(strings.NewReader(`{"rev":1,"all":true,"targets":[]}`))}, nil
+			return &http.Response{
+				StatusCode: http.StatusOK, Status: "200", Request: r,
+				Body: io.NopCloser(strings.NewReader(`{"rev":1,"all":true,"targets":[]}`)),
+			}, nil
 		})
 		done := make(chan struct{})
 		go func() { defer close(done); d.Run(ctx) }()
--- a/internal/escrow/escrow_test.go
+++ b/internal/escrow/escrow_test.go
@@ -374,7 +374,10 @@
 		return Message{Sender: 1, Instances: instances, Requests: []TransferRequest{a}}
 	}
 	for i, m := range []Message{
-		{Sender: 0, Instances: instances}, {Sender: 7, Instances: instances}, {Sender: -1, Instances: instances}, {Sender: 1, Instances: 4},
+		{Sender: 0, Instances: instances},
+		{Sender: 7, Instances: instances},
+		{Sender: -1, Instances: instances},
+		{Sender: 1, Instances: 4},
 		{Sender: 1, Instances: instances, Usages: []Usage{{Key: "k", Share: math.NaN()}, {Key: "k", Share: -1}, {Key: "k", WantedShare: 1e300}}},
 		ask(TransferRequest{Key: "k", Spread: instances, Transfer: 1, Sequence: 1, Share: math.NaN()}), ask(TransferRequest{Key: "k", Spread: instances, Transfer: 1, Sequence: 1, Share: -1}), ask(TransferRequest{Key: "k", Spread: instances, Transfer: 1, Sequence: 1, Share: 2}),
 		ask(TransferRequest{Key: "k", Spread: -3, Transfer: 1, Sequence: 1, Share: 0.1}), ask(TransferRequest{Key: "k", Spread: 2, First: -1, Transfer: 1, Sequence: 1, Share: 0.1}),
--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -74,9 +74,11 @@
 	f := &Front{cfg: cfg, core: c, log: log, calls: make(chan struct{}, cfg.MaxCalls), ended: make(chan struct{}), met: newMetrics(reg)}
 	f.key.Store(1 << 63) // apart from the ids of other fronts
 	f.table.Store(table)
-	f.srv = &http.Server{Handler: f.handler(), ReadHeaderTimeout: cfg.HeaderTimeout, ReadTimeout: cfg.HeaderTimeout + 5*time.Second, IdleTimeout: cfg.IdleTimeout,
+	f.srv = &http.Server{
+		Handler: f.handler(), ReadHeaderTimeout: cfg.HeaderTimeout, ReadTimeout: cfg.HeaderTimeout + 5*time.Second, IdleTimeout: cfg.IdleTimeout,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, ConnState: f.connState,
-		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) }, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) }, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
 	f.srv.Protocols = new(http.Protocols)
 	f.srv.Protocols.SetHTTP1(true)
 	f.srv.Protocols.SetUnencryptedHTTP2(true)
--- a/internal/front/forwardauth/front_test.go
+++ b/internal/front/forwardauth/front_test.go
@@ -51,6 +51,7 @@
 func (f *fake) ReportOutcome(name string, o lease.Outcome, tell func(core.ReportResult)) {
 	tell(f.report(name, o))
 }
+
 func (f *fake) Class(name string) (policy.Class, bool) {
 	c := map[string]policy.Class{"read": {Name: "read", Deadline: time.Second, Effect: policy.Safe}, "publish": {Name: "publish", Deadline: 5 * time.Second, Effect: policy.Keyed}}[name]
 	return c, c.Name != ""
@@ -73,8 +74,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, MaxCalls: 100, MaxConnections: 200, MaxHeaderBytes: 4096, MaxBodyBytes: 1024,
-		HeaderTimeout: 300 * time.Millisecond, IdleTimeout: time.Minute, MaxReports: 3}
+	cfg := Config{
+		Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, MaxCalls: 100, MaxConnections: 200, MaxHeaderBytes: 4096, MaxBodyBytes: 1024,
+		HeaderTimeout: 300 * time.Millisecond, IdleTimeout: time.Minute, MaxReports: 3,
+	}
 	if change != nil {
 		change(&cfg)
 	}
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -31,6 +31,7 @@
 		d.left <- r
 	}
 }
+
 func (deskCore) Class(name string) (policy.Class, bool) {
 	return policy.Class{Name: name, LatencyObjective: time.Second, Deadline: time.Minute, Effect: policy.Safe}, name == "read"
 }
@@ -84,8 +85,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{deskCore: deskCore{make(chan *core.Request, 200), make(chan *core.Request, 200)}, far: far.(*net.TCPConn),
-		held: &heldConn{TCPConn: near.(*net.TCPConn)}, in: bufio.NewReader(far), done: make(chan struct{})}
+	b := &bench{
+		deskCore: deskCore{make(chan *core.Request, 200), make(chan *core.Request, 200)}, far: far.(*net.TCPConn),
+		held: &heldConn{TCPConn: near.(*net.TCPConn)}, in: bufio.NewReader(far), done: make(chan struct{}),
+	}
 	if hold != nil {
 		hold(b.held)
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -261,8 +261,14 @@
 	s := New("s", 1, horizon)
 	now := time.Second
 	long := strings.Repeat("x", 1000)
-	s.Merge(now, now, []Delta{{}, {Owner: long, Incarnation: 1}, {Owner: "o", Incarnation: 1, From: 5, To: 4}, {Owner: "o", Incarnation: 1, To: 9, Facts: []DeltaFact{{"", "x", 1, 0, nil}, {"k", long, 2, 0, nil},
-		{"k", "x", 3, -5, nil}, {"k", "x", 30, 0, nil}, {"k", "x", 4, 0, make([]byte, maxData+1)}, {"k", "x", 5, 1 << 62, nil}}}})
+	s.Merge(now, now, []Delta{{}, {Owner: long, Incarnation: 1}, {Owner: "o", Incarnation: 1, From: 5, To: 4}, {Owner: "o", Incarnation: 1, To: 9, Facts: []DeltaFact{
+		{"", "x", 1, 0, nil},
+		{"k", long, 2, 0, nil},
+		{"k", "x", 3, -5, nil},
+		{"k", "x", 30, 0, nil},
+		{"k", "x", 4, 0, make([]byte, maxData+1)},
+		{"k", "x", 5, 1 << 62, nil},
+	}}})
 	if s.Len() != 0 || s.Counts().Malformed != 9 {
 		t.Fatal(s.Len(), s.Counts())
 	}
--- a/internal/guard/invariant.go
+++ b/internal/guard/invariant.go
@@ -29,8 +29,10 @@
 	invariants
 )
 
-var invariantNames = [invariants]string{"none", "send_after_end", "send_after_deadline", "send_to_drained", "repeat_of_unsafe", "repeat_elsewhere", "repeat_after_window",
-	"two_attempts_out", "answered_twice", "answered_late", "refused_though_run", "closed_unanswered", "open_at_exit"}
+var invariantNames = [invariants]string{
+	"none", "send_after_end", "send_after_deadline", "send_to_drained", "repeat_of_unsafe", "repeat_elsewhere", "repeat_after_window",
+	"two_attempts_out", "answered_twice", "answered_late", "refused_though_run", "closed_unanswered", "open_at_exit",
+}
 
 // Invariants are all of them, in their order.
 func Invariants() []Invariant {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -29,8 +29,10 @@
 		var l policy.LearnedState
 		for range rapid.IntRange(0, 20).Draw(t, "customers") {
 			unit := rapid.Float64Range(-50, 500)
-			l.Tenants = append(l.Tenants, policy.LearnedTenant{LeasedUnits: unit.Draw(t, "block"), UnreportedUnits: unit.Draw(t, "owed"),
-				CeilingLevel: unit.Draw(t, "ceiling"), Demand: rapid.Float64Range(0, 1000).Draw(t, "demand")})
+			l.Tenants = append(l.Tenants, policy.LearnedTenant{
+				LeasedUnits: unit.Draw(t, "block"), UnreportedUnits: unit.Draw(t, "owed"),
+				CeilingLevel: unit.Draw(t, "ceiling"), Demand: rapid.Float64Range(0, 1000).Draw(t, "demand"),
+			})
 		}
 		kept, given := Split(l)
 		for i, c := range l.Tenants {
@@ -47,8 +49,10 @@
 }
 
 func example(now time.Duration) State {
-	return State{Listen: "127.0.0.1:1", At: now, List: discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0"}}},
-		Learned: policy.LearnedState{Window: 3, Tenants: []policy.LearnedTenant{{ID: "c", Plan: "p", Spread: 2, LeasedUnits: -1, LevelAt: now}}}}
+	return State{
+		Listen: "127.0.0.1:1", At: now, List: discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0"}}},
+		Learned: policy.LearnedState{Window: 3, Tenants: []policy.LearnedTenant{{ID: "c", Plan: "p", Spread: 2, LeasedUnits: -1, LevelAt: now}}},
+	}
 }
 
 // What cannot be the file of this ingress's last process is left aside whole.
--- a/internal/ingress/door_test.go
+++ b/internal/ingress/door_test.go
@@ -29,7 +29,8 @@
 	var began, said time.Time
 	trace := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { began = time.Now() },
-		WroteRequest: func(httptrace.WroteRequestInfo) { said = time.Now() }})
+		WroteRequest: func(httptrace.WroteRequestInfo) { said = time.Now() },
+	})
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequestWithContext(trace, verb, "http://"+g.AdminAddr().String()+path, nil)
 	if err != nil {
@@ -402,8 +403,10 @@
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
-	for _, want := range []string{fmt.Sprintf(`hitchspring_requests_total{class="read",end="answered"} %d`, got["answered"]),
-		fmt.Sprintf("hitchspring_attempts_written_total %d", seen.Load())} {
+	for _, want := range []string{
+		fmt.Sprintf(`hitchspring_requests_total{class="read",end="answered"} %d`, got["answered"]),
+		fmt.Sprintf("hitchspring_attempts_written_total %d", seen.Load()),
+	} {
 		if !strings.Contains(string(text), want+"\n") {
 			t.Errorf("no line %q at [metrics]", want)
 		}
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -18,7 +18,8 @@
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("hitchspring_"+name, help, labels, nil)
 	}
-	return &requestFigures{set: set, guard: m,
+	return &requestFigures{
+		set: set, guard: m,
 		reasons:   d("reasons_total", "Refusals, failures, ends of attempts, attempts held back and ends of clients' connections, by reason.", "what", "reason"),
 		violated:  d("invariants_violated_total", "What must never happen, by its name; 0 is wanted.", "invariant"),
 		ended:     d("requests_total", "Requests by class and by how they ended: answered, deferred (refused), errored (failed).", "class", "end"),
@@ -26,7 +27,8 @@
 		sends:     d("attempts_written_total", "Attempts that were written to a node to their last byte."),
 		open:      d("requests_open", "Requests taken and not ended."),
 		size:      d("nodes_listed", "Nodes in discovery's list."),
-		unhealthy: d("nodes_avoided", "Listed nodes that are taken out by hand or left out by choice.")}
+		unhealthy: d("nodes_avoided", "Listed nodes that are taken out by hand or left out by choice."),
+	}
 }
 
 // Describe is for prometheus.
--- a/internal/ingress/gate_test.go
+++ b/internal/ingress/gate_test.go
@@ -37,8 +37,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Auth = &Auth{Listen: "127.0.0.1:0", Table: table, Config: forwardauth.Config{Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}, MaxCalls: 1000,
-		MaxConnections: 600, MaxHeaderBytes: 8 << 10, MaxBodyBytes: 8 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxReports: 10}}
+	cfg.Auth = &Auth{Listen: "127.0.0.1:0", Table: table, Config: forwardauth.Config{
+		Header: "X-Hitch", Trusted: []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}, MaxCalls: 1000,
+		MaxConnections: 600, MaxHeaderBytes: 8 << 10, MaxBodyBytes: 8 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxReports: 10,
+	}}
 	cfg.Leases = &core.Leases{Timeout: 10 * time.Second, StartWithin: 500 * time.Millisecond, Retention: 3 * time.Second, MaxRequests: 50000}
 	if change != nil {
 		change(&cfg)
--- a/internal/ingress/halls.go
+++ b/internal/ingress/halls.go
@@ -20,7 +20,8 @@
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("hitchspring_"+name, help, labels, nil)
 	}
-	return &hallFigures{status: status,
+	return &hallFigures{
+		status:    status,
 		reach:     d("halls_reach_ratio", "Share of all halls' capacity that is to be had."),
 		planned:   d("halls_spill_planned_ratio", "Share of this instance's work that leaves its own hall at the least."),
 		spilled:   d("halls_spill_ratio", "Share of this instance's attempts that left its own hall over the last second."),
@@ -34,7 +35,8 @@
 		price:     d("hall_price_ratio", "What a node there counts for against one at home with the same load.", "hall"),
 		state:     d("hall_state", "1 for the state that a hall is in.", "hall", "state"),
 		caution:   d("hall_caution", "Losses that are not forgotten: each doubles the ramp.", "hall"),
-		nodes:     d("hall_nodes", "Nodes that run by the list, and those of them that are held to answer.", "hall", "kind")}
+		nodes:     d("hall_nodes", "Nodes that run by the list, and those of them that are held to answer.", "hall", "kind"),
+	}
 }
 
 // Describe is for prometheus.
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -293,8 +293,10 @@
 		cfg := doorConfig(registry, list)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
 		cfg.Settings.MaxUnits, cfg.Settings.MaxRetryAfter = 1, 200*time.Millisecond
-		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: quotaRate, Burst: quotaBurst, ExcessCost: 0.5,
-			CeilingRate: rate, CeilingBurst: burst, CeilingSlack: slack}}
+		cfg.Settings.Plans = []policy.Plan{{
+			Name: "p", Price: 1, Rate: quotaRate, Burst: quotaBurst, ExcessCost: 0.5,
+			CeilingRate: rate, CeilingBurst: burst, CeilingSlack: slack,
+		}}
 		return ln.start(t, cfg)
 	}
 	old, stop := start()
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -117,8 +117,10 @@
 	}
 	var later *Instance // which takes over, once it is there
 	if cfg.Takeover = nil; cfg.EnableTakeover && others != nil {
-		cfg.Takeover = &core.Takeover{Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Incarnation: 1, Transport: others,
-			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuild(words) }}
+		cfg.Takeover = &core.Takeover{
+			Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Incarnation: 1, Transport: others,
+			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuild(words) },
+		}
 	}
 	if cfg.Config.Escrow = nil; cfg.EnableEscrow && others != nil {
 		cfg.Config.Escrow = others
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -33,14 +33,19 @@
 const served = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 func testConfig(disc string, known discovery.List) Config {
-	return Config{Listen: "127.0.0.1:0", Config: core.Config{Discovery: disc, Sockets: 256, Known: known,
-		Settings: policy.Settings{Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
+	return Config{Listen: "127.0.0.1:0", Config: core.Config{
+		Discovery: disc, Sockets: 256, Known: known,
+		Settings: policy.Settings{
+			Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
 				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
 				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
-				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed}},
-			Plans: []policy.Plan{{Name: "p", Price: 1}}},
-		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second}}}
+				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed},
+			},
+			Plans: []policy.Plan{{Name: "p", Price: 1}},
+		},
+		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second},
+	}}
 }
 
 // startIngress runs an ingress and returns its address and what stops it and gives Run's result.
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -197,7 +197,8 @@
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("hitchspring_peers_"+name, help, labels, nil)
 	}
-	return &peerFigures{status: status,
+	return &peerFigures{
+		status:   status,
 		members:  d("members", "Other instances by what is believed of them.", "state"),
 		facts:    d("facts", "Facts that are held, of all instances."),
 		bytes:    d("facts_bytes", "Memory that facts take."),
@@ -205,7 +206,8 @@
 		traffic:  d("bytes_total", "Bytes of datagrams from and to other instances.", "way"),
 		aside:    d("left_aside_total", "Datagrams and parts of them that were left aside.", "why"),
 		own:      d("refuted_total", "Times that others took this instance for gone and were told otherwise."),
-		stalls:   d("stalls_total", "Times that this process did not run for long.")}
+		stalls:   d("stalls_total", "Times that this process did not run for long."),
+	}
 }
 
 // Describe is for prometheus.
@@ -233,8 +235,10 @@
 		put(f.messages, prometheus.CounterValue, float64(n[0]), way)
 		put(f.traffic, prometheus.CounterValue, float64(n[1]), way)
 	}
-	for why, n := range map[string]int{"key": s.Counts.WrongKey, "malformed": s.Counts.Malformed + s.Gossip.Malformed, "newer": s.Counts.Newer, "late": s.Gossip.Late,
-		"ended life": s.Swim.EndedIncarnation + s.Gossip.EndedIncarnation, "stray": s.Swim.Stray + s.Counts.Unsolicited, "full": s.Swim.Full + s.Gossip.Full} {
+	for why, n := range map[string]int{
+		"key": s.Counts.WrongKey, "malformed": s.Counts.Malformed + s.Gossip.Malformed, "newer": s.Counts.Newer, "late": s.Gossip.Late,
+		"ended life": s.Swim.EndedIncarnation + s.Gossip.EndedIncarnation, "stray": s.Swim.Stray + s.Counts.Unsolicited, "full": s.Swim.Full + s.Gossip.Full,
+	} {
 		put(f.aside, prometheus.CounterValue, float64(n), why)
 	}
 	put(f.own, prometheus.CounterValue, float64(s.Swim.Refuted))
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -222,7 +222,8 @@
 func TestWholeListAfterAnEndedWatch(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ last, state string }{
-		{"", ""}, {"", "DRAINING"},
+		{"", ""},
+		{"", "DRAINING"},
 		{`{"rev":6,"all":true,"tar`, ""}, // the watch ends within a list
 	} {
 		for _, many := range []bool{false, true} { // instances that share what discovery can do
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -123,8 +123,10 @@
 	for _, k := range w.classes {
 		work[k.name] = k.work
 	}
-	return backend.Rules{Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, MostConns: 1500, ConnWork: ms, Knee: 8,
-		LossBeyond: 0.03}
+	return backend.Rules{
+		Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, MostConns: 1500, ConnWork: ms, Knee: 8,
+		LossBeyond: 0.03,
+	}
 }
 
 // thin leaves outside the burst as many of the arrivals, which are drawn for it, as are usual.
--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -31,8 +31,10 @@
 func startBackends(c *Config, build Build, seed uint64) (b *backends, err error) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	b = &backends{fleet: backend.NewFleet(backend.Rules{Work: map[string]backend.Work{class: {Least: c.Work, Most: c.Work}}}, seed, clock),
-		registry: discovery.New(seed, clock, 0, time.Millisecond)}
+	b = &backends{
+		fleet:    backend.NewFleet(backend.Rules{Work: map[string]backend.Work{class: {Least: c.Work, Most: c.Work}}}, seed, clock),
+		registry: discovery.New(seed, clock, 0, time.Millisecond),
+	}
 	defer func() {
 		if err != nil {
 			b.close()
--- a/internal/lab/cost/load_test.go
+++ b/internal/lab/cost/load_test.go
@@ -171,8 +171,10 @@
 		want   string
 	}{
 		"served": {func(_ int, id string) string { return valueOf(id) }, "10 served, 0 refused, 0 failed, 0 foreign, void: "},
-		"a backend's form": {func(_ int, id string) string { return "*3\r\n" + valueOf(id) + "$-1\r\n$-1\r\n" },
-			"10 served, 0 refused, 0 failed, 0 foreign, void: "},
+		"a backend's form": {
+			func(_ int, id string) string { return "*3\r\n" + valueOf(id) + "$-1\r\n$-1\r\n" },
+			"10 served, 0 refused, 0 failed, 0 foreign, void: ",
+		},
 		"one refused": {func(n int, id string) string {
 			if n == 4 {
 				return "-BUSY 20\r\n"
--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -97,14 +97,20 @@
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	return map[string]any{
 		"me": 0, "replicasOfMe": 1, "myZone": zone, "registryMode": "push",
-		"classes": []any{map[string]any{"name": class, "value": 2, "objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(deadline),
-			"lateShare": 0.1, "effect": "read_like", "group": "all", "windowUs": us(3 * time.Second)}},
+		"classes": []any{map[string]any{
+			"name": class, "value": 2, "objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(deadline),
+			"lateShare": 0.1, "effect": "read_like", "group": "all", "windowUs": us(3 * time.Second),
+		}},
 		"contracts":  []any{map[string]any{"name": plan, "price": 1, "refill": quota, "burst": quota, "excessCost": 1}},
 		"familyInfo": map[string]any{"counterTimeoutUs": us(80 * time.Millisecond), "maxUnits": 6, "sharedCounter": true},
-		"permissions": map[string]any{"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(250 * time.Millisecond), "maxOpen": 20000,
-			"maxAttempts": 6, "maxRetryAfterUs": us(500 * time.Millisecond), "mayCancel": true, "probing": true, "parallelTries": true, "retryAfter": true},
+		"permissions": map[string]any{
+			"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(250 * time.Millisecond), "maxOpen": 20000,
+			"maxAttempts": 6, "maxRetryAfterUs": us(500 * time.Millisecond), "mayCancel": true, "probing": true, "parallelTries": true, "retryAfter": true,
+		},
 		"prices": map[string]any{"crossZone": 0.01},
-		"invariants": map[string]any{"coldFrom": 0.25, "warmAfterUs": us(18 * time.Second), "fallMultiple": 4, "fallUs": us(time.Second),
-			"drainGraceUs": us(2 * time.Second)},
+		"invariants": map[string]any{
+			"coldFrom": 0.25, "warmAfterUs": us(18 * time.Second), "fallMultiple": 4, "fallUs": us(time.Second),
+			"drainGraceUs": us(2 * time.Second),
+		},
 	}
 }
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -12,8 +12,10 @@
 func (w *World) evidence() rulecheck.Evidence {
 	e := rulecheck.Evidence{Asked: w.load.asked(), Late: w.meter.Late()}
 	for _, r := range w.fleet.Records(0) {
-		e.Sent = append(e.Sent, rulecheck.Sent{Came: r.Came, Ended: r.Ended, ID: r.ID, Node: r.Node, Instance: fmt.Sprint("n", r.Instance), Customer: r.Customer,
-			Plan: r.Plan, Class: r.Class, Rack: r.Rack, Units: r.Units, Busy: r.How == backend.Busy, Cold: r.Cold})
+		e.Sent = append(e.Sent, rulecheck.Sent{
+			Came: r.Came, Ended: r.Ended, ID: r.ID, Node: r.Node, Instance: fmt.Sprint("n", r.Instance), Customer: r.Customer,
+			Plan: r.Plan, Class: r.Class, Rack: r.Rack, Units: r.Units, Busy: r.How == backend.Busy, Cold: r.Cold,
+		})
 	}
 	for _, t := range w.registry.Told() {
 		e.Told = append(e.Told, rulecheck.Told{At: t.At, Instance: fmt.Sprint("n", t.Agent), Node: t.UID, Serving: t.State == "SERVING"})
--- a/internal/lab/experiment/halls.go
+++ b/internal/lab/experiment/halls.go
@@ -123,6 +123,8 @@
 		return picture{}, err
 	}
 	out, err := svg(p, 24*vg.Centimeter, 7*vg.Centimeter)
-	return picture{"Load of each hall, " + variant + ", seed " + fmt.Sprint(l.Seed),
-		"Commands that came to a hall's nodes. Dashed: what the hall could do, drawn to the scale of what it was sent over the whole run. Grey: what the timeline did.", out}, err
+	return picture{
+		"Load of each hall, " + variant + ", seed " + fmt.Sprint(l.Seed),
+		"Commands that came to a hall's nodes. Dashed: what the hall could do, drawn to the scale of what it was sent over the whole run. Grey: what the timeline did.", out,
+	}, err
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -123,8 +123,10 @@
 }
 
 func (s *Spec) play(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
-	run := lab.Config{Day: c.Day, Seed: c.Seed, For: time.Duration(s.Length), Rate: s.Rate, Ingress: programs[c.Variants[0]], Store: s.Variants[c.Variants[0]].Store,
-		Halls: s.Variants[c.Variants[0]].Halls, HallLines: s.Variants[c.Variants[0]].Lines}
+	run := lab.Config{
+		Day: c.Day, Seed: c.Seed, For: time.Duration(s.Length), Rate: s.Rate, Ingress: programs[c.Variants[0]], Store: s.Variants[c.Variants[0]].Store,
+		Halls: s.Variants[c.Variants[0]].Halls, HallLines: s.Variants[c.Variants[0]].Lines,
+	}
 	l := Line{Day: c.Day, Seed: c.Seed}
 	for _, v := range c.Variants {
 		l.Variants = append(l.Variants, s.Variants[v].Name)
--- a/internal/lab/instance.go
+++ b/internal/lab/instance.go
@@ -74,9 +74,11 @@
 	}
 	options += w.cfg.Options[i]
 	config := filepath.Join(w.dir, g.Name+".json")
-	text, err := json.Marshal(map[string]any{"name": g.Name, "listen": g.addr, "discovery": agent, "counter": counter,
+	text, err := json.Marshal(map[string]any{
+		"name": g.Name, "listen": g.addr, "discovery": agent, "counter": counter,
 		"seed": fmt.Sprintf("%x", w.cfg.Seed*31+uint64(i)+1), "limits": map[string]any{"cores": 1, "memory_mb": w.cfg.MemoryMB, "sockets": 8192},
-		"known": map[string]any{"rev": 0, "all": true, "targets": []any{}}, "settings": w.settings(i)})
+		"known": map[string]any{"rev": 0, "all": true, "targets": []any{}}, "settings": w.settings(i),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -114,19 +116,29 @@
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var cs, ps []any
 	for _, c := range w.classes {
-		cs = append(cs, map[string]any{"name": c.name, "value": c.worth, "objectiveUs": us(c.aim), "deadlineUs": us(c.deadline), "lateShare": c.late,
-			"effect": c.effect, "group": map[bool]string{true: "all", false: "cell"}[c.effect == "read_like"], "windowUs": us(keyMemory)})
+		cs = append(cs, map[string]any{
+			"name": c.name, "value": c.worth, "objectiveUs": us(c.aim), "deadlineUs": us(c.deadline), "lateShare": c.late,
+			"effect": c.effect, "group": map[bool]string{true: "all", false: "cell"}[c.effect == "read_like"], "windowUs": us(keyMemory),
+		})
 	}
 	for _, p := range w.plans {
-		ps = append(ps, map[string]any{"name": p.name, "price": p.price, "refill": p.rate, "burst": p.burst(), "concurrency": p.open,
-			"excessWorth": p.excessWorth, "excessCost": p.excessCost, "hardRate": p.ceilingRate(), "capDepth": p.ceilingBurst(), "tolerance": tolerance})
+		ps = append(ps, map[string]any{
+			"name": p.name, "price": p.price, "refill": p.rate, "burst": p.burst(), "concurrency": p.open,
+			"excessWorth": p.excessWorth, "excessCost": p.excessCost, "hardRate": p.ceilingRate(), "capDepth": p.ceilingBurst(), "tolerance": tolerance,
+		})
 	}
-	return map[string]any{"me": i, "replicasOfMe": w.day.Ingresses, "myZone": "hall-" + string(rune('a'+i%3)), "registryMode": "push",
+	return map[string]any{
+		"me": i, "replicasOfMe": w.day.Ingresses, "myZone": "hall-" + string(rune('a'+i%3)), "registryMode": "push",
 		"classes": cs, "contracts": ps,
 		"familyInfo": map[string]any{"counterTimeoutUs": us(80 * ms), "maxUnits": maxUnits, "sharedCounter": true},
-		"permissions": map[string]any{"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(250 * ms), "maxOpen": 20000, "maxAttempts": 6,
-			"maxRetryAfterUs": us(500 * ms), "mayCancel": true, "probing": true, "parallelTries": true, "retryAfter": true},
+		"permissions": map[string]any{
+			"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(250 * ms), "maxOpen": 20000, "maxAttempts": 6,
+			"maxRetryAfterUs": us(500 * ms), "mayCancel": true, "probing": true, "parallelTries": true, "retryAfter": true,
+		},
 		"prices": map[string]any{"crossZone": crossHall},
-		"invariants": map[string]any{"coldFrom": coldShare, "warmAfterUs": us(warmAfter), "fallMultiple": fallMultiple, "fallUs": us(time.Second),
-			"drainGraceUs": us(2 * time.Second)}}
+		"invariants": map[string]any{
+			"coldFrom": coldShare, "warmAfterUs": us(warmAfter), "fallMultiple": fallMultiple, "fallUs": us(time.Second),
+			"drainGraceUs": us(2 * time.Second),
+		},
+	}
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -305,8 +305,10 @@
 
 // What can't be done is one line, and a way that is not there is an error.
 func TestBadFaults(t *testing.T) {
-	for text, want := range map[string]string{"": "nothing", "explode 1s": `"explode" is nothing`, "cut": "cut wants 1 words", "cut soon": `"soon" is no duration`, "cut 0s": `"0s" is no duration`,
-		"drop 2 1s": `"2" is out of range`, "drop x 1s": `"x" is out of range`, "delay x 1s": `"x" is no duration`, "reset now": "reset wants 0 words", "throttle 0 1s": `"0" is out of range`} {
+	for text, want := range map[string]string{
+		"": "nothing", "explode 1s": `"explode" is nothing`, "cut": "cut wants 1 words", "cut soon": `"soon" is no duration`, "cut 0s": `"0s" is no duration`,
+		"drop 2 1s": `"2" is out of range`, "drop x 1s": `"x" is out of range`, "delay x 1s": `"x" is no duration`, "reset now": "reset wants 0 words", "throttle 0 1s": `"0" is out of range`,
+	} {
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -55,8 +55,10 @@
 	if _, err := (Defect{Name: "x", Edits: []Edit{{File: "b.go", Find: "one"}}}).Plant(root, root); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	for text, want := range map[string]string{"rule = \"first\"": `rule: "first"`, "role = \"lost\"": "strict mode", "rule = \"lost\"": "are wanted",
-		"rule = \"lost\"\nabout = \"x\"\npart = \"x\"\nday = \"doomsday\"\n[[edit]]\nfile = \"a.go\"": `no "doomsday"`} {
+	for text, want := range map[string]string{
+		"rule = \"first\"": `rule: "first"`, "role = \"lost\"": "strict mode", "rule = \"lost\"": "are wanted",
+		"rule = \"lost\"\nabout = \"x\"\npart = \"x\"\nday = \"doomsday\"\n[[edit]]\nfile = \"a.go\"": `no "doomsday"`,
+	} {
 		if _, err := parse("x", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -74,9 +74,11 @@
 	time.Sleep(200 * ms) // what was sent last reaches the nodes' record
 	evidence := w.evidence()
 	verdict := rulecheck.Judge(w.rules(), evidence)
-	r := &Report{Day: w.day.Name, Seed: w.cfg.Seed, Store: w.day.Store, Seconds: seconds, BeganS: w.load.began.Seconds(), Faults: w.notes, Dropped: int(w.load.dropped.Load()), Processes: procs,
+	r := &Report{
+		Day: w.day.Name, Seed: w.cfg.Seed, Store: w.day.Store, Seconds: seconds, BeganS: w.load.began.Seconds(), Faults: w.notes, Dropped: int(w.load.dropped.Load()), Processes: procs,
 		Breaks: verdict.Breaks, Rules: map[string]int{}, Fronts: map[string]Share{}, verdict: verdict, Edges: verdict.Edges, Unmet: append(w.day.Must.Unmet(verdict.Edges), w.idle()...),
-		LateMS: float64(verdict.Late.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost()}
+		LateMS: float64(verdict.Late.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost(),
+	}
 	for _, rule := range rulecheck.RuleNames {
 		r.Rules[rule] = len(verdict.Of(rule))
 	}
--- a/internal/lab/scenario/step.go
+++ b/internal/lab/scenario/step.go
@@ -33,23 +33,29 @@
 	words map[string]string
 	rules bool
 }{
-	"node": {map[string]string{"slow": "fd", "pause": "d", "neighbour": "fddd", "cut": "nd", "drain": "", "serve": "", "unlist": "", "stop": "", "reset": "",
-		"restart": ""}, true},
+	"node": {map[string]string{
+		"slow": "fd", "pause": "d", "neighbour": "fddd", "cut": "nd", "drain": "", "serve": "", "unlist": "", "stop": "", "reset": "",
+		"restart": "",
+	}, true},
 	"hall":      {map[string]string{"out": "d", "die": "d", "vanish": "d", "trickle": "dd", "drill": "d", "pause": "d", "reset": "", "slow": "fd", "cut": "nd", "drain": "", "serve": "", "restart": ""}, true},
 	"fleet":     {map[string]string{"slow": "fd", "pause": "d", "restart": "f"}, true},
 	"ingress":   {map[string]string{"kill": "", "term": "", "restart": "d", "pause": "d"}, false},
 	"link":      {nil, false},
 	"discovery": {map[string]string{"mute": "d"}, false},
 	"lab":       {map[string]string{"pause": "d"}, false},
-	"store": {map[string]string{"stop": "d", "restart": "*", "silent": "d", "load": "d", "full": "d", "readonly": "d", "maxclients": "*", "flush": "",
-		"forget-scripts": "", "kick": "", "lag": "d", "failover": "*"}, true},
+	"store": {map[string]string{
+		"stop": "d", "restart": "*", "silent": "d", "load": "d", "full": "d", "readonly": "d", "maxclients": "*", "flush": "",
+		"forget-scripts": "", "kick": "", "lag": "d", "failover": "*",
+	}, true},
 }
 
 // tallyWords are the words that the platform's own counter knows.
 var tallyWords = []string{"stop", "restart", "silent"}
 
-var ruleKinds = []fault.Kind{fault.Delay, fault.Hold, fault.Stall, fault.Ignore, fault.Swallow, fault.Late, fault.DropBefore, fault.DropAfter,
-	fault.Repeat, fault.Swap, fault.Cut, fault.Fail}
+var ruleKinds = []fault.Kind{
+	fault.Delay, fault.Hold, fault.Stall, fault.Ignore, fault.Swallow, fault.Late, fault.DropBefore, fault.DropAfter,
+	fault.Repeat, fault.Swap, fault.Cut, fault.Fail,
+}
 
 // ParseStep reads an entry of the form TARGET:WHAT at TIME.
 func ParseStep(text string) (Step, error) {
--- a/internal/lab/soak/deployment.go
+++ b/internal/lab/soak/deployment.go
@@ -131,8 +131,10 @@
 	for _, c := range d.classes {
 		work[c.name] = c.work
 	}
-	return backend.Rules{Work: work, KeyMemory: d.window, ColdShare: coldShare, WarmAfter: warmAfter, FallMultiple: fallMultiple, FallSpan: time.Second,
-		FallSlack: 50 * time.Millisecond, MostConns: 1500}
+	return backend.Rules{
+		Work: work, KeyMemory: d.window, ColdShare: coldShare, WarmAfter: warmAfter, FallMultiple: fallMultiple, FallSpan: time.Second,
+		FallSlack: 50 * time.Millisecond, MostConns: 1500,
+	}
 }
 
 // auditRules are the figures of the five rules.
@@ -158,28 +160,38 @@
 	us := func(span time.Duration) int64 { return span.Microseconds() }
 	var classes, plans []any
 	for _, c := range d.classes {
-		classes = append(classes, map[string]any{"name": c.name, "value": 1 + c.units, "objectiveUs": us(c.aim), "deadlineUs": us(c.deadline), "lateShare": 0.1,
-			"effect": c.effect, "group": d.group, "windowUs": us(d.window)})
+		classes = append(classes, map[string]any{
+			"name": c.name, "value": 1 + c.units, "objectiveUs": us(c.aim), "deadlineUs": us(c.deadline), "lateShare": 0.1,
+			"effect": c.effect, "group": d.group, "windowUs": us(d.window),
+		})
 	}
 	for _, p := range d.plans {
-		plans = append(plans, map[string]any{"name": p.name, "price": 1, "refill": p.rate, "burst": p.burst, "concurrency": p.open, "excessWorth": p.excessWorth,
-			"excessCost": p.excessPenalty, "hardRate": p.ceilingRate, "capDepth": p.ceilingBurst, "tolerance": ceilingSlack})
+		plans = append(plans, map[string]any{
+			"name": p.name, "price": 1, "refill": p.rate, "burst": p.burst, "concurrency": p.open, "excessWorth": p.excessWorth,
+			"excessCost": p.excessPenalty, "hardRate": p.ceilingRate, "capDepth": p.ceilingBurst, "tolerance": ceilingSlack,
+		})
 	}
 	mode := "push"
 	if d.asks {
 		mode = "subscribe"
 	}
-	return map[string]any{"me": me, "replicasOfMe": instances, "myZone": fmt.Sprint("z", me%zones), "registryMode": mode, "classes": classes, "contracts": plans,
+	return map[string]any{
+		"me": me, "replicasOfMe": instances, "myZone": fmt.Sprint("z", me%zones), "registryMode": mode, "classes": classes, "contracts": plans,
 		"familyInfo": map[string]any{"counterTimeoutUs": us(counterTimeout), "maxUnits": maxUnits, "sharedCounter": true},
-		"permissions": map[string]any{"connIdleUs": us(d.connIdle), "connectTimeoutUs": us(connectTimeout), "maxOpen": 20000, "maxAttempts": 6,
-			"maxRetryAfterUs": us(500 * time.Millisecond), "mayCancel": d.cancel, "probing": true, "parallelTries": d.parallel, "retryAfter": true},
-		"invariants": map[string]any{"coldFrom": coldShare, "warmAfterUs": us(warmAfter), "fallMultiple": fallMultiple, "fallUs": us(time.Second), "drainGraceUs": us(drainGrace)}}
+		"permissions": map[string]any{
+			"connIdleUs": us(d.connIdle), "connectTimeoutUs": us(connectTimeout), "maxOpen": 20000, "maxAttempts": 6,
+			"maxRetryAfterUs": us(500 * time.Millisecond), "mayCancel": d.cancel, "probing": true, "parallelTries": d.parallel, "retryAfter": true,
+		},
+		"invariants": map[string]any{"coldFrom": coldShare, "warmAfterUs": us(warmAfter), "fallMultiple": fallMultiple, "fallUs": us(time.Second), "drainGraceUs": us(drainGrace)},
+	}
 }
 
 // config is the configuration of one instance, as JSON.
 func (d *deployment) config(me, instances int, seed uint64, listen, admin, discovery, counter string) ([]byte, error) {
-	return json.Marshal(map[string]any{"name": fmt.Sprint("n", me), "listen": listen, "admin_addr": admin, "discovery": discovery, "counter": counter, "seed": fmt.Sprintf("%x", seed),
+	return json.Marshal(map[string]any{
+		"name": fmt.Sprint("n", me), "listen": listen, "admin_addr": admin, "discovery": discovery, "counter": counter, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": mostSockets},
 		"known":    map[string]any{"rev": 0, "all": true, "targets": []any{}},
-		"settings": d.settings(me, instances)})
+		"settings": d.settings(me, instances),
+	})
 }
--- a/internal/lab/soak/instance.go
+++ b/internal/lab/soak/instance.go
@@ -92,8 +92,10 @@
 		return nil, err
 	}
 	r.onClose(func() { log.Close() })
-	in.Process = proc.Process{Name: fmt.Sprint("n", n), Program: r.cfg.Program, Log: &lineWriter{to: log, line: in.logged}, Serves: in.ping, Ended: in.ended,
-		Env: append(os.Environ(), "ROUTER_CONFIG="+in.config, "HITCHSPRING_OPTIONS=", "TMPDIR="+state)}
+	in.Process = proc.Process{
+		Name: fmt.Sprint("n", n), Program: r.cfg.Program, Log: &lineWriter{to: log, line: in.logged}, Serves: in.ping, Ended: in.ended,
+		Env: append(os.Environ(), "ROUTER_CONFIG="+in.config, "HITCHSPRING_OPTIONS=", "TMPDIR="+state),
+	}
 	return in, nil
 }
 
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -68,8 +68,10 @@
 	r.judgeInstances()
 	e := rulecheck.Evidence{Asked: list, Told: r.toldToInstances(), Late: r.meter.Late()}
 	for _, rec := range records {
-		e.Sent = append(e.Sent, rulecheck.Sent{Came: rec.Came, Ended: rec.Ended, ID: rec.ID, Node: rec.Node, Instance: fmt.Sprint("n", rec.Instance), Customer: rec.Customer,
-			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.How == backend.Busy, Cold: rec.Cold})
+		e.Sent = append(e.Sent, rulecheck.Sent{
+			Came: rec.Came, Ended: rec.Ended, ID: rec.ID, Node: rec.Node, Instance: fmt.Sprint("n", rec.Instance), Customer: rec.Customer,
+			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.How == backend.Busy, Cold: rec.Cold,
+		})
 	}
 	for _, n := range r.fleet.Nodes() {
 		if why, at := n.Fell(); n.Pushed() > 0 {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -332,8 +332,10 @@
 }
 
 func (r *run) report(v rulecheck.Verdict) *Report {
-	out := &Report{Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.asked), Troubles: r.notes.lines, Findings: r.findings, LatestObserver: v.Late,
-		NearestToCeiling: v.Edges.Ceiling, NearestToColdFall: v.Edges.ColdPush}
+	out := &Report{
+		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.asked), Troubles: r.notes.lines, Findings: r.findings, LatestObserver: v.Late,
+		NearestToCeiling: v.Edges.Ceiling, NearestToColdFall: v.Edges.ColdPush,
+	}
 	for _, a := range r.asked {
 		switch {
 		case a.noConnect:
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -31,8 +31,10 @@
 // troubleKind draws a trouble of one kind.
 type troubleKind func(*run, *rand.Rand) trouble
 
-var troubleKinds = []troubleKind{drawTerminations, drawTerminations, drawKills, drawHangups, drawSilence, drawBrokenDiscovery, drawDrains, drawColdRestarts,
-	drawResets, drawRules, drawPauses, drawCuts, drawCounter, drawHolds, drawIdleCloses, drawCrowd, drawDrainedInstances, drawSuspensions}
+var troubleKinds = []troubleKind{
+	drawTerminations, drawTerminations, drawKills, drawHangups, drawSilence, drawBrokenDiscovery, drawDrains, drawColdRestarts,
+	drawResets, drawRules, drawPauses, drawCuts, drawCounter, drawHolds, drawIdleCloses, drawCrowd, drawDrainedInstances, drawSuspensions,
+}
 
 // drawTroubles draws the troubles of a run.
 func (r *run) drawTroubles(rng *rand.Rand) (out []trouble) {
@@ -177,8 +179,10 @@
 // drawRules spoils a share of what some backends answer.
 func drawRules(r *run, rng *rand.Rand) trouble {
 	which, d := pick(rng, r.deployment.backends, 2, r.deployment.backends), drawSpan(rng, time.Second, 4*time.Second)
-	text := []string{"drop-after share 0.3", "drop-before share 0.3", "ignore share 0.3", "hold 400ms share 0.4", "repeat share 0.3", "repeat-late 8ms share 0.3", "cut share 0.3",
-		"delay 300ms share 0.4", "fail share 0.3", "swallow share 0.3"}[rng.IntN(10)]
+	text := []string{
+		"drop-after share 0.3", "drop-before share 0.3", "ignore share 0.3", "hold 400ms share 0.4", "repeat share 0.3", "repeat-late 8ms share 0.3", "cut share 0.3",
+		"delay 300ms share 0.4", "fail share 0.3", "swallow share 0.3",
+	}[rng.IntN(10)]
 	return trouble{text: fmt.Sprintf("backends %v for %v: %s", which, d, text), do: func(context.Context) {
 		rule, err := fault.Parse(text)
 		if err != nil {
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -55,8 +55,10 @@
 		"the owner, accepted":                  {append(first(takeover), edit{takeover, "custody.Nowhere, r.GiveUpAt)\n	g.drainDesk()\n", "custody.Nowhere, r.GiveUpAt)\n	g.drainDesk()\n	dies(3 * time.Millisecond)\n"}), false},
 		"the owner, intent sent":               {append(first(takeover), edit{takeover, "	g.drainDesk()\n	return true\n}\n\n// askForAnswer", "	g.drainDesk()\n	dies(3 * time.Millisecond)\n	return true\n}\n\n// askForAnswer"}), false},
 		"the owner, acknowledged and not sent": {append(first(takeover), edit{takeover, "		g.taking.desk.Sent(g.now, r.Key)\n", "		dies(0)\n		g.taking.desk.Sent(g.now, r.Key)\n"}), false},
-		"the owner, half of a command written": {[]edit{{nodes, "import (\n", "import (\n	\"bytes\"\n	\"os\"\n"},
-			{nodes, "			n, err := c.nc.Write(j.buf)\n", "			if bytes.Contains(j.buf, []byte(\",k=\")) {\n				dies(3*time.Millisecond, func() { c.nc.Write(j.buf[:len(j.buf)/2]) })\n			}\n			n, err := c.nc.Write(j.buf)\n"}}, false},
+		"the owner, half of a command written": {[]edit{
+			{nodes, "import (\n", "import (\n	\"bytes\"\n	\"os\"\n"},
+			{nodes, "			n, err := c.nc.Write(j.buf)\n", "			if bytes.Contains(j.buf, []byte(\",k=\")) {\n				dies(3*time.Millisecond, func() { c.nc.Write(j.buf[:len(j.buf)/2]) })\n			}\n			n, err := c.nc.Write(j.buf)\n"},
+		}, false},
 		"the owner, written and not answered":        {append(first(takeover), edit{takeover, "		g.launch(r, w, r.kept.to)\n", "		g.launch(r, w, r.kept.to)\n		dies(3 * time.Millisecond)\n"}), false},
 		"the owner, answer read and not told":        {append(first(core), edit{core, "	if o == logic.Done && !r.final {\n", "	if o == logic.Done && !r.final {\n		if " + keyed + " {\n			dies(0)\n		}\n"}), false},
 		"the owner, told and not recorded":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := figures.Errored\n", "	if a.Kind == Served && " + keyed + " {\n		dies(3*time.Millisecond, func() { r.Place.Answer(a) })\n	}\n	g.endCustody(r, a)\n	end := figures.Errored\n"}), false},
--- a/internal/lab/trial/budgets.go
+++ b/internal/lab/trial/budgets.go
@@ -24,8 +24,10 @@
 	table:     tableBudgets,
 }
 
-var budgetCases = []string{"no fault", "nobody hears", "one does not hear", "all but one", "never heard", "peers cut", "one hears nothing", "one restarts, nobody hears",
-	"one stops, nobody hears", "all restart, nobody hears", "clocks off, one deaf"}
+var budgetCases = []string{
+	"no fault", "nobody hears", "one does not hear", "all but one", "never heard", "peers cut", "one hears nothing", "one restarts, nobody hears",
+	"one stops, nobody hears", "all restart, nobody hears", "clocks off, one deaf",
+}
 
 const (
 	unheardAt  = 4 * time.Second
@@ -77,8 +79,10 @@
 	var mu sync.Mutex
 	stated, modes := map[int]map[string]overrun.Bound{}, map[overrun.Mode]int{}
 	statedAt := map[int]time.Duration{}
-	cfg := lab.Config{Day: "calm", Seed: c.Seed, For: unheardAt + unheardFor + rejoinFor, Ingresses: c.Instances, Nodes: 24, Hot: 5, Ingress: program, Tolerance: tolerance, Linked: true, Peers: true, Rights: c.On,
-		Faults: faults}
+	cfg := lab.Config{
+		Day: "calm", Seed: c.Seed, For: unheardAt + unheardFor + rejoinFor, Ingresses: c.Instances, Nodes: 24, Hot: 5, Ingress: program, Tolerance: tolerance, Linked: true, Peers: true, Rights: c.On,
+		Faults: faults,
+	}
 	if c.Case == "clocks off, one deaf" {
 		cfg.Options = map[int]string{1: "[clock]\nahead = \"3s\"\n", 2: "[clock]\nrate = 1.08\n"}
 	}
--- a/internal/lab/trial/cost.go
+++ b/internal/lab/trial/cost.go
@@ -28,8 +28,10 @@
 
 func playCost(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Figures: map[string]float64{}}
-	rep, err := lab.Run(ctx, lab.Config{Day: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Nodes: costNodes[c.Case], Rate: 1.3, Ingress: program, Tolerance: tolerance, Linked: true,
-		Peers: c.On})
+	rep, err := lab.Run(ctx, lab.Config{
+		Day: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Nodes: costNodes[c.Case], Rate: 1.3, Ingress: program, Tolerance: tolerance, Linked: true,
+		Peers: c.On,
+	})
 	if err != nil {
 		return r, err
 	}
--- a/internal/lab/trial/custody.go
+++ b/internal/lab/trial/custody.go
@@ -26,8 +26,10 @@
 func playCustody(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Figures: map[string]float64{}}
 	var mu sync.Mutex
-	cfg := lab.Config{Day: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Nodes: costNodes[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
-		Peers: true, Takeover: c.On}
+	cfg := lab.Config{
+		Day: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Nodes: costNodes[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
+		Peers: true, Takeover: c.On,
+	}
 	cfg.Watch = func(ctx context.Context, w *lab.World) {
 		if !w.At(ctx, costFor-500*time.Millisecond) {
 			return
--- a/internal/lab/trial/judgements.go
+++ b/internal/lab/trial/judgements.go
@@ -49,10 +49,13 @@
 	r := Result{Figures: map[string]float64{}}
 	var mu sync.Mutex
 	blamed := map[string]bool{} // healthy nodes that an instance leaves by others' word
-	cfg := lab.Config{Day: "calm", Seed: c.Seed, For: crawlFrom + crawlFor + time.Second, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance,
+	cfg := lab.Config{
+		Day: "calm", Seed: c.Seed, For: crawlFrom + crawlFor + time.Second, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance,
 		Linked: true, Peers: c.On, Faults: []string{
 			fmt.Sprintf("node/%d:slow %d %v at %v", k, crawlTimes, crawlFor, crawlFrom),
-			fmt.Sprintf("ingress/0:restart %v at %v", restartFor, crawlFrom+restartAt)}}
+			fmt.Sprintf("ingress/0:restart %v at %v", restartFor, crawlFrom+restartAt),
+		},
+	}
 	if c.On {
 		cfg.Watch = func(ctx context.Context, w *lab.World) {
 			for at := time.Second; w.At(ctx, at); at += 250 * time.Millisecond {
--- a/internal/lab/trial/partitions.go
+++ b/internal/lab/trial/partitions.go
@@ -68,8 +68,10 @@
 			return strings.HasPrefix(f, "link/") && !strings.Contains(f, "counter") && !strings.Contains(f, "discovery")
 		})
 	}
-	cfg := lab.Config{Day: "calm", Seed: c.Seed, For: cutFrom + cutFor + healMost + time.Second, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance,
-		Linked: true, Peers: c.On, Faults: faults}
+	cfg := lab.Config{
+		Day: "calm", Seed: c.Seed, For: cutFrom + cutFor + healMost + time.Second, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance,
+		Linked: true, Peers: c.On, Faults: faults,
+	}
 	healed := -1.0
 	if c.On {
 		cfg.Watch = func(ctx context.Context, w *lab.World) {
--- a/internal/lab/trial/takeover.go
+++ b/internal/lab/trial/takeover.go
@@ -50,8 +50,10 @@
 	if !c.On {
 		faults = slices.DeleteFunc(faults, func(f string) bool { return f[:5] == "link/" }) // there are none between them
 	}
-	rep, err := lab.Run(ctx, lab.Config{Day: "calm", Seed: c.Seed, For: takeoverFor, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
-		Peers: c.On, Takeover: c.On, Faults: faults})
+	rep, err := lab.Run(ctx, lab.Config{
+		Day: "calm", Seed: c.Seed, For: takeoverFor, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
+		Peers: c.On, Takeover: c.On, Faults: faults,
+	})
 	if err != nil {
 		return r, err
 	}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -75,9 +75,11 @@
 }
 
 func newWorld(cfg Config, d *scenario.Day) *World {
-	return &World{cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
+	return &World{
+		cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
 		net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256)), rng: rand.New(rand.NewPCG(cfg.Seed, 5)),
-		byName: map[string]*backend.Node{}, targets: map[string]discovery.Target{}}
+		byName: map[string]*backend.Node{}, targets: map[string]discovery.Target{},
+	}
 }
 
 func (w *World) clock() time.Duration { return time.Since(w.began) }
@@ -159,14 +161,18 @@
 	for _, c := range w.classes {
 		work[c.name] = c.work
 	}
-	w.fleet = backend.NewFleet(backend.Rules{Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, WarmRequests: w.day.WarmBy,
-		FallMultiple: fallMultiple, FallSpan: time.Second, FallSlack: 50 * ms, MostConns: 1500, ConnWork: ms, Knee: 8, LossBeyond: 0.03}, w.cfg.Seed, w.clock)
+	w.fleet = backend.NewFleet(backend.Rules{
+		Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, WarmRequests: w.day.WarmBy,
+		FallMultiple: fallMultiple, FallSpan: time.Second, FallSlack: 50 * ms, MostConns: 1500, ConnWork: ms, Knee: 8, LossBeyond: 0.03,
+	}, w.cfg.Seed, w.clock)
 	w.onClose(w.fleet.Close)
 	w.registry = discovery.New(w.cfg.Seed, w.clock, 500*ms, 3500*ms)
 	w.onClose(w.registry.Close)
 	for i := range w.day.Nodes {
-		spec := backend.Spec{ID: fmt.Sprintf("node-%02d", i), Zone: "hall-" + string(rune('a'+i%3)), Kind: "std-2c", Rack: i%3*10 + i/12,
-			Cores: 2, Speed: 0.85 + 0.25*w.rng.Float64(), Room: 40}
+		spec := backend.Spec{
+			ID: fmt.Sprintf("node-%02d", i), Zone: "hall-" + string(rune('a'+i%3)), Kind: "std-2c", Rack: i%3*10 + i/12,
+			Cores: 2, Speed: 0.85 + 0.25*w.rng.Float64(), Room: 40,
+		}
 		if i%3 == 2 {
 			spec.Kind, spec.Cores, spec.Speed, spec.Room = "slow-3c", 3, 0.51+0.18*w.rng.Float64(), 60
 		}
--- a/internal/metrics/groups.go
+++ b/internal/metrics/groups.go
@@ -50,8 +50,13 @@
 func (c CloseReason) String() string { return closeNames[min(c, closes-1)] }
 
 func newGroups(reasons, outcomes []string) (all [groupCount]group) {
-	for i, g := range []group{{name: "refused", names: reasons}, {name: "failed", names: reasons}, {name: "attempts", names: outcomes},
-		{name: "attempts_held_back", names: stopNames[:]}, {name: "connections_closed", names: closeNames[:]}} {
+	for i, g := range []group{
+		{name: "refused", names: reasons},
+		{name: "failed", names: reasons},
+		{name: "attempts", names: outcomes},
+		{name: "attempts_held_back", names: stopNames[:]},
+		{name: "connections_closed", names: closeNames[:]},
+	} {
 		g.counts = make([]atomic.Int64, len(g.names))
 		all[i] = g
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -38,9 +38,11 @@
 	s.RequestAccepted()
 	s.ClientDisconnected(BeforeRetry)
 	s.SetBackends(7, 2)
-	for _, line := range []string{"transactions.a.answered=800", "transactions.b.deferred=800", "transactions.a.errored=0", "sends=800",
+	for _, line := range []string{
+		"transactions.a.answered=800", "transactions.b.deferred=800", "transactions.a.errored=0", "sends=800",
 		"current=0", "cluster_size=7", "cluster_unhealthy=2", "clients_gone.before_retry=1",
-		"clients_gone.in_flight=0"} {
+		"clients_gone.in_flight=0",
+	} {
 		if !strings.Contains(string(s.Text()), "edge_router."+line+"\n") {
 			t.Errorf("no line %s in:\n%s", line, s.Text())
 		}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -257,8 +257,10 @@
 // An opinion told is the opinion heard, whatever was seen; nonsense is an error.
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Observation{Backend: "n", Started: time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "started")) * ms, Good: rapid.Float64Range(0, mostBad).Draw(t, "good"),
-			Bad: rapid.Float64Range(0, mostBad).Draw(t, "bad"), Cause: Failing, LastGood: time.Hour, LastBad: time.Hour + ms*time.Duration(rapid.Int64Range(-1000, 1000).Draw(t, "bad at"))}
+		o := Observation{
+			Backend: "n", Started: time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "started")) * ms, Good: rapid.Float64Range(0, mostBad).Draw(t, "good"),
+			Bad: rapid.Float64Range(0, mostBad).Draw(t, "bad"), Cause: Failing, LastGood: time.Hour, LastBad: time.Hour + ms*time.Duration(rapid.Int64Range(-1000, 1000).Draw(t, "bad at")),
+		}
 		o.Onset = o.LastBad - ms*time.Duration(rapid.Int64Range(0, 10000).Draw(t, "onset"))
 		got, err := Decode("n", o.ObservedAt(), o.Encode())
 		if err != nil || got.IsAdverse() != o.IsAdverse() || got.Started != o.Started || got.IsAdverse() && (got.Onset != o.Onset || got.LastBad != o.LastBad) || !got.IsAdverse() && got.LastGood != o.LastGood {
--- a/internal/outlier/word.go
+++ b/internal/outlier/word.go
@@ -50,8 +50,10 @@
 	if w.OnsetMS < 0 || w.OnsetMS > time.Hour.Milliseconds() || w.Started < 0 || w.Started > math.MaxInt64/int64(time.Millisecond) {
 		return Observation{}, fmt.Errorf("opinion on %q: onset %d ms before, started %d", node, w.OnsetMS, w.Started)
 	}
-	o := Observation{Backend: policy.BackendID(node), Started: time.Duration(w.Started) * time.Millisecond, Good: min(float64(w.Good), mostBad), Bad: min(float64(w.Bad), mostBad),
-		Cause: w.Cause}
+	o := Observation{
+		Backend: policy.BackendID(node), Started: time.Duration(w.Started) * time.Millisecond, Good: min(float64(w.Good), mostBad), Bad: min(float64(w.Bad), mostBad),
+		Cause: w.Cause,
+	}
 	if w.Accuses {
 		o.LastBad, o.Onset = born, born-time.Duration(w.OnsetMS)*time.Millisecond
 		if !o.IsAdverse() {
--- a/internal/overrun/overrun.go
+++ b/internal/overrun/overrun.go
@@ -86,8 +86,10 @@
 // Of states what a book comes to, should nothing be heard for so long.
 func BoundOf(now time.Duration, b QuotaState, span time.Duration) Bound {
 	c, ways := b.LearnedTenant, float64(max(1, b.Spread))
-	s := Bound{Tenant: cmp.Or(c.Tenant, c.ID), Plan: c.Plan, Instances: max(1, b.Spread), Demand: c.Demand, Others: c.Others, Age: -1, Span: span, ReservedUnits: max(0, c.LeasedUnits) + b.QueuedUnits, UnreportedUnits: max(0, c.UnreportedUnits),
-		AvailableUnits: b.AvailableUnits}
+	s := Bound{
+		Tenant: cmp.Or(c.Tenant, c.ID), Plan: c.Plan, Instances: max(1, b.Spread), Demand: c.Demand, Others: c.Others, Age: -1, Span: span, ReservedUnits: max(0, c.LeasedUnits) + b.QueuedUnits, UnreportedUnits: max(0, c.UnreportedUnits),
+		AvailableUnits: b.AvailableUnits,
+	}
 	if c.TotalAt > 0 {
 		s.Age = now - c.TotalAt
 	}
--- a/internal/overrun/overrun_test.go
+++ b/internal/overrun/overrun_test.go
@@ -14,9 +14,11 @@
 const ms = time.Millisecond
 
 func settings(rate, burst float64, ways int) policy.Settings {
-	return policy.Settings{Instances: ways, MaxAttempts: 1, MaxUnits: 3, Counter: true, CounterTimeout: 80 * ms, MaxRetryAfter: time.Second,
+	return policy.Settings{
+		Instances: ways, MaxAttempts: 1, MaxUnits: 3, Counter: true, CounterTimeout: 80 * ms, MaxRetryAfter: time.Second,
 		Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: policy.Safe}},
-		Plans:   []policy.Plan{{Name: "p", Price: 1, Rate: rate, Burst: burst, ExcessCost: 1}}}
+		Plans:   []policy.Plan{{Name: "p", Price: 1, Rate: rate, Burst: burst, ExcessCost: 1}},
+	}
 }
 
 // What an instance passes on after it has heard the counter for the last time stays within what was stated before, whatever its load, its part,
--- a/internal/peers/bounds_test.go
+++ b/internal/peers/bounds_test.go
@@ -57,8 +57,10 @@
 // unstarted is an instance without a socket, on a clock of the test's.
 func unstarted(t *testing.T, log *lines, now *time.Duration) *Peers {
 	n := newNet(t, 1)
-	return &Peers{engine: n.start("self", 1), log: slog.New(slog.NewTextHandler(log, nil)), works: make(chan work, maxQueuedSends),
-		cfg: Config{Name: "self", Clock: func() time.Duration { return *now }}}
+	return &Peers{
+		engine: n.start("self", 1), log: slog.New(slog.NewTextHandler(log, nil)), works: make(chan work, maxQueuedSends),
+		cfg: Config{Name: "self", Clock: func() time.Duration { return *now }},
+	}
 }
 
 // A bound that is met again and again is one line at once and one in ten seconds after that, with how often; one that is met no
--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -125,8 +125,10 @@
 
 // NewEngine returns an instance that knows nobody.
 func NewEngine(cfg swim.Config, sealer *Sealer, now time.Duration, rng *rand.Rand) *Engine {
-	return &Engine{rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: gossip.New(cfg.Name, cfg.Incarnation, horizon),
-		asks: map[uint64]question{}, clocks: map[string]reading{}, next: now + time.Duration(rng.Int64N(int64(askEvery))), sweep: now + sweepEvery}
+	return &Engine{
+		rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: gossip.New(cfg.Name, cfg.Incarnation, horizon),
+		asks: map[uint64]question{}, clocks: map[string]reading{}, next: now + time.Duration(rng.Int64N(int64(askEvery))), sweep: now + sweepEvery,
+	}
 }
 
 // Member is the membership, to be looked at.
--- a/internal/peers/engine_test.go
+++ b/internal/peers/engine_test.go
@@ -241,8 +241,12 @@
 	}
 	s, _ := NewSealer([]string{key})
 	before := e.Store().Checksum(n.now)
-	for _, plain := range [][]byte{nil, {0xff}, []byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
-		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Incarnation: 1}}, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}})} {
+	for _, plain := range [][]byte{
+		nil,
+		{0xff},
+		[]byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
+		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Incarnation: 1}}, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}),
+	} {
 		if out, _ := e.Receive(n.now, s.Seal(plain)); len(out) > 1 || e.Store().Checksum(n.now) != before {
 			t.Errorf("%q: %d answers", plain, len(out))
 		}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -46,16 +46,20 @@
 	now := p.cfg.Clock()
 	e := p.engine
 	self := e.member.Self()
-	s := Status{Name: self.Name, Addr: self.Addr, Zone: self.Zone, Incarnation: self.Incarnation, Refutation: self.Refutation, LeftReason: e.member.LeftReason(), Version: e.member.Version(),
-		Alive: e.member.AliveCount(), Bytes: e.store.Bytes(), FactsSum: e.store.Checksum(now), Counts: e.counts, Unsent: p.unsent, Unqueued: int(p.unqueued.Load()), Swim: e.member.Counts(), Gossip: e.store.Counts()}
+	s := Status{
+		Name: self.Name, Addr: self.Addr, Zone: self.Zone, Incarnation: self.Incarnation, Refutation: self.Refutation, LeftReason: e.member.LeftReason(), Version: e.member.Version(),
+		Alive: e.member.AliveCount(), Bytes: e.store.Bytes(), FactsSum: e.store.Checksum(now), Counts: e.counts, Unsent: p.unsent, Unqueued: int(p.unqueued.Load()), Swim: e.member.Counts(), Gossip: e.store.Counts(),
+	}
 	s.Facts = e.store.Len()
 	for _, m := range e.member.Members() {
 		heard := int64(-1)
 		if m.HeardAt > 0 {
 			heard = (now - m.HeardAt).Milliseconds()
 		}
-		s.Members = append(s.Members, MemberStatus{Name: m.Name, Addr: m.Addr, Zone: m.Zone, State: m.State.String(), SuspectedBy: m.SuspectedBy, Incarnation: m.Incarnation, Refutation: m.Refutation,
-			SinceMS: (now - m.Since).Milliseconds(), HeardMS: heard})
+		s.Members = append(s.Members, MemberStatus{
+			Name: m.Name, Addr: m.Addr, Zone: m.Zone, State: m.State.String(), SuspectedBy: m.SuspectedBy, Incarnation: m.Incarnation, Refutation: m.Refutation,
+			SinceMS: (now - m.Since).Milliseconds(), HeardMS: heard,
+		})
 	}
 	return s
 }
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -111,8 +111,10 @@
 		"drained":                {told(one(read, sent("a", "read", "n1", 1, 10*s)), Told{8*s - 100*ms, "i0", "n1", false}), Drains},
 		"in the grace":           {told(one(read, sent("a", "read", "n1", 1, 10*s)), Told{8 * s, "i0", "n1", false}), ""},
 		"told another":           {told(one(read, sent("a", "read", "n1", 1, 10*s)), Told{5 * s, "i1", "n1", false}), ""},
-		"the third does not": {told(Evidence{Asked: []Asked{read, asked("b", "read", nil), asked("c", "read", nil)},
-			Sent: []Sent{sent("a", "read", "n2", 1, 10*s), from(sent("b", "read", "n2", 1, 10*s), "i1"), from(sent("c", "read", "n1", 1, 10*s), "i2")}},
+		"the third does not": {told(Evidence{
+			Asked: []Asked{read, asked("b", "read", nil), asked("c", "read", nil)},
+			Sent:  []Sent{sent("a", "read", "n2", 1, 10*s), from(sent("b", "read", "n2", 1, 10*s), "i1"), from(sent("c", "read", "n1", 1, 10*s), "i2")},
+		},
 			Told{5 * s, "i0", "n1", false}, Told{5 * s, "i1", "n1", false}, Told{5 * s, "i2", "n1", false}), Drains},
 		"serves again": {told(one(read, sent("a", "read", "n1", 1, 10*s)), Told{5 * s, "i0", "n1", false}, Told{9 * s, "i0", "n1", true}), ""},
 		"fell":         {Evidence{Cold: []ColdNode{{Node: "n1", At: s, Why: "too much", Pushed: 1.1}}}, Cold},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,29 +86,37 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := &policy.Settings{Index: f.Me, Instances: f.Replicas, Zone: f.MyZone,
+	s := &policy.Settings{
+		Index: f.Me, Instances: f.Replicas, Zone: f.MyZone,
 		MaxUnits: f.FamilyInfo.MaxUnits, Counter: f.FamilyInfo.SharedCounter,
 		CounterTimeout: us(f.FamilyInfo.CounterTimeoutUs), MaxAttempts: f.Permissions.MaxAttempts,
 		MayCancel: f.Permissions.MayCancel, MayProbe: f.Permissions.Probing,
 		Hedging: f.Permissions.ParallelTries, PollEndpoints: f.RegistryMode == "subscribe",
 		CrossZonePrice: f.Prices.CrossZone, SlowStartShare: f.Invariants.ColdFrom,
 		SlowStartWindow: us(f.Invariants.WarmAfterUs), OverloadMultiple: f.Invariants.FallMultiple,
-		OverloadSpan: us(f.Invariants.FallUs), DrainGrace: us(f.Invariants.DrainGraceUs)}
+		OverloadSpan: us(f.Invariants.FallUs), DrainGrace: us(f.Invariants.DrainGraceUs),
+	}
 	if f.Permissions.RetryAfter {
 		s.MaxRetryAfter = us(f.Permissions.MaxRetryAfterUs)
 	}
 	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Value, LatencyObjective: us(c.ObjectiveUs),
+		s.Classes = append(s.Classes, policy.Class{
+			Name: c.Name, PriorityWeight: c.Value, LatencyObjective: us(c.ObjectiveUs),
 			Deadline: us(c.DeadlineUs), LateShare: c.LateShare, Effect: effect(c.Effect), Group: group(c.Group),
-			RepeatWindow: us(c.WindowUs)})
+			RepeatWindow: us(c.WindowUs),
+		})
 	}
 	for _, c := range f.Contracts {
-		s.Plans = append(s.Plans, policy.Plan{Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
+		s.Plans = append(s.Plans, policy.Plan{
+			Name: c.Name, Price: c.Price, Rate: c.Refill, Burst: c.Burst,
 			MaxInFlight: c.Concurrency, ExcessWeight: c.ExcessWorth, ExcessCost: c.ExcessCost, CeilingRate: c.HardRate,
-			CeilingBurst: c.CapDepth, CeilingSlack: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter})
+			CeilingBurst: c.CapDepth, CeilingSlack: c.Tolerance, SettledByReply: f.FamilyInfo.CostAfter,
+		})
 	}
-	return s, Connections{Idle: us(f.Permissions.ConnIdleUs),
-		ConnectTimeout: us(f.Permissions.ConnectTimeoutUs), MaxOpen: f.Permissions.MaxOpen}, nil
+	return s, Connections{
+		Idle:           us(f.Permissions.ConnIdleUs),
+		ConnectTimeout: us(f.Permissions.ConnectTimeoutUs), MaxOpen: f.Permissions.MaxOpen,
+	}, nil
 }
 
 func effect(s string) policy.Effect {
--- a/internal/sim/cold.go
+++ b/internal/sim/cold.go
@@ -27,8 +27,10 @@
 
 // begin opens the account of a cold start.
 func (w *world) begin(n *node) {
-	n.cold = &coldStart{node: n.ID, backend: slowstart.Backend{Started: w.now, Capacity: float64(n.cores) * n.speed,
-		MeanWork: meanWork * w.work()}}
+	n.cold = &coldStart{node: n.ID, backend: slowstart.Backend{
+		Started: w.now, Capacity: float64(n.cores) * n.speed,
+		MeanWork: meanWork * w.work(),
+	}}
 	w.colds = append(w.colds, n.cold)
 }
 
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -234,8 +234,10 @@
 	}
 	w := &world{Fleet: f, rng: rand.New(rand.NewPCG(f.Seed, 1)), totals: map[string]float64{}, requests: map[policy.RequestID]*request{}, burst: 1}
 	for i := range f.Nodes {
-		n := &node{Backend: policy.Backend{ID: policy.BackendID(fmt.Sprintf("n-%08x", uint32(i*2654435761))), Zone: string(rune('a' + i%3)),
-			Cell: i / 4, State: policy.Running}, cores: 2, speed: 0.95, crawl: 1}
+		n := &node{Backend: policy.Backend{
+			ID: policy.BackendID(fmt.Sprintf("n-%08x", uint32(i*2654435761))), Zone: string(rune('a' + i%3)),
+			Cell: i / 4, State: policy.Running,
+		}, cores: 2, speed: 0.95, crawl: 1}
 		if i%3 == i/3%3 {
 			n.cores, n.speed = 3, 0.6
 		}
@@ -286,10 +288,12 @@
 // start gives a gateway a new module, which knows the nodes as they are at that moment.
 func (w *world) start(g *gateway) error {
 	gateways := cmp.Or(w.toldGateways, w.Gateways)
-	mod, err := policy.New(policy.Settings{Index: g.me % gateways, Instances: gateways, Zone: string(rune('a' + g.me%3)), Classes: classes(), Plans: plans(),
+	mod, err := policy.New(policy.Settings{
+		Index: g.me % gateways, Instances: gateways, Zone: string(rune('a' + g.me%3)), Classes: classes(), Plans: plans(),
 		MaxUnits: 3, MaxAttempts: 4, MaxRetryAfter: 500 * time.Millisecond, MayCancel: true, Hedging: true, Counter: true,
 		CounterTimeout: callTime, SlowStartShare: coldFrom, SlowStartWindow: warmTime, OverloadMultiple: fallOver, OverloadSpan: time.Second, DrainGrace: grace,
-		CrossZonePrice: 0.01}, w.Seed*1000+uint64(g.me)+uint64(g.boots)<<32)
+		CrossZonePrice: 0.01,
+	}, w.Seed*1000+uint64(g.me)+uint64(g.boots)<<32)
 	if err != nil {
 		return fmt.Errorf("sim: %w", err)
 	}
@@ -380,8 +384,10 @@
 		g := w.gateways[(c.first+w.rng.IntN(c.spread))%w.Gateways]
 		w.lastID++
 		wait := time.Duration((0.5 + w.rng.Float64()/2) * float64(cls.Deadline))
-		r := &request{class: cls, g: g, came: w.now, Request: policy.Request{ID: w.lastID, Class: cls.Name, Plan: c.plan.Name, Tenant: c.id,
-			GiveUpAt: epoch + w.now + wait, Units: float64(1 + w.rng.IntN(2)), Spread: c.spread, First: c.first}}
+		r := &request{class: cls, g: g, came: w.now, Request: policy.Request{
+			ID: w.lastID, Class: cls.Name, Plan: c.plan.Name, Tenant: c.id,
+			GiveUpAt: epoch + w.now + wait, Units: float64(1 + w.rng.IntN(2)), Spread: c.spread, First: c.first,
+		}}
 		w.rep.Requests++
 		w.rep.Asked += r.worth(c.plan)
 		w.offer(c, r)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -99,8 +99,12 @@
 
 // A fleet that is none is an error, not a crash.
 func TestBadFleets(t *testing.T) {
-	for _, f := range []Fleet{{}, {Gateways: 1, Nodes: 2, Channels: 1, Rate: 1, Length: 1}, {Gateways: 1, Nodes: 3, Channels: 1, Length: 1},
-		{Gateways: 0, Nodes: 3, Channels: 1, Rate: 1, Length: 1}} {
+	for _, f := range []Fleet{
+		{},
+		{Gateways: 1, Nodes: 2, Channels: 1, Rate: 1, Length: 1},
+		{Gateways: 1, Nodes: 3, Channels: 1, Length: 1},
+		{Gateways: 0, Nodes: 3, Channels: 1, Rate: 1, Length: 1},
+	} {
 		if _, err := Play(f); err == nil {
 			t.Errorf("%+v: no error", f)
 		}
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -133,9 +133,11 @@
 		m.Event = policy.StreamStarted{ID: p.id(), Attempt: p.int("try")}
 	case "ATTEMPT_END":
 		p.need("call", "try", "backend", "stateCode")
-		m.Event = policy.AttemptEnded{ID: p.id(), Attempt: p.int("try"), Backend: policy.BackendID(p.f["backend"]),
+		m.Event = policy.AttemptEnded{
+			ID: p.id(), Attempt: p.int("try"), Backend: policy.BackendID(p.f["backend"]),
 			Outcome: outcome(p.f["stateCode"]), Took: p.micros("lagUs"), Finished: p.bool("over"),
-			SettledUnits: p.float("settled"), Load: p.load("metrics")}
+			SettledUnits: p.float("settled"), Load: p.load("metrics"),
+		}
 	case "DROPPED":
 		p.need("call")
 		m.Event = policy.Disconnected{ID: p.id()}
@@ -143,8 +145,10 @@
 		m.Event = policy.TimerFired{}
 	case "PROBE_DONE":
 		p.need("backend", "stateCode")
-		m.Event = policy.ProbeEnded{Backend: policy.BackendID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
-			Took: p.micros("lagUs"), Load: p.load("metrics")}
+		m.Event = policy.ProbeEnded{
+			Backend: policy.BackendID(p.f["backend"]), Outcome: outcome(p.f["stateCode"]),
+			Took: p.micros("lagUs"), Load: p.load("metrics"),
+		}
 	case "INBOX":
 		m.Event = policy.PeerMessage{From: p.int("from"), Body: p.bytes("msg")}
 	case "COUNTER_REPLY":
@@ -163,9 +167,11 @@
 
 func arrival(p *parser) policy.Event {
 	p.need("call", "giveUpAtUs")
-	return policy.Arrival{Request: policy.Request{ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
+	return policy.Arrival{Request: policy.Request{
+		ID: p.id(), Class: p.f["qos"], Plan: p.f["terms"],
 		Tenant: p.f["holder"], GiveUpAt: p.micros("giveUpAtUs"), Units: p.float("sizeUnits"),
-		Spread: p.int("width"), First: p.int("setFrom")}}
+		Spread: p.int("width"), First: p.int("setFrom"),
+	}}
 }
 
 // fleet parses a list and the entry lines that follow it.
@@ -186,9 +192,11 @@
 		}
 		e := parser{f: f}
 		e.need("backend")
-		ev.Backends = append(ev.Backends, policy.Backend{ID: policy.BackendID(f["backend"]), Zone: f["az"],
+		ev.Backends = append(ev.Backends, policy.Backend{
+			ID: policy.BackendID(f["backend"]), Zone: f["az"],
 			Kind: f["flavor"], Cell: e.int("block"), State: state(f["lifecycle"]), Size: e.float("scale"),
-			Started: e.micros("sinceUs")})
+			Started: e.micros("sinceUs"),
+		})
 		p.err = e.err
 	}
 	return ev
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -123,8 +123,10 @@
 		for ; a.At-came[first].At > r.Span; first++ {
 			window.remove(came[first])
 		}
-		now := Peak{At: a.At, Arrivals: window.work / b.MeanWork, Notified: window.told / b.MeanWork,
-			Instances: len(window.by), Budget: r.Budget(b, a.At)}
+		now := Peak{
+			At: a.At, Arrivals: window.work / b.MeanWork, Notified: window.told / b.MeanWork,
+			Instances: len(window.by), Budget: r.Budget(b, a.At),
+		}
 		if peak.Budget == 0 || now.Ratio() > peak.Ratio() {
 			peak = now
 		}
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -85,8 +85,10 @@
 	for range 200 {
 		var came []Arrival
 		for range rng.IntN(60) {
-			came = append(came, Arrival{At: backend.Started + time.Duration(rng.IntN(20000))*time.Millisecond,
-				Work: rng.ExpFloat64() / 8, Instance: rng.IntN(5)})
+			came = append(came, Arrival{
+				At:   backend.Started + time.Duration(rng.IntN(20000))*time.Millisecond,
+				Work: rng.ExpFloat64() / 8, Instance: rng.IntN(5),
+			})
 		}
 		most := 0.0
 		for _, last := range came {
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -140,8 +140,10 @@
 // node ever had keeps apart what is sent to one that has gone.
 func (f *Fleet) Add(s Spec, host string, cold bool, instances int) (*Node, error) {
 	instances = max(1, instances)
-	n := &Node{Spec: s, f: f, faults: fault.New(uint64(len(s.ID))), gone: make(chan struct{}), conns: map[net.Conn]bool{},
-		traffic: make([]Traffic, instances), cuts: make([]time.Duration, instances)}
+	n := &Node{
+		Spec: s, f: f, faults: fault.New(uint64(len(s.ID))), gone: make(chan struct{}), conns: map[net.Conn]bool{},
+		traffic: make([]Traffic, instances), cuts: make([]time.Duration, instances),
+	}
 	for range instances {
 		ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		if err != nil {
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -14,8 +14,10 @@
 
 func fleet(t *testing.T) *Fleet {
 	began := time.Now()
-	f := NewFleet(Rules{Work: map[string]Work{"read": {time.Millisecond, time.Millisecond}, "long": {time.Hour, time.Hour}},
-		KeyMemory: time.Hour, ColdShare: 0.25, WarmAfter: time.Hour, FallMultiple: 4, FallSpan: time.Second}, 1, func() time.Duration { return time.Since(began) })
+	f := NewFleet(Rules{
+		Work:      map[string]Work{"read": {time.Millisecond, time.Millisecond}, "long": {time.Hour, time.Hour}},
+		KeyMemory: time.Hour, ColdShare: 0.25, WarmAfter: time.Hour, FallMultiple: 4, FallSpan: time.Second,
+	}, 1, func() time.Duration { return time.Since(began) })
 	return f
 }
 
@@ -110,8 +112,10 @@
 
 // Whatever fault a command meets, it is recorded at the time that it came, and how it went.
 func TestEveryCommandLeavesARecord(t *testing.T) {
-	for rule, want := range map[string]How{"delay 80ms": Ran, "hold 80ms": Ran, "drop-before": DroppedBefore, "drop-after": DroppedAfter, "fail": Failed,
-		"cut": DroppedAfter, "repeat": Ran} {
+	for rule, want := range map[string]How{
+		"delay 80ms": Ran, "hold 80ms": Ran, "drop-before": DroppedBefore, "drop-after": DroppedAfter, "fail": Failed,
+		"cut": DroppedAfter, "repeat": Ran,
+	} {
 		f := fleet(t)
 		n := add(t, f, "one", 1, false)
 		r, err := fault.Parse(rule)
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -109,8 +109,10 @@
 			a.known[k] = t
 		}
 	}
-	a.srv = &http.Server{Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: 5 * time.Second,
-		BaseContext: func(net.Listener) context.Context { return r.ctx }}
+	a.srv = &http.Server{
+		Handler: http.HandlerFunc(a.serve), ReadHeaderTimeout: 5 * time.Second,
+		BaseContext: func(net.Listener) context.Context { return r.ctx },
+	}
 	r.agents = append(r.agents, a)
 	r.wg.Go(func() {
 		if err := a.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -33,8 +33,15 @@
 	for _, c := range []struct {
 		at           time.Duration
 		name, caller string
-	}{{0, "GET", "a"}, {0, "SET", "a"}, {0, "GET", "a"}, {0, "GET", "b"}, {0, "GET", "a"},
-		{700 * time.Millisecond, "SET", "b"}, {time.Second, "SET", "b"}} {
+	}{
+		{0, "GET", "a"},
+		{0, "SET", "a"},
+		{0, "GET", "a"},
+		{0, "GET", "b"},
+		{0, "GET", "a"},
+		{700 * time.Millisecond, "SET", "b"},
+		{time.Second, "SET", "b"},
+	} {
 		r, left, hit := s.Next(c.at, c.name, c.caller)
 		if hit {
 			got += string(r.Kind) + " "
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -66,8 +66,10 @@
 func New(addr string, seed uint64) *Gate {
 	tr := &http.Transport{MaxIdleConnsPerHost: 256, MaxConnsPerHost: 512, IdleConnTimeout: 20 * time.Second, DisableCompression: true}
 	ctx, stop := context.WithCancel(context.Background())
-	return &Gate{base: "http://" + addr, tr: tr, client: &http.Client{Transport: tr}, faults: fault.New(seed), start: time.Now(), ctx: ctx, stop: stop,
-		idle: map[string][]*nodeConn{}}
+	return &Gate{
+		base: "http://" + addr, tr: tr, client: &http.Client{Transport: tr}, faults: fault.New(seed), start: time.Now(), ctx: ctx, stop: stop,
+		idle: map[string][]*nodeConn{},
+	}
 }
 
 // Fault puts a rule in force from now on.
@@ -181,8 +183,10 @@
 	h := req.Header
 	h.Set("X-Forwarded-Method", "POST")
 	h.Set("X-Forwarded-Uri", "/channels/"+w.Channel+"/"+w.Class)
-	for name, v := range map[string]string{"Id": w.ID, "Channel": w.Channel, "Class": w.Class, "Plan": w.Plan, "Key": w.Key, "Units": strconv.FormatFloat(w.Units, 'g', -1, 64),
-		"Set": fmt.Sprintf("%d/%d", w.Spread, w.First), "Deadline-Ms": strconv.FormatInt(max(1, left.Milliseconds()), 10)} {
+	for name, v := range map[string]string{
+		"Id": w.ID, "Channel": w.Channel, "Class": w.Class, "Plan": w.Plan, "Key": w.Key, "Units": strconv.FormatFloat(w.Units, 'g', -1, 64),
+		"Set": fmt.Sprintf("%d/%d", w.Spread, w.First), "Deadline-Ms": strconv.FormatInt(max(1, left.Milliseconds()), 10),
+	} {
 		if v != "" {
 			h.Set(header+"-"+name, v)
 		}
--- a/internal/standin/redis/clients_test.go
+++ b/internal/standin/redis/clients_test.go
@@ -34,8 +34,10 @@
 	t.Helper()
 	out := map[string]do{}
 	for _, proto := range []int{2, 3} {
-		c := goredis.NewClient(&goredis.Options{Addr: addr, Username: user, Password: password, Protocol: proto, MaxRetries: -1,
-			ClientName: "suite"})
+		c := goredis.NewClient(&goredis.Options{
+			Addr: addr, Username: user, Password: password, Protocol: proto, MaxRetries: -1,
+			ClientName: "suite",
+		})
 		t.Cleanup(func() { c.Close() })
 		out[fmt.Sprint("go-redis RESP", proto)] = func(ctx context.Context, args ...string) (any, error) {
 			list := make([]any, len(args))
@@ -48,8 +50,10 @@
 			}
 			return v, err
 		}
-		r, err := rueidis.NewClient(rueidis.ClientOption{InitAddress: []string{addr}, Username: user, Password: password,
-			AlwaysRESP2: proto == 2, DisableCache: true, DisableRetry: true, ForceSingleClient: true, ClientName: "suite"})
+		r, err := rueidis.NewClient(rueidis.ClientOption{
+			InitAddress: []string{addr}, Username: user, Password: password,
+			AlwaysRESP2: proto == 2, DisableCache: true, DisableRetry: true, ForceSingleClient: true, ClientName: "suite",
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,17 +79,62 @@
 				t.Fatal(err)
 			}
 			for _, step := range []struct{ command, want string }{
-				{"PING", "PONG"}, {"ECHO hi", "hi"}, {"GET k", "<nil>"}, {"SET k 5", "OK"}, {"GET k", "5"}, {"INCRBY k 3", "8"},
-				{"DECR k", "7"}, {"SET k 1 NX", "<nil>"}, {"SET k 2 XX GET", "7"}, {"INCRBYFLOAT k 0.25", "2.25"}, {"INCR k", "!value is not an integer"},
-				{"STRLEN k", "4"}, {"TYPE k", "string"}, {"TTL k", "-1"}, {"PEXPIRE k 100000", "1"}, {"TTL k", "100"}, {"EXPIRE k 200 LT", "0"},
-				{"EXPIRE k 200 GT", "1"}, {"PERSIST k", "1"}, {"EXPIRE k 0", "1"}, {"EXISTS k", "0"}, {"TTL k", "-2"}, {"SET k v EX 0", "!invalid expire"},
-				{"SET k v PX 90000", "OK"}, {"TTL k", "90"}, {"SET k w KEEPTTL", "OK"}, {"TTL k", "90"}, {"SETEX k 10 x", "OK"}, {"SETNX k y", "0"},
-				{"HSET h a 1 b 2", "2"}, {"HGET h a", "1"}, {"HGET h z", "<nil>"}, {"HMGET h a z b", "[1 <nil> 2]"}, {"HLEN h", "2"}, {"HINCRBY h a 41", "42"},
-				{"HINCRBYFLOAT h b 0.5", "2.5"}, {"HDEL h a z", "1"}, {"GET h", "!WRONGTYPE"}, {"HGET k a", "!WRONGTYPE"}, {"MGET k h n", "[x <nil> <nil>]"},
-				{"DBSIZE", "2"}, {"DEL k h n", "2"}, {"KEYS *", "[]"}, {"INCRBY n 9223372036854775807", "9223372036854775807"}, {"INCR n", "!increment or decrement would overflow"},
-				{"GET", "!wrong number of arguments for 'get' command"}, {"NOSUCH a", "!unknown command 'NOSUCH', with args beginning with: 'a'"},
-				{"SET k v EX", "!syntax error"}, {"SET k v NX XX", "!syntax error"}, {"CLIENT GETNAME", "suite"}, {"CLIENT SETINFO LIB-NAME x", "OK"},
-				{"CLIENT NOSUCH", "!unknown subcommand"}, {"SCRIPT EXISTS ffff", "[0]"}, {"EVALSHA ffff 0", "!NOSCRIPT"}, {"WAIT 0 10", "0"}, {"COMMAND COUNT", ""},
+				{"PING", "PONG"},
+				{"ECHO hi", "hi"},
+				{"GET k", "<nil>"},
+				{"SET k 5", "OK"},
+				{"GET k", "5"},
+				{"INCRBY k 3", "8"},
+				{"DECR k", "7"},
+				{"SET k 1 NX", "<nil>"},
+				{"SET k 2 XX GET", "7"},
+				{"INCRBYFLOAT k 0.25", "2.25"},
+				{"INCR k", "!value is not an integer"},
+				{"STRLEN k", "4"},
+				{"TYPE k", "string"},
+				{"TTL k", "-1"},
+				{"PEXPIRE k 100000", "1"},
+				{"TTL k", "100"},
+				{"EXPIRE k 200 LT", "0"},
+				{"EXPIRE k 200 GT", "1"},
+				{"PERSIST k", "1"},
+				{"EXPIRE k 0", "1"},
+				{"EXISTS k", "0"},
+				{"TTL k", "-2"},
+				{"SET k v EX 0", "!invalid expire"},
+				{"SET k v PX 90000", "OK"},
+				{"TTL k", "90"},
+				{"SET k w KEEPTTL", "OK"},
+				{"TTL k", "90"},
+				{"SETEX k 10 x", "OK"},
+				{"SETNX k y", "0"},
+				{"HSET h a 1 b 2", "2"},
+				{"HGET h a", "1"},
+				{"HGET h z", "<nil>"},
+				{"HMGET h a z b", "[1 <nil> 2]"},
+				{"HLEN h", "2"},
+				{"HINCRBY h a 41", "42"},
+				{"HINCRBYFLOAT h b 0.5", "2.5"},
+				{"HDEL h a z", "1"},
+				{"GET h", "!WRONGTYPE"},
+				{"HGET k a", "!WRONGTYPE"},
+				{"MGET k h n", "[x <nil> <nil>]"},
+				{"DBSIZE", "2"},
+				{"DEL k h n", "2"},
+				{"KEYS *", "[]"},
+				{"INCRBY n 9223372036854775807", "9223372036854775807"},
+				{"INCR n", "!increment or decrement would overflow"},
+				{"GET", "!wrong number of arguments for 'get' command"},
+				{"NOSUCH a", "!unknown command 'NOSUCH', with args beginning with: 'a'"},
+				{"SET k v EX", "!syntax error"},
+				{"SET k v NX XX", "!syntax error"},
+				{"CLIENT GETNAME", "suite"},
+				{"CLIENT SETINFO LIB-NAME x", "OK"},
+				{"CLIENT NOSUCH", "!unknown subcommand"},
+				{"SCRIPT EXISTS ffff", "[0]"},
+				{"EVALSHA ffff 0", "!NOSCRIPT"},
+				{"WAIT 0 10", "0"},
+				{"COMMAND COUNT", ""},
 			} {
 				v, err := c(ctx, strings.Fields(step.command)...)
 				got := fmt.Sprint(v)
@@ -109,16 +158,33 @@
 		t.Run(name, func(t *testing.T) {
 			c(ctx, "FLUSHALL")
 			for _, step := range []struct{ script, want string }{
-				{"return 3.99", "3"}, {"return 'x'", "x"}, {"return true", "1"}, {"return false", "<nil>"}, {"return nil", "<nil>"},
-				{"return {1,'b',{2},nil,5}", "[1 b [2]]"}, {"return redis.status_reply('FINE')", "FINE"}, {"return {ok='FINE'}", "FINE"},
-				{"return redis.error_reply('MYERR no')", "!MYERR no"}, {"return {err='MYERR no'}", "!MYERR no"},
-				{"return KEYS[1]..ARGV[1]", "ka"}, {"return #ARGV", "2"}, {"return redis.call('SET',KEYS[1],ARGV[2])", "OK"}, {"return redis.call('GET',KEYS[1])", "b"},
-				{"return redis.call('INCRBY','n',2^40)", "1099511627776"}, {"redis.call('INCR',KEYS[1]) return 1", "!value is not an integer"},
-				{"local r=redis.pcall('INCR',KEYS[1]) return r.err", "ERR value is not an integer or out of range"}, {"local r=redis.pcall('GET','none') return r==false", "1"},
-				{"redis.call('SET','half','1') redis.call('NOSUCH') return 1", "!unknown command"}, {"return redis.call('GET','half')", "1"},
-				{"x=1 return x", "!Error running script"}, {"return y", "!Error running script"}, {"return (", "!Error compiling script"},
-				{"return redis.call('EVAL','return 1','0')", "!This Redis command is not allowed from script"}, {"return redis.sha1hex('')", "da39a3ee5e6b4b0d3255bfef95601890afd80709"},
-				{"return os.time()", "!Error running script"}, {"return string.format('%.0f',2^53)", "9007199254740992"},
+				{"return 3.99", "3"},
+				{"return 'x'", "x"},
+				{"return true", "1"},
+				{"return false", "<nil>"},
+				{"return nil", "<nil>"},
+				{"return {1,'b',{2},nil,5}", "[1 b [2]]"},
+				{"return redis.status_reply('FINE')", "FINE"},
+				{"return {ok='FINE'}", "FINE"},
+				{"return redis.error_reply('MYERR no')", "!MYERR no"},
+				{"return {err='MYERR no'}", "!MYERR no"},
+				{"return KEYS[1]..ARGV[1]", "ka"},
+				{"return #ARGV", "2"},
+				{"return redis.call('SET',KEYS[1],ARGV[2])", "OK"},
+				{"return redis.call('GET',KEYS[1])", "b"},
+				{"return redis.call('INCRBY','n',2^40)", "1099511627776"},
+				{"redis.call('INCR',KEYS[1]) return 1", "!value is not an integer"},
+				{"local r=redis.pcall('INCR',KEYS[1]) return r.err", "ERR value is not an integer or out of range"},
+				{"local r=redis.pcall('GET','none') return r==false", "1"},
+				{"redis.call('SET','half','1') redis.call('NOSUCH') return 1", "!unknown command"},
+				{"return redis.call('GET','half')", "1"},
+				{"x=1 return x", "!Error running script"},
+				{"return y", "!Error running script"},
+				{"return (", "!Error compiling script"},
+				{"return redis.call('EVAL','return 1','0')", "!This Redis command is not allowed from script"},
+				{"return redis.sha1hex('')", "da39a3ee5e6b4b0d3255bfef95601890afd80709"},
+				{"return os.time()", "!Error running script"},
+				{"return string.format('%.0f',2^53)", "9007199254740992"},
 			} {
 				v, err := c(ctx, "EVAL", step.script, "1", "k", "a", "b")
 				got := fmt.Sprint(v)
@@ -281,8 +347,10 @@
 	ctx := context.Background()
 	c := goredis.NewFailoverClient(&goredis.FailoverOptions{MasterName: name, SentinelAddrs: []string{sen.Addr()}, MaxRetries: 5})
 	defer c.Close()
-	r, err := rueidis.NewClient(rueidis.ClientOption{InitAddress: []string{sen.Addr()}, DisableCache: true,
-		Sentinel: rueidis.SentinelOption{MasterSet: name}})
+	r, err := rueidis.NewClient(rueidis.ClientOption{
+		InitAddress: []string{sen.Addr()}, DisableCache: true,
+		Sentinel: rueidis.SentinelOption{MasterSet: name},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/redis/control.go
+++ b/internal/standin/redis/control.go
@@ -126,8 +126,10 @@
 }
 
 // known are the fault kinds that commands can be hit with.
-var known = map[fault.Kind]bool{fault.Delay: true, fault.Hold: true, fault.Stall: true, fault.Ignore: true, fault.Swallow: true, fault.Late: true,
-	fault.DropBefore: true, fault.DropAfter: true, fault.Repeat: true, fault.Swap: true, fault.Cut: true, fault.Fail: true}
+var known = map[fault.Kind]bool{
+	fault.Delay: true, fault.Hold: true, fault.Stall: true, fault.Ignore: true, fault.Swallow: true, fault.Late: true,
+	fault.DropBefore: true, fault.DropAfter: true, fault.Repeat: true, fault.Swap: true, fault.Cut: true, fault.Fail: true,
+}
 
 // Control serves the fault script and the record over HTTP: POST a line to /fault, DELETE /fault ends all rules, GET
 // /records has what came as JSON.
--- a/internal/standin/redis/new.go
+++ b/internal/standin/redis/new.go
@@ -13,6 +13,8 @@
 func newServer(g *Group, opt Options, ln net.Listener) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	addr := ln.Addr().String()
-	return &Server{opt: opt, group: g, table: makeTable(), faults: fault.New(opt.Seed), start: time.Now(), ctx: ctx, stop: stop,
-		ln: ln, addr: addr, clients: map[*client]bool{}, dbs: map[int]database{}, id: fmt.Sprintf("%040x", sha(addr)[:20])}
+	return &Server{
+		opt: opt, group: g, table: makeTable(), faults: fault.New(opt.Seed), start: time.Now(), ctx: ctx, stop: stop,
+		ln: ln, addr: addr, clients: map[*client]bool{}, dbs: map[int]database{}, id: fmt.Sprintf("%040x", sha(addr)[:20]),
+	}
 }
--- a/internal/standin/redis/script.go
+++ b/internal/standin/redis/script.go
@@ -110,8 +110,10 @@
 // open makes the interpreter: no files, no processes, no globals of the script's own.
 func (s *scripts) open() {
 	s.vm = lua.NewState(lua.Options{SkipOpenLibs: true, RegistrySize: 1 << 12, RegistryMaxSize: 1 << 18})
-	for name, open := range map[string]lua.LGFunction{lua.BaseLibName: lua.OpenBase, lua.TabLibName: lua.OpenTable,
-		lua.StringLibName: lua.OpenString, lua.MathLibName: lua.OpenMath} {
+	for name, open := range map[string]lua.LGFunction{
+		lua.BaseLibName: lua.OpenBase, lua.TabLibName: lua.OpenTable,
+		lua.StringLibName: lua.OpenString, lua.MathLibName: lua.OpenMath,
+	} {
 		s.vm.Push(s.vm.NewFunction(open))
 		s.vm.Push(lua.LString(name))
 		s.vm.Call(1, 0)
--- a/internal/standin/redis/topology.go
+++ b/internal/standin/redis/topology.go
@@ -313,8 +313,10 @@
 }
 
 func sentinelCommand(name string) bool {
-	return slices.Contains([]string{"SENTINEL", "PING", "HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "SUBSCRIBE", "PUBLISH",
-		"COMMAND", "QUIT", "RESET"}, name)
+	return slices.Contains([]string{
+		"SENTINEL", "PING", "HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "SUBSCRIBE", "PUBLISH",
+		"COMMAND", "QUIT", "RESET",
+	}, name)
 }
 
 func sentinel(x *call, a []string) value {
--- a/internal/standin/scripted/scripted.go
+++ b/internal/standin/scripted/scripted.go
@@ -38,7 +38,8 @@
 func accept(t testing.TB, ln interface {
 	Accept() (net.Conn, error)
 	Close() error
-}, serve func(net.Conn)) {
+}, serve func(net.Conn),
+) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var open []net.Conn
--- a/internal/standin/tally/tally.go
+++ b/internal/standin/tally/tally.go
@@ -71,8 +71,10 @@
 		return nil, fmt.Errorf("tally stand-in: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Server{faults: fault.New(seed), start: time.Now(), addr: ln.Addr().String(), ctx: ctx, stop: stop, ln: ln,
-		conns: map[net.Conn]string{}, numbers: map[string]*number{}}
+	s := &Server{
+		faults: fault.New(seed), start: time.Now(), addr: ln.Addr().String(), ctx: ctx, stop: stop, ln: ln,
+		conns: map[net.Conn]string{}, numbers: map[string]*number{},
+	}
 	s.wg.Go(func() { s.accept(ln) })
 	return s, nil
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -165,12 +165,16 @@
 		b.Run(kind, func(b *testing.B) {
 			addr := standIn(b, kind, false)
 			node, agent := silentPeers(b)
-			cfg := ingress.Config{Listen: "127.0.0.1:0", Counter: addr, Config: core.Config{Discovery: agent, Sockets: 256,
+			cfg := ingress.Config{Listen: "127.0.0.1:0", Counter: addr, Config: core.Config{
+				Discovery: agent, Sockets: 256,
 				Known: discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{{UID: "s", Endpoint: node, State: "SERVING"}}},
-				Settings: policy.Settings{Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4, Counter: true, CounterTimeout: time.Second,
+				Settings: policy.Settings{
+					Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4, Counter: true, CounterTimeout: time.Second,
 					Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 10 * time.Second, Deadline: 20 * time.Second, Effect: policy.Safe}},
-					Plans:   []policy.Plan{{Name: "p", Price: 1, Rate: 1e6, Burst: 1e5}}},
-				Connections: settings.Connections{Idle: time.Minute, ConnectTimeout: time.Second}}}
+					Plans:   []policy.Plan{{Name: "p", Price: 1, Rate: 1e6, Burst: 1e5}},
+				},
+				Connections: settings.Connections{Idle: time.Minute, ConnectTimeout: time.Second},
+			}}
 			if kind == "redis" {
 				cfg.Store = func(sink store.Sink) (store.Counter, error) {
 					return redis.New(redis.Options{Address: addr, Prefix: "bench", Timeout: time.Second}, storetest.Quiet, sink)
--- a/internal/store/redis/lane.go
+++ b/internal/store/redis/lane.go
@@ -67,9 +67,11 @@
 }
 
 func newLane(opt Options, n int, key, instance string, log *slog.Logger, sink store.Sink) *lane {
-	return &lane{opt: opt, n: n, key: key, instance: instance, log: log.With("store", "redis", "lane", n), sink: sink,
+	return &lane{
+		opt: opt, n: n, key: key, instance: instance, log: log.With("store", "redis", "lane", n), sink: sink,
 		calls: make(chan *store.Call, laneQueue), moves: store.NewLatest[string](), start: time.Now(), addr: opt.Address,
-		books: ledger.New(laneNames)}
+		books: ledger.New(laneNames),
+	}
 }
 
 func (l *lane) now() time.Duration { return time.Since(l.start) }
--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -58,8 +58,10 @@
 func TestConformance(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) storetest.Backend {
 		s := startServer(t, standin.Options{})
-		return storetest.Backend{Addr: s.Addr(), Total: func(n string) float64 { return total(s, n) }, Stop: s.Stop,
-			Listen: func() { s.Listen() }, New: maker(t, options(s.Addr()))}
+		return storetest.Backend{
+			Addr: s.Addr(), Total: func(n string) float64 { return total(s, n) }, Stop: s.Stop,
+			Listen: func() { s.Listen() }, New: maker(t, options(s.Addr())),
+		}
 	})
 }
 
@@ -82,8 +84,10 @@
 func TestTimedOutAddCountsOnce(t *testing.T) {
 	late := on(fault.Late, 1)
 	late.By = 600 * time.Millisecond
-	for name, rule := range map[string]fault.Rule{"landed": on(fault.Swallow, 1), "not landed": on(fault.Ignore, 1), "lands later": late,
-		"reset after": on(fault.DropAfter, 1), "reset before": on(fault.DropBefore, 1)} {
+	for name, rule := range map[string]fault.Rule{
+		"landed": on(fault.Swallow, 1), "not landed": on(fault.Ignore, 1), "lands later": late,
+		"reset after": on(fault.DropAfter, 1), "reset before": on(fault.DropBefore, 1),
+	} {
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, standin.Options{})
 			opt := options(s.Addr())
@@ -406,10 +410,12 @@
 // Redis wants a password and TLS; both are read anew for each connection, and neither is ever logged.
 func TestSecrets(t *testing.T) {
 	cert, pool := testCertificate(t)
-	s := startServer(t, standin.Options{User: "ingress", Password: "s3cret",
+	s := startServer(t, standin.Options{
+		User: "ingress", Password: "s3cret",
 		Wrap: func(ln net.Listener) net.Listener {
 			return tls.NewListener(ln, &tls.Config{Certificates: []tls.Certificate{cert}})
-		}})
+		},
+	})
 	var log strings.Builder
 	opt := options(s.Addr())
 	opt.Username = "ingress"
@@ -502,8 +508,10 @@
 			kinds := []fault.Kind{fault.Ignore, fault.Swallow, fault.DropBefore, fault.DropAfter, fault.Repeat, fault.Swap, fault.Cut, fault.Late, fault.Delay, fault.Fail}
 			want := map[string]float64{}
 			for range 25 {
-				r := fault.Rule{Kind: kinds[rng.IntN(len(kinds))], On: "EVALSHA", Times: 1, After: rng.IntN(20), By: time.Duration(rng.IntN(60)) * time.Millisecond,
-					Text: "OOM command not allowed when used memory > 'maxmemory'."}
+				r := fault.Rule{
+					Kind: kinds[rng.IntN(len(kinds))], On: "EVALSHA", Times: 1, After: rng.IntN(20), By: time.Duration(rng.IntN(60)) * time.Millisecond,
+					Text: "OOM command not allowed when used memory > 'maxmemory'.",
+				}
 				s.Fault(r)
 				switch rng.IntN(12) {
 				case 0:
--- a/internal/store/redis/script.go
+++ b/internal/store/redis/script.go
@@ -65,8 +65,10 @@
 	if !ok || len(f) != 0 || n[0] < 0 || n[2] < 0 {
 		return 0, ledger.Answer{}, false
 	}
-	return uint64(n[0]), ledger.Answer{Total: n[1], Had: uint64(n[2]), Mine: n[3],
-		Left: time.Duration(max(0, n[4])) * time.Millisecond}, true
+	return uint64(n[0]), ledger.Answer{
+		Total: n[1], Had: uint64(n[2]), Mine: n[3],
+		Left: time.Duration(max(0, n[4])) * time.Millisecond,
+	}, true
 }
 
 func cutLine(f []byte, kind, c byte) ([]byte, bool) {
--- a/internal/store/tally/conformance_test.go
+++ b/internal/store/tally/conformance_test.go
@@ -16,7 +16,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		return storetest.Backend{Addr: s.Addr(), Total: s.Total, Stop: s.Stop, Listen: func() { s.Listen() },
-			New: func(sink store.Sink) store.Counter { return New(s.Addr(), time.Second, sink) }}
+		return storetest.Backend{
+			Addr: s.Addr(), Total: s.Total, Stop: s.Stop, Listen: func() { s.Listen() },
+			New: func(sink store.Sink) store.Counter { return New(s.Addr(), time.Second, sink) },
+		}
 	})
 }
--- a/internal/store/tally/tally.go
+++ b/internal/store/tally/tally.go
@@ -50,8 +50,10 @@
 func New(addr string, timeout time.Duration, sink store.Sink) *Counter {
 	c := &Counter{}
 	for i := range c.links {
-		c.links[i] = &link{addr: addr, timeout: timeout, calls: make(chan *store.Call, counterQueue),
-			moves: store.NewLatest[string](), sink: sink}
+		c.links[i] = &link{
+			addr: addr, timeout: timeout, calls: make(chan *store.Call, counterQueue),
+			moves: store.NewLatest[string](), sink: sink,
+		}
 	}
 	return c
 }
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -224,8 +224,10 @@
 func New(cfg Config, now time.Duration, rng *rand.Rand) *Machine {
 	cfg.Period = cmp.Or(cfg.Period, DefaultPeriod)
 	cfg.Timeout = cmp.Or(cfg.Timeout, min(DefaultTimeout, cfg.Period*2/5))
-	m := &Machine{cfg: cfg, rng: rng, now: now, members: map[string]*member{}, lastTick: now,
-		self: Update{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Incarnation: cfg.Incarnation}}
+	m := &Machine{
+		cfg: cfg, rng: rng, now: now, members: map[string]*member{}, lastTick: now,
+		self: Update{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Incarnation: cfg.Incarnation},
+	}
 	m.next = now + m.spread(cfg.Period)
 	m.reach = now
 	m.sum = sumOf(m.self)
--- a/internal/swim/swim_test.go
+++ b/internal/swim/swim_test.go
@@ -307,8 +307,10 @@
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gen := rapid.Custom(func(t *rapid.T) Update {
-			return Update{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "x", Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
-				Refutation: rapid.Uint32Range(0, 2).Draw(t, "inc"), State: State(rapid.IntRange(0, 3).Draw(t, "state"))}
+			return Update{
+				Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Addr: "x", Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
+				Refutation: rapid.Uint32Range(0, 2).Draw(t, "inc"), State: State(rapid.IntRange(0, 3).Draw(t, "state")),
+			}
 		})
 		list := rapid.SliceOfN(gen, 1, 12).Draw(t, "updates")
 		order := rapid.Permutation(list).Draw(t, "order")
@@ -353,8 +355,13 @@
 	w.run(2 * time.Second)
 	m := w.members["at-m000"]
 	before := m.sum
-	for _, msg := range []Message{{}, {Self: Update{Name: strings.Repeat("x", 100), Addr: "y"}}, {Self: Update{Name: "z"}}, {Self: Update{Name: "z", Addr: "y", State: 9}},
-		{Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Incarnation: 1}}} {
+	for _, msg := range []Message{
+		{},
+		{Self: Update{Name: strings.Repeat("x", 100), Addr: "y"}},
+		{Self: Update{Name: "z"}},
+		{Self: Update{Name: "z", Addr: "y", State: 9}},
+		{Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Incarnation: 1}},
+	} {
 		if out := m.Receive(w.now, &msg); len(out) > 0 || m.sum != before {
 			t.Errorf("%+v: %v", msg, out)
 		}
--- a/internal/takeover/desk_test.go
+++ b/internal/takeover/desk_test.go
@@ -393,8 +393,10 @@
 	k := newKeeper("a", 1)
 	for i := range 1000 {
 		words := [][]byte{[]byte("Q.DO"), []byte(fmt.Sprintf("%016x", i)), []byte(fmt.Sprintf("%016x", i)), make([]byte, 300)}
-		in := &Intent{Work: Work{Key: fmt.Sprintf("customer/%016x", i), Class: "publish", Plan: "p", Tenant: "customer", Units: 1, IdempotencyWindow: time.Second, Command: words}, Attempt: uint64(i), Scope: Scope{Rack: 1},
-			Remaining: time.Second, Clock: time.Minute, Replicas: []string{"a", "b", "c"}}
+		in := &Intent{
+			Work: Work{Key: fmt.Sprintf("customer/%016x", i), Class: "publish", Plan: "p", Tenant: "customer", Units: 1, IdempotencyWindow: time.Second, Command: words}, Attempt: uint64(i), Scope: Scope{Rack: 1},
+			Remaining: time.Second, Clock: time.Minute, Replicas: []string{"a", "b", "c"},
+		}
 		if re := k.intent(time.Minute, "b", 1, in); re.Kind != ReplyGranted {
 			t.Fatal(re)
 		}
--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -49,8 +49,10 @@
 	}
 	away := 0.0
 	for _, h := range b.order {
-		x := ZoneStatus{Name: h.name, Tier: h.tier, State: h.state.String(), Since: now - h.since, Reason: h.why, Nominal: h.peak, Capacity: h.capacity, Offered: h.sent.now(now),
-			Answered: h.done.now(now), Late: h.late.now(now) / max(h.ends.now(now), 1), Ramp: h.share, Rate: h.rate, Price: h.price, Caution: h.caution}
+		x := ZoneStatus{
+			Name: h.name, Tier: h.tier, State: h.state.String(), Since: now - h.since, Reason: h.why, Nominal: h.peak, Capacity: h.capacity, Offered: h.sent.now(now),
+			Answered: h.done.now(now), Late: h.late.now(now) / max(h.ends.now(now), 1), Ramp: h.share, Rate: h.rate, Price: h.price, Caution: h.caution,
+		}
 		for _, n := range h.nodes {
 			if b.takes(now, n) > 0 {
 				x.Proven++
--- a/policy/api.go
+++ b/policy/api.go
@@ -205,8 +205,10 @@
 	ReasonCount        // how many there are
 )
 
-var reasonNames = [ReasonCount]string{"none", "quota", "quota-known", "quota-blind", "window", "cap", "ceiling",
-	"no-server", "counting", "no-retry"}
+var reasonNames = [ReasonCount]string{
+	"none", "quota", "quota-known", "quota-blind", "window", "cap", "ceiling",
+	"no-server", "counting", "no-retry",
+}
 
 func (r Reason) String() string { return reasonNames[min(r, ReasonCount-1)] }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,8 +11,10 @@
 	gateway, err := policy.New(policy.Settings{
 		Index: 0, Instances: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, Hedging: true, MayCancel: true,
 		Counter: true, CounterTimeout: 50 * time.Millisecond,
-		Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
-			Effect: policy.Safe}},
+		Classes: []policy.Class{{
+			Name: "read", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
+			Effect: policy.Safe,
+		}},
 		Plans: []policy.Plan{{Name: "basic", Price: 1, Rate: 5, Burst: 10, ExcessCost: 1}},
 	}, 1)
 	if err != nil {
@@ -20,11 +22,15 @@
 		return
 	}
 	now := time.Hour
-	gateway.Handle(now, policy.EndpointsChanged{Complete: true,
-		Backends: []policy.Backend{{ID: "10.0.0.1:80", State: policy.Running}}}, nil)
-	for _, a := range gateway.Handle(now, policy.Arrival{Request: policy.Request{ID: 1, Class: "read", Plan: "basic",
-		Tenant: "c1", Units: 1, Spread: 2, GiveUpAt: now + 2*time.Second}}, nil) {
+	gateway.Handle(now, policy.EndpointsChanged{
+		Complete: true,
+		Backends: []policy.Backend{{ID: "10.0.0.1:80", State: policy.Running}},
+	}, nil)
+	for _, a := range gateway.Handle(now, policy.Arrival{Request: policy.Request{
+		ID: 1, Class: "read", Plan: "basic",
+		Tenant: "c1", Units: 1, Spread: 2, GiveUpAt: now + 2*time.Second,
+	}}, nil) {
 		fmt.Printf("%T %+v\n", a, a)
 	}
-	// Output: logic.Send {ID:1 Server:10.0.0.1:80 StopAt:0s}
+	// Output: policy.SendAttempt {ID:1 Backend:10.0.0.1:80 StopAt:0s}
 }
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -46,8 +46,10 @@
 
 // arrive brings one request to a gateway.
 func (c *crowd) arrive(r *rig, id int, class, plan string) []SendAttempt {
-	return c.tell(r, Arrival{Request{ID: RequestID(id), Class: class, Plan: plan, Tenant: "c", Units: 1,
-		GiveUpAt: r.now + 2*time.Second, Spread: len(c.rigs)}})
+	return c.tell(r, Arrival{Request{
+		ID: RequestID(id), Class: class, Plan: plan, Tenant: "c", Units: 1,
+		GiveUpAt: r.now + 2*time.Second, Spread: len(c.rigs),
+	}})
 }
 
 // What all gateways send on for a customer within a window is its burst, however many the gateways are, and with
@@ -178,8 +180,10 @@
 	set.Instances = 100
 	for _, left := range []time.Duration{2 * ms, 15 * ms, 700 * ms} {
 		r := newRig(t, set, Backend{ID: "s", State: Running})
-		acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Tenant: "c", Units: 1,
-			GiveUpAt: r.now + left, Spread: 100}})
+		acts := r.tell(Arrival{Request{
+			ID: 1, Class: "read", Plan: "small", Tenant: "c", Units: 1,
+			GiveUpAt: r.now + left, Spread: 100,
+		}})
 		calls := only[AddToCounter](acts)
 		if len(calls) != 1 || calls[0].Add != 1 {
 			t.Fatalf("calls %v, want one for the request's unit", calls)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -136,10 +136,12 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	g := &Engine{set: set, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), sweep: time.Second,
+	g := &Engine{
+		set: set, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), sweep: time.Second,
 		classes: map[string]*class{}, plans: map[string]*Plan{}, customers: map[string]*customer{},
 		requests: map[RequestID]*request{}, servers: map[BackendID]*server{}, reach: 1, askShare: 1,
-		halls: map[string]*hall{}, dark: map[string]dark{}, thin: set.Instances > fewGateways}
+		halls: map[string]*hall{}, dark: map[string]dark{}, thin: set.Instances > fewGateways,
+	}
 	g.cold = g.rng.Float64()
 	for _, c := range set.Classes {
 		g.classes[c.Name] = &class{Class: c}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,7 +10,8 @@
 const ms = time.Millisecond
 
 func settings() Settings {
-	return Settings{Index: 0, Instances: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
+	return Settings{
+		Index: 0, Instances: 2, Zone: "a", MaxUnits: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 		MayCancel: true, Hedging: true, Counter: true, CounterTimeout: 50 * ms,
 		SlowStartShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 4, OverloadSpan: 3 * time.Second,
 		Classes: []Class{
@@ -18,9 +19,12 @@
 			{Name: "book", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Effect: Keyed, RepeatWindow: 4 * time.Second},
 			{Name: "pay", PriorityWeight: 5, LatencyObjective: 500 * ms, Deadline: 2 * time.Second},
 		},
-		Plans: []Plan{{Name: "free", Price: 1}, {Name: "dear", Price: 2},
+		Plans: []Plan{
+			{Name: "free", Price: 1},
+			{Name: "dear", Price: 2},
 			{Name: "small", Price: 1, Rate: 2, Burst: 8, ExcessCost: 0.5},
-			{Name: "capped", Price: 1, Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4}},
+			{Name: "capped", Price: 1, Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4},
+		},
 	}
 }
 
@@ -44,8 +48,10 @@
 func (r *rig) tell(ev Event) []Action { return r.g.Handle(r.now, ev, nil) }
 
 func (r *rig) arrive(id RequestID, class, plan string) []Action {
-	return r.tell(Arrival{Request{ID: id, Class: class, Plan: plan, Tenant: "c", Units: 1,
-		GiveUpAt: r.now + 2*time.Second, Spread: 2}})
+	return r.tell(Arrival{Request{
+		ID: id, Class: class, Plan: plan, Tenant: "c", Units: 1,
+		GiveUpAt: r.now + 2*time.Second, Spread: 2,
+	}})
 }
 
 // pass lets time go by in sweeps.
@@ -185,8 +191,10 @@
 		for i := range 2 * n { // each gateway twice, the second time as one that has just started
 			set.Index = i % n
 			r := newRig(t, set, Backend{ID: "s", State: Running})
-			acts := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "tiny", Tenant: "c", Units: 1,
-				GiveUpAt: r.now + time.Second, Spread: n}})
+			acts := r.tell(Arrival{Request{
+				ID: 1, Class: "read", Plan: "tiny", Tenant: "c", Units: 1,
+				GiveUpAt: r.now + time.Second, Spread: n,
+			}})
 			for _, c := range only[AddToCounter](acts) {
 				totals[c.Name] += c.Add
 				acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
--- a/policy/prior_test.go
+++ b/policy/prior_test.go
@@ -18,8 +18,10 @@
 		"no node in its rack":    {500 * time.Millisecond, 7, false, false},
 		"its rack has forgotten": {5 * time.Second, 2, false, true},
 	} {
-		g, err := New(Settings{Instances: 1, MaxAttempts: 4, MayCancel: true, Hedging: true, Classes: []Class{{Name: "publish", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second,
-			Effect: Keyed, Group: GroupCell, RepeatWindow: 3 * time.Second}}, Plans: []Plan{{Name: "p", Price: 1, Rate: 1, Burst: 1}}}, 1)
+		g, err := New(Settings{Instances: 1, MaxAttempts: 4, MayCancel: true, Hedging: true, Classes: []Class{{
+			Name: "publish", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second,
+			Effect: Keyed, Group: GroupCell, RepeatWindow: 3 * time.Second,
+		}}, Plans: []Plan{{Name: "p", Price: 1, Rate: 1, Burst: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,8 +63,10 @@
 // anywhere, and counts under the ceiling.
 func TestPaid(t *testing.T) {
 	for _, paid := range []bool{false, true} {
-		g, err := New(Settings{Instances: 1, MaxAttempts: 4, Classes: []Class{{Name: "publish", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: Keyed,
-			RepeatWindow: 3 * time.Second}}, Plans: []Plan{{Name: "p", Price: 1, Rate: 1, Burst: 1, CeilingRate: 2, CeilingBurst: 2}}}, 1)
+		g, err := New(Settings{Instances: 1, MaxAttempts: 4, Classes: []Class{{
+			Name: "publish", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: Keyed,
+			RepeatWindow: 3 * time.Second,
+		}}, Plans: []Plan{{Name: "p", Price: 1, Rate: 1, Burst: 1, CeilingRate: 2, CeilingBurst: 2}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -37,9 +37,11 @@
 	id, n := r.Account(), g.set.Instances
 	c, spread, place := g.customers[id], min(max(r.Spread, 1), n), (g.set.Index-r.First%n+n)%n
 	if c == nil {
-		c = &customer{id: id, who: r.Tenant, plan: r.plan, spread: spread, seenAt: g.now,
+		c = &customer{
+			id: id, who: r.Tenant, plan: r.plan, spread: spread, seenAt: g.now,
 			offset: time.Duration(hashed(id) % uint64(epochLength)), silent: !g.set.Counter, at: g.now,
-			refreshed: g.now, ceilingAt: g.now}
+			refreshed: g.now, ceilingAt: g.now,
+		}
 		c.sparse = !c.silent && c.plan.Rate > 0 && c.plan.Burst < float64(2*c.spread)*max(1, g.set.MaxUnits)
 		c.ways, c.away = g.parts.of(c)
 		c.block = c.plan.Burst / c.ways // the first block, told to the counter once half is spent
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -134,8 +134,10 @@
 			g.servers[e.ID] = s
 		}
 		if s.slow == 0 || s.Started != e.Started { // new or restarted: only what is still out stays
-			*s = server{out: s.out, slow: 1, slowAt: g.now, badRound: -1, phase: g.rng.Float64(),
-				unproven: s.unproven, draw: g.draw(e.ID)}
+			*s = server{
+				out: s.out, slow: 1, slowAt: g.now, badRound: -1, phase: g.rng.Float64(),
+				unproven: s.unproven, draw: g.draw(e.ID),
+			}
 		}
 		s.Backend = e
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -77,15 +77,19 @@
 		}
 	}
 	for _, s := range g.fleet {
-		l.Backends = append(l.Backends, LearnedBackend{ID: s.ID, Started: s.Started, SlownessAt: s.slowAt, LastSent: s.lastSent, EjectedUntil: s.banned,
-			Slowness: s.slow, ConsecutiveFailures: s.fails})
+		l.Backends = append(l.Backends, LearnedBackend{
+			ID: s.ID, Started: s.Started, SlownessAt: s.slowAt, LastSent: s.lastSent, EjectedUntil: s.banned,
+			Slowness: s.slow, ConsecutiveFailures: s.fails,
+		})
 	}
 	for _, c := range g.roster {
-		l.Tenants = append(l.Tenants, LearnedTenant{ID: c.id, Tenant: c.who, Plan: c.plan.Name, Spread: c.spread,
+		l.Tenants = append(l.Tenants, LearnedTenant{
+			ID: c.id, Tenant: c.who, Plan: c.plan.Name, Spread: c.spread,
 			First: (g.set.Index - c.place + g.set.Instances) % g.set.Instances, LeasedUnits: c.block, UnreportedUnits: c.owed, Level: c.level, Demand: c.demand,
 			Others: c.others, LevelAt: c.at, TotalAt: c.looked, ExhaustedUntil: c.spent, Epoch: c.epoch, Total: c.total, ObservedUnits: c.seenUnits,
 			ObservedFor: c.seenFor, ObservedAt: c.seenAt, LastRequest: c.seen, NextCounterCall: c.nextCall, RefreshedAt: c.refreshed, CounterSilent: c.silent,
-			CeilingLevel: c.ceiling, CeilingAt: c.ceilingAt, InFlight: c.open, Share: 1 / c.ways})
+			CeilingLevel: c.ceiling, CeilingAt: c.ceilingAt, InFlight: c.open, Share: 1 / c.ways,
+		})
 	}
 	return l
 }
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -17,8 +17,10 @@
 // fleetOf is so many servers over three halls.
 func fleetOf(n int, started time.Duration) (out []Backend) {
 	for i := range n {
-		out = append(out, Backend{ID: BackendID(fmt.Sprintf("s-%08x", i*2654435761)), State: Running, Zone: string(rune('a' + i%3)),
-			Started: started})
+		out = append(out, Backend{
+			ID: BackendID(fmt.Sprintf("s-%08x", i*2654435761)), State: Running, Zone: string(rune('a' + i%3)),
+			Started: started,
+		})
 	}
 	return out
 }
@@ -63,8 +65,10 @@
 	for i := range n {
 		r.g.askShare = 0.5
 		r.now += 10 * ms
-		for _, a := range only[AddToCounter](r.tell(Arrival{Request{ID: RequestID(i), Class: "read", Plan: "small", Tenant: fmt.Sprint("c", i), Units: 1,
-			GiveUpAt: r.now + time.Second, Spread: 60}})) {
+		for _, a := range only[AddToCounter](r.tell(Arrival{Request{
+			ID: RequestID(i), Class: "read", Plan: "small", Tenant: fmt.Sprint("c", i), Units: 1,
+			GiveUpAt: r.now + time.Second, Spread: 60,
+		}})) {
 			calls++
 			added += a.Add
 		}
