--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -63,15 +63,21 @@
 	}
 }
 
+// wholeSpaces are the edits after which each process takes the whole of a cold node's space.
+func wholeSpaces() []edit {
+	return []edit{
+		edit{"policy/servers.go", "return g.coldTokens() >= 1 && g.now-s.lastSent > time.Second", "return true"},
+		edit{"policy/servers.go", "		score := g.slowness(s)\n", "		score := g.slowness(s) * math.Pow(g.warmth(s), 4)\n"},
+	}
+}
+
 // Processes that each take the whole of a cold node's space, and take it first, are seen at its observer. Without the second a node's
 // even part of a burst stays under the limit, whatever each takes.
 func TestColdReturnSeesWholeSpaces(t *testing.T) {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // it builds a program, and runs 24 processes
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
-	program := planted(t,
-		edit{"policy/servers.go", "return g.coldTokens() >= 1 && g.now-s.lastSent > time.Second", "return true"},
-		edit{"policy/servers.go", "		score := g.slowness(s)\n", "		score := g.slowness(s) * math.Pow(g.warmth(s), 4)\n"})
+	program := planted(t, wholeSpaces()...)
 	peak, calls := coldReturn{seed: 1, ingresses: 24, times: 4.7, work: 3, program: program}.play(t)
 	t.Logf("%d attempts at the cold node, nearest %v", calls, peak)
 	if !peak.IsViolation() {
--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -137,23 +137,30 @@
 	return program
 }
 
+// versionEdits are the edits that make a program of the next version of the messages, of a version before, and of one that this version cannot read.
+func versionEdits() (next, before, later []edit) {
+	const engine = "internal/peers/engine.go"
+	field := "	Clock   int64              `cbor:\"8,keyasint,omitempty\"` // of the sender, in microseconds\n"
+	second := edit{engine, "	Version      = 1\n", "	Version      = 2\n"}
+	next = []edit{second, edit{engine, field, field + "	Fresh   string        `cbor:\"99,keyasint\"`\n"}, edit{engine, "p.Clock = Version,", "p.Clock, p.Fresh = Version,"},
+		edit{engine, "e.now.Microseconds()\n	b, err", "e.now.Microseconds(), \"what is new\"\n	b, err"}}
+	before = []edit{{engine, field, "	Clock   int64         `cbor:\"-\"`\n"}}
+	later = []edit{second, edit{engine, "	leastVersion = 1\n", "	leastVersion = 2\n"}}
+	return next, before, later
+}
+
 // A fleet in which one instance is of the next version of the messages, with a field that nobody knows, and one of a version before, which lacks
 // one: all know one another, a node that crawls is left by all, and each rule is kept. One that this version cannot read is nobody's member.
 func TestVersionsTogether(t *testing.T) {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // it builds three programs
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
-	const engine = "internal/peers/engine.go"
 	now, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	field := "	Clock   int64         `cbor:\"8,keyasint,omitempty\"` // of the sender, in microseconds\n"
-	second := edit{engine, "	Version      = 1\n", "	Version      = 2\n"}
-	next := planted(t, second, edit{engine, field, field + "	Fresh   string        `cbor:\"99,keyasint\"`\n"}, edit{engine, "p.Clock = Version,", "p.Clock, p.Fresh = Version,"},
-		edit{engine, "e.now.Microseconds()\n	b, err", "e.now.Microseconds(), \"what is new\"\n	b, err"})
-	before := planted(t, edit{engine, field, "	Clock   int64         `cbor:\"-\"`\n"})
-	later := planted(t, second, edit{engine, "	leastVersion = 1\n", "	leastVersion = 2\n"})
+	nextEdits, beforeEdits, laterEdits := versionEdits()
+	next, before, later := planted(t, nextEdits...), planted(t, beforeEdits...), planted(t, laterEdits...)
 	t.Run("they understand one another", func(t *testing.T) {
 		t.Parallel()
 		cfg := peersConfig(t, 3, "node/4:slow 8 5s at 2s")
@@ -184,3 +191,49 @@
 		}
 	})
 }
+
+// Processes of the version before and of this one are a fleet together: each rule is kept, work and quota move between them, and no message of
+// one is unreadable to the other.
+func TestMixedWithPreviousVersion(t *testing.T) {
+	previous := os.Getenv("HITCHSPRING_PREVIOUS")
+	if previous == "" { // the path of a build of the version before
+		t.Skip("HITCHSPRING_PREVIOUS is not set")
+	}
+	now, err := program()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, mixed := range map[string][]string{
+		"previous ones are killed": {previous, now, previous, now, previous, now},
+		"present ones are killed":  {now, previous, now, previous, now, previous},
+	} {
+		t.Run(name, func(t *testing.T) {
+			log := &logged{}
+			cfg := peersConfig(t, 6, "fleet:slow 5 2s at 3s", "ingress/0:kill at 4s", "ingress/2:kill at 4500ms")
+			cfg.Ingress, cfg.Mixed, cfg.Log = "", mixed, log
+			cfg.Takeover, cfg.Rights, cfg.For, cfg.Rate = true, true, 9*time.Second, 1
+			r := play(t, cfg)
+			holds(t, r)
+			for _, line := range []string{"cannot be read", "messages are left aside", "message rejected", "datagram rejected"} {
+				if n := log.count(line, ""); n > 0 {
+					t.Errorf("got %d lines with %q, want none", n, line)
+				}
+			}
+			helped := 0
+			for _, w := range r.Keyed {
+				if w.Effects > 1 {
+					t.Errorf("got two effects of %+v", w)
+				}
+				if w.Lost && w.Helped > 0 {
+					helped++
+				}
+			}
+			if broken := CheckHistory(r.History); len(broken) > 0 {
+				t.Errorf("got %v, want no breaks", broken)
+			}
+			if helped == 0 {
+				t.Error("got no work that was taken over between the versions, want some")
+			}
+		})
+	}
+}
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -29,16 +29,14 @@
 }
 `
 
-// An instance that dies at each step of a piece of work, as its owner, as its keeper, or as the one that takes it over: by what nodes and clients
-// saw no key has two effects, none has two answers, and each rule is kept.
-func TestKilledAtEachStep(t *testing.T) {
-	if os.Getenv("HITCHSPRING_TRIALS") == "" { // 78 processes, and as many builds as steps
-		t.Skip("HITCHSPRING_TRIALS is not set")
-	}
-	now, err := program()
-	if err != nil {
-		t.Fatal(err)
-	}
+// crashStep is a step of a piece of work at which an instance is killed.
+type crashStep struct {
+	edits []edit
+	loss  bool // another instance is killed, so that there is something to take over
+}
+
+// crashSteps are all steps, by name, with the edits that make the program kill itself there.
+func crashSteps() map[string]crashStep {
 	const takeover, core, operate, nodes = "internal/core/takeover.go", "internal/core/core.go", "internal/core/operate.go", "internal/backend/conn.go"
 	first := func(file string) []edit {
 		imports := "	\"os\"\n	\"syscall\"\n"
@@ -47,28 +45,64 @@
 		}
 		return []edit{{file, "import (\n", "import (\n" + imports}}
 	}
-	keyed := "r.Idem != \"\""
-	for name, c := range map[string]struct {
-		edits []edit
-		loss  bool // another instance is killed, so that there is something to take over
-	}{
-		"the owner, accepted":                  {append(first(takeover), edit{takeover, "custody.Nowhere, r.GiveUpAt)\n	g.drainDesk()\n", "custody.Nowhere, r.GiveUpAt)\n	g.drainDesk()\n	dies(3 * time.Millisecond)\n"}), false},
+	keyed := "r.IdempotencyKey != \"\""
+	return map[string]crashStep{
+		"the owner, accepted":                  {append(first(takeover), edit{takeover, "takeover.ScopeNone, r.GiveUpAt)\n	g.drainDesk()\n", "takeover.ScopeNone, r.GiveUpAt)\n	g.drainDesk()\n	dies(3 * time.Millisecond)\n"}), false},
 		"the owner, intent sent":               {append(first(takeover), edit{takeover, "	g.drainDesk()\n	return true\n}\n\n// askForAnswer", "	g.drainDesk()\n	dies(3 * time.Millisecond)\n	return true\n}\n\n// askForAnswer"}), false},
-		"the owner, acknowledged and not sent": {append(first(takeover), edit{takeover, "		g.taking.desk.Sent(g.now, r.Key)\n", "		dies(0)\n		g.taking.desk.Sent(g.now, r.Key)\n"}), false},
+		"the owner, acknowledged and not sent": {append(first(takeover), edit{takeover, "		g.taking.desk.AttemptSent(g.now, r.ClientID)\n", "		dies(0)\n		g.taking.desk.AttemptSent(g.now, r.ClientID)\n"}), false},
 		"the owner, half of a command written": {[]edit{
 			{nodes, "import (\n", "import (\n	\"bytes\"\n	\"os\"\n"},
 			{nodes, "			n, err := c.nc.Write(j.buf)\n", "			if bytes.Contains(j.buf, []byte(\",k=\")) {\n				dies(3*time.Millisecond, func() { c.nc.Write(j.buf[:len(j.buf)/2]) })\n			}\n			n, err := c.nc.Write(j.buf)\n"},
 		}, false},
 		"the owner, written and not answered":        {append(first(takeover), edit{takeover, "		g.launch(r, w, r.kept.to)\n", "		g.launch(r, w, r.kept.to)\n		dies(3 * time.Millisecond)\n"}), false},
-		"the owner, answer read and not told":        {append(first(core), edit{core, "	if o == logic.Done && !r.final {\n", "	if o == logic.Done && !r.final {\n		if " + keyed + " {\n			dies(0)\n		}\n"}), false},
-		"the owner, told and not recorded":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := figures.Errored\n", "	if a.Kind == Served && " + keyed + " {\n		dies(3*time.Millisecond, func() { r.Place.Answer(a) })\n	}\n	g.endCustody(r, a)\n	end := figures.Errored\n"}), false},
-		"the owner, recorded and not told":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := figures.Errored\n", "	g.endCustody(r, a)\n	if a.Kind == Served && " + keyed + " {\n		dies(3 * time.Millisecond)\n	}\n	end := figures.Errored\n"}), false},
-		"the keeper, heard and not written":          {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m)\n", "	if m.Intent != nil {\n		dies(0)\n	}\n	g.taking.desk.Receive(g.now, ev.from, ev.life, m)\n"}), false},
-		"the keeper, written and not replied":        {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m)\n", "	g.taking.desk.Receive(g.now, ev.from, ev.life, m)\n	if m.Intent != nil {\n		dies(0)\n	}\n"}), false},
-		"the keeper, end heard and not acknowledged": {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m)\n", "	g.taking.desk.Receive(g.now, ev.from, ev.life, m)\n	if m.End != nil {\n		dies(0)\n	}\n"}), false},
-		"the taker, before it begins":                {append(first(takeover), edit{takeover, "	g.taking.byTry[t.Try] = r\n	g.requests[r.ID] = r\n	g.heldBytes += r.Size\n", "	g.taking.byTry[t.Try] = r\n	g.requests[r.ID] = r\n	g.heldBytes += r.Size\n	dyingCame.Store(11)\n	dies(0)\n"}), true},
-		"the taker, sent and not answered":           {append(first(core), edit{core, "	g.nodes.Start(a, to)\n}\n\n// attemptEnded", "	g.nodes.Start(a, to)\n	if r.Place == (takenPlace{}) {\n		dyingCame.Store(11)\n		dies(3 * time.Millisecond)\n	}\n}\n\n// attemptEnded"}), true},
-	} {
+		"the owner, answer read and not told":        {append(first(core), edit{core, "	if o == policy.Succeeded && !r.final {\n", "	if o == policy.Succeeded && !r.final {\n		if " + keyed + " {\n			dies(0)\n		}\n"}), false},
+		"the owner, told and not recorded":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := metrics.Errored\n", "	if a.Kind == Served && " + keyed + " {\n		dies(3*time.Millisecond, func() { r.Sink.Deliver(a) })\n	}\n	g.endCustody(r, a)\n	end := metrics.Errored\n"}), false},
+		"the owner, recorded and not told":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := metrics.Errored\n", "	g.endCustody(r, a)\n	if a.Kind == Served && " + keyed + " {\n		dies(3 * time.Millisecond)\n	}\n	end := metrics.Errored\n"}), false},
+		"the keeper, heard and not written":          {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n", "	if m.Intent != nil {\n		dies(0)\n	}\n	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n"}), false},
+		"the keeper, written and not replied":        {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n", "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n	if m.Intent != nil {\n		dies(0)\n	}\n"}), false},
+		"the keeper, end heard and not acknowledged": {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n", "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n	if m.Completion != nil {\n		dies(0)\n	}\n"}), false},
+		"the taker, before it begins":                {append(first(takeover), edit{takeover, "	g.taking.byTry[t.Attempt] = r\n	g.requests[r.ID] = r\n	g.heldBytes += r.Size\n", "	g.taking.byTry[t.Attempt] = r\n	g.requests[r.ID] = r\n	g.heldBytes += r.Size\n	dyingCame.Store(11)\n	dies(0)\n"}), true},
+		"the taker, sent and not answered":           {append(first(core), edit{core, "	g.nodes.Start(a, to)\n}\n\n// attemptEnded", "	g.nodes.Start(a, to)\n	if r.Sink == (takenPlace{}) {\n		dyingCame.Store(11)\n		dies(3 * time.Millisecond)\n	}\n}\n\n// attemptEnded"}), true},
+	}
+}
+
+// requireEditsApply fails the test for each edit that doesn't find its one place in the source as it is.
+func requireEditsApply(t *testing.T, name string, edits ...edit) {
+	t.Helper()
+	for _, e := range edits {
+		source, err := os.ReadFile("../../" + e.file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n := strings.Count(string(source), e.find); n != 1 {
+			t.Errorf("%s: %s: got %d places, want one, for %q", name, e.file, n, e.find)
+		}
+	}
+}
+
+// The edits of the trials find their places also where the trials themselves are not played.
+func TestPlantedEditsApply(t *testing.T) {
+	for name, step := range crashSteps() {
+		requireEditsApply(t, name, step.edits...)
+	}
+	requireEditsApply(t, "whole spaces", wholeSpaces()...)
+	next, before, later := versionEdits()
+	requireEditsApply(t, "next version", next...)
+	requireEditsApply(t, "version before", before...)
+	requireEditsApply(t, "later version", later...)
+}
+
+// An instance that dies at each step of a piece of work, as its owner, as its keeper, or as the one that takes it over: by what nodes and clients
+// saw no key has two effects, none has two answers, and each rule is kept.
+func TestKilledAtEachStep(t *testing.T) {
+	if os.Getenv("HITCHSPRING_TRIALS") == "" { // 78 processes, and as many builds as steps
+		t.Skip("HITCHSPRING_TRIALS is not set")
+	}
+	now, err := program()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range crashSteps() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			last := lastLine(t, c.edits[0].file)
