--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -142,10 +142,14 @@
 	const engine = "internal/peers/engine.go"
 	field := "	Clock   int64              `cbor:\"8,keyasint,omitempty\"` // of the sender, in microseconds\n"
 	second := edit{engine, "	Version      = 1\n", "	Version      = 2\n"}
-	next = []edit{second, edit{engine, field, field + "	Fresh   string        `cbor:\"99,keyasint\"`\n"}, edit{engine, "p.Clock = Version,", "p.Clock, p.Fresh = Version,"},
-		edit{engine, "e.now.Microseconds()\n	b, err", "e.now.Microseconds(), \"what is new\"\n	b, err"}}
+	next = []edit{
+		second,
+		{engine, field, field + "	Fresh   string        `cbor:\"99,keyasint\"`\n"},
+		{engine, "p.Clock = Version,", "p.Clock, p.Fresh = Version,"},
+		{engine, "e.now.Microseconds()\n	b, err", "e.now.Microseconds(), \"what is new\"\n	b, err"},
+	}
 	before = []edit{{engine, field, "	Clock   int64         `cbor:\"-\"`\n"}}
-	later = []edit{second, edit{engine, "	leastVersion = 1\n", "	leastVersion = 2\n"}}
+	later = []edit{second, {engine, "	leastVersion = 1\n", "	leastVersion = 2\n"}}
 	return next, before, later
 }
 
--- a/internal/lab/cost/config.go
+++ b/internal/lab/cost/config.go
@@ -49,17 +49,17 @@
 
 // Config says what is measured.
 type Config struct {
-	Builds      []Build       // beside the bare proxy
-	Proxy       []string      // program and arguments that run ServeProxy, before its --listen and --backend flags
-	Rates       []int         // requests a second
-	Warm        time.Duration // of load before each measurement
-	Length      time.Duration // of each measurement
-	Repeats     int           // rounds; in each every build is measured once at every rate
-	Backends    int
-	Connections int           // of clients
-	Work        time.Duration // that a backend takes for a request
-	SecondLate  time.Duration // a backend's second answer comes so long after its first
-	SecondShare float64       // of the requests that are answered twice; 0: none is
+	Builds      []Build       `json:"Builds"`  // beside the bare proxy
+	Proxy       []string      `json:"Proxy"`   // program and arguments that run ServeProxy, before its --listen and --backend flags
+	Rates       []int         `json:"Rates"`   // requests a second
+	Warm        time.Duration `json:"Warm"`    // of load before each measurement
+	Length      time.Duration `json:"Length"`  // of each measurement
+	Repeats     int           `json:"Repeats"` // rounds; in each every build is measured once at every rate
+	Backends    int           `json:"Backends"`
+	Connections int           `json:"Connections"` // of clients
+	Work        time.Duration `json:"Work"`        // that a backend takes for a request
+	SecondLate  time.Duration `json:"SecondLate"`  // a backend's second answer comes so long after its first
+	SecondShare float64       `json:"SecondShare"` // of the requests that are answered twice; 0: none is
 }
 
 // Default is the usual measurement, without builds and proxy.
--- /dev/null
+++ b/internal/lab/experiment/golden_test.go
@@ -0,0 +1,26 @@
+package experiment
+
+import (
+	"encoding/json"
+	"testing"
+
+	"hitchspring/internal/golden"
+	"hitchspring/internal/lab/cost"
+	"hitchspring/internal/lab/mutation"
+	"hitchspring/internal/lab/trial"
+)
+
+// The lab's results are kept as files, and read by programs of other versions.
+func TestGoldenResults(t *testing.T) {
+	for name, v := range map[string]any{
+		"line": &Line{}, "cost": &cost.Report{}, "mutation": &mutation.Result{}, "trial": &trial.Result{},
+	} {
+		golden.RequireTags(t, "json", v)
+		golden.Fill(v)
+		written, err := json.MarshalIndent(v, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Compare(t, "results-"+name, written)
+	}
+}
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -139,12 +139,12 @@
 
 // Line is one run's result, as it is kept.
 type Line struct {
-	Key      string
-	Day      string
-	Seed     uint64
-	Variants []string
-	Code     int
-	Report   *lab.Report
+	Key      string      `json:"Key"`
+	Day      string      `json:"Day"`
+	Seed     uint64      `json:"Seed"`
+	Variants []string    `json:"Variants"`
+	Code     int         `json:"Code"`
+	Report   *lab.Report `json:"Report"`
 }
 
 // Builder turns a variant into a program; Runner plays a cell. Tests put their own in place.
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -13,22 +13,22 @@
 
 // HallTrack is what came to a hall's nodes, and what they could do, for each span of hallSpan.
 type HallTrack struct {
-	Hall  string
-	Sends []float64 // commands a second
-	Able  []float64 // seconds of work a second
-	Own   []float64 // share of the sends of the instances that stand there which stayed there; -1 where they sent nothing
+	Hall  string    `json:"Hall"`
+	Sends []float64 `json:"Sends"` // commands a second
+	Able  []float64 `json:"Able"`  // seconds of work a second
+	Own   []float64 `json:"Own"`   // share of the sends of the instances that stand there which stayed there; -1 where they sent nothing
 }
 
 // Loss is the figures of a hall that was lost, from the clients' and the nodes' records alone.
 type Loss struct {
-	Before      float64 // worth earned of the best, as below, from a second after the start to the loss
-	During      float64 // worth earned of what a worth-ordered fill of the true capacity would earn, from the loss to the return
-	DuringAsked float64 // the same, of all that was asked inside quotas
-	After       float64 // the same fill, from 5 s after the return
-	RecoverS    float64 // from the loss until nearly (95%) the best was earned again, in whole spans; -1: not while it lasted
-	LastSentS   float64 // from a silent loss until the last command went into the lost halls; -1: none did, or they could not be seen
-	LongestS    float64 // the longest for which a node that returns or survives kept more waiting than the class's aim allows
-	ColdPush    float64 // the most that a cold node of them was pushed: 1 is the edge
+	Before      float64 `json:"Before"`      // worth earned of the best, as below, from a second after the start to the loss
+	During      float64 `json:"During"`      // worth earned of what a worth-ordered fill of the true capacity would earn, from the loss to the return
+	DuringAsked float64 `json:"DuringAsked"` // the same, of all that was asked inside quotas
+	After       float64 `json:"After"`       // the same fill, from 5 s after the return
+	RecoverS    float64 `json:"RecoverS"`    // from the loss until nearly (95%) the best was earned again, in whole spans; -1: not while it lasted
+	LastSentS   float64 `json:"LastSentS"`   // from a silent loss until the last command went into the lost halls; -1: none did, or they could not be seen
+	LongestS    float64 `json:"LongestS"`    // the longest for which a node that returns or survives kept more waiting than the class's aim allows
+	ColdPush    float64 `json:"ColdPush"`    // the most that a cold node of them was pushed: 1 is the edge
 }
 
 const (
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -20,11 +20,13 @@
 
 // Step is one operation of a key's history, by its observers: a client's try, or an effect at a node.
 type Step struct {
-	Key            string
-	From, Until    time.Duration // asked and answered; of an effect, when its command had come and when its answer was about to leave. Until 0: never
-	Effect, Served bool
-	Value          string // of a try that was served
-	Who            int    // client or node, for a picture of it
+	Key    string        `json:"Key"`
+	From   time.Duration `json:"From"`
+	Until  time.Duration `json:"Until"` // asked and answered; of an effect, when its command had come and when its answer was about to leave. Until 0: never
+	Effect bool          `json:"Effect"`
+	Served bool          `json:"Served"`
+	Value  string        `json:"Value"` // of a try that was served
+	Who    int           `json:"Who"`   // client or node, for a picture of it
 }
 
 // keyState is what a key has come to: an effect, and the answer that was given.
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -37,10 +37,10 @@
 
 // Fault is one fault of a way.
 type Fault struct {
-	Kind  Kind
-	Time  time.Duration // of Flap, Delay and Jitter
-	Share float64       // of Drop, Repeat, Swap and Corrupt; of Throttle bytes a second
-	For   time.Duration // 0: of Reset
+	Kind  Kind          `json:"Kind"`
+	Time  time.Duration `json:"Time"`  // of Flap, Delay and Jitter
+	Share float64       `json:"Share"` // of Drop, Repeat, Swap and Corrupt; of Throttle bytes a second
+	For   time.Duration `json:"For"`   // 0: of Reset
 }
 
 // retransmitted is how much later a lost part of a stream comes.
@@ -88,11 +88,12 @@
 
 // Acted says what one fault did on one way.
 type Acted struct {
-	Way         string
-	Fault       Fault
-	Set         time.Duration // when it was put in force
-	First, Last time.Duration // when it acted; 0: never
-	Times       int
+	Way   string        `json:"Way"`
+	Fault Fault         `json:"Fault"`
+	Set   time.Duration `json:"Set"` // when it was put in force
+	First time.Duration `json:"First"`
+	Last  time.Duration `json:"Last"` // when it acted; 0: never
+	Times int           `json:"Times"`
 }
 
 // rule is a fault in force.
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -58,15 +58,15 @@
 
 // Score is the service with its parts; shares of the worth that was asked for inside quotas.
 type Score struct {
-	Service    float64 // all below, by the brief's weights, less the prices
-	Whole      float64 // answered within the wanted time, less what was passed on beyond quotas at its cost
-	Worst10s   float64
-	WorstClass float64
-	WorstPlan  float64
-	Beyond     float64 // what use beyond quotas cost
-	Prices     float64 // counter calls, wasted work, crossing halls, failing late
-	CrossShare float64 // sends to another hall, for each wish
-	Waste      float64 // work done beyond what was asked for, as a share of it
+	Service    float64 `json:"Service"` // all below, by the brief's weights, less the prices
+	Whole      float64 `json:"Whole"`   // answered within the wanted time, less what was passed on beyond quotas at its cost
+	Worst10s   float64 `json:"Worst10s"`
+	WorstClass float64 `json:"WorstClass"`
+	WorstPlan  float64 `json:"WorstPlan"`
+	Beyond     float64 `json:"Beyond"`     // what use beyond quotas cost
+	Prices     float64 `json:"Prices"`     // counter calls, wasted work, crossing halls, failing late
+	CrossShare float64 `json:"CrossShare"` // sends to another hall, for each wish
+	Waste      float64 `json:"Waste"`      // work done beyond what was asked for, as a share of it
 }
 
 // share is worth earned of worth asked for.
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -158,14 +158,17 @@
 
 // Result is one run of one defect, or of the untouched build where Defect is empty.
 type Result struct {
-	Defect, Rule, Part, Day string
-	Seed                    uint64
-	Seen                    bool
-	AfterS                  float64 // seconds of load until it shows
-	Also                    []string
-	Doubts                  []string // why the run could not be judged
-	Edges                   rulecheck.Edges
-	Err                     string `json:",omitempty"`
+	Defect string          `json:"Defect"`
+	Rule   string          `json:"Rule"`
+	Part   string          `json:"Part"`
+	Day    string          `json:"Day"`
+	Seed   uint64          `json:"Seed"`
+	Seen   bool            `json:"Seen"`
+	AfterS float64         `json:"AfterS"` // seconds of load until it shows
+	Also   []string        `json:"Also"`
+	Doubts []string        `json:"Doubts"` // why the run could not be judged
+	Edges  rulecheck.Edges `json:"Edges"`
+	Err    string          `json:"Err,omitempty"`
 }
 
 // job is a build with a day.
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -22,130 +22,148 @@
 // Row is what clients of one class and plan got; a wish is a first try with its retries. Times are from when a wish was
 // due.
 type Row struct {
-	Class, Plan           string
-	Wishes, Tries         int
-	Served, InTime        int // wishes
-	Refused, Failed, None int // tries
-	P50MS, P99MS          float64
+	Class   string  `json:"Class"`
+	Plan    string  `json:"Plan"`
+	Wishes  int     `json:"Wishes"`
+	Tries   int     `json:"Tries"`
+	Served  int     `json:"Served"`
+	InTime  int     `json:"InTime"` // wishes
+	Refused int     `json:"Refused"`
+	Failed  int     `json:"Failed"`
+	None    int     `json:"None"` // tries
+	P50MS   float64 `json:"P50MS"`
+	P99MS   float64 `json:"P99MS"`
 }
 
 // Process is what one ingress took.
 type Process struct {
-	Name   string
-	Tries  int
-	CPUS   float64 // seconds over the load
-	PeakMB float64
+	Name   string  `json:"Name"`
+	Tries  int     `json:"Tries"`
+	CPUS   float64 `json:"CPUS"` // seconds over the load
+	PeakMB float64 `json:"PeakMB"`
 }
 
 // Channel is one customer under a ceiling, as the nodes saw it.
 type Channel struct {
-	Customer       string
-	Plan           string
-	Inside, Beyond float64 // units
-	Overrun        float64 // units by which all use together overdrew the quota at the most
-	OfCeiling      float64 // the same as a share of the ceiling's store
-	Closest        float64 // most units beyond what the ceiling allowed, as a share of its store; below 0 it stayed under
+	Customer  string  `json:"Customer"`
+	Plan      string  `json:"Plan"`
+	Inside    float64 `json:"Inside"`
+	Beyond    float64 `json:"Beyond"`    // units
+	Overrun   float64 `json:"Overrun"`   // units by which all use together overdrew the quota at the most
+	OfCeiling float64 `json:"OfCeiling"` // the same as a share of the ceiling's store
+	Closest   float64 `json:"Closest"`   // most units beyond what the ceiling allowed, as a share of its store; below 0 it stayed under
 }
 
 // Share is what one front's clients asked for and got, of the channels under a ceiling that ask for more than their quota.
-type Share struct{ Asked, Served float64 } // units of wishes
+type Share struct {
+	Asked  float64 `json:"Asked"`
+	Served float64 `json:"Served"`
+} // units of wishes
 
 // Second is one second of a run, by when wishes were due.
 type Second struct {
-	Wishes, InTime, Refused int
-	P50MS, P99MS            float64
-	ByClass                 map[string]Slot
-	ByPlan                  map[string]Slot
+	Wishes  int             `json:"Wishes"`
+	InTime  int             `json:"InTime"`
+	Refused int             `json:"Refused"`
+	P50MS   float64         `json:"P50MS"`
+	P99MS   float64         `json:"P99MS"`
+	ByClass map[string]Slot `json:"ByClass"`
+	ByPlan  map[string]Slot `json:"ByPlan"`
 }
 
 // Slot is a part of a second.
-type Slot struct{ Wishes, InTime int }
+type Slot struct {
+	Wishes int `json:"Wishes"`
+	InTime int `json:"InTime"`
+}
 
 // NodeTrack is how full a node was, sampled each quarter of a second: requests held for each core, -1 while it was down.
 type NodeTrack struct {
-	Node, Hall string
-	Held       []float64
+	Node string    `json:"Node"`
+	Hall string    `json:"Hall"`
+	Held []float64 `json:"Held"`
 }
 
 // Command is one command as its node saw it.
 type Command struct {
-	Came     time.Duration
-	Node     string
-	Instance int
-	Class    string
-	Late     bool // it had no answer within its class's aim
+	Came     time.Duration `json:"Came"`
+	Node     string        `json:"Node"`
+	Instance int           `json:"Instance"`
+	Class    string        `json:"Class"`
+	Late     bool          `json:"Late"` // it had no answer within its class's aim
 }
 
 // Pass is units that one instance has passed on for a channel, as a node saw them: once for each try.
 type Pass struct {
-	Came     time.Duration
-	Instance int
-	Customer string
-	Units    float64
+	Came     time.Duration `json:"Came"`
+	Instance int           `json:"Instance"`
+	Customer string        `json:"Customer"`
+	Units    float64       `json:"Units"`
 }
 
 // Wish is a client's keyed wish with its tries.
 type Wish struct {
-	Key      string
-	Class    string
-	First    time.Duration // when its first try was sent
-	GiveUp   time.Duration // after it, when that try's client gives up
-	Instance string        // that it was sent to
-	Lost     bool          // its first try had no answer
-	Answered time.Duration // when its first try was answered; 0: never
-	Tries    int
-	Served   bool
-	Values   int           // different values that its tries were answered
-	Effects  int           // that nodes saw
-	Racks    int           // in which they were
-	Helped   time.Duration // when a node first saw it from another instance than the first; 0: never
-	Again    int           // further tries that an instance has answered
-	Story    []string      // each try: whom it was sent to, when, and what came of it
+	Key      string        `json:"Key"`
+	Class    string        `json:"Class"`
+	First    time.Duration `json:"First"`    // when its first try was sent
+	GiveUp   time.Duration `json:"GiveUp"`   // after it, when that try's client gives up
+	Instance string        `json:"Instance"` // that it was sent to
+	Lost     bool          `json:"Lost"`     // its first try had no answer
+	Answered time.Duration `json:"Answered"` // when its first try was answered; 0: never
+	Tries    int           `json:"Tries"`
+	Served   bool          `json:"Served"`
+	Values   int           `json:"Values"`  // different values that its tries were answered
+	Effects  int           `json:"Effects"` // that nodes saw
+	Racks    int           `json:"Racks"`   // in which they were
+	Helped   time.Duration `json:"Helped"`  // when a node first saw it from another instance than the first; 0: never
+	Again    int           `json:"Again"`   // further tries that an instance has answered
+	Story    []string      `json:"Story"`   // each try: whom it was sent to, when, and what came of it
 }
 
 // Mark is something that the timeline did.
 type Mark struct {
-	AtS  float64
-	What string
+	AtS  float64 `json:"AtS"`
+	What string  `json:"What"`
 }
 
 // Report is what a run comes to.
 type Report struct {
-	Day             string
-	Seed            uint64
-	Store           string
-	Seconds         float64
-	BeganS          float64 // when the load began, on the clock of the breaks
-	Faults          []string
-	Tries, Dropped  int
-	Service         float64 // as the brief counts it; Score has its parts
-	Score           measure.Score
-	Rows            []Row
-	CPUPerRequestUS float64 // of the ingresses together, for a try
-	LabCores        float64 // that the lab and its stand-ins took
-	Processes       []Process
-	Channels        []Channel
-	WorstOverrun    float64          // the most of all channels, as a share of the ceiling
-	Fronts          map[string]Share // resp and http
-	BeyondShare     float64          // units passed on beyond quotas, as a share of those inside
-	Rules           map[string]int
-	Breaks          []rulecheck.Break
-	Edges           rulecheck.Edges
-	Unmet           []string // what the day wants exercised and was not
-	LateMS          float64  // the longest time for which the lab itself was not run
-	Crashed         []string
-	Died            []string // instances that have ended by themselves, as they may
-	Marks           []Mark
-	Timeline        []Second
-	Nodes           []NodeTrack
-	Halls           []HallTrack
-	Loss            *Loss        // of a day that loses a hall
-	Swing           float64      // most points by which the spill changed from second to second while nothing was done
-	Passes          []Pass       `json:"-"` // first sends, in order of time
-	History         []Step       `json:"-"` // of keyed wishes, by clients and nodes
-	Keyed           []Wish       `json:"-"` // keyed wishes, by when their first try was sent
-	Commands        []Command    `json:"-"`
-	Links           []link.Acted `json:",omitempty"` // what each fault of a link did
+	Day             string            `json:"Day"`
+	Seed            uint64            `json:"Seed"`
+	Store           string            `json:"Store"`
+	Seconds         float64           `json:"Seconds"`
+	BeganS          float64           `json:"BeganS"` // when the load began, on the clock of the breaks
+	Faults          []string          `json:"Faults"`
+	Tries           int               `json:"Tries"`
+	Dropped         int               `json:"Dropped"`
+	Service         float64           `json:"Service"` // as the brief counts it; Score has its parts
+	Score           measure.Score     `json:"Score"`
+	Rows            []Row             `json:"Rows"`
+	CPUPerRequestUS float64           `json:"CPUPerRequestUS"` // of the ingresses together, for a try
+	LabCores        float64           `json:"LabCores"`        // that the lab and its stand-ins took
+	Processes       []Process         `json:"Processes"`
+	Channels        []Channel         `json:"Channels"`
+	WorstOverrun    float64           `json:"WorstOverrun"` // the most of all channels, as a share of the ceiling
+	Fronts          map[string]Share  `json:"Fronts"`       // resp and http
+	BeyondShare     float64           `json:"BeyondShare"`  // units passed on beyond quotas, as a share of those inside
+	Rules           map[string]int    `json:"Rules"`
+	Breaks          []rulecheck.Break `json:"Breaks"`
+	Edges           rulecheck.Edges   `json:"Edges"`
+	Unmet           []string          `json:"Unmet"`  // what the day wants exercised and was not
+	LateMS          float64           `json:"LateMS"` // the longest time for which the lab itself was not run
+	Crashed         []string          `json:"Crashed"`
+	Died            []string          `json:"Died"` // instances that have ended by themselves, as they may
+	Marks           []Mark            `json:"Marks"`
+	Timeline        []Second          `json:"Timeline"`
+	Nodes           []NodeTrack       `json:"Nodes"`
+	Halls           []HallTrack       `json:"Halls"`
+	Loss            *Loss             `json:"Loss"`  // of a day that loses a hall
+	Swing           float64           `json:"Swing"` // most points by which the spill changed from second to second while nothing was done
+	Passes          []Pass            `json:"-"`     // first sends, in order of time
+	History         []Step            `json:"-"`     // of keyed wishes, by clients and nodes
+	Keyed           []Wish            `json:"-"`     // keyed wishes, by when their first try was sent
+	Commands        []Command         `json:"-"`
+	Links           []link.Acted      `json:"Links,omitempty"` // what each fault of a link did
 	tolerance       time.Duration
 	lost            int // records that found no room
 	verdict         rulecheck.Verdict
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -34,18 +34,18 @@
 
 // Cell is one run to be played.
 type Cell struct {
-	Case      string // of the trial's cases
-	Instances int
-	Seed      uint64
-	On        bool // the part that is tried is on
+	Case      string `json:"Case"` // of the trial's cases
+	Instances int    `json:"Instances"`
+	Seed      uint64 `json:"Seed"`
+	On        bool   `json:"On"` // the part that is tried is on
 }
 
 // Result is what one run came to.
 type Result struct {
 	Cell
-	Figures map[string]float64
-	Breaks  []string // of the rules, and of what the trial states
-	Doubts  []string // why it proves nothing
+	Figures map[string]float64 `json:"Figures"`
+	Breaks  []string           `json:"Breaks"` // of the rules, and of what the trial states
+	Doubts  []string           `json:"Doubts"` // why it proves nothing
 }
 
 // trials are those that there are.
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -106,11 +106,11 @@
 
 // Break is one break of a rule.
 type Break struct {
-	Rule     string
-	At       time.Duration
-	What     string
-	Until    time.Duration // what it was judged by lies between At and Until
-	Doubtful bool          // the observers themselves were late then
+	Rule     string        `json:"Rule"`
+	At       time.Duration `json:"At"`
+	What     string        `json:"What"`
+	Until    time.Duration `json:"Until"`    // what it was judged by lies between At and Until
+	Doubtful bool          `json:"Doubtful"` // the observers themselves were late then
 }
 
 // The rules.
@@ -127,15 +127,15 @@
 
 // Edges is how near a run came to what the rules forbid. A run that never came near one is no proof of it.
 type Edges struct {
-	Refused    int     // tries that were refused
-	Tight      int     // answers within 150 ms of the client's giving up
-	Repeats    int     // attempts after one that may have run, as the class allows
-	HeldBack   int     // keyed or unsafe requests whose attempt may have run, ended with no value, and was not repeated elsewhere
-	Drains     int     // times that an instance went on sending elsewhere, past the grace of a node that drains
-	ColdSends  int     // attempts at cold nodes
-	ColdPush   float64 // how near a cold node came to falling over: 1 is the edge
-	Ceiling    float64 // how near a channel came to its ceiling, as a share of its store: 0 is the edge
-	CeilingFor int     // channels that came within a tenth of it
+	Refused    int     `json:"Refused"`    // tries that were refused
+	Tight      int     `json:"Tight"`      // answers within 150 ms of the client's giving up
+	Repeats    int     `json:"Repeats"`    // attempts after one that may have run, as the class allows
+	HeldBack   int     `json:"HeldBack"`   // keyed or unsafe requests whose attempt may have run, ended with no value, and was not repeated elsewhere
+	Drains     int     `json:"Drains"`     // times that an instance went on sending elsewhere, past the grace of a node that drains
+	ColdSends  int     `json:"ColdSends"`  // attempts at cold nodes
+	ColdPush   float64 `json:"ColdPush"`   // how near a cold node came to falling over: 1 is the edge
+	Ceiling    float64 `json:"Ceiling"`    // how near a channel came to its ceiling, as a share of its store: 0 is the edge
+	CeilingFor int     `json:"CeilingFor"` // channels that came within a tenth of it
 }
 
 // Verdict is what the evidence comes to.
