--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -33,6 +33,7 @@
 	backendTime   = 20 * time.Millisecond // for an answer
 	answerWithin  = time.Second           // from the first send, or from dialling; the deadline is twice that
 	discoveryDown = 1500 * time.Millisecond
+	quotaRate     = 800.0           // units a second over two instances: half of it holds all clients while the counter is not heard
 	listWithin    = 4 * time.Second // from discovery's return to the first command at a backend that is new in its list
 )
 
@@ -263,14 +264,17 @@
 }
 
 // socketsOf counts this process's open TCP connections in the kernel's table: those at a listener's own port, and those to other ports.
-// Connections that wait to be accepted have no descriptor, and are not counted.
+// Connections that wait to be accepted have no descriptor, and are not counted. The table changes while it is read, and then has some
+// connections more than once: each counts once, by the inode of its descriptor.
 func socketsOf(table string, local int, remote []int) (open int) {
+	counted := map[string]bool{}
 	for text := range strings.Lines(table) {
 		fields := strings.Fields(text)
-		if len(fields) < 10 || fields[3] == "0A" || fields[9] == "0" { // listens, or has no descriptor
+		if len(fields) < 10 || fields[3] == "0A" || fields[9] == "0" || counted[fields[9]] { // listens, or has no descriptor
 			continue
 		}
 		if tablePort(fields[1]) == local || slices.Contains(remote, tablePort(fields[2])) {
+			counted[fields[9]] = true
 			open++
 		}
 	}
@@ -321,7 +325,7 @@
 	cfg := testConfig(registry.addr, list)
 	cfg.Sockets, cfg.Settings.Instances = crowdSockets, 2 // the other one says nothing to the counter
 	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
-	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 200, Burst: 100, ExcessCost: 0.5}}
+	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: quotaRate, Burst: 100, ExcessCost: 0.5}}
 	addr, g := startGateway(t, cfg)
 	front := g.front.Load()
 
