--- a/cmd/hitchspring/kill_test.go
+++ b/cmd/hitchspring/kill_test.go
@@ -41,7 +41,7 @@
 func (l *sentLog) backend(t *testing.T) (addr string) {
 	t.Helper()
 	l.came = map[string][]time.Time{}
-	return scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+	return scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		l.mu.Lock()
 		l.came[args[2]] = append(l.came[args[2]], time.Now())
 		l.mu.Unlock()
--- a/cmd/hitchspring/replace_test.go
+++ b/cmd/hitchspring/replace_test.go
@@ -64,7 +64,7 @@
 	var sent [2]atomic.Int64
 	list := discovery.List{Rev: 1, Complete: true}
 	for i := range sent {
-		n := scripted.NewNode(t, func(int, []string, net.Conn) string {
+		n := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
 			time.Sleep(3 * time.Millisecond)
 			return scripted.Served
--- a/cmd/hitchspring/restart_test.go
+++ b/cmd/hitchspring/restart_test.go
@@ -105,7 +105,7 @@
 	if os.Getenv("HITCHSPRING_TRIALS") != "" {
 		number = trialInstances
 	}
-	node := scripted.NewNode(t, func(int, []string, net.Conn) string { return scripted.Served })
+	node := scripted.NewBackend(t, func(int, []string, net.Conn) string { return scripted.Served })
 	list := discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: node.Addr, Zone: "a", State: "SERVING"}}}
 	discoveries := []struct {
 		name, addr string
--- a/cmd/lab/experiment.go
+++ b/cmd/lab/experiment.go
@@ -75,7 +75,7 @@
 // run is an experiment of two builds, which also share worlds, so that both meet the same machine.
 func (c *compareCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	s := &experiment.Spec{
-		Name: "compare", About: "This source against " + c.Base + ".", Days: strings.Split(c.Day, ","), Seeds: c.Rounds, First: c.Seed,
+		Name: "compare", About: "This source against " + c.Base + ".", Scenarios: strings.Split(c.Day, ","), Seeds: c.Rounds, First: c.Seed,
 		Length: scenario.Duration(c.For), Rate: c.Rate, Paired: true, Variants: []experiment.Variant{{Name: "base", Commit: c.Base}, {Name: "now"}},
 	}
 	if err := s.Check(); err != nil {
--- a/cmd/lab/halls.go
+++ b/cmd/lab/halls.go
@@ -23,18 +23,18 @@
 func (c *hallsCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	s := &experiment.Spec{
 		Name: "halls", About: "Losing and regaining a hall, with [halls] off and on.", Seeds: c.Seeds, First: c.Seed,
-		Variants: []experiment.Variant{{Name: "off"}, {Name: "on", Halls: true}},
+		Variants: []experiment.Variant{{Name: "off"}, {Name: "on", Zones: true}},
 	}
 	if c.On {
 		s.Variants = s.Variants[1:]
 	}
 	for _, name := range scenario.Names() {
 		if strings.HasPrefix(name, "hall-") || name == "calm" {
-			s.Days = append(s.Days, name)
+			s.Scenarios = append(s.Scenarios, name)
 		}
 	}
 	if c.Days != "" {
-		s.Days = strings.Split(c.Days, ",")
+		s.Scenarios = strings.Split(c.Days, ",")
 	}
 	if err := s.Check(); err != nil {
 		return failed, err
@@ -43,7 +43,7 @@
 	if err != nil {
 		return code, err
 	}
-	_, err = io.WriteString(out, s.HallText(lines))
+	_, err = io.WriteString(out, s.ZoneText(lines))
 	return code, err
 }
 
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -112,8 +112,8 @@
 // config is what the flags come to; done closes the log.
 func (p *play) config() (cfg lab.Config, done func(), err error) {
 	cfg = lab.Config{
-		Day: p.Day, Seed: p.Seed, For: p.For, Nodes: p.Nodes, Ingresses: p.Ingresses, Store: p.Store, Faults: p.Fault, Rate: p.Rate, Hot: p.Hot,
-		Ingress: p.Ingress, Race: p.Race, Halls: p.Halls, GateFault: p.GateFault,
+		Scenario: p.Day, Seed: p.Seed, For: p.For, Backends: p.Nodes, Ingresses: p.Ingresses, Store: p.Store, Faults: p.Fault, Rate: p.Rate, Hot: p.Hot,
+		Ingress: p.Ingress, Race: p.Race, Zones: p.Halls, GateFault: p.GateFault,
 	}
 	switch p.Fronts {
 	case "resp":
@@ -196,10 +196,10 @@
 	var all []*lab.Report
 	broken, doubtful, worst := 0, 0, 0.0
 	for i := range c.Seeds {
-		cfg.Seed, cfg.Day = c.Seed+uint64(i), days[i%len(days)]
+		cfg.Seed, cfg.Scenario = c.Seed+uint64(i), days[i%len(days)]
 		r, err := lab.Run(ctx, cfg)
 		if err != nil {
-			return failed, fmt.Errorf("day %s, seed %d: %w", cfg.Day, cfg.Seed, err)
+			return failed, fmt.Errorf("day %s, seed %d: %w", cfg.Scenario, cfg.Seed, err)
 		}
 		all = append(all, r)
 		switch r.Code() {
@@ -209,10 +209,10 @@
 			doubtful++
 		}
 		worst = max(worst, r.WorstOverrun)
-		fmt.Fprintf(out, "%-12s seed %3d  tries %6d  service %.3f  breaks %d  beyond %3.0f%%  ceiling %+4.0f%%  cold %.2f  CPU %.0f us a try  late %.0f ms\n", r.Day, cfg.Seed, r.Tries,
-			r.Service, len(r.Breaks)+len(r.Crashed), 100*r.BeyondShare, 100*r.Edges.Ceiling, r.Edges.ColdPush, r.CPUPerRequestUS, r.LateMS)
-		for _, b := range r.Breaks {
-			fmt.Fprintf(out, "    %s at %.3f s: %s\n", b.Rule, b.At.Seconds(), b.What)
+		fmt.Fprintf(out, "%-12s seed %3d  tries %6d  service %.3f  breaks %d  beyond %3.0f%%  ceiling %+4.0f%%  cold %.2f  CPU %.0f us a try  late %.0f ms\n", r.Scenario, cfg.Seed, r.Attempts,
+			r.Service, len(r.Violations)+len(r.Crashed), 100*r.BeyondShare, 100*r.Margins.Ceiling, r.Margins.SlowStartPush, r.CPUPerRequestUS, r.ObserverDelayMS)
+		for _, b := range r.Violations {
+			fmt.Fprintf(out, "    %s at %.3f s: %s\n", b.Rule, b.At.Seconds(), b.Detail)
 		}
 		for _, x := range r.Crashed {
 			fmt.Fprintln(out, "    CRASHED:", x)
--- a/cmd/lab/prove.go
+++ b/cmd/lab/prove.go
@@ -32,7 +32,7 @@
 			if d.Short {
 				short = "*"
 			}
-			fmt.Fprintf(out, "%s %-22s %-9s %-12s %-12s %s\n", short, d.Name, d.Rule, d.Part, d.Day, d.About)
+			fmt.Fprintf(out, "%s %-22s %-9s %-12s %-12s %s\n", short, d.Name, d.Rule, d.Part, d.Scenario, d.About)
 		}
 		return lab.Clean, nil
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -105,7 +105,7 @@
 
 // A drain counts from when it was told: what waited for a connection then is not written any more.
 func TestDrainStopsWhatWaits(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
@@ -121,7 +121,7 @@
 
 // A cancelled attempt that still waits for its connection is moot, and is not written later.
 func TestCancelledWhileItWaits(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
@@ -135,7 +135,7 @@
 
 // An idle connection is closed before the node would: a command that crossed that would be a reset.
 func TestIdleConnectionIsRetired(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	b := g.p.nodes["s0"]
 	b.waiting = append(b.waiting, nil)
@@ -155,7 +155,7 @@
 
 // An answer that was there before its command had been written belongs to another: the attempt never ran.
 func TestAnswerBeforeItsCommand(t *testing.T) {
-	g := newOwner(t, scripted.NewNode(t, nil).Addr)
+	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
 	up := (<-g.events).(connUp)
@@ -197,7 +197,7 @@
 // Where all connections that may be open are busy elsewhere, the next that is free makes room: an attempt
 // at another node once waited for good.
 func TestWaitingForTheCapOfAll(t *testing.T) {
-	a, b := scripted.NewNode(t, nil), scripted.NewNode(t, nil)
+	a, b := scripted.NewBackend(t, nil), scripted.NewBackend(t, nil)
 	g := newOwner(t, a.Addr, b.Addr)
 	g.p.cfg.MaxConnections = 1
 	first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s1")
@@ -215,7 +215,7 @@
 
 // A node that answers what was not yet written to it must not block the owner's goroutine.
 func TestFullConnectionDoesNotBlock(t *testing.T) {
-	g := newOwner(t, scripted.NewNode(t, nil).Addr)
+	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &conn{node: g.p.nodes["s0"], nc: near, work: make(chan job, 1)}
@@ -263,7 +263,7 @@
 // A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
 // the way. A copy that waits for a connection for longer must not be written any more: it never ran.
 func TestWaitForConnectionEnds(t *testing.T) {
-	g := newOwner(t, scripted.NewNode(t, nil).Addr)
+	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	g.p.cfg.MaxConnections = 0
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
@@ -277,7 +277,7 @@
 // An attempt that is known to be written whole ends the moment it is given up: a gateway that was busy once
 // failed the request before the connection's own word came.
 func TestWrittenAttemptEndsAtOnce(t *testing.T) {
-	be := scripted.NewNode(t, nil)
+	be := scripted.NewBackend(t, nil)
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
@@ -294,7 +294,7 @@
 // Backends come under ever new ids: one that is gone is forgotten as soon as its last connection is, though another may
 // have taken its address by then.
 func TestGoneBackendIsForgotten(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	g.p.place(a)
@@ -323,7 +323,7 @@
 		want     policy.Outcome
 	}{"unwanted": {true, policy.Cancelled}, "broken": {false, policy.Reset}} {
 		t.Run(name, func(t *testing.T) {
-			be := scripted.NewNode(t, func(_ int, _ []string, nc net.Conn) string {
+			be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 				io.WriteString(nc, "*3\r\n$1000000\r\nsome")
 				if !c.unwanted {
 					nc.Close()
@@ -362,7 +362,7 @@
 // waited for it or was begun for them.
 func TestNobodyWaitsForANodeThatStopsServing(t *testing.T) {
 	for name, list := range map[string][]Endpoint{"gone": nil, "drains": {{policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
-		be := scripted.NewNode(t, func(_ int, _ []string, nc net.Conn) string {
+		be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 			io.WriteString(nc, served)
 			nc.Close()
 			return ""
@@ -395,7 +395,7 @@
 // TestNothingIsWrittenAfterItsTime has a connection come up when an attempt's time is over, before the owner has come to giving it up, as after a
 // moment in which the process stood still. It is not written: its client waits no longer.
 func TestNothingIsWrittenAfterItsTime(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	a.Deadline = g.now + time.Second
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -78,7 +78,7 @@
 
 // The same where the commands that are kept would fill the memory; what ends makes room again.
 func TestMostHeld(t *testing.T) {
-	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
+	g := idleGateway(t, scripted.NewBackend(t, nil).Addr)
 	arrive := func(key uint64) *Request {
 		r := &Request{ClientID: key, Size: g.mostHeld - 1000, Sink: &place{}}
 		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
--- a/internal/core/departure_test.go
+++ b/internal/core/departure_test.go
@@ -33,7 +33,7 @@
 
 // A request whose client has gone by the time it is taken in never reaches the module, and the front's later word changes nothing.
 func TestClientGoneBeforeAdmission(t *testing.T) {
-	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
+	g := idleGateway(t, scripted.NewBackend(t, nil).Addr)
 	r := arriving(g, 1, &place{gone: true})
 	if len(g.requests) != 0 || len(r.attempts) != 0 || g.keys[1] {
 		t.Fatalf("it was taken: %d requests, %d attempts", len(g.requests), len(r.attempts))
@@ -55,7 +55,7 @@
 		g.flush()
 	}
 	newCore := func(t *testing.T) *Core {
-		cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr, scripted.NewNode(t, nil).Addr))
+		cfg := testConfig("", fleetOf(scripted.NewBackend(t, nil).Addr, scripted.NewBackend(t, nil).Addr))
 		cfg.Settings.MaxAttempts = 3
 		g, err := New(cfg, quiet)
 		if err != nil {
@@ -106,7 +106,7 @@
 
 // The kernel is asked once in each turn of the loop, not for each attempt that the turn brings.
 func TestClientIsAskedForOnceATurn(t *testing.T) {
-	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
+	g := idleGateway(t, scripted.NewBackend(t, nil).Addr)
 	p := &countingPlace{}
 	arriving(g, 1, p)
 	if p.asked != 1 {
@@ -127,7 +127,7 @@
 
 // A call of a gate that has hung up is granted nothing, and its id can be asked for anew.
 func TestNothingIsGrantedToCallersThatLeft(t *testing.T) {
-	cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr))
+	cfg := testConfig("", fleetOf(scripted.NewBackend(t, nil).Addr))
 	cfg.Leases = &Leases{Timeout: time.Second, StartWithin: 500 * time.Millisecond, Retention: time.Second, MaxRequests: 10}
 	g, err := New(cfg, quiet)
 	if err != nil {
--- a/internal/core/guarded_test.go
+++ b/internal/core/guarded_test.go
@@ -13,7 +13,7 @@
 // newGuarded is a core with two backends, whose requests are unsafe and may have three attempts.
 func newGuarded(t *testing.T) *Core {
 	t.Helper()
-	cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr, scripted.NewNode(t, nil).Addr))
+	cfg := testConfig("", fleetOf(scripted.NewBackend(t, nil).Addr, scripted.NewBackend(t, nil).Addr))
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging = 3, true
 	cfg.Settings.Classes[0].Effect = policy.Unsafe
 	g, err := New(cfg, quiet)
--- a/internal/discovery/sockets_test.go
+++ b/internal/discovery/sockets_test.go
@@ -44,7 +44,7 @@
 				wg.Go(func() { d.Run(ctx) })
 			}
 			time.Sleep(startWithin + 500*time.Millisecond)
-			if watches := len(r.Asked()); watches < n {
+			if watches := len(r.Polls()); watches < n {
 				t.Fatalf("%d of %d watch", watches, n)
 			}
 			r.Fail(0, failure)
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -23,7 +23,7 @@
 func BenchmarkFronts(b *testing.B) {
 	cfg := gateConfig(b, 8, func(c *Config) {
 		for i := range c.Known.Targets {
-			c.Known.Targets[i].Endpoint = scripted.NewNode(b, func(int, []string, net.Conn) string { return served }).Addr
+			c.Known.Targets[i].Endpoint = scripted.NewBackend(b, func(int, []string, net.Conn) string { return served }).Addr
 		}
 		c.Discovery = scripted.Registry(b, c.Known, nil)
 		c.Sockets, c.Leases.Retention, c.Leases.MaxRequests = 4096, time.Second, 1<<20
--- a/internal/ingress/budgets_test.go
+++ b/internal/ingress/budgets_test.go
@@ -15,7 +15,7 @@
 
 // A real ingress states how its quotas stand; a span that is none is one line that names it.
 func TestServesBudgets(t *testing.T) {
-	list := fleetOf(scripted.NewNode(t, func(int, []string, net.Conn) string { return served }).Addr)
+	list := fleetOf(scripted.NewBackend(t, func(int, []string, net.Conn) string { return served }).Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Metrics = freeAddr(t)
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -314,7 +314,7 @@
 		time.Sleep(backendTime)
 		return scripted.Served
 	}
-	first, second := scripted.NewNode(t, say), scripted.NewNode(t, say)
+	first, second := scripted.NewBackend(t, say), scripted.NewBackend(t, say)
 	counter, err := tally.Start("", 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ingress/door_test.go
+++ b/internal/ingress/door_test.go
@@ -103,7 +103,7 @@
 // A hundred callers who say nothing, a byte a second or a megabyte of headers keep nobody out, and neither does an event
 // loop that stands still.
 func TestDoorAnswersWhileCrowdedAndStalled(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	cfg := doorConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.Counter, cfg.Settings.CounterTimeout = true, 50*time.Millisecond
@@ -164,7 +164,7 @@
 }
 
 func TestDoorSaysNo(t *testing.T) {
-	list := fleetOf(scripted.NewNode(t, nil).Addr)
+	list := fleetOf(scripted.NewBackend(t, nil).Addr)
 	g, _ := runIngress(t, doorConfig(scripted.Registry(t, list, nil), list))
 	for _, c := range []struct {
 		verb, path string
@@ -203,9 +203,9 @@
 // back, and it is in use again.
 func TestSuspendHoldsOverTheList(t *testing.T) {
 	var sent [2]atomic.Int64
-	var nodes [2]*scripted.Node
+	var nodes [2]*scripted.Backend
 	for i := range nodes {
-		nodes[i] = scripted.NewNode(t, func(int, []string, net.Conn) string {
+		nodes[i] = scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
 			return served
 		})
@@ -265,7 +265,7 @@
 // Drained: no at once, late connections are served, every connection is closed between two requests with nothing lost, one
 // that never pauses too. Activated: yes again, also right after.
 func TestDrainAndActivate(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	g, _ := runIngress(t, doorConfig(scripted.Registry(t, list, nil), list))
 	addr := g.Addr().String()
@@ -355,7 +355,7 @@
 // The figures are what the clients got and the nodes saw, with errors, resets and repeats among them.
 func TestFiguresAreTrue(t *testing.T) {
 	var seen atomic.Int64
-	be := scripted.NewNode(t, func(n int, args []string, nc net.Conn) string {
+	be := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		if strings.HasPrefix(args[0], "Q.") {
 			seen.Add(1)
 		}
@@ -424,7 +424,7 @@
 	var out atomic.Int64 // nodes that are out, as bits, from the yes on
 	var nodes [3]string
 	for i := range nodes {
-		nodes[i] = scripted.NewNode(t, func(n int, args []string, nc net.Conn) string {
+		nodes[i] = scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 			if out.Load()&(1<<i) != 0 && strings.HasPrefix(args[0], "Q.") {
 				mu.Lock()
 				after[i]++
--- a/internal/ingress/ends_test.go
+++ b/internal/ingress/ends_test.go
@@ -60,7 +60,7 @@
 			defer release()
 			var mu sync.Mutex
 			leftIDs := map[string]bool{}
-			be := scripted.NewNode(t, func(int, []string, net.Conn) string {
+			be := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 				<-holds
 				return served
 			})
@@ -107,7 +107,7 @@
 func TestShutdownWithinShortDeadlines(t *testing.T) {
 	t.Parallel()
 	const deadline = 900 * time.Millisecond
-	be := scripted.NewNode(t, nil) // takes everything, says nothing
+	be := scripted.NewBackend(t, nil) // takes everything, says nothing
 	list := fleetOf(be.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxRetryAfter = 500 * time.Millisecond
@@ -190,7 +190,7 @@
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
 	value := func(args []string) string { return "*3\r\n$1\r\n" + args[2][15:] + "\r\n$-1\r\n$-1\r\n" }
-	be := scripted.NewNode(t, func(_ int, args []string, nc net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
 		go func() {
 			<-time.After(8500 * time.Microsecond) // the latest that was seen
 			io.WriteString(nc, value(args))
@@ -214,7 +214,7 @@
 // it is not whole, and not seconds later.
 func TestLargeValueStopsAtItsTime(t *testing.T) {
 	t.Parallel()
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string {
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		return answerOf(pattern(1, 200<<10))[:100<<10] // and no more
 	})
 	list := fleetOf(be.Addr)
@@ -298,7 +298,7 @@
 		t.Parallel()
 		late := scripted.NewLate(t, func(int, []string, net.Conn) string { return served })
 		late.Hold()
-		be := scripted.NewNode(t, func(n int, _ []string, _ net.Conn) string {
+		be := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 			for n == 2 && !late.Begun() { // it holds its answer until the other copy waits for a connection
 				runtime.Gosched()
 			}
@@ -332,8 +332,8 @@
 // A node is drained by an entry that says so and no more: nothing is sent to it after that.
 func TestDrainWithoutAnAddress(t *testing.T) {
 	t.Parallel()
-	first := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
-	second := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	first := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
+	second := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	changes := make(chan discovery.List)
 	list := fleetOf(first.Addr, second.Addr)
 	cfg := testConfig(scripted.Registry(t, list, changes), list)
--- a/internal/ingress/gate_test.go
+++ b/internal/ingress/gate_test.go
@@ -165,7 +165,7 @@
 // A quota's units are spent once for each id, however often it asks, also where its first caller left before the answer; what
 // is reported as never sent is given back, and one quota serves both fronts.
 func TestGateUnitsAreCountedOnce(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	cfg := gateConfig(t, 4, nil)
 	for i := range cfg.Known.Targets {
 		cfg.Known.Targets[i].Endpoint = be.Addr
@@ -382,7 +382,7 @@
 // Priority holds across the fronts: gates flood with work of little worth until the window is full and a hundred wait; a request
 // of more worth that comes over RESP2 takes the first place that is freed.
 func TestGateFloodAndPriority(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	cfg := gateConfig(t, 1, nil)
 	cfg.Known.Targets[0].Endpoint = be.Addr
 	cfg.Discovery = scripted.Registry(t, cfg.Known, nil)
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -95,7 +95,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			left := newDepartures()
-			be := scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+			be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 				left.began(args)
 				return scripted.Served
 			})
@@ -127,7 +127,7 @@
 func TestNothingIsSentForClientsThatLeftAtShutdown(t *testing.T) {
 	t.Parallel()
 	left := newDepartures()
-	be := scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		left.began(args)
 		return scripted.Served
 	})
@@ -162,7 +162,7 @@
 			left := newDepartures()
 			var mu sync.Mutex
 			conns := map[string]net.Conn{}
-			be := scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+			be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 				left.began(args)
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -135,7 +135,7 @@
 	var sent [3]atomic.Int64
 	var nodes []string
 	for i := range 3 {
-		nodes = append(nodes, scripted.NewNode(t, func(int, []string, net.Conn) string {
+		nodes = append(nodes, scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
 			time.Sleep(5 * time.Millisecond)
 			return served
@@ -187,7 +187,7 @@
 // A process that is told of a suspension and dies at once leaves it to the next; one that dies before its yes leaves the
 // first in place; discovery and the counter that say nothing keep no process from its yes.
 func TestReplacementInTrouble(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	mute := scripted.Listen(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
 	ln := hold(t)
@@ -230,7 +230,7 @@
 // While another process is there this one makes room for it, idle connections first, and has all places again when the other
 // has gone.
 func TestRoomForAnotherProcess(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	registry := scripted.Registry(t, list, nil)
 	ln := hold(t)
@@ -278,7 +278,7 @@
 	t.Cleanup(counter.Stop)
 	var mu sync.Mutex
 	var sends []time.Time
-	be := scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		if strings.HasPrefix(args[0], "Q.") {
 			mu.Lock()
 			sends = append(sends, time.Now())
@@ -342,7 +342,7 @@
 
 // A drained ingress that is told to end ends as it would otherwise, and a repeated drain changes nothing.
 func TestTermWhileDrained(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string {
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		time.Sleep(700 * time.Millisecond)
 		return served
 	})
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -138,7 +138,7 @@
 // An answered attempt must free its connection: once all of them were taken for given up. Requests that follow sooner than it has rested may
 // have others.
 func TestConnectionIsReused(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
@@ -154,7 +154,7 @@
 
 // A silent backend's attempt ends at the request's time, before the client leaves; its connection is given up.
 func TestSilentBackendIsTimedOut(t *testing.T) {
-	be := scripted.NewNode(t, func(n int, _ []string, _ net.Conn) string {
+	be := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
 			return ""
 		}
@@ -180,7 +180,7 @@
 
 // The command, customer, id, key and body go on as they came; d becomes what is left of it.
 func TestCommandGoesOn(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
@@ -204,7 +204,7 @@
 // Bad input gets one error line and reaches no backend; where the framing holds, the connection goes on.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	long := strings.Repeat("x", resp.MaxValue+1)
@@ -294,9 +294,9 @@
 		}, "-ERR"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := &scripted.Node{Addr: dead.Addr().String()}
+			be := &scripted.Backend{Addr: dead.Addr().String()}
 			if c.say != nil {
-				be = scripted.NewNode(t, c.say)
+				be = scripted.NewBackend(t, c.say)
 			}
 			list := fleetOf(be.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
@@ -315,7 +315,7 @@
 // Answers leave in the order of the commands, whatever comes first from the backends.
 func TestPipelinedAnswersInOrder(t *testing.T) {
 	second := make(chan struct{})
-	be := scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		if strings.HasSuffix(args[2], "1") {
 			<-second // the first is answered last
 		} else {
@@ -337,7 +337,7 @@
 // A shutdown answers what was taken, and what still comes on an open connection, before the connection ends.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string {
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		taken <- struct{}{}
 		<-release
 		return served
@@ -365,7 +365,7 @@
 // After a move the list is asked for at the new address at once, the watch goes on there, and no client or backend
 // notices.
 func TestMoveOfDiscovery(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	list.Rev = 2
 	from, to := scripted.Registry(t, fleetOf(), nil), scripted.Registry(t, list, nil)
@@ -397,7 +397,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := scripted.NewNode(t, say)
+			be := scripted.NewBackend(t, say)
 			list := fleetOf(be.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 			nc, in := dial(t, addr)
@@ -422,7 +422,7 @@
 func TestIdleConnectionsOfSilentBackendAreDropped(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
-	be := scripted.NewNode(t, func(n int, _ []string, _ net.Conn) string {
+	be := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		switch {
 		case n <= 3: // all three are out at once, each on its own connection
 			together.Done()
@@ -455,7 +455,7 @@
 
 // With all descriptors for clients in use, an idle connection makes room for a new one.
 func TestIdleClientMakesRoom(t *testing.T) {
-	be := scripted.NewNode(t, nil)
+	be := scripted.NewBackend(t, nil)
 	list := fleetOf(be.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets = 128 // 16 for clients
@@ -471,7 +471,7 @@
 
 // Beyond the open requests that the settings allow, or the memory for them, a request is turned away unseen.
 func TestMostOpen(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return "" })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "" })
 	list := fleetOf(be.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Connections.MaxOpen = 2
@@ -491,7 +491,7 @@
 // A client that leaves ends its request: the attempt is given up, and nothing is kept of it.
 func TestClientLeaves(t *testing.T) {
 	gone := make(chan struct{})
-	be := scripted.NewNode(t, func(_ int, _ []string, nc net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 		go func() {
 			nc.Read(make([]byte, 1)) // ends when the ingress gives the attempt up
 			close(gone)
@@ -514,7 +514,7 @@
 // while hundreds of them sit there, usual clients still get in.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets = 128 // 48 for clients
@@ -564,7 +564,7 @@
 
 // A request's id is taken until its time is up, also once it has been answered: whoever copies it is not served.
 func TestCopiedID(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
--- a/internal/ingress/large_test.go
+++ b/internal/ingress/large_test.go
@@ -63,7 +63,7 @@
 // middle.
 func TestLargeValuesInPieces(t *testing.T) {
 	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLarge, 3}
-	be := scripted.NewNode(t, func(n int, args []string, nc net.Conn) string {
+	be := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		id := idOf(args)
 		b := []byte(answerOf(pattern(id, sizes[id])))
 		r := rand.New(rand.NewPCG(uint64(id), 2))
@@ -102,7 +102,7 @@
 // A value that breaks off is visibly cut, a length beyond the bound is no value, and a client that goes ends the attempt.
 func TestLargeValueThatBreaksOff(t *testing.T) {
 	ended := make(chan struct{}, 9)
-	be := scripted.NewNode(t, func(n int, args []string, nc net.Conn) string {
+	be := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		switch idOf(args) {
 		case 1:
 			io.WriteString(nc, answerOf(pattern(1, 1<<20))[:500000])
@@ -157,7 +157,7 @@
 func TestSlowReadersOfLargeValues(t *testing.T) {
 	const readers, size, other = 200, resp.MaxLarge, 1000
 	value := []byte(answerOf(pattern(0, size))) // one for all: a string is copied for each write
-	be := scripted.NewNode(t, func(_ int, args []string, nc net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
 		if idOf(args) == other {
 			return served
 		}
@@ -233,7 +233,7 @@
 // connection goes on; a longer one is an error that says so.
 func TestLargeBodies(t *testing.T) {
 	got := make(chan []string, 4)
-	be := scripted.NewNode(t, func(_ int, args []string, _ net.Conn) string {
+	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		got <- args
 		return served
 	})
@@ -268,7 +268,7 @@
 
 // A client may take two seconds for a head, and longer for a body that comes on.
 func TestSlowCommand(t *testing.T) {
-	be := scripted.NewNode(t, func(int, []string, net.Conn) string { return served })
+	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	list := fleetOf(be.Addr)
 	addr, _ := startGateway(t, testConfig(scripted.Registry(t, list, nil), list))
 	for name, c := range map[string]struct {
--- a/internal/lab/ask.go
+++ b/internal/lab/ask.go
@@ -37,28 +37,28 @@
 }
 
 // Peers is what an instance believes of its peers; it is for the run's watcher.
-func (w *World) Peers(ctx context.Context, i int) (peers.Status, error) {
+func (w *Testbed) Peers(ctx context.Context, i int) (peers.Status, error) {
 	return get[peers.Status](ctx, w.ingresses[i], "/peers")
 }
 
 // NodesBelieved is what an instance believes of nodes; it is for the run's watcher.
-func (w *World) NodesBelieved(ctx context.Context, i int) (core.BackendsStatus, error) {
+func (w *Testbed) Backends(ctx context.Context, i int) (core.BackendsStatus, error) {
 	return get[core.BackendsStatus](ctx, w.ingresses[i], "/nodes")
 }
 
 // Budgets is what an instance states of quotas, should it hear nothing for so long; it is for the run's watcher.
-func (w *World) Budgets(ctx context.Context, i int, span time.Duration) ([]overrun.Bound, error) {
+func (w *Testbed) QuotaBounds(ctx context.Context, i int, span time.Duration) ([]overrun.Bound, error) {
 	return get[[]overrun.Bound](ctx, w.ingresses[i], "/budgets?for="+span.String())
 }
 
 // Now is the time on the clock of the records.
-func (w *World) Now() time.Duration { return w.clock() }
+func (w *Testbed) Now() time.Duration { return w.clock() }
 
 // Instances is how many there are.
-func (w *World) Instances() int { return len(w.ingresses) }
+func (w *Testbed) Instances() int { return len(w.ingresses) }
 
 // At waits until a time of the load; false where the run ends before.
-func (w *World) At(ctx context.Context, at time.Duration) bool {
+func (w *Testbed) WaitUntil(ctx context.Context, at time.Duration) bool {
 	t := time.NewTimer(w.load.began + at - w.clock())
 	defer t.Stop()
 	select {
--- a/internal/lab/brief.go
+++ b/internal/lab/brief.go
@@ -25,13 +25,13 @@
 // classes are the brief's; the last is the lab's own, for days that need one which may not be repeated.
 func classes(unsafe bool) []class {
 	out := []class{
-		{"guide-read", 0.60, backend.Work{Least: 26 * ms, Most: 45 * ms}, 400 * ms, time.Second, 2, 0.1, "read_like", 1},
-		{"schedule-set", 0.22, backend.Work{Least: 57 * ms, Most: 99 * ms}, 750 * ms, 2 * time.Second, 2, 0.1, "read_like", 2},
-		{"clip-publish", 0.18, backend.Work{Least: 88 * ms, Most: 150 * ms}, 1500 * ms, 5 * time.Second, 5, 0.2, "idempotency_key", 4},
+		{"guide-read", 0.60, backend.Work{Min: 26 * ms, Max: 45 * ms}, 400 * ms, time.Second, 2, 0.1, "read_like", 1},
+		{"schedule-set", 0.22, backend.Work{Min: 57 * ms, Max: 99 * ms}, 750 * ms, 2 * time.Second, 2, 0.1, "read_like", 2},
+		{"clip-publish", 0.18, backend.Work{Min: 88 * ms, Max: 150 * ms}, 1500 * ms, 5 * time.Second, 5, 0.2, "idempotency_key", 4},
 	}
 	if unsafe {
 		out[0].share = 0.54
-		out = append(out, class{"air-switch", 0.06, backend.Work{Least: 57 * ms, Most: 99 * ms}, time.Second, 3 * time.Second, 4, 0.2, "non_idempotent", 3})
+		out = append(out, class{"air-switch", 0.06, backend.Work{Min: 57 * ms, Max: 99 * ms}, time.Second, 3 * time.Second, 4, 0.2, "non_idempotent", 3})
 	}
 	return out
 }
@@ -97,7 +97,7 @@
 func worths(cs []class, ps []*plan) (map[string]measure.Class, map[string]measure.Plan) {
 	mc, mp := map[string]measure.Class{}, map[string]measure.Plan{}
 	for _, c := range cs {
-		mc[c.name] = measure.Class{Worth: c.worth, Aim: c.aim, LateShare: c.late}
+		mc[c.name] = measure.Class{PriorityWeight: c.worth, LatencyObjective: c.aim, LateShare: c.late}
 	}
 	for _, p := range ps {
 		q := p.quota()
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -89,13 +89,13 @@
 func (c coldReturn) play(t *testing.T) (slowstart.Peak, int) {
 	t.Helper()
 	cfg := testConfig(t)
-	cfg.Seed, cfg.Day, cfg.For, cfg.Hot = c.seed, coldCalmDay, coldLoadEnds, 0
-	cfg.Ingresses, cfg.Nodes, cfg.Rate = c.ingresses, coldNodes, c.times*coldUsualLoad/coldCalmLoad
+	cfg.Seed, cfg.Scenario, cfg.For, cfg.Hot = c.seed, coldCalmDay, coldLoadEnds, 0
+	cfg.Ingresses, cfg.Backends, cfg.Rate = c.ingresses, coldNodes, c.times*coldUsualLoad/coldCalmLoad
 	if c.program != "" {
 		cfg.Ingress = c.program
 	}
 	var cold *backend.Fleet
-	cfg.Watch = func(ctx context.Context, w *World) {
+	cfg.Watch = func(ctx context.Context, w *Testbed) {
 		if err := c.bringBack(ctx, w, cold); err != nil {
 			w.fault(err)
 		}
@@ -107,7 +107,7 @@
 	w := newWorld(cfg, day)
 	defer w.close()
 	for i := range w.classes {
-		least, most := &w.classes[i].work.Least, &w.classes[i].work.Most
+		least, most := &w.classes[i].work.Min, &w.classes[i].work.Max
 		*least, *most = time.Duration(c.work*float64(*least)), time.Duration(c.work*float64(*most))
 	}
 	// The node that returns is of a fleet of its own, in which none falls: all that comes is seen, also beyond the limit.
@@ -124,19 +124,19 @@
 }
 
 // rules are those of the cold node.
-func (c coldReturn) rules(w *World) backend.Rules {
+func (c coldReturn) rules(w *Testbed) backend.Rules {
 	work := map[string]backend.Work{}
 	for _, k := range w.classes {
 		work[k.name] = k.work
 	}
 	return backend.Rules{
-		Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, MostConns: 1500, ConnWork: ms, Knee: 8,
+		Work: work, KeyMemory: keyMemory, SlowStartShare: coldShare, SlowStartWindow: warmAfter, MaxConnections: 1500, ConnWork: ms, Knee: 8,
 		LossBeyond: 0.03,
 	}
 }
 
 // thin leaves outside the burst as many of the arrivals, which are drawn for it, as are usual.
-func (c coldReturn) thin(w *World) {
+func (c coldReturn) thin(w *Testbed) {
 	rng := rand.New(rand.NewPCG(c.seed, 77))
 	w.load.arrivals = slices.DeleteFunc(w.load.arrivals, func(a arrival) bool {
 		return (a.due < coldBack || a.due >= coldBurstEnds) && rng.Float64() > 1/c.times
@@ -144,7 +144,7 @@
 }
 
 // bringBack takes the node away and starts it cold; all processes are told of both at once.
-func (c coldReturn) bringBack(ctx context.Context, w *World, cold *backend.Fleet) error {
+func (c coldReturn) bringBack(ctx context.Context, w *Testbed, cold *backend.Fleet) error {
 	if !sleepUntil(ctx, w, coldGone) {
 		return nil
 	}
@@ -171,7 +171,7 @@
 }
 
 // sleepUntil waits for a time after the load's beginning; false: the run ends before.
-func sleepUntil(ctx context.Context, w *World, at time.Duration) bool {
+func sleepUntil(ctx context.Context, w *Testbed, at time.Duration) bool {
 	timer := time.NewTimer(w.load.began + at - w.clock())
 	defer timer.Stop()
 	select {
@@ -183,23 +183,23 @@
 }
 
 // judge slides the settings' window over what the cold node's observer saw. Each attempt counts as the mean work of its class.
-func (c coldReturn) judge(t *testing.T, w *World, cold *backend.Fleet) (slowstart.Peak, int) {
+func (c coldReturn) judge(t *testing.T, w *Testbed, cold *backend.Fleet) (slowstart.Peak, int) {
 	t.Helper()
-	nodes := cold.Nodes()
+	nodes := cold.Backends()
 	if len(nodes) != 1 {
 		t.Fatalf("%d nodes came back", len(nodes))
 	}
 	rule := slowstart.Rule{InitialShare: coldShare, Window: warmAfter, OverloadMultiple: fallMultiple, Span: time.Second}
 	of := map[string]float64{}
 	for _, k := range w.classes {
-		of[k.name] = (k.work.Least + k.work.Most).Seconds() / 2
+		of[k.name] = (k.work.Min + k.work.Max).Seconds() / 2
 	}
 	_, meanWork := mean(w.classes)
 	spec := nodes[0].Spec
 	backend := slowstart.Backend{Started: w.load.began + coldBack, Capacity: float64(spec.Cores) * spec.Speed, MeanWork: meanWork.Seconds()}
 	var came []slowstart.Arrival
 	for _, r := range cold.Records(0) {
-		came = append(came, slowstart.Arrival{At: r.Came, Work: of[r.Class], Instance: r.Instance, Notified: true})
+		came = append(came, slowstart.Arrival{At: r.ArrivedAt, Work: of[r.Class], Instance: r.Instance, Notified: true})
 	}
 	peak, err := rule.Peak(backend, came)
 	if err != nil {
--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -66,7 +66,7 @@
 			holds(t, r)
 			first := map[int]float64{} // the first command that came from an instance once it was back
 			for _, c := range r.Commands {
-				if at := c.Came.Seconds() - r.BeganS; at > 2.3 && (first[c.Instance] == 0 || at < first[c.Instance]) {
+				if at := c.ArrivedAt.Seconds() - r.BeganS; at > 2.3 && (first[c.Instance] == 0 || at < first[c.Instance]) {
 					first[c.Instance] = at
 				}
 			}
@@ -173,7 +173,7 @@
 		holds(t, r)
 		late := map[int]int{}
 		for _, c := range r.Commands {
-			if at := c.Came.Seconds() - r.BeganS; c.Node == "node-04" && at > 4 && at < 7 {
+			if at := c.ArrivedAt.Seconds() - r.BeganS; c.Backend == "node-04" && at > 4 && at < 7 {
 				late[c.Instance]++
 			}
 		}
@@ -215,7 +215,7 @@
 			log := &logged{}
 			cfg := peersConfig(t, 6, "fleet:slow 5 2s at 3s", "ingress/0:kill at 4s", "ingress/2:kill at 4500ms")
 			cfg.Ingress, cfg.Mixed, cfg.Log = "", mixed, log
-			cfg.Takeover, cfg.Rights, cfg.For, cfg.Rate = true, true, 9*time.Second, 1
+			cfg.Takeover, cfg.Escrow, cfg.For, cfg.Rate = true, true, 9*time.Second, 1
 			r := play(t, cfg)
 			holds(t, r)
 			for _, line := range []string{"cannot be read", "messages are left aside", "message rejected", "datagram rejected"} {
--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -21,7 +21,7 @@
 // backends is what stands behind an ingress: the backends, the list of them, and the shared counter.
 type backends struct {
 	fleet    *backend.Fleet
-	nodes    []*backend.Node
+	nodes    []*backend.Backend
 	registry *discovery.Registry
 	agent    string
 	counter  *tally.Server
@@ -32,7 +32,7 @@
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	b = &backends{
-		fleet:    backend.NewFleet(backend.Rules{Work: map[string]backend.Work{class: {Least: c.Work, Most: c.Work}}}, seed, clock),
+		fleet:    backend.NewFleet(backend.Rules{Work: map[string]backend.Work{class: {Min: c.Work, Max: c.Work}}}, seed, clock),
 		registry: discovery.New(seed, clock, 0, time.Millisecond),
 	}
 	defer func() {
@@ -58,7 +58,7 @@
 }
 
 func (b *backends) add(i int) error {
-	spec := backend.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: cores, Speed: 1, Room: room}
+	spec := backend.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: cores, Speed: 1, QueueCapacity: room}
 	n, err := b.fleet.Add(spec, loopback, false, 1)
 	if err != nil {
 		return err
--- a/internal/lab/cost/chart.go
+++ b/internal/lab/cost/chart.go
@@ -43,7 +43,7 @@
 			s := q.of(row)
 			x := float64(i)
 			dots = append(dots, plotter.XY{X: x, Y: s.Median})
-			bar, err := plotter.NewLine(plotter.XYs{{X: x, Y: s.Least}, {X: x, Y: s.Most}})
+			bar, err := plotter.NewLine(plotter.XYs{{X: x, Y: s.Min}, {X: x, Y: s.Max}})
 			if err != nil {
 				return fmt.Errorf("chart: %w", err)
 			}
--- a/internal/lab/cost/proxy_test.go
+++ b/internal/lab/cost/proxy_test.go
@@ -46,7 +46,7 @@
 	records := b.fleet.Records(0)
 	at := map[string]int{}
 	for _, r := range records {
-		at[r.Node]++
+		at[r.Backend]++
 	}
 	if len(records) != 60 || len(at) != c.Backends || at["backend-000"] != 20 {
 		t.Errorf("%d came: %v", len(records), at)
--- a/internal/lab/cost/report.go
+++ b/internal/lab/cost/report.go
@@ -16,8 +16,8 @@
 // Spread is a figure over the rounds: the median, and between what it lay.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
 func spreadOf(values []float64) Spread {
@@ -171,10 +171,10 @@
 }
 
 func (s Spread) text(digits int) string {
-	if s.Least == s.Most {
+	if s.Min == s.Max {
 		return fmt.Sprintf("%.*f", digits, s.Median)
 	}
-	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Median, digits, s.Least, digits, s.Most)
+	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Median, digits, s.Min, digits, s.Max)
 }
 
 // table writes the rows in Markdown; the first two cells are the rate and the build.
--- a/internal/lab/cost/short.go
+++ b/internal/lab/cost/short.go
@@ -12,7 +12,7 @@
 	// ShortRate is the rate of the short check, a second.
 	ShortRate = 190
 	// MostAdded is what the short check lets a build add to the bare proxy's median, in milliseconds.
-	MostAdded = 1.0
+	MaxAdded = 1.0
 	// ShortRounds is the short check's margin for a noisy machine: the best of so many rounds counts, and the first good
 	// one ends it. Noise only ever adds to a wait, while a wait that is built in is there in each round.
 	ShortRounds = 3
@@ -82,8 +82,8 @@
 		if !judged {
 			return fmt.Errorf("build %s: %w", b.Name, ErrVoid)
 		}
-		if added > MostAdded {
-			return fmt.Errorf("build %s: %w: %.2f ms at the best of the rounds, %.2f at most", b.Name, ErrTooSlow, added, MostAdded)
+		if added > MaxAdded {
+			return fmt.Errorf("build %s: %w: %.2f ms at the best of the rounds, %.2f at most", b.Name, ErrTooSlow, added, MaxAdded)
 		}
 	}
 	return nil
--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -24,7 +24,7 @@
 // target is one program under measurement, a process of its own.
 type target struct {
 	proc.Process
-	addr *proc.Held
+	addr *proc.HeldAddress
 }
 
 // startTarget starts a build, or the bare proxy, before the backends and waits until it serves.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -78,11 +78,11 @@
 			return nil, err
 		}
 		r := &lab.Report{
-			Day: cfg.Day, Seed: cfg.Seed, Service: 0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed), CPUPerRequestUS: 100,
-			Processes: []lab.Process{{Tries: 100, CPUS: 0.01, PeakMB: 10}, {Tries: 100, CPUS: 0.02, PeakMB: 12}},
-			Rows:      []lab.Row{{Class: "guide-read", Plan: "by", Wishes: 10, InTime: 9}}, Marks: []lab.Mark{{AtS: 1, What: "node/1:drain"}},
-			Timeline: []lab.Second{{Wishes: 10, InTime: 9, P99MS: 100}, {Wishes: 10, InTime: 8, P99MS: 200}},
-			Nodes:    []lab.NodeTrack{{Node: "node-00", Hall: "hall-a", Held: []float64{1, 2, -1}}, {Node: "node-01", Hall: "hall-b", Held: []float64{1, 20, 3}}},
+			Scenario: cfg.Scenario, Seed: cfg.Seed, Service: 0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed), CPUPerRequestUS: 100,
+			Processes: []lab.Process{{Attempts: 100, CPUS: 0.01, PeakMB: 10}, {Attempts: 100, CPUS: 0.02, PeakMB: 12}},
+			Rows:      []lab.Row{{Class: "guide-read", Plan: "by", Requests: 10, InTime: 9}}, Marks: []lab.Mark{{AtS: 1, What: "node/1:drain"}},
+			Timeline: []lab.Second{{Requests: 10, InTime: 9, P99MS: 100}, {Requests: 10, InTime: 8, P99MS: 200}},
+			Backends: []lab.BackendTrack{{Backend: "node-00", Zone: "hall-a", InFlight: []float64{1, 2, -1}}, {Backend: "node-01", Zone: "hall-b", InFlight: []float64{1, 20, 3}}},
 		}
 		return r, nil
 	}
--- a/internal/lab/experiment/halls.go
+++ b/internal/lab/experiment/halls.go
@@ -12,20 +12,20 @@
 )
 
 // HallText is the figures of lost halls, a line for each day and variant: means over seeds, and the worst.
-func (s *Spec) HallText(lines []Line) string {
+func (s *Spec) ZoneText(lines []Line) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\t[halls]\truns\tbroken\tbefore\tduring\tworst\tafter\tworst\tnear best s\tworst\tlast sent s\tworst\tqueue s\tcold push\tcross\tswing\tworst\tservice\t")
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		for _, v := range s.Variants {
 			cols := make([][]float64, 10)
 			runs, broken := 0, 0
 			for _, l := range lines {
-				if l.Day != d || l.Variants[0] != v.Name {
+				if l.Scenario != d || l.Variants[0] != v.Name {
 					continue
 				}
 				runs++
-				broken += len(l.Report.Breaks) + len(l.Report.Crashed)
+				broken += len(l.Report.Violations) + len(l.Report.Crashed)
 				add := func(i int, x float64) { cols[i] = append(cols[i], x) }
 				if x := l.Report.Loss; x != nil {
 					add(9, x.Before)
@@ -41,7 +41,7 @@
 					}
 					add(4, x.LongestS)
 				}
-				add(5, l.Report.Edges.ColdPush)
+				add(5, l.Report.Margins.SlowStartPush)
 				add(6, l.Report.Score.CrossShare)
 				add(7, l.Report.Swing)
 				add(8, l.Report.Service)
@@ -80,19 +80,19 @@
 	p := plain("", "seconds", "commands a second")
 	p.Y.Min = 0
 	top := 0.0
-	for i, h := range l.Report.Halls {
+	for i, h := range l.Report.Zones {
 		var sent, able plotter.XYs
 		scale := 0.0 // commands for a second of work: what the run came to as a whole
 		work := 0.0
 		for k := range h.Sends {
 			scale += h.Sends[k]
-			work += h.Able[k]
+			work += h.Capacity[k]
 		}
 		for k := range h.Sends {
 			x := (float64(k) + 0.5) * 0.5
 			sent = append(sent, plotter.XY{X: x, Y: h.Sends[k]})
 			if work > 0 {
-				able = append(able, plotter.XY{X: x, Y: h.Able[k] * scale / work})
+				able = append(able, plotter.XY{X: x, Y: h.Capacity[k] * scale / work})
 			}
 			top = max(top, h.Sends[k])
 		}
@@ -105,7 +105,7 @@
 		}
 		line.Color, line.Width = colour(i), vg.Points(1.6)
 		p.Add(line)
-		p.Legend.Add(h.Hall, line)
+		p.Legend.Add(h.Zone, line)
 		if len(able) > 0 {
 			dashed, err := plotter.NewLine(able)
 			if err != nil {
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -65,7 +65,7 @@
 	if data.Overview, err = s.differences(rows); err != nil {
 		return err
 	}
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		sec, err := s.section(d, lines, rows)
 		if err != nil {
 			return err
@@ -79,7 +79,7 @@
 	sec := section{Day: d}
 	byVariant := map[string][]Line{}
 	for _, l := range lines {
-		if l.Day != d || len(l.Variants) != 1 {
+		if l.Scenario != d || len(l.Variants) != 1 {
 			continue
 		}
 		byVariant[l.Variants[0]] = append(byVariant[l.Variants[0]], l)
@@ -88,14 +88,14 @@
 				sec.Faults = append(sec.Faults, fmt.Sprintf("%.1f s %s", m.AtS, m.What))
 			}
 		}
-		for _, b := range l.Report.Breaks {
+		for _, b := range l.Report.Violations {
 			if len(sec.Breaks) < 12 {
-				sec.Breaks = append(sec.Breaks, fmt.Sprintf("%s, seed %d: %s at %.2f s: %s", l.Variants[0], l.Seed, b.Rule, b.At.Seconds()-l.Report.BeganS, b.What))
+				sec.Breaks = append(sec.Breaks, fmt.Sprintf("%s, seed %d: %s at %.2f s: %s", l.Variants[0], l.Seed, b.Rule, b.At.Seconds()-l.Report.BeganS, b.Detail))
 			}
 		}
 	}
 	for _, r := range rows {
-		if r.Day == d {
+		if r.Scenario == d {
 			sec.Rows = append(sec.Rows, r)
 		}
 	}
@@ -106,10 +106,10 @@
 		return err
 	}
 	if err := add(s.overTime(byVariant, "Answered in time, over time", "Share of the wishes that were due in a second; the mean over seeds. Dashed: a fault of the first seed's timeline.", "share in time", func(x lab.Second) float64 {
-		if x.Wishes == 0 {
+		if x.Requests == 0 {
 			return math.NaN()
 		}
-		return float64(x.InTime) / float64(x.Wishes)
+		return float64(x.InTime) / float64(x.Requests)
 	}, 0, 1.2)); err != nil {
 		return sec, err
 	}
@@ -250,7 +250,7 @@
 					if sums[v][name] == nil {
 						sums[v][name] = &sum{}
 					}
-					sums[v][name].wishes += r.Wishes
+					sums[v][name].wishes += r.Requests
 					sums[v][name].inTime += r.InTime
 				}
 			}
@@ -312,13 +312,15 @@
 
 // heat is how full each node was.
 func heat(variant string, l Line) (picture, error) {
-	nodes := slices.Clone(l.Report.Nodes)
-	slices.SortStableFunc(nodes, func(a, b lab.NodeTrack) int { return cmp.Or(cmp.Compare(b.Hall, a.Hall), cmp.Compare(b.Node, a.Node)) })
+	nodes := slices.Clone(l.Report.Backends)
+	slices.SortStableFunc(nodes, func(a, b lab.BackendTrack) int {
+		return cmp.Or(cmp.Compare(b.Zone, a.Zone), cmp.Compare(b.Backend, a.Backend))
+	})
 	g := grid{step: 0.25}
 	var names []string
 	width := 0
 	for _, n := range nodes {
-		width = max(width, len(n.Held))
+		width = max(width, len(n.InFlight))
 	}
 	if len(nodes) < 2 || width < 2 {
 		return picture{}, nil
@@ -327,12 +329,12 @@
 		row := make([]float64, width)
 		for k := range row {
 			row[k] = math.NaN()
-			if k < len(n.Held) && n.Held[k] >= 0 {
-				row[k] = min(n.Held[k], fullest)
+			if k < len(n.InFlight) && n.InFlight[k] >= 0 {
+				row[k] = min(n.InFlight[k], fullest)
 			}
 		}
 		g.rows = append(g.rows, row)
-		names = append(names, n.Hall+" "+n.Node)
+		names = append(names, n.Zone+" "+n.Backend)
 	}
 	cold := moreland.SmoothBlueRed()
 	cold.SetMin(0)
@@ -375,7 +377,7 @@
 		}
 		dot.Color, dot.Radius, dot.Shape = colour(i), vg.Points(4), draw.CircleGlyph{}
 		p.Add(bar, dot)
-		names = append(names, r.Day+" "+r.Variant)
+		names = append(names, r.Scenario+" "+r.Variant)
 	}
 	if len(names) == 0 {
 		return picture{}, nil
@@ -415,10 +417,10 @@
 </style></head><body>
 <h1>{{.Spec.Name}}</h1>
 <p>{{.Spec.About}}</p>
-<p class="note">{{.Runs}} runs; {{len .Spec.Variants}} variants on {{len .Spec.Days}} days, {{.Spec.Seeds}} seeds each.</p>
+<p class="note">{{.Runs}} runs; {{len .Spec.Variants}} variants on {{len .Spec.Scenarios}} scenarios, {{.Spec.Seeds}} seeds each.</p>
 {{with .Overview}}{{if .SVG}}<h3>{{.Title}}</h3><p class="note">{{.Note}}</p>{{.SVG}}{{end}}{{end}}
 {{if .Pairs}}<h3>Cost, two of each in one world</h3><table><tr><th>day</th><th>CPU a try, ratio</th><th>memory, MB more</th><th>runs</th></tr>
-{{range .Pairs}}<tr><td>{{.Day}}</td><td>{{.CPU}}</td><td>{{.More}}</td><td>{{.CPU.N}}</td></tr>{{end}}</table>{{end}}
+{{range .Pairs}}<tr><td>{{.Scenario}}</td><td>{{.CPU}}</td><td>{{.More}}</td><td>{{.CPU.N}}</td></tr>{{end}}</table>{{end}}
 {{range .Sections}}
 <h2>{{.Day}}</h2>
 {{if .Breaks}}<p class="bad">Rules that broke</p><ul>{{range .Breaks}}<li>{{.}}</li>{{end}}</ul>{{end}}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -106,7 +106,7 @@
 			spent += time.Since(began)
 			if cfg.Out != nil {
 				left := time.Duration(len(cells)-done) * spent / time.Duration(played*max(1, cfg.Jobs))
-				fmt.Fprintf(cfg.Out, "%3d of %d  %-16s seed %3d  %-24v service %.3f  CPU %4.0f us  code %d  (some %v to go)\n", done, len(cells), c.Day, c.Seed, l.Variants, l.Report.Service,
+				fmt.Fprintf(cfg.Out, "%3d of %d  %-16s seed %3d  %-24v service %.3f  CPU %4.0f us  code %d  (some %v to go)\n", done, len(cells), c.Scenario, c.Seed, l.Variants, l.Report.Service,
 					l.Report.CPUPerRequestUS, l.Code, left.Round(time.Second))
 			}
 			return nil
@@ -124,10 +124,10 @@
 
 func (s *Spec) play(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
 	run := lab.Config{
-		Day: c.Day, Seed: c.Seed, For: time.Duration(s.Length), Rate: s.Rate, Ingress: programs[c.Variants[0]], Store: s.Variants[c.Variants[0]].Store,
-		Halls: s.Variants[c.Variants[0]].Halls, HallLines: s.Variants[c.Variants[0]].Lines,
+		Scenario: c.Scenario, Seed: c.Seed, For: time.Duration(s.Length), Rate: s.Rate, Ingress: programs[c.Variants[0]], Store: s.Variants[c.Variants[0]].Store,
+		Zones: s.Variants[c.Variants[0]].Zones, ZoneLines: s.Variants[c.Variants[0]].Lines,
 	}
-	l := Line{Day: c.Day, Seed: c.Seed}
+	l := Line{Scenario: c.Scenario, Seed: c.Seed}
 	for _, v := range c.Variants {
 		l.Variants = append(l.Variants, s.Variants[v].Name)
 	}
@@ -136,7 +136,7 @@
 	}
 	r, err := cfg.Play(ctx, run)
 	if err != nil {
-		return l, fmt.Errorf("day %s, seed %d, %v: %w", c.Day, c.Seed, l.Variants, err)
+		return l, fmt.Errorf("day %s, seed %d, %v: %w", c.Scenario, c.Seed, l.Variants, err)
 	}
 	l.Code, l.Report = r.Code(), r
 	return l, nil
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -29,21 +29,21 @@
 	Program string `toml:"program"`
 	Defect  string `toml:"defect"` // of lab prove: a build that is known to be worse
 	Store   string `toml:"store"`  // instead of the day's
-	Halls   bool   `toml:"halls"`  // [halls] is on
+	Zones   bool   `toml:"halls"`  // [halls] is on
 	Lines   string `toml:"lines"`  // of that section, beside the usual
 }
 
 // Spec is an experiment.
 type Spec struct {
-	Name     string            `toml:"-"`
-	About    string            `toml:"about"`
-	Days     []string          `toml:"days"`
-	Seeds    int               `toml:"seeds"` // so many, from First on
-	First    uint64            `toml:"first"`
-	Length   scenario.Duration `toml:"length"` // 0: the day's
-	Rate     float64           `toml:"rate"`
-	Paired   bool              `toml:"paired"` // two variants also share each world, two ingresses each: for their CPU and memory
-	Variants []Variant         `toml:"variant"`
+	Name      string            `toml:"-"`
+	About     string            `toml:"about"`
+	Scenarios []string          `toml:"days"`
+	Seeds     int               `toml:"seeds"` // so many, from First on
+	First     uint64            `toml:"first"`
+	Length    scenario.Duration `toml:"length"` // 0: the day's
+	Rate      float64           `toml:"rate"`
+	Paired    bool              `toml:"paired"` // two variants also share each world, two ingresses each: for their CPU and memory
+	Variants  []Variant         `toml:"variant"`
 }
 
 const mostRuns = 2000
@@ -76,7 +76,7 @@
 		s.Rate = 1
 	}
 	switch {
-	case len(s.Days) == 0:
+	case len(s.Scenarios) == 0:
 		return bad("days: none is named")
 	case s.Seeds < 1:
 		return bad("seeds: %d is out of range, from 1", s.Seeds)
@@ -87,7 +87,7 @@
 	case len(s.Cells()) > mostRuns:
 		return bad("%d runs are too many, %d at most", len(s.Cells()), mostRuns)
 	}
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		if _, err := scenario.Load(d); err != nil {
 			return bad("days: %v", err)
 		}
@@ -113,7 +113,7 @@
 
 // Cell is one run.
 type Cell struct {
-	Day      string
+	Scenario string
 	Seed     uint64
 	Variants []int // of the spec: one, or two that share the world
 }
@@ -121,7 +121,7 @@
 // Cells are all runs in their order: what is compared is played next to one another, and who comes first changes.
 func (s *Spec) Cells() (out []Cell) {
 	for i := range s.Seeds {
-		for _, d := range s.Days {
+		for _, d := range s.Scenarios {
 			order := make([]int, len(s.Variants))
 			for k := range order {
 				order[k] = (k + i) % len(order)
@@ -140,7 +140,7 @@
 // Line is one run's result, as it is kept.
 type Line struct {
 	Key      string      `json:"Key"`
-	Day      string      `json:"Day"`
+	Scenario string      `json:"Day"`
 	Seed     uint64      `json:"Seed"`
 	Variants []string    `json:"Variants"`
 	Code     int         `json:"Code"`
@@ -214,9 +214,9 @@
 
 // key names a run by all that it depends on.
 func (s *Spec) key(c Cell, digests []string) string {
-	parts := []string{c.Day, fmt.Sprint(c.Seed), time.Duration(s.Length).String(), fmt.Sprint(s.Rate)}
+	parts := []string{c.Scenario, fmt.Sprint(c.Seed), time.Duration(s.Length).String(), fmt.Sprint(s.Rate)}
 	for _, v := range c.Variants {
-		parts = append(parts, s.Variants[v].Name+"@"+digests[v]+s.Variants[v].Store+map[bool]string{true: "+halls"}[s.Variants[v].Halls]+s.Variants[v].Lines)
+		parts = append(parts, s.Variants[v].Name+"@"+digests[v]+s.Variants[v].Store+map[bool]string{true: "+halls"}[s.Variants[v].Zones]+s.Variants[v].Lines)
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -38,12 +38,12 @@
 
 // Row is what a variant came to on a day.
 type Row struct {
-	Day, Variant string
-	Runs, Broken int
-	Unjudged     int
-	Service      []float64 // by seed, in order
-	CPU, Peak    float64   // means: us a try, MB
-	Diff         Estimate  // of service, against the first variant on the same seeds
+	Scenario, Variant string
+	Runs, Broken      int
+	Unjudged          int
+	Service           []float64 // by seed, in order
+	CPU, Peak         float64   // means: us a try, MB
+	Diff              Estimate  // of service, against the first variant on the same seeds
 }
 
 // Rows compares the variants on each day, seed by seed.
@@ -52,16 +52,16 @@
 	find := func(day, variant string) []Line {
 		var list []Line
 		for _, l := range lines {
-			if l.Day == day && len(l.Variants) == 1 && l.Variants[0] == variant {
+			if l.Scenario == day && len(l.Variants) == 1 && l.Variants[0] == variant {
 				list = append(list, l)
 			}
 		}
 		slices.SortFunc(list, func(a, b Line) int { return int(a.Seed) - int(b.Seed) })
 		return list
 	}
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		for i, v := range s.Variants {
-			r := Row{Day: d, Variant: v.Name}
+			r := Row{Scenario: d, Variant: v.Name}
 			mine := map[uint64]float64{}
 			for _, l := range find(d, v.Name) {
 				r.Runs++
@@ -104,17 +104,17 @@
 
 // Pair is what two variants that share a world cost, the second against the first, in the same run.
 type Pair struct {
-	Day            string
+	Scenario       string
 	CPU, PeakRatio Estimate // of the ratio
 	More           Estimate // MB
 }
 
 // Pairs sums up the runs in which two variants shared the world.
 func (s *Spec) Pairs(lines []Line) (out []Pair) {
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		var cpu, peak, more []float64
 		for _, l := range lines {
-			if l.Day != d || len(l.Variants) != 2 {
+			if l.Scenario != d || len(l.Variants) != 2 {
 				continue
 			}
 			c0, p0 := side(l, s.Variants[0].Name)
@@ -136,7 +136,7 @@
 	cpu, tries, n := 0.0, 0, 0
 	for i := from; i < len(l.Report.Processes); i += 2 {
 		p := l.Report.Processes[i]
-		cpu, tries, peakMB, n = cpu+p.CPUS, tries+p.Tries, peakMB+p.PeakMB, n+1
+		cpu, tries, peakMB, n = cpu+p.CPUS, tries+p.Attempts, peakMB+p.PeakMB, n+1
 	}
 	return cpu * 1e6 / float64(max(1, tries)), peakMB / float64(max(1, n))
 }
@@ -150,10 +150,10 @@
 		if r.Variant != s.Variants[0].Name {
 			diff = r.Diff.String()
 		}
-		fmt.Fprintf(&b, "%-12s %-16s %5d %7d %10d %8.3f %9.0f %7.1f  %s\n", r.Day, r.Variant, r.Runs, r.Broken, r.Unjudged, stat.Mean(r.Service, nil), r.CPU, r.Peak, diff)
+		fmt.Fprintf(&b, "%-12s %-16s %5d %7d %10d %8.3f %9.0f %7.1f  %s\n", r.Scenario, r.Variant, r.Runs, r.Broken, r.Unjudged, stat.Mean(r.Service, nil), r.CPU, r.Peak, diff)
 	}
 	for _, p := range s.Pairs(lines) {
-		fmt.Fprintf(&b, "%-12s %s against %s in one world: CPU a try %.3f ± %.3f of it, memory %+.1f ± %.1f MB, %d runs\n", p.Day, s.Variants[1].Name, s.Variants[0].Name,
+		fmt.Fprintf(&b, "%-12s %s against %s in one world: CPU a try %.3f ± %.3f of it, memory %+.1f ± %.1f MB, %d runs\n", p.Scenario, s.Variants[1].Name, s.Variants[0].Name,
 			p.CPU.Mean, p.CPU.Half, p.More.Mean, p.More.Half, p.CPU.N)
 	}
 	return b.String()
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -22,7 +22,7 @@
 // Table is sums over all instances.
 type Table struct {
 	Seconds []time.Time                      // in order
-	Figures []string                         // in order of first sight
+	Metrics []string                         // in order of first sight
 	Sums    map[time.Time]map[string]float64 // by second and figure; "lines" counts instances, "starts" those that began to serve
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	t := &Table{Figures: []string{"lines", "starts"}, Sums: map[time.Time]map[string]float64{}}
+	t := &Table{Metrics: []string{"lines", "starts"}, Sums: map[time.Time]map[string]float64{}}
 	known := map[string]bool{"lines": true, "starts": true}
 	for _, name := range files {
 		f, err := os.Open(name)
@@ -77,7 +77,7 @@
 			sums[name] = n
 			if !known[name] {
 				known[name] = true
-				t.Figures = append(t.Figures, name)
+				t.Metrics = append(t.Metrics, name)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 		fmt.Fprintf(w, "%d\t", int(at.Sub(t.Seconds[0]).Seconds()))
 	}
 	fmt.Fprintln(w, "all\t")
-	for _, name := range t.Figures {
+	for _, name := range t.Metrics {
 		if only != "" && !slices.ContainsFunc(strings.Split(only, ","), func(p string) bool { return strings.HasPrefix(name, p) }) {
 			continue
 		}
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -12,23 +12,23 @@
 )
 
 // HallTrack is what came to a hall's nodes, and what they could do, for each span of hallSpan.
-type HallTrack struct {
-	Hall  string    `json:"Hall"`
-	Sends []float64 `json:"Sends"` // commands a second
-	Able  []float64 `json:"Able"`  // seconds of work a second
-	Own   []float64 `json:"Own"`   // share of the sends of the instances that stand there which stayed there; -1 where they sent nothing
+type ZoneTrack struct {
+	Zone     string    `json:"Hall"`
+	Sends    []float64 `json:"Sends"` // commands a second
+	Capacity []float64 `json:"Able"`  // seconds of work a second
+	Own      []float64 `json:"Own"`   // share of the sends of the instances that stand there which stayed there; -1 where they sent nothing
 }
 
 // Loss is the figures of a hall that was lost, from the clients' and the nodes' records alone.
 type Loss struct {
-	Before      float64 `json:"Before"`      // worth earned of the best, as below, from a second after the start to the loss
-	During      float64 `json:"During"`      // worth earned of what a worth-ordered fill of the true capacity would earn, from the loss to the return
-	DuringAsked float64 `json:"DuringAsked"` // the same, of all that was asked inside quotas
-	After       float64 `json:"After"`       // the same fill, from 5 s after the return
-	RecoverS    float64 `json:"RecoverS"`    // from the loss until nearly (95%) the best was earned again, in whole spans; -1: not while it lasted
-	LastSentS   float64 `json:"LastSentS"`   // from a silent loss until the last command went into the lost halls; -1: none did, or they could not be seen
-	LongestS    float64 `json:"LongestS"`    // the longest for which a node that returns or survives kept more waiting than the class's aim allows
-	ColdPush    float64 `json:"ColdPush"`    // the most that a cold node of them was pushed: 1 is the edge
+	Before          float64 `json:"Before"`      // worth earned of the best, as below, from a second after the start to the loss
+	During          float64 `json:"During"`      // worth earned of what a worth-ordered fill of the true capacity would earn, from the loss to the return
+	DuringRequested float64 `json:"DuringAsked"` // the same, of all that was asked inside quotas
+	After           float64 `json:"After"`       // the same fill, from 5 s after the return
+	RecoverS        float64 `json:"RecoverS"`    // from the loss until nearly (95%) the best was earned again, in whole spans; -1: not while it lasted
+	LastSentS       float64 `json:"LastSentS"`   // from a silent loss until the last command went into the lost halls; -1: none did, or they could not be seen
+	LongestS        float64 `json:"LongestS"`    // the longest for which a node that returns or survives kept more waiting than the class's aim allows
+	SlowStartPush   float64 `json:"ColdPush"`    // the most that a cold node of them was pushed: 1 is the edge
 }
 
 const (
@@ -53,7 +53,7 @@
 }
 
 // sampleAble watches what the nodes can do, until ctx ends.
-func (w *World) sampleAble(began time.Duration, a *ableTrack) {
+func (w *Testbed) sampleAble(began time.Duration, a *ableTrack) {
 	now := w.clock() - began
 	if now < 0 {
 		return
@@ -61,7 +61,7 @@
 	byHall := map[string]float64{}
 	for i, s := range w.specs {
 		n, _ := w.node(i)
-		byHall[s.Zone] += n.Able()
+		byHall[s.Zone] += n.Capacity()
 	}
 	for hall, v := range byHall {
 		a.add(hall, now, v)
@@ -69,20 +69,20 @@
 }
 
 // halls sums up what each hall was sent, and the figures of a loss.
-func (w *World) halls(r *Report, a *ableTrack, wishes []measure.Wish) {
+func (w *Testbed) halls(r *Report, a *ableTrack, wishes []measure.ClientRequest) {
 	spans := int(time.Duration(w.day.Length) / hallSpan)
 	began := w.load.began
-	tracks := map[string]*HallTrack{}
+	tracks := map[string]*ZoneTrack{}
 	own, all := map[string][]float64{}, map[string][]float64{}
 	for _, s := range w.specs {
 		if tracks[s.Zone] == nil {
-			tracks[s.Zone] = &HallTrack{Hall: s.Zone, Sends: make([]float64, spans), Able: make([]float64, spans), Own: make([]float64, spans)}
+			tracks[s.Zone] = &ZoneTrack{Zone: s.Zone, Sends: make([]float64, spans), Capacity: make([]float64, spans), Own: make([]float64, spans)}
 			own[s.Zone], all[s.Zone] = make([]float64, spans), make([]float64, spans)
 		}
 	}
 	for _, rec := range w.fleet.Records(0) {
-		k := int((rec.Came - began) / hallSpan)
-		if rec.Came < began || k >= spans {
+		k := int((rec.ArrivedAt - began) / hallSpan)
+		if rec.ArrivedAt < began || k >= spans {
 			continue
 		}
 		tracks[rec.Zone].Sends[k] += 1 / hallSpan.Seconds()
@@ -103,26 +103,26 @@
 				t.Own[k] = own[hall][k] / all[hall][k]
 			}
 			if k < len(a.sums[hall]) && a.counts[hall][k] > 0 {
-				t.Able[k] = a.sums[hall][k] / a.counts[hall][k]
+				t.Capacity[k] = a.sums[hall][k] / a.counts[hall][k]
 			}
-			able[k] += t.Able[k]
+			able[k] += t.Capacity[k]
 		}
-		r.Halls = append(r.Halls, *t)
+		r.Zones = append(r.Zones, *t)
 	}
-	slices.SortFunc(r.Halls, func(a, b HallTrack) int { return strings.Compare(a.Hall, b.Hall) })
+	slices.SortFunc(r.Zones, func(a, b ZoneTrack) int { return strings.Compare(a.Zone, b.Zone) })
 	if l := w.day.Loss; l != nil {
-		r.Loss = w.loss(time.Duration(l.From), time.Duration(l.To), l.Halls, able, wishes)
+		r.Loss = w.loss(time.Duration(l.From), time.Duration(l.To), l.Zones, able, wishes)
 	}
-	r.Swing = swing(r.Halls, r.Marks)
+	r.Swing = swing(r.Zones, r.Marks)
 }
 
-func (w *World) loss(from, to time.Duration, lost []string, able []float64, wishes []measure.Wish) *Loss {
+func (w *Testbed) loss(from, to time.Duration, lost []string, able []float64, wishes []measure.ClientRequest) *Loss {
 	mc, mp := worths(w.classes, w.plans)
 	work := map[string]time.Duration{}
 	for _, c := range w.classes {
 		work[c.name] = c.work.Mean()
 	}
-	fills := measure.WorthOrdered(mc, mp, work, wishes, able, hallSpan)
+	fills := measure.WeightOrdered(mc, mp, work, wishes, able, hallSpan)
 	out := &Loss{RecoverS: -1, LastSentS: -1}
 	var before, during, after measure.Fill
 	for k, f := range fills {
@@ -139,19 +139,19 @@
 			after = after.Add(f)
 		}
 	}
-	out.Before, out.During, out.After, out.DuringAsked = before.Ratio(), during.Ratio(), after.Ratio(), 1
-	if during.Asked > 0 {
-		out.DuringAsked = during.Got / during.Asked
+	out.Before, out.During, out.After, out.DuringRequested = before.Ratio(), during.Ratio(), after.Ratio(), 1
+	if during.Requested > 0 {
+		out.DuringRequested = during.Got / during.Requested
 	}
 	began := w.load.began
 	for _, rec := range w.fleet.Records(0) {
 		inHall := slices.Contains(lost, strings.TrimPrefix(rec.Zone, "hall-"))
-		if rec.How == backend.CutOff && inHall && rec.Came >= began+from && rec.Came < began+to {
-			out.LastSentS = max(out.LastSentS, (rec.Came - began - from).Seconds())
+		if rec.Fate == backend.CutOff && inHall && rec.ArrivedAt >= began+from && rec.ArrivedAt < began+to {
+			out.LastSentS = max(out.LastSentS, (rec.ArrivedAt - began - from).Seconds())
 		}
 	}
-	for _, n := range w.fleet.Nodes() {
-		out.ColdPush = max(out.ColdPush, n.Pushed())
+	for _, n := range w.fleet.Backends() {
+		out.SlowStartPush = max(out.SlowStartPush, n.Pushed())
 	}
 	out.LongestS = w.longestQueue()
 	return out
@@ -159,7 +159,7 @@
 
 // longestQueue is for how long, at the most, every command that came to a node began so late that its class's aim was gone
 // already: a queue past its aim.
-func (w *World) longestQueue() float64 {
+func (w *Testbed) longestQueue() float64 {
 	aims := map[string]time.Duration{}
 	for _, c := range w.classes {
 		aims[c.name] = c.aim
@@ -168,19 +168,19 @@
 	runs := map[string]*run{}
 	most := time.Duration(0)
 	for _, rec := range w.fleet.Records(0) {
-		if rec.How != backend.Ran {
+		if rec.Fate != backend.Ran {
 			continue
 		}
-		x := runs[rec.Node]
-		if rec.Ended-rec.Came <= aims[rec.Class] {
-			delete(runs, rec.Node)
+		x := runs[rec.Backend]
+		if rec.EndedAt-rec.ArrivedAt <= aims[rec.Class] {
+			delete(runs, rec.Backend)
 			continue
 		}
 		if x == nil {
-			runs[rec.Node] = &run{rec.Came, rec.Came}
+			runs[rec.Backend] = &run{rec.ArrivedAt, rec.ArrivedAt}
 			continue
 		}
-		x.to = rec.Came
+		x.to = rec.ArrivedAt
 		most = max(most, x.to-x.from)
 	}
 	return most.Seconds()
@@ -188,7 +188,7 @@
 
 // swing is the largest change, from one second to the next, of the share that leaves the own hall, over all instances
 // together, apart from the seconds around what the timeline did.
-func swing(halls []HallTrack, marks []Mark) float64 {
+func swing(halls []ZoneTrack, marks []Mark) float64 {
 	if len(halls) == 0 {
 		return 0
 	}
@@ -225,5 +225,5 @@
 // Text is the loss in a line.
 func (l *Loss) Text() string {
 	return fmt.Sprintf("loss: %.3f of the best before it, %.3f while it lasted (%.3f of what was asked), %.3f from 5 s after the return; near the best after %.1f s; last command into it after %.2f s; "+
-		"cold nodes pushed to %.2f of the edge; longest queue past its aim %.1f s", l.Before, l.During, l.DuringAsked, l.After, l.RecoverS, l.LastSentS, l.ColdPush, l.LongestS)
+		"cold nodes pushed to %.2f of the edge; longest queue past its aim %.1f s", l.Before, l.During, l.DuringRequested, l.After, l.RecoverS, l.LastSentS, l.SlowStartPush, l.LongestS)
 }
--- a/internal/lab/halls_test.go
+++ b/internal/lab/halls_test.go
@@ -9,8 +9,8 @@
 
 // sent is what a hall's nodes saw between two times of the load, in seconds.
 func sent(r *Report, hall string, from, to float64) (n float64) {
-	for _, h := range r.Halls {
-		if h.Hall != "hall-"+hall {
+	for _, h := range r.Zones {
+		if h.Zone != "hall-"+hall {
 			continue
 		}
 		for k, v := range h.Sends {
@@ -23,8 +23,8 @@
 }
 
 func sends(r *Report, hall string) []float64 {
-	for _, h := range r.Halls {
-		if h.Hall == "hall-"+hall {
+	for _, h := range r.Zones {
+		if h.Zone == "hall-"+hall {
 			return h.Sends
 		}
 	}
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig(t)
-			cfg.Hot, cfg.For, cfg.Halls, cfg.Faults, cfg.Store, cfg.HTTP = 0, 10*time.Second, true, c.faults, c.store, c.http
+			cfg.Hot, cfg.For, cfg.Zones, cfg.Faults, cfg.Store, cfg.HTTP = 0, 10*time.Second, true, c.faults, c.store, c.http
 			if c.back != "" {
 				cfg.Rate = 1
 			}
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -54,10 +54,10 @@
 }
 
 // Once judges, by what the nodes saw and the clients were told, whether each key's work happened once and has one answer.
-func (r *Report) Once() (out []rulecheck.Break) {
+func (r *Report) CheckOnce() (out []rulecheck.Violation) {
 	for _, w := range r.Keyed {
 		if w.Effects > 1 || w.Values > 1 {
-			out = append(out, rulecheck.Break{Rule: OnceByKey, At: w.First, Until: w.First + w.GiveUp, What: fmt.Sprintf("key %s has %d effects in %d racks and %d answers", w.Key, w.Effects, w.Racks, w.Values)})
+			out = append(out, rulecheck.Violation{Rule: OnceByKey, At: w.First, Until: w.First + w.Patience, Detail: fmt.Sprintf("key %s has %d effects in %d racks and %d answers", w.Key, w.Effects, w.Racks, w.Values)})
 		}
 	}
 	return out
--- a/internal/lab/instance.go
+++ b/internal/lab/instance.go
@@ -15,7 +15,7 @@
 )
 
 // newIngress writes an instance's files.
-func (w *World) newIngress(i int, program string) (*ingress, error) {
+func (w *Testbed) newIngress(i int, program string) (*ingress, error) {
 	g := &ingress{w: w, n: i, host: w.instanceHost(i)}
 	g.Process = proc.Process{Name: fmt.Sprint("n", i), Program: program, Log: w.cfg.Log, Serves: g.ping, Ended: g.ended}
 	var err error
@@ -69,7 +69,7 @@
 	if w.cfg.Takeover {
 		options += "[takeover]\n"
 	}
-	if w.cfg.Rights {
+	if w.cfg.Escrow {
 		options += "[rights]\n"
 	}
 	options += w.cfg.Options[i]
@@ -98,8 +98,8 @@
 		}
 		options += "[store]\nkind = \"redis\"\n" + where
 	}
-	if w.cfg.Halls {
-		options += fmt.Sprintf("[halls]\nnear = [%q]\ndrills = %q\n%s\n", "hall-"+string(rune('a'+(i+1)%3)), w.drills, w.cfg.HallLines)
+	if w.cfg.Zones {
+		options += fmt.Sprintf("[halls]\nnear = [%q]\ndrills = %q\n%s\n", "hall-"+string(rune('a'+(i+1)%3)), w.drills, w.cfg.ZoneLines)
 	}
 	if options != "" {
 		file := filepath.Join(w.dir, g.Name+".toml")
@@ -112,7 +112,7 @@
 }
 
 // settings is the platform's object of settings, for one instance.
-func (w *World) settings(i int) map[string]any {
+func (w *Testbed) settings(i int) map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var cs, ps []any
 	for _, c := range w.classes {
--- a/internal/lab/judge_test.go
+++ b/internal/lab/judge_test.go
@@ -33,14 +33,14 @@
 }
 
 // watch looks at what all instances believe, from a time of the load on.
-func (x *told) watch(from time.Duration) func(context.Context, *World) {
-	return func(ctx context.Context, w *World) {
+func (x *told) watch(from time.Duration) func(context.Context, *Testbed) {
+	return func(ctx context.Context, w *Testbed) {
 		x.mu.Lock()
 		x.most, x.left = map[string]float64{}, map[string]int{} // of this play
 		x.mu.Unlock()
-		for at := from; w.At(ctx, at); at += 200 * ms {
+		for at := from; w.WaitUntil(ctx, at); at += 200 * ms {
 			for i := range w.Instances() {
-				s, err := w.NodesBelieved(ctx, i)
+				s, err := w.Backends(ctx, i)
 				if err != nil {
 					continue
 				}
@@ -88,9 +88,9 @@
 	}
 	crawler, all := 0, 0
 	for _, k := range r.Commands {
-		if at := k.Came.Seconds() - r.BeganS; at >= 4 && at < 8 {
+		if at := k.ArrivedAt.Seconds() - r.BeganS; at >= 4 && at < 8 {
 			all++
-			if k.Node == "node-04" {
+			if k.Backend == "node-04" {
 				crawler++
 			}
 		}
@@ -118,7 +118,7 @@
 			cfg.For, cfg.Rate = 8*time.Second, 0.6
 			x := &told{}
 			watch := x.watch(500 * ms)
-			cfg.Watch = func(ctx context.Context, w *World) {
+			cfg.Watch = func(ctx context.Context, w *Testbed) {
 				var wg sync.WaitGroup
 				wg.Go(func() { garbage(ctx, w) })
 				watch(ctx, w)
@@ -129,7 +129,7 @@
 			sent := map[int]int{}
 			from := time.Duration((r.BeganS + 4) * float64(time.Second))
 			for _, k := range r.Commands {
-				if (k.Node == "node-01" || k.Node == "node-04" || k.Node == "node-07" || k.Node == "node-10") && k.Came >= from && k.Came < from+3*time.Second {
+				if (k.Backend == "node-01" || k.Backend == "node-04" || k.Backend == "node-07" || k.Backend == "node-10") && k.ArrivedAt >= from && k.ArrivedAt < from+3*time.Second {
 					sent[k.Instance]++
 				}
 			}
@@ -156,14 +156,14 @@
 	cfg.For, cfg.Rate = 9*time.Second, 1
 	r := play(t, cfg)
 	holds(t, r)
-	for _, b := range r.LeftForAWord("node-04", -1) {
-		t.Errorf("seed %d: %s", r.Seed, b.What)
+	for _, b := range r.LeftOnReport("node-04", -1) {
+		t.Errorf("seed %d: %s", r.Seed, b.Detail)
 	}
 }
 
 // garbage sends all instances what no peer would say.
-func garbage(ctx context.Context, w *World) {
-	for k := 0; w.At(ctx, time.Second+time.Duration(k)*20*ms); k++ {
+func garbage(ctx context.Context, w *Testbed) {
+	for k := 0; w.WaitUntil(ctx, time.Second+time.Duration(k)*20*ms); k++ {
 		c, err := net.Dial("udp4", w.peerAddr(k%w.Instances()))
 		if err != nil {
 			continue
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Config{Ingress: path, Day: "calm", Seed: 7, For: 5 * time.Second, Rate: 0.6, Hot: 8.4, Tolerance: time.Second}
+	return Config{Ingress: path, Scenario: "calm", Seed: 7, For: 5 * time.Second, Rate: 0.6, Hot: 8.4, Tolerance: time.Second}
 }
 
 // mostPlays is how often a run is played in which the machine itself stood still for longer than times are judged by: that says nothing.
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		late := time.Duration(r.LateMS * float64(ms))
+		late := time.Duration(r.ObserverDelayMS * float64(ms))
 		if cfg.Tolerance == 0 || late <= cfg.Tolerance || n == mostPlays {
 			return r
 		}
@@ -79,13 +79,13 @@
 func holds(t *testing.T, r *Report) {
 	t.Helper()
 	broken := len(r.Crashed)
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		if b.Rule != Quotas {
 			broken++
 		}
 	}
-	if broken > 0 || r.Tries < 300 {
-		t.Errorf("seed %d: %d tries, %s", r.Seed, r.Tries, r.Text())
+	if broken > 0 || r.Attempts < 300 {
+		t.Errorf("seed %d: %d tries, %s", r.Seed, r.Attempts, r.Text())
 	}
 }
 
@@ -149,10 +149,10 @@
 			r := play(t, cfg)
 			holds(t, r)
 			a, h := r.Fronts["resp"], r.Fronts["http"]
-			if a.Asked == 0 || h.Asked == 0 || h.Served == 0 {
+			if a.Requested == 0 || h.Requested == 0 || h.Served == 0 {
 				t.Fatalf("seed %d: %+v", r.Seed, r.Fronts)
 			}
-			if faults == nil && (h.Served/h.Asked < 0.6*a.Served/a.Asked || a.Served/a.Asked < 0.6*h.Served/h.Asked) {
+			if faults == nil && (h.Served/h.Requested < 0.6*a.Served/a.Requested || a.Served/a.Requested < 0.6*h.Served/h.Requested) {
 				t.Errorf("seed %d: one front is favoured: %+v", r.Seed, r.Fronts)
 			}
 		})
@@ -175,12 +175,12 @@
 func TestPauseOfTheLab(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Tolerance, cfg.For, cfg.Hot = 0, 0, 0
-	cfg.Day = filepath.Join(t.TempDir(), "pause.toml")
-	if err := os.WriteFile(cfg.Day, []byte("length = \"3s\"\nfaults = [\"lab:pause 200ms at 1s\"]\n"), 0o600); err != nil {
+	cfg.Scenario = filepath.Join(t.TempDir(), "pause.toml")
+	if err := os.WriteFile(cfg.Scenario, []byte("length = \"3s\"\nfaults = [\"lab:pause 200ms at 1s\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	r := play(t, cfg)
-	if r.Code() != Unjudged || r.LateMS < 150 || !strings.Contains(r.Text(), "CAN'T JUDGE: the lab itself stood still") {
+	if r.Code() != Unjudged || r.ObserverDelayMS < 150 || !strings.Contains(r.Text(), "CAN'T JUDGE: the lab itself stood still") {
 		t.Fatal(r.Code(), r.Text())
 	}
 }
@@ -189,7 +189,7 @@
 func TestUnexercised(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t)
-	cfg.Day, cfg.For, cfg.Hot, cfg.Rate = "maintenance", 3*time.Second, 0, 0.3
+	cfg.Scenario, cfg.For, cfg.Hot, cfg.Rate = "maintenance", 3*time.Second, 0, 0.3
 	if _, err := Run(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), "after the day's end at 3s") {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 	if err := os.WriteFile(file, []byte("load = 0.1\nlength = \"1s\"\n[must]\ndrains = 1\ncold_sends = 5\nceiling = -0.1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg.Day, cfg.For = file, 0
+	cfg.Scenario, cfg.For = file, 0
 	r := play(t, cfg)
 	if r.Code() != Unjudged || len(r.Unmet) != 3 || !strings.Contains(r.Text(), "CAN'T JUDGE: sends to cold nodes: 0, the day wants 5") {
 		t.Fatal(r.Code(), r.Unmet)
@@ -206,7 +206,7 @@
 
 // What is drawn for a seed is drawn again for it, whatever happens in a run, and the load is what the day says.
 func TestDraw(t *testing.T) {
-	draw := func(seed uint64) (*World, *load) {
+	draw := func(seed uint64) (*Testbed, *load) {
 		d, err := scenario.Load("evening")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/lateness/lateness.go
+++ b/internal/lab/lateness/lateness.go
@@ -23,7 +23,7 @@
 	wg    sync.WaitGroup
 
 	mu    sync.Mutex
-	spans []rulecheck.Late
+	spans []rulecheck.ObserverDelay
 }
 
 // Start begins to measure by a clock.
@@ -44,13 +44,13 @@
 		}
 		now := m.clock()
 		if by := now - last - wakeEvery; by > keptFrom {
-			m.add(rulecheck.Late{At: now - by, By: by})
+			m.add(rulecheck.ObserverDelay{At: now - by, By: by})
 		}
 		last = now
 	}
 }
 
-func (m *Meter) add(span rulecheck.Late) {
+func (m *Meter) add(span rulecheck.ObserverDelay) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.spans) < mostKept {
@@ -59,7 +59,7 @@
 }
 
 // Late is what has been recorded so far.
-func (m *Meter) Late() []rulecheck.Late {
+func (m *Meter) Late() []rulecheck.ObserverDelay {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.spans)
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -280,7 +280,7 @@
 		there bool
 		want  bool
 	}{{"n1", true, false}, {"n1", false, true}, {"n1", false, true}, {"n1", true, false}, {"n0", false, false}} {
-		if err := n.Serves(c.to, c.there); err != nil {
+		if err := n.SetServing(c.to, c.there); err != nil {
 			t.Fatal(err)
 		}
 		if refused() != c.want {
@@ -290,7 +290,7 @@
 	if err := n.Fault([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Minute}); err != nil {
 		t.Fatal(err)
 	}
-	n.Serves("n1", false)
+	n.SetServing("n1", false)
 	if refused() {
 		t.Error("a way that is cut has turned a datagram back")
 	}
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -44,7 +44,7 @@
 
 // Serves says whether there is a process at a name. A host turns datagrams back to a port without one, so the links to it do the same; where the way is
 // cut nothing comes back, and the link goes on losing what comes.
-func (n *Net) Serves(to string, there bool) error {
+func (n *Net) SetServing(to string, there bool) error {
 	n.mu.Lock()
 	list := slices.Clone(n.datagrams)
 	n.mu.Unlock()
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -18,7 +18,7 @@
 const peerPort = 7946
 
 // openLinks makes the network of a run in which every way can be faulted, and the key that instances share.
-func (w *World) openLinks() error {
+func (w *Testbed) openLinks() error {
 	if !w.cfg.Linked {
 		return nil
 	}
@@ -29,10 +29,10 @@
 	return os.WriteFile(w.key, []byte(fmt.Sprintf("the lab's key for seed %d on %s\n", w.cfg.Seed, w.net)), 0o600)
 }
 
-func (w *World) instanceHost(i int) string { return fmt.Sprintf("%s.%d", w.net, firstInstance+i) }
+func (w *Testbed) instanceHost(i int) string { return fmt.Sprintf("%s.%d", w.net, firstInstance+i) }
 
 // linkTo is the address at which an instance finds a target.
-func (w *World) linkTo(g *ingress, name, target string) (string, error) {
+func (w *Testbed) linkTo(g *ingress, name, target string) (string, error) {
 	if w.links == nil {
 		return target, nil
 	}
@@ -44,7 +44,7 @@
 }
 
 // linkNode is the addresses at which the instances find a node's start, in their order.
-func (w *World) linkNode(spec backend.Spec, n *backend.Node) ([]string, error) {
+func (w *Testbed) linkNode(spec backend.Spec, n *backend.Backend) ([]string, error) {
 	if w.links == nil {
 		return n.Addrs(), nil
 	}
@@ -64,7 +64,7 @@
 }
 
 // stopNode ends a node; nobody can connect to it any more.
-func (w *World) stopNode(i int) {
+func (w *Testbed) stopNode(i int) {
 	n, _ := w.node(i)
 	n.Stop()
 	w.mu.Lock()
@@ -76,10 +76,10 @@
 	}
 }
 
-func (w *World) peerAddr(i int) string { return fmt.Sprintf("%s:%d", w.instanceHost(i), peerPort) }
+func (w *Testbed) peerAddr(i int) string { return fmt.Sprintf("%s:%d", w.instanceHost(i), peerPort) }
 
 // peersOf is an instance's section of options on its peers: each is dialled through a link of its own.
-func (w *World) peersOf(g *ingress) (string, error) {
+func (w *Testbed) peersOf(g *ingress) (string, error) {
 	seeds, dial := []string{}, ""
 	for i := range w.day.Ingresses {
 		if i == g.n {
@@ -105,7 +105,7 @@
 }
 
 // doLink puts a fault in force on links.
-func (w *World) doLink(s scenario.Step) error {
+func (w *Testbed) doLink(s scenario.Step) error {
 	if w.links == nil {
 		return fmt.Errorf("there are no links in this run")
 	}
@@ -121,7 +121,7 @@
 }
 
 // ends are the names of a link's end: a hall's are its nodes'.
-func (w *World) ends(names []string) (out []string) {
+func (w *Testbed) ends(names []string) (out []string) {
 	for _, name := range names {
 		n := len(out)
 		for _, spec := range w.specs {
@@ -137,7 +137,7 @@
 }
 
 // idle are the faults of links that never acted: a run with any has not played what it says.
-func (w *World) idle() (out []string) {
+func (w *Testbed) idle() (out []string) {
 	if w.links == nil {
 		return nil
 	}
@@ -163,7 +163,7 @@
 }
 
 // Words is the lab's own rule for instances that tell one another of nodes: what one alone says makes no other leave a node.
-const Words = "no node left for one word"
+const Reports = "no node left for one word"
 
 const (
 	wordsFrom  = 3 * time.Second // after a fault's beginning, from which on the others' sends are counted
@@ -173,7 +173,7 @@
 
 // LeftForAWord judges, by what the nodes saw, whether the instances but one have left a node that serves them, while that one can't reach it by
 // the first fault of a link.
-func (r *Report) LeftForAWord(node string, but int) (out []rulecheck.Break) {
+func (r *Report) LeftOnReport(node string, but int) (out []rulecheck.Violation) {
 	from := time.Duration(0)
 	for _, l := range r.Links {
 		if from == 0 || l.Set < from {
@@ -181,28 +181,28 @@
 		}
 	}
 	hall := ""
-	for _, n := range r.Nodes {
-		if n.Node == node {
-			hall = n.Hall
+	for _, n := range r.Backends {
+		if n.Backend == node {
+			hall = n.Zone
 		}
 	}
 	sends := map[string]int{}
 	last := time.Duration(0)
 	for _, c := range r.Commands {
-		if c.Instance != but && c.Came > from+wordsFrom {
-			sends[c.Node]++
-			last = max(last, c.Came)
+		if c.Instance != but && c.ArrivedAt > from+wordsFrom {
+			sends[c.Backend]++
+			last = max(last, c.ArrivedAt)
 		}
 	}
 	others, n := 0, 0
-	for _, x := range r.Nodes {
-		if x.Hall == hall && x.Node != node {
-			others += sends[x.Node]
+	for _, x := range r.Backends {
+		if x.Zone == hall && x.Backend != node {
+			others += sends[x.Backend]
 			n++
 		}
 	}
 	if usual := float64(others) / float64(max(1, n)); usual >= wordsSends && float64(sends[node]) < wordsLeast*usual {
-		out = append(out, rulecheck.Break{Rule: Words, At: from, Until: last, What: fmt.Sprintf("%d commands of the others came to %s, %.0f to each other node of its hall", sends[node], node, usual)})
+		out = append(out, rulecheck.Violation{Rule: Reports, At: from, Until: last, Detail: fmt.Sprintf("%d commands of the others came to %s, %.0f to each other node of its hall", sends[node], node, usual)})
 	}
 	return out
 }
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -16,22 +16,22 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n%-14s %-10s %7s %7s %7s %8s %8s %7s %9s %9s\n", "class", "plan", "wishes", "served", "in time", "refused", "failed", "none", "p50 ms", "p99 ms")
 	for _, row := range r.Rows {
-		fmt.Fprintf(&b, "%-14s %-10s %7d %7d %7d %8d %8d %7d %9.1f %9.1f\n", row.Class, row.Plan, row.Wishes, row.Served, row.InTime, row.Refused, row.Failed, row.None, row.P50MS, row.P99MS)
+		fmt.Fprintf(&b, "%-14s %-10s %7d %7d %7d %8d %8d %7d %9.1f %9.1f\n", row.Class, row.Plan, row.Requests, row.Served, row.InTime, row.Refused, row.Failed, row.None, row.P50MS, row.P99MS)
 	}
 	s := r.Score
-	fmt.Fprintf(&b, "\nday %s, seed %d: service %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f, worst plan %.3f, prices %.3f); use beyond quotas cost %.3f\n", r.Day, r.Seed,
-		r.Service, s.Whole, s.Worst10s, s.WorstClass, s.WorstPlan, s.Prices, s.Beyond)
-	fmt.Fprintf(&b, "%d tries in %.1f s, %d more that found no room at the clients; %.0f%% of the units that went inside quotas went beyond\n", r.Tries, r.Seconds, r.Dropped, 100*r.BeyondShare)
+	fmt.Fprintf(&b, "\nday %s, seed %d: service %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f, worst plan %.3f, prices %.3f); use beyond quotas cost %.3f\n", r.Scenario, r.Seed,
+		r.Service, s.Complete, s.Worst10s, s.WorstClass, s.WorstPlan, s.Prices, s.Beyond)
+	fmt.Fprintf(&b, "%d tries in %.1f s, %d more that found no room at the clients; %.0f%% of the units that went inside quotas went beyond\n", r.Attempts, r.Seconds, r.Dropped, 100*r.BeyondShare)
 	fmt.Fprintf(&b, "%.0f%% of the sends crossed halls; the spill changed by %.0f points from second to second at the most\n", 100*s.CrossShare, 100*r.Swing)
 	if r.Loss != nil {
 		fmt.Fprintln(&b, r.Loss.Text())
 	}
 	fmt.Fprintf(&b, "\nchannels of a plan with a ceiling, as the nodes saw them (units; shares of the ceiling)\n")
 	for _, c := range r.Channels {
-		fmt.Fprintf(&b, "  %s %-10s inside %7.0f beyond %6.0f  most overdrawn %6.1f (%5.1f%%)  nearest to the ceiling %+6.1f%%\n", c.Customer, c.Plan, c.Inside, c.Beyond, c.Overrun, 100*c.OfCeiling, 100*c.Closest)
+		fmt.Fprintf(&b, "  %s %-10s inside %7.0f beyond %6.0f  most overdrawn %6.1f (%5.1f%%)  nearest to the ceiling %+6.1f%%\n", c.Tenant, c.Plan, c.Inside, c.Beyond, c.Overrun, 100*c.OfCeiling, 100*c.Closest)
 	}
-	if a, h := r.Fronts["resp"], r.Fronts["http"]; a.Asked > 0 && h.Asked > 0 {
-		fmt.Fprintf(&b, "channels above their quota, by front: RESP2 got %.0f of %.0f units (%.1f%%), HTTP %.0f of %.0f (%.1f%%)\n", a.Served, a.Asked, 100*a.Served/a.Asked, h.Served, h.Asked, 100*h.Served/h.Asked)
+	if a, h := r.Fronts["resp"], r.Fronts["http"]; a.Requested > 0 && h.Requested > 0 {
+		fmt.Fprintf(&b, "channels above their quota, by front: RESP2 got %.0f of %.0f units (%.1f%%), HTTP %.0f of %.0f (%.1f%%)\n", a.Served, a.Requested, 100*a.Served/a.Requested, h.Served, h.Requested, 100*h.Served/h.Requested)
 	}
 	fmt.Fprintf(&b, "\ningresses: %.0f us of CPU a try; the lab itself took %.2f cores\n", r.CPUPerRequestUS, r.LabCores)
 	for _, p := range r.Processes {
@@ -42,14 +42,14 @@
 	} else {
 		fmt.Fprintf(&b, "\nno faults (seed %d)\n", r.Seed)
 	}
-	e := r.Edges
+	e := r.Margins
 	fmt.Fprintf(&b, "\nhow near the run came: %d refused, %d answered in the client's last 150 ms, %d repeats that are allowed, %d that were not repeated,\n"+
 		"  %d drains kept past their grace, %d sends to cold nodes (pushed to %.2f of their fall), nearest ceiling %+.0f%% (%d channels within a tenth)\n",
-		e.Refused, e.Tight, e.Repeats, e.HeldBack, e.Drains, e.ColdSends, e.ColdPush, 100*e.Ceiling, e.CeilingFor)
+		e.Refused, e.Tight, e.Repeats, e.Withheld, e.Drains, e.SlowStartSends, e.SlowStartPush, 100*e.Ceiling, e.CeilingFor)
 	fmt.Fprintf(&b, "\nthe five rules, by what the peers saw\n%s", r.verdict.String())
-	for _, k := range r.Breaks {
+	for _, k := range r.Violations {
 		if k.Rule == Quotas {
-			fmt.Fprintf(&b, "  %-26s BROKEN: %s\n", Quotas, k.What)
+			fmt.Fprintf(&b, "  %-26s BROKEN: %s\n", Quotas, k.Detail)
 		}
 	}
 	for _, c := range r.Crashed {
@@ -67,7 +67,7 @@
 const blockEvery = 5
 
 // block prints what the tries from one to another came to, by class and plan.
-func (w *World) block(out io.Writer, from, to int) {
+func (w *Testbed) block(out io.Writer, from, to int) {
 	type cell struct {
 		served, refused int
 		took            *measure.Latencies
@@ -110,7 +110,7 @@
 }
 
 // show prints a line each second, and now and then a table.
-func (w *World) show(ctx context.Context) {
+func (w *Testbed) show(ctx context.Context) {
 	out := w.cfg.Live
 	if out == nil {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-func (w *World) line(out io.Writer, from, sentFrom int, span time.Duration) (int, int) {
+func (w *Testbed) line(out io.Writer, from, sentFrom int, span time.Duration) (int, int) {
 	w.load.mu.Lock()
 	now := w.load.tried[from:]
 	kinds := map[string]int{}
@@ -155,7 +155,7 @@
 	records := w.fleet.Records(sentFrom)
 	units, allowed := 0.0, 0.0
 	for _, r := range records {
-		if r.Plan == "storby" && r.How == backend.Ran {
+		if r.Plan == "storby" && r.Fate == backend.Ran {
 			units += r.Units
 		}
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -69,7 +69,7 @@
 
 // load is the clients of a run.
 type load struct {
-	w        *World
+	w        *Testbed
 	channels []*channel
 	arrivals []arrival
 	pools    []*pool
@@ -86,7 +86,7 @@
 
 // tried is a try with what the report needs beyond the audit.
 type tried struct {
-	rulecheck.Asked
+	rulecheck.ClientRequest
 	due   time.Duration // of the first try
 	wish  int
 	ch    *channel
@@ -99,7 +99,7 @@
 
 // newLoad draws the channels, sets the plans' figures so that what is asked inside quotas is the day's share of what the
 // fleet can do, and draws all first tries.
-func newLoad(w *World) *load {
+func newLoad(w *Testbed) *load {
 	l := &load{w: w, open: make(chan struct{}, mostOpen)}
 	l.lastID.Store(w.cfg.Seed<<40 | 1)
 	id := uint64(1000)
@@ -274,7 +274,7 @@
 	g := l.w.ingresses[at]
 	id := l.lastID.Add(1)
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{Asked: rulecheck.Asked{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, GiveUp: wait}, ch: ch, class: c, retry: retry}
+	t = tried{ClientRequest: rulecheck.ClientRequest{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, Patience: wait}, ch: ch, class: c, retry: retry}
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=%d", c.name, ch.plan.name, wait.Milliseconds(), c.units, ch.spread, ch.first)
 	name := "Q.DO"
 	switch c.effect {
@@ -288,19 +288,19 @@
 	for fresh := false; ; fresh = true {
 		nc, err := l.pools[at].get(fresh)
 		if err != nil {
-			t.Sent = l.w.clock()
+			t.SentAt = l.w.clock()
 			t.Excused = true // it was never taken
 			return t, 0
 		}
-		t.Sent = l.w.clock()
+		t.SentAt = l.w.clock()
 		ans, err := nc.ask(command, wait+max(answerSlack, l.w.rules().Tolerance)) // what nobody waits for can't be judged late
 		if err == nil {
 			t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: ans.Kind})
 			if ans.Kind == respclient.Served {
 				t.value = ans.Value
 			}
-			if at := t.Answers[0].At; at-t.Sent > wait { // one that was stopped answers when it wakes
-				t.Excused = g.wasDown(t.Sent, at)
+			if at := t.Answers[0].At; at-t.SentAt > wait { // one that was stopped answers when it wakes
+				t.Excused = g.wasDown(t.SentAt, at)
 			}
 			t.Spoilt = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !(key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")) // the key's first try may have made it
 			if nc.more() {
@@ -319,7 +319,7 @@
 		if slices.Contains(l.w.cfg.Mortal, g.n) {
 			time.Sleep(noticing) // its end may not be known yet
 		}
-		t.Excused = g.wasDown(t.Sent, at)
+		t.Excused = g.wasDown(t.SentAt, at)
 		return t, 0
 	}
 }
@@ -329,24 +329,24 @@
 	g := l.w.ingresses[at]
 	id := fmt.Sprintf("%016x", l.lastID.Add(1))
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{Asked: rulecheck.Asked{ID: id, Instance: g.Name, Class: c.name, GiveUp: wait, Sent: l.w.clock()}, ch: ch, class: c, retry: retry}
-	wish := gate.Wish{ID: id, Channel: fmt.Sprintf("%016x", ch.id), Class: c.name, Plan: ch.plan.name, Units: c.units, Spread: ch.spread, First: ch.first, Wait: wait}
+	t = tried{ClientRequest: rulecheck.ClientRequest{ID: id, Instance: g.Name, Class: c.name, Patience: wait, SentAt: l.w.clock()}, ch: ch, class: c, retry: retry}
+	wish := gate.Request{ID: id, Channel: fmt.Sprintf("%016x", ch.id), Class: c.name, Plan: ch.plan.name, Units: c.units, Spread: ch.spread, First: ch.first, Wait: wait}
 	if c.effect == "idempotency_key" {
 		wish.Key = id
 	}
 	res := l.w.gates[at].Do(context.Background(), wish)
 	t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: res.Kind})
 	t.Spoilt = res.Kind == "served" && res.Value != "value of "+id
-	t.Excused = res.Kind != "served" && g.wasDown(t.Sent, l.w.clock())
+	t.Excused = res.Kind != "served" && g.wasDown(t.SentAt, l.w.clock())
 	return t, res.After
 }
 
-func (l *load) asked() []rulecheck.Asked {
+func (l *load) asked() []rulecheck.ClientRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]rulecheck.Asked, len(l.tried))
+	out := make([]rulecheck.ClientRequest, len(l.tried))
 	for i, t := range l.tried {
-		out[i] = t.Asked
+		out[i] = t.ClientRequest
 	}
 	return out
 }
--- a/internal/lab/measure/fill.go
+++ b/internal/lab/measure/fill.go
@@ -8,7 +8,7 @@
 
 // Fill is what an allocation that knows the true capacity would have reached in each span of a run, beside what was reached.
 type Fill struct {
-	Asked, Best, Got float64 // worth inside quotas: asked for, to be had at the most, earned
+	Requested, Best, Got float64 // worth inside quotas: asked for, to be had at the most, earned
 }
 
 // Ratio is what was earned of what was to be had.
@@ -20,15 +20,17 @@
 }
 
 // Add sums two spans up.
-func (f Fill) Add(o Fill) Fill { return Fill{f.Asked + o.Asked, f.Best + o.Best, f.Got + o.Got} }
+func (f Fill) Add(o Fill) Fill {
+	return Fill{f.Requested + o.Requested, f.Best + o.Best, f.Got + o.Got}
+}
 
 // WorthOrdered fills the capacity of each span with the wishes inside quotas that were due in it, the highest priority (worth
 // of a unit times price) first, and compares what they are worth with what was earned of those that were due then. able is
 // the work a second that all nodes could do in each span; work is what a wish of a class takes at the mean. What a span cannot
 // take is not carried over: most aims are shorter than a span.
-func WorthOrdered(classes map[string]Class, plans map[string]Plan, work map[string]time.Duration, wishes []Wish, able []float64, span time.Duration) []Fill {
+func WeightOrdered(classes map[string]Class, plans map[string]Plan, work map[string]time.Duration, wishes []ClientRequest, able []float64, span time.Duration) []Fill {
 	wishes = slices.Clone(wishes)
-	slices.SortStableFunc(wishes, func(a, b Wish) int { return cmp.Compare(a.Due, b.Due) })
+	slices.SortStableFunc(wishes, func(a, b ClientRequest) int { return cmp.Compare(a.Due, b.Due) })
 	out := make([]Fill, len(able))
 	type item struct{ rank, worth, work float64 }
 	asks := make([][]item, len(able))
@@ -39,9 +41,9 @@
 			continue
 		}
 		if x.asked > 0 {
-			asks[k] = append(asks[k], item{rank: classes[w.Class].Worth * plans[w.Plan].Price, worth: x.asked, work: work[w.Class].Seconds()})
+			asks[k] = append(asks[k], item{rank: classes[w.Class].PriorityWeight * plans[w.Plan].Price, worth: x.asked, work: work[w.Class].Seconds()})
 		}
-		out[k].Asked += x.asked
+		out[k].Requested += x.asked
 		out[k].Got += x.got
 	}
 	for k, list := range asks {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -13,9 +13,9 @@
 
 // Class is what a kind of request is worth.
 type Class struct {
-	Worth     float64
-	Aim       time.Duration
-	LateShare float64 // of the worth, for an answer after the aim
+	PriorityWeight   float64
+	LatencyObjective time.Duration
+	LateShare        float64 // of the worth, for an answer after the aim
 }
 
 // Plan is what a channel may use, and what use beyond it costs.
@@ -25,7 +25,7 @@
 }
 
 // Wish is what a client wanted: a first try with its retries.
-type Wish struct {
+type ClientRequest struct {
 	Due                  time.Duration // when the first try ought to have gone out
 	Channel, Plan, Class string
 	Units                float64
@@ -34,7 +34,7 @@
 }
 
 // Passed is a first attempt as its node saw it, beyond its channel's quota.
-type Passed struct {
+type Forwarded struct {
 	At          time.Duration
 	Plan, Class string
 	Units       float64
@@ -42,9 +42,9 @@
 
 // Costs are what the service was had for.
 type Costs struct {
-	Asked, Done  time.Duration // work that wishes asked for, and that nodes did
-	CounterCalls int
-	CrossHall    int
+	Requested, Done time.Duration // work that wishes asked for, and that nodes did
+	CounterCalls    int
+	CrossZone       int
 }
 
 // The brief's prices: points of service for one of each a request.
@@ -59,7 +59,7 @@
 // Score is the service with its parts; shares of the worth that was asked for inside quotas.
 type Score struct {
 	Service    float64 `json:"Service"` // all below, by the brief's weights, less the prices
-	Whole      float64 `json:"Whole"`   // answered within the wanted time, less what was passed on beyond quotas at its cost
+	Complete   float64 `json:"Whole"`   // answered within the wanted time, less what was passed on beyond quotas at its cost
 	Worst10s   float64 `json:"Worst10s"`
 	WorstClass float64 `json:"WorstClass"`
 	WorstPlan  float64 `json:"WorstPlan"`
@@ -80,9 +80,9 @@
 }
 
 // Rate computes the score. What a channel earned beyond the worth that it asked for inside its quota counts for none.
-func Rate(classes map[string]Class, plans map[string]Plan, wishes []Wish, beyond []Passed, costs Costs) Score {
+func Rate(classes map[string]Class, plans map[string]Plan, wishes []ClientRequest, beyond []Forwarded, costs Costs) Score {
 	wishes = slices.Clone(wishes)
-	slices.SortStableFunc(wishes, func(a, b Wish) int { return cmp.Compare(a.Due, b.Due) })
+	slices.SortStableFunc(wishes, func(a, b ClientRequest) int { return cmp.Compare(a.Due, b.Due) })
 	var whole share
 	byClass, byPlan := map[string]*share{}, map[string]*share{}
 	steps := map[int]*share{} // by second
@@ -92,7 +92,7 @@
 		}
 		return m[k]
 	}
-	add := func(w Wish, asked, got float64) {
+	add := func(w ClientRequest, asked, got float64) {
 		second := int(w.Due / time.Second)
 		if steps[second] == nil {
 			steps[second] = &share{}
@@ -105,7 +105,7 @@
 	late := 0
 	for i, c := range credits(classes, plans, wishes) {
 		w := wishes[i]
-		if !w.Served && w.At-w.Due > classes[w.Class].Aim {
+		if !w.Served && w.At-w.Due > classes[w.Class].LatencyObjective {
 			late++
 		}
 		add(w, c.asked, c.got)
@@ -113,11 +113,11 @@
 	var s Score
 	cost := 0.0
 	for _, b := range beyond {
-		x := classes[b.Class].Worth * plans[b.Plan].Price * b.Units * plans[b.Plan].ExcessCost
+		x := classes[b.Class].PriorityWeight * plans[b.Plan].Price * b.Units * plans[b.Plan].ExcessCost
 		cost += x
-		add(Wish{Due: b.At, Class: b.Class, Plan: b.Plan}, 0, -x)
+		add(ClientRequest{Due: b.At, Class: b.Class, Plan: b.Plan}, 0, -x)
 	}
-	s.Whole, s.WorstClass, s.WorstPlan, s.Worst10s = whole.of(), 1, 1, worst(steps)
+	s.Complete, s.WorstClass, s.WorstPlan, s.Worst10s = whole.of(), 1, 1, worst(steps)
 	for _, x := range byClass {
 		s.WorstClass = min(s.WorstClass, x.of())
 	}
@@ -128,13 +128,13 @@
 		s.Beyond = cost / whole.asked
 	}
 	if n := float64(len(wishes)); n > 0 {
-		s.CrossShare = float64(costs.CrossHall) / n
-		if costs.Asked > 0 {
-			s.Waste = max(0, (costs.Done-costs.Asked).Seconds()/costs.Asked.Seconds())
+		s.CrossShare = float64(costs.CrossZone) / n
+		if costs.Requested > 0 {
+			s.Waste = max(0, (costs.Done-costs.Requested).Seconds()/costs.Requested.Seconds())
 		}
 		s.Prices = priceCounter*float64(costs.CounterCalls)/n + priceWaste*min(1, s.Waste) + priceCross*s.CrossShare + priceLate*float64(late)/n
 	}
-	s.Service = 0.5*s.Whole + 0.25*s.Worst10s + 0.1*s.WorstClass + 0.15*s.WorstPlan - s.Prices
+	s.Service = 0.5*s.Complete + 0.25*s.Worst10s + 0.1*s.WorstClass + 0.15*s.WorstPlan - s.Prices
 	return s
 }
 
@@ -164,19 +164,19 @@
 
 // credits is what each wish asked for inside its channel's quota and what it earned, in worth; wishes are in order of when
 // they were due. What a channel earned beyond the worth that it had asked for inside counts for none.
-func credits(classes map[string]Class, plans map[string]Plan, wishes []Wish) []share {
+func credits(classes map[string]Class, plans map[string]Plan, wishes []ClientRequest) []share {
 	inside := insideQuota(plans, wishes)
 	room := map[string]float64{} // worth that a channel asked for inside and has not earned yet
 	out := make([]share, len(wishes))
 	for i, w := range wishes {
 		c := classes[w.Class]
-		worth := c.Worth * plans[w.Plan].Price * w.Units
+		worth := c.PriorityWeight * plans[w.Plan].Price * w.Units
 		if inside[i] {
 			out[i].asked = worth
 			room[w.Channel] += worth
 		}
 		switch {
-		case w.Served && w.At-w.Due <= c.Aim:
+		case w.Served && w.At-w.Due <= c.LatencyObjective:
 			out[i].got = worth
 		case w.Served:
 			out[i].got = worth * c.LateShare
@@ -188,7 +188,7 @@
 }
 
 // insideQuota replays each channel's quota over its first tries, in their order.
-func insideQuota(plans map[string]Plan, wishes []Wish) []bool {
+func insideQuota(plans map[string]Plan, wishes []ClientRequest) []bool {
 	type store struct {
 		level float64
 		at    time.Duration
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -15,28 +15,28 @@
 	plans   = map[string]Plan{"storby": {1.6, 10, 20, 0.6}, "bygd": {0.9, 1, 5, 0.8}}
 )
 
-func wish(plan, class string, due, took time.Duration, served bool) Wish {
-	return Wish{Due: due, Channel: plan, Plan: plan, Class: class, Units: 1, Served: served, At: due + took}
+func wish(plan, class string, due, took time.Duration, served bool) ClientRequest {
+	return ClientRequest{Due: due, Channel: plan, Plan: plan, Class: class, Units: 1, Served: served, At: due + took}
 }
 
 func TestRate(t *testing.T) {
 	served := wish("storby", "read", 0, 100*ms, true)
 	for name, c := range map[string]struct {
-		wishes  []Wish
-		beyond  []Passed
+		wishes  []ClientRequest
+		beyond  []Forwarded
 		costs   Costs
 		service float64
 	}{
-		"all served":          {[]Wish{served}, nil, Costs{}, 1},
-		"too late earns less": {[]Wish{wish("storby", "read", 0, 500*ms, true)}, nil, Costs{}, 0.1},
-		"refused":             {[]Wish{wish("storby", "read", 0, 10*ms, false)}, nil, Costs{}, 0},
-		"failed too late":     {[]Wish{wish("storby", "read", 0, 900*ms, false)}, nil, Costs{}, -0.05},
+		"all served":          {[]ClientRequest{served}, nil, Costs{}, 1},
+		"too late earns less": {[]ClientRequest{wish("storby", "read", 0, 500*ms, true)}, nil, Costs{}, 0.1},
+		"refused":             {[]ClientRequest{wish("storby", "read", 0, 10*ms, false)}, nil, Costs{}, 0},
+		"failed too late":     {[]ClientRequest{wish("storby", "read", 0, 900*ms, false)}, nil, Costs{}, -0.05},
 		// Half of the whole and of the worst 10 s; the worst class and plan are lost.
-		"a class lost":     {[]Wish{wish("storby", "read", 0, ms, true), wish("storby", "publish", 0, ms, false)}, nil, Costs{}, 0.5*2/7 + 0.25*2/7 + 0.15*2/7},
-		"one crossing":     {[]Wish{served}, nil, Costs{CrossHall: 1}, 0.99},
-		"one counter call": {[]Wish{served}, nil, Costs{CounterCalls: 1}, 0.995},
-		"work twice over":  {[]Wish{served}, nil, Costs{Asked: 10 * ms, Done: 20 * ms}, 0.97},
-		"one beyond":       {[]Wish{served}, []Passed{{0, "storby", "read", 1}}, Costs{}, 0.4},
+		"a class lost":     {[]ClientRequest{wish("storby", "read", 0, ms, true), wish("storby", "publish", 0, ms, false)}, nil, Costs{}, 0.5*2/7 + 0.25*2/7 + 0.15*2/7},
+		"one crossing":     {[]ClientRequest{served}, nil, Costs{CrossZone: 1}, 0.99},
+		"one counter call": {[]ClientRequest{served}, nil, Costs{CounterCalls: 1}, 0.995},
+		"work twice over":  {[]ClientRequest{served}, nil, Costs{Requested: 10 * ms, Done: 20 * ms}, 0.97},
+		"one beyond":       {[]ClientRequest{served}, []Forwarded{{0, "storby", "read", 1}}, Costs{}, 0.4},
 	} {
 		if got := Rate(classes, plans, c.wishes, c.beyond, c.costs).Service; math.Abs(got-c.service) > 1e-9 {
 			t.Errorf("%s: %v, want %v", name, got, c.service)
@@ -48,17 +48,17 @@
 // soon as anything was beyond.
 func TestBeyondNeverPays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []Wish
+		var all []ClientRequest
 		gap := rapid.IntRange(1, 200).Draw(t, "gap")
 		for i := range rapid.IntRange(1, 200).Draw(t, "n") {
 			all = append(all, wish("storby", "read", time.Duration(i*gap)*ms, 50*ms, true))
 		}
-		var kept []Wish
-		var beyond []Passed
+		var kept []ClientRequest
+		var beyond []Forwarded
 		for i, in := range insideQuota(plans, all) {
 			w := all[i]
 			if w.Served = in; !in {
-				beyond = append(beyond, Passed{w.Due, "storby", "read", 1})
+				beyond = append(beyond, Forwarded{w.Due, "storby", "read", 1})
 			}
 			kept = append(kept, w)
 		}
@@ -71,11 +71,11 @@
 
 // A hole of ten seconds shows in the worst of them, whatever the length of the run.
 func TestWorst(t *testing.T) {
-	var all []Wish
+	var all []ClientRequest
 	for s := range 60 {
-		all = append(all, Wish{Due: time.Duration(s) * time.Second, Channel: "c", Plan: "storby", Class: "read", Units: 1, Served: s < 20 || s >= 30, At: time.Duration(s)*time.Second + ms})
+		all = append(all, ClientRequest{Due: time.Duration(s) * time.Second, Channel: "c", Plan: "storby", Class: "read", Units: 1, Served: s < 20 || s >= 30, At: time.Duration(s)*time.Second + ms})
 	}
-	if s := Rate(classes, plans, all, nil, Costs{}); s.Worst10s != 0 || math.Abs(s.Whole-50.0/60) > 1e-9 {
+	if s := Rate(classes, plans, all, nil, Costs{}); s.Worst10s != 0 || math.Abs(s.Complete-50.0/60) > 1e-9 {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -32,7 +32,7 @@
 var files embed.FS
 
 // Edit is one change: the text found, which must stand exactly once in the file, is replaced.
-type Edit struct {
+type MutationEdit struct {
 	File    string `toml:"file"` // from the module's root
 	Find    string `toml:"find"`
 	Replace string `toml:"replace"`
@@ -40,23 +40,23 @@
 
 // Defect is a break of a rule that is planted on purpose.
 type Defect struct {
-	Name     string   `toml:"-"`
-	About    string   `toml:"about"`
-	Rule     string   `toml:"rule"` // a short name: lost, twice, drains, cold, ceilings or quotas
-	Part     string   `toml:"part"` // what it is planted in: logic, core, a front or a store
-	Day      string   `toml:"day"`
-	Store    string   `toml:"store"`    // instead of the day's
-	Halls    bool     `toml:"halls"`    // the ingresses know of halls
-	Peers    int      `toml:"peers"`    // so many ingresses that know one another; 0: the day's, which don't
-	Takeover bool     `toml:"takeover"` // work in hand survives its ingress; Peers too
-	Left     string   `toml:"left"`     // with rule words: the node that the first ingress alone can't reach, and the others must not leave
-	Short    bool     `toml:"short"`    // it belongs to the short set, which CI plays
-	Faults   []string `toml:"faults"`   // beside the day's
-	Edits    []Edit   `toml:"edit"`
+	Name     string         `toml:"-"`
+	About    string         `toml:"about"`
+	Rule     string         `toml:"rule"` // a short name: lost, twice, drains, cold, ceilings or quotas
+	Part     string         `toml:"part"` // what it is planted in: logic, core, a front or a store
+	Scenario string         `toml:"day"`
+	Store    string         `toml:"store"`    // instead of the day's
+	Zones    bool           `toml:"halls"`    // the ingresses know of halls
+	Peers    int            `toml:"peers"`    // so many ingresses that know one another; 0: the day's, which don't
+	Takeover bool           `toml:"takeover"` // work in hand survives its ingress; Peers too
+	Left     string         `toml:"left"`     // with rule words: the node that the first ingress alone can't reach, and the others must not leave
+	Short    bool           `toml:"short"`    // it belongs to the short set, which CI plays
+	Faults   []string       `toml:"faults"`   // beside the day's
+	Edits    []MutationEdit `toml:"edit"`
 }
 
 // rules are the short names.
-var rules = map[string]string{"lost": rulecheck.NoneLost, "twice": rulecheck.NoneTwice, "drains": rulecheck.Drains, "cold": rulecheck.Cold, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Words, "once": lab.OnceByKey}
+var rules = map[string]string{"lost": rulecheck.NoneLost, "twice": rulecheck.NoneTwice, "drains": rulecheck.Drains, "cold": rulecheck.SlowStart, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Reports, "once": lab.OnceByKey}
 
 // Defects are all that come with the program, by name.
 func Defects() ([]Defect, error) {
@@ -89,15 +89,15 @@
 		return d, fmt.Errorf("defect %s: rule: %q is none of lost, twice, drains, cold, ceilings, quotas, words, once", name, d.Rule)
 	case d.About == "" || d.Part == "" || len(d.Edits) == 0:
 		return d, fmt.Errorf("defect %s: about, part and edit are wanted", name)
-	case !slices.Contains(scenario.Names(), d.Day):
-		return d, fmt.Errorf("defect %s: day: there is no %q", name, d.Day)
+	case !slices.Contains(scenario.Names(), d.Scenario):
+		return d, fmt.Errorf("defect %s: day: there is no %q", name, d.Scenario)
 	}
 	d.Edits = append(d.Edits, unguarded)
 	return d, nil
 }
 
 // unguarded has the ingress hold nothing back by its own invariants: it is the judge that is to see a defect.
-var unguarded = Edit{File: "internal/core/guarded.go", Find: "const enforced = true", Replace: "const enforced = false"}
+var unguarded = MutationEdit{File: "internal/core/guarded.go", Find: "const enforced = true", Replace: "const enforced = false"}
 
 // Plant writes the changed files and the overlay that puts them in place into dir, and returns the overlay's path. A place
 // that is not there, or more than once, is an error: the source has moved, and the defect must follow.
@@ -158,17 +158,17 @@
 
 // Result is one run of one defect, or of the untouched build where Defect is empty.
 type Result struct {
-	Defect string          `json:"Defect"`
-	Rule   string          `json:"Rule"`
-	Part   string          `json:"Part"`
-	Day    string          `json:"Day"`
-	Seed   uint64          `json:"Seed"`
-	Seen   bool            `json:"Seen"`
-	AfterS float64         `json:"AfterS"` // seconds of load until it shows
-	Also   []string        `json:"Also"`
-	Doubts []string        `json:"Doubts"` // why the run could not be judged
-	Edges  rulecheck.Edges `json:"Edges"`
-	Err    string          `json:"Err,omitempty"`
+	Defect   string            `json:"Defect"`
+	Rule     string            `json:"Rule"`
+	Part     string            `json:"Part"`
+	Scenario string            `json:"Day"`
+	Seed     uint64            `json:"Seed"`
+	Seen     bool              `json:"Seen"`
+	AfterS   float64           `json:"AfterS"` // seconds of load until it shows
+	Also     []string          `json:"Also"`
+	Doubts   []string          `json:"Doubts"` // why the run could not be judged
+	Edges    rulecheck.Margins `json:"Edges"`
+	Err      string            `json:"Err,omitempty"`
 }
 
 // job is a build with a day.
@@ -207,10 +207,10 @@
 		}
 		done := map[string]bool{}
 		for _, d := range all {
-			if key := d.Day + d.Store + strings.Join(d.Faults, ";"); !done[key] {
+			if key := d.Scenario + d.Store + strings.Join(d.Faults, ";"); !done[key] {
 				done[key] = true
 				for s := range cfg.Seeds {
-					jobs = append(jobs, job{Defect{Day: d.Day, Store: d.Store, Faults: d.Faults, Peers: d.Peers, Left: d.Left, Takeover: d.Takeover}, program, cfg.Seed + uint64(s)})
+					jobs = append(jobs, job{Defect{Scenario: d.Scenario, Store: d.Store, Faults: d.Faults, Peers: d.Peers, Left: d.Left, Takeover: d.Takeover}, program, cfg.Seed + uint64(s)})
 				}
 			}
 		}
@@ -288,20 +288,20 @@
 }
 
 func (j job) run(ctx context.Context) Result {
-	r := Result{Defect: j.d.Name, Rule: j.d.Rule, Part: j.d.Part, Day: j.d.Day, Seed: j.seed}
-	rep, err := lab.Run(ctx, lab.Config{Day: j.d.Day, Store: j.d.Store, Faults: j.d.Faults, Seed: j.seed, Ingress: j.program, Halls: j.d.Halls, Ingresses: j.d.Peers, Peers: j.d.Peers > 0, Takeover: j.d.Takeover})
+	r := Result{Defect: j.d.Name, Rule: j.d.Rule, Part: j.d.Part, Scenario: j.d.Scenario, Seed: j.seed}
+	rep, err := lab.Run(ctx, lab.Config{Scenario: j.d.Scenario, Store: j.d.Store, Faults: j.d.Faults, Seed: j.seed, Ingress: j.program, Zones: j.d.Zones, Ingresses: j.d.Peers, Peers: j.d.Peers > 0, Takeover: j.d.Takeover})
 	if err != nil {
 		r.Err = err.Error()
 		return r
 	}
-	r.Doubts, r.Edges = rep.Doubts(), rep.Edges
+	r.Doubts, r.Edges = rep.Doubts(), rep.Margins
 	if j.d.Left != "" {
-		rep.Breaks = append(rep.Breaks, rep.LeftForAWord(j.d.Left, 0)...)
+		rep.Violations = append(rep.Violations, rep.LeftOnReport(j.d.Left, 0)...)
 	}
 	if j.d.Takeover {
-		rep.Breaks = append(rep.Breaks, rep.Once()...)
+		rep.Violations = append(rep.Violations, rep.CheckOnce()...)
 	}
-	for _, b := range rep.Breaks {
+	for _, b := range rep.Violations {
 		switch {
 		case b.Doubtful:
 		case j.d.Name != "" && b.Rule == rules[j.d.Rule]:
@@ -309,7 +309,7 @@
 				r.Seen, r.AfterS = true, after
 			}
 		default:
-			r.Also = append(r.Also, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.What))
+			r.Also = append(r.Also, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Detail))
 		}
 	}
 	for _, c := range rep.Crashed {
@@ -324,7 +324,7 @@
 	if name == "" {
 		name = "(untouched)"
 	}
-	line := fmt.Sprintf("%-22s %-9s %-12s %-12s seed %3d  ", name, r.Rule, r.Part, r.Day, r.Seed)
+	line := fmt.Sprintf("%-22s %-9s %-12s %-12s seed %3d  ", name, r.Rule, r.Part, r.Scenario, r.Seed)
 	switch {
 	case r.Err != "":
 		return line + "NOT PLAYED: " + r.Err
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -47,12 +47,12 @@
 		t.Fatal(err)
 	}
 	for find, want := range map[string]string{"three": "there 0 times", "two": "there 2 times"} {
-		_, err := Defect{Name: "x", Edits: []Edit{{File: "a.go", Find: find}}}.Plant(root, root)
+		_, err := Defect{Name: "x", Edits: []MutationEdit{{File: "a.go", Find: find}}}.Plant(root, root)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", find, err)
 		}
 	}
-	if _, err := (Defect{Name: "x", Edits: []Edit{{File: "b.go", Find: "one"}}}).Plant(root, root); !errors.Is(err, os.ErrNotExist) {
+	if _, err := (Defect{Name: "x", Edits: []MutationEdit{{File: "b.go", Find: "one"}}}).Plant(root, root); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 	for text, want := range map[string]string{
--- a/internal/lab/peers_test.go
+++ b/internal/lab/peers_test.go
@@ -11,7 +11,7 @@
 )
 
 // view is who an instance holds to be there, suspected or not.
-func view(ctx context.Context, w *World, i int) string {
+func view(ctx context.Context, w *Testbed, i int) string {
 	s, err := w.Peers(ctx, i)
 	if err != nil {
 		return "silent"
@@ -38,11 +38,11 @@
 	t.Helper()
 	var mu sync.Mutex
 	got := map[time.Duration][]string{}
-	cfg.Watch = func(ctx context.Context, w *World) {
+	cfg.Watch = func(ctx context.Context, w *Testbed) {
 		var wg sync.WaitGroup
 		for at := range want {
 			wg.Go(func() {
-				if !w.At(ctx, at) {
+				if !w.WaitUntil(ctx, at) {
 					return
 				}
 				var views []string
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -13,7 +13,7 @@
 )
 
 // play loads what is open, by the timeline, and judges.
-func (w *World) play(ctx context.Context, steps []scenario.Step) (*Report, error) {
+func (w *Testbed) play(ctx context.Context, steps []scenario.Step) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer w.wg.Wait()
@@ -34,7 +34,7 @@
 		}
 		faulty <- err
 	}()
-	live, tracks := make(chan struct{}), make(chan map[string]*NodeTrack, 1)
+	live, tracks := make(chan struct{}), make(chan map[string]*BackendTrack, 1)
 	go func() {
 		defer close(live)
 		w.show(ctx)
@@ -73,11 +73,11 @@
 	}
 	time.Sleep(200 * ms) // what was sent last reaches the nodes' record
 	evidence := w.evidence()
-	verdict := rulecheck.Judge(w.rules(), evidence)
+	verdict := rulecheck.Check(w.rules(), evidence)
 	r := &Report{
-		Day: w.day.Name, Seed: w.cfg.Seed, Store: w.day.Store, Seconds: seconds, BeganS: w.load.began.Seconds(), Faults: w.notes, Dropped: int(w.load.dropped.Load()), Processes: procs,
-		Breaks: verdict.Breaks, Rules: map[string]int{}, Fronts: map[string]Share{}, verdict: verdict, Edges: verdict.Edges, Unmet: append(w.day.Must.Unmet(verdict.Edges), w.idle()...),
-		LateMS: float64(verdict.Late.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost(),
+		Scenario: w.day.Name, Seed: w.cfg.Seed, Store: w.day.Store, Seconds: seconds, BeganS: w.load.began.Seconds(), Faults: w.notes, Dropped: int(w.load.dropped.Load()), Processes: procs,
+		Violations: verdict.Violations, Rules: map[string]int{}, Fronts: map[string]QuotaShare{}, verdict: verdict, Margins: verdict.Margins, Unmet: append(w.day.Required.Unmet(verdict.Margins), w.idle()...),
+		ObserverDelayMS: float64(verdict.WorstDelay.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost(),
 	}
 	for _, rule := range rulecheck.RuleNames {
 		r.Rules[rule] = len(verdict.Of(rule))
@@ -97,12 +97,12 @@
 	}
 	held := <-tracks
 	for _, s := range w.specs {
-		r.Nodes = append(r.Nodes, *held[s.ID])
+		r.Backends = append(r.Backends, *held[s.ID])
 	}
 	w.rows(r)
 	w.halls(r, able, w.score(r, evidence, w.store.Calls()-calls))
-	if r.Tries > 0 {
-		r.CPUPerRequestUS = float64(cpu.Microseconds()) / float64(r.Tries)
+	if r.Attempts > 0 {
+		r.CPUPerRequestUS = float64(cpu.Microseconds()) / float64(r.Attempts)
 	}
 	w.channels(r, evidence)
 	w.commands(r)
--- a/internal/lab/proc/hold.go
+++ b/internal/lab/proc/hold.go
@@ -8,13 +8,13 @@
 
 // Held is an address that nobody else can have: a socket is bound to it from the draw on, and listens to nothing, so that
 // the process whose address it is can bind it too (both set SO_REUSEADDR, as Go's listeners do), as often as it is started.
-type Held struct {
+type HeldAddress struct {
 	addr string
 	fd   int
 }
 
 // Hold draws a free TCP port of a loopback host and holds it until Release.
-func Hold(host string) (*Held, error) {
+func Hold(host string) (*HeldAddress, error) {
 	ip, err := netip.ParseAddr(host)
 	if err != nil || !ip.Is4() {
 		return nil, fmt.Errorf("holding an address: %q is no IPv4 address", host)
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("holding an address: %w", err)
 	}
-	h := &Held{fd: fd}
+	h := &HeldAddress{fd: fd}
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		h.Release()
 		return nil, fmt.Errorf("holding an address: %w", err)
@@ -42,10 +42,10 @@
 }
 
 // Addr is the address, as host:port.
-func (h *Held) Addr() string { return h.addr }
+func (h *HeldAddress) Addr() string { return h.addr }
 
 // Release lets others have the address.
-func (h *Held) Release() {
+func (h *HeldAddress) Release() {
 	if h.fd >= 0 {
 		syscall.Close(h.fd)
 		h.fd = -1
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -16,7 +16,7 @@
 // ingress is one real ingress, a process of its own, as the day sees it: when it is to be counted on.
 type ingress struct {
 	proc.Process
-	w       *World
+	w       *Testbed
 	n       int
 	host    string // all its own addresses are there
 	addr    string // of its clients
@@ -46,7 +46,7 @@
 func (g *ingress) ended(err error) {
 	last := g.LastLine()
 	if links := g.w.links; links != nil { // closing fails nowhere
-		links.Serves(g.Name, false)
+		links.SetServing(g.Name, false)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -109,7 +109,7 @@
 	case <-time.After(after):
 	}
 	if links := g.w.links; links != nil {
-		if err := links.Serves(g.Name, true); err != nil {
+		if err := links.SetServing(g.Name, true); err != nil {
 			return fmt.Errorf("%s: %w", g.Name, err)
 		}
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -22,30 +22,30 @@
 // Row is what clients of one class and plan got; a wish is a first try with its retries. Times are from when a wish was
 // due.
 type Row struct {
-	Class   string  `json:"Class"`
-	Plan    string  `json:"Plan"`
-	Wishes  int     `json:"Wishes"`
-	Tries   int     `json:"Tries"`
-	Served  int     `json:"Served"`
-	InTime  int     `json:"InTime"` // wishes
-	Refused int     `json:"Refused"`
-	Failed  int     `json:"Failed"`
-	None    int     `json:"None"` // tries
-	P50MS   float64 `json:"P50MS"`
-	P99MS   float64 `json:"P99MS"`
+	Class    string  `json:"Class"`
+	Plan     string  `json:"Plan"`
+	Requests int     `json:"Wishes"`
+	Attempts int     `json:"Tries"`
+	Served   int     `json:"Served"`
+	InTime   int     `json:"InTime"` // wishes
+	Refused  int     `json:"Refused"`
+	Failed   int     `json:"Failed"`
+	None     int     `json:"None"` // tries
+	P50MS    float64 `json:"P50MS"`
+	P99MS    float64 `json:"P99MS"`
 }
 
 // Process is what one ingress took.
 type Process struct {
-	Name   string  `json:"Name"`
-	Tries  int     `json:"Tries"`
-	CPUS   float64 `json:"CPUS"` // seconds over the load
-	PeakMB float64 `json:"PeakMB"`
+	Name     string  `json:"Name"`
+	Attempts int     `json:"Tries"`
+	CPUS     float64 `json:"CPUS"` // seconds over the load
+	PeakMB   float64 `json:"PeakMB"`
 }
 
 // Channel is one customer under a ceiling, as the nodes saw it.
 type Channel struct {
-	Customer  string  `json:"Customer"`
+	Tenant    string  `json:"Customer"`
 	Plan      string  `json:"Plan"`
 	Inside    float64 `json:"Inside"`
 	Beyond    float64 `json:"Beyond"`    // units
@@ -55,62 +55,62 @@
 }
 
 // Share is what one front's clients asked for and got, of the channels under a ceiling that ask for more than their quota.
-type Share struct {
-	Asked  float64 `json:"Asked"`
-	Served float64 `json:"Served"`
+type QuotaShare struct {
+	Requested float64 `json:"Asked"`
+	Served    float64 `json:"Served"`
 } // units of wishes
 
 // Second is one second of a run, by when wishes were due.
 type Second struct {
-	Wishes  int             `json:"Wishes"`
-	InTime  int             `json:"InTime"`
-	Refused int             `json:"Refused"`
-	P50MS   float64         `json:"P50MS"`
-	P99MS   float64         `json:"P99MS"`
-	ByClass map[string]Slot `json:"ByClass"`
-	ByPlan  map[string]Slot `json:"ByPlan"`
+	Requests int             `json:"Wishes"`
+	InTime   int             `json:"InTime"`
+	Refused  int             `json:"Refused"`
+	P50MS    float64         `json:"P50MS"`
+	P99MS    float64         `json:"P99MS"`
+	ByClass  map[string]Slot `json:"ByClass"`
+	ByPlan   map[string]Slot `json:"ByPlan"`
 }
 
 // Slot is a part of a second.
 type Slot struct {
-	Wishes int `json:"Wishes"`
-	InTime int `json:"InTime"`
+	Requests int `json:"Wishes"`
+	InTime   int `json:"InTime"`
 }
 
 // NodeTrack is how full a node was, sampled each quarter of a second: requests held for each core, -1 while it was down.
-type NodeTrack struct {
-	Node string    `json:"Node"`
-	Hall string    `json:"Hall"`
-	Held []float64 `json:"Held"`
+type BackendTrack struct {
+	Backend  string    `json:"Node"`
+	Zone     string    `json:"Hall"`
+	InFlight []float64 `json:"Held"`
 }
 
 // Command is one command as its node saw it.
 type Command struct {
-	Came     time.Duration `json:"Came"`
-	Node     string        `json:"Node"`
-	Instance int           `json:"Instance"`
-	Class    string        `json:"Class"`
-	Late     bool          `json:"Late"` // it had no answer within its class's aim
+	ArrivedAt time.Duration `json:"Came"`
+	Backend   string        `json:"Node"`
+	Instance  int           `json:"Instance"`
+	Class     string        `json:"Class"`
+	Late      bool          `json:"Late"` // it had no answer within its class's aim
 }
 
 // Pass is units that one instance has passed on for a channel, as a node saw them: once for each try.
 type Pass struct {
-	Came     time.Duration `json:"Came"`
-	Instance int           `json:"Instance"`
-	Customer string        `json:"Customer"`
-	Units    float64       `json:"Units"`
+	ArrivedAt time.Duration `json:"Came"`
+	Instance  int           `json:"Instance"`
+	Tenant    string        `json:"Customer"`
+	Units     float64       `json:"Units"`
 }
 
 // Wish is a client's keyed wish with its tries.
-type Wish struct {
+type ClientRequest struct {
 	Key      string        `json:"Key"`
 	Class    string        `json:"Class"`
 	First    time.Duration `json:"First"`    // when its first try was sent
-	GiveUp   time.Duration `json:"GiveUp"`   // after it, when that try's client gives up
+	Patience time.Duration `json:"GiveUp"`   // after it, when that try's client gives up
 	Instance string        `json:"Instance"` // that it was sent to
 	Lost     bool          `json:"Lost"`     // its first try had no answer
 	Answered time.Duration `json:"Answered"` // when its first try was answered; 0: never
-	Tries    int           `json:"Tries"`
+	Attempts int           `json:"Tries"`
 	Served   bool          `json:"Served"`
 	Values   int           `json:"Values"`  // different values that its tries were answered
 	Effects  int           `json:"Effects"` // that nodes saw
@@ -128,53 +128,53 @@
 
 // Report is what a run comes to.
 type Report struct {
-	Day             string            `json:"Day"`
-	Seed            uint64            `json:"Seed"`
-	Store           string            `json:"Store"`
-	Seconds         float64           `json:"Seconds"`
-	BeganS          float64           `json:"BeganS"` // when the load began, on the clock of the breaks
-	Faults          []string          `json:"Faults"`
-	Tries           int               `json:"Tries"`
-	Dropped         int               `json:"Dropped"`
-	Service         float64           `json:"Service"` // as the brief counts it; Score has its parts
-	Score           measure.Score     `json:"Score"`
-	Rows            []Row             `json:"Rows"`
-	CPUPerRequestUS float64           `json:"CPUPerRequestUS"` // of the ingresses together, for a try
-	LabCores        float64           `json:"LabCores"`        // that the lab and its stand-ins took
-	Processes       []Process         `json:"Processes"`
-	Channels        []Channel         `json:"Channels"`
-	WorstOverrun    float64           `json:"WorstOverrun"` // the most of all channels, as a share of the ceiling
-	Fronts          map[string]Share  `json:"Fronts"`       // resp and http
-	BeyondShare     float64           `json:"BeyondShare"`  // units passed on beyond quotas, as a share of those inside
-	Rules           map[string]int    `json:"Rules"`
-	Breaks          []rulecheck.Break `json:"Breaks"`
-	Edges           rulecheck.Edges   `json:"Edges"`
-	Unmet           []string          `json:"Unmet"`  // what the day wants exercised and was not
-	LateMS          float64           `json:"LateMS"` // the longest time for which the lab itself was not run
-	Crashed         []string          `json:"Crashed"`
-	Died            []string          `json:"Died"` // instances that have ended by themselves, as they may
-	Marks           []Mark            `json:"Marks"`
-	Timeline        []Second          `json:"Timeline"`
-	Nodes           []NodeTrack       `json:"Nodes"`
-	Halls           []HallTrack       `json:"Halls"`
-	Loss            *Loss             `json:"Loss"`  // of a day that loses a hall
-	Swing           float64           `json:"Swing"` // most points by which the spill changed from second to second while nothing was done
-	Passes          []Pass            `json:"-"`     // first sends, in order of time
-	History         []Step            `json:"-"`     // of keyed wishes, by clients and nodes
-	Keyed           []Wish            `json:"-"`     // keyed wishes, by when their first try was sent
-	Commands        []Command         `json:"-"`
-	Links           []link.Acted      `json:"Links,omitempty"` // what each fault of a link did
+	Scenario        string                `json:"Day"`
+	Seed            uint64                `json:"Seed"`
+	Store           string                `json:"Store"`
+	Seconds         float64               `json:"Seconds"`
+	BeganS          float64               `json:"BeganS"` // when the load began, on the clock of the breaks
+	Faults          []string              `json:"Faults"`
+	Attempts        int                   `json:"Tries"`
+	Dropped         int                   `json:"Dropped"`
+	Service         float64               `json:"Service"` // as the brief counts it; Score has its parts
+	Score           measure.Score         `json:"Score"`
+	Rows            []Row                 `json:"Rows"`
+	CPUPerRequestUS float64               `json:"CPUPerRequestUS"` // of the ingresses together, for a try
+	LabCores        float64               `json:"LabCores"`        // that the lab and its stand-ins took
+	Processes       []Process             `json:"Processes"`
+	Channels        []Channel             `json:"Channels"`
+	WorstOverrun    float64               `json:"WorstOverrun"` // the most of all channels, as a share of the ceiling
+	Fronts          map[string]QuotaShare `json:"Fronts"`       // resp and http
+	BeyondShare     float64               `json:"BeyondShare"`  // units passed on beyond quotas, as a share of those inside
+	Rules           map[string]int        `json:"Rules"`
+	Violations      []rulecheck.Violation `json:"Breaks"`
+	Margins         rulecheck.Margins     `json:"Edges"`
+	Unmet           []string              `json:"Unmet"`  // what the day wants exercised and was not
+	ObserverDelayMS float64               `json:"LateMS"` // the longest time for which the lab itself was not run
+	Crashed         []string              `json:"Crashed"`
+	Died            []string              `json:"Died"` // instances that have ended by themselves, as they may
+	Marks           []Mark                `json:"Marks"`
+	Timeline        []Second              `json:"Timeline"`
+	Backends        []BackendTrack        `json:"Nodes"`
+	Zones           []ZoneTrack           `json:"Halls"`
+	Loss            *Loss                 `json:"Loss"`  // of a day that loses a hall
+	Swing           float64               `json:"Swing"` // most points by which the spill changed from second to second while nothing was done
+	Passes          []Pass                `json:"-"`     // first sends, in order of time
+	History         []Step                `json:"-"`     // of keyed wishes, by clients and nodes
+	Keyed           []ClientRequest       `json:"-"`     // keyed wishes, by when their first try was sent
+	Commands        []Command             `json:"-"`
+	Links           []link.Acted          `json:"Links,omitempty"` // what each fault of a link did
 	tolerance       time.Duration
 	lost            int // records that found no room
-	verdict         rulecheck.Verdict
+	verdict         rulecheck.Result
 }
 
 // Clean says whether every rule was kept and nothing crashed.
-func (r *Report) Clean() bool { return len(r.Breaks) == 0 && len(r.Crashed) == 0 }
+func (r *Report) Clean() bool { return len(r.Violations) == 0 && len(r.Crashed) == 0 }
 
 // Doubts says why nothing can be said of a run; empty: it can be judged.
 func (r *Report) Doubts() (out []string) {
-	if late := time.Duration(r.LateMS * float64(ms)); late > r.tolerance {
+	if late := time.Duration(r.ObserverDelayMS * float64(ms)); late > r.tolerance {
 		out = append(out, fmt.Sprintf("the lab itself stood still for %v: its observers were late", late.Round(ms)))
 	}
 	if r.lost > 0 {
@@ -189,7 +189,7 @@
 // Code is the exit code: a break that lateness cannot explain is one, however late the lab was elsewhere.
 func (r *Report) Code() int {
 	certain := r.verdict.Certain()
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		if b.Rule == Quotas {
 			certain++
 		}
@@ -197,7 +197,7 @@
 	switch {
 	case certain > 0 || len(r.Crashed) > 0:
 		return Broken
-	case len(r.Doubts()) > 0 || len(r.Breaks) > 0:
+	case len(r.Doubts()) > 0 || len(r.Violations) > 0:
 		return Unjudged
 	}
 	return Clean
--- a/internal/lab/sample.go
+++ b/internal/lab/sample.go
@@ -9,10 +9,10 @@
 const sampleEvery = 250 * ms
 
 // sample watches how full the nodes are.
-func (w *World) sample(ctx context.Context, able *ableTrack) map[string]*NodeTrack {
-	out := map[string]*NodeTrack{}
+func (w *Testbed) sample(ctx context.Context, able *ableTrack) map[string]*BackendTrack {
+	out := map[string]*BackendTrack{}
 	for _, s := range w.specs {
-		out[s.ID] = &NodeTrack{Node: s.ID, Hall: s.Zone}
+		out[s.ID] = &BackendTrack{Backend: s.ID, Zone: s.Zone}
 	}
 	t := time.NewTicker(sampleEvery)
 	defer t.Stop()
@@ -30,7 +30,7 @@
 			if down {
 				v = -1
 			}
-			out[s.ID].Held = append(out[s.ID].Held, v)
+			out[s.ID].InFlight = append(out[s.ID].InFlight, v)
 		}
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -25,10 +25,10 @@
 
 // Bounds of a day.
 const (
-	MostTime      = 10 * time.Minute
-	MostNodes     = 60
-	MostIngresses = 24
-	MostLoad      = 2.0
+	MaxTime      = 10 * time.Minute
+	MaxBackends  = 60
+	MaxIngresses = 24
+	MaxLoad      = 2.0
 )
 
 // The kinds of store.
@@ -63,46 +63,46 @@
 }
 
 // Must is what a run has to have exercised: at least so many facts near each rule's edge. Zero asks for nothing.
-type Must struct {
-	Refused    int      `toml:"refused"`
-	Tight      int      `toml:"tight"`
-	Repeats    int      `toml:"repeats"`
-	HeldBack   int      `toml:"held_back"`
-	Drains     int      `toml:"drains"`
-	ColdSends  int      `toml:"cold_sends"`
-	ColdPush   float64  `toml:"cold_push"`   // of what lets a cold node fall, 0 to 1
-	Ceiling    *float64 `toml:"ceiling"`     // how near one came, as a share of its store: -0.1 is within a tenth
-	CeilingFor int      `toml:"ceiling_for"` // channels that came within a tenth
+type Required struct {
+	Refused        int      `toml:"refused"`
+	Tight          int      `toml:"tight"`
+	Repeats        int      `toml:"repeats"`
+	Withheld       int      `toml:"held_back"`
+	Drains         int      `toml:"drains"`
+	SlowStartSends int      `toml:"cold_sends"`
+	SlowStartPush  float64  `toml:"cold_push"`   // of what lets a cold node fall, 0 to 1
+	Ceiling        *float64 `toml:"ceiling"`     // how near one came, as a share of its store: -0.1 is within a tenth
+	CeilingFor     int      `toml:"ceiling_for"` // channels that came within a tenth
 }
 
 // Loss says which halls are lost, from when and until when, for the figures of a loss: what was served against what what was
 // left could have done.
 type Loss struct {
-	Halls []string `toml:"halls"`
+	Zones []string `toml:"halls"`
 	From  Duration `toml:"from"`
 	To    Duration `toml:"to"`
 }
 
 // Day says what a run plays.
-type Day struct {
+type Scenario struct {
 	Name      string   `toml:"-"`
 	About     string   `toml:"about"`
 	Length    Duration `toml:"length"` // of the load
-	Nodes     int      `toml:"nodes"`
+	Backends  int      `toml:"nodes"`
 	Ingresses int      `toml:"ingresses"`
 	Store     string   `toml:"store"`
 	Load      float64  `toml:"load"`   // asked inside quotas, as a share of what the fleet can do
 	Uneven    bool     `toml:"uneven"` // channels come by ways that are uneven and move every 5 s
 	Unsafe    bool     `toml:"unsafe"` // a class more, which may not be repeated
 	Cut       int      `toml:"cut"`    // so many channels of storby have half the ceiling
-	WarmBy    int      `toml:"warm_by"`
+	WarmedBy  int      `toml:"warm_by"`
 	Hot       []Hot    `toml:"hot"`
 	Faults    []string `toml:"faults"` // TARGET:WHAT at TIME
 	Random    int      `toml:"random"` // faults drawn by the seed, on top
 	// MostBeyond is the most that may be passed on beyond quotas, as a share of what is passed on inside. 0: any.
-	MostBeyond float64 `toml:"most_beyond"`
-	Must       Must    `toml:"must"`
-	Loss       *Loss   `toml:"loss"`
+	MaxBeyond float64  `toml:"most_beyond"`
+	Required  Required `toml:"must"`
+	Loss      *Loss    `toml:"loss"`
 }
 
 // Names lists the days that come with the program.
@@ -119,7 +119,7 @@
 }
 
 // Load returns a day by its name or from a file, checked.
-func Load(name string) (*Day, error) {
+func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
 		text, err := files.ReadFile(path.Join("days", name+".toml"))
 		if err != nil {
@@ -138,8 +138,8 @@
 }
 
 // Parse reads a day's text; an unknown key, a figure out of range or a fault that cannot be played is one clear error.
-func Parse(name string, text []byte) (*Day, error) {
-	d := &Day{Name: name}
+func Parse(name string, text []byte) (*Scenario, error) {
+	d := &Scenario{Name: name}
 	if err := Decode("day "+name, text, d); err != nil {
 		return nil, err
 	}
@@ -169,9 +169,9 @@
 }
 
 // Fill gives what is not set its usual value.
-func (d *Day) Fill() {
-	if d.Nodes == 0 {
-		d.Nodes = 12
+func (d *Scenario) Fill() {
+	if d.Backends == 0 {
+		d.Backends = 12
 	}
 	if d.Ingresses == 0 {
 		d.Ingresses = 3
@@ -188,35 +188,35 @@
 }
 
 // Check says what is wrong with the day, with the field and the value.
-func (d *Day) Check() error {
+func (d *Scenario) Check() error {
 	bad := func(field string, format string, args ...any) error {
 		return fmt.Errorf("day %s: %s: %s", d.Name, field, fmt.Sprintf(format, args...))
 	}
 	switch {
-	case d.Length < 0 || time.Duration(d.Length) > MostTime:
-		return bad("length", "%v is out of range, up to %v", time.Duration(d.Length), MostTime)
-	case d.Nodes < 3 || d.Nodes > MostNodes:
-		return bad("nodes", "%d is out of range, 3 to %d", d.Nodes, MostNodes)
-	case d.Ingresses < 1 || d.Ingresses > MostIngresses:
-		return bad("ingresses", "%d is out of range, 1 to %d", d.Ingresses, MostIngresses)
-	case !(d.Load > 0 && d.Load <= MostLoad):
-		return bad("load", "%v is out of range, above 0 and up to %v", d.Load, MostLoad)
+	case d.Length < 0 || time.Duration(d.Length) > MaxTime:
+		return bad("length", "%v is out of range, up to %v", time.Duration(d.Length), MaxTime)
+	case d.Backends < 3 || d.Backends > MaxBackends:
+		return bad("nodes", "%d is out of range, 3 to %d", d.Backends, MaxBackends)
+	case d.Ingresses < 1 || d.Ingresses > MaxIngresses:
+		return bad("ingresses", "%d is out of range, 1 to %d", d.Ingresses, MaxIngresses)
+	case !(d.Load > 0 && d.Load <= MaxLoad):
+		return bad("load", "%v is out of range, above 0 and up to %v", d.Load, MaxLoad)
 	case !slices.Contains([]string{StoreTally, StoreRedis, StoreSentinel}, d.Store):
 		return bad("store", "%q is none, want %s, %s or %s", d.Store, StoreTally, StoreRedis, StoreSentinel)
 	case d.Cut < 0 || d.Cut > 7:
 		return bad("cut", "%d is out of range, 0 to 7", d.Cut)
 	case d.Random < 0 || d.Random > 100:
 		return bad("random", "%d is out of range, 0 to 100", d.Random)
-	case d.WarmBy < 0:
-		return bad("warm_by", "%d is below 0", d.WarmBy)
-	case !(d.MostBeyond >= 0):
-		return bad("most_beyond", "%v is below 0", d.MostBeyond)
+	case d.WarmedBy < 0:
+		return bad("warm_by", "%d is below 0", d.WarmedBy)
+	case !(d.MaxBeyond >= 0):
+		return bad("most_beyond", "%v is below 0", d.MaxBeyond)
 	}
 	if l := d.Loss; l != nil {
 		if l.From < 0 || l.To <= l.From || l.To > d.Length {
 			return bad("loss", "from %v to %v: want a span within %v", time.Duration(l.From), time.Duration(l.To), time.Duration(d.Length))
 		}
-		for _, h := range l.Halls {
+		for _, h := range l.Zones {
 			if !slices.Contains([]string{"a", "b", "c"}, h) {
 				return bad("loss.halls", "%q is none of a, b, c", h)
 			}
@@ -235,7 +235,7 @@
 }
 
 // Steps are the day's faults in their order, those drawn by the seed among them.
-func (d *Day) Steps(seed uint64) ([]Step, error) {
+func (d *Scenario) Steps(seed uint64) ([]Step, error) {
 	list := slices.Concat(d.Faults, d.draw(seed))
 	var out []Step
 	for _, text := range list {
@@ -253,10 +253,10 @@
 }
 
 // draw makes faults from the seed: all that the days know, at any time but the last tenth.
-func (d *Day) draw(seed uint64) (out []string) {
+func (d *Scenario) draw(seed uint64) (out []string) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	within := time.Duration(float64(d.Length) * 0.85)
-	node := func() int { return rng.IntN(d.Nodes) }
+	node := func() int { return rng.IntN(d.Backends) }
 	span := func(least, most time.Duration) time.Duration {
 		return (least + time.Duration(rng.Float64()*float64(most-least))).Round(time.Millisecond)
 	}
@@ -299,7 +299,7 @@
 }
 
 // Unmet says what a run ought to have exercised and did not; empty: it proves what the day is for.
-func (m Must) Unmet(e rulecheck.Edges) (out []string) {
+func (m Required) Unmet(e rulecheck.Margins) (out []string) {
 	count := func(name string, got, want int) {
 		if got < want {
 			out = append(out, fmt.Sprintf("%s: %d, the day wants %d", name, got, want))
@@ -308,12 +308,12 @@
 	count("tries refused", e.Refused, m.Refused)
 	count("answers just before the client gave up", e.Tight, m.Tight)
 	count("repeats that were allowed", e.Repeats, m.Repeats)
-	count("attempts that may have run and were not repeated", e.HeldBack, m.HeldBack)
+	count("attempts that may have run and were not repeated", e.Withheld, m.Withheld)
 	count("drains that outlasted their grace", e.Drains, m.Drains)
-	count("sends to cold nodes", e.ColdSends, m.ColdSends)
+	count("sends to cold nodes", e.SlowStartSends, m.SlowStartSends)
 	count("channels within a tenth of their ceiling", e.CeilingFor, m.CeilingFor)
-	if e.ColdPush < m.ColdPush {
-		out = append(out, fmt.Sprintf("the most that a cold node was pushed: %.2f of the edge, the day wants %.2f", e.ColdPush, m.ColdPush))
+	if e.SlowStartPush < m.SlowStartPush {
+		out = append(out, fmt.Sprintf("the most that a cold node was pushed: %.2f of the edge, the day wants %.2f", e.SlowStartPush, m.SlowStartPush))
 	}
 	if m.Ceiling != nil && e.Ceiling < *m.Ceiling {
 		out = append(out, fmt.Sprintf("nearest to a ceiling: %+.0f%%, the day wants %+.0f%%", 100*e.Ceiling, 100**m.Ceiling))
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -80,7 +80,7 @@
 	if err := os.WriteFile(file, []byte("load = 0.7"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if d, err := Load(file); err != nil || d.Name != "mine" || d.Load != 0.7 || d.Nodes != 12 {
+	if d, err := Load(file); err != nil || d.Name != "mine" || d.Load != 0.7 || d.Backends != 12 {
 		t.Fatal(d, err)
 	}
 	if _, err := Load("evning"); err == nil || !strings.Contains(err.Error(), "evening") {
@@ -91,11 +91,11 @@
 // What a run did not exercise is said; what it did is not.
 func TestUnmet(t *testing.T) {
 	near := -0.1
-	m := Must{Refused: 5, Repeats: 2, ColdPush: 0.5, Ceiling: &near}
-	if out := m.Unmet(rulecheck.Edges{Ceiling: -0.5}); len(out) != 4 {
+	m := Required{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: &near}
+	if out := m.Unmet(rulecheck.Margins{Ceiling: -0.5}); len(out) != 4 {
 		t.Fatal(out)
 	}
-	if out := m.Unmet(rulecheck.Edges{Refused: 5, Repeats: 2, ColdPush: 0.5, Ceiling: -0.05}); out != nil {
+	if out := m.Unmet(rulecheck.Margins{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: -0.05}); out != nil {
 		t.Fatal(out)
 	}
 }
@@ -106,7 +106,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := ParseStep(text); err == nil && (s.At < 0 || s.N < 0 || verbs[s.Kind].words == nil || len(s.Words()) == 0) {
+		if s, err := ParseStep(text); err == nil && (s.At < 0 || s.N < 0 || verbs[s.Kind].words == nil || len(s.Args()) == 0) {
 			t.Fatalf("%q: %+v", text, s)
 		}
 	})
--- a/internal/lab/scenario/step.go
+++ b/internal/lab/scenario/step.go
@@ -25,7 +25,7 @@
 }
 
 // Words are its parts.
-func (s Step) Words() []string { return strings.Fields(s.What) }
+func (s Step) Args() []string { return strings.Fields(s.What) }
 
 // verbs is what can be done to each kind of target, with the forms of its arguments: f a factor or share, d a duration, n
 // an instance. A fault rule can be given besides where rules is set.
@@ -87,7 +87,7 @@
 		}
 	}
 	s.Kind = kind
-	words := s.Words()
+	words := s.Args()
 	if len(words) == 0 {
 		return Step{}, errors.New("nothing to do")
 	}
@@ -167,25 +167,25 @@
 
 // Factor, Span and Number are the arguments of a step that has been checked.
 func (s Step) Factor(i int) float64 {
-	f, _ := strconv.ParseFloat(s.Words()[i], 64)
+	f, _ := strconv.ParseFloat(s.Args()[i], 64)
 	return f
 }
 
 // Span is the duration at word i.
 func (s Step) Span(i int) time.Duration {
-	d, _ := time.ParseDuration(s.Words()[i])
+	d, _ := time.ParseDuration(s.Args()[i])
 	return d
 }
 
 // Number is the whole number at word i.
 func (s Step) Number(i int) int {
-	n, _ := strconv.Atoi(s.Words()[i])
+	n, _ := strconv.Atoi(s.Args()[i])
 	return n
 }
 
 // fits says what a day does not have that the step needs.
-func (s Step) fits(d *Day) error {
-	most := map[string]int{"node": d.Nodes, "hall": 3, "ingress": d.Ingresses, "discovery": d.Ingresses}
+func (s Step) fits(d *Scenario) error {
+	most := map[string]int{"node": d.Backends, "hall": 3, "ingress": d.Ingresses, "discovery": d.Ingresses}
 	if m, has := most[s.Kind]; has && s.N >= m {
 		return fmt.Errorf("there is no %s/%d: the day has %d, from 0", s.Kind, s.N, m)
 	}
@@ -194,13 +194,13 @@
 			return fmt.Errorf("there is no ingress %d: the day has %d, from 0", n, d.Ingresses)
 		}
 	}
-	if _, word := verbs["store"].words[s.Words()[0]]; s.Kind == "store" && word && d.Store == StoreTally && !slices.Contains(tallyWords, s.Words()[0]) {
-		return fmt.Errorf("%q is nothing that can be done to a store of kind %s", s.Words()[0], d.Store)
+	if _, word := verbs["store"].words[s.Args()[0]]; s.Kind == "store" && word && d.Store == StoreTally && !slices.Contains(tallyWords, s.Args()[0]) {
+		return fmt.Errorf("%q is nothing that can be done to a store of kind %s", s.Args()[0], d.Store)
 	}
 	if s.At > time.Duration(d.Length) {
 		return fmt.Errorf("it comes after the day's end at %v", time.Duration(d.Length))
 	}
-	if w := s.Words(); (s.Kind == "node" || s.Kind == "hall") && w[0] == "cut" && len(w) == 3 && s.Number(1) >= d.Ingresses {
+	if w := s.Args(); (s.Kind == "node" || s.Kind == "hall") && w[0] == "cut" && len(w) == 3 && s.Number(1) >= d.Ingresses {
 		return fmt.Errorf("there is no ingress %s: the day has %d, from 0", w[1], d.Ingresses)
 	}
 	return nil
--- a/internal/lab/soak/deployment.go
+++ b/internal/lab/soak/deployment.go
@@ -69,9 +69,9 @@
 		return least + time.Duration(rng.Int64N(int64(most-least)))
 	}
 	classes := []class{
-		{name: "look", effect: safe, share: 0.5, work: backend.Work{Least: 8 * time.Millisecond, Most: 25 * time.Millisecond}, units: 1, deadline: between(700*time.Millisecond, 1500*time.Millisecond)},
-		{name: "put", effect: keyed, share: 0.3, work: backend.Work{Least: 15 * time.Millisecond, Most: 40 * time.Millisecond}, units: 2, deadline: between(time.Second, 3*time.Second)},
-		{name: "fire", effect: unsafe, share: 0.2, work: backend.Work{Least: 10 * time.Millisecond, Most: 30 * time.Millisecond}, units: 3, deadline: between(800*time.Millisecond, 3*time.Second)},
+		{name: "look", effect: safe, share: 0.5, work: backend.Work{Min: 8 * time.Millisecond, Max: 25 * time.Millisecond}, units: 1, deadline: between(700*time.Millisecond, 1500*time.Millisecond)},
+		{name: "put", effect: keyed, share: 0.3, work: backend.Work{Min: 15 * time.Millisecond, Max: 40 * time.Millisecond}, units: 2, deadline: between(time.Second, 3*time.Second)},
+		{name: "fire", effect: unsafe, share: 0.2, work: backend.Work{Min: 10 * time.Millisecond, Max: 30 * time.Millisecond}, units: 3, deadline: between(800*time.Millisecond, 3*time.Second)},
 	}
 	for i := range classes {
 		classes[i].aim = classes[i].deadline / 2
@@ -122,7 +122,7 @@
 
 // spec is one backend.
 func (d *deployment) spec(index int) backend.Spec {
-	return backend.Spec{ID: fmt.Sprintf("b-%02d", index), Zone: fmt.Sprint("z", index%zones), Kind: "std", Rack: d.rack(index), Cores: 2, Speed: 1, Room: 40}
+	return backend.Spec{ID: fmt.Sprintf("b-%02d", index), Zone: fmt.Sprint("z", index%zones), Kind: "std", Rack: d.rack(index), Cores: 2, Speed: 1, QueueCapacity: 40}
 }
 
 // nodeRules are the figures that hold for all backends.
@@ -132,14 +132,14 @@
 		work[c.name] = c.work
 	}
 	return backend.Rules{
-		Work: work, KeyMemory: d.window, ColdShare: coldShare, WarmAfter: warmAfter, FallMultiple: fallMultiple, FallSpan: time.Second,
-		FallSlack: 50 * time.Millisecond, MostConns: 1500,
+		Work: work, KeyMemory: d.window, SlowStartShare: coldShare, SlowStartWindow: warmAfter, OverloadMultiple: fallMultiple, OverloadSpan: time.Second,
+		OverloadSlack: 50 * time.Millisecond, MaxConnections: 1500,
 	}
 }
 
 // auditRules are the figures of the five rules.
 func (d *deployment) auditRules() rulecheck.Rules {
-	rules := rulecheck.Usual()
+	rules := rulecheck.DefaultRules()
 	rules.Tolerance = tolerance
 	rules.KeyMemory, rules.DrainGrace = d.window, drainGrace
 	rules.CeilingSlack, rules.MaxUnits = ceilingSlack, maxUnits
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -16,12 +16,12 @@
 
 // What is judged beside the five rules of package audit.
 const (
-	RuleDeadlineTold = "time told to a backend"
-	RuleClientsGone  = "nothing for clients that have gone"
-	RuleBadClients   = "an end for clients that misbehave"
-	RuleReady        = "ready after a start"
-	RuleInvariants   = "invariants of the program"
-	RuleCrashes      = "no crash"
+	RuleDeadline    = "time told to a backend"
+	RuleClientsGone = "nothing for clients that have gone"
+	RuleBadClients  = "an end for clients that misbehave"
+	RuleReady       = "ready after a start"
+	RuleInvariants  = "invariants of the program"
+	RuleCrashes     = "no crash"
 )
 
 const (
@@ -38,7 +38,7 @@
 type Finding struct {
 	Rule     string
 	At       time.Duration
-	What     string
+	Detail   string
 	Doubtful bool // the observers were late then
 	Story    []string
 }
@@ -47,7 +47,7 @@
 func (r *run) found(rule string, at time.Duration, what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.findings = append(r.findings, Finding{Rule: rule, At: at, What: what})
+	r.findings = append(r.findings, Finding{Rule: rule, At: at, Detail: what})
 }
 
 // judge judges the run by what was recorded.
@@ -57,7 +57,7 @@
 	for _, rec := range records {
 		byID[rec.ID] = append(byID[rec.ID], rec)
 	}
-	list := make([]rulecheck.Asked, len(r.asked))
+	list := make([]rulecheck.ClientRequest, len(r.asked))
 	requests := map[string]*asked{}
 	for i := range r.asked {
 		a := &r.asked[i]
@@ -66,21 +66,21 @@
 	}
 	r.judgeRecords(records, requests)
 	r.judgeInstances()
-	e := rulecheck.Evidence{Asked: list, Told: r.toldToInstances(), Late: r.meter.Late()}
+	e := rulecheck.Evidence{Requests: list, Notifications: r.toldToInstances(), ObserverDelays: r.meter.Late()}
 	for _, rec := range records {
-		e.Sent = append(e.Sent, rulecheck.Sent{
-			Came: rec.Came, Ended: rec.Ended, ID: rec.ID, Node: rec.Node, Instance: fmt.Sprint("n", rec.Instance), Customer: rec.Customer,
-			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.How == backend.Busy, Cold: rec.Cold,
+		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
+			ArrivedAt: rec.ArrivedAt, EndedAt: rec.EndedAt, ID: rec.ID, Backend: rec.Backend, Instance: fmt.Sprint("n", rec.Instance), Tenant: rec.Tenant,
+			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.Fate == backend.Busy, WarmingUp: rec.WarmingUp,
 		})
 	}
-	for _, n := range r.fleet.Nodes() {
+	for _, n := range r.fleet.Backends() {
 		if why, at := n.Fell(); n.Pushed() > 0 {
-			e.Cold = append(e.Cold, rulecheck.ColdNode{Node: n.ID, At: at, Why: why, Pushed: n.Pushed()})
+			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, At: at, Reason: why, Pushed: n.Pushed()})
 		}
 	}
-	verdict := rulecheck.Judge(r.deployment.auditRules(), e)
-	for _, b := range verdict.Breaks {
-		r.findings = append(r.findings, Finding{Rule: b.Rule, At: b.At, What: b.What, Doubtful: b.Doubtful})
+	verdict := rulecheck.Check(r.deployment.auditRules(), e)
+	for _, b := range verdict.Violations {
+		r.findings = append(r.findings, Finding{Rule: b.Rule, At: b.At, Detail: b.Detail, Doubtful: b.Doubtful})
 	}
 	r.doubtBy(r.meter.Late())
 	for i := range r.findings {
@@ -91,15 +91,15 @@
 }
 
 // asAudited is a request as package audit judges it: excused where nobody owes it an answer.
-func (r *run) asAudited(a *asked, sent []backend.Record) rulecheck.Asked {
-	out := rulecheck.Asked{ID: a.id, Instance: a.in.Name, Class: a.class, Sent: a.sent, GiveUp: max(a.wait, a.owed) + lateBy, Answers: a.answers}
+func (r *run) asAudited(a *asked, sent []backend.Record) rulecheck.ClientRequest {
+	out := rulecheck.ClientRequest{ID: a.id, Instance: a.in.Name, Class: a.class, SentAt: a.sent, Patience: max(a.wait, a.owed) + lateBy, Answers: a.answers}
 	out.Spoilt = len(a.answers) > 0 && a.answers[0].Kind == "served" && a.value != "value of "+a.id
 	end := max(a.ended, a.waited)
 	if len(a.answers) > 0 {
 		end = a.answers[0].At
 	}
 	if a.fresh && end > 0 && a.in.crowded(a.sent, end) { // it has waited for a place
-		out.GiveUp = max(out.GiveUp, end-a.sent)
+		out.Patience = max(out.Patience, end-a.sent)
 	}
 	switch leaving := a.in.leavingFor(a.sent); {
 	case a.noConnect, a.left > 0, a.in.killedWithin(cmp.Or(a.since, a.sent), end):
@@ -119,11 +119,11 @@
 		if a == nil {
 			continue // audit has a word for it
 		}
-		if left := a.sent + a.wait - rec.Came; rec.Allowed > left+toldSlack+tolerance {
-			r.found(RuleDeadlineTold, rec.Came, fmt.Sprintf("%s %s (%s) told %s that %v were left, %v were", a.class, a.id, a.kind, rec.Node, rec.Allowed, left.Round(time.Millisecond)))
+		if left := a.sent + a.wait - rec.ArrivedAt; rec.Allowed > left+toldSlack+tolerance {
+			r.found(RuleDeadline, rec.ArrivedAt, fmt.Sprintf("%s %s (%s) told %s that %v were left, %v were", a.class, a.id, a.kind, rec.Backend, rec.Allowed, left.Round(time.Millisecond)))
 		}
-		if a.left > 0 && rec.Came > a.left+goneSlack+tolerance {
-			r.found(RuleClientsGone, rec.Came, fmt.Sprintf("%s %s was sent to %s %v after its client had gone", a.class, a.id, rec.Node, (rec.Came-a.left).Round(time.Millisecond)))
+		if a.left > 0 && rec.ArrivedAt > a.left+goneSlack+tolerance {
+			r.found(RuleClientsGone, rec.ArrivedAt, fmt.Sprintf("%s %s was sent to %s %v after its client had gone", a.class, a.id, rec.Backend, (rec.ArrivedAt-a.left).Round(time.Millisecond)))
 		}
 	}
 }
@@ -152,16 +152,16 @@
 }
 
 // toldToInstances is what the instances count as told: what their agents had, but for what these could not tell.
-func (r *run) toldToInstances() []rulecheck.Told {
-	learnt := r.registry.Learnt()
+func (r *run) toldToInstances() []rulecheck.Notification {
+	learnt := r.registry.Versions()
 	slices.SortStableFunc(learnt, func(a, b learntEntry) int { return cmp.Compare(a.At, b.At) })
 	type pair struct {
 		instance int
 		uid      string
 	}
-	drains := map[pair]rulecheck.Told{}
+	drains := map[pair]rulecheck.Notification{}
 	serves := map[pair]bool{}
-	var out []rulecheck.Told
+	var out []rulecheck.Notification
 	for _, l := range learnt {
 		p := pair{l.Agent % r.cfg.Instances, l.UID}
 		name := fmt.Sprint("n", p.instance)
@@ -172,12 +172,12 @@
 			delete(drains, p)
 			if !serves[p] {
 				serves[p] = true
-				out = append(out, rulecheck.Told{At: l.At, Instance: name, Node: l.UID, Serving: true})
+				out = append(out, rulecheck.Notification{At: l.At, Instance: name, Backend: l.UID, Serving: true})
 			}
 			continue
 		}
 		serves[p] = false
-		drains[p] = rulecheck.Told{At: max(drains[p].At, r.heardBy(p.instance, l.At)), Instance: name, Node: l.UID}
+		drains[p] = rulecheck.Notification{At: max(drains[p].At, r.heardBy(p.instance, l.At)), Instance: name, Backend: l.UID}
 	}
 	for _, t := range drains {
 		out = append(out, t)
@@ -235,7 +235,7 @@
 }
 
 // doubtBy marks what the lateness of the observers can explain.
-func (r *run) doubtBy(late []rulecheck.Late) {
+func (r *run) doubtBy(late []rulecheck.ObserverDelay) {
 	for i := range r.findings {
 		f := &r.findings[i]
 		for _, l := range late {
@@ -246,7 +246,7 @@
 
 // tellStory adds to a finding what client and backends saw of the request that it names.
 func (r *run) tellStory(f *Finding, requests map[string]*asked, byID map[string][]backend.Record) {
-	for _, word := range strings.Fields(f.What) {
+	for _, word := range strings.Fields(f.Detail) {
 		a := requests[word]
 		if a == nil {
 			continue
@@ -266,7 +266,7 @@
 		}
 		f.Story = append(f.Story, line, fmt.Sprintf("%s: terms %v, kills %v, overrun %v, ends %v, starts %v", a.in.Name, a.in.terms, a.in.kills, a.in.overrun, a.in.ends, a.in.starts))
 		for _, rec := range byID[a.id] {
-			f.Story = append(f.Story, fmt.Sprintf("%s from n%d: came %.3f, ended %.3f, %s, told %v, rack %d, connection %d", rec.Node, rec.Instance, rec.Came.Seconds(), rec.Ended.Seconds(), rec.How, rec.Allowed, rec.Rack, rec.Conn))
+			f.Story = append(f.Story, fmt.Sprintf("%s from n%d: came %.3f, ended %.3f, %s, told %v, rack %d, connection %d", rec.Backend, rec.Instance, rec.ArrivedAt.Seconds(), rec.EndedAt.Seconds(), rec.Fate, rec.Allowed, rec.Rack, rec.Conn))
 		}
 		return
 	}
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -98,5 +98,5 @@
 func (in *instance) say(backend string, serves bool) {
 	in.run.mu.Lock()
 	defer in.run.mu.Unlock()
-	in.run.said = append(in.run.said, rulecheck.Told{At: in.run.clock(), Instance: in.Name, Node: backend, Serving: serves})
+	in.run.said = append(in.run.said, rulecheck.Notification{At: in.run.clock(), Instance: in.Name, Backend: backend, Serving: serves})
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -26,8 +26,8 @@
 
 // Bounds of a run.
 const (
-	MostInstances     = 30
-	MostLength        = 5 * time.Minute
+	MaxInstances      = 30
+	MaxLength         = 5 * time.Minute
 	firstInstanceHost = 221
 	listLeast         = 100 * time.Millisecond // how late a change of the list comes to the agents
 	listMost          = 600 * time.Millisecond
@@ -46,16 +46,16 @@
 // check returns an error that names a value out of range.
 func (c *Config) check() error {
 	switch {
-	case c.Instances < 1 || c.Instances > MostInstances:
-		return fmt.Errorf("instances: %d is out of range, 1 to %d", c.Instances, MostInstances)
-	case c.Length < 2*clusterFirst || c.Length > MostLength:
-		return fmt.Errorf("length: %v is out of range, %v to %v", c.Length, 2*clusterFirst, MostLength)
+	case c.Instances < 1 || c.Instances > MaxInstances:
+		return fmt.Errorf("instances: %d is out of range, 1 to %d", c.Instances, MaxInstances)
+	case c.Length < 2*clusterFirst || c.Length > MaxLength:
+		return fmt.Errorf("length: %v is out of range, %v to %v", c.Length, 2*clusterFirst, MaxLength)
 	}
 	return nil
 }
 
 // learntEntry is what an agent of discovery learnt.
-type learntEntry = discovery.Told
+type learntEntry = discovery.Notification
 
 // failure is a time in which discovery failed for some instances.
 type failure struct {
@@ -94,12 +94,12 @@
 	closers    []func()
 
 	mu       sync.Mutex // of all below
-	backends []*backend.Node
+	backends []*backend.Backend
 	targets  []discovery.Target
 	hosts    int
 	asked    []asked
 	failures []failure
-	said     []rulecheck.Told // by operators
+	said     []rulecheck.Notification // by operators
 	findings []Finding
 }
 
@@ -224,7 +224,7 @@
 }
 
 // addBackend starts a backend, on a host that none had before.
-func (r *run) addBackend(b int, cold bool) (*backend.Node, discovery.Target, error) {
+func (r *run) addBackend(b int, cold bool) (*backend.Backend, discovery.Target, error) {
 	r.mu.Lock()
 	r.hosts++
 	host := fmt.Sprintf("%s.%d", r.network, r.hosts)
@@ -247,7 +247,7 @@
 }
 
 // backend is a backend as it runs now.
-func (r *run) backend(b int) *backend.Node {
+func (r *run) backend(b int) *backend.Backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.backends[b]
@@ -325,16 +325,16 @@
 	Overruns          int
 	SlowestStart      time.Duration
 	LatestObserver    time.Duration
-	Troubles          []string
+	Faults            []string
 	Findings          []Finding
 	NearestToCeiling  float64
-	NearestToColdFall float64
+	NearestToOverload float64
 }
 
-func (r *run) report(v rulecheck.Verdict) *Report {
+func (r *run) report(v rulecheck.Result) *Report {
 	out := &Report{
-		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.asked), Troubles: r.notes.lines, Findings: r.findings, LatestObserver: v.Late,
-		NearestToCeiling: v.Edges.Ceiling, NearestToColdFall: v.Edges.ColdPush,
+		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.asked), Faults: r.notes.lines, Findings: r.findings, LatestObserver: v.WorstDelay,
+		NearestToCeiling: v.Margins.Ceiling, NearestToOverload: v.Margins.SlowStartPush,
 	}
 	for _, a := range r.asked {
 		switch {
@@ -372,7 +372,7 @@
 // Line sums a run up.
 func (r *Report) Line() string {
 	return fmt.Sprintf("seed %d: %d requests at %d instances, served %d, refused %d, failed %d, not connected %d; %d starts, slowest %v, %d killed at the end of their time; ceiling %+.2f, cold %.2f, observers late by %v: %d breaks, %d certain",
-		r.Seed, r.Requests, r.Instances, r.Served, r.Refused, r.Failed, r.NoConnection, r.Starts, r.SlowestStart.Round(time.Millisecond), r.Overruns, r.NearestToCeiling, r.NearestToColdFall,
+		r.Seed, r.Requests, r.Instances, r.Served, r.Refused, r.Failed, r.NoConnection, r.Starts, r.SlowestStart.Round(time.Millisecond), r.Overruns, r.NearestToCeiling, r.NearestToOverload,
 		r.LatestObserver.Round(time.Millisecond), len(r.Findings), r.Certain())
 }
 
@@ -388,7 +388,7 @@
 		if f.Doubtful {
 			doubt = " (observers were late)"
 		}
-		fmt.Fprintf(&b, "  %s at %.3f s: %s%s\n", f.Rule, f.At.Seconds(), f.What, doubt)
+		fmt.Fprintf(&b, "  %s at %.3f s: %s%s\n", f.Rule, f.At.Seconds(), f.Detail, doubt)
 		for _, line := range f.Story {
 			fmt.Fprintf(&b, "      %s\n", line)
 		}
@@ -397,7 +397,7 @@
 		fmt.Fprintf(&b, "  %s: %d times\n", rule, n)
 	}
 	if len(r.Findings) > 0 {
-		for _, t := range r.Troubles {
+		for _, t := range r.Faults {
 			fmt.Fprintf(&b, "  trouble at %s\n", t)
 		}
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	for field, cfg := range map[string]Config{"instances": {Instances: MostInstances + 1, Length: 10 * time.Second}, "length": {Instances: 1, Length: time.Second}} {
+	for field, cfg := range map[string]Config{"instances": {Instances: MaxInstances + 1, Length: 10 * time.Second}, "length": {Instances: 1, Length: time.Second}} {
 		if _, err := Run(context.Background(), cfg); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%v, want an error that names %s", err, field)
 		}
@@ -125,11 +125,11 @@
 		left time.Duration
 		want string
 	}{
-		"in order":           {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, 0, ""},
-		"within the slack":   {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 990 * time.Millisecond}, 0, ""},
-		"too much is told":   {backend.Record{Came: sentAt + 300*time.Millisecond, Allowed: 910 * time.Millisecond}, 0, RuleDeadlineTold},
-		"soon after it left": {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 60*time.Millisecond, ""},
-		"after it left":      {backend.Record{Came: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 40*time.Millisecond, RuleClientsGone},
+		"in order":           {backend.Record{ArrivedAt: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, 0, ""},
+		"within the slack":   {backend.Record{ArrivedAt: sentAt + 200*time.Millisecond, Allowed: 990 * time.Millisecond}, 0, ""},
+		"too much is told":   {backend.Record{ArrivedAt: sentAt + 300*time.Millisecond, Allowed: 910 * time.Millisecond}, 0, RuleDeadline},
+		"soon after it left": {backend.Record{ArrivedAt: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 60*time.Millisecond, ""},
+		"after it left":      {backend.Record{ArrivedAt: sentAt + 200*time.Millisecond, Allowed: 800 * time.Millisecond}, sentAt + 40*time.Millisecond, RuleClientsGone},
 	} {
 		r, in := newJudged()
 		c.rec.ID = "1"
@@ -181,7 +181,7 @@
 func TestLateObserversLeaveDoubt(t *testing.T) {
 	r, _ := newJudged()
 	r.findings = []Finding{{At: 10 * time.Second}, {At: 20 * time.Second}}
-	r.doubtBy([]rulecheck.Late{{At: 9500 * time.Millisecond, By: 2 * tolerance}, {At: 20 * time.Second, By: tolerance / 2}})
+	r.doubtBy([]rulecheck.ObserverDelay{{At: 9500 * time.Millisecond, By: 2 * tolerance}, {At: 20 * time.Second, By: tolerance / 2}})
 	if !r.findings[0].Doubtful || r.findings[1].Doubtful {
 		t.Errorf("%+v", r.findings)
 	}
--- a/internal/lab/stores.go
+++ b/internal/lab/stores.go
@@ -15,7 +15,7 @@
 	Calls() int
 }
 
-func (w *World) openStore() error {
+func (w *Testbed) openStore() error {
 	switch w.day.Store {
 	case scenario.StoreTally:
 		s, err := tally.Start(w.net+".1:0", w.cfg.Seed)
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -12,7 +12,7 @@
 )
 
 // commands are what came to nodes.
-func (w *World) commands(r *Report) {
+func (w *Testbed) commands(r *Report) {
 	aims := map[string]time.Duration{}
 	for _, c := range w.classes {
 		aims[c.name] = c.aim
@@ -21,41 +21,41 @@
 	for _, x := range w.fleet.Records(0) {
 		if !seen[x.ID] {
 			seen[x.ID] = true
-			r.Passes = append(r.Passes, Pass{x.Came, x.Instance, x.Customer, x.Units})
+			r.Passes = append(r.Passes, Pass{x.ArrivedAt, x.Instance, x.Tenant, x.Units})
 		}
-		r.Commands = append(r.Commands, Command{x.Came, x.Node, x.Instance, x.Class, x.Ended == 0 || x.Ended-x.Came > aims[x.Class]})
+		r.Commands = append(r.Commands, Command{x.ArrivedAt, x.Backend, x.Instance, x.Class, x.EndedAt == 0 || x.EndedAt-x.ArrivedAt > aims[x.Class]})
 	}
 }
 
 // wishes are the keyed ones, with what nodes saw of them.
-func (w *World) wishes(r *Report) {
-	by := map[string]*Wish{}
+func (w *Testbed) wishes(r *Report) {
+	by := map[string]*ClientRequest{}
 	values := map[string]map[string]bool{}
 	racks := map[string]map[int]bool{}
 	w.load.mu.Lock()
-	slices.SortFunc(w.load.tried, func(a, b tried) int { return cmp.Compare(a.Sent, b.Sent) })
+	slices.SortFunc(w.load.tried, func(a, b tried) int { return cmp.Compare(a.SentAt, b.SentAt) })
 	for _, t := range w.load.tried {
 		if t.key == "" {
 			continue
 		}
 		x := by[t.key]
 		if x == nil {
-			x = &Wish{Key: t.key, Class: t.class.name, First: t.Sent, GiveUp: t.GiveUp, Instance: t.Instance, Lost: len(t.Answers) == 0}
+			x = &ClientRequest{Key: t.key, Class: t.class.name, First: t.SentAt, Patience: t.Patience, Instance: t.Instance, Lost: len(t.Answers) == 0}
 			by[t.key], values[t.key], racks[t.key] = x, map[string]bool{}, map[int]bool{}
 		}
-		x.Tries++
-		end, step := "no answer", Step{Key: t.key, From: t.Sent, Who: len(r.History)}
+		x.Attempts++
+		end, step := "no answer", Step{Key: t.key, From: t.SentAt, Who: len(r.History)}
 		if len(t.Answers) > 0 {
 			step.Until, step.Served, step.Value = t.Answers[0].At, t.Answers[0].Kind == "served", t.value
-			end = fmt.Sprintf("%s after %v", t.Answers[0].Kind, (t.Answers[0].At - t.Sent).Round(ms))
-			if x.Tries > 1 {
+			end = fmt.Sprintf("%s after %v", t.Answers[0].Kind, (t.Answers[0].At - t.SentAt).Round(ms))
+			if x.Attempts > 1 {
 				x.Again++
 			} else {
 				x.Answered = t.Answers[0].At
 			}
 		}
 		r.History = append(r.History, step)
-		x.Story = append(x.Story, fmt.Sprintf("%s at %v: %s", t.Instance, t.Sent.Round(ms), end))
+		x.Story = append(x.Story, fmt.Sprintf("%s at %v: %s", t.Instance, t.SentAt.Round(ms), end))
 		if len(t.Answers) > 0 && t.Answers[0].Kind == "served" {
 			x.Served = true
 			values[t.key][t.value] = true
@@ -68,12 +68,12 @@
 			continue
 		}
 		if fmt.Sprint("n", c.Instance) != x.Instance && x.Helped == 0 {
-			x.Helped = c.Came
+			x.Helped = c.ArrivedAt
 		}
-		switch c.How {
+		switch c.Fate {
 		case backend.Ran, backend.DroppedAfter, backend.Unanswered:
 			x.Effects++
-			r.History = append(r.History, Step{Key: c.Key, From: c.Came, Until: c.Ended, Effect: true, Who: len(r.History)})
+			r.History = append(r.History, Step{Key: c.Key, From: c.ArrivedAt, Until: c.EndedAt, Effect: true, Who: len(r.History)})
 			racks[c.Key][c.Rack] = true
 		}
 	}
@@ -81,11 +81,11 @@
 		x.Values, x.Racks = len(values[key]), len(racks[key])
 		r.Keyed = append(r.Keyed, *x)
 	}
-	slices.SortFunc(r.Keyed, func(a, b Wish) int { return cmp.Compare(a.First, b.First) })
+	slices.SortFunc(r.Keyed, func(a, b ClientRequest) int { return cmp.Compare(a.First, b.First) })
 }
 
 // rows sums up the clients' record.
-func (w *World) rows(r *Report) {
+func (w *Testbed) rows(r *Report) {
 	type key struct{ class, plan string }
 	byKey := map[key]*Row{}
 	took := map[key]*measure.Latencies{}
@@ -93,12 +93,12 @@
 	var perSecond []*measure.Latencies
 	w.load.mu.Lock()
 	defer w.load.mu.Unlock()
-	r.Tries = len(w.load.tried)
-	slices.SortFunc(w.load.tried, func(a, b tried) int { return cmp.Compare(a.Sent, b.Sent) })
+	r.Attempts = len(w.load.tried)
+	slices.SortFunc(w.load.tried, func(a, b tried) int { return cmp.Compare(a.SentAt, b.SentAt) })
 	for _, t := range w.load.tried {
 		for i := range r.Processes {
 			if r.Processes[i].Name == t.Instance {
-				r.Processes[i].Tries++
+				r.Processes[i].Attempts++
 			}
 		}
 		k := key{t.class.name, t.ch.plan.name}
@@ -114,16 +114,16 @@
 		}
 		sec := seconds[n]
 		count := func(wishes, inTime int) {
-			sec.Wishes, sec.InTime = sec.Wishes+wishes, sec.InTime+inTime
+			sec.Requests, sec.InTime = sec.Requests+wishes, sec.InTime+inTime
 			c, p := sec.ByClass[k.class], sec.ByPlan[k.plan]
-			sec.ByClass[k.class], sec.ByPlan[k.plan] = Slot{c.Wishes + wishes, c.InTime + inTime}, Slot{p.Wishes + wishes, p.InTime + inTime}
+			sec.ByClass[k.class], sec.ByPlan[k.plan] = Slot{c.Requests + wishes, c.InTime + inTime}, Slot{p.Requests + wishes, p.InTime + inTime}
 		}
-		row.Tries++
+		row.Attempts++
 		if t.ch.plan.ceiling > 0 && t.ch.demand > 1 {
 			name := map[bool]string{false: "resp", true: "http"}[t.http]
 			x := r.Fronts[name]
 			if t.retry == 0 {
-				x.Asked += t.class.units
+				x.Requested += t.class.units
 			}
 			if len(t.Answers) > 0 && t.Answers[0].Kind == "served" {
 				x.Served += t.class.units
@@ -131,7 +131,7 @@
 			r.Fronts[name] = x
 		}
 		if t.retry == 0 {
-			row.Wishes++
+			row.Requests++
 			count(1, 0)
 		}
 		if len(t.Answers) == 0 {
@@ -170,16 +170,16 @@
 }
 
 // score is the service as the brief counts it, from the clients' and the nodes' records.
-func (w *World) score(r *Report, e rulecheck.Evidence, calls int) (list []measure.Wish) {
-	wishes := map[int]*measure.Wish{}
+func (w *Testbed) score(r *Report, e rulecheck.Evidence, calls int) (list []measure.ClientRequest) {
+	wishes := map[int]*measure.ClientRequest{}
 	costs := measure.Costs{CounterCalls: calls}
 	w.load.mu.Lock()
 	for _, t := range w.load.tried {
 		x := wishes[t.wish]
 		if x == nil {
-			x = &measure.Wish{Due: t.due - w.load.began, Channel: fmt.Sprint(t.ch.id), Plan: t.ch.plan.name, Class: t.class.name, Units: t.class.units}
+			x = &measure.ClientRequest{Due: t.due - w.load.began, Channel: fmt.Sprint(t.ch.id), Plan: t.ch.plan.name, Class: t.class.name, Units: t.class.units}
 			wishes[t.wish] = x
-			costs.Asked += t.class.work.Mean()
+			costs.Requested += t.class.work.Mean()
 		}
 		if x.Served || len(t.Answers) == 0 {
 			continue
@@ -187,24 +187,24 @@
 		x.At, x.Served = t.Answers[0].At-w.load.began, t.Answers[0].Kind == "served"
 	}
 	w.load.mu.Unlock()
-	list = make([]measure.Wish, 0, len(wishes))
+	list = make([]measure.ClientRequest, 0, len(wishes))
 	for _, x := range wishes {
 		list = append(list, *x)
 	}
-	slices.SortFunc(list, func(a, b measure.Wish) int {
+	slices.SortFunc(list, func(a, b measure.ClientRequest) int {
 		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Channel, b.Channel))
 	})
 	for _, rec := range w.fleet.Records(0) {
-		if rec.How != backend.Busy {
+		if rec.Fate != backend.Busy {
 			costs.Done += rec.Work
 		}
 		if rec.Zone != "hall-"+string(rune('a'+rec.Instance%3)) {
-			costs.CrossHall++
+			costs.CrossZone++
 		}
 	}
-	var beyond []measure.Passed
-	for _, s := range rulecheck.Beyond(w.quotas(), e.Sent) {
-		beyond = append(beyond, measure.Passed{At: s.Came - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
+	var beyond []measure.Forwarded
+	for _, s := range rulecheck.Beyond(w.quotas(), e.Attempts) {
+		beyond = append(beyond, measure.Forwarded{At: s.ArrivedAt - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
 	}
 	mc, mp := worths(w.classes, w.plans)
 	r.Score = measure.Rate(mc, mp, list, beyond, costs)
@@ -213,8 +213,8 @@
 }
 
 // channels compares what the nodes saw with what was allowed.
-func (w *World) channels(r *Report, e rulecheck.Evidence) {
-	uses := rulecheck.Uses(w.quotas(), e.Sent)
+func (w *Testbed) channels(r *Report, e rulecheck.Evidence) {
+	uses := rulecheck.QuotaUses(w.quotas(), e.Attempts)
 	inside, beyond := 0.0, 0.0
 	for _, u := range uses {
 		inside, beyond = inside+u.Inside, beyond+u.Beyond
@@ -222,8 +222,8 @@
 	if inside > 0 {
 		r.BeyondShare = beyond / inside
 	}
-	if most := w.day.MostBeyond; most > 0 && r.BeyondShare > most {
-		r.Breaks = append(r.Breaks, rulecheck.Break{Rule: Quotas, At: w.load.began + time.Duration(w.day.Length), Until: w.load.began + time.Duration(w.day.Length), What: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*most)})
+	if most := w.day.MaxBeyond; most > 0 && r.BeyondShare > most {
+		r.Violations = append(r.Violations, rulecheck.Violation{Rule: Quotas, At: w.load.began + time.Duration(w.day.Length), Until: w.load.began + time.Duration(w.day.Length), Detail: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*most)})
 		r.Rules[Quotas] = 1
 	}
 	for _, ch := range w.load.channels {
@@ -233,7 +233,7 @@
 			continue
 		}
 		size := ch.plan.ceilingBurst()
-		c := Channel{Customer: id, Plan: u.Plan, Inside: u.Inside, Beyond: u.Beyond, Overrun: u.Overrun, OfCeiling: u.Overrun / size, Closest: r.verdict.Closest[id]}
+		c := Channel{Tenant: id, Plan: u.Plan, Inside: u.Inside, Beyond: u.Beyond, Overrun: u.Overrun, OfCeiling: u.Overrun / size, Closest: r.verdict.Closest[id]}
 		r.WorstOverrun = max(r.WorstOverrun, c.OfCeiling)
 		r.Channels = append(r.Channels, c)
 	}
--- a/internal/lab/takeover_test.go
+++ b/internal/lab/takeover_test.go
@@ -11,7 +11,7 @@
 )
 
 // Work reads what an instance has in custody; it is for the run's watcher.
-func workOf(ctx context.Context, w *World, i int) (core.WorkStatus, error) {
+func workOf(ctx context.Context, w *Testbed, i int) (core.WorkStatus, error) {
 	return get[core.WorkStatus](ctx, w.ingresses[i], "/work")
 }
 
@@ -41,8 +41,8 @@
 			cfg.Takeover, cfg.For, cfg.Rate = true, 9*time.Second, 0.8
 			var mu sync.Mutex
 			last := map[int]core.WorkStatus{}
-			cfg.Watch = func(ctx context.Context, w *World) {
-				for at := time.Second; w.At(ctx, at); at += 500 * ms {
+			cfg.Watch = func(ctx context.Context, w *Testbed) {
+				for at := time.Second; w.WaitUntil(ctx, at); at += 500 * ms {
 					for i := range w.Instances() {
 						if s, err := workOf(ctx, w, i); err == nil {
 							mu.Lock()
@@ -65,10 +65,10 @@
 					differ++
 				}
 				if w.Lost {
-					if lost++; w.First < at && w.First+w.GiveUp > at+2*time.Second {
+					if lost++; w.First < at && w.First+w.Patience > at+2*time.Second {
 						open++
 					}
-					if w.Tries > 1 && !w.Served {
+					if w.Attempts > 1 && !w.Served {
 						t.Log(w.Story)
 					}
 					if w.Served {
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -15,7 +15,7 @@
 )
 
 // timeline does the steps at their times, until ctx ends.
-func (w *World) timeline(ctx context.Context, began time.Time, steps []scenario.Step) error {
+func (w *Testbed) timeline(ctx context.Context, began time.Time, steps []scenario.Step) error {
 	for _, s := range steps {
 		t := time.NewTimer(time.Until(began.Add(s.At)))
 		select {
@@ -36,7 +36,7 @@
 }
 
 // later does something after a while, unless the run ends before.
-func (w *World) later(ctx context.Context, d time.Duration, do func()) {
+func (w *Testbed) later(ctx context.Context, d time.Duration, do func()) {
 	w.wg.Go(func() {
 		select {
 		case <-ctx.Done():
@@ -46,8 +46,8 @@
 	})
 }
 
-func (w *World) do(ctx context.Context, s scenario.Step) error {
-	verb := s.Words()[0]
+func (w *Testbed) do(ctx context.Context, s scenario.Step) error {
+	verb := s.Args()[0]
 	switch s.Kind {
 	case "store":
 		return w.store.Do(s.What)
@@ -123,7 +123,7 @@
 }
 
 // backLater starts a node anew after a while, where nobody has done so meanwhile.
-func (w *World) backLater(ctx context.Context, d time.Duration, i int) {
+func (w *Testbed) backLater(ctx context.Context, d time.Duration, i int) {
 	n, _ := w.node(i)
 	w.later(ctx, d, func() {
 		if now, _ := w.node(i); now != n {
@@ -138,7 +138,7 @@
 }
 
 // drill takes a hall out by the file that all instances read.
-func (w *World) drill(hall string, d time.Duration) error {
+func (w *Testbed) drill(hall string, d time.Duration) error {
 	now := time.Now()
 	l, err := zonedrain.Load(w.drills, now)
 	if err == nil {
@@ -151,7 +151,7 @@
 }
 
 // restart ends a node and starts it cold, at other addresses under its old id.
-func (w *World) restart(i int) error {
+func (w *Testbed) restart(i int) error {
 	n, _ := w.node(i)
 	w.stopNode(i)
 	t, err := w.addNode(n.Spec, true)
@@ -162,14 +162,14 @@
 }
 
 // pause stops this whole process for a while, as a machine without time for it would.
-func (w *World) pause(d time.Duration) error {
+func (w *Testbed) pause(d time.Duration) error {
 	pid := os.Getpid()
 	script := fmt.Sprintf("kill -STOP %d; sleep %.3f; kill -CONT %d", pid, d.Seconds(), pid)
 	return exec.Command("sh", "-c", script).Run()
 }
 
 // fault notes what went wrong with a step that was not waited for.
-func (w *World) fault(err error) {
+func (w *Testbed) fault(err error) {
 	if err != nil {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -177,8 +177,8 @@
 	}
 }
 
-func (w *World) doIngress(ctx context.Context, g *ingress, s scenario.Step) error {
-	switch s.Words()[0] {
+func (w *Testbed) doIngress(ctx context.Context, g *ingress, s scenario.Step) error {
+	switch s.Args()[0] {
 	case "kill":
 		g.down()
 		g.Signal(syscall.SIGKILL)
@@ -193,9 +193,9 @@
 	return nil
 }
 
-func (w *World) doNode(i int, s scenario.Step) error {
+func (w *Testbed) doNode(i int, s scenario.Step) error {
 	n, t := w.node(i)
-	switch words := s.Words(); words[0] {
+	switch words := s.Args(); words[0] {
 	case "slow":
 		n.Slow(s.Factor(1), s.Span(2))
 	case "pause":
@@ -227,7 +227,7 @@
 	return nil
 }
 
-func ruleAt(n *backend.Node, text string) error {
+func ruleAt(n *backend.Backend, text string) error {
 	r, err := fault.Parse(text)
 	if err == nil {
 		n.Fault(r)
--- a/internal/lab/trial/budgets.go
+++ b/internal/lab/trial/budgets.go
@@ -50,7 +50,7 @@
 }
 
 func playBudgets(ctx context.Context, c Cell, program string) (Result, error) {
-	r := Result{Figures: map[string]float64{}}
+	r := Result{Metrics: map[string]float64{}}
 	list, span := deaf(c.Case, c.Instances), unheardFor
 	var faults []string
 	cutAt := unheardAt
@@ -80,23 +80,23 @@
 	stated, modes := map[int]map[string]overrun.Bound{}, map[overrun.Mode]int{}
 	statedAt := map[int]time.Duration{}
 	cfg := lab.Config{
-		Day: "calm", Seed: c.Seed, For: unheardAt + unheardFor + rejoinFor, Ingresses: c.Instances, Nodes: 24, Hot: 5, Ingress: program, Tolerance: tolerance, Linked: true, Peers: true, Rights: c.On,
+		Scenario: "calm", Seed: c.Seed, For: unheardAt + unheardFor + rejoinFor, Ingresses: c.Instances, Backends: 24, Hot: 5, Ingress: program, Tolerance: tolerance, Linked: true, Peers: true, Escrow: c.On,
 		Faults: faults,
 	}
 	if c.Case == "clocks off, one deaf" {
 		cfg.Options = map[int]string{1: "[clock]\nahead = \"3s\"\n", 2: "[clock]\nrate = 1.08\n"}
 	}
-	cfg.Watch = func(ctx context.Context, w *lab.World) {
+	cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
 		for t := 500 * time.Millisecond; ; t += 500 * time.Millisecond {
 			at := t
 			if t == unheardAt { // what is stated is to be of before
 				at -= justBefore
 			}
-			if !w.At(ctx, at) {
+			if !w.WaitUntil(ctx, at) {
 				return
 			}
 			for i := range w.Instances() {
-				s, err := w.Budgets(ctx, i, span)
+				s, err := w.QuotaBounds(ctx, i, span)
 				if err != nil {
 					continue
 				}
@@ -121,7 +121,7 @@
 		return r, err
 	}
 	r.verdict(rep)
-	r.Breaks = slices.DeleteFunc(r.Breaks, func(b string) bool { return len(b) > len(lab.Quotas) && b[:len(lab.Quotas)] == lab.Quotas }) // the figure is the trial's
+	r.Violations = slices.DeleteFunc(r.Violations, func(b string) bool { return len(b) > len(lab.Quotas) && b[:len(lab.Quotas)] == lab.Quotas }) // the figure is the trial's
 	for _, i := range list {
 		for customer, s := range stated[i] {
 			if lost[i] {
@@ -132,15 +132,15 @@
 			}
 			from, passed := statedAt[i], 0.0
 			for _, p := range rep.Passes {
-				if p.Instance == i && p.Customer == customer && p.Came >= from && p.Came < from+span {
+				if p.Instance == i && p.Tenant == customer && p.ArrivedAt >= from && p.ArrivedAt < from+span {
 					passed += p.Units
 				}
 			}
-			r.Figures["passed"] += passed
-			r.Figures["stated"] += s.MaxSpend
-			r.Figures["tightest"] = max(r.Figures["tightest"], passed/max(1, s.MaxSpend))
+			r.Metrics["passed"] += passed
+			r.Metrics["stated"] += s.MaxSpend
+			r.Metrics["tightest"] = max(r.Metrics["tightest"], passed/max(1, s.MaxSpend))
 			if passed > s.MaxSpend+underWay {
-				r.Breaks = append(r.Breaks, fmt.Sprintf("n%d passed on %.1f units of %s in %v, and had stated %.1f (%v)", i, passed, customer, span, s.MaxSpend, s.Mode))
+				r.Violations = append(r.Violations, fmt.Sprintf("n%d passed on %.1f units of %s in %v, and had stated %.1f (%v)", i, passed, customer, span, s.MaxSpend, s.Mode))
 			}
 		}
 	}
@@ -148,35 +148,35 @@
 		if x.Plan != "storby" {
 			continue
 		}
-		r.Figures["overdrawn"] = max(r.Figures["overdrawn"], 100*x.OfCeiling)
+		r.Metrics["overdrawn"] = max(r.Metrics["overdrawn"], 100*x.OfCeiling)
 		bound, all := 0.0, len(list) > 0
 		for _, i := range list {
-			s, has := stated[i][x.Customer]
+			s, has := stated[i][x.Tenant]
 			bound, all = bound+s.Overrun, all && has && !lost[i]
 		}
 		if x.OfCeiling <= 0 || !all {
 			continue
 		}
 		store := x.Overrun / x.OfCeiling
-		r.Figures["bound"] = max(r.Figures["bound"], 100*bound/store)
+		r.Metrics["bound"] = max(r.Metrics["bound"], 100*bound/store)
 		if bound += usualOverrun * store; x.Overrun > bound+underWay*float64(len(list)) {
-			r.Breaks = append(r.Breaks, fmt.Sprintf("%s is overdrawn by %.1f units, and %.1f were stated", x.Customer, x.Overrun, bound))
+			r.Violations = append(r.Violations, fmt.Sprintf("%s is overdrawn by %.1f units, and %.1f were stated", x.Tenant, x.Overrun, bound))
 		}
 	}
-	r.Figures["service"] = rep.Service
+	r.Metrics["service"] = rep.Service
 	clips, inTime := 0, 0
 	for _, row := range rep.Rows {
 		if row.Class == "clip-publish" {
-			clips, inTime = clips+row.Wishes, inTime+row.InTime
+			clips, inTime = clips+row.Requests, inTime+row.InTime
 		}
 	}
-	r.Figures["clips"] = float64(inTime) / float64(max(1, clips))
-	r.Figures["looks_alone"], r.Figures["looks"] = float64(modes[overrun.Disconnected]+modes[overrun.NeverHeard]), float64(modes[overrun.Normal]+modes[overrun.Late]+modes[overrun.Disconnected]+modes[overrun.NeverHeard])
-	if len(list) > 0 && r.Figures["looks_alone"] == 0 {
-		r.Breaks = append(r.Breaks, "no instance said that it was alone")
+	r.Metrics["clips"] = float64(inTime) / float64(max(1, clips))
+	r.Metrics["looks_alone"], r.Metrics["looks"] = float64(modes[overrun.Disconnected]+modes[overrun.NeverHeard]), float64(modes[overrun.Normal]+modes[overrun.Late]+modes[overrun.Disconnected]+modes[overrun.NeverHeard])
+	if len(list) > 0 && r.Metrics["looks_alone"] == 0 {
+		r.Violations = append(r.Violations, "no instance said that it was alone")
 	}
 	if len(list) == 0 && modes[overrun.Disconnected] > 0 {
-		r.Breaks = append(r.Breaks, "an instance said that it was alone, and nothing had happened")
+		r.Violations = append(r.Violations, "an instance said that it was alone, and nothing had happened")
 	}
 	return r, nil
 }
--- a/internal/lab/trial/cost.go
+++ b/internal/lab/trial/cost.go
@@ -27,19 +27,19 @@
 const costFor = 10 * time.Second
 
 func playCost(ctx context.Context, c Cell, program string) (Result, error) {
-	r := Result{Figures: map[string]float64{}}
+	r := Result{Metrics: map[string]float64{}}
 	rep, err := lab.Run(ctx, lab.Config{
-		Day: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Nodes: costNodes[c.Case], Rate: 1.3, Ingress: program, Tolerance: tolerance, Linked: true,
+		Scenario: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Backends: costNodes[c.Case], Rate: 1.3, Ingress: program, Tolerance: tolerance, Linked: true,
 		Peers: c.On,
 	})
 	if err != nil {
 		return r, err
 	}
 	r.verdict(rep)
-	r.Figures["cpu_us"], r.Figures["service"] = rep.CPUPerRequestUS, rep.Service
-	r.Figures["tries_s"] = float64(rep.Tries) / rep.Seconds / float64(c.Instances)
+	r.Metrics["cpu_us"], r.Metrics["service"] = rep.CPUPerRequestUS, rep.Service
+	r.Metrics["tries_s"] = float64(rep.Attempts) / rep.Seconds / float64(c.Instances)
 	for _, p := range rep.Processes {
-		r.Figures["peak_mb"] = max(r.Figures["peak_mb"], p.PeakMB)
+		r.Metrics["peak_mb"] = max(r.Metrics["peak_mb"], p.PeakMB)
 	}
 	return r, nil
 }
--- a/internal/lab/trial/custody.go
+++ b/internal/lab/trial/custody.go
@@ -24,20 +24,20 @@
 var custodyCases = []string{"usual", "heavy"}
 
 func playCustody(ctx context.Context, c Cell, program string) (Result, error) {
-	r := Result{Figures: map[string]float64{}}
+	r := Result{Metrics: map[string]float64{}}
 	var mu sync.Mutex
 	cfg := lab.Config{
-		Day: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Nodes: costNodes[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
+		Scenario: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Backends: costNodes[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
 		Peers: true, Takeover: c.On,
 	}
-	cfg.Watch = func(ctx context.Context, w *lab.World) {
-		if !w.At(ctx, costFor-500*time.Millisecond) {
+	cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
+		if !w.WaitUntil(ctx, costFor-500*time.Millisecond) {
 			return
 		}
 		for i := range w.Instances() {
 			if s, err := w.Peers(ctx, i); err == nil {
 				mu.Lock()
-				r.Figures["bytes_s"] += float64(s.Counts.BytesOut) / costFor.Seconds() / float64(c.Instances)
+				r.Metrics["bytes_s"] += float64(s.Counts.BytesOut) / costFor.Seconds() / float64(c.Instances)
 				mu.Unlock()
 			}
 		}
@@ -49,16 +49,16 @@
 	r.verdict(rep)
 	var took []float64
 	for _, w := range rep.Keyed {
-		if w.Tries == 1 && w.Served {
+		if w.Attempts == 1 && w.Served {
 			took = append(took, float64((w.Answered-w.First).Microseconds())/1000)
 		}
 	}
 	slices.Sort(took)
-	r.Figures["keyed"], r.Figures["tries"] = float64(len(rep.Keyed)), float64(rep.Tries)
-	r.Figures["p50_ms"], r.Figures["p99_ms"] = quantile(took, 0.5), quantile(took, 0.99)
-	r.Figures["cpu_us"], r.Figures["service"] = rep.CPUPerRequestUS, rep.Service
+	r.Metrics["keyed"], r.Metrics["tries"] = float64(len(rep.Keyed)), float64(rep.Attempts)
+	r.Metrics["p50_ms"], r.Metrics["p99_ms"] = quantile(took, 0.5), quantile(took, 0.99)
+	r.Metrics["cpu_us"], r.Metrics["service"] = rep.CPUPerRequestUS, rep.Service
 	for _, p := range rep.Processes {
-		r.Figures["peak_mb"] = max(r.Figures["peak_mb"], p.PeakMB)
+		r.Metrics["peak_mb"] = max(r.Metrics["peak_mb"], p.PeakMB)
 	}
 	return r, nil
 }
--- a/internal/lab/trial/judgements.go
+++ b/internal/lab/trial/judgements.go
@@ -46,21 +46,21 @@
 func playJudgements(ctx context.Context, c Cell, program string) (Result, error) {
 	k := crawler(c.Seed)
 	name := fmt.Sprintf("node-%02d", k)
-	r := Result{Figures: map[string]float64{}}
+	r := Result{Metrics: map[string]float64{}}
 	var mu sync.Mutex
 	blamed := map[string]bool{} // healthy nodes that an instance leaves by others' word
 	cfg := lab.Config{
-		Day: "calm", Seed: c.Seed, For: crawlFrom + crawlFor + time.Second, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance,
+		Scenario: "calm", Seed: c.Seed, For: crawlFrom + crawlFor + time.Second, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance,
 		Linked: true, Peers: c.On, Faults: []string{
 			fmt.Sprintf("node/%d:slow %d %v at %v", k, crawlTimes, crawlFor, crawlFrom),
 			fmt.Sprintf("ingress/0:restart %v at %v", restartFor, crawlFrom+restartAt),
 		},
 	}
 	if c.On {
-		cfg.Watch = func(ctx context.Context, w *lab.World) {
-			for at := time.Second; w.At(ctx, at); at += 250 * time.Millisecond {
+		cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
+			for at := time.Second; w.WaitUntil(ctx, at); at += 250 * time.Millisecond {
 				for i := range w.Instances() {
-					s, err := w.NodesBelieved(ctx, i)
+					s, err := w.Backends(ctx, i)
 					if err != nil {
 						continue
 					}
@@ -81,7 +81,7 @@
 	}
 	r.verdict(rep)
 	for b := range blamed {
-		r.Breaks = append(r.Breaks, b)
+		r.Violations = append(r.Violations, b)
 	}
 	began := time.Duration(rep.BeganS * float64(time.Second))
 	from := began + crawlFrom
@@ -89,15 +89,15 @@
 	starter, others, starterAll, othersAll := 0.0, 0.0, 0.0, 0.0
 	back := from + restartAt + restartFor
 	for _, x := range rep.Commands {
-		if x.Node == name && x.Came >= from && x.Came < from+crawlSpan {
+		if x.Backend == name && x.ArrivedAt >= from && x.ArrivedAt < from+crawlSpan {
 			sends++
 			if x.Late {
 				late++
 			}
 		}
-		if x.Came >= back && x.Came < back+starterFor {
+		if x.ArrivedAt >= back && x.ArrivedAt < back+starterFor {
 			here := 0.0
-			if x.Node == name {
+			if x.Backend == name {
 				here = 1
 			}
 			if x.Instance == 0 {
@@ -107,11 +107,11 @@
 			}
 		}
 	}
-	r.Figures["late"], r.Figures["sent"] = float64(late), float64(sends)
-	r.Figures["service"] = rep.Service
-	r.Figures["cpu_us"] = rep.CPUPerRequestUS
+	r.Metrics["late"], r.Metrics["sent"] = float64(late), float64(sends)
+	r.Metrics["service"] = rep.Service
+	r.Metrics["cpu_us"] = rep.CPUPerRequestUS
 	if starterAll > 0 && othersAll > 0 {
-		r.Figures["starter_share"], r.Figures["others_share"] = starter/starterAll, others/othersAll
+		r.Metrics["starter_share"], r.Metrics["others_share"] = starter/starterAll, others/othersAll
 	}
 	return r, nil
 }
@@ -146,7 +146,7 @@
 		var xy plotter.XYs
 		for _, r := range all {
 			if r.On == on {
-				xy = append(xy, plotter.XY{X: float64(r.Instances) + 0.15*float64(2*i-1), Y: r.Figures["late"]})
+				xy = append(xy, plotter.XY{X: float64(r.Instances) + 0.15*float64(2*i-1), Y: r.Metrics["late"]})
 			}
 		}
 		if len(xy) == 0 {
