--- a/internal/lab/trial/partitions.go
+++ b/internal/lab/trial/partitions.go
@@ -59,7 +59,7 @@
 }
 
 func playPartitions(ctx context.Context, c Cell, program string) (Result, error) {
-	r := Result{Figures: map[string]float64{}}
+	r := Result{Metrics: map[string]float64{}}
 	faults := cuts(c.Case)
 	k := crawler(c.Seed)
 	faults = append(faults, fmt.Sprintf("node/%d:slow %d 3s at %v", k, crawlTimes, cutFrom+500*time.Millisecond)) // something to differ about
@@ -69,14 +69,14 @@
 		})
 	}
 	cfg := lab.Config{
-		Day: "calm", Seed: c.Seed, For: cutFrom + cutFor + healMost + time.Second, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance,
+		Scenario: "calm", Seed: c.Seed, For: cutFrom + cutFor + healMost + time.Second, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance,
 		Linked: true, Peers: c.On, Faults: faults,
 	}
 	healed := -1.0
 	if c.On {
-		cfg.Watch = func(ctx context.Context, w *lab.World) {
+		cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
 			end := cutFrom + cutFor
-			for at := end; at < end+healMost && w.At(ctx, at); at += 50 * time.Millisecond {
+			for at := end; at < end+healMost && w.WaitUntil(ctx, at); at += 50 * time.Millisecond {
 				if agree(ctx, w) {
 					if healed < 0 {
 						healed = (at - end).Seconds()
@@ -92,19 +92,19 @@
 		return r, err
 	}
 	r.verdict(rep)
-	r.Breaks = slices.DeleteFunc(r.Breaks, func(b string) bool { return strings.HasPrefix(b, lab.Quotas) && strings.HasSuffix(c.Case, noCounter) }) // see trial budgets
-	r.Figures["service"] = rep.Service
+	r.Violations = slices.DeleteFunc(r.Violations, func(b string) bool { return strings.HasPrefix(b, lab.Quotas) && strings.HasSuffix(c.Case, noCounter) }) // see trial budgets
+	r.Metrics["service"] = rep.Service
 	if c.On {
 		if healed < 0 {
-			r.Breaks = append(r.Breaks, fmt.Sprintf("the members do not agree %v after the cut's end", healMost))
+			r.Violations = append(r.Violations, fmt.Sprintf("the members do not agree %v after the cut's end", healMost))
 		}
-		r.Figures["healed_s"] = healed
+		r.Metrics["healed_s"] = healed
 	}
 	return r, nil
 }
 
 // agree says whether all instances hold all others to be there.
-func agree(ctx context.Context, w *lab.World) bool {
+func agree(ctx context.Context, w *lab.Testbed) bool {
 	for i := range w.Instances() {
 		s, err := w.Peers(ctx, i)
 		if err != nil || s.Alive != w.Instances()-1 {
--- a/internal/lab/trial/takeover.go
+++ b/internal/lab/trial/takeover.go
@@ -45,13 +45,13 @@
 }
 
 func playTakeover(ctx context.Context, c Cell, program string) (Result, error) {
-	r := Result{Figures: map[string]float64{}}
+	r := Result{Metrics: map[string]float64{}}
 	faults := append(losses(c.Case), fmt.Sprintf("fleet:slow %d 2s at %v", inHandSlow, lossAt-time.Second))
 	if !c.On {
 		faults = slices.DeleteFunc(faults, func(f string) bool { return f[:5] == "link/" }) // there are none between them
 	}
 	rep, err := lab.Run(ctx, lab.Config{
-		Day: "calm", Seed: c.Seed, For: takeoverFor, Ingresses: c.Instances, Nodes: 12, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
+		Scenario: "calm", Seed: c.Seed, For: takeoverFor, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
 		Peers: c.On, Takeover: c.On, Faults: faults,
 	})
 	if err != nil {
@@ -64,13 +64,13 @@
 	var took []float64
 	for _, w := range rep.Keyed {
 		if w.Effects > 1 {
-			r.Figures["doubled"]++
+			r.Metrics["doubled"]++
 		}
 		if w.Values > 1 {
-			r.Breaks = append(r.Breaks, "two answers for key "+w.Key)
+			r.Violations = append(r.Violations, "two answers for key "+w.Key)
 		}
 		// in hand at the loss: its client waited then, and had time left
-		if w.First > at || w.First < at-2*time.Second || w.First+w.GiveUp < at+1500*time.Millisecond || w.Answered > 0 && w.Answered < at {
+		if w.First > at || w.First < at-2*time.Second || w.First+w.Patience < at+1500*time.Millisecond || w.Answered > 0 && w.Answered < at {
 			continue
 		}
 		if w.Instance != "n0" && (c.Case != "two killed" || w.Instance != "n1") {
@@ -97,14 +97,14 @@
 		}
 	}
 	if c.On {
-		r.Breaks = append(r.Breaks, lab.CheckHistory(rep.History)...)
+		r.Violations = append(r.Violations, lab.CheckHistory(rep.History)...)
 	}
 	slices.Sort(took)
-	r.Figures["keyed"], r.Figures["in_hand"], r.Figures["done"], r.Figures["again"], r.Figures["answered"] = float64(len(rep.Keyed)), inHand, done, again, answered
-	r.Figures["beside"], r.Figures["beside_done"] = beside, besideDone
-	r.Figures["service"] = rep.Service
+	r.Metrics["keyed"], r.Metrics["in_hand"], r.Metrics["done"], r.Metrics["again"], r.Metrics["answered"] = float64(len(rep.Keyed)), inHand, done, again, answered
+	r.Metrics["beside"], r.Metrics["beside_done"] = beside, besideDone
+	r.Metrics["service"] = rep.Service
 	if len(took) > 0 {
-		r.Figures["helped_s"] = took[len(took)-1]
+		r.Metrics["helped_s"] = took[len(took)-1]
 	}
 	return r, nil
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -43,9 +43,9 @@
 // Result is what one run came to.
 type Result struct {
 	Cell
-	Figures map[string]float64 `json:"Figures"`
-	Breaks  []string           `json:"Breaks"` // of the rules, and of what the trial states
-	Doubts  []string           `json:"Doubts"` // why it proves nothing
+	Metrics    map[string]float64 `json:"Figures"`
+	Violations []string           `json:"Breaks"` // of the rules, and of what the trial states
+	Doubts     []string           `json:"Doubts"` // why it proves nothing
 }
 
 // trials are those that there are.
@@ -155,7 +155,7 @@
 	k.table(&table, results)
 	broken, doubtful := 0, 0
 	for _, r := range results {
-		if len(r.Breaks) > 0 {
+		if len(r.Violations) > 0 {
 			broken++
 		} else if len(r.Doubts) > 0 {
 			doubtful++
@@ -181,7 +181,7 @@
 	for range 1 + again {
 		r, err = k.play(ctx, c, program)
 		r.Cell = c
-		if err != nil || len(r.Doubts) == 0 || len(r.Breaks) > 0 || ctx.Err() != nil {
+		if err != nil || len(r.Doubts) == 0 || len(r.Violations) > 0 || ctx.Err() != nil {
 			return r, err
 		}
 		c.Seed += 1000
@@ -193,14 +193,14 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-24s %2d instances seed %4d on=%-5v", r.Case, r.Instances, r.Seed, r.On)
 	var names []string
-	for name := range r.Figures {
+	for name := range r.Metrics {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		fmt.Fprintf(&b, "  %s %.4g", name, r.Figures[name])
+		fmt.Fprintf(&b, "  %s %.4g", name, r.Metrics[name])
 	}
-	for _, x := range r.Breaks {
+	for _, x := range r.Violations {
 		fmt.Fprintf(&b, "\n    BROKEN: %s", x)
 	}
 	for _, x := range r.Doubts {
@@ -239,19 +239,19 @@
 
 // verdict puts a report's breaks and doubts into a result.
 func (r *Result) verdict(rep *lab.Report) {
-	for _, b := range rep.Breaks {
+	for _, b := range rep.Violations {
 		if !b.Doubtful {
-			r.Breaks = append(r.Breaks, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.What))
+			r.Violations = append(r.Violations, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Detail))
 		}
 	}
-	r.Breaks = append(r.Breaks, rep.Crashed...)
+	r.Violations = append(r.Violations, rep.Crashed...)
 	r.Doubts = append(r.Doubts, rep.Doubts()...)
 }
 
 // pick are the figures of one name in all runs that fit.
 func pick(all []Result, name string, fits func(Result) bool) (out []float64) {
 	for _, r := range all {
-		if v, has := r.Figures[name]; has && fits(r) && len(r.Doubts) == 0 {
+		if v, has := r.Metrics[name]; has && fits(r) && len(r.Doubts) == 0 {
 			out = append(out, v)
 		}
 	}
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -21,10 +21,10 @@
 	}
 	t.Log(out.String())
 	for _, r := range results {
-		if r.Figures["stated"] == 0 || r.Figures["passed"] == 0 {
-			t.Errorf("nothing was stated or passed on: %v", r.Figures)
+		if r.Metrics["stated"] == 0 || r.Metrics["passed"] == 0 {
+			t.Errorf("nothing was stated or passed on: %v", r.Metrics)
 		}
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			if strings.Contains(b, "had stated") || strings.Contains(b, "were stated") || strings.Contains(b, "was alone") {
 				t.Error(b)
 			}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -23,9 +23,9 @@
 )
 
 // World is a run.
-type World struct {
+type Testbed struct {
 	cfg       Config
-	day       *scenario.Day
+	day       *scenario.Scenario
 	classes   []class
 	plans     []*plan
 	dir       string
@@ -46,7 +46,7 @@
 	meter     *lateness.Meter
 	mu        sync.Mutex // of all below
 	specs     []backend.Spec
-	byName    map[string]*backend.Node
+	byName    map[string]*backend.Backend
 	targets   map[string]discovery.Target
 	lastHost  int
 	restarted int      // nodes that a share of the fleet has restarted so far
@@ -74,19 +74,19 @@
 	return w.play(ctx, steps)
 }
 
-func newWorld(cfg Config, d *scenario.Day) *World {
-	return &World{
+func newWorld(cfg Config, d *scenario.Scenario) *Testbed {
+	return &Testbed{
 		cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
 		net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256)), rng: rand.New(rand.NewPCG(cfg.Seed, 5)),
-		byName: map[string]*backend.Node{}, targets: map[string]discovery.Target{},
+		byName: map[string]*backend.Backend{}, targets: map[string]discovery.Target{},
 	}
 }
 
-func (w *World) clock() time.Duration { return time.Since(w.began) }
+func (w *Testbed) clock() time.Duration { return time.Since(w.began) }
 
-func (w *World) onClose(f func()) { w.closers = append(w.closers, f) }
+func (w *Testbed) onClose(f func()) { w.closers = append(w.closers, f) }
 
-func (w *World) close() {
+func (w *Testbed) close() {
 	for i := len(w.closers) - 1; i >= 0; i-- {
 		w.closers[i]()
 	}
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (w *World) open(ctx context.Context) (err error) {
+func (w *Testbed) open(ctx context.Context) (err error) {
 	if w.dir, err = os.MkdirTemp("", "hitchspring-lab-"); err != nil {
 		return err
 	}
@@ -156,25 +156,25 @@
 	return errors.Join(fails...)
 }
 
-func (w *World) openFleet() error {
+func (w *Testbed) openFleet() error {
 	work := map[string]backend.Work{}
 	for _, c := range w.classes {
 		work[c.name] = c.work
 	}
 	w.fleet = backend.NewFleet(backend.Rules{
-		Work: work, KeyMemory: keyMemory, ColdShare: coldShare, WarmAfter: warmAfter, WarmRequests: w.day.WarmBy,
-		FallMultiple: fallMultiple, FallSpan: time.Second, FallSlack: 50 * ms, MostConns: 1500, ConnWork: ms, Knee: 8, LossBeyond: 0.03,
+		Work: work, KeyMemory: keyMemory, SlowStartShare: coldShare, SlowStartWindow: warmAfter, SlowStartRequests: w.day.WarmedBy,
+		OverloadMultiple: fallMultiple, OverloadSpan: time.Second, OverloadSlack: 50 * ms, MaxConnections: 1500, ConnWork: ms, Knee: 8, LossBeyond: 0.03,
 	}, w.cfg.Seed, w.clock)
 	w.onClose(w.fleet.Close)
 	w.registry = discovery.New(w.cfg.Seed, w.clock, 500*ms, 3500*ms)
 	w.onClose(w.registry.Close)
-	for i := range w.day.Nodes {
+	for i := range w.day.Backends {
 		spec := backend.Spec{
 			ID: fmt.Sprintf("node-%02d", i), Zone: "hall-" + string(rune('a'+i%3)), Kind: "std-2c", Rack: i%3*10 + i/12,
-			Cores: 2, Speed: 0.85 + 0.25*w.rng.Float64(), Room: 40,
+			Cores: 2, Speed: 0.85 + 0.25*w.rng.Float64(), QueueCapacity: 40,
 		}
 		if i%3 == 2 {
-			spec.Kind, spec.Cores, spec.Speed, spec.Room = "slow-3c", 3, 0.51+0.18*w.rng.Float64(), 60
+			spec.Kind, spec.Cores, spec.Speed, spec.QueueCapacity = "slow-3c", 3, 0.51+0.18*w.rng.Float64(), 60
 		}
 		w.specs = append(w.specs, spec)
 		w.capacity += float64(spec.Cores) * spec.Speed
@@ -185,7 +185,7 @@
 	return nil
 }
 
-func (w *World) addNode(spec backend.Spec, cold bool) (discovery.Target, error) {
+func (w *Testbed) addNode(spec backend.Spec, cold bool) (discovery.Target, error) {
 	host, err := w.nextHost()
 	if err != nil {
 		return discovery.Target{}, err
@@ -210,7 +210,7 @@
 
 // nextHost is a loopback address that nothing in this run has had. What one run's processes go on sending to a peer that has
 // ended must reach nobody, neither here nor in a run beside it.
-func (w *World) nextHost() (string, error) {
+func (w *Testbed) nextHost() (string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lastHost++; w.lastHost >= firstInstance {
@@ -220,7 +220,7 @@
 }
 
 // node returns a node with its entry of the list.
-func (w *World) node(i int) (*backend.Node, discovery.Target) {
+func (w *Testbed) node(i int) (*backend.Backend, discovery.Target) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id := w.specs[i].ID
@@ -228,7 +228,7 @@
 }
 
 // tell puts an entry into the list, which the instances learn of late.
-func (w *World) tell(t discovery.Target, state string) {
+func (w *Testbed) tell(t discovery.Target, state string) {
 	t.State = state
 	w.mu.Lock()
 	w.targets[t.UID] = t
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -27,7 +27,7 @@
 // Rules are the figures of the five rules.
 type Rules struct {
 	Classes      map[string]Effect
-	Least        map[string]time.Duration // by class: no node serves it faster
+	MinAttempts  map[string]time.Duration // by class: no node serves it faster
 	KeyMemory    time.Duration            // of a rack
 	DrainGrace   time.Duration
 	Ceilings     map[string]Ceiling // by plan; others have none
@@ -40,17 +40,17 @@
 }
 
 // Usual are the platform's figures, but for classes and ceilings.
-func Usual() Rules {
+func DefaultRules() Rules {
 	return Rules{KeyMemory: 3 * time.Second, DrainGrace: 2 * time.Second, CeilingSlack: 0.1, MaxUnits: 6, Tolerance: 50 * time.Millisecond}
 }
 
 // Asked is one try of a client, as the client saw it.
-type Asked struct {
+type ClientRequest struct {
 	ID       string // new with every try
 	Instance string // that it was sent to
 	Class    string
-	Sent     time.Duration // of its last byte
-	GiveUp   time.Duration // after Sent
+	SentAt   time.Duration // of its last byte
+	Patience time.Duration // after Sent
 	Answers  []Answer      // final ones; more than one breaks a rule
 	Spoilt   bool          // an answer that was not made for it
 	Excused  bool          // its instance was killed, or never took it
@@ -63,52 +63,54 @@
 }
 
 // Sent is one attempt, as its node saw it.
-type Sent struct {
-	Came  time.Duration // its last byte was read, before any fault acted
-	Ended time.Duration // its answer left, or its connection was reset; 0: not yet
-	Node, Instance,
-	ID, Customer, Plan, Class string
-	Rack  int
-	Units float64
-	Busy  bool // turned away: it never ran, and the instance could know from Ended on
-	Cold  bool // its node was cold
+type BackendAttempt struct {
+	ArrivedAt time.Duration // its last byte was read, before any fault acted
+	EndedAt   time.Duration // its answer left, or its connection was reset; 0: not yet
+	Backend, Instance,
+	ID, Tenant, Plan, Class string
+	Rack      int
+	Units     float64
+	Busy      bool // turned away: it never ran, and the instance could know from Ended on
+	WarmingUp bool // its node was cold
 }
 
 // neverRan says whether the instance could know at a time that the attempt never ran.
-func (s Sent) neverRan(at time.Duration) bool { return s.Busy && s.Ended > 0 && s.Ended <= at }
+func (s BackendAttempt) neverRan(at time.Duration) bool {
+	return s.Busy && s.EndedAt > 0 && s.EndedAt <= at
+}
 
 // Told is one entry of the list, as discovery wrote it to an instance.
-type Told struct {
-	At             time.Duration
-	Instance, Node string
-	Serving        bool
+type Notification struct {
+	At                time.Duration
+	Instance, Backend string
+	Serving           bool
 }
 
 // ColdNode is a node that started cold.
-type ColdNode struct {
-	Node   string
-	At     time.Duration // of its fall; 0: it stands
-	Why    string        // of its fall
-	Pushed float64       // how near it came to its fall: 1 is the edge
+type Overload struct {
+	Backend string
+	At      time.Duration // of its fall; 0: it stands
+	Reason  string        // of its fall
+	Pushed  float64       // how near it came to its fall: 1 is the edge
 }
 
 // Late is a time in which the machine kept the observers from running.
-type Late struct{ At, By time.Duration }
+type ObserverDelay struct{ At, By time.Duration }
 
 // Evidence is all that the peers saw.
 type Evidence struct {
-	Asked []Asked
-	Sent  []Sent
-	Told  []Told
-	Cold  []ColdNode
-	Late  []Late
+	Requests       []ClientRequest
+	Attempts       []BackendAttempt
+	Notifications  []Notification
+	Overloads      []Overload
+	ObserverDelays []ObserverDelay
 }
 
 // Break is one break of a rule.
-type Break struct {
+type Violation struct {
 	Rule     string        `json:"Rule"`
 	At       time.Duration `json:"At"`
-	What     string        `json:"What"`
+	Detail   string        `json:"What"`
 	Until    time.Duration `json:"Until"`    // what it was judged by lies between At and Until
 	Doubtful bool          `json:"Doubtful"` // the observers themselves were late then
 }
@@ -118,44 +120,44 @@
 	NoneLost  = "no request lost"
 	NoneTwice = "no effect twice"
 	Drains    = "drains kept"
-	Cold      = "no cold node pushed over"
+	SlowStart = "no cold node pushed over"
 	Ceilings  = "ceilings kept"
 )
 
 // RuleNames lists the rules in their order.
-var RuleNames = []string{NoneLost, NoneTwice, Drains, Cold, Ceilings}
+var RuleNames = []string{NoneLost, NoneTwice, Drains, SlowStart, Ceilings}
 
 // Edges is how near a run came to what the rules forbid. A run that never came near one is no proof of it.
-type Edges struct {
-	Refused    int     `json:"Refused"`    // tries that were refused
-	Tight      int     `json:"Tight"`      // answers within 150 ms of the client's giving up
-	Repeats    int     `json:"Repeats"`    // attempts after one that may have run, as the class allows
-	HeldBack   int     `json:"HeldBack"`   // keyed or unsafe requests whose attempt may have run, ended with no value, and was not repeated elsewhere
-	Drains     int     `json:"Drains"`     // times that an instance went on sending elsewhere, past the grace of a node that drains
-	ColdSends  int     `json:"ColdSends"`  // attempts at cold nodes
-	ColdPush   float64 `json:"ColdPush"`   // how near a cold node came to falling over: 1 is the edge
-	Ceiling    float64 `json:"Ceiling"`    // how near a channel came to its ceiling, as a share of its store: 0 is the edge
-	CeilingFor int     `json:"CeilingFor"` // channels that came within a tenth of it
+type Margins struct {
+	Refused        int     `json:"Refused"`    // tries that were refused
+	Tight          int     `json:"Tight"`      // answers within 150 ms of the client's giving up
+	Repeats        int     `json:"Repeats"`    // attempts after one that may have run, as the class allows
+	Withheld       int     `json:"HeldBack"`   // keyed or unsafe requests whose attempt may have run, ended with no value, and was not repeated elsewhere
+	Drains         int     `json:"Drains"`     // times that an instance went on sending elsewhere, past the grace of a node that drains
+	SlowStartSends int     `json:"ColdSends"`  // attempts at cold nodes
+	SlowStartPush  float64 `json:"ColdPush"`   // how near a cold node came to falling over: 1 is the edge
+	Ceiling        float64 `json:"Ceiling"`    // how near a channel came to its ceiling, as a share of its store: 0 is the edge
+	CeilingFor     int     `json:"CeilingFor"` // channels that came within a tenth of it
 }
 
 // Verdict is what the evidence comes to.
-type Verdict struct {
-	Breaks []Break
+type Result struct {
+	Violations []Violation
 	// Closest is, for each customer under a ceiling, how near it came: the most units sent beyond what the ceiling allowed
 	// at that moment, below 0 where it stayed under, as a share of its burst.
-	Closest map[string]float64
-	Judged  map[string]int // how many facts each rule was judged by
-	Edges   Edges
-	Late    time.Duration // the longest time for which the observers were kept from running
+	Closest    map[string]float64
+	Checked    map[string]int // how many facts each rule was judged by
+	Margins    Margins
+	WorstDelay time.Duration // the longest time for which the observers were kept from running
 }
 
 // Clean says whether no rule broke.
-func (v Verdict) Clean() bool { return len(v.Breaks) == 0 }
+func (v Result) Clean() bool { return len(v.Violations) == 0 }
 
 // Certain are the breaks that no lateness of the observers can explain.
-func (v Verdict) Certain() int {
+func (v Result) Certain() int {
 	n := 0
-	for _, b := range v.Breaks {
+	for _, b := range v.Violations {
 		if !b.Doubtful {
 			n++
 		}
@@ -164,9 +166,9 @@
 }
 
 // Of returns the breaks of one rule.
-func (v Verdict) Of(rule string) []Break {
-	var out []Break
-	for _, b := range v.Breaks {
+func (v Result) Of(rule string) []Violation {
+	var out []Violation
+	for _, b := range v.Violations {
 		if b.Rule == rule {
 			out = append(out, b)
 		}
@@ -175,71 +177,71 @@
 }
 
 // Judge judges the evidence.
-func Judge(r Rules, e Evidence) Verdict {
-	v := Verdict{Closest: map[string]float64{}, Judged: map[string]int{}, Edges: Edges{Ceiling: -1}}
-	sent := slices.Clone(e.Sent)
-	slices.SortStableFunc(sent, func(a, b Sent) int { return cmp.Compare(a.Came, b.Came) })
-	byID := map[string][]Sent{}
+func Check(r Rules, e Evidence) Result {
+	v := Result{Closest: map[string]float64{}, Checked: map[string]int{}, Margins: Margins{Ceiling: -1}}
+	sent := slices.Clone(e.Attempts)
+	slices.SortStableFunc(sent, func(a, b BackendAttempt) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
+	byID := map[string][]BackendAttempt{}
 	for _, s := range sent {
 		byID[s.ID] = append(byID[s.ID], s)
 	}
-	asked := map[string]*Asked{}
-	for i := range e.Asked {
-		asked[e.Asked[i].ID] = &e.Asked[i]
+	asked := map[string]*ClientRequest{}
+	for i := range e.Requests {
+		asked[e.Requests[i].ID] = &e.Requests[i]
 	}
-	v.lost(r, e.Asked, byID)
-	v.held(r, e.Asked, byID)
+	v.lost(r, e.Requests, byID)
+	v.held(r, e.Requests, byID)
 	v.twice(r, byID, asked)
-	v.drains(r, e.Told, sent, asked)
-	v.cold(sent, e.Cold)
+	v.drains(r, e.Notifications, sent, asked)
+	v.cold(sent, e.Overloads)
 	v.ceilings(r, sent)
-	for _, l := range e.Late {
-		v.Late = max(v.Late, l.By)
-		for i := range v.Breaks {
-			b := &v.Breaks[i]
+	for _, l := range e.ObserverDelays {
+		v.WorstDelay = max(v.WorstDelay, l.By)
+		for i := range v.Violations {
+			b := &v.Violations[i]
 			b.Doubtful = b.Doubtful || l.By > r.Tolerance && l.At+l.By >= b.At && l.At-l.By <= b.Until+r.Tolerance
 		}
 	}
-	sort.SliceStable(v.Breaks, func(i, j int) bool { return v.Breaks[i].At < v.Breaks[j].At })
+	sort.SliceStable(v.Violations, func(i, j int) bool { return v.Violations[i].At < v.Violations[j].At })
 	return v
 }
 
-func (v *Verdict) add(rule string, at, until time.Duration, format string, args ...any) {
-	v.Breaks = append(v.Breaks, Break{Rule: rule, At: at, Until: max(at, until), What: fmt.Sprintf(format, args...)})
+func (v *Result) add(rule string, at, until time.Duration, format string, args ...any) {
+	v.Violations = append(v.Violations, Violation{Rule: rule, At: at, Until: max(at, until), Detail: fmt.Sprintf(format, args...)})
 }
 
 // lost: one final answer, in time, and nothing sent after it.
-func (v *Verdict) lost(r Rules, asked []Asked, byID map[string][]Sent) {
+func (v *Result) lost(r Rules, asked []ClientRequest, byID map[string][]BackendAttempt) {
 	for _, a := range asked {
-		v.Judged[NoneLost]++
-		end := a.Sent + a.GiveUp
+		v.Checked[NoneLost]++
+		end := a.SentAt + a.Patience
 		switch {
 		case a.Spoilt:
-			v.add(NoneLost, a.Sent, end, "%s %s was answered with what no node made for it", a.Class, a.ID)
+			v.add(NoneLost, a.SentAt, end, "%s %s was answered with what no node made for it", a.Class, a.ID)
 		case len(a.Answers) > 1:
-			v.add(NoneLost, a.Sent, end, "%s %s has %d answers", a.Class, a.ID, len(a.Answers))
+			v.add(NoneLost, a.SentAt, end, "%s %s has %d answers", a.Class, a.ID, len(a.Answers))
 		case a.Excused:
 		case len(a.Answers) == 0:
-			v.add(NoneLost, a.Sent, end, "%s %s to %s has no answer", a.Class, a.ID, a.Instance)
+			v.add(NoneLost, a.SentAt, end, "%s %s to %s has no answer", a.Class, a.ID, a.Instance)
 		case a.Answers[0].At > end+r.Tolerance:
-			v.add(NoneLost, a.Sent, a.Answers[0].At, "%s %s was answered %v after its time", a.Class, a.ID, a.Answers[0].At-end)
+			v.add(NoneLost, a.SentAt, a.Answers[0].At, "%s %s was answered %v after its time", a.Class, a.ID, a.Answers[0].At-end)
 		}
 		if len(a.Answers) == 0 {
 			continue
 		}
 		first := a.Answers[0]
 		if first.Kind == "refused" {
-			v.Edges.Refused++
+			v.Margins.Refused++
 		}
 		if first.At > end-150*time.Millisecond {
-			v.Edges.Tight++
+			v.Margins.Tight++
 		}
 		for _, s := range byID[a.ID] {
 			if s.Instance != a.Instance && r.Classes[a.Class] == Keyed {
 				continue // a taker can't know of the answer of one who is cut off from it; that it adds no effect is judged below
 			}
-			if s.Came > first.At+r.Tolerance {
-				v.add(NoneLost, first.At, s.Came, "%s %s was sent to %s %v after its answer", a.Class, a.ID, s.Node, s.Came-first.At)
+			if s.ArrivedAt > first.At+r.Tolerance {
+				v.add(NoneLost, first.At, s.ArrivedAt, "%s %s was sent to %s %v after its answer", a.Class, a.ID, s.Backend, s.ArrivedAt-first.At)
 			}
 		}
 	}
@@ -252,18 +254,18 @@
 
 // held: a request that was given up on is answered at once. A refusal that comes when no node could have served it any
 // more, and none was out, was decided on earlier.
-func (v *Verdict) held(r Rules, asked []Asked, byID map[string][]Sent) {
+func (v *Result) held(r Rules, asked []ClientRequest, byID map[string][]BackendAttempt) {
 	type group struct{ instance, class string }
-	all, held := map[group]int{}, map[group][]Asked{}
+	all, held := map[group]int{}, map[group][]ClientRequest{}
 	for _, a := range asked {
 		if len(a.Answers) != 1 || a.Answers[0].Kind != "refused" || a.Excused {
 			continue
 		}
 		g := group{a.Instance, a.Class}
 		all[g]++
-		at, least := a.Answers[0].At, r.Least[a.Class]-r.Tolerance
-		out := slices.ContainsFunc(byID[a.ID], func(s Sent) bool { return s.Ended == 0 || s.Ended > at-2*r.Least[a.Class] })
-		if a.Sent+a.GiveUp-at < least && !out {
+		at, least := a.Answers[0].At, r.MinAttempts[a.Class]-r.Tolerance
+		out := slices.ContainsFunc(byID[a.ID], func(s BackendAttempt) bool { return s.EndedAt == 0 || s.EndedAt > at-2*r.MinAttempts[a.Class] })
+		if a.SentAt+a.Patience-at < least && !out {
 			held[g] = append(held[g], a)
 		}
 	}
@@ -272,33 +274,33 @@
 			continue
 		}
 		a := list[0]
-		v.add(NoneLost, a.Sent, a.Answers[0].At, "%s held %d of %d refusals of %s until no node could have served them, %s until %v before its time", g.instance,
-			len(list), all[g], g.class, a.ID, a.Sent+a.GiveUp-a.Answers[0].At)
+		v.add(NoneLost, a.SentAt, a.Answers[0].At, "%s held %d of %d refusals of %s until no node could have served them, %s until %v before its time", g.instance,
+			len(list), all[g], g.class, a.ID, a.SentAt+a.Patience-a.Answers[0].At)
 	}
 }
 
 // twice: after an attempt that may have run, by what the instance could know, only what the class allows.
-func (v *Verdict) twice(r Rules, byID map[string][]Sent, asked map[string]*Asked) {
+func (v *Result) twice(r Rules, byID map[string][]BackendAttempt, asked map[string]*ClientRequest) {
 	for id, list := range byID {
 		effect := r.Classes[list[0].Class]
 		for i, s := range list {
-			v.Judged[NoneTwice]++
-			before := slices.IndexFunc(list[:i], func(b Sent) bool { return !b.neverRan(s.Came) })
+			v.Checked[NoneTwice]++
+			before := slices.IndexFunc(list[:i], func(b BackendAttempt) bool { return !b.neverRan(s.ArrivedAt) })
 			if before < 0 {
 				continue
 			}
 			first := list[before]
 			switch {
 			case effect == Safe:
-				v.Edges.Repeats++
+				v.Margins.Repeats++
 			case effect == Unsafe:
-				v.add(NoneTwice, first.Came, s.Came, "%s %s, which may not be repeated, was sent to %s and %s", s.Class, id, first.Node, s.Node)
+				v.add(NoneTwice, first.ArrivedAt, s.ArrivedAt, "%s %s, which may not be repeated, was sent to %s and %s", s.Class, id, first.Backend, s.Backend)
 			case s.Rack != first.Rack:
-				v.add(NoneTwice, first.Came, s.Came, "%s %s went to rack %d and rack %d", s.Class, id, first.Rack, s.Rack)
-			case s.Came-first.Came > r.KeyMemory+r.Tolerance:
-				v.add(NoneTwice, first.Came, s.Came, "%s %s was repeated after %v", s.Class, id, s.Came-first.Came)
+				v.add(NoneTwice, first.ArrivedAt, s.ArrivedAt, "%s %s went to rack %d and rack %d", s.Class, id, first.Rack, s.Rack)
+			case s.ArrivedAt-first.ArrivedAt > r.KeyMemory+r.Tolerance:
+				v.add(NoneTwice, first.ArrivedAt, s.ArrivedAt, "%s %s was repeated after %v", s.Class, id, s.ArrivedAt-first.ArrivedAt)
 			default:
-				v.Edges.Repeats++
+				v.Margins.Repeats++
 			}
 		}
 		a := asked[id]
@@ -306,58 +308,58 @@
 			continue
 		}
 		at := a.Answers[0].At
-		if i := slices.IndexFunc(list, func(s Sent) bool { return s.Came < at && !s.neverRan(at) }); i >= 0 {
-			v.Edges.HeldBack++
+		if i := slices.IndexFunc(list, func(s BackendAttempt) bool { return s.ArrivedAt < at && !s.neverRan(at) }); i >= 0 {
+			v.Margins.Withheld++
 			if a.Answers[0].Kind == "refused" {
-				v.add(NoneTwice, list[i].Came, at, "%s %s was refused, as if trying again were harmless, though %s may have run it", a.Class, id, list[i].Node)
+				v.add(NoneTwice, list[i].ArrivedAt, at, "%s %s was refused, as if trying again were harmless, though %s may have run it", a.Class, id, list[i].Backend)
 			}
 		}
 	}
 }
 
 // cold: no node was pushed over, by all instances together.
-func (v *Verdict) cold(sent []Sent, nodes []ColdNode) {
+func (v *Result) cold(sent []BackendAttempt, nodes []Overload) {
 	for _, s := range sent {
-		if s.Cold {
-			v.Edges.ColdSends++
+		if s.WarmingUp {
+			v.Margins.SlowStartSends++
 		}
 	}
-	v.Judged[Cold] = v.Edges.ColdSends
+	v.Checked[SlowStart] = v.Margins.SlowStartSends
 	for _, n := range nodes {
-		v.Edges.ColdPush = max(v.Edges.ColdPush, n.Pushed)
+		v.Margins.SlowStartPush = max(v.Margins.SlowStartPush, n.Pushed)
 		if n.At > 0 {
-			v.add(Cold, n.At, n.At, "node %s fell over: %s", n.Node, n.Why)
+			v.add(SlowStart, n.At, n.At, "node %s fell over: %s", n.Backend, n.Reason)
 		}
 	}
 }
 
 // drains: nothing new to a node after the grace, by the instance that was told.
-func (v *Verdict) drains(r Rules, told []Told, sent []Sent, asked map[string]*Asked) {
+func (v *Result) drains(r Rules, told []Notification, sent []BackendAttempt, asked map[string]*ClientRequest) {
 	type pair struct{ instance, node string }
 	told = slices.Clone(told)
-	slices.SortStableFunc(told, func(a, b Told) int { return cmp.Compare(a.At, b.At) })
-	history := map[pair][]Told{}
+	slices.SortStableFunc(told, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
+	history := map[pair][]Notification{}
 	for _, t := range told {
-		p := pair{t.Instance, t.Node}
+		p := pair{t.Instance, t.Backend}
 		history[p] = append(history[p], t)
 	}
 	for p, list := range history { // drains past their grace while their instance sent elsewhere
-		if i := slices.IndexFunc(list, func(t Told) bool { return !t.Serving }); i >= 0 && slices.ContainsFunc(sent, func(s Sent) bool {
-			return s.Came > list[i].At+r.DrainGrace && s.Instance == p.instance && s.Node != p.node && asked[s.ID] != nil
+		if i := slices.IndexFunc(list, func(t Notification) bool { return !t.Serving }); i >= 0 && slices.ContainsFunc(sent, func(s BackendAttempt) bool {
+			return s.ArrivedAt > list[i].At+r.DrainGrace && s.Instance == p.instance && s.Backend != p.node && asked[s.ID] != nil
 		}) {
-			v.Edges.Drains++
+			v.Margins.Drains++
 		}
 	}
 	for _, s := range sent {
 		if asked[s.ID] == nil {
-			v.add(NoneLost, s.Came, s.Came, "node %s was sent %s, which no client asked", s.Node, s.ID)
+			v.add(NoneLost, s.ArrivedAt, s.ArrivedAt, "node %s was sent %s, which no client asked", s.Backend, s.ID)
 			continue
 		}
-		v.Judged[Drains]++
+		v.Checked[Drains]++
 		var since time.Duration // since when it drains, by what the instance was told before
 		drains := false
-		for _, t := range history[pair{s.Instance, s.Node}] {
-			if t.At > s.Came {
+		for _, t := range history[pair{s.Instance, s.Backend}] {
+			if t.At > s.ArrivedAt {
 				break
 			}
 			if t.Serving {
@@ -366,14 +368,14 @@
 				drains, since = true, t.At
 			}
 		}
-		if drains && s.Came-since > r.DrainGrace+r.Tolerance {
-			v.add(Drains, since, s.Came, "%s sent to %s %v after it was told that this one drains", s.Instance, s.Node, s.Came-since)
+		if drains && s.ArrivedAt-since > r.DrainGrace+r.Tolerance {
+			v.add(Drains, since, s.ArrivedAt, "%s sent to %s %v after it was told that this one drains", s.Instance, s.Backend, s.ArrivedAt-since)
 		}
 	}
 }
 
 // ceilings: the units of first attempts, over all instances together.
-func (v *Verdict) ceilings(r Rules, sent []Sent) {
+func (v *Result) ceilings(r Rules, sent []BackendAttempt) {
 	type store struct {
 		level float64
 		at    time.Duration
@@ -387,33 +389,33 @@
 			continue
 		}
 		counted[s.ID] = true
-		v.Judged[Ceilings]++
+		v.Checked[Ceilings]++
 		rate, burst := c.Rate, c.Burst
-		st := stores[s.Customer]
+		st := stores[s.Tenant]
 		if st == nil {
-			st = &store{level: burst, at: s.Came}
-			stores[s.Customer] = st
-			v.Closest[s.Customer] = -1
+			st = &store{level: burst, at: s.ArrivedAt}
+			stores[s.Tenant] = st
+			v.Closest[s.Tenant] = -1
 		}
-		st.level = min(burst, st.level+rate*(s.Came-st.at).Seconds()) - s.Units
-		st.at = s.Came
-		v.Closest[s.Customer] = max(v.Closest[s.Customer], -st.level/burst)
+		st.level = min(burst, st.level+rate*(s.ArrivedAt-st.at).Seconds()) - s.Units
+		st.at = s.ArrivedAt
+		v.Closest[s.Tenant] = max(v.Closest[s.Tenant], -st.level/burst)
 		slack := max(r.CeilingSlack*burst, r.MaxUnits) + rate*0.15
-		if -st.level > slack && !broken[s.Customer] {
-			broken[s.Customer] = true
-			v.add(Ceilings, s.Came, s.Came, "customer %s of %s is %.1f units over its ceiling of %.1f and %.1f a second", s.Customer, s.Plan, -st.level, burst, rate)
+		if -st.level > slack && !broken[s.Tenant] {
+			broken[s.Tenant] = true
+			v.add(Ceilings, s.ArrivedAt, s.ArrivedAt, "customer %s of %s is %.1f units over its ceiling of %.1f and %.1f a second", s.Tenant, s.Plan, -st.level, burst, rate)
 		}
 	}
 	for _, c := range v.Closest {
-		v.Edges.Ceiling = max(v.Edges.Ceiling, c)
+		v.Margins.Ceiling = max(v.Margins.Ceiling, c)
 		if c > -0.1 {
-			v.Edges.CeilingFor++
+			v.Margins.CeilingFor++
 		}
 	}
 }
 
 // Use is what one customer used of its quota, replayed over all instances together.
-type Use struct {
+type QuotaUse struct {
 	Plan           string
 	Inside, Beyond float64 // units of first attempts
 	Overrun        float64 // the most units by which the quota's store was overdrawn at a time, as all use is taken from it
@@ -423,24 +425,24 @@
 type Quota struct{ Rate, Burst float64 }
 
 // Uses replays the quotas.
-func Uses(quotas map[string]Quota, sent []Sent) map[string]Use {
-	out := map[string]Use{}
-	replay(quotas, sent, func(s Sent, inside bool, overrun float64) {
-		u := out[s.Customer]
+func QuotaUses(quotas map[string]Quota, sent []BackendAttempt) map[string]QuotaUse {
+	out := map[string]QuotaUse{}
+	replay(quotas, sent, func(s BackendAttempt, inside bool, overrun float64) {
+		u := out[s.Tenant]
 		u.Plan, u.Overrun = s.Plan, max(u.Overrun, overrun)
 		if inside {
 			u.Inside += s.Units
 		} else {
 			u.Beyond += s.Units
 		}
-		out[s.Customer] = u
+		out[s.Tenant] = u
 	})
 	return out
 }
 
 // Beyond are the first attempts that their channels' quotas did not hold.
-func Beyond(quotas map[string]Quota, sent []Sent) (out []Sent) {
-	replay(quotas, sent, func(s Sent, inside bool, _ float64) {
+func Beyond(quotas map[string]Quota, sent []BackendAttempt) (out []BackendAttempt) {
+	replay(quotas, sent, func(s BackendAttempt, inside bool, _ float64) {
 		if !inside {
 			out = append(out, s)
 		}
@@ -450,9 +452,9 @@
 
 // replay takes each first attempt from its channel's store, in the order in which they came, and tells whether it held it,
 // and how far all use together has overdrawn it.
-func replay(quotas map[string]Quota, all []Sent, tell func(s Sent, inside bool, overrun float64)) {
+func replay(quotas map[string]Quota, all []BackendAttempt, tell func(s BackendAttempt, inside bool, overrun float64)) {
 	sent := slices.Clone(all)
-	slices.SortStableFunc(sent, func(a, b Sent) int { return cmp.Compare(a.Came, b.Came) })
+	slices.SortStableFunc(sent, func(a, b BackendAttempt) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	type store struct {
 		level, strict float64
 		at            time.Duration
@@ -465,13 +467,13 @@
 			continue
 		}
 		counted[s.ID] = true
-		st := stores[s.Customer]
+		st := stores[s.Tenant]
 		if st == nil {
-			st = &store{q.Burst, q.Burst, s.Came}
-			stores[s.Customer] = st
+			st = &store{q.Burst, q.Burst, s.ArrivedAt}
+			stores[s.Tenant] = st
 		}
-		dt := (s.Came - st.at).Seconds()
-		st.level, st.strict, st.at = min(q.Burst, st.level+q.Rate*dt), min(q.Burst, st.strict+q.Rate*dt), s.Came
+		dt := (s.ArrivedAt - st.at).Seconds()
+		st.level, st.strict, st.at = min(q.Burst, st.level+q.Rate*dt), min(q.Burst, st.strict+q.Rate*dt), s.ArrivedAt
 		inside := st.level >= s.Units
 		if inside {
 			st.level -= s.Units
@@ -482,7 +484,7 @@
 }
 
 // String lists the rules with their breaks, for people.
-func (v Verdict) String() string {
+func (v Result) String() string {
 	var b strings.Builder
 	for _, rule := range RuleNames {
 		breaks := v.Of(rule)
@@ -490,7 +492,7 @@
 		if len(breaks) > 0 {
 			mark = fmt.Sprintf("BROKEN %d times", len(breaks))
 		}
-		fmt.Fprintf(&b, "  %-26s %-18s by %d facts\n", rule, mark, v.Judged[rule])
+		fmt.Fprintf(&b, "  %-26s %-18s by %d facts\n", rule, mark, v.Checked[rule])
 		for i, k := range breaks {
 			if i == 3 {
 				fmt.Fprintf(&b, "      and %d more\n", len(breaks)-3)
@@ -500,7 +502,7 @@
 			if k.Doubtful {
 				doubt = " (the lab was late then)"
 			}
-			fmt.Fprintf(&b, "      at %.3f s: %s%s\n", k.At.Seconds(), k.What, doubt)
+			fmt.Fprintf(&b, "      at %.3f s: %s%s\n", k.At.Seconds(), k.Detail, doubt)
 		}
 	}
 	return b.String()
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -22,36 +22,36 @@
 )
 
 // How a command went at its node.
-type How string
+type Fate string
 
 // The ways.
 const (
-	Open          How = ""               // not ended yet
-	Ran           How = "ran"            // it took effect, and its answer was written
-	Remembered    How = "remembered"     // a repeat that the rack dropped; answered as the first
-	Busy          How = "busy"           // turned away unseen, and told so
-	Failed        How = "failed"         // answered with an error
-	DroppedBefore How = "dropped before" // the connection was reset before it took effect
-	DroppedAfter  How = "dropped after"  // it took effect, and the connection was reset
-	Unanswered    How = "unanswered"     // nothing was ever said
-	CutOff        How = "cut off"        // the network held it: it reached no program
-	Died          How = "died"           // the node ended under it
+	Open          Fate = ""               // not ended yet
+	Ran           Fate = "ran"            // it took effect, and its answer was written
+	Remembered    Fate = "remembered"     // a repeat that the rack dropped; answered as the first
+	Busy          Fate = "busy"           // turned away unseen, and told so
+	Failed        Fate = "failed"         // answered with an error
+	DroppedBefore Fate = "dropped before" // the connection was reset before it took effect
+	DroppedAfter  Fate = "dropped after"  // it took effect, and the connection was reset
+	Unanswered    Fate = "unanswered"     // nothing was ever said
+	CutOff        Fate = "cut off"        // the network held it: it reached no program
+	Died          Fate = "died"           // the node ended under it
 )
 
 // Record is one command as its node saw it, whatever became of it.
 type Record struct {
-	Came, Began, Ended time.Duration // its last byte was read; it got a core (0: never); its answer was about to leave (0: not yet)
-	Instance           int           // by the address that it came to
-	Conn               uint64
-	Node, Zone         string
-	Customer, ID       string
-	Class, Plan, Key   string
-	Rack               int
-	Units              float64
-	Allowed            time.Duration // how long the instance said that it waits for the answer
-	How                How
-	Cold               bool          // the node was not warm yet
-	Work               time.Duration // of a core of speed 1, where it ran
+	ArrivedAt, StartedAt, EndedAt time.Duration // its last byte was read; it got a core (0: never); its answer was about to leave (0: not yet)
+	Instance                      int           // by the address that it came to
+	Conn                          uint64
+	Backend, Zone                 string
+	Tenant, ID                    string
+	Class, Plan, Key              string
+	Rack                          int
+	Units                         float64
+	Allowed                       time.Duration // how long the instance said that it waits for the answer
+	Fate                          Fate
+	WarmingUp                     bool          // the node was not warm yet
+	Work                          time.Duration // of a core of speed 1, where it ran
 }
 
 // Traffic is what one instance's connections to a node came to.
@@ -66,7 +66,7 @@
 	clock func() time.Duration
 	mu    sync.Mutex // of all below
 	rng   *rand.Rand
-	nodes []*Node
+	nodes []*Backend
 	racks map[int]map[string]*seen
 	swept time.Duration
 	log   []Record
@@ -120,7 +120,7 @@
 }
 
 // Node is one machine.
-type Node struct {
+type Backend struct {
 	Spec
 	f       *Fleet
 	lns     []net.Listener
@@ -138,9 +138,9 @@
 
 // Add starts a node, cold or warm, with an address for each of so many instances, on a loopback host. A host that no other
 // node ever had keeps apart what is sent to one that has gone.
-func (f *Fleet) Add(s Spec, host string, cold bool, instances int) (*Node, error) {
+func (f *Fleet) Add(s Spec, host string, cold bool, instances int) (*Backend, error) {
 	instances = max(1, instances)
-	n := &Node{
+	n := &Backend{
 		Spec: s, f: f, faults: fault.New(uint64(len(s.ID))), gone: make(chan struct{}), conns: map[net.Conn]bool{},
 		traffic: make([]Traffic, instances), cuts: make([]time.Duration, instances),
 	}
@@ -166,7 +166,7 @@
 }
 
 // Nodes are all that were added, also those that are down.
-func (f *Fleet) Nodes() []*Node {
+func (f *Fleet) Backends() []*Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.nodes)
@@ -188,7 +188,7 @@
 
 // Close ends all nodes.
 func (f *Fleet) Close() {
-	for _, n := range f.Nodes() {
+	for _, n := range f.Backends() {
 		n.Stop()
 	}
 	f.once.Do(func() { close(f.stop) })
@@ -196,10 +196,10 @@
 }
 
 // Addr is where the node listens for an instance.
-func (n *Node) Addr(instance int) string { return n.lns[instance].Addr().String() }
+func (n *Backend) Addr(instance int) string { return n.lns[instance].Addr().String() }
 
 // Addrs are all its addresses, by instance.
-func (n *Node) Addrs() (out []string) {
+func (n *Backend) Addrs() (out []string) {
 	for i := range n.lns {
 		out = append(out, n.Addr(i))
 	}
@@ -207,10 +207,10 @@
 }
 
 // Fault puts a rule in force from now on; calls are known by their class, callers as n0, n1 and so on.
-func (n *Node) Fault(r fault.Rule) { n.faults.Add(n.f.clock(), r) }
+func (n *Backend) Fault(r fault.Rule) { n.faults.Add(n.f.clock(), r) }
 
 // change does something to the node under the fleet's lock, with the machine brought up to now.
-func (n *Node) change(do func(now time.Duration)) {
+func (n *Backend) change(do func(now time.Duration)) {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	now := n.f.clock()
@@ -219,9 +219,9 @@
 }
 
 // Stop ends the node as a killed process would.
-func (n *Node) Stop() { n.change(func(time.Duration) { n.end() }) }
+func (n *Backend) Stop() { n.change(func(time.Duration) { n.end() }) }
 
-func (n *Node) end() {
+func (n *Backend) end() {
 	if n.down {
 		return
 	}
@@ -240,7 +240,7 @@
 }
 
 // Down says whether the node has ended.
-func (n *Node) Down() bool {
+func (n *Backend) Down() bool {
 	select {
 	case <-n.gone:
 		return true
@@ -257,7 +257,7 @@
 }
 
 // Reset ends all connections as a machine between does that has forgotten them; what runs goes on.
-func (n *Node) Reset() {
+func (n *Backend) Reset() {
 	n.change(func(time.Duration) {
 		for nc := range n.conns {
 			reset(nc)
@@ -266,59 +266,59 @@
 }
 
 // Drain makes the node turn new work away, or ends that.
-func (n *Node) Drain(on bool) { n.change(func(time.Duration) { n.drains = on }) }
+func (n *Backend) Drain(on bool) { n.change(func(time.Duration) { n.drains = on }) }
 
 // CloseIdle has the node close connections on which no command has come for so long; 0: none.
-func (n *Node) CloseIdle(after time.Duration) { n.idle.Store(int64(after)) }
+func (n *Backend) CloseIdle(after time.Duration) { n.idle.Store(int64(after)) }
 
 // Slow makes the node so many times slower for a while, also in what it has begun.
-func (n *Node) Slow(times float64, d time.Duration) {
+func (n *Backend) Slow(times float64, d time.Duration) {
 	n.change(func(now time.Duration) { n.m.slow(times, now+d) })
 }
 
 // Pause makes the node do nothing for a while; it goes on taking commands.
-func (n *Node) Pause(d time.Duration) { n.change(func(now time.Duration) { n.m.paused = now + d }) }
+func (n *Backend) Pause(d time.Duration) { n.change(func(now time.Duration) { n.m.paused = now + d }) }
 
 // Neighbour lets another program take a share of the machine for d, on and off.
-func (n *Node) Neighbour(share float64, on, off, d time.Duration) {
+func (n *Backend) Neighbour(share float64, on, off, d time.Duration) {
 	n.change(func(now time.Duration) { n.m.other = neighbour{share, on, off, now, now + d} })
 }
 
 // Cut cuts the node from one instance for a while: nothing is read or answered, and when it ends what was open is reset.
-func (n *Node) Cut(instance int, d time.Duration) {
+func (n *Backend) Cut(instance int, d time.Duration) {
 	n.change(func(now time.Duration) { n.cuts[instance] = now + d })
 }
 
 // Fell says why and when the node was pushed over while it was cold; empty: it was not.
-func (n *Node) Fell() (why string, at time.Duration) {
+func (n *Backend) Fell() (why string, at time.Duration) {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	return n.m.fell, n.m.fellAt
 }
 
 // Pushed is how near a cold node came to falling over: 1 is the edge. 0 for one that was never cold, or got nothing.
-func (n *Node) Pushed() float64 {
+func (n *Backend) Pushed() float64 {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	return n.m.pushed
 }
 
 // Traffic is what an instance's connections came to.
-func (n *Node) Traffic(instance int) Traffic {
+func (n *Backend) Traffic(instance int) Traffic {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	return n.traffic[instance]
 }
 
 // Load is how many requests it holds, and its capacity now in seconds of work a second.
-func (n *Node) Load() (held int, capacity float64, down bool) {
+func (n *Backend) Load() (held int, capacity float64, down bool) {
 	n.change(func(time.Duration) { held, capacity, down = n.m.open, n.m.capacity(), n.down })
 	return held, capacity, down
 }
 
 // Able is what it does now for whoever reaches it, in seconds of work a second: with all that slows it, 0 while it is down,
 // paused, or cut from everybody.
-func (n *Node) Able() (able float64) {
+func (n *Backend) Capacity() (able float64) {
 	n.change(func(now time.Duration) {
 		reached := false
 		for _, until := range n.cuts {
@@ -331,14 +331,14 @@
 	return able
 }
 
-func (n *Node) accept(instance int, ln net.Listener) {
+func (n *Backend) accept(instance int, ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		n.f.mu.Lock()
-		if n.down || n.f.rules.MostConns > 0 && len(n.conns) >= n.f.rules.MostConns {
+		if n.down || n.f.rules.MaxConnections > 0 && len(n.conns) >= n.f.rules.MaxConnections {
 			n.f.mu.Unlock()
 			reset(nc)
 			continue
@@ -368,7 +368,7 @@
 // conn is one connection of an instance.
 type conn struct {
 	net.Conn
-	n        *Node
+	n        *Backend
 	instance int
 	id       uint64
 	hello    *job          // what the connection itself costs; its first command waits for it
@@ -384,7 +384,7 @@
 }
 
 // wait waits for a time, or for the node's end.
-func (n *Node) wait(d time.Duration) (alive bool) {
+func (n *Backend) wait(d time.Duration) (alive bool) {
 	if d <= 0 {
 		return true
 	}
@@ -552,15 +552,15 @@
 }
 
 // came records a command, and counts it where the node is cold.
-func (n *Node) came(rec Record) (at int) {
+func (n *Backend) came(rec Record) (at int) {
 	n.change(func(now time.Duration) {
-		rec.Came, rec.Node, rec.Zone, rec.Rack = now, n.ID, n.Zone, n.Rack
-		rec.Cold = n.m.warmth() < 1
+		rec.ArrivedAt, rec.Backend, rec.Zone, rec.Rack = now, n.ID, n.Zone, n.Rack
+		rec.WarmingUp = n.m.warmth() < 1
 		w, known := n.f.rules.Work[rec.Class]
 		if !known {
 			w = usualWork
 		}
-		rec.Work = w.Least + time.Duration(n.f.rng.Float64()*float64(w.Most-w.Least))
+		rec.Work = w.Min + time.Duration(n.f.rng.Float64()*float64(w.Max-w.Min))
 		if at = len(n.f.log); at < mostRecords {
 			n.f.log = append(n.f.log, rec)
 		} else {
@@ -575,26 +575,26 @@
 }
 
 // ended tells the record how a command ended.
-func (n *Node) ended(at int, how How) {
+func (n *Backend) ended(at int, how Fate) {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	r := &n.f.log[at]
-	r.Ended, r.How = n.f.clock(), how
+	r.EndedAt, r.Fate = n.f.clock(), how
 	if how == Ran || how == DroppedAfter || how == Remembered || how == Unanswered {
-		n.counts = append(n.counts, r.Ended)
+		n.counts = append(n.counts, r.EndedAt)
 		n.m.served++
 	}
 }
 
 // submit takes a recorded command into the queue.
-func (n *Node) submit(at int) (j *job, how How) {
+func (n *Backend) submit(at int) (j *job, how Fate) {
 	n.change(func(now time.Duration) {
 		rec := &n.f.log[at]
 		switch {
 		case n.down:
 			how = Died
 			return
-		case n.drains || n.m.open >= n.Room:
+		case n.drains || n.m.open >= n.QueueCapacity:
 			how = Busy
 			return
 		}
@@ -610,7 +610,7 @@
 			return
 		}
 		j, how = n.m.add(rec.Work), Ran
-		rec.Began = now
+		rec.StartedAt = now
 		if rec.Key != "" {
 			rack[rec.Key] = &seen{now, j}
 		}
@@ -618,14 +618,14 @@
 	return j, how
 }
 
-func (n *Node) release() {
+func (n *Backend) release() {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	n.m.open--
 }
 
 // report is the load report of a probe.
-func (n *Node) report() string {
+func (n *Backend) report() string {
 	n.f.mu.Lock()
 	defer n.f.mu.Unlock()
 	now := n.f.clock() / reportEvery * reportEvery
@@ -660,7 +660,7 @@
 	if len(args) < 4 || len(args) > 5 || len(args[1]) != 16 || len(args[2]) != 16 {
 		return Record{}, false
 	}
-	r.Customer, r.ID = string(args[1]), string(args[2])
+	r.Tenant, r.ID = string(args[1]), string(args[2])
 	var d int
 	for pair := range strings.SplitSeq(string(args[3]), ",") {
 		k, v, _ := strings.Cut(pair, "=")
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -16,14 +16,14 @@
 	began := time.Now()
 	f := NewFleet(Rules{
 		Work:      map[string]Work{"read": {time.Millisecond, time.Millisecond}, "long": {time.Hour, time.Hour}},
-		KeyMemory: time.Hour, ColdShare: 0.25, WarmAfter: time.Hour, FallMultiple: 4, FallSpan: time.Second,
+		KeyMemory: time.Hour, SlowStartShare: 0.25, SlowStartWindow: time.Hour, OverloadMultiple: 4, OverloadSpan: time.Second,
 	}, 1, func() time.Duration { return time.Since(began) })
 	return f
 }
 
-func add(t *testing.T, f *Fleet, id string, rack int, cold bool) *Node {
+func add(t *testing.T, f *Fleet, id string, rack int, cold bool) *Backend {
 	t.Helper()
-	n, err := f.Add(Spec{ID: id, Zone: "a", Rack: rack, Cores: 2, Speed: 1, Room: 2}, "127.0.0.1", cold, 2)
+	n, err := f.Add(Spec{ID: id, Zone: "a", Rack: rack, Cores: 2, Speed: 1, QueueCapacity: 2}, "127.0.0.1", cold, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 }
 
 // say sends a command on a connection of its own and returns the answer's first line.
-func say(t *testing.T, n *Node, words ...string) string {
+func say(t *testing.T, n *Backend, words ...string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", n.Addr(1))
 	if err != nil {
@@ -64,7 +64,7 @@
 	f := fleet(t)
 	t.Cleanup(f.Close)
 	one, two, far := add(t, f, "one", 1, false), add(t, f, "two", 1, false), add(t, f, "far", 2, false)
-	for _, n := range []*Node{one, two, far} {
+	for _, n := range []*Backend{one, two, far} {
 		if got := say(t, n, ask("read", idA, ",k=key")...); got != "*3" {
 			t.Fatal(got)
 		}
@@ -75,9 +75,9 @@
 }
 
 func hows(f *Fleet) string {
-	var how []How
+	var how []Fate
 	for _, r := range f.Records(0) {
-		how = append(how, r.How)
+		how = append(how, r.Fate)
 	}
 	return fmt.Sprint(how)
 }
@@ -112,7 +112,7 @@
 
 // Whatever fault a command meets, it is recorded at the time that it came, and how it went.
 func TestEveryCommandLeavesARecord(t *testing.T) {
-	for rule, want := range map[string]How{
+	for rule, want := range map[string]Fate{
 		"delay 80ms": Ran, "hold 80ms": Ran, "drop-before": DroppedBefore, "drop-after": DroppedAfter, "fail": Failed,
 		"cut": DroppedAfter, "repeat": Ran,
 	} {
@@ -127,11 +127,11 @@
 		say(t, n, ask("read", idA, "")...)
 		f.Close()
 		rec := f.Records(0)
-		if len(rec) != 1 || rec[0].How != want || rec[0].Came < sent || rec[0].Ended < rec[0].Came {
+		if len(rec) != 1 || rec[0].Fate != want || rec[0].ArrivedAt < sent || rec[0].EndedAt < rec[0].ArrivedAt {
 			t.Errorf("%s: %+v", rule, rec)
 		}
-		if r.By > 0 && rec[0].Ended-rec[0].Came < r.By {
-			t.Errorf("%s: it came %v before its end: the fault acted before the record", rule, rec[0].Ended-rec[0].Came)
+		if r.By > 0 && rec[0].EndedAt-rec[0].ArrivedAt < r.By {
+			t.Errorf("%s: it came %v before its end: the fault acted before the record", rule, rec[0].EndedAt-rec[0].ArrivedAt)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 
 // model is a machine of one core of speed 1, and one second of work in it.
 func model(rules Rules, cold bool) (*machine, *job) {
-	m := &machine{Spec: Spec{Cores: 1, Speed: 1, Room: 1000}, rules: &rules, cold: cold}
+	m := &machine{Spec: Spec{Cores: 1, Speed: 1, QueueCapacity: 1000}, rules: &rules, cold: cold}
 	return m, m.add(time.Second)
 }
 
@@ -201,8 +201,8 @@
 		"neighbour, off": {event: func(m *machine) {
 			m.other = neighbour{0.5, 200 * time.Millisecond, time.Second, m.now, m.now + time.Minute}
 		}, want: half + 600*time.Millisecond},
-		"cold by time":      {rules: Rules{ColdShare: 0.25, WarmAfter: time.Hour}, cold: true, want: 4 * time.Second},
-		"warm by requests":  {rules: Rules{ColdShare: 0.25, WarmAfter: time.Hour, WarmRequests: 10}, cold: true, event: func(m *machine) { m.served = 10 }, want: half + 875*time.Millisecond},
+		"cold by time":      {rules: Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour}, cold: true, want: 4 * time.Second},
+		"warm by requests":  {rules: Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, SlowStartRequests: 10}, cold: true, event: func(m *machine) { m.served = 10 }, want: half + 875*time.Millisecond},
 		"many open on it":   {rules: Rules{Knee: 10, LossBeyond: 0.1}, event: func(m *machine) { m.open = 20 }, want: half + time.Second},
 		"fewer than a knee": {rules: Rules{Knee: 10, LossBeyond: 0.1}, event: func(m *machine) { m.open = 10 }, want: time.Second},
 	} {
@@ -220,7 +220,7 @@
 // A cold node that is sent more than it can bear falls over and says why, whoever sent it and even what it turned away; a
 // warm one does not.
 func TestPushedOver(t *testing.T) {
-	rules := Rules{ColdShare: 0.25, WarmAfter: time.Hour, FallMultiple: 4, FallSpan: time.Second}
+	rules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, OverloadMultiple: 4, OverloadSpan: time.Second}
 	for name, c := range map[string]struct {
 		cold  bool
 		n     int
--- a/internal/standin/backend/machine.go
+++ b/internal/standin/backend/machine.go
@@ -7,25 +7,25 @@
 )
 
 // Work says how long a request of a class takes on a core of speed 1: evenly between Least and Most.
-type Work struct{ Least, Most time.Duration }
+type Work struct{ Min, Max time.Duration }
 
 // Mean is its middle.
-func (w Work) Mean() time.Duration { return (w.Least + w.Most) / 2 }
+func (w Work) Mean() time.Duration { return (w.Min + w.Max) / 2 }
 
 // Rules are the figures that hold for all nodes of a fleet. A zero figure leaves its effect out.
 type Rules struct {
-	Work         map[string]Work // by class; of one that is not here 20 to 40 ms
-	KeyMemory    time.Duration   // for how long a rack drops repeats of a key
-	ColdShare    float64         // of its capacity, with which a node starts
-	WarmAfter    time.Duration   // time from a cold start to the whole of it
-	WarmRequests int             // served requests that warm it as well, whichever is first; 0: time alone
-	FallMultiple float64         // a cold node that is sent more than so many times what it can do
-	FallSpan     time.Duration   // within so long falls over and stays down
-	FallSlack    time.Duration   // of work, for chance
-	MostConns    int
-	ConnWork     time.Duration // of a core, for a new connection; its first request waits for it
-	Knee         float64       // open requests a core beyond which a node grows less efficient
-	LossBeyond   float64       // of its efficiency, for each open request a core beyond the knee
+	Work              map[string]Work // by class; of one that is not here 20 to 40 ms
+	KeyMemory         time.Duration   // for how long a rack drops repeats of a key
+	SlowStartShare    float64         // of its capacity, with which a node starts
+	SlowStartWindow   time.Duration   // time from a cold start to the whole of it
+	SlowStartRequests int             // served requests that warm it as well, whichever is first; 0: time alone
+	OverloadMultiple  float64         // a cold node that is sent more than so many times what it can do
+	OverloadSpan      time.Duration   // within so long falls over and stays down
+	OverloadSlack     time.Duration   // of work, for chance
+	MaxConnections    int
+	ConnWork          time.Duration // of a core, for a new connection; its first request waits for it
+	Knee              float64       // open requests a core beyond which a node grows less efficient
+	LossBeyond        float64       // of its efficiency, for each open request a core beyond the knee
 }
 
 // Spec is one machine.
@@ -34,7 +34,7 @@
 	Rack           int
 	Cores          int
 	Speed          float64 // of a core
-	Room           int     // requests that it holds, in work and waiting; beyond them it answers BUSY
+	QueueCapacity  int     // requests that it holds, in work and waiting; beyond them it answers BUSY
 }
 
 // usualWork is that of a class without a figure of its own.
@@ -94,14 +94,14 @@
 
 // warmth is the share of its capacity that a node has by its age, or by what it has served.
 func (m *machine) warmth() float64 {
-	if !m.cold || m.rules.WarmAfter <= 0 {
+	if !m.cold || m.rules.SlowStartWindow <= 0 {
 		return 1
 	}
-	grown := (m.now - m.start).Seconds() / m.rules.WarmAfter.Seconds()
-	if m.rules.WarmRequests > 0 {
-		grown = max(grown, float64(m.served)/float64(m.rules.WarmRequests))
+	grown := (m.now - m.start).Seconds() / m.rules.SlowStartWindow.Seconds()
+	if m.rules.SlowStartRequests > 0 {
+		grown = max(grown, float64(m.served)/float64(m.rules.SlowStartRequests))
 	}
-	return m.rules.ColdShare + (1-m.rules.ColdShare)*min(1, grown)
+	return m.rules.SlowStartShare + (1-m.rules.SlowStartShare)*min(1, grown)
 }
 
 // capacity is what it could do now if nothing slowed it, in seconds of work a second.
@@ -185,26 +185,26 @@
 // the node can do at the moment. It says whether the node has fallen over.
 func (m *machine) push(work time.Duration) bool {
 	r := m.rules
-	if r.FallMultiple <= 0 || m.warmth() >= 1 {
+	if r.OverloadMultiple <= 0 || m.warmth() >= 1 {
 		m.sent = nil
 		return false
 	}
 	m.sent = append(m.sent, sentWork{m.now, work.Seconds()})
-	for len(m.sent) > 0 && m.now-m.sent[0].at > r.FallSpan {
+	for len(m.sent) > 0 && m.now-m.sent[0].at > r.OverloadSpan {
 		m.sent = m.sent[1:]
 	}
 	sum := 0.0
 	for _, s := range m.sent {
 		sum += s.work
 	}
-	most := r.FallMultiple*m.capacity()*r.FallSpan.Seconds() + r.FallSlack.Seconds()
+	most := r.OverloadMultiple*m.capacity()*r.OverloadSpan.Seconds() + r.OverloadSlack.Seconds()
 	m.pushed = max(m.pushed, sum/most)
 	if sum <= most || m.fell != "" {
 		return false
 	}
 	m.fellAt = m.now
-	m.fell = fmt.Sprintf("%.2f s of work came within %v, %.2f is %g times what it can do at %.0f%% of its warmth, %v after its start", sum, r.FallSpan,
-		most, r.FallMultiple, 100*m.warmth(), (m.now - m.start).Round(time.Millisecond))
+	m.fell = fmt.Sprintf("%.2f s of work came within %v, %.2f is %g times what it can do at %.0f%% of its warmth, %v after its start", sum, r.OverloadSpan,
+		most, r.OverloadMultiple, 100*m.warmth(), (m.now - m.start).Round(time.Millisecond))
 	return true
 }
 
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -38,14 +38,14 @@
 }
 
 // Told is one entry as it was written to an instance.
-type Told struct {
+type Notification struct {
 	At         time.Duration
 	Agent      int
 	UID, State string
 }
 
 // Asked is one request of an instance, whether or not it was answered.
-type Asked struct {
+type Poll struct {
 	At    time.Duration
 	Agent int
 	Watch bool
@@ -65,9 +65,9 @@
 	rng    *rand.Rand
 	rev    int64
 	agents []*agent
-	told   []Told
-	learnt []Told // by agents, whether or not they have told it
-	asked  []Asked
+	told   []Notification
+	learnt []Notification // by agents, whether or not they have told it
+	asked  []Poll
 }
 
 type agent struct {
@@ -170,21 +170,21 @@
 }
 
 // Asked returns what the instances asked so far.
-func (r *Registry) Asked() []Asked {
+func (r *Registry) Polls() []Poll {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.asked)
 }
 
 // Told returns what was written to the instances so far.
-func (r *Registry) Told() []Told {
+func (r *Registry) Notifications() []Notification {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.told)
 }
 
 // Learnt returns what the agents have learnt so far, whether or not they have told it.
-func (r *Registry) Learnt() []Told {
+func (r *Registry) Versions() []Notification {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.learnt)
@@ -195,7 +195,7 @@
 		return
 	}
 	a.rev, a.by[t.UID] = max(a.rev, rev), rev
-	a.r.learnt = append(a.r.learnt, Told{a.r.clock(), a.n, t.UID, t.State})
+	a.r.learnt = append(a.r.learnt, Notification{a.r.clock(), a.n, t.UID, t.State})
 	if a.n < len(t.Endpoints) {
 		t.Endpoint = t.Endpoints[a.n]
 	}
@@ -236,12 +236,12 @@
 			if t.State == "SERVING" {
 				when = from
 			}
-			a.r.told = append(a.r.told, Told{when, a.n, t.UID, t.State})
+			a.r.told = append(a.r.told, Notification{when, a.n, t.UID, t.State})
 		}
 		delete(was, t.UID)
 	}
 	for uid := range was {
-		a.r.told = append(a.r.told, Told{at, a.n, uid, "DELETED"})
+		a.r.told = append(a.r.told, Notification{at, a.n, uid, "DELETED"})
 	}
 }
 
@@ -253,7 +253,7 @@
 	out := json.NewEncoder(w)
 	l, news, mute := a.look()
 	a.r.mu.Lock()
-	a.r.asked = append(a.r.asked, Asked{a.r.clock(), a.n, req.URL.Query().Get("follow") != "", req.URL.Query().Get("since"), mute})
+	a.r.asked = append(a.r.asked, Poll{a.r.clock(), a.n, req.URL.Query().Get("follow") != "", req.URL.Query().Get("since"), mute})
 	a.r.mu.Unlock()
 	if mute {
 		<-req.Context().Done()
--- a/internal/standin/discovery/discovery_test.go
+++ b/internal/standin/discovery/discovery_test.go
@@ -58,10 +58,10 @@
 	if l := next(watch); l.Rev != 4 || len(l.Targets) != 0 {
 		t.Fatalf("%+v", l)
 	}
-	for end := time.Now().Add(10 * time.Second); len(r.Told()) < 4 && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); len(r.Notifications()) < 4 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	told := r.Told() // by the list, by the watch's first line, then the changes
+	told := r.Notifications() // by the list, by the watch's first line, then the changes
 	if len(told) != 4 || told[2].State != "DRAINING" || told[2].At < set+50*time.Millisecond || told[3].State != "DELETED" {
 		t.Fatalf("%+v", told)
 	}
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -32,7 +32,7 @@
 const header = "X-Hitch"
 
 // Wish is one request of a client.
-type Wish struct {
+type Request struct {
 	ID, Channel, Class, Plan, Key string
 	Units                         float64
 	Spread, First                 int
@@ -109,7 +109,7 @@
 }
 
 // Do carries one request through.
-func (g *Gate) Do(ctx context.Context, w Wish) (res Result) {
+func (g *Gate) Do(ctx context.Context, w Request) (res Result) {
 	ctx, cancel := context.WithTimeout(ctx, w.Wait)
 	defer cancel()
 	rule, _, _ := g.faults.Next(time.Since(g.start), w.Class, "")
@@ -170,7 +170,7 @@
 }
 
 // ask calls the ingress; done says that the result is final.
-func (g *Gate) ask(ctx context.Context, w Wish, res *Result) (x grant, done bool) {
+func (g *Gate) ask(ctx context.Context, w Request, res *Result) (x grant, done bool) {
 	res.Kind = "failed"
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.base+"/check", nil)
 	if err != nil {
@@ -262,7 +262,7 @@
 }
 
 // send carries a command to a node, and says how it went in the words of a report.
-func (g *Gate) send(ctx context.Context, addr string, w Wish) (value, outcome string) {
+func (g *Gate) send(ctx context.Context, addr string, w Request) (value, outcome string) {
 	c := g.take(addr)
 	if c == nil {
 		d := net.Dialer{Timeout: 250 * time.Millisecond}
@@ -371,7 +371,7 @@
 		http.Error(w, "want /CHANNEL/CLASS?plan=PLAN, the channel in hex, and an id of 16 characters if any", http.StatusBadRequest)
 		return
 	}
-	res := g.Do(r.Context(), Wish{ID: id, Channel: fmt.Sprintf("%016x", n), Class: class, Plan: q.Get("plan"), Key: q.Get("key"), Units: units, Spread: 1, Wait: 5 * time.Second})
+	res := g.Do(r.Context(), Request{ID: id, Channel: fmt.Sprintf("%016x", n), Class: class, Plan: q.Get("plan"), Key: q.Get("key"), Units: units, Spread: 1, Wait: 5 * time.Second})
 	switch res.Kind {
 	case "served":
 		fmt.Fprintln(w, res.Value)
--- a/internal/standin/gate/gate_test.go
+++ b/internal/standin/gate/gate_test.go
@@ -64,8 +64,8 @@
 // By each fault the gate sends, reports and answers as the script says, and as it ought to without one.
 func TestFaults(t *testing.T) {
 	const value = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-	good := scripted.NewNode(t, func(int, []string, net.Conn) string { return value })
-	full := scripted.NewNode(t, func(int, []string, net.Conn) string { return "-BUSY\r\n" })
+	good := scripted.NewBackend(t, func(int, []string, net.Conn) string { return value })
+	full := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "-BUSY\r\n" })
 	for name, c := range map[string]struct {
 		rule    string
 		nodes   []string
@@ -99,7 +99,7 @@
 			g.Fault(r)
 		}
 		before := len(good.Seen())
-		res := g.Do(context.Background(), Wish{ID: "00000000000000aa", Channel: "00000000000003e9", Class: "publish", Plan: "storby", Key: "k", Units: 2, Spread: 1, Wait: 3 * time.Second})
+		res := g.Do(context.Background(), Request{ID: "00000000000000aa", Channel: "00000000000003e9", Class: "publish", Plan: "storby", Key: "k", Units: 2, Spread: 1, Wait: 3 * time.Second})
 		if res.Kind != c.kind || c.kind == "served" && res.Value != "value" || c.status == 429 && res.After != 70*time.Millisecond {
 			t.Errorf("%s: %+v", name, res)
 		}
@@ -119,7 +119,7 @@
 
 // A client's plain request goes through, and what cannot be read is said.
 func TestPlainHTTP(t *testing.T) {
-	node := scripted.NewNode(t, func(int, []string, net.Conn) string { return "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" })
+	node := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" })
 	srv := httptest.NewServer(&ingress{nodes: []string{node.Addr}, within: time.Second})
 	defer srv.Close()
 	g := New(strings.TrimPrefix(srv.URL, "http://"), 1)
--- a/internal/standin/scripted/scripted.go
+++ b/internal/standin/scripted/scripted.go
@@ -70,7 +70,7 @@
 }
 
 // Node answers commands by their order.
-type Node struct {
+type Backend struct {
 	Addr     string
 	Conns    atomic.Int32 // that were opened
 	mu       sync.Mutex
@@ -78,14 +78,14 @@
 }
 
 // NewNode starts a node. What say returns goes out as it is, "" is silence; nil is silent always.
-func NewNode(t testing.TB, say func(n int, args []string, nc net.Conn) string) *Node {
+func NewBackend(t testing.TB, say func(n int, args []string, nc net.Conn) string) *Backend {
 	t.Helper()
-	b := &Node{}
+	b := &Backend{}
 	b.Addr = Listen(t, func(nc net.Conn) { b.serve(nc, say) })
 	return b
 }
 
-func (b *Node) serve(nc net.Conn, say func(n int, args []string, nc net.Conn) string) {
+func (b *Backend) serve(nc net.Conn, say func(n int, args []string, nc net.Conn) string) {
 	b.Conns.Add(1)
 	in := redcon.NewReader(nc)
 	for {
@@ -111,7 +111,7 @@
 }
 
 // Seen returns the commands that came.
-func (b *Node) Seen() [][]string {
+func (b *Backend) Seen() [][]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.commands)
@@ -120,7 +120,7 @@
 // Late is a node to which a connection comes up late: from Hold on the kernel answers no further one, and the first that is begun then comes up when
 // the kernel of who begins it asks again, a second later, if Open was called by then. All are taken until Hold.
 type Late struct {
-	*Node
+	*Backend
 	t      testing.TB
 	ln     net.Listener
 	held   atomic.Bool
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Late{Node: &Node{Addr: ln.Addr().String()}, t: t, ln: ln, caught: make(chan struct{}), open: make(chan struct{})}
+	l := &Late{Backend: &Backend{Addr: ln.Addr().String()}, t: t, ln: ln, caught: make(chan struct{}), open: make(chan struct{})}
 	accept(t, l, func(nc net.Conn) { l.serve(nc, say) })
 	return l
 }
@@ -174,7 +174,7 @@
 	l.t.Helper()
 	l.held.Store(true)
 	for i := range 2 { // one that is taken and kept, one that waits to be taken: there is no room for a third
-		nc, err := net.Dial("tcp", l.Node.Addr)
+		nc, err := net.Dial("tcp", l.Backend.Addr)
 		if err != nil {
 			l.t.Error(err)
 			return
--- a/internal/store/storetest/storetest.go
+++ b/internal/store/storetest/storetest.go
@@ -33,7 +33,7 @@
 }
 
 // Told is an answer as the sink was told it.
-type Told struct {
+type Answered struct {
 	Call   *store.Call
 	Result store.Result
 	At     time.Time
@@ -42,14 +42,14 @@
 // Instance is a store that runs, with what it tells.
 type Instance struct {
 	store.Counter
-	told chan Told
+	told chan Answered
 }
 
 // Start runs a store until the test ends.
 func Start(t testing.TB, make_ func(store.Sink) store.Counter) *Instance {
 	t.Helper()
-	i := &Instance{told: make(chan Told, 1<<16)}
-	i.Counter = make_(func(k *store.Call, r store.Result) { i.told <- Told{k, r, time.Now()} })
+	i := &Instance{told: make(chan Answered, 1<<16)}
+	i.Counter = make_(func(k *store.Call, r store.Result) { i.told <- Answered{k, r, time.Now()} })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -68,14 +68,14 @@
 }
 
 // Next waits for an answer.
-func (i *Instance) Next(t testing.TB) Told {
+func (i *Instance) Next(t testing.TB) Answered {
 	t.Helper()
 	select {
 	case a := <-i.told:
 		return a
 	case <-time.After(Patience):
 		t.Fatal("no answer")
-		return Told{}
+		return Answered{}
 	}
 }
 
