--- a/policy/api.go
+++ b/policy/api.go
@@ -144,7 +144,7 @@
 // counted by itself. The tag of the plan is another one for each customer: with an ending that many names share, a counter that is split by name
 // answered fewer calls in time.
 func (r *Request) Account() string {
-	return r.Tenant + "/" + strconv.FormatUint(hashed(r.Plan+"/"+r.Tenant)>>32, 36)
+	return r.Tenant + "/" + strconv.FormatUint(hash64(r.Plan+"/"+r.Tenant)>>32, 36)
 }
 
 // Prior is an attempt that may have run, begun by another gateway. It is the request's attempt 0 here, and has ended.
@@ -349,18 +349,18 @@
 func (LogLine) action()              {}
 
 // State is for people: the window, the attempts that fill it, the requests that are held, the servers listed.
-func (g *Engine) Stats() (window float64, busy, held, servers int) {
-	return g.window, g.busy, len(g.queue), len(g.fleet)
+func (e *Engine) Stats() (window float64, busy, held, servers int) {
+	return e.window, e.inFlight, len(e.queue), len(e.running)
 }
 
 // Holds reports whether a request waits in a queue, let in by its customer's quota.
-func (g *Engine) IsQueued(id RequestID) bool {
-	r := g.requests[id]
-	return r != nil && r.held && !r.beyond
+func (e *Engine) IsQueued(id RequestID) bool {
+	r := e.requests[id]
+	return r != nil && r.queued && !r.excess
 }
 
 // Avoids reports whether a server that serves by the list is left out by choice: after failures in a row, or with its hall.
-func (g *Engine) IsAvoided(id BackendID) bool {
-	s := g.servers[id]
-	return s != nil && s.State == Running && (s.unproven || s.banned > g.now || g.dark[s.Zone].until > g.now)
+func (e *Engine) IsAvoided(id BackendID) bool {
+	s := e.backends[id]
+	return s != nil && s.State == Running && (s.unproven || s.ejectedUntil > e.now || e.unreachable[s.Zone].until > e.now)
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,132 +6,132 @@
 )
 
 // anchor is the first attempt that is out or may have run.
-func (r *request) anchor() *attempt {
-	if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayRun }); i >= 0 {
+func (r *request) bindingAttempt() *attempt {
+	if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun }); i >= 0 {
 		return r.attempts[i]
 	}
 	return nil
 }
 
 // repeatable says whether another attempt may go out now.
-func (g *Engine) repeatable(r *request) bool {
-	if len(r.attempts) >= max(g.set.MaxAttempts, 1) || r.stream || r.final {
+func (e *Engine) mayRetry(r *request) bool {
+	if len(r.attempts) >= max(e.settings.MaxAttempts, 1) || r.streaming || r.finished {
 		return false
 	}
-	a := r.anchor()
+	a := r.bindingAttempt()
 	return a == nil || r.class.Effect == Safe || // the margin is for the way there
-		r.class.Effect == Keyed && g.now-a.sent < r.class.RepeatWindow*9/10
+		r.class.Effect == Keyed && e.now-a.sentAt < r.class.RepeatWindow*9/10
 }
 
-func (g *Engine) send(r *request, s *server) {
+func (e *Engine) sendAttempt(r *request, s *backend) {
 	if !r.sent {
 		r.sent = true
-		g.retries = min(g.part(), g.retries+retryRatio)
-		r.cust.ceiling -= r.Units
+		e.retryBudget = min(e.windowShare(), e.retryBudget+retryRatio)
+		r.tenant.ceilingLevel -= r.Units
 	}
-	a := &attempt{n: len(r.attempts), s: s, zone: s.Zone, cell: s.Cell, sent: g.now, mayRun: true}
+	a := &attempt{index: len(r.attempts), backend: s, zone: s.Zone, cell: s.Cell, sentAt: e.now, mayHaveRun: true}
 	r.attempts = append(r.attempts, a)
-	r.outs, r.cust.open, g.busy = r.outs+1, r.cust.open+1, g.busy+1
-	s.out = append(s.out, a)
-	g.halls[s.Zone].spend()
-	s.lastSent, g.lastSent, s.phase = g.now, g.now, 1
-	if g.warmth(s) < 1 {
-		g.cold--
+	r.outstanding, r.tenant.inFlight, e.inFlight = r.outstanding+1, r.tenant.inFlight+1, e.inFlight+1
+	s.outstanding = append(s.outstanding, a)
+	e.zones[s.Zone].spendCredit()
+	s.lastSent, e.lastSent, s.sendPhase = e.now, e.now, 1
+	if e.capacityShare(s) < 1 {
+		e.slowStartTokens--
 	}
 	var stop time.Duration
-	if !g.set.Hedging && r.class.mean > 0 && r.class.Effect != Unsafe { // ends for another
-		stop = g.now + max(r.class.takes(2*hedgeDevs), r.class.LatencyObjective/3)
+	if !e.settings.Hedging && r.class.meanLatency > 0 && r.class.Effect != Unsafe { // ends for another
+		stop = e.now + max(r.class.expectedLatency(2*hedgeDeviations), r.class.LatencyObjective/3)
 	}
-	g.do(SendAttempt{ID: r.ID, Backend: s.ID, StopAt: stop})
+	e.emit(SendAttempt{ID: r.ID, Backend: s.ID, StopAt: stop})
 }
 
 // watch looks after a request that is out: a copy goes to another server when the answer is overdue.
-func (g *Engine) watch(r *request) {
+func (e *Engine) checkOverdue(r *request) {
 	for _, a := range r.attempts {
-		if !a.ended && !a.lost && g.now-a.sent > r.class.LatencyObjective {
-			a.lost = true
-			g.busy--
-			g.judge(a, r.class, TimedOut, 0)
+		if !a.ended && !a.writtenOff && e.now-a.sentAt > r.class.LatencyObjective {
+			a.writtenOff = true
+			e.inFlight--
+			e.updateWindow(a, r.class, TimedOut, 0)
 		}
 	}
-	if !g.set.Hedging || r.Delegated || r.held || r.outs != 1 || g.retries < 1 || r.beyond ||
-		g.now > r.arrived+r.class.LatencyObjective || r.class.mean == 0 || g.pressed() || !g.repeatable(r) || !g.mayGo(r) {
+	if !e.settings.Hedging || r.Delegated || r.queued || r.outstanding != 1 || e.retryBudget < 1 || r.excess ||
+		e.now > r.arrivedAt+r.class.LatencyObjective || r.class.meanLatency == 0 || e.overloaded() || !e.mayRetry(r) || !e.maySend(r) {
 		return
 	}
-	if last := r.attempts[len(r.attempts)-1]; g.now-last.sent < r.class.takes(hedgeDevs) {
+	if last := r.attempts[len(r.attempts)-1]; e.now-last.sentAt < r.class.expectedLatency(hedgeDeviations) {
 		return
 	}
-	if s := g.choose(r); s != nil && !r.tried(s) {
-		g.retries--
-		g.send(r, s)
+	if s := e.chooseBackend(r); s != nil && !r.hasTried(s) {
+		e.retryBudget--
+		e.sendAttempt(r, s)
 	}
 }
 
-func (g *Engine) attemptEnded(ev AttemptEnded) {
-	r := g.requests[ev.ID]
+func (e *Engine) handleAttemptEnded(ev AttemptEnded) {
+	r := e.requests[ev.ID]
 	if r == nil || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	a.ended, a.mayRun = true, !ev.Outcome.NeverRan()
-	a.s.out = slices.DeleteFunc(a.s.out, func(b *attempt) bool { return a == b })
-	r.outs, r.cust.open = r.outs-1, r.cust.open-1
-	if !a.lost {
-		g.busy--
-		g.judge(a, r.class, ev.Outcome, ev.Took)
-	}
-	g.observe(a, r.class, ev.Outcome, ev.Took)
+	a.ended, a.mayHaveRun = true, !ev.Outcome.NeverRan()
+	a.backend.outstanding = slices.DeleteFunc(a.backend.outstanding, func(b *attempt) bool { return a == b })
+	r.outstanding, r.tenant.inFlight = r.outstanding-1, r.tenant.inFlight-1
+	if !a.writtenOff {
+		e.inFlight--
+		e.updateWindow(a, r.class, ev.Outcome, ev.Took)
+	}
+	e.recordOutcome(a, r.class, ev.Outcome, ev.Took)
 	if ev.Unsent && len(r.attempts) == 1 { // no node has seen it: it took nothing
 		r.sent = false
-		r.cust.ceiling += r.Units
+		r.tenant.ceilingLevel += r.Units
 	}
 	switch {
-	case r.final:
+	case r.finished:
 	case ev.Finished:
 		if r.plan.SettledByReply && ev.SettledUnits > 0 && r.charged {
-			r.cust.block -= ev.SettledUnits - r.Units
+			r.tenant.leasedUnits -= ev.SettledUnits - r.Units
 		}
-		g.close(r)
-	case r.outs > 0 || r.held: // held: since its hall was lost
-	case !g.repeatable(r) || r.GiveUpAt-g.now < r.class.takes(0)+2*g.sweep ||
-		g.retries < 1 && ev.Outcome != NotSent:
-		r.why = NoRetry
-		g.giveUp(r)
+		e.finish(r)
+	case r.outstanding > 0 || r.queued: // held: since its hall was lost
+	case !e.mayRetry(r) || r.GiveUpAt-e.now < r.class.expectedLatency(0)+2*e.sweepInterval ||
+		e.retryBudget < 1 && ev.Outcome != NotSent:
+		r.reason = NoRetry
+		e.giveUp(r)
 	default: // tried again where its class, its time and the budget allow; what was never sent cost nothing
 		if ev.Outcome != NotSent {
-			g.retries--
+			e.retryBudget--
 		}
-		g.hold(r)
+		e.enqueue(r)
 	}
 }
 
 // giveUp answers for good: refused where trying again is surely harmless, else failed.
-func (g *Engine) giveUp(r *request) {
-	if r.anchor() != nil && r.class.Effect != Safe && (r.class.Effect != Keyed || r.class.Group != GroupAll) {
-		g.do(Fail{ID: r.ID, Reason: r.why})
-		g.close(r)
+func (e *Engine) giveUp(r *request) {
+	if r.bindingAttempt() != nil && r.class.Effect != Safe && (r.class.Effect != Keyed || r.class.Group != GroupAll) {
+		e.emit(Fail{ID: r.ID, Reason: r.reason})
+		e.finish(r)
 		return
 	}
-	g.refuse(r, r.class.LatencyObjective)
+	e.reject(r, r.class.LatencyObjective)
 }
 
-func (g *Engine) refuse(r *request, after time.Duration) {
-	g.do(Reject{ID: r.ID, RetryAfter: g.spread(min(max(after, g.pace), g.set.MaxRetryAfter)), Reason: r.why})
-	g.close(r)
+func (e *Engine) reject(r *request, after time.Duration) {
+	e.emit(Reject{ID: r.ID, RetryAfter: e.spreadRetryAfter(min(max(after, e.minRetryAfter), e.settings.MaxRetryAfter)), Reason: r.reason})
+	e.finish(r)
 }
 
 // close marks the request as finally answered and calls off what is still out for it.
-func (g *Engine) close(r *request) {
-	if r.held {
-		g.unhold(r)
+func (e *Engine) finish(r *request) {
+	if r.queued {
+		e.dequeue(r)
 	}
 	if r.charged && !r.sent {
-		r.cust.block += r.Units
+		r.tenant.leasedUnits += r.Units
 	}
-	r.final = true
+	r.finished = true
 	for _, a := range r.attempts {
-		if !a.ended && g.set.MayCancel && !r.stream {
-			g.do(CancelAttempt{ID: r.ID, Attempt: a.n})
+		if !a.ended && e.settings.MayCancel && !r.streaming {
+			e.emit(CancelAttempt{ID: r.ID, Attempt: a.index})
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -30,8 +30,8 @@
 
 type rig struct {
 	*testing.T
-	g   *Engine
-	now time.Duration
+	engine *Engine
+	now    time.Duration
 }
 
 func newRig(t *testing.T, set Settings, servers ...Backend) *rig {
@@ -40,15 +40,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, g: g, now: time.Minute}
-	r.tell(EndpointsChanged{Complete: true, Backends: servers})
+	r := &rig{T: t, engine: g, now: time.Minute}
+	r.notify(EndpointsChanged{Complete: true, Backends: servers})
 	return r
 }
 
-func (r *rig) tell(ev Event) []Action { return r.g.Handle(r.now, ev, nil) }
+func (r *rig) notify(ev Event) []Action { return r.engine.Handle(r.now, ev, nil) }
 
 func (r *rig) arrive(id RequestID, class, plan string) []Action {
-	return r.tell(Arrival{Request{
+	return r.notify(Arrival{Request{
 		ID: id, Class: class, Plan: plan, Tenant: "c", Units: 1,
 		GiveUpAt: r.now + 2*time.Second, Spread: 2,
 	}})
@@ -58,12 +58,12 @@
 func (r *rig) pass(d time.Duration) (out []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += 10 * ms
-		out = append(out, r.tell(TimerFired{})...)
+		out = append(out, r.notify(TimerFired{})...)
 	}
 	return out
 }
 
-func only[A Action](acts []Action) (out []A) {
+func actionsOf[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
 			out = append(out, a)
@@ -74,7 +74,7 @@
 
 func TestSendsAtOnceWhileTheWindowHasRoom(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
-	if got := only[SendAttempt](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Backend != "s" {
+	if got := actionsOf[SendAttempt](r.arrive(1, "read", "free")); len(got) != 1 || got[0].Backend != "s" {
 		t.Fatalf("sends %v", got)
 	}
 }
@@ -85,7 +85,7 @@
 	r.arrive(2, "read", "free")
 	r.arrive(3, "read", "free")
 	r.arrive(4, "read", "dear")
-	got := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Succeeded, Took: 20 * ms, Finished: true}))
+	got := actionsOf[SendAttempt](r.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Succeeded, Took: 20 * ms, Finished: true}))
 	if len(got) == 0 || got[0].ID != 4 {
 		t.Fatalf("sends %v, want request 4 first", got)
 	}
@@ -93,8 +93,8 @@
 
 func TestHeldWithLessTimeThanASweepIsAnsweredAtOnce(t *testing.T) {
 	r := newRig(t, settings()) // no servers: nothing can leave
-	got := r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + ms}})
-	if len(only[Reject](got)) != 1 {
+	got := r.notify(Arrival{Request{ID: 1, Class: "read", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + ms}})
+	if len(actionsOf[Reject](got)) != 1 {
 		t.Fatalf("actions %v, want a refusal", got)
 	}
 }
@@ -103,8 +103,8 @@
 	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
 	sent := 0
 	for id := RequestID(1); id < 60; id++ { // no counter answers: this gateway's share of the burst is 4
-		sent += len(only[SendAttempt](r.arrive(id, "read", "small")))
-		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
+		sent += len(actionsOf[SendAttempt](r.arrive(id, "read", "small")))
+		r.notify(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
 	}
 	if sent < 4 || sent > 8 {
 		t.Fatalf("sent %d of 59, the whole burst is 8", sent)
@@ -116,15 +116,15 @@
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	r.arrive(1, "read", "free")
 	r.arrive(2, "read", "free")
-	before := len(r.g.servers["s"].out)
-	r.tell(EndpointsChanged{Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
-	if now := len(r.g.servers["s"].out); now != before || before == 0 {
+	before := len(r.engine.backends["s"].outstanding)
+	r.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
+	if now := len(r.engine.backends["s"].outstanding); now != before || before == 0 {
 		t.Fatalf("%d attempts out before the restart, %d after", before, now)
 	}
-	r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset})
-	r.tell(AttemptEnded{ID: 2, Backend: "s", Outcome: Reset})
+	r.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset})
+	r.notify(AttemptEnded{ID: 2, Backend: "s", Outcome: Reset})
 	r.pass(time.Second)
-	for _, a := range r.g.servers["s"].out {
+	for _, a := range r.engine.backends["s"].outstanding {
 		if a == nil || a.ended {
 			t.Fatalf("out to the server: %v", a)
 		}
@@ -134,11 +134,11 @@
 // After a long silence of the counter its customers are not refused for what others took in the meantime.
 func TestCounterSilenceLeavesNoDebt(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
-	c := r.silence()
+	c := r.timeOutCounter()
 	r.pass(20 * time.Second)
-	r.g.lease(c)
-	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding + c.total + 30})
-	if room := r.g.room(c) + c.block; room < 1 {
+	r.engine.requestBlock(c)
+	r.notify(CounterReply{Name: c.counterName(), Outcome: Succeeded, Total: c.callUnits + c.total + 30})
+	if room := r.engine.availableUnits(c) + c.leasedUnits; room < 1 {
 		t.Fatalf("room %v after a silence in which others kept to their share", room)
 	}
 }
@@ -147,34 +147,34 @@
 // again with a full store.
 func TestOthersAreReckonedInASilence(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
-	c := r.silence()
+	c := r.timeOutCounter()
 	r.pass(5 * time.Second)
-	r.g.call(c, 0)
-	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding + 20}) // the store is empty
+	r.engine.callCounter(c, 0)
+	r.notify(CounterReply{Name: c.counterName(), Outcome: Succeeded, Total: c.callUnits + 20}) // the store is empty
 	r.pass(time.Second)
-	r.g.call(c, 0)
-	r.tell(CounterReply{Name: c.name(), Outcome: TimedOut})
+	r.engine.callCounter(c, 0)
+	r.notify(CounterReply{Name: c.counterName(), Outcome: TimedOut})
 	for range 20 {
 		r.pass(time.Second)
-		r.g.refresh(c)
-		c.block = 0 // its own part is spent
+		r.engine.refreshTenant(c)
+		c.leasedUnits = 0 // its own part is spent
 	}
-	r.g.call(c, 0)
-	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding + c.total})
-	if room := r.g.room(c); room > c.plan.Burst/2 {
+	r.engine.callCounter(c, 0)
+	r.notify(CounterReply{Name: c.counterName(), Outcome: Succeeded, Total: c.callUnits + c.total})
+	if room := r.engine.availableUnits(c); room > c.plan.Burst/2 {
 		t.Fatalf("room %v of a burst of %v after a silence of which nothing was told", room, c.plan.Burst)
 	}
 }
 
 // silence uses one customer until a call is out and lets it time out.
-func (r *rig) silence() *customer {
+func (r *rig) timeOutCounter() *tenant {
 	id := RequestID(1000)
 	for {
 		id++
 		r.arrive(id, "read", "small")
-		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
-		if c := r.g.customers[(&Request{Tenant: "c", Plan: "small"}).Account()]; c.calling {
-			r.tell(CounterReply{Name: c.name(), Outcome: TimedOut})
+		r.notify(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
+		if c := r.engine.tenants[(&Request{Tenant: "c", Plan: "small"}).Account()]; c.callPending {
+			r.notify(CounterReply{Name: c.counterName(), Outcome: TimedOut})
 			return c
 		}
 	}
@@ -191,15 +191,15 @@
 		for i := range 2 * n { // each gateway twice, the second time as one that has just started
 			set.Index = i % n
 			r := newRig(t, set, Backend{ID: "s", State: Running})
-			acts := r.tell(Arrival{Request{
+			acts := r.notify(Arrival{Request{
 				ID: 1, Class: "read", Plan: "tiny", Tenant: "c", Units: 1,
 				GiveUpAt: r.now + time.Second, Spread: n,
 			}})
-			for _, c := range only[AddToCounter](acts) {
+			for _, c := range actionsOf[AddToCounter](acts) {
 				totals[c.Name] += c.Add
-				acts = append(acts, r.tell(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
+				acts = append(acts, r.notify(CounterReply{Name: c.Name, Outcome: Succeeded, Total: totals[c.Name]})...)
 			}
-			sent += len(only[SendAttempt](acts))
+			sent += len(actionsOf[SendAttempt](acts))
 		}
 		if sent != 2 {
 			t.Errorf("%d gateways sent %d at once, the burst is 2", n, sent)
@@ -210,14 +210,14 @@
 // A counter that comes back empty tells nothing new, and gives no second burst.
 func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
-	c := r.g.customer(&request{Request: Request{Tenant: "c", Spread: 2}, plan: r.g.plans["small"]})
-	c.block, c.owed, c.level = 0, 0, 0
-	r.g.call(c, 0)
-	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: 1000})
-	c.nextCall, c.level, c.block = 0, 0, 0
-	r.g.call(c, 0)
-	r.tell(CounterReply{Name: c.name(), Outcome: Succeeded, Total: c.adding})
-	if room := r.g.room(c); room > 1 {
+	c := r.engine.tenantFor(&request{Request: Request{Tenant: "c", Spread: 2}, plan: r.engine.plans["small"]})
+	c.leasedUnits, c.unreportedUnits, c.level = 0, 0, 0
+	r.engine.callCounter(c, 0)
+	r.notify(CounterReply{Name: c.counterName(), Outcome: Succeeded, Total: 1000})
+	c.nextCall, c.level, c.leasedUnits = 0, 0, 0
+	r.engine.callCounter(c, 0)
+	r.notify(CounterReply{Name: c.counterName(), Outcome: Succeeded, Total: c.callUnits})
+	if room := r.engine.availableUnits(c); room > 1 {
 		t.Fatalf("room %v after the counter lost its numbers", room)
 	}
 }
@@ -234,22 +234,22 @@
 		id++
 		for acts := r.arrive(id, "read", "capped"); len(acts) > 0; {
 			var next []Action
-			for _, call := range only[AddToCounter](acts) {
+			for _, call := range actionsOf[AddToCounter](acts) {
 				totals[call.Name] += call.Add // a name holds for a window of time
 				reply := CounterReply{Name: call.Name, Outcome: Succeeded, Total: totals[call.Name]}
 				if spoilt = !spoilt; spoilt {
 					reply.Outcome, reply.Total = Failed, 0
 				}
-				next = append(next, r.tell(reply)...)
+				next = append(next, r.notify(reply)...)
 			}
-			for _, s := range only[SendAttempt](acts) {
-				next = append(next, r.tell(AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})...)
+			for _, s := range actionsOf[SendAttempt](acts) {
+				next = append(next, r.notify(AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})...)
 			}
 			acts = next
 		}
-		c := r.g.customers[(&Request{Tenant: "c", Plan: "capped"}).Account()]
-		if c.silent || c.others > 1e-6 || math.Abs(c.total-totals[c.name()]) > 1e-6 {
-			t.Fatalf("after request %d: silent %v, others %v, total %v of %v", id, c.silent, c.others, c.total, totals[c.name()])
+		c := r.engine.tenants[(&Request{Tenant: "c", Plan: "capped"}).Account()]
+		if c.counterSilent || c.othersRate > 1e-6 || math.Abs(c.total-totals[c.counterName()]) > 1e-6 {
+			t.Fatalf("after request %d: silent %v, others %v, total %v of %v", id, c.counterSilent, c.othersRate, c.total, totals[c.counterName()])
 		}
 	}
 }
@@ -258,14 +258,14 @@
 func TestGoneServerIsForgotten(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	r.arrive(1, "read", "free")
-	r.tell(EndpointsChanged{Backends: []Backend{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
-	if len(r.g.servers) != 2 {
+	r.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
+	if len(r.engine.backends) != 2 {
 		t.Fatal("forgotten while an attempt is out")
 	}
-	r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
-	r.tell(EndpointsChanged{Backends: []Backend{{ID: "v", State: Running}}})
-	if r.g.servers["s"] != nil || len(r.g.fleet) != 2 {
-		t.Fatalf("servers %v, fleet %v", r.g.servers, r.g.fleet)
+	r.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+	r.notify(EndpointsChanged{Backends: []Backend{{ID: "v", State: Running}}})
+	if r.engine.backends["s"] != nil || len(r.engine.running) != 2 {
+		t.Fatalf("servers %v, fleet %v", r.engine.backends, r.engine.running)
 	}
 }
 
@@ -281,10 +281,10 @@
 		id := RequestID(0)
 		ask := func(plan string) {
 			id++
-			out := r.tell(Arrival{Request{ID: id, Class: "read", Plan: plan, Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1}})
-			if got := only[SendAttempt](out); len(got) > 0 {
+			out := r.notify(Arrival{Request{ID: id, Class: "read", Plan: plan, Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1}})
+			if got := actionsOf[SendAttempt](out); len(got) > 0 {
 				sent[plan]++
-				r.tell(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+				r.notify(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 			}
 		}
 		ask(first)
@@ -310,10 +310,10 @@
 		r := newRig(t, settings(), Backend{ID: "s", State: Running})
 		before(r)
 		for id := RequestID(10); id < 20; id++ {
-			if calls := only[AddToCounter](r.arrive(id, "read", "small")); len(calls) > 0 {
+			if calls := actionsOf[AddToCounter](r.arrive(id, "read", "small")); len(calls) > 0 {
 				return calls[0].Name
 			}
-			r.tell(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+			r.notify(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 		}
 		t.Fatal("the counter was not called")
 		return ""
@@ -322,7 +322,7 @@
 	for what, before := range map[string]func(r *rig){
 		"another plan first": func(r *rig) { r.arrive(1, "read", "capped") },
 		"another set first": func(r *rig) {
-			r.tell(Arrival{Request{ID: 1, Class: "read", Plan: "small", Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1, First: 1}})
+			r.notify(Arrival{Request{ID: 1, Class: "read", Plan: "small", Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: 1, First: 1}})
 		},
 	} {
 		if got := name(before); got != want {
@@ -347,10 +347,10 @@
 	id, sent := RequestID(0), 0
 	ask := func(spread int) {
 		id++
-		out := r.tell(Arrival{Request{ID: id, Class: "read", Plan: "small", Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: spread}})
-		if got := only[SendAttempt](out); len(got) > 0 {
+		out := r.notify(Arrival{Request{ID: id, Class: "read", Plan: "small", Tenant: "c", Units: 1, GiveUpAt: r.now + 2*time.Second, Spread: spread}})
+		if got := actionsOf[SendAttempt](out); len(got) > 0 {
 			sent++
-			r.tell(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+			r.notify(AttemptEnded{ID: id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 		}
 	}
 	ask(1)
@@ -368,11 +368,11 @@
 func TestNeverSentIsRepeatedWithoutBudget(t *testing.T) {
 	for o, want := range map[Outcome]int{NotSent: 1, NoConnect: 0} {
 		r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-		first := only[SendAttempt](r.arrive(1, "pay", "free"))[0]
-		r.g.retries = 0
-		again := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Backend: first.Backend, Outcome: o}))
-		if len(again) != want || r.g.retries != 0 {
-			t.Errorf("outcome %d: %d further attempts, want %d; the budget is %v", o, len(again), want, r.g.retries)
+		first := actionsOf[SendAttempt](r.arrive(1, "pay", "free"))[0]
+		r.engine.retryBudget = 0
+		again := actionsOf[SendAttempt](r.notify(AttemptEnded{ID: 1, Backend: first.Backend, Outcome: o}))
+		if len(again) != want || r.engine.retryBudget != 0 {
+			t.Errorf("outcome %d: %d further attempts, want %d; the budget is %v", o, len(again), want, r.engine.retryBudget)
 		}
 	}
 }
@@ -384,14 +384,14 @@
 	for id := RequestID(1); id < 4; id++ {
 		old.arrive(id, "read", "small")
 	}
-	was := old.g.ExportState()
+	was := old.engine.ExportState()
 	was.Tenants[0].ID, was.Tenants[0].Tenant = "c", ""
 	was.Tenants[0].Total, was.Tenants[0].LeasedUnits = 5, 1.5
 	next := newRig(t, settings(), Backend{ID: "s", State: Running})
-	next.g.ImportState(old.now, was)
+	next.engine.ImportState(old.now, was)
 	next.now = old.now
 	next.arrive(9, "read", "small")
-	got := next.g.ExportState().Tenants
+	got := next.engine.ExportState().Tenants
 	if len(got) != 1 || got[0].ID != (&Request{Tenant: "c", Plan: "small"}).Account() || got[0].Tenant != "c" || got[0].LeasedUnits >= 1.5 || got[0].Total != 0 {
 		t.Errorf("learned %+v", got)
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -10,327 +10,327 @@
 
 // customer is this gateway's picture of a customer's store, replayed from the counter's totals: it fills at
 // the rate up to the burst, and what the totals show is taken evenly over the time between two looks.
-type customer struct {
-	id, who                   string // of these books: request.Account; the customer's own
-	plan                      *Plan
-	spread, place             int           // gateways that it comes through; our place among them
-	ways, away                float64       // our part is one in so many; part that others spend unheard
-	offset                    time.Duration // spreads the customers' window ends
-	block, owed               float64       // leased units, ours to spend; to add at the next call
-	level                     float64       // the store at the last look, less all leases that we know of
-	at, looked                time.Duration // of the level; when the counter last answered, 0 never
-	demand, others, unheard   float64       // units/s asked here, taken by others; units reckoned theirs
-	seenUnits, seenFor        float64       // sparse: units of it in so many seconds of the fleet
-	seenAt                    time.Duration // of this evidence
-	epoch                     int64
-	total, adding, want       float64 // last of this epoch's name; the call that is out adds, for a block of
-	calling, silent, sparse   bool    // a call is out; no answers come; blocks would be under two requests
-	asked                     []*request
-	span, spent               time.Duration // of the window that a sparse one is asked for in; no room before
-	seen, refreshed, nextCall time.Duration
-	open, lent                int // attempts out; those of them that another process has out
-	ceiling                   float64
-	ceilingAt                 time.Duration
+type tenant struct {
+	account, name                      string // of these books: request.Account; the customer's own
+	plan                               *Plan
+	spread, position                   int           // gateways that it comes through; our place among them
+	shareDivisor, unreportedShare      float64       // our part is one in so many; part that others spend unheard
+	windowOffset                       time.Duration // spreads the customers' window ends
+	leasedUnits, unreportedUnits       float64       // leased units, ours to spend; to add at the next call
+	level                              float64       // the store at the last look, less all leases that we know of
+	levelAt, totalAt                   time.Duration // of the level; when the counter last answered, 0 never
+	demand, othersRate, presumedUnits  float64       // units/s asked here, taken by others; units reckoned theirs
+	observedUnits, observedFor         float64       // sparse: units of it in so many seconds of the fleet
+	observedAt                         time.Duration // of this evidence
+	epoch                              int64
+	total, callUnits, callBlock        float64 // last of this epoch's name; the call that is out adds, for a block of
+	callPending, counterSilent, sparse bool    // a call is out; no answers come; blocks would be under two requests
+	awaitingCounter                    []*request
+	grantWindow, exhaustedUntil        time.Duration // of the window that a sparse one is asked for in; no room before
+	lastRequest, refreshedAt, nextCall time.Duration
+	inFlight, predecessorInFlight      int // attempts out; those of them that another process has out
+	ceilingLevel                       float64
+	ceilingAt                          time.Duration
 }
 
-func (g *Engine) customer(r *request) *customer {
-	id, n := r.Account(), g.set.Instances
-	c, spread, place := g.customers[id], min(max(r.Spread, 1), n), (g.set.Index-r.First%n+n)%n
+func (e *Engine) tenantFor(r *request) *tenant {
+	id, n := r.Account(), e.settings.Instances
+	c, spread, place := e.tenants[id], min(max(r.Spread, 1), n), (e.settings.Index-r.First%n+n)%n
 	if c == nil {
-		c = &customer{
-			id: id, who: r.Tenant, plan: r.plan, spread: spread, seenAt: g.now,
-			offset: time.Duration(hashed(id) % uint64(epochLength)), silent: !g.set.Counter, at: g.now,
-			refreshed: g.now, ceilingAt: g.now,
+		c = &tenant{
+			account: id, name: r.Tenant, plan: r.plan, spread: spread, observedAt: e.now,
+			windowOffset: time.Duration(hash64(id) % uint64(epochLength)), counterSilent: !e.settings.Counter, levelAt: e.now,
+			refreshedAt: e.now, ceilingAt: e.now,
 		}
-		c.sparse = !c.silent && c.plan.Rate > 0 && c.plan.Burst < float64(2*c.spread)*max(1, g.set.MaxUnits)
-		c.ways, c.away = g.parts.of(c)
-		c.block = c.plan.Burst / c.ways // the first block, told to the counter once half is spent
-		c.owed = c.block
-		c.level = max(0, g.set.MaxUnits-c.block, 1-c.block) // one request more before the first look
+		c.sparse = !c.counterSilent && c.plan.Rate > 0 && c.plan.Burst < float64(2*c.spread)*max(1, e.settings.MaxUnits)
+		c.shareDivisor, c.unreportedShare = e.allocations.shareOf(c)
+		c.leasedUnits = c.plan.Burst / c.shareDivisor // the first block, told to the counter once half is spent
+		c.unreportedUnits = c.leasedUnits
+		c.level = max(0, e.settings.MaxUnits-c.leasedUnits, 1-c.leasedUnits) // one request more before the first look
 		if c.sparse {
-			c.silent, c.span = true, time.Duration(c.plan.Burst/c.plan.Rate*float64(time.Second))
-			c.block += g.rng.Float64() * max(1, g.set.MaxUnits)
+			c.counterSilent, c.grantWindow = true, time.Duration(c.plan.Burst/c.plan.Rate*float64(time.Second))
+			c.leasedUnits += e.rng.Float64() * max(1, e.settings.MaxUnits)
 		}
-		g.customers[id] = c
-		g.roster = append(g.roster, c)
+		e.tenants[id] = c
+		e.tenantOrder = append(e.tenantOrder, c)
 	}
-	c.spread, c.place, c.seen = spread, place, g.now // each request is judged by its own set
-	g.repart(c)
+	c.spread, c.position, c.lastRequest = spread, place, e.now // each request is judged by its own set
+	e.updateShare(c)
 	return c
 }
 
 // refresh brings demand, and the block while the counter is silent, up to now.
-func (g *Engine) refresh(c *customer) {
-	dt := (g.now - c.refreshed).Seconds()
-	c.refreshed, c.demand = g.now, c.demand*math.Exp(-dt)
-	if c.silent { // no totals come: live on the fair share of the rate, and reckon that the others do
-		part, most := c.plan.Rate/c.ways*dt, max(c.plan.Burst/c.ways, g.set.MaxUnits, 1)
-		c.borrow(min(part, max(0, most-c.block)))
-		c.level, c.unheard = c.level-part*(c.ways-1), c.unheard+part*(c.ways-1)
+func (e *Engine) refreshTenant(c *tenant) {
+	dt := (e.now - c.refreshedAt).Seconds()
+	c.refreshedAt, c.demand = e.now, c.demand*math.Exp(-dt)
+	if c.counterSilent { // no totals come: live on the fair share of the rate, and reckon that the others do
+		part, most := c.plan.Rate/c.shareDivisor*dt, max(c.plan.Burst/c.shareDivisor, e.settings.MaxUnits, 1)
+		c.leaseUnits(min(part, max(0, most-c.leasedUnits)))
+		c.level, c.presumedUnits = c.level-part*(c.shareDivisor-1), c.presumedUnits+part*(c.shareDivisor-1)
 	}
 }
 
 // borrow moves units from the store's picture to the block; the counter is told at the next call.
-func (c *customer) borrow(units float64) {
-	c.block, c.owed, c.level = c.block+units, c.owed+units, c.level-units
+func (c *tenant) leaseUnits(units float64) {
+	c.leasedUnits, c.unreportedUnits, c.level = c.leasedUnits+units, c.unreportedUnits+units, c.level-units
 }
 
 // room is the level by now.
-func (g *Engine) room(c *customer) float64 {
-	return min(c.most(), c.level+c.filled(g.now))
+func (e *Engine) availableUnits(c *tenant) float64 {
+	return min(c.maxLevel(), c.level+c.refilled(e.now))
 }
 
 // filled is what has come to the store since the last look, but for what others spend unheard.
-func (c *customer) filled(now time.Duration) float64 {
-	return c.plan.Rate * (1 - c.away) * (now - c.at).Seconds()
+func (c *tenant) refilled(now time.Duration) float64 {
+	return c.plan.Rate * (1 - c.unreportedShare) * (now - c.levelAt).Seconds()
 }
 
 // most is the level of a full store: blocks are not in it, ours and half as much at each other gateway.
-func (c *customer) most() float64 {
-	return max(0, c.plan.Burst-max(0, c.block)*(1+float64(c.spread-1)/2))
+func (c *tenant) maxLevel() float64 {
+	return max(0, c.plan.Burst-max(0, c.leasedUnits)*(1+float64(c.spread-1)/2))
 }
 
 // sure is the part of the level that others cannot have taken since the last look.
-func (g *Engine) sure(c *customer) float64 {
-	if c.silent {
+func (e *Engine) certainUnits(c *tenant) float64 {
+	if c.counterSilent {
 		return 0
 	}
-	return (g.room(c) - c.others*(g.now-c.looked).Seconds()) * c.demand / (c.demand + c.others)
+	return (e.availableUnits(c) - c.othersRate*(e.now-c.totalAt).Seconds()) * c.demand / (c.demand + c.othersRate)
 }
 
 // ask leases one request's units as it comes, for a customer that each gateway sees too seldom to know its
 // store. The name's window is burst over rate long and grants the burst: refused tries need no giving back.
 // Where not all calls get through, the fair share of the rate decides.
-func (g *Engine) ask(r *request) {
-	c := r.cust
+func (e *Engine) decideQuota(r *request) {
+	c := r.tenant
 	switch {
 	case !c.sparse:
-		g.settle(r, g.admit(r))
-	case g.now < c.spent || c.plan.ExcessWeight > c.plan.ExcessCost && g.rng.Float64() > 2*g.askShare-1:
-		r.why = QuotaKnown
-		g.settle(r, false)
+		e.applyQuota(r, e.chargeBlock(r))
+	case e.now < c.exhaustedUntil || c.plan.ExcessWeight > c.plan.ExcessCost && e.rng.Float64() > 2*e.counterCallShare-1:
+		r.reason = QuotaKnown
+		e.applyQuota(r, false)
 	default:
-		part := g.askShare
-		if g.thin {
-			g.evidence(c)
-			c.seenUnits += r.Units
+		part := e.counterCallShare
+		if e.largeFleet {
+			e.ageObservations(c)
+			c.observedUnits += r.Units
 		}
-		if c.plan.CeilingRate > 0 && g.askShare >= counterLost {
+		if c.plan.CeilingRate > 0 && e.counterCallShare >= lostCounterShare {
 			part = 1 // the counter alone knows what is left of a ceiling
-		} else if g.thin && c.looked > 0 && g.now-c.looked < lookKept {
-			part *= g.askShare // what calls there are go to those of whom less is known
+		} else if e.largeFleet && c.totalAt > 0 && e.now-c.totalAt < totalFreshness {
+			part *= e.counterCallShare // what calls there are go to those of whom less is known
 		}
-		if g.rng.Float64() > part {
-			g.unasked(r)
+		if e.rng.Float64() > part {
+			e.decideWithoutCounter(r)
 		} else {
-			g.inquire(r, part)
+			e.queryCounter(r, part)
 		}
 	}
 }
 
 // unasked settles a request without the counter's word.
-func (g *Engine) unasked(r *request) {
-	g.settle(r, g.thin && g.guess(r) || !g.thin && g.admit(r))
+func (e *Engine) decideWithoutCounter(r *request) {
+	e.applyQuota(r, e.largeFleet && e.admitByEstimate(r) || !e.largeFleet && e.chargeBlock(r))
 }
 
 // inquire asks the counter for a request's units, which stand for those of the part that is asked for.
-func (g *Engine) inquire(r *request, part float64) {
-	c := r.cust
-	if !g.thin {
+func (e *Engine) queryCounter(r *request, part float64) {
+	c := r.tenant
+	if !e.largeFleet {
 		part = 1
 	}
-	if epoch := int64((g.now + c.offset) / c.span); epoch != c.epoch {
+	if epoch := int64((e.now + c.windowOffset) / c.grantWindow); epoch != c.epoch {
 		c.epoch, c.total = epoch, 0
 	}
-	r.lease, r.asked = c.name(), r.Units/part
-	c.asked, r.why = append(c.asked, r), CounterLate
-	g.do(AddToCounter{Name: r.lease, Add: r.asked, Keep: min(2*c.span, nameKept)})
+	r.counterName, r.counterUnits = c.counterName(), r.Units/part
+	c.awaitingCounter, r.reason = append(c.awaitingCounter, r), CounterLate
+	e.emit(AddToCounter{Name: r.counterName, Add: r.counterUnits, Keep: min(2*c.grantWindow, counterNameRetention)})
 }
 
 // answered settles the request that asked first for the name.
-func (g *Engine) answered(c *customer, ev CounterReply) {
-	i := slices.IndexFunc(c.asked, func(r *request) bool { return r.lease == ev.Name })
+func (e *Engine) handleGrantReply(c *tenant, ev CounterReply) {
+	i := slices.IndexFunc(c.awaitingCounter, func(r *request) bool { return r.counterName == ev.Name })
 	if i < 0 {
 		return
 	}
-	r := c.asked[i]
-	if c.asked = slices.Delete(c.asked, i, i+1); r.final {
+	r := c.awaitingCounter[i]
+	if c.awaitingCounter = slices.Delete(c.awaitingCounter, i, i+1); r.finished {
 		return
 	}
-	if r.why = NoReason; ev.Outcome != Succeeded {
-		r.why = QuotaBlind
+	if r.reason = NoReason; ev.Outcome != Succeeded {
+		r.reason = QuotaBlind
 		if ev.Outcome != Failed { // AIMD: a call that waits too long is work for nothing
-			g.askShare = max(leastAsked, g.askShare*0.7)
+			e.counterCallShare = max(minCounterCallShare, e.counterCallShare*0.7)
 		}
-		g.unasked(r)
+		e.decideWithoutCounter(r)
 		return
 	}
-	grant := c.grant()
-	inside := ev.Total-r.asked+r.Units <= max(grant, r.Units)
-	if g.thin {
-		g.askShare = min(1, g.askShare+0.003/g.askShare)
-		g.look(c, r, ev.Total)
+	grant := c.windowGrant()
+	inside := ev.Total-r.counterUnits+r.Units <= max(grant, r.Units)
+	if e.largeFleet {
+		e.counterCallShare = min(1, e.counterCallShare+0.003/e.counterCallShare)
+		e.learnFromTotal(c, r, ev.Total)
 	} else {
-		g.askShare = min(1, g.askShare+0.01/g.askShare)
+		e.counterCallShare = min(1, e.counterCallShare+0.01/e.counterCallShare)
 	}
-	r.granted = inside && g.askShare >= counterLost
+	r.granted = inside && e.counterCallShare >= lostCounterShare
 	if inside {
-		c.block = max(0, c.block-r.Units)
-	} else if r.lease == c.name() && ev.Total > grant+r.Units {
-		c.spent = time.Duration(c.epoch+1)*c.span - c.offset
+		c.leasedUnits = max(0, c.leasedUnits-r.Units)
+	} else if r.counterName == c.counterName() && ev.Total > grant+r.Units {
+		c.exhaustedUntil = time.Duration(c.epoch+1)*c.grantWindow - c.windowOffset
 	}
-	g.settle(r, inside)
+	e.applyQuota(r, inside)
 }
 
 // admit takes the request's units from the block, or on credit from room that the last total showed.
-func (g *Engine) admit(r *request) bool {
-	c := r.cust
+func (e *Engine) chargeBlock(r *request) bool {
+	c := r.tenant
 	if c.plan.Rate <= 0 {
 		return true
 	}
-	g.refresh(c)
+	e.refreshTenant(c)
 	c.demand += r.Units
-	if c.block < r.Units && g.sure(c) >= r.Units-c.block {
-		c.borrow(r.Units - c.block)
+	if c.leasedUnits < r.Units && e.certainUnits(c) >= r.Units-c.leasedUnits {
+		c.leaseUnits(r.Units - c.leasedUnits)
 	}
-	if r.charged = c.block >= r.Units-1e-9; r.charged {
-		c.block -= r.Units
+	if r.charged = c.leasedUnits >= r.Units-1e-9; r.charged {
+		c.leasedUnits -= r.Units
 	}
-	g.lease(c)
+	e.requestBlock(c)
 	return r.charged
 }
 
 // lease asks the counter for the next block once half of this one is spent: some demand ahead, at least one
 // large request, at most a share of the burst.
-func (g *Engine) lease(c *customer) {
-	size := min(max(c.demand*leaseAhead, 2*max(1, g.set.MaxUnits/2)), c.plan.Burst/float64(c.spread))
-	if c.block <= size/2 {
-		g.call(c, max(0, min(size-c.block, g.room(c)/float64(c.spread))))
+func (e *Engine) requestBlock(c *tenant) {
+	size := min(max(c.demand*blockDemandSeconds, 2*max(1, e.settings.MaxUnits/2)), c.plan.Burst/float64(c.spread))
+	if c.leasedUnits <= size/2 {
+		e.callCounter(c, max(0, min(size-c.leasedUnits, e.availableUnits(c)/float64(c.spread))))
 	}
 }
 
 // call adds what is owed and the next block; one call a customer at a time.
-func (g *Engine) call(c *customer, want float64) {
-	if !g.set.Counter || c.sparse || c.calling || g.now < c.nextCall {
+func (e *Engine) callCounter(c *tenant, want float64) {
+	if !e.settings.Counter || c.sparse || c.callPending || e.now < c.nextCall {
 		return
 	}
-	if epoch := int64((g.now + c.offset) / epochLength); epoch != c.epoch {
+	if epoch := int64((e.now + c.windowOffset) / epochLength); epoch != c.epoch {
 		c.epoch, c.total = epoch, 0
 	}
-	c.calling, c.adding, c.want, c.owed = true, c.owed+want, want, 0
-	g.do(AddToCounter{Name: c.name(), Add: c.adding, Keep: nameKept})
+	c.callPending, c.callUnits, c.callBlock, c.unreportedUnits = true, c.unreportedUnits+want, want, 0
+	e.emit(AddToCounter{Name: c.counterName(), Add: c.callUnits, Keep: counterNameRetention})
 }
 
-func (c *customer) name() string { return c.id + ":" + strconv.FormatInt(c.epoch, 36) }
+func (c *tenant) counterName() string { return c.account + ":" + strconv.FormatInt(c.epoch, 36) }
 
 // counted takes the counter's answer: what others have added since the last total comes off the level.
-func (g *Engine) counted(ev CounterReply) {
-	c := g.customers[ev.Name[:max(0, strings.LastIndexByte(ev.Name, ':'))]]
-	if c != nil && len(c.asked) > 0 {
-		g.answered(c, ev)
+func (e *Engine) handleCounterReply(ev CounterReply) {
+	c := e.tenants[ev.Name[:max(0, strings.LastIndexByte(ev.Name, ':'))]]
+	if c != nil && len(c.awaitingCounter) > 0 {
+		e.handleGrantReply(c, ev)
 		return
 	}
-	if c == nil || !c.calling {
+	if c == nil || !c.callPending {
 		return
 	}
-	c.calling = false
-	g.refresh(c)
+	c.callPending = false
+	e.refreshTenant(c)
 	if ev.Outcome != Succeeded {
-		g.callFailed(c, ev.Outcome)
+		e.handleCounterFailure(c, ev.Outcome)
 		return
 	}
-	g.counterFails, c.silent = 0, false
-	fresh := ev.Total - c.adding - c.total
+	e.counterFailures, c.counterSilent = 0, false
+	fresh := ev.Total - c.callUnits - c.total
 	if fresh < -c.plan.Burst {
 		fresh = 0 // the counter came back empty: it shows less than we know, so nothing new
 	}
-	if c.looked == 0 { // never looked before: all that the name holds may have been taken a moment ago
-		c.at = g.now
-		c.level = max(c.plan.Burst, fresh) - c.total - c.adding + c.want - c.owed
+	if c.totalAt == 0 { // never looked before: all that the name holds may have been taken a moment ago
+		c.levelAt = e.now
+		c.level = max(c.plan.Burst, fresh) - c.total - c.callUnits + c.callBlock - c.unreportedUnits
 	} else {
-		dt := max((g.now - c.looked).Seconds(), 0.01)
-		c.others += (max(0, fresh)/dt - c.others) * (1 - math.Exp(-2*dt))
-		fresh -= max(0, min(fresh, c.unheard))
+		dt := max((e.now - c.totalAt).Seconds(), 0.01)
+		c.othersRate += (max(0, fresh)/dt - c.othersRate) * (1 - math.Exp(-2*dt))
+		fresh -= max(0, min(fresh, c.presumedUnits))
 	}
 	// What was let in beyond the quota took nothing from the true store, so the debt is bounded.
-	c.level = max(-c.plan.Burst/2, min(c.most(), c.level+c.filled(g.now)-fresh))
-	c.at, c.total, c.looked, c.unheard = g.now, ev.Total, g.now, 0
-	c.borrow(max(0, min(c.want, c.level/float64(c.spread))))
-	c.owed -= c.want
-	c.nextCall = g.now + g.set.CounterTimeout/8
-	if c.block < 1 {
-		c.nextCall = g.now + callGap
+	c.level = max(-c.plan.Burst/2, min(c.maxLevel(), c.level+c.refilled(e.now)-fresh))
+	c.levelAt, c.total, c.totalAt, c.presumedUnits = e.now, ev.Total, e.now, 0
+	c.leaseUnits(max(0, min(c.callBlock, c.level/float64(c.spread))))
+	c.unreportedUnits -= c.callBlock
+	c.nextCall = e.now + e.settings.CounterTimeout/8
+	if c.leasedUnits < 1 {
+		c.nextCall = e.now + exhaustedCallInterval
 	}
 }
 
 // callFailed goes on without the counter: the block grows at the fair share of the rate until a total comes.
 // A spoilt answer is no silence: the amount was added, and the next total shows the rest.
-func (g *Engine) callFailed(c *customer, o Outcome) {
+func (e *Engine) handleCounterFailure(c *tenant, o Outcome) {
 	if o == Failed {
-		c.total, c.owed, c.nextCall = c.total+c.adding, c.owed-c.want, g.now
+		c.total, c.unreportedUnits, c.nextCall = c.total+c.callUnits, c.unreportedUnits-c.callBlock, e.now
 		return
 	}
 	if o.NeverRan() { // else it may have been added, and shows as others' use once
-		c.owed += c.adding - c.want
+		c.unreportedUnits += c.callUnits - c.callBlock
 	}
-	g.counterFails++
-	if !c.silent {
-		c.borrow(max(0, g.room(c)) / c.ways)
-		c.silent = true
+	e.counterFailures++
+	if !c.counterSilent {
+		c.leaseUnits(max(0, e.availableUnits(c)) / c.shareDivisor)
+		c.counterSilent = true
 	}
-	wait := g.set.CounterTimeout << min(g.counterFails, 4)
-	c.nextCall = g.now + wait + time.Duration(g.rng.Int64N(int64(wait)))
+	wait := e.settings.CounterTimeout << min(e.counterFailures, 4)
+	c.nextCall = e.now + wait + time.Duration(e.rng.Int64N(int64(wait)))
 }
 
 // settleIdle looks at one customer in turn: unspent units go back, and one not seen for long is dropped.
-func (g *Engine) settleIdle() {
-	g.swept = (g.swept + 1) % len(g.roster)
-	c := g.roster[g.swept]
-	idle := (g.now - c.seen).Seconds()
-	if idle > nameKept.Seconds() && idle*c.plan.Rate >= c.plan.Burst && c.open == 0 { // its store is full
-		delete(g.customers, c.id)
-		g.roster = slices.Delete(g.roster, g.swept, g.swept+1)
+func (e *Engine) checkIdleTenant() {
+	e.idleCursor = (e.idleCursor + 1) % len(e.tenantOrder)
+	c := e.tenantOrder[e.idleCursor]
+	idle := (e.now - c.lastRequest).Seconds()
+	if idle > counterNameRetention.Seconds() && idle*c.plan.Rate >= c.plan.Burst && c.inFlight == 0 { // its store is full
+		delete(e.tenants, c.account)
+		e.tenantOrder = slices.Delete(e.tenantOrder, e.idleCursor, e.idleCursor+1)
 		return
 	}
-	if c.plan.Rate > 0 && math.Abs(c.owed) > 0.25*c.plan.Burst/float64(c.spread) && idle*c.plan.Rate > 1 {
-		g.call(c, 0)
+	if c.plan.Rate > 0 && math.Abs(c.unreportedUnits) > 0.25*c.plan.Burst/float64(c.spread) && idle*c.plan.Rate > 1 {
+		e.callCounter(c, 0)
 	}
 }
 
 // untilRoom is the retry-after of a refusal: when the store will hold the units.
-func (g *Engine) untilRoom(r *request) time.Duration {
-	c := r.cust
-	if c.sparse && g.thin {
-		return c.span - (g.now+c.offset)%c.span
+func (e *Engine) quotaRetryAfter(r *request) time.Duration {
+	c := r.tenant
+	if c.sparse && e.largeFleet {
+		return c.grantWindow - (e.now+c.windowOffset)%c.grantWindow
 	}
 	if c.sparse {
-		return max(c.spent-g.now, g.sweep)
+		return max(c.exhaustedUntil-e.now, e.sweepInterval)
 	}
-	missing := max(r.Units-max(0, g.room(c))-max(0, c.block), 1)
+	missing := max(r.Units-max(0, e.availableUnits(c))-max(0, c.leasedUnits), 1)
 	return time.Duration(missing / max(c.plan.Rate, 0.01) * float64(time.Second))
 }
 
 // share is this gateway's part of the customer's attempts out at once, one at least. Where going over costs,
 // more gateways than attempts take turns, if a turn comes round within the shortest aim.
-func (g *Engine) share(c *customer) int {
-	open, n, turn := c.plan.MaxInFlight, c.spread, g.sweep*sweepsPerAim/turnsPerAim
-	if g.parts != nil && open >= n {
-		return max(1, int(float64(open)/c.ways+1e-6))
+func (e *Engine) inFlightLimit(c *tenant) int {
+	open, n, turn := c.plan.MaxInFlight, c.spread, e.sweepInterval*sweepsPerObjective/turnsPerObjective
+	if e.allocations != nil && open >= n {
+		return max(1, int(float64(open)/c.shareDivisor+1e-6))
 	}
-	if c.plan.ExcessCost == 0 || open >= n || n > open*turnsPerAim {
-		return max(1, (open+n-1-c.place)/n)
+	if c.plan.ExcessCost == 0 || open >= n || n > open*turnsPerObjective {
+		return max(1, (open+n-1-c.position)/n)
 	}
-	return (open + n - 1 - (c.place+open*int((g.now+c.offset)/turn))%n) / n
+	return (open + n - 1 - (c.position+open*int((e.now+c.windowOffset)/turn))%n) / n
 }
 
 // ceilingRoom says whether the ceiling lets the units go: the counter granted them, or this gateway's part of
 // the ceiling's store holds them, which starts empty since a restart cannot tell what was spent before.
-func (g *Engine) ceilingRoom(r *request) bool {
-	c, p := r.cust, r.plan
+func (e *Engine) ceilingAllows(r *request) bool {
+	c, p := r.tenant, r.plan
 	if p.CeilingRate <= 0 || r.granted {
 		return true
 	}
-	filled := c.ceiling + p.CeilingRate/c.ways*(g.now-c.ceilingAt).Seconds()
-	c.ceiling, c.ceilingAt = min(p.CeilingBurst/c.ways, filled), g.now
-	return c.ceiling >= r.Units && !(c.sparse && g.askShare >= counterLost) // while others are granted theirs
+	filled := c.ceilingLevel + p.CeilingRate/c.shareDivisor*(e.now-c.ceilingAt).Seconds()
+	c.ceilingLevel, c.ceilingAt = min(p.CeilingBurst/c.shareDivisor, filled), e.now
+	return c.ceilingLevel >= r.Units && !(c.sparse && e.counterCallShare >= lostCounterShare) // while others are granted theirs
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -11,10 +11,10 @@
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	final := map[RequestID]int{}
 	count := func(acts []Action) {
-		for _, a := range only[Reject](acts) {
+		for _, a := range actionsOf[Reject](acts) {
 			final[a.ID]++
 		}
-		for _, a := range only[Fail](acts) {
+		for _, a := range actionsOf[Fail](acts) {
 			final[a.ID]++
 		}
 	}
@@ -23,15 +23,15 @@
 	}
 	count(r.pass(1990 * ms))
 	for id := RequestID(1); id <= 40; id++ {
-		q := r.g.requests[id]
-		if q == nil || q.final {
+		q := r.engine.requests[id]
+		if q == nil || q.finished {
 			continue
 		}
-		if q.held {
+		if q.queued {
 			t.Fatalf("request %d is still held at its deadline", id)
 		}
 		for _, a := range q.attempts {
-			count(r.tell(AttemptEnded{ID: id, Attempt: a.n, Backend: "s", Outcome: TimedOut}))
+			count(r.notify(AttemptEnded{ID: id, Attempt: a.index, Backend: "s", Outcome: TimedOut}))
 		}
 	}
 	for id := RequestID(1); id <= 40; id++ {
@@ -45,9 +45,9 @@
 func TestUnsafeWorkThatMayHaveRunIsFailed(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, Reset, Cancelled, Outcome(99)} {
 		r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-		s := only[SendAttempt](r.arrive(1, "pay", "free"))[0].Backend
-		got := r.tell(AttemptEnded{ID: 1, Backend: s, Outcome: o})
-		if len(only[SendAttempt](got)) > 0 || len(only[Reject](got)) > 0 || len(only[Fail](got)) != 1 {
+		s := actionsOf[SendAttempt](r.arrive(1, "pay", "free"))[0].Backend
+		got := r.notify(AttemptEnded{ID: 1, Backend: s, Outcome: o})
+		if len(actionsOf[SendAttempt](got)) > 0 || len(actionsOf[Reject](got)) > 0 || len(actionsOf[Fail](got)) != 1 {
 			t.Errorf("outcome %v: actions %v, want one failure", o, got)
 		}
 	}
@@ -55,8 +55,8 @@
 
 func TestWorkThatNeverRanIsSentAgain(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-	s := only[SendAttempt](r.arrive(1, "pay", "free"))[0].Backend
-	got := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Backend: s, Outcome: NoConnect}))
+	s := actionsOf[SendAttempt](r.arrive(1, "pay", "free"))[0].Backend
+	got := actionsOf[SendAttempt](r.notify(AttemptEnded{ID: 1, Backend: s, Outcome: NoConnect}))
 	if len(got) != 1 || got[0].Backend == s {
 		t.Fatalf("sends %v, want one to the other server", got)
 	}
@@ -70,14 +70,14 @@
 		r := newRig(t, set, Backend{ID: "s", State: Running, Cell: 1}, Backend{ID: "u", State: Running, Cell: 1},
 			Backend{ID: "v", State: Running, Cell: 2}, Backend{ID: "w", State: Running, Cell: 2})
 		q := Request{ID: 1, Class: "book", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + time.Minute}
-		s := only[SendAttempt](r.tell(Arrival{q}))[0].Backend
+		s := actionsOf[SendAttempt](r.notify(Arrival{q}))[0].Backend
 		r.now += wait
-		got := r.tell(AttemptEnded{ID: 1, Backend: s, Outcome: Reset})
-		sends := only[SendAttempt](got)
-		if len(sends) != want || len(only[Reject](got)) > 0 {
+		got := r.notify(AttemptEnded{ID: 1, Backend: s, Outcome: Reset})
+		sends := actionsOf[SendAttempt](got)
+		if len(sends) != want || len(actionsOf[Reject](got)) > 0 {
 			t.Fatalf("after %v: actions %v, want %d sends and no refusal", wait, got, want)
 		}
-		if want == 1 && r.g.servers[sends[0].Backend].Cell != r.g.servers[s].Cell {
+		if want == 1 && r.engine.backends[sends[0].Backend].Cell != r.engine.backends[s].Cell {
 			t.Fatalf("sent to %v after %v: another cell", sends[0].Backend, s)
 		}
 	}
@@ -90,18 +90,18 @@
 	set.Classes[1].Deadline, set.Classes[1].RepeatWindow, set.Classes[1].LateShare = 60*time.Second, time.Second, 0.2
 	r := newRig(t, set, Backend{ID: "s", State: Running, Cell: 1})
 	q := Request{ID: 1, Class: "book", Plan: "free", Tenant: "c", Units: 1, GiveUpAt: r.now + time.Minute}
-	if sends := only[SendAttempt](r.tell(Arrival{q})); len(sends) != 1 {
+	if sends := actionsOf[SendAttempt](r.notify(Arrival{q})); len(sends) != 1 {
 		t.Fatal(sends)
 	}
-	r.g.window, r.g.busy = 1, r.g.busy+1 // the window has no room for another
+	r.engine.window, r.engine.inFlight = 1, r.engine.inFlight+1 // the window has no room for another
 	r.now += 500 * ms
-	if got := r.tell(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset}); len(got) != 0 || !r.g.requests[1].held {
+	if got := r.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset}); len(got) != 0 || !r.engine.requests[1].queued {
 		t.Fatalf("actions %v, want the request held", got)
 	}
 	r.now += 450 * ms
-	r.g.busy, r.g.window = 0, 4
+	r.engine.inFlight, r.engine.window = 0, 4
 	got := r.pass(200 * ms)
-	if len(only[SendAttempt](got)) > 0 || len(only[Reject](got)) > 0 || len(only[Fail](got)) != 1 {
+	if len(actionsOf[SendAttempt](got)) > 0 || len(actionsOf[Reject](got)) > 0 || len(actionsOf[Fail](got)) != 1 {
 		t.Fatalf("actions %v, want one failure and nothing sent", got)
 	}
 }
@@ -109,19 +109,19 @@
 func TestNothingGoesToADrainingServer(t *testing.T) {
 	for _, state := range []BackendState{Draining, Gone, BackendState(9)} {
 		r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-		r.tell(EndpointsChanged{Backends: []Backend{{ID: "s", State: state}}})
+		r.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: state}}})
 		for id := RequestID(1); id < 20; id++ {
-			for _, a := range only[SendAttempt](r.arrive(id, "read", "free")) {
+			for _, a := range actionsOf[SendAttempt](r.arrive(id, "read", "free")) {
 				if a.Backend == "s" {
 					t.Fatalf("state %v: sent to it", state)
 				}
 			}
-			r.tell(AttemptEnded{ID: id, Backend: "u", Outcome: Succeeded, Took: 5 * ms, Finished: true})
+			r.notify(AttemptEnded{ID: id, Backend: "u", Outcome: Succeeded, Took: 5 * ms, Finished: true})
 		}
 	}
 	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-	r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "u", State: Running}}})
-	if len(r.g.fleet) != 1 {
+	r.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "u", State: Running}}})
+	if len(r.engine.running) != 1 {
 		t.Fatal("a server that is not in a whole list is gone")
 	}
 }
@@ -130,22 +130,22 @@
 // all servers are cold.
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	r := newRig(t, settings())
-	r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
-	r.g.window = 100
+	r.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running, Started: r.now}}})
+	r.engine.window = 100
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each refused by the server at once
 		id := RequestID(i + 1)
 		r.arrive(id, "read", "free")
-		for _, s := range r.g.fleet {
-			for len(s.out) > 0 {
+		for _, s := range r.engine.running {
+			for len(s.outstanding) > 0 {
 				sent++
-				q := r.g.live[len(r.g.live)-1]
-				for _, l := range r.g.live {
-					if len(l.attempts) > 0 && l.attempts[len(l.attempts)-1] == s.out[0] {
+				q := r.engine.openRequests[len(r.engine.openRequests)-1]
+				for _, l := range r.engine.openRequests {
+					if len(l.attempts) > 0 && l.attempts[len(l.attempts)-1] == s.outstanding[0] {
 						q = l
 					}
 				}
-				r.tell(AttemptEnded{ID: q.ID, Attempt: s.out[0].n, Backend: "s", Outcome: Rejected})
+				r.notify(AttemptEnded{ID: q.ID, Attempt: s.outstanding[0].index, Backend: "s", Outcome: Rejected})
 			}
 		}
 		r.pass(10 * ms)
@@ -175,24 +175,24 @@
 	play := func(d time.Duration) {
 		for end := r.now + d; r.now < end; r.now += 5 * ms {
 			id++
-			acts := append(r.arrive(id, "read", "free"), r.tell(TimerFired{})...)
+			acts := append(r.arrive(id, "read", "free"), r.notify(TimerFired{})...)
 			for len(outs) > 0 && outs[0].at <= r.now {
 				ev := outs[0].ev
 				outs = outs[1:]
-				acts = append(acts, r.tell(ev)...)
+				acts = append(acts, r.notify(ev)...)
 			}
-			for _, s := range only[SendAttempt](acts) {
+			for _, s := range actionsOf[SendAttempt](acts) {
 				if s.Backend == "x" { // it answers none of them within the second
 					toCold++
 					continue
 				}
-				outs = append(outs, out{AttemptEnded{ID: s.ID, Attempt: len(r.g.requests[s.ID].attempts) - 1, Backend: s.Backend, Outcome: Succeeded, Took: 60 * ms, Finished: true}, r.now + 60*ms})
+				outs = append(outs, out{AttemptEnded{ID: s.ID, Attempt: len(r.engine.requests[s.ID].attempts) - 1, Backend: s.Backend, Outcome: Succeeded, Took: 60 * ms, Finished: true}, r.now + 60*ms})
 			}
 		}
 	}
 	play(3 * time.Second)
 	outs = nil
-	r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "x", State: Running, Started: r.now}}})
+	r.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "x", State: Running, Started: r.now}}})
 	play(time.Second)
 	// A warm one answered 200/20 = 10 a second; this one has a fifth of that, and may be sent four times as much.
 	if toCold == 0 || toCold > 8 {
@@ -202,13 +202,13 @@
 
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-	r.g.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
-	r.g.window = 1000
+	r.engine.plans["capped"].Rate = 0 // nothing but the ceiling stands in the way
+	r.engine.window = 1000
 	sent := 0
 	for i := range 400 {
 		acts := r.arrive(RequestID(i+1), "read", "capped")
 		acts = append(acts, r.pass(10*ms)...)
-		sent += len(only[SendAttempt](acts))
+		sent += len(actionsOf[SendAttempt](acts))
 	}
 	if max := 4*20/2 + 1; sent == 0 || sent > max { // 4 s of half the ceiling's rate
 		t.Fatalf("%d sent in 4 s, the part is %d", sent, max)
@@ -219,15 +219,15 @@
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Name: "open", Price: 1, Rate: 100, Burst: 100, MaxInFlight: 4, ExcessCost: 1})
 	r := newRig(t, set, Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-	r.g.window = 100
+	r.engine.window = 100
 	sends := 0
 	for id := RequestID(1); id <= 5; id++ {
-		sends += len(only[SendAttempt](r.arrive(id, "read", "open")))
+		sends += len(actionsOf[SendAttempt](r.arrive(id, "read", "open")))
 	}
 	if sends != 2 {
 		t.Fatalf("%d out, this gateway's part is 2", sends)
 	}
-	got := only[SendAttempt](r.tell(AttemptEnded{ID: 1, Outcome: Succeeded, Took: 5 * ms, Finished: true}))
+	got := actionsOf[SendAttempt](r.notify(AttemptEnded{ID: 1, Outcome: Succeeded, Took: 5 * ms, Finished: true}))
 	if len(got) != 1 {
 		t.Fatalf("sends %v, a waiting request takes the slot", got)
 	}
@@ -240,7 +240,7 @@
 		r.arrive(id, "read", "free")
 	}
 	r.now += 1900 * ms
-	if got := only[SendAttempt](r.tell(TimerFired{})); len(got) > 0 {
+	if got := actionsOf[SendAttempt](r.notify(TimerFired{})); len(got) > 0 {
 		t.Fatalf("sent %v after the stall", got)
 	}
 }
@@ -269,10 +269,10 @@
 	r := newRig(t, set, Backend{ID: "s", State: Running})
 	sends := 0
 	for id := RequestID(1); id <= 20; id++ {
-		acts := append(r.arrive(id, "read", "small"), r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})...)
+		acts := append(r.arrive(id, "read", "small"), r.notify(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})...)
 		acts = append(acts, r.pass(200*ms)...)
-		sends += len(only[SendAttempt](acts))
-		if len(only[AddToCounter](acts)) > 0 {
+		sends += len(actionsOf[SendAttempt](acts))
+		if len(actionsOf[AddToCounter](acts)) > 0 {
 			t.Fatal("called a counter that is not there")
 		}
 	}
@@ -305,11 +305,11 @@
 	var calls []AddToCounter
 	for id := RequestID(1); id <= 3; id++ {
 		acts := r.arrive(id, "read", "small")
-		if len(only[SendAttempt](acts)) != 1 {
+		if len(actionsOf[SendAttempt](acts)) != 1 {
 			t.Fatalf("request %d did not go at once", id)
 		}
-		calls = append(calls, only[AddToCounter](acts)...)
-		r.tell(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
+		calls = append(calls, actionsOf[AddToCounter](acts)...)
+		r.notify(AttemptEnded{ID: id, Outcome: Succeeded, Took: ms, Finished: true})
 	}
 	if len(calls) != 1 || calls[0].Add < 4 {
 		t.Fatalf("calls %v, want one that adds the first block and the next", calls)
@@ -323,20 +323,20 @@
 		fleet = append(fleet, Backend{ID: BackendID(fmt.Sprint("s", i)), State: Running})
 	}
 	r := newRig(t, settings(), fleet...)
-	before := r.g.window
-	c := r.g.classes["read"]
+	before := r.engine.window
+	c := r.engine.classes["read"]
 	for range 50 {
-		r.g.judge(&attempt{s: r.g.fleet[0]}, c, TimedOut, 0)
+		r.engine.updateWindow(&attempt{backend: r.engine.running[0]}, c, TimedOut, 0)
 	}
 	r.pass(100 * ms)
-	if r.g.window < before {
+	if r.engine.window < before {
 		t.Fatal("narrowed by one server")
 	}
 	for i := range 50 {
-		r.g.judge(&attempt{s: r.g.fleet[i%12]}, c, TimedOut, 0)
+		r.engine.updateWindow(&attempt{backend: r.engine.running[i%12]}, c, TimedOut, 0)
 	}
 	r.pass(2 * time.Second)
-	if r.g.window >= before {
+	if r.engine.window >= before {
 		t.Fatal("not narrowed by a shared symptom")
 	}
 }
@@ -344,14 +344,14 @@
 // Long calls of one class are not a full back end: while another class is answered in time the window stays.
 func TestOneClassesLongCallsDoNotNarrowTheWindow(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "s", State: Running}, Backend{ID: "u", State: Running})
-	before := r.g.window
+	before := r.engine.window
 	for i := range 40 {
-		s := r.g.fleet[i%2]
-		r.g.judge(&attempt{s: s}, r.g.classes["book"], Succeeded, 400*ms)
-		r.g.judge(&attempt{s: s}, r.g.classes["read"], Succeeded, 20*ms)
+		s := r.engine.running[i%2]
+		r.engine.updateWindow(&attempt{backend: s}, r.engine.classes["book"], Succeeded, 400*ms)
+		r.engine.updateWindow(&attempt{backend: s}, r.engine.classes["read"], Succeeded, 20*ms)
 	}
 	r.pass(2 * time.Second)
-	if r.g.window < before {
+	if r.engine.window < before {
 		t.Fatal("narrowed by one class's long calls")
 	}
 }
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -7,63 +7,65 @@
 	"time"
 )
 
-type server struct {
+type backend struct {
 	Backend
-	out              []*attempt
-	slow, heard      float64 // latency relative to the fleet's: by its answers, by others' word
-	phase            float64 // part of the space to the next send
-	slowAt, lastSent time.Duration
-	banned           time.Duration // no work before, unless too many are
-	fails, badRound  int           // failures in a row; last round with an untimely end
-	draw             uint64        // of this gateway's round; who shares the round has other servers
-	unproven         bool          // of a hall that was lost, and not known to be back itself
+	outstanding                        []*attempt
+	slowness, peerSlowness             float64 // latency relative to the fleet's: by its answers, by others' word
+	sendPhase                          float64 // part of the space to the next send
+	slownessAt, lastSent               time.Duration
+	ejectedUntil                       time.Duration // no work before, unless too many are
+	consecutiveFailures, untimelyRound int           // failures in a row; last round with an untimely end
+	subsetHash                         uint64        // of this gateway's round; who shares the round has other servers
+	unproven                           bool          // of a hall that was lost, and not known to be back itself
 }
 
 // learned is the relative latency as remembered, or as others say; slowness also what the longest wait shows.
-func (g *Engine) learned(s *server) float64 { return max(1+(s.slow-1)*g.memory(s), s.heard) }
+func (e *Engine) learnedSlowness(s *backend) float64 {
+	return max(1+(s.slowness-1)*e.slownessRetention(s), s.peerSlowness)
+}
 
-func (g *Engine) slowness(s *server) float64 {
-	v := g.learned(s)
-	if len(s.out) > 0 && g.lag > 0 {
-		v = max(v, (g.now-s.out[0].sent).Seconds()/(3*g.lag))
+func (e *Engine) currentSlowness(s *backend) float64 {
+	v := e.learnedSlowness(s)
+	if len(s.outstanding) > 0 && e.meanLatency > 0 {
+		v = max(v, (e.now-s.outstanding[0].sentAt).Seconds()/(3*e.meanLatency))
 	}
 	return v
 }
 
 // memory is the part left of what was learned: half goes in some aims, or between two answers of a server.
-func (g *Engine) memory(s *server) float64 {
-	half := max(forgetAims*g.longAim.Seconds(), float64(len(g.fleet))/max(g.flow, 1e-3))
-	return math.Exp2(-(g.now - s.slowAt).Seconds() / half)
+func (e *Engine) slownessRetention(s *backend) float64 {
+	half := max(slownessHalfLifeObjectives*e.longestObjective.Seconds(), float64(len(e.running))/max(e.answerRate, 1e-3))
+	return math.Exp2(-(e.now - s.slownessAt).Seconds() / half)
 }
 
 // choose picks the server with the least expected wait among those that may take the request.
-func (g *Engine) choose(r *request) *server {
-	var best *server
+func (e *Engine) chooseBackend(r *request) *backend {
+	var best *backend
 	bestScore := math.Inf(1)
-	anchor := r.anchor()
-	for _, s := range g.fleet {
+	anchor := r.bindingAttempt()
+	for _, s := range e.running {
 		bound := anchor != nil && r.class.Effect != Safe && !sameGroup(r.class.Group, anchor, s)
-		h := g.halls[s.Zone]
-		crawls := !g.thin && len(s.out) > 0 && g.learned(s) > crawling // more would crawl with it
-		if bound || crawls || s.unproven || !g.coldRoom(s) || !h.hasRoom(g.now) {
+		h := e.zones[s.Zone]
+		crawls := !e.largeFleet && len(s.outstanding) > 0 && e.learnedSlowness(s) > crawlingSlowness // more would crawl with it
+		if bound || crawls || s.unproven || !e.slowStartAllows(s) || !h.hasCredit(e.now) {
 			continue
 		}
-		score := g.slowness(s)
-		if !g.thin && (g.now-max(s.lastSent, s.Started)).Seconds() < unused*s.phase { // of many: too little
-			score = max(score, 1/g.warmth(s)) // its answers show the same
+		score := e.currentSlowness(s)
+		if !e.largeFleet && (e.now-max(s.lastSent, s.Started)).Seconds() < slowStartIdleSeconds*s.sendPhase { // of many: too little
+			score = max(score, 1/e.capacityShare(s)) // its answers show the same
 		}
-		score *= (1 + float64(len(s.out))) * (1 + 0.1*g.rng.Float64())
-		if !g.mine(s) {
-			score *= strange
+		score *= (1 + float64(len(s.outstanding))) * (1 + 0.1*e.rng.Float64())
+		if !e.inSubset(s) {
+			score *= outsideSubsetFactor
 		}
 		if h != nil {
 			score *= h.Price
-		} else if s.Zone != g.set.Zone && g.set.CrossZonePrice > 0 {
+		} else if s.Zone != e.settings.Zone && e.settings.CrossZonePrice > 0 {
 			score *= 1.3
 		}
-		if r.tried(s) || g.dark[s.Zone].until > g.now ||
-			s.fails >= failsToBan && (s.banned > g.now || len(s.out) > 0) {
-			score *= lastResort
+		if r.hasTried(s) || e.unreachable[s.Zone].until > e.now ||
+			s.consecutiveFailures >= failuresToEject && (s.ejectedUntil > e.now || len(s.outstanding) > 0) {
+			score *= lastResortFactor
 		}
 		if score < bestScore {
 			best, bestScore = s, score
@@ -74,134 +76,134 @@
 
 // sameGroup says whether a server shares the memory of keys with the one that an attempt was sent to, as
 // that was then.
-func sameGroup(of Group, a *attempt, s *server) bool {
+func sameGroup(of Group, a *attempt, s *backend) bool {
 	return of == GroupAll || of == GroupZone && a.zone == s.Zone || of == GroupCell && a.cell == s.Cell
 }
 
-func (r *request) tried(s *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.s == s })
+func (r *request) hasTried(s *backend) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.backend == s })
 }
 
 // observe learns from an attempt's end.
-func (g *Engine) observe(a *attempt, c *class, o Outcome, took time.Duration) {
+func (e *Engine) recordOutcome(a *attempt, c *class, o Outcome, took time.Duration) {
 	if o == Cancelled || o == NotSent {
 		return
 	}
-	s, t := a.s, took.Seconds()
-	seen := failPenalty
+	s, t := a.backend, took.Seconds()
+	seen := failurePenalty
 	if o == Succeeded {
-		if c.mean == 0 {
-			c.mean, c.dev, g.lag = t, t/2, max(g.lag, t)
+		if c.meanLatency == 0 {
+			c.meanLatency, c.latencyDeviation, e.meanLatency = t, t/2, max(e.meanLatency, t)
 		}
-		seen = min(t/c.mean, failPenalty)
-		clipped := min(t, c.mean*failPenalty)
-		c.dev += 0.02 * (math.Abs(clipped-c.mean) - c.dev)
-		c.mean += 0.02 * (clipped - c.mean)
-		g.lag += 0.05 * (clipped - g.lag)
-		s.fails, s.banned = 0, 0
-		delete(g.dark, s.Zone)
-		g.flow, g.flowAt = 1+g.flow*math.Exp(-(g.now-g.flowAt).Seconds()), g.now
+		seen = min(t/c.meanLatency, failurePenalty)
+		clipped := min(t, c.meanLatency*failurePenalty)
+		c.latencyDeviation += 0.02 * (math.Abs(clipped-c.meanLatency) - c.latencyDeviation)
+		c.meanLatency += 0.02 * (clipped - c.meanLatency)
+		e.meanLatency += 0.05 * (clipped - e.meanLatency)
+		s.consecutiveFailures, s.ejectedUntil = 0, 0
+		delete(e.unreachable, s.Zone)
+		e.answerRate, e.answerRateAt = 1+e.answerRate*math.Exp(-(e.now-e.answerRateAt).Seconds()), e.now
 	} else {
-		s.fails++
-		g.darken(s, o)
-		if s.fails >= failsToBan {
-			s.banned = g.now + g.longAim*time.Duration(uint(1)<<min(s.fails-failsToBan, 4))
+		s.consecutiveFailures++
+		e.recordUnreachable(s, o)
+		if s.consecutiveFailures >= failuresToEject {
+			s.ejectedUntil = e.now + e.longestObjective*time.Duration(uint(1)<<min(s.consecutiveFailures-failuresToEject, 4))
 		}
 	}
-	left := g.memory(s)
-	s.slow = 1 + (s.slow-1)*left
-	s.slow, s.slowAt = s.slow+(1-(1-slowGain)*left)*(seen-s.slow), g.now
+	left := e.slownessRetention(s)
+	s.slowness = 1 + (s.slowness-1)*left
+	s.slowness, s.slownessAt = s.slowness+(1-(1-slownessGain)*left)*(seen-s.slowness), e.now
 }
 
-func (g *Engine) fleetChanged(ev EndpointsChanged) {
+func (e *Engine) handleEndpointsChanged(ev EndpointsChanged) {
 	if ev.Failed {
-		g.watching = false
+		e.watchingEndpoints = false
 		return
 	}
-	first := len(g.fleet) == 0
-	if g.thin {
-		g.coldTokens()
+	first := len(e.running) == 0
+	if e.largeFleet {
+		e.refillSlowStartTokens()
 	}
 	if ev.Complete {
-		for _, s := range g.fleet {
+		for _, s := range e.running {
 			s.State = Gone
 		}
 	}
-	for _, e := range ev.Backends {
-		s := g.servers[e.ID]
+	for _, entry := range ev.Backends {
+		s := e.backends[entry.ID]
 		if s == nil {
-			s = &server{}
-			g.servers[e.ID] = s
+			s = &backend{}
+			e.backends[entry.ID] = s
 		}
-		if s.slow == 0 || s.Started != e.Started { // new or restarted: only what is still out stays
-			*s = server{
-				out: s.out, slow: 1, slowAt: g.now, badRound: -1, phase: g.rng.Float64(),
-				unproven: s.unproven, draw: g.draw(e.ID),
+		if s.slowness == 0 || s.Started != entry.Started { // new or restarted: only what is still out stays
+			*s = backend{
+				outstanding: s.outstanding, slowness: 1, slownessAt: e.now, untimelyRound: -1, sendPhase: e.rng.Float64(),
+				unproven: s.unproven, subsetHash: e.hashForSubset(entry.ID),
 			}
 		}
-		s.Backend = e
+		s.Backend = entry
 	}
-	g.hosts, g.hostsAt, g.fleet = g.earners(), g.now, g.fleet[:0]
-	for id, s := range g.servers {
+	e.answeringBackends, e.answeringBackendsAt, e.running = e.countAnsweringBackends(), e.now, e.running[:0]
+	for id, s := range e.backends {
 		if s.State == Running {
-			g.fleet = append(g.fleet, s)
-		} else if s.State == Gone && len(s.out) == 0 { // ids are ever new: it would stay for good
-			delete(g.servers, id)
+			e.running = append(e.running, s)
+		} else if s.State == Gone && len(s.outstanding) == 0 { // ids are ever new: it would stay for good
+			delete(e.backends, id)
 		}
 	}
-	slices.SortFunc(g.fleet, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(e.running, func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
 	if first {
-		g.window, g.retries = g.part(), g.part()
+		e.window, e.retryBudget = e.windowShare(), e.windowShare()
 	}
-	for g.rounds = 1; g.thin && g.rounds < 4 && g.rounds*2*subset <= len(g.fleet); {
-		g.rounds *= 2 // a power of two: a fleet that shrinks adds to a gateway's servers, and takes none
+	for e.subsetCount = 1; e.largeFleet && e.subsetCount < 4 && e.subsetCount*2*minSubset <= len(e.running); {
+		e.subsetCount *= 2 // a power of two: a fleet that shrinks adds to a gateway's servers, and takes none
 	}
 }
 
 // warmth is the share of its capacity that a server surely has: it grows evenly from the cold share.
-func (g *Engine) warmth(s *server) float64 {
-	age := g.now - s.Started
-	if s.Started == 0 || age >= g.set.SlowStartWindow || g.set.SlowStartWindow <= 0 {
+func (e *Engine) capacityShare(s *backend) float64 {
+	age := e.now - s.Started
+	if s.Started == 0 || age >= e.settings.SlowStartWindow || e.settings.SlowStartWindow <= 0 {
 		return 1
 	}
-	cold := max(g.set.SlowStartShare, 0.01)
-	return cold + (1-cold)*max(0, age.Seconds())/g.set.SlowStartWindow.Seconds()
+	cold := max(e.settings.SlowStartShare, 0.01)
+	return cold + (1-cold)*max(0, age.Seconds())/e.settings.SlowStartWindow.Seconds()
 }
 
 // eachAnswers is the answers a second that a warm server gives here. Where most of the fleet has just gone,
 // the few that are left have not earned its answers: both figures fade alike.
-func (g *Engine) eachAnswers() float64 {
-	if g.eachAt != g.now { // many servers are looked at in one moment
-		g.eachAt = g.now
-		g.each = g.flow * math.Exp(-(g.now - g.flowAt).Seconds()) / max(g.earners(), 0.1)
+func (e *Engine) answersPerBackend() float64 {
+	if e.backendAnswerRateAt != e.now { // many servers are looked at in one moment
+		e.backendAnswerRateAt = e.now
+		e.backendAnswerRate = e.answerRate * math.Exp(-(e.now - e.answerRateAt).Seconds()) / max(e.countAnsweringBackends(), 0.1)
 	}
-	return g.each
+	return e.backendAnswerRate
 }
 
 // earners is the warm servers that the answers came from; a cold one counts by its warmth, else a fleet that
 // is cold as a whole would take its own slowness for all that servers can do.
-func (g *Engine) earners() float64 {
+func (e *Engine) countAnsweringBackends() float64 {
 	n := 0.0
-	for _, s := range g.fleet {
-		w := g.warmth(s)
-		if !g.thin { // a crawling one answers little, and that says nothing of the others
-			w = min(w, 1/max(1, g.slowness(s)))
+	for _, s := range e.running {
+		w := e.capacityShare(s)
+		if !e.largeFleet { // a crawling one answers little, and that says nothing of the others
+			w = min(w, 1/max(1, e.currentSlowness(s)))
 		}
 		n += w
 	}
-	return n + max(0, g.hosts-n)*math.Exp(-(g.now-g.hostsAt).Seconds())
+	return n + max(0, e.answeringBackends-n)*math.Exp(-(e.now-e.answeringBackendsAt).Seconds())
 }
 
 // coldRoom spaces sends to a cold server by what warm ones answer here, scaled to its warmth, so that the sum
 // over all gateways stays within it; the first comes at a random part of the space.
-func (g *Engine) coldRoom(s *server) bool {
-	w := g.warmth(s)
+func (e *Engine) slowStartAllows(s *backend) bool {
+	w := e.capacityShare(s)
 	if w >= 1 {
 		return true
 	}
-	if g.thin {
-		return g.coldTokens() >= 1 && g.now-s.lastSent > time.Second
+	if e.largeFleet {
+		return e.refillSlowStartTokens() >= 1 && e.now-s.lastSent > time.Second
 	}
-	rate := coldRate * w * max(g.eachAnswers(), startPerHost/float64(g.set.Instances))
-	return (g.now - max(s.lastSent, s.Started)).Seconds() >= s.phase/rate
+	rate := slowStartRateFactor * w * max(e.answersPerBackend(), initialAttemptsPerBackend/float64(e.settings.Instances))
+	return (e.now - max(s.lastSent, s.Started)).Seconds() >= s.sendPhase/rate
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -69,92 +69,92 @@
 }
 
 // Learned returns what is known now.
-func (g *Engine) ExportState() LearnedState {
-	l := LearnedState{Window: g.window, Lag: g.lag, AnswerRate: g.flow, AnswerRateAt: g.flowAt, CounterCallShare: g.askShare, InFlight: g.busy}
-	for _, c := range g.set.Classes {
-		if k := g.classes[c.Name]; k.mean > 0 {
-			l.Classes = append(l.Classes, LearnedClass{c.Name, k.mean, k.dev})
+func (e *Engine) ExportState() LearnedState {
+	l := LearnedState{Window: e.window, Lag: e.meanLatency, AnswerRate: e.answerRate, AnswerRateAt: e.answerRateAt, CounterCallShare: e.counterCallShare, InFlight: e.inFlight}
+	for _, c := range e.settings.Classes {
+		if k := e.classes[c.Name]; k.meanLatency > 0 {
+			l.Classes = append(l.Classes, LearnedClass{c.Name, k.meanLatency, k.latencyDeviation})
 		}
 	}
-	for _, s := range g.fleet {
+	for _, s := range e.running {
 		l.Backends = append(l.Backends, LearnedBackend{
-			ID: s.ID, Started: s.Started, SlownessAt: s.slowAt, LastSent: s.lastSent, EjectedUntil: s.banned,
-			Slowness: s.slow, ConsecutiveFailures: s.fails,
+			ID: s.ID, Started: s.Started, SlownessAt: s.slownessAt, LastSent: s.lastSent, EjectedUntil: s.ejectedUntil,
+			Slowness: s.slowness, ConsecutiveFailures: s.consecutiveFailures,
 		})
 	}
-	for _, c := range g.roster {
+	for _, c := range e.tenantOrder {
 		l.Tenants = append(l.Tenants, LearnedTenant{
-			ID: c.id, Tenant: c.who, Plan: c.plan.Name, Spread: c.spread,
-			First: (g.set.Index - c.place + g.set.Instances) % g.set.Instances, LeasedUnits: c.block, UnreportedUnits: c.owed, Level: c.level, Demand: c.demand,
-			Others: c.others, LevelAt: c.at, TotalAt: c.looked, ExhaustedUntil: c.spent, Epoch: c.epoch, Total: c.total, ObservedUnits: c.seenUnits,
-			ObservedFor: c.seenFor, ObservedAt: c.seenAt, LastRequest: c.seen, NextCounterCall: c.nextCall, RefreshedAt: c.refreshed, CounterSilent: c.silent,
-			CeilingLevel: c.ceiling, CeilingAt: c.ceilingAt, InFlight: c.open, Share: 1 / c.ways,
+			ID: c.account, Tenant: c.name, Plan: c.plan.Name, Spread: c.spread,
+			First: (e.settings.Index - c.position + e.settings.Instances) % e.settings.Instances, LeasedUnits: c.leasedUnits, UnreportedUnits: c.unreportedUnits, Level: c.level, Demand: c.demand,
+			Others: c.othersRate, LevelAt: c.levelAt, TotalAt: c.totalAt, ExhaustedUntil: c.exhaustedUntil, Epoch: c.epoch, Total: c.total, ObservedUnits: c.observedUnits,
+			ObservedFor: c.observedFor, ObservedAt: c.observedAt, LastRequest: c.lastRequest, NextCounterCall: c.nextCall, RefreshedAt: c.refreshedAt, CounterSilent: c.counterSilent,
+			CeilingLevel: c.ceilingLevel, CeilingAt: c.ceilingAt, InFlight: c.inFlight, Share: 1 / c.shareDivisor,
 		})
 	}
 	return l
 }
 
 // Learn takes over what another process knew. Its attempts that are out count here until Release.
-func (g *Engine) ImportState(now time.Duration, l LearnedState) {
-	g.now = max(now, g.now)
-	g.ReleasePredecessor()
+func (e *Engine) ImportState(now time.Duration, l LearnedState) {
+	e.now = max(now, e.now)
+	e.ReleasePredecessor()
 	if l.Window > 0 {
-		g.window, g.askShare = max(l.Window, leastWindow), min(1, max(l.CounterCallShare, leastAsked))
-		g.lag, g.flow, g.flowAt = l.Lag, l.AnswerRate, l.AnswerRateAt
+		e.window, e.counterCallShare = max(l.Window, minWindow), min(1, max(l.CounterCallShare, minCounterCallShare))
+		e.meanLatency, e.answerRate, e.answerRateAt = l.Lag, l.AnswerRate, l.AnswerRateAt
 	}
 	for _, k := range l.Classes {
-		if c := g.classes[k.Name]; c != nil {
-			c.mean, c.dev = k.Mean, k.Deviation
+		if c := e.classes[k.Name]; c != nil {
+			c.meanLatency, c.latencyDeviation = k.Mean, k.Deviation
 		}
 	}
 	for _, k := range l.Backends {
-		if s := g.servers[k.ID]; s != nil && s.Started == k.Started {
-			s.slow, s.slowAt, s.lastSent, s.fails, s.banned = max(k.Slowness, 0.01), k.SlownessAt, k.LastSent, k.ConsecutiveFailures, k.EjectedUntil
+		if s := e.backends[k.ID]; s != nil && s.Started == k.Started {
+			s.slowness, s.slownessAt, s.lastSent, s.consecutiveFailures, s.ejectedUntil = max(k.Slowness, 0.01), k.SlownessAt, k.LastSent, k.ConsecutiveFailures, k.EjectedUntil
 		}
 	}
 	for _, k := range l.Tenants {
-		if p := g.plans[k.Plan]; p != nil && k.ID != "" {
-			g.learnCustomer(p, k)
+		if p := e.plans[k.Plan]; p != nil && k.ID != "" {
+			e.importTenant(p, k)
 		}
 	}
-	g.lentBusy = l.InFlight
-	g.busy += l.InFlight
+	e.predecessorInFlight = l.InFlight
+	e.inFlight += l.InFlight
 }
 
-func (g *Engine) learnCustomer(p *Plan, k LearnedTenant) {
+func (e *Engine) importTenant(p *Plan, k LearnedTenant) {
 	if k.Tenant == "" { // told by a version whose books were the customer's alone, under another name at the counter
 		k.Tenant, _, _ = strings.Cut(k.ID, "/")
 		k.Epoch, k.Total = -1, 0
 	}
-	c := g.customer(&request{Request: Request{Tenant: k.Tenant, Plan: k.Plan, Spread: k.Spread, First: max(k.First, 0)}, plan: p})
-	c.block, c.owed, c.level, c.demand, c.others = k.LeasedUnits, k.UnreportedUnits, k.Level, k.Demand, k.Others
-	c.at, c.looked, c.spent, c.epoch, c.total = k.LevelAt, k.TotalAt, k.ExhaustedUntil, k.Epoch, k.Total
-	c.seenUnits, c.seenFor, c.seenAt, c.seen, c.refreshed = k.ObservedUnits, k.ObservedFor, k.ObservedAt, k.LastRequest, k.RefreshedAt
-	c.nextCall, c.silent, c.ceiling, c.ceilingAt = k.NextCounterCall, k.CounterSilent, k.CeilingLevel, k.CeilingAt
-	c.lent = k.InFlight
-	c.open += k.InFlight
+	c := e.tenantFor(&request{Request: Request{Tenant: k.Tenant, Plan: k.Plan, Spread: k.Spread, First: max(k.First, 0)}, plan: p})
+	c.leasedUnits, c.unreportedUnits, c.level, c.demand, c.othersRate = k.LeasedUnits, k.UnreportedUnits, k.Level, k.Demand, k.Others
+	c.levelAt, c.totalAt, c.exhaustedUntil, c.epoch, c.total = k.LevelAt, k.TotalAt, k.ExhaustedUntil, k.Epoch, k.Total
+	c.observedUnits, c.observedFor, c.observedAt, c.lastRequest, c.refreshedAt = k.ObservedUnits, k.ObservedFor, k.ObservedAt, k.LastRequest, k.RefreshedAt
+	c.nextCall, c.counterSilent, c.ceilingLevel, c.ceilingAt = k.NextCounterCall, k.CounterSilent, k.CeilingLevel, k.CeilingAt
+	c.predecessorInFlight = k.InFlight
+	c.inFlight += k.InFlight
 }
 
 // Release ends what Learn has counted for the other process: nothing of it is out any more.
-func (g *Engine) ReleasePredecessor() {
-	g.busy -= g.lentBusy
-	g.lentBusy = 0
-	for _, c := range g.roster {
-		c.open -= c.lent
-		c.lent = 0
+func (e *Engine) ReleasePredecessor() {
+	e.inFlight -= e.predecessorInFlight
+	e.predecessorInFlight = 0
+	for _, c := range e.tenantOrder {
+		c.inFlight -= c.predecessorInFlight
+		c.predecessorInFlight = 0
 	}
 }
 
 // Keep lays down what is left here of the units of each customer, in the order of Learned, after the rest was given to another
 // process of this gateway. From then on stores and ceilings do not fill here any more: they do there.
-func (g *Engine) RetainUnits(kept []LearnedTenant) {
+func (e *Engine) RetainUnits(kept []LearnedTenant) {
 	for _, k := range kept {
-		if c := g.customers[k.ID]; c != nil {
-			c.block, c.owed, c.ceiling = k.LeasedUnits, k.UnreportedUnits, k.CeilingLevel
+		if c := e.tenants[k.ID]; c != nil {
+			c.leasedUnits, c.unreportedUnits, c.ceilingLevel = k.LeasedUnits, k.UnreportedUnits, k.CeilingLevel
 			c.level = min(0, c.level) - c.plan.Burst/2 // what the store fills with is lent there
 		}
 	}
-	for _, p := range g.plans {
+	for _, p := range e.plans {
 		p.CeilingRate = min(p.CeilingRate, math.SmallestNonzeroFloat32)
 	}
 }
@@ -162,10 +162,10 @@
 // Hear takes over how slow servers are to be reckoned with by what other gateways say, in mean latencies; those that are not
 // named are left to what this one sees itself. One at Try is to be tried: what is remembered of it here is put aside as well.
 // Nothing here is told on as this gateway's own.
-func (g *Engine) SetPeerSlowness(slow map[BackendID]float64) {
-	for id, s := range g.servers {
-		if s.heard = slow[id]; s.heard == ProbationSlowness {
-			s.slow, s.slowAt, s.fails, s.banned = ProbationSlowness, g.now, 0, 0
+func (e *Engine) SetPeerSlowness(slow map[BackendID]float64) {
+	for id, s := range e.backends {
+		if s.peerSlowness = slow[id]; s.peerSlowness == ProbationSlowness {
+			s.slowness, s.slownessAt, s.consecutiveFailures, s.ejectedUntil = ProbationSlowness, e.now, 0, 0
 		}
 	}
 }
@@ -182,16 +182,16 @@
 }
 
 // Standings are those of all customers.
-func (g *Engine) QuotaStandings() map[string]QuotaStanding {
+func (e *Engine) QuotaStandings() map[string]QuotaStanding {
 	out := map[string]QuotaStanding{}
-	for _, c := range g.roster {
-		out[c.id] = QuotaStanding{AvailableUnits: g.room(c), Sparse: c.sparse, Escrowed: g.parts != nil && c.spread > 1}
+	for _, c := range e.tenantOrder {
+		out[c.account] = QuotaStanding{AvailableUnits: e.availableUnits(c), Sparse: c.sparse, Escrowed: e.allocations != nil && c.spread > 1}
 	}
-	for _, r := range g.live {
-		if r.charged && !r.sent && !r.final {
-			s := out[r.cust.id]
+	for _, r := range e.openRequests {
+		if r.charged && !r.sent && !r.finished {
+			s := out[r.tenant.account]
 			s.QueuedUnits += r.Units
-			out[r.cust.id] = s
+			out[r.tenant.account] = s
 		}
 	}
 	return out
@@ -211,46 +211,46 @@
 }
 
 // of is a customer's part, one in so many, and the part that is spent unheard. Without any agreement each gateway has an even part.
-func (p *Allocations) of(c *customer) (ways, away float64) {
+func (p *Allocations) shareOf(c *tenant) (ways, away float64) {
 	ways = float64(c.spread)
 	if p == nil {
 		return ways, 0
 	}
-	if x, named := p.ByAccount[c.id]; named {
-		return 1 / min(1, max(leastPart, x.Share)), min(1, max(0, x.Unreported))
+	if x, named := p.ByAccount[c.account]; named {
+		return 1 / min(1, max(minShare, x.Share)), min(1, max(0, x.Unreported))
 	}
-	return ways / min(1, max(leastPart, p.Default)), 0
+	return ways / min(1, max(minShare, p.Default)), 0
 }
 
 // leastPart is as good as none.
-const leastPart = 1e-9
+const minShare = 1e-9
 
 // Hold takes over what this gateway holds from now on. What was let into its block before stays.
 //
 // After a time in which this process did not run (stopped), nothing has come to it meanwhile: what it held then may have ended.
-func (g *Engine) SetAllocations(now time.Duration, p Allocations, stopped bool) {
-	g.now = max(now, g.now)
-	g.parts = &p
-	for _, c := range g.roster {
+func (e *Engine) SetAllocations(now time.Duration, p Allocations, stopped bool) {
+	e.now = max(now, e.now)
+	e.allocations = &p
+	for _, c := range e.tenantOrder {
 		if stopped {
-			c.refreshed, c.ceilingAt = g.now, g.now
+			c.refreshedAt, c.ceilingAt = e.now, e.now
 		}
-		g.repart(c)
+		e.updateShare(c)
 	}
 }
 
 // repart brings this gateway's part of a customer's plan up to date, after what it depends on has changed. What has filled until now came by the
 // part that was.
-func (g *Engine) repart(c *customer) {
-	ways, away := g.parts.of(c)
-	if ways == c.ways && away == c.away {
+func (e *Engine) updateShare(c *tenant) {
+	ways, away := e.allocations.shareOf(c)
+	if ways == c.shareDivisor && away == c.unreportedShare {
 		return
 	}
-	g.refresh(c)
-	c.level, c.at = c.level+c.filled(g.now), g.now
-	filled := c.ceiling + c.plan.CeilingRate/c.ways*(g.now-c.ceilingAt).Seconds()
-	c.ceiling, c.ceilingAt = min(filled, c.plan.CeilingBurst/c.ways, c.plan.CeilingBurst/ways), g.now
-	c.ways, c.away = ways, away
+	e.refreshTenant(c)
+	c.level, c.levelAt = c.level+c.refilled(e.now), e.now
+	filled := c.ceilingLevel + c.plan.CeilingRate/c.shareDivisor*(e.now-c.ceilingAt).Seconds()
+	c.ceilingLevel, c.ceilingAt = min(filled, c.plan.CeilingBurst/c.shareDivisor, c.plan.CeilingBurst/ways), e.now
+	c.shareDivisor, c.unreportedShare = ways, away
 }
 
 // Need is what a customer asks for here beside what this gateway holds of it.
@@ -265,13 +265,13 @@
 }
 
 // Needs are those of the customers that come through several gateways and whose part counts for something, in order of first sight.
-func (g *Engine) QuotaNeeds(now time.Duration) (out []QuotaNeed) {
-	for _, c := range g.roster {
+func (e *Engine) QuotaNeeds(now time.Duration) (out []QuotaNeed) {
+	for _, c := range e.tenantOrder {
 		if c.spread < 2 || c.plan.Rate <= 0 || c.sparse {
 			continue
 		}
-		n := QuotaNeed{Account: c.id, Spread: c.spread, First: (g.set.Index - c.place + g.set.Instances) % g.set.Instances, Rate: c.plan.Rate, OthersRate: c.others, CounterLost: c.silent}
-		demand := c.demand * math.Exp(-(now - c.refreshed).Seconds())
+		n := QuotaNeed{Account: c.account, Spread: c.spread, First: (e.settings.Index - c.position + e.settings.Instances) % e.settings.Instances, Rate: c.plan.Rate, OthersRate: c.othersRate, CounterLost: c.counterSilent}
+		demand := c.demand * math.Exp(-(now - c.refreshedAt).Seconds())
 		if n.CounterLost {
 			n.WantedShare = demand / c.plan.Rate
 		}
@@ -280,7 +280,7 @@
 		}
 		if c.plan.MaxInFlight >= c.spread {
 			n.MaxInFlight = c.plan.MaxInFlight
-			n.WantedShare = max(n.WantedShare, float64(c.open)/float64(c.plan.MaxInFlight))
+			n.WantedShare = max(n.WantedShare, float64(c.inFlight)/float64(c.plan.MaxInFlight))
 		}
 		out = append(out, n)
 	}
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -15,24 +15,24 @@
 		old.arrive(id, "read", []string{"capped", "small", "free"}[id%3])
 		old.pass(30 * ms)
 		if id%4 < 2 {
-			old.tell(AttemptEnded{ID: id, Backend: "a", Outcome: Succeeded, Took: 40 * ms, Finished: true})
+			old.notify(AttemptEnded{ID: id, Backend: "a", Outcome: Succeeded, Took: 40 * ms, Finished: true})
 		}
 	}
-	was := old.g.ExportState()
+	was := old.engine.ExportState()
 	if was.InFlight == 0 || len(was.Tenants) == 0 || len(was.Backends) != 2 {
 		t.Fatalf("nothing to go over: %+v", was)
 	}
 	next := newRig(t, settings(), servers...)
-	next.g.ImportState(old.now, was)
-	if now := next.g.ExportState(); !reflect.DeepEqual(was, now) {
+	next.engine.ImportState(old.now, was)
+	if now := next.engine.ExportState(); !reflect.DeepEqual(was, now) {
 		t.Fatalf("after it was learned:\n%+v\nbefore:\n%+v", now, was)
 	}
-	next.g.ReleasePredecessor()
-	now := next.g.ExportState()
+	next.engine.ReleasePredecessor()
+	now := next.engine.ExportState()
 	if now.InFlight != 0 || now.Tenants[0].InFlight != 0 {
 		t.Fatalf("after the release %d are out, %d of a customer", now.InFlight, now.Tenants[0].InFlight)
 	}
-	if next.g.ReleasePredecessor(); next.g.busy != 0 {
+	if next.engine.ReleasePredecessor(); next.engine.inFlight != 0 {
 		t.Fatal("released twice")
 	}
 }
@@ -42,18 +42,18 @@
 	r := newRig(t, settings(), Backend{ID: "s", State: Running})
 	r.arrive(1, "read", "capped")
 	r.pass(20 * time.Second)
-	l := r.g.ExportState()
+	l := r.engine.ExportState()
 	c := l.Tenants[0]
 	c.CeilingLevel, c.CeilingAt, c.LeasedUnits = 2, r.now, 100
-	r.g.ImportState(r.now, LearnedState{Tenants: []LearnedTenant{c}})
-	r.g.RetainUnits([]LearnedTenant{c})
+	r.engine.ImportState(r.now, LearnedState{Tenants: []LearnedTenant{c}})
+	r.engine.RetainUnits([]LearnedTenant{c})
 	sent := 0
 	for id := range RequestID(40) {
-		sent += len(only[SendAttempt](r.arrive(100+id, "read", "capped")))
-		r.tell(AttemptEnded{ID: 100 + id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
-		for _, s := range only[SendAttempt](r.pass(200 * ms)) {
+		sent += len(actionsOf[SendAttempt](r.arrive(100+id, "read", "capped")))
+		r.notify(AttemptEnded{ID: 100 + id, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+		for _, s := range actionsOf[SendAttempt](r.pass(200 * ms)) {
 			sent++
-			r.tell(AttemptEnded{ID: s.ID, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
+			r.notify(AttemptEnded{ID: s.ID, Backend: "s", Outcome: Succeeded, Took: ms, Finished: true})
 		}
 	}
 	if sent != 2 {
@@ -64,12 +64,12 @@
 // At low load a cold server that comes back is used, too: not only once it is warm.
 func TestColdServerHasItsTurn(t *testing.T) {
 	r := newRig(t, settings(), Backend{ID: "a", State: Running}, Backend{ID: "b", State: Running})
-	r.tell(EndpointsChanged{Backends: []Backend{{ID: "b", State: Running, Started: r.now}}})
+	r.notify(EndpointsChanged{Backends: []Backend{{ID: "b", State: Running, Started: r.now}}})
 	used := false
 	for id := range RequestID(500) { // one at a time: the other server is always free
-		for _, s := range only[SendAttempt](r.arrive(id, "read", "free")) {
+		for _, s := range actionsOf[SendAttempt](r.arrive(id, "read", "free")) {
 			used = used || s.Backend == "b"
-			r.tell(AttemptEnded{ID: id, Backend: s.Backend, Outcome: Succeeded, Took: 5 * ms, Finished: true})
+			r.notify(AttemptEnded{ID: id, Backend: s.Backend, Outcome: Succeeded, Took: 5 * ms, Finished: true})
 		}
 		r.pass(10 * ms)
 	}
@@ -88,17 +88,17 @@
 	r := newRig(t, settings(), servers...)
 	r.now += 8 * time.Second // the start has faded
 	r.pass(10 * ms)
-	g := r.g
-	g.flow, g.flowAt = 40, g.now
+	g := r.engine
+	g.answerRate, g.answerRateAt = 40, g.now
 	each := func() float64 {
-		g.eachAt = 0
-		return g.eachAnswers()
+		g.backendAnswerRateAt = 0
+		return g.answersPerBackend()
 	}
 	well := each()
 	for _, id := range []BackendID{"a", "b", "c"} {
-		g.servers[id].slow, g.servers[id].slowAt = 8, g.now
+		g.backends[id].slowness, g.backends[id].slownessAt = 8, g.now
 	}
-	g.flow = 14 // what one that is well and three that crawl answer
+	g.answerRate = 14 // what one that is well and three that crawl answer
 	if crawl := each(); crawl < 0.7*well {
 		t.Fatalf("a warm server is taken to answer %.1f a second, %.1f while three of four crawl", well, crawl)
 	}
@@ -109,12 +109,12 @@
 	out := func(slow float64) int {
 		r := newRig(t, settings(), Backend{ID: "a", State: Running}, Backend{ID: "b", State: Running})
 		for _, id := range []BackendID{"a", "b"} {
-			r.g.servers[id].slow, r.g.servers[id].slowAt = slow, r.now
+			r.engine.backends[id].slowness, r.engine.backends[id].slownessAt = slow, r.now
 		}
-		r.g.window = 10
+		r.engine.window = 10
 		n := 0
 		for id := range RequestID(8) {
-			n += len(only[SendAttempt](r.arrive(id, "read", "free")))
+			n += len(actionsOf[SendAttempt](r.arrive(id, "read", "free")))
 		}
 		return n
 	}
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -8,14 +8,14 @@
 )
 
 // served ends what was sent, in time.
-func (c *crowd) served(r *rig, sends []SendAttempt) {
+func (f *fleet) succeed(r *rig, sends []SendAttempt) {
 	for _, s := range sends {
-		c.tell(r, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})
+		f.notify(r, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true})
 	}
 }
 
 // fleetOf is so many servers over three halls.
-func fleetOf(n int, started time.Duration) (out []Backend) {
+func listBackends(n int, started time.Duration) (out []Backend) {
 	for i := range n {
 		out = append(out, Backend{
 			ID: BackendID(fmt.Sprintf("s-%08x", i*2654435761)), State: Running, Zone: string(rune('a' + i%3)),
@@ -31,17 +31,17 @@
 	const gateways, rate, seconds = 60, 2.0, 60
 	for _, x := range []float64{0.4, 5} {
 		chance := rand.New(rand.NewPCG(1, uint64(x*10)))
-		c := newCrowd(t, gateways, settings(), fleetOf(6, 0)...)
-		c.silent = true
+		c := newFleet(t, gateways, settings(), listBackends(6, 0)...)
+		c.counterSilent = true
 		asked, sent := 0, 0
 		for step := range seconds * 100 {
 			if chance.Float64() < x*rate/100 {
 				asked++
-				r := c.rigs[chance.IntN(gateways)]
+				r := c.instances[chance.IntN(gateways)]
 				r.now = time.Minute + time.Duration(step)*10*ms
 				sends := c.arrive(r, asked, "read", "small")
 				sent += len(sends)
-				c.served(r, sends)
+				c.succeed(r, sends)
 			}
 		}
 		switch {
@@ -59,13 +59,13 @@
 func TestASampleStandsForTheRest(t *testing.T) {
 	set := settings()
 	set.Instances = 80
-	r := newRig(t, set, fleetOf(6, 0)...)
+	r := newRig(t, set, listBackends(6, 0)...)
 	calls, added := 0, 0.0
 	const n = 2000
 	for i := range n {
-		r.g.askShare = 0.5
+		r.engine.counterCallShare = 0.5
 		r.now += 10 * ms
-		for _, a := range only[AddToCounter](r.tell(Arrival{Request{
+		for _, a := range actionsOf[AddToCounter](r.notify(Arrival{Request{
 			ID: RequestID(i), Class: "read", Plan: "small", Tenant: fmt.Sprint("c", i), Units: 1,
 			GiveUpAt: r.now + time.Second, Spread: 60,
 		}})) {
@@ -91,11 +91,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := fleetOf(60, 0)
+		all := listBackends(60, 0)
 		g.Handle(0, EndpointsChanged{Complete: true, Backends: all}, nil)
 		mine := map[BackendID]bool{}
-		for _, s := range g.fleet {
-			if g.mine(s) {
+		for _, s := range g.running {
+			if g.inSubset(s) {
 				by[s.ID]++
 				mine[s.ID] = true
 			}
@@ -104,8 +104,8 @@
 			t.Errorf("gateway %d prefers %d servers of 60", me, len(mine))
 		}
 		g.Handle(1, EndpointsChanged{Complete: true, Backends: all[:30]}, nil)
-		for _, s := range g.fleet {
-			if mine[s.ID] && !g.mine(s) {
+		for _, s := range g.running {
+			if mine[s.ID] && !g.inSubset(s) {
 				t.Errorf("gateway %d prefers %s no more, though it stayed", me, s.ID)
 			}
 		}
@@ -125,13 +125,13 @@
 func TestUnreachableServersSpeakForTheirHall(t *testing.T) {
 	set := settings()
 	set.Instances = 80
-	r := newRig(t, set, fleetOf(30, 0)...)
-	r.g.window, r.g.retries = 1000, 1000
-	zone := func(id BackendID) string { return r.g.servers[id].Zone }
+	r := newRig(t, set, listBackends(30, 0)...)
+	r.engine.window, r.engine.retryBudget = 1000, 1000
+	zone := func(id BackendID) string { return r.engine.backends[id].Zone }
 	lost, failed, late := 0, map[BackendID]bool{}, 0
 	for i := range 200 {
 		r.now += 20 * ms
-		queue := only[SendAttempt](r.arrive(RequestID(i), "read", "free"))
+		queue := actionsOf[SendAttempt](r.arrive(RequestID(i), "read", "free"))
 		for n := map[RequestID]int{}; len(queue) > 0; queue = queue[1:] {
 			s := queue[0]
 			ev := AttemptEnded{ID: s.ID, Attempt: n[s.ID], Backend: s.Backend, Outcome: Succeeded, Took: ms, Finished: true}
@@ -143,20 +143,20 @@
 				failed[s.Backend] = true
 				ev.Outcome, ev.Finished = NoConnect, false
 			}
-			queue = append(queue, only[SendAttempt](r.tell(ev))...)
+			queue = append(queue, actionsOf[SendAttempt](r.notify(ev))...)
 		}
 	}
 	if lost < 3 || late > 4 { // one more each time that the hall is tried again
 		t.Errorf("%d attempts went to the lost hall, %d of them after three servers there had failed", lost, late)
 	}
-	r.g.observe(&attempt{s: r.g.fleet[firstIn(r.g, "a")]}, r.g.classes["read"], Succeeded, ms)
-	if len(r.g.dark) != 0 {
-		t.Errorf("an answer from the hall has not ended it: %v", r.g.dark)
+	r.engine.recordOutcome(&attempt{backend: r.engine.running[firstInZone(r.engine, "a")]}, r.engine.classes["read"], Succeeded, ms)
+	if len(r.engine.unreachable) != 0 {
+		t.Errorf("an answer from the hall has not ended it: %v", r.engine.unreachable)
 	}
 }
 
-func firstIn(g *Engine, zone string) int {
-	for i, s := range g.fleet {
+func firstInZone(g *Engine, zone string) int {
+	for i, s := range g.running {
 		if s.Zone == zone {
 			return i
 		}
@@ -169,10 +169,10 @@
 func TestColdServersAreUsedByManyGateways(t *testing.T) {
 	const gateways = 80
 	chance := rand.New(rand.NewPCG(3, 4))
-	warm, cold := fleetOf(40, 0), fleetOf(60, time.Minute)[40:]
+	warm, cold := listBackends(40, 0), listBackends(60, time.Minute)[40:]
 	set := settings()
 	set.SlowStartShare, set.SlowStartWindow = 0.25, 18*time.Second
-	c := newCrowd(t, gateways, set, warm...)
+	c := newFleet(t, gateways, set, warm...)
 	id := 0
 	second := map[BackendID]int{}
 	total, worst := 0, 0
@@ -184,29 +184,29 @@
 	var out []running
 	for step := range 1000 { // 10 s, 300 requests a second, 300 ms each
 		if step == 200 {
-			for _, r := range c.rigs {
+			for _, r := range c.instances {
 				r.now = time.Minute + time.Duration(step)*10*ms
 				for i := range cold {
 					cold[i].Started = r.now
 				}
-				c.tell(r, EndpointsChanged{Backends: cold})
+				c.notify(r, EndpointsChanged{Backends: cold})
 			}
 		}
 		if step%100 == 0 {
 			clear(second)
 		}
 		for len(out) > 0 && out[0].ends <= step {
-			c.tell(out[0].r, AttemptEnded{ID: out[0].s.ID, Backend: out[0].s.Backend, Outcome: Succeeded, Took: 300 * ms, Finished: true})
+			c.notify(out[0].r, AttemptEnded{ID: out[0].s.ID, Backend: out[0].s.Backend, Outcome: Succeeded, Took: 300 * ms, Finished: true})
 			out = out[1:]
 		}
 		for range 3 {
-			r := c.rigs[chance.IntN(gateways)]
+			r := c.instances[chance.IntN(gateways)]
 			r.now = time.Minute + time.Duration(step)*10*ms
-			r.g.window = 10
+			r.engine.window = 10
 			id++
 			for _, s := range c.arrive(r, id, "read", "free") {
 				out = append(out, running{r, s, step + 30})
-				if r.g.servers[s.Backend].Started > 0 {
+				if r.engine.backends[s.Backend].Started > 0 {
 					second[s.Backend]++
 					total++
 					worst = max(worst, second[s.Backend])
@@ -225,15 +225,15 @@
 	for _, n := range []int{4, 80} {
 		set := settings()
 		set.Instances = n
-		r := newRig(t, set, fleetOf(60, 0)...)
-		g := r.g
-		g.bad, g.window = 1, g.part()
+		r := newRig(t, set, listBackends(60, 0)...)
+		g := r.engine
+		g.untimely, g.window = 1, g.windowShare()
 		c := g.classes["read"]
 		for range int(g.window) { // a round trip
-			g.busy = int(g.window) + 1
-			g.judge(&attempt{s: g.fleet[0]}, c, Succeeded, ms)
+			g.inFlight = int(g.window) + 1
+			g.updateWindow(&attempt{backend: g.running[0]}, c, Succeeded, ms)
 		}
-		if sum := (g.window - g.part()) * float64(n); sum < 3 || sum > 20 {
+		if sum := (g.window - g.windowShare()) * float64(n); sum < 3 || sum > 20 {
 			t.Errorf("%d gateways widen by %.1f attempts in a round trip", n, sum)
 		}
 	}
@@ -246,25 +246,25 @@
 		set := settings()
 		set.Instances = n
 		r := newRig(t, set)
-		if acts := r.arrive(1, "read", "free"); len(only[SendAttempt](acts)) > 0 {
+		if acts := r.arrive(1, "read", "free"); len(actionsOf[SendAttempt](acts)) > 0 {
 			t.Errorf("%d gateways: sent with no server listed", n)
 		}
-		if acts := r.pass(3 * time.Second); len(only[Reject](acts)) != 1 {
+		if acts := r.pass(3 * time.Second); len(actionsOf[Reject](acts)) != 1 {
 			t.Errorf("%d gateways: %v, want one refusal", n, acts)
 		}
-		r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running}, {ID: "s", State: Draining}}})
-		if len(r.g.fleet) != 0 {
+		r.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running}, {ID: "s", State: Draining}}})
+		if len(r.engine.running) != 0 {
 			t.Errorf("%d gateways: the entry that drains came last", n)
 		}
-		r.tell(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "u", State: Running, Started: r.now + time.Hour}}})
-		if w := r.g.warmth(r.g.fleet[0]); w != set.SlowStartShare {
+		r.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "u", State: Running, Started: r.now + time.Hour}}})
+		if w := r.engine.capacityShare(r.engine.running[0]); w != set.SlowStartShare {
 			t.Errorf("%d gateways: a server that has yet to start is %.2f warm", n, w)
 		}
 		r.arrive(2, "read", "free")
 		r.pass(time.Second)
-		r.tell(EndpointsChanged{Complete: true})
-		if len(r.g.fleet) != 0 {
-			t.Errorf("%d gateways: an empty list leaves %d servers", n, len(r.g.fleet))
+		r.notify(EndpointsChanged{Complete: true})
+		if len(r.engine.running) != 0 {
+			t.Errorf("%d gateways: an empty list leaves %d servers", n, len(r.engine.running))
 		}
 	}
 }
