--- /dev/null
+++ b/internal/outlier/assessment_test.go
@@ -0,0 +1,211 @@
+package outlier
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	ms  = time.Millisecond
+	now = time.Hour
+)
+
+var testConfig = Config{Zone: "a", HalfLife: 12 * time.Second}
+
+// against returns an adverse report with so much failure evidence, of a fault that began onsetAge ago.
+func against(owner, zone string, bad float64, onsetAge time.Duration) PeerObservation {
+	return PeerObservation{owner, zone, Observation{
+		Backend: "n", Bad: bad, Onset: now - onsetAge, LastBad: now - onsetAge/4, Cause: Slow,
+	}}
+}
+
+// inFavor returns a favorable report with so much success evidence, of a success age ago.
+func inFavor(owner, zone string, good float64, age time.Duration) PeerObservation {
+	return PeerObservation{owner, zone, Observation{Backend: "n", Good: good, LastGood: now - age}}
+}
+
+// ownObservation returns this instance's observation, with the ages of its last success and of its last failure.
+func ownObservation(good, bad float64, goodAge, badAge time.Duration) Observation {
+	o := Observation{Backend: "n", Good: good, Bad: bad}
+	if good > 0 {
+		o.LastGood = now - goodAge
+	}
+	if bad > 0 {
+		o.LastBad, o.Onset = now-badAge, now-badAge
+	}
+	return o
+}
+
+// slownessRange is a closed range of slowness.
+type slownessRange struct{ min, max float64 }
+
+var (
+	healthy = slownessRange{1, 1}
+	ejected = slownessRange{6, 8}
+)
+
+// nothingSeen is the observation of an instance that has sent nothing to the backend.
+var nothingSeen = Observation{Backend: "n"}
+
+func weakReport(owner string) PeerObservation { return against(owner, "a", 1, time.Second) }
+
+var assessCases = map[string]struct {
+	own     Observation
+	reports []PeerObservation
+	want    slownessRange
+}{
+	"no report": {nothingSeen, nil, healthy},
+	"one report, however strong": {nothingSeen, []PeerObservation{
+		against("x", "a", 8, time.Second),
+	}, healthy},
+	"two of this zone": {nothingSeen, []PeerObservation{
+		against("x", "a", 3, time.Second),
+		against("y", "a", 3, time.Second),
+	}, ejected},
+	"one report and own evidence": {ownObservation(0, 3, 0, 200*ms), []PeerObservation{
+		against("x", "a", 3, time.Second),
+	}, ejected},
+	"two of another zone": {nothingSeen, []PeerObservation{
+		against("x", "b", 3, time.Second),
+		against("y", "b", 3, time.Second),
+	}, healthy},
+	"one each of two other zones": {nothingSeen, []PeerObservation{
+		against("x", "b", 3, time.Second),
+		against("y", "c", 3, time.Second),
+	}, ejected},
+	"a complete zone, and it serves this instance": {ownObservation(4, 0, 100*ms, 0), []PeerObservation{
+		against("x", "b", 8, time.Second),
+		against("y", "b", 8, time.Second),
+		against("z", "c", 8, time.Second),
+	}, healthy},
+	"it served this instance before the fault": {ownObservation(4, 0, 2*time.Second, 0), []PeerObservation{
+		against("x", "a", 3, time.Second),
+		against("y", "a", 3, time.Second),
+	}, ejected},
+	"two reports, and two instances that it serves": {nothingSeen, []PeerObservation{
+		against("x", "a", 3, time.Second),
+		against("y", "a", 3, time.Second),
+		inFavor("v", "a", 4, 100*ms),
+		inFavor("w", "a", 4, 100*ms),
+	}, healthy},
+	"two reports, and one instance that it served before": {nothingSeen, []PeerObservation{
+		against("x", "a", 3, time.Second),
+		against("y", "a", 3, time.Second),
+		inFavor("v", "a", 4, 2*time.Second),
+	}, ejected},
+	"a queue after which one instance was served": {nothingSeen, []PeerObservation{
+		against("x", "a", 3, time.Second),
+		against("y", "a", 3, 300*ms),
+		inFavor("v", "a", 8, 500*ms),
+	}, healthy},
+	"a fault that began just now": {nothingSeen, []PeerObservation{
+		against("x", "a", 3, 100*ms),
+		against("y", "a", 3, 100*ms),
+	}, healthy},
+	"two weak reports": {nothingSeen, []PeerObservation{weakReport("x"), weakReport("y")}, healthy},
+	"six weak reports": {nothingSeen, []PeerObservation{
+		weakReport("1"), weakReport("2"), weakReport("3"), weakReport("4"), weakReport("5"), weakReport("6"),
+	}, ejected},
+	"old reports": {nothingSeen, []PeerObservation{
+		against("x", "a", 3, 4*20*time.Second),
+		against("y", "a", 3, 4*20*time.Second),
+	}, slownessRange{1.5, 4}},
+	"reports beyond the horizon": {nothingSeen, []PeerObservation{
+		against("x", "a", 8, 4*31*time.Second),
+		against("y", "a", 8, 4*31*time.Second),
+	}, healthy},
+}
+
+// Whose report counts, and for how much.
+func TestAssess(t *testing.T) {
+	for name, c := range assessCases {
+		t.Run(name, func(t *testing.T) {
+			got := Assess(now, testConfig, c.own, c.reports)
+			if got.Slowness < c.want.min || got.Slowness > c.want.max {
+				t.Errorf("got %+v, want a slowness from %v to %v", got, c.want.min, c.want.max)
+			}
+		})
+	}
+}
+
+// drawReports draws the reports of up to three owners.
+func drawReports(t *rapid.T) []PeerObservation {
+	t.Helper()
+	report := rapid.Custom(func(t *rapid.T) PeerObservation {
+		r := against(
+			rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "owner"),
+			rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			rapid.Float64Range(0, 8).Draw(t, "bad"),
+			time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "onset age")),
+		)
+		if rapid.Bool().Draw(t, "favorable") {
+			return inFavor(r.Owner, r.Zone, r.Bad, time.Second)
+		}
+		return r
+	})
+	owner := func(r PeerObservation) string { return r.Owner }
+	return rapid.SliceOfNDistinct(report, 0, 3, owner).Draw(t, "reports")
+}
+
+func countAdverse(reports []PeerObservation) int {
+	adverse := 0
+	for _, r := range reports {
+		if r.IsAdverse() {
+			adverse++
+		}
+	}
+	return adverse
+}
+
+// Whatever one owner reports, in whatever strength, and whatever the order of reports: alone it never makes a backend
+// slow, and it never counts for more than one.
+func TestSingleReportNeverEjects(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		reports := drawReports(t)
+		got := Assess(now, testConfig, nothingSeen, reports)
+		permuted := Assess(now, testConfig, nothingSeen, rapid.Permutation(reports).Draw(t, "order"))
+		if math.Abs(got.Slowness-permuted.Slowness) > 1e-9 {
+			t.Fatalf("got slowness %v in another order, want %v", permuted.Slowness, got.Slowness)
+		}
+		if adverse := countAdverse(reports); adverse < 2 && got.Slowness > 1 {
+			t.Fatalf("got %+v from %d adverse reports, want slowness 1", got, adverse)
+		}
+		if got.Slowness > maxSlowness || got.Slowness < 1 {
+			t.Fatalf("got %+v, want a slowness from 1 to %v", got, maxSlowness)
+		}
+		strengthened := slices.Clone(reports)
+		for i := range strengthened {
+			if strengthened[i].IsAdverse() && strengthened[i].Bad >= fullWeight {
+				strengthened[i].Bad *= 1000
+			}
+		}
+		if strong := Assess(now, testConfig, nothingSeen, strengthened); strong.Slowness > got.Slowness+1e-9 {
+			t.Fatalf("got slowness %v from reports with more than full weight, want %v", strong.Slowness, got.Slowness)
+		}
+	})
+}
+
+// No backend is ejected where too many would be.
+func TestLimitEjections(t *testing.T) {
+	for suspected, want := range map[int]bool{0: false, 1: false, 3: false, 4: true, 12: true} {
+		assessments := make([]Assessment, 12)
+		for i := range assessments {
+			assessments[i].Slowness = 1
+			if i < suspected {
+				assessments[i] = Assessment{Slowness: 6, AdverseCount: 2}
+			}
+		}
+		if got := LimitEjections(assessments, 12); got != want {
+			t.Errorf("%d of 12: got %v, want %v", suspected, got, want)
+		}
+		for _, a := range assessments {
+			if want && a.Slowness > 1 {
+				t.Errorf("%d of 12: got slowness %v, want 1", suspected, a.Slowness)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/outlier/backend_stats.go
@@ -0,0 +1,67 @@
+package outlier
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	evidenceHalfLife            = 6 * time.Second
+	successRetainedAfterFailure = 0.25                  // fraction of the success evidence
+	failureRetainedAfterSuccess = 0.4                   // fraction of the failure evidence
+	negligibleFailureEvidence   = adverseThreshold / 16 // counts as none
+)
+
+// backendStats is what this instance has seen of one start of a backend.
+type backendStats struct {
+	Observation
+	evidenceAt   time.Duration // the time to which Good and Bad are decayed
+	inFlight     []*attempt    // in the order in which they were sent
+	latencyRatio float64       // latency of the last completed attempt, relative to the mean of its class
+	latencyAt    time.Duration // when that attempt ended; 0: never
+	lastSent     time.Duration // when an attempt was last sent; 0: never
+}
+
+// attempt is one attempt that has not ended.
+type attempt struct {
+	id          AttemptID
+	class       string
+	sentAt      time.Duration
+	countedSlow bool // it has counted as a failure already, for its latency
+}
+
+// takeInFlight removes an attempt from those in flight and returns it.
+func (s *backendStats) takeInFlight(id AttemptID) *attempt {
+	i := slices.IndexFunc(s.inFlight, func(a *attempt) bool { return a.id == id })
+	ended := s.inFlight[i]
+	s.inFlight = slices.Delete(s.inFlight, i, i+1)
+	return ended
+}
+
+// decay brings the evidence up to now.
+func (s *backendStats) decay(now time.Duration) {
+	retained := math.Exp2(-(now - s.evidenceAt).Seconds() / evidenceHalfLife.Seconds())
+	s.Good *= retained
+	s.Bad *= retained
+	s.evidenceAt = now
+}
+
+func (s *backendStats) recordSuccess(now time.Duration) {
+	s.decay(now)
+	s.Good = min(maxEvidence, s.Good+1)
+	s.Bad *= failureRetainedAfterSuccess
+	s.LastGood = now
+	s.Onset = 0
+}
+
+func (s *backendStats) recordFailure(now time.Duration, cause Cause) {
+	s.decay(now)
+	s.Bad = min(maxEvidence, s.Bad+1)
+	s.Good *= successRetainedAfterFailure
+	s.LastBad = now
+	s.Cause = cause
+	if s.Onset == 0 {
+		s.Onset = now
+	}
+}
--- a/internal/outlier/golden_test.go
+++ b/internal/outlier/golden_test.go
@@ -7,11 +7,17 @@
 	"hitchspring/internal/golden"
 )
 
-func TestGoldenOpinion(t *testing.T) {
-	golden.RequireTags(t, "cbor", word{})
+func TestGoldenObservation(t *testing.T) {
+	golden.RequireTags(t, "cbor", message{})
 	for name, o := range map[string]Observation{
-		"good": {Backend: "n", Started: 3 * time.Second, Good: 7.5, Bad: 0.25, LastGood: 9 * time.Second, Cause: 1},
-		"bad":  {Backend: "n", Started: 3 * time.Second, Good: 0.5, Bad: 8, LastBad: 9 * time.Second, Onset: 8 * time.Second, Cause: 2},
+		"good": {
+			Backend: "n", Started: 3 * time.Second,
+			Good: 7.5, Bad: 0.25, LastGood: 9 * time.Second, Cause: 1,
+		},
+		"bad": {
+			Backend: "n", Started: 3 * time.Second,
+			Good: 0.5, Bad: 8, LastBad: 9 * time.Second, Onset: 8 * time.Second, Cause: 2,
+		},
 	} {
 		golden.Compare(t, "opinion-"+name, o.Encode())
 		read, err := Decode("n", 9*time.Second, golden.Read(t, "opinion-"+name))
--- /dev/null
+++ b/internal/outlier/local_detector.go
@@ -0,0 +1,205 @@
+package outlier
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"hitchspring/policy"
+)
+
+// supersededFactor is the multiple of the class's mean latency below which an attempt that lost against a later one
+// was not slow.
+const supersededFactor = 1.5
+
+// AttemptID identifies one attempt of a request.
+type AttemptID struct {
+	Request policy.RequestID
+	Number  int // counts up from the request's first attempt
+}
+
+// LocalDetector collects what this instance itself sees of the backends. It is used by one goroutine at a time.
+type LocalDetector struct {
+	backends   map[policy.BackendID]*backendStats
+	classes    map[string]*classLatency    // by request class
+	attempts   map[AttemptID]*backendStats // of the attempts in flight
+	lastServed AttemptID                   // the last attempt that succeeded
+}
+
+// NewLocalDetector returns a detector that knows no backend.
+func NewLocalDetector() *LocalDetector {
+	return &LocalDetector{
+		backends: map[policy.BackendID]*backendStats{},
+		classes:  map[string]*classLatency{},
+		attempts: map[AttemptID]*backendStats{},
+	}
+}
+
+// SetBackends sets the backends with their start times. What was seen of others, or of earlier starts, is dropped.
+func (d *LocalDetector) SetBackends(starts map[policy.BackendID]time.Duration) {
+	for id, stats := range d.backends {
+		started, listed := starts[id]
+		if listed && started == stats.Started {
+			continue
+		}
+		for _, a := range stats.inFlight {
+			delete(d.attempts, a.id)
+		}
+		delete(d.backends, id)
+	}
+	for id, started := range starts {
+		if d.backends[id] == nil {
+			d.backends[id] = &backendStats{Observation: Observation{Backend: id, Started: started}}
+		}
+	}
+}
+
+// AttemptSent notes that an attempt of a request class was sent to a backend.
+func (d *LocalDetector) AttemptSent(now time.Duration, backend policy.BackendID, id AttemptID, class string) {
+	stats := d.backends[backend]
+	if stats == nil {
+		return
+	}
+	stats.lastSent = now
+	stats.inFlight = append(stats.inFlight, &attempt{id: id, class: class, sentAt: now})
+	d.attempts[id] = stats
+}
+
+// LastSent returns when an attempt was last sent to a backend; 0 if never.
+func (d *LocalDetector) LastSent(backend policy.BackendID) time.Duration {
+	if stats := d.backends[backend]; stats != nil {
+		return stats.lastSent
+	}
+	return 0
+}
+
+// AttemptEnded notes how an attempt ended. An attempt at an earlier start of its backend is ignored.
+func (d *LocalDetector) AttemptEnded(now time.Duration, id AttemptID, outcome policy.Outcome) {
+	stats := d.attempts[id]
+	if stats == nil {
+		return
+	}
+	delete(d.attempts, id)
+	ended := stats.takeInFlight(id)
+	latency := (now - ended.sentAt).Seconds()
+	class := d.class(ended.class)
+	if class.isKnown() && isLatencySample(outcome, latency, class.mean) {
+		stats.latencyRatio = latency / class.mean
+		stats.latencyAt = now
+	}
+	switch outcome {
+	case policy.Succeeded:
+		d.attemptSucceeded(now, stats, ended, latency)
+	case policy.Cancelled:
+		if d.isSuperseded(now, stats, ended, latency) {
+			stats.recordFailure(now, Slow)
+		}
+	case policy.TimedOut:
+		if d.isTimeoutAdverse(now, stats, ended, latency) {
+			stats.recordFailure(now, Slow)
+		}
+	case policy.NoConnect:
+		stats.recordFailure(now, Unreachable)
+	case policy.Failed, policy.Reset:
+		stats.recordFailure(now, Failing)
+	case policy.Rejected, policy.NotSent: // says nothing about the backend's health
+	}
+}
+
+// isLatencySample reports whether the latency of an ended attempt says how fast its backend is. One that was cut short
+// does so only beyond the mean, as a lower bound.
+func isLatencySample(outcome policy.Outcome, latency, mean float64) bool {
+	switch outcome {
+	case policy.Succeeded:
+		return true
+	case policy.Cancelled, policy.TimedOut:
+		return latency > mean
+	default:
+		return false
+	}
+}
+
+// attemptSucceeded notes a success, which counts as a failure if it took too long.
+func (d *LocalDetector) attemptSucceeded(now time.Duration, stats *backendStats, ended *attempt, latency float64) {
+	d.lastServed = ended.id
+	slow := d.isSlow(now, stats, ended, latency)
+	d.class(ended.class).add(latency)
+	switch {
+	case !slow:
+		stats.recordSuccess(now)
+	case !ended.countedSlow:
+		stats.recordFailure(now, Slow)
+	}
+}
+
+// isSlow reports whether a latency in seconds exceeds the limit of the attempt's class, also when that is scaled by
+// the present fleet latency.
+func (d *LocalDetector) isSlow(now time.Duration, stats *backendStats, a *attempt, latency float64) bool {
+	limit := d.class(a.class).slowLimit()
+	return latency > limit && latency > limit*d.fleetLatency(now, stats)
+}
+
+// isSuperseded reports whether a cancelled attempt counts against its backend: a later attempt of the same request was
+// served first. That is the usual end of an attempt at a slow backend, since its request is hedged.
+func (d *LocalDetector) isSuperseded(now time.Duration, stats *backendStats, ended *attempt, latency float64) bool {
+	later := d.lastServed.Request == ended.id.Request && d.lastServed.Number > ended.id.Number
+	if !later || ended.countedSlow {
+		return false
+	}
+	return latency > supersededFactor*d.class(ended.class).mean*d.fleetLatency(now, stats)
+}
+
+// isTimeoutAdverse reports whether a timed-out attempt counts against its backend. While the fleet is slow as a whole,
+// it does so only beyond the fleet's limit.
+func (d *LocalDetector) isTimeoutAdverse(now time.Duration, stats *backendStats, ended *attempt, latency float64) bool {
+	if ended.countedSlow {
+		return false
+	}
+	fleet := d.fleetLatency(now, stats)
+	return fleet < supersededFactor || latency > d.class(ended.class).slowLimit()*fleet
+}
+
+// Tick counts the attempts in flight that take too long against their backends, before they end.
+func (d *LocalDetector) Tick(now time.Duration) {
+	for _, stats := range d.backends {
+		for _, a := range stats.inFlight {
+			if a.countedSlow {
+				continue
+			}
+			if elapsed := (now - a.sentAt).Seconds(); d.isSlow(now, stats, a, elapsed) {
+				a.countedSlow = true
+				stats.recordFailure(now, Slow)
+			}
+		}
+	}
+}
+
+// Observation returns what has been seen of a backend, and whether the backend is known.
+func (d *LocalDetector) Observation(now time.Duration, backend policy.BackendID) (Observation, bool) {
+	stats := d.backends[backend]
+	if stats == nil {
+		return Observation{}, false
+	}
+	stats.decay(now)
+	return stats.Observation, true
+}
+
+// Observations returns the observations of all backends of which something was seen, by id. A backend with negligible
+// failure evidence is left out unless wanted reports true for it; a nil wanted wants all.
+func (d *LocalDetector) Observations(now time.Duration, wanted func(policy.BackendID) bool) []Observation {
+	var observations []Observation
+	for id, stats := range d.backends {
+		if stats.LastGood == 0 && stats.LastBad == 0 {
+			continue
+		}
+		if wanted != nil && stats.Bad < negligibleFailureEvidence && !wanted(id) {
+			continue
+		}
+		o, _ := d.Observation(now, id)
+		observations = append(observations, o)
+	}
+	slices.SortFunc(observations, func(a, b Observation) int {
+		return strings.Compare(string(a.Backend), string(b.Backend))
+	})
+	return observations
+}
