--- a/internal/gossip/bounds_test.go
+++ b/internal/gossip/bounds_test.go
@@ -7,16 +7,16 @@
 )
 
 // answerBytes is about what an instance answers with at a time.
-const answerBytes = 1000
+const responseBytes = 1000
 
 // nodeFact is as large as a usual fact about a node.
-var nodeFact = make([]byte, 32)
+var backendFactData = make([]byte, 32)
 
 // pullAll has one store ask another until there is nothing more, with small answers; it returns the number of questions.
 func pullAll(now time.Duration, from, to *Store) (asked int) {
 	for more := true; more; asked++ {
 		d := from.NextDigest()
-		shares := to.DeltasFor(now, d, answerBytes)
+		shares := to.DeltasFor(now, d, responseBytes)
 		before := from.Version()
 		from.Merge(now, now, shares)
 		more = from.Version() != before
@@ -25,9 +25,9 @@
 }
 
 // fill has a store state facts about so many backends.
-func fill(s *Store, now time.Duration, backends int) (refused int) {
+func putFacts(s *Store, now time.Duration, backends int) (refused int) {
 	for i := range backends {
-		if !s.Put("node", fmt.Sprintf("backend-%05d", i), now, nodeFact) {
+		if !s.Put("node", fmt.Sprintf("backend-%05d", i), now, backendFactData) {
 			refused++
 		}
 	}
@@ -38,7 +38,7 @@
 func TestManyBackendsOfOneOwner(t *testing.T) {
 	now := time.Second
 	owner, other := New("owner", 1, horizon), New("other", 1, horizon)
-	if refused := fill(owner, now, 2000); refused > 0 {
+	if refused := putFacts(owner, now, 2000); refused > 0 {
 		t.Fatalf("%d of 2000 facts found no room at their owner", refused)
 	}
 	asked := pullAll(now, other, owner)
@@ -53,8 +53,8 @@
 	s := New("listener", 1, horizon)
 	for i := range 350 {
 		owner := New(fmt.Sprintf("instance-%03d", i), 1, horizon)
-		fill(owner, now, 100)
-		s.Merge(now, now, owner.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
+		putFacts(owner, now, 100)
+		s.Merge(now, now, owner.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 	}
 	if s.Len() != 35000 || s.Counts().Full != 0 {
 		t.Fatalf("%d of 35000 facts in %d bytes, %d without room", s.Len(), s.Bytes(), s.Counts().Full)
@@ -65,18 +65,18 @@
 func TestOwnerAtItsBound(t *testing.T) {
 	now := time.Second
 	s := New("owner", 1, horizon)
-	if refused := fill(s, now, MaxFactsPerOwner); refused > 0 {
+	if refused := putFacts(s, now, MaxFactsPerOwner); refused > 0 {
 		t.Fatalf("%d refused below the bound", refused)
 	}
-	if s.Put("node", "one more", now, nodeFact) || s.Counts().Full != 1 || s.Len() != MaxFactsPerOwner {
+	if s.Put("node", "one more", now, backendFactData) || s.Counts().Full != 1 || s.Len() != MaxFactsPerOwner {
 		t.Fatal(s.Counts(), s.Len())
 	}
 	later := now + horizon/2
-	if !s.Put("node", "backend-00000", later, nodeFact) {
+	if !s.Put("node", "backend-00000", later, backendFactData) {
 		t.Fatal("a fact that is known can't be replaced")
 	}
 	s.Sweep(now+horizon+time.Millisecond, func(string) bool { return true })
-	if s.Len() != 1 || !s.Put("node", "one more", later, nodeFact) {
+	if s.Len() != 1 || !s.Put("node", "one more", later, backendFactData) {
 		t.Fatal(s.Len())
 	}
 }
@@ -86,7 +86,7 @@
 func TestStoreAtItsBound(t *testing.T) {
 	now := time.Second
 	s := New("listener", 1, horizon)
-	large := make([]byte, maxData)
+	large := make([]byte, maxDataBytes)
 	flood := func(owner string) {
 		sh := Delta{Owner: owner, Incarnation: 1, To: MaxFactsPerOwner}
 		for i := range MaxFactsPerOwner {
@@ -104,14 +104,14 @@
 	}
 	late := New("late", 1, horizon)
 	now += horizon + time.Second
-	fill(late, now, 3)
+	putFacts(late, now, 3)
 	held := s.Len()
-	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), answerBytes))
+	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), responseBytes))
 	if s.Len() != held {
 		t.Fatalf("%d facts were taken without room", s.Len()-held)
 	}
 	s.Sweep(now, func(string) bool { return true })
-	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), answerBytes))
+	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), responseBytes))
 	if s.Len() != 3 {
 		t.Fatalf("%d of 3 facts when there was room again", s.Len())
 	}
@@ -121,12 +121,12 @@
 func TestAskOn(t *testing.T) {
 	now := time.Second
 	busy, hub, late := New("busy", 1, horizon), New("hub", 1, horizon), New("late", 1, horizon)
-	fill(busy, now, 600)
+	putFacts(busy, now, 600)
 	pullAll(now, hub, busy)
 	for i := range 300 {
 		other := New(fmt.Sprintf("instance-%03d", i), 1, horizon)
-		fill(other, now, 1)
-		hub.Merge(now, now, other.DeltasFor(now, Digest{Hi: wholeCircle}, answerBytes))
+		putFacts(other, now, 1)
+		hub.Merge(now, now, other.DeltasFor(now, Digest{Hi: hashSpace}, responseBytes))
 	}
 	d, lacks := late.DigestFor([]Watermark{{"busy", 1, 600}})
 	if !lacks {
@@ -134,7 +134,7 @@
 	}
 	asked := 0
 	for more := true; more && asked < 100; asked++ {
-		shares := hub.DeltasFor(now, d, answerBytes)
+		shares := hub.DeltasFor(now, d, responseBytes)
 		more = hub.HasMore(d, shares)
 		late.Merge(now, now, shares)
 		d = late.ContinueDigest(d)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -29,16 +29,16 @@
 	// MaxBytes bounds what all owners' facts take: 350 owners with a fact about each of 100 backends take 7.5 MB. An instance's
 	// own facts count, and are held beyond it.
 	MaxBytes     = 8 << 20
-	overhead     = 160 // bytes that one fact takes besides
-	maxText      = 128 // of a kind and of a subject
-	maxData      = 512 // bytes of one fact's data
+	factOverheadBytes     = 160 // bytes that one fact takes besides
+	maxNameBytes      = 128 // of a kind and of a subject
+	maxDataBytes      = 512 // bytes of one fact's data
 	maxOwners    = 4096
-	shareHead    = 64 // bytes of a share and of a fact on the wire, at most, besides texts and data
-	factHead     = 32
-	mostNews     = 8       // owners that are named with a nudge
-	mostAsked    = 36      // owners in one question
-	wholeCircle  = 1 << 32 // of the owners' hashes
-	leastHorizon = time.Second
+	deltaHeaderBytes    = 64 // bytes of a share and of a fact on the wire, at most, besides texts and data
+	factHeaderBytes     = 32
+	maxRecentWatermarks     = 8       // owners that are named with a nudge
+	maxDigestWatermarks    = 36      // owners in one question
+	hashSpace  = 1 << 32 // of the owners' hashes
+	minHorizon = time.Second
 )
 
 // Fact is one fact as it is held.
@@ -92,33 +92,33 @@
 	Full int `json:"Full"`
 }
 
-type key struct{ kind, subject string }
+type factKey struct{ kind, subject string }
 
-type owner struct {
+type ownerRecord struct {
 	name  string
 	hash  uint64
-	life  uint64
-	have  uint64 // all up to here were seen, but for those that a later one has replaced
-	facts map[key]*Fact
-	news  uint64 // the store's version when something of it was last learned
+	incarnation  uint64
+	completeThrough  uint64 // all up to here were seen, but for those that a later one has replaced
+	facts map[factKey]*Fact
+	changedAt  uint64 // the store's version when something of it was last learned
 }
 
 // Store is what one instance holds. It is used by one goroutine at a time.
 type Store struct {
-	self    *owner
-	owners  map[string]*owner
-	order   []*owner // of all owners, by hash and name
+	self    *ownerRecord
+	owners  map[string]*ownerRecord
+	byHash   []*ownerRecord // of all owners, by hash and name
 	horizon time.Duration
-	bytes   int
-	asked   uint64 // where the next digest begins
+	usedBytes   int
+	nextDigestLow   uint64 // where the next digest begins
 	version uint64
 	counts  Counts
 }
 
 // New returns a store of an owner's life whose facts are dropped when they are older than the horizon.
 func New(name string, life uint64, horizon time.Duration) *Store {
-	s := &Store{owners: map[string]*owner{}, horizon: max(horizon, leastHorizon)}
-	s.self = s.owner(name, life)
+	s := &Store{owners: map[string]*ownerRecord{}, horizon: max(horizon, minHorizon)}
+	s.self = s.findOrAddOwner(name, life)
 	return s
 }
 
@@ -129,74 +129,74 @@
 func (s *Store) Counts() Counts { return s.counts }
 
 // Bytes is what the facts take, about.
-func (s *Store) Bytes() int { return s.bytes }
+func (s *Store) Bytes() int { return s.usedBytes }
 
 // SetLife begins another life of this instance: its facts go on as that one's.
 func (s *Store) SetIncarnation(life uint64) {
-	if life == s.self.life {
+	if life == s.self.incarnation {
 		return
 	}
-	s.self.life = life
+	s.self.incarnation = life
 	for _, f := range s.self.facts {
 		f.Incarnation = life
 	}
 	s.version++
 }
 
-func hashOf(name string) uint64 {
+func ownerHash(name string) uint64 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return uint64(h.Sum32())
 }
 
-func (s *Store) owner(name string, life uint64) *owner {
+func (s *Store) findOrAddOwner(name string, life uint64) *ownerRecord {
 	if o := s.owners[name]; o != nil {
 		return o
 	}
 	if len(s.owners) >= maxOwners {
 		return nil
 	}
-	o := &owner{name: name, hash: hashOf(name), life: life, facts: map[key]*Fact{}}
+	o := &ownerRecord{name: name, hash: ownerHash(name), incarnation: life, facts: map[factKey]*Fact{}}
 	s.owners[name] = o
-	i, _ := slices.BinarySearchFunc(s.order, o, before)
-	s.order = slices.Insert(s.order, i, o)
+	i, _ := slices.BinarySearchFunc(s.byHash, o, compareOwners)
+	s.byHash = slices.Insert(s.byHash, i, o)
 	return o
 }
 
-func before(a, b *owner) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name)) }
+func compareOwners(a, b *ownerRecord) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name)) }
 
-func sizeOf(f *Fact) int { return overhead + len(f.Kind) + len(f.Subject) + len(f.Data) }
+func factSize(f *Fact) int { return factOverheadBytes + len(f.Kind) + len(f.Subject) + len(f.Data) }
 
 // Put states a fact of this instance's own, seen at a time of its clock; what it said of the subject before is replaced. It
 // returns false where there is no room, or the texts are too long.
 func (s *Store) Put(kind, subject string, born time.Duration, data []byte) bool {
-	if !textsOK(kind, subject, data) {
+	if !validSizes(kind, subject, data) {
 		return false
 	}
-	k := key{kind, subject}
+	k := factKey{kind, subject}
 	old := s.self.facts[k]
-	f := &Fact{Owner: s.self.name, Kind: kind, Subject: subject, Incarnation: s.self.life, Seq: s.self.have + 1, ObservedAt: born, Data: data}
-	if !s.room(s.self, old, f) {
+	f := &Fact{Owner: s.self.name, Kind: kind, Subject: subject, Incarnation: s.self.incarnation, Seq: s.self.completeThrough + 1, ObservedAt: born, Data: data}
+	if !s.admit(s.self, old, f) {
 		return false
 	}
-	s.self.have++
-	s.put(s.self, k, old, f)
+	s.self.completeThrough++
+	s.insert(s.self, k, old, f)
 	return true
 }
 
-func textsOK(kind, subject string, data []byte) bool {
-	return kind != "" && len(kind) <= maxText && len(subject) <= maxText && len(data) <= maxData
+func validSizes(kind, subject string, data []byte) bool {
+	return kind != "" && len(kind) <= maxNameBytes && len(subject) <= maxNameBytes && len(data) <= maxDataBytes
 }
 
 // room says whether a fact may take another's place, or one of its own. What others tell keeps out nothing that this instance has
 // seen itself.
-func (s *Store) room(o *owner, old, f *Fact) bool {
-	growth := sizeOf(f)
+func (s *Store) admit(o *ownerRecord, old, f *Fact) bool {
+	growth := factSize(f)
 	if old != nil {
-		growth -= sizeOf(old)
+		growth -= factSize(old)
 	}
 	ownerFull := old == nil && len(o.facts) >= MaxFactsPerOwner
-	storeFull := o != s.self && s.bytes+growth > MaxBytes
+	storeFull := o != s.self && s.usedBytes+growth > MaxBytes
 	if ownerFull || storeFull {
 		s.counts.Full++
 		return false
@@ -204,28 +204,28 @@
 	return true
 }
 
-func (s *Store) put(o *owner, k key, old, f *Fact) {
+func (s *Store) insert(o *ownerRecord, k factKey, old, f *Fact) {
 	if old != nil {
-		s.bytes -= sizeOf(old)
+		s.usedBytes -= factSize(old)
 	}
-	s.bytes += sizeOf(f)
+	s.usedBytes += factSize(f)
 	o.facts[k] = f
 	s.version++
-	o.news = s.version
+	o.changedAt = s.version
 }
 
-func (s *Store) drop(o *owner, k key) {
-	s.bytes -= sizeOf(o.facts[k])
+func (s *Store) remove(o *ownerRecord, k factKey) {
+	s.usedBytes -= factSize(o.facts[k])
 	delete(o.facts, k)
 	s.version++
 }
 
 // Sweep drops what is too old, and owners of whom keep says that they are not needed any more.
 func (s *Store) Sweep(now time.Duration, keep func(owner string) bool) {
-	s.order = slices.DeleteFunc(s.order, func(o *owner) bool {
+	s.byHash = slices.DeleteFunc(s.byHash, func(o *ownerRecord) bool {
 		for k, f := range o.facts {
 			if now-f.ObservedAt > s.horizon {
-				s.drop(o, k)
+				s.remove(o, k)
 			}
 		}
 		if o == s.self || len(o.facts) > 0 || keep(o.name) {
@@ -239,7 +239,7 @@
 // Facts are all facts of a kind that are held, those of this instance among them, by owner and subject. None is older than the
 // horizon.
 func (s *Store) Facts(now time.Duration, kind string) (out []Fact) {
-	for _, o := range s.order {
+	for _, o := range s.byHash {
 		for k, f := range o.facts {
 			if k.kind == kind && now-f.ObservedAt <= s.horizon {
 				out = append(out, *f)
@@ -252,11 +252,11 @@
 
 // Ask is the next question: marks of as many owners as one message holds, going round all of them.
 func (s *Store) NextDigest() Digest {
-	if len(s.order) <= mostAsked {
-		s.asked = 0
+	if len(s.byHash) <= maxDigestWatermarks {
+		s.nextDigestLow = 0
 	}
-	d := s.digest(s.asked, wholeCircle)
-	s.asked = d.Hi % wholeCircle
+	d := s.rangeDigest(s.nextDigestLow, hashSpace)
+	s.nextDigestLow = d.Hi % hashSpace
 	return d
 }
 
@@ -264,13 +264,13 @@
 // the circle, with the marks as they are now.
 func (s *Store) ContinueDigest(earlier Digest) Digest {
 	if !earlier.NamedOnly {
-		return s.digest(earlier.Lo, earlier.Hi)
+		return s.rangeDigest(earlier.Lo, earlier.Hi)
 	}
 	d := Digest{Lo: earlier.Lo, Hi: earlier.Hi, NamedOnly: true}
 	for _, m := range earlier.Watermarks {
 		next := Watermark{Owner: m.Owner}
 		if o := s.owners[m.Owner]; o != nil {
-			next.Incarnation, next.Seq = o.life, o.have
+			next.Incarnation, next.Seq = o.incarnation, o.completeThrough
 		}
 		d.Watermarks = append(d.Watermarks, next)
 	}
@@ -278,43 +278,43 @@
 }
 
 // digest is the marks of the owners from lo up to hi, or of as many of them as one message holds.
-func (s *Store) digest(lo, hi uint64) Digest {
+func (s *Store) rangeDigest(lo, hi uint64) Digest {
 	d := Digest{Lo: lo, Hi: hi}
-	for _, o := range s.order {
+	for _, o := range s.byHash {
 		if o.hash < lo || o.hash >= hi {
 			continue
 		}
-		if len(d.Watermarks) >= mostAsked && o.hash != hashOf(d.Watermarks[len(d.Watermarks)-1].Owner) {
+		if len(d.Watermarks) >= maxDigestWatermarks && o.hash != ownerHash(d.Watermarks[len(d.Watermarks)-1].Owner) {
 			d.Hi = o.hash
 			break
 		}
-		d.Watermarks = append(d.Watermarks, Watermark{o.name, o.life, o.have})
+		d.Watermarks = append(d.Watermarks, Watermark{o.name, o.incarnation, o.completeThrough})
 	}
 	return d
 }
 
 // News names the owners of whom something was learned last, with how far each is held here.
 func (s *Store) RecentWatermarks() []Watermark {
-	list := slices.DeleteFunc(slices.Clone(s.order), func(o *owner) bool { return o.news == 0 })
-	slices.SortFunc(list, func(a, b *owner) int { return cmp.Compare(b.news, a.news) })
+	list := slices.DeleteFunc(slices.Clone(s.byHash), func(o *ownerRecord) bool { return o.changedAt == 0 })
+	slices.SortFunc(list, func(a, b *ownerRecord) int { return cmp.Compare(b.changedAt, a.changedAt) })
 	var out []Watermark
-	for _, o := range list[:min(len(list), mostNews)] {
-		out = append(out, Watermark{o.name, o.life, o.have})
+	for _, o := range list[:min(len(list), maxRecentWatermarks)] {
+		out = append(out, Watermark{o.name, o.incarnation, o.completeThrough})
 	}
 	return out
 }
 
 // AskFor is the question for what another has told the names of; false where nothing of it lacks here.
 func (s *Store) DigestFor(news []Watermark) (Digest, bool) {
-	d := Digest{Hi: wholeCircle, NamedOnly: true}
-	for _, m := range news[:min(len(news), mostNews)] {
+	d := Digest{Hi: hashSpace, NamedOnly: true}
+	for _, m := range news[:min(len(news), maxRecentWatermarks)] {
 		o := s.owners[m.Owner]
 		switch {
 		case m.Owner == s.self.name:
 		case o == nil:
 			d.Watermarks = append(d.Watermarks, Watermark{Owner: m.Owner})
-		case o.life < m.Incarnation || o.life == m.Incarnation && o.have < m.Seq:
-			d.Watermarks = append(d.Watermarks, Watermark{o.name, o.life, o.have})
+		case o.incarnation < m.Incarnation || o.incarnation == m.Incarnation && o.completeThrough < m.Seq:
+			d.Watermarks = append(d.Watermarks, Watermark{o.name, o.incarnation, o.completeThrough})
 		}
 	}
 	return d, len(d.Watermarks) > 0
@@ -328,29 +328,29 @@
 		marks[m.Owner] = m
 	}
 	start := 0
-	if n := len(s.order); n > 0 { // so that under pressure not the same owners are told of each time
+	if n := len(s.byHash); n > 0 { // so that under pressure not the same owners are told of each time
 		start = int(uint64(now/time.Millisecond) % uint64(n))
 	}
-	for i := range s.order {
-		o := s.order[(start+i)%len(s.order)]
+	for i := range s.byHash {
+		o := s.byHash[(start+i)%len(s.byHash)]
 		m, named := marks[o.name]
-		if d.NamedOnly && !named || o.hash < d.Lo || o.hash >= d.Hi || m.Incarnation > o.life || m.Incarnation == o.life && m.Seq >= o.have {
+		if d.NamedOnly && !named || o.hash < d.Lo || o.hash >= d.Hi || m.Incarnation > o.incarnation || m.Incarnation == o.incarnation && m.Seq >= o.completeThrough {
 			continue
 		}
-		sh := Delta{Owner: o.name, Incarnation: o.life}
-		if m.Incarnation == o.life {
+		sh := Delta{Owner: o.name, Incarnation: o.incarnation}
+		if m.Incarnation == o.incarnation {
 			sh.From = m.Seq
 		}
-		if most -= shareHead + len(o.name); most < 0 {
+		if most -= deltaHeaderBytes + len(o.name); most < 0 {
 			break
 		}
 		facts := slices.SortedFunc(maps.Values(o.facts), func(a, b *Fact) int { return cmp.Compare(a.Seq, b.Seq) })
-		sh.To = o.have
+		sh.To = o.completeThrough
 		for _, f := range facts {
 			if f.Seq <= sh.From {
 				continue
 			}
-			if most -= factHead + len(f.Kind) + len(f.Subject) + len(f.Data); most < 0 {
+			if most -= factHeaderBytes + len(f.Kind) + len(f.Subject) + len(f.Data); most < 0 {
 				sh.To = sh.From
 				if n := len(sh.Facts); n > 0 {
 					sh.To = sh.Facts[n-1].Seq
@@ -359,7 +359,7 @@
 			}
 			sh.Facts = append(sh.Facts, DeltaFact{f.Kind, f.Subject, f.Seq, max(0, now-f.ObservedAt).Microseconds(), f.Data})
 		}
-		if sh.To > sh.From || m.Incarnation < o.life {
+		if sh.To > sh.From || m.Incarnation < o.incarnation {
 			out = append(out, sh)
 		}
 		if most < 0 {
@@ -376,41 +376,41 @@
 		return
 	}
 	for _, sh := range shares {
-		s.merge(asked, sh)
+		s.mergeDelta(asked, sh)
 	}
 }
 
-func (s *Store) merge(asked time.Duration, sh Delta) {
+func (s *Store) mergeDelta(asked time.Duration, sh Delta) {
 	if sh.Owner == s.self.name { // nobody says what this instance has seen
 		s.counts.Own++
 		return
 	}
-	if sh.Owner == "" || len(sh.Owner) > maxText || sh.To < sh.From {
+	if sh.Owner == "" || len(sh.Owner) > maxNameBytes || sh.To < sh.From {
 		s.counts.Malformed++
 		return
 	}
-	o := s.owner(sh.Owner, sh.Incarnation)
+	o := s.findOrAddOwner(sh.Owner, sh.Incarnation)
 	switch {
 	case o == nil:
 		s.counts.Full++
 		return
-	case sh.Incarnation < o.life:
+	case sh.Incarnation < o.incarnation:
 		s.counts.EndedIncarnation++
 		return
-	case sh.Incarnation > o.life: // what an ended life has seen is its next life's to tell
+	case sh.Incarnation > o.incarnation: // what an ended life has seen is its next life's to tell
 		for k := range o.facts {
-			s.drop(o, k)
+			s.remove(o, k)
 		}
-		o.life, o.have = sh.Incarnation, 0
+		o.incarnation, o.completeThrough = sh.Incarnation, 0
 	}
 	whole := true
 	for _, it := range sh.Facts {
-		if !textsOK(it.Kind, it.Subject, it.Data) || it.AgeUS < 0 || it.AgeUS > (1<<62)/int64(time.Microsecond) || it.Seq <= sh.From || it.Seq > sh.To {
+		if !validSizes(it.Kind, it.Subject, it.Data) || it.AgeUS < 0 || it.AgeUS > (1<<62)/int64(time.Microsecond) || it.Seq <= sh.From || it.Seq > sh.To {
 			s.counts.Malformed++
 			whole = false
 			continue
 		}
-		k := key{it.Kind, it.Subject}
+		k := factKey{it.Kind, it.Subject}
 		old := o.facts[k]
 		born := asked - time.Duration(it.AgeUS)*time.Microsecond
 		switch {
@@ -422,16 +422,16 @@
 			}
 		case asked-born > s.horizon: // gone everywhere before long
 		default:
-			f := &Fact{Owner: o.name, Kind: it.Kind, Subject: it.Subject, Incarnation: o.life, Seq: it.Seq, ObservedAt: born, Data: it.Data}
-			if !s.room(o, old, f) {
+			f := &Fact{Owner: o.name, Kind: it.Kind, Subject: it.Subject, Incarnation: o.incarnation, Seq: it.Seq, ObservedAt: born, Data: it.Data}
+			if !s.admit(o, old, f) {
 				whole = false
 				continue
 			}
-			s.put(o, k, old, f)
+			s.insert(o, k, old, f)
 		}
 	}
-	if whole && sh.From <= o.have {
-		o.have = max(o.have, sh.To)
+	if whole && sh.From <= o.completeThrough {
+		o.completeThrough = max(o.completeThrough, sh.To)
 	}
 }
 
@@ -444,8 +444,8 @@
 	for _, sh := range told {
 		have[sh.Owner] = Watermark{sh.Owner, sh.Incarnation, sh.To}
 	}
-	for _, o := range s.order {
-		if m, named := have[o.name]; (named || !d.NamedOnly) && o.hash >= d.Lo && o.hash < d.Hi && (m.Incarnation < o.life || m.Incarnation == o.life && m.Seq < o.have) {
+	for _, o := range s.byHash {
+		if m, named := have[o.name]; (named || !d.NamedOnly) && o.hash >= d.Lo && o.hash < d.Hi && (m.Incarnation < o.incarnation || m.Incarnation == o.incarnation && m.Seq < o.completeThrough) {
 			return true
 		}
 	}
@@ -454,7 +454,7 @@
 
 // Len is how many facts are held.
 func (s *Store) Len() (n int) {
-	for _, o := range s.order {
+	for _, o := range s.byHash {
 		n += len(o.facts)
 	}
 	return n
@@ -462,13 +462,13 @@
 
 // Sum is alike at two stores that hold the same facts of others and of their own, whatever they hold them to be old.
 func (s *Store) Checksum(now time.Duration) (sum uint64) {
-	for _, o := range s.order {
+	for _, o := range s.byHash {
 		for k, f := range o.facts {
 			if now-f.ObservedAt > s.horizon {
 				continue
 			}
 			h := fnv.New64a()
-			fmt.Fprintf(h, "%q %d %q %q %d ", o.name, o.life, k.kind, k.subject, f.Seq)
+			fmt.Fprintf(h, "%q %d %q %q %d ", o.name, o.incarnation, k.kind, k.subject, f.Seq)
 			h.Write(f.Data)
 			sum += h.Sum64()
 		}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 // content is all that a store holds, without ages.
 func content(s *Store) string {
 	var out []string
-	for _, o := range s.order {
+	for _, o := range s.byHash {
 		for k, f := range o.facts {
 			out = append(out, fmt.Sprintf("%s %d %s %s %d %s", o.name, f.Incarnation, k.kind, k.subject, f.Seq, f.Data))
 		}
@@ -83,7 +83,7 @@
 			case 0, 1:
 				owners[i].Put("k", rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "subject"), now, []byte{byte(rapid.IntRange(0, 9).Draw(t, "value"))})
 			case 2: // a part of what it holds, as an answer to somebody who holds a part
-				d := Digest{Hi: wholeCircle, Watermarks: []Watermark{{owners[i].self.name, life[i], uint64(rapid.IntRange(0, 3).Draw(t, "have"))}}}
+				d := Digest{Hi: hashSpace, Watermarks: []Watermark{{owners[i].self.name, life[i], uint64(rapid.IntRange(0, 3).Draw(t, "have"))}}}
 				shares = append(shares, owners[i].DeltasFor(now, d, rapid.SampledFrom([]int{1 << 20, 120, 180}).Draw(t, "bytes")))
 			case 3: // it restarts with nothing
 				life[i]++
@@ -131,9 +131,9 @@
 	for i := range 3 {
 		o := New(fmt.Sprint("o", i), 7, horizon)
 		o.Put("k", "x", now, []byte("old"))
-		shares = append(shares, o.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
+		shares = append(shares, o.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 		o.Put("k", "x", now, []byte("new"))
-		shares = append(shares, o.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
+		shares = append(shares, o.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 	}
 	orders := 0
 	for subset := range 1 << len(shares) {
@@ -160,7 +160,7 @@
 					t.Fatalf("order %v: %q, want %q", order, got, want)
 				}
 				for i := range 3 {
-					if o := s.owners[fmt.Sprint("o", i)]; slices.Contains(picked, 2*i+1) && (len(o.facts) != 1 || string(o.facts[key{"k", "x"}].Data) != "new") {
+					if o := s.owners[fmt.Sprint("o", i)]; slices.Contains(picked, 2*i+1) && (len(o.facts) != 1 || string(o.facts[factKey{"k", "x"}].Data) != "new") {
 						t.Fatalf("order %v: %q", order, content(s))
 					}
 				}
@@ -238,7 +238,7 @@
 		for i := range 3 {
 			s.Put("k", fmt.Sprint(i), now, []byte("data"))
 		}
-		hub.Merge(now, now, s.DeltasFor(now, Digest{Hi: wholeCircle}, 1<<20))
+		hub.Merge(now, now, s.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 	}
 	late, asked := New("late", 1, horizon), 0
 	for late.Len() < hub.Len() && asked < 400 {
@@ -246,7 +246,7 @@
 		now += time.Millisecond
 		d := late.NextDigest()
 		shares := hub.DeltasFor(now, d, 1000)
-		if len(d.Watermarks) > mostAsked+4 || len(shares) > 1000/shareHead+1 {
+		if len(d.Watermarks) > maxDigestWatermarks+4 || len(shares) > 1000/deltaHeaderBytes+1 {
 			t.Fatal(len(d.Watermarks), len(shares))
 		}
 		late.Merge(now, now, shares)
@@ -266,19 +266,19 @@
 		{"k", long, 2, 0, nil},
 		{"k", "x", 3, -5, nil},
 		{"k", "x", 30, 0, nil},
-		{"k", "x", 4, 0, make([]byte, maxData+1)},
+		{"k", "x", 4, 0, make([]byte, maxDataBytes+1)},
 		{"k", "x", 5, 1 << 62, nil},
 	}}})
 	if s.Len() != 0 || s.Counts().Malformed != 9 {
 		t.Fatal(s.Len(), s.Counts())
 	}
-	if s.Put("", "x", now, nil) || s.Put("k", long, now, nil) || s.Put("k", "x", now, make([]byte, maxData+1)) {
+	if s.Put("", "x", now, nil) || s.Put("k", long, now, nil) || s.Put("k", "x", now, make([]byte, maxDataBytes+1)) {
 		t.Fatal("taken")
 	}
 	for o := range 50 {
 		sh := Delta{Owner: fmt.Sprint("flood", o), Incarnation: 1, To: 1000}
 		for i := range 1000 {
-			sh.Facts = append(sh.Facts, DeltaFact{"k", fmt.Sprint(i), uint64(i + 1), 0, make([]byte, maxData)})
+			sh.Facts = append(sh.Facts, DeltaFact{"k", fmt.Sprint(i), uint64(i + 1), 0, make([]byte, maxDataBytes)})
 		}
 		s.Merge(now, now, []Delta{sh})
 	}
