--- a/internal/gossip/bounds_test.go
+++ b/internal/gossip/bounds_test.go
@@ -6,48 +6,54 @@
 	"time"
 )
 
-// answerBytes is about what an instance answers with at a time.
+// responseBytes is about the size of a response's deltas in service.
 const responseBytes = 1000
 
-// nodeFact is as large as a usual fact about a node.
+// backendFactData is as large as the data of a usual fact about a backend.
 var backendFactData = make([]byte, 32)
 
-// pullAll has one store ask another until there is nothing more, with small answers; it returns the number of questions.
-func pullAll(now time.Duration, from, to *Store) (asked int) {
-	for more := true; more; asked++ {
-		d := from.NextDigest()
-		shares := to.DeltasFor(now, d, responseBytes)
-		before := from.Version()
-		from.Merge(now, now, shares)
-		more = from.Version() != before
-	}
-	return asked
+// pullUntilEqual has one store send small requests to another until a response
+// changes nothing. It returns the number of requests.
+func pullUntilEqual(now time.Duration, requester, responder *Store) int {
+	requests := 0
+	for changed := true; changed; requests++ {
+		digest := requester.NextDigest()
+		deltas := responder.DeltasFor(now, digest, responseBytes)
+		before := requester.Version()
+		requester.Merge(now, now, deltas)
+		changed = requester.Version() != before
+	}
+	return requests
 }
 
-// fill has a store state facts about so many backends.
-func putFacts(s *Store, now time.Duration, backends int) (refused int) {
+// putFacts has a store state one fact about each of some backends. It returns
+// how many of them found no capacity.
+func putFacts(s *Store, now time.Duration, backends int) int {
+	rejected := 0
 	for i := range backends {
 		if !s.Put("node", fmt.Sprintf("backend-%05d", i), now, backendFactData) {
-			refused++
+			rejected++
 		}
 	}
-	return refused
+	return rejected
 }
 
-// One owner's facts about 2,000 backends are all held and all reach another, in pieces.
+// The facts of one owner about 2,000 backends are all stored, and all reach
+// another store, in several responses.
 func TestManyBackendsOfOneOwner(t *testing.T) {
 	now := time.Second
 	owner, other := New("owner", 1, horizon), New("other", 1, horizon)
-	if refused := putFacts(owner, now, 2000); refused > 0 {
-		t.Fatalf("%d of 2000 facts found no room at their owner", refused)
+	if rejected := putFacts(owner, now, 2000); rejected > 0 {
+		t.Fatalf("got %d of 2000 facts rejected at their owner, want none", rejected)
 	}
-	asked := pullAll(now, other, owner)
+	requests := pullUntilEqual(now, other, owner)
 	if content(other) != content(owner) || other.Counts().Full != 0 {
-		t.Fatalf("%d of %d facts after %d questions, %d without room", other.Len(), owner.Len(), asked, other.Counts().Full)
+		t.Fatalf("got %d of %d facts after %d requests, %d without capacity",
+			other.Len(), owner.Len(), requests, other.Counts().Full)
 	}
 }
 
-// What 350 instances have seen of 100 backends each is held, all of it.
+// The facts of 350 owners about 100 backends each are all stored.
 func TestManyOwners(t *testing.T) {
 	now := time.Second
 	s := New("listener", 1, horizon)
@@ -57,93 +63,96 @@
 		s.Merge(now, now, owner.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 	}
 	if s.Len() != 35000 || s.Counts().Full != 0 {
-		t.Fatalf("%d of 35000 facts in %d bytes, %d without room", s.Len(), s.Bytes(), s.Counts().Full)
+		t.Fatalf("got %d of 35000 facts in %d bytes, %d without capacity", s.Len(), s.Bytes(), s.Counts().Full)
 	}
 }
 
-// An owner at its bound keeps what it has, may go on replacing it, counts what it refuses, and has room again when facts end.
-func TestOwnerAtItsBound(t *testing.T) {
+// An owner at its bound retains its facts, may replace them, counts what it
+// rejects, and has capacity again when facts expire.
+func TestFactsPerOwnerBound(t *testing.T) {
 	now := time.Second
 	s := New("owner", 1, horizon)
-	if refused := putFacts(s, now, MaxFactsPerOwner); refused > 0 {
-		t.Fatalf("%d refused below the bound", refused)
+	if rejected := putFacts(s, now, MaxFactsPerOwner); rejected > 0 {
+		t.Fatalf("got %d facts rejected below the bound, want none", rejected)
 	}
 	if s.Put("node", "one more", now, backendFactData) || s.Counts().Full != 1 || s.Len() != MaxFactsPerOwner {
-		t.Fatal(s.Counts(), s.Len())
+		t.Fatalf("got %+v and %d facts at the bound", s.Counts(), s.Len())
 	}
 	later := now + horizon/2
 	if !s.Put("node", "backend-00000", later, backendFactData) {
-		t.Fatal("a fact that is known can't be replaced")
+		t.Fatal("a known fact cannot be replaced")
 	}
 	s.Sweep(now+horizon+time.Millisecond, func(string) bool { return true })
 	if s.Len() != 1 || !s.Put("node", "one more", later, backendFactData) {
-		t.Fatal(s.Len())
+		t.Fatalf("got %d facts after the others expired, want 1", s.Len())
 	}
 }
 
-// A store that is full of others' facts refuses further ones and counts them, still takes what its own instance has seen, and takes
-// what it refused when there is room again: nothing is lost.
-func TestStoreAtItsBound(t *testing.T) {
+// A store that is full of others' facts counts and rejects further ones, but
+// still takes its own, and takes what it rejected once there is capacity again.
+func TestMaxBytesBound(t *testing.T) {
 	now := time.Second
 	s := New("listener", 1, horizon)
 	large := make([]byte, maxDataBytes)
 	flood := func(owner string) {
-		sh := Delta{Owner: owner, Incarnation: 1, To: MaxFactsPerOwner}
+		delta := Delta{Owner: owner, Incarnation: 1, To: MaxFactsPerOwner}
 		for i := range MaxFactsPerOwner {
-			sh.Facts = append(sh.Facts, DeltaFact{"node", fmt.Sprint(i), uint64(i + 1), 0, large})
+			delta.Facts = append(delta.Facts, DeltaFact{"node", fmt.Sprint(i), uint64(i + 1), 0, large})
 		}
-		s.Merge(now, now, []Delta{sh})
+		s.Merge(now, now, []Delta{delta})
 	}
 	flood("first")
 	flood("second")
-	if s.Counts().Full == 0 || s.Bytes() > MaxBytes || len(s.owners["first"].facts) != MaxFactsPerOwner {
-		t.Fatal(s.Counts(), s.Bytes(), len(s.owners["first"].facts))
+	first := len(s.owners["first"].facts)
+	if s.Counts().Full == 0 || s.Bytes() > MaxBytes || first != MaxFactsPerOwner {
+		t.Fatalf("got %+v, %d bytes, %d facts of the first owner", s.Counts(), s.Bytes(), first)
 	}
-	if !s.Put("node", "seen here", now, large) {
+	if !s.Put("node", "own", now, large) {
 		t.Fatal("others' facts keep out the instance's own")
 	}
 	late := New("late", 1, horizon)
 	now += horizon + time.Second
 	putFacts(late, now, 3)
-	held := s.Len()
+	before := s.Len()
 	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), responseBytes))
-	if s.Len() != held {
-		t.Fatalf("%d facts were taken without room", s.Len()-held)
+	if s.Len() != before {
+		t.Fatalf("got %d facts taken without capacity, want none", s.Len()-before)
 	}
 	s.Sweep(now, func(string) bool { return true })
 	s.Merge(now, now, late.DeltasFor(now, s.NextDigest(), responseBytes))
 	if s.Len() != 3 {
-		t.Fatalf("%d of 3 facts when there was room again", s.Len())
+		t.Fatalf("got %d of 3 facts when there was capacity again", s.Len())
 	}
 }
 
-// A question goes on where the last answer ended, with as many other owners about as there may be, until nothing of that part lacks.
-func TestAskOn(t *testing.T) {
+// A continued request resumes where the last response ended, however many other
+// owners there are, until nothing of that range is missing.
+func TestContinueDigest(t *testing.T) {
 	now := time.Second
 	busy, hub, late := New("busy", 1, horizon), New("hub", 1, horizon), New("late", 1, horizon)
 	putFacts(busy, now, 600)
-	pullAll(now, hub, busy)
+	pullUntilEqual(now, hub, busy)
 	for i := range 300 {
 		other := New(fmt.Sprintf("instance-%03d", i), 1, horizon)
 		putFacts(other, now, 1)
 		hub.Merge(now, now, other.DeltasFor(now, Digest{Hi: hashSpace}, responseBytes))
 	}
-	d, lacks := late.DigestFor([]Watermark{{"busy", 1, 600}})
-	if !lacks {
-		t.Fatal("nothing lacks")
+	digest, missing := late.DigestFor([]Watermark{{"busy", 1, 600}})
+	if !missing {
+		t.Fatal("an unknown owner's facts are not missing")
 	}
-	asked := 0
-	for more := true; more && asked < 100; asked++ {
-		shares := hub.DeltasFor(now, d, responseBytes)
-		more = hub.HasMore(d, shares)
-		late.Merge(now, now, shares)
-		d = late.ContinueDigest(d)
+	requests := 0
+	for more := true; more && requests < 100; requests++ {
+		deltas := hub.DeltasFor(now, digest, responseBytes)
+		more = hub.HasMore(digest, deltas)
+		late.Merge(now, now, deltas)
+		digest = late.ContinueDigest(digest)
 	}
-	if late.Len() != 600 || asked > 80 {
-		t.Fatalf("%d of 600 facts of the owner that was asked for, after %d questions", late.Len(), asked)
+	if late.Len() != 600 || requests > 80 {
+		t.Fatalf("got %d of 600 facts of the requested owner after %d requests", late.Len(), requests)
 	}
-	part := Digest{Lo: 1 << 30, Hi: 1 << 31}
-	if on := late.ContinueDigest(part); on.Lo != part.Lo || on.Hi != part.Hi || on.NamedOnly {
-		t.Fatalf("%+v", on)
+	ranged := Digest{Lo: 1 << 30, Hi: 1 << 31}
+	if next := late.ContinueDigest(ranged); next.Lo != ranged.Lo || next.Hi != ranged.Hi || next.NamedOnly {
+		t.Fatalf("got %+v, want the range of %+v", next, ranged)
 	}
 }
--- /dev/null
+++ b/internal/gossip/merge.go
@@ -0,0 +1,105 @@
+package gossip
+
+import "time"
+
+// maxAgeMicroseconds keeps the conversion of an age to nanoseconds from
+// overflowing.
+const maxAgeMicroseconds = (1 << 62) / int64(time.Microsecond)
+
+// Merge takes over the deltas of a response. RequestedAt is when this instance
+// sent the request, by its own clock; ages count from then on.
+func (s *Store) Merge(now, requestedAt time.Duration, deltas []Delta) {
+	if now-requestedAt > MaxRoundTrip || requestedAt > now {
+		s.counts.Late++
+		return
+	}
+	for _, delta := range deltas {
+		s.mergeDelta(requestedAt, delta)
+	}
+}
+
+func (s *Store) mergeDelta(requestedAt time.Duration, delta Delta) {
+	if delta.Owner == s.self.name { // only this instance states its own facts
+		s.counts.Own++
+		return
+	}
+	if delta.Owner == "" || len(delta.Owner) > maxNameBytes || delta.To < delta.From {
+		s.counts.Malformed++
+		return
+	}
+	owner := s.findOrAddOwner(delta.Owner, delta.Incarnation)
+	switch {
+	case owner == nil:
+		s.counts.Full++
+		return
+	case delta.Incarnation < owner.incarnation:
+		s.counts.EndedIncarnation++
+		return
+	case delta.Incarnation > owner.incarnation:
+		s.beginIncarnation(owner, delta.Incarnation)
+	}
+	complete := true
+	for _, fact := range delta.Facts {
+		if !s.mergeFact(requestedAt, owner, delta, fact) {
+			complete = false
+		}
+	}
+	if complete && delta.From <= owner.completeThrough {
+		owner.completeThrough = max(owner.completeThrough, delta.To)
+	}
+}
+
+// beginIncarnation drops the facts of an owner's ended incarnation: the next
+// one states again what still holds.
+func (s *Store) beginIncarnation(owner *ownerRecord, incarnation uint64) {
+	for key := range owner.facts {
+		s.remove(owner, key)
+	}
+	owner.incarnation, owner.completeThrough = incarnation, 0
+}
+
+// mergeFact takes over one fact of a delta. It reports false if the fact has to
+// be requested again, because it was malformed or there was no capacity.
+func (s *Store) mergeFact(requestedAt time.Duration, owner *ownerRecord, delta Delta, received DeltaFact) bool {
+	if !validFact(delta, received) {
+		s.counts.Malformed++
+		return false
+	}
+	key := factKey{received.Kind, received.Subject}
+	stored := owner.facts[key]
+	observedAt := requestedAt - time.Duration(received.AgeUS)*time.Microsecond
+	switch {
+	case stored != nil && stored.Seq > received.Seq:
+		return true
+	case stored != nil && stored.Seq == received.Seq:
+		// The same fact by another way. Both times are lower bounds; the
+		// higher one is closer.
+		if observedAt > stored.ObservedAt {
+			stored.ObservedAt = observedAt
+			s.version++
+		}
+		return true
+	case requestedAt-observedAt > s.horizon: // every store drops it soon
+		return true
+	}
+	next := &Fact{
+		Owner:       owner.name,
+		Kind:        received.Kind,
+		Subject:     received.Subject,
+		Incarnation: owner.incarnation,
+		Seq:         received.Seq,
+		ObservedAt:  observedAt,
+		Data:        received.Data,
+	}
+	if !s.admit(owner, stored, next) {
+		return false
+	}
+	s.insert(owner, key, stored, next)
+	return true
+}
+
+func validFact(delta Delta, fact DeltaFact) bool {
+	return validSizes(fact.Kind, fact.Subject, fact.Data) &&
+		fact.AgeUS >= 0 && fact.AgeUS <= maxAgeMicroseconds &&
+		fact.Seq > delta.From && fact.Seq <= delta.To
+}
