--- a/internal/swim/bounds_test.go
+++ b/internal/swim/bounds_test.go
@@ -8,7 +8,7 @@
 )
 
 // tell has a member hear of another.
-func tell(m *Machine, now time.Duration, i int, state State) {
+func receiveFrom(m *Machine, now time.Duration, i int, state State) {
 	name := fmt.Sprintf("m%04d", i)
 	m.Receive(now, &Message{Self: Update{Name: name, Addr: "at-" + name, Incarnation: 1, State: state}})
 }
@@ -18,21 +18,21 @@
 	now := time.Second
 	m := New(Config{Name: "self", Addr: "at-self", Incarnation: 1}, now, rand.New(rand.NewPCG(1, 2)))
 	for i := range MaxMembers {
-		tell(m, now, i, Alive)
+		receiveFrom(m, now, i, Alive)
 	}
-	before := m.sum
+	before := m.viewHash
 	if m.AliveCount() != MaxMembers || m.Counts().Full != 0 {
 		t.Fatalf("%d of %d members, %d without room", m.AliveCount(), MaxMembers, m.Counts().Full)
 	}
-	tell(m, now, MaxMembers, Alive)
-	if m.AliveCount() != MaxMembers || m.Counts().Full != 1 || m.sum != before {
+	receiveFrom(m, now, MaxMembers, Alive)
+	if m.AliveCount() != MaxMembers || m.Counts().Full != 1 || m.viewHash != before {
 		t.Fatalf("%d members, %d without room", m.AliveCount(), m.Counts().Full)
 	}
-	tell(m, now, 0, Left)
-	now += leftKept + time.Second
-	m.forgot, m.now = now-forgetEvery, now
-	m.forget()
-	tell(m, now, MaxMembers, Alive)
+	receiveFrom(m, now, 0, Left)
+	now += leftRetention + time.Second
+	m.lastReap, m.now = now-reapPeriod, now
+	m.reapMembers()
+	receiveFrom(m, now, MaxMembers, Alive)
 	if _, known := m.Member(fmt.Sprintf("m%04d", MaxMembers)); !known || m.AliveCount() != MaxMembers {
 		t.Fatalf("%d members, the last known: %v", m.AliveCount(), known)
 	}
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -48,7 +48,7 @@
 }
 
 // over says whether u overrides v.
-func (u Update) over(v Update) bool {
+func (u Update) overrides(v Update) bool {
 	return cmp.Or(cmp.Compare(u.Incarnation, v.Incarnation), cmp.Compare(u.Refutation, v.Refutation), cmp.Compare(u.State, v.State)) > 0
 }
 
@@ -98,67 +98,67 @@
 
 // Usual times and bounds.
 const (
-	DefaultPeriod   = 200 * time.Millisecond
-	DefaultTimeout  = 80 * time.Millisecond
-	helpers         = 3                // members that are asked to probe in one's place
-	suspectPeriods  = 2.5              // least time of a suspicion, in periods
-	suspectMost     = 3                // times that, without any confirmation
-	mostHealth      = 8                // of the local health: timeouts grow up to so many times and one
-	piggyback       = 6                // updates in a message
-	pageSize        = 12               // members in a page of the roster
-	retransmit      = 3.0              // times log2 of the members that an update is sent on
-	reachOut        = time.Second      // between two tries to reach a seed or a dead member, of all together
-	syncEvery       = time.Second      // between two comparisons of whole rosters, at the least
-	syncMembers     = 40               // members for each of which that time grows by itself
-	deadKept        = 10 * time.Minute // a dead member is tried and remembered for so long
-	leftKept        = time.Minute      // the same of one that left
-	forgetEvery     = time.Second
-	mostName        = 64
-	mostLives       = 3 // lives that are taken on after others of the name, before it is held to be in use
-	leaveFanout     = 8
-	relaysKept      = 4 * helpers
-	stalledPeriods  = 1.5                    // a tick so late says that this process did not run
-	reachDeadEvery  = 3                      // of the tries one in so many goes to a seed, the others to dead members
-	firstReachOut   = 100 * time.Millisecond // the same while nobody is known
-	mostRumors      = 1024
-	mostUpdatesRead = 64
-	refusedMembers  = 2                      // members that were turned back: what that takes to shorten a suspicion
-	refusedPatience = 60 * time.Millisecond  // for a refutation then
-	refusedAgain    = 100 * time.Millisecond // between two tries of one's own to confirm that
-	refusedDoubted  = 10 * time.Second       // such hints count for nothing after one of them was refuted
-	refusedFanout   = 8                      // members that are told at once
+	DefaultPeriod           = 200 * time.Millisecond
+	DefaultTimeout          = 80 * time.Millisecond
+	indirectProbes          = 3                // members that are asked to probe in one's place
+	minSuspicionPeriods     = 2.5              // least time of a suspicion, in periods
+	suspicionMaxFactor      = 3                // times that, without any confirmation
+	maxHealthScore          = 8                // of the local health: timeouts grow up to so many times and one
+	updatesPerMessage       = 6                // updates in a message
+	rosterPageSize          = 12               // members in a page of the roster
+	retransmitFactor        = 3.0              // times log2 of the members that an update is sent on
+	reconnectPeriod         = time.Second      // between two tries to reach a seed or a dead member, of all together
+	syncPeriod              = time.Second      // between two comparisons of whole rosters, at the least
+	membersPerSyncPeriod    = 40               // members for each of which that time grows by itself
+	deadRetention           = 10 * time.Minute // a dead member is tried and remembered for so long
+	leftRetention           = time.Minute      // the same of one that left
+	reapPeriod              = time.Second
+	maxStringBytes          = 64
+	maxNameTakeovers        = 3 // lives that are taken on after others of the name, before it is held to be in use
+	leaveFanout             = 8
+	maxRelays               = 4 * indirectProbes
+	stallPeriods            = 1.5                    // a tick so late says that this process did not run
+	reconnectsPerSeed       = 3                      // of the tries one in so many goes to a seed, the others to dead members
+	joinPeriod              = 100 * time.Millisecond // the same while nobody is known
+	maxRumors               = 1024
+	maxUpdatesRead          = 64
+	refusalQuorum           = 2                      // members that were turned back: what that takes to shorten a suspicion
+	refusalSuspicionTimeout = 60 * time.Millisecond  // for a refutation then
+	refusalProbePeriod      = 100 * time.Millisecond // between two tries of one's own to confirm that
+	refusalDistrustTime     = 10 * time.Second       // such hints count for nothing after one of them was refuted
+	refusalFanout           = 8                      // members that are told at once
 )
 
 type member struct {
 	Update
-	since  time.Duration // of the state
-	until  time.Duration // of a suspicion
-	began  time.Duration // of a suspicion
-	by     []string      // who suspects it
-	direct time.Duration // when it was last heard itself; 0: never
+	stateSince     time.Duration // of the state
+	suspicionEnd   time.Duration // of a suspicion
+	suspicionStart time.Duration // of a suspicion
+	suspectedBy    []string      // who suspects it
+	heardAt        time.Duration // when it was last heard itself; 0: never
 
-	refused []string      // who was turned back at its address, in this suspicion
-	tried   time.Duration // when this member last tried to confirm that
-	doubted time.Duration // hints are ignored until then
+	refusedBy         []string      // who was turned back at its address, in this suspicion
+	refusalProbedAt   time.Duration // when this member last tried to confirm that
+	hintsIgnoredUntil time.Duration // hints are ignored until then
 }
 
 type rumor struct {
-	u    Update
-	sent int
+	update    Update
+	transmits int
 }
 
 type probe struct {
-	target          string
-	nonce           uint64
-	at, help, until time.Duration
-	asked, acked    bool
-	began           bool
+	target                 string
+	nonce                  uint64
+	at, indirectAt, endsAt time.Duration
+	asked, acked           bool
+	began                  bool
 }
 
 type relay struct {
-	nonce, origin uint64
-	addr          string
-	until         time.Duration
+	nonce, originNonce uint64
+	originAddr         string
+	expiresAt          time.Duration
 }
 
 // Member is a member as it is shown.
@@ -180,35 +180,35 @@
 
 // Machine is one member's view and protocol. It is used by one goroutine at a time.
 type Machine struct {
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration
-	self     Update
-	lives    int
-	over     string // why it takes part no longer
-	leaving  bool
-	members  map[string]*member
-	names    []string // of all members, sorted
-	round    []string // who is probed next
-	probe    probe
-	next     time.Duration // probe
-	reach    time.Duration // next try of a seed or a dead member
-	sync     time.Duration // no comparison before
-	paging   string        // whose roster is being read
-	pageAt   time.Duration
-	health   int
-	rumors   []*rumor
-	relays   []relay
-	sum      uint64 // over all updates held
-	version  uint64
-	counts   Counts
-	lastTick time.Duration
-	tries    int
-	out      []Envelope
-	notes    []Change
-	alive    int
-	suspects []string      // names, sorted
-	forgot   time.Duration // when who has gone was last looked for
+	cfg               Config
+	rng               *rand.Rand
+	now               time.Duration
+	self              Update
+	takeovers         int
+	leftReason        string // why it takes part no longer
+	leaving           bool
+	members           map[string]*member
+	names             []string // of all members, sorted
+	probeRound        []string // who is probed next
+	probe             probe
+	nextProbe         time.Duration // probe
+	nextReconnect     time.Duration // next try of a seed or a dead member
+	nextSync          time.Duration // no comparison before
+	syncWith          string        // whose roster is being read
+	syncProgressAt    time.Duration
+	healthScore       int
+	rumors            []*rumor
+	relays            []relay
+	viewHash          uint64 // over all updates held
+	version           uint64
+	counts            Counts
+	lastTick          time.Duration
+	reconnectAttempts int
+	outbox            []Envelope
+	changes           []Change
+	aliveCount        int
+	suspects          []string      // names, sorted
+	lastReap          time.Duration // when who has gone was last looked for
 }
 
 // Change is a change of the view, for the log.
@@ -228,14 +228,14 @@
 		cfg: cfg, rng: rng, now: now, members: map[string]*member{}, lastTick: now,
 		self: Update{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Incarnation: cfg.Incarnation},
 	}
-	m.next = now + m.spread(cfg.Period)
-	m.reach = now
-	m.sum = sumOf(m.self)
+	m.nextProbe = now + m.jitter(cfg.Period)
+	m.nextReconnect = now
+	m.viewHash = updateHash(m.self)
 	return m
 }
 
 // spread draws a time around d, so that what all do does not happen at one moment.
-func (m *Machine) spread(d time.Duration) time.Duration {
+func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(m.rng.Int64N(int64(d)+1))
 }
 
@@ -252,17 +252,17 @@
 func (m *Machine) Counts() Counts { return m.counts }
 
 // Over says why this member takes part no longer; empty: it does.
-func (m *Machine) LeftReason() string { return m.over }
+func (m *Machine) LeftReason() string { return m.leftReason }
 
 // Alive is how many others are held to be there, the suspected among them.
-func (m *Machine) AliveCount() int { return m.alive }
+func (m *Machine) AliveCount() int { return m.aliveCount }
 
 // Members are all others that are known, by name.
 func (m *Machine) Members() []Member {
 	out := make([]Member, 0, len(m.names))
 	for _, n := range m.names {
 		x := m.members[n]
-		out = append(out, Member{Update: x.Update, Since: x.since, HeardAt: x.direct})
+		out = append(out, Member{Update: x.Update, Since: x.stateSince, HeardAt: x.heardAt})
 	}
 	return out
 }
@@ -273,120 +273,120 @@
 	if x == nil {
 		return Member{}, false
 	}
-	return Member{Update: x.Update, Since: x.since, HeardAt: x.direct}, true
+	return Member{Update: x.Update, Since: x.stateSince, HeardAt: x.heardAt}, true
 }
 
 // Changes hands over what has changed since it was last called.
 func (m *Machine) Changes() []Change {
-	c := m.notes
-	m.notes = nil
+	c := m.changes
+	m.changes = nil
 	return c
 }
 
 // Due is when Tick has something to do.
 func (m *Machine) NextTick() time.Duration {
-	due := min(m.next, m.reach)
+	due := min(m.nextProbe, m.nextReconnect)
 	if m.probe.began {
 		if m.probe.acked || m.probe.asked {
-			due = min(due, m.probe.until)
+			due = min(due, m.probe.endsAt)
 		} else {
-			due = min(due, m.probe.help)
+			due = min(due, m.probe.indirectAt)
 		}
 	}
 	for _, n := range m.suspects {
-		due = min(due, m.members[n].until)
+		due = min(due, m.members[n].suspicionEnd)
 	}
 	return due
 }
 
 // Tick does what is due.
 func (m *Machine) Tick(now time.Duration) []Envelope {
-	m.now, m.out = max(now, m.now), nil
-	if m.over != "" || m.leaving {
-		m.lastTick, m.next, m.reach = m.now, m.now+time.Hour, m.now+time.Hour
+	m.now, m.outbox = max(now, m.now), nil
+	if m.leftReason != "" || m.leaving {
+		m.lastTick, m.nextProbe, m.nextReconnect = m.now, m.now+time.Hour, m.now+time.Hour
 		m.probe = probe{}
 		return nil
 	}
-	m.stall()
+	m.detectStall()
 	m.lastTick = m.now
-	m.endProbe()
+	m.advanceProbe()
 	for i := 0; i < len(m.suspects); {
 		x := m.members[m.suspects[i]]
-		if m.now < x.until {
+		if m.now < x.suspicionEnd {
 			i++
 			continue
 		}
-		dead, told := x.Update, len(x.refused) >= refusedMembers
+		dead, told := x.Update, len(x.refusedBy) >= refusalQuorum
 		dead.State, dead.SuspectedBy, dead.Refused = Dead, m.self.Name, false
 		m.apply(dead) // it is no suspect any more
 		if told {     // the others have suspected it for a moment only
-			m.spreadWord(dead)
+			m.notifyAtOnce(dead)
 		}
 	}
-	if m.now >= m.next && !m.probe.began {
-		m.beginProbe()
+	if m.now >= m.nextProbe && !m.probe.began {
+		m.startProbe()
 	}
-	if m.now >= m.reach {
-		m.reachOut()
+	if m.now >= m.nextReconnect {
+		m.reconnect()
 	}
-	m.forget()
-	return m.out
+	m.reapMembers()
+	return m.outbox
 }
 
 // stall notices that this process has not run: what it did not hear meanwhile says nothing of the others.
-func (m *Machine) stall() {
-	late := m.now - max(m.lastTick, min(m.next, m.reach))
-	if late < time.Duration(stalledPeriods*float64(m.cfg.Period)) {
+func (m *Machine) detectStall() {
+	late := m.now - max(m.lastTick, min(m.nextProbe, m.nextReconnect))
+	if late < time.Duration(stallPeriods*float64(m.cfg.Period)) {
 		return
 	}
 	m.counts.Stalls++
-	m.worse()
+	m.degradeHealth()
 	m.probe = probe{}
-	m.next = m.now + m.spread(m.cfg.Period)
+	m.nextProbe = m.now + m.jitter(m.cfg.Period)
 	for _, n := range m.suspects {
-		m.members[n].until += late
+		m.members[n].suspicionEnd += late
 	}
 }
 
-func (m *Machine) worse()  { m.health = min(mostHealth, m.health+1) }
-func (m *Machine) better() { m.health = max(0, m.health-1) }
+func (m *Machine) degradeHealth() { m.healthScore = min(maxHealthScore, m.healthScore+1) }
+func (m *Machine) improveHealth() { m.healthScore = max(0, m.healthScore-1) }
 
 // stretched is a time as it is while this member's own health is poor.
-func (m *Machine) stretched(d time.Duration) time.Duration {
-	return d * time.Duration(1+m.health)
+func (m *Machine) scaleByHealth(d time.Duration) time.Duration {
+	return d * time.Duration(1+m.healthScore)
 }
 
-func (m *Machine) beginProbe() {
-	target := m.nextTarget()
-	m.next = m.now + m.stretched(m.cfg.Period)
+func (m *Machine) startProbe() {
+	target := m.nextProbeTarget()
+	m.nextProbe = m.now + m.scaleByHealth(m.cfg.Period)
 	if target == "" {
 		return
 	}
 	x := m.members[target]
-	m.probe = probe{target: target, nonce: m.nonce(), at: m.now, help: m.now + m.stretched(m.cfg.Timeout), until: m.next, began: true}
+	m.probe = probe{target: target, nonce: m.newNonce(), at: m.now, indirectAt: m.now + m.scaleByHealth(m.cfg.Timeout), endsAt: m.nextProbe, began: true}
 	m.send(x.Addr, &Message{Kind: Ping, To: target, Nonce: m.probe.nonce}, x)
 }
 
-func (m *Machine) nonce() uint64 { return m.rng.Uint64() | 1 }
+func (m *Machine) newNonce() uint64 { return m.rng.Uint64() | 1 }
 
 // nextTarget goes round all members that are not known to be gone, in an order drawn anew each time.
-func (m *Machine) nextTarget() string {
+func (m *Machine) nextProbeTarget() string {
 	for range 2 {
-		for len(m.round) > 0 {
-			n := m.round[len(m.round)-1]
-			m.round = m.round[:len(m.round)-1]
+		for len(m.probeRound) > 0 {
+			n := m.probeRound[len(m.probeRound)-1]
+			m.probeRound = m.probeRound[:len(m.probeRound)-1]
 			if x := m.members[n]; x != nil && x.State <= Suspect {
 				return n
 			}
 		}
-		m.round = slices.Clone(m.names)
-		m.rng.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
+		m.probeRound = slices.Clone(m.names)
+		m.rng.Shuffle(len(m.probeRound), func(i, j int) { m.probeRound[i], m.probeRound[j] = m.probeRound[j], m.probeRound[i] })
 	}
 	return ""
 }
 
 // endProbe asks others to try where no answer came, and suspects where none came to them.
-func (m *Machine) endProbe() {
+func (m *Machine) advanceProbe() {
 	p := &m.probe
 	x := m.members[p.target]
 	switch {
@@ -394,17 +394,17 @@
 	case x == nil || x.State > Suspect:
 		*p = probe{}
 	case p.acked:
-		if m.now >= p.until {
-			m.better()
+		if m.now >= p.endsAt {
+			m.improveHealth()
 			*p = probe{}
 		}
-	case !p.asked && m.now >= p.help:
+	case !p.asked && m.now >= p.indirectAt:
 		p.asked = true
-		for _, h := range m.some(helpers, func(h *member) bool { return h.State == Alive && h.Name != p.target }) {
+		for _, h := range m.sampleMembers(indirectProbes, func(h *member) bool { return h.State == Alive && h.Name != p.target }) {
 			m.send(h.Addr, &Message{Kind: PingReq, To: h.Name, Nonce: p.nonce, Target: p.target}, x)
 		}
-	case p.asked && m.now >= p.until:
-		m.worse()
+	case p.asked && m.now >= p.endsAt:
+		m.degradeHealth()
 		u := x.Update
 		u.State, u.SuspectedBy, u.Refused = Suspect, m.self.Name, false
 		*p = probe{}
@@ -413,7 +413,7 @@
 }
 
 // some draws a few members.
-func (m *Machine) some(n int, of func(*member) bool) (out []*member) {
+func (m *Machine) sampleMembers(n int, of func(*member) bool) (out []*member) {
 	if len(m.names) == 0 {
 		return nil
 	}
@@ -435,7 +435,7 @@
 // Some are the addresses and names of up to n members that are held to be there, drawn by chance.
 func (m *Machine) RandomMembers(n int) []Update {
 	var out []Update
-	for _, x := range m.some(n, func(x *member) bool { return x.State <= Suspect }) {
+	for _, x := range m.sampleMembers(n, func(x *member) bool { return x.State <= Suspect }) {
 		out = append(out, x.Update)
 	}
 	return out
@@ -443,16 +443,16 @@
 
 // reachOut tries a seed that is nobody's address, or a member that is held to be dead: a part that was cut off comes back
 // by itself, from whichever side is heard first.
-func (m *Machine) reachOut() {
-	wait := reachOut
-	if m.alive == 0 {
-		wait = firstReachOut << min(m.tries, 3)
-	}
-	m.reach = m.now + m.spread(wait)
-	m.tries++
-	if m.alive > 0 && m.tries%reachDeadEvery != 0 {
-		for _, x := range m.some(1, func(x *member) bool { return x.State == Dead }) {
-			m.send(x.Addr, &Message{Kind: Ping, To: x.Name, Nonce: m.nonce()}, x)
+func (m *Machine) reconnect() {
+	wait := reconnectPeriod
+	if m.aliveCount == 0 {
+		wait = joinPeriod << min(m.reconnectAttempts, 3)
+	}
+	m.nextReconnect = m.now + m.jitter(wait)
+	m.reconnectAttempts++
+	if m.aliveCount > 0 && m.reconnectAttempts%reconnectsPerSeed != 0 {
+		for _, x := range m.sampleMembers(1, func(x *member) bool { return x.State == Dead }) {
+			m.send(x.Addr, &Message{Kind: Ping, To: x.Name, Nonce: m.newNonce()}, x)
 			return
 		}
 	}
@@ -463,22 +463,22 @@
 		}
 	}
 	if len(strangers) > 0 {
-		m.send(strangers[m.rng.IntN(len(strangers))], &Message{Kind: Ping, Nonce: m.nonce()}, nil)
+		m.send(strangers[m.rng.IntN(len(strangers))], &Message{Kind: Ping, Nonce: m.newNonce()}, nil)
 	}
 }
 
 // forget drops who has been gone for long.
-func (m *Machine) forget() {
-	if m.now-m.forgot < forgetEvery {
+func (m *Machine) reapMembers() {
+	if m.now-m.lastReap < reapPeriod {
 		return
 	}
-	m.forgot = m.now
+	m.lastReap = m.now
 	m.names = slices.DeleteFunc(m.names, func(n string) bool {
 		x := m.members[n]
-		if x.State == Left && m.now-x.since > leftKept || x.State == Dead && m.now-x.since > deadKept {
-			m.sum ^= sumOf(x.Update)
+		if x.State == Left && m.now-x.stateSince > leftRetention || x.State == Dead && m.now-x.stateSince > deadRetention {
+			m.viewHash ^= updateHash(x.Update)
 			m.version++
-			m.notes = append(m.notes, Change{Update: x.Update, Previous: x.State, Forgotten: true})
+			m.changes = append(m.changes, Change{Update: x.Update, Previous: x.State, Forgotten: true})
 			delete(m.members, n)
 			return true
 		}
@@ -488,87 +488,87 @@
 
 // Leave tells a few members that this one goes; it takes part no longer.
 func (m *Machine) Leave(now time.Duration) []Envelope {
-	m.now, m.out = max(now, m.now), nil
-	if m.leaving || m.over != "" {
+	m.now, m.outbox = max(now, m.now), nil
+	if m.leaving || m.leftReason != "" {
 		return nil
 	}
 	m.leaving = true
 	m.self.State = Left
-	for _, x := range m.some(leaveFanout, func(x *member) bool { return x.State <= Suspect }) {
+	for _, x := range m.sampleMembers(leaveFanout, func(x *member) bool { return x.State <= Suspect }) {
 		m.send(x.Addr, &Message{To: x.Name}, nil)
 	}
-	return m.out
+	return m.outbox
 }
 
 // Receive takes a message in, and returns what is to be answered.
 func (m *Machine) Receive(now time.Duration, msg *Message) []Envelope {
-	m.now, m.out = max(now, m.now), nil
+	m.now, m.outbox = max(now, m.now), nil
 	from := msg.Self
 	switch {
-	case m.over != "" || m.leaving:
+	case m.leftReason != "" || m.leaving:
 		return nil
 	case from.Name == m.self.Name && from.Incarnation == m.self.Incarnation, msg.To != "" && msg.To != m.self.Name:
 		m.counts.Stray++
 		return nil
-	case !usable(from):
+	case !validUpdate(from):
 		m.counts.Stray++
 		return nil
 	}
 	if from.Name == m.self.Name {
-		m.namesake(from)
-		return m.out
+		m.resolveNameConflict(from)
+		return m.outbox
 	}
 	if x := m.members[from.Name]; x != nil && x.Incarnation > from.Incarnation {
 		m.counts.EndedIncarnation++
 		if from.State <= Suspect { // whoever it is, it is told who has its name now
 			m.send(from.Addr, &Message{To: from.Name}, x)
 		}
-		return m.out
+		return m.outbox
 	}
 	m.apply(from)
-	for _, u := range msg.Updates[:min(len(msg.Updates), mostUpdatesRead)] {
+	for _, u := range msg.Updates[:min(len(msg.Updates), maxUpdatesRead)] {
 		m.apply(u)
 	}
 	x := m.members[from.Name]
 	if x == nil { // no room
-		return m.out
+		return m.outbox
 	}
-	x.direct = m.now
+	x.heardAt = m.now
 	switch msg.Kind {
 	case Ping:
 		m.send(from.Addr, &Message{Kind: Ack, To: from.Name, Nonce: msg.Nonce}, x)
 	case Ack:
-		m.acked(msg.Nonce)
+		m.handleAck(msg.Nonce)
 	case PingReq:
-		if t := m.members[msg.Target]; t != nil && len(m.relays) < relaysKept {
-			r := relay{nonce: m.nonce(), origin: msg.Nonce, addr: from.Addr, until: m.now + m.cfg.Period}
+		if t := m.members[msg.Target]; t != nil && len(m.relays) < maxRelays {
+			r := relay{nonce: m.newNonce(), originNonce: msg.Nonce, originAddr: from.Addr, expiresAt: m.now + m.cfg.Period}
 			m.relays = append(m.relays, r)
 			m.send(t.Addr, &Message{Kind: Ping, To: t.Name, Nonce: r.nonce}, t)
 		}
 	case RosterRequest:
-		m.page(from.Addr, msg.After, from.Name)
+		m.sendRosterPage(from.Addr, msg.After, from.Name)
 	case Roster:
-		if m.paging != from.Name {
+		if m.syncWith != from.Name {
 			break
 		}
-		m.pageAt = m.now
-		if m.paging = ""; msg.More && len(msg.Updates) > 0 {
-			m.paging = from.Name
+		m.syncProgressAt = m.now
+		if m.syncWith = ""; msg.More && len(msg.Updates) > 0 {
+			m.syncWith = from.Name
 			m.send(from.Addr, &Message{Kind: RosterRequest, To: from.Name, After: msg.Updates[len(msg.Updates)-1].Name}, nil)
 		}
 	}
-	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool { return m.now > r.until })
-	m.compare(msg, from)
-	return m.out
+	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool { return m.now > r.expiresAt })
+	m.syncIfDifferent(msg, from)
+	return m.outbox
 }
 
-func (m *Machine) acked(nonce uint64) {
+func (m *Machine) handleAck(nonce uint64) {
 	if m.probe.began && nonce == m.probe.nonce {
 		m.probe.acked = true
 	}
 	for i, r := range m.relays {
 		if r.nonce == nonce {
-			m.send(r.addr, &Message{Kind: Ack, Nonce: r.origin}, nil)
+			m.send(r.originAddr, &Message{Kind: Ack, Nonce: r.originNonce}, nil)
 			m.relays = slices.Delete(m.relays, i, i+1)
 			return
 		}
@@ -576,74 +576,74 @@
 }
 
 // compare reads another's whole roster where the two differ, not too often: rumours end, and this does not.
-func (m *Machine) compare(msg *Message, from Update) {
-	if m.paging != "" && m.now-m.pageAt > syncEvery {
-		m.paging = ""
+func (m *Machine) syncIfDifferent(msg *Message, from Update) {
+	if m.syncWith != "" && m.now-m.syncProgressAt > syncPeriod {
+		m.syncWith = ""
 	}
-	if msg.ViewHash == m.sum || m.now < m.sync || m.paging != "" || from.State > Suspect {
+	if msg.ViewHash == m.viewHash || m.now < m.nextSync || m.syncWith != "" || from.State > Suspect {
 		return
 	}
-	m.sync = m.now + m.spread(syncEvery*time.Duration(1+len(m.names)/syncMembers))
-	m.paging, m.pageAt = from.Name, m.now
+	m.nextSync = m.now + m.jitter(syncPeriod*time.Duration(1+len(m.names)/membersPerSyncPeriod))
+	m.syncWith, m.syncProgressAt = from.Name, m.now
 	m.send(from.Addr, &Message{Kind: RosterRequest, To: from.Name}, nil)
 }
 
 // page answers with the members after a name.
-func (m *Machine) page(to, after, name string) {
+func (m *Machine) sendRosterPage(to, after, name string) {
 	msg := &Message{Kind: Roster, To: name, After: after}
 	i, found := slices.BinarySearch(m.names, after)
 	if found {
 		i++
 	}
-	for ; i < len(m.names) && len(msg.Updates) < pageSize; i++ {
+	for ; i < len(m.names) && len(msg.Updates) < rosterPageSize; i++ {
 		msg.Updates = append(msg.Updates, m.members[m.names[i]].Update)
 	}
 	msg.More = i < len(m.names)
-	m.out = append(m.out, Envelope{to, m.stamp(msg)})
+	m.outbox = append(m.outbox, Envelope{to, m.fromSelf(msg)})
 }
 
 // namesake deals with another process of this member's name: an earlier one of its own, or one that should not be there.
-func (m *Machine) namesake(u Update) {
+func (m *Machine) resolveNameConflict(u Update) {
 	if u.Incarnation <= m.self.Incarnation {
 		m.counts.EndedIncarnation++
 		return
 	}
-	if m.lives++; m.lives > mostLives {
-		m.over = "another member at " + u.Addr + " has this name"
+	if m.takeovers++; m.takeovers > maxNameTakeovers {
+		m.leftReason = "another member at " + u.Addr + " has this name"
 		m.version++
 		return
 	}
-	m.sum ^= sumOf(m.self)
+	m.viewHash ^= updateHash(m.self)
 	m.self.Incarnation, m.self.Refutation = u.Incarnation+1, 0
-	m.sum ^= sumOf(m.self)
+	m.viewHash ^= updateHash(m.self)
 	m.version++
-	m.tell(m.self)
+	m.broadcast(m.self)
 }
 
-func usable(u Update) bool {
-	return u.Name != "" && len(u.Name) <= mostName && len(u.Addr) <= mostName && len(u.Zone) <= mostName && u.Addr != "" && u.State <= Left
+func validUpdate(u Update) bool {
+	return u.Name != "" && len(u.Name) <= maxStringBytes && len(u.Addr) <= maxStringBytes && len(u.Zone) <= maxStringBytes && u.Addr != "" && u.State <= Left
 }
 
 // apply takes over what overrides what is held.
 func (m *Machine) apply(u Update) {
-	if !usable(u) {
+	if !validUpdate(u) {
 		m.counts.Stray++
 		return
 	}
 	if u.Name == m.self.Name {
 		switch {
 		case u.Incarnation > m.self.Incarnation:
-			m.namesake(u)
+			m.resolveNameConflict(u)
 		case u.Incarnation == m.self.Incarnation && u.State != Alive && u.Refutation >= m.self.Refutation: // it is not so
-			m.sum ^= sumOf(m.self)
+			m.viewHash ^= updateHash(m.self)
 			m.self.Refutation = u.Refutation + 1
-			m.sum ^= sumOf(m.self)
+			m.viewHash ^= updateHash(m.self)
 			m.counts.Refuted++
-			m.worse()
+			m.degradeHealth()
 			m.version++
-			m.tell(m.self)
+			m.broadcast(m.self)
 			if u.Refused { // there is a moment only
-				m.spreadWord(m.self)
+				m.notifyAtOnce(m.self)
 			}
 		}
 		return
@@ -657,27 +657,27 @@
 			m.counts.Full++
 			return
 		}
-		x = &member{since: m.now}
+		x = &member{stateSince: m.now}
 		m.members[u.Name] = x
 		i, _ := slices.BinarySearch(m.names, u.Name)
 		m.names = slices.Insert(m.names, i, u.Name)
-		m.round = append(m.round, u.Name)
-		m.set(x, u, true)
+		m.probeRound = append(m.probeRound, u.Name)
+		m.setMember(x, u, true)
 		return
 	}
-	if u.Refused && m.now < x.doubted {
+	if u.Refused && m.now < x.hintsIgnoredUntil {
 		u.Refused = false
 	}
-	if u.over(x.Update) {
-		m.set(x, u, false)
-		m.confirm(x, u)
+	if u.overrides(x.Update) {
+		m.setMember(x, u, false)
+		m.confirmRefusal(x, u)
 		return
 	}
-	m.confirm(x, u)
-	if u.State == Suspect && x.State == Suspect && u.Incarnation == x.Incarnation && u.Refutation == x.Refutation && u.SuspectedBy != "" && !slices.Contains(x.by, u.SuspectedBy) && len(x.by) <= helpers {
-		x.by = append(x.by, u.SuspectedBy)
-		x.until = min(x.until, x.began+m.patience(len(x.by)-1))
-		m.tell(u)
+	m.confirmRefusal(x, u)
+	if u.State == Suspect && x.State == Suspect && u.Incarnation == x.Incarnation && u.Refutation == x.Refutation && u.SuspectedBy != "" && !slices.Contains(x.suspectedBy, u.SuspectedBy) && len(x.suspectedBy) <= indirectProbes {
+		x.suspectedBy = append(x.suspectedBy, u.SuspectedBy)
+		x.suspicionEnd = min(x.suspicionEnd, x.suspicionStart+m.suspicionTimeout(len(x.suspectedBy)-1))
+		m.broadcast(u)
 	}
 }
 
@@ -685,94 +685,94 @@
 // be forged, or of one way alone), but one that comes within a moment of a death: the others are told at once, try themselves, and where two
 // were turned back and nobody refutes it, the member is held to be dead without the patience that silence needs.
 func (m *Machine) Refused(now time.Duration, addr string) []Envelope {
-	m.now, m.out = max(now, m.now), nil
-	if m.over != "" || m.leaving {
+	m.now, m.outbox = max(now, m.now), nil
+	if m.leftReason != "" || m.leaving {
 		return nil
 	}
 	for _, n := range m.names {
 		x := m.members[n]
-		if x.Addr != addr || x.State > Suspect || m.now < x.doubted || slices.Contains(x.refused, m.self.Name) {
+		if x.Addr != addr || x.State > Suspect || m.now < x.hintsIgnoredUntil || slices.Contains(x.refusedBy, m.self.Name) {
 			continue
 		}
 		m.counts.Refusals++
 		u := x.Update
 		u.State, u.SuspectedBy, u.Refused = Suspect, m.self.Name, true
 		m.apply(u)
-		m.spreadWord(u)
+		m.notifyAtOnce(u)
 	}
-	return m.out
+	return m.outbox
 }
 
 // spreadWord tells a few members at once.
-func (m *Machine) spreadWord(u Update) {
-	for _, h := range m.some(refusedFanout, func(h *member) bool { return h.State == Alive }) {
-		m.out = append(m.out, Envelope{h.Addr, m.stamp(&Message{To: h.Name, Updates: []Update{u}})})
+func (m *Machine) notifyAtOnce(u Update) {
+	for _, h := range m.sampleMembers(refusalFanout, func(h *member) bool { return h.State == Alive }) {
+		m.outbox = append(m.outbox, Envelope{h.Addr, m.fromSelf(&Message{To: h.Name, Updates: []Update{u}})})
 	}
 }
 
 // confirm counts who was turned back by a suspected member, and tries itself where it was not among them.
-func (m *Machine) confirm(x *member, u Update) {
-	if !u.Refused || u.State != Suspect || x.State != Suspect || u.Incarnation != x.Incarnation || u.Refutation != x.Refutation || u.SuspectedBy == "" || slices.Contains(x.refused, u.SuspectedBy) || len(x.refused) > refusedFanout {
+func (m *Machine) confirmRefusal(x *member, u Update) {
+	if !u.Refused || u.State != Suspect || x.State != Suspect || u.Incarnation != x.Incarnation || u.Refutation != x.Refutation || u.SuspectedBy == "" || slices.Contains(x.refusedBy, u.SuspectedBy) || len(x.refusedBy) > refusalFanout {
 		return
 	}
-	x.refused = append(x.refused, u.SuspectedBy)
-	if len(x.refused) >= refusedMembers {
-		x.until = min(x.until, m.now+refusedPatience)
+	x.refusedBy = append(x.refusedBy, u.SuspectedBy)
+	if len(x.refusedBy) >= refusalQuorum {
+		x.suspicionEnd = min(x.suspicionEnd, m.now+refusalSuspicionTimeout)
 	}
-	if !slices.Contains(x.refused, m.self.Name) && (x.tried == 0 || m.now-x.tried >= refusedAgain) {
-		x.tried = m.now
-		m.send(x.Addr, &Message{Kind: Ping, To: x.Name, Nonce: m.nonce()}, x)
+	if !slices.Contains(x.refusedBy, m.self.Name) && (x.refusalProbedAt == 0 || m.now-x.refusalProbedAt >= refusalProbePeriod) {
+		x.refusalProbedAt = m.now
+		m.send(x.Addr, &Message{Kind: Ping, To: x.Name, Nonce: m.newNonce()}, x)
 	}
 }
 
-func (m *Machine) set(x *member, u Update, fresh bool) {
+func (m *Machine) setMember(x *member, u Update, fresh bool) {
 	was, lived := x.Update, x.Incarnation
 	if !fresh {
-		m.sum ^= sumOf(was)
+		m.viewHash ^= updateHash(was)
 		if was.State <= Suspect {
-			m.alive--
+			m.aliveCount--
 		}
 		if was.State == Suspect {
 			i, _ := slices.BinarySearch(m.suspects, was.Name)
 			m.suspects = slices.Delete(m.suspects, i, i+1)
 		}
 	}
-	if x.refused != nil && u.State == Alive && u.Incarnation == was.Incarnation { // it was there all the time
-		x.doubted = m.now + refusedDoubted
+	if x.refusedBy != nil && u.State == Alive && u.Incarnation == was.Incarnation { // it was there all the time
+		x.hintsIgnoredUntil = m.now + refusalDistrustTime
 	} else if u.Incarnation != was.Incarnation {
-		x.doubted = 0
+		x.hintsIgnoredUntil = 0
 	}
-	told := u.State == Dead && len(x.refused) >= refusedMembers
-	x.refused = nil
+	told := u.State == Dead && len(x.refusedBy) >= refusalQuorum
+	x.refusedBy = nil
 	if u.Zone == "" && u.Incarnation == was.Incarnation {
 		u.Zone = was.Zone
 	}
 	x.Update = u
-	m.sum ^= sumOf(u)
+	m.viewHash ^= updateHash(u)
 	if u.State <= Suspect {
-		m.alive++
+		m.aliveCount++
 	}
 	if u.State != was.State || u.Incarnation != lived || fresh {
-		x.since = m.now
-		m.notes = append(m.notes, Change{Update: u, Previous: was.State, New: fresh || u.Incarnation != lived, Confirmed: told})
+		x.stateSince = m.now
+		m.changes = append(m.changes, Change{Update: u, Previous: was.State, New: fresh || u.Incarnation != lived, Confirmed: told})
 	}
-	if x.by = nil; u.State == Suspect {
+	if x.suspectedBy = nil; u.State == Suspect {
 		i, _ := slices.BinarySearch(m.suspects, u.Name)
 		m.suspects = slices.Insert(m.suspects, i, u.Name)
-		x.by = []string{u.SuspectedBy}
-		x.began = m.now
-		x.until = m.now + m.patience(0)
+		x.suspectedBy = []string{u.SuspectedBy}
+		x.suspicionStart = m.now
+		x.suspicionEnd = m.now + m.suspicionTimeout(0)
 	}
 	m.version++
-	m.tell(u)
+	m.broadcast(u)
 }
 
 // patience is how long a suspicion lasts that so many have confirmed: the more, the shorter.
-func (m *Machine) patience(confirmed int) time.Duration {
-	n := float64(m.alive + 1)
-	least := suspectPeriods * float64(m.cfg.Period) * max(1, math.Log10(n))
-	most := least * suspectMost
-	k := min(helpers, m.alive-2) // others that could confirm it
+func (m *Machine) suspicionTimeout(confirmed int) time.Duration {
+	n := float64(m.aliveCount + 1)
+	least := minSuspicionPeriods * float64(m.cfg.Period) * max(1, math.Log10(n))
+	most := least * suspicionMaxFactor
+	k := min(indirectProbes, m.aliveCount-2) // others that could confirm it
 	if k < 1 {
 		return time.Duration(least)
 	}
@@ -781,14 +781,14 @@
 }
 
 // tell puts an update among those that go with messages.
-func (m *Machine) tell(u Update) {
+func (m *Machine) broadcast(u Update) {
 	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool {
-		return r.u.Name == u.Name && (r.u.SuspectedBy == u.SuspectedBy || r.u.State != u.State)
+		return r.update.Name == u.Name && (r.update.SuspectedBy == u.SuspectedBy || r.update.State != u.State)
 	})
-	if len(m.rumors) >= mostRumors {
+	if len(m.rumors) >= maxRumors {
 		m.rumors = m.rumors[1:]
 	}
-	m.rumors = append(m.rumors, &rumor{u: u})
+	m.rumors = append(m.rumors, &rumor{update: u})
 }
 
 // send adds the rumours that were told least, and what is believed of a member that it ought to hear itself.
@@ -796,25 +796,25 @@
 	if about != nil && about.State != Alive {
 		msg.Updates = append(msg.Updates, about.Update)
 	}
-	most := int(math.Ceil(retransmit * math.Log2(float64(len(m.names)+2))))
-	slices.SortStableFunc(m.rumors, func(a, b *rumor) int { return cmp.Compare(a.sent, b.sent) })
-	for _, r := range m.rumors[:min(len(m.rumors), piggyback)] {
-		msg.Updates = append(msg.Updates, r.u)
-		r.sent++
+	most := int(math.Ceil(retransmitFactor * math.Log2(float64(len(m.names)+2))))
+	slices.SortStableFunc(m.rumors, func(a, b *rumor) int { return cmp.Compare(a.transmits, b.transmits) })
+	for _, r := range m.rumors[:min(len(m.rumors), updatesPerMessage)] {
+		msg.Updates = append(msg.Updates, r.update)
+		r.transmits++
 	}
-	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool { return r.sent >= most })
-	m.out = append(m.out, Envelope{addr, m.stamp(msg)})
+	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool { return r.transmits >= most })
+	m.outbox = append(m.outbox, Envelope{addr, m.fromSelf(msg)})
 }
 
 // stamp says who sends.
-func (m *Machine) stamp(msg *Message) *Message {
-	msg.Self, msg.ViewHash = m.self, m.sum
+func (m *Machine) fromSelf(msg *Message) *Message {
+	msg.Self, msg.ViewHash = m.self, m.viewHash
 	return msg
 }
 
 // sumOf is one update's part of a view's sum. Who suspects is no part of it, and neither is who has gone: that is forgotten at
 // a different time by each.
-func sumOf(u Update) uint64 {
+func updateHash(u Update) uint64 {
 	if u.State > Suspect {
 		return 0
 	}
--- a/internal/swim/swim_test.go
+++ b/internal/swim/swim_test.go
@@ -12,81 +12,81 @@
 )
 
 // world is members on a network in virtual time: each message takes a while, and may be lost, come twice or out of order.
-type world struct {
-	rng     *rand.Rand
-	now     time.Duration
-	members map[string]*Machine // by address
-	queue   []flying
-	lost    float64
-	twice   float64
-	late    time.Duration // at the most
-	cut     func(from, to string) bool
-	sent    int
+type cluster struct {
+	rng         *rand.Rand
+	now         time.Duration
+	members     map[string]*Machine // by address
+	queue       []inFlight
+	lost        float64
+	duplicated  float64
+	maxDelay    time.Duration // at the most
+	partitioned func(from, to string) bool
+	sentCount   int
 
 	refusals [][2]string // who was turned back, and by which address
 }
 
-type flying struct {
+type inFlight struct {
 	at       time.Duration
 	n        int // breaks ties
 	from, to string
 	msg      Message
 }
 
-func newWorld(seed uint64) *world {
-	return &world{rng: rand.New(rand.NewPCG(seed, 3)), members: map[string]*Machine{}, late: 2 * time.Millisecond, cut: func(string, string) bool { return false }}
+func newCluster(seed uint64) *cluster {
+	return &cluster{rng: rand.New(rand.NewPCG(seed, 3)), members: map[string]*Machine{}, maxDelay: 2 * time.Millisecond, partitioned: func(string, string) bool { return false }}
 }
 
-func (w *world) start(name string, life uint64, seeds ...string) *Machine {
-	m := New(Config{Name: name, Addr: "at-" + name, Zone: "hall", Incarnation: life, Seeds: seeds}, w.now, rand.New(rand.NewPCG(life, uint64(len(w.members)))))
-	w.members["at-"+name] = m
+func (c *cluster) startMember(name string, life uint64, seeds ...string) *Machine {
+	m := New(Config{Name: name, Addr: "at-" + name, Zone: "hall", Incarnation: life, Seeds: seeds}, c.now, rand.New(rand.NewPCG(life, uint64(len(c.members)))))
+	c.members["at-"+name] = m
 	return m
 }
 
-func (w *world) carry(from string, out []Envelope) {
+func (c *cluster) deliver(from string, out []Envelope) {
 	for _, o := range out {
-		w.sent++
-		if w.cut(from, o.Addr) || w.rng.Float64() < w.lost {
+		c.sentCount++
+		if c.partitioned(from, o.Addr) || c.rng.Float64() < c.lost {
 			continue
 		}
-		for range 1 + map[bool]int{true: 1}[w.rng.Float64() < w.twice] {
-			at := w.now + 100*time.Microsecond + time.Duration(w.rng.Float64()*float64(w.late))
+		for range 1 + map[bool]int{true: 1}[c.rng.Float64() < c.duplicated] {
+			at := c.now + 100*time.Microsecond + time.Duration(c.rng.Float64()*float64(c.maxDelay))
 			msg := *o.Message
 			msg.Updates = slices.Clone(o.Message.Updates)
-			w.queue = append(w.queue, flying{at, w.sent, from, o.Addr, msg})
+			c.queue = append(c.queue, inFlight{at, c.sentCount, from, o.Addr, msg})
 		}
 	}
 }
 
 // run plays until a time.
-func (w *world) run(until time.Duration) {
+func (c *cluster) run(until time.Duration) {
 	for {
 		next, at := -1, until
-		for i, f := range w.queue {
-			if f.at < at || f.at == at && next >= 0 && f.n < w.queue[next].n {
+		for i, f := range c.queue {
+			if f.at < at || f.at == at && next >= 0 && f.n < c.queue[next].n {
 				next, at = i, f.at
 			}
 		}
 		ticks := ""
-		for _, addr := range w.addrs() {
-			if due := max(w.members[addr].NextTick(), w.now); due < at {
+		for _, addr := range c.addrs() {
+			if due := max(c.members[addr].NextTick(), c.now); due < at {
 				next, at, ticks = -1, due, addr
 			}
 		}
-		w.now = max(w.now, at)
-		for len(w.refusals) > 0 {
-			r := w.refusals[0]
-			w.refusals = w.refusals[1:]
-			w.carry(r[0], w.members[r[0]].Refused(w.now, r[1]))
+		c.now = max(c.now, at)
+		for len(c.refusals) > 0 {
+			r := c.refusals[0]
+			c.refusals = c.refusals[1:]
+			c.deliver(r[0], c.members[r[0]].Refused(c.now, r[1]))
 		}
 		switch {
 		case ticks != "":
-			w.carry(ticks, w.members[ticks].Tick(w.now))
+			c.deliver(ticks, c.members[ticks].Tick(c.now))
 		case next >= 0:
-			f := w.queue[next]
-			w.queue = slices.Delete(w.queue, next, next+1)
-			if m := w.members[f.to]; m != nil {
-				w.carry(f.to, m.Receive(w.now, &f.msg))
+			f := c.queue[next]
+			c.queue = slices.Delete(c.queue, next, next+1)
+			if m := c.members[f.to]; m != nil {
+				c.deliver(f.to, m.Receive(c.now, &f.msg))
 			}
 		default:
 			return
@@ -94,18 +94,18 @@
 	}
 }
 
-func (w *world) addrs() []string {
+func (c *cluster) addrs() []string {
 	var out []string
-	for a := range w.members {
+	for a := range c.members {
 		out = append(out, a)
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (w *world) view(addr string) string {
+func (c *cluster) view(addr string) string {
 	var out []string
-	for _, m := range w.members[addr].Members() {
+	for _, m := range c.members[addr].Members() {
 		if m.State <= Suspect {
 			out = append(out, m.Name)
 		}
@@ -114,11 +114,11 @@
 }
 
 // full says whether each of a part knows each other and nobody else.
-func (w *world) full(names ...string) error {
+func (c *cluster) agreeOn(names ...string) error {
 	for _, n := range names {
 		want := slices.DeleteFunc(slices.Clone(names), func(x string) bool { return x == n })
 		slices.Sort(want)
-		if got := w.view("at-" + n); got != strings.Join(want, " ") {
+		if got := c.view("at-" + n); got != strings.Join(want, " ") {
 			return fmt.Errorf("%s holds %q to be there, want %q", n, got, want)
 		}
 	}
@@ -132,14 +132,14 @@
 	return out
 }
 
-func grown(seed uint64, n int) *world {
-	w := newWorld(seed)
+func startCluster(seed uint64, n int) *cluster {
+	w := newCluster(seed)
 	for i, name := range names(n) {
 		seeds := []string{"at-m000"}
 		if i == 0 {
 			seeds = []string{"at-m001"}
 		}
-		w.start(name, uint64(1000+i), seeds...)
+		w.startMember(name, uint64(1000+i), seeds...)
 	}
 	return w
 }
@@ -148,18 +148,18 @@
 // lasts, and nobody else is.
 func TestJoinAndDeath(t *testing.T) {
 	for _, n := range []int{2, 3, 6, 30} {
-		w := grown(uint64(n), n)
+		w := startCluster(uint64(n), n)
 		w.run(8 * time.Second)
-		if err := w.full(names(n)...); err != nil {
+		if err := w.agreeOn(names(n)...); err != nil {
 			t.Fatalf("%d members: %v", n, err)
 		}
 		delete(w.members, "at-m001")
 		died := w.now
 		left := slices.DeleteFunc(names(n), func(x string) bool { return x == "m001" })
-		for w.now < died+6*time.Second && w.full(left...) != nil {
+		for w.now < died+6*time.Second && w.agreeOn(left...) != nil {
 			w.run(w.now + 50*time.Millisecond)
 		}
-		if err := w.full(left...); err != nil || w.now-died > 3*time.Second || w.now-died < 300*time.Millisecond {
+		if err := w.agreeOn(left...); err != nil || w.now-died > 3*time.Second || w.now-died < 300*time.Millisecond {
 			t.Errorf("%d members: %v after %v", n, err, w.now-died)
 		}
 	}
@@ -168,13 +168,13 @@
 // A fifth of all messages is lost, a third comes twice, all late and out of order: nobody is held to be dead for long, and all agree
 // when the trouble ends.
 func TestLossyNetwork(t *testing.T) {
-	w := grown(5, 8)
+	w := startCluster(5, 8)
 	w.run(4 * time.Second)
-	w.lost, w.twice, w.late = 0.2, 0.3, 40*time.Millisecond
+	w.lost, w.duplicated, w.maxDelay = 0.2, 0.3, 40*time.Millisecond
 	w.run(34 * time.Second)
-	w.lost, w.late = 0, 2*time.Millisecond
+	w.lost, w.maxDelay = 0, 2*time.Millisecond
 	w.run(37 * time.Second)
-	if err := w.full(names(8)...); err != nil {
+	if err := w.agreeOn(names(8)...); err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range w.addrs() {
@@ -189,20 +189,20 @@
 // Two parts hold each other to be dead, for however long; when the cut ends they are together again by themselves.
 func TestPartedAndHealed(t *testing.T) {
 	for _, long := range []time.Duration{3 * time.Second, 3 * time.Minute} {
-		w := grown(9, 6)
+		w := startCluster(9, 6)
 		w.run(3 * time.Second)
 		west := func(a string) bool { return a <= "at-m002" }
-		w.cut = func(from, to string) bool { return west(from) != west(to) }
+		w.partitioned = func(from, to string) bool { return west(from) != west(to) }
 		w.run(w.now + long)
-		if err := w.full("m000", "m001", "m002"); err != nil {
+		if err := w.agreeOn("m000", "m001", "m002"); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.full("m003", "m004", "m005"); err != nil {
+		if err := w.agreeOn("m003", "m004", "m005"); err != nil {
 			t.Fatal(err)
 		}
-		w.cut = func(string, string) bool { return false }
+		w.partitioned = func(string, string) bool { return false }
 		healed := w.now
-		for w.full(names(6)...) != nil && w.now < healed+10*time.Second {
+		for w.agreeOn(names(6)...) != nil && w.now < healed+10*time.Second {
 			w.run(w.now + 50*time.Millisecond)
 		}
 		if w.now-healed > 3*time.Second {
@@ -214,26 +214,26 @@
 // A member that hears one other but is not heard by it is kept in by the rest; a ring in which each hears its neighbours alone
 // holds together too.
 func TestOneWayAndRing(t *testing.T) {
-	w := grown(11, 5)
+	w := startCluster(11, 5)
 	w.run(3 * time.Second)
-	w.cut = func(from, to string) bool { return from == "at-m001" && to == "at-m000" }
+	w.partitioned = func(from, to string) bool { return from == "at-m001" && to == "at-m000" }
 	w.run(20 * time.Second)
-	if err := w.full(names(5)...); err != nil {
+	if err := w.agreeOn(names(5)...); err != nil {
 		t.Fatal(err)
 	}
-	w.cut = func(from, to string) bool {
+	w.partitioned = func(from, to string) bool {
 		a, b := int(from[len(from)-1]-'0'), int(to[len(to)-1]-'0')
 		return (a-b+5)%5 != 1 && (b-a+5)%5 != 1
 	}
 	w.run(40 * time.Second)
-	if err := w.full(names(5)...); err != nil {
+	if err := w.agreeOn(names(5)...); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A process that is stopped for 3 s is held to be dead; it wakes, declares nobody dead for what it did not hear, and is there again.
 func TestStopped(t *testing.T) {
-	w := grown(13, 5)
+	w := startCluster(13, 5)
 	w.run(3 * time.Second)
 	m := w.members["at-m002"]
 	delete(w.members, "at-m002")
@@ -247,7 +247,7 @@
 		t.Fatal(got, m.Counts())
 	}
 	w.run(8 * time.Second)
-	if err := w.full(names(5)...); err != nil {
+	if err := w.agreeOn(names(5)...); err != nil {
 		t.Fatal(err)
 	}
 	if m.Counts().Refuted == 0 {
@@ -258,12 +258,12 @@
 // A start of the same name is a new life, also where its clock is behind; what the ended life has still on its way counts for
 // nothing. Of two that run under one name one gives up.
 func TestLives(t *testing.T) {
-	w := grown(17, 4)
+	w := startCluster(17, 4)
 	w.run(3 * time.Second)
 	old := Message{Kind: Ping, Self: w.members["at-m002"].Self(), Updates: []Update{{Name: "m003", Addr: "at-m003", Incarnation: 1003, Refutation: 7, State: Dead}}}
-	w.start("m002", 20, "at-m000") // its clock is far behind
+	w.startMember("m002", 20, "at-m000") // its clock is far behind
 	w.run(6 * time.Second)
-	if err := w.full(names(4)...); err != nil {
+	if err := w.agreeOn(names(4)...); err != nil {
 		t.Fatal(err)
 	}
 	x, _ := w.members["at-m000"].Member("m002")
@@ -271,7 +271,7 @@
 		t.Fatalf("life %d", x.Incarnation)
 	}
 	before := w.members["at-m000"].Counts().EndedIncarnation
-	w.carry("at-m002", w.members["at-m000"].Receive(w.now, &old))
+	w.deliver("at-m002", w.members["at-m000"].Receive(w.now, &old))
 	if y, _ := w.members["at-m000"].Member("m003"); y.State != Alive || w.members["at-m000"].Counts().EndedIncarnation != before+1 {
 		t.Fatal("an ended life was believed", y)
 	}
@@ -285,9 +285,9 @@
 
 // Who leaves is known to have left, not to be dead, and does not come back by rumour.
 func TestLeave(t *testing.T) {
-	w := grown(19, 6)
+	w := startCluster(19, 6)
 	w.run(3 * time.Second)
-	w.carry("at-m004", w.members["at-m004"].Leave(w.now))
+	w.deliver("at-m004", w.members["at-m004"].Leave(w.now))
 	delete(w.members, "at-m004")
 	w.run(5 * time.Second)
 	for _, a := range w.addrs() {
@@ -324,11 +324,11 @@
 			return m
 		}
 		m, n := apply(list), apply(twice)
-		if m.sum != n.sum || len(m.Members()) != len(n.Members()) {
+		if m.viewHash != n.viewHash || len(m.Members()) != len(n.Members()) {
 			t.Fatalf("%v against %v", m.Members(), n.Members())
 		}
 		for i, x := range m.Members() {
-			if y := n.Members()[i]; x.Update.over(y.Update) || y.Update.over(x.Update) {
+			if y := n.Members()[i]; x.Update.overrides(y.Update) || y.Update.overrides(x.Update) {
 				t.Fatalf("%v against %v", x, y)
 			}
 		}
@@ -338,11 +338,11 @@
 // What a member sends does not grow with the members, but for the rosters that are read.
 func TestTraffic(t *testing.T) {
 	each := func(n int) float64 {
-		w := grown(uint64(n), n)
+		w := startCluster(uint64(n), n)
 		w.run(10 * time.Second)
-		w.sent = 0
+		w.sentCount = 0
 		w.run(20 * time.Second)
-		return float64(w.sent) / float64(n) / 10
+		return float64(w.sentCount) / float64(n) / 10
 	}
 	if small, large := each(4), each(40); large > 1.5*small {
 		t.Fatalf("%.1f messages a second each among 4, %.1f among 40", small, large)
@@ -351,10 +351,10 @@
 
 // Nonsense changes nothing.
 func TestNonsense(t *testing.T) {
-	w := grown(23, 3)
+	w := startCluster(23, 3)
 	w.run(2 * time.Second)
 	m := w.members["at-m000"]
-	before := m.sum
+	before := m.viewHash
 	for _, msg := range []Message{
 		{},
 		{Self: Update{Name: strings.Repeat("x", 100), Addr: "y"}},
@@ -362,18 +362,18 @@
 		{Self: Update{Name: "z", Addr: "y", State: 9}},
 		{Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Incarnation: 1}},
 	} {
-		if out := m.Receive(w.now, &msg); len(out) > 0 || m.sum != before {
+		if out := m.Receive(w.now, &msg); len(out) > 0 || m.viewHash != before {
 			t.Errorf("%+v: %v", msg, out)
 		}
 	}
 }
 
 // refuse has hosts turn back what goes to a member that has ended: who sent it hears of it at once.
-func (w *world) refuse(hosts func(from, to string) bool) {
-	cut := w.cut
-	w.cut = func(from, to string) bool {
-		if w.members[to] == nil && hosts(from, to) && w.members[from] != nil {
-			w.refusals = append(w.refusals, [2]string{from, to})
+func (c *cluster) refuseByICMP(hosts func(from, to string) bool) {
+	cut := c.partitioned
+	c.partitioned = func(from, to string) bool {
+		if c.members[to] == nil && hosts(from, to) && c.members[from] != nil {
+			c.refusals = append(c.refusals, [2]string{from, to})
 		}
 		return cut(from, to)
 	}
@@ -383,32 +383,32 @@
 // moments. One alone doesn't, and a member that is there after all is not taken for dead for it.
 func TestTurnedBack(t *testing.T) {
 	for _, n := range []int{3, 6, 30} {
-		w := grown(uint64(n), n)
-		w.refuse(func(string, string) bool { return true })
+		w := startCluster(uint64(n), n)
+		w.refuseByICMP(func(string, string) bool { return true })
 		w.run(8 * time.Second)
 		delete(w.members, "at-m001")
 		died := w.now
 		left := slices.DeleteFunc(names(n), func(x string) bool { return x == "m001" })
-		for w.now < died+3*time.Second && w.full(left...) != nil {
+		for w.now < died+3*time.Second && w.agreeOn(left...) != nil {
 			w.run(w.now + 5*time.Millisecond)
 		}
-		if err := w.full(left...); err != nil || w.now-died > 600*time.Millisecond { // until somebody sends something there, and a moment
+		if err := w.agreeOn(left...); err != nil || w.now-died > 600*time.Millisecond { // until somebody sends something there, and a moment
 			t.Errorf("%d members: %v after %v", n, err, w.now-died)
 		}
-		w.start("m001", 5000, "at-m000")
+		w.startMember("m001", 5000, "at-m000")
 		w.run(w.now + 3*time.Second)
-		if err := w.full(names(n)...); err != nil {
+		if err := w.agreeOn(names(n)...); err != nil {
 			t.Errorf("%d members, and it starts again: %v", n, err)
 		}
 	}
 	t.Run("one alone", func(t *testing.T) {
-		w := grown(7, 6)
-		w.refuse(func(from, _ string) bool { return from == "at-m003" })
+		w := startCluster(7, 6)
+		w.refuseByICMP(func(from, _ string) bool { return from == "at-m003" })
 		w.run(8 * time.Second)
 		delete(w.members, "at-m001")
 		died := w.now
 		left := slices.DeleteFunc(names(6), func(x string) bool { return x == "m001" })
-		for w.now < died+5*time.Second && w.full(left...) != nil {
+		for w.now < died+5*time.Second && w.agreeOn(left...) != nil {
 			w.run(w.now + 5*time.Millisecond)
 		}
 		if took := w.now - died; took < 400*time.Millisecond {
@@ -416,11 +416,11 @@
 		}
 	})
 	t.Run("it is there", func(t *testing.T) {
-		w := grown(8, 6)
+		w := startCluster(8, 6)
 		w.run(8 * time.Second)
 		x := w.members["at-m004"]
 		for _, a := range []string{"at-m000", "at-m001", "at-m002"} { // forged, or of a moment
-			w.carry(a, w.members[a].Refused(w.now, "at-m004"))
+			w.deliver(a, w.members[a].Refused(w.now, "at-m004"))
 		}
 		dead := false
 		for end := w.now + 3*time.Second; w.now < end; {
