--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -27,26 +27,26 @@
 
 // Bounds and times.
 const (
-	MaxBody       = 8 << 10               // of a covered command; a larger one goes uncovered
-	mostRecords   = 4096                  // that one keeper holds
-	mostBytes     = 4 << 20               // that they take
-	mostAnswer    = 8 << 10               // of a kept answer; of a larger one the kind alone is kept
-	mostWaiting   = 8                     // that wait for one key's answer
-	mostStale     = time.Second           // age of the clock reading in an intent
-	keepAnswer    = 10 * time.Second      // an ended record is kept for so long, and its rack's memory at least
-	endGrace      = time.Second           // past a record's time, until its owner's silence is its end
-	askAgain      = 15 * time.Millisecond // an intent that has no reply is sent again
-	gonePatience  = 40 * time.Millisecond // that the word of a keeper is waited for that is held to be gone
-	patienceShare = 8                     // an intent waits for a part of its client's time, and goes without the keepers' word after that; for some of it after half
-	leastPatience = 60 * time.Millisecond
-	mostPatience  = 400 * time.Millisecond
-	askPatience   = 25 * time.Millisecond // who only asks is told nothing by then: its client is refused
-	mostAsking    = 64                    // that ask at one time; others are refused at once
-	endAgain      = 100 * time.Millisecond
-	mostEnds      = 4               // times that an end is told
-	goneAsked     = 8 * time.Second // after a death a key's keepers from before it are asked too
-	memoryShare   = 0.9             // of a rack's memory that is relied on
-	overhead      = 400             // bytes that a record takes besides
+	MaxBody                  = 8 << 10               // of a covered command; a larger one goes uncovered
+	maxRecords               = 4096                  // that one keeper holds
+	maxRecordBytes           = 4 << 20               // that they take
+	maxAnswerBytes           = 8 << 10               // of a kept answer; of a larger one the kind alone is kept
+	maxWaiters               = 8                     // that wait for one key's answer
+	maxClockAge              = time.Second           // age of the clock reading in an intent
+	answerRetention          = 10 * time.Second      // an ended record is kept for so long, and its rack's memory at least
+	completionGrace          = time.Second           // past a record's time, until its owner's silence is its end
+	intentResendInterval     = 15 * time.Millisecond // an intent that has no reply is sent again
+	departedReplyTimeout     = 40 * time.Millisecond // that the word of a keeper is waited for that is held to be gone
+	replyTimeoutDivisor      = 8                     // an intent waits for a part of its client's time, and goes without the keepers' word after that; for some of it after half
+	minReplyTimeout          = 60 * time.Millisecond
+	maxReplyTimeout          = 400 * time.Millisecond
+	outcomeQueryTimeout      = 25 * time.Millisecond // who only asks is told nothing by then: its client is refused
+	maxOpenQueries           = 64                    // that ask at one time; others are refused at once
+	completionResendInterval = 100 * time.Millisecond
+	maxCompletionSends       = 4               // times that an end is told
+	departedReplicaSpan      = 8 * time.Second // after a death a key's keepers from before it are asked too
+	reliedWindowFraction     = 0.9             // of a rack's memory that is relied on
+	recordOverheadBytes      = 400             // bytes that a record takes besides
 )
 
 // Kind is what a final answer says.
