--- /dev/null
+++ b/internal/takeover/completion.go
@@ -0,0 +1,76 @@
+package takeover
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	completionResendInterval = 100 * time.Millisecond
+	// maxCompletionSends bounds how often a completion is sent in all.
+	maxCompletionSends = 4
+	// completionGrace is how long after the client's deadline an owner may
+	// still report how its attempt ended.
+	completionGrace = time.Second
+)
+
+// Complete reports how an attempt ended here. The replicas are notified until they
+// have acknowledged it, maxCompletionSends times at the most.
+func (c *Coordinator) Complete(now time.Duration, attempt uint64, answer Answer) {
+	c.advance(now)
+	work := c.pending[attempt]
+	if work == nil || work.state == stateCompleted {
+		return
+	}
+	if work.sendsNothing() {
+		if work.state == stateQuerying {
+			c.openQueries--
+		}
+		delete(c.pending, attempt)
+		return
+	}
+	if answer.Kind == AnswerNeverRan && work.startedAt > 0 && work.epoch == 0 {
+		answer.Kind = AnswerFailed
+	}
+	if len(answer.Value) > maxAnswerBytes {
+		answer.truncate()
+	}
+	work.complete(&Completion{work.Key, work.attempt, work.epoch, answer})
+	c.store.handleCompletion(now, c.self.Name, work.completion)
+	c.collectFromStore()
+	c.sendCompletion(now, work)
+}
+
+// sendCompletion sends the completion to the replicas that have not
+// acknowledged it, and forgets the work once there is nothing left to send.
+func (c *Coordinator) sendCompletion(now time.Duration, work *pendingWork) {
+	work.completionSends++
+	work.completionSentAt = now
+	for i, remote := range work.remotes {
+		if !work.acknowledged[i] {
+			c.send(remote, Message{Completion: work.completion})
+		}
+	}
+	if work.allAcknowledged() || work.completionSends >= maxCompletionSends {
+		delete(c.pending, work.attempt)
+	}
+}
+
+// receiveCompletionAck takes in a replica's acknowledgement of a completion.
+func (c *Coordinator) receiveCompletionAck(from string, ack *Completion) {
+	work := c.pending[ack.Attempt]
+	if work == nil || work.state != stateCompleted {
+		return
+	}
+	if remote := slices.Index(work.remotes, from); remote >= 0 {
+		work.acknowledged[remote] = true
+	}
+	if work.allAcknowledged() {
+		delete(c.pending, work.attempt)
+	}
+}
+
+// allAcknowledged reports whether all remotes have acknowledged the completion.
+func (w *pendingWork) allAcknowledged() bool {
+	return !slices.Contains(w.acknowledged, false)
+}
--- /dev/null
+++ b/internal/takeover/consent.go
@@ -0,0 +1,169 @@
+package takeover
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Times of the wait for the replicas' consent.
+const (
+	intentResendInterval = 15 * time.Millisecond
+	// departedReplyTimeout is how long the reply of a replica is awaited that
+	// has left: its departure may be false.
+	departedReplyTimeout = 40 * time.Millisecond
+	// An intent waits for 1/replyTimeoutDivisor of its client's remaining time,
+	// within the bounds; then the attempt goes out uncovered.
+	replyTimeoutDivisor = 8
+	minReplyTimeout     = 60 * time.Millisecond
+	maxReplyTimeout     = 400 * time.Millisecond
+	// After half of the timeout the replicas that have replied decide alone.
+	partialDecisionDivisor = 2
+	// departedReplicaSpan is how long after a departure the replicas from
+	// before it receive its intents too.
+	departedReplicaSpan = 8 * time.Second
+	// remoteReplicas is the number of a key's present replicas that receive its intents.
+	remoteReplicas = 2
+)
+
+// requestConsent chooses the replicas of work by the present members, has it
+// recorded here if this instance is one, and sends the intent to the others.
+func (c *Coordinator) requestConsent(now time.Duration, work *pendingWork) {
+	c.chooseReplicas(now, work)
+	if slices.Contains(work.replicas, c.self.Name) {
+		intent := c.intentFor(now, work, c.self.Name)
+		reply := c.store.handleIntent(now, c.self.Name, c.store.incarnation, intent)
+		c.collectFromStore()
+		if reply.Kind != ReplyGranted && reply.Kind != ReplyFull {
+			c.applyDecision(now, work, reply, true)
+			return
+		}
+		work.epoch = max(work.epoch, reply.Epoch)
+		work.localEpoch = reply.Epoch
+	}
+	if len(work.remotes) == 0 {
+		c.counts.NoReplica++
+		c.emit(Action{Kind: ActionSend, Attempt: work.attempt, Relocation: work.relocation})
+		return
+	}
+	c.sendNewIntent(now, work)
+}
+
+// chooseReplicas sets the replicas of work by the present members.
+func (c *Coordinator) chooseReplicas(now time.Duration, work *pendingWork) {
+	work.replicas = Replicas(work.Key, c.members)
+	work.remotes = slices.DeleteFunc(
+		c.remotesOf(now, work.replicas, work.Key),
+		func(name string) bool { return name == work.previousOwner },
+	)
+	work.acknowledged = make([]bool, len(work.remotes))
+}
+
+// remotesOf returns the other instances that receive the intents of a key: the first
+// two of its replicas, and the first two that it had before the recent
+// departures, since a departure may be false.
+func (c *Coordinator) remotesOf(now time.Duration, replicas []string, key string) []string {
+	isSelf := func(name string) bool { return name == c.self.Name }
+	remotes := slices.DeleteFunc(slices.Clone(replicas), isSelf)
+	remotes = remotes[:min(remoteReplicas, len(remotes))]
+	if len(c.departed) == 0 {
+		return remotes
+	}
+	earlier := slices.Clone(c.members)
+	for _, name := range slices.Sorted(maps.Keys(c.departed)) {
+		if now-c.departed[name].at <= departedReplicaSpan {
+			earlier = append(earlier, c.departed[name].Member)
+		}
+	}
+	previous := slices.DeleteFunc(Replicas(key, earlier), isSelf)
+	for _, name := range previous[:min(remoteReplicas, len(previous))] {
+		if !slices.Contains(remotes, name) {
+			remotes = append(remotes, name)
+		}
+	}
+	return remotes
+}
+
+// sendNewIntent sends the intent in its present form to all remotes. An
+// attempt waits for their consent unless it is covered and already out.
+func (c *Coordinator) sendNewIntent(now time.Duration, work *pendingWork) {
+	work.requestedAt = now
+	work.replies = make([]*Reply, len(work.remotes))
+	if !work.covered || work.startedAt == 0 {
+		work.awaitReplicas()
+	} else {
+		work.settle()
+	}
+	work.timeout = min(maxReplyTimeout, max(minReplyTimeout, (work.deadline-now)/replyTimeoutDivisor))
+	c.sendIntent(now, work)
+}
+
+// resendIntent sends the intent again if the last was sent long enough ago.
+func (c *Coordinator) resendIntent(now time.Duration, work *pendingWork) {
+	if now-work.lastSentAt >= intentResendInterval {
+		c.sendIntent(now, work)
+	}
+}
+
+// sendIntent sends the intent to the remotes that have not replied to it.
+func (c *Coordinator) sendIntent(now time.Duration, work *pendingWork) {
+	work.lastSentAt = now
+	for i, remote := range work.remotes {
+		if work.replies[i] == nil {
+			c.send(remote, Message{Intent: c.intentFor(now, work, remote)})
+		}
+	}
+}
+
+// intentFor returns the intent of work as replica is to receive it.
+func (c *Coordinator) intentFor(now time.Duration, work *pendingWork, replica string) *Intent {
+	if work.state == stateQuerying {
+		return &Intent{Work: work.Work, Attempt: work.attempt, QueryOnly: true}
+	}
+	intent := &Intent{
+		Work:       work.Work,
+		Attempt:    work.attempt,
+		Epoch:      work.epoch,
+		Relocation: work.relocation,
+		Scope:      work.scope,
+		Remaining:  max(0, work.deadline-now),
+		Replicas:   work.replicas,
+	}
+	if work.startedAt > 0 {
+		intent.Age = now - work.startedAt
+	}
+	if replica != c.self.Name {
+		intent.Clock = c.replicaClock(replica)
+	}
+	return intent
+}
+
+// receiveReply takes in a replica's reply, unless it is to an earlier intent.
+func (c *Coordinator) receiveReply(now time.Duration, from string, reply *Reply) {
+	work := c.pending[reply.Attempt]
+	if work == nil || work.Key != reply.Key || work.relocation != reply.Relocation {
+		return
+	}
+	remote := slices.Index(work.remotes, from)
+	if remote < 0 {
+		return
+	}
+	switch {
+	case work.state == stateQuerying:
+		c.receiveQueryReply(work, remote, reply)
+	case reply.Kind == ReplyStaleClock:
+		if work.state == stateAwaitingReplicas && !work.timedOut(now) {
+			intent := c.intentFor(now, work, from)
+			intent.Clock = max(intent.Clock, reply.Clock)
+			c.send(from, Message{Intent: intent})
+		}
+	default:
+		if reply.Kind == ReplyGranted {
+			work.epoch = max(work.epoch, reply.Epoch)
+		}
+		if work.state == stateAwaitingReplicas {
+			work.replies[remote] = reply
+			c.decide(now, work)
+		}
+	}
+}
--- /dev/null
+++ b/internal/takeover/decision.go
@@ -0,0 +1,232 @@
+package takeover
+
+import "time"
+
+// replyTally sums up the replies to one intent.
+type replyTally struct {
+	// first is the first reply by the order of the remotes; nil: there is none.
+	first *Reply
+	// other is the first reply that is neither a grant nor a lack of capacity:
+	// its replica knows of another attempt or owner. nil: there is none.
+	other *Reply
+	// missing says that a reply is still awaited, other than of a replica that
+	// has departed and had its time.
+	missing bool
+	// complete says that all remotes have replied.
+	complete bool
+}
+
+// tallyReplies sums up the replies to the current intent of work. If the
+// primary consents, an attempt that has queried the same primary has lost there
+// and doesn't count, unless work was taken over.
+func (c *Coordinator) tallyReplies(now time.Duration, work *pendingWork) replyTally {
+	tally := replyTally{complete: true}
+	primaryConsents := work.primaryConsents(c.self.Name)
+	for i, reply := range work.replies {
+		if reply == nil {
+			tally.complete = false
+			_, departed := c.departed[work.remotes[i]]
+			if !departed || now-work.requestedAt < departedReplyTimeout {
+				tally.missing = true
+			}
+			continue
+		}
+		lost := reply.namesOther() && reply.Answer == nil && work.isPrimary(reply.Primary)
+		if lost && primaryConsents && work.previousOwner == "" {
+			continue
+		}
+		if tally.first == nil {
+			tally.first = reply
+		}
+		if tally.other == nil && reply.Kind != ReplyGranted && reply.Kind != ReplyFull {
+			tally.other = reply
+		}
+	}
+	return tally
+}
+
+// decide applies the replicas' decision once all have replied, or the others
+// have been silent for long enough. It reports whether it did.
+func (c *Coordinator) decide(now time.Duration, work *pendingWork) bool {
+	tally := c.tallyReplies(now, work)
+	other := tally.other
+	patient := now-work.requestedAt < work.timeout/partialDecisionDivisor
+	switch {
+	case other != nil && other.Answer != nil && other.Answer.Kind == AnswerServed:
+		c.applyDecision(now, work, *other, true) // no further reply can change it
+	case tally.missing && patient:
+		return false
+	case other != nil && tally.first.Kind == ReplyAdopt:
+		c.applyDecision(now, work, *tally.first, tally.complete)
+	case other != nil: // where views differ, the replica that knows of another attempt is right
+		c.applyDecision(now, work, *other, tally.complete)
+	case tally.first != nil:
+		c.applyDecision(now, work, *tally.first, tally.complete)
+	case !tally.missing && work.primaryConsents(c.self.Name):
+		c.applyDecision(now, work, Reply{Kind: ReplyGranted, Epoch: work.epoch}, tally.complete)
+	default:
+		return false
+	}
+	return true
+}
+
+// applyDecision carries out what the replicas have decided on work. complete
+// says that all have replied.
+func (c *Coordinator) applyDecision(now time.Duration, work *pendingWork, reply Reply, complete bool) {
+	work.settle()
+	switch reply.Kind {
+	case ReplyGranted:
+		if work.adopted {
+			c.adopt(work, complete)
+			return
+		}
+		c.applyGrant(work, reply.Epoch, complete)
+	case ReplyFull:
+		switch {
+		case work.adopted:
+			c.adopt(work, complete)
+		case work.relocation > 0 && work.covered: // another replica may have it in another scope
+			c.abort(work)
+		default:
+			c.sendUncovered(work)
+		}
+	case ReplyOtherAttempt, ReplyTakenOver:
+		c.withdrawIntent(now, work)
+		c.joinOther(work, &reply)
+	case ReplyAdopt:
+		c.applyAdoption(now, work, &reply, complete)
+	case ReplyStaleClock, ReplyNone: // no decisions: one is sent again, the other answers a query
+	}
+}
+
+// applyGrant lets an attempt go out whose intent was granted. A change of scope
+// needs the consent of all replicas, one of which might still have the work in
+// its earlier scope; from ScopeNone that of the primary is enough.
+func (c *Coordinator) applyGrant(work *pendingWork, epoch uint64, complete bool) {
+	primaryIsEnough := work.leavesNone && work.primaryRecorded(c.self.Name)
+	if work.relocation > 0 && !complete && !primaryIsEnough {
+		c.abort(work)
+		return
+	}
+	if work.scope == ScopeNone {
+		work.unsentEverywhere = complete
+	}
+	covered := complete
+	if work.leavesNone {
+		covered = work.unsentEverywhere
+	}
+	work.epoch = max(work.epoch, epoch)
+	work.covered = true
+	if covered {
+		c.counts.Covered++
+	} else { // a replica that might know of another attempt has not replied
+		c.counts.Partly++
+	}
+	c.emit(Action{
+		Kind:       ActionSend,
+		Attempt:    work.attempt,
+		Relocation: work.relocation,
+		Covered:    covered,
+	})
+}
+
+// sendUncovered lets an attempt go out that no replica has recorded.
+func (c *Coordinator) sendUncovered(work *pendingWork) {
+	c.counts.Uncovered++
+	c.emit(Action{Kind: ActionSend, Attempt: work.attempt, Relocation: work.relocation})
+}
+
+// decideWithoutReplicas ends the wait for replicas that have not decided in
+// time.
+func (c *Coordinator) decideWithoutReplicas(work *pendingWork) {
+	work.settle()
+	switch {
+	case work.adopted:
+		c.adopt(work, false)
+	case work.relocation > 0 && work.covered:
+		c.abort(work)
+	default:
+		c.sendUncovered(work)
+	}
+}
+
+// withdrawIntent reports to the replicas that have granted the intent, or may
+// still do so, that the attempt never ran: another attempt or owner decides.
+func (c *Coordinator) withdrawIntent(now time.Duration, work *pendingWork) {
+	neverRan := Answer{Kind: AnswerNeverRan}
+	c.store.handleCompletion(now, c.self.Name, &Completion{work.Key, work.attempt, work.localEpoch, neverRan})
+	for i, remote := range work.remotes[:len(work.replies)] {
+		epoch := work.epoch
+		if reply := work.replies[i]; reply != nil {
+			if reply.Kind != ReplyGranted {
+				continue
+			}
+			epoch = reply.Epoch
+		}
+		c.send(remote, Message{Completion: &Completion{work.Key, work.attempt, epoch, neverRan}})
+	}
+}
+
+// joinOther leaves the outcome to another attempt or owner, whose answer may
+// be in the reply already.
+func (c *Coordinator) joinOther(work *pendingWork, reply *Reply) {
+	if reply.Kind == ReplyTakenOver {
+		c.counts.Over++
+	}
+	work.join()
+	if reply.Answer != nil {
+		c.useJoinedAnswer(work, *reply.Answer)
+		return
+	}
+	c.counts.Joined++
+	c.emit(Action{Kind: ActionJoin, Attempt: work.attempt})
+}
+
+// useJoinedAnswer ends an attempt that has joined another by that one's answer.
+func (c *Coordinator) useJoinedAnswer(work *pendingWork, answer Answer) {
+	delete(c.pending, work.attempt)
+	if answer.Kind == AnswerNeverRan {
+		c.emit(Action{Kind: ActionRestart, Attempt: work.attempt})
+		return
+	}
+	c.counts.Answered++
+	c.emit(Action{Kind: ActionUseAnswer, Attempt: work.attempt, Answer: answer})
+}
+
+// applyAdoption makes work continue another attempt. If that one's scope isn't
+// the chosen one, the replicas must record the change first.
+func (c *Coordinator) applyAdoption(now time.Duration, work *pendingWork, reply *Reply, complete bool) {
+	sameScope := work.scope == reply.Scope
+	work.adopted = true
+	work.epoch = reply.Epoch
+	work.scope = reply.Scope
+	work.startedAt = max(1, now-reply.Age)
+	if sameScope {
+		c.adopt(work, complete)
+		return
+	}
+	work.relocation++
+	c.store.adoptScope(work)
+	c.sendNewIntent(now, work)
+	work.awaitReplicas()
+}
+
+// adopt lets an attempt continue another in that one's scope.
+func (c *Coordinator) adopt(work *pendingWork, covered bool) {
+	c.counts.Bound++
+	work.covered = true
+	c.emit(Action{
+		Kind:      ActionAdopt,
+		Attempt:   work.attempt,
+		Scope:     work.scope,
+		StartedAt: work.startedAt,
+		Covered:   covered,
+	})
+}
+
+// abort ends an attempt that may not go out to another scope: a replica has not
+// heard that the attempt before never ran.
+func (c *Coordinator) abort(work *pendingWork) {
+	c.counts.Halted++
+	c.emit(Action{Kind: ActionAbort, Attempt: work.attempt})
+}
--- a/internal/takeover/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -147,7 +147,8 @@
 		for _, t := range slices.Sorted(maps.Keys(d.pending)) {
 			h := d.pending[t]
 			num(int64(h.attempt), int64(h.epoch), int64(h.relocation), int64(h.scope.Rack), int64(h.startedAt), int64(h.requestedAt))
-			yes(h.waits, h.covered, h.joined, h.adopted, h.completion != nil)
+			num(int64(h.state))
+			yes(h.covered, h.adopted)
 			str(h.remotes...)
 			yes(h.acknowledged...)
 			for _, r := range h.replies {
@@ -159,7 +160,7 @@
 		for _, r := range d.store.records {
 			str("r", r.owner)
 			num(int64(r.attempt), int64(r.epoch), int64(r.scope.Rack), int64(r.startedAt), int64(r.answer.Kind))
-			yes(r.ended, r.orphaned)
+			num(int64(r.state))
 			for _, w := range r.waiters {
 				str(w.instance)
 				num(int64(w.attempt))
@@ -174,7 +175,7 @@
 func describe(m Message) string {
 	switch {
 	case m.Intent != nil:
-		return "i" + strconv.Itoa(int(m.Intent.Attempt)) + "." + strconv.Itoa(int(m.Intent.Epoch)) + "." + strconv.Itoa(m.Intent.Scope.Rack) + first(m.Intent.Replicas)
+		return "i" + strconv.Itoa(int(m.Intent.Attempt)) + "." + strconv.Itoa(int(m.Intent.Epoch)) + "." + strconv.Itoa(m.Intent.Scope.Rack) + m.Intent.Replicas[0]
 	case m.Reply != nil:
 		s := "r" + strconv.Itoa(int(m.Reply.Attempt)) + "." + strconv.Itoa(int(m.Reply.Kind)) + "." + strconv.Itoa(int(m.Reply.Epoch)) + m.Reply.Primary
 		if m.Reply.Answer != nil {
--- /dev/null
+++ b/internal/takeover/pending.go
@@ -0,0 +1,181 @@
+package takeover
+
+import (
+	"slices"
+	"time"
+)
+
+// workState is the phase of one piece of pending work.
+type workState uint8
+
+const (
+	// stateSettled: no reply is awaited. An attempt may be on the wire, or the
+	// caller was told not to send any.
+	stateSettled workState = iota
+	// stateAwaitingReplicas: the intent was sent, and nothing may go out
+	// before the replicas have decided or the wait has timed out.
+	stateAwaitingReplicas
+	// stateQuerying: nothing will be sent; the replicas are queried whether
+	// another attempt has an outcome.
+	stateQuerying
+	// stateJoined: another attempt decides the outcome, and a notification of
+	// it is awaited.
+	stateJoined
+	// stateCompleted: the attempt has ended, and the replicas are being notified.
+	stateCompleted
+)
+
+// String returns the state's name.
+func (s workState) String() string {
+	switch s {
+	case stateSettled:
+		return "settled"
+	case stateAwaitingReplicas:
+		return "awaiting replicas"
+	case stateQuerying:
+		return "querying"
+	case stateJoined:
+		return "joined"
+	case stateCompleted:
+		return "completed"
+	}
+	return "unknown"
+}
+
+// pendingWork is one attempt of this instance that replicas have recorded, or
+// are queried about.
+type pendingWork struct {
+	Work
+	attempt uint64
+	state   workState
+	// epoch is the newest epoch that a replica has granted; 0: none has.
+	epoch uint64
+	// localEpoch is the epoch of this instance's own record; 0: it has none.
+	localEpoch uint64
+	// relocation counts the changes of scope; replies to earlier ones are dropped.
+	relocation int
+	scope      Scope
+	// startedAt is when its first attempt went out; 0: none has.
+	startedAt time.Duration
+	// deadline is when its client gives up.
+	deadline time.Duration
+
+	// replicas are the key's replicas, this instance among them if it is one.
+	replicas []string
+	// remotes are the other instances that receive the intent: the first two of
+	// replicas, and those from before a recent departure.
+	remotes []string
+	// replies holds the latest reply to the current intent, by index of remotes.
+	replies []*Reply
+	// requestedAt is when the current intent was first sent, lastSentAt when last.
+	requestedAt time.Duration
+	lastSentAt  time.Duration
+	// timeout is how long after requestedAt the replicas are waited for.
+	timeout time.Duration
+
+	// covered says that a replica has granted the intent, or that the work may
+	// change its scope only with a replica's consent.
+	covered bool
+	// adopted says that it continues another attempt in that one's scope.
+	adopted bool
+	// leavesNone says that the current intent moves it from ScopeNone. The
+	// primary's consent is enough then, since a successor needs that of all.
+	leavesNone bool
+	// unsentEverywhere says that all replicas had recorded it with ScopeNone.
+	unsentEverywhere bool
+	// previousOwner is the instance that it was taken over from with
+	// ScopeNone. Its consent isn't needed: it sends nothing without this one's.
+	previousOwner string
+
+	// completion is what the replicas are sent in stateCompleted, and
+	// acknowledged which of remotes have confirmed it.
+	completion       *Completion
+	acknowledged     []bool
+	completionSends  int
+	completionSentAt time.Duration
+}
+
+// awaitReplicas begins the wait for the replies to a new intent. Work that has
+// joined another attempt, is queried for or has completed awaits no consent.
+func (w *pendingWork) awaitReplicas() {
+	if w.state == stateSettled {
+		w.state = stateAwaitingReplicas
+	}
+}
+
+// settle ends the wait for the replicas: they have decided, have timed out, or
+// a change of replicas needs no new consent.
+func (w *pendingWork) settle() {
+	if w.state == stateAwaitingReplicas {
+		w.state = stateSettled
+	}
+}
+
+// join makes another attempt decide the outcome. It is legal while nothing of
+// this attempt has gone out, or after a takeover.
+func (w *pendingWork) join() { w.state = stateJoined }
+
+// complete records how the attempt ended.
+func (w *pendingWork) complete(completion *Completion) {
+	w.state = stateCompleted
+	w.completion = completion
+}
+
+// sendsNothing reports whether another attempt's owner completes the key.
+func (w *pendingWork) sendsNothing() bool {
+	return w.state == stateJoined || w.state == stateQuerying
+}
+
+// timedOut reports whether the replicas were waited for long enough.
+func (w *pendingWork) timedOut(now time.Duration) bool {
+	return now-w.requestedAt >= w.timeout
+}
+
+// anyReply reports whether a replica has replied to the current intent.
+func (w *pendingWork) anyReply() bool {
+	return slices.ContainsFunc(w.replies, func(reply *Reply) bool { return reply != nil })
+}
+
+// isPrimary reports whether instance is the key's primary.
+func (w *pendingWork) isPrimary(instance string) bool { return w.replicas[0] == instance }
+
+// remotePrimaryGranted reports whether the key's primary is another instance
+// and has granted the current intent.
+func (w *pendingWork) remotePrimaryGranted() bool {
+	reply := w.replies[0]
+	return w.isPrimary(w.remotes[0]) && reply != nil && reply.Kind == ReplyGranted
+}
+
+// primaryConsents reports whether the key's primary has not objected to the
+// current intent. This instance, if it is the primary, had no objection when
+// the intent was sent.
+func (w *pendingWork) primaryConsents(self string) bool {
+	return w.isPrimary(self) || w.remotePrimaryGranted()
+}
+
+// primaryRecorded reports whether the key's primary has a record of the
+// current intent; this instance may have had no capacity for one.
+func (w *pendingWork) primaryRecorded(self string) bool {
+	if w.isPrimary(self) {
+		return w.localEpoch > 0
+	}
+	return w.remotePrimaryGranted()
+}
+
+// relocate moves the work to a further scope. What went out before surely
+// never ran.
+func (w *pendingWork) relocate(scope Scope) {
+	w.relocation++
+	w.leavesNone = w.ownsUnsent()
+	if w.scope == ScopeNone {
+		w.covered = true // it goes with a replica's consent, or not at all
+	}
+	w.scope = scope
+	w.startedAt = 0
+}
+
+// ownsUnsent reports whether this instance accepted the work and nothing of it
+// was sent.
+func (w *pendingWork) ownsUnsent() bool {
+	return w.scope == ScopeNone && w.previousOwner == ""
+}
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -6,318 +6,232 @@
 	"time"
 )
 
-// record is what a keeper knows of a piece of work.
+// Bounds and times of a replica store.
+const (
+	maxRecords     = 4096
+	maxRecordBytes = 4 << 20 // of all records
+	maxAnswerBytes = 8 << 10 // of a stored answer; of a larger one only the kind is stored
+	maxWaiters     = 8       // attempts that wait for one record's answer
+	// recordOverheadBytes is what a record takes besides its key, command and answer.
+	recordOverheadBytes = 400
+	// maxClockAge is the age of an intent's clock reading beyond which it must
+	// be sent again.
+	maxClockAge = time.Second
+	// answerRetention is how long a completed record is stored at least.
+	answerRetention = 10 * time.Second
+	// reliedWindowFraction is the fraction of an idempotency window within
+	// which a repeat may be sent.
+	reliedWindowFraction = 0.9
+)
+
+// recordState is the phase of a record.
+type recordState uint8
+
+const (
+	// recordOpen: its owner is to report how it ends.
+	recordOpen recordState = iota
+	// recordOrphaned: its owner has ended, as far as is known, and no
+	// successor has taken it over here.
+	recordOrphaned
+	// recordCompleted: it has an answer.
+	recordCompleted
+)
+
+// String returns the state's name.
+func (s recordState) String() string {
+	switch s {
+	case recordOpen:
+		return "open"
+	case recordOrphaned:
+		return "orphaned"
+	case recordCompleted:
+		return "completed"
+	}
+	return "unknown"
+}
+
+// record is what a replica knows of a piece of work.
 type record struct {
 	Work
+	state recordState
+	// owner and incarnation name the instance that may send attempts of it.
 	owner       string
 	incarnation uint64
 	attempt     uint64
-	epoch       uint64
-	relocation  int
-	scope       Scope
-	startedAt   time.Duration // its first attempt went out no earlier
-	deadline    time.Duration // its client waits no longer
-	replicas    []string      // of its keepers, as its owner saw them
-	ended       bool
+	// epoch grows with each change of owner.
+	epoch      uint64
+	relocation int
+	scope      Scope
+	// startedAt is the earliest time at which its first attempt went out.
+	startedAt time.Duration
+	// deadline is when its client gives up.
+	deadline time.Duration
+	// replicas are the key's replicas as its owner saw them, the primary first.
+	replicas []string
+	// completedAt and answer are set in recordCompleted.
 	completedAt time.Duration
 	answer      Answer
-	waiters     []waiter
-	size        int
-	orphaned    bool // its owner has gone
+	// waiters are notified of the answer.
+	waiters []waiter
+	// size is what it counts towards the store's bytes.
+	size int
 }
 
+// waiter is an attempt of an instance that waits for a record's answer.
 type waiter struct {
 	instance string
 	attempt  uint64
 }
 
-// memory is when its rack may have begun to forget it.
+// reliableUntil is when its scope may begin to forget its first attempt.
 func (r *record) reliableUntil() time.Duration {
-	return r.startedAt + time.Duration(reliedWindowFraction*float64(r.IdempotencyWindow))
+	window := time.Duration(reliedWindowFraction * float64(r.IdempotencyWindow))
+	return r.startedAt + window
 }
 
-// Take is a piece of work that this instance is to finish, in its place.
-type TakenWork struct {
-	Work
-	Attempt    uint64
-	Epoch      uint64
-	Relocation int // of its changes of place
-	Scope      Scope
-	StartedAt  time.Duration // its first attempt, at the earliest
-	Deadline   time.Duration
-	Owner      string // whose it was
+// primary returns the key's primary as the record's owner saw it.
+func (r *record) primary() string {
+	if len(r.replicas) == 0 {
+		return ""
+	}
+	return r.replicas[0]
+}
+
+// orphan marks that its owner has ended. A completed record needs no owner.
+func (r *record) orphan() {
+	if r.state == recordOpen {
+		r.state = recordOrphaned
+	}
+}
+
+// assign makes an incarnation of an instance the owner. It is legal if the
+// owner before has ended, has failed, or can send nothing without this
+// replica's consent.
+func (r *record) assign(owner string, incarnation uint64) {
+	r.owner = owner
+	r.incarnation = incarnation
+	r.state = recordOpen
+}
+
+// relocate records the scope that an intent names. Nothing that went out in
+// the scope before has run. sentAt is the earliest time at which the intent
+// was sent.
+func (r *record) relocate(intent *Intent, sentAt time.Duration) {
+	r.relocation = intent.Relocation
+	r.scope = intent.Scope
+	r.startedAt = sentAt - intent.Age
 }
 
-// Keeper holds records for others. It is used by one goroutine at a time.
+// ReplicaStore holds the records that this instance stores as a replica. It
+// starts no goroutine and takes no lock: one goroutine at a time may use it.
 type ReplicaStore struct {
-	self              string
-	incarnation       uint64
-	records           map[string]*record
-	endedIncarnations map[string]uint64 // the last life that has ended, by name
+	self        string
+	incarnation uint64
+	records     map[string]*record // by key
+	// endedIncarnations is the last incarnation that has ended, by member.
+	endedIncarnations map[string]uint64
 	bytes             int
 	outbox            []Envelope
 	takenWork         []TakenWork
 	counts            ReplicaCounts
 }
 
-// KeeperCounts is what a keeper has done.
+// ReplicaCounts counts what a replica store has decided.
 type ReplicaCounts struct {
 	Granted int `json:"Granted"`
-	Again   int `json:"Again"`
-	Joined  int `json:"Joined"`
-	Bound   int `json:"Bound"`
-	Refused int `json:"Refused"`
-	Full    int `json:"Full"`
-	Taken   int `json:"Taken"`
-	Failed  int `json:"Failed"`
-	Late    int `json:"Late"`
-}
-
-func newReplicaStore(self string, life uint64) *ReplicaStore {
-	return &ReplicaStore{self: self, incarnation: life, records: map[string]*record{}, endedIncarnations: map[string]uint64{}}
+	Again   int `json:"Again"`   // stale clock readings
+	Joined  int `json:"Joined"`  // attempts that were left to another
+	Bound   int `json:"Bound"`   // attempts that were to continue another
+	Refused int `json:"Refused"` // owners whose work was taken over
+	Full    int `json:"Full"`    // intents without capacity
+	Taken   int `json:"Taken"`   // records taken over by this instance
+	Failed  int `json:"Failed"`  // orphaned records that could not be taken over
+	Late    int `json:"Late"`    // records whose owners reported nothing in time
 }
 
-func (k *ReplicaStore) send(to string, m Message) { k.outbox = append(k.outbox, Envelope{to, m}) }
-
-// intent decides on an intent of a member's life.
-func (k *ReplicaStore) handleIntent(now time.Duration, from string, life uint64, in *Intent) Reply {
-	re := Reply{Key: in.Key, Attempt: in.Attempt, Relocation: in.Relocation, Clock: now}
-	if in.QueryOnly {
-		k.answerQuery(from, in, &re)
-		return re
-	}
-	if ended, was := k.endedIncarnations[from]; was && life <= ended && from != k.self {
-		// It may be alive after all: then it hears that its work was taken over, or may go on where nobody took it.
-		if r := k.records[in.Key]; r != nil && r.owner != from {
-			re.Kind = ReplyTakenOver
-			return re
-		}
-	}
-	if from != k.self && (now-in.Clock > maxClockAge || in.Clock > now) {
-		k.counts.Again++
-		re.Kind = ReplyStaleClock
-		return re
-	}
-	sent := in.Clock // no earlier
-	if from == k.self {
-		sent = now
-	}
-	r := k.records[in.Key]
-	if r != nil && r.ended && r.answer.Kind == AnswerNeverRan {
-		k.removeRecord(r)
-		r = nil
-	}
-	switch {
-	case r == nil:
-		size := recordOverheadBytes + len(in.Key)
-		for _, w := range in.Command {
-			size += len(w)
-		}
-		if len(k.records) >= maxRecords || k.bytes+size > maxRecordBytes {
-			k.counts.Full++
-			re.Kind = ReplyFull
-			return re
-		}
-		r = &record{Work: in.Work, owner: from, incarnation: life, attempt: in.Attempt, epoch: max(1, in.Epoch), relocation: in.Relocation, scope: in.Scope, startedAt: sent - in.Age, deadline: sent + in.Remaining, replicas: in.Replicas, size: size}
-		k.records[in.Key] = r
-		k.bytes += size
-		k.counts.Granted++
-		re.Kind, re.Epoch = ReplyGranted, r.epoch
-	case r.attempt == in.Attempt && r.owner == from:
-		switch {
-		case r.ended:
-			re.Kind, re.Answer = ReplyOtherAttempt, &r.answer
-		case r.epoch > max(1, in.Epoch):
-			re.Kind = ReplyTakenOver
-		default:
-			if in.Relocation > r.relocation { // the attempt before surely never ran
-				r.relocation, r.scope, r.startedAt = in.Relocation, in.Scope, sent-in.Age
-			}
-			r.incarnation = max(r.incarnation, life)
-			re.Kind, re.Epoch = ReplyGranted, r.epoch
-		}
-	case r.attempt == in.Attempt && r.scope == ScopeNone && !r.ended && in.Epoch > r.epoch: // another of its keepers takes it over, before anything went out
-		r.owner, r.incarnation, r.epoch, r.orphaned = from, life, in.Epoch, false
-		r.relocation, r.scope, r.startedAt = in.Relocation, in.Scope, sent-in.Age
-		k.counts.Granted++
-		re.Kind, re.Epoch = ReplyGranted, r.epoch
-	case r.attempt == in.Attempt: // its own, and taken over
-		k.counts.Refused++
-		re.Kind, re.Primary = ReplyTakenOver, first(r.replicas)
-		k.addWaiter(r, from, in.Attempt)
-		if r.ended {
-			re.Kind, re.Answer = ReplyOtherAttempt, &r.answer
-		}
-	default:
-		k.handleOtherAttempt(now, from, life, in, r, &re)
+// newReplicaStore returns an empty store of an incarnation of self.
+func newReplicaStore(self string, incarnation uint64) *ReplicaStore {
+	return &ReplicaStore{
+		self:              self,
+		incarnation:       incarnation,
+		records:           map[string]*record{},
+		endedIncarnations: map[string]uint64{},
 	}
-	return re
 }
 
-// asked says whether another try of a key has an answer or will have one, and then lets who asks wait for it. It changes nothing else.
-func (k *ReplicaStore) answerQuery(from string, in *Intent, re *Reply) {
-	r := k.records[in.Key]
-	re.Kind = ReplyNone
-	switch {
-	case r == nil || r.attempt == in.Attempt:
-	case !r.ended:
-		if k.addWaiter(r, from, in.Attempt) {
-			k.counts.Joined++
-			re.Kind, re.Primary = ReplyOtherAttempt, first(r.replicas)
-		}
-	case r.answer.Kind == AnswerServed && !r.answer.Truncated:
-		k.counts.Joined++
-		re.Kind, re.Answer = ReplyOtherAttempt, &r.answer
-	}
-}
-
-// another decides on a further try of a key, wherever it came in.
-func (k *ReplicaStore) handleOtherAttempt(now time.Duration, from string, life uint64, in *Intent, r *record, re *Reply) {
-	switch {
-	case r.ended && r.answer.Kind == AnswerServed && !r.answer.Truncated:
-		k.counts.Joined++
-		re.Kind, re.Answer = ReplyOtherAttempt, &r.answer
-	case !r.ended && !r.orphaned:
-		k.counts.Joined++
-		re.Kind, re.Primary = ReplyOtherAttempt, first(r.replicas)
-		k.addWaiter(r, from, in.Attempt)
-	case r.scope == ScopeNone && !r.ended: // its owner has gone, and nothing of it went out
-		k.counts.Granted++
-		r.owner, r.incarnation, r.attempt, r.orphaned, r.relocation = from, life, in.Attempt, false, in.Relocation
-		r.scope, r.startedAt, r.replicas = in.Scope, now-in.Age, in.Replicas
-		r.epoch++
-		r.deadline = max(r.deadline, now+in.Remaining)
-		re.Kind, re.Epoch = ReplyGranted, r.epoch
-	case now < r.reliableUntil() && r.scope != ScopeNone: // its owner has gone, or has failed: this one may go on with it
-		k.counts.Bound++
-		r.owner, r.incarnation, r.attempt, r.ended, r.orphaned = from, life, in.Attempt, false, false
-		r.epoch++
-		r.deadline = max(r.deadline, now+in.Remaining)
-		re.Kind, re.Epoch, re.Scope, re.Age = ReplyAdopt, r.epoch, r.scope, now-r.startedAt
-	default: // it may have run, and nobody can tell any more
-		k.counts.Joined++
-		re.Kind, re.Answer = ReplyOtherAttempt, &Answer{Kind: AnswerFailed}
-	}
-}
-
-func first(names []string) string {
-	if len(names) == 0 {
-		return ""
-	}
-	return names[0]
+// send queues a message for the Coordinator.
+func (r *ReplicaStore) send(to string, m Message) {
+	r.outbox = append(r.outbox, Envelope{To: to, Message: m})
 }
 
-// wait lets a try wait for a record's answer, and returns whether it does.
-func (k *ReplicaStore) addWaiter(r *record, name string, try uint64) bool {
-	w := waiter{name, try}
-	switch {
-	case r.ended:
-		return false
-	case slices.Contains(r.waiters, w):
-		return true
-	case len(r.waiters) >= maxWaiters:
-		return false
+// handleCompletion takes in how an attempt ended. The first answer is final,
+// unless it was a failure and the work was served after all.
+func (r *ReplicaStore) handleCompletion(now time.Duration, from string, completion *Completion) {
+	rec := r.records[completion.Key]
+	if rec == nil {
+		return
 	}
-	r.waiters = append(r.waiters, w)
-	return true
-}
-
-// end takes over how a try ended. What is kept first stays, unless it was a failure and somebody was served after all.
-func (k *ReplicaStore) handleCompletion(now time.Duration, from string, e *Completion) {
-	r := k.records[e.Key]
-	switch {
-	case r == nil, r.ended && !(r.answer.Kind == AnswerFailed && e.Answer.Kind == AnswerServed):
+	served := completion.Answer.Kind == AnswerServed
+	if rec.state == recordCompleted && (rec.answer.Kind != AnswerFailed || !served) {
 		return
-	case e.Answer.Kind == AnswerServed: // whoever it was: it was in the record's rack
-	case r.owner != from || r.attempt != e.Attempt || r.epoch > max(1, e.Epoch):
+	}
+	isOwner := rec.owner == from && rec.attempt == completion.Attempt && rec.epoch <= max(1, completion.Epoch)
+	if !served && !isOwner { // whoever was served was so in the record's scope
 		return
 	}
-	k.completeRecord(now, r, e.Answer)
+	r.completeRecord(now, rec, completion.Answer)
 }
 
-func (k *ReplicaStore) completeRecord(now time.Duration, r *record, a Answer) {
-	if len(a.Value) > maxAnswerBytes || k.bytes+len(a.Value) > maxRecordBytes {
-		a.Value, a.Truncated = nil, true
+// completeRecord stores a record's answer and notifies those who wait for it.
+func (r *ReplicaStore) completeRecord(now time.Duration, rec *record, answer Answer) {
+	if len(answer.Value) > maxAnswerBytes || r.bytes+len(answer.Value) > maxRecordBytes {
+		answer.truncate()
 	}
-	k.bytes += len(a.Value) - len(r.answer.Value)
-	r.size += len(a.Value) - len(r.answer.Value)
-	r.ended, r.completedAt, r.answer = true, now, a
-	for _, w := range r.waiters {
-		k.send(w.instance, Message{Notification: &Notification{r.Key, w.attempt, a}})
+	growth := len(answer.Value) - len(rec.answer.Value)
+	r.bytes += growth
+	rec.size += growth
+	rec.state = recordCompleted
+	rec.completedAt = now
+	rec.answer = answer
+	for _, w := range rec.waiters {
+		r.send(w.instance, Message{Notification: &Notification{rec.Key, w.attempt, answer}})
 	}
-	r.waiters = nil
-}
-
-func (k *ReplicaStore) removeRecord(r *record) {
-	k.bytes -= r.size
-	delete(k.records, r.Key)
+	rec.waiters = nil
 }
 
-// bind moves a try's own record to the place that it is bound to.
-func (k *ReplicaStore) adoptScope(h *pendingWork) {
-	if r := k.records[h.Key]; r != nil && r.owner == k.self && r.attempt == h.attempt {
-		r.scope, r.startedAt, r.relocation = h.scope, h.startedAt, h.relocation
-		r.epoch = max(r.epoch, h.epoch)
-	}
+// removeRecord forgets a record.
+func (r *ReplicaStore) removeRecord(rec *record) {
+	r.bytes -= rec.size
+	delete(r.records, rec.Key)
 }
 
-// left takes note that a member's life has ended, as far as anybody can tell, and takes over what it had in hand where this instance
-// decides. Nothing rests on its being true: a taker acts where the owner's attempts have no further effect.
-func (k *ReplicaStore) memberLeft(now time.Duration, name string, life uint64) {
-	k.endedIncarnations[name] = max(k.endedIncarnations[name], life)
-	for _, key := range slices.Sorted(maps.Keys(k.records)) {
-		r := k.records[key]
-		if r.owner == name && r.incarnation <= life {
-			r.orphaned = true
-		}
-		k.takeOverOrphan(now, r)
-	}
-}
-
-// adopt takes over a record whose owner has gone, where this instance is the one to do so.
-func (k *ReplicaStore) takeOverOrphan(now time.Duration, r *record) {
-	if r.ended || !r.orphaned || k.successor(r) != k.self {
+// adoptScope moves this instance's own record to the scope of the attempt that
+// it continues.
+func (r *ReplicaStore) adoptScope(work *pendingWork) {
+	rec := r.records[work.Key]
+	if rec == nil || rec.owner != r.self || rec.attempt != work.attempt {
 		return
 	}
-	if r.scope != ScopeNone && now >= r.reliableUntil() || now >= r.deadline {
-		k.counts.Failed++
-		k.completeRecord(now, r, Answer{Kind: AnswerFailed})
-		return
-	}
-	from := r.owner
-	r.owner, r.incarnation, r.orphaned = k.self, k.incarnation, false
-	r.epoch++
-	k.counts.Taken++
-	k.takenWork = append(k.takenWork, TakenWork{Work: r.Work, Attempt: r.attempt, Epoch: r.epoch, Relocation: r.relocation, Scope: r.scope, StartedAt: r.startedAt, Deadline: r.deadline, Owner: from})
-}
-
-// heir is the first of a record's keepers that is neither its owner nor gone.
-func (k *ReplicaStore) successor(r *record) string {
-	for _, name := range r.replicas {
-		if _, gone := k.endedIncarnations[name]; name != r.owner && (name == k.self || !gone) {
-			return name
+	rec.scope = work.scope
+	rec.startedAt = work.startedAt
+	rec.relocation = work.relocation
+	rec.epoch = max(rec.epoch, work.epoch)
+}
+
+// expireRecords fails the records whose owners reported nothing in time, and
+// forgets completed ones that no attempt can use any more.
+func (r *ReplicaStore) expireRecords(now time.Duration) {
+	for _, key := range slices.Sorted(maps.Keys(r.records)) {
+		rec := r.records[key]
+		if rec.state != recordCompleted {
+			if now > rec.deadline+completionGrace {
+				r.counts.Late++
+				r.completeRecord(now, rec, Answer{Kind: AnswerFailed})
+			}
+			continue
 		}
-	}
-	return ""
-}
-
-// back takes note that a member is there after all, or again.
-func (k *ReplicaStore) memberReturned(name string, life uint64) {
-	if life > k.endedIncarnations[name] {
-		delete(k.endedIncarnations, name)
-	}
-}
-
-// sweep ends what is past its time, and forgets what nobody asks for any more.
-func (k *ReplicaStore) expireRecords(now time.Duration) {
-	for _, key := range slices.Sorted(maps.Keys(k.records)) {
-		r := k.records[key]
-		switch {
-		case !r.ended && now > r.deadline+completionGrace: // its owner has not told: it may have run
-			k.counts.Late++
-			k.completeRecord(now, r, Answer{Kind: AnswerFailed})
-		case r.ended && now > max(r.completedAt+answerRetention, r.startedAt+r.IdempotencyWindow):
-			k.removeRecord(r)
+		if now > max(rec.completedAt+answerRetention, rec.startedAt+rec.IdempotencyWindow) {
+			r.removeRecord(rec)
 		}
 	}
 }
--- /dev/null
+++ b/internal/takeover/replica_failover.go
@@ -0,0 +1,69 @@
+package takeover
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// memberLeft takes in that an incarnation of a member has ended, and takes over
+// the orphaned records whose successor is this instance. Safety doesn't depend
+// on the report: a successor acts where the owner's attempts have no further
+// effect.
+func (r *ReplicaStore) memberLeft(now time.Duration, name string, incarnation uint64) {
+	r.endedIncarnations[name] = max(r.endedIncarnations[name], incarnation)
+	for _, key := range slices.Sorted(maps.Keys(r.records)) {
+		rec := r.records[key]
+		if rec.owner == name && rec.incarnation <= incarnation {
+			rec.orphan()
+		}
+		r.takeOverOrphan(now, rec)
+	}
+}
+
+// memberReturned takes in that an incarnation of a member is alive.
+func (r *ReplicaStore) memberReturned(name string, incarnation uint64) {
+	if incarnation > r.endedIncarnations[name] {
+		delete(r.endedIncarnations, name)
+	}
+}
+
+// takeOverOrphan takes over an orphaned record if this instance is its
+// successor. If it is too late for a repeat the record fails.
+func (r *ReplicaStore) takeOverOrphan(now time.Duration, rec *record) {
+	if rec.state != recordOrphaned || r.successor(rec) != r.self {
+		return
+	}
+	windowOver := rec.scope != ScopeNone && now >= rec.reliableUntil()
+	if windowOver || now >= rec.deadline {
+		r.counts.Failed++
+		r.completeRecord(now, rec, Answer{Kind: AnswerFailed})
+		return
+	}
+	formerOwner := rec.owner
+	rec.assign(r.self, r.incarnation)
+	rec.epoch++
+	r.counts.Taken++
+	r.takenWork = append(r.takenWork, TakenWork{
+		Work:       rec.Work,
+		Attempt:    rec.attempt,
+		Epoch:      rec.epoch,
+		Relocation: rec.relocation,
+		Scope:      rec.scope,
+		StartedAt:  rec.startedAt,
+		Deadline:   rec.deadline,
+		Owner:      formerOwner,
+	})
+}
+
+// successor returns the first of a record's replicas that is neither its owner
+// nor believed to have ended.
+func (r *ReplicaStore) successor(rec *record) string {
+	for _, name := range rec.replicas {
+		_, ended := r.endedIncarnations[name]
+		if name != rec.owner && (name == r.self || !ended) {
+			return name
+		}
+	}
+	return ""
+}
