--- a/internal/takeover/pending.go
+++ b/internal/takeover/pending.go
@@ -10,7 +10,7 @@
 
 const (
 	// stateSettled: no reply is awaited. An attempt may be on the wire, or the
-	// caller was told not to send any.
+	// caller may not send any.
 	stateSettled workState = iota
 	// stateAwaitingReplicas: the intent was sent, and nothing may go out
 	// before the replicas have decided or the wait has timed out.
@@ -112,7 +112,7 @@
 }
 
 // join makes another attempt decide the outcome. It is legal while nothing of
-// this attempt has gone out, or after a takeover.
+// this attempt was sent, or after a takeover.
 func (w *pendingWork) join() { w.state = stateJoined }
 
 // complete records how the attempt ended.
