--- a/internal/escrow/bounds_test.go
+++ b/internal/escrow/account_test.go
@@ -9,7 +9,7 @@
 
 // Budgets beyond the bound are counted and stay even, those within it are held on, and one that is asked for later is taken when others
 // have ended.
-func TestBudgetsAtTheirBound(t *testing.T) {
+func TestMaxBudgets(t *testing.T) {
 	now := time.Hour
 	b := New(0, instances, now, rand.New(rand.NewPCG(1, 2)))
 	need := func(i int) Need { return Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, WantedShare: 0.1} }
@@ -25,7 +25,7 @@
 	if parts := b.Allocations(now); b.Counts().Full != 44 || len(parts) != MaxBudgets {
 		t.Fatal(b.Counts(), len(parts))
 	}
-	now += reserved + time.Second
+	now += retention + time.Second
 	b.Tick(now, nil, nil)
 	b.Tick(now, needs[MaxBudgets:], nil)
 	if parts := b.Allocations(now); b.Counts().Full != 44 || len(parts) != 44 {
--- a/internal/escrow/escrow.go
+++ b/internal/escrow/escrow.go
@@ -32,23 +32,23 @@
 
 // Times and bounds.
 const (
-	TransferTerm = time.Second            // of a loan, by its lender's clock
-	leaseShare   = 0.8                    // of it, by its borrower's
-	keepShare    = 0.25                   // of its home, that a way never lends
-	renewEvery   = 250 * time.Millisecond // between two tries to have a loan go on
-	askEvery     = 200 * time.Millisecond // between two rounds of asking for more
-	givenUp      = 350 * time.Millisecond // a loan that nobody grants is asked for no longer
-	beatEvery    = 200 * time.Millisecond // between two messages to a fellow, at the most; by chance up to half as much more
-	helloEvery   = 2 * time.Second        // the same to a member whose number is not known
-	mostHellos   = 8                      // of these at one time
-	unheard      = time.Second            // a fellow that was not heard for so long may be spending without the counter
-	reserved     = time.Minute            // for which what such a one may spend is left to it
-	spare        = 1.2                    // of what is asked for here, that is kept or asked for
-	leastLoan    = 0.02                   // of a budget, below which nothing is lent
-	leastUse     = 0.02                   // of a budget, above what a fellow told, that it may use at any time
-	mostLoans    = 16                     // of one budget, each way
-	mostUses     = 24                     // budgets in one message
-	mostName     = 128
+	TransferTerm         = time.Second            // of a loan, by its lender's clock
+	receiverTermFraction = 0.8                    // of it, by its borrower's
+	minRetainedFraction  = 0.25                   // of its home, that a way never lends
+	renewInterval        = 250 * time.Millisecond // between two tries to have a loan go on
+	requestInterval      = 200 * time.Millisecond // between two rounds of asking for more
+	requestTimeout       = 350 * time.Millisecond // a loan that nobody grants is asked for no longer
+	usageInterval        = 200 * time.Millisecond // between two messages to a fellow, at the most; by chance up to half as much more
+	helloInterval        = 2 * time.Second        // the same to a member whose number is not known
+	maxHellosPerTick     = 8                      // of these at one time
+	maxSilence           = time.Second            // a fellow that was not heard for so long may be spending without the counter
+	retention            = time.Minute            // for which what such a one may spend is left to it
+	headroomFactor       = 1.2                    // of what is asked for here, that is kept or asked for
+	minTransferShare     = 0.02                   // of a budget, below which nothing is lent
+	minUsageAllowance    = 0.02                   // of a budget, above what a fellow told, that it may use at any time
+	maxTransfers         = 16                     // of one budget, each way
+	maxUsages            = 24                     // budgets in one message
+	maxKeyBytes          = 128
 )
 
 // Member is another instance that is there.
@@ -128,77 +128,77 @@
 }
 
 // loan is one, lent or borrowed.
-type loan struct {
-	id    uint64
-	name  string // of the other
-	life  uint64 // of the borrower
-	part  float64
-	until time.Duration
-	born  time.Duration // borrowed: when it was first asked for
-	asked time.Duration // the same, last
-	n     uint64        // the same
-	held  bool          // borrowed: it was granted
-}
-
-type entry struct {
-	key           string
-	spread, first int
-	places        int
-	need          Need
-	seen          time.Duration // the need
-	lent, loans   []loan
-	next          time.Duration // no asking for more before
+type transfer struct {
+	id               uint64
+	peer             string // of the other
+	incarnation      uint64 // of the borrower
+	share            float64
+	expiresAt        time.Duration
+	firstRequestedAt time.Duration // borrowed: when it was first asked for
+	requestedAt      time.Duration // the same, last
+	sequence         uint64        // the same
+	granted          bool          // borrowed: it was granted
+}
+
+type account struct {
+	key                      string
+	spread, first            int
+	maxInFlight              int
+	need                     Need
+	neededAt                 time.Duration // the need
+	transferredOut, received []transfer
+	nextRequestAt            time.Duration // no asking for more before
 }
 
 // fellow is another way in, by its number.
-type fellow struct {
+type peer struct {
 	Member
-	heard time.Duration
-	beat  time.Duration // when it is told again
-	uses  map[string]Usage
-	book  uint64
-	clear bool // it has told this life that it holds no loans of an earlier one
-	gone  bool // it has surely ended, or left
+	heardAt       time.Duration
+	nextUsageAt   time.Duration // when it is told again
+	usages        map[string]Usage
+	nonce         uint64
+	confirmedNone bool // it has told this life that it holds no loans of an earlier one
+	ended         bool // it has surely ended, or left
 }
 
 // Book is one instance's. It is used by one goroutine at a time.
 type Allocator struct {
-	me, gateways int
-	rng          *rand.Rand
-	now, began   time.Duration
-	id           uint64
-	entries      map[string]*entry
-	fellows      map[int]*fellow
-	numbers      map[string]int // by name
-	hello        map[string]time.Duration
-	last         uint64 // loan; the first is drawn, so that no answer to an earlier life fits
-	counts       Counts
+	number, instances int
+	rng               *rand.Rand
+	now, startedAt    time.Duration
+	nonce             uint64
+	accounts          map[string]*account
+	peers             map[int]*peer
+	peerNumbers       map[string]int // by name
+	nextHelloAt       map[string]time.Duration
+	lastTransfer      uint64 // loan; the first is drawn, so that no answer to an earlier life fits
+	counts            Counts
 }
 
 // New returns the book of a life that begins now: of what an earlier one has lent it knows nothing.
 func New(me, gateways int, now time.Duration, rng *rand.Rand) *Allocator {
-	return &Allocator{me: me, gateways: max(1, gateways), rng: rng, now: now, began: now, id: rng.Uint64() | 1, last: rng.Uint64() >> 1, entries: map[string]*entry{}, fellows: map[int]*fellow{}, numbers: map[string]int{}, hello: map[string]time.Duration{}}
+	return &Allocator{number: me, instances: max(1, gateways), rng: rng, now: now, startedAt: now, nonce: rng.Uint64() | 1, lastTransfer: rng.Uint64() >> 1, accounts: map[string]*account{}, peers: map[int]*peer{}, peerNumbers: map[string]int{}, nextHelloAt: map[string]time.Duration{}}
 }
 
 // Counts is what happened so far.
 func (b *Allocator) Counts() Counts { return b.counts }
 
 // holds says whether an instance is among the ways of a set.
-func holds(number, spread, first, gateways int) bool {
+func inSpread(number, spread, first, gateways int) bool {
 	return (number-first%gateways+gateways)%gateways < min(spread, gateways)
 }
 
 // home is this instance's own part of a budget.
-func (b *Allocator) home(e *entry) float64 {
-	if !holds(b.me, e.spread, e.first, b.gateways) {
+func (b *Allocator) homeShare(e *account) float64 {
+	if !inSpread(b.number, e.spread, e.first, b.instances) {
 		return 0
 	}
-	return 1 / float64(min(e.spread, b.gateways))
+	return 1 / float64(min(e.spread, b.instances))
 }
 
 // floor is what a way never lends of its home: a quarter, and one place of the cap.
-func floor(home float64, places int) float64 {
-	f := keepShare * home
+func minRetainedShare(home float64, places int) float64 {
+	f := minRetainedFraction * home
 	if places > 0 {
 		f = max(f, 1/float64(places))
 	}
@@ -206,48 +206,48 @@
 }
 
 // settled says whether nobody can hold a loan of an earlier life of this instance.
-func (b *Allocator) settled() bool {
-	if b.now >= b.began+TransferTerm {
+func (b *Allocator) earlierTransfersEnded() bool {
+	if b.now >= b.startedAt+TransferTerm {
 		return true
 	}
 	clear := 0
-	for _, f := range b.fellows {
-		if f.clear {
+	for _, f := range b.peers {
+		if f.confirmedNone {
 			clear++
 		}
 	}
-	return clear == b.gateways-1
+	return clear == b.instances-1
 }
 
 // to is a message to a fellow.
-func (b *Allocator) to(f *fellow, m Message) Envelope {
-	m.Sender, m.Instances, m.SenderNonce, m.ReceiverNonce = b.me, b.gateways, b.id, f.book
-	for _, e := range b.entries {
-		m.HoldsTransfers = m.HoldsTransfers || slices.ContainsFunc(e.loans, func(l loan) bool { return l.name == f.Name })
+func (b *Allocator) envelopeTo(f *peer, m Message) Envelope {
+	m.Sender, m.Instances, m.SenderNonce, m.ReceiverNonce = b.number, b.instances, b.nonce, f.nonce
+	for _, e := range b.accounts {
+		m.HoldsTransfers = m.HoldsTransfers || slices.ContainsFunc(e.received, func(l transfer) bool { return l.peer == f.Name })
 	}
 	return Envelope{f.Name, m}
 }
 
 // own is what is left of the home.
-func (b *Allocator) own(e *entry) float64 {
-	p := b.home(e)
-	if !b.settled() { // an earlier life may have lent the rest
-		return keepShare * p
-	}
-	for _, l := range e.lent {
-		if l.until > b.now {
-			p -= l.part
+func (b *Allocator) retainedShare(e *account) float64 {
+	p := b.homeShare(e)
+	if !b.earlierTransfersEnded() { // an earlier life may have lent the rest
+		return minRetainedFraction * p
+	}
+	for _, l := range e.transferredOut {
+		if l.expiresAt > b.now {
+			p -= l.share
 		}
 	}
 	return max(0, p)
 }
 
 // share is what this instance holds of a budget now.
-func (b *Allocator) share(e *entry) float64 {
-	p := b.own(e)
-	for _, l := range e.loans {
-		if l.held && l.until > b.now {
-			p += l.part
+func (b *Allocator) heldShare(e *account) float64 {
+	p := b.retainedShare(e)
+	for _, l := range e.received {
+		if l.granted && l.expiresAt > b.now {
+			p += l.share
 		}
 	}
 	return min(1, p)
@@ -256,8 +256,8 @@
 // Home is the part of its even part that this instance holds of a budget that is not known yet.
 func (b *Allocator) DefaultShare(now time.Duration) float64 {
 	b.now = max(b.now, now)
-	if !b.settled() {
-		return keepShare
+	if !b.earlierTransfersEnded() {
+		return minRetainedFraction
 	}
 	return 1
 }
@@ -265,32 +265,32 @@
 // Parts are what this instance holds now, of each budget that it knows.
 func (b *Allocator) Allocations(now time.Duration) map[string]Allocation {
 	b.now = max(b.now, now)
-	out := make(map[string]Allocation, len(b.entries))
-	for key, e := range b.entries {
-		out[key] = Allocation{b.share(e), b.away(e)}
+	out := make(map[string]Allocation, len(b.accounts))
+	for key, e := range b.accounts {
+		out[key] = Allocation{b.heldShare(e), b.unreportedShare(e)}
 	}
 	return out
 }
 
 // away is what others spend of a budget without the counter's hearing of it: those who say that they don't hear it, as much as they hold and are
 // asked for; those who are not heard themselves, what they may hold, but for what the counter's totals show that nobody accounts for.
-func (b *Allocator) away(e *entry) float64 {
-	home, sum, lost, explained := 1/float64(max(1, min(e.spread, b.gateways))), 0.0, 0.0, 0.0
-	for number, f := range b.fellows {
-		if !holds(number, e.spread, e.first, b.gateways) {
+func (b *Allocator) unreportedShare(e *account) float64 {
+	home, sum, lost, explained := 1/float64(max(1, min(e.spread, b.instances))), 0.0, 0.0, 0.0
+	for number, f := range b.peers {
+		if !inSpread(number, e.spread, e.first, b.instances) {
 			continue
 		}
-		u, told := f.uses[e.key]
-		switch quiet := b.now - f.heard; {
-		case f.gone, quiet > reserved:
-		case quiet <= unheard && u.CounterLost:
-			sum += min(u.Share, u.WantedShare+leastUse)
-		case quiet <= unheard:
+		u, told := f.usages[e.key]
+		switch quiet := b.now - f.heardAt; {
+		case f.ended, quiet > retention:
+		case quiet <= maxSilence && u.CounterLost:
+			sum += min(u.Share, u.WantedShare+minUsageAllowance)
+		case quiet <= maxSilence:
 			explained += u.ForwardedShare
 		case told:
-			lost += min(max(home, u.Share), u.WantedShare+leastUse)
+			lost += min(max(home, u.Share), u.WantedShare+minUsageAllowance)
 		default:
-			lost += leastUse
+			lost += minUsageAllowance
 		}
 	}
 	if lost > 0 {
@@ -299,18 +299,18 @@
 	return min(1, sum+lost)
 }
 
-func (b *Allocator) entry(key string, spread, first, places int) *entry {
-	e := b.entries[key]
+func (b *Allocator) openAccount(key string, spread, first, places int) *account {
+	e := b.accounts[key]
 	if e == nil {
-		if key == "" || len(key) > mostName || spread < 2 || first < 0 {
+		if key == "" || len(key) > maxKeyBytes || spread < 2 || first < 0 {
 			return nil
 		}
-		if len(b.entries) >= MaxBudgets {
+		if len(b.accounts) >= MaxBudgets {
 			b.counts.Full++
 			return nil
 		}
-		e = &entry{key: key, spread: spread, first: first, places: places}
-		b.entries[key] = e
+		e = &account{key: key, spread: spread, first: first, maxInFlight: places}
+		b.accounts[key] = e
 	}
 	return e
 }
@@ -319,253 +319,255 @@
 // largest needs come first where there are too many.
 func (b *Allocator) Tick(now time.Duration, needs []Need, members []Member) (out []Envelope) {
 	b.now = max(b.now, now)
-	b.look(members)
+	b.forgetAbsentMembers(members)
 	for _, n := range needs {
-		if e := b.entry(n.Key, n.Spread, n.First, n.MaxInFlight); e != nil {
-			if (e.spread != n.Spread || e.first != n.First) && len(e.lent)+len(e.loans) == 0 {
+		if e := b.openAccount(n.Key, n.Spread, n.First, n.MaxInFlight); e != nil {
+			if (e.spread != n.Spread || e.first != n.First) && len(e.transferredOut)+len(e.received) == 0 {
 				e.spread, e.first = n.Spread, n.First
 			}
-			e.need, e.seen, e.places = n, b.now, n.MaxInFlight
+			e.need, e.neededAt, e.maxInFlight = n, b.now, n.MaxInFlight
 		}
 	}
 	asks := map[int][]TransferRequest{}
-	for _, key := range slices.Sorted(maps.Keys(b.entries)) {
-		e := b.entries[key]
-		e.lent = slices.DeleteFunc(e.lent, func(l loan) bool { return l.until <= b.now })
-		e.loans = slices.DeleteFunc(e.loans, func(l loan) bool {
-			return l.held && l.until <= b.now || !l.held && b.now-l.born > givenUp
+	for _, key := range slices.Sorted(maps.Keys(b.accounts)) {
+		e := b.accounts[key]
+		e.transferredOut = slices.DeleteFunc(e.transferredOut, func(l transfer) bool { return l.expiresAt <= b.now })
+		e.received = slices.DeleteFunc(e.received, func(l transfer) bool {
+			return l.granted && l.expiresAt <= b.now || !l.granted && b.now-l.firstRequestedAt > requestTimeout
 		})
-		if b.now-e.seen > reserved && len(e.lent)+len(e.loans) == 0 {
-			delete(b.entries, key)
+		if b.now-e.neededAt > retention && len(e.transferredOut)+len(e.received) == 0 {
+			delete(b.accounts, key)
 			continue
 		}
-		if b.now-e.seen <= unheard {
-			b.want(e, asks)
+		if b.now-e.neededAt <= maxSilence {
+			b.requestTransfers(e, asks)
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(b.fellows)) {
-		f := b.fellows[number]
-		if f.gone || len(asks[number]) == 0 && b.now < f.beat {
+	for _, number := range slices.Sorted(maps.Keys(b.peers)) {
+		f := b.peers[number]
+		if f.ended || len(asks[number]) == 0 && b.now < f.nextUsageAt {
 			continue
 		}
-		uses := b.uses(number)
-		if len(asks[number]) == 0 && len(uses) == 0 && b.now-f.beat < helloEvery {
+		uses := b.usagesFor(number)
+		if len(asks[number]) == 0 && len(uses) == 0 && b.now-f.nextUsageAt < helloInterval {
 			continue
 		}
-		f.beat = b.now + beatEvery + time.Duration(b.rng.Int64N(int64(beatEvery/2)))
-		out = append(out, b.to(f, Message{Requests: asks[number], Usages: uses}))
+		f.nextUsageAt = b.now + usageInterval + time.Duration(b.rng.Int64N(int64(usageInterval/2)))
+		out = append(out, b.envelopeTo(f, Message{Requests: asks[number], Usages: uses}))
 	}
 	hellos := 0
 	for _, m := range members {
-		if _, known := b.numbers[m.Name]; !known && hellos < mostHellos && b.now >= b.hello[m.Name] {
+		if _, known := b.peerNumbers[m.Name]; !known && hellos < maxHellosPerTick && b.now >= b.nextHelloAt[m.Name] {
 			hellos++
-			b.hello[m.Name] = b.now + helloEvery/2 + time.Duration(b.rng.Int64N(int64(helloEvery)))
-			out = append(out, Envelope{m.Name, Message{Sender: b.me, Instances: b.gateways, SenderNonce: b.id}})
+			b.nextHelloAt[m.Name] = b.now + helloInterval/2 + time.Duration(b.rng.Int64N(int64(helloInterval)))
+			out = append(out, Envelope{m.Name, Message{Sender: b.number, Instances: b.instances, SenderNonce: b.nonce}})
 		}
 	}
 	return out
 }
 
 // look takes over who is there. A fellow that is not among the members any more has not ended for that: Gone says so.
-func (b *Allocator) look(members []Member) {
+func (b *Allocator) forgetAbsentMembers(members []Member) {
 	there := map[string]bool{}
 	for _, m := range members {
 		there[m.Name] = true
 	}
-	maps.DeleteFunc(b.hello, func(name string, _ time.Duration) bool { return !there[name] })
+	maps.DeleteFunc(b.nextHelloAt, func(name string, _ time.Duration) bool { return !there[name] })
 }
 
 // Gone tells that a life has surely ended, or has left: nothing is spent there.
 func (b *Allocator) PeerEnded(name string, life uint64) {
-	if number, known := b.numbers[name]; known {
-		if f := b.fellows[number]; f.Incarnation <= life {
-			f.gone = true
+	if number, known := b.peerNumbers[name]; known {
+		if f := b.peers[number]; f.Incarnation <= life {
+			f.ended = true
 		}
 	}
 }
 
 // uses are what a fellow is told of the budgets that it is a way of: those that are asked for most.
-func (b *Allocator) uses(number int) (out []Usage) {
-	for _, key := range slices.Sorted(maps.Keys(b.entries)) {
-		e := b.entries[key]
-		if b.now-e.seen <= unheard && holds(number, e.spread, e.first, b.gateways) {
-			out = append(out, Usage{key, b.share(e), e.need.WantedShare, e.need.ForwardedShare, e.need.CounterLost})
+func (b *Allocator) usagesFor(number int) (out []Usage) {
+	for _, key := range slices.Sorted(maps.Keys(b.accounts)) {
+		e := b.accounts[key]
+		if b.now-e.neededAt <= maxSilence && inSpread(number, e.spread, e.first, b.instances) {
+			out = append(out, Usage{key, b.heldShare(e), e.need.WantedShare, e.need.ForwardedShare, e.need.CounterLost})
 		}
 	}
-	if len(out) > mostUses {
+	if len(out) > maxUsages {
 		slices.SortStableFunc(out, func(x, y Usage) int { return cmp.Compare(y.WantedShare, x.WantedShare) })
-		out = out[:mostUses]
+		out = out[:maxUsages]
 	}
 	return out
 }
 
 // want asks for what lacks, and for loans that are used to go on.
-func (b *Allocator) want(e *entry, asks map[int][]TransferRequest) {
-	need, have, pending := min(1, spare*e.need.WantedShare), b.own(e), 0.0
-	ask := func(l *loan) {
-		number, known := b.numbers[l.name]
-		if f := b.fellows[number]; !known || f.gone || b.now-f.heard > unheard {
+func (b *Allocator) requestTransfers(e *account, asks map[int][]TransferRequest) {
+	need, have, pending := min(1, headroomFactor*e.need.WantedShare), b.retainedShare(e), 0.0
+	ask := func(l *transfer) {
+		number, known := b.peerNumbers[l.peer]
+		if f := b.peers[number]; !known || f.ended || b.now-f.heardAt > maxSilence {
 			return
 		}
-		l.n++
-		l.asked = b.now
-		asks[number] = append(asks[number], TransferRequest{e.key, e.spread, e.first, l.id, l.n, l.part, e.places})
-	}
-	for i := range e.loans {
-		l := &e.loans[i]
-		if !l.held {
-			pending += l.part
-			if b.now-l.asked >= renewEvery {
+		l.sequence++
+		l.requestedAt = b.now
+		asks[number] = append(asks[number], TransferRequest{e.key, e.spread, e.first, l.id, l.sequence, l.share, e.maxInFlight})
+	}
+	for i := range e.received {
+		l := &e.received[i]
+		if !l.granted {
+			pending += l.share
+			if b.now-l.requestedAt >= renewInterval {
 				ask(l)
 			}
 			continue
 		}
-		if have < need && b.now-l.asked >= renewEvery {
+		if have < need && b.now-l.requestedAt >= renewInterval {
 			ask(l)
 		}
-		have += l.part
+		have += l.share
 	}
 	lacks := need - have - pending
-	if lacks < leastLoan || b.now < e.next || e.need.Spread != e.spread || e.need.First != e.first {
+	if lacks < minTransferShare || b.now < e.nextRequestAt || e.need.Spread != e.spread || e.need.First != e.first {
 		return
 	}
-	e.next = b.now + askEvery + time.Duration(b.rng.Int64N(int64(askEvery)))
+	e.nextRequestAt = b.now + requestInterval + time.Duration(b.rng.Int64N(int64(requestInterval)))
 	var from []int
-	for number, f := range b.fellows {
-		if holds(number, e.spread, e.first, b.gateways) && !f.gone && b.now-f.heard <= unheard && !slices.ContainsFunc(e.loans, func(l loan) bool { return !l.held && l.name == f.Name }) {
+	for number, f := range b.peers {
+		if inSpread(number, e.spread, e.first, b.instances) && !f.ended && b.now-f.heardAt <= maxSilence && !slices.ContainsFunc(e.received, func(l transfer) bool { return !l.granted && l.peer == f.Name }) {
 			from = append(from, number)
 		}
 	}
 	slices.Sort(from)
 	for _, number := range from {
-		if len(e.loans) >= mostLoans {
+		if len(e.received) >= maxTransfers {
 			return
 		}
-		b.last++
-		e.loans = append(e.loans, loan{id: b.last, born: b.now, name: b.fellows[number].Name, part: max(leastLoan, lacks/float64(len(from)))})
-		ask(&e.loans[len(e.loans)-1])
+		b.lastTransfer++
+		e.received = append(e.received, transfer{id: b.lastTransfer, firstRequestedAt: b.now, peer: b.peers[number].Name, share: max(minTransferShare, lacks/float64(len(from)))})
+		ask(&e.received[len(e.received)-1])
 	}
 }
 
 // Receive takes a message of a member's life in, and returns what is to be answered.
 func (b *Allocator) Receive(now time.Duration, from Member, m Message) (out []Envelope) {
 	b.now = max(b.now, now)
-	if m.Instances != b.gateways || m.Sender < 0 || m.Sender >= b.gateways || m.Sender == b.me || from.Name == "" {
+	if m.Instances != b.instances || m.Sender < 0 || m.Sender >= b.instances || m.Sender == b.number || from.Name == "" {
 		b.counts.Invalid++
 		return nil
 	}
-	f := b.fellows[m.Sender]
-	fresh := f == nil || f.book != m.SenderNonce
+	f := b.peers[m.Sender]
+	fresh := f == nil || f.nonce != m.SenderNonce
 	switch {
 	case f == nil:
-		f = &fellow{Member: from, uses: map[string]Usage{}}
-		b.fellows[m.Sender] = f
-	case f.Name != from.Name && b.now-f.heard <= unheard && !f.gone: // two with one number: the first is believed while it is heard
+		f = &peer{Member: from, usages: map[string]Usage{}}
+		b.peers[m.Sender] = f
+	case f.Name != from.Name && b.now-f.heardAt <= maxSilence && !f.ended: // two with one number: the first is believed while it is heard
 		b.counts.Conflicts++
 		return nil
 	case f.Name == from.Name && from.Incarnation < f.Incarnation:
 		return nil // of an ended life
 	case f.Name != from.Name || from.Incarnation > f.Incarnation:
-		delete(b.numbers, f.Name)
-		*f = fellow{Member: from, uses: map[string]Usage{}}
+		delete(b.peerNumbers, f.Name)
+		*f = peer{Member: from, usages: map[string]Usage{}}
 	}
 	if fresh { // its loans of an earlier life are no more: nothing is taken from that any longer
-		f.book, f.clear = m.SenderNonce, false
-	}
-	f.heard, f.gone = b.now, false
-	if m.ReceiverNonce == b.id && !m.HoldsTransfers {
-		f.clear = true
-	}
-	b.numbers[from.Name] = m.Sender
-	if len(m.Usages) > 0 || len(f.uses) > 0 {
-		clear(f.uses)
-		for _, u := range m.Usages[:min(len(m.Usages), mostUses)] {
-			if usable(u.Share) && u.Share <= 1 && usable(u.WantedShare) && usable(u.ForwardedShare) && len(u.Key) <= mostName {
-				f.uses[u.Key] = u
+		f.nonce, f.confirmedNone = m.SenderNonce, false
+	}
+	f.heardAt, f.ended = b.now, false
+	if m.ReceiverNonce == b.nonce && !m.HoldsTransfers {
+		f.confirmedNone = true
+	}
+	b.peerNumbers[from.Name] = m.Sender
+	if len(m.Usages) > 0 || len(f.usages) > 0 {
+		clear(f.usages)
+		for _, u := range m.Usages[:min(len(m.Usages), maxUsages)] {
+			if validRatio(u.Share) && u.Share <= 1 && validRatio(u.WantedShare) && validRatio(u.ForwardedShare) && len(u.Key) <= maxKeyBytes {
+				f.usages[u.Key] = u
 			} else {
 				b.counts.Invalid++
 			}
 		}
 	}
 	for _, g := range m.Grants[:min(len(m.Grants), MaxBudgets)] {
-		b.granted(from, g)
+		b.handleGrant(from, g)
 	}
 	var grants []TransferGrant
 	for _, a := range m.Requests[:min(len(m.Requests), MaxBudgets)] {
-		if g, ok := b.asked(from, m.Sender, a); ok {
+		if g, ok := b.handleRequest(from, m.Sender, a); ok {
 			grants = append(grants, g)
 		}
 	}
 	if len(grants) > 0 || fresh {
-		out = append(out, b.to(f, Message{Grants: grants, Usages: b.uses(m.Sender)}))
+		out = append(out, b.envelopeTo(f, Message{Grants: grants, Usages: b.usagesFor(m.Sender)}))
 	}
 	return out
 }
 
 // usable says whether a figure of a message can be reckoned with; a NaN is none.
-func usable(x float64) bool { return x >= 0 && x <= 1e6 }
+func validRatio(x float64) bool { return x >= 0 && x <= 1e6 }
 
 // granted takes a loan over that was asked for.
-func (b *Allocator) granted(from Member, g TransferGrant) {
-	e := b.entries[g.Key]
+func (b *Allocator) handleGrant(from Member, g TransferGrant) {
+	e := b.accounts[g.Key]
 	if e == nil {
 		return
 	}
-	for i := range e.loans {
-		l := &e.loans[i]
-		if l.id != g.Transfer || l.name != from.Name {
+	for i := range e.received {
+		l := &e.received[i]
+		if l.id != g.Transfer || l.peer != from.Name {
 			continue
 		}
-		if l.held && l.until <= b.now { // it has ended; what is lent now is another
+		if l.granted && l.expiresAt <= b.now { // it has ended; what is lent now is another
 			return
 		}
-		if g.Sequence != l.n || !(g.Share > 0 && g.Share <= l.part+1e-9) { // an answer to an earlier try: when that was is not known any more
+		if g.Sequence != l.sequence || !(g.Share > 0 && g.Share <= l.share+1e-9) { // an answer to an earlier try: when that was is not known any more
 			return
 		}
-		if !l.held {
-			l.held, l.part = true, g.Share
+		if !l.granted {
+			l.granted, l.share = true, g.Share
 			b.counts.Received++
 		}
-		l.until = max(l.until, l.asked+time.Duration(leaseShare*float64(TransferTerm)))
+		l.expiresAt = max(l.expiresAt, l.requestedAt+time.Duration(receiverTermFraction*float64(TransferTerm)))
 		return
 	}
 }
 
 // asked decides on a loan: it is lent for as long as it is not needed here.
-func (b *Allocator) asked(from Member, number int, a TransferRequest) (TransferGrant, bool) {
-	if !usable(a.Share) || a.Share <= 0 || a.Share > 1 || a.Spread < 2 || a.First < 0 || !holds(number, a.Spread, a.First, b.gateways) || a.MaxInFlight < 0 {
+func (b *Allocator) handleRequest(from Member, number int, a TransferRequest) (TransferGrant, bool) {
+	if !validRatio(a.Share) || a.Share <= 0 || a.Share > 1 || a.Spread < 2 || a.First < 0 || !inSpread(number, a.Spread, a.First, b.instances) || a.MaxInFlight < 0 {
 		b.counts.Invalid++
 		return TransferGrant{}, false
 	}
-	e := b.entry(a.Key, a.Spread, a.First, a.MaxInFlight)
-	if e == nil || e.spread != a.Spread || e.first != a.First || !b.settled() {
+	e := b.openAccount(a.Key, a.Spread, a.First, a.MaxInFlight)
+	if e == nil || e.spread != a.Spread || e.first != a.First || !b.earlierTransfersEnded() {
 		return TransferGrant{}, false
 	}
-	kept := floor(b.home(e), max(e.places, a.MaxInFlight))
-	if b.now-e.seen <= unheard {
-		kept = max(kept, min(b.home(e), spare*e.need.WantedShare))
+	kept := minRetainedShare(b.homeShare(e), max(e.maxInFlight, a.MaxInFlight))
+	if b.now-e.neededAt <= maxSilence {
+		kept = max(kept, min(b.homeShare(e), headroomFactor*e.need.WantedShare))
 	}
-	i := slices.IndexFunc(e.lent, func(l loan) bool { return l.id == a.Transfer && l.name == from.Name && l.life == from.Incarnation })
+	i := slices.IndexFunc(e.transferredOut, func(l transfer) bool {
+		return l.id == a.Transfer && l.peer == from.Name && l.incarnation == from.Incarnation
+	})
 	if i >= 0 {
-		l := &e.lent[i]
-		if l.until <= b.now { // its end has come: it is no more
+		l := &e.transferredOut[i]
+		if l.expiresAt <= b.now { // its end has come: it is no more
 			return TransferGrant{}, false
 		}
-		if b.own(e) < kept-1e-9 { // it is needed here
+		if b.retainedShare(e) < kept-1e-9 { // it is needed here
 			b.counts.Denied++
 			return TransferGrant{}, false
 		}
-		l.until = b.now + TransferTerm
-		return TransferGrant{a.Key, a.Transfer, a.Sequence, l.part}, true
+		l.expiresAt = b.now + TransferTerm
+		return TransferGrant{a.Key, a.Transfer, a.Sequence, l.share}, true
 	}
-	part := min(a.Share, b.own(e)-kept)
-	if part < leastLoan || len(e.lent) >= mostLoans {
+	part := min(a.Share, b.retainedShare(e)-kept)
+	if part < minTransferShare || len(e.transferredOut) >= maxTransfers {
 		b.counts.Denied++
 		return TransferGrant{}, false
 	}
-	e.lent = append(e.lent, loan{id: a.Transfer, name: from.Name, life: from.Incarnation, part: part, until: b.now + TransferTerm})
-	if b.now-e.seen > reserved { // nobody asks for it here: it is kept as long as its loans
-		e.seen = b.now - reserved
+	e.transferredOut = append(e.transferredOut, transfer{id: a.Transfer, peer: from.Name, incarnation: from.Incarnation, share: part, expiresAt: b.now + TransferTerm})
+	if b.now-e.neededAt > retention { // nobody asks for it here: it is kept as long as its loans
+		e.neededAt = b.now - retention
 	}
 	b.counts.Transferred++
 	return TransferGrant{a.Key, a.Transfer, a.Sequence, part}, true
@@ -586,19 +588,19 @@
 // Status is what is held, of the budgets with loans or with others who spend unheard, by key.
 func (b *Allocator) Status(now time.Duration) (out []Status) {
 	b.now = max(b.now, now)
-	for _, key := range slices.Sorted(maps.Keys(b.entries)) {
-		e := b.entries[key]
-		s := Status{Key: key, Home: b.home(e), Share: b.share(e), Unreported: b.away(e)}
-		for _, l := range e.lent {
-			if l.until > b.now {
-				s.Transferred += l.part
-				s.To = append(s.To, l.name)
+	for _, key := range slices.Sorted(maps.Keys(b.accounts)) {
+		e := b.accounts[key]
+		s := Status{Key: key, Home: b.homeShare(e), Share: b.heldShare(e), Unreported: b.unreportedShare(e)}
+		for _, l := range e.transferredOut {
+			if l.expiresAt > b.now {
+				s.Transferred += l.share
+				s.To = append(s.To, l.peer)
 			}
 		}
-		for _, l := range e.loans {
-			if l.held && l.until > b.now {
-				s.Received += l.part
-				s.From = append(s.From, l.name)
+		for _, l := range e.received {
+			if l.granted && l.expiresAt > b.now {
+				s.Received += l.share
+				s.From = append(s.From, l.peer)
 			}
 		}
 		out = append(out, s)
--- a/internal/escrow/escrow_test.go
+++ b/internal/escrow/escrow_test.go
@@ -17,28 +17,28 @@
 const ms = time.Millisecond
 
 // world is instances with clocks of their own, and messages on their way.
-type world struct {
-	now   time.Duration
-	rates []float64 // of their clocks
-	began []time.Duration
-	books []*Allocator // nil: it is down
-	lives []uint64
-	wants []float64
-	alone []bool
-	air   []flying
-	peak  float64
+type cluster struct {
+	now          time.Duration
+	rates        []float64 // of their clocks
+	startedAt    []time.Duration
+	allocators   []*Allocator // nil: it is down
+	incarnations []uint64
+	wanted       []float64
+	counterLost  []bool
+	network      []packet
+	peak         float64
 }
 
-type flying struct {
-	from Member
-	to   string
-	msg  Message
+type packet struct {
+	from    Member
+	to      string
+	message Message
 }
 
 const instances = 3
 
-func newWorld(rates ...float64) *world {
-	w := &world{now: time.Hour, rates: rates, wants: make([]float64, instances), alone: make([]bool, instances), books: make([]*Allocator, instances), lives: make([]uint64, instances), began: make([]time.Duration, instances)}
+func newCluster(rates ...float64) *cluster {
+	w := &cluster{now: time.Hour, rates: rates, wanted: make([]float64, instances), counterLost: make([]bool, instances), allocators: make([]*Allocator, instances), incarnations: make([]uint64, instances), startedAt: make([]time.Duration, instances)}
 	for i := range instances {
 		w.start(i)
 	}
@@ -46,57 +46,57 @@
 }
 
 // clock is an instance's own time: as many hours as others', and running wrong.
-func (w *world) clock(i int) time.Duration {
+func (w *cluster) clock(i int) time.Duration {
 	return time.Duration(i)*time.Hour + time.Duration(float64(w.now)*w.rates[i])
 }
 
-func (w *world) start(i int) {
-	w.lives[i]++
-	w.books[i] = New(i, instances, w.clock(i), rand.New(rand.NewPCG(uint64(i), w.lives[i])))
+func (w *cluster) start(i int) {
+	w.incarnations[i]++
+	w.allocators[i] = New(i, instances, w.clock(i), rand.New(rand.NewPCG(uint64(i), w.incarnations[i])))
 }
 
-func (w *world) name(i int) string { return string(rune('a' + i)) }
+func (w *cluster) name(i int) string { return string(rune('a' + i)) }
 
-func (w *world) tick(i int) {
-	if w.books[i] == nil {
+func (w *cluster) tick(i int) {
+	if w.allocators[i] == nil {
 		return
 	}
 	var members []Member
 	for j := range instances {
 		if j != i {
-			members = append(members, Member{w.name(j), w.lives[j]})
+			members = append(members, Member{w.name(j), w.incarnations[j]})
 		}
 	}
-	needs := []Need{{Key: "k", Spread: instances, WantedShare: w.wants[i], CounterLost: w.alone[i]}}
-	for _, s := range w.books[i].Tick(w.clock(i), needs, members) {
-		w.air = append(w.air, flying{Member{w.name(i), w.lives[i]}, s.To, s.Message})
+	needs := []Need{{Key: "k", Spread: instances, WantedShare: w.wanted[i], CounterLost: w.counterLost[i]}}
+	for _, s := range w.allocators[i].Tick(w.clock(i), needs, members) {
+		w.network = append(w.network, packet{Member{w.name(i), w.incarnations[i]}, s.To, s.Message})
 	}
 }
 
 // deliver brings a message; it stays on its way where it is to come twice.
-func (w *world) deliver(n int, again bool) {
-	f := w.air[n]
+func (w *cluster) deliver(n int, again bool) {
+	f := w.network[n]
 	if !again {
-		w.air = append(w.air[:n:n], w.air[n+1:]...)
+		w.network = append(w.network[:n:n], w.network[n+1:]...)
 	}
 	i := int(f.to[0] - 'a')
-	if w.books[i] == nil {
+	if w.allocators[i] == nil {
 		return
 	}
-	for _, s := range w.books[i].Receive(w.clock(i), f.from, f.msg) {
-		w.air = append(w.air, flying{Member{w.name(i), w.lives[i]}, s.To, s.Message})
+	for _, s := range w.allocators[i].Receive(w.clock(i), f.from, f.message) {
+		w.network = append(w.network, packet{Member{w.name(i), w.incarnations[i]}, s.To, s.Message})
 	}
 }
 
-func (w *world) all() {
-	for n := 0; len(w.air) > 0 && n < 1000; n++ {
+func (w *cluster) deliverAll() {
+	for n := 0; len(w.network) > 0 && n < 1000; n++ {
 		w.deliver(0, false)
 	}
 }
 
 // sum is what all hold together of the budget.
-func (w *world) sum() (sum float64) {
-	for i, b := range w.books {
+func (w *cluster) totalShare() (sum float64) {
+	for i, b := range w.allocators {
 		if b == nil {
 			continue
 		}
@@ -110,22 +110,22 @@
 	return sum
 }
 
-func (w *world) run(d time.Duration) {
+func (w *cluster) run(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += 50 * ms {
-		for i := range w.books {
+		for i := range w.allocators {
 			w.tick(i)
 		}
-		w.all()
+		w.deliverAll()
 	}
 }
 
-func (w *world) share(i int) float64 { return w.books[i].Allocations(w.clock(i))["k"].Share }
+func (w *cluster) share(i int) float64 { return w.allocators[i].Allocations(w.clock(i))["k"].Share }
 
 // What is asked for at one way comes there within a second, and goes back when the others need it; a way that wakes up has a floor at once.
-func TestFollowsNeed(t *testing.T) {
-	w := newWorld(1, 1, 1)
+func TestSharesFollowNeed(t *testing.T) {
+	w := newCluster(1, 1, 1)
 	w.run(1500 * ms)
-	w.wants = []float64{1, 0, 0}
+	w.wanted = []float64{1, 0, 0}
 	w.run(time.Second)
 	if got := w.share(0); got < 0.8 {
 		t.Errorf("the only one that needs it holds %.2f after a second", got)
@@ -133,26 +133,26 @@
 	if got := w.share(1); got < 0.08 || got > 0.1 {
 		t.Errorf("one that sleeps holds %.2f, a quarter of a third is its floor", got)
 	}
-	w.wants = []float64{1, 1, 1}
+	w.wanted = []float64{1, 1, 1}
 	w.run(1200 * ms)
 	for i := range instances {
 		if got := w.share(i); math.Abs(got-1.0/3) > 0.01 {
 			t.Errorf("all need it, and %d holds %.2f", i, got)
 		}
 	}
-	w.wants = []float64{0.2, 0.9, 0.05}
+	w.wanted = []float64{0.2, 0.9, 0.05}
 	w.run(1500 * ms)
 	if got := w.share(1); got < 0.6 {
 		t.Errorf("it moved, and 1 holds %.2f", got)
 	}
-	if w.sum() > 1+1e-9 {
-		t.Error(w.sum())
+	if w.totalShare() > 1+1e-9 {
+		t.Error(w.totalShare())
 	}
 }
 
 // Instances that start together, or one beside others that hold nothing of it, need not wait for loans that there are not.
-func TestSettledAtOnce(t *testing.T) {
-	w := newWorld(1, 1, 1)
+func TestStartWithoutEarlierTransfers(t *testing.T) {
+	w := newCluster(1, 1, 1)
 	w.run(200 * ms)
 	for i := range instances {
 		if got := w.share(i); math.Abs(got-1.0/3) > 1e-9 {
@@ -165,7 +165,7 @@
 	if got := w.share(1); math.Abs(got-1.0/3) > 1e-9 {
 		t.Errorf("a starter of whom nobody holds anything holds %.2f after 200 ms", got)
 	}
-	w.wants = []float64{1, 0, 0}
+	w.wanted = []float64{1, 0, 0}
 	w.run(time.Second)
 	w.start(1)
 	w.run(200 * ms)
@@ -176,31 +176,41 @@
 
 // A holder of half of the rights that is killed, stopped for long or started anew: nothing is held twice, and its part is back with its lender
 // within a lease.
-func TestHolderLost(t *testing.T) {
-	for name, lose := range map[string]func(w *world){
-		"killed":             func(w *world) { w.books[0] = nil },
-		"restarted":          func(w *world) { w.start(0) },
-		"restarted twice":    func(w *world) { w.start(0); w.run(400 * ms); w.start(0) },
-		"the lender starts":  func(w *world) { w.start(1) },
-		"both start":         func(w *world) { w.start(0); w.start(1) },
-		"stopped and woken":  func(w *world) { b := w.books[0]; w.books[0] = nil; w.run(5 * time.Second); w.books[0] = b },
-		"the lender stopped": func(w *world) { b := w.books[1]; w.books[1] = nil; w.run(5 * time.Second); w.books[1] = b },
+func TestHolderIsLost(t *testing.T) {
+	for name, lose := range map[string]func(w *cluster){
+		"killed":            func(w *cluster) { w.allocators[0] = nil },
+		"restarted":         func(w *cluster) { w.start(0) },
+		"restarted twice":   func(w *cluster) { w.start(0); w.run(400 * ms); w.start(0) },
+		"the lender starts": func(w *cluster) { w.start(1) },
+		"both start":        func(w *cluster) { w.start(0); w.start(1) },
+		"stopped and woken": func(w *cluster) {
+			b := w.allocators[0]
+			w.allocators[0] = nil
+			w.run(5 * time.Second)
+			w.allocators[0] = b
+		},
+		"the lender stopped": func(w *cluster) {
+			b := w.allocators[1]
+			w.allocators[1] = nil
+			w.run(5 * time.Second)
+			w.allocators[1] = b
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1, 1, 1)
+			w := newCluster(1, 1, 1)
 			w.run(1500 * ms)
-			w.wants = []float64{1, 0, 0}
+			w.wanted = []float64{1, 0, 0}
 			w.run(time.Second)
-			w.wants = []float64{1, 1, 1}
+			w.wanted = []float64{1, 1, 1}
 			lose(w)
 			for range 60 {
-				if got := w.sum(); got > 1+1e-9 {
+				if got := w.totalShare(); got > 1+1e-9 {
 					t.Fatalf("they hold %.3f together", got)
 				}
 				w.run(50 * ms)
 			}
 			for i := range instances {
-				if w.books[i] != nil && w.share(i) < 1.0/3-1e-9 {
+				if w.allocators[i] != nil && w.share(i) < 1.0/3-1e-9 {
 					t.Errorf("%d holds %.2f after three seconds", i, w.share(i))
 				}
 			}
@@ -210,11 +220,11 @@
 
 // Whatever is lost, late, doubled or out of order, whoever dies, stops or starts anew, with clocks that are hours apart and run up to a tenth
 // wrong: all hold no more than the budget.
-func TestNeverMoreThanTheBudget(t *testing.T) {
+func TestSharesNeverExceedBudget(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.91, 1.09)
-		w := newWorld(rate.Draw(t, "a"), rate.Draw(t, "b"), rate.Draw(t, "c"))
+		w := newCluster(rate.Draw(t, "a"), rate.Draw(t, "b"), rate.Draw(t, "c"))
 		if rapid.Bool().Draw(t, "warm") {
 			w.run(1500 * ms)
 		}
@@ -223,24 +233,24 @@
 			switch what := rapid.IntRange(0, 11).Draw(t, "what"); {
 			case what < 3:
 				w.tick(i)
-			case what < 7 && len(w.air) > 0:
-				w.deliver(rapid.IntRange(0, len(w.air)-1).Draw(t, "message"), rapid.IntRange(0, 4).Draw(t, "twice") == 0)
-			case what == 7 && len(w.air) > 0:
-				n := rapid.IntRange(0, len(w.air)-1).Draw(t, "lost")
-				w.air = append(w.air[:n:n], w.air[n+1:]...)
+			case what < 7 && len(w.network) > 0:
+				w.deliver(rapid.IntRange(0, len(w.network)-1).Draw(t, "message"), rapid.IntRange(0, 4).Draw(t, "twice") == 0)
+			case what == 7 && len(w.network) > 0:
+				n := rapid.IntRange(0, len(w.network)-1).Draw(t, "lost")
+				w.network = append(w.network[:n:n], w.network[n+1:]...)
 			case what == 8:
-				w.wants[i] = []float64{0, 0.1, 0.5, 1}[rapid.IntRange(0, 3).Draw(t, "want")]
+				w.wanted[i] = []float64{0, 0.1, 0.5, 1}[rapid.IntRange(0, 3).Draw(t, "want")]
 			case what == 9 && rapid.IntRange(0, 3).Draw(t, "die") == 0:
 				w.start(i)
 			default:
 				w.now += time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * ms
 			}
-			if got := w.sum(); got > 1+1e-9 {
+			if got := w.totalShare(); got > 1+1e-9 {
 				t.Fatalf("they hold %.4f together", got)
 			}
 		}
-		for i, b := range w.books {
-			if b.Counts().Received > 0 && w.lives[i] > 0 {
+		for i, b := range w.allocators {
+			if b.Counts().Received > 0 && w.incarnations[i] > 0 {
 				moved++
 				break
 			}
@@ -252,41 +262,41 @@
 }
 
 // copied is the world as it stands, to be gone on with in another way.
-func (w *world) copied() *world {
+func (w *cluster) clone() *cluster {
 	c := *w
-	c.books, c.lives, c.wants, c.air = slices.Clone(w.books), slices.Clone(w.lives), slices.Clone(w.wants), slices.Clone(w.air)
-	for i, b := range w.books {
+	c.allocators, c.incarnations, c.wanted, c.network = slices.Clone(w.allocators), slices.Clone(w.incarnations), slices.Clone(w.wanted), slices.Clone(w.network)
+	for i, b := range w.allocators {
 		x := *b
 		x.rng = rand.New(rand.NewPCG(uint64(i), uint64(w.now)))
-		x.entries, x.fellows, x.numbers, x.hello = map[string]*entry{}, map[int]*fellow{}, maps.Clone(b.numbers), maps.Clone(b.hello)
-		for k, e := range b.entries {
+		x.accounts, x.peers, x.peerNumbers, x.nextHelloAt = map[string]*account{}, map[int]*peer{}, maps.Clone(b.peerNumbers), maps.Clone(b.nextHelloAt)
+		for k, e := range b.accounts {
 			y := *e
-			y.lent, y.loans = slices.Clone(e.lent), slices.Clone(e.loans)
-			x.entries[k] = &y
+			y.transferredOut, y.received = slices.Clone(e.transferredOut), slices.Clone(e.received)
+			x.accounts[k] = &y
 		}
-		for k, f := range b.fellows {
+		for k, f := range b.peers {
 			y := *f
-			y.uses = maps.Clone(f.uses)
-			x.fellows[k] = &y
+			y.usages = maps.Clone(f.usages)
+			x.peers[k] = &y
 		}
-		c.books[i] = &x
+		c.allocators[i] = &x
 	}
 	return &c
 }
 
 // Explored whole to a depth: two ways that want and one that lends, every order of ticks, of messages that come, come twice or are lost, of time,
 // and of starts anew. HITCHSPRING_EXPLORE goes deeper.
-func TestEveryOrder(t *testing.T) {
+func TestExploreOrders(t *testing.T) {
 	deep, _ := strconv.Atoi(os.Getenv("HITCHSPRING_EXPLORE"))
 	deep = min(max(deep, 5), 8)
 	states, lent := 0, 0
-	var walk func(w *world, path []int)
-	walk = func(w *world, path []int) {
+	var walk func(w *cluster, path []int)
+	walk = func(w *cluster, path []int) {
 		states++
-		if got := w.sum(); got > 1+1e-9 {
+		if got := w.totalShare(); got > 1+1e-9 {
 			t.Fatalf("%v: they hold %.4f together", path, got)
 		}
-		for _, b := range w.books {
+		for _, b := range w.allocators {
 			if b.Counts().Received > 0 {
 				lent++
 				break
@@ -295,8 +305,8 @@
 		if len(path) == deep {
 			return
 		}
-		for p := range 6 + 2*len(w.air) {
-			x, n := w.copied(), len(w.air)
+		for p := range 6 + 2*len(w.network) {
+			x, n := w.clone(), len(w.network)
 			switch {
 			case p < 2:
 				x.tick(p)
@@ -313,16 +323,16 @@
 			default:
 				x.deliver(p-6-n, true)
 			}
-			if len(x.air) > 3 { // few at a time, the oldest are lost
-				x.air = x.air[len(x.air)-3:]
+			if len(x.network) > 3 { // few at a time, the oldest are lost
+				x.network = x.network[len(x.network)-3:]
 			}
 			walk(x, append(path[:len(path):len(path)], p))
 		}
 	}
-	w := newWorld(1, 1.09, 0.91)
+	w := newCluster(1, 1.09, 0.91)
 	w.run(1100 * ms)
-	w.wants = []float64{1, 0.9, 0}
-	w.air = nil
+	w.wanted = []float64{1, 0.9, 0}
+	w.network = nil
 	walk(w, nil)
 	t.Logf("%d orders of up to %d steps, with a loan in %d", states, deep, lent)
 	if lent == 0 {
@@ -331,7 +341,7 @@
 }
 
 // What is spent unheard: as much as one says that is alone; of one that is not heard itself what it wanted, but for what the totals show.
-func TestAway(t *testing.T) {
+func TestUnreportedShare(t *testing.T) {
 	for name, c := range map[string]struct {
 		alone  bool
 		quiet  time.Duration
@@ -363,12 +373,12 @@
 }
 
 // What no instance of the fleet can mean changes nothing.
-func TestNonsense(t *testing.T) {
-	w := newWorld(1, 1, 1)
+func TestInvalidMessagesAreIgnored(t *testing.T) {
+	w := newCluster(1, 1, 1)
 	w.run(1500 * ms)
-	b := w.books[0]
-	book := w.books[1].id
-	from := Member{"b", w.lives[1]}
+	b := w.allocators[0]
+	book := w.allocators[1].nonce
+	from := Member{"b", w.incarnations[1]}
 	before := fmt.Sprint(b.Allocations(w.clock(0)))
 	ask := func(a TransferRequest) Message {
 		return Message{Sender: 1, Instances: instances, Requests: []TransferRequest{a}}
