--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -250,7 +250,7 @@
 // Refused takes note that a datagram to an advertised address was turned back by its host.
 func (e *Engine) Refused(now time.Duration, addr string) []Packet {
 	e.out, e.now = nil, now
-	e.swim(e.member.Refused(now, addr))
+	e.swim(e.member.HandleRefusal(now, addr))
 	return e.out
 }
 
--- a/internal/swim/bounds_test.go
+++ b/internal/swim/bounds_test.go
@@ -30,7 +30,7 @@
 	}
 	receiveFrom(m, now, 0, Left)
 	now += leftRetention + time.Second
-	m.lastReap, m.now = now-reapPeriod, now
+	m.lastReap, m.now = now-reapInterval, now
 	m.reapMembers()
 	receiveFrom(m, now, MaxMembers, Alive)
 	if _, known := m.Member(fmt.Sprintf("m%04d", MaxMembers)); !known || m.AliveCount() != MaxMembers {
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -89,8 +89,8 @@
 	Name, Addr, Zone string
 	Incarnation      uint64
 	Seeds            []string      // addresses that are asked while they are not known as members'
-	Period           time.Duration // between two probes
-	Timeout          time.Duration // of a direct probe; then others are asked to try
+	ProbeInterval           time.Duration // between two probes
+	ProbeTimeout          time.Duration // of a direct probe; then others are asked to try
 }
 
 // MaxMembers bounds the other members that are known, those that have gone among them. Memory is taken by need.
@@ -98,33 +98,33 @@
 
 // Usual times and bounds.
 const (
-	DefaultPeriod           = 200 * time.Millisecond
-	DefaultTimeout          = 80 * time.Millisecond
+	DefaultProbeInterval           = 200 * time.Millisecond
+	DefaultProbeTimeout          = 80 * time.Millisecond
 	indirectProbes          = 3                // members that are asked to probe in one's place
-	minSuspicionPeriods     = 2.5              // least time of a suspicion, in periods
+	minSuspicionIntervals     = 2.5              // least time of a suspicion, in periods
 	suspicionMaxFactor      = 3                // times that, without any confirmation
 	maxHealthScore          = 8                // of the local health: timeouts grow up to so many times and one
 	updatesPerMessage       = 6                // updates in a message
 	rosterPageSize          = 12               // members in a page of the roster
 	retransmitFactor        = 3.0              // times log2 of the members that an update is sent on
-	reconnectPeriod         = time.Second      // between two tries to reach a seed or a dead member, of all together
-	syncPeriod              = time.Second      // between two comparisons of whole rosters, at the least
-	membersPerSyncPeriod    = 40               // members for each of which that time grows by itself
+	reconnectInterval         = time.Second      // between two tries to reach a seed or a dead member, of all together
+	syncInterval              = time.Second      // between two comparisons of whole rosters, at the least
+	membersPerSyncInterval    = 40               // members for each of which that time grows by itself
 	deadRetention           = 10 * time.Minute // a dead member is tried and remembered for so long
 	leftRetention           = time.Minute      // the same of one that left
-	reapPeriod              = time.Second
+	reapInterval              = time.Second
 	maxStringBytes          = 64
 	maxNameTakeovers        = 3 // lives that are taken on after others of the name, before it is held to be in use
 	leaveFanout             = 8
 	maxRelays               = 4 * indirectProbes
-	stallPeriods            = 1.5                    // a tick so late says that this process did not run
+	stallIntervals            = 1.5                    // a tick so late says that this process did not run
 	reconnectsPerSeed       = 3                      // of the tries one in so many goes to a seed, the others to dead members
-	joinPeriod              = 100 * time.Millisecond // the same while nobody is known
+	joinInterval              = 100 * time.Millisecond // the same while nobody is known
 	maxRumors               = 1024
 	maxUpdatesRead          = 64
 	refusalQuorum           = 2                      // members that were turned back: what that takes to shorten a suspicion
 	refusalSuspicionTimeout = 60 * time.Millisecond  // for a refutation then
-	refusalProbePeriod      = 100 * time.Millisecond // between two tries of one's own to confirm that
+	refusalProbeInterval      = 100 * time.Millisecond // between two tries of one's own to confirm that
 	refusalDistrustTime     = 10 * time.Second       // such hints count for nothing after one of them was refuted
 	refusalFanout           = 8                      // members that are told at once
 )
@@ -186,7 +186,7 @@
 	self              Update
 	takeovers         int
 	leftReason        string // why it takes part no longer
-	leaving           bool
+	left           bool
 	members           map[string]*member
 	names             []string // of all members, sorted
 	probeRound        []string // who is probed next
@@ -222,13 +222,13 @@
 
 // New returns a member that knows nobody.
 func New(cfg Config, now time.Duration, rng *rand.Rand) *Machine {
-	cfg.Period = cmp.Or(cfg.Period, DefaultPeriod)
-	cfg.Timeout = cmp.Or(cfg.Timeout, min(DefaultTimeout, cfg.Period*2/5))
+	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, DefaultProbeInterval)
+	cfg.ProbeTimeout = cmp.Or(cfg.ProbeTimeout, min(DefaultProbeTimeout, cfg.ProbeInterval*2/5))
 	m := &Machine{
 		cfg: cfg, rng: rng, now: now, members: map[string]*member{}, lastTick: now,
 		self: Update{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Incarnation: cfg.Incarnation},
 	}
-	m.nextProbe = now + m.jitter(cfg.Period)
+	m.nextProbe = now + m.jitter(cfg.ProbeInterval)
 	m.nextReconnect = now
 	m.viewHash = updateHash(m.self)
 	return m
@@ -302,7 +302,7 @@
 // Tick does what is due.
 func (m *Machine) Tick(now time.Duration) []Envelope {
 	m.now, m.outbox = max(now, m.now), nil
-	if m.leftReason != "" || m.leaving {
+	if m.leftReason != "" || m.left {
 		m.lastTick, m.nextProbe, m.nextReconnect = m.now, m.now+time.Hour, m.now+time.Hour
 		m.probe = probe{}
 		return nil
@@ -336,13 +336,13 @@
 // stall notices that this process has not run: what it did not hear meanwhile says nothing of the others.
 func (m *Machine) detectStall() {
 	late := m.now - max(m.lastTick, min(m.nextProbe, m.nextReconnect))
-	if late < time.Duration(stallPeriods*float64(m.cfg.Period)) {
+	if late < time.Duration(stallIntervals*float64(m.cfg.ProbeInterval)) {
 		return
 	}
 	m.counts.Stalls++
 	m.degradeHealth()
 	m.probe = probe{}
-	m.nextProbe = m.now + m.jitter(m.cfg.Period)
+	m.nextProbe = m.now + m.jitter(m.cfg.ProbeInterval)
 	for _, n := range m.suspects {
 		m.members[n].suspicionEnd += late
 	}
@@ -358,12 +358,12 @@
 
 func (m *Machine) startProbe() {
 	target := m.nextProbeTarget()
-	m.nextProbe = m.now + m.scaleByHealth(m.cfg.Period)
+	m.nextProbe = m.now + m.scaleByHealth(m.cfg.ProbeInterval)
 	if target == "" {
 		return
 	}
 	x := m.members[target]
-	m.probe = probe{target: target, nonce: m.newNonce(), at: m.now, indirectAt: m.now + m.scaleByHealth(m.cfg.Timeout), endsAt: m.nextProbe, began: true}
+	m.probe = probe{target: target, nonce: m.newNonce(), at: m.now, indirectAt: m.now + m.scaleByHealth(m.cfg.ProbeTimeout), endsAt: m.nextProbe, began: true}
 	m.send(x.Addr, &Message{Kind: Ping, To: target, Nonce: m.probe.nonce}, x)
 }
 
@@ -444,9 +444,9 @@
 // reachOut tries a seed that is nobody's address, or a member that is held to be dead: a part that was cut off comes back
 // by itself, from whichever side is heard first.
 func (m *Machine) reconnect() {
-	wait := reconnectPeriod
+	wait := reconnectInterval
 	if m.aliveCount == 0 {
-		wait = joinPeriod << min(m.reconnectAttempts, 3)
+		wait = joinInterval << min(m.reconnectAttempts, 3)
 	}
 	m.nextReconnect = m.now + m.jitter(wait)
 	m.reconnectAttempts++
@@ -469,7 +469,7 @@
 
 // forget drops who has been gone for long.
 func (m *Machine) reapMembers() {
-	if m.now-m.lastReap < reapPeriod {
+	if m.now-m.lastReap < reapInterval {
 		return
 	}
 	m.lastReap = m.now
@@ -489,10 +489,10 @@
 // Leave tells a few members that this one goes; it takes part no longer.
 func (m *Machine) Leave(now time.Duration) []Envelope {
 	m.now, m.outbox = max(now, m.now), nil
-	if m.leaving || m.leftReason != "" {
+	if m.left || m.leftReason != "" {
 		return nil
 	}
-	m.leaving = true
+	m.left = true
 	m.self.State = Left
 	for _, x := range m.sampleMembers(leaveFanout, func(x *member) bool { return x.State <= Suspect }) {
 		m.send(x.Addr, &Message{To: x.Name}, nil)
@@ -505,7 +505,7 @@
 	m.now, m.outbox = max(now, m.now), nil
 	from := msg.Self
 	switch {
-	case m.leftReason != "" || m.leaving:
+	case m.leftReason != "" || m.left:
 		return nil
 	case from.Name == m.self.Name && from.Incarnation == m.self.Incarnation, msg.To != "" && msg.To != m.self.Name:
 		m.counts.Stray++
@@ -541,7 +541,7 @@
 		m.handleAck(msg.Nonce)
 	case PingReq:
 		if t := m.members[msg.Target]; t != nil && len(m.relays) < maxRelays {
-			r := relay{nonce: m.newNonce(), originNonce: msg.Nonce, originAddr: from.Addr, expiresAt: m.now + m.cfg.Period}
+			r := relay{nonce: m.newNonce(), originNonce: msg.Nonce, originAddr: from.Addr, expiresAt: m.now + m.cfg.ProbeInterval}
 			m.relays = append(m.relays, r)
 			m.send(t.Addr, &Message{Kind: Ping, To: t.Name, Nonce: r.nonce}, t)
 		}
@@ -577,13 +577,13 @@
 
 // compare reads another's whole roster where the two differ, not too often: rumours end, and this does not.
 func (m *Machine) syncIfDifferent(msg *Message, from Update) {
-	if m.syncWith != "" && m.now-m.syncProgressAt > syncPeriod {
+	if m.syncWith != "" && m.now-m.syncProgressAt > syncInterval {
 		m.syncWith = ""
 	}
 	if msg.ViewHash == m.viewHash || m.now < m.nextSync || m.syncWith != "" || from.State > Suspect {
 		return
 	}
-	m.nextSync = m.now + m.jitter(syncPeriod*time.Duration(1+len(m.names)/membersPerSyncPeriod))
+	m.nextSync = m.now + m.jitter(syncInterval*time.Duration(1+len(m.names)/membersPerSyncInterval))
 	m.syncWith, m.syncProgressAt = from.Name, m.now
 	m.send(from.Addr, &Message{Kind: RosterRequest, To: from.Name}, nil)
 }
@@ -684,9 +684,9 @@
 // Refused takes note that a message to an address was turned back by its host: no process listens there. That is a hint and no more (it may
 // be forged, or of one way alone), but one that comes within a moment of a death: the others are told at once, try themselves, and where two
 // were turned back and nobody refutes it, the member is held to be dead without the patience that silence needs.
-func (m *Machine) Refused(now time.Duration, addr string) []Envelope {
+func (m *Machine) HandleRefusal(now time.Duration, addr string) []Envelope {
 	m.now, m.outbox = max(now, m.now), nil
-	if m.leftReason != "" || m.leaving {
+	if m.leftReason != "" || m.left {
 		return nil
 	}
 	for _, n := range m.names {
@@ -719,7 +719,7 @@
 	if len(x.refusedBy) >= refusalQuorum {
 		x.suspicionEnd = min(x.suspicionEnd, m.now+refusalSuspicionTimeout)
 	}
-	if !slices.Contains(x.refusedBy, m.self.Name) && (x.refusalProbedAt == 0 || m.now-x.refusalProbedAt >= refusalProbePeriod) {
+	if !slices.Contains(x.refusedBy, m.self.Name) && (x.refusalProbedAt == 0 || m.now-x.refusalProbedAt >= refusalProbeInterval) {
 		x.refusalProbedAt = m.now
 		m.send(x.Addr, &Message{Kind: Ping, To: x.Name, Nonce: m.newNonce()}, x)
 	}
@@ -770,7 +770,7 @@
 // patience is how long a suspicion lasts that so many have confirmed: the more, the shorter.
 func (m *Machine) suspicionTimeout(confirmed int) time.Duration {
 	n := float64(m.aliveCount + 1)
-	least := minSuspicionPeriods * float64(m.cfg.Period) * max(1, math.Log10(n))
+	least := minSuspicionIntervals * float64(m.cfg.ProbeInterval) * max(1, math.Log10(n))
 	most := least * suspicionMaxFactor
 	k := min(indirectProbes, m.aliveCount-2) // others that could confirm it
 	if k < 1 {
--- a/internal/swim/swim_test.go
+++ b/internal/swim/swim_test.go
@@ -77,7 +77,7 @@
 		for len(c.refusals) > 0 {
 			r := c.refusals[0]
 			c.refusals = c.refusals[1:]
-			c.deliver(r[0], c.members[r[0]].Refused(c.now, r[1]))
+			c.deliver(r[0], c.members[r[0]].HandleRefusal(c.now, r[1]))
 		}
 		switch {
 		case ticks != "":
@@ -420,7 +420,7 @@
 		w.run(8 * time.Second)
 		x := w.members["at-m004"]
 		for _, a := range []string{"at-m000", "at-m001", "at-m002"} { // forged, or of a moment
-			w.deliver(a, w.members[a].Refused(w.now, "at-m004"))
+			w.deliver(a, w.members[a].HandleRefusal(w.now, "at-m004"))
 		}
 		dead := false
 		for end := w.now + 3*time.Second; w.now < end; {
@@ -430,7 +430,7 @@
 		if dead || x.Counts().Refuted == 0 {
 			t.Errorf("held to be dead %v, refuted %d", dead, x.Counts().Refuted)
 		}
-		if out := w.members["at-m000"].Refused(w.now, "at-m004"); len(out) > 0 {
+		if out := w.members["at-m000"].HandleRefusal(w.now, "at-m004"); len(out) > 0 {
 			t.Errorf("%d messages for a hint that was refuted a moment ago", len(out))
 		}
 	})
