--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -7,90 +7,118 @@
 	"hitchspring/policy"
 )
 
-// Status is what the book holds, for people and figures. It shares nothing with the book.
+// grayFailureShare is the share of its nominal capacity below which a zone that is up has a gray failure.
+const grayFailureShare = 0.5
+
+// Status is the state of all zones, for operators and metrics. It shares no memory with the tracker.
 type Status struct {
-	Own            string       `json:"own"`
-	AvailableShare float64      `json:"reach"`   // share of all halls' capacity that is to be had
-	Panic          bool         `json:"panic"`   // no hall is preferred
-	PlannedSpill   float64      `json:"planned"` // share of this instance's work that leaves its hall at the least
-	Spilled        float64      `json:"spilled"` // share that has, over the last second or so
+	Own            string       `json:"own"`     // this instance's zone
+	AvailableShare float64      `json:"reach"`   // share of the nominal capacity of all zones that is available
+	Panic          bool         `json:"panic"`   // no zone is preferred
+	PlannedSpill   float64      `json:"planned"` // share of this instance's work that is to leave its zone, at least
+	Spilled        float64      `json:"spilled"` // share that has left it, over the last second or so
 	Reason         string       `json:"why"`     // of the spill
 	Zones          []ZoneStatus `json:"halls"`   // by name
 }
 
-// Hall is one hall's part of it.
+// ZoneStatus is the state of one zone.
 type ZoneStatus struct {
 	Name        string        `json:"name"`
-	Tier        int           `json:"tier"` // 0: its own, 1: near, 2: any
-	State       string        `json:"state"`
-	Since       time.Duration `json:"since_ns"` // how long ago that began
-	Reason      string        `json:"why,omitempty"`
-	GrayFailure bool          `json:"grey"`     // it answers, and can take less than half of what it should
-	Backends    int           `json:"nodes"`    // running by the list
-	Proven      int           `json:"proven"`   // of them, not held to be bad or unproven
-	Nominal     float64       `json:"nominal"`  // what it has had of late, in usual warm nodes
-	Capacity    float64       `json:"capacity"` // what it can take now
-	Offered     float64       `json:"offered"`  // attempts a second that this instance sends there
-	Answered    float64       `json:"answered"` // a second
-	Late        float64       `json:"late"`     // share of ends that were late or bad
-	Share       float64       `json:"share"`    // of this instance's attempts
-	Ramp        float64       `json:"ramp"`     // share of its rate that it is let have
-	Rate        float64       `json:"rate"`     // the most a second; below 0: any
-	Price       float64       `json:"price"`    // against a node at home with the same load
-	Caution     int           `json:"caution"`  // losses that are not forgotten: each doubles the ramp
+	Tier        int           `json:"tier"`          // locality priority; 0: own, 1: near, 2: any other
+	State       string        `json:"state"`         // a State's name
+	Since       time.Duration `json:"since_ns"`      // for how long it is in that state
+	Reason      string        `json:"why,omitempty"` // of the state
+	GrayFailure bool          `json:"grey"`          // it answers, and can take less than half of what it should
+	Backends    int           `json:"nodes"`         // running, by the endpoint list
+	Proven      int           `json:"proven"`        // of them, those that are neither unhealthy nor unproven
+	Nominal     float64       `json:"nominal"`       // capacity that it has had recently, in usual warm backends
+	Capacity    float64       `json:"capacity"`      // capacity now, in the same unit
+	Offered     float64       `json:"offered"`       // attempts a second that this instance sends there
+	Answered    float64       `json:"answered"`      // answers a second
+	Late        float64       `json:"late"`          // share of attempts that ended late or with a failure
+	Share       float64       `json:"share"`         // of this instance's attempts
+	Ramp        float64       `json:"ramp"`          // share of its rate that it may have
+	Rate        float64       `json:"rate"`          // limit of attempts a second; unlimited if below 0
+	Price       float64       `json:"price"`         // against a backend of the own zone with the same load
+	Caution     int           `json:"caution"`       // losses that are not forgotten; each doubles the recovery ramp
 }
 
-// Status returns the state as of a time.
-func (b *Tracker) Status(now time.Duration) Status {
-	s := Status{Own: b.cfg.Own, AvailableShare: b.reach, Panic: b.panicked, PlannedSpill: b.planned}
-	all := 0.0
-	for _, h := range b.order {
-		all += h.sent.now(now)
+// Status returns the state as of now.
+func (t *Tracker) Status(now time.Duration) Status {
+	status := Status{
+		Own:            t.cfg.Own,
+		AvailableShare: t.availableShare,
+		Panic:          t.panicking,
+		PlannedSpill:   t.plannedSpill,
+		Reason:         t.spillReason(),
+	}
+	total := 0.0 // attempts a second
+	for _, z := range t.sorted {
+		total += z.sent.get(now)
 	}
-	away := 0.0
-	for _, h := range b.order {
-		x := ZoneStatus{
-			Name: h.name, Tier: h.tier, State: h.state.String(), Since: now - h.since, Reason: h.why, Nominal: h.peak, Capacity: h.capacity, Offered: h.sent.now(now),
-			Answered: h.done.now(now), Late: h.late.now(now) / max(h.ends.now(now), 1), Ramp: h.share, Rate: h.rate, Price: h.price, Caution: h.caution,
+	spilled := 0.0 // of those
+	for _, z := range t.sorted {
+		zoneStatus := t.zoneStatus(now, z)
+		if total > 0 {
+			zoneStatus.Share = zoneStatus.Offered / total
 		}
-		for _, n := range h.nodes {
-			if b.takes(now, n) > 0 {
-				x.Proven++
-			}
-			if n.State == policy.Running {
-				x.Backends++
-			}
+		if z.priority != ownZone {
+			spilled += zoneStatus.Offered
 		}
-		x.GrayFailure = h.state == Up && h.peak > 0 && h.capacity < greyBelow*h.peak
-		if all > 0 {
-			x.Share = x.Offered / all
+		status.Zones = append(status.Zones, zoneStatus)
+	}
+	if total > 0 {
+		status.Spilled = spilled / total
+	}
+	return status
+}
+
+// zoneStatus returns the state of one zone, without its share of the attempts.
+func (t *Tracker) zoneStatus(now time.Duration, z *zone) ZoneStatus {
+	status := ZoneStatus{
+		Name:        z.name,
+		Tier:        int(z.priority),
+		State:       z.state.String(),
+		Since:       now - z.since,
+		Reason:      z.reason,
+		GrayFailure: z.state == Up && z.nominal > 0 && z.capacity < grayFailureShare*z.nominal,
+		Nominal:     z.nominal,
+		Capacity:    z.capacity,
+		Offered:     z.sent.get(now),
+		Answered:    z.answered.get(now),
+		Late:        lateShare(z.late.get(now), z.ended.get(now)),
+		Ramp:        z.rampShare,
+		Rate:        z.rateLimit,
+		Price:       z.price,
+		Caution:     z.caution,
+	}
+	for _, b := range z.backends {
+		if b.State == policy.Running {
+			status.Backends++
 		}
-		if h.tier != 0 {
-			away += x.Offered
+		if t.capacity(now, b) > 0 {
+			status.Proven++
 		}
-		s.Zones = append(s.Zones, x)
-	}
-	if all > 0 {
-		s.Spilled = away / all
 	}
-	s.Reason = b.why(now)
-	return s
+	return status
 }
 
-// why says in words what makes work leave the own hall.
-func (b *Tracker) why(now time.Duration) string {
-	own := b.halls[b.cfg.Own]
+// spillReason returns what makes work leave the own zone, as operators see it.
+func (t *Tracker) spillReason() string {
+	own := t.zones[t.cfg.Own]
 	switch {
-	case b.panicked:
-		return fmt.Sprintf("panic: %.0f%% of all capacity is to be had, below %.0f%% no hall is preferred", 100*b.reach, 100*b.cfg.Panic)
+	case t.panicking:
+		return fmt.Sprintf("panic: %.0f%% of all capacity is to be had, below %.0f%% no hall is preferred",
+			100*t.availableShare, 100*t.cfg.Panic)
 	case own == nil:
-		return fmt.Sprintf("no node of the own hall %q is listed", b.cfg.Own)
+		return fmt.Sprintf("no node of the own hall %q is listed", t.cfg.Own)
 	case own.state != Up:
-		return fmt.Sprintf("the own hall is %v: %s", own.state, own.why)
-	case b.keeps(own) < 1:
-		return fmt.Sprintf("the own hall can take %.1f of %.1f usual nodes", own.capacity, own.peak)
-	case b.relief > 0:
-		return fmt.Sprintf("the own hall answers later than the others: %.0f%% of the preference is given up", 100*b.relief)
+		return fmt.Sprintf("the own hall is %v: %s", own.state, own.reason)
+	case t.retainedShare(own) < 1:
+		return fmt.Sprintf("the own hall can take %.1f of %.1f usual nodes", own.capacity, own.nominal)
+	case t.relief > 0:
+		return fmt.Sprintf("the own hall answers later than the others: %.0f%% of the preference is given up",
+			100*t.relief)
 	}
 	return "a node elsewhere has less to do by more than its hall's price"
 }
