--- a/internal/core/budgets_test.go
+++ b/internal/core/budgets_test.go
@@ -22,9 +22,9 @@
 		for i := range channels {
 			l.Tenants = append(l.Tenants, policy.LearnedTenant{ID: fmt.Sprintf("c%05d", i), Tenant: fmt.Sprintf("c%05d", i), Plan: "p", Spread: 1, Demand: float64(i)})
 		}
-		g.mod.ImportState(time.Second, l)
+		g.engine.ImportState(time.Second, l)
 		reply := make(chan []overrun.Bound, 1)
-		g.budgets(budgetsAsked{reply: reply})
+		g.replyQuotaBounds(quotaBoundsRequested{reply: reply})
 		all := <-reply
 		if len(all) != want || all[0].Tenant != fmt.Sprintf("c%05d", channels-1) || all[len(all)-1].Tenant != fmt.Sprintf("c%05d", channels-want) {
 			t.Errorf("%d of %d channels are stated, from %q to %q", len(all), channels, all[0].Tenant, all[len(all)-1].Tenant)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,13 +30,13 @@
 )
 
 const (
-	eventQueue   = 256
-	memoryShare  = 8         // of the memory: commands held, commands coming in, answers unread, answers coming in
-	usualMemory  = 256 << 20 // where no limit is told
-	mostBatch    = 256
+	eventQueueLength   = 256
+	memoryShares  = 8         // of the memory: commands held, commands coming in, answers unread, answers coming in
+	defaultMemory  = 256 << 20 // where no limit is told
+	maxEventBatch    = 256
 	answerMargin = 20 * time.Millisecond // before the client gives up: the way back, and a busy machine
-	overdue      = 8 * time.Millisecond  // into the margin: the module should have answered by now
-	idleCheck    = time.Second
+	answerOverdueAfter      = 8 * time.Millisecond  // into the margin: the module should have answered by now
+	idleCheckInterval    = time.Second
 	probeTimeout = 250 * time.Millisecond // of a probe, which has no request whose time could end it
 )
 
@@ -67,7 +67,7 @@
 }
 
 // lister keeps the list of nodes up to date, as package discovery does.
-type lister interface {
+type endpointWatcher interface {
 	Run(context.Context)
 	SetAddress(addr string)
 	Ready() <-chan struct{}
@@ -87,10 +87,10 @@
 	Mismatched                   // of a Handed request: its id was asked with other particulars
 )
 
-var kindNames = [...]string{Failed: "failed", Served: "served", Rejected: "refused", Duplicate: "repeated", Granted: "granted", Concluded: "over", Mismatched: "other"}
+var answerKindNames = [...]string{Failed: "failed", Served: "served", Rejected: "refused", Duplicate: "repeated", Granted: "granted", Concluded: "over", Mismatched: "other"}
 
 // String is the kind's name.
-func (k AnswerKind) String() string { return kindNames[k] }
+func (k AnswerKind) String() string { return answerKindNames[k] }
 
 // Answer is the one final answer to a request; a front words it in its protocol.
 type Answer struct {
@@ -138,70 +138,70 @@
 	IdempotencyKey string // the client's key, of a class that has one
 	Size           int    // bytes that it holds
 	attempts       []*backend.Attempt
-	came           time.Duration
-	asked          time.Duration    // when Gone was asked last
-	passing        *backend.Attempt // brings a value that is passed on to the client
-	out            int
-	final          bool
-	why            policy.Reason // of its refusal or failure
-	kept           *keeping      // in custody; nil: it is not
+	arrivedAt           time.Duration
+	disconnectCheckedAt          time.Duration    // when Gone was asked last
+	streaming        *backend.Attempt // brings a value that is passed on to the client
+	inFlight            int
+	finished          bool
+	reason            policy.Reason // of its refusal or failure
+	pending           *pendingWork      // in custody; nil: it is not
 }
 
 // The events of a front.
 type (
-	arrived   struct{ r *Request }
-	abandoned struct{ reqs []*Request }
+	requestArrived   struct{ request *Request }
+	clientsDisconnected struct{ requests []*Request }
 )
 
 // event is what the core's goroutine is told by the others.
 type event any
 
 // endAll asks for a final answer to everything, at the end of a shutdown.
-type endAll struct{ done chan<- struct{} } // closed when all is answered
+type answerAllRequested struct{ done chan<- struct{} } // closed when all is answered
 
 // Core is one instance. Its goroutine owns everything but what is said to be otherwise, and never waits for a peer; its
 // exported methods are safe for many goroutines.
 type Core struct {
 	cfg     Config
-	net     settings.Connections
+	connections     settings.Connections
 	log     *slog.Logger
 	classes map[string]policy.Class
 	plans   map[string]bool
 	counter store.Counter // nil: the settings know none
-	disc    lister
+	discovery    endpointWatcher
 	events  chan event
 	stopped chan struct{}
 	spawned sync.WaitGroup
 	ctx     context.Context // of the goroutines that it spawns
 	stop    context.CancelFunc
-	start   time.Time
+	startedAt   time.Time
 	epoch   time.Duration // start on the clock that all ingresses share
 
-	mod       *policy.Engine
+	engine       *policy.Engine
 	now       time.Duration
-	alarms    alarms
+	timers    timerHeap
 	requests  map[policy.RequestID]*Request
-	keys      map[uint64]bool // ids of requests whose time is not up, ended or not
+	clientIDs      map[uint64]bool // ids of requests whose time is not up, ended or not
 	lastID    policy.RequestID
-	unread    int // messages of other instances that could not be read
-	nodes     pool
-	heldBytes int // bytes of their commands
+	unreadable    int // messages of other instances that could not be read
+	backends     pool
+	requestBytes int // bytes of their commands
 	actions   []policy.Action
-	queue     []policy.Event // for the module, from actions that ended at once
-
-	handing   *handing    // nil: no front hands attempts out
-	halls     *hallBook   // nil: nothing is known of halls
-	mostConns int         // to nodes
-	mostHeld  int         // of heldBytes
-	mostUnits float64     // of one request
-	judged    *judgements // nil: nobody tells of nodes
-	holding   *holding    // nil: each instance holds an even part
-	taking    *taking     // nil: work in hand ends with this instance
-	sum       *summary    // nil: no lines that sum up
-	fig       *metrics.Set
+	engineEvents     []policy.Event // for the module, from actions that ended at once
+
+	leases   *leaseTable    // nil: no front hands attempts out
+	zones     *zoneTracker   // nil: nothing is known of halls
+	maxConnections int         // to nodes
+	maxRequestBytes  int         // of heldBytes
+	maxUnits float64     // of one request
+	outliers    *outlierTracker // nil: nobody tells of nodes
+	escrow   *escrowState    // nil: each instance holds an even part
+	takeover    *takeoverState     // nil: work in hand ends with this instance
+	summary       *summary    // nil: no lines that sum up
+	metrics       *metrics.Set
 	guard     *guard.Monitor
-	ending    bool // the last answers have been given
-	ops       operators
+	allAnswered    bool // the last answers have been given
+	overrides       operatorOverrides
 }
 
 // New checks the configuration and returns a core that does not run yet.
@@ -217,7 +217,7 @@
 			return nil, fmt.Errorf("not an address: %w", err)
 		}
 	}
-	mod, err := policy.New(cfg.Settings, cfg.Seed)
+	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -231,46 +231,46 @@
 		cfg.Connections.Idle = 15 * time.Second
 	}
 	if cfg.Memory <= 0 {
-		cfg.Memory = usualMemory
+		cfg.Memory = defaultMemory
 	}
 	start := time.Now()
-	g := &Core{
-		cfg: cfg, net: cfg.Connections, log: log, classes: map[string]policy.Class{}, plans: map[string]bool{},
-		events: make(chan event, eventQueue), stopped: make(chan struct{}), start: start,
-		epoch: time.Duration(start.UnixNano()) + cfg.Clock.Ahead, mod: mod, requests: map[policy.RequestID]*Request{},
-		keys: map[uint64]bool{}, mostConns: cfg.Sockets * 3 / 8,
-		fig:      newFigures(cfg.Settings.Classes),
+	c := &Core{
+		cfg: cfg, connections: cfg.Connections, log: log, classes: map[string]policy.Class{}, plans: map[string]bool{},
+		events: make(chan event, eventQueueLength), stopped: make(chan struct{}), startedAt: start,
+		epoch: time.Duration(start.UnixNano()) + cfg.Clock.Ahead, engine: engine, requests: map[policy.RequestID]*Request{},
+		clientIDs: map[uint64]bool{}, maxConnections: cfg.Sockets * 3 / 8,
+		metrics:      newMetrics(cfg.Settings.Classes),
 		guard:    guard.NewMonitor(log),
-		ops:      operators{book: override.New(), store: cfg.Overrides, spoke: make(chan struct{}, 1)},
-		mostHeld: cfg.Memory / memoryShare, mostUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
+		overrides:      operatorOverrides{active: override.New(), store: cfg.Overrides, changed: make(chan struct{}, 1)},
+		maxRequestBytes: cfg.Memory / memoryShares, maxUnits: cmp.Or(cfg.Settings.MaxUnits, math.MaxFloat64),
 	}
-	g.nodes = backend.New(owner{g}, backend.Config{
-		OnSent: g.fig.AttemptSent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MaxConnections: g.nodeConns(cfg.Siblings),
-		Frames: resp.NewBudget(cfg.Memory / memoryShare),
+	c.backends = backend.New(poolOwner{c}, backend.Config{
+		OnSent: c.metrics.AttemptSent, ConnectTimeout: cfg.Connections.ConnectTimeout, Idle: cfg.Connections.Idle, MaxConnections: c.backendConnections(cfg.Siblings),
+		Frames: resp.NewBudget(cfg.Memory / memoryShares),
 	})
 	if cfg.Leases != nil {
-		g.handing = newHanding(*cfg.Leases)
+		c.leases = newLeaseTable(*cfg.Leases)
 	}
-	for _, c := range cfg.Settings.Classes {
-		g.classes[c.Name] = c
+	for _, class := range cfg.Settings.Classes {
+		c.classes[class.Name] = class
 	}
 	if cfg.Zones != nil {
-		g.halls = newHallBook(*cfg.Zones, cfg.Settings)
+		c.zones = newZoneTracker(*cfg.Zones, cfg.Settings)
 	}
 	if cfg.Takeover != nil {
-		g.taking = newTaking(*cfg.Takeover)
+		c.takeover = newTakeoverState(*cfg.Takeover)
 	}
 	if cfg.Escrow != nil {
-		g.holding = newHolding(cfg, g.clock(start))
+		c.escrow = newEscrowState(cfg, c.clock(start))
 	}
 	if cfg.Peers != nil {
-		g.judged = newJudgements(cfg)
+		c.outliers = newOutlierTracker(cfg)
 	}
 	for _, p := range cfg.Settings.Plans {
-		g.plans[p.Name] = true
+		c.plans[p.Name] = true
 	}
 	if cfg.Settings.Counter {
-		g.counter, err = cfg.Store(func(k *store.Call, r store.Result) { g.post(counted{k, r}) })
+		c.counter, err = cfg.Store(func(k *store.Call, r store.Result) { c.post(counterReplied{k, r}) })
 		if err != nil {
 			return nil, err
 		}
@@ -279,106 +279,106 @@
 	if cfg.Settings.PollEndpoints {
 		sharing = cfg.Settings.Instances
 	}
-	g.disc = discovery.New(cfg.Discovery, cfg.Known.Rev, sharing, len(cfg.Known.Targets) > 0,
-		func(f discovery.List) { g.post(f) }, log)
-	return g, nil
+	c.discovery = discovery.New(cfg.Discovery, cfg.Known.Rev, sharing, len(cfg.Known.Targets) > 0,
+		func(f discovery.List) { c.post(f) }, log)
+	return c, nil
 }
 
 // Move goes over to discovery and a counter at other addresses. It waits for nothing, may come at any time, and
 // the last of several counts. Clients, nodes and the module's books are left as they are.
-func (g *Core) SetAddresses(discovery, counter string) {
-	g.disc.SetAddress(discovery)
-	if g.counter != nil {
-		g.counter.SetAddress(counter)
+func (c *Core) SetAddresses(discovery, counter string) {
+	c.discovery.SetAddress(discovery)
+	if c.counter != nil {
+		c.counter.SetAddress(counter)
 	}
 }
 
 // Start begins to decide, from the known list, and to follow discovery; End ends it.
-func (g *Core) Start() {
-	g.ctx, g.stop = context.WithCancel(context.Background())
-	g.known()
-	g.spawn(g.loop)
-	if g.counter != nil {
-		g.spawn(g.counter.Run)
+func (c *Core) Start() {
+	c.ctx, c.stop = context.WithCancel(context.Background())
+	c.loadKnownEndpoints()
+	c.spawn(c.loop)
+	if c.counter != nil {
+		c.spawn(c.counter.Run)
 	}
-	g.spawn(g.disc.Run)
+	c.spawn(c.discovery.Run)
 }
 
 // Listed closes when discovery has brought a first list, or that has failed.
-func (g *Core) DiscoveryReady() <-chan struct{} { return g.disc.Ready() }
+func (c *Core) DiscoveryReady() <-chan struct{} { return c.discovery.Ready() }
 
 // End stops at once, whatever is open, and waits for all goroutines.
-func (g *Core) End() {
-	g.stop()
-	g.spawned.Wait()
-	g.checkOpen()
+func (c *Core) End() {
+	c.stop()
+	c.spawned.Wait()
+	c.checkUnanswered()
 }
 
 // Guard counts what must never happen.
-func (g *Core) Guard() *guard.Monitor { return g.guard }
+func (c *Core) Guard() *guard.Monitor { return c.guard }
 
 // Submit hands a request in; its Place is answered once, unless it is abandoned first.
-func (g *Core) Submit(r *Request) { g.post(arrived{r}) }
+func (c *Core) Submit(r *Request) { c.post(requestArrived{r}) }
 
 // Abandon tells that the clients of requests have gone: nothing waits for their answers any more.
-func (g *Core) NotifyDisconnected(reqs []*Request) { g.post(abandoned{reqs}) }
+func (c *Core) NotifyDisconnected(reqs []*Request) { c.post(clientsDisconnected{reqs}) }
 
 // EndAll gives a final answer to all that is open, and returns when each front has it, or when the core has ended.
-func (g *Core) AnswerAll() {
+func (c *Core) AnswerAll() {
 	done := make(chan struct{})
-	g.post(endAll{done})
+	c.post(answerAllRequested{done})
 	select {
 	case <-done:
-	case <-g.stopped:
+	case <-c.stopped:
 	}
 }
 
 // Class returns a class of the settings by its name.
-func (g *Core) Class(name string) (policy.Class, bool) {
-	c, ok := g.classes[name]
-	return c, ok
+func (c *Core) Class(name string) (policy.Class, bool) {
+	class, ok := c.classes[name]
+	return class, ok
 }
 
 // Plan reports whether the settings know a plan.
-func (g *Core) Plan(name string) bool { return g.plans[name] }
+func (c *Core) Plan(name string) bool { return c.plans[name] }
 
 // Gateways is how many instances there are.
-func (g *Core) Instances() int { return g.cfg.Settings.Instances }
+func (c *Core) Instances() int { return c.cfg.Settings.Instances }
 
 // MostUnits is the most that one request may take.
-func (g *Core) MaxUnits() float64 { return g.mostUnits }
+func (c *Core) MaxUnits() float64 { return c.maxUnits }
 
 // Room is what is left for fronts: descriptors, and bytes for each kind of what they hold.
-func (g *Core) FrontLimits() (sockets, memory int) {
-	return g.cfg.Sockets - g.mostConns, g.cfg.Memory / memoryShare
+func (c *Core) FrontLimits() (sockets, memory int) {
+	return c.cfg.Sockets - c.maxConnections, c.cfg.Memory / memoryShares
 }
 
 // GiveUpAt is when a client gives up that says so at a time, and will wait for so long; d is not believed beyond twice
 // the class's deadline. The answer goes out a little before.
-func (g *Core) GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration {
-	wait := min(d, 2*c.Deadline)
-	return g.clock(at) + wait - min(answerMargin, wait/4)
+func (c *Core) GiveUpAt(class policy.Class, at time.Time, d time.Duration) time.Duration {
+	wait := min(d, 2*class.Deadline)
+	return c.clock(at) + wait - min(answerMargin, wait/4)
 }
 
 // spawn starts a goroutine that ends with the core's life, and is waited for.
-func (g *Core) spawn(run func(context.Context)) {
-	g.spawned.Add(1)
+func (c *Core) spawn(run func(context.Context)) {
+	c.spawned.Add(1)
 	go func() {
-		defer g.spawned.Done()
-		run(g.ctx)
+		defer c.spawned.Done()
+		run(c.ctx)
 	}()
 }
 
 // post tells the core's goroutine; after its end nothing is told any more.
-func (g *Core) post(ev event) {
+func (c *Core) post(ev event) {
 	select {
-	case g.events <- ev:
-	case <-g.stopped:
+	case c.events <- ev:
+	case <-c.stopped:
 	}
 }
 
 // clock is the time that all ingresses share, advanced by the monotonic one.
-func (g *Core) clock(t time.Time) time.Duration { return g.epoch + g.cfg.Clock.passed(t.Sub(g.start)) }
+func (c *Core) clock(t time.Time) time.Duration { return c.epoch + c.cfg.Clock.passed(t.Sub(c.startedAt)) }
 
 // Clock says how wrong a process's clock is, for tests of what depends on clocks.
 type Clock struct {
@@ -394,274 +394,274 @@
 }
 
 // Now is the time on the clock that all instances share, as this one has it.
-func (g *Core) Now() time.Duration { return g.clock(time.Now()) }
+func (c *Core) Now() time.Duration { return c.clock(time.Now()) }
 
 // known hands the module the list that the configuration brought, before anything else.
-func (g *Core) known() {
-	g.now = g.clock(time.Now())
-	f := g.cfg.Known.Usable(g.log)
+func (c *Core) loadKnownEndpoints() {
+	c.now = c.clock(time.Now())
+	f := c.cfg.Known.Usable(c.log)
 	f.Complete = true
-	g.handle(f)
+	c.handle(f)
 }
 
 // loop is the goroutine that owns all below.
-func (g *Core) loop(ctx context.Context) {
-	defer close(g.stopped)
-	g.after(idleCheck, g.checkIdle)
-	if g.halls != nil {
-		g.tickHalls()
+func (c *Core) loop(ctx context.Context) {
+	defer close(c.stopped)
+	c.scheduleAfter(idleCheckInterval, c.retireIdle)
+	if c.zones != nil {
+		c.tickZones()
 	}
-	if g.judged != nil {
-		g.judge()
+	if c.outliers != nil {
+		c.tickOutliers()
 	}
-	if g.taking != nil {
-		g.lookAtDesk()
+	if c.takeover != nil {
+		c.tickTakeover()
 	}
-	if g.holding != nil {
-		g.lookAtRights()
+	if c.escrow != nil {
+		c.runEscrow()
 	}
-	g.summarize()
-	if g.cfg.Operated {
-		g.lookAtCluster()
+	c.startSummary()
+	if c.cfg.Operated {
+		c.updateBackendCounts()
 	}
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	wakeup := time.NewTimer(0)
+	defer wakeup.Stop()
 	for {
-		timer.Reset(g.alarms[0].at - g.clock(time.Now()))
+		wakeup.Reset(c.timers[0].at - c.clock(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
-		case ev := <-g.events:
-			g.now = g.clock(time.Now())
-			g.handle(ev)
-			for n := 1; n < mostBatch && len(g.events) > 0; n++ {
-				g.handle(<-g.events)
+		case ev := <-c.events:
+			c.now = c.clock(time.Now())
+			c.handle(ev)
+			for n := 1; n < maxEventBatch && len(c.events) > 0; n++ {
+				c.handle(<-c.events)
 			}
-		case <-g.ops.spoke:
-			g.now = g.clock(time.Now())
-			g.relist()
-		case <-timer.C:
+		case <-c.overrides.changed:
+			c.now = c.clock(time.Now())
+			c.reapplyOverrides()
+		case <-wakeup.C:
 		}
-		g.now = g.clock(time.Now())
-		g.ring()
+		c.now = c.clock(time.Now())
+		c.fireTimers()
 	}
 }
 
 // ring does what is due.
-func (g *Core) ring() {
-	for len(g.alarms) > 0 && g.alarms[0].at <= g.now {
-		heap.Pop(&g.alarms).(alarm).ring()
-		g.flush()
+func (c *Core) fireTimers() {
+	for len(c.timers) > 0 && c.timers[0].at <= c.now {
+		heap.Pop(&c.timers).(timer).fire()
+		c.flushEvents()
 	}
 }
 
-func (g *Core) checkIdle() {
-	g.nodes.RetireIdle()
-	g.after(idleCheck, g.checkIdle)
+func (c *Core) retireIdle() {
+	c.backends.RetireIdle()
+	c.scheduleAfter(idleCheckInterval, c.retireIdle)
 }
 
-func (g *Core) handle(ev event) {
+func (c *Core) handle(ev event) {
 	switch ev := ev.(type) {
-	case arrived:
-		g.arrived(ev.r)
-	case abandoned:
-		for _, r := range ev.reqs {
-			g.abandon(r)
+	case requestArrived:
+		c.handleArrival(ev.request)
+	case clientsDisconnected:
+		for _, r := range ev.requests {
+			c.abandonRequest(r)
 		}
 	case backend.Event:
-		g.nodes.Handle(ev)
-	case counted:
-		g.counted(ev)
+		c.backends.Handle(ev)
+	case counterReplied:
+		c.handleCounterReply(ev)
 	case discovery.List:
-		g.fleet(ev)
-	case asked:
-		g.asked(ev)
-	case left:
-		g.left(ev)
-	case reported:
-		g.reported(ev)
-	case drills:
-		g.drills(ev)
-	case giveOver:
-		g.giveOver(ev)
-	case takeOver:
-		g.takeOver(ev.State)
-	case company:
-		g.company(int(ev))
-	case heardWork:
-		g.heardWork(ev)
-	case fellows:
-		g.fellows(ev)
-	case weighNow:
-		if g.judged != nil {
-			g.lookAtNodes()
+		c.updateEndpoints(ev)
+	case leaseRequested:
+		c.handleLeaseRequest(ev)
+	case waitCanceled:
+		c.cancelWait(ev)
+	case outcomeReported:
+		c.handleOutcomeReport(ev)
+	case zoneDrainsSet:
+		c.setZoneDrains(ev)
+	case handOverRequested:
+		c.handOver(ev)
+	case handoverReceived:
+		c.acceptHandover(ev.State)
+	case siblingsChanged:
+		c.setSiblings(int(ev))
+	case messageReceived:
+		c.handleMessage(ev)
+	case membersChanged:
+		c.updateMembers(ev)
+	case assessmentRequested:
+		if c.outliers != nil {
+			c.checkOutliers()
 		}
-	case budgetsAsked:
-		g.budgets(ev)
-	case endAll:
-		for _, r := range g.requests {
-			g.cutOff(r)
+	case quotaBoundsRequested:
+		c.replyQuotaBounds(ev)
+	case answerAllRequested:
+		for _, r := range c.requests {
+			c.answerOverdue(r)
 		}
-		g.ending = true
+		c.allAnswered = true
 		close(ev.done)
 	}
-	g.flush()
+	c.flushEvents()
 }
 
 // tell queues an event for the module; flush hands it over.
-func (g *Core) tell(ev policy.Event) { g.queue = append(g.queue, ev) }
+func (c *Core) notifyEngine(ev policy.Event) { c.engineEvents = append(c.engineEvents, ev) }
 
 // flush lets the module handle what is queued and carries out its actions, which may queue more.
-func (g *Core) flush() {
-	if h := g.holding; h != nil && g.now-h.ticked > 2*rightsEvery { // before the module lets anything go by what may have ended
-		g.tickRights()
-	}
-	for i := 0; i < len(g.queue); i++ {
-		g.actions = g.mod.Handle(g.now, g.queue[i], g.actions[:0])
-		for _, a := range g.actions {
-			g.act(a)
+func (c *Core) flushEvents() {
+	if h := c.escrow; h != nil && c.now-h.tickedAt > 2*escrowTickInterval { // before the module lets anything go by what may have ended
+		c.tickEscrow()
+	}
+	for i := 0; i < len(c.engineEvents); i++ {
+		c.actions = c.engine.Handle(c.now, c.engineEvents[i], c.actions[:0])
+		for _, a := range c.actions {
+			c.performAction(a)
 		}
 	}
-	clear(g.queue)
-	g.queue = g.queue[:0]
+	clear(c.engineEvents)
+	c.engineEvents = c.engineEvents[:0]
 }
 
-func (g *Core) act(a policy.Action) {
+func (c *Core) performAction(a policy.Action) {
 	switch a := a.(type) {
 	case policy.SendAttempt:
-		g.send(a)
+		c.sendAttempt(a)
 	case policy.CancelAttempt:
-		if r := g.requests[a.ID]; r != nil && !r.Delegated && a.Attempt < len(r.attempts) && !g.calledOff(r, a.Attempt) {
-			g.nodes.Abort(r.attempts[a.Attempt], policy.Cancelled)
+		if r := c.requests[a.ID]; r != nil && !r.Delegated && a.Attempt < len(r.attempts) && !c.cancelAwaiting(r, a.Attempt) {
+			c.backends.Abort(r.attempts[a.Attempt], policy.Cancelled)
 		}
 	case policy.Reject:
-		g.refused(a)
-		if r := g.requests[a.ID]; g.taking == nil || !g.askForAnswer(r, a.RetryAfter) {
-			g.answer(r, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
+		c.recordRejection(a)
+		if r := c.requests[a.ID]; c.takeover == nil || !c.queryOutcome(r, a.RetryAfter) {
+			c.answerRequest(r, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 		}
 	case policy.Fail:
-		g.failed(a)
-		g.answer(g.requests[a.ID], Answer{Kind: Failed})
+		c.recordFailure(a)
+		c.answerRequest(c.requests[a.ID], Answer{Kind: Failed})
 	case policy.SetTimer:
-		g.after(a.After, func() { g.tell(policy.TimerFired{}) })
+		c.scheduleAfter(a.After, func() { c.notifyEngine(policy.TimerFired{}) })
 	case policy.AddToCounter:
-		g.count(a)
+		c.addToCounter(a)
 	case policy.ProbeBackend:
-		g.probe(a.Backend)
+		c.probeBackend(a.Backend)
 	case policy.CloseIdleConnections:
-		g.nodes.CloseIdle(a.Backend)
+		c.backends.CloseIdle(a.Backend)
 	case policy.WatchEndpoints, policy.FetchEndpoints: // the watch is always on: the list held is the answer
-		g.tell(g.held())
+		c.notifyEngine(c.endpointSnapshot())
 	case policy.LogLine:
-		g.log.Info(a.Text)
+		c.log.Info(a.Text)
 	default:
-		g.log.Warn("no such action on sockets", "action", fmt.Sprintf("%T", a))
+		c.log.Warn("no such action on sockets", "action", fmt.Sprintf("%T", a))
 	}
 }
 
 // --- requests ---
 
-func (g *Core) arrived(r *Request) {
-	g.fig.RequestAccepted()
-	if g.goneOnArrival(r) {
+func (c *Core) handleArrival(r *Request) {
+	c.metrics.RequestAccepted()
+	if c.dropDisconnectedArrival(r) {
 		return
 	}
-	if a, taken := g.admission(r); !taken {
-		g.final(r, a)
+	if a, taken := c.checkAdmission(r); !taken {
+		c.finishRequest(r, a)
 		return
 	}
-	g.lastID++
-	r.ID, r.came = g.lastID, g.now
-	g.requests[r.ID], g.keys[r.ClientID] = r, true
-	g.heldBytes += r.Size
-	g.sum.add(arrivals, 1)
-	g.tell(policy.Arrival{Request: r.Request})
-	if g.taking != nil && g.covers(r) {
-		g.after(acceptAfter, func() { g.accept(r) })
-	}
-	g.at(r.GiveUpAt+overdue, func() {
-		delete(g.keys, r.ClientID)
-		g.cutOff(r)
+	c.lastID++
+	r.ID, r.arrivedAt = c.lastID, c.now
+	c.requests[r.ID], c.clientIDs[r.ClientID] = r, true
+	c.requestBytes += r.Size
+	c.summary.add(summaryArrived, 1)
+	c.notifyEngine(policy.Arrival{Request: r.Request})
+	if c.takeover != nil && c.canReplicate(r) {
+		c.scheduleAfter(replicateQueuedAfter, func() { c.replicateQueued(r) })
+	}
+	c.scheduleAt(r.GiveUpAt+answerOverdueAfter, func() {
+		delete(c.clientIDs, r.ClientID)
+		c.answerOverdue(r)
 	})
 }
 
 // answer gives the final answer, once.
-func (g *Core) answer(r *Request, a Answer) {
-	if r == nil || r.final {
+func (c *Core) answerRequest(r *Request, a Answer) {
+	if r == nil || r.finished {
 		return
 	}
-	g.final(r, a)
-	g.recall(r)
-	g.forget(r)
+	c.finishRequest(r, a)
+	c.withdrawUnsent(r)
+	c.releaseRequest(r)
 }
 
 // recall calls off what has not been written of a request that is over, whatever the module may call off: whoever waits for a connection
 // then would go out for nobody.
-func (g *Core) recall(r *Request) {
+func (c *Core) withdrawUnsent(r *Request) {
 	for _, a := range r.attempts {
-		g.nodes.Withdraw(a)
+		c.backends.Withdraw(a)
 	}
 }
 
 // cutOff ends a request that the module has left unanswered until the last moment: refused where it was never sent, since trying again is
 // harmless then.
-func (g *Core) cutOff(r *Request) {
-	if r.final {
+func (c *Core) answerOverdue(r *Request) {
+	if r.finished {
 		return
 	}
-	g.log.Warn("no answer in time", append(r.ids(), "attempts", len(r.attempts))...)
-	g.sum.add(cutOffs, 1)
+	c.log.Warn("no answer in time", append(r.logAttrs(), "attempts", len(r.attempts))...)
+	c.summary.add(summaryOverdue, 1)
 	a := Answer{Kind: Failed}
 	if len(r.attempts) == 0 && r.Prior == nil {
 		a = Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}
 	}
-	g.answer(r, a)
-	g.tell(policy.Disconnected{ID: r.ID})
+	c.answerRequest(r, a)
+	c.notifyEngine(policy.Disconnected{ID: r.ID})
 }
 
-func (g *Core) forget(r *Request) {
-	if r.final && r.out == 0 && g.requests[r.ID] == r {
-		g.heldBytes -= r.Size
-		delete(g.requests, r.ID)
+func (c *Core) releaseRequest(r *Request) {
+	if r.finished && r.inFlight == 0 && c.requests[r.ID] == r {
+		c.requestBytes -= r.Size
+		delete(c.requests, r.ID)
 		r.Command, r.Sink, r.attempts = nil, nil, nil // its timer may hold it for seconds more
 	}
 }
 
 // --- attempts ---
 
-func (g *Core) send(s policy.SendAttempt) {
-	r := g.requests[s.ID]
+func (c *Core) sendAttempt(s policy.SendAttempt) {
+	r := c.requests[s.ID]
 	if r == nil {
 		return
 	}
-	a := &backend.Attempt{Ref: r, Number: len(r.attempts), Command: r.Command, StartedAt: g.now, Deadline: r.GiveUpAt, By: g.repeatBy(r)}
+	a := &backend.Attempt{Ref: r, Number: len(r.attempts), Command: r.Command, StartedAt: c.now, Deadline: r.GiveUpAt, By: c.retryDeadline(r)}
 	if s.StopAt > 0 {
 		a.Deadline = min(s.StopAt, r.GiveUpAt)
 	}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	if g.halls != nil {
-		g.halls.AttemptSent(g.now, s.Backend)
+	r.inFlight++
+	if c.zones != nil {
+		c.zones.AttemptSent(c.now, s.Backend)
 	}
-	g.dropIfGone(r)
-	if r.final || a.Deadline <= g.now || a.Number >= g.cfg.Settings.MaxAttempts || r.Delegated && !g.grant(r, a, s.Backend) {
-		g.nodes.CancelUnsent(a, s.Backend)
+	c.dropIfDisconnected(r)
+	if r.finished || a.Deadline <= c.now || a.Number >= c.cfg.Settings.MaxAttempts || r.Delegated && !c.grantLease(r, a, s.Backend) {
+		c.backends.CancelUnsent(a, s.Backend)
 		return
 	}
-	if r.Delegated || g.taking != nil && g.inCustody(r, a, s.Backend) {
+	if r.Delegated || c.takeover != nil && c.awaitReplicas(r, a, s.Backend) {
 		return
 	}
-	g.launch(r, a, s.Backend)
+	c.startAttempt(r, a, s.Backend)
 }
 
 // repeatBy is when a further attempt of a keyed request reaches its node at the latest: while that, or those beside it, still know the first
 // that may have run. The module decides a little earlier, and doesn't know how long the attempt waits for a connection. 0: no repeat.
-func (g *Core) repeatBy(r *Request) time.Duration {
-	c := g.classes[r.Class]
-	if c.Effect != policy.Keyed {
+func (c *Core) retryDeadline(r *Request) time.Duration {
+	class := c.classes[r.Class]
+	if class.Effect != policy.Keyed {
 		return 0
 	}
-	remembered := c.RepeatWindow * 19 / 20
+	remembered := class.RepeatWindow * 19 / 20
 	if r.Prior != nil {
 		return r.Prior.At + remembered
 	}
@@ -674,156 +674,156 @@
 }
 
 // launch lets an attempt go out.
-func (g *Core) launch(r *Request, a *backend.Attempt, to policy.BackendID) {
-	g.sum.sent(a.Number, g.now-r.came)
-	if g.holding != nil && a.Number == 0 {
-		g.holding.passes(g.now, r)
+func (c *Core) startAttempt(r *Request, a *backend.Attempt, to policy.BackendID) {
+	c.summary.addAttempt(a.Number, c.now-r.arrivedAt)
+	if c.escrow != nil && a.Number == 0 {
+		c.escrow.recordForwarded(c.now, r)
 	}
-	if g.judged != nil {
-		g.judged.sight.AttemptSent(g.now, to, outlier.AttemptID{Request: r.ID, Number: a.Number}, r.Class)
+	if c.outliers != nil {
+		c.outliers.detector.AttemptSent(c.now, to, outlier.AttemptID{Request: r.ID, Number: a.Number}, r.Class)
 	}
-	g.at(a.Deadline, func() { g.nodes.Abort(a, policy.TimedOut) })
-	g.nodes.Start(a, to)
+	c.scheduleAt(a.Deadline, func() { c.backends.Abort(a, policy.TimedOut) })
+	c.backends.Start(a, to)
 }
 
 // attemptEnded tells the module how an attempt ended; the first that is served answers the client.
-func (g *Core) attemptEnded(a *backend.Attempt, o policy.Outcome, rep backend.Reply) {
+func (c *Core) attemptEnded(a *backend.Attempt, o policy.Outcome, rep backend.Reply) {
 	if a.Ref == nil {
-		if g.halls != nil {
-			g.halls.ProbeEnded(g.now, a.BackendID(), o == policy.Succeeded)
+		if c.zones != nil {
+			c.zones.ProbeEnded(c.now, a.BackendID(), o == policy.Succeeded)
 		}
-		g.tell(policy.ProbeEnded{Backend: a.BackendID(), Outcome: o, Took: g.now - a.StartedAt, Load: rep.Load})
+		c.notifyEngine(policy.ProbeEnded{Backend: a.BackendID(), Outcome: o, Took: c.now - a.StartedAt, Load: rep.Load})
 		return
 	}
 	r := a.Ref.(*Request)
-	g.sum.ended(o)
-	g.fig.AttemptEnded(int(o))
-	if r.passing == a {
-		g.passed(r, o)
+	c.summary.addAttemptEnd(o)
+	c.metrics.AttemptEnded(int(o))
+	if r.streaming == a {
+		c.streamEnded(r, o)
 		return
 	}
-	if o == policy.Succeeded && !r.final {
-		g.sum.served(g.now-r.came, g.classes[r.Class].LatencyObjective)
-		g.final(r, Answer{Kind: Served, Value: rep.Value})
+	if o == policy.Succeeded && !r.finished {
+		c.summary.addServed(c.now-r.arrivedAt, c.classes[r.Class].LatencyObjective)
+		c.finishRequest(r, Answer{Kind: Served, Value: rep.Value})
 	}
-	r.out--
-	g.ended(r, policy.AttemptEnded{
-		ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: o, Took: g.now - a.StartedAt,
-		Finished: r.final, Load: rep.Load,
+	r.inFlight--
+	c.notifyAttemptEnded(r, policy.AttemptEnded{
+		ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: o, Took: c.now - a.StartedAt,
+		Finished: r.finished, Load: rep.Load,
 	})
 	if o == policy.Succeeded {
-		g.recall(r)
+		c.withdrawUnsent(r)
 	}
 }
 
 // attemptBegan hands a value on that has begun to come. For the module that is the answer: it is served, its time counts from the
 // first bytes, and what else is out for it is called off.
-func (g *Core) attemptBegan(a *backend.Attempt, s *backend.Stream) (wanted bool) {
+func (c *Core) streamStarted(a *backend.Attempt, s *backend.Stream) (wanted bool) {
 	r := a.Ref.(*Request)
-	if r.final { // another attempt was first, or the client has gone: no fault of this node's
+	if r.finished { // another attempt was first, or the client has gone: no fault of this node's
 		return false
 	}
-	r.passing, r.final = a, true
-	g.endCustody(r, Answer{Kind: Served, Stream: s})
-	g.sum.served(g.now-r.came, g.classes[r.Class].LatencyObjective)
-	g.deliver(r, Answer{Kind: Served, Stream: s})
-	g.ended(r, policy.AttemptEnded{ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: policy.Succeeded, Took: g.now - a.StartedAt, Finished: true})
-	g.recall(r)
+	r.streaming, r.finished = a, true
+	c.completeWork(r, Answer{Kind: Served, Stream: s})
+	c.summary.addServed(c.now-r.arrivedAt, c.classes[r.Class].LatencyObjective)
+	c.deliverAnswer(r, Answer{Kind: Served, Stream: s})
+	c.notifyAttemptEnded(r, policy.AttemptEnded{ID: r.ID, Attempt: a.Number, Backend: a.BackendID(), Outcome: policy.Succeeded, Took: c.now - a.StartedAt, Finished: true})
+	c.withdrawUnsent(r)
 	return true
 }
 
 // passed counts the end of a value that was passed on.
-func (g *Core) passed(r *Request, o policy.Outcome) {
-	g.fig.RequestEnded(r.Class, endOf(o))
-	r.out--
-	g.forget(r)
+func (c *Core) streamEnded(r *Request, o policy.Outcome) {
+	c.metrics.RequestEnded(r.Class, requestEndOf(o))
+	r.inFlight--
+	c.releaseRequest(r)
 }
 
 // ended tells the module of an attempt's end.
-func (g *Core) ended(r *Request, ev policy.AttemptEnded) {
-	if r.kept != nil {
-		r.kept.left(ev)
+func (c *Core) notifyAttemptEnded(r *Request, ev policy.AttemptEnded) {
+	if r.pending != nil {
+		r.pending.attemptEnded(ev)
 	}
-	if g.halls != nil {
-		g.halls.AttemptEnded(g.now, ev.Backend, g.now-ev.Took, r.Class, ev.Outcome)
+	if c.zones != nil {
+		c.zones.AttemptEnded(c.now, ev.Backend, c.now-ev.Took, r.Class, ev.Outcome)
 	}
-	if g.judged != nil {
-		g.judged.sight.AttemptEnded(g.now, outlier.AttemptID{Request: r.ID, Number: ev.Attempt}, ev.Outcome)
+	if c.outliers != nil {
+		c.outliers.detector.AttemptEnded(c.now, outlier.AttemptID{Request: r.ID, Number: ev.Attempt}, ev.Outcome)
 	}
-	g.tell(ev)
-	g.forget(r)
+	c.notifyEngine(ev)
+	c.releaseRequest(r)
 }
 
-func (g *Core) probe(id policy.BackendID) (sent bool) {
-	if !g.nodes.Contains(id) || g.out(id) {
+func (c *Core) probeBackend(id policy.BackendID) (sent bool) {
+	if !c.backends.Contains(id) || c.isSuspended(id) {
 		return false
 	}
-	a := &backend.Attempt{StartedAt: g.now, Deadline: g.now + probeTimeout}
-	g.at(a.Deadline, func() { g.nodes.Abort(a, policy.TimedOut) })
-	g.nodes.Start(a, id)
+	a := &backend.Attempt{StartedAt: c.now, Deadline: c.now + probeTimeout}
+	c.scheduleAt(a.Deadline, func() { c.backends.Abort(a, policy.TimedOut) })
+	c.backends.Start(a, id)
 	return true
 }
 
 // owner is the core as the pool of connections sees it.
-type owner struct{ g *Core }
+type poolOwner struct{ core *Core }
 
 // Now, After, Post, Spawn and AttemptEnded are for the pool.
-func (o owner) Now() time.Duration               { return o.g.now }
-func (o owner) After(d time.Duration, do func()) { o.g.after(d, do) }
-func (o owner) Post(ev backend.Event)            { o.g.post(ev) }
-func (o owner) Spawn(run func(context.Context))  { o.g.spawn(run) }
-func (o owner) AttemptEnded(a *backend.Attempt, out policy.Outcome, r backend.Reply) {
-	o.g.attemptEnded(a, out, r)
+func (o poolOwner) Now() time.Duration               { return o.core.now }
+func (o poolOwner) After(d time.Duration, do func()) { o.core.scheduleAfter(d, do) }
+func (o poolOwner) Post(ev backend.Event)            { o.core.post(ev) }
+func (o poolOwner) Spawn(run func(context.Context))  { o.core.spawn(run) }
+func (o poolOwner) AttemptEnded(a *backend.Attempt, out policy.Outcome, r backend.Reply) {
+	o.core.attemptEnded(a, out, r)
 }
 
 // AttemptWanted is for the pool.
-func (o owner) AttemptWanted(a *backend.Attempt) bool {
+func (o poolOwner) AttemptWanted(a *backend.Attempt) bool {
 	r, ok := a.Ref.(*Request)
 	if !ok { // a probe
 		return true
 	}
-	o.g.dropIfGone(r)
-	return !r.final && o.g.maySend(r, a)
+	o.core.dropIfDisconnected(r)
+	return !r.finished && o.core.maySend(r, a)
 }
 
 // AttemptBegan is for the pool.
-func (o owner) AttemptBegan(a *backend.Attempt, s *backend.Stream) bool {
-	return o.g.attemptBegan(a, s)
+func (o poolOwner) AttemptBegan(a *backend.Attempt, s *backend.Stream) bool {
+	return o.core.streamStarted(a, s)
 }
 
 // --- the list and the counter ---
 
 // held is the list as it stands.
-func (g *Core) held() policy.Event {
-	return policy.EndpointsChanged{Complete: true, Backends: g.nodes.Backends()}
+func (c *Core) endpointSnapshot() policy.Event {
+	return policy.EndpointsChanged{Complete: true, Backends: c.backends.Backends()}
 }
 
 // counted is the event of an answer of the shared counter.
-type counted struct {
+type counterReplied struct {
 	call   *store.Call
 	result store.Result
 }
 
-func (g *Core) count(a policy.AddToCounter) {
-	k := &store.Call{Name: a.Name, Amount: a.Add, TTL: a.Keep, StartedAt: g.now}
-	if g.counter == nil {
-		g.counted(counted{k, store.Result{Certainty: store.NotAdded}})
+func (c *Core) addToCounter(a policy.AddToCounter) {
+	k := &store.Call{Name: a.Name, Amount: a.Add, TTL: a.Keep, StartedAt: c.now}
+	if c.counter == nil {
+		c.handleCounterReply(counterReplied{k, store.Result{Certainty: store.NotAdded}})
 		return
 	}
-	g.counter.Add(k)
-	g.after(g.cfg.Settings.CounterTimeout, func() {
+	c.counter.Add(k)
+	c.scheduleAfter(c.cfg.Settings.CounterTimeout, func() {
 		switch {
 		case k.Withdraw(): // never written, and never will be
-			g.counted(counted{k, store.Result{Certainty: store.NotAdded}})
+			c.handleCounterReply(counterReplied{k, store.Result{Certainty: store.NotAdded}})
 		case k.Lapse():
-			g.counted(counted{k, store.Result{}})
+			c.handleCounterReply(counterReplied{k, store.Result{}})
 		}
 	})
 }
 
 // counted passes a call's answer on, once: one after the time-out is dropped. A store that has refused a call at the
 // time-out is believed: its answer is under way.
-func (g *Core) counted(ev counted) {
+func (c *Core) handleCounterReply(ev counterReplied) {
 	if !ev.call.FirstAnswer() {
 		return
 	}
@@ -836,36 +836,36 @@
 	case ev.result.Certainty == store.Added:
 		o = policy.Failed
 	}
-	g.sum.counted(o, g.now-ev.call.StartedAt)
-	g.tell(policy.CounterReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
+	c.summary.addCounterReply(o, c.now-ev.call.StartedAt)
+	c.notifyEngine(policy.CounterReply{Name: ev.call.Name, Outcome: o, Total: ev.result.Total})
 }
 
 // --- timers ---
 
 // alarm is something to do at a time; alarms is a heap of them, earliest first.
-type alarm struct {
+type timer struct {
 	at   time.Duration
-	ring func()
+	fire func()
 }
 
-type alarms []alarm
+type timerHeap []timer
 
-func (h alarms) Len() int           { return len(h) }
-func (h alarms) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h alarms) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push is for container/heap.
-func (h *alarms) Push(x any) { *h = append(*h, x.(alarm)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
 // Pop is for container/heap.
-func (h *alarms) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = alarm{}
+	old[len(old)-1] = timer{}
 	*h = old[:len(old)-1]
 	return last
 }
 
-func (g *Core) at(t time.Duration, ring func()) { heap.Push(&g.alarms, alarm{t, ring}) }
+func (c *Core) scheduleAt(t time.Duration, ring func()) { heap.Push(&c.timers, timer{t, ring}) }
 
-func (g *Core) after(d time.Duration, ring func()) { g.at(g.now+d, ring) }
+func (c *Core) scheduleAfter(d time.Duration, ring func()) { c.scheduleAt(c.now+d, ring) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -73,24 +73,24 @@
 		close(g.stopped)
 		g.spawned.Wait()
 	})
-	g.known()
+	g.loadKnownEndpoints()
 }
 
 // The same where the commands that are kept would fill the memory; what ends makes room again.
 func TestMostHeld(t *testing.T) {
 	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
 	arrive := func(key uint64) *Request {
-		r := &Request{ClientID: key, Size: g.mostHeld - 1000, Sink: &place{}}
+		r := &Request{ClientID: key, Size: g.maxRequestBytes - 1000, Sink: &place{}}
 		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
-		g.handle(arrived{r})
+		g.handle(requestArrived{r})
 		return r
 	}
 	first, second := arrive(1), arrive(2)
-	if first.final || !second.Sink.(*place).refused(250*time.Millisecond) {
-		t.Fatalf("first final: %v; second answered %v", first.final, second.Sink.(*place).got)
+	if first.finished || !second.Sink.(*place).refused(250*time.Millisecond) {
+		t.Fatalf("first final: %v; second answered %v", first.finished, second.Sink.(*place).got)
 	}
-	g.handle(abandoned{[]*Request{first}})
-	if third := arrive(3); third.final {
+	g.handle(clientsDisconnected{[]*Request{first}})
+	if third := arrive(3); third.finished {
 		t.Fatalf("third answered %v after the first had ended", third.Sink.(*place).got)
 	}
 }
--- a/internal/core/departure.go
+++ b/internal/core/departure.go
@@ -11,56 +11,56 @@
 // together, and whoever reads the connection may be held up.
 
 // gone reports whether nobody waits for a request's answer any more. The kernel is asked once in each turn of the loop.
-func (g *Core) gone(r *Request) bool {
-	if r.Sink == nil || r.asked == g.now && r.asked != 0 {
+func (c *Core) isDisconnected(r *Request) bool {
+	if r.Sink == nil || r.disconnectCheckedAt == c.now && r.disconnectCheckedAt != 0 {
 		return false
 	}
-	r.asked = g.now
+	r.disconnectCheckedAt = c.now
 	return r.Sink.Disconnected()
 }
 
 // goneOnArrival drops a request, before the module hears of it, whose command came together with the end of its connection.
-func (g *Core) goneOnArrival(r *Request) bool {
-	if !g.gone(r) {
+func (c *Core) dropDisconnectedArrival(r *Request) bool {
+	if !c.isDisconnected(r) {
 		return false
 	}
-	r.final = true
-	r.withdrawHanded()
-	g.fig.ClientDisconnected(metrics.BeforeAdmission)
+	r.finished = true
+	r.withdrawLeased()
+	c.metrics.ClientDisconnected(metrics.BeforeAdmission)
 	return true
 }
 
 // dropIfGone abandons a request before an attempt of it is sent, if its client has gone.
-func (g *Core) dropIfGone(r *Request) {
-	if r.final || r.passing != nil || r.Delegated && len(r.attempts) > 1 || !g.gone(r) { // what was granted before is remembered
+func (c *Core) dropIfDisconnected(r *Request) {
+	if r.finished || r.streaming != nil || r.Delegated && len(r.attempts) > 1 || !c.isDisconnected(r) { // what was granted before is remembered
 		return
 	}
-	r.withdrawHanded()
-	g.abandon(r)
+	r.withdrawLeased()
+	c.abandonRequest(r)
 }
 
 // withdrawHanded forgets what the front for gates keeps of a request of its own.
-func (r *Request) withdrawHanded() {
-	if x, ok := r.Sink.(*handed); ok {
-		x.withdraw()
+func (r *Request) withdrawLeased() {
+	if x, ok := r.Sink.(*leasedRequest); ok {
+		x.forget()
 	}
 }
 
 // abandon ends a request whose client has gone. Nothing more goes out for it.
-func (g *Core) abandon(r *Request) {
-	if r.final {
+func (c *Core) abandonRequest(r *Request) {
+	if r.finished {
 		return
 	}
-	r.final = true
-	g.endCustody(r, Answer{Kind: Failed})
-	g.fig.ClientDisconnected(r.stage())
-	g.tell(policy.Disconnected{ID: r.ID})
-	g.recall(r)
-	g.forget(r)
+	r.finished = true
+	c.completeWork(r, Answer{Kind: Failed})
+	c.metrics.ClientDisconnected(r.disconnectStage())
+	c.notifyEngine(policy.Disconnected{ID: r.ID})
+	c.withdrawUnsent(r)
+	c.releaseRequest(r)
 }
 
 // stage says how far a request has come that is not answered.
-func (r *Request) stage() metrics.DisconnectStage {
+func (r *Request) disconnectStage() metrics.DisconnectStage {
 	stage := metrics.BeforeAttempt
 	for _, a := range r.attempts {
 		switch {
--- a/internal/core/departure_test.go
+++ b/internal/core/departure_test.go
@@ -14,7 +14,7 @@
 func arriving(g *Core, key uint64, p ReplySink) *Request {
 	r := &Request{ClientID: key, Size: 100, Sink: p, Command: noCommand{}}
 	r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
-	g.handle(arrived{r})
+	g.handle(requestArrived{r})
 	return r
 }
 
@@ -22,11 +22,11 @@
 func wantDepartures(t *testing.T, g *Core, want map[metrics.DisconnectStage]int64) {
 	t.Helper()
 	for _, at := range metrics.Stages() {
-		if got := g.fig.Disconnects(at); got != want[at] {
+		if got := g.metrics.Disconnects(at); got != want[at] {
 			t.Errorf("%s: %d clients gone, want %d", at, got, want[at])
 		}
 	}
-	if open := g.fig.Current(); open != 0 {
+	if open := g.metrics.Current(); open != 0 {
 		t.Errorf("%d requests are open", open)
 	}
 }
@@ -35,10 +35,10 @@
 func TestClientGoneBeforeAdmission(t *testing.T) {
 	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
 	r := arriving(g, 1, &place{gone: true})
-	if len(g.requests) != 0 || len(r.attempts) != 0 || g.keys[1] {
+	if len(g.requests) != 0 || len(r.attempts) != 0 || g.clientIDs[1] {
 		t.Fatalf("it was taken: %d requests, %d attempts", len(g.requests), len(r.attempts))
 	}
-	g.handle(abandoned{[]*Request{r}})
+	g.handle(clientsDisconnected{[]*Request{r}})
 	wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
 }
 
@@ -52,7 +52,7 @@
 		}
 		g.now += time.Millisecond
 		g.attemptEnded(r.attempts[0], policy.NoConnect, backend.Reply{})
-		g.flush()
+		g.flushEvents()
 	}
 	newCore := func(t *testing.T) *Core {
 		cfg := testConfig("", fleetOf(scripted.NewNode(t, nil).Addr, scripted.NewNode(t, nil).Addr))
@@ -78,10 +78,10 @@
 		r := arriving(g, 1, p)
 		p.gone = true
 		fails(t, g, r)
-		if !r.final || len(g.requests) != 0 {
-			t.Fatalf("final %v, %d requests", r.final, len(g.requests))
+		if !r.finished || len(g.requests) != 0 {
+			t.Fatalf("final %v, %d requests", r.finished, len(g.requests))
 		}
-		if n := g.nodes.Dials(); n != 1 {
+		if n := g.backends.Dials(); n != 1 {
 			t.Errorf("%d connections were begun", n)
 		}
 		wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
@@ -93,12 +93,12 @@
 		a := r.attempts[0]
 		g.now += time.Millisecond
 		p.gone = true
-		if (owner{g}).AttemptWanted(a) {
+		if (poolOwner{g}).AttemptWanted(a) {
 			t.Fatal("it is wanted")
 		}
-		g.flush()
-		if !r.final || !a.Ended() || !a.NeverRan() {
-			t.Errorf("final %v, ended %v, never ran %v", r.final, a.Ended(), a.NeverRan())
+		g.flushEvents()
+		if !r.finished || !a.Ended() || !a.NeverRan() {
+			t.Errorf("final %v, ended %v, never ran %v", r.finished, a.Ended(), a.NeverRan())
 		}
 		wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
 	})
@@ -137,12 +137,12 @@
 	ask := func(p *place) {
 		r := &Request{ClientID: 1, Size: 100}
 		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
-		g.handle(asked{r, "id", 7, p})
+		g.handle(leaseRequested{r, "id", 7, p})
 	}
 	left, stays := &place{gone: true}, &place{}
 	ask(left)
-	if left.got.Kind == Granted || len(g.handing.leases) != 0 || len(g.handing.open) != 0 {
-		t.Fatalf("answered %v, %d leases, %d open", left.got, len(g.handing.leases), len(g.handing.open))
+	if left.got.Kind == Granted || len(g.leases.byLease) != 0 || len(g.leases.byRequestID) != 0 {
+		t.Fatalf("answered %v, %d leases, %d open", left.got, len(g.leases.byLease), len(g.leases.byRequestID))
 	}
 	wantDepartures(t, g, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
 	g.now += time.Millisecond
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -19,20 +19,20 @@
 
 // Instances of different versions send each other these messages.
 func TestGoldenMessages(t *testing.T) {
-	golden.RequireTags(t, "cbor", parcel{})
-	messages := map[string]parcel{}
-	add := func(name string, fill func(*parcel)) {
-		var p parcel
+	golden.RequireTags(t, "cbor", peerMessage{})
+	messages := map[string]peerMessage{}
+	add := func(name string, fill func(*peerMessage)) {
+		var p peerMessage
 		fill(&p)
 		messages[name] = p
 	}
-	add("work-intent", func(p *parcel) { p.Intent = filled[takeover.Intent]() })
-	add("work-reply", func(p *parcel) { p.Reply = filled[takeover.Reply]() })
-	add("work-end", func(p *parcel) { p.Completion = filled[takeover.Completion]() })
-	add("work-end-acknowledged", func(p *parcel) { p.CompletionAck = filled[takeover.Completion]() })
-	add("work-outcome", func(p *parcel) { p.Notification = filled[takeover.Notification]() })
-	add("quota-parts", func(p *parcel) { p.Rights = filled[escrow.Message]() })
-	add("all", func(p *parcel) { golden.Fill(p) })
+	add("work-intent", func(p *peerMessage) { p.Intent = filled[takeover.Intent]() })
+	add("work-reply", func(p *peerMessage) { p.Reply = filled[takeover.Reply]() })
+	add("work-end", func(p *peerMessage) { p.Completion = filled[takeover.Completion]() })
+	add("work-end-acknowledged", func(p *peerMessage) { p.CompletionAck = filled[takeover.Completion]() })
+	add("work-outcome", func(p *peerMessage) { p.Notification = filled[takeover.Notification]() })
+	add("quota-parts", func(p *peerMessage) { p.Escrow = filled[escrow.Message]() })
+	add("all", func(p *peerMessage) { golden.Fill(p) })
 	for name, p := range messages {
 		t.Run(name, func(t *testing.T) {
 			written, err := cbor.Marshal(p)
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			golden.Compare(t, "message-"+name, written)
-			var read parcel
+			var read peerMessage
 			if err := cbor.Unmarshal(golden.Read(t, "message-"+name), &read); err != nil {
 				t.Fatal(err)
 			}
@@ -86,7 +86,7 @@
 	for _, name := range outcomeNames {
 		b.WriteString("outcome " + name + "\n")
 	}
-	for _, name := range figureNames {
+	for _, name := range summaryFieldNames {
 		b.WriteString("summary " + name + "\n")
 	}
 	for _, name := range zones.States() {
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -29,48 +29,48 @@
 }
 
 // mostWaiting bounds how many callers wait for the decision on one id.
-const mostWaiting = 4
+const maxLeaseWaiters = 4
 
 // handing is the books of attempts that were handed out, with those who wait. The core's goroutine owns it.
-type handing struct {
-	book    *lease.Registry
-	open    map[string]*handed // by id
-	leases  map[string]*handed // by lease
-	ringing time.Duration      // when the next alarm is set for; 0: none
+type leaseTable struct {
+	registry    *lease.Registry
+	byRequestID    map[string]*leasedRequest // by id
+	byLease  map[string]*leasedRequest // by lease
+	nextTimer time.Duration      // when the next alarm is set for; 0: none
 }
 
 // handed is a request whose attempts are handed out; it is the place of its final answer.
-type handed struct {
-	g       *Core
-	r       *Request
+type leasedRequest struct {
+	core       *Core
+	request       *Request
 	entry   *lease.Request
-	waiting []ReplySink
+	waiters []ReplySink
 	attempt *backend.Attempt // of the entry's lease, while that is out
 }
 
-func newHanding(c Leases) *handing {
-	return &handing{
-		book: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Retention, MaxRequests: c.MaxRequests}),
-		open: map[string]*handed{}, leases: map[string]*handed{},
+func newLeaseTable(c Leases) *leaseTable {
+	return &leaseTable{
+		registry: lease.New(lease.Config{Timeout: c.Timeout, StartWithin: c.StartWithin, Retention: c.Retention, MaxRequests: c.MaxRequests}),
+		byRequestID: map[string]*leasedRequest{}, byLease: map[string]*leasedRequest{},
 	}
 }
 
 // The events of a front that hands attempts out.
 type (
-	asked struct {
-		r     *Request
+	leaseRequested struct {
+		request     *Request
 		id    string
-		print uint64
-		place ReplySink
+		fingerprint uint64
+		sink ReplySink
 	}
-	left struct {
+	waitCanceled struct {
 		id    string
-		place ReplySink
+		sink ReplySink
 	}
-	reported struct {
+	outcomeReported struct {
 		lease string
-		out   lease.Outcome
-		tell  func(ReportResult)
+		outcome   lease.Outcome
+		notify  func(ReportResult)
 	}
 )
 
@@ -84,61 +84,61 @@
 
 // Ask hands in a request whose attempts its caller sends itself. The same id, within its time, has the same answer, whoever
 // asks; print tells whether it was asked with the same particulars. The place is answered once, unless Leave comes first.
-func (g *Core) RequestLease(r *Request, id string, print uint64, place ReplySink) {
-	g.post(asked{r, id, print, place})
+func (c *Core) RequestLease(r *Request, id string, print uint64, place ReplySink) {
+	c.post(leaseRequested{r, id, print, place})
 }
 
 // Leave tells that a caller waits no longer.
-func (g *Core) CancelWait(id string, place ReplySink) { g.post(left{id, place}) }
+func (c *Core) CancelWait(id string, place ReplySink) { c.post(waitCanceled{id, place}) }
 
 // Report tells how a lease's attempt went; tell is called once, on the core's goroutine, and must not block.
-func (g *Core) ReportOutcome(name string, out lease.Outcome, tell func(ReportResult)) {
-	g.post(reported{name, out, tell})
+func (c *Core) ReportOutcome(name string, out lease.Outcome, tell func(ReportResult)) {
+	c.post(outcomeReported{name, out, tell})
 }
 
-func (g *Core) asked(ev asked) {
-	h := g.handing
-	g.lapse()
-	entry, err := h.book.Find(ev.id, ev.print)
+func (c *Core) handleLeaseRequest(ev leaseRequested) {
+	h := c.leases
+	c.expireLeases()
+	entry, err := h.registry.Find(ev.id, ev.fingerprint)
 	switch {
 	case err != nil:
-		ev.place.Deliver(Answer{Kind: Mismatched})
+		ev.sink.Deliver(Answer{Kind: Mismatched})
 		return
 	case entry != nil:
-		if a, ok := g.stands(entry); ok {
-			ev.place.Deliver(a)
-		} else if x := h.open[ev.id]; x != nil && len(x.waiting) >= mostWaiting && entry.Lease != nil {
-			ev.place.Deliver(Answer{Kind: Failed}) // an attempt was granted: a refusal would say that trying again is harmless
-		} else if x == nil || len(x.waiting) >= mostWaiting {
-			ev.place.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
+		if a, ok := c.leaseAnswer(entry); ok {
+			ev.sink.Deliver(a)
+		} else if x := h.byRequestID[ev.id]; x != nil && len(x.waiters) >= maxLeaseWaiters && entry.Lease != nil {
+			ev.sink.Deliver(Answer{Kind: Failed}) // an attempt was granted: a refusal would say that trying again is harmless
+		} else if x == nil || len(x.waiters) >= maxLeaseWaiters {
+			ev.sink.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 		} else {
-			x.waiting = append(x.waiting, ev.place)
+			x.waiters = append(x.waiters, ev.sink)
 		}
 		return
 	}
-	if ev.r.GiveUpAt <= g.now {
-		ev.place.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
+	if ev.request.GiveUpAt <= c.now {
+		ev.sink.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 		return
 	}
-	if entry, err = h.book.Open(ev.id, ev.print, ev.r.GiveUpAt); err != nil {
-		ev.place.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
+	if entry, err = h.registry.Open(ev.id, ev.fingerprint, ev.request.GiveUpAt); err != nil {
+		ev.sink.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
 		return
 	}
-	x := &handed{g: g, r: ev.r, entry: entry, waiting: []ReplySink{ev.place}}
-	h.open[ev.id] = x
-	ev.r.Delegated, ev.r.Sink = true, x
-	g.arm()
-	g.arrived(ev.r)
+	x := &leasedRequest{core: c, request: ev.request, entry: entry, waiters: []ReplySink{ev.sink}}
+	h.byRequestID[ev.id] = x
+	ev.request.Delegated, ev.request.Sink = true, x
+	c.scheduleLeaseExpiry()
+	c.handleArrival(ev.request)
 }
 
 // stands is the answer as it stands; false while the decision is open.
-func (g *Core) stands(e *lease.Request) (Answer, bool) {
+func (c *Core) leaseAnswer(e *lease.Request) (Answer, bool) {
 	switch e.State {
 	case lease.Open:
 		return Answer{}, false
 	case lease.Granted:
 		l := e.Lease
-		return Answer{Kind: Granted, Grant: Grant{Lease: l.Name, Backend: l.Node, Addr: l.Addr, Attempt: l.Attempt, StartWithin: max(0, l.StartBy-g.now), EndsWithin: max(0, l.ExpiresAt-g.now)}}, true
+		return Answer{Kind: Granted, Grant: Grant{Lease: l.Name, Backend: l.Node, Addr: l.Addr, Attempt: l.Attempt, StartWithin: max(0, l.StartBy-c.now), EndsWithin: max(0, l.ExpiresAt-c.now)}}, true
 	case lease.Rejected:
 		return Answer{Kind: Rejected, RetryAfter: e.RetryAfter}, true
 	case lease.Failed:
@@ -148,148 +148,148 @@
 }
 
 // Answer is the module's final word on a request that is handed out.
-func (x *handed) Deliver(a Answer) {
+func (l *leasedRequest) Deliver(a Answer) {
 	s := lease.Failed
 	if a.Kind == Rejected {
 		s = lease.Rejected
 	}
-	x.g.handing.book.Decide(x.entry, s, a.RetryAfter)
-	x.close()
-	x.tell(a)
+	l.core.leases.registry.Decide(l.entry, s, a.RetryAfter)
+	l.stopWaiting()
+	l.notifyWaiters(a)
 }
 
 // tell answers all who wait.
-func (x *handed) tell(a Answer) {
-	for _, p := range x.waiting {
+func (l *leasedRequest) notifyWaiters(a Answer) {
+	for _, p := range l.waiters {
 		p.Deliver(a)
 	}
-	x.waiting = nil
+	l.waiters = nil
 }
 
-func (x *handed) close() { delete(x.g.handing.open, x.entry.ID) }
+func (l *leasedRequest) stopWaiting() { delete(l.core.leases.byRequestID, l.entry.ID) }
 
 // Gone reports whether all who asked have hung up. Where nobody waits, a report's answer or a later call learns the decision.
-func (x *handed) Disconnected() bool {
-	for _, p := range x.waiting {
+func (l *leasedRequest) Disconnected() bool {
+	for _, p := range l.waiters {
 		if !p.Disconnected() {
 			return false
 		}
 	}
-	return len(x.waiting) > 0
+	return len(l.waiters) > 0
 }
 
 // withdraw forgets a request that no backend was granted for, and that nobody waits for.
-func (x *handed) withdraw() {
-	x.close()
-	x.g.handing.book.Forget(x.entry)
+func (l *leasedRequest) forget() {
+	l.stopWaiting()
+	l.core.leases.registry.Forget(l.entry)
 }
 
 // grant gives an attempt to those who wait for it. false: nobody may send it.
-func (g *Core) grant(r *Request, a *backend.Attempt, id policy.BackendID) bool {
-	x, ok := r.Sink.(*handed)
-	addr, serves := g.nodes.Addr(id)
+func (c *Core) grantLease(r *Request, a *backend.Attempt, id policy.BackendID) bool {
+	x, ok := r.Sink.(*leasedRequest)
+	addr, serves := c.backends.Addr(id)
 	if !ok || !serves || x.attempt != nil {
 		return false
 	}
 	var b [16]byte
 	rand.Read(b[:]) // never fails
-	l := g.handing.book.Grant(g.now, x.entry, hex.EncodeToString(b[:]), string(id), addr, a.Number, r.GiveUpAt, a.By)
+	l := c.leases.registry.Grant(c.now, x.entry, hex.EncodeToString(b[:]), string(id), addr, a.Number, r.GiveUpAt, a.By)
 	if l == nil {
 		return false
 	}
 	x.attempt = a
-	g.handing.leases[l.Name] = x
-	g.arm()
-	ans, _ := g.stands(x.entry)
-	x.tell(ans)
+	c.leases.byLease[l.Name] = x
+	c.scheduleLeaseExpiry()
+	ans, _ := c.leaseAnswer(x.entry)
+	x.notifyWaiters(ans)
 	return true
 }
 
 // left takes out one who waits. A request that nobody waits for and that no node was granted for is given up: it took nothing.
-func (g *Core) left(ev left) {
-	x := g.handing.open[ev.id]
+func (c *Core) cancelWait(ev waitCanceled) {
+	x := c.leases.byRequestID[ev.id]
 	if x == nil {
 		return
 	}
-	kept := x.waiting[:0]
-	for _, p := range x.waiting {
-		if p != ev.place {
+	kept := x.waiters[:0]
+	for _, p := range x.waiters {
+		if p != ev.sink {
 			kept = append(kept, p)
 		}
 	}
-	x.waiting = kept
-	if len(kept) == 0 && x.entry.State == lease.Open && len(x.r.attempts) == 0 {
-		x.withdraw()
-		g.abandon(x.r)
+	x.waiters = kept
+	if len(kept) == 0 && x.entry.State == lease.Open && len(x.request.attempts) == 0 {
+		x.forget()
+		c.abandonRequest(x.request)
 	}
 }
 
 // reported ends a lease. What was served, or never sent, is over; after anything else the module decides whether there is
 // another attempt, and the report's answer says so where it has.
-func (g *Core) reported(ev reported) {
-	h := g.handing
-	g.lapse()
-	entry, l, first, err := h.book.Report(g.now, ev.lease, ev.out)
+func (c *Core) handleOutcomeReport(ev outcomeReported) {
+	h := c.leases
+	c.expireLeases()
+	entry, l, first, err := h.registry.Report(c.now, ev.lease, ev.outcome)
 	if first {
-		x := h.leases[l.Name]
-		delete(h.leases, l.Name)
-		switch ev.out {
+		x := h.byLease[l.Name]
+		delete(h.byLease, l.Name)
+		switch ev.outcome {
 		case lease.OutcomeServed:
-			g.endHanded(x, policy.Succeeded, true, false)
+			c.endLease(x, policy.Succeeded, true, false)
 		case lease.OutcomeUnsent:
-			g.endHanded(x, policy.NotSent, true, true)
+			c.endLease(x, policy.NotSent, true, true)
 		case lease.OutcomeRejected:
-			g.endHanded(x, policy.Rejected, false, false)
+			c.endLease(x, policy.Rejected, false, false)
 		default:
-			g.endHanded(x, policy.Failed, false, false)
+			c.endLease(x, policy.Failed, false, false)
 		}
-		g.flush()
+		c.flushEvents()
 	}
 	out := ReportResult{Err: err, First: first}
 	if entry != nil {
 		out.State = entry.State
-		out.Next, _ = g.stands(entry)
+		out.Next, _ = c.leaseAnswer(entry)
 	}
-	ev.tell(out)
+	ev.notify(out)
 }
 
 // endHanded tells the module how a lease's attempt ended; over: there is no other, whatever the module would have.
-func (g *Core) endHanded(x *handed, o policy.Outcome, over, unsent bool) {
+func (c *Core) endLease(x *leasedRequest, o policy.Outcome, over, unsent bool) {
 	a := x.attempt
 	x.attempt = nil
-	x.r.out--
+	x.request.inFlight--
 	if over {
-		x.r.final = true
-		g.fig.RequestEnded(x.r.Class, endOf(o))
-		x.close()
-		x.tell(Answer{Kind: Concluded, State: x.entry.State})
+		x.request.finished = true
+		c.metrics.RequestEnded(x.request.Class, requestEndOf(o))
+		x.stopWaiting()
+		x.notifyWaiters(Answer{Kind: Concluded, State: x.entry.State})
 	}
-	g.ended(x.r, policy.AttemptEnded{ID: x.r.ID, Attempt: a.Number, Backend: policy.BackendID(x.entry.Lease.Node), Outcome: o, Took: g.now - a.StartedAt, Finished: x.r.final, Unsent: unsent})
+	c.notifyAttemptEnded(x.request, policy.AttemptEnded{ID: x.request.ID, Attempt: a.Number, Backend: policy.BackendID(x.entry.Lease.Node), Outcome: o, Took: c.now - a.StartedAt, Finished: x.request.finished, Unsent: unsent})
 }
 
 // lapse ends the leases that have run out: their attempts may have run.
-func (g *Core) lapse() {
-	for _, e := range g.handing.book.Expire(g.now) {
-		if x := g.handing.leases[e.Lease.Name]; x != nil {
-			delete(g.handing.leases, e.Lease.Name)
-			g.endHanded(x, policy.TimedOut, true, false)
+func (c *Core) expireLeases() {
+	for _, e := range c.leases.registry.Expire(c.now) {
+		if x := c.leases.byLease[e.Lease.Name]; x != nil {
+			delete(c.leases.byLease, e.Lease.Name)
+			c.endLease(x, policy.TimedOut, true, false)
 		}
 	}
 }
 
 // arm sets the alarm for what runs out next.
-func (g *Core) arm() {
-	h := g.handing
-	next, any := h.book.NextExpiry()
-	if !any || h.ringing > g.now && h.ringing <= next {
+func (c *Core) scheduleLeaseExpiry() {
+	h := c.leases
+	next, any := h.registry.NextExpiry()
+	if !any || h.nextTimer > c.now && h.nextTimer <= next {
 		return
 	}
-	h.ringing = next
-	g.at(next, func() {
-		if h.ringing == next {
-			h.ringing = 0
+	h.nextTimer = next
+	c.scheduleAt(next, func() {
+		if h.nextTimer == next {
+			h.nextTimer = 0
 		}
-		g.lapse()
-		g.arm()
+		c.expireLeases()
+		c.scheduleLeaseExpiry()
 	})
 }
--- a/internal/core/guarded.go
+++ b/internal/core/guarded.go
@@ -18,50 +18,50 @@
 const enforced = true
 
 // answeredLate is how long after a client's time its answer only earns nothing; later, it is lost.
-const answeredLate = 500 * time.Millisecond
+const maxAnswerDelay = 500 * time.Millisecond
 
 // admission says whether a request is taken in; where it is not, with which answer it ends at once.
-func (g *Core) admission(r *Request) (a Answer, taken bool) {
+func (c *Core) checkAdmission(r *Request) (a Answer, taken bool) {
 	switch {
-	case g.ending: // the last answers have been given: it would have none
+	case c.allAnswered: // the last answers have been given: it would have none
 		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
-	case r.GiveUpAt <= g.now: // it has waited for too long behind others: nothing is spent on it
+	case r.GiveUpAt <= c.now: // it has waited for too long behind others: nothing is spent on it
 		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
-	case len(g.requests) >= g.net.MaxOpen || g.heldBytes+r.Size > g.mostHeld: // many clients with large bodies must not fill the memory
+	case len(c.requests) >= c.connections.MaxOpen || c.requestBytes+r.Size > c.maxRequestBytes: // many clients with large bodies must not fill the memory
 		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
-	case g.keys[r.ClientID]: // the one who asked first has its answer, and nobody else
+	case c.clientIDs[r.ClientID]: // the one who asked first has its answer, and nobody else
 		return Answer{Kind: Duplicate}, false
 	}
 	return Answer{}, true
 }
 
 // maySend is asked right before an attempt is written.
-func (g *Core) maySend(r *Request, a *backend.Attempt) bool {
+func (c *Core) maySend(r *Request, a *backend.Attempt) bool {
 	to, serves := a.Backend()
-	send := guard.Send{Class: g.class(r), Parallel: g.cfg.Settings.Hedging, Answered: r.final, GiveUpAt: r.GiveUpAt, Serves: serves, Zone: to.Zone, Cell: to.Cell, Earlier: r.handed(a)}
-	broken := send.Check(g.now)
+	send := guard.Send{Class: c.classOf(r), Parallel: c.cfg.Settings.Hedging, Answered: r.finished, GiveUpAt: r.GiveUpAt, Serves: serves, Zone: to.Zone, Cell: to.Cell, Earlier: r.assignedAttempts(a)}
+	broken := send.Check(c.now)
 	if broken == guard.None {
 		return true
 	}
 	if broken == guard.SendAfterDeadline { // time has passed since it was decided on: nobody's fault
-		g.fig.AttemptWithheld(metrics.TimeOver)
+		c.metrics.AttemptWithheld(metrics.TimeOver)
 		return false
 	}
-	g.guard.Violated(broken, append(r.ids(), "attempt", a.Number, "backend", a.BackendID(), "earlier", len(send.Earlier))...)
+	c.guard.Violated(broken, append(r.logAttrs(), "attempt", a.Number, "backend", a.BackendID(), "earlier", len(send.Earlier))...)
 	return !enforced
 }
 
 // class is the class of a request; one that the settings don't know may not be repeated.
-func (g *Core) class(r *Request) policy.Class {
-	c, known := g.classes[r.Class]
+func (c *Core) classOf(r *Request) policy.Class {
+	class, known := c.classes[r.Class]
 	if !known {
-		c.Effect = policy.Unsafe
+		class.Effect = policy.Unsafe
 	}
-	return c
+	return class
 }
 
 // handed are the attempts of a request that were given to a connection, but for one that is about to be.
-func (r *Request) handed(next *backend.Attempt) (out []guard.Attempt) {
+func (r *Request) assignedAttempts(next *backend.Attempt) (out []guard.Attempt) {
 	if r.Prior != nil {
 		out = append(out, guard.Attempt{Zone: r.Prior.Zone, Cell: r.Prior.Cell, At: r.Prior.At, Ended: true})
 	}
@@ -76,52 +76,52 @@
 }
 
 // ids are what names a request in a line of the log.
-func (r *Request) ids() []any {
+func (r *Request) logAttrs() []any {
 	return []any{"request", fmt.Sprintf("%016x", r.ClientID), "customer", r.Tenant, "class", r.Class}
 }
 
 // deliver hands the one final answer of a request to its front.
-func (g *Core) deliver(r *Request, a Answer) {
-	if late := g.now - r.GiveUpAt; late > answeredLate && r.came > 0 {
-		g.guard.Violated(guard.AnsweredLate, append(r.ids(), "late", late, "attempts", len(r.attempts))...)
+func (c *Core) deliverAnswer(r *Request, a Answer) {
+	if late := c.now - r.GiveUpAt; late > maxAnswerDelay && r.arrivedAt > 0 {
+		c.guard.Violated(guard.AnsweredLate, append(r.logAttrs(), "late", late, "attempts", len(r.attempts))...)
 	}
-	if a.Kind == Rejected && !r.Delegated && !guard.MayRefuse(g.class(r), r.handed(nil)) {
-		g.guard.Violated(guard.RefusedThoughRun, append(r.ids(), "attempts", len(r.attempts))...)
+	if a.Kind == Rejected && !r.Delegated && !guard.MayRefuse(c.classOf(r), r.assignedAttempts(nil)) {
+		c.guard.Violated(guard.RefusedThoughRun, append(r.logAttrs(), "attempts", len(r.attempts))...)
 		if enforced {
 			a = Answer{Kind: Failed}
 		}
 	}
-	if g.cfg.LogRequests {
-		g.logEnd(r, a)
+	if c.cfg.LogRequests {
+		c.logRequestEnd(r, a)
 	}
 	r.Sink.Deliver(a)
 }
 
 // refused takes in that the module refuses a request, and why.
-func (g *Core) refused(a policy.Reject) {
-	g.sum.refused(a.Reason)
-	g.fig.Rejected(int(a.Reason))
-	if r := g.requests[a.ID]; r != nil {
-		r.why = a.Reason
+func (c *Core) recordRejection(a policy.Reject) {
+	c.summary.addRejection(a.Reason)
+	c.metrics.Rejected(int(a.Reason))
+	if r := c.requests[a.ID]; r != nil {
+		r.reason = a.Reason
 	}
 }
 
 // failed is the same of a failure.
-func (g *Core) failed(a policy.Fail) {
-	g.sum.failed(a.Reason)
-	g.fig.Failed(int(a.Reason))
-	if r := g.requests[a.ID]; r != nil {
-		r.why = a.Reason
+func (c *Core) recordFailure(a policy.Fail) {
+	c.summary.addFailure(a.Reason)
+	c.metrics.Failed(int(a.Reason))
+	if r := c.requests[a.ID]; r != nil {
+		r.reason = a.Reason
 	}
 }
 
 // logEnd writes a line about the end of a request, with what became of its attempts.
-func (g *Core) logEnd(r *Request, a Answer) {
+func (c *Core) logRequestEnd(r *Request, a Answer) {
 	attempts := make([]string, 0, len(r.attempts))
 	for _, x := range r.attempts {
-		attempts = append(attempts, fmt.Sprintf("%s@%.3f:%s", x.BackendID(), (x.StartedAt-r.came).Seconds(), outcomeOf(x)))
+		attempts = append(attempts, fmt.Sprintf("%s@%.3f:%s", x.BackendID(), (x.StartedAt-r.arrivedAt).Seconds(), outcomeOf(x)))
 	}
-	g.log.Info("request ended", append(r.ids(), "end", a.Kind.String(), "why", r.why.String(), "after", (g.now-r.came).Round(time.Millisecond), "left", (r.GiveUpAt-g.now).Round(time.Millisecond), "attempts", attempts)...)
+	c.log.Info("request ended", append(r.logAttrs(), "end", a.Kind.String(), "why", r.reason.String(), "after", (c.now-r.arrivedAt).Round(time.Millisecond), "left", (r.GiveUpAt-c.now).Round(time.Millisecond), "attempts", attempts)...)
 }
 
 // outcomeOf words how an attempt has ended.
@@ -133,10 +133,10 @@
 }
 
 // checkOpen counts the requests that have no answer when the process has ended its work.
-func (g *Core) checkOpen() {
-	for _, r := range g.requests {
-		if !r.final && !r.Delegated {
-			g.guard.Violated(guard.OpenAtExit, r.ids()...)
+func (c *Core) checkUnanswered() {
+	for _, r := range c.requests {
+		if !r.finished && !r.Delegated {
+			c.guard.Violated(guard.OpenAtExit, r.logAttrs()...)
 		}
 	}
 }
--- a/internal/core/guarded_test.go
+++ b/internal/core/guarded_test.go
@@ -59,9 +59,9 @@
 	}
 	next := &backend.Attempt{Ref: r, Number: 1, Command: r.Command, StartedAt: g.now, Deadline: r.GiveUpAt}
 	r.attempts = append(r.attempts, next)
-	r.out++
-	g.nodes.Start(next, "s0")
-	if (owner{g}).AttemptWanted(next) {
+	r.inFlight++
+	g.backends.Start(next, "s0")
+	if (poolOwner{g}).AttemptWanted(next) {
 		t.Error("it would be written")
 	}
 	wantViolations(t, g, guard.RepeatOfUnsafe, 1)
@@ -88,7 +88,7 @@
 	p := &counting{}
 	r := arriving(g, 1, p)
 	g.handle(connected(t, g))
-	g.act(policy.Reject{ID: r.ID, Reason: policy.NoRetry})
+	g.performAction(policy.Reject{ID: r.ID, Reason: policy.NoRetry})
 	if p.answers != 1 || p.got.Kind != Failed {
 		t.Errorf("%d answers, the last %v", p.answers, p.got.Kind)
 	}
@@ -100,8 +100,8 @@
 	g := newGuarded(t)
 	p := &counting{}
 	r := arriving(g, 1, p)
-	g.answer(r, Answer{Kind: Failed})
-	g.final(r, Answer{Kind: Served})
+	g.answerRequest(r, Answer{Kind: Failed})
+	g.finishRequest(r, Answer{Kind: Served})
 	if p.answers != 1 || p.got.Kind != Failed {
 		t.Errorf("%d answers, the last %v", p.answers, p.got.Kind)
 	}
@@ -115,7 +115,7 @@
 	first := &counting{}
 	arriving(g, 1, first)
 	done := make(chan struct{})
-	g.handle(endAll{done})
+	g.handle(answerAllRequested{done})
 	select {
 	case <-done:
 	default:
@@ -135,9 +135,9 @@
 	p := &counting{}
 	r := &Request{ClientID: 1, Size: 100, Sink: p, Command: noCommand{}}
 	r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now-time.Second
-	g.handle(arrived{r})
-	if p.answers != 1 || p.got.Kind != Rejected || len(g.requests) != 0 || g.nodes.Dials() != 0 {
-		t.Errorf("%v, %d requests, %d dials", p, len(g.requests), g.nodes.Dials())
+	g.handle(requestArrived{r})
+	if p.answers != 1 || p.got.Kind != Rejected || len(g.requests) != 0 || g.backends.Dials() != 0 {
+		t.Errorf("%v, %d requests, %d dials", p, len(g.requests), g.backends.Dials())
 	}
 	wantViolations(t, g, guard.None, 0)
 }
@@ -146,6 +146,6 @@
 func TestOpenAtExitIsCounted(t *testing.T) {
 	g := newGuarded(t)
 	arriving(g, 1, &place{})
-	g.checkOpen()
+	g.checkUnanswered()
 	wantViolations(t, g, guard.OpenAtExit, 1)
 }
--- a/internal/core/judge.go
+++ b/internal/core/judge.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	judgeEvery  = 50 * time.Millisecond  // own evidence is looked at, told, and others' is weighed
-	weighAgain  = 500 * time.Millisecond // where nothing new came: evidence ages
-	nodesShown  = 250 * time.Millisecond
-	blameLogged = 2.0 // slowness by others' word from which on a line says so
+	outlierTickInterval  = 50 * time.Millisecond  // own evidence is looked at, told, and others' is weighed
+	assessmentInterval  = 500 * time.Millisecond // where nothing new came: evidence ages
+	backendStatusInterval  = 250 * time.Millisecond
+	slownessLogThreshold = 2.0 // slowness by others' word from which on a line says so
 )
 
 // Peers is other instances, as the core needs them. None of its methods may wait for I/O.
@@ -31,23 +31,23 @@
 }
 
 // judgements is what is believed of nodes by this instance's own evidence and by others' word. The loop's alone, but for shown.
-type judgements struct {
+type outlierTracker struct {
 	peers   Peers
 	cfg     outlier.Config
-	sight   *outlier.LocalDetector
-	teller  *outlier.Publisher
-	fader   *outlier.Decay
-	trials  *outlier.Probation
-	starts  map[policy.BackendID]time.Duration
-	version uint64
-	weighed time.Duration
-	heard   map[policy.BackendID][]outlier.PeerObservation
-	force   map[policy.BackendID]float64 // slowness by others' word, as the module has it
-	blamed  map[policy.BackendID]bool    // of which a line was written
-	held    bool                         // blames are lifted, for there are too many
-	strange int                          // words that no instance can have meant
-	shown   atomic.Pointer[BackendsStatus]
-	showAt  time.Duration
+	detector   *outlier.LocalDetector
+	publisher  *outlier.Publisher
+	decay   *outlier.Decay
+	probation  *outlier.Probation
+	startTimes  map[policy.BackendID]time.Duration
+	factsVersion uint64
+	assessedAt time.Duration
+	peerObservations   map[policy.BackendID][]outlier.PeerObservation
+	peerSlowness   map[policy.BackendID]float64 // slowness by others' word, as the module has it
+	loggedSlow  map[policy.BackendID]bool    // of which a line was written
+	ejectionsLifted    bool                         // blames are lifted, for there are too many
+	unreadable int                          // words that no instance can have meant
+	published   atomic.Pointer[BackendsStatus]
+	publishAt  time.Duration
 }
 
 // NodesStatus is what is believed of nodes, and from whom.
@@ -83,136 +83,136 @@
 }
 
 // longAims is as in the module: half of a server's slowness is forgotten in so many longest aims.
-const longAims = 8
+const halfLifeObjectives = 8
 
-func newJudgements(cfg Config) *judgements {
+func newOutlierTracker(cfg Config) *outlierTracker {
 	longest := time.Duration(0)
 	for _, c := range cfg.Settings.Classes {
 		longest = max(longest, c.LatencyObjective)
 	}
-	return &judgements{
-		peers: cfg.Peers, cfg: outlier.Config{Zone: cfg.Settings.Zone, HalfLife: longAims * longest}, sight: outlier.NewLocalDetector(), teller: outlier.NewPublisher(),
-		fader: outlier.NewDecay(rand.New(rand.NewPCG(cfg.Seed, 41))), trials: outlier.NewProbation(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Instances),
-		starts: map[policy.BackendID]time.Duration{}, blamed: map[policy.BackendID]bool{},
+	return &outlierTracker{
+		peers: cfg.Peers, cfg: outlier.Config{Zone: cfg.Settings.Zone, HalfLife: halfLifeObjectives * longest}, detector: outlier.NewLocalDetector(), publisher: outlier.NewPublisher(),
+		decay: outlier.NewDecay(rand.New(rand.NewPCG(cfg.Seed, 41))), probation: outlier.NewProbation(rand.New(rand.NewPCG(cfg.Seed, 43)), cfg.Settings.Instances),
+		startTimes: map[policy.BackendID]time.Duration{}, loggedSlow: map[policy.BackendID]bool{},
 	}
 }
 
 // listJudged hands on which starts of nodes there are.
-func (g *Core) listJudged() {
-	j := g.judged
-	clear(j.starts)
-	g.ops.mu.Lock()
-	for id, t := range g.ops.listed {
-		if s := g.ops.book.Apply(t.Server()); s.State != policy.Gone {
-			j.starts[id] = s.Started
+func (c *Core) updateOutlierBackends() {
+	t := c.outliers
+	clear(t.startTimes)
+	c.overrides.mu.Lock()
+	for id, target := range c.overrides.targets {
+		if s := c.overrides.active.Apply(target.Server()); s.State != policy.Gone {
+			t.startTimes[id] = s.Started
 		}
 	}
-	g.ops.mu.Unlock()
-	j.sight.SetBackends(j.starts)
-	j.version = 0 // what others tell may be of a start that was not listed until now
+	c.overrides.mu.Unlock()
+	t.detector.SetBackends(t.startTimes)
+	t.factsVersion = 0 // what others tell may be of a start that was not listed until now
 }
 
 // weighNow has others' word taken in before what comes after it.
-type weighNow struct{}
+type assessmentRequested struct{}
 
 // Weigh takes in what others have told so far, before any request that is submitted later.
-func (g *Core) AssessBackends() { g.post(weighNow{}) }
+func (c *Core) AssessBackends() { c.post(assessmentRequested{}) }
 
 // judge looks at nodes, and does so again and again.
-func (g *Core) judge() {
-	g.after(judgeEvery, g.judge)
-	g.lookAtNodes()
+func (c *Core) tickOutliers() {
+	c.scheduleAfter(outlierTickInterval, c.tickOutliers)
+	c.checkOutliers()
 }
 
-func (g *Core) lookAtNodes() {
-	j := g.judged
-	j.sight.Tick(g.now)
-	if v := j.peers.Version(); v != j.version {
-		j.version = v
-		j.read()
-		j.weighed = 0
+func (c *Core) checkOutliers() {
+	t := c.outliers
+	t.detector.Tick(c.now)
+	if v := t.peers.Version(); v != t.factsVersion {
+		t.factsVersion = v
+		t.readFacts()
+		t.assessedAt = 0
 	}
 	// Most nodes are fine, and nobody speaks of them: looking at all was half of what judging took (a profile of 36 processes).
-	own := j.sight.Observations(g.now, func(id policy.BackendID) bool { return len(j.heard[id]) > 0 || j.teller.HasPublished(id) })
+	own := t.detector.Observations(c.now, func(id policy.BackendID) bool { return len(t.peerObservations[id]) > 0 || t.publisher.HasPublished(id) })
 	accused := map[policy.BackendID]time.Duration{}
 	for _, o := range own {
-		for _, w := range j.heard[o.Backend] {
+		for _, w := range t.peerObservations[o.Backend] {
 			if w.IsAdverse() && w.Onset < o.LastGood {
 				accused[o.Backend] = max(accused[o.Backend], w.Onset)
 			}
 		}
 	}
-	for _, o := range j.teller.Select(g.now, own, accused) {
-		j.peers.Publish(outlier.FactKind, string(o.Backend), o.ObservedAt(), o.Encode())
+	for _, o := range t.publisher.Select(c.now, own, accused) {
+		t.peers.Publish(outlier.FactKind, string(o.Backend), o.ObservedAt(), o.Encode())
 	}
-	if g.now-j.weighed >= weighAgain || len(j.force) > 0 {
-		j.weighed = g.now
-		g.weigh(own)
+	if c.now-t.assessedAt >= assessmentInterval || len(t.peerSlowness) > 0 {
+		t.assessedAt = c.now
+		c.assessBackends(own)
 	}
 }
 
 // read takes over what others tell.
-func (j *judgements) read() {
-	facts, halls := j.peers.Facts(outlier.FactKind)
-	j.heard = map[policy.BackendID][]outlier.PeerObservation{}
+func (t *outlierTracker) readFacts() {
+	facts, halls := t.peers.Facts(outlier.FactKind)
+	t.peerObservations = map[policy.BackendID][]outlier.PeerObservation{}
 	for _, f := range facts {
-		if f.Owner == j.peers.Name() {
+		if f.Owner == t.peers.Name() {
 			continue
 		}
 		o, err := outlier.Decode(f.Subject, f.ObservedAt, f.Data)
 		if err != nil {
-			j.strange++
+			t.unreadable++
 			continue
 		}
-		if start, there := j.starts[o.Backend]; there && start.Milliseconds() == o.Started.Milliseconds() { // of this start of it
-			j.heard[o.Backend] = append(j.heard[o.Backend], outlier.PeerObservation{Owner: f.Owner, Zone: halls[f.Owner], Observation: o})
+		if start, there := t.startTimes[o.Backend]; there && start.Milliseconds() == o.Started.Milliseconds() { // of this start of it
+			t.peerObservations[o.Backend] = append(t.peerObservations[o.Backend], outlier.PeerObservation{Owner: f.Owner, Zone: halls[f.Owner], Observation: o})
 		}
 	}
 }
 
 // weigh comes to a verdict on each node that others speak of, and lets the module know.
-func (g *Core) weigh(own []outlier.Observation) {
-	j := g.judged
+func (c *Core) assessBackends(own []outlier.Observation) {
+	t := c.outliers
 	mine := map[policy.BackendID]outlier.Observation{}
 	for _, o := range own {
 		mine[o.Backend] = o
 	}
 	var verdicts []outlier.Assessment
-	for id, words := range j.heard {
+	for id, words := range t.peerObservations {
 		o := mine[id]
 		o.Backend = id
-		verdicts = append(verdicts, outlier.Assess(g.now, j.cfg, o, words))
-	}
-	lifted := outlier.LimitEjections(verdicts, len(j.starts))
-	if lifted != j.held {
-		j.held = lifted
-		g.log.Warn("others' word on nodes", "counts", !lifted, "nodes", len(verdicts), "listed", len(j.starts))
-	}
-	before := len(j.force)
-	j.force = j.fader.Apply(g.now, verdicts)
-	if before > 0 || len(j.force) > 0 {
-		heard := maps.Clone(j.force)
-		for _, id := range j.trials.Open(g.now, j.force, verdicts, j.sight.LastSent) {
+		verdicts = append(verdicts, outlier.Assess(c.now, t.cfg, o, words))
+	}
+	lifted := outlier.LimitEjections(verdicts, len(t.startTimes))
+	if lifted != t.ejectionsLifted {
+		t.ejectionsLifted = lifted
+		c.log.Warn("others' word on nodes", "counts", !lifted, "nodes", len(verdicts), "listed", len(t.startTimes))
+	}
+	before := len(t.peerSlowness)
+	t.peerSlowness = t.decay.Apply(c.now, verdicts)
+	if before > 0 || len(t.peerSlowness) > 0 {
+		heard := maps.Clone(t.peerSlowness)
+		for _, id := range t.probation.Open(c.now, t.peerSlowness, verdicts, t.detector.LastSent) {
 			heard[id] = policy.ProbationSlowness
 		}
-		g.mod.SetPeerSlowness(heard)
+		c.engine.SetPeerSlowness(heard)
 	}
 	for _, v := range verdicts {
-		if blamed := j.force[v.Backend] >= blameLogged; blamed != j.blamed[v.Backend] {
-			j.blamed[v.Backend] = blamed
-			g.log.Info("a node by others' word", "node", v.Backend, "slow", float64(int(10*j.force[v.Backend]))/10, "cause", v.Cause.String(), "accusers", v.Reporters,
+		if blamed := t.peerSlowness[v.Backend] >= slownessLogThreshold; blamed != t.loggedSlow[v.Backend] {
+			t.loggedSlow[v.Backend] = blamed
+			c.log.Info("a node by others' word", "node", v.Backend, "slow", float64(int(10*t.peerSlowness[v.Backend]))/10, "cause", v.Cause.String(), "accusers", v.Reporters,
 				"defence", v.Defenders, "why", v.Reason)
 		}
 	}
-	if g.now-j.showAt >= nodesShown {
-		j.showAt = g.now
-		j.show(g.now, j.sight.Observations(g.now, nil), verdicts)
+	if c.now-t.publishAt >= backendStatusInterval {
+		t.publishAt = c.now
+		t.publishStatus(c.now, t.detector.Observations(c.now, nil), verdicts)
 	}
 }
 
 // show lets others see what is believed.
-func (j *judgements) show(now time.Duration, own []outlier.Observation, verdicts []outlier.Assessment) {
-	s := &BackendsStatus{EjectionsLifted: j.held, Unreadable: j.strange}
+func (t *outlierTracker) publishStatus(now time.Duration, own []outlier.Observation, verdicts []outlier.Assessment) {
+	s := &BackendsStatus{EjectionsLifted: t.ejectionsLifted, Unreadable: t.unreadable}
 	by := map[policy.BackendID]outlier.Assessment{}
 	for _, v := range verdicts {
 		by[v.Backend] = v
@@ -220,13 +220,13 @@
 	add := func(o outlier.Observation) {
 		v := by[o.Backend]
 		n := BackendStatus{
-			Backend: o.Backend, Good: o.Good, Bad: o.Bad, PeerSlowness: max(1, j.force[o.Backend]), Cause: v.Cause.String(), Reporters: v.Reporters, Defenders: v.Defenders, Reason: v.Reason,
+			Backend: o.Backend, Good: o.Good, Bad: o.Bad, PeerSlowness: max(1, t.peerSlowness[o.Backend]), Cause: v.Cause.String(), Reporters: v.Reporters, Defenders: v.Defenders, Reason: v.Reason,
 			AgeMS: v.Age.Milliseconds(),
 		}
 		if o.Bad > 0.1 {
 			n.OwnCause = o.Cause.String()
 		}
-		for _, w := range j.heard[o.Backend] {
+		for _, w := range t.peerObservations[o.Backend] {
 			n.Reports = append(n.Reports, PeerReport{w.Owner, w.Zone, w.Cause.String(), w.Good, w.Bad, (now - w.ObservedAt()).Milliseconds()})
 		}
 		s.Backends = append(s.Backends, n)
@@ -238,16 +238,16 @@
 	for id := range by {
 		add(outlier.Observation{Backend: id})
 	}
-	j.shown.Store(s)
+	t.published.Store(s)
 }
 
 // NodesStatus is what is believed of nodes, as of a moment ago; false where nobody tells of them. It may be called by many
 // goroutines.
-func (g *Core) BackendsStatus() (BackendsStatus, bool) {
-	if g.judged == nil {
+func (c *Core) BackendsStatus() (BackendsStatus, bool) {
+	if c.outliers == nil {
 		return BackendsStatus{}, false
 	}
-	if s := g.judged.shown.Load(); s != nil {
+	if s := c.outliers.published.Load(); s != nil {
 		return *s, true
 	}
 	return BackendsStatus{}, true
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -13,7 +13,7 @@
 )
 
 // clusterEvery is the time between two looks at how many nodes are avoided.
-const clusterEvery = 100 * time.Millisecond
+const backendCountInterval = 100 * time.Millisecond
 
 // WordStore keeps the operators' words on nodes where the next process of this ingress finds them. Both methods may be called
 // by many goroutines, and may take the time of a disk.
@@ -23,39 +23,39 @@
 }
 
 // operators is what operators have said, and the list that it lies over. Its lock is never held over a wait.
-type operators struct {
+type operatorOverrides struct {
 	mu    sync.Mutex
-	book  *override.Overrides
+	active  *override.Overrides
 	store OverrideStore // nil: words end with the process
-	spoke chan struct{} // room for one: the loop shall look at the book
+	changed chan struct{} // room for one: the loop shall look at the book
 
 	// The loop's alone: the list without the operators' word, its revision, and how often one has come.
-	listed map[policy.BackendID]discovery.Target
-	rev    int64
-	lists  int
+	targets map[policy.BackendID]discovery.Target
+	revision    int64
+	updates  int
 }
 
 // Figures is what this process has done since its start.
-func (g *Core) Metrics() *metrics.Set { return g.fig }
+func (c *Core) Metrics() *metrics.Set { return c.metrics }
 
 // Suspend takes a node out until Resume: the list has it as draining from now on, whatever discovery says. It returns
 // suspend.ErrUnknown for a node that was never listed, and never waits for the core's goroutine.
-func (g *Core) Suspend(id policy.BackendID) error { return g.say(id, true) }
+func (c *Core) Suspend(id policy.BackendID) error { return c.setSuspended(id, true) }
 
 // Resume puts a node back, as one that has just started.
-func (g *Core) Resume(id policy.BackendID) error { return g.say(id, false) }
+func (c *Core) Resume(id policy.BackendID) error { return c.setSuspended(id, false) }
 
-func (g *Core) say(id policy.BackendID, out bool) error {
-	o := &g.ops
+func (c *Core) setSuspended(id policy.BackendID, out bool) error {
+	o := &c.overrides
 	o.mu.Lock()
-	changed, err := o.book.Set(id, out, g.clock(time.Now()))
-	words := o.book.All()
+	changed, err := o.active.Set(id, out, c.clock(time.Now()))
+	words := o.active.All()
 	o.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	if changed {
-		o.signal()
+		o.signalChange()
 	}
 	if o.store != nil { // also of a repeat: the first may have failed here
 		return o.store.Save(words)
@@ -64,102 +64,102 @@
 }
 
 // Heard takes in words that another process of this ingress has recorded. It may be called at any time.
-func (g *Core) MergeOverrides(words []override.Override) {
-	o := &g.ops
+func (c *Core) MergeOverrides(words []override.Override) {
+	o := &c.overrides
 	o.mu.Lock()
-	changed := o.book.Merge(words)
+	changed := o.active.Merge(words)
 	o.mu.Unlock()
 	if len(changed) > 0 {
-		g.log.Info("suspensions of another process", "nodes", changed)
-		o.signal()
+		c.log.Info("suspensions of another process", "nodes", changed)
+		o.signalChange()
 	}
 }
 
 // out reports whether operators have taken a node out.
-func (g *Core) out(id policy.BackendID) bool {
-	g.ops.mu.Lock()
-	defer g.ops.mu.Unlock()
-	return g.ops.book.IsSuspended(id)
+func (c *Core) isSuspended(id policy.BackendID) bool {
+	c.overrides.mu.Lock()
+	defer c.overrides.mu.Unlock()
+	return c.overrides.active.IsSuspended(id)
 }
 
-func (o *operators) signal() {
+func (o *operatorOverrides) signalChange() {
 	select {
-	case o.spoke <- struct{}{}:
+	case o.changed <- struct{}{}:
 	default:
 	}
 }
 
 // fleet takes a list or a change of discovery's.
-func (g *Core) fleet(f discovery.List) {
-	g.sum.add(lists, 1)
-	g.ops.lists++
-	g.ops.rev = max(g.ops.rev, f.Rev)
-	if f.Complete || g.ops.listed == nil {
-		g.ops.listed = make(map[policy.BackendID]discovery.Target, len(f.Targets))
+func (c *Core) updateEndpoints(f discovery.List) {
+	c.summary.add(summaryLists, 1)
+	c.overrides.updates++
+	c.overrides.revision = max(c.overrides.revision, f.Rev)
+	if f.Complete || c.overrides.targets == nil {
+		c.overrides.targets = make(map[policy.BackendID]discovery.Target, len(f.Targets))
 	}
 	ids := make([]policy.BackendID, 0, len(f.Targets))
 	for _, t := range f.Targets {
 		id := policy.BackendID(t.UID)
 		ids = append(ids, id)
 		if t.State == discovery.Deleted {
-			delete(g.ops.listed, id)
+			delete(c.overrides.targets, id)
 		} else {
-			g.ops.listed[id] = t
+			c.overrides.targets[id] = t
 		}
 	}
-	g.ops.mu.Lock()
-	g.ops.book.NoteListed(ids)
-	g.ops.mu.Unlock()
-	g.overlaid(f)
+	c.overrides.mu.Lock()
+	c.overrides.active.NoteListed(ids)
+	c.overrides.mu.Unlock()
+	c.applyEndpoints(f)
 }
 
 // relist hands the list over again, after the operators have spoken.
-func (g *Core) relist() {
-	f := discovery.List{Targets: make([]discovery.Target, 0, len(g.ops.listed))}
-	for _, t := range g.ops.listed {
+func (c *Core) reapplyOverrides() {
+	f := discovery.List{Targets: make([]discovery.Target, 0, len(c.overrides.targets))}
+	for _, t := range c.overrides.targets {
 		f.Targets = append(f.Targets, t)
 	}
-	g.overlaid(f)
-	g.flush()
+	c.applyEndpoints(f)
+	c.flushEvents()
 }
 
 // overlaid tells connections, halls and the module the list as it holds under the operators' word.
-func (g *Core) overlaid(f discovery.List) {
+func (c *Core) applyEndpoints(f discovery.List) {
 	ev := policy.EndpointsChanged{Complete: f.Complete, Backends: make([]policy.Backend, 0, len(f.Targets))}
 	entries := make([]backend.Endpoint, 0, len(f.Targets))
-	g.ops.mu.Lock()
+	c.overrides.mu.Lock()
 	for _, t := range f.Targets {
-		s := g.ops.book.Apply(t.Server())
+		s := c.overrides.active.Apply(t.Server())
 		entries = append(entries, backend.Endpoint{Backend: s, Addr: t.Endpoint})
 		ev.Backends = append(ev.Backends, s)
 	}
-	g.ops.mu.Unlock()
-	g.tell(ev) // before what ends by it, which would be sent to the same nodes again
-	g.nodes.Update(entries, f.Complete)
-	if g.judged != nil {
-		g.listJudged()
+	c.overrides.mu.Unlock()
+	c.notifyEngine(ev) // before what ends by it, which would be sent to the same nodes again
+	c.backends.Update(entries, f.Complete)
+	if c.outliers != nil {
+		c.updateOutlierBackends()
 	}
-	if g.halls != nil {
-		g.halls.list(g.now, ev)
+	if c.zones != nil {
+		c.zones.setEndpoints(c.now, ev)
 	}
 }
 
 // lookAtCluster brings the figures of the cluster up to date.
-func (g *Core) lookAtCluster() {
-	g.after(clusterEvery, g.lookAtCluster)
+func (c *Core) updateBackendCounts() {
+	c.scheduleAfter(backendCountInterval, c.updateBackendCounts)
 	avoided := 0
-	g.ops.mu.Lock()
-	for id := range g.ops.listed {
-		if g.ops.book.IsSuspended(id) || g.mod.IsAvoided(id) {
+	c.overrides.mu.Lock()
+	for id := range c.overrides.targets {
+		if c.overrides.active.IsSuspended(id) || c.engine.IsAvoided(id) {
 			avoided++
 		}
 	}
-	g.ops.mu.Unlock()
-	g.fig.SetBackends(len(g.ops.listed), avoided)
+	c.overrides.mu.Unlock()
+	c.metrics.SetBackends(len(c.overrides.targets), avoided)
 }
 
 // newFigures are the figures of the settings' classes.
-func newFigures(classes []policy.Class) *metrics.Set {
+func newMetrics(classes []policy.Class) *metrics.Set {
 	names := make([]string, len(classes))
 	for i, c := range classes {
 		names[i] = c.Name
@@ -172,7 +172,7 @@
 }
 
 // endOf is how a request counts that ended with an attempt.
-func endOf(o policy.Outcome) metrics.RequestEnd {
+func requestEndOf(o policy.Outcome) metrics.RequestEnd {
 	if o == policy.Succeeded {
 		return metrics.Answered
 	}
@@ -180,13 +180,13 @@
 }
 
 // final hands out the one final answer of a request, and counts it.
-func (g *Core) final(r *Request, a Answer) {
-	if r.final && !r.Delegated {
-		g.guard.Violated(guard.AnsweredTwice, append(r.ids(), "second", a.Kind.String())...)
+func (c *Core) finishRequest(r *Request, a Answer) {
+	if r.finished && !r.Delegated {
+		c.guard.Violated(guard.AnsweredTwice, append(r.logAttrs(), "second", a.Kind.String())...)
 		return
 	}
-	r.final = true
-	g.endCustody(r, a)
+	r.finished = true
+	c.completeWork(r, a)
 	end := metrics.Errored
 	switch a.Kind {
 	case Served, Granted, Concluded:
@@ -194,6 +194,6 @@
 	case Rejected:
 		end = metrics.Deferred
 	}
-	g.fig.RequestEnded(r.Class, end)
-	g.deliver(r, a)
+	c.metrics.RequestEnded(r.Class, end)
+	c.deliverAnswer(r, a)
 }
--- a/internal/core/rights.go
+++ b/internal/core/rights.go
@@ -13,137 +13,137 @@
 )
 
 const (
-	rightsEvery  = 50 * time.Millisecond // between two looks at what is held
-	stoppedAfter = 4 * rightsEvery       // a look so late says that this process did not run
-	passTau      = time.Second           // over which what is passed on is averaged
-	mostPassed   = 1024                  // channels of which that is known
-	fullLogged   = 10 * time.Second      // between two lines on budgets without room
+	escrowTickInterval  = 50 * time.Millisecond // between two looks at what is held
+	pauseThreshold = 4 * escrowTickInterval       // a look so late says that this process did not run
+	forwardRateTimeConstant      = time.Second           // over which what is passed on is averaged
+	maxForwardRates   = 1024                  // channels of which that is known
+	fullLogInterval   = 10 * time.Second      // between two lines on budgets without room
 )
 
 // holding is this instance's parts of budgets, which move between instances. The loop's alone, but for shown.
-type holding struct {
-	book    *escrow.Allocator
-	works   Transport
-	ticked  time.Duration
+type escrowState struct {
+	allocator    *escrow.Allocator
+	transport   Transport
+	tickedAt  time.Duration
 	members []escrow.Member
-	passed  map[string]*passing
-	told    bool // a line was written on two members with one number
+	forwardRates  map[string]*forwardRate
+	conflictLogged    bool // a line was written on two members with one number
 
-	fullTold int           // budgets without room, in lines so far
-	fullAt   time.Duration // of the last of these lines
+	fullLogged int           // budgets without room, in lines so far
+	fullLoggedAt   time.Duration // of the last of these lines
 
-	shown  atomic.Pointer[EscrowStatus]
-	showAt time.Duration
+	published  atomic.Pointer[EscrowStatus]
+	publishAt time.Duration
 }
 
 // passing is the units a second that this instance passes on for a channel.
-type passing struct {
+type forwardRate struct {
 	rate float64
 	at   time.Duration
 }
 
-func (p *passing) now(now time.Duration) float64 {
-	return p.rate * math.Exp(-(now-p.at).Seconds()/passTau.Seconds())
+func (p *forwardRate) current(now time.Duration) float64 {
+	return p.rate * math.Exp(-(now-p.at).Seconds()/forwardRateTimeConstant.Seconds())
 }
 
-func newHolding(cfg Config, now time.Duration) *holding {
-	return &holding{book: escrow.New(cfg.Settings.Index, cfg.Settings.Instances, now, rand.New(rand.NewPCG(cfg.Seed, 47))), works: cfg.Escrow, ticked: now, passed: map[string]*passing{}}
+func newEscrowState(cfg Config, now time.Duration) *escrowState {
+	return &escrowState{allocator: escrow.New(cfg.Settings.Index, cfg.Settings.Instances, now, rand.New(rand.NewPCG(cfg.Seed, 47))), transport: cfg.Escrow, tickedAt: now, forwardRates: map[string]*forwardRate{}}
 }
 
 // passes counts a request's units, when it is first sent on.
-func (h *holding) passes(now time.Duration, r *Request) {
+func (e *escrowState) recordForwarded(now time.Duration, r *Request) {
 	account := r.Account()
-	p := h.passed[account]
+	p := e.forwardRates[account]
 	if p == nil {
-		if len(h.passed) >= mostPassed {
-			clear(h.passed)
+		if len(e.forwardRates) >= maxForwardRates {
+			clear(e.forwardRates)
 		}
-		p = &passing{}
-		h.passed[account] = p
+		p = &forwardRate{}
+		e.forwardRates[account] = p
 	}
-	p.rate, p.at = p.now(now)+r.Units/passTau.Seconds(), now
+	p.rate, p.at = p.current(now)+r.Units/forwardRateTimeConstant.Seconds(), now
 }
 
 // fellows takes over who is there, and whose life has surely ended.
-func (h *holding) fellows(ev fellows) {
-	h.members = h.members[:0]
+func (e *escrowState) updateMembers(ev membersChanged) {
+	e.members = e.members[:0]
 	for _, m := range ev.members {
-		h.members = append(h.members, escrow.Member{Name: m.Name})
+		e.members = append(e.members, escrow.Member{Name: m.Name})
 	}
-	for _, x := range ev.left {
-		h.book.PeerEnded(x.Name, x.Number)
+	for _, x := range ev.surelyEnded {
+		e.allocator.PeerEnded(x.Name, x.Number)
 	}
 }
 
 // lookAtRights looks at what is held, again and again.
-func (g *Core) lookAtRights() {
-	g.after(rightsEvery, g.lookAtRights)
-	g.tickRights()
+func (c *Core) runEscrow() {
+	c.scheduleAfter(escrowTickInterval, c.runEscrow)
+	c.tickEscrow()
 }
 
 // tickRights asks others for what lacks here, and lets the module know what this instance holds.
-func (g *Core) tickRights() {
-	h := g.holding
-	stopped := g.now-h.ticked > stoppedAfter
-	h.ticked = g.now
+func (c *Core) tickEscrow() {
+	h := c.escrow
+	stopped := c.now-h.tickedAt > pauseThreshold
+	h.tickedAt = c.now
 	var needs []escrow.Need
-	for _, n := range g.mod.QuotaNeeds(g.now) {
+	for _, n := range c.engine.QuotaNeeds(c.now) {
 		x := escrow.Need{Key: n.Account, Spread: n.Spread, First: n.First, WantedShare: n.WantedShare, OthersShare: n.OthersRate / n.Rate, MaxInFlight: n.MaxInFlight, CounterLost: n.CounterLost}
-		if p := h.passed[n.Account]; p != nil {
-			x.ForwardedShare = p.now(g.now) / n.Rate
+		if p := h.forwardRates[n.Account]; p != nil {
+			x.ForwardedShare = p.current(c.now) / n.Rate
 		}
 		needs = append(needs, x)
 	}
-	g.sendRights(h.book.Tick(g.now, needs, h.members))
-	g.holdParts(stopped)
-	if h.book.Counts().Conflicts > 0 && !h.told {
-		h.told = true
-		g.log.Warn("two members have one number among the ingresses: what the second says of budgets is left aside", "name", g.cfg.Settings.Index)
+	c.sendEscrow(h.allocator.Tick(c.now, needs, h.members))
+	c.applyAllocations(stopped)
+	if h.allocator.Counts().Conflicts > 0 && !h.conflictLogged {
+		h.conflictLogged = true
+		c.log.Warn("two members have one number among the ingresses: what the second says of budgets is left aside", "name", c.cfg.Settings.Index)
 	}
-	g.reportFullBook()
-	if g.now >= h.showAt {
-		h.showAt = g.now + statusEvery
-		h.shown.Store(&EscrowStatus{Counts: h.book.Counts(), Accounts: h.book.Status(g.now)})
+	c.logAccountsFull()
+	if c.now >= h.publishAt {
+		h.publishAt = c.now + statusInterval
+		h.published.Store(&EscrowStatus{Counts: h.allocator.Counts(), Accounts: h.allocator.Status(c.now)})
 	}
 }
 
 // reportFullBook logs that budgets found no room: at once, and then at most once in fullLogged while it goes on.
-func (g *Core) reportFullBook() {
-	h := g.holding
-	full := h.book.Counts().Full
-	if full == h.fullTold || h.fullTold > 0 && g.now-h.fullAt < fullLogged {
+func (c *Core) logAccountsFull() {
+	h := c.escrow
+	full := h.allocator.Counts().Full
+	if full == h.fullLogged || h.fullLogged > 0 && c.now-h.fullLoggedAt < fullLogInterval {
 		return
 	}
-	g.log.Warn("rights: no room for further budgets: their parts stay even at this instance", "refused", full-h.fullTold, "max_budgets", escrow.MaxBudgets)
-	h.fullTold, h.fullAt = full, g.now
+	c.log.Warn("rights: no room for further budgets: their parts stay even at this instance", "refused", full-h.fullLogged, "max_budgets", escrow.MaxBudgets)
+	h.fullLogged, h.fullLoggedAt = full, c.now
 }
 
 // holdParts lets the module know what this instance holds now.
-func (g *Core) holdParts(stopped bool) {
-	p := policy.Allocations{Default: g.holding.book.DefaultShare(g.now), ByAccount: map[string]policy.Allocation{}}
-	for key, x := range g.holding.book.Allocations(g.now) {
+func (c *Core) applyAllocations(stopped bool) {
+	p := policy.Allocations{Default: c.escrow.allocator.DefaultShare(c.now), ByAccount: map[string]policy.Allocation{}}
+	for key, x := range c.escrow.allocator.Allocations(c.now) {
 		p.ByAccount[key] = policy.Allocation(x)
 	}
-	g.mod.SetAllocations(g.now, p, stopped)
+	c.engine.SetAllocations(c.now, p, stopped)
 }
 
 // heardRights takes in what another instance's life says of budgets. What it lends or has back holds from the next look on at the latest; what this
 // instance lends counts at once.
-func (g *Core) heardRights(from string, life uint64, m escrow.Message) {
-	out := g.holding.book.Receive(g.now, escrow.Member{Name: from, Incarnation: life}, m)
+func (c *Core) receiveEscrow(from string, life uint64, m escrow.Message) {
+	out := c.escrow.allocator.Receive(c.now, escrow.Member{Name: from, Incarnation: life}, m)
 	if len(out) > 0 || len(m.Grants) > 0 {
-		g.holdParts(false)
+		c.applyAllocations(false)
 	}
-	g.sendRights(out)
+	c.sendEscrow(out)
 }
 
-func (g *Core) sendRights(out []escrow.Envelope) {
+func (c *Core) sendEscrow(out []escrow.Envelope) {
 	for _, s := range out {
-		b, err := cbor.Marshal(parcel{Rights: &s.Message})
+		b, err := cbor.Marshal(peerMessage{Escrow: &s.Message})
 		if err != nil { // of plain fields
 			panic(err)
 		}
-		g.holding.works.Send(s.To, b)
+		c.escrow.transport.Send(s.To, b)
 	}
 }
 
@@ -154,11 +154,11 @@
 }
 
 // RightsStatus is what this instance holds, as of a moment ago; false where parts are even. It may be called by many goroutines.
-func (g *Core) EscrowStatus() (EscrowStatus, bool) {
-	if g.holding == nil {
+func (c *Core) EscrowStatus() (EscrowStatus, bool) {
+	if c.escrow == nil {
 		return EscrowStatus{}, false
 	}
-	if s := g.holding.shown.Load(); s != nil {
+	if s := c.escrow.published.Load(); s != nil {
 		return *s, true
 	}
 	return EscrowStatus{}, true
--- a/internal/core/rights_test.go
+++ b/internal/core/rights_test.go
@@ -21,23 +21,23 @@
 		t.Fatal(err)
 	}
 	g.now = time.Hour
-	g.holding = newHolding(cfg, g.now)
+	g.escrow = newEscrowState(cfg, g.now)
 	var needs []escrow.Need
 	for i := range escrow.MaxBudgets + 1 {
 		needs = append(needs, escrow.Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, WantedShare: 0.1})
 	}
 	count := func() int { return strings.Count(out.String(), "no room for further budgets") }
 	for range 100 {
-		g.holding.book.Tick(g.now, needs, nil)
-		g.reportFullBook()
-		g.now += rightsEvery
+		g.escrow.allocator.Tick(g.now, needs, nil)
+		g.logAccountsFull()
+		g.now += escrowTickInterval
 	}
 	if count() != 1 {
 		t.Fatal(out.String())
 	}
-	g.now += fullLogged
-	g.holding.book.Tick(g.now, needs, nil)
-	g.reportFullBook()
+	g.now += fullLogInterval
+	g.escrow.allocator.Tick(g.now, needs, nil)
+	g.logAccountsFull()
 	if count() != 2 || !strings.Contains(out.String(), "refused=100 max_budgets=256") {
 		t.Fatal(out.String())
 	}
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -25,10 +25,10 @@
 		t.Fatal(err)
 	}
 	k := &store.Call{Name: "a"}
-	g.counted(counted{k, store.Result{}})
-	g.counted(counted{k, store.Result{Certainty: store.Added, Seen: true, Total: 7}})
-	if len(g.queue) != 1 || g.queue[0].(policy.CounterReply).Outcome != policy.TimedOut {
-		t.Fatalf("told: %v", g.queue)
+	g.handleCounterReply(counterReplied{k, store.Result{}})
+	g.handleCounterReply(counterReplied{k, store.Result{Certainty: store.Added, Seen: true, Total: 7}})
+	if len(g.engineEvents) != 1 || g.engineEvents[0].(policy.CounterReply).Outcome != policy.TimedOut {
+		t.Fatalf("told: %v", g.engineEvents)
 	}
 }
 
@@ -41,8 +41,8 @@
 		policy.TimedOut:  {},
 	} {
 		g := idleGateway(t, "127.0.0.1:1")
-		g.counted(counted{&store.Call{Name: "a"}, r})
-		if ev := g.queue[len(g.queue)-1].(policy.CounterReply); ev.Outcome != want || ev.Total != r.Total {
+		g.handleCounterReply(counterReplied{&store.Call{Name: "a"}, r})
+		if ev := g.engineEvents[len(g.engineEvents)-1].(policy.CounterReply); ev.Outcome != want || ev.Total != r.Total {
 			t.Errorf("%+v: told %+v, want outcome %v", r, ev, want)
 		}
 	}
@@ -59,16 +59,16 @@
 			held := &heldStore{}
 			g.counter = held
 			g.cfg.Settings.CounterTimeout = 80 * time.Millisecond
-			g.count(policy.AddToCounter{Name: "a", Add: 1})
+			g.addToCounter(policy.AddToCounter{Name: "a", Add: 1})
 			if c.taken {
 				held.calls[0].Claim()
 			}
 			g.now += g.cfg.Settings.CounterTimeout
-			for len(g.queue) == 0 && len(g.alarms) > 0 && g.alarms[0].at <= g.now {
-				heap.Pop(&g.alarms).(alarm).ring()
+			for len(g.engineEvents) == 0 && len(g.timers) > 0 && g.timers[0].at <= g.now {
+				heap.Pop(&g.timers).(timer).fire()
 			}
-			if ev, ok := g.queue[len(g.queue)-1].(policy.CounterReply); !ok || ev.Outcome != c.want {
-				t.Fatalf("told %v, want outcome %v", g.queue, c.want)
+			if ev, ok := g.engineEvents[len(g.engineEvents)-1].(policy.CounterReply); !ok || ev.Outcome != c.want {
+				t.Fatalf("told %v, want outcome %v", g.engineEvents, c.want)
 			}
 			if held.calls[0].Claim() {
 				t.Fatal("a call that was answered may still be sent")
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -8,25 +8,25 @@
 )
 
 // figure is one count of what happened between two lines.
-type figure uint8
+type summaryField uint8
 
 // The figures, in the order in which a line has them.
 const (
-	arrivals figure = iota
-	servedInTime
-	servedLate
-	cutOffs
-	firstSends
-	furtherSends
-	holdMillis // from arrival to the first attempt, summed
-	dials
-	lists
-	countCalls
-	countMillis // of the calls that were answered, summed
-	allFigures
+	summaryArrived summaryField = iota
+	summaryServed
+	summaryLate
+	summaryOverdue
+	summaryFirstAttempts
+	summaryRetries
+	summaryQueuedMillis // from arrival to the first attempt, summed
+	summaryDials
+	summaryLists
+	summaryCounterCalls
+	summaryCounterMillis // of the calls that were answered, summed
+	summaryFieldCount
 )
 
-var figureNames = [allFigures]string{"arrived", "served", "late", "cut", "first", "further", "hold_ms", "dials", "lists", "calls", "call_ms"}
+var summaryFieldNames = [summaryFieldCount]string{"arrived", "served", "late", "cut", "first", "further", "hold_ms", "dials", "lists", "calls", "call_ms"}
 
 var outcomeNames = [...]string{
 	policy.Failed: "failed", policy.Succeeded: "done", policy.Rejected: "full", policy.TimedOut: "timeout",
@@ -36,85 +36,85 @@
 // summary counts what happens and writes a line of it at a time, so that the logs of many instances can be added up
 // (lab fleet-logs). A nil one counts nothing. The core's goroutine owns it.
 type summary struct {
-	dialed  int // as of the last line
-	counts  [allFigures]float64
-	refuse  [policy.ReasonCount]int
-	fail    [policy.ReasonCount]int
-	ends    [len(outcomeNames)]int
-	answers [len(outcomeNames)]int // of the counter
+	dialsBefore  int // as of the last line
+	counts  [summaryFieldCount]float64
+	rejections  [policy.ReasonCount]int
+	failures    [policy.ReasonCount]int
+	attemptOutcomes    [len(outcomeNames)]int
+	counterOutcomes [len(outcomeNames)]int // of the counter
 }
 
-func (s *summary) add(f figure, n float64) {
+func (s *summary) add(f summaryField, n float64) {
 	if s != nil {
 		s.counts[f] += n
 	}
 }
 
-func (s *summary) refused(why policy.Reason) {
+func (s *summary) addRejection(why policy.Reason) {
 	if s != nil {
-		s.refuse[why]++
+		s.rejections[why]++
 	}
 }
 
-func (s *summary) failed(why policy.Reason) {
+func (s *summary) addFailure(why policy.Reason) {
 	if s != nil {
-		s.fail[why]++
+		s.failures[why]++
 	}
 }
 
-func (s *summary) sent(n int, held time.Duration) {
+func (s *summary) addAttempt(n int, held time.Duration) {
 	if n > 0 {
-		s.add(furtherSends, 1)
+		s.add(summaryRetries, 1)
 		return
 	}
-	s.add(firstSends, 1)
-	s.add(holdMillis, held.Seconds()*1000)
+	s.add(summaryFirstAttempts, 1)
+	s.add(summaryQueuedMillis, held.Seconds()*1000)
 }
 
-func (s *summary) ended(o policy.Outcome) {
+func (s *summary) addAttemptEnd(o policy.Outcome) {
 	if s != nil {
-		s.ends[o]++
+		s.attemptOutcomes[o]++
 	}
 }
 
-func (s *summary) served(took, aim time.Duration) {
+func (s *summary) addServed(took, aim time.Duration) {
 	if took <= aim {
-		s.add(servedInTime, 1)
+		s.add(summaryServed, 1)
 	} else {
-		s.add(servedLate, 1)
+		s.add(summaryLate, 1)
 	}
 }
 
-func (s *summary) counted(o policy.Outcome, took time.Duration) {
+func (s *summary) addCounterReply(o policy.Outcome, took time.Duration) {
 	if s == nil {
 		return
 	}
-	s.answers[o]++
-	s.counts[countCalls]++
+	s.counterOutcomes[o]++
+	s.counts[summaryCounterCalls]++
 	if o == policy.Succeeded {
-		s.counts[countMillis] += took.Seconds() * 1000
+		s.counts[summaryCounterMillis] += took.Seconds() * 1000
 	}
 }
 
 // summarize starts the lines, where they are wanted. Lines of all instances fall on the same seconds of the shared clock:
 // they are for adding up, and cost the fleet a write each.
-func (g *Core) summarize() {
-	if g.cfg.Summary <= 0 {
+func (c *Core) startSummary() {
+	if c.cfg.Summary <= 0 {
 		return
 	}
-	g.sum = &summary{}
+	c.summary = &summary{}
 	var line func()
 	line = func() {
-		g.sum.log(g)
-		g.at(g.now.Truncate(g.cfg.Summary)+g.cfg.Summary, line)
+		c.summary.writeLine(c)
+		c.scheduleAt(c.now.Truncate(c.cfg.Summary)+c.cfg.Summary, line)
 	}
-	g.at(g.now.Truncate(g.cfg.Summary)+g.cfg.Summary, line)
+	c.scheduleAt(c.now.Truncate(c.cfg.Summary)+c.cfg.Summary, line)
 }
 
 // log writes the line, figures that are 0 left out.
-func (s *summary) log(g *Core) {
-	dialed := g.nodes.Dials()
-	s.counts[dials] = float64(dialed - s.dialed)
+func (s *summary) writeLine(g *Core) {
+	dialed := g.backends.Dials()
+	s.counts[summaryDials] = float64(dialed - s.dialsBefore)
 	args := make([]any, 0, 64)
 	put := func(prefix, name string, n float64) {
 		if n != 0 {
@@ -122,21 +122,21 @@
 		}
 	}
 	for f, n := range s.counts {
-		put("", figureNames[f], n)
+		put("", summaryFieldNames[f], n)
 	}
 	for why := range policy.ReasonCount {
-		put("refused.", why.String(), float64(s.refuse[why]))
-		put("failed.", why.String(), float64(s.fail[why]))
+		put("refused.", why.String(), float64(s.rejections[why]))
+		put("failed.", why.String(), float64(s.failures[why]))
 	}
 	for o, name := range outcomeNames {
-		put("end.", name, float64(s.ends[o]))
-		put("count.", name, float64(s.answers[o]))
+		put("end.", name, float64(s.attemptOutcomes[o]))
+		put("count.", name, float64(s.counterOutcomes[o]))
 	}
-	window, busy, held, servers := g.mod.Stats()
+	window, busy, held, servers := g.engine.Stats()
 	put("", "window", window)
 	put("", "busy", float64(busy))
 	put("", "held", float64(held))
 	put("", "nodes", float64(servers))
 	g.log.LogAttrs(g.ctx, slog.LevelInfo, "second", slog.Group("", args...))
-	*s = summary{dialed: dialed}
+	*s = summary{dialsBefore: dialed}
 }
--- a/internal/core/summary_test.go
+++ b/internal/core/summary_test.go
@@ -21,12 +21,12 @@
 		t.Fatal(err)
 	}
 	run(t, g)
-	g.summarize()
+	g.startSummary()
 	p := &place{}
-	g.handle(arrived{&Request{Request: policy.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Sink: p, ClientID: 1, Command: noCommand{}}})
+	g.handle(requestArrived{&Request{Request: policy.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Sink: p, ClientID: 1, Command: noCommand{}}})
 	for range 220 { // the module's sweeps are timers too
 		g.now += 10 * time.Millisecond
-		g.ring()
+		g.fireTimers()
 	}
 	if p.got.Kind != Rejected {
 		t.Fatalf("answer %+v, want a refusal: there is no node", p.got)
@@ -44,15 +44,15 @@
 // Without the option nothing is counted and nothing written.
 func TestNoSummary(t *testing.T) {
 	g := idleGateway(t, "127.0.0.1:1")
-	g.summarize()
-	if g.sum != nil {
+	g.startSummary()
+	if g.summary != nil {
 		t.Error("it sums up though nobody asked")
 	}
-	g.sum.add(arrivals, 1)
-	g.sum.refused(policy.Quota)
-	g.sum.failed(policy.Quota)
-	g.sum.sent(0, time.Second)
-	g.sum.ended(policy.Succeeded)
-	g.sum.served(1, 2)
-	g.sum.counted(policy.Succeeded, 1)
+	g.summary.add(summaryArrived, 1)
+	g.summary.addRejection(policy.Quota)
+	g.summary.addFailure(policy.Quota)
+	g.summary.addAttempt(0, time.Second)
+	g.summary.addAttemptEnd(policy.Succeeded)
+	g.summary.addServed(1, 2)
+	g.summary.addCounterReply(policy.Succeeded, 1)
 }
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -47,22 +47,22 @@
 	}
 	keyed := "r.IdempotencyKey != \"\""
 	return map[string]crashStep{
-		"the owner, accepted":                  {append(first(takeover), edit{takeover, "takeover.ScopeNone, r.GiveUpAt)\n	g.drainDesk()\n", "takeover.ScopeNone, r.GiveUpAt)\n	g.drainDesk()\n	dies(3 * time.Millisecond)\n"}), false},
-		"the owner, intent sent":               {append(first(takeover), edit{takeover, "	g.drainDesk()\n	return true\n}\n\n// askForAnswer", "	g.drainDesk()\n	dies(3 * time.Millisecond)\n	return true\n}\n\n// askForAnswer"}), false},
-		"the owner, acknowledged and not sent": {append(first(takeover), edit{takeover, "		g.taking.desk.AttemptSent(g.now, r.ClientID)\n", "		dies(0)\n		g.taking.desk.AttemptSent(g.now, r.ClientID)\n"}), false},
+		"the owner, accepted":                  {append(first(takeover), edit{takeover, "takeover.ScopeNone, r.GiveUpAt)\n	c.drainCoordinator()\n", "takeover.ScopeNone, r.GiveUpAt)\n	c.drainCoordinator()\n	dies(3 * time.Millisecond)\n"}), false},
+		"the owner, intent sent":               {append(first(takeover), edit{takeover, "	c.drainCoordinator()\n	return true\n}\n\n// queryOutcome", "	c.drainCoordinator()\n	dies(3 * time.Millisecond)\n	return true\n}\n\n// queryOutcome"}), false},
+		"the owner, acknowledged and not sent": {append(first(takeover), edit{takeover, "		c.takeover.coordinator.AttemptSent(c.now, r.ClientID)\n", "		dies(0)\n		c.takeover.coordinator.AttemptSent(c.now, r.ClientID)\n"}), false},
 		"the owner, half of a command written": {[]edit{
 			{nodes, "import (\n", "import (\n	\"bytes\"\n	\"os\"\n"},
 			{nodes, "			n, err := c.nc.Write(j.buf)\n", "			if bytes.Contains(j.buf, []byte(\",k=\")) {\n				dies(3*time.Millisecond, func() { c.nc.Write(j.buf[:len(j.buf)/2]) })\n			}\n			n, err := c.nc.Write(j.buf)\n"},
 		}, false},
-		"the owner, written and not answered":        {append(first(takeover), edit{takeover, "		g.launch(r, w, r.kept.to)\n", "		g.launch(r, w, r.kept.to)\n		dies(3 * time.Millisecond)\n"}), false},
-		"the owner, answer read and not told":        {append(first(core), edit{core, "	if o == policy.Succeeded && !r.final {\n", "	if o == policy.Succeeded && !r.final {\n		if " + keyed + " {\n			dies(0)\n		}\n"}), false},
-		"the owner, told and not recorded":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := metrics.Errored\n", "	if a.Kind == Served && " + keyed + " {\n		dies(3*time.Millisecond, func() { r.Sink.Deliver(a) })\n	}\n	g.endCustody(r, a)\n	end := metrics.Errored\n"}), false},
-		"the owner, recorded and not told":           {append(first(operate), edit{operate, "	g.endCustody(r, a)\n	end := metrics.Errored\n", "	g.endCustody(r, a)\n	if a.Kind == Served && " + keyed + " {\n		dies(3 * time.Millisecond)\n	}\n	end := metrics.Errored\n"}), false},
-		"the keeper, heard and not written":          {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n", "	if m.Intent != nil {\n		dies(0)\n	}\n	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n"}), false},
-		"the keeper, written and not replied":        {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n", "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n	if m.Intent != nil {\n		dies(0)\n	}\n"}), false},
-		"the keeper, end heard and not acknowledged": {append(first(takeover), edit{takeover, "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n", "	g.taking.desk.Receive(g.now, ev.from, ev.life, m.Message)\n	if m.Completion != nil {\n		dies(0)\n	}\n"}), false},
-		"the taker, before it begins":                {append(first(takeover), edit{takeover, "	g.taking.byTry[t.Attempt] = r\n	g.requests[r.ID] = r\n	g.heldBytes += r.Size\n", "	g.taking.byTry[t.Attempt] = r\n	g.requests[r.ID] = r\n	g.heldBytes += r.Size\n	dyingCame.Store(11)\n	dies(0)\n"}), true},
-		"the taker, sent and not answered":           {append(first(core), edit{core, "	g.nodes.Start(a, to)\n}\n\n// attemptEnded", "	g.nodes.Start(a, to)\n	if r.Sink == (takenPlace{}) {\n		dyingCame.Store(11)\n		dies(3 * time.Millisecond)\n	}\n}\n\n// attemptEnded"}), true},
+		"the owner, written and not answered":        {append(first(takeover), edit{takeover, "		c.startAttempt(r, w, r.pending.backend)\n", "		c.startAttempt(r, w, r.pending.backend)\n		dies(3 * time.Millisecond)\n"}), false},
+		"the owner, answer read and not told":        {append(first(core), edit{core, "	if o == policy.Succeeded && !r.finished {\n", "	if o == policy.Succeeded && !r.finished {\n		if " + keyed + " {\n			dies(0)\n		}\n"}), false},
+		"the owner, told and not recorded":           {append(first(operate), edit{operate, "	c.completeWork(r, a)\n	end := metrics.Errored\n", "	if a.Kind == Served && " + keyed + " {\n		dies(3*time.Millisecond, func() { r.Sink.Deliver(a) })\n	}\n	c.completeWork(r, a)\n	end := metrics.Errored\n"}), false},
+		"the owner, recorded and not told":           {append(first(operate), edit{operate, "	c.completeWork(r, a)\n	end := metrics.Errored\n", "	c.completeWork(r, a)\n	if a.Kind == Served && " + keyed + " {\n		dies(3 * time.Millisecond)\n	}\n	end := metrics.Errored\n"}), false},
+		"the keeper, heard and not written":          {append(first(takeover), edit{takeover, "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n", "	if m.Intent != nil {\n		dies(0)\n	}\n	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n"}), false},
+		"the keeper, written and not replied":        {append(first(takeover), edit{takeover, "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n", "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n	if m.Intent != nil {\n		dies(0)\n	}\n"}), false},
+		"the keeper, end heard and not acknowledged": {append(first(takeover), edit{takeover, "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n", "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n	if m.Completion != nil {\n		dies(0)\n	}\n"}), false},
+		"the taker, before it begins":                {append(first(takeover), edit{takeover, "	c.takeover.byAttempt[t.Attempt] = r\n	c.requests[r.ID] = r\n	c.requestBytes += r.Size\n", "	c.takeover.byAttempt[t.Attempt] = r\n	c.requests[r.ID] = r\n	c.requestBytes += r.Size\n	dyingCame.Store(11)\n	dies(0)\n"}), true},
+		"the taker, sent and not answered":           {append(first(core), edit{core, "	c.backends.Start(a, to)\n}\n\n// attemptEnded", "	c.backends.Start(a, to)\n	if r.Sink == (takenOverSink{}) {\n		dyingCame.Store(11)\n		dies(3 * time.Millisecond)\n	}\n}\n\n// attemptEnded"}), true},
 	}
 }
 
