--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -145,6 +145,8 @@
 func clonePendingWork(work *pendingWork) *pendingWork {
 	clone := *work
 	clone.remotes = slices.Clone(work.remotes)
+	clone.replies = slices.Clone(work.replies)
+	clone.acknowledged = slices.Clone(work.acknowledged)
 	if work.completion != nil {
 		completion := *work.completion
 		clone.completion = &completion
