--- a/internal/escrow/allocator.go
+++ b/internal/escrow/allocator.go
@@ -100,7 +100,7 @@
 	a.advance(now)
 	allocations := make(map[string]Allocation, len(a.accounts))
 	for key, acc := range a.accounts {
-		allocations[key] = Allocation{Share: a.heldShare(acc), Unreported: a.unreportedShare(acc)}
+		allocations[key] = Allocation{Share: a.currentShare(acc), Unreported: a.unreportedShare(acc)}
 	}
 	return allocations
 }
@@ -199,8 +199,8 @@
 	return max(0, share)
 }
 
-// heldShare returns what this instance may spend of an account now.
-func (a *Allocator) heldShare(acc *account) float64 {
+// currentShare returns what this instance may spend of an account now.
+func (a *Allocator) currentShare(acc *account) float64 {
 	share := a.retainedShare(acc)
 	for _, t := range acc.received {
 		if t.granted && t.expiresAt > a.now {
--- a/internal/escrow/escrow.go
+++ b/internal/escrow/escrow.go
@@ -36,7 +36,7 @@
 // each of which all keys are sorted.
 const MaxBudgets = 256
 
-// TransferTerm is how long a transferred share is kept, by its giver's clock.
+// TransferTerm is how long a transferred share stays transferred, by its giver's clock.
 const TransferTerm = time.Second
 
 const (
@@ -62,7 +62,7 @@
 	// maxSilence is how long a peer or a need may go unheard before it no
 	// longer counts as present. Such a peer may be spending without the counter.
 	maxSilence = time.Second
-	// retention is how long an account without a need is kept, and how long
+	// retention is how long an account without a need is retained, and how long
 	// what a silent peer may spend is left to it.
 	retention = time.Minute
 )
--- a/internal/escrow/peers.go
+++ b/internal/escrow/peers.go
@@ -28,7 +28,7 @@
 	usages      map[string]Usage // what it has last reported, by the accounts' keys
 	// nonce identifies its incarnation.
 	nonce uint64
-	// confirmedNone says that it has told this incarnation that it holds no
+	// confirmedNone says that it has confirmed to this incarnation that it has no
 	// transfers of an earlier one.
 	confirmedNone bool
 	// ended says that it has surely ended, or has left.
@@ -143,7 +143,7 @@
 		}
 		usages = append(usages, Usage{
 			Key:            key,
-			Share:          a.heldShare(acc),
+			Share:          a.currentShare(acc),
 			WantedShare:    acc.need.WantedShare,
 			ForwardedShare: acc.need.ForwardedShare,
 			CounterLost:    acc.need.CounterLost,
--- a/internal/escrow/status.go
+++ b/internal/escrow/status.go
@@ -10,7 +10,7 @@
 type Status struct {
 	Key         string   `json:"Key"`
 	Home        float64  `json:"Home"`     // this instance's home share
-	Share       float64  `json:"Share"`    // held now
+	Share       float64  `json:"Share"`    // that it may spend now
 	Transferred float64  `json:"Lent"`     // to the instances in To
 	Received    float64  `json:"Borrowed"` // from the instances in From
 	Unreported  float64  `json:"Away"`     // that others may spend without the counter's knowledge
@@ -32,7 +32,7 @@
 	status := Status{
 		Key:        acc.key,
 		Home:       a.homeShare(acc),
-		Share:      a.heldShare(acc),
+		Share:      a.currentShare(acc),
 		Unreported: a.unreportedShare(acc),
 	}
 	for _, t := range acc.transferredOut {
--- a/internal/escrow/transfer.go
+++ b/internal/escrow/transfer.go
@@ -49,7 +49,7 @@
 // the renewal of what it uses, to those by the peers' numbers.
 func (a *Allocator) requestTransfers(acc *account, requests map[int][]TransferRequest) {
 	wanted := min(1, headroomFactor*acc.need.WantedShare)
-	held := a.retainedShare(acc)
+	current := a.retainedShare(acc)
 	pending := 0.0
 	for i := range acc.received {
 		t := &acc.received[i]
@@ -61,12 +61,12 @@
 			}
 			continue
 		}
-		if due && held < wanted {
+		if due && current < wanted {
 			a.requestTransfer(acc, t, requests)
 		}
-		held += t.share
+		current += t.share
 	}
-	lacking := wanted - held - pending
+	lacking := wanted - current - pending
 	if lacking < minTransferShare || a.now < acc.nextRequestAt || !acc.sameSpread(acc.need.Spread, acc.need.First) {
 		return
 	}
@@ -219,7 +219,7 @@
 		share:       share,
 		expiresAt:   a.now + TransferTerm,
 	})
-	if a.now-acc.neededAt > retention { // without a need here it is kept as long as its transfers
+	if a.now-acc.neededAt > retention { // without a need here it is retained as long as its transfers
 		acc.neededAt = a.now - retention
 	}
 	a.counts.Transferred++
