--- /dev/null
+++ b/internal/lease/expiry.go
@@ -0,0 +1,89 @@
+package lease
+
+import (
+	"container/heap"
+	"time"
+)
+
+// Expire returns the requests whose leases have expired since the last call,
+// and forgets those whose retention is over.
+func (r *Registry) Expire(now time.Duration) []*Request {
+	var expired []*Request
+	for len(r.due) > 0 && r.due[0].dueAt <= now {
+		req := r.due[0]
+		if req.State == Granted {
+			r.expireLease(now, req)
+			expired = append(expired, req)
+			if req.retainedUntil > now {
+				continue
+			}
+		}
+		r.remove(req)
+	}
+	return expired
+}
+
+// expireLease ends a request by the expiry of its lease.
+func (r *Registry) expireLease(now time.Duration, req *Request) {
+	req.State = Expired
+	req.Lease.expired = true
+	r.outstanding--
+	r.setDue(req, max(req.retainedUntil, now))
+}
+
+// remove forgets a request and its leases.
+func (r *Registry) remove(req *Request) {
+	heap.Remove(&r.due, req.heapIndex)
+	delete(r.byID, req.ID)
+	for _, lease := range req.leases {
+		delete(r.byLease, lease.Name)
+	}
+}
+
+// NextExpiry returns when Expire has something to do, and false if there are no
+// requests.
+func (r *Registry) NextExpiry() (time.Duration, bool) {
+	if len(r.due) == 0 {
+		return 0, false
+	}
+	return r.due[0].dueAt, true
+}
+
+// setDue sets when a request's lease expires or it is forgotten.
+func (r *Registry) setDue(req *Request, dueAt time.Duration) {
+	req.dueAt = dueAt
+	heap.Fix(&r.due, req.heapIndex)
+}
+
+// expiryQueue is a heap of requests, the earliest due first.
+type expiryQueue []*Request
+
+// Len implements heap.Interface.
+func (q expiryQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q expiryQueue) Less(i, j int) bool { return q[i].dueAt < q[j].dueAt }
+
+// Swap implements heap.Interface.
+func (q expiryQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].heapIndex = i
+	q[j].heapIndex = j
+}
+
+// Push implements heap.Interface.
+func (q *expiryQueue) Push(x any) {
+	req := x.(*Request)
+	req.heapIndex = len(*q)
+	*q = append(*q, req)
+}
+
+// Pop implements heap.Interface.
+func (q *expiryQueue) Pop() any {
+	old := *q
+	last := len(old) - 1
+	req := old[last]
+	old[last] = nil
+	*q = old[:last]
+	return req
+}
