--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -172,7 +172,7 @@
 		return
 	}
 	work.relocation++
-	work.leavesNone = work.ownsUnsent()
+	work.leavingScopeNone = work.ownsUnsent()
 	work.covered = true
 	if len(work.remotes) == 0 {
 		c.emit(Action{Kind: ActionSend, Attempt: attempt, Relocation: work.relocation})
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -103,8 +103,7 @@
 // needs the consent of all replicas, one of which might still have the work in
 // its earlier scope; from ScopeNone that of the primary is enough.
 func (c *Coordinator) applyGrant(work *pendingWork, epoch uint64, complete bool) {
-	primaryIsEnough := work.leavesNone && work.primaryRecorded(c.self.Name)
-	if work.relocation > 0 && !complete && !primaryIsEnough {
+	if work.relocation > 0 && !complete && !c.primarySuffices(work) {
 		c.abort(work)
 		return
 	}
@@ -112,7 +111,7 @@
 		work.unsentEverywhere = complete
 	}
 	covered := complete
-	if work.leavesNone {
+	if work.leavingScopeNone {
 		covered = work.unsentEverywhere
 	}
 	work.epoch = max(work.epoch, epoch)
@@ -130,6 +129,12 @@
 	})
 }
 
+// primarySuffices reports whether the primary's consent to the current intent
+// is enough, and was given.
+func (c *Coordinator) primarySuffices(work *pendingWork) bool {
+	return work.leavingScopeNone && work.primaryRecorded(c.self.Name)
+}
+
 // sendUncovered lets an attempt go out that no replica has recorded.
 func (c *Coordinator) sendUncovered(work *pendingWork) {
 	c.counts.Uncovered++
--- a/internal/takeover/pending.go
+++ b/internal/takeover/pending.go
@@ -78,9 +78,9 @@
 	covered bool
 	// adopted says that it continues another attempt in that one's scope.
 	adopted bool
-	// leavesNone says that the current intent moves it from ScopeNone. The
-	// primary's consent is enough then, since a successor needs that of all.
-	leavesNone bool
+	// leavingScopeNone says that the current intent moves it from ScopeNone.
+	// The primary's consent is enough then, since a successor needs that of all.
+	leavingScopeNone bool
 	// unsentEverywhere says that all replicas had recorded it with ScopeNone.
 	unsentEverywhere bool
 	// previousOwner is the instance that it was taken over from with
@@ -166,7 +166,7 @@
 // never ran.
 func (w *pendingWork) relocate(scope Scope) {
 	w.relocation++
-	w.leavesNone = w.ownsUnsent()
+	w.leavingScopeNone = w.ownsUnsent()
 	if w.scope == ScopeNone {
 		w.covered = true // it goes with a replica's consent, or not at all
 	}
