--- a/internal/zonedrain/golden_test.go
+++ b/internal/zonedrain/golden_test.go
@@ -13,7 +13,10 @@
 func TestGoldenFile(t *testing.T) {
 	golden.RequireTags(t, "toml", List{})
 	until := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
-	list := List{[]Drain{{Zone: "hall-a", Until: until, By: "operator", Reason: "maintenance"}, {Zone: "hall-b", Until: until}}}
+	list := List{[]Drain{
+		{Zone: "hall-a", Until: until, By: "operator", Reason: "maintenance"},
+		{Zone: "hall-b", Until: until},
+	}}
 	path := filepath.Join(t.TempDir(), "drills.toml")
 	if err := list.Save(path); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/zonedrain/watch_test.go
@@ -0,0 +1,62 @@
+package zonedrain
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// The watch notifies of each change once, of a drain's own end too; a bad file is logged once and changes nothing.
+func TestWatch(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "drills.toml")
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		var mu sync.Mutex
+		var notified []int // zones that are out, at each call
+		var logged bytes.Buffer
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			Watch(ctx, path, 500*time.Millisecond, func(active map[string]time.Time) {
+				mu.Lock()
+				defer mu.Unlock()
+				notified = append(notified, len(active))
+			}, slog.New(slog.NewTextHandler(&logged, nil)))
+		}()
+		write := func(text string) {
+			t.Helper()
+			err := errors.Join(os.WriteFile(path+".new", []byte(text), 0o600), os.Rename(path+".new", path))
+			if err != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(2 * time.Second)
+		}
+		time.Sleep(time.Second)
+		until := time.Now().Add(10 * time.Second).UTC().Format(time.RFC3339)
+		valid := "[[drill]]\nhall = \"hall-a\"\nuntil = " + until
+		write(valid)
+		write("") // an editor that writes in two steps
+		write("")
+		write(valid)
+		time.Sleep(10 * time.Second) // beyond the drain's own end
+		os.Remove(path)
+		time.Sleep(time.Second)
+		cancel()
+		<-done
+		if want := []int{1, 0}; !slices.Equal(notified, want) {
+			t.Errorf("got calls with %v zones, want %v", notified, want)
+		}
+		if n := strings.Count(logged.String(), "zone drain file rejected, keeping previous"); n != 1 {
+			t.Errorf("got %d log lines, want 1: %s", n, logged.String())
+		}
+	})
+}
