--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -13,104 +13,116 @@
 	backend = Backend{Started: time.Minute, Capacity: 2, MeanWork: 0.125} // N is 16 at the start, and the limit 26
 )
 
-// at is so many requests of mean work, each from another instance.
-func at(age time.Duration, requests int) (out []Arrival) {
+// arrivalsAt returns so many requests of mean work at the backend's age, each from another instance.
+func arrivalsAt(age time.Duration, requests int) []Arrival {
+	var arrivals []Arrival
 	for i := range requests {
-		out = append(out, Arrival{At: backend.Started + age, Work: backend.MeanWork, Instance: i, Notified: true})
+		arrivals = append(arrivals, Arrival{
+			At: backend.Started + age, Work: backend.MeanWork, Instance: i, Notified: true,
+		})
 	}
-	return out
+	return arrivals
 }
 
-func peak(t *testing.T, came []Arrival) Peak {
+func peak(t *testing.T, arrivals []Arrival) Peak {
 	t.Helper()
-	p, err := rule.Peak(backend, came)
+	p, err := rule.Peak(backend, arrivals)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// The limit is the standing test's, and N grows with the backend's warmth.
+// The budget N grows with the share of its capacity that the backend has by its age.
 func TestLimit(t *testing.T) {
 	if got := Limit(16); got != 26 {
-		t.Errorf("limit of 16: %v", got)
+		t.Errorf("got limit %v of a budget of 16, want 26", got)
 	}
 	for age, want := range map[time.Duration]float64{0: 16, 9 * time.Second: 40, 18 * time.Second: 64, time.Hour: 64} {
 		if got := rule.Budget(backend, backend.Started+age); math.Abs(got-want) > 1e-9 {
-			t.Errorf("N at %v: %v, want %v", age, got, want)
+			t.Errorf("got budget %v at age %v, want %v", got, age, want)
 		}
 	}
 }
 
-// At the limit it stands, with one more it falls.
-func TestEdge(t *testing.T) {
-	if p := peak(t, at(0, 26)); p.IsOverload() || p.Ratio() != 1 || p.Instances != 26 {
-		t.Error(p)
+// At the limit the backend isn't overloaded, with one more request it is.
+func TestOverload(t *testing.T) {
+	if p := peak(t, arrivalsAt(0, 26)); p.IsOverload() || p.Ratio() != 1 || p.Instances != 26 {
+		t.Errorf("got %v at the limit, want ratio 1 and no overload", p)
 	}
-	if p := peak(t, at(0, 27)); !p.IsOverload() || !p.IsViolation() {
-		t.Error(p)
+	if p := peak(t, arrivalsAt(0, 27)); !p.IsOverload() || !p.IsViolation() {
+		t.Errorf("got %v above the limit, want an overload that violates the rule", p)
 	}
-	half := at(0, 27)
-	for i := range half {
-		half[i].Notified = i < 18 // two thirds, and not over it
+	twoThirds := arrivalsAt(0, 27)
+	for i := range twoThirds {
+		twoThirds[i].Notified = i < 18
 	}
-	if p := peak(t, half); !p.IsOverload() || p.IsViolation() {
-		t.Errorf("%v: too few were told of the start", p)
+	if p := peak(t, twoThirds); !p.IsOverload() || p.IsViolation() {
+		t.Errorf("got %v, want an overload and no violation: too few instances knew of the start", p)
 	}
 }
 
-// What does not lie within one span is not added up, nor what came before the start or to a warm backend.
+// What doesn't lie within one span is not added up, nor what arrived before the start or at a warm backend.
 func TestWindows(t *testing.T) {
-	for name, came := range map[string][]Arrival{
-		"one span apart": append(at(0, 20), at(time.Second+1, 20)...),
-		"before":         append(at(-1, 100), at(0, 20)...),
-		"warm":           append(at(0, 20), at(18*time.Second, 100)...),
-		"out of order":   append(at(2*time.Second, 20), at(0, 20)...),
+	for name, arrivals := range map[string][]Arrival{
+		"one span apart": append(arrivalsAt(0, 20), arrivalsAt(time.Second+1, 20)...),
+		"before":         append(arrivalsAt(-1, 100), arrivalsAt(0, 20)...),
+		"warm":           append(arrivalsAt(0, 20), arrivalsAt(18*time.Second, 100)...),
+		"out of order":   append(arrivalsAt(2*time.Second, 20), arrivalsAt(0, 20)...),
 	} {
-		if p := peak(t, came); math.Abs(p.Arrivals-20) > 1e-9 || p.IsOverload() {
-			t.Errorf("%s: %v", name, p)
-		}
+		t.Run(name, func(t *testing.T) {
+			if p := peak(t, arrivals); math.Abs(p.Arrivals-20) > 1e-9 || p.IsOverload() {
+				t.Errorf("got %v, want 20 arrivals and no overload", p)
+			}
+		})
 	}
-	if p := peak(t, append(at(0, 20), at(time.Second, 20)...)); math.Abs(p.Arrivals-40) > 1e-9 || !p.IsOverload() {
-		t.Errorf("within a span: %v", p)
+	withinSpan := append(arrivalsAt(0, 20), arrivalsAt(time.Second, 20)...)
+	if p := peak(t, withinSpan); math.Abs(p.Arrivals-40) > 1e-9 || !p.IsOverload() {
+		t.Errorf("got %v within a span, want 40 arrivals and an overload", p)
 	}
 	if p := peak(t, nil); p != (Peak{}) || p.IsOverload() || p.Ratio() != 0 {
-		t.Errorf("nothing came: %v", p)
+		t.Errorf("got %v of no arrivals, want the zero peak", p)
 	}
 }
 
-// The sliding sum is the plain one over each window.
+// maxWindowRatio returns the highest ratio over all windows, each summed up by itself.
+func maxWindowRatio(arrivals []Arrival) float64 {
+	maxRatio := 0.0
+	for _, last := range arrivals {
+		if last.At-backend.Started >= rule.Window {
+			continue
+		}
+		work := 0.0
+		for _, a := range arrivals {
+			if a.At <= last.At && a.At >= last.At-rule.Span {
+				work += a.Work
+			}
+		}
+		maxRatio = max(maxRatio, work/backend.MeanWork/Limit(rule.Budget(backend, last.At)))
+	}
+	return maxRatio
+}
+
+// The sliding sum equals the plain sum over each window.
 func TestAgainstPlainSums(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		var came []Arrival
+		var arrivals []Arrival
 		for range rng.IntN(60) {
-			came = append(came, Arrival{
+			arrivals = append(arrivals, Arrival{
 				At:   backend.Started + time.Duration(rng.IntN(20000))*time.Millisecond,
 				Work: rng.ExpFloat64() / 8, Instance: rng.IntN(5),
 			})
 		}
-		most := 0.0
-		for _, last := range came {
-			if last.At-backend.Started >= rule.Window {
-				continue
-			}
-			work := 0.0
-			for _, a := range came {
-				if a.At <= last.At && a.At >= last.At-rule.Span {
-					work += a.Work
-				}
-			}
-			most = max(most, work/backend.MeanWork/Limit(rule.Budget(backend, last.At)))
-		}
-		if p := peak(t, came); math.Abs(p.Ratio()-most) > 1e-6 {
-			t.Fatalf("%v, the plain sums come to %v", p, most)
+		want := maxWindowRatio(arrivals)
+		if p := peak(t, arrivals); math.Abs(p.Ratio()-want) > 1e-6 {
+			t.Fatalf("got %v, want ratio %v", p, want)
 		}
 	}
 }
 
-// A figure that no budget can be reckoned with is an error that names it.
-func TestBadFigures(t *testing.T) {
+// A setting that no budget can be computed from is an error that names it.
+func TestCheckRejects(t *testing.T) {
 	for want, change := range map[string]func(*Rule, *Backend){
 		"cold share 0":   func(r *Rule, _ *Backend) { r.InitialShare = 0 },
 		"cold share NaN": func(r *Rule, _ *Backend) { r.InitialShare = math.NaN() },
@@ -120,10 +132,12 @@
 		"capacity 0":     func(_ *Rule, b *Backend) { b.Capacity = 0 },
 		"mean work -1":   func(_ *Rule, b *Backend) { b.MeanWork = -1 },
 	} {
-		r, b := rule, backend
-		change(&r, &b)
-		if _, err := r.Peak(b, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			r, b := rule, backend
+			change(&r, &b)
+			if _, err := r.Peak(b, nil); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("got error %v, want %q", err, want)
+			}
+		})
 	}
 }
