--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -10,27 +10,27 @@
 type Attempt struct {
 	Zone     string
 	Cell     int
-	At       time.Duration // when it was decided on
+	At       time.Duration // when it was decided
 	Ended    bool
-	NeverRan bool // surely
+	NeverRan bool // by its outcome it surely did not run
 }
 
 // mayHaveRun reports whether the attempt may have run, or may yet.
 func (a Attempt) mayHaveRun() bool { return !a.Ended || !a.NeverRan }
 
-// Send is an attempt that is about to be written, and the request that it is of.
+// Send is an attempt that is about to be written, and what is known of its request.
 type Send struct {
 	Class    policy.Class
-	Parallel bool // the settings allow two attempts out
-	Answered bool // the request has its final answer
-	GiveUpAt time.Duration
-	Serves   bool // the backend, by the list
-	Zone     string
-	Cell     int
-	Earlier  []Attempt // of the request
+	Parallel bool          // the settings allow two attempts in flight
+	Answered bool          // the request has its final answer
+	GiveUpAt time.Duration // the request's deadline
+	Serves   bool          // the backend is running, by the endpoint list
+	Zone     string        // of the backend
+	Cell     int           // of the backend
+	Earlier  []Attempt     // of the request, in the order in which they were sent
 }
 
-// Check returns the invariant that the attempt would break if it were written now; None: it may go.
+// Check returns the invariant that the attempt would violate if it were written now, or None.
 func (s *Send) Check(now time.Duration) Invariant {
 	switch {
 	case s.Answered:
@@ -39,28 +39,35 @@
 		return SendAfterDeadline
 	case !s.Serves:
 		return SendToDrained
+	case !s.Parallel && s.hasInFlight():
+		return TwoAttemptsOut
 	}
-	for _, a := range s.Earlier {
-		if !s.Parallel && !a.Ended {
-			return TwoAttemptsOut
+	for _, earlier := range s.Earlier {
+		if earlier.mayHaveRun() { // the group and the time of the first such attempt bind all that follow
+			return s.checkRepeat(earlier, now)
 		}
 	}
-	for _, a := range s.Earlier {
-		if a.mayHaveRun() { // the first such: its group and its time bind all that follow
-			return s.repeat(a, now)
+	return None
+}
+
+// hasInFlight reports whether an earlier attempt has not ended.
+func (s *Send) hasInFlight() bool {
+	for _, earlier := range s.Earlier {
+		if !earlier.Ended {
+			return true
 		}
 	}
-	return None
+	return false
 }
 
-// repeat checks an attempt after one that may have run.
-func (s *Send) repeat(first Attempt, now time.Duration) Invariant {
+// checkRepeat checks an attempt whose request may have run already, in the attempt first.
+func (s *Send) checkRepeat(first Attempt, now time.Duration) Invariant {
 	switch {
 	case s.Class.Effect == policy.Safe:
 		return None
 	case s.Class.Effect != policy.Keyed:
 		return RepeatOfUnsafe
-	case s.Class.Group == policy.GroupZone && s.Zone != first.Zone, s.Class.Group == policy.GroupCell && s.Cell != first.Cell:
+	case !s.isInGroupOf(first):
 		return RepeatElsewhere
 	case now-first.At > s.Class.RepeatWindow:
 		return RepeatAfterWindow
@@ -68,13 +75,25 @@
 	return None
 }
 
-// MayRefuse reports whether a request may be refused: trying again is harmless.
+// isInGroupOf reports whether the attempt goes to the group that drops duplicates of an earlier one.
+func (s *Send) isInGroupOf(earlier Attempt) bool {
+	switch s.Class.Group {
+	case policy.GroupZone:
+		return s.Zone == earlier.Zone
+	case policy.GroupCell:
+		return s.Cell == earlier.Cell
+	default:
+		return true
+	}
+}
+
+// MayRefuse reports whether a request may be rejected, which lets its client take a retry for harmless.
 func MayRefuse(class policy.Class, attempts []Attempt) bool {
 	if class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Group == policy.GroupAll {
 		return true
 	}
-	for _, a := range attempts {
-		if a.mayHaveRun() {
+	for _, attempt := range attempts {
+		if attempt.mayHaveRun() {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/guard/send_test.go
@@ -0,0 +1,118 @@
+package guard
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"hitchspring/policy"
+)
+
+const now = 10 * time.Second
+
+// allowedSend returns a first attempt of a request of a class, which violates nothing.
+func allowedSend(effect policy.Effect) Send {
+	return Send{
+		Class:    policy.Class{Effect: effect, RepeatWindow: 3 * time.Second},
+		Parallel: true,
+		GiveUpAt: now + time.Second,
+		Serves:   true,
+		Zone:     "a",
+		Cell:     1,
+	}
+}
+
+func TestCheck(t *testing.T) {
+	ran := Attempt{Zone: "a", Cell: 1, At: now - time.Second, Ended: true}
+	inFlight := Attempt{Zone: "a", Cell: 1, At: now - time.Second}
+	neverRan := Attempt{Zone: "b", Cell: 2, At: now - time.Second, Ended: true, NeverRan: true}
+	ranInOtherCell := Attempt{Cell: 2, At: now, Ended: true}
+
+	unchanged := func(*Send) {}
+	notParallel := func(s *Send) { s.Parallel = false }
+	otherCell := func(s *Send) { s.Cell = 2 }
+	groupZone := func(s *Send) { s.Class.Group, s.Cell = policy.GroupZone, 7 }
+	otherZone := func(s *Send) { groupZone(s); s.Zone = "b" }
+	groupAll := func(s *Send) { s.Class.Group, s.Zone, s.Cell = policy.GroupAll, "z", 9 }
+
+	for name, c := range map[string]struct {
+		effect  policy.Effect
+		change  func(*Send)
+		earlier []Attempt
+		want    Invariant
+	}{
+		"first":                           {policy.Unsafe, unchanged, nil, None},
+		"answered":                        {policy.Safe, func(s *Send) { s.Answered = true }, nil, SendAfterEnd},
+		"at its deadline":                 {policy.Safe, func(s *Send) { s.GiveUpAt = now }, nil, SendAfterDeadline},
+		"to a drained backend":            {policy.Safe, func(s *Send) { s.Serves = false }, nil, SendToDrained},
+		"unsafe after one that never ran": {policy.Unsafe, unchanged, []Attempt{neverRan}, None},
+		"unsafe after one that may have":  {policy.Unsafe, unchanged, []Attempt{neverRan, ran}, RepeatOfUnsafe},
+		"unsafe beside another":           {policy.Unsafe, unchanged, []Attempt{inFlight}, RepeatOfUnsafe},
+		"unknown effect":                  {policy.Effect(9), unchanged, []Attempt{ran}, RepeatOfUnsafe},
+		"safe beside another":             {policy.Safe, unchanged, []Attempt{inFlight}, None},
+		"safe beside another, not allowed": {
+			policy.Safe, notParallel, []Attempt{inFlight}, TwoAttemptsOut,
+		},
+		"safe after another, no two allowed": {policy.Safe, notParallel, []Attempt{ran}, None},
+		"keyed in its cell":                  {policy.Keyed, unchanged, []Attempt{ran}, None},
+		"keyed in another cell":              {policy.Keyed, otherCell, []Attempt{ran}, RepeatElsewhere},
+		"keyed in its zone":                  {policy.Keyed, groupZone, []Attempt{ran}, None},
+		"keyed in another zone":              {policy.Keyed, otherZone, []Attempt{ran}, RepeatElsewhere},
+		"keyed anywhere":                     {policy.Keyed, groupAll, []Attempt{ran}, None},
+		"keyed after its window": {
+			policy.Keyed, func(s *Send) { s.Class.RepeatWindow = time.Second - 1 }, []Attempt{ran}, RepeatAfterWindow,
+		},
+		"keyed, the first binds": {
+			policy.Keyed, otherCell, []Attempt{neverRan, ran, ranInOtherCell}, RepeatElsewhere,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			send := allowedSend(c.effect)
+			send.Earlier = c.earlier
+			c.change(&send)
+			if got := send.Check(now); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// Whatever has been before, a request that is not idempotent is not sent after an attempt that may have run, nor
+// rejected.
+func TestUnsafeIsNeverRepeated(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		send := allowedSend(policy.Unsafe)
+		send.Parallel = rapid.Bool().Draw(t, "parallel")
+		mayHaveRun := false
+		for range rapid.IntRange(0, 5).Draw(t, "attempts") {
+			a := Attempt{Ended: rapid.Bool().Draw(t, "ended"), NeverRan: rapid.Bool().Draw(t, "never ran")}
+			mayHaveRun = mayHaveRun || !a.Ended || !a.NeverRan
+			send.Earlier = append(send.Earlier, a)
+		}
+		if allowed := send.Check(now) == None; allowed == mayHaveRun {
+			t.Fatalf("got a send allowed %v after %v, want %v", allowed, send.Earlier, !mayHaveRun)
+		}
+		if allowed := MayRefuse(send.Class, send.Earlier); allowed == mayHaveRun {
+			t.Fatalf("got a rejection allowed %v after %v, want %v", allowed, send.Earlier, !mayHaveRun)
+		}
+	})
+}
+
+func TestMayRefuse(t *testing.T) {
+	ran := []Attempt{{Ended: true}}
+	for name, c := range map[string]struct {
+		class policy.Class
+		want  bool
+	}{
+		"safe":           {policy.Class{Effect: policy.Safe}, true},
+		"keyed in cells": {policy.Class{Effect: policy.Keyed}, false},
+		"keyed anywhere": {policy.Class{Effect: policy.Keyed, Group: policy.GroupAll}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := MayRefuse(c.class, ran); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
