--- a/internal/discovery/chance_test.go
+++ b/internal/discovery/chance_test.go
@@ -10,5 +10,5 @@
 
 // seeded gives a watcher chances of its own, the same in each run.
 func seeded(d *Watcher, seed, caller uint64) {
-	d.chance = rand.New(rand.NewPCG(seed, caller)).Float64
+	d.random = rand.New(rand.NewPCG(seed, caller)).Float64
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -67,7 +67,7 @@
 			{"uid":"","state":"DRAINING"}]}`, true, 2},
 	} {
 		told = nil
-		if err := d.tell([]byte(c.in)); (err == nil) != c.ok {
+		if err := d.decodeList([]byte(c.in)); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.in, err)
 		}
 		if c.known < 0 && len(told) > 0 || c.known >= 0 && (len(told) != 1 || len(told[0].Targets) != c.known) {
@@ -97,6 +97,6 @@
 				}
 			}
 		}, quiet)
-		_ = d.tell([]byte(text))
+		_ = d.decodeList([]byte(text))
 	})
 }
--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -98,16 +98,16 @@
 		least  time.Duration // before each next call
 		most   time.Duration
 	}{
-		"ends instead of telling":          {[]scriptedWatch{{end: io.EOF}, last}, 0, longestGap},
-		"is reset instead of telling":      {[]scriptedWatch{{end: reset}, {end: reset}, last}, 0, longestGap},
-		"is reset after a list":            {[]scriptedWatch{{text: list, end: reset}, last}, 0, returnWithin},
-		"is reset within a list":           {[]scriptedWatch{{text: list[:20], end: reset}, last}, 0, returnWithin},
-		"is reset after lists, over, over": {[]scriptedWatch{{text: list, end: reset}, {text: list, end: reset}, {text: list, end: reset}, last}, 0, longestGap},
-		"falls silent":                     {[]scriptedWatch{{text: list}, last}, leastSilence, mostSilence},
-		"is never answered":                {[]scriptedWatch{{never: true}, {never: true}, last}, callTimeout, longestGap},
-		"is turned away":                   {[]scriptedWatch{{status: 503}, {status: 503}, last}, afterFirstRefusal.least, afterRefused.most},
-		"is told when to return":           {[]scriptedWatch{{status: 503, retryAfter: "3"}, last}, 3 * time.Second, 3*time.Second + returnWithin},
-		"can't be read":                    {[]scriptedWatch{{text: `{"rev":"x"}`, end: io.EOF}, last}, 0, longestGap},
+		"ends instead of telling":          {[]scriptedWatch{{end: io.EOF}, last}, 0, maxCallInterval},
+		"is reset instead of telling":      {[]scriptedWatch{{end: reset}, {end: reset}, last}, 0, maxCallInterval},
+		"is reset after a list":            {[]scriptedWatch{{text: list, end: reset}, last}, 0, reconnectSpread},
+		"is reset within a list":           {[]scriptedWatch{{text: list[:20], end: reset}, last}, 0, reconnectSpread},
+		"is reset after lists, over, over": {[]scriptedWatch{{text: list, end: reset}, {text: list, end: reset}, {text: list, end: reset}, last}, 0, maxCallInterval},
+		"falls silent":                     {[]scriptedWatch{{text: list}, last}, minSilenceTimeout, maxSilenceTimeout},
+		"is never answered":                {[]scriptedWatch{{never: true}, {never: true}, last}, discoveryTimeout, maxCallInterval},
+		"is turned away":                   {[]scriptedWatch{{status: 503}, {status: 503}, last}, firstRejectionInterval.min, rejectionInterval.max},
+		"is told when to return":           {[]scriptedWatch{{status: 503, retryAfter: "3"}, last}, 3 * time.Second, 3*time.Second + reconnectSpread},
+		"can't be read":                    {[]scriptedWatch{{text: `{"rev":"x"}`, end: io.EOF}, last}, 0, maxCallInterval},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -180,7 +180,7 @@
 	var told []List
 	d := New("127.0.0.1:1", 7, 1, false, func(l List) { told = append(told, l) }, quiet)
 	d.client.Transport = answer
-	if err := d.list(t.Context()); err != nil {
+	if err := d.fetchList(t.Context()); err != nil {
 		t.Errorf("list: %v", err)
 	}
 	if _, err := d.watch(t.Context()); !errors.Is(err, io.EOF) {
@@ -197,10 +197,10 @@
 	d.client.Transport = carrier(func(r *http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusOK, Status: "200", Request: r, Body: io.NopCloser(endless{new(bool)})}, nil
 	})
-	if err := d.list(t.Context()); !errors.Is(err, errTooLong) {
+	if err := d.fetchList(t.Context()); !errors.Is(err, errListTooLong) {
 		t.Errorf("list: %v", err)
 	}
-	if heard, err := d.watch(t.Context()); heard || !errors.Is(err, errTooLong) {
+	if heard, err := d.watch(t.Context()); heard || !errors.Is(err, errListTooLong) {
 		t.Errorf("watch: %v, %v", heard, err)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -88,8 +88,8 @@
 }
 
 // unreadable reports whether an error of a decoder lies in the list itself: asked for again, it would be the same.
-func unreadable(err error) bool {
+func isUnreadable(err error) bool {
 	var syntax *json.SyntaxError
 	var mistyped *json.UnmarshalTypeError
-	return errors.As(err, &syntax) || errors.As(err, &mistyped) || errors.Is(err, errTooLong)
+	return errors.As(err, &syntax) || errors.As(err, &mistyped) || errors.Is(err, errListTooLong)
 }
--- a/internal/discovery/many_test.go
+++ b/internal/discovery/many_test.go
@@ -89,7 +89,7 @@
 			if got < n/2 {
 				t.Errorf("%d of %d instances were told in a minute, with %d calls", got, n, calls)
 			}
-			if n > few && busiest > 2*n/3 {
+			if n > smallFleet && busiest > 2*n/3 {
 				t.Errorf("%d calls of %d instances in one second", busiest, n)
 			}
 		})
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("a next call began after %v, want %v at most", last(next), afterReach)
 	}
 	if kind == turnedAway && down > 10*time.Second { // all have called once; from then on the calls of 4 s fit what 4 s can take
-		settled := fell.Add(returnWithin + 6*time.Second)
+		settled := fell.Add(reconnectSpread + 6*time.Second)
 		if most := r.busiest(settled, back, 4*time.Second); most > n {
 			t.Errorf("%d calls of %d callers in 4 s of refusals", most, n)
 		}
@@ -89,8 +89,8 @@
 							t.Errorf("%d calls of %d callers in 4 s", most, n)
 						}
 						most := afterReach
-						if late >= slowRefusal {
-							most = afterOverloads.most
+						if late >= slowRejection {
+							most = sustainedOverloadInterval.max
 						}
 						if first := r.nextCalls(back); last(first) > most {
 							t.Errorf("a next call began after %v", last(first))
--- a/internal/discovery/sockets_test.go
+++ b/internal/discovery/sockets_test.go
@@ -43,7 +43,7 @@
 				seeded(d, 1, uint64(i))
 				wg.Go(func() { d.Run(ctx) })
 			}
-			time.Sleep(startWithin + 500*time.Millisecond)
+			time.Sleep(startSpread + 500*time.Millisecond)
 			if watches := len(r.Asked()); watches < n {
 				t.Fatalf("%d of %d watch", watches, n)
 			}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	watchSilence = 4500 * time.Millisecond // two of the empty lines that come every 2 s: what a silent watch misses counts as told after 6 s
-	leastSilence = 3400 * time.Millisecond // of many, so that those whose watches fell silent together don't return together: between these
-	mostSilence  = 5500 * time.Millisecond
-	agentTimeout = 1 * time.Second         // an agent answers at once, unless discovery is down
-	callTimeout  = 2500 * time.Millisecond // discovery itself lets calls wait for 2 s, and refuses what would wait longer
+	silenceTimeout    = 4500 * time.Millisecond // two of the empty lines that come every 2 s: what a silent watch misses counts as told after 6 s
+	minSilenceTimeout = 3400 * time.Millisecond // of many, so that those whose watches fell silent together don't return together: between these
+	maxSilenceTimeout = 5500 * time.Millisecond
+	agentTimeout      = 1 * time.Second         // an agent answers at once, unless discovery is down
+	discoveryTimeout  = 2500 * time.Millisecond // discovery itself lets calls wait for 2 s, and refuses what would wait longer
 )
 
 // Watcher keeps an instance's list of backends up to date.
 type Watcher struct {
-	url       string
-	rev       int64
-	instances int // that share what discovery can take; 1: its agent answers by itself
-	client    *http.Client
-	moves     store.Latest[string]
-	post      func(List)
-	first     chan struct{} // closed after the first list, or when that failed
-	listed    func()        // closes first, once
-	log       *slog.Logger
-	chance    func() float64 // in [0, 1)
-	known     bool           // a list came, with the configuration or since
-	waited    bool           // the last watch was not answered in time
+	url            string
+	rev            int64
+	instances      int // that share what discovery can take; 1: its agent answers by itself
+	client         *http.Client
+	addressChanges store.Latest[string]
+	post           func(List)
+	ready          chan struct{} // closed after the first list, or when that failed
+	markReady      func()        // closes first, once
+	log            *slog.Logger
+	random         func() float64 // in [0, 1)
+	hasList        bool           // a list came, with the configuration or since
+	lastUnanswered bool           // the last watch was not answered in time
 }
 
 // New returns a watcher of discovery at an address, which holds the list of a revision already. It posts every further list
@@ -50,39 +50,39 @@
 func New(addr string, rev int64, instances int, known bool, post func(List), log *slog.Logger) *Watcher {
 	first := make(chan struct{})
 	return &Watcher{
-		url: listURL(addr), rev: rev, instances: instances, known: known,
-		client: &http.Client{Transport: &http.Transport{DisableCompression: true}},
-		moves:  store.NewLatest[string](), post: post, log: log,
-		chance: rand.Float64, first: first, listed: sync.OnceFunc(func() { close(first) }),
+		url: listURL(addr), rev: rev, instances: instances, hasList: known,
+		client:         &http.Client{Transport: &http.Transport{DisableCompression: true}},
+		addressChanges: store.NewLatest[string](), post: post, log: log,
+		random: rand.Float64, ready: first, markReady: sync.OnceFunc(func() { close(first) }),
 	}
 }
 
 func listURL(addr string) string { return "http://" + addr + "/registry/instances" }
 
 // Listed closes when a first list has come, or that has failed.
-func (d *Watcher) Ready() <-chan struct{} { return d.first }
+func (w *Watcher) Ready() <-chan struct{} { return w.ready }
 
 // Move goes over to another address; of several the last counts. It waits for nothing.
-func (d *Watcher) SetAddress(addr string) { d.moves.Set(addr) }
+func (w *Watcher) SetAddress(addr string) { w.addressChanges.Set(addr) }
 
 // Run lists and watches until ctx ends, at each address that it is moved to in turn.
-func (d *Watcher) Run(ctx context.Context) {
-	defer d.client.CloseIdleConnections()
+func (w *Watcher) Run(ctx context.Context) {
+	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
 		left := make(chan struct{})
 		go func() {
 			defer close(left)
-			d.follow(here)
+			w.follow(here)
 		}()
 		select {
 		case <-ctx.Done():
-		case addr := <-d.moves:
-			d.log.Info("discovery moves", "to", addr)
+		case addr := <-w.addressChanges:
+			w.log.Info("discovery moves", "to", addr)
 			leave()
 			<-left
-			d.client.CloseIdleConnections()
-			d.url = listURL(addr)
+			w.client.CloseIdleConnections()
+			w.url = listURL(addr)
 		}
 		leave()
 		<-left
@@ -90,41 +90,41 @@
 }
 
 // follow lists, then watches, at one address. Whatever breaks the watch, it resumes from the version held.
-func (d *Watcher) follow(ctx context.Context) {
-	pace := newPacer(d.instances)
-	d.begin(ctx, &pace)
+func (w *Watcher) follow(ctx context.Context) {
+	pace := newPacer(w.instances)
+	w.start(ctx, &pace)
 	for ctx.Err() == nil {
 		began := time.Now()
-		heard, err := d.watch(ctx)
+		heard, err := w.watch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		d.listed()
-		d.waited = errors.Is(err, errUnanswered)
-		wait := pace.wait(resultOf(heard, err, time.Since(began)), d.chance())
-		d.log.Warn("discovery: the watch ended", "err", err, "again_after", wait)
-		pause(ctx, wait)
+		w.markReady()
+		w.lastUnanswered = errors.Is(err, errUnanswered)
+		wait := pace.nextDelay(classify(heard, err, time.Since(began)), w.random())
+		w.log.Warn("discovery: the watch ended", "err", err, "again_after", wait)
+		sleep(ctx, wait)
 	}
 }
 
 // begin does what comes before the first watch.
-func (d *Watcher) begin(ctx context.Context, pace *pacer) {
+func (w *Watcher) start(ctx context.Context, pace *pacer) {
 	switch {
-	case pace.many() && d.known: // serves with what it has; the watch brings the rest
-		d.listed()
-		pause(ctx, pace.start(d.chance()))
-	case pace.many(): // the watch brings the whole list; a call for it would be a second one
+	case pace.isLargeFleet() && w.hasList: // serves with what it has; the watch brings the rest
+		w.markReady()
+		sleep(ctx, pace.startDelay(w.random()))
+	case pace.isLargeFleet(): // the watch brings the whole list; a call for it would be a second one
 	default:
-		err := d.list(ctx)
+		err := w.fetchList(ctx)
 		if err != nil && ctx.Err() == nil {
-			d.log.Warn("discovery: no list yet", "err", err)
+			w.log.Warn("discovery: no list yet", "err", err)
 		}
-		d.listed()
+		w.markReady()
 	}
 }
 
 // pause waits, unless ctx ends before.
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -134,99 +134,99 @@
 }
 
 // resultOf sorts the end of a watch for the pacer.
-func resultOf(heard bool, err error, took time.Duration) result {
+func classify(heard bool, err error, took time.Duration) callResult {
 	var status *statusError
 	switch {
 	case errors.As(err, &status):
-		return result{ending: refused, took: took, retryAfter: status.retryAfter}
-	case errors.Is(err, errSilent):
-		return result{ending: silent, took: took}
+		return callResult{outcome: rejected, took: took, retryAfter: status.retryAfter}
+	case errors.Is(err, errWatchSilent):
+		return callResult{outcome: watchSilent, took: took}
 	case heard:
-		return result{ending: broken, took: took}
+		return callResult{outcome: watchBroken, took: took}
 	}
-	return result{ending: unreached, took: took}
+	return callResult{outcome: unreachable, took: took}
 }
 
 // timeout is how long a call may stay without an answer. Of discovery itself a call that follows an unanswered one may take as long as
 // calls are apart: else nothing would ever be heard from one that is a little slower than callTimeout.
-func (d *Watcher) timeout() time.Duration {
+func (w *Watcher) answerTimeout() time.Duration {
 	switch {
-	case d.instances == 1:
+	case w.instances == 1:
 		return agentTimeout
-	case d.waited:
-		return longestGap
+	case w.lastUnanswered:
+		return maxCallInterval
 	}
-	return callTimeout
+	return discoveryTimeout
 }
 
 // patience is how long a watch may bring nothing.
-func (d *Watcher) patience() time.Duration {
-	if d.instances > few {
-		return gap{leastSilence, mostSilence}.at(d.chance())
+func (w *Watcher) drawSilenceTimeout() time.Duration {
+	if w.instances > smallFleet {
+		return interval{minSilenceTimeout, maxSilenceTimeout}.pick(w.random())
 	}
-	return watchSilence
+	return silenceTimeout
 }
 
 // list brings the whole list once.
-func (d *Watcher) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.timeout())
+func (w *Watcher) fetchList(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, w.answerTimeout())
 	defer cancel()
-	body, err := d.get(ctx, d.url)
+	body, err := w.get(ctx, w.url)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	text, err := io.ReadAll(&bounded{Reader: body, left: maxList, came: func() {}})
+	text, err := io.ReadAll(&boundedReader{Reader: body, remaining: maxListSize, onData: func() {}})
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	return d.tell(text)
+	return w.decodeList(text)
 }
 
 // The errors of a watch that was given up on.
 var (
-	errSilent     = errors.New("watch: silent")
-	errUnanswered = errors.New("watch: not answered")
+	errWatchSilent = errors.New("watch: silent")
+	errUnanswered  = errors.New("watch: not answered")
 )
 
 // watch follows the changes; it always ends with an error, and says whether anything came on it. Nothing may keep it waiting for
 // good: neither a peer that takes the call and doesn't answer, nor a watch that falls silent, between two changes or within one.
-func (d *Watcher) watch(ctx context.Context) (heard bool, err error) {
+func (w *Watcher) watch(ctx context.Context) (heard bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer func() {
-		if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errUnanswered) {
+		if cause := context.Cause(ctx); errors.Is(cause, errWatchSilent) || errors.Is(cause, errUnanswered) {
 			err = cause
 		}
 	}()
-	unanswered := time.AfterFunc(d.timeout(), func() { cancel(errUnanswered) })
+	unanswered := time.AfterFunc(w.answerTimeout(), func() { cancel(errUnanswered) })
 	defer unanswered.Stop()
-	body, err := d.get(ctx, fmt.Sprintf("%s?follow=1&since=%d", d.url, d.rev))
+	body, err := w.get(ctx, fmt.Sprintf("%s?follow=1&since=%d", w.url, w.rev))
 	if err != nil {
 		return false, err
 	}
 	defer body.Close()
 	unanswered.Stop()
-	patience := d.patience()
-	silence := time.AfterFunc(patience, func() { cancel(errSilent) })
+	patience := w.drawSilenceTimeout()
+	silence := time.AfterFunc(patience, func() { cancel(errWatchSilent) })
 	defer silence.Stop()
-	in := &bounded{Reader: body, came: func() {
+	in := &boundedReader{Reader: body, onData: func() {
 		heard = true
 		silence.Reset(patience)
 	}}
-	err = d.decode(in)
-	return heard && !unreadable(err), fmt.Errorf("watch: %w", err)
+	err = w.decodeStream(in)
+	return heard && !isUnreadable(err), fmt.Errorf("watch: %w", err)
 }
 
 // decode takes the lists of a watch as they come, until one can't be had. A list may stand on one line or be indented over many.
-func (d *Watcher) decode(in *bounded) error {
+func (w *Watcher) decodeStream(in *boundedReader) error {
 	for lists := json.NewDecoder(in); ; {
-		in.left = maxList
+		in.remaining = maxListSize
 		var f List
 		if err := lists.Decode(&f); err != nil {
 			return err
 		}
-		d.take(f)
+		w.accept(f)
 	}
 }
 
@@ -239,12 +239,12 @@
 // Error is error's.
 func (e *statusError) Error() string { return "discovery answers " + e.status }
 
-func (d *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
+func (w *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := w.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
@@ -265,22 +265,22 @@
 }
 
 // tell passes a list or a change on.
-func (d *Watcher) tell(text []byte) error {
+func (w *Watcher) decodeList(text []byte) error {
 	var f List
 	if err := json.Unmarshal(text, &f); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	d.take(f)
+	w.accept(f)
 	return nil
 }
 
 // take passes a list or a change on, unless a later one has been.
-func (d *Watcher) take(f List) {
-	if f.Rev < d.rev { // it would revive what is gone
-		d.log.Warn("discovery: an older list is left aside", "rev", f.Rev, "held", d.rev)
+func (w *Watcher) accept(f List) {
+	if f.Rev < w.rev { // it would revive what is gone
+		w.log.Warn("discovery: an older list is left aside", "rev", f.Rev, "held", w.rev)
 		return
 	}
-	d.rev, d.known = f.Rev, true
-	d.post(f.Usable(d.log))
-	d.listed()
+	w.rev, w.hasList = f.Rev, true
+	w.post(f.Usable(w.log))
+	w.markReady()
 }
