--- /dev/null
+++ b/internal/discovery/bounded_reader.go
@@ -0,0 +1,33 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+)
+
+// maxListSize bounds one list, in bytes. 7,700 backends with names of 63 bytes and more take about 2 MiB, or 3 MiB if
+// indented. What a list needs is allocated as it arrives, so the bound costs nothing below it.
+const maxListSize = 16 << 20
+
+// errListTooLong is the error of a list that exceeds maxListSize.
+var errListTooLong = fmt.Errorf("a list of more than %d bytes", maxListSize)
+
+// boundedReader reads a number of bytes, at most, until more are allowed.
+type boundedReader struct {
+	io.Reader
+	remaining int    // bytes that may still be read
+	onData    func() // called after each read that returned data
+}
+
+// Read implements io.Reader. Beyond the bound it returns errListTooLong.
+func (r *boundedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
+		return 0, errListTooLong
+	}
+	n, err := r.Reader.Read(p[:min(len(p), r.remaining)])
+	if n > 0 {
+		r.remaining -= n
+		r.onData()
+	}
+	return n, err
+}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,68 +12,73 @@
 	"hitchspring/policy"
 )
 
-// List is the list of backends, or the entries of it that changed.
+// List is the endpoint list, or the entries of it that have changed.
 type List struct {
-	Rev      int64    `json:"rev"`
-	Complete bool     `json:"all"` // the whole list: a backend that it doesn't name is gone
+	Rev      int64    `json:"rev"` // grows with each change
+	Complete bool     `json:"all"` // all entries: a backend that isn't among them is gone
 	Targets  []Target `json:"targets"`
 }
 
-// The states of an entry that are told apart; any other one is draining.
+// The states of an entry that are distinguished; any other one counts as draining.
 const (
 	Deleted = "DELETED" // among changes only: the backend is gone
 	serving = "SERVING"
 )
 
-// Target is one backend of the list.
+// Target is the entry of one backend.
 type Target struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
+	Endpoint string  `json:"endpoint"` // host:port
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"`
-	Capacity float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
+	Capacity float64 `json:"capacity_hint"` // relative
+	BootMS   int64   `json:"boot_ms"`       // start of the backend's process, milliseconds on the platform's clock
 }
 
-// Server is the entry as the decision module has it; an unknown state is draining.
+// Server returns the entry as the policy module has it. A state that isn't known is draining.
 func (t Target) Server() policy.Backend {
-	s := policy.Backend{
-		ID: policy.BackendID(t.UID), Zone: t.Zone, Kind: t.Model, Cell: t.Group, Size: t.Capacity,
+	backend := policy.Backend{
+		ID:      policy.BackendID(t.UID),
+		Zone:    t.Zone,
+		Kind:    t.Model,
+		Cell:    t.Group,
+		Size:    t.Capacity,
 		Started: time.Duration(t.BootMS) * time.Millisecond,
 	}
 	switch t.State {
 	case serving:
-		s.State = policy.Running
+		backend.State = policy.Running
 	case Deleted:
-		s.State = policy.Gone
+		backend.State = policy.Gone
 	}
-	return s
+	return backend
 }
 
-// Usable is the list without the entries that can't be used. That a backend drains is heard also where the rest of its entry
-// can't be used: it is owed that nothing more is sent to it.
-func (f List) Usable(log *slog.Logger) List {
-	usable := make([]Target, 0, len(f.Targets))
-	for _, t := range f.Targets {
+// Usable returns the list without the entries that can't be used. Of an entry that is invalid and doesn't serve, the
+// state is used nevertheless: a draining backend must not get further requests.
+func (l List) Usable(log *slog.Logger) List {
+	usable := make([]Target, 0, len(l.Targets))
+	for _, t := range l.Targets {
 		err := t.check()
 		switch {
 		case err == nil:
 		case t.UID == "" || t.State == serving:
-			log.Warn("an entry of the list is left aside", "err", err)
+			log.Warn("endpoint list entry ignored", "err", err)
 			continue
 		default:
-			log.Warn("of an entry of the list only the state is used", "err", err, "state", t.State)
-			t.Endpoint, t.BootMS = "", 0
+			log.Warn("endpoint list entry invalid, using only its state", "err", err, "state", t.State)
+			t.Endpoint = ""
+			t.BootMS = 0
 		}
 		usable = append(usable, t)
 	}
-	f.Targets = usable
-	return f
+	l.Targets = usable
+	return l
 }
 
-// check says what makes an entry useless. One that tells only that a backend is gone needs no address.
+// check returns an error that says what makes the entry unusable. One that is deleted needs no address.
 func (t Target) check() error {
 	if t.UID == "" {
 		return errors.New("no id")
@@ -87,7 +92,7 @@
 	return nil
 }
 
-// unreadable reports whether an error of a decoder lies in the list itself: asked for again, it would be the same.
+// isUnreadable reports whether a decoder's error lies in the list itself, so that a further request would fail too.
 func isUnreadable(err error) bool {
 	var syntax *json.SyntaxError
 	var mistyped *json.UnmarshalTypeError
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,18 +1,16 @@
-// Package discovery follows the platform's list of backends: it lists, watches, resumes, and leaves aside what can't be used.
-// In: the address of the agent, or of discovery itself, and the list last held. Out: lists and changes, each posted as it
-// comes. It knows neither the decision module's books nor a connection to a backend.
+// Package discovery follows the platform's endpoint list: it requests the list, watches for changes, resumes a watch
+// that has ended, and drops what can't be used. Watcher takes the address of the agent, or of discovery itself, and the
+// revision of the list that the instance has; it posts lists and changes as they arrive. The pacer spaces the calls so
+// that a large fleet doesn't overload discovery. The package knows neither the policy module's state nor a connection
+// to a backend.
 package discovery
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -20,112 +18,130 @@
 )
 
 const (
-	silenceTimeout    = 4500 * time.Millisecond // two of the empty lines that come every 2 s: what a silent watch misses counts as told after 6 s
-	minSilenceTimeout = 3400 * time.Millisecond // of many, so that those whose watches fell silent together don't return together: between these
+	// silenceTimeout ends a watch that brings nothing. It takes two of the empty lines that come every 2 s, and leaves
+	// time for a new watch within the 6 s in which a change is to be known.
+	silenceTimeout = 4500 * time.Millisecond
+	// A large fleet draws the timeout between these, so that instances whose watches fell silent at one moment don't
+	// return at one moment.
+	minSilenceTimeout = 3400 * time.Millisecond
 	maxSilenceTimeout = 5500 * time.Millisecond
-	agentTimeout      = 1 * time.Second         // an agent answers at once, unless discovery is down
-	discoveryTimeout  = 2500 * time.Millisecond // discovery itself lets calls wait for 2 s, and refuses what would wait longer
+
+	agentTimeout = 1 * time.Second // an agent answers at once, unless discovery is down
+	// discoveryTimeout exceeds the 2 s for which discovery lets calls wait; it rejects what would wait longer.
+	discoveryTimeout = 2500 * time.Millisecond
 )
 
-// Watcher keeps an instance's list of backends up to date.
+// Watcher keeps an instance's endpoint list up to date. Run is the only method that does work; SetAddress and Ready may
+// be called from any goroutine. Run starts one goroutine for each address, which ends before Run moves on or returns,
+// and owns all fields except addressChanges and ready.
 type Watcher struct {
 	url            string
-	rev            int64
-	instances      int // that share what discovery can take; 1: its agent answers by itself
+	rev            int64 // of the last list that was posted, or that the instance began with
+	instances      int   // that share what discovery can take; 1: an agent answers by itself
 	client         *http.Client
 	addressChanges store.Latest[string]
 	post           func(List)
-	ready          chan struct{} // closed after the first list, or when that failed
-	markReady      func()        // closes first, once
+	ready          chan struct{} // closed after the first list, or when that has failed
+	markReady      func()        // closes ready, once
 	log            *slog.Logger
 	random         func() float64 // in [0, 1)
-	hasList        bool           // a list came, with the configuration or since
+	hasList        bool           // a list came with the configuration, or since
 	lastUnanswered bool           // the last watch was not answered in time
 }
 
-// New returns a watcher of discovery at an address, which holds the list of a revision already. It posts every further list
-// and change from its own goroutine. Instances is how many share what discovery can take (1: its agent answers by itself, at
-// no cost); the pacer says how they do. Beyond a few, those that hold a list (known) begin to watch within 2 s
-// and ask for no whole list besides; those that hold none begin to watch at once, and the watch brings it.
-func New(addr string, rev int64, instances int, known bool, post func(List), log *slog.Logger) *Watcher {
-	first := make(chan struct{})
+// New returns a watcher of discovery at an address, for an instance that has the list of revision rev already. It calls
+// post with every further list and change, from its own goroutine. instances is the number of instances that share what
+// discovery can take; 1 means that an agent answers by itself, at no cost to discovery.
+//
+// In a large fleet, an instance that has a list (hasList) begins to watch within 2 s and requests no list besides; one
+// that has none begins at once, and the watch brings the list.
+func New(addr string, rev int64, instances int, hasList bool, post func(List), log *slog.Logger) *Watcher {
+	ready := make(chan struct{})
 	return &Watcher{
-		url: listURL(addr), rev: rev, instances: instances, hasList: known,
+		url:            listURL(addr),
+		rev:            rev,
+		instances:      instances,
+		hasList:        hasList,
 		client:         &http.Client{Transport: &http.Transport{DisableCompression: true}},
-		addressChanges: store.NewLatest[string](), post: post, log: log,
-		random: rand.Float64, ready: first, markReady: sync.OnceFunc(func() { close(first) }),
+		addressChanges: store.NewLatest[string](),
+		post:           post,
+		log:            log,
+		random:         rand.Float64,
+		ready:          ready,
+		markReady:      sync.OnceFunc(func() { close(ready) }),
 	}
 }
 
 func listURL(addr string) string { return "http://" + addr + "/registry/instances" }
 
-// Listed closes when a first list has come, or that has failed.
+// Ready returns a channel that is closed when a first list has come, or that has failed.
 func (w *Watcher) Ready() <-chan struct{} { return w.ready }
 
-// Move goes over to another address; of several the last counts. It waits for nothing.
+// SetAddress lets Run move to another address; of several the last counts. It doesn't block.
 func (w *Watcher) SetAddress(addr string) { w.addressChanges.Set(addr) }
 
-// Run lists and watches until ctx ends, at each address that it is moved to in turn.
+// Run requests the list and watches it until ctx ends, at each address that is set in turn.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
-		left := make(chan struct{})
+		followCtx, cancel := context.WithCancel(ctx)
+		ended := make(chan struct{})
 		go func() {
-			defer close(left)
-			w.follow(here)
+			defer close(ended)
+			w.follow(followCtx)
 		}()
 		select {
 		case <-ctx.Done():
 		case addr := <-w.addressChanges:
-			w.log.Info("discovery moves", "to", addr)
-			leave()
-			<-left
+			w.log.Info("discovery address changed", "to", addr)
+			cancel()
+			<-ended
 			w.client.CloseIdleConnections()
 			w.url = listURL(addr)
 		}
-		leave()
-		<-left
+		cancel()
+		<-ended
 	}
 }
 
-// follow lists, then watches, at one address. Whatever breaks the watch, it resumes from the version held.
+// follow requests the list, then watches it, at one address. Whatever ends a watch, the next resumes from the last
+// revision.
 func (w *Watcher) follow(ctx context.Context) {
 	pace := newPacer(w.instances)
 	w.start(ctx, &pace)
 	for ctx.Err() == nil {
 		began := time.Now()
-		heard, err := w.watch(ctx)
+		received, err := w.watch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		w.markReady()
 		w.lastUnanswered = errors.Is(err, errUnanswered)
-		wait := pace.nextDelay(classify(heard, err, time.Since(began)), w.random())
-		w.log.Warn("discovery: the watch ended", "err", err, "again_after", wait)
-		sleep(ctx, wait)
+		delay := pace.nextDelay(classify(received, err, time.Since(began)), w.random())
+		w.log.Warn("discovery watch ended", "err", err, "retry_after", delay)
+		sleep(ctx, delay)
 	}
 }
 
-// begin does what comes before the first watch.
+// start does what comes before the first watch.
 func (w *Watcher) start(ctx context.Context, pace *pacer) {
 	switch {
-	case pace.isLargeFleet() && w.hasList: // serves with what it has; the watch brings the rest
+	case pace.isLargeFleet() && w.hasList: // serves with that list; the watch brings what has changed
 		w.markReady()
 		sleep(ctx, pace.startDelay(w.random()))
-	case pace.isLargeFleet(): // the watch brings the whole list; a call for it would be a second one
+	case pace.isLargeFleet(): // the watch brings the list, so that a request for it would be a second call
 	default:
 		err := w.fetchList(ctx)
 		if err != nil && ctx.Err() == nil {
-			w.log.Warn("discovery: no list yet", "err", err)
+			w.log.Warn("endpoint list request failed", "err", err)
 		}
 		w.markReady()
 	}
 }
 
-// pause waits, unless ctx ends before.
-func sleep(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
+// sleep waits for delay, or until ctx ends.
+func sleep(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -133,22 +149,23 @@
 	}
 }
 
-// resultOf sorts the end of a watch for the pacer.
-func classify(heard bool, err error, took time.Duration) callResult {
+// classify returns the result of a watch for the pacer. received says whether the watch brought anything.
+func classify(received bool, err error, took time.Duration) callResult {
 	var status *statusError
 	switch {
 	case errors.As(err, &status):
 		return callResult{outcome: rejected, took: took, retryAfter: status.retryAfter}
 	case errors.Is(err, errWatchSilent):
 		return callResult{outcome: watchSilent, took: took}
-	case heard:
+	case received:
 		return callResult{outcome: watchBroken, took: took}
 	}
 	return callResult{outcome: unreachable, took: took}
 }
 
-// timeout is how long a call may stay without an answer. Of discovery itself a call that follows an unanswered one may take as long as
-// calls are apart: else nothing would ever be heard from one that is a little slower than callTimeout.
+// answerTimeout returns how long a call may stay unanswered. A call to discovery that follows an unanswered one may
+// take as long as calls are apart: else nothing would ever come from discovery that is a little slower than
+// discoveryTimeout.
 func (w *Watcher) answerTimeout() time.Duration {
 	switch {
 	case w.instances == 1:
@@ -159,7 +176,7 @@
 	return discoveryTimeout
 }
 
-// patience is how long a watch may bring nothing.
+// drawSilenceTimeout returns how long a watch may bring nothing.
 func (w *Watcher) drawSilenceTimeout() time.Duration {
 	if w.instances > smallFleet {
 		return interval{minSilenceTimeout, maxSilenceTimeout}.pick(w.random())
@@ -167,120 +184,14 @@
 	return silenceTimeout
 }
 
-// list brings the whole list once.
-func (w *Watcher) fetchList(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, w.answerTimeout())
-	defer cancel()
-	body, err := w.get(ctx, w.url)
-	if err != nil {
-		return err
-	}
-	defer body.Close()
-	text, err := io.ReadAll(&boundedReader{Reader: body, remaining: maxListSize, onData: func() {}})
-	if err != nil {
-		return fmt.Errorf("list: %w", err)
-	}
-	return w.decodeList(text)
-}
-
-// The errors of a watch that was given up on.
-var (
-	errWatchSilent = errors.New("watch: silent")
-	errUnanswered  = errors.New("watch: not answered")
-)
-
-// watch follows the changes; it always ends with an error, and says whether anything came on it. Nothing may keep it waiting for
-// good: neither a peer that takes the call and doesn't answer, nor a watch that falls silent, between two changes or within one.
-func (w *Watcher) watch(ctx context.Context) (heard bool, err error) {
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	defer func() {
-		if cause := context.Cause(ctx); errors.Is(cause, errWatchSilent) || errors.Is(cause, errUnanswered) {
-			err = cause
-		}
-	}()
-	unanswered := time.AfterFunc(w.answerTimeout(), func() { cancel(errUnanswered) })
-	defer unanswered.Stop()
-	body, err := w.get(ctx, fmt.Sprintf("%s?follow=1&since=%d", w.url, w.rev))
-	if err != nil {
-		return false, err
-	}
-	defer body.Close()
-	unanswered.Stop()
-	patience := w.drawSilenceTimeout()
-	silence := time.AfterFunc(patience, func() { cancel(errWatchSilent) })
-	defer silence.Stop()
-	in := &boundedReader{Reader: body, onData: func() {
-		heard = true
-		silence.Reset(patience)
-	}}
-	err = w.decodeStream(in)
-	return heard && !isUnreadable(err), fmt.Errorf("watch: %w", err)
-}
-
-// decode takes the lists of a watch as they come, until one can't be had. A list may stand on one line or be indented over many.
-func (w *Watcher) decodeStream(in *boundedReader) error {
-	for lists := json.NewDecoder(in); ; {
-		in.remaining = maxListSize
-		var f List
-		if err := lists.Decode(&f); err != nil {
-			return err
-		}
-		w.accept(f)
-	}
-}
-
-// statusError is an answer other than 200.
-type statusError struct {
-	status     string
-	retryAfter time.Duration // 0 where none was named
-}
-
-// Error is error's.
-func (e *statusError) Error() string { return "discovery answers " + e.status }
-
-func (w *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return nil, err
-	}
-	resp, err := w.client.Do(req)
-	if err != nil {
-		return nil, err
-	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		return nil, &statusError{resp.Status, retryAfter(resp.Header)}
-	}
-	return resp.Body, nil
-}
-
-// retryAfter reads the header of that name; the form that is a date is not believed, since it takes two clocks that agree.
-func retryAfter(h http.Header) time.Duration {
-	seconds, err := strconv.ParseUint(h.Get("Retry-After"), 10, 16)
-	if err != nil {
-		return 0
-	}
-	return time.Duration(seconds) * time.Second
-}
-
-// tell passes a list or a change on.
-func (w *Watcher) decodeList(text []byte) error {
-	var f List
-	if err := json.Unmarshal(text, &f); err != nil {
-		return fmt.Errorf("list: %w", err)
-	}
-	w.accept(f)
-	return nil
-}
-
-// take passes a list or a change on, unless a later one has been.
-func (w *Watcher) accept(f List) {
-	if f.Rev < w.rev { // it would revive what is gone
-		w.log.Warn("discovery: an older list is left aside", "rev", f.Rev, "held", w.rev)
+// accept posts a list or a change, unless a later one was posted: an older one would revive what is gone.
+func (w *Watcher) accept(list List) {
+	if list.Rev < w.rev {
+		w.log.Warn("outdated endpoint list ignored", "rev", list.Rev, "current", w.rev)
 		return
 	}
-	w.rev, w.hasList = f.Rev, true
-	w.post(f.Usable(w.log))
+	w.rev = list.Rev
+	w.hasList = true
+	w.post(list.Usable(w.log))
 	w.markReady()
 }
