--- a/internal/metrics/groups.go
+++ b/internal/metrics/groups.go
@@ -2,94 +2,66 @@
 
 import "sync/atomic"
 
-// group is counters of one kind, by name.
-type group struct {
+// counterGroup is counters of one kind, by name.
+type counterGroup struct {
 	name   string
 	names  []string
-	counts []atomic.Int64
+	counts []atomic.Int64 // one for each of names
 }
 
-// The groups.
+// The groups, as indexes into Set.groups.
 const (
-	refusedGroup = iota
+	rejectedGroup = iota
 	failedGroup
 	attemptsGroup
-	stoppedGroup
+	withheldGroup
 	closedGroup
 	groupCount
 )
 
-// Stop is why an attempt was held back right before it would have been written.
-type WithheldReason uint8
-
-// The reasons to hold an attempt back.
-const (
-	TimeOver WithheldReason = iota // its client waits no longer
-	stops
-)
-
-// Close is why a client's connection ended.
-type CloseReason uint8
-
-// The reasons of an end.
-const (
-	ClosedByClient      CloseReason = iota // the client closed it, or it broke
-	ClosedByProtocol                       // the client broke the protocol
-	ClosedByServer                         // between two requests: idle, for want of a place, or in a drain
-	ClosedSlowReader                       // the client took nothing of what it was owed
-	ClosedShutdownLimit                    // at the end of a shutdown
-	closes
-)
-
-var (
-	stopNames  = [stops]string{"time_over"}
-	closeNames = [closes]string{"by_client", "by_protocol", "by_server", "slow_reader", "shutdown_limit"}
-)
-
-// String is the reason's name.
-func (c CloseReason) String() string { return closeNames[min(c, closes-1)] }
-
-func newGroups(reasons, outcomes []string) (all [groupCount]group) {
-	for i, g := range []group{
-		{name: "refused", names: reasons},
-		{name: "failed", names: reasons},
-		{name: "attempts", names: outcomes},
-		{name: "attempts_held_back", names: stopNames[:]},
-		{name: "connections_closed", names: closeNames[:]},
-	} {
-		g.counts = make([]atomic.Int64, len(g.names))
-		all[i] = g
+// newGroups returns the groups with the names that metrics have.
+func newGroups(reasons, outcomes []string) [groupCount]counterGroup {
+	groups := [groupCount]counterGroup{
+		rejectedGroup: {name: "refused", names: reasons},
+		failedGroup:   {name: "failed", names: reasons},
+		attemptsGroup: {name: "attempts", names: outcomes},
+		withheldGroup: {name: "attempts_held_back", names: withheldReasonNames[:]},
+		closedGroup:   {name: "connections_closed", names: closeReasonNames[:]},
+	}
+	for i := range groups {
+		groups[i].counts = make([]atomic.Int64, len(groups[i].names))
 	}
-	return all
+	return groups
 }
 
-func (s *Set) count(group, i int) {
-	if counts := s.groups[group].counts; i < len(counts) {
-		counts[i].Add(1)
+// count adds one to a counter of a group. An index beyond the group's names is ignored.
+func (s *Set) count(group, index int) {
+	if counts := s.groups[group].counts; index < len(counts) {
+		counts[index].Add(1)
 	}
 }
 
-// Refused counts a refusal of the module's, by its reason.
-func (s *Set) Rejected(reason int) { s.count(refusedGroup, reason) }
+// Rejected counts a rejection by the policy module, by its reason.
+func (s *Set) Rejected(reason int) { s.count(rejectedGroup, reason) }
 
-// Failed counts a failure of the module's, by its reason.
+// Failed counts a failure of a request, by the policy module's reason.
 func (s *Set) Failed(reason int) { s.count(failedGroup, reason) }
 
 // AttemptEnded counts the end of an attempt, by its outcome.
 func (s *Set) AttemptEnded(outcome int) { s.count(attemptsGroup, outcome) }
 
-// Stopped counts an attempt that was held back right before it would have been written.
-func (s *Set) AttemptWithheld(why WithheldReason) { s.count(stoppedGroup, int(why)) }
+// AttemptWithheld counts an attempt that was withheld right before it would have been written.
+func (s *Set) AttemptWithheld(reason WithheldReason) { s.count(withheldGroup, int(reason)) }
 
-// Closed counts the end of a client's connection.
-func (s *Set) ConnectionClosed(why CloseReason) { s.count(closedGroup, int(why)) }
+// ConnectionClosed counts the end of a client's connection.
+func (s *Set) ConnectionClosed(reason CloseReason) { s.count(closedGroup, int(reason)) }
 
-// Each tells every counter that has a reason.
-func (s *Set) Each(tell func(group, name string, n int64)) {
+// Each calls visit with each counter of the groups: those that have a reason or an outcome.
+func (s *Set) Each(visit func(group, name string, value int64)) {
 	for i := range s.groups {
-		g := &s.groups[i]
-		for k, name := range g.names {
-			tell(g.name, name, g.counts[k].Load())
+		group := &s.groups[i]
+		for k, name := range group.names {
+			visit(group.name, name, group.counts[k].Load())
 		}
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,7 @@
-// Package figures counts what an ingress does with requests, and words it as plain text for operators. In: one call for each
-// request taken, for its one end, for each attempt that was written whole. Out: lines NAME=NUMBER in a stable order. It decides
-// nothing. All of it is safe for many goroutines, and none of it waits.
+// Package metrics counts what an ingress does with requests, and formats it as plain text for operators. In comes one
+// call for each request that is accepted, for its one end, and for each attempt that is written completely; out go
+// lines NAME=NUMBER in a stable order. The package decides nothing. All of it is safe for concurrent use, and nothing
+// blocks.
 package metrics
 
 import (
@@ -8,144 +9,116 @@
 	"sync/atomic"
 )
 
-// prefix stands before every figure.
-const prefix = "edge_router."
+// linePrefix begins each line of the text.
+const linePrefix = "edge_router."
 
-// End is how a request ended.
-type RequestEnd uint8
+// initialTextSize is the capacity, in bytes, with which the text is allocated.
+const initialTextSize = 512
 
-// The ends.
-const (
-	Answered RequestEnd = iota // served
-	Deferred                   // refused: trying again is harmless
-	Errored                    // failed
-	ends
-)
-
-var endNames = [ends]string{"answered", "deferred", "errored"}
-
-// Ends are all ends, in their order.
-func Ends() []RequestEnd { return []RequestEnd{Answered, Deferred, Errored} }
-
-// String is the end's name.
-func (e RequestEnd) String() string { return endNames[min(e, ends-1)] }
-
-// Stage is how far a request has come.
-type DisconnectStage uint8
-
-// The stages at which a client may have gone.
-const (
-	BeforeAdmission DisconnectStage = iota // its command and the end of its connection were read together: the decision module never saw it
-	BeforeAttempt                          // no attempt of it was handed to a connection
-	BeforeRetry                            // all attempts had ended, and there was to be another
-	InFlight                               // an attempt was out; nothing followed it
-	stages
-)
-
-var stageNames = [stages]string{"before_admission", "before_attempt", "before_retry", "in_flight"}
-
-// Stages are all stages, in their order.
-func Stages() []DisconnectStage {
-	return []DisconnectStage{BeforeAdmission, BeforeAttempt, BeforeRetry, InFlight}
-}
-
-// String is the stage's name.
-func (s DisconnectStage) String() string { return stageNames[min(s, stages-1)] }
-
-// Set is the figures of one process; each counts from 0.
+// Set holds the metrics of one process; each counts from 0. Its methods may be called from any goroutine.
 type Set struct {
-	classes   []string
-	index     map[string]int
-	ended     [][ends]atomic.Int64 // by class
-	left      [stages]atomic.Int64
-	sends     atomic.Int64
-	current   atomic.Int64
-	size      atomic.Int64
-	unhealthy atomic.Int64
-	groups    [groupCount]group
+	classes     []string
+	classIndex  map[string]int // into requests
+	requests    [][requestEndCount]atomic.Int64
+	disconnects [disconnectStageCount]atomic.Int64
+	sends       atomic.Int64 // attempts written completely
+	current     atomic.Int64 // requests that have not ended
+	backends    atomic.Int64 // in the endpoint list
+	unhealthy   atomic.Int64 // of these, avoided now
+	groups      [groupCount]counterGroup
 }
 
-// New returns figures for the classes of the settings, in their order, the reasons of refusals and failures, and the outcomes of attempts.
+// New returns the metrics for the request classes of the settings, in their order, the reasons of rejections and
+// failures, and the outcomes of attempts.
 func New(classes, reasons, outcomes []string) *Set {
-	s := &Set{groups: newGroups(reasons, outcomes), classes: classes, index: map[string]int{}, ended: make([][ends]atomic.Int64, len(classes))}
-	for i, c := range classes {
-		s.index[c] = i
+	s := &Set{
+		classes:    classes,
+		classIndex: map[string]int{},
+		requests:   make([][requestEndCount]atomic.Int64, len(classes)),
+		groups:     newGroups(reasons, outcomes),
+	}
+	for i, class := range classes {
+		s.classIndex[class] = i
 	}
 	return s
 }
 
-// Took counts a request as taken and not ended.
+// RequestAccepted counts a request that has not ended.
 func (s *Set) RequestAccepted() { s.current.Add(1) }
 
-// Ended counts the one end of a request that was taken.
-func (s *Set) RequestEnded(class string, e RequestEnd) {
+// RequestEnded counts the one end of a request that was accepted. A class that isn't in the settings is not counted.
+func (s *Set) RequestEnded(class string, end RequestEnd) {
 	s.current.Add(-1)
-	if i, ok := s.index[class]; ok {
-		s.ended[i][e].Add(1)
+	if i, ok := s.classIndex[class]; ok {
+		s.requests[i][end].Add(1)
 	}
 }
 
-// Left counts a request whose client has gone, which has no end of its own, by how far it had come.
-func (s *Set) ClientDisconnected(at DisconnectStage) {
+// ClientDisconnected counts an accepted request whose client has disconnected, by the stage that the request had
+// reached. Such a request has no end of its own.
+func (s *Set) ClientDisconnected(stage DisconnectStage) {
 	s.current.Add(-1)
-	s.left[at].Add(1)
+	s.disconnects[stage].Add(1)
 }
 
-// Departures is how many requests were dropped at a stage because their clients had gone.
-func (s *Set) Disconnects(at DisconnectStage) int64 { return s.left[at].Load() }
+// Disconnects returns how many requests were dropped at a stage because their clients had disconnected.
+func (s *Set) Disconnects(stage DisconnectStage) int64 { return s.disconnects[stage].Load() }
 
-// Sent counts an attempt that was written to its last byte.
+// AttemptSent counts an attempt that was written to its last byte.
 func (s *Set) AttemptSent() { s.sends.Add(1) }
 
-// Cluster says how many nodes are listed, and how many of them are avoided now.
+// SetBackends sets how many backends are listed, and how many of them are avoided now.
 func (s *Set) SetBackends(size, unhealthy int) {
-	s.size.Store(int64(size))
+	s.backends.Store(int64(size))
 	s.unhealthy.Store(int64(unhealthy))
 }
 
-// Classes are the classes, in the settings' order.
+// Classes returns the request classes, in the order of the settings.
 func (s *Set) Classes() []string { return s.classes }
 
-// Nodes is how many nodes are listed, and how many of them are avoided.
-func (s *Set) Backends() (size, unhealthy int64) { return s.size.Load(), s.unhealthy.Load() }
+// Backends returns how many backends are listed, and how many of them are avoided.
+func (s *Set) Backends() (size, unhealthy int64) { return s.backends.Load(), s.unhealthy.Load() }
 
-// Current is the number of requests taken and not ended.
+// Current returns the number of requests that were accepted and have not ended.
 func (s *Set) Current() int64 { return s.current.Load() }
 
-// Count is how many requests of a class ended so.
-func (s *Set) Requests(class string, e RequestEnd) int64 {
-	i, ok := s.index[class]
+// Requests returns how many requests of a class had an end; 0 for a class that isn't in the settings.
+func (s *Set) Requests(class string, end RequestEnd) int64 {
+	i, ok := s.classIndex[class]
 	if !ok {
 		return 0
 	}
-	return s.ended[i][e].Load()
+	return s.requests[i][end].Load()
 }
 
-// Sends is the number of attempts written whole.
+// AttemptsSent returns the number of attempts that were written completely.
 func (s *Set) AttemptsSent() int64 { return s.sends.Load() }
 
-// AppendLine appends one figure's line.
-func AppendLine(b []byte, name string, n int64) []byte {
-	b = append(append(b, prefix...), name...)
-	return append(strconv.AppendInt(append(b, '='), n, 10), '\n')
+// AppendLine appends the line of one metric to text.
+func AppendLine(text []byte, name string, value int64) []byte {
+	text = append(text, linePrefix...)
+	text = append(text, name...)
+	text = append(text, '=')
+	text = strconv.AppendInt(text, value, 10)
+	return append(text, '\n')
 }
 
-// Text is all figures, a line each.
+// Text returns all metrics, a line each.
 func (s *Set) Text() []byte {
-	b := make([]byte, 0, 512)
-	line := func(name string, n int64) { b = AppendLine(b, name, n) }
-	for i, c := range s.classes {
-		for e, name := range endNames {
-			line("transactions."+c+"."+name, s.ended[i][e].Load())
+	text := make([]byte, 0, initialTextSize)
+	appendLine := func(name string, value int64) { text = AppendLine(text, name, value) }
+	for i, class := range s.classes {
+		for end, name := range requestEndNames {
+			appendLine("transactions."+class+"."+name, s.requests[i][end].Load())
 		}
 	}
-	line("sends", s.sends.Load())
-	line("current", s.current.Load())
-	line("cluster_size", s.size.Load())
-	line("cluster_unhealthy", s.unhealthy.Load())
-	for _, at := range Stages() {
-		line("clients_gone."+at.String(), s.Disconnects(at))
+	appendLine("sends", s.AttemptsSent())
+	appendLine("current", s.Current())
+	appendLine("cluster_size", s.backends.Load())
+	appendLine("cluster_unhealthy", s.unhealthy.Load())
+	for _, stage := range Stages() {
+		appendLine("clients_gone."+stage.String(), s.Disconnects(stage))
 	}
-	s.Each(func(group, name string, n int64) { line(group+"."+name, n) })
-	return b
+	s.Each(func(group, name string, value int64) { appendLine(group+"."+name, value) })
+	return text
 }
