--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -140,8 +140,8 @@
 // versionEdits are the edits that make a program of the next version of the messages, of a version before, and of one that this version cannot read.
 func versionEdits() (next, before, later []edit) {
 	const engine = "internal/peers/engine.go"
-	field := "	Clock   int64              `cbor:\"8,keyasint,omitempty\"` // of the sender, in microseconds\n"
-	second := edit{engine, "	Version      = 1\n", "	Version      = 2\n"}
+	field := "	Clock        int64              `cbor:\"8,keyasint,omitempty\"` // of the sender, in microseconds\n"
+	second := edit{engine, "	Version          = 1\n", "	Version          = 2\n"}
 	next = []edit{
 		second,
 		{engine, field, field + "	Fresh   string        `cbor:\"99,keyasint\"`\n"},
@@ -149,7 +149,7 @@
 		{engine, "e.now.Microseconds()\n	b, err", "e.now.Microseconds(), \"what is new\"\n	b, err"},
 	}
 	before = []edit{{engine, field, "	Clock   int64         `cbor:\"-\"`\n"}}
-	later = []edit{second, {engine, "	leastVersion = 1\n", "	leastVersion = 2\n"}}
+	later = []edit{second, {engine, "	minReaderVersion = 1\n", "	minReaderVersion = 2\n"}}
 	return next, before, later
 }
 
--- a/internal/peers/bounds.go
+++ b/internal/peers/bounds.go
@@ -17,7 +17,7 @@
 // due says how often the bound was met since the last line, and whether there is to be one now.
 func (r *boundReport) due(now time.Duration, count int) (since int, due bool) {
 	since = count - r.reported
-	if since <= 0 || r.reported > 0 && now-r.last < lineSpan {
+	if since <= 0 || r.reported > 0 && now-r.last < summaryInterval {
 		return since, false
 	}
 	r.reported, r.last = count, now
@@ -32,8 +32,8 @@
 // reportBounds logs which bounds were met since it was last called.
 func (p *Peers) reportBounds(now time.Duration) {
 	p.mu.Lock()
-	facts, members, oversized := p.engine.store.Counts().Full, p.engine.member.Counts().Full, p.engine.counts.Oversized
-	held, bytes := p.engine.store.Len(), p.engine.store.Bytes()
+	facts, members, oversized := p.engine.facts.Counts().Full, p.engine.membership.Counts().Full, p.engine.counts.Oversized
+	held, bytes := p.engine.facts.Len(), p.engine.facts.Bytes()
 	p.mu.Unlock()
 	if n, due := p.bounds.facts.due(now, facts); due {
 		p.log.Warn("peers: no room for further facts: they are asked for again", "refused", n, "held", held, "bytes", bytes, "max_bytes", gossip.MaxBytes,
@@ -48,7 +48,7 @@
 	if n, due := p.bounds.oversized.due(now, oversized); due {
 		p.log.Warn("peers: messages are dropped before they are sent: they are too large", "dropped", n, "max_bytes", MaxMessage)
 	}
-	if n, due := p.bounds.lines.due(now, p.lines.omittedSoFar("change")); due {
-		p.log.Info("peers: lines on members are left out: they are in the status", "omitted", n, "max_a_second", mostLines)
+	if n, due := p.bounds.lines.due(now, p.logLimit.omittedCount("change")); due {
+		p.log.Info("peers: lines on members are left out: they are in the status", "omitted", n, "max_a_second", maxLinesPerSecond)
 	}
 }
--- a/internal/peers/bounds_test.go
+++ b/internal/peers/bounds_test.go
@@ -13,13 +13,13 @@
 // 350 processes find one another, and what two of them have seen of hundreds of backends is known to all.
 func TestManyProcesses(t *testing.T) {
 	const processes, backends = 350, 600
-	n := newNet(t, 21)
+	n := newNetwork(t, 21)
 	for i := range processes {
-		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+		n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
-	joined, ok := n.until(2*time.Minute, func() bool {
+	joined, ok := n.runUntil(2*time.Minute, func() bool {
 		for _, a := range n.addrs {
-			if n.engines[a].Member().AliveCount() != processes-1 {
+			if n.engines[a].Membership().AliveCount() != processes-1 {
 				return false
 			}
 		}
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	told, ok := n.until(30*time.Second, func() bool {
+	told, ok := n.runUntil(30*time.Second, func() bool {
 		for _, a := range n.addrs {
 			if n.engines[a].Store().Len() != 2*backends {
 				return false
@@ -48,17 +48,17 @@
 	}
 	t.Logf("joined after %v, all facts at all after %v", joined, told)
 	for _, a := range n.addrs {
-		if c := n.engines[a]; c.Store().Counts().Full > 0 || c.Member().Counts().Full > 0 {
-			t.Fatal(a, c.Store().Counts(), c.Member().Counts())
+		if c := n.engines[a]; c.Store().Counts().Full > 0 || c.Membership().Counts().Full > 0 {
+			t.Fatal(a, c.Store().Counts(), c.Membership().Counts())
 		}
 	}
 }
 
 // unstarted is an instance without a socket, on a clock of the test's.
-func unstarted(t *testing.T, log *lines, now *time.Duration) *Peers {
-	n := newNet(t, 1)
+func newUnstarted(t *testing.T, log *logBuffer, now *time.Duration) *Peers {
+	n := newNetwork(t, 1)
 	return &Peers{
-		engine: n.start("self", 1), log: slog.New(slog.NewTextHandler(log, nil)), works: make(chan work, maxQueuedSends),
+		engine: n.startInstance("self", 1), log: slog.New(slog.NewTextHandler(log, nil)), sendQueue: make(chan outgoingMessage, maxQueuedSends),
 		cfg: Config{Name: "self", Clock: func() time.Duration { return *now }},
 	}
 }
@@ -67,8 +67,8 @@
 // more is none.
 func TestFullFactsAreOneLine(t *testing.T) {
 	const line = "no room for further facts"
-	log, now := &lines{}, time.Hour
-	p := unstarted(t, log, &now)
+	log, now := &logBuffer{}, time.Hour
+	p := newUnstarted(t, log, &now)
 	for i := range gossip.MaxFactsPerOwner {
 		p.engine.Publish("node", fmt.Sprint(i), now, nil)
 	}
@@ -83,14 +83,14 @@
 	if log.count(line) != 1 || log.count("refused=1 held=8192") != 1 {
 		t.Fatal(log.b.String())
 	}
-	now += lineSpan
+	now += summaryInterval
 	p.reportBounds(now)
 	if log.count(line) != 2 || log.count("refused=499 ") != 1 {
 		t.Fatal(log.b.String())
 	}
-	now += lineSpan
+	now += summaryInterval
 	p.reportBounds(now)
-	if log.count(line) != 2 || p.engine.store.Len() != gossip.MaxFactsPerOwner {
+	if log.count(line) != 2 || p.engine.facts.Len() != gossip.MaxFactsPerOwner {
 		t.Fatal(log.b.String())
 	}
 }
@@ -98,8 +98,8 @@
 // A message to each of 1,024 members finds a place in the queue; further ones are counted, and are one line.
 func TestFullQueueIsOneLine(t *testing.T) {
 	const line = "the queue is full"
-	log, now := &lines{}, time.Hour
-	p := unstarted(t, log, &now)
+	log, now := &logBuffer{}, time.Hour
+	p := newUnstarted(t, log, &now)
 	for i := range 1024 {
 		p.Send(fmt.Sprint("member", i), nil)
 	}
@@ -112,19 +112,19 @@
 	}
 	p.reportBounds(now)
 	p.reportBounds(now)
-	if log.count(line) != 1 || log.count("dropped=30 ") != 1 || len(p.works) != 1024 || p.unqueued.Load() != 30 {
+	if log.count(line) != 1 || log.count("dropped=30 ") != 1 || len(p.sendQueue) != 1024 || p.unqueued.Load() != 30 {
 		t.Fatal(log.b.String())
 	}
 }
 
 // Bytes for a member that no datagram may hold are counted, and are one line.
 func TestOversizedMessageIsOneLine(t *testing.T) {
-	log, now := &lines{}, 3*time.Second
-	n := newNet(t, 5)
-	n.start("i0000", 100)
-	n.start("i0001", 101)
+	log, now := &logBuffer{}, 3*time.Second
+	n := newNetwork(t, 5)
+	n.startInstance("i0000", 100)
+	n.startInstance("i0001", 101)
 	n.run(now)
-	p := unstarted(t, log, &now)
+	p := newUnstarted(t, log, &now)
 	p.engine = n.engines["at-i0000"]
 	if out := p.engine.SendMessage(now, "i0001", make([]byte, MaxMessage)); len(out) != 1 {
 		t.Fatal("the largest message is not sent")
@@ -141,17 +141,17 @@
 
 // Hundreds of members that come at once are a few lines, and one that says how many are left out.
 func TestOmittedLinesAreCounted(t *testing.T) {
-	log, now := &lines{}, time.Hour
-	p := unstarted(t, log, &now)
-	p.lines.since, p.lines.n = time.Now().Add(time.Hour), map[string]int{} // one second that does not end
+	log, now := &logBuffer{}, time.Hour
+	p := newUnstarted(t, log, &now)
+	p.logLimit.since, p.logLimit.counts = time.Now().Add(time.Hour), map[string]int{} // one second that does not end
 	for i := range 350 {
-		p.tellOf([]swim.Change{{Update: swim.Update{Name: fmt.Sprint("member", i)}, New: true}})
+		p.reportChanges([]swim.Change{{Update: swim.Update{Name: fmt.Sprint("member", i)}, New: true}})
 		p.reportBounds(now)
 	}
-	now += lineSpan
+	now += summaryInterval
 	p.reportBounds(now)
 	p.reportBounds(now)
-	if log.count("a member is there") != mostLines || log.count("lines on members are left out") != 2 || log.count("omitted=1 ") != 1 || log.count("omitted=329 ") != 1 {
+	if log.count("a member is there") != maxLinesPerSecond || log.count("lines on members are left out") != 2 || log.count("omitted=1 ") != 1 || log.count("omitted=329 ") != 1 {
 		t.Fatal(log.b.String())
 	}
 }
--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -17,25 +17,25 @@
 
 // Version is that of the messages. Whoever sends says which version at least can read them; new fields alone don't raise that.
 const (
-	Version      = 1
-	leastVersion = 1
+	Version          = 1
+	minReaderVersion = 1
 )
 
 const (
-	askEvery     = 150 * time.Millisecond // between two questions for facts, while there is news
-	askCalm      = time.Second            // the same where there has been none for a while
-	newsLasts    = 2 * time.Second        // that while
-	nudgeEvery   = 50 * time.Millisecond  // between two nudges, at the least
-	nudgeMembers = 100                    // members for each of which that time grows by itself
-	nudged       = 2                      // members that are nudged at a time
-	answerBytes  = 1000                   // of facts in one answer
-	mostAsks     = 16                     // questions that may be out
-	starterAsks  = 3                      // members that one who has just come asks at once
-	mostMore     = 64                     // further questions in a row, where an answer was full
-	maxDatagram  = 16 << 10               // bytes of a datagram; larger ones are not read
-	maxParcels   = 1024
-	sweepEvery   = time.Second
-	horizon      = 60 * time.Second // of facts
+	requestInterval                = 150 * time.Millisecond // between two questions for facts, while there is news
+	idleRequestInterval            = time.Second            // the same where there has been none for a while
+	activeTime                     = 2 * time.Second        // that while
+	announcementInterval           = 50 * time.Millisecond  // between two nudges, at the least
+	membersPerAnnouncementInterval = 100                    // members for each of which that time grows by itself
+	announcementFanout             = 2                      // members that are nudged at a time
+	maxResponseBytes               = 1000                   // of facts in one answer
+	maxPendingRequests             = 16                     // questions that may be out
+	joinRequests                   = 3                      // members that one who has just come asks at once
+	maxContinuations               = 64                     // further questions in a row, where an answer was full
+	maxDatagramBytes               = 16 << 10               // bytes of a datagram; larger ones are not read
+	maxReceivedMessages            = 1024
+	sweepInterval                  = time.Second
+	factHorizon                    = 60 * time.Second // of facts
 )
 
 // MostParcel bounds the bytes that one instance may send another in one message.
@@ -48,15 +48,15 @@
 }
 
 // packet is the content of a datagram. Fields that are not known are left aside.
-type packet struct {
-	Version int                `cbor:"1,keyasint"`
-	Least   int                `cbor:"2,keyasint"`
-	Swim    *swim.Message      `cbor:"3,keyasint,omitempty"`
-	Ask     *ask               `cbor:"4,keyasint,omitempty"`
-	Answer  *answer            `cbor:"5,keyasint,omitempty"`
-	Nudge   []gossip.Watermark `cbor:"6,keyasint,omitempty"` // the sender has news of these: ask it
-	Work    []byte             `cbor:"7,keyasint,omitempty"` // for who is there, whatever it is
-	Clock   int64              `cbor:"8,keyasint,omitempty"` // of the sender, in microseconds
+type payload struct {
+	Version      int                `cbor:"1,keyasint"`
+	MinVersion   int                `cbor:"2,keyasint"`
+	Swim         *swim.Message      `cbor:"3,keyasint,omitempty"`
+	Request      *factRequest       `cbor:"4,keyasint,omitempty"`
+	Response     *factResponse      `cbor:"5,keyasint,omitempty"`
+	Announcement []gossip.Watermark `cbor:"6,keyasint,omitempty"` // the sender has news of these: ask it
+	Message      []byte             `cbor:"7,keyasint,omitempty"` // for who is there, whatever it is
+	Clock        int64              `cbor:"8,keyasint,omitempty"` // of the sender, in microseconds
 }
 
 // Parcel is bytes that another instance's life has sent to this one.
@@ -66,19 +66,19 @@
 	Data        []byte
 }
 
-type reading struct {
-	life uint64
-	at   time.Duration
+type clockReading struct {
+	incarnation uint64
+	at          time.Duration
 }
 
-type ask struct {
+type factRequest struct {
 	Nonce  uint64        `cbor:"1,keyasint"`
 	Digest gossip.Digest `cbor:"2,keyasint"`
 }
 
-type answer struct {
+type factResponse struct {
 	Nonce  uint64         `cbor:"1,keyasint"`
-	Shares []gossip.Delta `cbor:"2,keyasint,omitempty"`
+	Deltas []gossip.Delta `cbor:"2,keyasint,omitempty"`
 	More   bool           `cbor:"3,keyasint,omitempty"` // it did not all fit
 }
 
@@ -95,88 +95,88 @@
 	Oversized   int `json:"Oversized"` // messages for a member that were larger than MostParcel: not sent
 }
 
-type question struct {
-	at     time.Duration
+type pendingRequest struct {
+	sentAt time.Duration
 	addr   string
 	digest gossip.Digest
 }
 
 // Engine is one instance's membership and facts. It is used by one goroutine at a time.
 type Engine struct {
-	rng     *rand.Rand
-	sealer  *Sealer
-	member  *swim.Machine
-	store   *gossip.Store
-	asks    map[uint64]question
-	next    time.Duration // question
-	sweep   time.Duration
-	nudge   time.Duration // no nudge before
-	rounds  int           // of nudges that are left: one who is nudged with what it knows tells nobody
-	newsAt  time.Duration // when something new was last told or heard
-	more    int
-	started bool
-	told    bool // a first question was answered in full
-	counts  Counts
-	out     []Packet
-	now     time.Duration
-	parcels []Message
-	clocks  map[string]reading // of the others, as last heard
+	rng               *rand.Rand
+	sealer            *Sealer
+	membership        *swim.Machine
+	facts             *gossip.Store
+	pending           map[uint64]pendingRequest
+	nextRequest       time.Duration // question
+	nextSweep         time.Duration
+	nextAnnouncement  time.Duration // no nudge before
+	announcementsLeft int           // of nudges that are left: one who is nudged with what it knows tells nobody
+	changedAt         time.Duration // when something new was last told or heard
+	continuations     int
+	joined            bool
+	synced            bool // a first question was answered in full
+	counts            Counts
+	outbox            []Packet
+	now               time.Duration
+	received          []Message
+	clocks            map[string]clockReading // of the others, as last heard
 }
 
 // NewEngine returns an instance that knows nobody.
 func NewEngine(cfg swim.Config, sealer *Sealer, now time.Duration, rng *rand.Rand) *Engine {
 	return &Engine{
-		rng: rng, sealer: sealer, member: swim.New(cfg, now, rng), store: gossip.New(cfg.Name, cfg.Incarnation, horizon),
-		asks: map[uint64]question{}, clocks: map[string]reading{}, next: now + time.Duration(rng.Int64N(int64(askEvery))), sweep: now + sweepEvery,
+		rng: rng, sealer: sealer, membership: swim.New(cfg, now, rng), facts: gossip.New(cfg.Name, cfg.Incarnation, factHorizon),
+		pending: map[uint64]pendingRequest{}, clocks: map[string]clockReading{}, nextRequest: now + time.Duration(rng.Int64N(int64(requestInterval))), nextSweep: now + sweepInterval,
 	}
 }
 
 // Member is the membership, to be looked at.
-func (e *Engine) Member() *swim.Machine { return e.member }
+func (e *Engine) Membership() *swim.Machine { return e.membership }
 
 // Store is the facts, to be looked at.
-func (e *Engine) Store() *gossip.Store { return e.store }
+func (e *Engine) Store() *gossip.Store { return e.facts }
 
 // Counts is what came and went.
 func (e *Engine) Counts() Counts { return e.counts }
 
 // Due is when Tick has something to do.
 func (e *Engine) NextTick() time.Duration {
-	due := min(e.member.NextTick(), e.next, e.sweep)
-	if e.rounds > 0 {
-		due = min(due, e.nudge)
+	due := min(e.membership.NextTick(), e.nextRequest, e.nextSweep)
+	if e.announcementsLeft > 0 {
+		due = min(due, e.nextAnnouncement)
 	}
 	return due
 }
 
 // Tell states a fact of this instance's own; see shared.Store.Put. Those who are nudged ask for it at once.
 func (e *Engine) Publish(kind, subject string, born time.Duration, data []byte) bool {
-	ok := e.store.Put(kind, subject, born, data)
+	ok := e.facts.Put(kind, subject, born, data)
 	if ok {
-		e.rounds, e.newsAt = e.nudges(), max(e.now, born)
+		e.announcementsLeft, e.changedAt = e.announcementRounds(), max(e.now, born)
 	}
 	return ok
 }
 
 // Work is a datagram that brings bytes to a member; nil where it is not known.
 func (e *Engine) SendMessage(now time.Duration, to string, data []byte) []Packet {
-	e.out, e.now = nil, now
-	m, known := e.member.Member(to)
-	if !known || e.member.LeftReason() != "" {
+	e.outbox, e.now = nil, now
+	m, known := e.membership.Member(to)
+	if !known || e.membership.LeftReason() != "" {
 		return nil
 	}
 	if len(data) > MaxMessage {
 		e.counts.Oversized++
 		return nil
 	}
-	e.send(m.Addr, &packet{Swim: e.hello(), Work: data})
-	return e.out
+	e.send(m.Addr, &payload{Swim: e.greeting(), Message: data})
+	return e.outbox
 }
 
 // Parcels hands over what has come for this instance since it was last called.
 func (e *Engine) TakeMessages() []Message {
-	p := e.parcels
-	e.parcels = nil
+	p := e.received
+	e.received = nil
 	return p
 }
 
@@ -185,86 +185,86 @@
 
 // Tick does what is due.
 func (e *Engine) Tick(now time.Duration) []Packet {
-	e.out, e.now = nil, now
-	e.swim(e.member.Tick(now))
-	e.store.SetIncarnation(e.member.Self().Incarnation)
-	if now >= e.next && e.member.LeftReason() == "" {
-		every := askEvery
-		if now-e.newsAt > newsLasts {
-			every = askCalm
+	e.outbox, e.now = nil, now
+	e.sendEnvelopes(e.membership.Tick(now))
+	e.facts.SetIncarnation(e.membership.Self().Incarnation)
+	if now >= e.nextRequest && e.membership.LeftReason() == "" {
+		every := requestInterval
+		if now-e.changedAt > activeTime {
+			every = idleRequestInterval
 		}
-		e.next = now + every/2 + time.Duration(e.rng.Int64N(int64(every)))
-		e.more = 0
-		e.askSome(now, 1)
+		e.nextRequest = now + every/2 + time.Duration(e.rng.Int64N(int64(every)))
+		e.continuations = 0
+		e.requestFromRandom(now, 1)
 	}
-	if e.rounds > 0 && now >= e.nudge {
-		e.rounds--
-		e.nudge = now + nudgeEvery*time.Duration(1+e.member.AliveCount()/nudgeMembers)
-		for _, m := range e.member.RandomMembers(nudged) {
-			e.send(m.Addr, &packet{Nudge: e.store.RecentWatermarks(), Swim: e.hello()})
+	if e.announcementsLeft > 0 && now >= e.nextAnnouncement {
+		e.announcementsLeft--
+		e.nextAnnouncement = now + announcementInterval*time.Duration(1+e.membership.AliveCount()/membersPerAnnouncementInterval)
+		for _, m := range e.membership.RandomMembers(announcementFanout) {
+			e.send(m.Addr, &payload{Announcement: e.facts.RecentWatermarks(), Swim: e.greeting()})
 		}
 	}
-	if now >= e.sweep {
-		e.sweep = now + sweepEvery
-		e.store.Sweep(now, func(name string) bool {
-			_, known := e.member.Member(name)
+	if now >= e.nextSweep {
+		e.nextSweep = now + sweepInterval
+		e.facts.Sweep(now, func(name string) bool {
+			_, known := e.membership.Member(name)
 			return known
 		})
 		for name := range e.clocks {
-			if _, known := e.member.Member(name); !known {
+			if _, known := e.membership.Member(name); !known {
 				delete(e.clocks, name)
 			}
 		}
-		for n, q := range e.asks {
-			if now-q.at > gossip.MaxRoundTrip {
-				delete(e.asks, n)
+		for n, q := range e.pending {
+			if now-q.sentAt > gossip.MaxRoundTrip {
+				delete(e.pending, n)
 			}
 		}
 	}
-	return e.out
+	return e.outbox
 }
 
 // askSome asks so many members, drawn by chance; more of them the first time that somebody is there.
-func (e *Engine) askSome(now time.Duration, n int) {
-	if !e.started && e.member.AliveCount() > 0 {
-		e.started, n = true, starterAsks
+func (e *Engine) requestFromRandom(now time.Duration, n int) {
+	if !e.joined && e.membership.AliveCount() > 0 {
+		e.joined, n = true, joinRequests
 	}
-	for _, m := range e.member.RandomMembers(n) {
-		e.ask(now, m.Addr)
+	for _, m := range e.membership.RandomMembers(n) {
+		e.requestNext(now, m.Addr)
 	}
 }
 
 // Told says whether a first question was answered in full: this instance knows what another one does.
-func (e *Engine) Synced() bool { return e.told }
+func (e *Engine) Synced() bool { return e.synced }
 
 // nudges is in how many rounds news is told of: enough that hardly anybody is missed by chance.
-func (e *Engine) nudges() int { return 1 + bits.Len(uint(e.member.AliveCount()))/2 }
+func (e *Engine) announcementRounds() int { return 1 + bits.Len(uint(e.membership.AliveCount()))/2 }
 
 // Leave tells the others that this instance goes.
 func (e *Engine) Leave(now time.Duration) []Packet {
-	e.out, e.now = nil, now
-	e.swim(e.member.Leave(now))
-	return e.out
+	e.outbox, e.now = nil, now
+	e.sendEnvelopes(e.membership.Leave(now))
+	return e.outbox
 }
 
 // Refused takes note that a datagram to an advertised address was turned back by its host.
-func (e *Engine) Refused(now time.Duration, addr string) []Packet {
-	e.out, e.now = nil, now
-	e.swim(e.member.HandleRefusal(now, addr))
-	return e.out
+func (e *Engine) HandleRefusal(now time.Duration, addr string) []Packet {
+	e.outbox, e.now = nil, now
+	e.sendEnvelopes(e.membership.HandleRefusal(now, addr))
+	return e.outbox
 }
 
 // hello says who sends, and nothing else.
-func (e *Engine) hello() *swim.Message { return &swim.Message{Self: e.member.Self()} }
+func (e *Engine) greeting() *swim.Message { return &swim.Message{Self: e.membership.Self()} }
 
-func (e *Engine) swim(out []swim.Envelope) {
+func (e *Engine) sendEnvelopes(out []swim.Envelope) {
 	for _, o := range out {
-		e.send(o.Addr, &packet{Swim: o.Message})
+		e.send(o.Addr, &payload{Swim: o.Message})
 	}
 }
 
-func (e *Engine) send(addr string, p *packet) {
-	p.Version, p.Least, p.Clock = Version, leastVersion, e.now.Microseconds()
+func (e *Engine) send(addr string, p *payload) {
+	p.Version, p.MinVersion, p.Clock = Version, minReaderVersion, e.now.Microseconds()
 	b, err := cbor.Marshal(p)
 	if err != nil { // of plain fields
 		panic(err)
@@ -272,27 +272,29 @@
 	b = e.sealer.Seal(b)
 	e.counts.Out++
 	e.counts.BytesOut += len(b)
-	e.out = append(e.out, Packet{addr, b})
+	e.outbox = append(e.outbox, Packet{addr, b})
 }
 
-func (e *Engine) ask(now time.Duration, addr string) { e.askFor(now, addr, e.store.NextDigest()) }
+func (e *Engine) requestNext(now time.Duration, addr string) {
+	e.request(now, addr, e.facts.NextDigest())
+}
 
-func (e *Engine) askFor(now time.Duration, addr string, d gossip.Digest) {
-	if len(e.asks) >= mostAsks {
+func (e *Engine) request(now time.Duration, addr string, d gossip.Digest) {
+	if len(e.pending) >= maxPendingRequests {
 		return
 	}
 	n := e.rng.Uint64()
-	e.asks[n] = question{now, addr, d}
-	e.send(addr, &packet{Swim: e.hello(), Ask: &ask{n, d}})
+	e.pending[n] = pendingRequest{now, addr, d}
+	e.send(addr, &payload{Swim: e.greeting(), Request: &factRequest{n, d}})
 }
 
 // Receive takes a datagram in, whoever has sent it, and returns what is to be sent for it. What cannot be opened or read is
 // counted and changes nothing; the error says why, for a log.
 func (e *Engine) Receive(now time.Duration, data []byte) ([]Packet, error) {
-	e.out, e.now = nil, now
+	e.outbox, e.now = nil, now
 	e.counts.In++
 	e.counts.BytesIn += len(data)
-	if len(data) > maxDatagram {
+	if len(data) > maxDatagramBytes {
 		e.counts.Malformed++
 		return nil, errTooLarge
 	}
@@ -301,71 +303,71 @@
 		e.counts.WrongKey++
 		return nil, err
 	}
-	var p packet
+	var p payload
 	if err := cbor.Unmarshal(plain, &p); err != nil {
 		e.counts.Malformed++
 		return nil, err
 	}
 	switch {
-	case p.Least > Version:
+	case p.MinVersion > Version:
 		e.counts.Newer++
 		return nil, errNewer
 	case p.Swim == nil:
 		e.counts.Malformed++
 		return nil, errNoSender
 	}
-	self := e.member.Self()
+	self := e.membership.Self()
 	if p.Swim.Self.Name == self.Name && p.Swim.Self.Incarnation == self.Incarnation || p.Swim.To != "" && p.Swim.To != self.Name {
-		e.member.Receive(now, p.Swim) // it counts that; nothing else in it is for this instance
+		e.membership.Receive(now, p.Swim) // it counts that; nothing else in it is for this instance
 		return nil, nil
 	}
-	e.swim(e.member.Receive(now, p.Swim))
-	if !e.started { // whoever has just come asks the first that it meets, at once
-		e.askSome(now, 0)
+	e.sendEnvelopes(e.membership.Receive(now, p.Swim))
+	if !e.joined { // whoever has just come asks the first that it meets, at once
+		e.requestFromRandom(now, 0)
 	}
-	x, known := e.member.Member(p.Swim.Self.Name)
-	if !known || x.Incarnation != p.Swim.Self.Incarnation || x.State == swim.Left || e.member.LeftReason() != "" {
-		return e.out, nil // of an ended life, or of one who has gone
+	x, known := e.membership.Member(p.Swim.Self.Name)
+	if !known || x.Incarnation != p.Swim.Self.Incarnation || x.State == swim.Left || e.membership.LeftReason() != "" {
+		return e.outbox, nil // of an ended life, or of one who has gone
 	}
 	to := x.Addr
-	if c := e.clocks[x.Name]; x.Incarnation > c.life || x.Incarnation == c.life && time.Duration(p.Clock)*time.Microsecond > c.at {
-		e.clocks[x.Name] = reading{x.Incarnation, time.Duration(p.Clock) * time.Microsecond}
+	if c := e.clocks[x.Name]; x.Incarnation > c.incarnation || x.Incarnation == c.incarnation && time.Duration(p.Clock)*time.Microsecond > c.at {
+		e.clocks[x.Name] = clockReading{x.Incarnation, time.Duration(p.Clock) * time.Microsecond}
 	}
-	if len(p.Work) > 0 && len(e.parcels) < maxParcels {
-		e.parcels = append(e.parcels, Message{x.Name, x.Incarnation, p.Work})
+	if len(p.Message) > 0 && len(e.received) < maxReceivedMessages {
+		e.received = append(e.received, Message{x.Name, x.Incarnation, p.Message})
 	}
-	if p.Ask != nil {
-		shares := e.store.DeltasFor(now, p.Ask.Digest, answerBytes)
-		more := e.store.HasMore(p.Ask.Digest, shares)
-		e.send(to, &packet{Swim: e.hello(), Answer: &answer{p.Ask.Nonce, shares, more}})
+	if p.Request != nil {
+		shares := e.facts.DeltasFor(now, p.Request.Digest, maxResponseBytes)
+		more := e.facts.HasMore(p.Request.Digest, shares)
+		e.send(to, &payload{Swim: e.greeting(), Response: &factResponse{p.Request.Nonce, shares, more}})
 	}
-	if d, lacks := e.store.DigestFor(p.Nudge); lacks {
-		e.newsAt = now
-		e.askFor(now, to, d)
+	if d, lacks := e.facts.DigestFor(p.Announcement); lacks {
+		e.changedAt = now
+		e.request(now, to, d)
 	}
-	if p.Answer != nil {
-		e.answered(now, to, p.Answer)
+	if p.Response != nil {
+		e.handleResponse(now, to, p.Response)
 	}
-	return e.out, nil
+	return e.outbox, nil
 }
 
 // answered takes over the answer to a question, if it is one.
-func (e *Engine) answered(now time.Duration, from string, a *answer) {
-	q, asked := e.asks[a.Nonce]
+func (e *Engine) handleResponse(now time.Duration, from string, a *factResponse) {
+	q, asked := e.pending[a.Nonce]
 	if !asked || q.addr != from {
 		e.counts.Unsolicited++
 		return
 	}
-	delete(e.asks, a.Nonce)
-	before := e.store.Version()
-	e.store.Merge(now, q.at, a.Shares)
-	if e.store.Version() != before {
-		e.rounds, e.newsAt = e.nudges(), now
+	delete(e.pending, a.Nonce)
+	before := e.facts.Version()
+	e.facts.Merge(now, q.sentAt, a.Deltas)
+	if e.facts.Version() != before {
+		e.announcementsLeft, e.changedAt = e.announcementRounds(), now
 	}
-	if a.More && e.store.Version() != before && e.more < mostMore {
-		e.more++
-		e.askFor(now, from, e.store.ContinueDigest(q.digest))
+	if a.More && e.facts.Version() != before && e.continuations < maxContinuations {
+		e.continuations++
+		e.request(now, from, e.facts.ContinueDigest(q.digest))
 		return
 	}
-	e.told = true
+	e.synced = true
 }
--- a/internal/peers/engine_test.go
+++ b/internal/peers/engine_test.go
@@ -23,28 +23,28 @@
 
 // network is instances on a network in virtual time.
 type network struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     time.Duration
-	engines map[string]*Engine
-	addrs   []string
-	queue   map[int64][]flying // by millisecond
-	cut     func(from, to string) bool
-	spoil   func(data []byte) [][]byte
-	errs    int
-	packets int
+	t           testing.TB
+	rng         *rand.Rand
+	now         time.Duration
+	engines     map[string]*Engine
+	addrs       []string
+	queue       map[int64][]inFlight // by millisecond
+	partitioned func(from, to string) bool
+	corrupt     func(data []byte) [][]byte
+	errorCount  int
+	packets     int
 }
 
-type flying struct {
+type inFlight struct {
 	from, to string
 	data     []byte
 }
 
-func newNet(t testing.TB, seed uint64) *network {
-	return &network{t: t, rng: rand.New(rand.NewPCG(seed, 3)), engines: map[string]*Engine{}, queue: map[int64][]flying{}, cut: func(string, string) bool { return false }}
+func newNetwork(t testing.TB, seed uint64) *network {
+	return &network{t: t, rng: rand.New(rand.NewPCG(seed, 3)), engines: map[string]*Engine{}, queue: map[int64][]inFlight{}, partitioned: func(string, string) bool { return false }}
 }
 
-func (n *network) start(name string, life uint64, keys ...string) *Engine {
+func (n *network) startInstance(name string, life uint64, keys ...string) *Engine {
 	if len(keys) == 0 {
 		keys = []string{key}
 	}
@@ -61,18 +61,18 @@
 	return e
 }
 
-func (n *network) carry(from string, out []Packet) {
+func (n *network) deliver(from string, out []Packet) {
 	for _, p := range out {
-		if n.cut(from, p.Addr) {
+		if n.partitioned(from, p.Addr) {
 			continue
 		}
 		list := [][]byte{p.Data}
-		if n.spoil != nil {
-			list = n.spoil(p.Data)
+		if n.corrupt != nil {
+			list = n.corrupt(p.Data)
 		}
 		for _, data := range list {
 			at := n.now.Milliseconds() + 1 + n.rng.Int64N(2)
-			n.queue[at] = append(n.queue[at], flying{from, p.Addr, data})
+			n.queue[at] = append(n.queue[at], inFlight{from, p.Addr, data})
 		}
 	}
 }
@@ -131,14 +131,14 @@
 		for i, a := range n.addrs {
 			x := &turns[i]
 			n.packets += len(x.inbox)
-			n.errs += x.errs
-			n.carry(a, x.out)
+			n.errorCount += x.errs
+			n.deliver(a, x.out)
 			x.inbox = x.inbox[:0]
 		}
 	}
 }
 
-func (n *network) alike() bool {
+func (n *network) converged() bool {
 	first := true
 	var sum uint64
 	for _, a := range n.addrs {
@@ -155,7 +155,7 @@
 	return true
 }
 
-func (n *network) until(most time.Duration, done func() bool) (took time.Duration, ok bool) {
+func (n *network) runUntil(most time.Duration, done func() bool) (took time.Duration, ok bool) {
 	from := n.now
 	for n.now < from+most {
 		if done() {
@@ -168,34 +168,34 @@
 
 // What one has seen all know within a moment, and a starter knows it as soon as it is there; a cut that heals leaves nothing behind.
 func TestFactsSpread(t *testing.T) {
-	n := newNet(t, 1)
+	n := newNetwork(t, 1)
 	for i := range 6 {
-		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+		n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
 	n.run(3 * time.Second)
 	tell := func(i int, what string) {
 		n.engines[n.addrs[i]].Publish("node", what, n.now, []byte(what))
 	}
 	tell(3, "x")
-	if took, ok := n.until(time.Second, func() bool { return n.alike() && n.engines["at-i0000"].Store().Len() == 1 }); !ok || took > 300*time.Millisecond {
+	if took, ok := n.runUntil(time.Second, func() bool { return n.converged() && n.engines["at-i0000"].Store().Len() == 1 }); !ok || took > 300*time.Millisecond {
 		t.Errorf("news needs %v", took)
 	}
-	late := n.start("i0006", 200)
-	if took, ok := n.until(2*time.Second, func() bool { return late.Store().Len() == 1 && late.Synced() }); !ok || took > 30*time.Millisecond {
+	late := n.startInstance("i0006", 200)
+	if took, ok := n.runUntil(2*time.Second, func() bool { return late.Store().Len() == 1 && late.Synced() }); !ok || took > 30*time.Millisecond {
 		t.Errorf("a starter needs %v: clients come to it sooner", took)
 	}
 	west := func(a string) bool { return a < "at-i0003" }
-	n.cut = func(from, to string) bool { return west(from) != west(to) }
+	n.partitioned = func(from, to string) bool { return west(from) != west(to) }
 	n.run(n.now + 5*time.Second)
 	for i := range 7 {
 		tell(i, fmt.Sprint("during the cut ", i))
 	}
 	n.run(n.now + time.Second)
-	if n.alike() {
+	if n.converged() {
 		t.Fatal("the cut does nothing")
 	}
-	n.cut = func(string, string) bool { return false }
-	if took, ok := n.until(4*time.Second, n.alike); !ok || took > 2*time.Second {
+	n.partitioned = func(string, string) bool { return false }
+	if took, ok := n.runUntil(4*time.Second, n.converged); !ok || took > 2*time.Second {
 		t.Errorf("after the cut they need %v", took)
 	}
 	if late.Store().Len() != 8 {
@@ -206,9 +206,9 @@
 // Datagrams that are torn, forged, repeated, old, of a later version or far too large: what can't be opened is counted and does
 // nothing, and the instances go on.
 func TestSpoiltDatagrams(t *testing.T) {
-	n := newNet(t, 2)
+	n := newNetwork(t, 2)
 	var kept [][]byte
-	n.spoil = func(data []byte) [][]byte {
+	n.corrupt = func(data []byte) [][]byte {
 		if len(kept) < 500 {
 			kept = append(kept, slices.Clone(data))
 		}
@@ -227,36 +227,36 @@
 		return [][]byte{data}
 	}
 	for i := range 4 {
-		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+		n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
 	n.run(5 * time.Second)
 	n.engines["at-i0002"].Publish("node", "x", n.now, []byte("x"))
 	n.run(8 * time.Second)
-	if !n.alike() || n.engines["at-i0000"].Store().Len() != 1 || n.errs < 50 {
-		t.Fatal(n.engines["at-i0000"].Store().Len(), n.errs)
+	if !n.converged() || n.engines["at-i0000"].Store().Len() != 1 || n.errorCount < 50 {
+		t.Fatal(n.engines["at-i0000"].Store().Len(), n.errorCount)
 	}
 	e := n.engines["at-i0000"]
-	if e.Member().AliveCount() != 3 || e.Counts().WrongKey == 0 {
-		t.Fatal(e.Member().AliveCount(), e.Counts())
+	if e.Membership().AliveCount() != 3 || e.Counts().WrongKey == 0 {
+		t.Fatal(e.Membership().AliveCount(), e.Counts())
 	}
 	s, _ := NewSealer([]string{key})
 	before := e.Store().Checksum(n.now)
 	for _, plain := range [][]byte{
 		nil,
 		{0xff},
-		[]byte("nonsense"), must(packet{Version: 9, Least: 9, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}), must(packet{Version: 1, Least: 1, Answer: &answer{Nonce: 1}}),
-		must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Incarnation: 1}}, Nudge: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}),
+		[]byte("nonsense"), mustMarshal(payload{Version: 9, MinVersion: 9, Announcement: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}), mustMarshal(payload{Version: 1, MinVersion: 1, Response: &factResponse{Nonce: 1}}),
+		mustMarshal(payload{Version: 1, MinVersion: 1, Swim: &swim.Message{Self: swim.Update{Name: "i0001", Addr: "at-i0001", Incarnation: 1}}, Announcement: []gossip.Watermark{{Owner: "x", Incarnation: 1, Seq: 1}}}),
 	} {
 		if out, _ := e.Receive(n.now, s.Seal(plain)); len(out) > 1 || e.Store().Checksum(n.now) != before {
 			t.Errorf("%q: %d answers", plain, len(out))
 		}
 	}
-	if e.Counts().Newer != 1 || e.Member().Counts().EndedIncarnation == 0 {
-		t.Fatal(e.Counts(), e.Member().Counts())
+	if e.Counts().Newer != 1 || e.Membership().Counts().EndedIncarnation == 0 {
+		t.Fatal(e.Counts(), e.Membership().Counts())
 	}
 }
 
-func must(p any) []byte {
+func mustMarshal(p any) []byte {
 	b, err := cbor.Marshal(p)
 	if err != nil {
 		panic(err)
@@ -266,14 +266,14 @@
 
 // Facts in an answer that nobody asked for, or that came from another than was asked, are not taken.
 func TestUnasked(t *testing.T) {
-	n := newNet(t, 3)
-	a, b := n.start("i0000", 1), n.start("i0001", 2)
+	n := newNetwork(t, 3)
+	a, b := n.startInstance("i0000", 1), n.startInstance("i0001", 2)
 	n.run(2 * time.Second)
 	b.Publish("node", "x", n.now, []byte("x"))
 	shares := b.Store().DeltasFor(n.now, a.Store().NextDigest(), 1000)
 	s, _ := NewSealer([]string{key})
 	for nonce := range uint64(3) {
-		if _, err := a.Receive(n.now, s.Seal(must(packet{Version: 1, Least: 1, Swim: &swim.Message{Self: b.Member().Self()}, Answer: &answer{Nonce: nonce, Shares: shares}}))); err != nil {
+		if _, err := a.Receive(n.now, s.Seal(mustMarshal(payload{Version: 1, MinVersion: 1, Swim: &swim.Message{Self: b.Membership().Self()}, Response: &factResponse{Nonce: nonce, Deltas: shares}}))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -284,29 +284,29 @@
 
 // A message of the next version, with fields that this one doesn't know, is read for what it knows.
 func TestNextVersion(t *testing.T) {
-	n := newNet(t, 4)
-	a, b := n.start("i0000", 1), n.start("i0001", 2)
+	n := newNetwork(t, 4)
+	a, b := n.startInstance("i0000", 1), n.startInstance("i0001", 2)
 	n.run(2 * time.Second)
-	next := map[int]any{1: 2, 2: 1, 3: map[int]any{1: 0, 2: map[int]any{1: "i0001", 2: "at-i0001", 3: "h", 4: b.Member().Self().Incarnation, 5: 4, 77: "later"}, 88: []int{1}}, 99: "new"}
+	next := map[int]any{1: 2, 2: 1, 3: map[int]any{1: 0, 2: map[int]any{1: "i0001", 2: "at-i0001", 3: "h", 4: b.Membership().Self().Incarnation, 5: 4, 77: "later"}, 88: []int{1}}, 99: "new"}
 	s, _ := NewSealer([]string{key})
-	if _, err := a.Receive(n.now, s.Seal(must(next))); err != nil {
+	if _, err := a.Receive(n.now, s.Seal(mustMarshal(next))); err != nil {
 		t.Fatal(err)
 	}
-	if m, _ := a.Member().Member("i0001"); m.Refutation != 4 {
+	if m, _ := a.Membership().Member("i0001"); m.Refutation != 4 {
 		t.Fatal(m)
 	}
 }
 
 // Keys change with no moment at which two instances don't understand each other; one with another key finds no member.
 func TestKeys(t *testing.T) {
-	n := newNet(t, 5)
+	n := newNetwork(t, 5)
 	for i := range 3 {
-		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+		n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
-	stranger := n.start("i0003", 103, "some other key, as long")
+	stranger := n.startInstance("i0003", 103, "some other key, as long")
 	n.run(3 * time.Second)
-	if stranger.Member().AliveCount() != 0 || n.engines["at-i0000"].Member().AliveCount() != 2 || n.engines["at-i0000"].Counts().WrongKey == 0 {
-		t.Fatal(stranger.Member().AliveCount(), n.engines["at-i0000"].Counts())
+	if stranger.Membership().AliveCount() != 0 || n.engines["at-i0000"].Membership().AliveCount() != 2 || n.engines["at-i0000"].Counts().WrongKey == 0 {
+		t.Fatal(stranger.Membership().AliveCount(), n.engines["at-i0000"].Counts())
 	}
 	n.engines["at-i0003"] = nil
 	next := "the key that comes next"
@@ -319,7 +319,7 @@
 		}
 		n.run(n.now + 4*time.Second)
 		for i := range 3 {
-			for _, m := range n.engines[n.addrs[i]].Member().Members() {
+			for _, m := range n.engines[n.addrs[i]].Membership().Members() {
 				if m.State != swim.Alive || n.now-m.HeardAt > 3*time.Second {
 					t.Errorf("with %q %s holds %s to be %v", keys, n.addrs[i], m.Name, m.State)
 				}
@@ -340,27 +340,27 @@
 
 // A name that restarts with nothing is asked nothing of its former life, and hears what the others know.
 func TestRestartedEmpty(t *testing.T) {
-	n := newNet(t, 6)
+	n := newNetwork(t, 6)
 	for i := range 4 {
-		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+		n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
 	n.run(2 * time.Second)
 	for i := range 4 {
 		n.engines[n.addrs[i]].Publish("node", "x", n.now, []byte{byte(i)})
 	}
 	n.run(4 * time.Second)
-	again := n.start("i0002", 900)
+	again := n.startInstance("i0002", 900)
 	n.run(7 * time.Second)
-	if again.Store().Len() != 3 || n.engines["at-i0000"].Store().Len() != 3 || !n.alike() {
+	if again.Store().Len() != 3 || n.engines["at-i0000"].Store().Len() != 3 || !n.converged() {
 		t.Fatal(again.Store().Len(), n.engines["at-i0000"].Store().Len())
 	}
 }
 
 // Half of thirty are killed in one second and all come back within ten: the rest hold together, and all know all.
 func TestHalfKilled(t *testing.T) {
-	n := newNet(t, 7)
+	n := newNetwork(t, 7)
 	for i := range 30 {
-		n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+		n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 	}
 	n.run(5 * time.Second)
 	for i := range 15 {
@@ -369,20 +369,20 @@
 	}
 	n.engines["at-i0001"].Publish("node", "x", n.now, nil)
 	n.run(n.now + 5*time.Second)
-	if alive := n.engines["at-i0001"].Member().AliveCount(); alive != 14 {
+	if alive := n.engines["at-i0001"].Membership().AliveCount(); alive != 14 {
 		t.Fatalf("%d of 14 are left", alive)
 	}
 	for i := range 15 {
-		n.start(fmt.Sprintf("i%04d", 2*i), uint64(1000+i))
+		n.startInstance(fmt.Sprintf("i%04d", 2*i), uint64(1000+i))
 		n.run(n.now + 300*time.Millisecond)
 	}
-	if took, ok := n.until(5*time.Second, func() bool {
+	if took, ok := n.runUntil(5*time.Second, func() bool {
 		for _, a := range n.addrs {
-			if n.engines[a].Member().AliveCount() != 29 {
+			if n.engines[a].Membership().AliveCount() != 29 {
 				return false
 			}
 		}
-		return n.alike() && n.engines["at-i0028"].Store().Len() == 1
+		return n.converged() && n.engines["at-i0028"].Store().Len() == 1
 	}); !ok || took > 3*time.Second {
 		t.Fatalf("%v", took)
 	}
@@ -396,14 +396,14 @@
 	}
 	var each []float64
 	for _, size := range sizes {
-		n := newNet(t, 8)
+		n := newNetwork(t, 8)
 		began := time.Now()
 		for i := range size {
-			n.start(fmt.Sprintf("i%04d", i), uint64(100+i))
+			n.startInstance(fmt.Sprintf("i%04d", i), uint64(100+i))
 		}
-		joined, ok := n.until(10*time.Minute, func() bool {
+		joined, ok := n.runUntil(10*time.Minute, func() bool {
 			for _, a := range n.addrs {
-				if n.engines[a].Member().AliveCount() != size-1 {
+				if n.engines[a].Membership().AliveCount() != size-1 {
 					return false
 				}
 			}
@@ -422,7 +422,7 @@
 			bytes += e.counts.BytesOut
 		}
 		n.engines["at-i0001"].Publish("node", "x", n.now, make([]byte, 40))
-		news, _ := n.until(20*time.Second, func() bool {
+		news, _ := n.runUntil(20*time.Second, func() bool {
 			for _, e := range n.engines {
 				if e.Store().Len() == 0 {
 					return false
@@ -431,9 +431,9 @@
 			return true
 		})
 		n.engines["at-i0002"] = nil
-		dead, _ := n.until(60*time.Second, func() bool {
+		dead, _ := n.runUntil(60*time.Second, func() bool {
 			for _, a := range n.addrs {
-				if e := n.engines[a]; e != nil && e.Member().AliveCount() != size-2 {
+				if e := n.engines[a]; e != nil && e.Membership().AliveCount() != size-2 {
 					return false
 				}
 			}
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -12,15 +12,15 @@
 )
 
 func TestGoldenDatagram(t *testing.T) {
-	golden.RequireTags(t, "cbor", packet{})
-	var p packet
+	golden.RequireTags(t, "cbor", payload{})
+	var p payload
 	golden.Fill(&p)
 	written, err := cbor.Marshal(&p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "datagram", written)
-	var read packet
+	var read payload
 	if err := cbor.Unmarshal(golden.Read(t, "datagram"), &read); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -39,35 +39,35 @@
 }
 
 const (
-	filesEvery  = time.Second            // the files are looked at again
-	leaveTime   = 60 * time.Millisecond  // from the last word to the socket's end
-	mostLines   = 20                     // log lines of one kind in a second
-	lineSpan    = 10 * time.Second       // between two lines on what was left aside
-	listenAgain = 100 * time.Millisecond // where another process holds the address
-	longestTick = time.Second
-	readBytes   = 64 << 10
-	sockBuffer  = 1 << 20
+	fileCheckInterval   = time.Second            // the files are looked at again
+	leaveGrace          = 60 * time.Millisecond  // from the last word to the socket's end
+	maxLinesPerSecond   = 20                     // log lines of one kind in a second
+	summaryInterval     = 10 * time.Second       // between two lines on what was left aside
+	listenRetryInterval = 100 * time.Millisecond // where another process holds the address
+	maxTickInterval     = time.Second
+	readBufferBytes     = 64 << 10
+	socketBufferBytes   = 1 << 20
 )
 
 // Peers is a running instance among its peers. Its methods are safe for many goroutines; they wait for no I/O.
 type Peers struct {
-	cfg    Config
-	log    *slog.Logger
-	sealer *Sealer
-	conn   *net.UDPConn
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	wake   chan struct{} // room for one: Due may have come closer
-	works  chan work     // to be sent; what finds no room is lost, as on the way
-	lines  limiter
-	told   chan struct{} // closed when another has told all that it knows
-	bounds boundReports
+	cfg       Config
+	log       *slog.Logger
+	sealer    *Sealer
+	conn      *net.UDPConn
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	wake      chan struct{}        // room for one: Due may have come closer
+	sendQueue chan outgoingMessage // to be sent; what finds no room is lost, as on the way
+	logLimit  logLimiter
+	synced    chan struct{} // closed when another has told all that it knows
+	bounds    boundReports
 
 	unqueued atomic.Int64 // messages that found the queue full
 
 	mu         sync.Mutex // of all below; never held over I/O
 	engine     *Engine
-	dials      map[string]netip.AddrPort
+	dialAddrs  map[string]netip.AddrPort
 	advertised map[netip.AddrPort]string // what is dialled, and whose it is
 	asideN     int                       // datagrams left aside since the last line
 	aside      error
@@ -77,7 +77,7 @@
 }
 
 // work is bytes for a member.
-type work struct {
+type outgoingMessage struct {
 	to   string
 	data []byte
 }
@@ -89,7 +89,7 @@
 // were lost on the way.
 func (p *Peers) Send(to string, data []byte) {
 	select {
-	case p.works <- work{to, data}:
+	case p.sendQueue <- outgoingMessage{to, data}:
 	default:
 		p.unqueued.Add(1)
 	}
@@ -106,7 +106,7 @@
 func (p *Peers) Members() (out []swim.Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.engine.member.Members() {
+	for _, m := range p.engine.membership.Members() {
 		if m.State <= swim.Suspect {
 			out = append(out, m.Update)
 		}
@@ -115,12 +115,12 @@
 }
 
 // carry sends what others are to have, until ctx ends.
-func (p *Peers) carry(ctx context.Context) {
+func (p *Peers) sendQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-p.works:
+		case w := <-p.sendQueue:
 			p.mu.Lock()
 			out := p.engine.SendMessage(p.cfg.Clock(), w.to, w.data)
 			p.mu.Unlock()
@@ -143,13 +143,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers.key_file: %w", err)
 	}
-	p := &Peers{cfg: cfg, log: log, sealer: sealer, wake: make(chan struct{}, 1), works: make(chan work, maxQueuedSends), told: make(chan struct{}), dials: map[string]netip.AddrPort{}, advertised: map[netip.AddrPort]string{}}
+	p := &Peers{cfg: cfg, log: log, sealer: sealer, wake: make(chan struct{}, 1), sendQueue: make(chan outgoingMessage, maxQueuedSends), synced: make(chan struct{}), dialAddrs: map[string]netip.AddrPort{}, advertised: map[netip.AddrPort]string{}}
 	if cfg.SeedsFile != "" {
 		if p.cfg.Seeds, err = ReadSeeds(cfg.SeedsFile); err != nil {
 			return nil, fmt.Errorf("peers.seeds_file: %w", err)
 		}
 	}
-	if err := p.others(p.cfg.Seeds); err != nil {
+	if err := p.checkSeeds(p.cfg.Seeds); err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation))
@@ -166,7 +166,7 @@
 }
 
 // others says whether a list of seeds holds anybody else.
-func (p *Peers) others(seeds []string) error {
+func (p *Peers) checkSeeds(seeds []string) error {
 	if len(seeds) == 0 {
 		return errors.New("peers.seeds: there are none: an instance without seeds would find nobody")
 	}
@@ -206,8 +206,8 @@
 	if err != nil {
 		return err
 	}
-	conn.SetReadBuffer(sockBuffer) // as much as the system lets it have
-	if err := wantRefusals(conn); err != nil {
+	conn.SetReadBuffer(socketBufferBytes) // as much as the system lets it have
+	if err := enableRefusals(conn); err != nil {
 		p.log.Info("peers: a death is told by silence alone: the system does not say what hosts turn back", "err", err)
 	}
 	p.conn = conn
@@ -220,7 +220,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(listenAgain):
+		case <-time.After(listenRetryInterval):
 		}
 		if err := p.listen(); err != nil && !errors.Is(err, syscall.EADDRINUSE) {
 			p.log.Error("takes no part among its peers", "err", fmt.Errorf("peers.listen %q: %w", p.cfg.Listen, err))
@@ -230,7 +230,7 @@
 	p.log.Info("takes part among its peers", "name", p.cfg.Name, "listen", p.conn.LocalAddr(), "advertise", p.cfg.Advertise, "life", p.cfg.Incarnation)
 	var reading sync.WaitGroup
 	reading.Go(p.read)
-	reading.Go(func() { p.carry(ctx) })
+	reading.Go(func() { p.sendQueued(ctx) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	files := p.cfg.Clock()
@@ -242,31 +242,31 @@
 		case <-p.wake:
 		}
 		now := p.cfg.Clock()
-		if now-files > filesEvery {
+		if now-files > fileCheckInterval {
 			files = now
-			p.reread()
+			p.reloadFiles()
 		}
 		p.mu.Lock()
 		out := p.engine.Tick(now)
-		changes, due := p.engine.member.Changes(), p.engine.NextTick()
+		changes, due := p.engine.membership.Changes(), p.engine.NextTick()
 		p.mu.Unlock()
 		p.send(out)
-		p.tellOf(changes)
+		p.reportChanges(changes)
 		p.reportBounds(now)
-		timer.Reset(min(max(due-p.cfg.Clock(), 0), longestTick))
+		timer.Reset(min(max(due-p.cfg.Clock(), 0), maxTickInterval))
 	}
 	p.mu.Lock()
 	out := p.engine.Leave(p.cfg.Clock())
 	p.mu.Unlock()
 	p.send(out)
-	time.Sleep(leaveTime) // what was written is on its way
+	time.Sleep(leaveGrace) // what was written is on its way
 	p.conn.Close()
 	reading.Wait()
 }
 
 // read takes datagrams in until the socket ends.
 func (p *Peers) read() {
-	b := make([]byte, readBytes)
+	b := make([]byte, readBufferBytes)
 	informed := false
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b)
@@ -274,7 +274,7 @@
 			return
 		}
 		if err != nil { // of an earlier write: who is not there refuses it
-			p.refused()
+			p.handleRefusals()
 			continue
 		}
 		now := p.cfg.Clock()
@@ -284,43 +284,43 @@
 			p.asideN++
 			p.aside, p.asideA = err, from.String()
 		}
-		changes, parcels, told := p.engine.member.Changes(), p.engine.TakeMessages(), p.engine.Synced()
+		changes, parcels, told := p.engine.membership.Changes(), p.engine.TakeMessages(), p.engine.Synced()
 		p.mu.Unlock()
 		if told && !informed {
 			informed = true
-			close(p.told)
+			close(p.synced)
 		}
 		p.send(out)
-		p.tellOf(changes)
-		p.tellAside(now)
+		p.reportChanges(changes)
+		p.reportRejected(now)
 		if len(parcels) > 0 && p.cfg.OnMessages != nil {
 			p.cfg.OnMessages(parcels)
 		}
 		if len(changes) > 0 {
-			p.poke()
+			p.wakeRun()
 		}
 	}
 }
 
 // refused takes in whose host has turned a datagram back.
-func (p *Peers) refused() {
-	for _, to := range refusals(p.conn) {
+func (p *Peers) handleRefusals() {
+	for _, to := range readRefusals(p.conn) {
 		p.mu.Lock()
 		var out []Packet
 		if addr := p.advertised[to]; addr != "" {
-			out = p.engine.Refused(p.cfg.Clock(), addr)
+			out = p.engine.HandleRefusal(p.cfg.Clock(), addr)
 		}
-		changes := p.engine.member.Changes()
+		changes := p.engine.membership.Changes()
 		p.mu.Unlock()
 		p.send(out)
-		p.tellOf(changes)
+		p.reportChanges(changes)
 		if len(changes) > 0 {
-			p.poke()
+			p.wakeRun()
 		}
 	}
 }
 
-func (p *Peers) poke() {
+func (p *Peers) wakeRun() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -330,7 +330,7 @@
 // send writes datagrams; one that cannot be written is as good as lost on the way.
 func (p *Peers) send(out []Packet) {
 	for _, x := range out {
-		to, ok := p.dial(x.Addr)
+		to, ok := p.dialAddr(x.Addr)
 		if ok {
 			_, err := p.conn.WriteToUDPAddrPort(x.Data, to)
 			if errors.Is(err, syscall.ECONNREFUSED) { // that is of an earlier one, and this was not written
@@ -347,13 +347,13 @@
 }
 
 // dial is where an advertised address is reached.
-func (p *Peers) dial(advertised string) (netip.AddrPort, bool) {
+func (p *Peers) dialAddr(advertised string) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to, known := p.dials[advertised]
+	to, known := p.dialAddrs[advertised]
 	if !known {
-		if len(p.dials) > 8192 {
-			clear(p.dials)
+		if len(p.dialAddrs) > 8192 {
+			clear(p.dialAddrs)
 			clear(p.advertised)
 		}
 		at := advertised
@@ -361,16 +361,16 @@
 			at = d
 		}
 		to, _ = netip.ParseAddrPort(at)
-		p.dials[advertised] = to
+		p.dialAddrs[advertised] = to
 		p.advertised[to] = advertised
 	}
 	return to, to.IsValid()
 }
 
 // reread takes over other keys and seeds; files that say nothing usable change nothing.
-func (p *Peers) reread() {
+func (p *Peers) reloadFiles() {
 	if keys, err := ReadKeys(p.cfg.KeyFile); err != nil {
-		if p.lines.ok("key") {
+		if p.logLimit.allow("key") {
 			p.log.Error("the old keys are kept", "err", fmt.Errorf("peers.key_file: %w", err))
 		}
 	} else if err := p.sealer.Set(keys); err != nil {
@@ -381,20 +381,20 @@
 	}
 	seeds, err := ReadSeeds(p.cfg.SeedsFile)
 	if err != nil {
-		if p.lines.ok("seeds") {
+		if p.logLimit.allow("seeds") {
 			p.log.Error("the old seeds are kept", "err", fmt.Errorf("peers.seeds_file: %w", err))
 		}
 		return
 	}
 	p.mu.Lock()
-	p.engine.member.SetSeeds(seeds)
+	p.engine.membership.SetSeeds(seeds)
 	p.mu.Unlock()
 }
 
 // tellOf logs what has changed among the members.
-func (p *Peers) tellOf(changes []swim.Change) {
+func (p *Peers) reportChanges(changes []swim.Change) {
 	for _, c := range changes {
-		if !p.lines.ok("change") {
+		if !p.logLimit.allow("change") {
 			continue
 		}
 		switch {
@@ -417,19 +417,19 @@
 	}
 	if len(changes) > 0 {
 		p.mu.Lock()
-		over := p.engine.member.LeftReason()
+		over := p.engine.membership.LeftReason()
 		p.mu.Unlock()
-		if over != "" && p.lines.once("over") {
+		if over != "" && p.logLimit.once("over") {
 			p.log.Error("takes no part among its peers any more", "err", fmt.Errorf("peers.name %q: %s", p.cfg.Name, over))
 		}
 	}
 }
 
 // tellAside logs what was left aside, a line in a while.
-func (p *Peers) tellAside(now time.Duration) {
+func (p *Peers) reportRejected(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asideN == 0 || p.asideT > 0 && now-p.asideT < lineSpan {
+	if p.asideN == 0 || p.asideT > 0 && now-p.asideT < summaryInterval {
 		return
 	}
 	hint := ""
@@ -445,7 +445,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.engine.Publish(kind, subject, born, data) {
-		p.poke()
+		p.wakeRun()
 	}
 }
 
@@ -453,9 +453,9 @@
 func (p *Peers) Facts(kind string) (facts []gossip.Fact, halls map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	facts, halls = p.engine.store.Facts(p.cfg.Clock(), kind), map[string]string{}
+	facts, halls = p.engine.facts.Facts(p.cfg.Clock(), kind), map[string]string{}
 	for _, f := range facts {
-		if m, known := p.engine.member.Member(f.Owner); known {
+		if m, known := p.engine.membership.Member(f.Owner); known {
 			halls[f.Owner] = m.Zone
 		}
 	}
@@ -463,13 +463,13 @@
 }
 
 // Told closes when another instance has told all that it knows.
-func (p *Peers) Synced() <-chan struct{} { return p.told }
+func (p *Peers) Synced() <-chan struct{} { return p.synced }
 
 // Version changes when the facts have.
 func (p *Peers) Version() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.engine.store.Version()
+	return p.engine.facts.Version()
 }
 
 // Name is this instance's.
@@ -482,26 +482,26 @@
 }
 
 // limiter lets a few lines of a kind through in a second.
-type limiter struct {
-	mu    sync.Mutex
-	since time.Time
-	n     map[string]int
-	said  map[string]bool
+type logLimiter struct {
+	mu     sync.Mutex
+	since  time.Time
+	counts map[string]int
+	logged map[string]bool
 
 	omitted map[string]int
 }
 
-func (l *limiter) ok(kind string) bool {
+func (l *logLimiter) allow(kind string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.omitted == nil {
 		l.omitted = map[string]int{}
 	}
 	if time.Since(l.since) > time.Second {
-		l.since, l.n = time.Now(), map[string]int{}
+		l.since, l.counts = time.Now(), map[string]int{}
 	}
-	l.n[kind]++
-	if l.n[kind] > mostLines {
+	l.counts[kind]++
+	if l.counts[kind] > maxLinesPerSecond {
 		l.omitted[kind]++
 		return false
 	}
@@ -509,19 +509,19 @@
 }
 
 // omittedSoFar is how many lines of a kind were not let through.
-func (l *limiter) omittedSoFar(kind string) int {
+func (l *logLimiter) omittedCount(kind string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.omitted[kind]
 }
 
-func (l *limiter) once(kind string) bool {
+func (l *logLimiter) once(kind string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.said == nil {
-		l.said = map[string]bool{}
+	if l.logged == nil {
+		l.logged = map[string]bool{}
 	}
-	first := !l.said[kind]
-	l.said[kind] = true
+	first := !l.logged[kind]
+	l.logged[kind] = true
 	return first
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,19 +19,19 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // lines is a log that tests read.
-type lines struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
 // Write is io.Writer's.
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *lines) count(text string) int {
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.b.String(), text)
@@ -47,7 +47,7 @@
 }
 
 // free are loopback addresses that nobody listens on.
-func free(t *testing.T, n int) (out []string) {
+func freeAddrs(t *testing.T, n int) (out []string) {
 	t.Helper()
 	for range n {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -77,9 +77,9 @@
 // Over real sockets: instances find one another, tell one another, leave; one with another key finds nobody, and both sides have
 // one line on it; garbage does nothing.
 func TestOverSockets(t *testing.T) {
-	at := free(t, 4)
+	at := freeAddrs(t, 4)
 	key := keyFile(t, "the key that all of them have")
-	var log lines
+	var log logBuffer
 	logger := slog.New(slog.NewTextHandler(&log, nil))
 	var all []*Peers
 	for i := range 3 {
@@ -133,7 +133,7 @@
 
 // An instance that waits for another process of its own to go takes part when that has gone; another one's address is an error.
 func TestAddressTaken(t *testing.T) {
-	at := free(t, 2)
+	at := freeAddrs(t, 2)
 	key := keyFile(t, "the key that all of them have")
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	first, err := Start(config("n0", at[0], key, at[1]), log)
@@ -170,7 +170,7 @@
 // What can't be right is one line that names field and value.
 func TestBadConfig(t *testing.T) {
 	key := keyFile(t, "the key that all of them have")
-	at := free(t, 1)[0]
+	at := freeAddrs(t, 1)[0]
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for want, change := range map[string]func(*Config){
 		"peers.key_file":       func(c *Config) { c.KeyFile = keyFile(t, "short") },
@@ -193,7 +193,7 @@
 
 // Keys and seeds are read again when their files change; files that say nothing usable change nothing.
 func TestFilesReread(t *testing.T) {
-	at := free(t, 2)
+	at := freeAddrs(t, 2)
 	old, next := "the key that is there now", "the key that comes next"
 	keys := []string{keyFile(t, old), keyFile(t, next)}
 	seeds := keyFile(t, "127.0.0.1:1")
@@ -221,7 +221,7 @@
 // Two end at one moment, without a word: the host of one turns back what comes for it, that of the other is silent. The first is known to be gone
 // while the other is still waited for, and nobody else is.
 func TestTurnedBack(t *testing.T) {
-	at := free(t, 6)
+	at := freeAddrs(t, 6)
 	key := keyFile(t, "the key that all of them have")
 	var all []*Peers
 	for i := range 6 {
@@ -263,7 +263,7 @@
 		}
 		refusals += p.Status().Swim.Refusals
 	}
-	if first < 4 || refusals < refusedLeast {
+	if first < 4 || refusals < minRefusals {
 		t.Errorf("%d of 4 held who turned back to be dead before who is silent; %d were turned back", first, refusals)
 	}
 	for _, p := range all[:4] {
@@ -273,4 +273,4 @@
 	}
 }
 
-const refusedLeast = 2 // members that have to be turned back
+const minRefusals = 2 // members that have to be turned back
--- a/internal/peers/refused.go
+++ b/internal/peers/refused.go
@@ -11,13 +11,13 @@
 // What a host that is there says of a port that is not (RFC 1122, 4.1.3.1): ICMP's "port unreachable". Linux keeps such messages for a socket that
 // asks for them, with the address that the datagram went to (ip(7), IP_RECVERR).
 const (
-	msgErrQueue  = 0x2000 // MSG_ERRQUEUE
-	originICMP   = 2      // SO_EE_ORIGIN_ICMP
-	mostRefusals = 64     // that are read at a time
+	msgErrQueue        = 0x2000 // MSG_ERRQUEUE
+	originICMP         = 2      // SO_EE_ORIGIN_ICMP
+	maxRefusalsPerRead = 64     // that are read at a time
 )
 
 // wantRefusals asks for what hosts turn back. Where the system knows no such thing, silence alone tells of a death.
-func wantRefusals(conn *net.UDPConn) error {
+func enableRefusals(conn *net.UDPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 }
 
 // refusals reads to which addresses datagrams were turned back since it was last called. It does not wait.
-func refusals(conn *net.UDPConn) (out []netip.AddrPort) {
+func readRefusals(conn *net.UDPConn) (out []netip.AddrPort) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil
@@ -38,7 +38,7 @@
 	raw.Control(func(fd uintptr) {
 		var p [1]byte
 		var oob [256]byte
-		for range mostRefusals {
+		for range maxRefusalsPerRead {
 			_, n, _, from, err := syscall.Recvmsg(int(fd), p[:], oob[:], msgErrQueue|syscall.MSG_DONTWAIT)
 			if errors.Is(err, syscall.EINTR) {
 				continue
@@ -46,7 +46,7 @@
 			if err != nil {
 				return
 			}
-			if to, ok := from.(*syscall.SockaddrInet4); ok && turnedBack(oob[:n]) {
+			if to, ok := from.(*syscall.SockaddrInet4); ok && isPortUnreachable(oob[:n]) {
 				out = append(out, netip.AddrPortFrom(netip.AddrFrom4(to.Addr), uint16(to.Port)))
 			}
 		}
@@ -55,7 +55,7 @@
 }
 
 // turnedBack says whether a control message is that of a host that refuses: struct sock_extended_err, an error number and where it comes from.
-func turnedBack(oob []byte) bool {
+func isPortUnreachable(oob []byte) bool {
 	list, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return false
--- a/internal/peers/seal.go
+++ b/internal/peers/seal.go
@@ -17,15 +17,15 @@
 // Errors of datagrams that are left aside.
 var (
 	ErrKey      = errors.New("no key opens it")
-	errTooLarge = fmt.Errorf("larger than %d bytes", maxDatagram)
+	errTooLarge = fmt.Errorf("larger than %d bytes", maxDatagramBytes)
 	errNewer    = errors.New("only a later version can read it")
 	errNoSender = errors.New("it names no sender")
 )
 
 const (
-	leastKey = 16 // letters of a key
-	mostKeys = 2  // at a time: the one that seals, and the one before or after it
-	mostFile = 4 << 10
+	minKeyBytes     = 16 // letters of a key
+	maxKeys         = 2  // at a time: the one that seals, and the one before or after it
+	maxKeyFileBytes = 4 << 10
 )
 
 // magic begins each datagram: the form of the seal, which is AES-256-GCM with a nonce drawn for each.
@@ -42,13 +42,13 @@
 
 // Set puts other keys in force; where they are not usable the old ones stay.
 func (s *Sealer) Set(keys []string) error {
-	if len(keys) == 0 || len(keys) > mostKeys {
-		return fmt.Errorf("%d keys, 1 or %d are wanted", len(keys), mostKeys)
+	if len(keys) == 0 || len(keys) > maxKeys {
+		return fmt.Errorf("%d keys, 1 or %d are wanted", len(keys), maxKeys)
 	}
 	var all []cipher.AEAD
 	for i, k := range keys {
-		if len(k) < leastKey {
-			return fmt.Errorf("key %d has %d letters, %d at least are wanted", i+1, len(k), leastKey)
+		if len(k) < minKeyBytes {
+			return fmt.Errorf("key %d has %d letters, %d at least are wanted", i+1, len(k), minKeyBytes)
 		}
 		sum := sha256.Sum256([]byte(k))
 		block, err := aes.NewCipher(sum[:])
@@ -71,8 +71,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > mostFile {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), mostFile)
+	if len(text) > maxKeyFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), maxKeyFileBytes)
 	}
 	var keys []string
 	for in := bufio.NewScanner(bytes.NewReader(text)); in.Scan(); {
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -45,13 +45,13 @@
 	defer p.mu.Unlock()
 	now := p.cfg.Clock()
 	e := p.engine
-	self := e.member.Self()
+	self := e.membership.Self()
 	s := Status{
-		Name: self.Name, Addr: self.Addr, Zone: self.Zone, Incarnation: self.Incarnation, Refutation: self.Refutation, LeftReason: e.member.LeftReason(), Version: e.member.Version(),
-		Alive: e.member.AliveCount(), Bytes: e.store.Bytes(), FactsSum: e.store.Checksum(now), Counts: e.counts, Unsent: p.unsent, Unqueued: int(p.unqueued.Load()), Swim: e.member.Counts(), Gossip: e.store.Counts(),
+		Name: self.Name, Addr: self.Addr, Zone: self.Zone, Incarnation: self.Incarnation, Refutation: self.Refutation, LeftReason: e.membership.LeftReason(), Version: e.membership.Version(),
+		Alive: e.membership.AliveCount(), Bytes: e.facts.Bytes(), FactsSum: e.facts.Checksum(now), Counts: e.counts, Unsent: p.unsent, Unqueued: int(p.unqueued.Load()), Swim: e.membership.Counts(), Gossip: e.facts.Counts(),
 	}
-	s.Facts = e.store.Len()
-	for _, m := range e.member.Members() {
+	s.Facts = e.facts.Len()
+	for _, m := range e.membership.Members() {
 		heard := int64(-1)
 		if m.HeardAt > 0 {
 			heard = (now - m.HeardAt).Milliseconds()
