--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -15,82 +15,147 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-const served = scripted.Served
-
-// place keeps the answer that it is given.
-type place struct {
-	got  Answer
-	gone bool // its client has left, and no front has told
+// recordingSink records its answers.
+type recordingSink struct {
+	answer       Answer // the last
+	answers      int
+	disconnected bool // its client has left, and no front has reported it
+	polled       int  // calls of Disconnected
 }
 
-func (p *place) Deliver(a Answer)   { p.got = a }
-func (p *place) Disconnected() bool { return p.gone }
+func (s *recordingSink) Deliver(a Answer) {
+	s.answer = a
+	s.answers++
+}
 
-func (p *place) refused(after time.Duration) bool {
-	return p.got.Kind == Rejected && p.got.RetryAfter == after
+func (s *recordingSink) Disconnected() bool {
+	s.polled++
+	return s.disconnected
 }
 
-type noCommand struct{}
+// testCommand is a command that no test reads.
+type testCommand struct{}
 
-func (noCommand) Encode(time.Duration) []byte { return []byte("*1\r\n$4\r\nNONE\r\n") }
+func (testCommand) Encode(time.Duration) []byte { return []byte("*1\r\n$4\r\nNONE\r\n") }
 
-func fleetOf(addrs ...string) discovery.List {
-	f := discovery.List{Rev: 1, Complete: true}
-	for i, a := range addrs {
-		f.Targets = append(f.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: a, Zone: "a", State: "SERVING"})
+// endpointsAt returns a list of backends s0, s1 and so on at the addresses.
+func endpointsAt(addrs ...string) discovery.List {
+	list := discovery.List{Rev: 1, Complete: true}
+	for i, addr := range addrs {
+		target := discovery.Target{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"}
+		list.Targets = append(list.Targets, target)
 	}
-	return f
+	return list
 }
 
-func testConfig(disc string, known discovery.List) Config {
+func testConfig(known discovery.List) Config {
 	return Config{
-		Discovery: disc, Sockets: 256, Known: known,
+		Sockets: 256,
+		Known:   known,
 		Settings: policy.Settings{
-			Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
-			Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe}},
-			Plans:   []policy.Plan{{Name: "p", Price: 1}},
+			Instances:   1,
+			MaxAttempts: 1,
+			MayCancel:   true,
+			MaxUnits:    4,
+			Classes: []policy.Class{{
+				Name:             "read",
+				PriorityWeight:   1,
+				LatencyObjective: 20 * time.Second,
+				Deadline:         60 * time.Second,
+				Effect:           policy.Safe,
+			}},
+			Plans: []policy.Plan{{Name: "p", Price: 1}},
 		},
 		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second},
 	}
 }
 
-// idleGateway is one whose goroutine does not run: the test hands it the events itself.
-func idleGateway(t *testing.T, addr string) *Core {
-	g, err := New(testConfig("", fleetOf(addr)), quiet)
+// newIdleCore returns a core whose loop does not run: the test hands it the events itself.
+func newIdleCore(t *testing.T, cfg Config) *Core {
+	t.Helper()
+	c := newTestCore(t, cfg, quiet)
+	loadEndpoints(t, c)
+	return c
+}
+
+// newTestCore returns a core that has no endpoint list yet.
+func newTestCore(t *testing.T, cfg Config, log *slog.Logger) *Core {
+	t.Helper()
+	c, err := New(cfg, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, g)
-	return g
+	return c
 }
 
-// run prepares a gateway for events by hand.
-func run(t *testing.T, g *Core) {
+// loadEndpoints prepares a core for events by hand, and ends its goroutines after the test.
+func loadEndpoints(t *testing.T, c *Core) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	g.ctx = ctx
+	c.ctx = ctx
 	t.Cleanup(func() {
 		cancel()
-		close(g.stopped)
-		g.spawned.Wait()
+		close(c.stopped)
+		c.spawned.Wait()
 	})
-	g.loadKnownEndpoints()
+	c.loadKnownEndpoints()
+}
+
+// newBackends starts as many backends, and returns a list of them.
+func newBackends(t *testing.T, n int) discovery.List {
+	t.Helper()
+	var addrs []string
+	for range n {
+		addrs = append(addrs, scripted.NewNode(t, nil).Addr)
+	}
+	return endpointsAt(addrs...)
 }
 
-// The same where the commands that are kept would fill the memory; what ends makes room again.
-func TestMostHeld(t *testing.T) {
-	g := idleGateway(t, scripted.NewNode(t, nil).Addr)
-	arrive := func(key uint64) *Request {
-		r := &Request{ClientID: key, Size: g.maxRequestBytes - 1000, Sink: &place{}}
-		r.Class, r.Plan, r.Units, r.Spread, r.GiveUpAt = "read", "p", 1, 1, g.now+time.Minute
-		g.handle(requestArrived{r})
+// newRequest returns a request that one unit is wanted for, with a minute left.
+func newRequest(c *Core, clientID uint64, sink ReplySink) *Request {
+	return &Request{
+		Request: policy.Request{
+			Class:    "read",
+			Plan:     "p",
+			Units:    1,
+			Spread:   1,
+			GiveUpAt: c.now + time.Minute,
+		},
+		ClientID: clientID,
+		Sink:     sink,
+		Command:  testCommand{},
+		Size:     100,
+	}
+}
+
+// arrive submits a request.
+func arrive(c *Core, clientID uint64, sink ReplySink) *Request {
+	r := newRequest(c, clientID, sink)
+	c.handle(requestArrived{r})
+	return r
+}
+
+// Requests that would fill the memory are rejected; one that ends makes room again.
+func TestMaxRequestBytes(t *testing.T) {
+	c := newIdleCore(t, testConfig(newBackends(t, 1)))
+	arriveLarge := func(clientID uint64, sink ReplySink) *Request {
+		r := newRequest(c, clientID, sink)
+		r.Size = c.maxRequestBytes - 1000
+		c.handle(requestArrived{r})
 		return r
 	}
-	first, second := arrive(1), arrive(2)
-	if first.finished || !second.Sink.(*place).refused(250*time.Millisecond) {
-		t.Fatalf("first final: %v; second answered %v", first.finished, second.Sink.(*place).got)
+	first := arriveLarge(1, &recordingSink{})
+	second := &recordingSink{}
+	arriveLarge(2, second)
+	if first.finished {
+		t.Fatal("got the first request finished, want it open")
+	}
+	if a := second.answer; a.Kind != Rejected || a.RetryAfter != 250*time.Millisecond {
+		t.Fatalf("second request: got %+v, want a rejection with a retry after 250 ms", a)
 	}
-	g.handle(clientsDisconnected{[]*Request{first}})
-	if third := arrive(3); third.finished {
-		t.Fatalf("third answered %v after the first had ended", third.Sink.(*place).got)
+	c.handle(clientsDisconnected{[]*Request{first}})
+	third := &recordingSink{}
+	if r := arriveLarge(3, third); r.finished {
+		t.Fatalf("third request: got %+v after the first had ended, want it open", third.answer)
 	}
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// The words that logs, metrics and reports use for reasons, outcomes and states are searched for and counted by others.
+// The terms that logs, metrics and reports use for reasons, outcomes and states are searched for and counted by others.
 func TestGoldenTerms(t *testing.T) {
 	var b strings.Builder
 	for r := range policy.ReasonCount {
@@ -98,9 +98,9 @@
 	for s := lease.Open; s <= lease.Expired; s++ {
 		b.WriteString("request " + s.String() + "\n")
 	}
-	for i, word := range []string{"served", "refused", "failed", "unsent"} {
-		if o, known := lease.ParseOutcome(word); !known || int(o) != i+1 {
-			t.Errorf("outcome %q: got %d, %v, want %d", word, o, known, i+1)
+	for i, name := range []string{"served", "refused", "failed", "unsent"} {
+		if o, known := lease.ParseOutcome(name); !known || int(o) != i+1 {
+			t.Errorf("outcome %q: got %d, %v, want %d", name, o, known, i+1)
 		}
 	}
 	golden.Compare(t, "terms", []byte(b.String()))
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,28 +9,29 @@
 	"hitchspring/internal/handover"
 )
 
-// lentFor is how long the attempts count that the old process had out when it gave its work away: nearly all have ended then.
+// predecessorGrace is how long the attempts count that the previous process had in flight when it handed over: nearly
+// all have ended then.
 const predecessorGrace = 700 * time.Millisecond
 
-// The events of a replacement.
+// The events of a replacement of this process.
 type (
 	handOverRequested struct{ reply chan<- handover.State }
-	handoverReceived struct{ handover.State }
-	siblingsChanged  int
+	handoverReceived  struct{ handover.State }
+	siblingsChanged   int
 )
 
-// GiveOver parts what the module knows with the next process of this ingress, and returns that one's part. It is called once,
-// when no more clients are taken; the core goes on with what it has.
+// HandOver splits what the engine has learned with the next process of this instance, and returns that one's part. It
+// is called once, when no more clients are accepted; the core goes on with the rest.
 func (c *Core) HandOver(ctx context.Context) (handover.State, error) {
-	got := make(chan handover.State, 1)
+	reply := make(chan handover.State, 1)
 	select {
-	case c.events <- handOverRequested{got}:
+	case c.events <- handOverRequested{reply}:
 	case <-ctx.Done():
 		return handover.State{}, ctx.Err()
 	}
 	select {
-	case s := <-got:
-		return s, nil
+	case state := <-reply:
+		return state, nil
 	case <-ctx.Done():
 		return handover.State{}, ctx.Err()
 	case <-c.stopped:
@@ -38,12 +39,12 @@
 	}
 }
 
-// TakeOver goes on from what the process before has left. It is called before clients are taken.
-func (c *Core) AcceptHandover(s handover.State) { c.post(handoverReceived{s}) }
+// AcceptHandover continues from what the previous process has handed over. It is called before clients are accepted.
+func (c *Core) AcceptHandover(state handover.State) { c.post(handoverReceived{state}) }
 
-// SetCompany tells how many other processes of this ingress there are. While there is one, this one uses half of the
-// descriptors for nodes; when there is none any more, what was out there counts no longer.
-func (c *Core) SetSiblings(others int) { c.post(siblingsChanged(others)) }
+// SetSiblings sets how many other processes of this instance run. While there are any, this one uses half of the
+// connections to backends; when there is none any more, what the previous process had in flight counts no longer.
+func (c *Core) SetSiblings(siblings int) { c.post(siblingsChanged(siblings)) }
 
 func (c *Core) setSiblings(siblings int) {
 	c.backends.SetMaxConnections(c.backendConnections(siblings))
@@ -52,7 +53,7 @@
 	}
 }
 
-// nodeConns is how many connections to nodes there may be beside other processes.
+// backendConnections returns how many connections to backends this process may have beside its siblings.
 func (c *Core) backendConnections(siblings int) int {
 	if siblings > 0 {
 		return c.maxConnections / 2
@@ -60,22 +61,26 @@
 	return c.maxConnections
 }
 
+// handOver gives the next process its part, and retains the rest.
 func (c *Core) handOver(ev handOverRequested) {
-	kept, given := handover.Split(c.engine.ExportState())
-	c.engine.RetainUnits(kept)
-	s := handover.State{At: c.now, Learned: given, List: discovery.List{Rev: c.overrides.revision, Complete: true}}
-	for _, t := range c.overrides.targets {
-		s.List.Targets = append(s.List.Targets, t)
+	retained, given := handover.Split(c.engine.ExportState())
+	c.engine.RetainUnits(retained)
+	list := discovery.List{Rev: c.endpoints.revision, Complete: true}
+	for _, target := range c.endpoints.targets {
+		list.Targets = append(list.Targets, target)
 	}
-	ev.reply <- s
+	ev.reply <- handover.State{At: c.now, Learned: given, List: list}
 }
 
-func (c *Core) acceptHandover(s handover.State) {
-	if c.overrides.updates < 2 && s.List.Rev > c.overrides.revision { // discovery is silent: the other's list is newer than the configuration's
-		c.updateEndpoints(s.List.Usable(c.log))
+// acceptHandover imports the state of the previous process.
+func (c *Core) acceptHandover(state handover.State) {
+	// While discovery has sent nothing, the previous process's list may be newer than the configuration's.
+	if c.endpoints.updates < 2 && state.List.Rev > c.endpoints.revision {
+		c.updateEndpoints(state.List.Usable(c.log))
 		c.flushEvents()
 	}
-	c.engine.ImportState(c.now, s.Learned)
+	c.engine.ImportState(c.now, state.Learned)
 	c.scheduleAfter(predecessorGrace, c.engine.ReleasePredecessor)
-	c.log.Info("went on from the process before", "channels", len(s.Learned.Tenants), "nodes", len(s.Learned.Backends), "age", c.now-s.At)
+	c.log.Info("state of the previous process imported",
+		"tenants", len(state.Learned.Tenants), "backends", len(state.Learned.Backends), "age", c.now-state.At)
 }
--- /dev/null
+++ b/internal/core/replication.go
@@ -0,0 +1,150 @@
+package core
+
+import (
+	"time"
+
+	"hitchspring/internal/backend"
+	"hitchspring/internal/takeover"
+	"hitchspring/policy"
+)
+
+// replicateQueuedAfter is how long a request waits in the engine's queue before replicas are to hold it.
+const replicateQueuedAfter = 30 * time.Millisecond
+
+// commandArgs is a command whose arguments another instance can rebuild the request from.
+type commandArgs interface{ Args() [][]byte }
+
+// canReplicate reports whether replicas can hold a request.
+func (c *Core) canReplicate(r *Request) bool {
+	if c.classes[r.Class].Effect != policy.Keyed || r.IdempotencyKey == "" || r.Size > takeover.MaxBody {
+		return false
+	}
+	_, ok := r.Command.(commandArgs)
+	return ok
+}
+
+// workKey returns the key of a request among all instances.
+func workKey(r *Request) string { return r.Tenant + "/" + r.IdempotencyKey }
+
+// workOf returns a request as replicas hold it.
+func (c *Core) workOf(r *Request) takeover.Work {
+	return takeover.Work{
+		Key:               workKey(r),
+		Class:             r.Class,
+		Plan:              r.Plan,
+		Tenant:            r.Tenant,
+		Units:             r.Units,
+		Spread:            r.Spread,
+		First:             r.First,
+		IdempotencyWindow: c.classes[r.Class].RepeatWindow,
+		Command:           r.Command.(commandArgs).Args(),
+	}
+}
+
+// replicateQueued lets replicas hold a request that still waits in the engine's queue: if this instance ends, another
+// one sends it.
+func (c *Core) replicateQueued(r *Request) {
+	if r.finished || r.pending != nil || len(r.attempts) > 0 || c.requests[r.ID] != r {
+		return
+	}
+	r.pending = &pendingWork{scope: takeover.ScopeNone}
+	c.takeover.byAttempt[r.ClientID] = r
+	work := c.workOf(r)
+	work.Charged = c.engine.IsQueued(r.ID)
+	c.takeover.coordinator.RequestSend(c.now, work, r.ClientID, takeover.ScopeNone, r.GiveUpAt)
+	c.drainCoordinator()
+}
+
+// awaitReplicas reports whether an attempt has to wait until enough replicas hold it, and sends it to them.
+func (c *Core) awaitReplicas(r *Request, attempt *backend.Attempt, to policy.BackendID) bool {
+	if !c.canReplicate(r) {
+		return false
+	}
+	scope := c.scopeOf(c.classes[r.Class], to)
+	switch {
+	case r.pending == nil:
+		r.pending = &pendingWork{scope: scope, awaiting: attempt, backend: to}
+		c.takeover.byAttempt[r.ClientID] = r
+		c.takeover.coordinator.RequestSend(c.now, c.workOf(r), r.ClientID, scope, r.GiveUpAt)
+	case r.pending.scope == scope:
+		r.pending.attemptSent(attempt)
+		return false
+	default: // what went out in the scope before surely never ran
+		r.pending.scope, r.pending.awaiting, r.pending.backend = scope, attempt, to
+		c.takeover.coordinator.MigrateAttempt(c.now, r.ClientID, scope)
+	}
+	c.drainCoordinator()
+	return true
+}
+
+// scopeOf returns where a repeat of a request that is sent to a backend has no further effect.
+func (c *Core) scopeOf(class policy.Class, id policy.BackendID) takeover.Scope {
+	target := c.endpoints.targets[id]
+	switch class.Group {
+	case policy.GroupAll:
+		return takeover.Scope{}
+	case policy.GroupZone:
+		return takeover.Scope{Zone: target.Zone}
+	default:
+		return takeover.Scope{Zone: target.Zone, Rack: target.Group}
+	}
+}
+
+// queryOutcome queries the replicas for the outcome of another attempt of a request that the engine rejects: a client
+// that retries an idempotency key while this instance is full is to have the answer that exists or is under way. It
+// reports false if the replicas can't be queried; otherwise performTakeoverAction answers the request.
+func (c *Core) queryOutcome(r *Request, retryAfter time.Duration) bool {
+	if r == nil || r.finished || r.inFlight > 0 {
+		return false
+	}
+	if r.pending != nil {
+		return c.confirmRejection(r, retryAfter)
+	}
+	if len(r.attempts) > 0 || r.IdempotencyKey == "" || c.classes[r.Class].Effect != policy.Keyed {
+		return false
+	}
+	rejection := &Answer{Kind: Rejected, RetryAfter: retryAfter}
+	r.pending = &pendingWork{rejection: rejection}
+	c.takeover.byAttempt[r.ClientID] = r
+	if !c.takeover.coordinator.QueryOutcome(c.now, workKey(r), r.ClientID, r.GiveUpAt) {
+		delete(c.takeover.byAttempt, r.ClientID)
+		r.pending = nil
+		return false
+	}
+	c.scheduleAt(r.GiveUpAt, func() { c.answerRequest(r, *rejection) }) // the other attempt's outcome has not come
+	c.drainCoordinator()
+	return true
+}
+
+// confirmRejection queries the replicas that hold a request whether another instance has taken it over, before it is
+// rejected here.
+func (c *Core) confirmRejection(r *Request, retryAfter time.Duration) bool {
+	w := r.pending
+	if w.joined || w.rejection != nil || w.awaiting != nil || w.mayHaveRun > 0 {
+		return false
+	}
+	w.rejection = &Answer{Kind: Rejected, RetryAfter: retryAfter}
+	w.replicated = true
+	c.takeover.coordinator.ConfirmRejection(c.now, r.ClientID)
+	c.drainCoordinator()
+	return true
+}
+
+// completeWork notifies the replicas of a request's end.
+func (c *Core) completeWork(r *Request, a Answer) {
+	w := r.pending
+	if w == nil || w.completed {
+		return
+	}
+	w.completed = true
+	delete(c.takeover.byAttempt, r.ClientID)
+	end := takeover.Answer{Kind: takeover.AnswerFailed}
+	switch {
+	case a.Kind == Served:
+		end = takeover.Answer{Kind: takeover.AnswerServed, Value: a.Value, Truncated: a.Stream != nil}
+	case w.mayHaveRun <= 0:
+		end.Kind = takeover.AnswerNeverRan
+	}
+	c.takeover.coordinator.Complete(c.now, r.ClientID, end)
+	c.drainCoordinator()
+}
--- a/internal/core/summary_test.go
+++ b/internal/core/summary_test.go
@@ -11,48 +11,52 @@
 	"hitchspring/policy"
 )
 
-// A line a second says what came and how it ended, and why; the next one begins from nothing.
+// A line a second says what came, how it ended and why; the next one starts from nothing.
 func TestSummary(t *testing.T) {
 	var out bytes.Buffer
-	cfg := testConfig("", discovery.List{})
+	cfg := testConfig(discovery.List{})
 	cfg.Summary = time.Second
-	g, err := New(cfg, slog.New(slog.NewTextHandler(&out, nil)))
-	if err != nil {
-		t.Fatal(err)
+	c := newTestCore(t, cfg, slog.New(slog.NewTextHandler(&out, nil)))
+	loadEndpoints(t, c)
+	c.startSummary()
+	sink := &recordingSink{}
+	r := newRequest(c, 1, sink)
+	r.Spread, r.Size = 0, 0
+	r.GiveUpAt = c.now + 200*time.Millisecond
+	c.handle(requestArrived{r})
+	for range 220 { // the engine's sweeps are timers too
+		c.now += 10 * time.Millisecond
+		c.fireTimers()
 	}
-	run(t, g)
-	g.startSummary()
-	p := &place{}
-	g.handle(requestArrived{&Request{Request: policy.Request{Class: "read", Plan: "p", Units: 1, GiveUpAt: g.now + 200*time.Millisecond}, Sink: p, ClientID: 1, Command: noCommand{}}})
-	for range 220 { // the module's sweeps are timers too
-		g.now += 10 * time.Millisecond
-		g.fireTimers()
+	if sink.answer.Kind != Rejected {
+		t.Fatalf("got answer %+v, want a rejection, since there is no backend", sink.answer)
 	}
-	if p.got.Kind != Rejected {
-		t.Fatalf("answer %+v, want a refusal: there is no node", p.got)
+	text := strings.TrimSpace(out.String())
+	if n := len(strings.Split(text, "\n")); n < 2 || n > 3 {
+		t.Fatalf("got %d lines in 2.2 s, want 2 or 3:\n%s", n, text)
 	}
-	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) < 2 || len(lines) > 3 {
-		t.Fatalf("%d lines in 2.2 s:\n%s", len(lines), out.String())
+	for _, count := range []string{"arrived=1", "refused.no-server=1"} {
+		if n := strings.Count(text, count); n != 1 {
+			t.Errorf("got %s %d times, want once:\n%s", count, n, text)
+		}
 	}
-	all := strings.Join(lines, "\n")
-	if strings.Count(all, "arrived=1") != 1 || strings.Count(all, "refused.no-server=1") != 1 || strings.Contains(all, "held=") {
-		t.Errorf("lines:\n%s\nwant one arrival and one refusal for want of a node, each once", all)
+	if strings.Contains(text, "held=") {
+		t.Errorf("got a count of queued requests, want none:\n%s", text)
 	}
 }
 
 // Without the option nothing is counted and nothing written.
 func TestNoSummary(t *testing.T) {
-	g := idleGateway(t, "127.0.0.1:1")
-	g.startSummary()
-	if g.summary != nil {
-		t.Error("it sums up though nobody asked")
+	c := newIdleCore(t, testConfig(endpointsAt("127.0.0.1:1")))
+	c.startSummary()
+	if c.summary != nil {
+		t.Error("got a summary, want none")
 	}
-	g.summary.add(summaryArrived, 1)
-	g.summary.addRejection(policy.Quota)
-	g.summary.addFailure(policy.Quota)
-	g.summary.addAttempt(0, time.Second)
-	g.summary.addAttemptEnd(policy.Succeeded)
-	g.summary.addServed(1, 2)
-	g.summary.addCounterReply(policy.Succeeded, 1)
+	c.summary.add(summaryArrived, 1)
+	c.summary.addRejection(policy.Quota)
+	c.summary.addFailure(policy.Quota)
+	c.summary.addAttempt(0, time.Second)
+	c.summary.addAttemptEnd(policy.Succeeded)
+	c.summary.addServed(1, 2)
+	c.summary.addCounterReply(policy.Succeeded, 1)
 }
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -97,7 +97,7 @@
 }
 
 // unguarded has the ingress hold nothing back by its own invariants: it is the judge that is to see a defect.
-var unguarded = Edit{File: "internal/core/guarded.go", Find: "const enforced = true", Replace: "const enforced = false"}
+var unguarded = Edit{File: "internal/core/guards.go", Find: "const enforced = true", Replace: "const enforced = false"}
 
 // Plant writes the changed files and the overlay that puts them in place into dir, and returns the overlay's path. A place
 // that is not there, or more than once, is an error: the source has moved, and the defect must follow.
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -37,32 +37,66 @@
 
 // crashSteps are all steps, by name, with the edits that make the program kill itself there.
 func crashSteps() map[string]crashStep {
-	const takeover, core, operate, nodes = "internal/core/takeover.go", "internal/core/core.go", "internal/core/operate.go", "internal/backend/conn.go"
-	first := func(file string) []edit {
-		imports := "	\"os\"\n	\"syscall\"\n"
-		if file != takeover {
-			imports += "	\"sync/atomic\"\n"
-		}
-		return []edit{{file, "import (\n", "import (\n" + imports}}
+	const (
+		replication = "internal/core/replication.go"
+		actions     = "internal/core/takeover_actions.go"
+		members     = "internal/core/members.go"
+		attempts    = "internal/core/attempts.go"
+		requests    = "internal/core/request.go"
+		conn        = "internal/backend/conn.go"
+	)
+	// in is a step at one place of a file of the core: find is replaced there.
+	in := func(file, find, replace string) crashStep {
+		imports := edit{file, "import (\n", "import (\n\t\"os\"\n\t\"sync/atomic\"\n\t\"syscall\"\n"}
+		return crashStep{edits: []edit{imports, {file, find, replace}}}
+	}
+	lossOf := func(step crashStep) crashStep {
+		step.loss = true
+		return step
 	}
-	keyed := "r.IdempotencyKey != \"\""
+	const (
+		keyed    = "r.IdempotencyKey != \"\""
+		intent   = "\tif m.Intent != nil {\n\t\tdies(0)\n\t}\n"
+		ended    = "\tif m.Completion != nil {\n\t\tdies(0)\n\t}\n"
+		dieSoon  = "dies(3 * time.Millisecond)\n"
+		accepted = "takeover.ScopeNone, r.GiveUpAt)\n\tc.drainCoordinator()\n"
+		waiting  = "\tc.drainCoordinator()\n"
+		awaited  = "\treturn true\n}\n\n// scopeOf"
+		sending  = "\tc.takeover.coordinator.AttemptSent(c.now, r.ClientID)\n"
+		started  = "\tc.startAttempt(r, attempt, w.backend)\n"
+		answered = "\tif outcome == policy.Succeeded && !r.finished {\n"
+		complete = "\tc.completeWork(r, a)\n"
+		counted  = "\tend := metrics.Errored\n"
+		receive  = "\tc.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n"
+		resumed  = "\tc.takeover.byAttempt[work.Attempt] = r\n\tc.requests[r.ID] = r\n\tc.requestBytes += r.Size\n"
+		launched = "\tc.backends.Start(attempt, to)\n"
+		launches = "}\n\n// attemptEnded"
+		write    = "\t\t\tn, err := c.nc.Write(j.buf)\n"
+	)
 	return map[string]crashStep{
-		"the owner, accepted":                  {append(first(takeover), edit{takeover, "takeover.ScopeNone, r.GiveUpAt)\n	c.drainCoordinator()\n", "takeover.ScopeNone, r.GiveUpAt)\n	c.drainCoordinator()\n	dies(3 * time.Millisecond)\n"}), false},
-		"the owner, intent sent":               {append(first(takeover), edit{takeover, "	c.drainCoordinator()\n	return true\n}\n\n// queryOutcome", "	c.drainCoordinator()\n	dies(3 * time.Millisecond)\n	return true\n}\n\n// queryOutcome"}), false},
-		"the owner, acknowledged and not sent": {append(first(takeover), edit{takeover, "		c.takeover.coordinator.AttemptSent(c.now, r.ClientID)\n", "		dies(0)\n		c.takeover.coordinator.AttemptSent(c.now, r.ClientID)\n"}), false},
-		"the owner, half of a command written": {[]edit{
-			{nodes, "import (\n", "import (\n	\"bytes\"\n	\"os\"\n"},
-			{nodes, "			n, err := c.nc.Write(j.buf)\n", "			if bytes.Contains(j.buf, []byte(\",k=\")) {\n				dies(3*time.Millisecond, func() { c.nc.Write(j.buf[:len(j.buf)/2]) })\n			}\n			n, err := c.nc.Write(j.buf)\n"},
-		}, false},
-		"the owner, written and not answered":        {append(first(takeover), edit{takeover, "		c.startAttempt(r, w, r.pending.backend)\n", "		c.startAttempt(r, w, r.pending.backend)\n		dies(3 * time.Millisecond)\n"}), false},
-		"the owner, answer read and not told":        {append(first(core), edit{core, "	if o == policy.Succeeded && !r.finished {\n", "	if o == policy.Succeeded && !r.finished {\n		if " + keyed + " {\n			dies(0)\n		}\n"}), false},
-		"the owner, told and not recorded":           {append(first(operate), edit{operate, "	c.completeWork(r, a)\n	end := metrics.Errored\n", "	if a.Kind == Served && " + keyed + " {\n		dies(3*time.Millisecond, func() { r.Sink.Deliver(a) })\n	}\n	c.completeWork(r, a)\n	end := metrics.Errored\n"}), false},
-		"the owner, recorded and not told":           {append(first(operate), edit{operate, "	c.completeWork(r, a)\n	end := metrics.Errored\n", "	c.completeWork(r, a)\n	if a.Kind == Served && " + keyed + " {\n		dies(3 * time.Millisecond)\n	}\n	end := metrics.Errored\n"}), false},
-		"the keeper, heard and not written":          {append(first(takeover), edit{takeover, "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n", "	if m.Intent != nil {\n		dies(0)\n	}\n	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n"}), false},
-		"the keeper, written and not replied":        {append(first(takeover), edit{takeover, "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n", "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n	if m.Intent != nil {\n		dies(0)\n	}\n"}), false},
-		"the keeper, end heard and not acknowledged": {append(first(takeover), edit{takeover, "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n", "	c.takeover.coordinator.Receive(c.now, ev.from, ev.incarnation, m.Message)\n	if m.Completion != nil {\n		dies(0)\n	}\n"}), false},
-		"the taker, before it begins":                {append(first(takeover), edit{takeover, "	c.takeover.byAttempt[t.Attempt] = r\n	c.requests[r.ID] = r\n	c.requestBytes += r.Size\n", "	c.takeover.byAttempt[t.Attempt] = r\n	c.requests[r.ID] = r\n	c.requestBytes += r.Size\n	dyingCame.Store(11)\n	dies(0)\n"}), true},
-		"the taker, sent and not answered":           {append(first(core), edit{core, "	c.backends.Start(a, to)\n}\n\n// attemptEnded", "	c.backends.Start(a, to)\n	if r.Sink == (takenOverSink{}) {\n		dyingCame.Store(11)\n		dies(3 * time.Millisecond)\n	}\n}\n\n// attemptEnded"}), true},
+		"the owner, accepted":                  in(replication, accepted, accepted+"\t"+dieSoon),
+		"the owner, intent sent":               in(replication, waiting+awaited, waiting+"\t"+dieSoon+awaited),
+		"the owner, acknowledged and not sent": in(actions, sending, "\tdies(0)\n"+sending),
+		"the owner, half of a command written": {edits: []edit{
+			{conn, "import (\n", "import (\n\t\"bytes\"\n\t\"os\"\n"},
+			{conn, write, "\t\t\tif bytes.Contains(j.buf, []byte(\",k=\")) {\n" +
+				"\t\t\t\tdies(3*time.Millisecond, func() { c.nc.Write(j.buf[:len(j.buf)/2]) })\n\t\t\t}\n" + write},
+		}},
+		"the owner, written and not answered": in(actions, started, started+"\t"+dieSoon),
+		"the owner, answer read and not told": in(attempts, answered,
+			answered+"\t\tif "+keyed+" {\n\t\t\tdies(0)\n\t\t}\n"),
+		"the owner, told and not recorded": in(requests, complete+counted,
+			"\tif a.Kind == Served && "+keyed+" {\n"+
+				"\t\tdies(3*time.Millisecond, func() { r.Sink.Deliver(a) })\n\t}\n"+complete+counted),
+		"the owner, recorded and not told": in(requests, complete+counted,
+			complete+"\tif a.Kind == Served && "+keyed+" {\n\t\t"+dieSoon+"\t}\n"+counted),
+		"the keeper, heard and not written":          in(members, receive, intent+receive),
+		"the keeper, written and not replied":        in(members, receive, receive+intent),
+		"the keeper, end heard and not acknowledged": in(members, receive, receive+ended),
+		"the taker, before it begins": lossOf(in(actions, resumed,
+			resumed+"\tdyingCame.Store(11)\n\tdies(0)\n")),
+		"the taker, sent and not answered": lossOf(in(attempts, launched+launches,
+			launched+"\tif r.Sink == (takenOverSink{}) {\n\t\tdyingCame.Store(11)\n\t\t"+dieSoon+"\t}\n"+launches)),
 	}
 }
 
