--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -103,15 +103,16 @@
 	if len(r.attempts) > 0 || r.IdempotencyKey == "" || c.classes[r.Class].Effect != policy.Keyed {
 		return false
 	}
-	rejection := &Answer{Kind: Rejected, RetryAfter: retryAfter}
-	r.pending = &pendingWork{rejection: rejection}
+	r.pending = &pendingWork{phase: workQuerying, retryAfter: retryAfter}
 	c.takeover.byAttempt[r.ClientID] = r
 	if !c.takeover.coordinator.QueryOutcome(c.now, workKey(r), r.ClientID, r.GiveUpAt) {
 		delete(c.takeover.byAttempt, r.ClientID)
 		r.pending = nil
 		return false
 	}
-	c.scheduleAt(r.GiveUpAt, func() { c.answerRequest(r, *rejection) }) // the other attempt's outcome has not come
+	c.scheduleAt(r.GiveUpAt, func() { // the other attempt's outcome has not come
+		c.answerRequest(r, Answer{Kind: Rejected, RetryAfter: retryAfter})
+	})
 	c.drainCoordinator()
 	return true
 }
@@ -120,11 +121,10 @@
 // rejected here.
 func (c *Core) confirmRejection(r *Request, retryAfter time.Duration) bool {
 	w := r.pending
-	if w.joined || w.rejection != nil || w.awaiting != nil || w.mayHaveRun > 0 {
+	if !w.canReject() {
 		return false
 	}
-	w.rejection = &Answer{Kind: Rejected, RetryAfter: retryAfter}
-	w.replicated = true
+	w.phase, w.retryAfter = workConfirming, retryAfter
 	c.takeover.coordinator.ConfirmRejection(c.now, r.ClientID)
 	c.drainCoordinator()
 	return true
@@ -133,10 +133,10 @@
 // completeWork notifies the replicas of a request's end.
 func (c *Core) completeWork(r *Request, a Answer) {
 	w := r.pending
-	if w == nil || w.completed {
+	if w == nil || w.phase == workCompleted {
 		return
 	}
-	w.completed = true
+	w.phase = workCompleted
 	delete(c.takeover.byAttempt, r.ClientID)
 	end := takeover.Answer{Kind: takeover.AnswerFailed}
 	switch {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -29,23 +29,42 @@
 	publishAt   time.Duration
 }
 
-// pendingWork is what replicas know of a request. It is in one of these phases:
-//
-//   - queued: the replicas hold the request, and the engine has not chosen a backend (scope is takeover.ScopeNone);
-//   - awaiting replicas: awaiting is the attempt that goes out when enough of them hold it;
-//   - sent: attempts have gone out within scope;
-//   - joined: the outcome of another instance's attempt is awaited;
-//   - rejecting: the engine rejects the request, and the replicas are queried for another attempt's outcome first.
+// workPhase is the phase of a request's pending work.
+type workPhase uint8
+
+const (
+	workActive     workPhase = iota // it waits in the engine's queue or for replicas, or attempts have gone out
+	workJoined                      // the outcome of another instance's attempt decides
+	workQuerying                    // rejected by the engine, replicas are queried for another attempt's outcome
+	workConfirming                  // the same of a request that replicas hold: another instance may have taken it over
+	workCompleted                   // the replicas have its end
+)
+
+// pendingWork is what replicas know of a request.
 type pendingWork struct {
-	scope        takeover.Scope   // where a repeat has no further effect
-	awaiting     *backend.Attempt // until enough replicas hold it; nil: none waits
+	phase        workPhase
+	scope        takeover.Scope   // where a repeat has no further effect; ScopeNone: the engine has chosen no backend
+	awaiting     *backend.Attempt // goes out when enough replicas hold it; nil: none waits
 	backend      policy.BackendID // of awaiting
 	mayHaveRun   int              // attempts that may have run
 	sentAttempts uint64           // a bit for each attempt that has gone out, by its number
-	joined       bool
-	rejection    *Answer // of the phase rejecting
-	replicated   bool    // with rejection: the replicas hold the request, and another instance may have taken it over
-	completed    bool    // the replicas have its end
+	retryAfter   time.Duration    // of the rejection, in workQuerying and workConfirming
+}
+
+// isRejecting reports whether the engine has rejected the request and the replicas have not confirmed that yet.
+func (w *pendingWork) isRejecting() bool { return w.phase == workQuerying || w.phase == workConfirming }
+
+// canReject reports whether nothing of the request may run any more, as far as this instance knows, so that the
+// replicas can be queried before it is rejected.
+func (w *pendingWork) canReject() bool {
+	return w.phase == workActive && w.awaiting == nil && w.mayHaveRun <= 0
+}
+
+// takeAwaiting returns the attempt that waits for replicas, if any, and no longer holds it.
+func (w *pendingWork) takeAwaiting() *backend.Attempt {
+	attempt := w.awaiting
+	w.awaiting = nil
+	return attempt
 }
 
 // attemptSent counts an attempt that goes out: it may run.
--- a/internal/core/takeover_actions.go
+++ b/internal/core/takeover_actions.go
@@ -31,7 +31,7 @@
 
 // performTakeoverAction carries out what the coordinator has decided on one of this instance's requests.
 func (c *Core) performTakeoverAction(r *Request, action takeover.Action) {
-	if r.pending.rejection != nil {
+	if r.pending.isRejecting() {
 		c.endRejection(r, action)
 		return
 	}
@@ -39,7 +39,7 @@
 	case takeover.ActionSend:
 		c.sendAwaiting(r)
 	case takeover.ActionJoin:
-		r.pending.joined = true
+		r.pending.phase = workJoined
 		c.withdrawFromEngine(r)
 	case takeover.ActionUseAnswer:
 		c.withdrawFromEngine(r)
@@ -53,7 +53,7 @@
 		r.pending = nil
 	case takeover.ActionAdopt:
 		c.withdrawFromEngine(r)
-		r.pending.joined = false
+		r.pending.phase = workActive
 		r.pending.scope = action.Scope
 		c.resubmit(r, &policy.Prior{Zone: action.Scope.Zone, Cell: action.Scope.Rack, At: action.StartedAt})
 	case takeover.ActionAbort:
@@ -63,28 +63,25 @@
 	}
 }
 
-// endRejection answers a request in the phase rejecting, of which nothing will be sent: with the outcome of another
+// endRejection answers a request that is being rejected, of which nothing will be sent: with the outcome of another
 // attempt, or with the rejection.
 func (c *Core) endRejection(r *Request, action takeover.Action) {
-	w := r.pending
 	restart := action.Kind == takeover.ActionSend || action.Kind == takeover.ActionRestart
 	switch {
-	case action.Kind == takeover.ActionJoin:
-		w.joined = true
+	case action.Kind == takeover.ActionJoin: // the outcome follows
 	case action.Kind == takeover.ActionUseAnswer && action.Answer.Kind == takeover.AnswerServed:
 		c.answerRequest(r, Answer{Kind: Served, Value: action.Answer.Value})
-	case w.replicated && !restart: // another instance may have sent it: a retry may not be harmless
+	case r.pending.phase == workConfirming && !restart: // another instance may have sent it
 		c.answerRequest(r, Answer{Kind: Failed})
 	default:
-		c.answerRequest(r, *w.rejection)
+		c.answerRequest(r, Answer{Kind: Rejected, RetryAfter: r.pending.retryAfter})
 	}
 }
 
 // sendAwaiting lets the attempt go out that has waited for the replicas.
 func (c *Core) sendAwaiting(r *Request) {
 	w := r.pending
-	attempt := w.awaiting
-	w.awaiting = nil
+	attempt := w.takeAwaiting()
 	if attempt == nil {
 		return
 	}
@@ -100,8 +97,7 @@
 // withdrawFromEngine takes a request back from the engine that has not gone out; its units are given back.
 func (c *Core) withdrawFromEngine(r *Request) {
 	w := r.pending
-	attempt := w.awaiting
-	w.awaiting = nil
+	attempt := w.takeAwaiting()
 	if attempt == nil {
 		if w.scope == takeover.ScopeNone { // the request waits in the engine's queue
 			c.notifyEngine(policy.Disconnected{ID: r.ID})
@@ -139,9 +135,7 @@
 	if w == nil || w.awaiting == nil || w.awaiting.Number != number {
 		return false
 	}
-	attempt := w.awaiting
-	w.awaiting = nil
-	c.backends.CancelUnsent(attempt, w.backend)
+	c.backends.CancelUnsent(w.takeAwaiting(), w.backend)
 	return true
 }
 
