--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -66,8 +66,8 @@
 // wholeSpaces are the edits after which each process takes the whole of a cold node's space.
 func wholeSpaces() []edit {
 	return []edit{
-		{"policy/servers.go", "return e.refillSlowStartTokens() >= 1 && e.now-s.lastSent > time.Second", "return true"},
-		{"policy/servers.go", "		score := e.currentSlowness(s)\n", "		score := e.currentSlowness(s) * math.Pow(e.capacityShare(s), 4)\n"},
+		{"policy/slow_start.go", "return e.refillSlowStartTokens() >= 1 && e.now-b.lastSent > slowStartInterval", "return true"},
+		{"policy/selection.go", "	score := e.currentSlowness(b)\n", "	score := e.currentSlowness(b) * math.Pow(e.capacityShare(b), 4)\n"},
 	}
 }
 
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,109 +5,106 @@
 	"time"
 )
 
-// anchor is the first attempt that is out or may have run.
-func (r *request) bindingAttempt() *attempt {
-	if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun }); i >= 0 {
-		return r.attempts[i]
-	}
-	return nil
-}
-
-// repeatable says whether another attempt may go out now.
-func (e *Engine) mayRetry(r *request) bool {
-	if len(r.attempts) >= max(e.settings.MaxAttempts, 1) || r.streaming || r.finished {
-		return false
-	}
-	a := r.bindingAttempt()
-	return a == nil || r.class.Effect == Safe || // the margin is for the way there
-		r.class.Effect == Keyed && e.now-a.sentAt < r.class.RepeatWindow*9/10
+// attempt is one sending of a request to a backend.
+type attempt struct {
+	index      int // among the request's attempts
+	backend    *backend
+	zone       string // of the backend when it was sent: the endpoint list may move a backend
+	cell       int    // of the backend when it was sent
+	sentAt     time.Duration
+	ended      bool
+	writtenOff bool // overdue, or lost with its zone: it no longer fills the window
+	mayHaveRun bool // it is out, or its outcome does not prove that it never ran
 }
 
-func (e *Engine) sendAttempt(r *request, s *backend) {
+// sendAttempt sends an attempt of the request to the backend.
+func (e *Engine) sendAttempt(r *request, b *backend) {
 	if !r.sent {
 		r.sent = true
-		e.retryBudget = min(e.windowShare(), e.retryBudget+retryRatio)
+		e.earnRetries()
 		r.tenant.ceilingLevel -= r.Units
 	}
-	a := &attempt{index: len(r.attempts), backend: s, zone: s.Zone, cell: s.Cell, sentAt: e.now, mayHaveRun: true}
+	a := &attempt{
+		index:      len(r.attempts),
+		backend:    b,
+		zone:       b.Zone,
+		cell:       b.Cell,
+		sentAt:     e.now,
+		mayHaveRun: true,
+	}
 	r.attempts = append(r.attempts, a)
-	r.outstanding, r.tenant.inFlight, e.inFlight = r.outstanding+1, r.tenant.inFlight+1, e.inFlight+1
-	s.outstanding = append(s.outstanding, a)
-	e.zones[s.Zone].spendCredit()
-	s.lastSent, e.lastSent, s.sendPhase = e.now, e.now, 1
-	if e.capacityShare(s) < 1 {
+	r.outstanding++
+	r.tenant.inFlight++
+	e.inFlight++
+	b.outstanding = append(b.outstanding, a)
+	e.zones[b.Zone].spendCredit()
+	b.lastSent = e.now
+	e.lastSent = e.now
+	b.sendPhase = 1
+	if e.capacityShare(b) < 1 {
 		e.slowStartTokens--
 	}
-	var stop time.Duration
-	if !e.settings.Hedging && r.class.meanLatency > 0 && r.class.Effect != Unsafe { // ends for another
-		stop = e.now + max(r.class.expectedLatency(2*hedgeDeviations), r.class.LatencyObjective/3)
-	}
-	e.emit(SendAttempt{ID: r.ID, Backend: s.ID, StopAt: stop})
+	e.emit(SendAttempt{ID: r.ID, Backend: b.ID, StopAt: e.attemptStop(r.class)})
 }
 
-// watch looks after a request that is out: a copy goes to another server when the answer is overdue.
-func (e *Engine) checkOverdue(r *request) {
-	for _, a := range r.attempts {
-		if !a.ended && !a.writtenOff && e.now-a.sentAt > r.class.LatencyObjective {
-			a.writtenOff = true
-			e.inFlight--
-			e.updateWindow(a, r.class, TimedOut, 0)
-		}
-	}
-	if !e.settings.Hedging || r.Delegated || r.queued || r.outstanding != 1 || e.retryBudget < 1 || r.excess ||
-		e.now > r.arrivedAt+r.class.LatencyObjective || r.class.meanLatency == 0 || e.overloaded() || !e.mayRetry(r) || !e.maySend(r) {
-		return
-	}
-	if last := r.attempts[len(r.attempts)-1]; e.now-last.sentAt < r.class.expectedLatency(hedgeDeviations) {
-		return
-	}
-	if s := e.chooseBackend(r); s != nil && !r.hasTried(s) {
-		e.retryBudget--
-		e.sendAttempt(r, s)
+// attemptStop returns when an attempt is to be stopped in favor of another, where
+// hedging is not allowed; 0: never.
+func (e *Engine) attemptStop(c *class) time.Duration {
+	if e.settings.Hedging || c.meanLatency <= 0 || c.Effect == Unsafe {
+		return 0
 	}
+	return e.now + max(c.expectedLatency(2*hedgeDeviations), c.LatencyObjective/3)
 }
 
-func (e *Engine) handleAttemptEnded(ev AttemptEnded) {
-	r := e.requests[ev.ID]
-	if r == nil || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
+// handleAttemptEnded takes an attempt off all counts, learns from its outcome and
+// finishes the request, retries it or waits for its other attempts.
+func (e *Engine) handleAttemptEnded(event AttemptEnded) {
+	r := e.requests[event.ID]
+	if r == nil || event.Attempt >= len(r.attempts) || r.attempts[event.Attempt].ended {
 		return
 	}
-	a := r.attempts[ev.Attempt]
-	a.ended, a.mayHaveRun = true, !ev.Outcome.NeverRan()
-	a.backend.outstanding = slices.DeleteFunc(a.backend.outstanding, func(b *attempt) bool { return a == b })
-	r.outstanding, r.tenant.inFlight = r.outstanding-1, r.tenant.inFlight-1
-	if !a.writtenOff {
-		e.inFlight--
-		e.updateWindow(a, r.class, ev.Outcome, ev.Took)
-	}
-	e.recordOutcome(a, r.class, ev.Outcome, ev.Took)
-	if ev.Unsent && len(r.attempts) == 1 { // no node has seen it: it took nothing
-		r.sent = false
-		r.tenant.ceilingLevel += r.Units
-	}
+	e.endAttempt(r, r.attempts[event.Attempt], event)
 	switch {
-	case r.finished:
-	case ev.Finished:
-		if r.plan.SettledByReply && ev.SettledUnits > 0 && r.charged {
-			r.tenant.leasedUnits -= ev.SettledUnits - r.Units
+	case r.phase == phaseFinished:
+	case event.Finished:
+		if r.plan.SettledByReply && event.SettledUnits > 0 && r.charged {
+			r.tenant.leasedUnits -= event.SettledUnits - r.Units
 		}
 		e.finish(r)
-	case r.outstanding > 0 || r.queued: // held: since its hall was lost
-	case !e.mayRetry(r) || r.GiveUpAt-e.now < r.class.expectedLatency(0)+2*e.sweepInterval ||
-		e.retryBudget < 1 && ev.Outcome != NotSent:
+	case r.outstanding > 0 || r.phase == phaseQueued: // queued: since its zone was lost
+	case !e.mayRetry(r) || !e.hasTimeToRetry(r) || e.retryBudget < 1 && event.Outcome != NotSent:
 		r.reason = NoRetry
 		e.giveUp(r)
-	default: // tried again where its class, its time and the budget allow; what was never sent cost nothing
-		if ev.Outcome != NotSent {
+	default: // an attempt that was never sent costs nothing of the budget
+		if event.Outcome != NotSent {
 			e.retryBudget--
 		}
 		e.enqueue(r)
 	}
 }
 
-// giveUp answers for good: refused where trying again is surely harmless, else failed.
+// endAttempt takes an ended attempt off all counts and learns from its outcome.
+func (e *Engine) endAttempt(r *request, a *attempt, event AttemptEnded) {
+	a.ended = true
+	a.mayHaveRun = !event.Outcome.NeverRan()
+	a.backend.outstanding = slices.DeleteFunc(a.backend.outstanding, func(b *attempt) bool { return a == b })
+	r.outstanding--
+	r.tenant.inFlight--
+	if !a.writtenOff {
+		e.inFlight--
+		e.updateWindow(a, r.class, event.Outcome, event.Took)
+	}
+	e.recordOutcome(a, r.class, event.Outcome, event.Took)
+	if event.Unsent && len(r.attempts) == 1 { // no backend has seen it: it took nothing of the ceiling
+		r.sent = false
+		r.tenant.ceilingLevel += r.Units
+	}
+}
+
+// giveUp gives a request its final answer: a rejection where the client may
+// surely try again without harm, else a failure.
 func (e *Engine) giveUp(r *request) {
-	if r.bindingAttempt() != nil && r.class.Effect != Safe && (r.class.Effect != Keyed || r.class.Group != GroupAll) {
+	if !r.safeToReject() {
 		e.emit(Fail{ID: r.ID, Reason: r.reason})
 		e.finish(r)
 		return
@@ -115,20 +112,23 @@
 	e.reject(r, r.class.LatencyObjective)
 }
 
-func (e *Engine) reject(r *request, after time.Duration) {
-	e.emit(Reject{ID: r.ID, RetryAfter: e.spreadRetryAfter(min(max(after, e.minRetryAfter), e.settings.MaxRetryAfter)), Reason: r.reason})
+// reject rejects a request, with a Retry-After within the bounds that hold now.
+func (e *Engine) reject(r *request, retryAfter time.Duration) {
+	bounded := min(max(retryAfter, e.minZoneRetryAfter), e.settings.MaxRetryAfter)
+	e.emit(Reject{ID: r.ID, RetryAfter: e.spreadRetryAfter(bounded), Reason: r.reason})
 	e.finish(r)
 }
 
-// close marks the request as finally answered and calls off what is still out for it.
+// finish marks a request as answered for good, gives back what it has not used
+// and cancels its attempts that are still out.
 func (e *Engine) finish(r *request) {
-	if r.queued {
+	if r.phase == phaseQueued {
 		e.dequeue(r)
 	}
 	if r.charged && !r.sent {
 		r.tenant.leasedUnits += r.Units
 	}
-	r.finished = true
+	r.phase = phaseFinished
 	for _, a := range r.attempts {
 		if !a.ended && e.settings.MayCancel && !r.streaming {
 			e.emit(CancelAttempt{ID: r.ID, Attempt: a.index})
--- /dev/null
+++ b/policy/handover_state.go
@@ -0,0 +1,242 @@
+package policy
+
+import (
+	"math"
+	"strings"
+	"time"
+)
+
+// LearnedState is what an engine knows, as facts with their times, for another
+// process of the same instance. It holds nothing of requests but how much is out
+// for them. Its JSON names are those of earlier versions.
+type LearnedState struct {
+	Window           float64          `json:"Window"`
+	Lag              float64          `json:"Lag"` // mean latency, seconds
+	AnswerRate       float64          `json:"Flow"`
+	AnswerRateAt     time.Duration    `json:"FlowAt"`
+	CounterCallShare float64          `json:"AskShare"`
+	InFlight         int              `json:"Busy"` // attempts that fill the window
+	Classes          []LearnedClass   `json:"Classes"`
+	Backends         []LearnedBackend `json:"Servers"`
+	Tenants          []LearnedTenant  `json:"Customers"`
+}
+
+// LearnedClass is the latency of a class, in seconds.
+type LearnedClass struct {
+	Name      string  `json:"Name"`
+	Mean      float64 `json:"Mean"`
+	Deviation float64 `json:"Dev"`
+}
+
+// LearnedBackend is what is known of a backend since its start at a time.
+type LearnedBackend struct {
+	ID                  BackendID     `json:"ID"`
+	Started             time.Duration `json:"Started"`
+	SlownessAt          time.Duration `json:"SlowAt"`
+	LastSent            time.Duration `json:"LastSent"`
+	EjectedUntil        time.Duration `json:"Banned"`
+	Slowness            float64       `json:"Slow"`
+	ConsecutiveFailures int           `json:"Fails"`
+}
+
+// LearnedTenant is the view of a tenant's quota, and what is leased of it.
+type LearnedTenant struct {
+	ID              string        `json:"ID"` // Request.Account
+	Plan            string        `json:"Plan"`
+	Tenant          string        `json:"Customer"`
+	Spread          int           `json:"Spread"`
+	First           int           `json:"First"`
+	LeasedUnits     float64       `json:"Block"`
+	UnreportedUnits float64       `json:"Owed"` // leased, and not yet added to the counter
+	Level           float64       `json:"Level"`
+	Demand          float64       `json:"Demand"`
+	Others          float64       `json:"Others"`
+	LevelAt         time.Duration `json:"At"`
+	TotalAt         time.Duration `json:"Looked"`
+	ExhaustedUntil  time.Duration `json:"Spent"`
+	Epoch           int64         `json:"Epoch"`
+	Total           float64       `json:"Total"`
+	ObservedUnits   float64       `json:"SeenUnits"`
+	ObservedFor     float64       `json:"SeenFor"`
+	ObservedAt      time.Duration `json:"SeenAt"`
+	LastRequest     time.Duration `json:"Seen"`
+	NextCounterCall time.Duration `json:"NextCall"`
+	RefreshedAt     time.Duration `json:"Refreshed"`
+	CounterSilent   bool          `json:"Silent"`
+	CeilingLevel    float64       `json:"Ceiling"`
+	CeilingAt       time.Duration `json:"CeilingAt"`
+	InFlight        int           `json:"Open"` // attempts out
+	Share           float64       `json:"Part"` // of the plan, for this instance
+}
+
+// ExportState returns what is known now.
+func (e *Engine) ExportState() LearnedState {
+	state := LearnedState{
+		Window:           e.window,
+		Lag:              e.meanLatency,
+		AnswerRate:       e.answerRate,
+		AnswerRateAt:     e.answerRateAt,
+		CounterCallShare: e.counterCallShare,
+		InFlight:         e.inFlight,
+	}
+	for _, configured := range e.settings.Classes {
+		if c := e.classes[configured.Name]; c.meanLatency > 0 {
+			state.Classes = append(state.Classes, LearnedClass{
+				Name:      configured.Name,
+				Mean:      c.meanLatency,
+				Deviation: c.latencyDeviation,
+			})
+		}
+	}
+	for _, b := range e.running {
+		state.Backends = append(state.Backends, LearnedBackend{
+			ID:                  b.ID,
+			Started:             b.Started,
+			SlownessAt:          b.slownessAt,
+			LastSent:            b.lastSent,
+			EjectedUntil:        b.ejectedUntil,
+			Slowness:            b.slowness,
+			ConsecutiveFailures: b.consecutiveFailures,
+		})
+	}
+	for _, t := range e.tenantOrder {
+		state.Tenants = append(state.Tenants, e.exportTenant(t))
+	}
+	return state
+}
+
+func (e *Engine) exportTenant(t *tenant) LearnedTenant {
+	return LearnedTenant{
+		ID:              t.account,
+		Plan:            t.plan.Name,
+		Tenant:          t.name,
+		Spread:          t.spread,
+		First:           e.firstInstance(t),
+		LeasedUnits:     t.leasedUnits,
+		UnreportedUnits: t.unreportedUnits,
+		Level:           t.level,
+		Demand:          t.demand,
+		Others:          t.othersRate,
+		LevelAt:         t.levelAt,
+		TotalAt:         t.totalAt,
+		ExhaustedUntil:  t.exhaustedUntil,
+		Epoch:           t.epoch,
+		Total:           t.total,
+		ObservedUnits:   t.observedUnits,
+		ObservedFor:     t.observedFor,
+		ObservedAt:      t.observedAt,
+		LastRequest:     t.lastRequest,
+		NextCounterCall: t.nextCall,
+		RefreshedAt:     t.refreshedAt,
+		CounterSilent:   t.counterSilent,
+		CeilingLevel:    t.ceilingLevel,
+		CeilingAt:       t.ceilingAt,
+		InFlight:        t.inFlight,
+		Share:           1 / t.shareDivisor,
+	}
+}
+
+// firstInstance returns the index of the first instance that the tenant's requests
+// come through.
+func (e *Engine) firstInstance(t *tenant) int {
+	return (e.settings.Index - t.position + e.settings.Instances) % e.settings.Instances
+}
+
+// ImportState takes over what another process knew. Its attempts that are out
+// count here until ReleasePredecessor.
+func (e *Engine) ImportState(now time.Duration, state LearnedState) {
+	e.now = max(now, e.now)
+	e.ReleasePredecessor()
+	if state.Window > 0 {
+		e.window = max(state.Window, minWindow)
+		e.counterCallShare = min(1, max(state.CounterCallShare, minCounterCallShare))
+		e.meanLatency = state.Lag
+		e.answerRate = state.AnswerRate
+		e.answerRateAt = state.AnswerRateAt
+	}
+	for _, learned := range state.Classes {
+		if c := e.classes[learned.Name]; c != nil {
+			c.meanLatency = learned.Mean
+			c.latencyDeviation = learned.Deviation
+		}
+	}
+	for _, learned := range state.Backends {
+		if b := e.backends[learned.ID]; b != nil && b.Started == learned.Started {
+			b.slowness = max(learned.Slowness, 0.01) // 0 would count as never seen
+			b.slownessAt = learned.SlownessAt
+			b.lastSent = learned.LastSent
+			b.consecutiveFailures = learned.ConsecutiveFailures
+			b.ejectedUntil = learned.EjectedUntil
+		}
+	}
+	for _, learned := range state.Tenants {
+		if p := e.plans[learned.Plan]; p != nil && learned.ID != "" {
+			e.importTenant(p, learned)
+		}
+	}
+	e.predecessorInFlight = state.InFlight
+	e.inFlight += state.InFlight
+}
+
+func (e *Engine) importTenant(p *Plan, learned LearnedTenant) {
+	if learned.Tenant == "" { // from a version whose accounts had the tenant's name alone
+		learned.Tenant, _, _ = strings.Cut(learned.ID, "/")
+		learned.Epoch = -1
+		learned.Total = 0
+	}
+	t := e.tenantFor(&request{plan: p, Request: Request{
+		Tenant: learned.Tenant,
+		Plan:   learned.Plan,
+		Spread: learned.Spread,
+		First:  max(learned.First, 0),
+	}})
+	t.leasedUnits = learned.LeasedUnits
+	t.unreportedUnits = learned.UnreportedUnits
+	t.level = learned.Level
+	t.levelAt = learned.LevelAt
+	t.refreshedAt = learned.RefreshedAt
+	t.demand = learned.Demand
+	t.othersRate = learned.Others
+	t.lastRequest = learned.LastRequest
+	t.epoch = learned.Epoch
+	t.total = learned.Total
+	t.totalAt = learned.TotalAt
+	t.nextCall = learned.NextCounterCall
+	t.counterSilent = learned.CounterSilent
+	t.exhaustedUntil = learned.ExhaustedUntil
+	t.observedUnits = learned.ObservedUnits
+	t.observedFor = learned.ObservedFor
+	t.observedAt = learned.ObservedAt
+	t.ceilingLevel = learned.CeilingLevel
+	t.ceilingAt = learned.CeilingAt
+	t.predecessorInFlight = learned.InFlight
+	t.inFlight += learned.InFlight
+}
+
+// ReleasePredecessor ends what ImportState has counted for the other process:
+// nothing of it is out any more.
+func (e *Engine) ReleasePredecessor() {
+	e.inFlight -= e.predecessorInFlight
+	e.predecessorInFlight = 0
+	for _, t := range e.tenantOrder {
+		t.inFlight -= t.predecessorInFlight
+		t.predecessorInFlight = 0
+	}
+}
+
+// RetainUnits sets what is left here of each tenant's units after the rest was
+// given to another process of this instance. From then on quotas and ceilings
+// fill there, and no longer here.
+func (e *Engine) RetainUnits(retained []LearnedTenant) {
+	for _, r := range retained {
+		if t := e.tenants[r.ID]; t != nil {
+			t.leasedUnits = r.LeasedUnits
+			t.unreportedUnits = r.UnreportedUnits
+			t.ceilingLevel = r.CeilingLevel
+			t.level = min(0, t.level) - t.plan.Burst/2 // what comes to the quota is leased there
+		}
+	}
+	for _, p := range e.plans {
+		p.CeilingRate = min(p.CeilingRate, math.SmallestNonzeroFloat32)
+	}
+}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -1,59 +1,63 @@
 package policy
 
 import (
-	"math"
 	"slices"
 	"sort"
-	"time"
 )
 
-// hold puts a request at the end of the queue of its priority.
+// expiryDeviations is the number of mean deviations over the mean latency within
+// which nearly all answers come.
+const expiryDeviations = 2.0
+
+// enqueue puts a request at the end of the queue of its priority.
 func (e *Engine) enqueue(r *request) {
-	r.queuedPriority, r.reason, r.queued = r.currentPriority(), WindowFull, true
+	r.queuedPriority = r.currentPriority()
+	r.reason = WindowFull
+	r.phase = phaseQueued
 	i := sort.Search(len(e.queue), func(i int) bool { return e.queue[i].queuedPriority < r.queuedPriority })
 	e.queue = slices.Insert(e.queue, i, r)
 }
 
+// dequeue takes a request out of the queue, to be sent, queued anew or finished.
 func (e *Engine) dequeue(r *request) {
 	i := slices.Index(e.queue, r)
-	e.queue, r.queued = slices.Delete(e.queue, i, i+1), false
+	e.queue = slices.Delete(e.queue, i, i+1)
+	r.phase = phaseInFlight
 }
 
-// release fills the window: the head of the highest queue goes first. One that may not go yet, by its
-// customer's cap or ceiling or for want of a server of its group, lets the next pass. Where one that is bound
-// to no group finds none, nobody does: looking on would cost a look at each server for each that is held.
+// sendQueued fills the window, highest priority first. A request that may not be
+// sent yet, by its tenant's cap or ceiling or for want of a backend of its group,
+// lets the next one pass. If there is no backend for a request that is bound to
+// no group, there is none for anybody: to go on would cost a look at each backend
+// for each queued request.
 func (e *Engine) sendQueued() {
-	for i := 0; i < len(e.queue) && e.windowHasRoom(); {
+	for i := 0; i < len(e.queue) && e.windowHasCapacity(); {
 		r := e.queue[i]
 		if !e.maySend(r) {
 			i++
-		} else if s := e.chooseBackend(r); s != nil {
+			continue
+		}
+		if b := e.chooseBackend(r); b != nil {
 			e.dequeue(r)
-			e.sendAttempt(r, s)
-		} else if r.reason = NoBackend; r.bindingAttempt() == nil {
+			e.sendAttempt(r, b)
+			continue
+		}
+		r.reason = NoBackend
+		if r.bindingAttempt() == nil {
 			return
-		} else {
-			i++
 		}
+		i++
 	}
 }
 
-// part is this gateway's part of a few attempts for each server: the window's start, the retries saved up.
-func (e *Engine) windowShare() float64 {
-	return max(1, initialAttemptsPerBackend*float64(len(e.running))/float64(e.settings.Instances))
-}
-
-// hasRoom says whether the window lets another attempt out; below one they go one by one, with pauses.
-func (e *Engine) windowHasRoom() bool {
-	return float64(e.inFlight) < e.window && (e.window >= 1 || (e.now-e.lastSent).Seconds() >= e.meanLatency/e.window)
-}
-
+// maySend reports whether a request may be sent now as far as its tenant and its
+// earlier attempts are concerned, and notes the reason if it may not.
 func (e *Engine) maySend(r *request) bool {
 	if e.now >= r.GiveUpAt || r.plan.MaxInFlight > 0 && r.tenant.inFlight >= e.inFlightLimit(r.tenant) {
 		r.reason = CapFull
 		return false
 	}
-	if r.sent { // held for another attempt, while its group may have begun to forget the first
+	if r.sent { // queued for a retry, while its group may have begun to forget the first attempt
 		return e.mayRetry(r)
 	}
 	if !e.ceilingAllows(r) {
@@ -63,16 +67,18 @@
 	return true
 }
 
-// expire ends a held request that cannot be answered in time, by the learned latency; where lateness still
-// earns something it goes on at that worth.
+// expire ends a request that cannot be answered in time, by the learned latency.
+// Where a late answer still earns something, it stays queued at that priority.
 func (e *Engine) expire(r *request) {
 	need := min(r.class.expectedLatency(expiryDeviations), r.class.LatencyObjective)
-	if r.sent && !e.mayRetry(r) || e.now+min(need, r.class.expectedLatency(0)) >= r.GiveUpAt-2*e.sweepInterval {
+	latestSend := r.GiveUpAt - 2*e.sweepInterval
+	if r.sent && !e.mayRetry(r) || e.now+min(need, r.class.expectedLatency(0)) >= latestSend {
 		e.giveUp(r)
 		return
 	}
 	switch {
-	case !r.queued, r.late, e.now+need < r.arrivedAt+r.class.LatencyObjective: // not held: it waits for the counter
+	case r.phase != phaseQueued, r.late: // not queued: it waits for the counter
+	case e.now+need < r.arrivedAt+r.class.LatencyObjective:
 	case r.class.LateShare <= 0:
 		e.giveUp(r)
 	default:
@@ -81,47 +87,3 @@
 		e.enqueue(r)
 	}
 }
-
-// judge counts an attempt's end towards the window.
-func (e *Engine) updateWindow(a *attempt, c *class, o Outcome, took time.Duration) {
-	switch {
-	case o == Rejected || o == TimedOut || o == Succeeded && took > c.LatencyObjective/3:
-		e.untimely, c.untimely = e.untimely+1, c.untimely+1
-		if a.backend.untimelyRound != e.roundNumber {
-			a.backend.untimelyRound = e.roundNumber
-			e.untimelyBackends++
-		}
-	case o == Succeeded:
-		e.timely, c.timely = e.timely+1, c.timely+1
-		if float64(e.inFlight) >= 0.8*e.window-1 || len(e.queue) > 0 {
-			step := 1.0
-			if e.untimely > 0 || e.untimelyLastRound > 0 {
-				step = min(1, e.windowShare()/fullGrowthWindow)
-			}
-			e.window += min(step/e.window, e.window*maxWindowGrowth)
-		}
-	}
-}
-
-// endRound narrows the window, once a round trip at most, where many servers answer late or turn work away.
-func (e *Engine) endWindowRound() {
-	n := float64(e.timely + e.untimely)
-	if e.now < e.roundEnd || n < 8 && e.untimely < 3 {
-		return
-	}
-	least := float64(e.untimely) / n // long calls of one class are not a full back end: the best class tells
-	for _, c := range e.classes {
-		if m := c.timely + c.untimely; m >= 4 {
-			least = min(least, float64(c.untimely)/float64(m))
-		}
-		c.timely, c.untimely = 0, 0
-	}
-	fleet := float64(len(e.running))
-	if least > untimelyShareLimit && float64(e.untimelyBackends) >= max(min(3, fleet), minAffectedShare*min(n, fleet)) {
-		// Scarce evidence fills a round slowly: it then stands for all the round trips that have gone by.
-		trips := min(1+(e.now-e.roundEnd).Seconds()/max(e.meanLatency, e.sweepInterval.Seconds()), maxRoundTrips)
-		e.window = max(e.window*math.Pow(windowDecrease, trips), minWindow, fleet/float64(e.settings.Instances))
-	}
-	e.roundNumber, e.untimelyLastRound, e.timely, e.untimely, e.untimelyBackends = e.roundNumber+1, e.untimely, 0, 0, 0
-	e.roundEnd = e.now + max(time.Duration(e.meanLatency*float64(time.Second)), 2*e.sweepInterval)
-}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -24,10 +24,10 @@
 	count(r.pass(1990 * ms))
 	for id := RequestID(1); id <= 40; id++ {
 		q := r.engine.requests[id]
-		if q == nil || q.finished {
+		if q == nil || q.phase == phaseFinished {
 			continue
 		}
-		if q.queued {
+		if q.phase == phaseQueued {
 			t.Fatalf("request %d is still held at its deadline", id)
 		}
 		for _, a := range q.attempts {
@@ -95,7 +95,7 @@
 	}
 	r.engine.window, r.engine.inFlight = 1, r.engine.inFlight+1 // the window has no room for another
 	r.now += 500 * ms
-	if got := r.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset}); len(got) != 0 || !r.engine.requests[1].queued {
+	if got := r.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset}); len(got) != 0 || r.engine.requests[1].phase != phaseQueued {
 		t.Fatalf("actions %v, want the request held", got)
 	}
 	r.now += 450 * ms
