--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 )
 
 func Example() {
-	gateway, err := policy.New(policy.Settings{
+	engine, err := policy.New(policy.Settings{
 		Index: 0, Instances: 2, MaxAttempts: 3, MaxRetryAfter: time.Second, Hedging: true, MayCancel: true,
 		Counter: true, CounterTimeout: 50 * time.Millisecond,
 		Classes: []policy.Class{{
@@ -22,11 +22,11 @@
 		return
 	}
 	now := time.Hour
-	gateway.Handle(now, policy.EndpointsChanged{
+	engine.Handle(now, policy.EndpointsChanged{
 		Complete: true,
 		Backends: []policy.Backend{{ID: "10.0.0.1:80", State: policy.Running}},
 	}, nil)
-	for _, a := range gateway.Handle(now, policy.Arrival{Request: policy.Request{
+	for _, a := range engine.Handle(now, policy.Arrival{Request: policy.Request{
 		ID: 1, Class: "read", Plan: "basic",
 		Tenant: "c1", Units: 1, Spread: 2, GiveUpAt: now + 2*time.Second,
 	}}, nil) {
--- /dev/null
+++ b/policy/quota_test.go
@@ -0,0 +1,173 @@
+package policy
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestRejectedRequestsGiveNoUnitsBack(t *testing.T) {
+	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
+	sent := 0
+	for id := RequestID(1); id < 60; id++ { // the counter does not answer: this instance's share of the burst is 4
+		sent += len(actionsOf[SendAttempt](h.arrive(id, "read", "small")))
+		h.notify(succeeded(id, "", ms))
+	}
+	if sent < 4 || sent > 8 {
+		t.Fatalf("got %d of 59 sent, want 4 to 8: the whole burst is 8", sent)
+	}
+}
+
+// The next block is requested when half of the present one is spent, while requests
+// go on; one call is out at a time.
+func TestNextBlockIsRequestedAtHalfSpent(t *testing.T) {
+	h := newHarness(t, testSettings(), runningBackends("s")...)
+	var calls []AddToCounter
+	for id := RequestID(1); id <= 3; id++ {
+		actions := h.arrive(id, "read", "small")
+		if len(actionsOf[SendAttempt](actions)) != 1 {
+			t.Fatalf("request %d was not sent at once", id)
+		}
+		calls = append(calls, actionsOf[AddToCounter](actions)...)
+		h.notify(succeeded(id, "", ms))
+	}
+	if len(calls) != 1 || calls[0].Add < 4 {
+		t.Fatalf("got calls %v, want one that adds the first block and the next", calls)
+	}
+}
+
+// A request that names a tenant with another plan than the first one did is decided
+// by its own plan, and leaves the quota of the other alone.
+func TestPlansOfOneTenantAreCountedSeparately(t *testing.T) {
+	for _, first := range []string{"small", "large"} {
+		settings := testSettings()
+		settings.Instances = 1
+		settings.Counter = false
+		settings.Plans = append(settings.Plans, Plan{Name: "large", Price: 1, Rate: 3, Burst: 20, ExcessCost: 0.5})
+		h := newHarness(t, settings, runningBackends("s")...)
+		got := map[string]int{}
+		id := RequestID(0)
+		arrive := func(plan string) {
+			id++
+			q := h.request(id, "read", plan)
+			q.Spread = 1
+			if len(actionsOf[SendAttempt](h.notify(Arrival{q}))) > 0 {
+				got[plan]++
+				h.notify(succeeded(id, "s", ms))
+			}
+		}
+		arrive(first)
+		h.pass(3 * time.Second) // its quota is full again
+		for range 30 {
+			arrive("small")
+			arrive("large")
+		}
+		want := map[string]int{"small": 8, "large": 20}
+		want[first]++ // the quota has filled since its first request
+		for plan, n := range want {
+			if got[plan] != n {
+				t.Errorf("%s first: got %d requests of plan %s sent, want %d", first, got[plan], plan, n)
+			}
+		}
+	}
+}
+
+// An account has one name at the counter, whatever each instance has seen before:
+// where a tenant came first with another plan or another set of instances, its
+// requests are still counted together with those elsewhere.
+func TestAccountHasOneName(t *testing.T) {
+	counterName := func(before func(h *harness)) string {
+		h := newHarness(t, testSettings(), runningBackends("s")...)
+		before(h)
+		for id := RequestID(10); id < 20; id++ {
+			if calls := actionsOf[AddToCounter](h.arrive(id, "read", "small")); len(calls) > 0 {
+				return calls[0].Name
+			}
+			h.notify(succeeded(id, "s", ms))
+		}
+		t.Fatal("the counter was not called")
+		return ""
+	}
+	want := counterName(func(*harness) {})
+	for name, before := range map[string]func(h *harness){
+		"another plan first": func(h *harness) { h.arrive(1, "read", "capped") },
+		"another set first": func(h *harness) {
+			q := h.request(1, "read", "small")
+			q.Spread = 1
+			q.First = 1
+			h.notify(Arrival{q})
+		},
+	} {
+		if got := counterName(before); got != want {
+			t.Errorf("%s: got counter name %q, want %q as elsewhere", name, got, want)
+		}
+	}
+	const long = "a-plan-with-a-name-that-is-longer-than-the-counter-would-take-it"
+	for _, plan := range []string{"small", "", "with space", "Ünï", long} {
+		r := Request{Tenant: "00000000b4d65521", Plan: plan}
+		other := Request{Tenant: r.Tenant, Plan: plan + "2"}
+		if got := r.Account(); len(got) > 24 || strings.ContainsAny(got, " :\r\n") || got == other.Account() {
+			t.Errorf("plan %q: got account %q, want 24 bytes at most, plain and its own", plan, got)
+		}
+	}
+}
+
+// Each request is decided by the set of instances that it names: one that says that
+// its tenant comes through this instance alone does not leave it the whole rate.
+func TestRequestsAreDecidedByTheirOwnSpread(t *testing.T) {
+	settings := testSettings()
+	settings.Counter = false // this instance's share of the rate decides
+	h := newHarness(t, settings, runningBackends("s")...)
+	id, sent := RequestID(0), 0
+	arrive := func(spread int) {
+		id++
+		q := h.request(id, "read", "small")
+		q.Spread = spread
+		if len(actionsOf[SendAttempt](h.notify(Arrival{q}))) > 0 {
+			sent++
+			h.notify(succeeded(id, "s", ms))
+		}
+	}
+	arrive(1)
+	for range 80 {
+		h.pass(100 * ms)
+		arrive(2)
+	}
+	// The burst that the first request has leased, half of the rate for 8 s, and one.
+	if limit := 8 + 8*1 + 1; sent > limit {
+		t.Errorf("got %d sent, want %d at most", sent, limit)
+	}
+}
+
+// This instance stays within its share of the ceiling, and starts with none of it.
+func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
+	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
+	h.engine.plans["capped"].Rate = 0 // no quota but the ceiling
+	h.engine.window = 1000
+	sent := 0
+	for i := range 400 {
+		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.pass(10*ms)...)
+		sent += len(actionsOf[SendAttempt](actions))
+	}
+	if limit := 4*20/2 + 1; sent == 0 || sent > limit { // 4 s of half the ceiling's rate
+		t.Fatalf("got %d sent in 4 s, want 1 to %d", sent, limit)
+	}
+}
+
+func TestInFlightLimitIsSharedAndQueues(t *testing.T) {
+	settings := testSettings()
+	limited := Plan{Name: "limited", Price: 1, Rate: 100, Burst: 100, MaxInFlight: 4, ExcessCost: 1}
+	settings.Plans = append(settings.Plans, limited)
+	h := newHarness(t, settings, runningBackends("s", "u")...)
+	h.engine.window = 100
+	sent := 0
+	for id := RequestID(1); id <= 5; id++ {
+		sent += len(actionsOf[SendAttempt](h.arrive(id, "read", limited.Name)))
+	}
+	if sent != 2 {
+		t.Fatalf("got %d in flight, want 2: this instance's share", sent)
+	}
+	if got := actionsOf[SendAttempt](h.notify(succeeded(1, "", 5*ms))); len(got) != 1 {
+		t.Fatalf("got sends %v, want one: a queued request takes the slot", got)
+	}
+}
--- /dev/null
+++ b/policy/settings_test.go
@@ -0,0 +1,65 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestUnusableSettingsGiveAnError(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
+		"instances": func(s *Settings) { s.Instances = 0 },
+		"index":     func(s *Settings) { s.Index = 2 },
+		"classes":   func(s *Settings) { s.Classes = nil },
+		"objective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"rate":      func(s *Settings) { s.Plans[0].Rate = -1 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := testSettings()
+			change(&settings)
+			if _, err := New(settings, 1); err == nil {
+				t.Error("got no error, want one")
+			}
+		})
+	}
+}
+
+// Settings with little in them are decided with, and cause no panic.
+func TestSparseSettingsAreDecided(t *testing.T) {
+	settings := testSettings()
+	settings.Counter = false
+	settings.Hedging = false
+	settings.MayCancel = false
+	settings.SlowStartWindow = 0
+	settings.Plans = []Plan{{Name: "small", Price: 1, Rate: 2}}
+	h := newHarness(t, settings, runningBackends("s")...)
+	sent := 0
+	for id := RequestID(1); id <= 20; id++ {
+		actions := append(h.arrive(id, "read", "small"), h.notify(succeeded(id, "s", ms))...)
+		actions = append(actions, h.pass(200*ms)...)
+		sent += len(actionsOf[SendAttempt](actions))
+		if len(actionsOf[AddToCounter](actions)) > 0 {
+			t.Fatal("the counter was called, but there is none")
+		}
+	}
+	if sent < 3 || sent > 8 { // half of 2 units a second over 4 s, and its share of the burst
+		t.Fatalf("got %d sends, want 3 to 8", sent)
+	}
+}
+
+func TestEnginesShareNoState(t *testing.T) {
+	play := func(beside bool) string {
+		first := newHarness(t, testSettings(), runningBackends("s", "u")...)
+		second := newHarness(t, testSettings(), runningBackends("s")...)
+		log := ""
+		for id := RequestID(1); id <= 200; id++ {
+			if beside {
+				second.arrive(id, "read", "small")
+			}
+			log += fmt.Sprint(first.arrive(id, "read", "small"), first.pass(30*ms))
+		}
+		return log
+	}
+	if play(false) != play(true) {
+		t.Fatal("the actions of an engine differ when another one is used")
+	}
+}
--- /dev/null
+++ b/policy/unreachable_test.go
@@ -0,0 +1,47 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+)
+
+// Three backends of a zone that cannot be connected to make the zone unreachable,
+// long before each has failed by itself; one answer from there ends that.
+func TestUnreachableBackendsMakeTheirZoneUnreachable(t *testing.T) {
+	settings := testSettings()
+	settings.Instances = 80
+	h := newHarness(t, settings, listBackends(30, 0)...)
+	h.engine.window = 1000
+	h.engine.retryBudget = 1000
+	lost, late := 0, 0
+	failed := map[BackendID]bool{}
+	for i := range 200 {
+		h.now += 20 * ms
+		sends := actionsOf[SendAttempt](h.arrive(RequestID(i), "read", "free"))
+		for attempts := map[RequestID]int{}; len(sends) > 0; sends = sends[1:] {
+			s := sends[0]
+			event := succeeded(s.ID, s.Backend, ms)
+			event.Attempt = attempts[s.ID]
+			attempts[s.ID]++
+			if h.engine.backends[s.Backend].Zone == "a" {
+				lost++
+				if len(failed) >= 3 {
+					late++
+				}
+				failed[s.Backend] = true
+				event.Outcome = NoConnect
+				event.Finished = false
+			}
+			sends = append(sends, actionsOf[SendAttempt](h.notify(event))...)
+		}
+	}
+	if lost < 3 || late > 4 { // one more each time that the zone is tried again
+		t.Errorf("got %d attempts to the lost zone, want 3 or more; got %d after three failed, want 4 at most",
+			lost, late)
+	}
+	i := slices.IndexFunc(h.engine.running, func(b *backend) bool { return b.Zone == "a" })
+	h.engine.recordOutcome(&attempt{backend: h.engine.running[i]}, h.engine.classes["read"], Succeeded, ms)
+	if len(h.engine.unreachable) != 0 {
+		t.Errorf("got %v unreachable after an answer from the zone, want none", h.engine.unreachable)
+	}
+}
--- a/policy/window.go
+++ b/policy/window.go
@@ -37,7 +37,7 @@
 	return max(1, initialAttemptsPerBackend*float64(len(e.running))/float64(e.settings.Instances))
 }
 
-// windowHasRoom reports whether the window lets another attempt out. A window
+// windowHasCapacity reports whether the window lets another attempt out. A window
 // below one lets them out one by one, with pauses.
 func (e *Engine) windowHasCapacity() bool {
 	if float64(e.inFlight) >= e.window {
@@ -105,7 +105,7 @@
 	e.roundEnd = e.now + max(time.Duration(e.meanLatency*float64(time.Second)), 2*e.sweepInterval)
 }
 
-// leastUntimelyShare returns the share of untimely ends in the class that has the
+// minUntimelyShare returns the share of untimely ends in the class that has the
 // least of them, and starts the classes' counts anew. Long calls of one class do
 // not mean that the backends are full.
 func (e *Engine) minUntimelyShare(ends float64) float64 {
