--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -85,7 +85,7 @@
 	cfg.For, cfg.Strangers, cfg.Log = 4*time.Second, []int{2}, log
 	r := viewsAt(t, cfg, map[time.Duration][]string{3 * time.Second: {"n1", "n0", ""}, 3500 * time.Millisecond: {"n1", "n0", ""}})
 	holds(t, r)
-	if n := log.count("messages are left aside", "the key in its peers.key_file is another"); n < 2 || n > 6 {
+	if n := log.count("datagram rejected", "the key in its peers.key_file is another"); n < 2 || n > 6 {
 		t.Errorf("seed %d: %d lines on the wrong key", r.Seed, n)
 	}
 }
@@ -139,17 +139,17 @@
 
 // versionEdits are the edits that make a program of the next version of the messages, of a version before, and of one that this version cannot read.
 func versionEdits() (next, before, later []edit) {
-	const engine = "internal/peers/engine.go"
-	field := "	Clock        int64              `cbor:\"8,keyasint,omitempty\"` // of the sender, in microseconds\n"
-	second := edit{engine, "	Version          = 1\n", "	Version          = 2\n"}
+	const datagram = "internal/peers/datagram.go"
+	field := "	Clock int64 `cbor:\"8,keyasint,omitempty\"`\n"
+	second := edit{datagram, "	Version          = 1\n", "	Version          = 2\n"}
+	clock := "	p.Clock = e.now.Microseconds()\n"
 	next = []edit{
 		second,
-		{engine, field, field + "	Fresh   string        `cbor:\"99,keyasint\"`\n"},
-		{engine, "p.Clock = Version,", "p.Clock, p.Fresh = Version,"},
-		{engine, "e.now.Microseconds()\n	b, err", "e.now.Microseconds(), \"what is new\"\n	b, err"},
+		{datagram, field, field + "	Fresh string `cbor:\"99,keyasint\"`\n"},
+		{datagram, clock, clock + "	p.Fresh = \"what is new\"\n"},
 	}
-	before = []edit{{engine, field, "	Clock   int64         `cbor:\"-\"`\n"}}
-	later = []edit{second, {engine, "	minReaderVersion = 1\n", "	minReaderVersion = 2\n"}}
+	before = []edit{{datagram, field, "	Clock int64 `cbor:\"-\"`\n"}}
+	later = []edit{second, {datagram, "	minReaderVersion = 1\n", "	minReaderVersion = 2\n"}}
 	return next, before, later
 }
 
@@ -190,8 +190,8 @@
 		cfg.Ingress, cfg.Mixed, cfg.For, cfg.Log = "", []string{now, now, later}, 4*time.Second, log
 		r := viewsAt(t, cfg, map[time.Duration][]string{3 * time.Second: {"n1", "n0", ""}})
 		holds(t, r)
-		if log.count("messages are left aside", "later version") == 0 {
-			t.Error("nobody says that a later version is there", fmt.Sprint(log.count("left aside")))
+		if log.count("datagram rejected", "later version") == 0 {
+			t.Error("nobody says that a later version is there", fmt.Sprint(log.count("datagram rejected")))
 		}
 	})
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"os"
@@ -18,51 +17,77 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// lines is a log that tests read.
+// logBuffer is a log that tests read.
 type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
-// Write is io.Writer's.
+// Write implements io.Writer.
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(b)
+	return l.buf.Write(b)
 }
 
-func (l *logBuffer) count(text string) int {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.b.String(), text)
+	return l.buf.String()
 }
 
-func keyFile(t *testing.T, keys ...string) string {
+func (l *logBuffer) count(text string) int { return strings.Count(l.text(), text) }
+
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
-	file := filepath.Join(t.TempDir(), "key")
-	if err := os.WriteFile(file, []byte(strings.Join(keys, "\n")), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
+}
+
+func keyFile(t *testing.T, keys ...string) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "key")
+	writeFile(t, file, strings.Join(keys, "\n"))
 	return file
 }
 
-// free are loopback addresses that nobody listens on.
-func freeAddrs(t *testing.T, n int) (out []string) {
+// freeAddrs returns loopback addresses at which nobody listens.
+func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
+	var addrs []string
 	for range n {
-		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
+		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		out = append(out, c.LocalAddr().String())
+		defer conn.Close()
+		addrs = append(addrs, conn.LocalAddr().String())
 	}
-	return out
+	return addrs
 }
 
-func config(name, listen string, key string, seeds ...string) Config {
+func testConfig(name, listen, keyFile string, seeds ...string) Config {
 	began := time.Now()
-	return Config{Name: name, Listen: listen, KeyFile: key, Seeds: seeds, Incarnation: uint64(began.UnixNano()), Clock: func() time.Duration { return time.Since(began) + time.Hour }}
+	return Config{
+		Name:        name,
+		Listen:      listen,
+		KeyFile:     keyFile,
+		Seeds:       seeds,
+		Incarnation: uint64(began.UnixNano()),
+		Clock:       func() time.Duration { return time.Since(began) + time.Hour },
+	}
+}
+
+// startPeers starts an instance that is closed at the end of the test.
+func startPeers(t *testing.T, cfg Config, log *slog.Logger) *Peers {
+	t.Helper()
+	p, err := Start(cfg, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.Close)
+	return p
 }
 
 func eventually(t *testing.T, what string, done func() bool) {
@@ -74,90 +99,89 @@
 	}
 }
 
-// Over real sockets: instances find one another, tell one another, leave; one with another key finds nobody, and both sides have
-// one line on it; garbage does nothing.
+// memberState returns the state of a member by an instance's view; "" if it is
+// unknown.
+func memberState(p *Peers, name string) string {
+	for _, m := range p.Status().Members {
+		if m.Name == name {
+			return m.State
+		}
+	}
+	return ""
+}
+
+// allAlive reports whether each instance sees so many others.
+func allAlive(all []*Peers, others int) bool {
+	for _, p := range all {
+		if p.Status().Alive != others {
+			return false
+		}
+	}
+	return true
+}
+
+// Over real sockets instances find one another, exchange facts and leave. One
+// with another key finds nobody, which both sides log in a line now and then, and
+// garbage has no effect.
 func TestOverSockets(t *testing.T) {
-	at := freeAddrs(t, 4)
+	addrs := freeAddrs(t, 4)
 	key := keyFile(t, "the key that all of them have")
 	var log logBuffer
 	logger := slog.New(slog.NewTextHandler(&log, nil))
 	var all []*Peers
 	for i := range 3 {
-		p, err := Start(config(fmt.Sprint("n", i), at[i], key, at[0], at[1]), logger)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer p.Close()
-		all = append(all, p)
+		all = append(all, startPeers(t, testConfig(fmt.Sprint("n", i), addrs[i], key, addrs[0], addrs[1]), logger))
 	}
-	strange, err := Start(config("n3", at[3], keyFile(t, "some other key, as long"), at[0]), logger)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer strange.Close()
-	eventually(t, "they find one another", func() bool {
-		return all[0].Status().Alive == 2 && all[1].Status().Alive == 2 && all[2].Status().Alive == 2
-	})
+	outsider := startPeers(t, testConfig("n3", addrs[3], keyFile(t, "some other key, as long"), addrs[0]), logger)
+	eventually(t, "the instances find one another", func() bool { return allAlive(all, 2) })
 	all[2].Publish("node", "x", time.Hour, []byte("slow"))
-	eventually(t, "the fact is at all", func() bool {
-		a, halls := all[0].Facts("node")
+	eventually(t, "the fact reaches all", func() bool {
+		a, zones := all[0].Facts("node")
 		b, _ := all[1].Facts("node")
-		return len(a) == 1 && len(b) == 1 && string(a[0].Data) == "slow" && a[0].Owner == "n2" && halls["n2"] == ""
+		return len(a) == 1 && len(b) == 1 && string(a[0].Data) == "slow" && a[0].Owner == "n2" && zones["n2"] == ""
 	})
-	if v := all[0].Version(); v == 0 {
-		t.Fatal(v)
+	if all[0].Version() == 0 {
+		t.Fatal("got the version 0 of a store with a fact")
 	}
-	to, err := net.Dial("udp4", at[0])
+	conn, err := net.Dial("udp4", addrs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
+	defer conn.Close()
 	for i := range 200 {
-		to.Write(bytes.Repeat([]byte{byte(i)}, 1+i))
+		conn.Write(bytes.Repeat([]byte{byte(i)}, 1+i))
 	}
 	eventually(t, "garbage is counted", func() bool { return all[0].Status().Counts.WrongKey >= 200 })
-	if strange.Status().Alive != 0 || log.count("no key opens it") == 0 || log.count("messages are left aside") > 8 {
-		t.Fatal(strange.Status().Alive, log.count("messages are left aside"))
+	rejected := log.count("datagram rejected")
+	if outsider.Status().Alive != 0 || log.count("no key opens it") == 0 || rejected > 8 {
+		t.Fatalf("got %d members with another key and %d log lines", outsider.Status().Alive, rejected)
 	}
 	all[2].Close()
-	eventually(t, "it has left", func() bool {
-		s := all[0].Status()
-		for _, m := range s.Members {
-			if m.Name == "n2" {
-				return m.State == "left"
-			}
-		}
-		return false
-	})
+	eventually(t, "n2 has left", func() bool { return memberState(all[0], "n2") == "left" })
 }
 
-// An instance that waits for another process of its own to go takes part when that has gone; another one's address is an error.
-func TestAddressTaken(t *testing.T) {
-	at := freeAddrs(t, 2)
+// An instance that waits for another process of its own joins when that has
+// ended. Without waiting, an address that is in use is an error.
+func TestAddressInUse(t *testing.T) {
+	addrs := freeAddrs(t, 2)
 	key := keyFile(t, "the key that all of them have")
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	first, err := Start(config("n0", at[0], key, at[1]), log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Start(config("n0", at[0], key, at[1]), log); err == nil || !strings.Contains(err.Error(), "peers.listen \""+at[0]) {
-		t.Fatal(err)
-	}
-	other, err := Start(config("n1", at[1], key, at[0]), log)
+	log := slog.New(slog.DiscardHandler)
+	cfg := testConfig("n0", addrs[0], key, addrs[1])
+	first, err := Start(cfg, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	cfg := config("n0", at[0], key, at[1])
-	cfg.WaitForAddress = true
-	next, err := Start(cfg, log)
-	if err != nil {
-		t.Fatal(err)
+	want := "peers.listen \"" + addrs[0]
+	if _, err := Start(cfg, log); err == nil || !strings.Contains(err.Error(), want) {
+		t.Fatalf("got %v, want %q", err, want)
 	}
-	defer next.Close()
-	eventually(t, "the first is there", func() bool { return other.Status().Alive == 1 })
+	other := startPeers(t, testConfig("n1", addrs[1], key, addrs[0]), log)
+	waiting := testConfig("n0", addrs[0], key, addrs[1])
+	waiting.WaitForAddress = true
+	next := startPeers(t, waiting, log)
+	eventually(t, "the first process joins", func() bool { return other.Status().Alive == 1 })
 	first.Close()
-	eventually(t, "the next is there", func() bool {
+	eventually(t, "the next process joins", func() bool {
 		for _, m := range other.Status().Members {
 			if m.Name == "n0" && m.State == "alive" && m.Incarnation == next.Status().Incarnation {
 				return true
@@ -167,110 +191,87 @@
 	})
 }
 
-// What can't be right is one line that names field and value.
-func TestBadConfig(t *testing.T) {
+// A configuration that cannot work is an error of one line that names the field
+// and the value.
+func TestInvalidConfig(t *testing.T) {
 	key := keyFile(t, "the key that all of them have")
-	at := freeAddrs(t, 1)[0]
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	addr := freeAddrs(t, 1)[0]
 	for want, change := range map[string]func(*Config){
 		"peers.key_file":       func(c *Config) { c.KeyFile = keyFile(t, "short") },
 		"peers.seeds: there":   func(c *Config) { c.Seeds = nil },
-		"is this instance":     func(c *Config) { c.Seeds = []string{at} },
+		"is this instance":     func(c *Config) { c.Seeds = []string{addr} },
 		"peers.seeds_file":     func(c *Config) { c.SeedsFile = c.KeyFile },
 		"peers.listen \"192.0": func(c *Config) { c.Listen = "192.0.2.1:7946" },
 	} {
-		cfg := config("n0", at, key, "127.0.0.1:1")
-		change(&cfg)
-		p, err := Start(cfg, log)
-		if err == nil {
-			p.Close()
-		}
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v, want %q", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			cfg := testConfig("n0", addr, key, "127.0.0.1:1")
+			change(&cfg)
+			p, err := Start(cfg, slog.New(slog.DiscardHandler))
+			if err == nil {
+				p.Close()
+			}
+			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want one line with %q", err, want)
+			}
+		})
 	}
 }
 
-// Keys and seeds are read again when their files change; files that say nothing usable change nothing.
-func TestFilesReread(t *testing.T) {
-	at := freeAddrs(t, 2)
-	old, next := "the key that is there now", "the key that comes next"
-	keys := []string{keyFile(t, old), keyFile(t, next)}
-	seeds := keyFile(t, "127.0.0.1:1")
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg := config("n0", at[0], keys[0])
-	cfg.SeedsFile = seeds
-	a, err := Start(cfg, log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	b, err := Start(config("n1", at[1], keys[1], "127.0.0.1:1"), log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer b.Close()
-	os.WriteFile(seeds, []byte("nonsense"), 0o600)
-	os.WriteFile(keys[0], []byte("short"), 0o600)
-	time.Sleep(1500 * time.Millisecond) // they are looked at once a second
-	os.WriteFile(keys[0], []byte(next+"\n"+old), 0o600)
-	os.WriteFile(seeds, []byte(at[1]), 0o600)
-	eventually(t, "they find one another", func() bool { return a.Status().Alive == 1 && b.Status().Alive == 1 })
+// Keys and seeds are reloaded when their files change. A file that cannot be
+// used changes nothing.
+func TestFilesReloaded(t *testing.T) {
+	addrs := freeAddrs(t, 2)
+	previous, next := "the key that is there now", "the key that comes next"
+	previousFile, nextFile := keyFile(t, previous), keyFile(t, next)
+	seedsFile := keyFile(t, "127.0.0.1:1")
+	log := slog.New(slog.DiscardHandler)
+	cfg := testConfig("n0", addrs[0], previousFile)
+	cfg.SeedsFile = seedsFile
+	a := startPeers(t, cfg, log)
+	b := startPeers(t, testConfig("n1", addrs[1], nextFile, "127.0.0.1:1"), log)
+	writeFile(t, seedsFile, "nonsense")
+	writeFile(t, previousFile, "short")
+	time.Sleep(1500 * time.Millisecond) // the files are checked once a second
+	writeFile(t, previousFile, next+"\n"+previous)
+	writeFile(t, seedsFile, addrs[1])
+	eventually(t, "the instances find one another", func() bool { return allAlive([]*Peers{a, b}, 1) })
 }
 
-// Two end at one moment, without a word: the host of one turns back what comes for it, that of the other is silent. The first is known to be gone
-// while the other is still waited for, and nobody else is.
-func TestTurnedBack(t *testing.T) {
-	at := freeAddrs(t, 6)
+// Two instances end at one moment without leaving. The host of one refuses
+// datagrams, that of the other is silent. The first is declared dead while the
+// other is still waited for, and nobody else is.
+func TestRefusedDatagrams(t *testing.T) {
+	const minRefusals = 2 // members that must be refused
+	addrs := freeAddrs(t, 6)
 	key := keyFile(t, "the key that all of them have")
 	var all []*Peers
 	for i := range 6 {
-		p, err := Start(config(fmt.Sprint("n", i), at[i], key, at[0], at[1]), slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer p.Close()
-		all = append(all, p)
+		cfg := testConfig(fmt.Sprint("n", i), addrs[i], key, addrs[0], addrs[1])
+		all = append(all, startPeers(t, cfg, slog.New(slog.DiscardHandler)))
 	}
-	eventually(t, "they find one another", func() bool {
-		for _, p := range all {
-			if p.Status().Alive != 5 {
-				return false
-			}
-		}
-		return true
-	})
+	eventually(t, "the instances find one another", func() bool { return allAlive(all, 5) })
 	all[4].conn.Close()
 	all[5].conn.Close()
-	silent, err := net.ListenPacket("udp4", at[5])
+	silent, err := net.ListenPacket("udp4", addrs[5])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	dead := func(p *Peers, name string) bool {
-		for _, m := range p.Status().Members {
-			if m.Name == name {
-				return m.State == "dead"
-			}
-		}
-		return false
-	}
-	first, refusals := 0, 0
+	isDead := func(p *Peers, name string) bool { return memberState(p, name) == "dead" }
+	refusedFirst, refusals := 0, 0
 	for _, p := range all[:4] {
-		eventually(t, "who turns back is held to be dead", func() bool { return dead(p, "n4") || dead(p, "n5") })
-		if dead(p, "n4") {
-			first++
+		eventually(t, "one is declared dead", func() bool { return isDead(p, "n4") || isDead(p, "n5") })
+		if isDead(p, "n4") {
+			refusedFirst++
 		}
 		refusals += p.Status().Swim.Refusals
 	}
-	if first < 4 || refusals < minRefusals {
-		t.Errorf("%d of 4 held who turned back to be dead before who is silent; %d were turned back", first, refusals)
+	if refusedFirst < 4 || refusals < minRefusals {
+		t.Errorf("got %d of 4 that declare the refusing one dead first, and %d refusals", refusedFirst, refusals)
 	}
 	for _, p := range all[:4] {
-		if a := p.Status().Alive; a < 3 {
-			t.Errorf("%d of 3 others are there", a)
+		if alive := p.Status().Alive; alive < 3 {
+			t.Errorf("got %d other members, want 3 or more", alive)
 		}
 	}
 }
-
-const minRefusals = 2 // members that have to be turned back
--- /dev/null
+++ b/internal/peers/socket.go
@@ -0,0 +1,239 @@
+package peers
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	listenRetryInterval = 100 * time.Millisecond // while another process holds the address
+	maxTickInterval     = time.Second
+	leaveGrace          = 60 * time.Millisecond // from the last datagram to the end of the socket
+
+	readBufferBytes   = 64 << 10 // the largest datagram that there is
+	socketBufferBytes = 1 << 20
+	maxDialAddrs      = 8192 // that are cached
+)
+
+// listen opens the socket.
+func (p *Peers) listen() error {
+	addr, err := netip.ParseAddrPort(p.cfg.Listen)
+	if err != nil {
+		return err
+	}
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
+	if err != nil {
+		return err
+	}
+	_ = conn.SetReadBuffer(socketBufferBytes) // a smaller buffer only loses more datagrams
+	if err := enableRefusals(conn); err != nil {
+		p.log.Info("peer refusals unavailable, detecting deaths by silence alone", "err", err)
+	}
+	p.conn = conn
+	return nil
+}
+
+func (p *Peers) listenError(err error) error {
+	return fmt.Errorf("peers.listen %q: %w", p.cfg.Listen, err)
+}
+
+// run takes part until ctx ends, then leaves and closes the socket.
+func (p *Peers) run(ctx context.Context) {
+	if !p.waitForAddress(ctx) {
+		return
+	}
+	p.log.Info("joined the peer group", "name", p.cfg.Name, "listen", p.conn.LocalAddr(),
+		"advertise", p.cfg.Advertise, "incarnation", p.cfg.Incarnation)
+	var workers sync.WaitGroup
+	workers.Go(p.read)
+	workers.Go(func() { p.sendQueued(ctx) })
+	p.tickUntil(ctx)
+	p.leave()
+	p.conn.Close()
+	workers.Wait()
+}
+
+// waitForAddress opens the socket if Start could not, once the address is free.
+// It reports false if ctx ends before, or the address cannot be used at all.
+func (p *Peers) waitForAddress(ctx context.Context) bool {
+	for p.conn == nil {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(listenRetryInterval):
+		}
+		if err := p.listen(); err != nil && !errors.Is(err, syscall.EADDRINUSE) {
+			p.log.Error("peer group not joined", "err", p.listenError(err))
+			return false
+		}
+	}
+	return true
+}
+
+// tickUntil ticks the engine and reloads the files until ctx ends.
+func (p *Peers) tickUntil(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	filesCheckedAt := p.cfg.Clock()
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+			continue
+		case <-timer.C:
+		case <-p.wake:
+		}
+		now := p.cfg.Clock()
+		if now-filesCheckedAt > fileCheckInterval {
+			filesCheckedAt = now
+			p.reloadFiles()
+		}
+		p.mu.Lock()
+		packets := p.engine.Tick(now)
+		changes := p.engine.membership.Changes()
+		next := p.engine.NextTick()
+		p.mu.Unlock()
+		p.send(packets)
+		p.reportChanges(changes)
+		p.reportBounds(now)
+		timer.Reset(min(max(next-p.cfg.Clock(), 0), maxTickInterval))
+	}
+}
+
+// wakeRun has run tick the engine now.
+func (p *Peers) wakeRun() {
+	select {
+	case p.wake <- struct{}{}:
+	default:
+	}
+}
+
+func (p *Peers) leave() {
+	p.mu.Lock()
+	packets := p.engine.Leave(p.cfg.Clock())
+	p.mu.Unlock()
+	p.send(packets)
+	time.Sleep(leaveGrace) // for the kernel to send what was written
+}
+
+// sendQueued sends the queued messages until ctx ends.
+func (p *Peers) sendQueued(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case message := <-p.sendQueue:
+			p.mu.Lock()
+			packets := p.engine.SendMessage(p.cfg.Clock(), message.to, message.data)
+			p.mu.Unlock()
+			p.send(packets)
+		}
+	}
+}
+
+// read takes in datagrams until the socket is closed.
+func (p *Peers) read() {
+	buffer := make([]byte, readBufferBytes)
+	notifiedSynced := false
+	for {
+		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil { // a host has refused an earlier datagram
+			p.handleRefusals()
+			continue
+		}
+		now := p.cfg.Clock()
+		p.mu.Lock()
+		packets, err := p.engine.Receive(now, buffer[:n])
+		if err != nil {
+			p.rejected.add(err, from)
+		}
+		changes := p.engine.membership.Changes()
+		messages := p.engine.TakeMessages()
+		synced := p.engine.Synced()
+		p.mu.Unlock()
+		if synced && !notifiedSynced {
+			notifiedSynced = true
+			close(p.synced)
+		}
+		p.send(packets)
+		p.reportChanges(changes)
+		p.reportRejected(now)
+		if len(messages) > 0 && p.cfg.OnMessages != nil {
+			p.cfg.OnMessages(messages)
+		}
+		if len(changes) > 0 {
+			p.wakeRun()
+		}
+	}
+}
+
+// handleRefusals takes in which datagrams were refused by the hosts of their
+// receivers.
+func (p *Peers) handleRefusals() {
+	for _, to := range readRefusals(p.conn) {
+		p.mu.Lock()
+		var packets []Packet
+		if addr := p.advertised[to]; addr != "" {
+			packets = p.engine.HandleRefusal(p.cfg.Clock(), addr)
+		}
+		changes := p.engine.membership.Changes()
+		p.mu.Unlock()
+		p.send(packets)
+		p.reportChanges(changes)
+		if len(changes) > 0 {
+			p.wakeRun()
+		}
+	}
+}
+
+// send writes datagrams. One that cannot be written is counted, and is as good
+// as lost on the way.
+func (p *Peers) send(packets []Packet) {
+	for _, packet := range packets {
+		to, valid := p.dialAddr(packet.Addr)
+		if valid && p.write(packet.Data, to) == nil {
+			continue
+		}
+		p.mu.Lock()
+		p.unsent++
+		p.mu.Unlock()
+	}
+}
+
+func (p *Peers) write(data []byte, to netip.AddrPort) error {
+	_, err := p.conn.WriteToUDPAddrPort(data, to)
+	if errors.Is(err, syscall.ECONNREFUSED) { // reports an earlier datagram, and this one was not written
+		_, err = p.conn.WriteToUDPAddrPort(data, to)
+	}
+	return err
+}
+
+// dialAddr returns where an advertised address is reached, and whether that is a
+// valid address.
+func (p *Peers) dialAddr(advertised string) (netip.AddrPort, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	to, known := p.dialAddrs[advertised]
+	if !known {
+		if len(p.dialAddrs) > maxDialAddrs {
+			clear(p.dialAddrs)
+			clear(p.advertised)
+		}
+		text := advertised
+		if dial := p.cfg.Dial[advertised]; dial != "" {
+			text = dial
+		}
+		to, _ = netip.ParseAddrPort(text)
+		p.dialAddrs[advertised] = to
+		p.advertised[to] = advertised
+	}
+	return to, to.IsValid()
+}
