--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -6,16 +6,17 @@
 	"hitchspring/policy"
 )
 
-// Kill ends so many gateways within a second; each comes back after down, and knows the nodes as they then are.
-func Kill(at time.Duration, gateways int, down time.Duration) Fault {
-	return Fault{at, func(w *world) {
-		for _, i := range w.rng.Perm(w.Gateways)[:min(gateways, w.Gateways)] {
-			g := w.gateways[i]
-			w.after(time.Duration(w.rng.Float64()*float64(time.Second)), func() {
-				g.up = false
-				w.lose(g)
-				w.after(down, func() {
-					if err := w.start(g); err != nil {
+// KillInstances kills so many instances within a second. Each comes back after
+// down, and knows the backends as they then are.
+func KillInstances(at time.Duration, instances int, down time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		for _, index := range s.rng.Perm(s.Instances)[:min(instances, s.Instances)] {
+			i := s.instances[index]
+			s.after(time.Duration(s.rng.Float64()*float64(time.Second)), func() {
+				i.up = false
+				s.abandonRequests(i)
+				s.after(down, func() {
+					if err := s.startInstance(i); err != nil {
 						panic(err) // the same settings were good at the start
 					}
 				})
@@ -24,76 +25,101 @@
 	}}
 }
 
-// LoseHall takes a hall away, silently; its nodes come back cold, all at once, and the list tells both late.
-func LoseHall(at time.Duration, zone string, down time.Duration) Fault {
-	return Fault{at, func(w *world) {
-		var lost []*node
-		for _, n := range w.nodes {
-			if n.Zone == zone {
-				lost = append(lost, n)
-				w.stop(n)
+// LoseZone stops the backends of a zone without notice. They come back in slow
+// start, all at once; the endpoint list shows both late.
+func LoseZone(at time.Duration, zone string, down time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		var lost []*backend
+		for _, b := range s.backends {
+			if b.Zone == zone {
+				lost = append(lost, b)
+				s.stopBackend(b)
 			}
 		}
-		w.list(lost...)
-		w.after(down, func() {
-			for _, n := range lost {
-				w.boot(n)
+		s.publishBackends(lost...)
+		s.after(down, func() {
+			for _, b := range lost {
+				s.startBackend(b)
 			}
-			w.list(lost...)
+			s.publishBackends(lost...)
 		})
 	}}
 }
 
-func (w *world) stop(n *node) {
-	n.gone, n.State = true, policy.Gone
-	n.boots++
-	n.queue, n.running = nil, 0
-}
-
-func (w *world) boot(n *node) {
-	n.gone, n.State, n.Started = false, policy.Running, epoch+w.now
-	n.sent = nil
-	w.begin(n)
+// ReplaceBackends drains backends and starts new ones in their place, spread over
+// a time.
+func ReplaceBackends(at time.Duration, backends int, within time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		for k, index := range s.rng.Perm(len(s.backends))[:min(backends, len(s.backends))] {
+			old := s.backends[index]
+			s.after(within*time.Duration(k)/time.Duration(backends), func() {
+				old.State = policy.Draining
+				fresh := old.replacement("-new")
+				s.startBackend(fresh)
+				s.backends = append(s.backends, fresh)
+				s.publishBackends(old, fresh)
+			})
+		}
+	}}
 }
 
-// Replace drains nodes and starts new ones in their place, spread over a time.
-func Replace(at time.Duration, nodes int, within time.Duration) Fault {
-	return Fault{at, func(w *world) {
-		for k, i := range w.rng.Perm(len(w.nodes))[:min(nodes, len(w.nodes))] {
-			old := w.nodes[i]
-			w.after(within*time.Duration(k)/time.Duration(nodes), func() {
-				old.State = policy.Draining
-				fresh := &node{Backend: old.Backend, cores: old.cores, speed: old.speed, crawl: 1}
-				fresh.ID += "-new"
-				w.boot(fresh)
-				w.nodes = append(w.nodes, fresh)
-				w.list(old, fresh)
+// AddBackends adds new backends, spread over a time, each like one that is there.
+func AddBackends(at time.Duration, backends int, within time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		for k := range backends {
+			s.after(within*time.Duration(k)/time.Duration(backends), func() {
+				fresh := s.backends[k].replacement("-more")
+				s.startBackend(fresh)
+				s.backends = append(s.backends, fresh)
+				s.publishBackends(fresh)
 			})
 		}
 	}}
 }
 
-// Crawl makes nodes slower by a factor for a time.
-func Crawl(at time.Duration, nodes int, factor float64, length time.Duration) Fault {
-	return Fault{at, func(w *world) {
-		for _, n := range w.nodes[:min(nodes, len(w.nodes))] {
-			n.crawl = factor
-			w.after(length, func() { n.crawl = 1 })
+// RestartBackend stops a backend and starts it again, in slow start.
+func RestartBackend(at time.Duration, index int, down time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		b := s.backends[index]
+		s.stopBackend(b)
+		s.publishBackends(b)
+		s.after(down, func() {
+			s.startBackend(b)
+			s.publishBackends(b)
+		})
+	}}
+}
+
+// SlowBackends makes backends slower by a factor for a time.
+func SlowBackends(at time.Duration, backends int, factor float64, length time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		for _, b := range s.backends[:min(backends, len(s.backends))] {
+			b.slowdown = factor
+			s.after(length, func() { b.slowdown = 1 })
 		}
 	}}
 }
 
-// Refuse makes a node refuse all connections, Mute makes it take them and never answer.
-func Refuse(at time.Duration, node int) Fault {
-	return Fault{at, func(w *world) { w.nodes[node].refuses = true }}
+// RefuseConnections makes a backend refuse all connections.
+func RefuseConnections(at time.Duration, index int) Fault {
+	return Fault{at, func(s *simulation) { s.backends[index].refuses = true }}
 }
 
-// Mute makes a node take what comes and never answer.
-func Mute(at time.Duration, node int) Fault {
-	return Fault{at, func(w *world) { w.nodes[node].silent = true }}
+// HangBackend makes a backend take what comes and never answer.
+func HangBackend(at time.Duration, index int) Fault {
+	return Fault{at, func(s *simulation) { s.backends[index].hangs = true }}
 }
 
-// Late makes a gateway hear of everything so much later than the rest.
-func Late(gateway int, by time.Duration) Fault {
-	return Fault{0, func(w *world) { w.gateways[gateway%w.Gateways].late = by }}
+// DelayList has an instance notified of the endpoint list so much later than the
+// rest.
+func DelayList(index int, by time.Duration) Fault {
+	return Fault{0, func(s *simulation) { s.instances[index%s.Instances].listDelay = by }}
+}
+
+// Burst multiplies the arrivals for a time.
+func Burst(at time.Duration, factor float64, length time.Duration) Fault {
+	return Fault{at, func(s *simulation) {
+		s.arrivalFactor = factor
+		s.after(length, func() { s.arrivalFactor = 1 })
+	}}
 }
--- a/internal/sim/golden_test.go
+++ b/internal/sim/golden_test.go
@@ -8,14 +8,17 @@
 	"hitchspring/internal/golden"
 )
 
-// One fleet with a seed of its own, played to the end: whatever the decisions change shows in the report.
+// One fleet with a seed of its own, played to the end: whatever changes in the
+// decisions shows in the report.
 func TestGoldenReport(t *testing.T) {
-	f := base(20, 7)
-	f.Length = 6 * second
-	f.Faults = []Fault{Crawl(time.Second, 2, 6, 2*second), LoseHall(2*second, "b", 2*second), Kill(3*second, 4, second), Replace(3*second, 6, 2*second)}
-	r, err := Play(f)
-	if err != nil {
-		t.Fatal(err)
+	f := testFleet(20, 7)
+	f.Length = 6 * time.Second
+	f.Faults = []Fault{
+		SlowBackends(time.Second, 2, 6, 2*time.Second),
+		LoseZone(2*time.Second, "b", 2*time.Second),
+		KillInstances(3*time.Second, 4, time.Second),
+		ReplaceBackends(3*time.Second, 6, 2*time.Second),
 	}
-	golden.Compare(t, "report", fmt.Appendf(nil, "%v\n", *r)) // the values alone: a renamed field changes nothing
+	report := play(t, f)
+	golden.Compare(t, "report", fmt.Appendf(nil, "%v\n", *report)) // the values alone: a renamed field changes nothing
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -7,164 +7,211 @@
 	"time"
 )
 
-const second = time.Second
+// testFleet returns a fleet at some six tenths of what it can do.
+func testFleet(instances int, seed uint64) Fleet {
+	return Fleet{
+		Seed:        seed,
+		Instances:   instances,
+		Backends:    30,
+		Rate:        250,
+		Tenants:     160,
+		Length:      14 * time.Second,
+		CounterRate: 120,
+		ListDelay:   1500 * time.Millisecond,
+	}
+}
 
-// base is a fleet at some six tenths of what it can do.
-func base(gateways int, seed uint64) Fleet {
-	return Fleet{Seed: seed, Gateways: gateways, Nodes: 30, Rate: 250, Channels: 160, Length: 14 * second, Calls: 120, ListLate: 1500 * time.Millisecond}
+func play(t *testing.T, f Fleet) *Report {
+	t.Helper()
+	report, err := Play(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return report
 }
 
-// keep fails the test for each rule that a report breaks.
-func keep(t *testing.T, what string, r *Report) {
+// checkReport fails the test for each rule that a report breaks.
+func checkReport(t *testing.T, name string, r *Report) {
 	t.Helper()
-	if r.Answers+r.Lost != r.Requests || r.Twice > 0 || r.Late > 0 {
-		t.Errorf("%s: %d requests, %d answers, %d lost with their gateway, %d twice, %d late", what, r.Requests, r.Answers, r.Lost, r.Twice, r.Late)
+	if r.Answers+r.Lost != r.Requests || r.AnsweredTwice > 0 || r.AnsweredLate > 0 {
+		t.Errorf("%s: %d requests: got %d answers, %d lost with their instance, %d answered twice, %d late",
+			name, r.Requests, r.Answers, r.Lost, r.AnsweredTwice, r.AnsweredLate)
 	}
-	if len(r.Fallen) > 0 {
-		t.Errorf("%s: cold nodes pushed over: %v", what, r.Fallen)
+	if len(r.Overloaded) > 0 {
+		t.Errorf("%s: got %v overloaded in slow start, want none", name, r.Overloaded)
 	}
-	if r.Drained > 0 {
-		t.Errorf("%s: %d sends to nodes that drain or are gone, after the grace", what, r.Drained)
+	if r.SentToDraining > 0 {
+		t.Errorf("%s: got %d sends to backends that drain or are gone, after the grace", name, r.SentToDraining)
 	}
-	if r.Over > 6+ceilRate*0.15 {
-		t.Errorf("%s: a channel went %.1f units over its ceiling", what, r.Over)
+	if r.OverCeiling > 6+ceilingRate*0.15 {
+		t.Errorf("%s: got a tenant %.1f units over its ceiling", name, r.OverCeiling)
 	}
 }
 
-// Days of a large fleet, each at 3 and at 80 gateways under the same load and the same faults.
-func TestDays(t *testing.T) {
+// scenario is what happens to a fleet, of which 80 instances serve at least a share
+// of what 3 serve.
+type scenario struct {
+	faults         func(instances int) []Fault
+	counterRejects float64
+	listDelay      time.Duration // beyond the usual
+}
+
+func scenarios() map[string]scenario {
+	const second = time.Second
+	calm := func(int) []Fault { return nil }
+	return map[string]scenario{
+		"calm": {faults: calm},
+		"most instances killed within a second, the list silent for 8 s": {
+			faults:    func(n int) []Fault { return []Fault{KillInstances(4*second, n*7/8, 3*second)} },
+			listDelay: 8 * second,
+		},
+		"a zone lost without notice and back in slow start": {
+			faults: func(int) []Fault { return []Fault{LoseZone(3*second, "b", 5*second)} },
+		},
+		"six backends in ten replaced within 7 s while two are slow": {
+			faults: func(int) []Fault {
+				return []Fault{SlowBackends(2*second, 2, 6, 12*second), ReplaceBackends(3*second, 18, 7*second)}
+			},
+		},
+		"one backend refuses, one hangs": {
+			faults: func(int) []Fault { return []Fault{RefuseConnections(3*second, 4), HangBackend(3*second, 7)} },
+		},
+		"the counter rejects half of the calls": {faults: calm, counterRejects: 0.5},
+		"one instance is notified 5 s after the rest": {
+			faults: func(int) []Fault { return []Fault{DelayList(1, 5*second), LoseZone(3*second, "c", 5*second)} },
+		},
+	}
+}
+
+// Each scenario at 3 and at 80 instances under the same load and the same faults.
+func TestScenarios(t *testing.T) {
+	const minServed = 0.90 // at 80 instances, of what is served at 3
 	if testing.Short() {
 		t.Skip("plays a fleet of 80")
 	}
-	for name, day := range map[string]struct {
-		faults func(gateways int) []Fault
-		busy   float64
-		list   time.Duration
-		least  float64 // served at 80 gateways, in what is served at 3
-	}{
-		"calm": {func(int) []Fault { return nil }, 0, 0, 0.90},
-		"most gateways killed within a second, the list silent for 8 s": {func(n int) []Fault { return []Fault{Kill(4*second, n*7/8, 3*second)} }, 0, 8 * second, 0.90},
-		"a hall gone silently and back cold":                            {func(int) []Fault { return []Fault{LoseHall(3*second, "b", 5*second)} }, 0, 0, 0.90},
-		"six nodes in ten replaced within 7 s while two crawl": {func(int) []Fault {
-			return []Fault{Crawl(2*second, 2, 6, 12*second), Replace(3*second, 18, 7*second)}
-		}, 0, 0, 0.90},
-		"one node refuses, one is mute":                  {func(int) []Fault { return []Fault{Refuse(3*second, 4), Mute(3*second, 7)} }, 0, 0, 0.90},
-		"the counter busy half of the time":              {func(int) []Fault { return nil }, 0.5, 0, 0.90},
-		"one gateway hears all of it 5 s after the rest": {func(int) []Fault { return []Fault{Late(1, 5*second), LoseHall(3*second, "c", 5*second)} }, 0, 0, 0.90},
-	} {
+	for name, sc := range scenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var served [2]float64
-			for i, n := range []int{3, 80} {
-				for seed := range uint64(2) {
-					f := base(n, seed+1)
-					f.Faults, f.Busy = day.faults(n), day.busy
-					f.ListLate += day.list
-					r, err := Play(f)
-					if err != nil {
-						t.Fatal(err)
-					}
-					keep(t, name, r)
-					served[i] += r.Served / r.Asked / 2
-				}
-			}
-			t.Logf("served %.3f at 3 gateways, %.3f at 80: %.2f", served[0], served[1], served[1]/served[0])
-			if served[1] < day.least*served[0] {
-				t.Errorf("served %.3f at 80 gateways, %.3f at 3", served[1], served[0])
+			few, many := sc.served(t, name, 3), sc.served(t, name, 80)
+			t.Logf("served %.3f at 3 instances, %.3f at 80: %.2f", few, many, many/few)
+			if many < minServed*few {
+				t.Errorf("got %.3f served at 80 instances, want %.2f of the %.3f at 3", many, minServed, few)
 			}
 		})
 	}
 }
 
-// The same seed is the same run, another is not.
+// served returns the share of the offered weight that is served, over two seeds.
+func (sc scenario) served(t *testing.T, name string, instances int) float64 {
+	t.Helper()
+	served := 0.0
+	for seed := range uint64(2) {
+		f := testFleet(instances, seed+1)
+		f.Faults = sc.faults(instances)
+		f.CounterRejects = sc.counterRejects
+		f.ListDelay += sc.listDelay
+		report := play(t, f)
+		checkReport(t, name, report)
+		served += report.ServedWeight / report.OfferedWeight / 2
+	}
+	return served
+}
+
+// The same seed is the same run, another one is not.
 func TestSeed(t *testing.T) {
-	var got [3]*Report
+	var reports [3]*Report
 	for i, seed := range []uint64{7, 7, 8} {
-		f := base(20, seed)
-		f.Length = 3 * second
-		f.Faults = []Fault{LoseHall(second, "a", second)}
-		r, err := Play(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		got[i] = r
+		f := testFleet(20, seed)
+		f.Length = 3 * time.Second
+		f.Faults = []Fault{LoseZone(time.Second, "a", time.Second)}
+		reports[i] = play(t, f)
 	}
-	if !reflect.DeepEqual(got[0], got[1]) {
-		t.Errorf("one seed, two runs: %+v, %+v", got[0], got[1])
+	if !reflect.DeepEqual(reports[0], reports[1]) {
+		t.Errorf("got two reports of one seed: %+v, %+v", reports[0], reports[1])
 	}
-	if reflect.DeepEqual(got[0], got[2]) {
-		t.Error("two seeds, one run")
+	if reflect.DeepEqual(reports[0], reports[2]) {
+		t.Error("got one report of two seeds")
 	}
 }
 
-// A fleet that is none is an error, not a crash.
+// A fleet that cannot be played is an error, not a panic.
 func TestBadFleets(t *testing.T) {
 	for _, f := range []Fleet{
 		{},
-		{Gateways: 1, Nodes: 2, Channels: 1, Rate: 1, Length: 1},
-		{Gateways: 1, Nodes: 3, Channels: 1, Length: 1},
-		{Gateways: 0, Nodes: 3, Channels: 1, Rate: 1, Length: 1},
+		{Instances: 1, Backends: 2, Tenants: 1, Rate: 1, Length: 1},
+		{Instances: 1, Backends: 3, Tenants: 1, Length: 1},
+		{Instances: 0, Backends: 3, Tenants: 1, Rate: 1, Length: 1},
 	} {
 		if _, err := Play(f); err == nil {
-			t.Errorf("%+v: no error", f)
+			t.Errorf("%+v: got no error, want one", f)
 		}
 	}
 }
 
-// The books see what they are for: a module's sends that are too many for a cold node, after the grace, over a ceiling.
-func TestBooksSeeBreaks(t *testing.T) {
-	f := base(3, 1)
-	f.Length = second
-	w := &world{Fleet: f, channels: []*channel{{id: "c", plan: plans()[1], store: ceilMost}}}
-	n := &node{cores: 2, speed: 1, crawl: 1}
-	w.boot(n)
+// The checks detect what they are for: attempts that are too many for a backend in
+// slow start, and over a ceiling.
+func TestChecksDetectViolations(t *testing.T) {
+	f := testFleet(3, 1)
+	f.Length = time.Second
+	s := &simulation{Fleet: f, tenants: []*tenant{{id: "c", plan: plans()[1], ceilingLevel: ceilingBurst}}}
+	b := &backend{cores: 2, speed: 1, slowdown: 1}
+	s.startBackend(b)
 	for range 100 {
 		r := &request{}
-		r.Tenant, r.Units = "c", 1
-		w.judge(&attempt{r: r, node: n, work: 0.1})
+		r.Tenant = "c"
+		r.Units = 1
+		s.checkRules(&attempt{request: r, backend: b, work: 0.1})
 	}
-	if len(w.rep.Fallen) != 1 || w.rep.Over < 30 {
-		t.Errorf("fallen %v, over the ceiling %.1f: a hundred at once are too many", w.rep.Fallen, w.rep.Over)
+	if len(s.report.Overloaded) != 1 || s.report.OverCeiling < 30 {
+		t.Errorf("a hundred at once: got overloaded %v, %.1f over the ceiling; want one, and 30 or more",
+			s.report.Overloaded, s.report.OverCeiling)
 	}
 }
 
-// More gateways than requests, or than nodes, is a fleet as well.
+// More instances than requests, or than backends, is a fleet as well.
 func TestFewRequests(t *testing.T) {
-	r, err := Play(Fleet{Seed: 1, Gateways: 80, Nodes: 3, Channels: 2, Rate: 3, Length: 5 * second, Faults: []Fault{LoseHall(second, "a", second)}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	keep(t, "few requests", r)
-	if r.Served < r.Asked/2 {
-		t.Errorf("served %.0f of %.0f", r.Served, r.Asked)
+	report := play(t, Fleet{
+		Seed: 1, Instances: 80, Backends: 3, Tenants: 2, Rate: 3, Length: 5 * time.Second,
+		Faults: []Fault{LoseZone(time.Second, "a", time.Second)},
+	})
+	checkReport(t, "few requests", report)
+	if report.ServedWeight < report.OfferedWeight/2 {
+		t.Errorf("got %.0f of %.0f served, want half or more", report.ServedWeight, report.OfferedWeight)
 	}
 }
 
-// On a quiet day what all gateways together let through beyond quotas costs at most 0.1 of the worth inside them, also where the counter
-// takes fewer calls than half of the requests. That is 0.1 more than under a policy that never sends anything beyond: none that sees the
-// true state late can do with less.
+// On a quiet day what all instances together admit beyond quotas costs at most 0.1
+// of the weight inside them, also where the counter can take fewer calls than half
+// of the requests. That is 0.1 more than under a policy that never admits anything
+// beyond: none that sees the true state late can do with less.
 func TestQuotasHoldForTheFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays fleets of 300")
 	}
-	for _, calls := range []float64{600, 120} {
-		for _, n := range []int{3, 20, 80, 300} {
-			t.Run(fmt.Sprintf("%d gateways, %v calls a second", n, calls), func(t *testing.T) {
+	for _, counterRate := range []float64{600, 120} {
+		for _, instances := range []int{3, 20, 80, 300} {
+			t.Run(fmt.Sprintf("%d instances, %v calls a second", instances, counterRate), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(3) {
-					f := base(n, seed+1)
-					f.Shares, f.Calls, f.Length = true, calls, 40*second
-					r, err := Play(f)
-					if err != nil {
-						t.Fatal(err)
-					}
-					keep(t, t.Name(), r)
-					t.Logf("seed %d: %d requests, served %.3f of the worth inside quotas, paid %.3f for what passed them", seed+1, r.Requests, r.Served/r.Inside, r.Beyond/r.Inside)
-					if r.Beyond > 0.1*r.Inside {
-						t.Errorf("seed %d: %.3f of the worth inside quotas is paid for what passes them", seed+1, r.Beyond/r.Inside)
-					}
+					checkQuotas(t, instances, counterRate, seed+1)
 				}
 			})
 		}
 	}
 }
+
+func checkQuotas(t *testing.T, instances int, counterRate float64, seed uint64) {
+	t.Helper()
+	f := testFleet(instances, seed)
+	f.DemandByQuota = true
+	f.CounterRate = counterRate
+	f.Length = 40 * time.Second
+	r := play(t, f)
+	checkReport(t, t.Name(), r)
+	t.Logf("seed %d: %d requests, served %.3f of the weight inside quotas, paid %.3f for what is beyond",
+		seed, r.Requests, r.ServedWeight/r.InsideWeight, r.ExcessPaid/r.InsideWeight)
+	if r.ExcessPaid > 0.1*r.InsideWeight {
+		t.Errorf("seed %d: got %.3f of the weight inside quotas paid for what is beyond, want 0.1 at most",
+			seed, r.ExcessPaid/r.InsideWeight)
+	}
+}
