--- a/cmd/hitchspring/cli.go
+++ b/cmd/hitchspring/cli.go
@@ -23,13 +23,13 @@
 	Serve      serveCmd                  `cmd:"" default:"1" help:"Serve, as ROUTER_CONFIG and the options say. The default."`
 	Check      checkCmd                  `cmd:"" help:"Say what is wrong with the settings, or print those in force."`
 	Status     statusCmd                 `cmd:"" help:"What a running ingress holds, from its metrics listener."`
-	Hall       hallCmd                   `cmd:"" help:"Take a hall out on purpose, for a while, and let it in again."`
+	Hall       zoneCmd                   `cmd:"" help:"Take a hall out on purpose, for a while, and let it in again."`
 	Version    versionCmd                `cmd:"" help:"Print the revision and the Go version."`
 	Completion kongcompletion.Completion `cmd:"" help:"Print what a shell needs to complete this command line (bash, zsh, fish)."`
 }
 
 // env is what commands are run with.
-type env struct {
+type commandEnv struct {
 	ctx     context.Context
 	out     io.Writer
 	log     *slog.Logger
@@ -38,11 +38,11 @@
 
 type serveCmd struct{}
 
-func (serveCmd) Run(e *env) error { return run(e.options, e.log) }
+func (serveCmd) Run(e *commandEnv) error { return serve(e.options, e.log) }
 
 type versionCmd struct{}
 
-func (versionCmd) Run(e *env) error {
+func (versionCmd) Run(e *commandEnv) error {
 	_, err := io.WriteString(e.out, version.Text("hitchspring")+"\n")
 	return err
 }
@@ -50,7 +50,7 @@
 type checkCmd struct{}
 
 // Run checks both files, and starts nothing.
-func (checkCmd) Run(e *env) error {
+func (checkCmd) Run(e *commandEnv) error {
 	o, err := config.Load(e.options)
 	if err != nil {
 		return err
@@ -65,16 +65,16 @@
 }
 
 // command runs the program as its arguments say. Without any it serves, and nothing of the command line is built.
-func command(args []string, out io.Writer, log *slog.Logger) error {
+func runCommand(args []string, out io.Writer, log *slog.Logger) error {
 	if len(args) == 0 {
-		return run(os.Getenv("HITCHSPRING_OPTIONS"), log)
+		return serve(os.Getenv("HITCHSPRING_OPTIONS"), log)
 	}
 	var c cli
 	parsed := false
 	_, err := cmdline.Run(&c, "hitchspring", "The ingress: clients on one side, playout nodes on the other, the decision module between.", args, out,
 		func(k *kong.Context) error {
 			parsed = true
-			return k.Run(&env{ctx: context.Background(), out: out, log: log, options: c.Options})
+			return k.Run(&commandEnv{ctx: context.Background(), out: out, log: log, options: c.Options})
 		})
 	if err != nil && !parsed {
 		return errors.New(strings.ReplaceAll(err.Error(), "\n", " ") + "; hitchspring --help lists the commands")
--- a/cmd/hitchspring/forward_auth_test.go
+++ b/cmd/hitchspring/forward_auth_test.go
@@ -51,7 +51,7 @@
 	write(options, head+rule("/one/{channel}"))
 	t.Setenv("ROUTER_CONFIG", config)
 	done := make(chan error, 1)
-	go func() { done <- run(options, slog.New(slog.DiscardHandler)) }()
+	go func() { done <- serve(options, slog.New(slog.DiscardHandler)) }()
 	status := func(path string) int {
 		req, err := http.NewRequest("GET", "http://"+at+"/", nil)
 		if err != nil {
@@ -131,12 +131,12 @@
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		if err := command([]string{"check", "--options", options}, &out, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := runCommand([]string{"check", "--options", options}, &out, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", rule, err)
 		}
 	}
 	var out strings.Builder
-	if err := command([]string{"version"}, &out, slog.New(slog.DiscardHandler)); err != nil || !strings.HasPrefix(out.String(), "hitchspring ") {
+	if err := runCommand([]string{"version"}, &out, slog.New(slog.DiscardHandler)); err != nil || !strings.HasPrefix(out.String(), "hitchspring ") {
 		t.Fatal(err, out.String())
 	}
 }
--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -58,7 +58,7 @@
 		{"hall", "return", "--help"},
 		{"version", "--help"},
 	} {
-		if err := command(args, &out, slog.New(slog.DiscardHandler)); err != nil {
+		if err := runCommand(args, &out, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(args, err)
 		}
 	}
--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -32,11 +32,11 @@
 )
 
 // processes of one ingress that may be there at one time, where the platform replaces them in service.
-const processes = 2
+const overlappingProcesses = 2
 
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	if err := command(os.Args[1:], os.Stdout, log); err != nil {
+	if err := runCommand(os.Args[1:], os.Stdout, log); err != nil {
 		fmt.Fprintln(os.Stderr, "hitchspring:", err)
 		os.Exit(1)
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	if fa := o.ForwardAuth; fa != nil {
-		auth, leases, err := forwardAuth(fa, set)
+		auth, leases, err := forwardAuthConfig(fa, set)
 		if err != nil {
 			return fail(err)
 		}
@@ -110,7 +110,7 @@
 		}
 	}
 	if f.socketFD > 0 { // the limit holds for two processes together
-		cfg.Memory /= processes
+		cfg.Memory /= overlappingProcesses
 	}
 	if cfg.Admin != "" || f.socketFD > 0 { // who else would have something to keep
 		cfg.StateDir = os.Getenv("TMPDIR")
@@ -142,7 +142,7 @@
 }
 
 // forwardAuth is the front for gates; its rules must name classes and plans of the settings.
-func forwardAuth(fa *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, *core.Leases, error) {
+func forwardAuthConfig(fa *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, *core.Leases, error) {
 	networks, _, err := fa.Networks()
 	if err != nil {
 		return nil, nil, err
@@ -186,7 +186,7 @@
 	return o
 }
 
-func run(options string, log *slog.Logger) error {
+func serve(options string, log *slog.Logger) error {
 	// From the start on, so that a SIGHUP never meets the default, which ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/cmd/hitchspring/main_test.go
+++ b/cmd/hitchspring/main_test.go
@@ -56,7 +56,7 @@
 	}
 	write(discovery[0])
 	done := make(chan error, 1)
-	go func() { done <- run("", slog.New(slog.DiscardHandler)) }()
+	go func() { done <- serve("", slog.New(slog.DiscardHandler)) }()
 	await(0)
 	write(discovery[1])
 	hangup()
@@ -90,13 +90,13 @@
 			t.Fatal(err)
 		}
 		t.Setenv("ROUTER_CONFIG", path)
-		err := run("", slog.New(slog.DiscardHandler))
+		err := serve("", slog.New(slog.DiscardHandler))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", text, err, want)
 		}
 	}
 	t.Setenv("ROUTER_CONFIG", "")
-	if err := run("", slog.New(slog.DiscardHandler)); err == nil {
+	if err := serve("", slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("no configuration: no error")
 	}
 }
@@ -120,23 +120,23 @@
 	bad := file("bad.toml", "[store]\nkind = \"redis\"\n")
 	t.Setenv("ROUTER_CONFIG", file("config.json", goodConfig))
 	var out strings.Builder
-	if err := command([]string{"check", "--options", good}, &out, quiet); err != nil || !strings.Contains(out.String(), `prefix = 'hitchspring'`) {
+	if err := runCommand([]string{"check", "--options", good}, &out, quiet); err != nil || !strings.Contains(out.String(), `prefix = 'hitchspring'`) {
 		t.Fatal(err, out.String())
 	}
-	if err := command([]string{"check", "--options", bad}, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), bad+":1: store.address") {
+	if err := runCommand([]string{"check", "--options", bad}, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), bad+":1: store.address") {
 		t.Fatal(err)
 	}
-	if err := command([]string{"check"}, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), "no address of it") {
+	if err := runCommand([]string{"check"}, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), "no address of it") {
 		t.Fatal(err) // without the options the counter has no address
 	}
 	t.Setenv("HITCHSPRING_OPTIONS", bad)
 	for _, args := range [][]string{nil, {"check"}} {
-		if err := command(args, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), "store.address") {
+		if err := runCommand(args, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), "store.address") {
 			t.Fatal(args, err)
 		}
 	}
 	for _, args := range [][]string{{"chekc"}, {"--nonsense"}, {"check", "more"}} {
-		if err := command(args, io.Discard, quiet); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := runCommand(args, io.Discard, quiet); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Fatal(args, err)
 		}
 	}
@@ -181,7 +181,7 @@
 	var log strings.Builder
 	var mu sync.Mutex
 	done := make(chan error, 1)
-	go func() { done <- run(options, slog.New(slog.NewTextHandler(locked{&mu, &log}, nil))) }()
+	go func() { done <- serve(options, slog.New(slog.NewTextHandler(locked{&mu, &log}, nil))) }()
 	logged := func(text string) bool {
 		mu.Lock()
 		defer mu.Unlock()
--- a/cmd/hitchspring/status.go
+++ b/cmd/hitchspring/status.go
@@ -18,12 +18,12 @@
 )
 
 type statusCmd struct {
-	Halls   statusHallsCmd   `cmd:"" help:"Each hall's capacity, what is offered, kept and spilled, and why."`
+	Halls   statusZonesCmd   `cmd:"" help:"Each hall's capacity, what is offered, kept and spilled, and why."`
 	Peers   statusPeersCmd   `cmd:"" help:"The other instances: what is believed of each, since when, and what came from them."`
 	Work    statusWorkCmd    `cmd:"" help:"Work in hand: covered, uncovered, kept for others, taken over."`
-	Budgets statusBudgetsCmd `cmd:"" help:"The quotas of the channels with the most demand: mode, what is held, what may be passed on if nothing more is heard."`
-	Rights  statusRightsCmd  `cmd:"" help:"Parts of budgets that have moved between instances: held, lent, borrowed, and what others spend unheard."`
-	Nodes   statusNodesCmd   `cmd:"" help:"The nodes of which something is known or told: what is believed, from whom, how old, and why."`
+	Budgets statusQuotasCmd `cmd:"" help:"The quotas of the channels with the most demand: mode, what is held, what may be passed on if nothing more is heard."`
+	Rights  statusEscrowCmd  `cmd:"" help:"Parts of budgets that have moved between instances: held, lent, borrowed, and what others spend unheard."`
+	Nodes   statusBackendsCmd   `cmd:"" help:"The nodes of which something is known or told: what is believed, from whom, how old, and why."`
 }
 
 // asking is the flags of whatever asks a running ingress.
@@ -33,13 +33,13 @@
 }
 
 // askTimeout bounds a whole call, answer and all.
-const askTimeout = 3 * time.Second
+const statusTimeout = 3 * time.Second
 
 // maxStatusBytes bounds an answer: 7,700 nodes on which 30 instances each have spoken are some 40 MB.
 const maxStatusBytes = 64 << 20
 
 // status asks a running ingress for what is at a path, and prints it.
-func status[T any](c asking, e *env, what string, print func(io.Writer, T) error) error {
+func queryStatus[T any](c asking, e *commandEnv, what string, printTable func(io.Writer, T) error) error {
 	at := c.At
 	if at == "" {
 		o, err := config.Load(e.options)
@@ -51,7 +51,7 @@
 		}
 		at = o.Metrics.Listen
 	}
-	ctx, cancel := context.WithTimeout(e.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(e.ctx, statusTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/"+what, nil)
 	if err != nil {
@@ -77,7 +77,7 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("status %s: %s answers something else: %w", what, at, err)
 	}
-	return print(e.out, s)
+	return printTable(e.out, s)
 }
 
 // readAnswer reads an answer of up to so many bytes whole. One that is larger is an error, and is not read on.
@@ -96,42 +96,42 @@
 	return text, nil
 }
 
-type statusHallsCmd struct{ asking }
+type statusZonesCmd struct{ asking }
 
 // Run asks a running ingress and prints a table.
-func (c *statusHallsCmd) Run(e *env) error { return status(c.asking, e, "halls", printHalls) }
+func (c *statusZonesCmd) Run(e *commandEnv) error { return queryStatus(c.asking, e, "halls", printZones) }
 
 type statusPeersCmd struct{ asking }
 
 // Run asks a running ingress and prints a table.
-func (c *statusPeersCmd) Run(e *env) error { return status(c.asking, e, "peers", printPeers) }
+func (c *statusPeersCmd) Run(e *commandEnv) error { return queryStatus(c.asking, e, "peers", printPeers) }
 
-type statusNodesCmd struct{ asking }
+type statusBackendsCmd struct{ asking }
 
 // Run asks a running ingress and prints a table.
-func (c *statusNodesCmd) Run(e *env) error { return status(c.asking, e, "nodes", printNodes) }
+func (c *statusBackendsCmd) Run(e *commandEnv) error { return queryStatus(c.asking, e, "nodes", printBackends) }
 
 type statusWorkCmd struct{ asking }
 
 // Run asks a running ingress and prints a table.
-func (c *statusWorkCmd) Run(e *env) error { return status(c.asking, e, "work", printWork) }
+func (c *statusWorkCmd) Run(e *commandEnv) error { return queryStatus(c.asking, e, "work", printWork) }
 
-type statusBudgetsCmd struct {
+type statusQuotasCmd struct {
 	asking
 	For time.Duration `help:"What would be passed on within so long, up to 10m." default:"1m"`
 }
 
 // Run asks a running ingress and prints a table.
-func (c *statusBudgetsCmd) Run(e *env) error {
-	return status(c.asking, e, "budgets?for="+c.For.String(), printBudgets)
+func (c *statusQuotasCmd) Run(e *commandEnv) error {
+	return queryStatus(c.asking, e, "budgets?for="+c.For.String(), printQuotas)
 }
 
-type statusRightsCmd struct{ asking }
+type statusEscrowCmd struct{ asking }
 
 // Run asks a running ingress and prints a table.
-func (c *statusRightsCmd) Run(e *env) error { return status(c.asking, e, "rights", printRights) }
+func (c *statusEscrowCmd) Run(e *commandEnv) error { return queryStatus(c.asking, e, "rights", printEscrow) }
 
-func printRights(out io.Writer, s core.EscrowStatus) error {
+func printEscrow(out io.Writer, s core.EscrowStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "channel\tat home\theld\tlent\tborrowed\tspent unheard by others\tlent to\tborrowed of")
 	for _, b := range s.Accounts {
@@ -145,7 +145,7 @@
 	return err
 }
 
-func printBudgets(out io.Writer, all []overrun.Bound) error {
+func printQuotas(out io.Writer, all []overrun.Bound) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "channel\tplan\tmode\tways\tdemand/s\tothers/s\ttotal heard\tpart\theld\tuntold\troom\tmay pass on\tuncounted\tmay overdraw\twithin")
 	for _, s := range all {
@@ -198,7 +198,7 @@
 	return err
 }
 
-func printNodes(out io.Writer, s core.BackendsStatus) error {
+func printBackends(out io.Writer, s core.BackendsStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "node\town good\town bad\town word\tby others' word\tcause\tage\twhy")
 	for _, n := range s.Backends {
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -21,7 +21,7 @@
 	s := httptest.NewServer(answer)
 	defer s.Close()
 	var out strings.Builder
-	err := command(append(append([]string{"status"}, args...), "--at", strings.TrimPrefix(s.URL, "http://")), &out, slog.New(slog.DiscardHandler))
+	err := runCommand(append(append([]string{"status"}, args...), "--at", strings.TrimPrefix(s.URL, "http://")), &out, slog.New(slog.DiscardHandler))
 	return out.String(), err
 }
 
--- a/cmd/hitchspring/halls.go
+++ b/cmd/hitchspring/zones.go
@@ -12,7 +12,7 @@
 	"hitchspring/internal/zones"
 )
 
-func printHalls(out io.Writer, s zones.Status) error {
+func printZones(out io.Writer, s zones.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "hall\ttier\tstate\tfor\tnodes\tproven\tcapacity\tof\toffered/s\tanswered/s\tshare\tlate\tramp\tmost/s\tprice\tcaution\t")
 	for _, h := range s.Zones {
@@ -39,21 +39,21 @@
 	return err
 }
 
-type hallCmd struct {
-	Drain  hallDrainCmd  `cmd:"" help:"Take a hall out: no instance sends it new work until the time is up."`
-	Return hallReturnCmd `cmd:"" help:"End a hall's drill: it is let in again by its ramp."`
-	List   hallListCmd   `cmd:"" help:"The drills in force."`
+type zoneCmd struct {
+	Drain  zoneDrainCmd  `cmd:"" help:"Take a hall out: no instance sends it new work until the time is up."`
+	Return zoneReturnCmd `cmd:"" help:"End a hall's drill: it is let in again by its ramp."`
+	List   zoneListCmd   `cmd:"" help:"The drills in force."`
 }
 
-type hallDrainCmd struct {
+type zoneDrainCmd struct {
 	Hall string        `arg:"" help:"The hall's name, as in the list of nodes."`
 	For  time.Duration `help:"For how long, 4h at most." default:"15m"`
 	By   string        `help:"Who says so."`
 	Why  string        `help:"What for."`
 }
 
-func (c *hallDrainCmd) Run(e *env) error {
-	return e.drills(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
+func (c *zoneDrainCmd) Run(e *commandEnv) error {
+	return e.updateDrains(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
 		if c.For <= 0 || c.For > zonedrain.MaxDuration {
 			return l, fmt.Errorf("--for: %v is out of range, up to %v", c.For, zonedrain.MaxDuration)
 		}
@@ -61,12 +61,12 @@
 	})
 }
 
-type hallReturnCmd struct {
+type zoneReturnCmd struct {
 	Hall string `arg:"" help:"The hall's name."`
 }
 
-func (c *hallReturnCmd) Run(e *env) error {
-	return e.drills(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
+func (c *zoneReturnCmd) Run(e *commandEnv) error {
+	return e.updateDrains(func(l zonedrain.List, now time.Time) (zonedrain.List, error) {
 		if _, out := l.Active(now)[c.Hall]; !out {
 			return l, fmt.Errorf("hall %q is in no drill", c.Hall)
 		}
@@ -74,14 +74,14 @@
 	})
 }
 
-type hallListCmd struct{}
+type zoneListCmd struct{}
 
-func (hallListCmd) Run(e *env) error {
-	return e.drills(nil)
+func (zoneListCmd) Run(e *commandEnv) error {
+	return e.updateDrains(nil)
 }
 
 // drills changes the file of drills, and prints what is in force then.
-func (e *env) drills(change func(zonedrain.List, time.Time) (zonedrain.List, error)) error {
+func (e *commandEnv) updateDrains(change func(zonedrain.List, time.Time) (zonedrain.List, error)) error {
 	o, err := config.Load(e.options)
 	if err != nil {
 		return err
--- a/cmd/hitchspring/halls_test.go
+++ b/cmd/hitchspring/zones_test.go
@@ -25,7 +25,7 @@
 	quiet := slog.New(slog.DiscardHandler)
 	do := func(args ...string) string {
 		var out strings.Builder
-		if err := command(args, &out, quiet); err != nil {
+		if err := runCommand(args, &out, quiet); err != nil {
 			t.Fatal(args, err)
 		}
 		return out.String()
@@ -49,12 +49,12 @@
 		"expected \"<hall>\"":           {"hall", "drain"},
 		"--at names no address":         {"status", "halls"},
 	} {
-		if err := command(args, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if err := runCommand(args, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
 	t.Setenv("HITCHSPRING_OPTIONS", "")
-	if err := command([]string{"hall", "list"}, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), "halls.drills") {
+	if err := runCommand([]string{"hall", "list"}, io.Discard, quiet); err == nil || !strings.Contains(err.Error(), "halls.drills") {
 		t.Error(err)
 	}
 }
@@ -72,7 +72,7 @@
 	at := strings.TrimPrefix(s.URL, "http://")
 	quiet := slog.New(slog.DiscardHandler)
 	var out strings.Builder
-	if err := command([]string{"status", "halls", "--at", at}, &out, quiet); err != nil {
+	if err := runCommand([]string{"status", "halls", "--at", at}, &out, quiet); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"hall-a   own       lost", "up (grey)", "3% kept, 97% spilled (planned at least 100%): the own hall is lost", "hall-a is lost: 4 of 4"} {
@@ -81,18 +81,18 @@
 		}
 	}
 	out.Reset()
-	if err := command([]string{"status", "halls", "--json", "--at", at}, &out, quiet); err != nil || out.String() != answer {
+	if err := runCommand([]string{"status", "halls", "--json", "--at", at}, &out, quiet); err != nil || out.String() != answer {
 		t.Error(err, out.String())
 	}
 	code, answer = http.StatusServiceUnavailable, "[halls] is off"
-	if err := command([]string{"status", "halls", "--at", at}, &out, quiet); err == nil || !strings.Contains(err.Error(), "503") || !strings.Contains(err.Error(), "[halls] is off") {
+	if err := runCommand([]string{"status", "halls", "--at", at}, &out, quiet); err == nil || !strings.Contains(err.Error(), "503") || !strings.Contains(err.Error(), "[halls] is off") {
 		t.Error(err)
 	}
 	code, answer = http.StatusOK, "hello"
-	if err := command([]string{"status", "halls", "--at", at}, &out, quiet); err == nil || !strings.Contains(err.Error(), "something else") {
+	if err := runCommand([]string{"status", "halls", "--at", at}, &out, quiet); err == nil || !strings.Contains(err.Error(), "something else") {
 		t.Error(err)
 	}
-	if err := command([]string{"status", "halls", "--at", "127.0.0.1:1"}, &out, quiet); err == nil || strings.Contains(err.Error(), "\n") {
+	if err := runCommand([]string{"status", "halls", "--at", "127.0.0.1:1"}, &out, quiet); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Error(err)
 	}
 }
@@ -106,7 +106,7 @@
 	}))
 	defer s.Close()
 	var out strings.Builder
-	if err := command([]string{"status", "budgets", "--for", "10s", "--at", strings.TrimPrefix(s.URL, "http://")}, &out, slog.New(slog.DiscardHandler)); err != nil {
+	if err := runCommand([]string{"status", "budgets", "--for", "10s", "--at", strings.TrimPrefix(s.URL, "http://")}, &out, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"c1", "alone", "1.5s ago", "91.2", "88.7", "10s"} {
