--- a/internal/core/known_faults_test.go
+++ b/internal/core/known_faults_test.go
@@ -20,7 +20,7 @@
 // A request whose awaited attempt never ran starts anew, and its client leaves
 // before it is replicated again: nothing of it is kept.
 func TestRestartedWorkIsForgotten(t *testing.T) {
-	cfg := testConfig(endpointsAt("127.0.0.1:1"))
+	cfg := testConfig(endpointsAt()) // no backend: the request is queued
 	cfg.Takeover = &Takeover{
 		Self:        takeover.Member{Name: "n0"},
 		Incarnation: 1,
@@ -28,7 +28,13 @@
 	}
 	c := newIdleCore(t, cfg)
 	r := &Request{
-		Request:        policy.Request{Class: "read", Plan: "p", Tenant: "tenant", GiveUpAt: c.now + time.Minute, Units: 1},
+		Request: policy.Request{
+			Class:    "read",
+			Plan:     "p",
+			Tenant:   "tenant",
+			GiveUpAt: c.now + time.Minute,
+			Units:    1,
+		},
 		ClientID:       7,
 		Sink:           &recordingSink{},
 		Command:        testCommand{},
