--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -40,6 +41,33 @@
 	}
 }
 
+// The ingress builds with each defect: a name in the text that is put in place may have changed.
+func TestDefectsBuild(t *testing.T) {
+	if os.Getenv("HITCHSPRING_TRIALS") == "" { // as many builds as defects
+		t.Skip("HITCHSPRING_TRIALS is not set")
+	}
+	all, err := Defects()
+	if err != nil {
+		t.Fatal(err)
+	}
+	root, err := Root(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, d := range all {
+		t.Run(d.Name, func(t *testing.T) {
+			overlay, err := d.Plant(root, t.TempDir())
+			if err != nil {
+				t.Fatal(err)
+			}
+			build := exec.CommandContext(t.Context(), "go", "build", "-overlay", overlay, "-o", os.DevNull, "hitchspring/cmd/hitchspring")
+			if out, err := build.CombinedOutput(); err != nil {
+				t.Errorf("%v\n%s", err, out)
+			}
+		})
+	}
+}
+
 // A defect whose place has moved fails loudly, and a file that cannot be read says why.
 func TestPlantFails(t *testing.T) {
 	root := t.TempDir()
