--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,8 +1,11 @@
-// Package socket asks the kernel about a connection without reading from it. In: a net.Conn. Out: whether bytes or the peer's end
-// have come, and how much of what was written the peer has not taken. It knows no protocol, and none of its calls waits.
+// Package socket queries the kernel about a connection without reading from it. It
+// takes a net.Conn, and reports whether bytes or the peer's end have arrived, how
+// long ago, and how many written bytes the peer has not acknowledged. It knows no
+// protocol, and none of its calls blocks.
 package socket
 
 import (
+	"errors"
 	"net"
 	"syscall"
 	"time"
@@ -11,79 +14,96 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unknown is what Unsent returns where the kernel can't tell.
+// Unknown is what Unsent returns if the kernel does not know.
 const Unknown = -1
 
-// Peek reports whether bytes have come on a connection that were not read, and whether its peer has ended it, as far as that shows
-// in front of unread bytes. Both are false for a connection without a descriptor.
-func Peek(nc net.Conn) (came, gone bool) {
+// Peek reports whether unread bytes have arrived on a connection, and whether its
+// peer has ended it. An end behind unread bytes is not seen; see HungUp. Both are
+// false for a connection without a file descriptor.
+func Peek(conn net.Conn) (arrived, ended bool) {
 	var b [1]byte
-	control(nc, func(fd int) {
+	control(conn, func(fd int) {
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		came = err == nil && n > 0
-		gone = err == nil && n == 0 || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
+		if err != nil {
+			ended = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+			return
+		}
+		arrived = n > 0
+		ended = n == 0
 	})
-	return came, gone
+	return arrived, ended
 }
 
-// HungUp reports whether the peer has ended a connection or this process has closed it, also where bytes that came before are not
-// read. It is false for a connection without a descriptor.
-func HungUp(nc net.Conn) (gone bool) {
-	open := control(nc, func(fd int) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
-		gone = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+// HungUp reports whether the peer has ended a connection, even behind unread
+// bytes, or this process has closed it. It is false for a connection without a
+// file descriptor.
+func HungUp(conn net.Conn) bool {
+	ended := false
+	state := control(conn, func(fd int) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		ended = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return gone || open == closed
+	return ended || state == closed
 }
 
-// Unsent is how many bytes of what was written to a connection its peer has not taken, or Unknown.
-func Unsent(nc net.Conn) int {
-	n, failed := int32(0), true
-	control(nc, func(fd int) {
-		_, _, e := syscall.Syscall(syscall.SYS_IOCTL, uintptr(fd), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&n)))
-		failed = e != 0
+// Unsent returns how many bytes that were written to a connection its peer has
+// not acknowledged, or Unknown.
+func Unsent(conn net.Conn) int {
+	unsent := Unknown
+	control(conn, func(fd int) {
+		queued := int32(0)
+		_, _, errno := syscall.Syscall(
+			syscall.SYS_IOCTL, uintptr(fd), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&queued)))
+		if errno == 0 {
+			unsent = int(queued)
+		}
 	})
-	if failed {
-		return Unknown
-	}
-	return int(n)
+	return unsent
 }
 
-// SinceData is how long ago the last bytes of a connection came, read or not; 0 where the kernel can't tell.
-func SinceData(nc net.Conn) (since time.Duration) {
-	control(nc, func(fd int) {
-		if info, err := unix.GetsockoptTCPInfo(fd, unix.SOL_TCP, unix.TCP_INFO); err == nil {
+// SinceData returns the time since the last bytes arrived on a connection, read
+// or not. It is 0 if the kernel does not know.
+func SinceData(conn net.Conn) time.Duration {
+	var since time.Duration
+	control(conn, func(fd int) {
+		info, err := unix.GetsockoptTCPInfo(fd, unix.SOL_TCP, unix.TCP_INFO)
+		if err == nil {
 			since = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
 	return since
 }
 
-// CloseWrite ends this side of a connection, where its kind can.
-func CloseWrite(nc net.Conn) {
-	if half, ok := nc.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
+// CloseWrite ends the sending side of a connection, if connections of its kind
+// can do that.
+func CloseWrite(conn net.Conn) {
+	if half, ok := conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite() // fails only on a connection that has ended
 	}
 }
 
-// descriptor says what became of the attempt to use a connection's descriptor.
-type descriptor uint8
+// descriptorState says what became of an attempt to use a connection's file
+// descriptor.
+type descriptorState uint8
 
 const (
-	none   descriptor = iota // the connection has none
-	used                     // it was used
-	closed                   // this process has closed the connection
+	absent descriptorState = iota // the connection has none
+	used
+	closed // this process has closed the connection
 )
 
-// control does something with the descriptor of a connection.
-func control(nc net.Conn, do func(fd int)) descriptor {
-	s, ok := nc.(syscall.Conn)
+// control calls do with the file descriptor of a connection.
+func control(conn net.Conn, do func(fd int)) descriptorState {
+	sys, ok := conn.(syscall.Conn)
 	if !ok {
-		return none
+		return absent
+	}
+	raw, err := sys.SyscallConn()
+	if err != nil {
+		return closed
 	}
-	raw, err := s.SyscallConn()
-	if err != nil || raw.Control(func(fd uintptr) { do(int(fd)) }) != nil {
+	if err := raw.Control(func(fd uintptr) { do(int(fd)) }); err != nil {
 		return closed
 	}
 	return used
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -6,31 +6,41 @@
 	"time"
 )
 
-// What a client has taken shows at its connection though nothing more can be written: it is no dead one.
-func TestUnsent(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// connect returns the two ends of a connection.
+func connect(t *testing.T) (client, server net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	reader, err := net.Dial("tcp", ln.Addr().String())
+	t.Cleanup(func() { listener.Close() })
+	client, err = net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer reader.Close()
-	reader.(*net.TCPConn).SetReadBuffer(4 << 10)
-	writer, err := ln.Accept()
+	t.Cleanup(func() { client.Close() })
+	server, err = listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer writer.Close()
+	t.Cleanup(func() { server.Close() })
+	return client, server
+}
+
+// What a client reads shows at the other end although nothing more can be
+// written: such a connection is not dead.
+func TestUnsent(t *testing.T) {
+	reader, writer := connect(t)
+	if err := reader.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
 	writer.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	if n, err := writer.Write(make([]byte, 64<<20)); err == nil {
-		t.Fatalf("%d bytes found room", n)
+		t.Fatalf("got all %d bytes written, want a time-out", n)
 	}
 	before := Unsent(writer)
 	if before <= 0 {
-		t.Fatal(before)
+		t.Fatalf("got %d unsent bytes, want more than 0", before)
 	}
 	b := make([]byte, 1<<10)
 	for range 100 {
@@ -40,60 +50,48 @@
 	}
 	for end := time.Now().Add(5 * time.Second); Unsent(writer) >= before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes before, %d after 100 KiB were read", before, Unsent(writer))
+			t.Fatalf("got %d unsent bytes after 100 KiB were read, want less than %d", Unsent(writer), before)
 		}
 	}
 	a, z := net.Pipe()
 	defer a.Close()
 	defer z.Close()
-	if Unsent(a) != Unknown {
-		t.Fatal("a pipe can tell")
+	if got := Unsent(a); got != Unknown {
+		t.Fatalf("got %d of a pipe, want Unknown", got)
 	}
 }
 
-// The end of a connection shows behind bytes that nobody has read, by a close and by a reset, and where this process has closed it.
+// The end of a connection shows behind unread bytes, by a close and by a reset,
+// and if this process has closed it.
 func TestHungUp(t *testing.T) {
-	for _, how := range []string{"close", "reset", "own close"} {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		far, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := far.Write([]byte("a command")); err != nil {
-			t.Fatal(err)
-		}
-		near, err := ln.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if HungUp(near) {
-			t.Errorf("%s: gone before", how)
-		}
-		switch how {
-		case "close":
-			far.Close()
-		case "reset":
+	for name, end := range map[string]func(far, near net.Conn){
+		"close": func(far, _ net.Conn) { far.Close() },
+		"reset": func(far, _ net.Conn) {
 			far.(*net.TCPConn).SetLinger(0)
 			far.Close()
-		default:
-			near.Close()
-		}
-		for end := time.Now().Add(5 * time.Second); !HungUp(near); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: not seen", how)
+		},
+		"own close": func(_, near net.Conn) { near.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			far, near := connect(t)
+			if _, err := far.Write([]byte("a command")); err != nil {
+				t.Fatal(err)
 			}
-		}
-		far.Close()
-		near.Close()
-		ln.Close()
+			if HungUp(near) {
+				t.Error("got an end before there was one")
+			}
+			end(far, near)
+			for deadline := time.Now().Add(5 * time.Second); !HungUp(near); time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
+					t.Fatal("the end was not seen")
+				}
+			}
+		})
 	}
 	a, z := net.Pipe()
 	defer z.Close()
 	a.Close()
 	if HungUp(a) {
-		t.Error("a pipe can tell")
+		t.Error("got an end of a pipe, which has no descriptor")
 	}
 }
