--- a/internal/resp/large_fuzz_test.go
+++ b/internal/resp/large_fuzz_test.go
@@ -23,7 +23,7 @@
 		}
 		whole := append(append([]byte{}, b[:head]...), make([]byte, size)...)
 		whole = append(whole, "\r\n$-1\r\n$-1\r\n"...)
-		if n, _, err := frame(whole, 0, MaxLarge); n != len(whole) || err != nil {
+		if n, _, err := scanFrame(whole, 0, MaxLarge); n != len(whole) || err != nil {
 			t.Fatalf("%s of %d is a frame of %d, %v", fmt.Sprintf("%q", b[:head]), len(whole), n, err)
 		}
 	})
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,13 +11,13 @@
 // Bounds in bytes on what a peer may send. A whole command or answer is held in memory before it is read, so
 // they also bound the buffer of a connection.
 const (
-	MaxValue    = 64 << 10
-	MaxLarge    = 4 << 20 // of a value that is passed on as it comes, or of a request's body
-	MaxFrame    = MaxValue + frameRest
-	frameRest   = 4 << 10
-	maxLine     = 1 << 10
-	maxElements = 16
-	maxDepth    = 3
+	MaxValue           = 64 << 10
+	MaxLarge           = 4 << 20 // of a value that is passed on as it comes, or of a request's body
+	MaxFrame           = MaxValue + frameOverheadBytes
+	frameOverheadBytes = 4 << 10
+	maxHeaderBytes     = 1 << 10
+	maxElements        = 16
+	maxDepth           = 3
 )
 
 // What is wrong with what a peer sends; after any of them the framing is lost.
@@ -30,36 +30,36 @@
 // Frame returns the length of the RESP value that b begins with, or 0 while its end has not come. It
 // guards the library's parser, which trusts lengths: a huge or negative one makes it panic.
 func Frame(b []byte, depth int) (int, error) {
-	size, _, err := frame(b, depth, MaxValue)
+	size, _, err := scanFrame(b, depth, MaxValue)
 	return size, err
 }
 
 // need is what is known of a value that has not come whole.
-type need struct {
+type lengthBound struct {
 	bytes int  // it has so many at least
-	whole bool // and no more
+	exact bool // and no more
 }
 
 // frame is Frame for values of so many bytes at most.
-func frame(b []byte, depth, most int) (int, need, error) {
-	fail := func(err error) (int, need, error) { return 0, need{}, err }
+func scanFrame(b []byte, depth, most int) (int, lengthBound, error) {
+	fail := func(err error) (int, lengthBound, error) { return 0, lengthBound{}, err }
 	if len(b) == 0 {
-		return 0, need{}, nil
+		return 0, lengthBound{}, nil
 	}
-	end := bytes.IndexByte(b[:min(len(b), maxLine)], '\n')
+	end := bytes.IndexByte(b[:min(len(b), maxHeaderBytes)], '\n')
 	switch {
-	case end < 0 && len(b) >= maxLine:
+	case end < 0 && len(b) >= maxHeaderBytes:
 		return fail(ErrTooLong)
 	case bytes.IndexByte([]byte("+-:$*"), b[0]) < 0 || depth > maxDepth:
 		return fail(ErrFraming)
 	case end < 0:
-		return 0, need{}, nil
+		return 0, lengthBound{}, nil
 	case end < 2 || b[end-1] != '\r':
 		return fail(ErrFraming)
 	}
 	size := end + 1
 	if b[0] != '$' && b[0] != '*' {
-		return size, need{}, nil
+		return size, lengthBound{}, nil
 	}
 	n, err := strconv.Atoi(string(b[1 : end-1]))
 	switch {
@@ -68,26 +68,26 @@
 	case b[0] == '$' && n > most || b[0] == '*' && n > maxElements:
 		return fail(ErrTooLong)
 	case n < 0:
-		return size, need{}, nil
+		return size, lengthBound{}, nil
 	case b[0] == '$':
 		if size += n + 2; len(b) < size {
-			return 0, need{size, true}, nil
+			return 0, lengthBound{size, true}, nil
 		}
 		if b[size-2] != '\r' || b[size-1] != '\n' {
 			return fail(ErrFraming)
 		}
-		return size, need{}, nil
+		return size, lengthBound{}, nil
 	}
 	for i := range n {
-		k, more, err := frame(b[size:], depth+1, most)
+		k, more, err := scanFrame(b[size:], depth+1, most)
 		if err != nil {
 			return fail(err)
 		}
 		if k == 0 && more.bytes > 0 {
 			more.bytes += size
-			more.whole = more.whole && i == n-1
+			more.exact = more.exact && i == n-1
 		}
-		if max(size+k, more.bytes) > most+frameRest {
+		if max(size+k, more.bytes) > most+frameOverheadBytes {
 			return fail(ErrTooLong)
 		}
 		if k == 0 {
@@ -95,7 +95,7 @@
 		}
 		size += k
 	}
-	return size, need{}, nil
+	return size, lengthBound{}, nil
 }
 
 // Large says whether b begins with an array of three whose first element is a value beyond MaxValue, which is passed on
@@ -106,7 +106,7 @@
 		return 0, 0, nil
 	}
 	rest := b[len(start):]
-	end := bytes.IndexByte(rest[:min(len(rest), maxLine)], '\n')
+	end := bytes.IndexByte(rest[:min(len(rest), maxHeaderBytes)], '\n')
 	if end < 2 || rest[end-1] != '\r' {
 		return 0, 0, nil
 	}
@@ -122,19 +122,19 @@
 
 // Budget is memory that many connections share; nil is without end.
 type Budget struct {
-	left atomic.Int64
+	available atomic.Int64
 }
 
 // NewBudget returns a budget of so many bytes.
 func NewBudget(bytes int) *Budget {
 	b := &Budget{}
-	b.left.Store(int64(bytes))
+	b.available.Store(int64(bytes))
 	return b
 }
 
 // Take reports whether the budget holds n bytes more, which are then taken.
 func (b *Budget) Take(n int) bool {
-	if b == nil || b.left.Add(-int64(n)) >= 0 {
+	if b == nil || b.available.Add(-int64(n)) >= 0 {
 		return true
 	}
 	b.Give(n)
@@ -144,28 +144,28 @@
 // Give brings n bytes back.
 func (b *Budget) Give(n int) {
 	if b != nil {
-		b.left.Add(int64(n))
+		b.available.Add(int64(n))
 	}
 }
 
 // Inbox gathers what a connection brings until a frame is whole. What it needs beyond a small buffer comes from the
 // budget.
 type Inbox struct {
-	buf         []byte
-	start, have int
-	Budget      *Budget // where what it needs beyond a small buffer comes from; nil is without end
-	Max         int     // bytes of a value; 0: MaxValue
-	taken       int
-	need        need // of the frame that has begun
+	buf        []byte
+	start, end int
+	Budget     *Budget // where what it needs beyond a small buffer comes from; nil is without end
+	Max        int     // bytes of a value; 0: MaxValue
+	reserved   int
+	pending    lengthBound // of the frame that has begun
 }
 
 // Close gives back what was taken from the budget.
 func (in *Inbox) Close() {
-	in.Budget.Give(in.taken)
-	in.taken = 0
+	in.Budget.Give(in.reserved)
+	in.reserved = 0
 }
 
-func (in *Inbox) most() int {
+func (in *Inbox) maxValue() int {
 	if in.Max > 0 {
 		return in.Max
 	}
@@ -174,8 +174,8 @@
 
 // Next returns the next whole frame, or nil when more must be read; it is valid until Fill.
 func (in *Inbox) Next() ([]byte, error) {
-	n, more, err := frame(in.buf[in.start:in.have], 0, in.most())
-	in.need = more
+	n, more, err := scanFrame(in.buf[in.start:in.end], 0, in.maxValue())
+	in.pending = more
 	if n == 0 || err != nil {
 		return nil, err
 	}
@@ -185,13 +185,13 @@
 }
 
 // Partial says whether a frame has begun and not ended.
-func (in *Inbox) Partial() bool { return in.have > in.start }
+func (in *Inbox) Partial() bool { return in.end > in.start }
 
 // Came is how much of the frame that has begun is there.
-func (in *Inbox) ArrivedAt() int { return in.have - in.start }
+func (in *Inbox) ArrivedAt() int { return in.end - in.start }
 
 // Begun is what has come of the frame that has begun; it is valid until Fill.
-func (in *Inbox) Begun() []byte { return in.buf[in.start:in.have] }
+func (in *Inbox) Begun() []byte { return in.buf[in.start:in.end] }
 
 // Drop takes so many bytes off what has come.
 func (in *Inbox) Drop(n int) { in.start += n }
@@ -199,30 +199,30 @@
 // Fill reads once more; the buffer grows to one frame at most.
 func (in *Inbox) Fill(read func([]byte) (int, error)) error {
 	if in.start > 0 {
-		in.have = copy(in.buf, in.buf[in.start:in.have])
+		in.end = copy(in.buf, in.buf[in.start:in.end])
 		in.start = 0
 	}
 	switch {
-	case in.have == 0 && len(in.buf) != SmallBuffer: // a large frame's memory does not stay with the connection
+	case in.end == 0 && len(in.buf) != SmallBuffer: // a large frame's memory does not stay with the connection
 		in.buf = make([]byte, SmallBuffer)
 		in.Close()
-	case in.have == len(in.buf):
-		most := in.most() + frameRest + maxLine
-		if in.have >= most {
+	case in.end == len(in.buf):
+		most := in.maxValue() + frameOverheadBytes + maxHeaderBytes
+		if in.end >= most {
 			return ErrTooLong
 		}
-		more := min(len(in.buf), most-in.have)
-		if in.need.whole && in.need.bytes > in.have { // no further than its end, and what may stand behind it
-			more = min(more, in.need.bytes-in.have+SmallBuffer)
+		more := min(len(in.buf), most-in.end)
+		if in.pending.exact && in.pending.bytes > in.end { // no further than its end, and what may stand behind it
+			more = min(more, in.pending.bytes-in.end+SmallBuffer)
 		}
 		if !in.Budget.Take(more) {
 			return ErrMemory
 		}
-		in.taken += more
+		in.reserved += more
 		in.buf = append(in.buf, make([]byte, more)...)
 	}
-	n, err := read(in.buf[in.have:])
-	in.have += n
+	n, err := read(in.buf[in.end:])
+	in.end += n
 	if n > 0 {
 		return nil
 	}
@@ -232,11 +232,11 @@
 // Skip reads and throws away the rest of the frame that has begun, where it is known how long that is; the next frame can
 // be read after it.
 func (in *Inbox) Skip(read func([]byte) (int, error)) (skipped bool, err error) {
-	if !in.need.whole {
+	if !in.pending.exact {
 		return false, nil
 	}
-	left := in.need.bytes - in.ArrivedAt()
-	in.buf, in.start, in.have = make([]byte, SmallBuffer), 0, 0
+	left := in.pending.bytes - in.ArrivedAt()
+	in.buf, in.start, in.end = make([]byte, SmallBuffer), 0, 0
 	in.Close()
 	for left > 0 {
 		n, err := read(in.buf[:min(left, len(in.buf))])
