--- /dev/null
+++ b/internal/resp/frame.go
@@ -0,0 +1,141 @@
+package resp
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// lengthBound is what is known of the length of an incomplete value.
+type lengthBound struct {
+	bytes int  // lower bound; 0: nothing is known
+	exact bool // the value has exactly so many bytes
+}
+
+// Frame returns the length of the RESP value that b begins with, or 0 if the
+// value is incomplete. Depth is that of the value among nested arrays. The
+// function guards the parser, which trusts lengths: a huge or negative one makes
+// it panic.
+func Frame(b []byte, depth int) (int, error) {
+	size, _, err := scanFrame(b, depth, MaxValue)
+	return size, err
+}
+
+// scanFrame does what Frame does with another bound on the length of a string.
+// Of an incomplete value it returns what is known of its length.
+func scanFrame(b []byte, depth, maxValue int) (int, lengthBound, error) {
+	headerBytes, err := scanHeader(b, depth)
+	if headerBytes == 0 || err != nil {
+		return 0, lengthBound{}, err
+	}
+	kind := b[0]
+	if kind != '$' && kind != '*' {
+		return headerBytes, lengthBound{}, nil
+	}
+	n, valid := parseLength(b[1 : headerBytes-2])
+	switch {
+	case !valid || n < -1:
+		return 0, lengthBound{}, ErrFraming
+	case kind == '$' && n > maxValue || kind == '*' && n > maxElements:
+		return 0, lengthBound{}, ErrTooLong
+	case n < 0: // null
+		return headerBytes, lengthBound{}, nil
+	case kind == '$':
+		return scanString(b, headerBytes, n)
+	default:
+		return scanElements(b, headerBytes, n, depth, maxValue)
+	}
+}
+
+// scanHeader returns the length of the line that a value begins with, its line
+// end included, or 0 if the line is incomplete.
+func scanHeader(b []byte, depth int) (int, error) {
+	if len(b) == 0 {
+		return 0, nil
+	}
+	end := bytes.IndexByte(b[:min(len(b), maxHeaderBytes)], '\n')
+	switch {
+	case end < 0 && len(b) >= maxHeaderBytes:
+		return 0, ErrTooLong
+	case !isKind(b[0]) || depth > maxDepth:
+		return 0, ErrFraming
+	case end < 0:
+		return 0, nil
+	case end < 2 || b[end-1] != '\r':
+		return 0, ErrFraming
+	}
+	return end + 1, nil
+}
+
+// isKind reports whether a byte is that of a RESP2 type.
+func isKind(b byte) bool {
+	switch b {
+	case '+', '-', ':', '$', '*':
+		return true
+	default:
+		return false
+	}
+}
+
+func parseLength(digits []byte) (int, bool) {
+	n, err := strconv.Atoi(string(digits))
+	return n, err == nil
+}
+
+// scanString returns the length of a bulk string of n bytes and its header.
+func scanString(b []byte, headerBytes, n int) (int, lengthBound, error) {
+	size := headerBytes + n + len("\r\n")
+	if len(b) < size {
+		return 0, lengthBound{bytes: size, exact: true}, nil
+	}
+	if b[size-2] != '\r' || b[size-1] != '\n' {
+		return 0, lengthBound{}, ErrFraming
+	}
+	return size, lengthBound{}, nil
+}
+
+// scanElements returns the length of an array of n elements and its header.
+func scanElements(b []byte, headerBytes, n, depth, maxValue int) (int, lengthBound, error) {
+	size := headerBytes
+	for i := range n {
+		element, bound, err := scanFrame(b[size:], depth+1, maxValue)
+		if err != nil {
+			return 0, lengthBound{}, err
+		}
+		if element == 0 && bound.bytes > 0 {
+			bound.bytes += size
+			bound.exact = bound.exact && i == n-1
+		}
+		if max(size+element, bound.bytes) > maxValue+frameOverheadBytes {
+			return 0, lengthBound{}, ErrTooLong
+		}
+		if element == 0 {
+			return 0, bound, nil
+		}
+		size += element
+	}
+	return size, lengthBound{}, nil
+}
+
+// Large reports whether b begins with an array of three whose first element is a
+// string above MaxValue, which is forwarded as it arrives. It returns the bytes
+// of b before the string, and the length of the string; both are 0 if b begins
+// otherwise. A string above MaxLarge is ErrTooLong.
+func Large(b []byte) (head, value int, err error) {
+	const start = "*3\r\n$"
+	if len(b) <= len(start) || string(b[:len(start)]) != start {
+		return 0, 0, nil
+	}
+	rest := b[len(start):]
+	end := bytes.IndexByte(rest[:min(len(rest), maxHeaderBytes)], '\n')
+	if end < 2 || rest[end-1] != '\r' {
+		return 0, 0, nil
+	}
+	n, valid := parseLength(rest[:end-1])
+	switch {
+	case !valid || n <= MaxValue: // Frame decides
+		return 0, 0, nil
+	case n > MaxLarge:
+		return 0, 0, ErrTooLong
+	}
+	return len(start) + end + 1, n, nil
+}
