--- a/internal/peers/engine_test.go
+++ b/internal/peers/engine_test.go
@@ -127,10 +127,12 @@
 		"no sender":         mustMarshal(t, payload{Version: 1, MinVersion: 1, Response: &factResponse{Nonce: 1}}),
 		"ended incarnation": mustMarshal(t, payload{Version: 1, MinVersion: 1, Swim: ended, Announcement: announced}),
 	} {
-		packets, _ := engine.Receive(n.now, sealer.Seal(plain))
-		if len(packets) > 1 || engine.Store().Checksum(n.now) != before {
-			t.Errorf("%s: got %d packets, want 1 at most and no change", name, len(packets))
-		}
+		t.Run(name, func(t *testing.T) {
+			packets, _ := engine.Receive(n.now, sealer.Seal(plain))
+			if len(packets) > 1 || engine.Store().Checksum(n.now) != before {
+				t.Errorf("got %d packets, want 1 at most and no change", len(packets))
+			}
+		})
 	}
 	if engine.Counts().Newer != 1 || engine.Membership().Counts().EndedIncarnation == 0 {
 		t.Fatalf("got %+v and %+v", engine.Counts(), engine.Membership().Counts())
--- a/internal/swim/swim_test.go
+++ b/internal/swim/swim_test.go
@@ -1,6 +1,7 @@
 package swim
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -14,16 +15,18 @@
 // all within a bound, no sooner than a suspicion lasts, and nobody else is.
 func TestJoinAndDeath(t *testing.T) {
 	for _, n := range []int{2, 3, 6, 30} {
-		c := startCluster(uint64(n), n)
-		c.run(8 * time.Second)
-		if err := c.agreeOn(memberNames(n)...); err != nil {
-			t.Fatalf("%d members: %v", n, err)
-		}
-		delete(c.members, "at-m001")
-		took, err := c.runUntilAgreed(6*time.Second, 50*time.Millisecond, without(memberNames(n), "m001")...)
-		if err != nil || took > 3*time.Second || took < 300*time.Millisecond {
-			t.Errorf("%d members: got %v after %v, want agreement in 0.3s to 3s", n, err, took)
-		}
+		t.Run(fmt.Sprintf("%d members", n), func(t *testing.T) {
+			c := startCluster(uint64(n), n)
+			c.run(8 * time.Second)
+			if err := c.agreeOn(memberNames(n)...); err != nil {
+				t.Fatal(err)
+			}
+			delete(c.members, "at-m001")
+			took, err := c.runUntilAgreed(6*time.Second, 50*time.Millisecond, without(memberNames(n), "m001")...)
+			if err != nil || took > 3*time.Second || took < 300*time.Millisecond {
+				t.Errorf("got %v after %v, want agreement in 0.3s to 3s", err, took)
+			}
+		})
 	}
 }
 
@@ -228,15 +231,17 @@
 	c.run(2 * time.Second)
 	m := c.members["at-m000"]
 	before := m.viewHash
-	for _, msg := range []Message{
-		{},
-		{Self: Update{Name: strings.Repeat("x", 100), Addr: "y"}},
-		{Self: Update{Name: "z"}},
-		{Self: Update{Name: "z", Addr: "y", State: 9}},
-		{Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Incarnation: 1}},
+	for name, msg := range map[string]Message{
+		"no sender":     {},
+		"long name":     {Self: Update{Name: strings.Repeat("x", 100), Addr: "y"}},
+		"no address":    {Self: Update{Name: "z"}},
+		"unknown state": {Self: Update{Name: "z", Addr: "y", State: 9}},
+		"for another":   {Kind: Ping, To: "m001", Self: Update{Name: "z", Addr: "y", Incarnation: 1}},
 	} {
-		if out := m.Receive(c.now, &msg); len(out) > 0 || m.viewHash != before {
-			t.Errorf("%+v: got %v, want no answer and no change", msg, out)
-		}
+		t.Run(name, func(t *testing.T) {
+			if out := m.Receive(c.now, &msg); len(out) > 0 || m.viewHash != before {
+				t.Errorf("got %v, want no answer and no change", out)
+			}
+		})
 	}
 }
