--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -35,11 +35,11 @@
 	r.attempts = append(r.attempts, a)
 	r.outstanding++
 	r.tenant.inFlight++
-	e.inFlight++
+	e.window.inFlight++
 	b.outstanding = append(b.outstanding, a)
 	e.zones[b.Zone].spendCredit()
 	b.lastSent = e.now
-	e.lastSent = e.now
+	e.window.lastSent = e.now
 	b.sendPhase = 1
 	if e.capacityShare(b) < 1 {
 		e.slowStartTokens--
@@ -91,7 +91,7 @@
 	r.outstanding--
 	r.tenant.inFlight--
 	if !a.writtenOff {
-		e.inFlight--
+		e.window.inFlight--
 		e.updateWindow(a, r.class, event.Outcome, event.Took)
 	}
 	e.recordOutcome(a, r.class, event.Outcome, event.Took)
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -137,16 +137,16 @@
 	if sends := actionsOf[SendAttempt](h.notify(Arrival{q})); len(sends) != 1 {
 		t.Fatalf("got sends %v, want one", sends)
 	}
-	h.engine.window = 1 // no capacity for another attempt
-	h.engine.inFlight++
+	h.engine.window.size = 1 // no capacity for another attempt
+	h.engine.window.inFlight++
 	h.now += 500 * ms
 	got := h.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset})
 	if len(got) != 0 || h.engine.requests[1].phase != phaseQueued {
 		t.Fatalf("got actions %v, want the request queued", got)
 	}
 	h.now += 450 * ms
-	h.engine.inFlight = 0
-	h.engine.window = 4
+	h.engine.window.inFlight = 0
+	h.engine.window.size = 4
 	got = h.pass(200 * ms)
 	sends, rejects := actionsOf[SendAttempt](got), actionsOf[Reject](got)
 	if len(sends) > 0 || len(rejects) > 0 || len(actionsOf[Fail](got)) != 1 {
--- a/policy/backends.go
+++ b/policy/backends.go
@@ -70,11 +70,11 @@
 	for _, entry := range event.Backends {
 		e.updateBackend(entry)
 	}
-	e.answeringBackends = e.countAnsweringBackends() // of the list before
-	e.answeringBackendsAt = e.now
+	e.answers.backends = e.countAnsweringBackends() // of the list before
+	e.answers.backendsAt = e.now
 	e.rebuildRunning()
 	if first {
-		e.window = e.windowShare()
+		e.window.size = e.windowShare()
 		e.retryBudget = e.windowShare()
 	}
 	e.updateSubsetCount()
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -109,7 +109,7 @@
 	sent := 0
 	for i := range requests {
 		h := f.instances[i%n]
-		h.engine.window = 1000
+		h.engine.window.size = 1000
 		sends := f.arrive(h, step*requests+i+1, "capped")
 		sent += len(sends)
 		f.succeed(h, sends)
@@ -181,7 +181,7 @@
 			sum := 0
 			for _, h := range f.instances {
 				h.now = time.Minute + time.Duration(moment)*37*ms
-				h.engine.window = 100
+				h.engine.window.size = 100
 				own := &tenant{plan: h.engine.plans[limited.Name], spread: n, position: h.engine.settings.Index}
 				sum += max(0, h.engine.inFlightLimit(own))
 			}
--- a/policy/handover_state.go
+++ b/policy/handover_state.go
@@ -72,12 +72,12 @@
 // ExportState returns what is known now.
 func (e *Engine) ExportState() LearnedState {
 	state := LearnedState{
-		Window:           e.window,
+		Window:           e.window.size,
 		Lag:              e.meanLatency,
-		AnswerRate:       e.answerRate,
-		AnswerRateAt:     e.answerRateAt,
+		AnswerRate:       e.answers.rate,
+		AnswerRateAt:     e.answers.rateAt,
 		CounterCallShare: e.counterCallShare,
-		InFlight:         e.inFlight,
+		InFlight:         e.window.inFlight,
 	}
 	for _, configured := range e.settings.Classes {
 		if c := e.classes[configured.Name]; c.meanLatency > 0 {
@@ -148,11 +148,11 @@
 	e.now = max(now, e.now)
 	e.ReleasePredecessor()
 	if state.Window > 0 {
-		e.window = max(state.Window, minWindow)
+		e.window.size = max(state.Window, minWindow)
 		e.counterCallShare = min(1, max(state.CounterCallShare, minCounterCallShare))
 		e.meanLatency = state.Lag
-		e.answerRate = state.AnswerRate
-		e.answerRateAt = state.AnswerRateAt
+		e.answers.rate = state.AnswerRate
+		e.answers.rateAt = state.AnswerRateAt
 	}
 	for _, learned := range state.Classes {
 		if c := e.classes[learned.Name]; c != nil {
@@ -174,8 +174,8 @@
 			e.importTenant(p, learned)
 		}
 	}
-	e.predecessorInFlight = state.InFlight
-	e.inFlight += state.InFlight
+	e.window.predecessorInFlight = state.InFlight
+	e.window.inFlight += state.InFlight
 }
 
 func (e *Engine) importTenant(p *Plan, learned LearnedTenant) {
@@ -216,8 +216,8 @@
 // ReleasePredecessor ends what ImportState has counted for the other process:
 // nothing of it is out any more.
 func (e *Engine) ReleasePredecessor() {
-	e.inFlight -= e.predecessorInFlight
-	e.predecessorInFlight = 0
+	e.window.inFlight -= e.window.predecessorInFlight
+	e.window.predecessorInFlight = 0
 	for _, t := range e.tenantOrder {
 		t.inFlight -= t.predecessorInFlight
 		t.predecessorInFlight = 0
--- a/policy/handover_state_test.go
+++ b/policy/handover_state_test.go
@@ -32,7 +32,7 @@
 	if got.InFlight != 0 || got.Tenants[0].InFlight != 0 {
 		t.Fatalf("got %d in flight after the release, %d of a tenant; want none", got.InFlight, got.Tenants[0].InFlight)
 	}
-	if next.engine.ReleasePredecessor(); next.engine.inFlight != 0 {
+	if next.engine.ReleasePredecessor(); next.engine.window.inFlight != 0 {
 		t.Fatal("released twice")
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -62,7 +62,7 @@
 // two answers of a backend.
 func (e *Engine) slownessRetention(b *backend) float64 {
 	halfLife := max(slownessHalfLifeObjectives*e.longestObjective.Seconds(),
-		float64(len(e.running))/max(e.answerRate, 1e-3))
+		float64(len(e.running))/max(e.answers.rate, 1e-3))
 	return math.Exp2(-(e.now - b.slownessAt).Seconds() / halfLife)
 }
 
@@ -79,8 +79,8 @@
 		b.consecutiveFailures = 0
 		b.ejectedUntil = 0
 		delete(e.unreachable, b.Zone)
-		e.answerRate = 1 + e.answerRate*math.Exp(-(e.now-e.answerRateAt).Seconds())
-		e.answerRateAt = e.now
+		e.answers.rate = 1 + e.answers.rate*math.Exp(-(e.now-e.answers.rateAt).Seconds())
+		e.answers.rateAt = e.now
 	} else {
 		e.recordFailure(b, outcome)
 	}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -11,7 +11,7 @@
 			h.engine.backends[id].slowness = slowness
 			h.engine.backends[id].slownessAt = h.now
 		}
-		h.engine.window = 10
+		h.engine.window.size = 10
 		n := 0
 		for id := range RequestID(8) {
 			n += len(actionsOf[SendAttempt](h.arrive(id, "read", "free")))
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -10,7 +10,7 @@
 	for _, a := range r.attempts {
 		if !a.ended && !a.writtenOff && e.now-a.sentAt > r.class.LatencyObjective {
 			a.writtenOff = true
-			e.inFlight--
+			e.window.inFlight--
 			e.updateWindow(a, r.class, TimedOut, 0)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -53,30 +53,16 @@
 	counterCallShare float64            // share of sparse tenants' requests for which the counter is called
 	counterFailures  int                // failed counter calls in a row
 
-	window              float64       // attempts that may be out at once
-	inFlight            int           // attempts that fill the window
-	predecessorInFlight int           // those of them that another process of this instance has out
-	lastSent            time.Duration // when the last attempt was sent
-	meanLatency         float64       // of answers, in seconds
-	roundNumber         int           // of the window's present round
-	roundEnd            time.Duration // earliest end of that round
-	timely              int           // timely ends in this round
-	untimely            int           // untimely ends in this round
-	untimelyBackends    int           // backends with an untimely end in this round
-	untimelyLastRound   int           // untimely ends in the round before
+	window      attemptWindow
+	meanLatency float64 // of answers, in seconds
 
 	backends    map[BackendID]*backend
 	running     []*backend // those that serve by the endpoint list, by ID
 	subsetCount int        // parts of the fleet, of which this instance prefers one
 
-	answerRate          float64 // answers a second to this instance, decaying since answerRateAt
-	answerRateAt        time.Duration
-	answeringBackends   float64 // backends that these came from, as of the last endpoint list
-	answeringBackendsAt time.Duration
-	backendAnswerRate   float64 // cached result of answersPerBackend, as of backendAnswerRateAt
-	backendAnswerRateAt time.Duration
-	slowStartTokens     float64 // large fleet: saved-up sends to backends in slow start
-	slowStartTokensAt   time.Duration
+	answers           answerRate
+	slowStartTokens   float64 // large fleet: saved-up sends to backends in slow start
+	slowStartTokensAt time.Duration
 
 	zones             map[string]*zoneState
 	unreachable       map[string]unreachableZone // by zone, since a backend there last answered
@@ -189,7 +175,7 @@
 // Stats returns, for people, the size of the window, the attempts that fill it,
 // the requests that are queued and the backends that serve by the endpoint list.
 func (e *Engine) Stats() (window float64, inFlight, queued, backends int) {
-	return e.window, e.inFlight, len(e.queue), len(e.running)
+	return e.window.size, e.window.inFlight, len(e.queue), len(e.running)
 }
 
 // IsQueued reports whether a request waits in a queue, admitted by its tenant's
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -143,7 +143,7 @@
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 	h.engine.plans["capped"].Rate = 0 // no quota but the ceiling
-	h.engine.window = 1000
+	h.engine.window.size = 1000
 	sent := 0
 	for i := range 400 {
 		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.pass(10*ms)...)
@@ -159,7 +159,7 @@
 	limited := Plan{Name: "limited", Price: 1, Rate: 100, Burst: 100, MaxInFlight: 4, ExcessCost: 1}
 	settings.Plans = append(settings.Plans, limited)
 	h := newHarness(t, settings, runningBackends("s", "u")...)
-	h.engine.window = 100
+	h.engine.window.size = 100
 	sent := 0
 	for id := RequestID(1); id <= 5; id++ {
 		sent += len(actionsOf[SendAttempt](h.arrive(id, "read", limited.Name)))
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -19,6 +19,17 @@
 	slowStartInterval = time.Second
 )
 
+// answerRate is the rate of answers to this instance and what it came from.
+type answerRate struct {
+	rate       float64       // answers a second, decaying since rateAt
+	rateAt     time.Duration // when the last answer came
+	backends   float64       // backends that these came from, as of the endpoint list before
+	backendsAt time.Duration // when that list was replaced
+
+	perBackend   float64 // cached result of answersPerBackend
+	perBackendAt time.Duration
+}
+
 // capacityShare returns the share of its capacity that a backend surely has: it
 // grows evenly over the slow start window.
 func (e *Engine) capacityShare(b *backend) float64 {
@@ -82,12 +93,12 @@
 // gives here. Where most of the fleet has just been removed, the few that are left
 // have not given these answers: the rate and the number of backends fade alike.
 func (e *Engine) answersPerBackend() float64 {
-	if e.backendAnswerRateAt != e.now { // many backends are looked at in one moment
-		e.backendAnswerRateAt = e.now
-		faded := e.answerRate * math.Exp(-(e.now - e.answerRateAt).Seconds())
-		e.backendAnswerRate = faded / max(e.countAnsweringBackends(), 0.1)
+	if e.answers.perBackendAt != e.now { // many backends are looked at in one moment
+		e.answers.perBackendAt = e.now
+		faded := e.answers.rate * math.Exp(-(e.now - e.answers.rateAt).Seconds())
+		e.answers.perBackend = faded / max(e.countAnsweringBackends(), 0.1)
 	}
-	return e.backendAnswerRate
+	return e.answers.perBackend
 }
 
 // countAnsweringBackends returns the backends at full capacity that answers came
@@ -102,5 +113,5 @@
 		}
 		n += share
 	}
-	return n + max(0, e.answeringBackends-n)*math.Exp(-(e.now-e.answeringBackendsAt).Seconds())
+	return n + max(0, e.answers.backends-n)*math.Exp(-(e.now-e.answers.backendsAt).Seconds())
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -11,7 +11,7 @@
 func TestSlowStartIsNotOverloaded(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running, Started: h.now}}})
-	h.engine.window = 100
+	h.engine.window.size = 100
 	sent := 0
 	for i := range 300 { // three seconds of a hundred requests a second, each rejected by the backend at once
 		h.arrive(RequestID(i+1), "read", "free")
@@ -116,17 +116,17 @@
 	h.pass(10 * ms)
 	e := h.engine
 	answersPerBackend := func() float64 {
-		e.backendAnswerRateAt = 0 // not the cached result
+		e.answers.perBackendAt = 0 // not the cached result
 		return e.answersPerBackend()
 	}
-	e.answerRate = 40
-	e.answerRateAt = e.now
+	e.answers.rate = 40
+	e.answers.rateAt = e.now
 	healthy := answersPerBackend()
 	for _, id := range []BackendID{"a", "b", "c"} {
 		e.backends[id].slowness = 8
 		e.backends[id].slownessAt = e.now
 	}
-	e.answerRate = 14 // of one healthy backend and three that crawl
+	e.answers.rate = 14 // of one healthy backend and three that crawl
 	if crawling := answersPerBackend(); crawling < 0.7*healthy {
 		t.Fatalf("got %.1f answers a second of a healthy backend while three of four crawl, want 0.7 of %.1f or more",
 			crawling, healthy)
@@ -166,7 +166,7 @@
 		for range 3 {
 			h := f.instances[chance.IntN(instances)]
 			h.now = now
-			h.engine.window = 10
+			h.engine.window.size = 10
 			id++
 			for _, s := range f.arrive(h, id, "free") {
 				pending = append(pending, pendingEnd{h, s, step + int(took/(10*ms))})
--- a/policy/unreachable_test.go
+++ b/policy/unreachable_test.go
@@ -11,7 +11,7 @@
 	settings := testSettings()
 	settings.Instances = 80
 	h := newHarness(t, settings, listBackends(30, 0)...)
-	h.engine.window = 1000
+	h.engine.window.size = 1000
 	h.engine.retryBudget = 1000
 	lost, late := 0, 0
 	failed := map[BackendID]bool{}
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -39,7 +39,7 @@
 	}
 	if event.AvailableShare < e.availableShare-availableShareStep {
 		floor := max(minWindow, float64(len(e.running))/float64(e.settings.Instances))
-		e.window = min(e.window, max(e.window*event.AvailableShare/e.availableShare, floor))
+		e.window.size = min(e.window.size, max(e.window.size*event.AvailableShare/e.availableShare, floor))
 		e.availableShare = event.AvailableShare
 	}
 	e.availableShare = max(e.availableShare, event.AvailableShare)
@@ -107,7 +107,7 @@
 func (e *Engine) writeOffLost(r *request, a *attempt) {
 	if !a.writtenOff {
 		a.writtenOff = true
-		e.inFlight--
+		e.window.inFlight--
 	}
 	switch {
 	case r.phase == phaseFinished, r.phase == phaseQueued, r.Delegated:
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -115,7 +115,7 @@
 			t.Fatalf("class %s: got sends %v, want one to zone a", class, got)
 		}
 	}
-	inFlight, retryBudget := h.engine.inFlight, h.engine.retryBudget
+	inFlight, retryBudget := h.engine.window.inFlight, h.engine.retryBudget
 	actions := h.notify(ZonesChanged{
 		Zones:          []Zone{{Name: "a", Price: 1, Lost: true}, {Name: "b", Price: 1, Rate: -1}},
 		AvailableShare: 0.5,
@@ -124,7 +124,7 @@
 	if len(sends) != 1 || sends[0].ID != 1 || h.zoneOf(sends[0].Backend) != "b" {
 		t.Fatalf("got actions %v, want the read alone sent again", actions)
 	}
-	if got, want := h.engine.inFlight, inFlight-3+1; got != want || h.engine.retryBudget != retryBudget {
+	if got, want := h.engine.window.inFlight, inFlight-3+1; got != want || h.engine.retryBudget != retryBudget {
 		t.Fatalf("got %d in flight, want %d; got retry budget %v, want %v",
 			got, want, h.engine.retryBudget, retryBudget)
 	}
@@ -140,8 +140,8 @@
 	if finals[1] != 0 || finals[2] != 1 || finals[3] != 1 {
 		t.Fatalf("got final answers %v, want one each for 2 and 3", finals)
 	}
-	if h.engine.inFlight != 0 {
-		t.Fatalf("got %d in flight at the end, want 0", h.engine.inFlight)
+	if h.engine.window.inFlight != 0 {
+		t.Fatalf("got %d in flight at the end, want 0", h.engine.window.inFlight)
 	}
 }
 
@@ -166,15 +166,15 @@
 // not widen it by itself.
 func TestAvailableShareNarrowsTheWindow(t *testing.T) {
 	h := newZoneHarness(t)
-	h.engine.window = 20
+	h.engine.window.size = 20
 	for range 5 {
 		h.notify(ZonesChanged{AvailableShare: 0.6})
 	}
-	if w := h.engine.window; w < 11 || w > 13 {
+	if w := h.engine.window.size; w < 11 || w > 13 {
 		t.Fatalf("got window %v, want 11 to 13", w)
 	}
 	h.notify(ZonesChanged{AvailableShare: 1})
-	if w := h.engine.window; w > 13 {
+	if w := h.engine.window.size; w > 13 {
 		t.Fatalf("got window %v after the return, want 13 at most", w)
 	}
 }
