--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -88,7 +88,7 @@
 		Discovery: f.Discovery, Seed: seed,
 		Sockets: f.Limits.Sockets, Memory: int(f.Limits.MemoryMB << 20), Known: f.Known, Settings: *set, Connections: conns,
 	}}
-	if st := o.Store; st != nil && st.Kind == config.KindRedis {
+	if st := o.Store; st != nil && st.Kind == config.StoreRedis {
 		cfg.Counter = st.Address
 		cfg.Store = func(sink store.Sink) (store.Counter, error) {
 			return redis.New(redisOptions(st, set.CounterTimeout), log, sink)
@@ -119,13 +119,13 @@
 		cfg.Metrics = o.Metrics.Listen
 	}
 	if o.Log != nil {
-		cfg.Summary, cfg.LogRequests = time.Duration(o.Log.Summary), o.Log.Requests
+		cfg.Summary, cfg.LogRequests = time.Duration(o.Log.SummaryInterval), o.Log.LogRequests
 	}
 	if h := o.Zones; h != nil {
 		cfg.ZoneDrains = h.Drains
 		cfg.Zones = &zones.Config{
 			Near: h.Near, NearPrice: h.NearPrice, FarPrice: h.FarPrice, Overprovision: h.Overprovision, Panic: h.Panic,
-			Ramp: time.Duration(h.Ramp), RampFrom: h.RampFrom, Forget: time.Duration(h.Forget),
+			Ramp: time.Duration(h.MaxRamp), RampFrom: h.RampFrom, Forget: time.Duration(h.ForgetAfter),
 		}
 	}
 	if p := o.Peers; p != nil {
@@ -133,7 +133,7 @@
 	}
 	cfg.EnableTakeover, cfg.EnableEscrow = o.Takeover != nil, o.Escrow != nil
 	if c := o.Clock; c != nil {
-		cfg.Clock = core.Clock{Ahead: time.Duration(c.Ahead), Rate: c.Rate}
+		cfg.Clock = core.Clock{Ahead: time.Duration(c.Offset), Rate: c.Rate}
 	}
 	if _, err := ingress.New(cfg, log); err != nil { // one that is not run holds nothing
 		return fail(err)
@@ -143,7 +143,7 @@
 
 // forwardAuth is the front for gates; its rules must name classes and plans of the settings.
 func forwardAuthConfig(fa *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, *core.Leases, error) {
-	networks, _, err := fa.Networks()
+	networks, _, err := fa.TrustedNetworks()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -165,17 +165,17 @@
 	}
 	d := func(x config.Duration) time.Duration { return time.Duration(x) }
 	return &ingress.Auth{Listen: fa.Listen, Table: table, Config: forwardauth.Config{
-			Prefix: fa.Prefix, Trusted: networks, Header: fa.Header, MaxCalls: fa.Calls, MaxConnections: fa.Connections,
-			MaxHeaderBytes: fa.HeaderBytes, MaxBodyBytes: 64 << 10, HeaderTimeout: d(fa.HeaderTime), IdleTimeout: d(fa.IdleTime), MaxReports: 1000,
+			Prefix: fa.PathPrefix, Trusted: networks, Header: fa.HeaderPrefix, MaxCalls: fa.MaxCalls, MaxConnections: fa.MaxConnections,
+			MaxHeaderBytes: fa.MaxHeaderBytes, MaxBodyBytes: 64 << 10, HeaderTimeout: d(fa.HeaderTimeout), IdleTimeout: d(fa.IdleTimeout), MaxReports: 1000,
 		}},
-		&core.Leases{Timeout: d(fa.LeaseTimeout), StartWithin: d(fa.StartWithin), Retention: d(fa.Keep), MaxRequests: fa.Requests}, nil
+		&core.Leases{Timeout: d(fa.LeaseTimeout), StartWithin: d(fa.StartWithin), Retention: d(fa.Retention), MaxRequests: fa.MaxRequests}, nil
 }
 
 // redisOptions are the options of a store on Redis; timeout is that of a call.
 func redisOptions(s *config.Store, timeout time.Duration) redis.Options {
 	o := redis.Options{
-		Address: s.Address, Sentinels: s.Sentinels, Master: s.Master, Username: s.Username, Database: s.Database,
-		Prefix: s.Prefix, Shards: s.Shards, ConnectTimeout: time.Duration(s.ConnectTimeout), Timeout: timeout,
+		Address: s.Address, Sentinels: s.Sentinels, Master: s.PrimaryName, Username: s.Username, Database: s.Database,
+		Prefix: s.KeyPrefix, Shards: s.Shards, ConnectTimeout: time.Duration(s.ConnectTimeout), Timeout: timeout,
 	}
 	if s.PasswordFile != "" {
 		o.Password = s.Password
@@ -243,7 +243,7 @@
 		log.Error("the old configuration is kept", "err", err)
 		return
 	}
-	if !o.Store.SameButAddress(began.Store) {
+	if !o.Store.EqualExceptAddress(began.Store) {
 		log.Error("the old options are kept: of the store only the address can change in service", "options", options)
 		return
 	}
@@ -255,7 +255,7 @@
 		log.Error("the old options are kept: of peers nothing can change in service but what the files of keys and seeds say", "options", options)
 		return
 	}
-	if !o.ForwardAuth.SameButRules(began.ForwardAuth) {
+	if !o.ForwardAuth.EqualExceptRules(began.ForwardAuth) {
 		log.Error("the old options are kept: of forward_auth only the rules can change in service", "options", options)
 		return
 	}
--- a/internal/config/forward_auth.go
+++ b/internal/config/forward_auth.go
@@ -12,17 +12,17 @@
 type ForwardAuth struct {
 	Listen       string     `toml:"listen"`                  // host:port
 	Trusted      []string   `toml:"trusted"`                 // addresses or networks that may call
-	Prefix       string     `toml:"prefix,omitempty"`        // of the calls' paths, left out of the original's
-	Header       string     `toml:"header,omitempty"`        // beginning of the names of its own headers
+	PathPrefix       string     `toml:"prefix,omitempty"`        // of the calls' paths, left out of the original's
+	HeaderPrefix       string     `toml:"header,omitempty"`        // beginning of the names of its own headers
 	LeaseTimeout Duration   `toml:"lease_timeout,omitempty"` // an attempt that nobody reports on counts as out for so long
 	StartWithin  Duration   `toml:"start_within,omitempty"`  // a grant is to be used within so long
-	Keep         Duration   `toml:"keep,omitempty"`          // an answer is remembered for so long after its client's time
-	Requests     int        `toml:"requests,omitempty"`      // that are remembered
-	Calls        int        `toml:"calls,omitempty"`         // at once
-	Connections  int        `toml:"connections,omitempty"`   // at once
-	HeaderBytes  int        `toml:"header_bytes,omitempty"`
-	HeaderTime   Duration   `toml:"header_time,omitempty"` // for a call's headers
-	IdleTime     Duration   `toml:"idle_time,omitempty"`   // of a connection between calls
+	Retention         Duration   `toml:"keep,omitempty"`          // an answer is remembered for so long after its client's time
+	MaxRequests     int        `toml:"requests,omitempty"`      // that are remembered
+	MaxCalls        int        `toml:"calls,omitempty"`         // at once
+	MaxConnections  int        `toml:"connections,omitempty"`   // at once
+	MaxHeaderBytes  int        `toml:"header_bytes,omitempty"`
+	HeaderTimeout   Duration   `toml:"header_time,omitempty"` // for a call's headers
+	IdleTimeout     Duration   `toml:"idle_time,omitempty"`   // of a connection between calls
 	Rules        []AuthRule `toml:"rule,omitempty"`        // in their order; can change on SIGHUP
 }
 
@@ -41,17 +41,17 @@
 }
 
 // drainGrace is the platform's; a grant must be used well within it.
-const drainGrace = Duration(2 * time.Second)
+const drainGracePeriod = Duration(2 * time.Second)
 
 // maxRules bounds the table of rules: 12,000 routes are designed for.
 const maxRules = 16384
 
-var headerName = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9-]{0,39}$`)
+var headerPrefixPattern = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9-]{0,39}$`)
 
 // check fills in the defaults and says what is wrong.
-func (f *ForwardAuth) check() (faults []fault) {
+func (f *ForwardAuth) validate() (faults []fieldError) {
 	wrong := func(key, format string, args ...any) {
-		faults = append(faults, fault{"forward_auth." + key, fmt.Sprintf(format, args...)})
+		faults = append(faults, fieldError{"forward_auth." + key, fmt.Sprintf(format, args...)})
 	}
 	if f.Listen == "" {
 		wrong("listen", "missing: want host:port")
@@ -61,17 +61,17 @@
 	if len(f.Trusted) == 0 {
 		wrong("trusted", "missing: nobody could call; name the gates' addresses or networks")
 	}
-	if _, bad, err := f.Networks(); err != nil {
+	if _, bad, err := f.TrustedNetworks(); err != nil {
 		wrong("trusted", "%q: %v", bad, err)
 	}
-	if f.Prefix != "" && f.Prefix[0] != '/' {
-		wrong("prefix", "%q does not begin with /", f.Prefix)
+	if f.PathPrefix != "" && f.PathPrefix[0] != '/' {
+		wrong("prefix", "%q does not begin with /", f.PathPrefix)
 	}
-	if f.Header == "" {
-		f.Header = "X-Hitch"
+	if f.HeaderPrefix == "" {
+		f.HeaderPrefix = "X-Hitch"
 	}
-	if !headerName.MatchString(f.Header) {
-		wrong("header", "%q is no beginning of a header's name", f.Header)
+	if !headerPrefixPattern.MatchString(f.HeaderPrefix) {
+		wrong("header", "%q is no beginning of a header's name", f.HeaderPrefix)
 	}
 	duration := func(key string, d *Duration, usual, least, most Duration) {
 		if *d == 0 {
@@ -83,10 +83,10 @@
 	}
 	s := Duration(time.Second)
 	duration("lease_timeout", &f.LeaseTimeout, 5*s, s/10, 60*s)
-	duration("start_within", &f.StartWithin, s/2, s/100, drainGrace-s/2)
-	duration("keep", &f.Keep, 3*s, 0, 60*s)
-	duration("header_time", &f.HeaderTime, 2*s, s/10, 30*s)
-	duration("idle_time", &f.IdleTime, 60*s, s, 600*s)
+	duration("start_within", &f.StartWithin, s/2, s/100, drainGracePeriod-s/2)
+	duration("keep", &f.Retention, 3*s, 0, 60*s)
+	duration("header_time", &f.HeaderTimeout, 2*s, s/10, 30*s)
+	duration("idle_time", &f.IdleTimeout, 60*s, s, 600*s)
 	number := func(key string, n *int, usual, least, most int) {
 		if *n == 0 {
 			*n = usual
@@ -95,10 +95,10 @@
 			wrong(key, "%d is out of range, %d to %d", *n, least, most)
 		}
 	}
-	number("requests", &f.Requests, 20000, 100, 1000000)
-	number("calls", &f.Calls, 2000, 1, 100000)
-	number("connections", &f.Connections, 1000, 1, 100000)
-	number("header_bytes", &f.HeaderBytes, 16<<10, 1<<10, 1<<20)
+	number("requests", &f.MaxRequests, 20000, 100, 1000000)
+	number("calls", &f.MaxCalls, 2000, 1, 100000)
+	number("connections", &f.MaxConnections, 1000, 1, 100000)
+	number("header_bytes", &f.MaxHeaderBytes, 16<<10, 1<<10, 1<<20)
 	if len(f.Rules) > maxRules {
 		wrong("rule", "%d rules are too many, %d at most", len(f.Rules), maxRules)
 	}
@@ -106,7 +106,7 @@
 }
 
 // Networks are those that may call; bad is the first that cannot be read.
-func (f *ForwardAuth) Networks() (out []netip.Prefix, bad string, err error) {
+func (f *ForwardAuth) TrustedNetworks() (out []netip.Prefix, bad string, err error) {
 	for _, t := range f.Trusted {
 		if a, err := netip.ParseAddr(t); err == nil {
 			out = append(out, netip.PrefixFrom(a, a.BitLen()))
@@ -121,18 +121,18 @@
 	return out, "", nil
 }
 
-func (m *Metrics) check() (faults []fault) {
+func (m *Metrics) validate() (faults []fieldError) {
 	if m.Listen == "" {
-		return []fault{{"metrics.listen", "missing: want host:port"}}
+		return []fieldError{{"metrics.listen", "missing: want host:port"}}
 	}
 	if err := checkAddress(m.Listen); err != nil {
-		return []fault{{"metrics.listen", fmt.Sprintf("%q: %v", m.Listen, err)}}
+		return []fieldError{{"metrics.listen", fmt.Sprintf("%q: %v", m.Listen, err)}}
 	}
 	return nil
 }
 
 // SameButRules says whether only what can change in service differs: the table of rules.
-func (f *ForwardAuth) SameButRules(o *ForwardAuth) bool {
+func (f *ForwardAuth) EqualExceptRules(o *ForwardAuth) bool {
 	if f == nil || o == nil {
 		return f == o
 	}
--- a/internal/config/forward_auth_test.go
+++ b/internal/config/forward_auth_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	f := o.ForwardAuth
-	if len(f.Rules) != 3 || f.Header != "X-Hitch" || time.Duration(f.Keep) != 3*time.Second || f.Connections != 1000 || o.Metrics.Listen == "" {
+	if len(f.Rules) != 3 || f.HeaderPrefix != "X-Hitch" || time.Duration(f.Retention) != 3*time.Second || f.MaxConnections != 1000 || o.Metrics.Listen == "" {
 		t.Fatalf("%+v", f)
 	}
 	file := filepath.Join(t.TempDir(), "again.toml") // the settings in force are a file that says the same
@@ -25,15 +25,15 @@
 		t.Fatal(err)
 	}
 	again, err := Load(file)
-	if err != nil || !again.ForwardAuth.SameButRules(f) || len(again.ForwardAuth.Rules) != 3 {
+	if err != nil || !again.ForwardAuth.EqualExceptRules(f) || len(again.ForwardAuth.Rules) != 3 {
 		t.Fatal(err)
 	}
 	f.Rules = nil
-	if !again.ForwardAuth.SameButRules(f) {
+	if !again.ForwardAuth.EqualExceptRules(f) {
 		t.Fatal("other rules are another section")
 	}
-	f.Keep++
-	if again.ForwardAuth.SameButRules(f) || again.ForwardAuth.SameButRules(nil) {
+	f.Retention++
+	if again.ForwardAuth.EqualExceptRules(f) || again.ForwardAuth.EqualExceptRules(nil) {
 		t.Fatal("another section is the same")
 	}
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -52,14 +52,14 @@
 
 // Log says what the log holds besides what is out of the ordinary.
 type Log struct {
-	Summary  Duration `toml:"summary,omitempty"`  // between two lines that sum up what happened; they add up over instances
-	Requests bool     `toml:"requests,omitempty"` // a line for the end of each request: its ids, why, and what became of its attempts
+	SummaryInterval  Duration `toml:"summary,omitempty"`  // between two lines that sum up what happened; they add up over instances
+	LogRequests bool     `toml:"requests,omitempty"` // a line for the end of each request: its ids, why, and what became of its attempts
 }
 
 // The kinds of store.
 const (
-	KindTally = "tally"
-	KindRedis = "redis"
+	StoreTally = "tally"
+	StoreRedis = "redis"
 )
 
 // Store says which shared counter is used. Without the section it is the platform's, at the address in ROUTER_CONFIG.
@@ -67,11 +67,11 @@
 	Kind           string   `toml:"kind"`                      // tally or redis
 	Address        string   `toml:"address,omitempty"`         // redis: host:port
 	Sentinels      []string `toml:"sentinels,omitempty"`       // redis, in place of address: host:port of each
-	Master         string   `toml:"master,omitempty"`          // with sentinels: the primary's name
+	PrimaryName         string   `toml:"master,omitempty"`          // with sentinels: the primary's name
 	Username       string   `toml:"username,omitempty"`        // redis
 	PasswordFile   string   `toml:"password_file,omitempty"`   // redis: read anew for each connection, last line end left out
 	Database       int      `toml:"database,omitempty"`        // redis: SELECT
-	Prefix         string   `toml:"prefix,omitempty"`          // redis: of all keys; the same at all instances
+	KeyPrefix         string   `toml:"prefix,omitempty"`          // redis: of all keys; the same at all instances
 	Shards         int      `toml:"lanes,omitempty"`           // redis: connections, each with its own hash tag; the same at all instances
 	ConnectTimeout Duration `toml:"connect_timeout,omitempty"` // redis: dial, TLS and log-in together
 	TLS            *TLS     `toml:"tls,omitempty"`             // redis: absent: plain TCP
@@ -88,9 +88,9 @@
 // Bounds of the settings.
 const (
 	maxFileBytes = 4 << 20 // 16,384 rules of 150 bytes are 2.5 MB
-	mostLanes    = 64
-	mostPrefix   = 24
-	mostWait     = Duration(10 * time.Second)
+	maxShards    = 64
+	maxKeyPrefixBytes   = 24
+	maxConnectTimeout     = Duration(10 * time.Second)
 )
 
 // Load reads and checks a file; an empty path gives the defaults.
@@ -114,13 +114,13 @@
 	if err := dec.Decode(&o); err != nil {
 		return nil, decodeError(path, text, err)
 	}
-	where := places(text)
-	for _, f := range o.check() {
+	where := keyLines(text)
+	for _, f := range o.validate() {
 		line := where[f.key]
 		if line == 0 {
 			line = where[f.key[:max(0, strings.LastIndexByte(f.key, '.'))]]
 		}
-		return nil, fmt.Errorf("options %s:%d: %s: %s", path, max(line, 1), f.key, f.what)
+		return nil, fmt.Errorf("options %s:%d: %s: %s", path, max(line, 1), f.key, f.reason)
 	}
 	return &o, nil
 }
@@ -153,7 +153,7 @@
 
 // places finds the line of each key, as section.key, and of each section. It knows the plain form only: a file that is
 // written otherwise decodes just as well, and an error names the section's line or the first one.
-func places(text []byte) map[string]int {
+func keyLines(text []byte) map[string]int {
 	out := map[string]int{}
 	section := ""
 	for i, line := range strings.Split(string(text), "\n") {
@@ -174,68 +174,68 @@
 }
 
 // fault is what is wrong with a key.
-type fault struct{ key, what string }
+type fieldError struct{ key, reason string }
 
 // check fills in the defaults and says what is wrong, worst first.
-func (o *Options) check() []fault {
-	var faults []fault
+func (o *Options) validate() []fieldError {
+	var faults []fieldError
 	if o.Store != nil {
-		faults = append(faults, o.Store.check()...)
+		faults = append(faults, o.Store.validate()...)
 	}
 	if o.ForwardAuth != nil {
-		faults = append(faults, o.ForwardAuth.check()...)
+		faults = append(faults, o.ForwardAuth.validate()...)
 	}
 	if o.Metrics != nil {
-		faults = append(faults, o.Metrics.check()...)
+		faults = append(faults, o.Metrics.validate()...)
 	}
 	if o.Zones != nil {
-		faults = append(faults, o.Zones.check()...)
+		faults = append(faults, o.Zones.validate()...)
 	}
-	if l := o.Log; l != nil && !(l.Requests && l.Summary == 0) && (l.Summary < Duration(100*time.Millisecond) || l.Summary > Duration(time.Hour)) {
-		faults = append(faults, fault{"log.summary", fmt.Sprintf("%v is out of range, 100ms to 1h", time.Duration(l.Summary))})
+	if l := o.Log; l != nil && !(l.LogRequests && l.SummaryInterval == 0) && (l.SummaryInterval < Duration(100*time.Millisecond) || l.SummaryInterval > Duration(time.Hour)) {
+		faults = append(faults, fieldError{"log.summary", fmt.Sprintf("%v is out of range, 100ms to 1h", time.Duration(l.SummaryInterval))})
 	}
 	if o.Peers != nil {
-		faults = append(faults, o.Peers.check()...)
+		faults = append(faults, o.Peers.validate()...)
 	}
 	if o.Takeover != nil && o.Peers == nil {
-		faults = append(faults, fault{"takeover", "it needs [peers]: who would take over?"})
+		faults = append(faults, fieldError{"takeover", "it needs [peers]: who would take over?"})
 	}
 	if o.Escrow != nil && o.Peers == nil {
-		faults = append(faults, fault{"rights", "it needs [peers]: with whom would parts move?"})
+		faults = append(faults, fieldError{"rights", "it needs [peers]: with whom would parts move?"})
 	}
 	if o.Clock != nil {
-		faults = append(faults, o.Clock.check()...)
+		faults = append(faults, o.Clock.validate()...)
 	}
 	return faults
 }
 
-func (s *Store) check() (faults []fault) {
+func (s *Store) validate() (faults []fieldError) {
 	wrong := func(key, format string, args ...any) {
-		faults = append(faults, fault{"store." + key, fmt.Sprintf(format, args...)})
+		faults = append(faults, fieldError{"store." + key, fmt.Sprintf(format, args...)})
 	}
 	switch s.Kind {
-	case KindRedis:
-	case KindTally, "":
+	case StoreRedis:
+	case StoreTally, "":
 		if s.Kind == "" {
-			wrong("kind", "missing, want %q or %q", KindTally, KindRedis)
+			wrong("kind", "missing, want %q or %q", StoreTally, StoreRedis)
 		}
 		if !reflect.DeepEqual(*s, Store{Kind: s.Kind}) {
-			wrong("kind", "%q takes no further settings: its address stands in ROUTER_CONFIG", KindTally)
+			wrong("kind", "%q takes no further settings: its address stands in ROUTER_CONFIG", StoreTally)
 		}
 		return faults
 	default:
-		wrong("kind", "%q is none, want %q or %q", s.Kind, KindTally, KindRedis)
+		wrong("kind", "%q is none, want %q or %q", s.Kind, StoreTally, StoreRedis)
 		return faults
 	}
 	switch {
 	case s.Address == "" && len(s.Sentinels) == 0:
-		wrong("address", "missing: kind %q wants it, or sentinels", KindRedis)
+		wrong("address", "missing: kind %q wants it, or sentinels", StoreRedis)
 	case s.Address != "" && len(s.Sentinels) > 0:
 		wrong("sentinels", "%q stand beside address %q: only one of the two", s.Sentinels, s.Address)
-	case len(s.Sentinels) > 0 && s.Master == "":
+	case len(s.Sentinels) > 0 && s.PrimaryName == "":
 		wrong("master", "missing: the Sentinels want the primary's name")
-	case len(s.Sentinels) == 0 && s.Master != "":
-		wrong("master", "%q stands without sentinels", s.Master)
+	case len(s.Sentinels) == 0 && s.PrimaryName != "":
+		wrong("master", "%q stands without sentinels", s.PrimaryName)
 	}
 	if s.Address != "" {
 		if err := checkAddress(s.Address); err != nil {
@@ -258,26 +258,26 @@
 	if s.Database < 0 {
 		wrong("database", "%d is negative", s.Database)
 	}
-	if s.Prefix == "" {
-		s.Prefix = "hitchspring"
+	if s.KeyPrefix == "" {
+		s.KeyPrefix = "hitchspring"
 	}
-	if len(s.Prefix) > mostPrefix || strings.ContainsAny(s.Prefix, "{} \t\r\n") {
-		wrong("prefix", "%q: %d characters at most, no braces or spaces", s.Prefix, mostPrefix)
+	if len(s.KeyPrefix) > maxKeyPrefixBytes || strings.ContainsAny(s.KeyPrefix, "{} \t\r\n") {
+		wrong("prefix", "%q: %d characters at most, no braces or spaces", s.KeyPrefix, maxKeyPrefixBytes)
 	}
 	if s.Shards == 0 {
 		s.Shards = 1
 	}
-	if s.Shards < 1 || s.Shards > mostLanes {
-		wrong("lanes", "%d is out of range, 1 to %d", s.Shards, mostLanes)
+	if s.Shards < 1 || s.Shards > maxShards {
+		wrong("lanes", "%d is out of range, 1 to %d", s.Shards, maxShards)
 	}
 	if s.ConnectTimeout == 0 {
 		s.ConnectTimeout = Duration(250 * time.Millisecond)
 	}
-	if s.ConnectTimeout < 0 || s.ConnectTimeout > mostWait {
-		wrong("connect_timeout", "%v is out of range, up to %v", time.Duration(s.ConnectTimeout), time.Duration(mostWait))
+	if s.ConnectTimeout < 0 || s.ConnectTimeout > maxConnectTimeout {
+		wrong("connect_timeout", "%v is out of range, up to %v", time.Duration(s.ConnectTimeout), time.Duration(maxConnectTimeout))
 	}
 	if s.TLS != nil {
-		if key, err := s.TLS.check(); err != nil {
+		if key, err := s.TLS.validate(); err != nil {
 			wrong("tls."+key, "%v", err)
 		}
 	}
@@ -312,7 +312,7 @@
 	return p, nil
 }
 
-func (t *TLS) check() (key string, err error) {
+func (t *TLS) validate() (key string, err error) {
 	if (t.CertFile == "") != (t.KeyFile == "") {
 		return "cert_file", errors.New("cert_file and key_file go together")
 	}
@@ -361,7 +361,7 @@
 }
 
 // SameButAddress says whether only what can change in service differs: where the store is.
-func (s *Store) SameButAddress(o *Store) bool {
+func (s *Store) EqualExceptAddress(o *Store) bool {
 	if s == nil || o == nil {
 		return s == o
 	}
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := o.Store; s.Prefix != "hitchspring" || s.Shards != 1 || time.Duration(s.ConnectTimeout) != 250*time.Millisecond {
+	if s := o.Store; s.KeyPrefix != "hitchspring" || s.Shards != 1 || time.Duration(s.ConnectTimeout) != 250*time.Millisecond {
 		t.Fatalf("%+v", s)
 	}
 	if p, err := o.Store.Password(); p != "s3cret" || err != nil {
@@ -78,15 +78,15 @@
 		t.Fatal(text)
 	}
 	again, err := Load(write(t, "again.toml", text))
-	if err != nil || !again.Store.SameButAddress(o.Store) {
+	if err != nil || !again.Store.EqualExceptAddress(o.Store) {
 		t.Fatal(err, text)
 	}
 	again.Store.Address = "127.0.0.1:6380"
-	if !again.Store.SameButAddress(o.Store) {
+	if !again.Store.EqualExceptAddress(o.Store) {
 		t.Fatal("another address is not the same but for it")
 	}
-	again.Store.Prefix = "other"
-	if again.Store.SameButAddress(o.Store) {
+	again.Store.KeyPrefix = "other"
+	if again.Store.EqualExceptAddress(o.Store) {
 		t.Fatal("another prefix is the same")
 	}
 	if o, err := Load(""); err != nil || o.Store != nil || !strings.HasPrefix(o.Text(), "#") {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -22,16 +22,16 @@
 
 // Clock says how wrong this process's clock is, for tests of what depends on clocks, and for nothing else.
 type Clock struct {
-	Ahead Duration `toml:"ahead,omitempty"` // of the true time
+	Offset Duration `toml:"ahead,omitempty"` // of the true time
 	Rate  float64  `toml:"rate,omitempty"`  // seconds that pass on it in a true one
 }
 
-const mostPeerName = 64
+const maxPeerNameBytes = 64
 
 // check fills in the defaults and says what is wrong.
-func (p *Peers) check() (faults []fault) {
+func (p *Peers) validate() (faults []fieldError) {
 	wrong := func(key, format string, args ...any) {
-		faults = append(faults, fault{"peers." + key, fmt.Sprintf(format, args...)})
+		faults = append(faults, fieldError{"peers." + key, fmt.Sprintf(format, args...)})
 	}
 	address := func(key, addr string) {
 		if at, err := netip.ParseAddrPort(addr); err != nil || at.Port() == 0 {
@@ -49,8 +49,8 @@
 	if p.Name == "" {
 		p.Name = p.Advertise
 	}
-	if len(p.Name) > mostPeerName {
-		wrong("name", "%q has %d letters, %d at most", p.Name, len(p.Name), mostPeerName)
+	if len(p.Name) > maxPeerNameBytes {
+		wrong("name", "%q has %d letters, %d at most", p.Name, len(p.Name), maxPeerNameBytes)
 	}
 	switch {
 	case p.SeedsFile != "" && len(p.Seeds) > 0:
@@ -78,12 +78,12 @@
 }
 
 // check says what is wrong.
-func (c *Clock) check() (faults []fault) {
-	if d := time.Duration(c.Ahead); d < -time.Hour || d > time.Hour {
-		faults = append(faults, fault{"clock.ahead", fmt.Sprintf("%v is out of range, 1h either way", d)})
+func (c *Clock) validate() (faults []fieldError) {
+	if d := time.Duration(c.Offset); d < -time.Hour || d > time.Hour {
+		faults = append(faults, fieldError{"clock.ahead", fmt.Sprintf("%v is out of range, 1h either way", d)})
 	}
 	if c.Rate != 0 && !(c.Rate >= 0.5 && c.Rate <= 2) {
-		faults = append(faults, fault{"clock.rate", fmt.Sprintf("%v is out of range, 0.5 to 2", c.Rate)})
+		faults = append(faults, fieldError{"clock.rate", fmt.Sprintf("%v is out of range, 0.5 to 2", c.Rate)})
 	}
 	return faults
 }
--- a/internal/config/halls_test.go
+++ b/internal/config/zones_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h := o.Zones; h.NearPrice != 2 || h.FarPrice != 3 || h.Overprovision != 1.4 || time.Duration(h.Ramp) != 4*time.Second || h.Panic != 0.3 || h.RampFrom != 0.3 || time.Duration(h.Forget) != time.Minute {
+	if h := o.Zones; h.NearPrice != 2 || h.FarPrice != 3 || h.Overprovision != 1.4 || time.Duration(h.MaxRamp) != 4*time.Second || h.Panic != 0.3 || h.RampFrom != 0.3 || time.Duration(h.ForgetAfter) != time.Minute {
 		t.Fatalf("%+v", h)
 	}
 	if o, err = parse("x.toml", []byte("[halls]\nnear_price = 4\n")); err != nil || o.Zones.FarPrice != 4 {
