--- a/cmd/hitchspring/cli.go
+++ b/cmd/hitchspring/cli.go
@@ -16,32 +16,39 @@
 	"hitchspring/internal/version"
 )
 
-// cli is the command line.
+// optionsVariable names the options file where --options doesn't.
+const optionsVariable = "HITCHSPRING_OPTIONS"
+
+// cli is the command line. The names of commands and flags are published; a name tag keeps one whose field differs.
+//
+//nolint:lll // a struct tag stands on one line
 type cli struct {
 	Options string `help:"The options file (TOML); without it everything is as ROUTER_CONFIG has it." env:"HITCHSPRING_OPTIONS" placeholder:"FILE"`
 
 	Serve      serveCmd                  `cmd:"" default:"1" help:"Serve, as ROUTER_CONFIG and the options say. The default."`
 	Check      checkCmd                  `cmd:"" help:"Say what is wrong with the settings, or print those in force."`
 	Status     statusCmd                 `cmd:"" help:"What a running ingress holds, from its metrics listener."`
-	Hall       zoneCmd                   `cmd:"" help:"Take a hall out on purpose, for a while, and let it in again."`
+	Zone       zoneCmd                   `cmd:"" name:"hall" help:"Take a hall out on purpose, for a while, and let it in again."`
 	Version    versionCmd                `cmd:"" help:"Print the revision and the Go version."`
 	Completion kongcompletion.Completion `cmd:"" help:"Print what a shell needs to complete this command line (bash, zsh, fish)."`
 }
 
-// env is what commands are run with.
+// commandEnv is what a command runs with.
 type commandEnv struct {
-	ctx     context.Context
-	out     io.Writer
-	log     *slog.Logger
-	options string
+	ctx         context.Context
+	out         io.Writer
+	log         *slog.Logger
+	optionsPath string // empty: there are no options
 }
 
 type serveCmd struct{}
 
-func (serveCmd) Run(e *commandEnv) error { return serve(e.options, e.log) }
+// Run serves until a signal ends it.
+func (serveCmd) Run(e *commandEnv) error { return serve(e.optionsPath, e.log) }
 
 type versionCmd struct{}
 
+// Run prints one line.
 func (versionCmd) Run(e *commandEnv) error {
 	_, err := io.WriteString(e.out, version.Text("hitchspring")+"\n")
 	return err
@@ -49,33 +56,33 @@
 
 type checkCmd struct{}
 
-// Run checks both files, and starts nothing.
+// Run checks both files and prints the options in force. It starts nothing.
 func (checkCmd) Run(e *commandEnv) error {
-	o, err := config.Load(e.options)
+	options, err := config.Load(e.optionsPath)
 	if err != nil {
 		return err
 	}
-	if path := os.Getenv("ROUTER_CONFIG"); path != "" {
-		if _, _, err := load(path, o, slog.New(slog.DiscardHandler)); err != nil {
+	if path := os.Getenv(configVariable); path != "" {
+		if _, err := loadConfiguration(path, options, slog.New(slog.DiscardHandler)); err != nil {
 			return err
 		}
 	}
-	_, err = io.WriteString(e.out, o.Text())
+	_, err = io.WriteString(e.out, options.Text())
 	return err
 }
 
-// command runs the program as its arguments say. Without any it serves, and nothing of the command line is built.
+// runCommand runs the command that the arguments name. Without arguments it serves and builds no command-line parser.
 func runCommand(args []string, out io.Writer, log *slog.Logger) error {
 	if len(args) == 0 {
-		return serve(os.Getenv("HITCHSPRING_OPTIONS"), log)
+		return serve(os.Getenv(optionsVariable), log)
 	}
 	var c cli
 	parsed := false
-	_, err := cmdline.Run(&c, "hitchspring", "The ingress: clients on one side, playout nodes on the other, the decision module between.", args, out,
-		func(k *kong.Context) error {
-			parsed = true
-			return k.Run(&commandEnv{ctx: context.Background(), out: out, log: log, options: c.Options})
-		})
+	const about = "The ingress: clients on one side, playout nodes on the other, the decision module between."
+	_, err := cmdline.Run(&c, "hitchspring", about, args, out, func(k *kong.Context) error {
+		parsed = true
+		return k.Run(&commandEnv{ctx: context.Background(), out: out, log: log, optionsPath: c.Options})
+	})
 	if err != nil && !parsed {
 		return errors.New(strings.ReplaceAll(err.Error(), "\n", " ") + "; hitchspring --help lists the commands")
 	}
--- /dev/null
+++ b/cmd/hitchspring/configuration.go
@@ -0,0 +1,239 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"slices"
+	"strconv"
+	"time"
+
+	"hitchspring/internal/config"
+	"hitchspring/internal/core"
+	"hitchspring/internal/front/forwardauth"
+	"hitchspring/internal/ingress"
+	"hitchspring/internal/peers"
+	"hitchspring/internal/settings"
+	"hitchspring/internal/store"
+	"hitchspring/internal/store/redis"
+	"hitchspring/internal/zones"
+	"hitchspring/policy"
+)
+
+const (
+	// overlappingProcesses is how many processes of one ingress may run at the same time, where the platform replaces
+	// them in service.
+	overlappingProcesses = 2
+
+	// Bounds of one call of forward authentication.
+	maxAuthBodyBytes = 64 << 10
+	maxAuthReports   = 1000
+)
+
+// configuration is what the configuration file, the environment and the options say together.
+type configuration struct {
+	ingress  ingress.Config
+	file     *configFile
+	socketFD int // of the clients' inherited listening socket; 0: there is none
+}
+
+// loadConfiguration reads the configuration file and checks it completely, together with the options. It starts
+// nothing.
+func loadConfiguration(path string, options *config.Options, log *slog.Logger) (*configuration, error) {
+	c, err := parseConfiguration(path, options, log)
+	if err != nil {
+		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	if err := c.applyEnvironment(); err != nil {
+		return nil, err
+	}
+	c.applyOptions(options)
+	if _, err := ingress.New(c.ingress, log); err != nil { // an instance that doesn't run holds no resources
+		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	return c, nil
+}
+
+// parseConfiguration reads the configuration file, and those options whose meaning depends on its settings.
+func parseConfiguration(path string, options *config.Options, log *slog.Logger) (*configuration, error) {
+	file, err := readConfigFile(path)
+	if err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
+		return nil, fmt.Errorf("seed: %w", err)
+	}
+	set, connections, err := settings.Parse(file.Settings)
+	if err != nil {
+		return nil, err
+	}
+	c := &configuration{file: file, ingress: ingress.Config{
+		Listen:  file.Listen,
+		Counter: file.Counter,
+		Admin:   file.AdminAddr,
+		Config: core.Config{
+			Discovery:   file.Discovery,
+			Seed:        seed,
+			Sockets:     file.Limits.Sockets,
+			Memory:      int(file.Limits.MemoryMB << 20),
+			Known:       file.Known,
+			Settings:    *set,
+			Connections: connections,
+		},
+	}}
+	if s := options.Store; s != nil && s.Kind == config.StoreRedis {
+		c.ingress.Counter = s.Address
+		c.ingress.Store = func(sink store.Sink) (store.Counter, error) {
+			return redis.New(redisOptions(s, set.CounterTimeout), log, sink)
+		}
+	}
+	if options.ForwardAuth != nil {
+		c.ingress.Auth, err = forwardAuthConfig(options.ForwardAuth, set)
+		if err != nil {
+			return nil, err
+		}
+		c.ingress.Leases = leaseConfig(options.ForwardAuth)
+	}
+	return c, nil
+}
+
+// applyEnvironment adds what the platform's environment variables say of this one process.
+func (c *configuration) applyEnvironment() (err error) {
+	if addr := os.Getenv(adminAddrVariable); addr != "" {
+		c.ingress.Admin = addr
+	}
+	if c.socketFD, err = inheritedSocket(); err != nil {
+		return err
+	}
+	if c.socketFD > 0 { // the platform's limit holds for both processes together
+		c.ingress.Memory /= overlappingProcesses
+	}
+	if c.ingress.Admin != "" || c.socketFD > 0 { // otherwise there is no state to store
+		c.ingress.StateDir = os.Getenv(stateDirVariable)
+	}
+	return nil
+}
+
+// applyOptions adds the options that need no setting of the configuration file.
+func (c *configuration) applyOptions(options *config.Options) {
+	cfg := &c.ingress
+	if m := options.Metrics; m != nil {
+		cfg.Metrics = m.Listen
+	}
+	if l := options.Log; l != nil {
+		cfg.Summary = time.Duration(l.SummaryInterval)
+		cfg.LogRequests = l.LogRequests
+	}
+	if z := options.Zones; z != nil {
+		cfg.ZoneDrains = z.Drains
+		cfg.Zones = zonesConfig(z)
+	}
+	if p := options.Peers; p != nil {
+		cfg.Peers = &peers.Config{
+			Name:      p.Name,
+			Listen:    p.Listen,
+			Advertise: p.Advertise,
+			Seeds:     p.Seeds,
+			SeedsFile: p.SeedsFile,
+			KeyFile:   p.KeyFile,
+			Dial:      p.Dial,
+		}
+	}
+	cfg.EnableTakeover = options.Takeover != nil
+	cfg.EnableEscrow = options.Escrow != nil
+	if clock := options.Clock; clock != nil {
+		cfg.Clock = core.Clock{Ahead: time.Duration(clock.Offset), Rate: clock.Rate}
+	}
+}
+
+// zonesConfig returns the configuration of the zone tracker.
+func zonesConfig(z *config.Zones) *zones.Config {
+	return &zones.Config{
+		Near:          z.Near,
+		NearPrice:     z.NearPrice,
+		FarPrice:      z.FarPrice,
+		Overprovision: z.Overprovision,
+		Panic:         z.Panic,
+		Ramp:          time.Duration(z.MaxRamp),
+		RampFrom:      z.RampFrom,
+		Forget:        time.Duration(z.ForgetAfter),
+	}
+}
+
+// forwardAuthConfig returns the configuration of forward authentication. Its rules must name classes and plans of the
+// settings.
+func forwardAuthConfig(f *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, error) {
+	networks, _, err := f.TrustedNetworks()
+	if err != nil {
+		return nil, err
+	}
+	rules := make([]forwardauth.Rule, 0, len(f.Rules))
+	for i, rule := range f.Rules {
+		if err := checkRule(rule, set); err != nil {
+			return nil, fmt.Errorf("forward_auth.rule[%d]: %w", i, err)
+		}
+		rules = append(rules, forwardauth.Rule(rule))
+	}
+	table, err := forwardauth.NewTable(rules)
+	if err != nil {
+		return nil, fmt.Errorf("forward_auth.%w", err)
+	}
+	return &ingress.Auth{Listen: f.Listen, Table: table, Config: forwardauth.Config{
+		Prefix:         f.PathPrefix,
+		Trusted:        networks,
+		Header:         f.HeaderPrefix,
+		MaxCalls:       f.MaxCalls,
+		MaxConnections: f.MaxConnections,
+		MaxHeaderBytes: f.MaxHeaderBytes,
+		MaxBodyBytes:   maxAuthBodyBytes,
+		HeaderTimeout:  time.Duration(f.HeaderTimeout),
+		IdleTimeout:    time.Duration(f.IdleTimeout),
+		MaxReports:     maxAuthReports,
+	}}, nil
+}
+
+// checkRule returns an error if the settings don't have the rule's class or plan.
+func checkRule(rule config.AuthRule, set *policy.Settings) error {
+	hasClass := func(c policy.Class) bool { return c.Name == rule.Class }
+	hasPlan := func(p policy.Plan) bool { return p.Name == rule.Plan }
+	if rule.Class == "" || !slices.ContainsFunc(set.Classes, hasClass) {
+		return fmt.Errorf("class %q is none of the settings", rule.Class)
+	}
+	if rule.Plan != "" && !slices.ContainsFunc(set.Plans, hasPlan) {
+		return fmt.Errorf("plan %q is none of the settings", rule.Plan)
+	}
+	return nil
+}
+
+// leaseConfig returns the bounds of the attempts that callers of forward authentication make themselves.
+func leaseConfig(f *config.ForwardAuth) *core.Leases {
+	return &core.Leases{
+		Timeout:     time.Duration(f.LeaseTimeout),
+		StartWithin: time.Duration(f.StartWithin),
+		Retention:   time.Duration(f.Retention),
+		MaxRequests: f.MaxRequests,
+	}
+}
+
+// redisOptions returns the options of a store on Redis; timeout bounds a call.
+func redisOptions(s *config.Store, timeout time.Duration) redis.Options {
+	o := redis.Options{
+		Address:        s.Address,
+		Sentinels:      s.Sentinels,
+		Master:         s.PrimaryName,
+		Username:       s.Username,
+		Database:       s.Database,
+		Prefix:         s.KeyPrefix,
+		Shards:         s.Shards,
+		ConnectTimeout: time.Duration(s.ConnectTimeout),
+		Timeout:        timeout,
+	}
+	if s.PasswordFile != "" {
+		o.Password = s.Password
+	}
+	if s.TLS != nil {
+		o.TLS = s.TLS.Config
+	}
+	return o
+}
--- a/cmd/hitchspring/main_test.go
+++ b/cmd/hitchspring/main_test.go
@@ -277,11 +277,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, _, err := load(path, o, slog.New(slog.DiscardHandler))
+	c, err := loadConfiguration(path, o, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Summary != 2*time.Second {
-		t.Errorf("a line each %v, want 2s", cfg.Summary)
+	if c.ingress.Summary != 2*time.Second {
+		t.Errorf("a line each %v, want 2s", c.ingress.Summary)
 	}
 }
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -64,7 +64,7 @@
 func TestReadAnswer(t *testing.T) {
 	for size, whole := range map[int]bool{0: true, 999: true, 1000: true, 1001: false, 1 << 20: false} {
 		body := strings.NewReader(strings.Repeat("x", size))
-		text, err := readAnswer(&http.Response{ContentLength: -1, Body: io.NopCloser(body)}, 1000)
+		text, err := readBody(&http.Response{ContentLength: -1, Body: io.NopCloser(body)}, 1000)
 		if whole != (err == nil) || whole && len(text) != size || !whole && text != nil {
 			t.Errorf("%d bytes: %d read, %v", size, len(text), err)
 		}
