--- a/cmd/hitchspring/configuration.go
+++ b/cmd/hitchspring/configuration.go
@@ -164,7 +164,7 @@
 // forwardAuthConfig returns the configuration of forward authentication. Its rules must name classes and plans of the
 // settings.
 func forwardAuthConfig(f *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, error) {
-	networks, _, err := f.TrustedNetworks()
+	networks, err := f.TrustedNetworks()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/bounds_test.go
+++ b/internal/config/bounds_test.go
@@ -6,58 +6,69 @@
 	"testing"
 )
 
-// rules is the text of so many rules, each as long as a usual one.
-func rules(n int) string {
-	var b strings.Builder
-	b.WriteString(authHead)
+const wantManyRules = 12_000
+
+// ruleSections returns the text of a section with n rules, each as long as a usual one.
+func ruleSections(n int) string {
+	var text strings.Builder
+	text.WriteString(authHead)
 	for i := range n {
-		fmt.Fprintf(&b, "[[forward_auth.rule]]\nmethod = \"GET\"\npath = \"/v1/channels/{channel}/assets/%05d/segments\"\nclass = \"read\"\nplan = \"standard\"\n", i)
+		text.WriteString("[[forward_auth.rule]]\nmethod = \"GET\"\n")
+		fmt.Fprintf(&text, "path = \"/v1/channels/{channel}/assets/%05d/segments\"\n", i)
+		text.WriteString("class = \"read\"\nplan = \"standard\"\n")
 	}
-	return b.String()
+	return text.String()
 }
 
-// A table of 12,000 rules is taken whole.
+// A table of 12,000 rules is accepted completely.
 func TestManyRules(t *testing.T) {
-	o, err := parse("f.toml", []byte(rules(12000)))
+	o, err := parse("f.toml", []byte(ruleSections(wantManyRules)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := len(o.ForwardAuth.Rules); n != 12000 || o.ForwardAuth.Rules[n-1].Path != "/v1/channels/{channel}/assets/11999/segments" {
-		t.Fatal(n)
+	if got := len(o.ForwardAuth.Rules); got != wantManyRules {
+		t.Fatalf("got %d rules, want %d", got, wantManyRules)
+	}
+	const wantLast = "/v1/channels/{channel}/assets/11999/segments"
+	if got := o.ForwardAuth.Rules[wantManyRules-1].Path; got != wantLast {
+		t.Errorf("last rule: got path %q, want %q", got, wantLast)
 	}
 }
 
-// One rule more than the bound, and a file that is too large, are one error each that names the key and the value.
+// One rule beyond the bound and a file that is too large are each an error that names the key and the value.
 func TestTooManyRules(t *testing.T) {
-	text := rules(maxRules)
-	if _, err := parse("f.toml", []byte(text)); err != nil {
+	atBound := ruleSections(maxRules)
+	if _, err := parse("f.toml", []byte(atBound)); err != nil {
 		t.Fatal(err)
 	}
-	for text, want := range map[string]string{
-		rules(maxRules + 1):                            "forward_auth.rule: 16385 rules are too many, 16384 at most",
-		text + "#" + strings.Repeat("x", maxFileBytes): fmt.Sprintf("options f.toml: the file has %d bytes, 4194304 at most", len(text)+1+maxFileBytes),
-	} {
+	t.Run("rules", func(t *testing.T) {
+		_, err := parse("f.toml", []byte(ruleSections(maxRules+1)))
+		requireOneLine(t, err, "forward_auth.rule: 16385 rules are too many, 16384 at most")
+	})
+	t.Run("bytes", func(t *testing.T) {
+		text := atBound + "#" + strings.Repeat("x", maxFileBytes)
 		_, err := parse("f.toml", []byte(text))
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v, want %q", err, want)
-		}
-	}
+		requireOneLine(t, err, fmt.Sprintf("options f.toml: the file has %d bytes, 4194304 at most", len(text)))
+	})
 }
 
-// 2,000 seeds and as many addresses to dial are taken: neither list has a bound of its own.
+// 2,000 seeds and as many addresses to dial are accepted: neither list has a bound of its own.
 func TestManySeeds(t *testing.T) {
-	key := write(t, "key", "a key that all of them have\n")
+	const count = 2000
+	keyFile := writeFile(t, "key", "a key that all of them have\n")
 	var seeds, dial strings.Builder
-	for i := range 2000 {
-		fmt.Fprintf(&seeds, "%q, ", fmt.Sprintf("10.1.%d.%d:7946", i/200, 1+i%200))
-		fmt.Fprintf(&dial, "%q = %q\n", fmt.Sprintf("10.1.%d.%d:7946", i/200, 1+i%200), fmt.Sprintf("10.2.%d.%d:7946", i/200, 1+i%200))
+	for i := range count {
+		host := fmt.Sprintf("%d.%d:7946", i/200, 1+i%200)
+		fmt.Fprintf(&seeds, "%q, ", "10.1."+host)
+		fmt.Fprintf(&dial, "%q = %q\n", "10.1."+host, "10.2."+host)
 	}
-	text := fmt.Sprintf("[peers]\nlisten = \"10.0.0.1:7946\"\nkey_file = %q\nseeds = [%s]\n[peers.dial]\n%s", key, seeds.String(), dial.String())
+	text := fmt.Sprintf("[peers]\nlisten = \"10.0.0.1:7946\"\nkey_file = %q\nseeds = [%s]\n", keyFile, seeds.String())
+	text += "[peers.dial]\n" + dial.String()
 	o, err := parse("f.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Peers.Seeds) != 2000 || len(o.Peers.Dial) != 2000 {
-		t.Fatal(len(o.Peers.Seeds), len(o.Peers.Dial))
+	if len(o.Peers.Seeds) != count || len(o.Peers.Dial) != count {
+		t.Fatalf("got %d seeds and %d dial addresses, want %d each", len(o.Peers.Seeds), len(o.Peers.Dial), count)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -18,27 +18,28 @@
 	golden.Compare(t, "keys", []byte(strings.Join(keys, "\n")+"\n"))
 }
 
-func appendKeys(keys []string, prefix string, typ reflect.Type) []string {
+// appendKeys appends the keys of a type, each with the kind of its value; key is the type's own.
+func appendKeys(keys []string, key string, typ reflect.Type) []string {
+	if typ == reflect.TypeFor[Duration]() {
+		return append(keys, key+" duration")
+	}
 	switch typ.Kind() {
 	case reflect.Pointer:
-		return appendKeys(keys, prefix, typ.Elem())
+		return appendKeys(keys, key, typ.Elem())
 	case reflect.Slice:
-		return appendKeys(keys, prefix+"[]", typ.Elem())
+		return appendKeys(keys, key+"[]", typ.Elem())
 	case reflect.Struct:
-		keys = append(keys, prefix+" section")
+		keys = append(keys, key+" section")
 		for i := range typ.NumField() {
-			f := typ.Field(i)
-			if name, _, _ := strings.Cut(f.Tag.Get("toml"), ","); f.IsExported() {
-				keys = appendKeys(keys, strings.TrimPrefix(prefix+"."+name, "."), f.Type)
+			field := typ.Field(i)
+			if name, _, _ := strings.Cut(field.Tag.Get("toml"), ","); field.IsExported() {
+				keys = appendKeys(keys, strings.TrimPrefix(key+"."+name, "."), field.Type)
 			}
 		}
 		return keys
-	case reflect.Int64:
-		if typ == reflect.TypeFor[Duration]() {
-			return append(keys, prefix+" duration")
-		}
+	default:
+		return append(keys, fmt.Sprint(key, " ", typ.Kind()))
 	}
-	return append(keys, fmt.Sprint(prefix, " ", typ.Kind()))
 }
 
 // What `hitchspring check` prints of the examples, defaults among them.
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -1,89 +1,77 @@
 package config
 
 import (
-	"fmt"
 	"net/netip"
 	"slices"
-	"time"
 
 	"hitchspring/internal/peers"
 )
 
-// Peers says with which other instances this one shares what it sees. Absent: with none.
+// maxPeerNameBytes bounds the name of an instance.
+const maxPeerNameBytes = 64
+
+// Peers says with which other instances this one exchanges gossip. Absent: with none.
 type Peers struct {
-	Name      string            `toml:"name,omitempty"`       // of this instance, new to no other; absent: where others find it
+	Name      string            `toml:"name,omitempty"`       // of this instance, unique among all; absent: Advertise
 	Listen    string            `toml:"listen"`               // UDP, IP:port
-	Advertise string            `toml:"advertise,omitempty"`  // IP:port at which others find it; absent: listen
+	Advertise string            `toml:"advertise,omitempty"`  // IP:port at which others reach it; absent: Listen
 	Seeds     []string          `toml:"seeds,omitempty"`      // advertised addresses of some others
-	SeedsFile string            `toml:"seeds_file,omitempty"` // in place of seeds: one on a line; read again when it changes
-	KeyFile   string            `toml:"key_file"`             // one key or two, one on a line; the first seals; read again when it changes
-	Dial      map[string]string `toml:"dial,omitempty"`       // what this instance dials for an advertised address, where that differs
+	SeedsFile string            `toml:"seeds_file,omitempty"` // in place of Seeds, one a line; read again when changed
+	KeyFile   string            `toml:"key_file"`             // one or two, the first encrypts; read again when changed
+	Dial      map[string]string `toml:"dial,omitempty"`       // address to dial for an advertised one, if it differs
 }
 
-// Clock says how wrong this process's clock is, for tests of what depends on clocks, and for nothing else.
-type Clock struct {
-	Offset Duration `toml:"ahead,omitempty"` // of the true time
-	Rate  float64  `toml:"rate,omitempty"`  // seconds that pass on it in a true one
-}
-
-const maxPeerNameBytes = 64
-
-// check fills in the defaults and says what is wrong.
-func (p *Peers) validate() (faults []fieldError) {
-	wrong := func(key, format string, args ...any) {
-		faults = append(faults, fieldError{"peers." + key, fmt.Sprintf(format, args...)})
-	}
-	address := func(key, addr string) {
-		if at, err := netip.ParseAddrPort(addr); err != nil || at.Port() == 0 {
-			wrong(key, "%q is no IP address and port", addr)
-		}
-	}
-	address("listen", p.Listen)
+// validate fills in the defaults and returns what is wrong, also with the files as they are now.
+func (p *Peers) validate() []fieldError {
+	s := section{name: "peers"}
+	s.validateAddrPort("listen", p.Listen)
 	if p.Advertise == "" {
 		p.Advertise = p.Listen
 	}
-	address("advertise", p.Advertise)
+	s.validateAddrPort("advertise", p.Advertise)
 	if at, err := netip.ParseAddrPort(p.Advertise); err == nil && at.Addr().IsUnspecified() {
-		wrong("advertise", "%q: others can't reach an instance there", p.Advertise)
+		s.reject("advertise", "%q: others can't reach an instance there", p.Advertise)
 	}
 	if p.Name == "" {
 		p.Name = p.Advertise
 	}
 	if len(p.Name) > maxPeerNameBytes {
-		wrong("name", "%q has %d letters, %d at most", p.Name, len(p.Name), maxPeerNameBytes)
+		s.reject("name", "%q has %d letters, %d at most", p.Name, len(p.Name), maxPeerNameBytes)
 	}
+	p.validateSeeds(&s)
+	for advertised, dialed := range p.Dial {
+		s.validateAddrPort("dial", advertised)
+		s.validateAddrPort("dial", dialed)
+	}
+	if _, err := peers.ReadKeys(p.KeyFile); err != nil {
+		s.reject("key_file", "%w", err)
+	}
+	return s.errs
+}
+
+// validateSeeds checks that the seeds come from one place and name another instance than this one.
+func (p *Peers) validateSeeds(s *section) {
+	isOther := func(seed string) bool { return seed != p.Advertise }
 	switch {
 	case p.SeedsFile != "" && len(p.Seeds) > 0:
-		wrong("seeds_file", "%q, and seeds are named too: one of them is wanted", p.SeedsFile)
+		s.reject("seeds_file", "%q, and seeds are named too: one of them is wanted", p.SeedsFile)
 	case p.SeedsFile != "":
 		if _, err := peers.ReadSeeds(p.SeedsFile); err != nil {
-			wrong("seeds_file", "%v", err)
+			s.reject("seeds_file", "%w", err)
 		}
 	case len(p.Seeds) == 0:
-		wrong("seeds", "there are none: an instance without seeds would find nobody")
-	case !slices.ContainsFunc(p.Seeds, func(s string) bool { return s != p.Advertise }):
-		wrong("seeds", "%q: that is this instance itself, and there is no other", p.Seeds)
+		s.reject("seeds", "there are none: an instance without seeds would find nobody")
+	case !slices.ContainsFunc(p.Seeds, isOther):
+		s.reject("seeds", "%q: that is this instance itself, and there is no other", p.Seeds)
 	}
-	for _, s := range p.Seeds {
-		address("seeds", s)
+	for _, seed := range p.Seeds {
+		s.validateAddrPort("seeds", seed)
 	}
-	for from, to := range p.Dial {
-		address("dial", from)
-		address("dial", to)
-	}
-	if _, err := peers.ReadKeys(p.KeyFile); err != nil {
-		wrong("key_file", "%v", err)
-	}
-	return faults
 }
 
-// check says what is wrong.
-func (c *Clock) validate() (faults []fieldError) {
-	if d := time.Duration(c.Offset); d < -time.Hour || d > time.Hour {
-		faults = append(faults, fieldError{"clock.ahead", fmt.Sprintf("%v is out of range, 1h either way", d)})
-	}
-	if c.Rate != 0 && !(c.Rate >= 0.5 && c.Rate <= 2) {
-		faults = append(faults, fieldError{"clock.rate", fmt.Sprintf("%v is out of range, 0.5 to 2", c.Rate)})
+// validateAddrPort rejects an address that is not an IP address and a port.
+func (s *section) validateAddrPort(key, address string) {
+	if at, err := netip.ParseAddrPort(address); err != nil || at.Port() == 0 {
+		s.reject(key, "%q is no IP address and port", address)
 	}
-	return faults
 }
--- /dev/null
+++ b/internal/config/validation.go
@@ -0,0 +1,78 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+)
+
+// fieldError is what is wrong with the value of a key.
+type fieldError struct {
+	key string // with its section: store.address
+	err error
+}
+
+func newFieldError(key, format string, args ...any) fieldError {
+	return fieldError{key: key, err: fmt.Errorf(format, args...)}
+}
+
+// Error returns the key and the reason.
+func (e fieldError) Error() string { return e.key + ": " + e.err.Error() }
+
+// Unwrap returns the reason.
+func (e fieldError) Unwrap() error { return e.err }
+
+// section collects what is wrong with one section of the file.
+type section struct {
+	name string
+	errs []fieldError // in the order of the checks; the first is reported
+}
+
+// reject records what is wrong with a key of the section. The format is fmt.Errorf's.
+func (s *section) reject(key, format string, args ...any) {
+	s.errs = append(s.errs, newFieldError(s.name+"."+key, format, args...))
+}
+
+// validateListen rejects a listen address that is missing or malformed.
+func (s *section) validateListen(address string) {
+	if address == "" {
+		s.reject("listen", "missing: want host:port")
+		return
+	}
+	s.validateAddress("listen", address)
+}
+
+// validateAddress rejects an address that is not host:port.
+func (s *section) validateAddress(key, address string) {
+	if err := checkAddress(address); err != nil {
+		s.reject(key, "%q: %w", address, err)
+	}
+}
+
+// setDefault replaces a zero value by the default, and rejects one that is not from low to high.
+func setDefault[T int | float64 | Duration](s *section, key string, value *T, defaultValue, low, high T) {
+	if *value == 0 {
+		*value = defaultValue
+	}
+	inRange := *value >= low && *value <= high // false for NaN, which TOML has
+	if !inRange {
+		s.reject(key, "%v is out of range, %v to %v", *value, low, high)
+	}
+}
+
+// checkAddress returns an error if an address is not host:port with a port from 1 to 65535.
+func checkAddress(address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		var addrErr *net.AddrError
+		if errors.As(err, &addrErr) { // its text would repeat the address
+			return errors.New(addrErr.Err)
+		}
+		return err
+	}
+	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
+		return fmt.Errorf("port %q is none", port)
+	}
+	return nil
+}
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -1,60 +1,48 @@
 package config
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
 	"hitchspring/internal/zones"
 )
 
-// Halls says how work is kept in the instance's own hall, and what becomes of it when a hall is lost. Absent: another hall
-// costs a fixed factor, and nothing is known of halls.
+// Zones says how requests are kept in the instance's own zone, and where they go when a zone is lost. Absent: another
+// zone costs a fixed factor, and no zone has a state.
 type Zones struct {
-	Near          []string `toml:"near,omitempty"`          // halls of the second tier; those in neither are the third
-	NearPrice     float64  `toml:"near_price,omitempty"`    // of a node there, against one at home with the same load
-	FarPrice      float64  `toml:"far_price,omitempty"`     // the same in the third tier
-	Overprovision float64  `toml:"overprovision,omitempty"` // a hall keeps all its work down to 1/overprovision of its capacity
-	Panic         float64  `toml:"panic,omitempty"`         // below this share of all capacity no hall is preferred
-	MaxRamp          Duration `toml:"ramp,omitempty"`          // of a hall that comes back, at the most
-	RampFrom      float64  `toml:"ramp_from,omitempty"`     // share of its rate with which it begins
-	ForgetAfter        Duration `toml:"forget,omitempty"`        // of calm, after which one loss is forgotten
-	Drains        string   `toml:"drills,omitempty"`        // file of the halls that are taken out on purpose
+	Near          []string `toml:"near,omitempty"`          // zones of the second locality priority; others: the third
+	NearPrice     float64  `toml:"near_price,omitempty"`    // of a backend in a near zone, relative to the own zone
+	FarPrice      float64  `toml:"far_price,omitempty"`     // of a backend in any other zone, relative to the own zone
+	Overprovision float64  `toml:"overprovision,omitempty"` // a zone keeps its load down to 1/Overprovision capacity
+	Panic         float64  `toml:"panic,omitempty"`         // share of all capacity below which no zone is preferred
+	MaxRamp       Duration `toml:"ramp,omitempty"`          // longest recovery ramp of a zone
+	RampFrom      float64  `toml:"ramp_from,omitempty"`     // share of the rate at which a recovery ramp begins
+	ForgetAfter   Duration `toml:"forget,omitempty"`        // time without a loss after which one is forgotten
+	Drains        string   `toml:"drills,omitempty"`        // path of the zone drain file; empty: there is none
 }
 
-// check fills in the defaults and says what is wrong.
-func (z *Zones) validate() (faults []fieldError) {
-	wrong := func(key, format string, args ...any) {
-		faults = append(faults, fieldError{"halls." + key, fmt.Sprintf(format, args...)})
-	}
+// validate fills in the defaults and returns what is wrong.
+func (z *Zones) validate() []fieldError {
+	const (
+		minRatio, maxPrice, maxOverprovision = 1.0, 100.0, 10.0
+		minShare, maxShare                   = 0.01, 1.0
+		minSpan                              = Duration(time.Second)
+		maxRamp                              = Duration(10 * time.Minute)
+		maxForgetAfter                       = Duration(24 * time.Hour)
+	)
+	s := section{name: "halls"}
 	if slices.Contains(z.Near, "") {
-		wrong("near", "%q: a hall without a name", z.Near)
-	}
-	number := func(key string, v *float64, usual, least, most float64) {
-		if *v == 0 {
-			*v = usual
-		}
-		if !(*v >= least && *v <= most) {
-			wrong(key, "%v is out of range, %v to %v", *v, least, most)
-		}
+		s.reject("near", "%q: a hall without a name", z.Near)
 	}
-	number("near_price", &z.NearPrice, zones.DefaultNearPrice, 1, 100)
-	number("far_price", &z.FarPrice, max(zones.DefaultFarPrice, z.NearPrice), 1, 100)
+	setDefault(&s, "near_price", &z.NearPrice, zones.DefaultNearPrice, minRatio, maxPrice)
+	setDefault(&s, "far_price", &z.FarPrice, max(zones.DefaultFarPrice, z.NearPrice), minRatio, maxPrice)
 	if z.FarPrice < z.NearPrice {
-		wrong("far_price", "%v is below near_price %v", z.FarPrice, z.NearPrice)
-	}
-	number("overprovision", &z.Overprovision, zones.DefaultOverprovision, 1, 10)
-	number("panic", &z.Panic, zones.DefaultPanic, 0.01, 1)
-	number("ramp_from", &z.RampFrom, zones.DefaultRampFrom, 0.01, 1)
-	span := func(key string, v *Duration, usual, least, most time.Duration) {
-		if *v == 0 {
-			*v = Duration(usual)
-		}
-		if d := time.Duration(*v); d < least || d > most {
-			wrong(key, "%v is out of range, %v to %v", d, least, most)
-		}
+		s.reject("far_price", "%v is below near_price %v", z.FarPrice, z.NearPrice)
 	}
-	span("ramp", &z.MaxRamp, zones.DefaultRamp, time.Second, 10*time.Minute)
-	span("forget", &z.ForgetAfter, zones.DefaultForget, time.Second, 24*time.Hour)
-	return faults
+	setDefault(&s, "overprovision", &z.Overprovision, zones.DefaultOverprovision, minRatio, maxOverprovision)
+	setDefault(&s, "panic", &z.Panic, zones.DefaultPanic, minShare, maxShare)
+	setDefault(&s, "ramp_from", &z.RampFrom, zones.DefaultRampFrom, minShare, maxShare)
+	setDefault(&s, "ramp", &z.MaxRamp, Duration(zones.DefaultRamp), minSpan, maxRamp)
+	setDefault(&s, "forget", &z.ForgetAfter, Duration(zones.DefaultForget), minSpan, maxForgetAfter)
+	return s.errs
 }
--- a/internal/config/zones_test.go
+++ b/internal/config/zones_test.go
@@ -1,36 +1,55 @@
 package config
 
 import (
-	"strings"
+	"reflect"
 	"testing"
 	"time"
 )
 
-// A [halls] section needs no key; each bad one is named with its line and value.
-func TestHalls(t *testing.T) {
+// A [halls] section needs no key and gets the defaults.
+func TestZoneDefaults(t *testing.T) {
 	o, err := parse("x.toml", []byte("[halls]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h := o.Zones; h.NearPrice != 2 || h.FarPrice != 3 || h.Overprovision != 1.4 || time.Duration(h.MaxRamp) != 4*time.Second || h.Panic != 0.3 || h.RampFrom != 0.3 || time.Duration(h.ForgetAfter) != time.Minute {
-		t.Fatalf("%+v", h)
+	want := &Zones{
+		NearPrice:     2,
+		FarPrice:      3,
+		Overprovision: 1.4,
+		Panic:         0.3,
+		MaxRamp:       Duration(4 * time.Second),
+		RampFrom:      0.3,
+		ForgetAfter:   Duration(time.Minute),
 	}
-	if o, err = parse("x.toml", []byte("[halls]\nnear_price = 4\n")); err != nil || o.Zones.FarPrice != 4 {
-		t.Fatal(o, err)
+	if !reflect.DeepEqual(o.Zones, want) {
+		t.Fatalf("got %+v, want %+v", o.Zones, want)
 	}
-	for text, want := range map[string]string{
-		"near_price = 0.5":                  "x.toml:2: halls.near_price: 0.5 is out of range",
-		"near_price = 2.0\nfar_price = 1.5": "x.toml:3: halls.far_price: 1.5 is below near_price 2",
-		"overprovision = 0.9":               "halls.overprovision: 0.9",
-		"panic = 1.5":                       "halls.panic: 1.5",
-		"ramp = \"1ms\"":                    "halls.ramp: 1ms is out of range",
-		"ramp_from = -1":                    "halls.ramp_from: -1",
-		"forget = \"1000h\"":                "halls.forget: 1000h0m0s",
-		"near = [\"\"]":                     "halls.near",
-		"nearby = []":                       "x.toml:2: halls.nearby: no such key",
+	o, err = parse("x.toml", []byte("[halls]\nnear_price = 4\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if o.Zones.FarPrice != 4 {
+		t.Errorf("far_price beside near_price 4: got %v, want 4", o.Zones.FarPrice)
+	}
+}
+
+// Each bad key of [halls] is named with its line and value.
+func TestBadZones(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
+		{"near_price = 0.5", "x.toml:2: halls.near_price: 0.5 is out of range"},
+		{"near_price = 2.0\nfar_price = 1.5", "x.toml:3: halls.far_price: 1.5 is below near_price 2"},
+		{"overprovision = 0.9", "halls.overprovision: 0.9"},
+		{"panic = 1.5", "halls.panic: 1.5"},
+		{"panic = nan", "halls.panic: NaN is out of range"},
+		{"ramp = \"1ms\"", "halls.ramp: 1ms is out of range"},
+		{"ramp_from = -1", "halls.ramp_from: -1"},
+		{"forget = \"1000h\"", "halls.forget: 1000h0m0s"},
+		{"near = [\"\"]", "halls.near"},
+		{"nearby = []", "x.toml:2: halls.nearby: no such key"},
 	} {
-		if _, err := parse("x.toml", []byte("[halls]\n"+text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", text, err)
-		}
+		t.Run(test.want, func(t *testing.T) {
+			_, err := parse("x.toml", []byte("[halls]\n"+test.text))
+			requireOneLine(t, err, test.want)
+		})
 	}
 }
