--- a/internal/cmdline/cmdline.go
+++ b/internal/cmdline/cmdline.go
@@ -1,5 +1,8 @@
-// Package cmdline reads a program's command line by its structure. In: the structure and the words. Out: the command that was
-// chosen, handed to whoever runs it, or that something was printed instead. It ends no process.
+// Package cmdline parses the command line of a program by the kong structure
+// that describes it. It takes the structure and the arguments, and hands the
+// command that they name to the caller's function. Help and shell completion
+// are printed here, with no command run. The package ends no process and reads
+// no arguments of its own.
 package cmdline
 
 import (
@@ -9,31 +12,39 @@
 	kongcompletion "github.com/jotaen/kong-completion"
 )
 
-// printed ends the parser, or a command of its own, after it has printed what was asked for.
-type printed struct{}
+// exitRequest is the panic by which kong's parser stops after it has printed help or a completion.
+type exitRequest struct{}
 
-// Run fills a structure from the words and hands the chosen command to run, whose error it returns. done: help or a
-// completion was printed, and that was all.
-func Run(into any, name, about string, words []string, out io.Writer, run func(*kong.Context) error, more ...kong.Option) (done bool, err error) {
+// Run parses args into the structure that grammar points to and calls run with the command that they name. It returns
+// run's error, or the parser's. It reports true, without calling run, if help or a completion was printed to out.
+func Run(
+	grammar any, name, description string, args []string, out io.Writer,
+	run func(*kong.Context) error, options ...kong.Option,
+) (printed bool, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			if _, ok := p.(printed); !ok {
-				panic(p)
+		if reason := recover(); reason != nil {
+			if _, ok := reason.(exitRequest); !ok {
+				panic(reason)
 			}
-			done, err = true, nil
+			printed = true
+			err = nil
 		}
 	}()
-	parser, err := kong.New(into, append([]kong.Option{
-		kong.Name(name), kong.Description(about), kong.Writers(out, out),
-		kong.Exit(func(int) { panic(printed{}) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-	}, more...)...)
+	defaults := []kong.Option{
+		kong.Name(name),
+		kong.Description(description),
+		kong.Writers(out, out),
+		kong.Exit(func(int) { panic(exitRequest{}) }),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+	}
+	parser, err := kong.New(grammar, append(defaults, options...)...)
 	if err != nil {
 		return false, err
 	}
 	kongcompletion.Register(parser)
-	k, err := parser.Parse(words)
+	command, err := parser.Parse(args)
 	if err != nil {
 		return false, err
 	}
-	return false, run(k)
+	return false, run(command)
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,7 @@
-// Package version says which build a program is, by what the Go tool has stamped into it.
+// Package version tells which build a program is. It reads what the Go tool has
+// stamped into the binary: the revision, its time, whether the source had
+// uncommitted changes, and the version of Go. It needs no linker flags, and a
+// build without that information says so.
 package version
 
 import (
@@ -6,22 +9,34 @@
 	"runtime/debug"
 )
 
-// Text is one line: the program's name, the revision that it was built from and when that was made, and the Go version.
+// Keys of the build settings, as the Go tool writes them.
+const (
+	revisionKey     = "vcs.revision"
+	revisionTimeKey = "vcs.time"
+	modifiedKey     = "vcs.modified"
+)
+
+// Text returns one line: the program's name, the revision that it was built from and the revision's time, and the
+// version of Go.
 func Text(program string) string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return program + ", built without module information"
 	}
-	revision, when, changed := "an unknown revision", "", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.time":
-			when = " of " + s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = ", changed since"
+	revision := "an unknown revision"
+	revisionTime := ""
+	modified := ""
+	for _, setting := range info.Settings {
+		switch setting.Key {
+		case revisionKey:
+			revision = setting.Value
+		case revisionTimeKey:
+			revisionTime = " of " + setting.Value
+		case modifiedKey:
+			if setting.Value == "true" {
+				modified = ", changed since"
+			}
 		}
 	}
-	return fmt.Sprintf("%s %s%s%s, %s", program, revision, when, changed, info.GoVersion)
+	return fmt.Sprintf("%s %s%s%s, %s", program, revision, revisionTime, modified, info.GoVersion)
 }
