--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -22,64 +22,64 @@
 
 // testOwner is an owner whose goroutine is the test: it hands the pool the events itself, and moves the clock.
 type testOwner struct {
-	p      *Pool
-	now    time.Duration
-	events chan Event
-	ctx    context.Context
-	wg     sync.WaitGroup
-	alarms []testAlarm
-	ends   []end
-	began  []*Stream
+	pool    *Pool
+	now     time.Duration
+	events  chan Event
+	ctx     context.Context
+	wg      sync.WaitGroup
+	timers  []testTimer
+	ends    []attemptEnd
+	streams []*Stream
 	// unwanted says that no value is waited for.
 	unwanted bool
 }
 
-type testAlarm struct {
+type testTimer struct {
 	at time.Duration
 	do func()
 }
 
-type end struct {
-	a *Attempt
-	o policy.Outcome
-	r Reply
+type attemptEnd struct {
+	attempt *Attempt
+	outcome policy.Outcome
+	reply   Reply
 }
 
-func (g *testOwner) Now() time.Duration { return g.now }
+func (o *testOwner) Now() time.Duration { return o.now }
 
-func (g *testOwner) After(d time.Duration, do func()) {
-	g.alarms = append(g.alarms, testAlarm{g.now + d, do})
+func (o *testOwner) After(d time.Duration, do func()) {
+	o.timers = append(o.timers, testTimer{o.now + d, do})
 }
 
-func (g *testOwner) Post(ev Event) {
+func (o *testOwner) Post(ev Event) {
 	select {
-	case g.events <- ev:
-	case <-g.ctx.Done():
+	case o.events <- ev:
+	case <-o.ctx.Done():
 	}
 }
 
-func (g *testOwner) Spawn(run func(context.Context)) { g.wg.Go(func() { run(g.ctx) }) }
+func (o *testOwner) Spawn(run func(context.Context)) { o.wg.Go(func() { run(o.ctx) }) }
 
-func (g *testOwner) AttemptEnded(a *Attempt, o policy.Outcome, r Reply) {
-	g.ends = append(g.ends, end{a, o, r})
+func (o *testOwner) AttemptEnded(attempt *Attempt, outcome policy.Outcome, reply Reply) {
+	o.ends = append(o.ends, attemptEnd{attempt, outcome, reply})
 }
 
-func (g *testOwner) AttemptWanted(*Attempt) bool { return true }
+func (o *testOwner) AttemptWanted(*Attempt) bool { return true }
 
-func (g *testOwner) AttemptBegan(a *Attempt, s *Stream) bool {
-	g.began = append(g.began, s)
-	return !g.unwanted
+func (o *testOwner) AttemptBegan(a *Attempt, s *Stream) bool {
+	o.streams = append(o.streams, s)
+	return !o.unwanted
 }
 
 // ring does what is due.
-func (g *testOwner) ring() {
-	due := g.alarms
-	g.alarms = nil
+func (o *testOwner) fireTimers() {
+	due := o.timers
+	o.timers = nil
 	for _, a := range due {
-		if a.at <= g.now {
+		if a.at <= o.now {
 			a.do()
 		} else {
-			g.alarms = append(g.alarms, a)
+			o.timers = append(o.timers, a)
 		}
 	}
 }
@@ -94,8 +94,8 @@
 func newOwner(t *testing.T, addrs ...string) *testOwner {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &testOwner{now: time.Minute, events: make(chan Event, 64), ctx: ctx}
-	g.p = New(g, Config{ConnectTimeout: 5 * time.Second, Idle: 15 * time.Second, MaxConnections: 96, Frames: resp.NewBudget(1 << 20)})
-	g.p.Update(entries(addrs...), true)
+	g.pool = New(g, Config{ConnectTimeout: 5 * time.Second, Idle: 15 * time.Second, MaxConnections: 96, Frames: resp.NewBudget(1 << 20)})
+	g.pool.Update(entries(addrs...), true)
 	t.Cleanup(func() {
 		cancel()
 		g.wg.Wait()
@@ -108,14 +108,14 @@
 	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
-	g.p.place(a)
-	up := (<-g.events).(connUp)
+	g.pool.assign(a)
+	up := (<-g.events).(connectionOpened)
 	f := entries(be.Addr)
 	f[0].State = policy.Draining
-	g.p.Update(f, false)
-	g.p.connUp(up)
-	if ev := g.ends[0]; ev.o != policy.NotSent || up.c.cur != nil {
-		t.Fatalf("outcome %v, want moot and nothing on the connection", ev.o)
+	g.pool.Update(f, false)
+	g.pool.handleConnectionOpened(up)
+	if ev := g.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil {
+		t.Fatalf("outcome %v, want moot and nothing on the connection", ev.outcome)
 	}
 }
 
@@ -124,11 +124,11 @@
 	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
-	g.p.place(a)
-	g.p.Abort(a, policy.Cancelled)
-	up := (<-g.events).(connUp)
-	g.p.connUp(up)
-	if ev := g.ends[0]; ev.o != policy.NotSent || up.c.cur != nil || len(g.ends) != 1 {
+	g.pool.assign(a)
+	g.pool.Abort(a, policy.Cancelled)
+	up := (<-g.events).(connectionOpened)
+	g.pool.handleConnectionOpened(up)
+	if ev := g.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil || len(g.ends) != 1 {
 		t.Fatalf("told %v, want one moot end", g.ends)
 	}
 }
@@ -137,18 +137,18 @@
 func TestIdleConnectionIsRetired(t *testing.T) {
 	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
-	b := g.p.nodes["s0"]
+	b := g.pool.backends["s0"]
 	b.waiting = append(b.waiting, nil)
-	g.p.dial(b)
+	g.pool.dialForWaiting(b)
 	b.waiting = nil
-	g.p.connUp((<-g.events).(connUp))
-	g.p.RetireIdle()
+	g.pool.handleConnectionOpened((<-g.events).(connectionOpened))
+	g.pool.RetireIdle()
 	if len(b.idle) != 1 {
 		t.Fatal("a fresh connection was retired")
 	}
-	g.now += g.p.cfg.Idle - time.Second
-	g.p.RetireIdle()
-	if down := (<-g.events).(connDown); len(b.idle) != 0 || !down.up {
+	g.now += g.pool.cfg.Idle - time.Second
+	g.pool.RetireIdle()
+	if down := (<-g.events).(connectionClosed); len(b.idle) != 0 || !down.wasOpen {
 		t.Fatal("an old connection was kept")
 	}
 }
@@ -157,14 +157,14 @@
 func TestAnswerBeforeItsCommand(t *testing.T) {
 	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	a := waitingAttempt(g, "s0")
-	g.p.place(a)
-	up := (<-g.events).(connUp)
-	up.c.cur = a
-	g.p.Handle(replied{up.c, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), keep: true}})
+	g.pool.assign(a)
+	up := (<-g.events).(connectionOpened)
+	up.conn.current = a
+	g.pool.Handle(replyReceived{up.conn, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), reusable: true}})
 	if a.ended {
 		t.Fatal("served with another's answer")
 	}
-	g.p.Handle(<-g.events)
+	g.pool.Handle(<-g.events)
 	if !a.ended || len(g.ends) != 1 {
 		t.Fatal("not ended with its connection")
 	}
@@ -173,20 +173,20 @@
 func TestParseReply(t *testing.T) {
 	load := policy.Load{"qps": 7}
 	for in, want := range map[string]Reply{
-		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Succeeded, Value: []byte("x"), Load: load, keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Succeeded, Value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Succeeded, Value: []byte("x"), keep: true},
-		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Succeeded, Value: []byte("x"), keep: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Succeeded, Value: []byte("x"), Load: load, reusable: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
+		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
 		"*2\r\n$1\r\nx\r\n$-1\r\n":                        {outcome: policy.Failed},
 		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                      {outcome: policy.Failed},
-		"-ERR failed\r\n":                                 {outcome: policy.Failed, keep: true},
-		"-ERR failed qps=7\r\n":                           {outcome: policy.Failed, Load: load, keep: true},
-		"-BUSY qps=7\r\n":                                 {outcome: policy.Rejected, Load: load, keep: true},
+		"-ERR failed\r\n":                                 {outcome: policy.Failed, reusable: true},
+		"-ERR failed qps=7\r\n":                           {outcome: policy.Failed, Load: load, reusable: true},
+		"-BUSY qps=7\r\n":                                 {outcome: policy.Rejected, Load: load, reusable: true},
 		"-BUSYBODY\r\n":                                   {outcome: policy.Failed},
 		"-SYNTAX\r\n":                                     {outcome: policy.Failed},
-		"+PONG\r\n":                                       {outcome: policy.Succeeded, keep: true},
+		"+PONG\r\n":                                       {outcome: policy.Succeeded, reusable: true},
 		"+OK\r\n":                                         {outcome: policy.Failed},
-		"$6\r\nqps=-1\r\n":                                {outcome: policy.Succeeded, keep: true},
+		"$6\r\nqps=-1\r\n":                                {outcome: policy.Succeeded, reusable: true},
 	} {
 		if got := parseReply([]byte(in)); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %+v, want %+v", in, got, want)
@@ -199,17 +199,17 @@
 func TestWaitingForTheCapOfAll(t *testing.T) {
 	a, b := scripted.NewBackend(t, nil), scripted.NewBackend(t, nil)
 	g := newOwner(t, a.Addr, b.Addr)
-	g.p.cfg.MaxConnections = 1
+	g.pool.cfg.MaxConnections = 1
 	first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s1")
-	g.p.place(first)
-	up := (<-g.events).(connUp)
-	g.p.Handle(up)
-	g.p.place(second)
-	g.p.Handle(replied{up.c, first, Reply{outcome: policy.Succeeded, keep: true}})
-	g.now += restTime
-	g.ring()
+	g.pool.assign(first)
+	up := (<-g.events).(connectionOpened)
+	g.pool.Handle(up)
+	g.pool.assign(second)
+	g.pool.Handle(replyReceived{up.conn, first, Reply{outcome: policy.Succeeded, reusable: true}})
+	g.now += reuseDelay
+	g.fireTimers()
 	for second.conn == nil {
-		g.p.Handle(<-g.events)
+		g.pool.Handle(<-g.events)
 	}
 }
 
@@ -218,9 +218,9 @@
 	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := &conn{node: g.p.nodes["s0"], nc: near, work: make(chan job, 1)}
-	g.p.write(c, waitingAttempt(g, "s0"))
-	g.p.write(c, waitingAttempt(g, "s0"))
+	c := &conn{backend: g.pool.backends["s0"], nc: near, writes: make(chan pendingWrite, 1)}
+	g.pool.send(c, waitingAttempt(g, "s0"))
+	g.pool.send(c, waitingAttempt(g, "s0"))
 	if _, err := near.Write(nil); err == nil {
 		t.Fatal("the connection was kept")
 	}
@@ -235,8 +235,8 @@
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
 			a := &Attempt{}
-			cn := &conn{nc: near, work: make(chan job, 1), dead: make(chan struct{})}
-			cn.work <- job{a: a, buf: []byte("123456789")}
+			cn := &conn{nc: near, writes: make(chan pendingWrite, 1), readerDone: make(chan struct{})}
+			cn.writes <- pendingWrite{attempt: a, command: []byte("123456789")}
 			written := make(chan struct{})
 			go func() {
 				defer close(written)
@@ -244,12 +244,12 @@
 			}()
 			io.ReadFull(far, make([]byte, c.read))
 			if c.whole {
-				close(cn.dead)
+				close(cn.readerDone)
 			} else {
 				far.Close()
 			}
 			<-written
-			if got := cn.whole.Load(); (got == a) != c.whole {
+			if got := cn.lastWritten.Load(); (got == a) != c.whole {
 				t.Fatalf("whole: %v, want %v", got == a, c.whole)
 			}
 		})
@@ -257,19 +257,19 @@
 }
 
 func waitingAttempt(g *testOwner, id policy.BackendID) *Attempt {
-	return &Attempt{Ref: g, Command: noCommand{}, node: g.p.nodes[id], Deadline: time.Hour}
+	return &Attempt{Ref: g, Command: noCommand{}, backend: g.pool.backends[id], Deadline: time.Hour}
 }
 
 // A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
 // the way. A copy that waits for a connection for longer must not be written any more: it never ran.
 func TestWaitForConnectionEnds(t *testing.T) {
 	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
-	g.p.cfg.MaxConnections = 0
+	g.pool.cfg.MaxConnections = 0
 	a := waitingAttempt(g, "s0")
-	g.p.place(a)
-	g.now += g.p.cfg.ConnectTimeout
-	g.ring()
-	if !a.ended || len(a.node.waiting) != 0 {
+	g.pool.assign(a)
+	g.now += g.pool.cfg.ConnectTimeout
+	g.fireTimers()
+	if !a.ended || len(a.backend.waiting) != 0 {
 		t.Fatal("the attempt still waits for a connection")
 	}
 }
@@ -280,13 +280,13 @@
 	be := scripted.NewBackend(t, nil)
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
-	g.p.place(a)
-	g.p.Handle(<-g.events)
-	for len(be.Seen()) < 1 || a.conn.whole.Load() != a {
+	g.pool.assign(a)
+	g.pool.Handle(<-g.events)
+	for len(be.Seen()) < 1 || a.conn.lastWritten.Load() != a {
 		time.Sleep(time.Millisecond)
 	}
-	g.p.Abort(a, policy.TimedOut)
-	if !a.ended || g.ends[0].o != policy.TimedOut {
+	g.pool.Abort(a, policy.TimedOut)
+	if !a.ended || g.ends[0].outcome != policy.TimedOut {
 		t.Fatalf("ended: %v, told %v", a.ended, g.ends)
 	}
 }
@@ -297,21 +297,21 @@
 	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
-	g.p.place(a)
-	up := (<-g.events).(connUp)
-	g.p.Handle(up)
+	g.pool.assign(a)
+	up := (<-g.events).(connectionOpened)
+	g.pool.Handle(up)
 	f := entries(be.Addr, be.Addr)
 	f[0].State = policy.Gone
-	g.p.Update(f, false)
-	if len(g.p.nodes) != 2 {
-		t.Fatalf("%d nodes while an attempt is out, want 2", len(g.p.nodes))
+	g.pool.Update(f, false)
+	if len(g.pool.backends) != 2 {
+		t.Fatalf("%d nodes while an attempt is out, want 2", len(g.pool.backends))
 	}
-	g.p.Handle(<-g.events) // the answer
-	g.now += restTime
-	g.ring()
-	g.p.Handle(<-g.events) // the connection's end
-	if g.p.conns != 0 || g.p.nodes["s1"] == nil {
-		t.Fatalf("%d connections, nodes %v", g.p.conns, g.p.nodes)
+	g.pool.Handle(<-g.events) // the answer
+	g.now += reuseDelay
+	g.fireTimers()
+	g.pool.Handle(<-g.events) // the connection's end
+	if g.pool.connections != 0 || g.pool.backends["s1"] == nil {
+		t.Fatalf("%d connections, nodes %v", g.pool.connections, g.pool.backends)
 	}
 }
 
@@ -333,20 +333,20 @@
 			g := newOwner(t, be.Addr)
 			g.unwanted = c.unwanted
 			a := waitingAttempt(g, "s0")
-			g.p.place(a)
+			g.pool.assign(a)
 			read := make(chan error, 1)
 			for len(g.ends) == 0 {
-				g.p.Handle(<-g.events)
-				if len(g.began) == 1 && !c.unwanted {
-					s := g.began[0]
-					g.began = append(g.began, nil)
+				g.pool.Handle(<-g.events)
+				if len(g.streams) == 1 && !c.unwanted {
+					s := g.streams[0]
+					g.streams = append(g.streams, nil)
 					go func() {
 						_, err := io.Copy(io.Discard, s)
 						read <- err
 					}()
 				}
 			}
-			if g.ends[0].o != c.want || len(g.ends) != 1 {
+			if g.ends[0].outcome != c.want || len(g.ends) != 1 {
 				t.Fatalf("ended as %v, want %v", g.ends, c.want)
 			}
 			if !c.unwanted {
@@ -369,24 +369,24 @@
 		})
 		g := newOwner(t, be.Addr)
 		first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s0")
-		g.p.place(first)
-		for !first.ended || g.p.conns > 0 { // served, and its connection has ended
-			g.p.Handle(<-g.events)
+		g.pool.assign(first)
+		for !first.ended || g.pool.connections > 0 { // served, and its connection has ended
+			g.pool.Handle(<-g.events)
 		}
-		g.p.place(second)
+		g.pool.assign(second)
 		if second.ended || second.conn != nil { // its own is only begun
 			t.Fatalf("%s: the second attempt does not wait", name)
 		}
-		g.p.Update(list, true)
-		if !second.ended || g.ends[1].o != policy.NotSent {
+		g.pool.Update(list, true)
+		if !second.ended || g.ends[1].outcome != policy.NotSent {
 			t.Errorf("%s: the second attempt waits for a node that does not serve", name)
 		}
-		for g.p.conns > 0 { // the end of what was begun for the second attempt
-			g.p.Handle(<-g.events)
+		for g.pool.connections > 0 { // the end of what was begun for the second attempt
+			g.pool.Handle(<-g.events)
 		}
-		g.now += restTime
-		g.ring()
-		if _, known := g.p.nodes["s0"]; known != (name == "drains") {
+		g.now += reuseDelay
+		g.fireTimers()
+		if _, known := g.pool.backends["s0"]; known != (name == "drains") {
 			t.Errorf("%s: the node is known: %v", name, known)
 		}
 	}
@@ -399,11 +399,11 @@
 	g := newOwner(t, be.Addr)
 	a := waitingAttempt(g, "s0")
 	a.Deadline = g.now + time.Second
-	g.p.place(a)
-	up := (<-g.events).(connUp)
+	g.pool.assign(a)
+	up := (<-g.events).(connectionOpened)
 	g.now = a.Deadline
-	g.p.connUp(up)
-	if len(g.ends) != 1 || g.ends[0].o != policy.NotSent || up.c.cur != nil {
+	g.pool.handleConnectionOpened(up)
+	if len(g.ends) != 1 || g.ends[0].outcome != policy.NotSent || up.conn.current != nil {
 		t.Fatalf("told %v, want one moot end and nothing on the connection", g.ends)
 	}
 }
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -8,147 +8,147 @@
 
 // The events of a connection.
 type (
-	connUp   struct{ c *conn }
-	connDown struct { // the last event of a connection
-		c  *conn
-		up bool
-	}
-	replied struct {
-		c  *conn
-		to *Attempt // what had been written when it came; nil: nothing
+	connectionOpened struct{ conn *conn }
+	connectionClosed struct { // the last event of a connection
+		conn    *conn
+		wasOpen bool
+	}
+	replyReceived struct {
+		conn    *conn
+		attempt *Attempt // what had been written when it came; nil: nothing
 		Reply
 	}
 )
 
-func (connUp) event() {}
+func (connectionOpened) event() {}
 
-func (connDown) event() {}
+func (connectionClosed) event() {}
 
-func (replied) event() {}
+func (replyReceived) event() {}
 
 // Handle takes in what a connection has told.
 func (p *Pool) Handle(ev Event) {
 	switch ev := ev.(type) {
-	case connUp:
-		p.connUp(ev)
-	case connDown:
-		p.connDown(ev)
-	case replied:
-		p.replied(ev)
-	case begun:
-		p.begun(ev)
+	case connectionOpened:
+		p.handleConnectionOpened(ev)
+	case connectionClosed:
+		p.handleConnectionClosed(ev)
+	case replyReceived:
+		p.handleReply(ev)
+	case streamStarted:
+		p.handleStreamStarted(ev)
 	}
 }
 
-func (p *Pool) connUp(ev connUp) {
-	n, now := ev.c.node, p.owner.Now()
-	n.dialing--
-	n.heard = now
-	n.connected(now, now-ev.c.begun)
-	p.free(ev.c)
+func (p *Pool) handleConnectionOpened(ev connectionOpened) {
+	backend, now := ev.conn.backend, p.owner.Now()
+	backend.dialing--
+	backend.lastHeardAt = now
+	backend.recordConnectTime(now, now-ev.conn.dialedAt)
+	p.release(ev.conn)
 }
 
 // begun hands a value that has begun to the owner; one that nobody waits for ends its connection.
-func (p *Pool) begun(ev begun) {
-	c, a := ev.c, ev.c.cur
-	c.node.heard = p.owner.Now()
-	if a == nil || ev.to != a || a.Command == nil || a.why != still {
-		ev.s.Close()
-		if a == nil || ev.to != a {
-			p.unasked(c)
+func (p *Pool) handleStreamStarted(ev streamStarted) {
+	c, attempt := ev.conn, ev.conn.current
+	c.backend.lastHeardAt = p.owner.Now()
+	if attempt == nil || ev.attempt != attempt || attempt.Command == nil || attempt.abortedAs != notAborted {
+		ev.stream.Close()
+		if attempt == nil || ev.attempt != attempt {
+			p.recordUnsolicited(c)
 		}
-		p.close(c)
+		p.closeConn(c)
 		return
 	}
-	a.stream, c.answered = ev.s, true
-	if !p.owner.AttemptBegan(a, ev.s) {
-		a.why = policy.Cancelled
-		ev.s.Close()
-		p.close(c)
+	attempt.stream, c.hasReplied = ev.stream, true
+	if !p.owner.AttemptBegan(attempt, ev.stream) {
+		attempt.abortedAs = policy.Cancelled
+		ev.stream.Close()
+		p.closeConn(c)
 	}
 }
 
-func (p *Pool) replied(ev replied) {
-	c, a := ev.c, ev.c.cur
-	c.node.heard = p.owner.Now()
-	if a == nil || ev.to != a { // nobody asked for it, or it came before its command was out: the order is lost
-		p.unasked(c)
-		p.close(c)
+func (p *Pool) handleReply(ev replyReceived) {
+	c, attempt := ev.conn, ev.conn.current
+	c.backend.lastHeardAt = p.owner.Now()
+	if attempt == nil || ev.attempt != attempt { // nobody asked for it, or it came before its command was out: the order is lost
+		p.recordUnsolicited(c)
+		p.closeConn(c)
 		return
 	}
-	c.cur, c.answered = nil, true
-	if a.Command != nil {
-		c.node.answered(p.owner.Now() - a.handed)
+	c.current, c.hasReplied = nil, true
+	if attempt.Command != nil {
+		c.backend.recordReplyTime(p.owner.Now() - attempt.assignedAt)
 	}
-	if ev.extra || !a.fits(ev.Reply) {
-		c.node.second.saw(p.owner.Now())
+	if ev.trailing || !attempt.fits(ev.Reply) {
+		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	}
-	if !a.fits(ev.Reply) { // it is another command's
+	if !attempt.fits(ev.Reply) { // it is another command's
 		ev.Reply = Reply{outcome: policy.Failed}
 	}
 	switch {
-	case a.why != still: // it is closed
-	case ev.keep:
-		p.free(c)
+	case attempt.abortedAs != notAborted: // it is closed
+	case ev.reusable:
+		p.release(c)
 	default:
-		p.close(c)
+		p.closeConn(c)
 	}
-	p.end(a, ev.outcome, ev.Reply)
+	p.finish(attempt, ev.outcome, ev.Reply)
 }
 
 // unasked takes in that something came on a connection where no command was out: a second answer, or, before there was any
 // command, a node that does not want the connection.
-func (p *Pool) unasked(c *conn) {
+func (p *Pool) recordUnsolicited(c *conn) {
 	switch {
 	case c.closed: // an answer that was not waited for any more
 	case c.used:
-		c.node.second.saw(p.owner.Now())
+		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	default:
-		c.node.refused(p.owner.Now())
+		c.backend.pauseGrowth(p.owner.Now())
 	}
 }
 
-func (p *Pool) connDown(ev connDown) {
-	c, n := ev.c, ev.c.node
-	c.down = true
-	n.conns--
-	p.conns--
-	if i := slices.Index(n.idle, c); i >= 0 {
-		n.idle = slices.Delete(n.idle, i, i+1)
-	}
-	if !ev.up || !c.answered && !c.closed {
-		n.refused(p.owner.Now())
-	}
-	if !ev.up {
-		n.dialing--
-		p.notConnected(n)
-	} else if c.cur != nil {
-		p.end(c.cur, c.outcome(), Reply{})
-	}
-	p.serve(n)
-	p.feed()
-	p.drop(n)
+func (p *Pool) handleConnectionClosed(ev connectionClosed) {
+	c, backend := ev.conn, ev.conn.backend
+	c.disconnected = true
+	backend.connections--
+	p.connections--
+	if i := slices.Index(backend.idle, c); i >= 0 {
+		backend.idle = slices.Delete(backend.idle, i, i+1)
+	}
+	if !ev.wasOpen || !c.hasReplied && !c.closed {
+		backend.pauseGrowth(p.owner.Now())
+	}
+	if !ev.wasOpen {
+		backend.dialing--
+		p.failOneWaiting(backend)
+	} else if c.current != nil {
+		p.finish(c.current, c.attemptOutcome(), Reply{})
+	}
+	p.serveWaiting(backend)
+	p.dialAfterLimit()
+	p.forgetIfGone(backend)
 }
 
 // notConnected ends the first attempt that waits, unless other connections are there or on their way for all of them.
-func (p *Pool) notConnected(n *node) {
-	if len(n.waiting) > n.dialing+len(n.idle) {
-		a := n.waiting[0]
-		n.waiting = n.waiting[1:]
-		p.end(a, policy.NoConnect, Reply{})
+func (p *Pool) failOneWaiting(backend *backendPool) {
+	if len(backend.waiting) > backend.dialing+len(backend.idle) {
+		attempt := backend.waiting[0]
+		backend.waiting = backend.waiting[1:]
+		p.finish(attempt, policy.NoConnect, Reply{})
 	}
 }
 
 // outcome is how the attempt that a connection carries has ended with it.
-func (c *conn) outcome() policy.Outcome {
-	a := c.cur
+func (c *conn) attemptOutcome() policy.Outcome {
+	attempt := c.current
 	switch {
-	case c.whole.Load() != a && a.why != still:
+	case c.lastWritten.Load() != attempt && attempt.abortedAs != notAborted:
 		return policy.NotSent
-	case c.whole.Load() != a:
+	case c.lastWritten.Load() != attempt:
 		return policy.NoConnect
-	case a.why != still:
-		return a.why
+	case attempt.abortedAs != notAborted:
+		return attempt.abortedAs
 	}
 	return policy.Reset
 }
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -12,25 +12,25 @@
 // would ever grow old by itself.
 func (p *Pool) RetireIdle() {
 	now := p.owner.Now()
-	for _, n := range p.nodes {
-		for len(n.idle) > 0 && (n.State != policy.Running || n.idle[0].addr != n.addr || now-n.idle[0].since > p.retireAfter()) {
-			p.closeIdle(n)
+	for _, backend := range p.backends {
+		for len(backend.idle) > 0 && (backend.State != policy.Running || backend.idle[0].addr != backend.addr || now-backend.idle[0].idleSince > p.retireAfter()) {
+			p.closeOldestIdle(backend)
 		}
-		p.trim(n, now)
+		p.trimIdle(backend, now)
 	}
 }
 
 // trim closes half of the connections that no attempt has needed since the last time.
-func (p *Pool) trim(n *node, now time.Duration) {
-	if now < n.spareAt {
+func (p *Pool) trimIdle(backend *backendPool, now time.Duration) {
+	if now < backend.trimAt {
 		return
 	}
-	if n.spareAt > 0 && n.spare != noTake {
-		for range min(n.spare/2, len(n.idle)) {
-			p.closeIdle(n)
+	if backend.trimAt > 0 && backend.minSpare != noneTaken {
+		for range min(backend.minSpare/2, len(backend.idle)) {
+			p.closeOldestIdle(backend)
 		}
 	}
-	n.spare, n.spareAt = noTake, now+p.retireAfter()
+	backend.minSpare, backend.trimAt = noneTaken, now+p.retireAfter()
 }
 
 // retireAfter is for how long a connection may be idle and still be used.
@@ -38,34 +38,34 @@
 
 // CloseIdle closes all idle connections to a node.
 func (p *Pool) CloseIdle(id policy.BackendID) {
-	n := p.nodes[id]
-	for n != nil && len(n.idle) > 0 {
-		p.closeIdle(n)
+	backend := p.backends[id]
+	for backend != nil && len(backend.idle) > 0 {
+		p.closeOldestIdle(backend)
 	}
 }
 
 // closeIdle closes the connection that has been idle longest; connDown does the books.
-func (p *Pool) closeIdle(n *node) { p.close(n.idle[0]) }
+func (p *Pool) closeOldestIdle(backend *backendPool) { p.closeConn(backend.idle[0]) }
 
 // close closes a connection, which is not idle from then on.
-func (p *Pool) close(c *conn) {
+func (p *Pool) closeConn(c *conn) {
 	c.closed = true
-	if i := slices.Index(c.node.idle, c); i >= 0 {
-		c.node.idle = slices.Delete(c.node.idle, i, i+1)
+	if i := slices.Index(c.backend.idle, c); i >= 0 {
+		c.backend.idle = slices.Delete(c.backend.idle, i, i+1)
 	}
 	c.nc.Close()
 }
 
 // closeOldestIdle makes room for a new connection to a node, at another one where nobody waits.
-func (p *Pool) closeOldestIdle(to *node) bool {
-	var oldest *node
-	for _, n := range p.nodes {
-		if n != to && len(n.idle) > 0 && len(n.waiting) == 0 && (oldest == nil || n.idle[0].since < oldest.idle[0].since) {
-			oldest = n
+func (p *Pool) evictIdle(to *backendPool) bool {
+	var oldest *backendPool
+	for _, backend := range p.backends {
+		if backend != to && len(backend.idle) > 0 && len(backend.waiting) == 0 && (oldest == nil || backend.idle[0].idleSince < oldest.idle[0].idleSince) {
+			oldest = backend
 		}
 	}
 	if oldest != nil {
-		p.closeIdle(oldest)
+		p.closeOldestIdle(oldest)
 	}
 	return oldest != nil
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -53,13 +53,13 @@
 
 // Pool is the connections to all nodes. It is not safe for many goroutines: its owner's alone calls it.
 type Pool struct {
-	cfg     Config
-	owner   Owner
-	nodes   map[policy.BackendID]*node
-	conns   int  // to all of them
-	starved bool // an attempt waits because of MostConns
-	dials   int
-	begin   func(*conn) // runs a connection; tests play it by themselves
+	cfg          Config
+	owner        Owner
+	backends     map[policy.BackendID]*backendPool
+	connections  int  // to all of them
+	limitReached bool // an attempt waits because of MostConns
+	dials        int
+	startConn    func(*conn) // runs a connection; tests play it by themselves
 }
 
 // Dials is how many connections were begun.
@@ -70,73 +70,73 @@
 	if cfg.OnSent == nil {
 		cfg.OnSent = func() {}
 	}
-	return &Pool{cfg: cfg, owner: owner, nodes: map[policy.BackendID]*node{}, begin: func(c *conn) {
+	return &Pool{cfg: cfg, owner: owner, backends: map[policy.BackendID]*backendPool{}, startConn: func(c *conn) {
 		owner.Spawn(func(ctx context.Context) { c.run(ctx, cfg.ConnectTimeout, owner.Post) })
 	}}
 }
 
 // Set brings the list of nodes, whole or its changes. A drain counts from here on: what waits for a connection to a node that
 // does not serve any more ends now, as never sent, so that it can go elsewhere.
-func (p *Pool) Update(list []Endpoint, whole bool) {
-	if whole {
-		for _, n := range p.nodes {
-			n.State = policy.Gone
+func (p *Pool) Update(list []Endpoint, complete bool) {
+	if complete {
+		for _, backend := range p.backends {
+			backend.State = policy.Gone
 		}
 	}
-	for _, e := range list {
-		n := p.nodes[e.ID]
-		if n == nil {
-			n = &node{}
-			p.nodes[e.ID] = n
+	for _, endpoint := range list {
+		backend := p.backends[endpoint.ID]
+		if backend == nil {
+			backend = &backendPool{}
+			p.backends[endpoint.ID] = backend
 		}
-		n.Backend = e.Backend
-		if e.Addr != "" && e.State != policy.Gone {
-			n.addr = e.Addr
+		backend.Backend = endpoint.Backend
+		if endpoint.Addr != "" && endpoint.State != policy.Gone {
+			backend.addr = endpoint.Addr
 		}
 	}
 	p.RetireIdle()
-	for _, n := range p.nodes {
-		if n.State != policy.Running {
-			p.turnAway(n)
+	for _, backend := range p.backends {
+		if backend.State != policy.Running {
+			p.cancelWaiting(backend)
 		}
-		p.drop(n)
+		p.forgetIfGone(backend)
 	}
 }
 
 // turnAway ends what waits for a connection to a node that does not serve any more, but for probes.
-func (p *Pool) turnAway(n *node) {
-	for _, a := range slices.Clone(n.waiting) {
-		if a.Command != nil && p.unwait(a) {
-			p.end(a, policy.NotSent, Reply{})
+func (p *Pool) cancelWaiting(backend *backendPool) {
+	for _, attempt := range slices.Clone(backend.waiting) {
+		if attempt.Command != nil && p.removeWaiting(attempt) {
+			p.finish(attempt, policy.NotSent, Reply{})
 		}
 	}
 }
 
 // Servers are the nodes that are not gone.
 func (p *Pool) Backends() (out []policy.Backend) {
-	for _, n := range p.nodes {
-		if n.State != policy.Gone {
-			out = append(out, n.Backend)
+	for _, backend := range p.backends {
+		if backend.State != policy.Gone {
+			out = append(out, backend.Backend)
 		}
 	}
 	return out
 }
 
 // Knows says whether a node is on the list, or has not been forgotten yet.
-func (p *Pool) Contains(id policy.BackendID) bool { return p.nodes[id] != nil }
+func (p *Pool) Contains(id policy.BackendID) bool { return p.backends[id] != nil }
 
 // Addr is where a node listens, and whether it serves by the list.
 func (p *Pool) Addr(id policy.BackendID) (addr string, serves bool) {
-	n := p.nodes[id]
-	if n == nil {
+	backend := p.backends[id]
+	if backend == nil {
 		return "", false
 	}
-	return n.addr, n.State == policy.Running
+	return backend.addr, backend.State == policy.Running
 }
 
 // drop forgets a node that is gone for good once nothing is out or open there: ids are ever new.
-func (p *Pool) drop(n *node) {
-	if n.State == policy.Gone && n.conns == 0 && len(n.waiting) == 0 && p.nodes[n.ID] == n {
-		delete(p.nodes, n.ID)
+func (p *Pool) forgetIfGone(backend *backendPool) {
+	if backend.State == policy.Gone && backend.connections == 0 && len(backend.waiting) == 0 && p.backends[backend.ID] == backend {
+		delete(p.backends, backend.ID)
 	}
 }
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -20,42 +20,42 @@
 // no machine of its own, and 100,000 requests take a second or two.
 
 const (
-	ms         = time.Millisecond
-	endHeard   = 50 * time.Microsecond // from when the pool closes a connection until it hears of its end
-	sweepEvery = time.Second           // of RetireIdle, as the core calls it
+	ms               = time.Millisecond
+	closeNoticeDelay = 50 * time.Microsecond // from when the pool closes a connection until it hears of its end
+	sweepEvery       = time.Second           // of RetireIdle, as the core calls it
 )
 
 // scenario is what traffic comes, and what the backends do.
 type scenario struct {
-	name         string
-	rate         float64 // requests a second, to all backends
-	backends     int
-	requests     int
-	prefers      bool          // the router prefers some backends as long as they have nothing out
-	burst        int           // requests that arrive at one moment; 0: one
-	service      time.Duration // of a command
-	connect      time.Duration // for a connection to come up
-	slow         time.Duration // for those that are begun after the first tenth of the requests; 0: as connect
-	limit        int           // connections that a backend takes; further ones are refused. 0: any number
-	once         bool          // a backend closes a connection right after its answer
-	secondShare  float64       // of the answers that come twice
-	late         time.Duration // from an answer to its second copy
-	lateUpTo     time.Duration // above late: uniform between them
-	seed         uint64
-	idleFor      time.Duration // without requests, after the first half of them
-	connectAfter time.Duration // ConnectTimeout of the pool; 0: 250 ms
+	name              string
+	rate              float64 // requests a second, to all backends
+	backends          int
+	requests          int
+	prefers           bool          // the router prefers some backends as long as they have nothing out
+	burst             int           // requests that arrive at one moment; 0: one
+	serviceTime       time.Duration // of a command
+	connectTime       time.Duration // for a connection to come up
+	slowConnect       time.Duration // for those that are begun after the first tenth of the requests; 0: as connect
+	maxConnections    int           // connections that a backend takes; further ones are refused. 0: any number
+	closesAfterReply  bool          // a backend closes a connection right after its answer
+	duplicateShare    float64       // of the answers that come twice
+	duplicateDelay    time.Duration // from an answer to its second copy
+	maxDuplicateDelay time.Duration // above late: uniform between them
+	seed              uint64
+	idleFor           time.Duration // without requests, after the first half of them
+	connectTimeout    time.Duration // ConnectTimeout of the pool; 0: 250 ms
 }
 
 // measured is what came of a scenario.
-type measured struct {
-	waits   []time.Duration // from an attempt's start until a connection had it
-	took    []time.Duration // from its start to its answer
-	taken   int             // attempts that were served with another's answer
-	ends    map[policy.Outcome]int
-	dials   int
-	most    int // connections that were open at once
-	seconds int // second answers that were sent
-	began   int // requests
+type measurement struct {
+	waits           []time.Duration // from an attempt's start until a connection had it
+	took            []time.Duration // from its start to its answer
+	misattributed   int             // attempts that were served with another's answer
+	ends            map[policy.Outcome]int
+	dials           int
+	maxOpen         int // connections that were open at once
+	duplicates      int // second answers that were sent
+	requestsStarted int // requests
 }
 
 // quantile is of durations; q from 0 to 1.
@@ -69,7 +69,7 @@
 }
 
 // longer is how many durations are above a bound.
-func longer(xs []time.Duration, bound time.Duration) (n int) {
+func countLonger(xs []time.Duration, bound time.Duration) (n int) {
 	for _, x := range xs {
 		if x > bound {
 			n++
@@ -78,28 +78,28 @@
 	return n
 }
 
-func (m measured) String() string {
+func (m measurement) String() string {
 	return fmt.Sprintf("wait p50 %v p99 %v most %v, %d over 1 ms; took p50 %v p99 %v; %d dials, %d open at most; %d second answers, %d taken for another's; ends %v",
-		quantile(m.waits, 0.5), quantile(m.waits, 0.99), quantile(m.waits, 1), longer(m.waits, ms), quantile(m.took, 0.5), quantile(m.took, 0.99),
-		m.dials, m.most, m.seconds, m.taken, m.ends)
+		quantile(m.waits, 0.5), quantile(m.waits, 0.99), quantile(m.waits, 1), countLonger(m.waits, ms), quantile(m.took, 0.5), quantile(m.took, 0.99),
+		m.dials, m.maxOpen, m.duplicates, m.misattributed, m.ends)
 }
 
 // happening is something at a time of the simulation.
-type happening struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type happenings []happening
+type eventQueue []scheduledEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
+func (h *eventQueue) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
@@ -108,86 +108,86 @@
 // traffic is a scenario being played; it is the pool's owner.
 type traffic struct {
 	scenario
-	p     *Pool
-	now   time.Duration
-	queue happenings
-	seq   int
-	rng   *rand.Rand
-	conns map[*conn]*socket
-	open  map[policy.BackendID]int
-	out   []int // attempts at each backend that have not ended
-	begun int   // requests
-	measured
+	pool     *Pool
+	now      time.Duration
+	queue    eventQueue
+	seq      int
+	rng      *rand.Rand
+	conns    map[*conn]*socket
+	open     map[policy.BackendID]int
+	inFlight []int // attempts at each backend that have not ended
+	started  int   // requests
+	measurement
 }
 
 // socket is a played connection to a backend.
 type socket struct {
 	net.Conn
-	t      *traffic
-	c      *conn
-	closed bool
+	traffic *traffic
+	conn    *conn
+	closed  bool
 }
 
 func (s *socket) Close() error {
 	if !s.closed {
 		s.closed = true
-		s.t.at(endHeard, func() { s.t.down(s) })
+		s.traffic.schedule(closeNoticeDelay, func() { s.traffic.closeConn(s) })
 	}
 	return nil
 }
 
 func (t *traffic) Now() time.Duration                  { return t.now }
-func (t *traffic) After(d time.Duration, do func())    { t.at(d, do) }
+func (t *traffic) After(d time.Duration, do func())    { t.schedule(d, do) }
 func (t *traffic) Post(Event)                          {}
 func (t *traffic) Spawn(func(context.Context))         {}
 func (t *traffic) AttemptBegan(*Attempt, *Stream) bool { return false }
 func (t *traffic) AttemptWanted(*Attempt) bool         { return true }
 
 func (t *traffic) AttemptEnded(a *Attempt, o policy.Outcome, r Reply) {
-	t.out[a.Ref.(int)]--
+	t.inFlight[a.Ref.(int)]--
 	t.ends[o]++
 	if o != policy.Succeeded {
 		return
 	}
-	t.waits = append(t.waits, a.handed-a.StartedAt)
+	t.waits = append(t.waits, a.assignedAt-a.StartedAt)
 	t.took = append(t.took, t.now-a.StartedAt)
 	if string(r.Value) != strconv.Itoa(a.Number) {
-		t.taken++
+		t.misattributed++
 	}
 }
 
-func (t *traffic) at(d time.Duration, do func()) {
+func (t *traffic) schedule(d time.Duration, do func()) {
 	t.seq++
-	heap.Push(&t.queue, happening{t.now + max(d, 0), t.seq, do})
+	heap.Push(&t.queue, scheduledEvent{t.now + max(d, 0), t.seq, do})
 }
 
 // play plays a scenario to its end.
-func (s scenario) play() measured {
+func (s scenario) play() measurement {
 	t := &traffic{
 		scenario: s, now: time.Minute, rng: rand.New(rand.NewPCG(s.seed+1, 7)), conns: map[*conn]*socket{}, open: map[policy.BackendID]int{},
-		out: make([]int, s.backends),
+		inFlight: make([]int, s.backends),
 	}
 	t.ends = map[policy.Outcome]int{}
-	if t.connectAfter == 0 {
-		t.connectAfter = 250 * ms
+	if t.connectTimeout == 0 {
+		t.connectTimeout = 250 * ms
 	}
-	t.p = New(t, Config{ConnectTimeout: t.connectAfter, Idle: 15 * time.Second, MaxConnections: 384, Frames: resp.NewBudget(1 << 20)})
-	t.p.begin = t.begin
+	t.pool = New(t, Config{ConnectTimeout: t.connectTimeout, Idle: 15 * time.Second, MaxConnections: 384, Frames: resp.NewBudget(1 << 20)})
+	t.pool.startConn = t.openConn
 	list := make([]Endpoint, s.backends)
 	for i := range list {
 		list[i] = Endpoint{policy.Backend{ID: backendID(i), Zone: "a", State: policy.Running}, "127.0.0.1:1"}
 	}
-	t.p.Update(list, true)
+	t.pool.Update(list, true)
 	t.arrive()
 	t.sweep()
 	for len(t.queue) > 0 {
-		h := heap.Pop(&t.queue).(happening)
+		h := heap.Pop(&t.queue).(scheduledEvent)
 		t.now = h.at
 		h.do()
-		t.carry()
+		t.deliverWrites()
 	}
-	t.dials, t.began = t.p.Dials(), t.begun
-	return t.measured
+	t.dials, t.requestsStarted = t.pool.Dials(), t.started
+	return t.measurement
 }
 
 func backendID(i int) policy.BackendID { return policy.BackendID("s" + strconv.Itoa(i)) }
@@ -196,112 +196,112 @@
 func (t *traffic) arrive() {
 	n := max(t.burst, 1)
 	for range n {
-		a := &Attempt{Number: t.begun, Command: noCommand{}, StartedAt: t.now, Deadline: t.now + time.Second}
-		t.begun++
+		a := &Attempt{Number: t.started, Command: noCommand{}, StartedAt: t.now, Deadline: t.now + time.Second}
+		t.started++
 		to := t.choose()
 		a.Ref = to
-		t.out[to]++
-		t.p.Start(a, backendID(to))
-		t.at(time.Second, func() { t.p.Abort(a, policy.TimedOut) })
+		t.inFlight[to]++
+		t.pool.Start(a, backendID(to))
+		t.schedule(time.Second, func() { t.pool.Abort(a, policy.TimedOut) })
 	}
 	gap := time.Duration(t.rng.ExpFloat64() * float64(n) / t.rate * float64(time.Second))
-	if t.idleFor > 0 && t.begun >= t.requests/2 && t.begun < t.requests/2+n {
+	if t.idleFor > 0 && t.started >= t.requests/2 && t.started < t.requests/2+n {
 		gap = t.idleFor
 	}
-	if t.begun < t.requests {
-		t.at(gap, t.arrive)
+	if t.started < t.requests {
+		t.schedule(gap, t.arrive)
 	}
 }
 
 // choose routes a request: evenly, or as a router does that prefers some backends as long as they have nothing out.
 func (t *traffic) choose() int {
 	if t.prefers {
-		return slices.Index(t.out, slices.Min(t.out))
+		return slices.Index(t.inFlight, slices.Min(t.inFlight))
 	}
 	return t.rng.IntN(t.backends)
 }
 
 func (t *traffic) sweep() {
-	t.p.RetireIdle()
-	if t.begun < t.requests {
-		t.at(sweepEvery, t.sweep)
+	t.pool.RetireIdle()
+	if t.started < t.requests {
+		t.schedule(sweepEvery, t.sweep)
 	}
 }
 
 // begin plays a connection that the pool begins.
-func (t *traffic) begin(c *conn) {
-	took := t.connect
-	if t.slow > 0 && t.begun > t.requests/10 {
-		took = t.slow
+func (t *traffic) openConn(c *conn) {
+	took := t.connectTime
+	if t.slowConnect > 0 && t.started > t.requests/10 {
+		took = t.slowConnect
 	}
-	fails := took > t.connectAfter
-	t.at(min(took, t.connectAfter), func() {
-		if fails || t.limit > 0 && t.open[c.node.ID] >= t.limit {
-			t.p.Handle(connDown{c: c})
+	fails := took > t.connectTimeout
+	t.schedule(min(took, t.connectTimeout), func() {
+		if fails || t.maxConnections > 0 && t.open[c.backend.ID] >= t.maxConnections {
+			t.pool.Handle(connectionClosed{conn: c})
 			return
 		}
-		s := &socket{t: t, c: c}
+		s := &socket{traffic: t, conn: c}
 		c.nc = s
 		t.conns[c] = s
-		t.open[c.node.ID]++
-		t.most = max(t.most, len(t.conns))
-		t.p.Handle(connUp{c})
+		t.open[c.backend.ID]++
+		t.maxOpen = max(t.maxOpen, len(t.conns))
+		t.pool.Handle(connectionOpened{c})
 	})
 }
 
-func (t *traffic) down(s *socket) {
-	delete(t.conns, s.c)
-	t.open[s.c.node.ID]--
-	t.p.Handle(connDown{c: s.c, up: true})
+func (t *traffic) closeConn(s *socket) {
+	delete(t.conns, s.conn)
+	t.open[s.conn.backend.ID]--
+	t.pool.Handle(connectionClosed{conn: s.conn, wasOpen: true})
 }
 
 // carry takes to the backends what the pool has handed to connections.
-func (t *traffic) carry() {
+func (t *traffic) deliverWrites() {
 	for c, s := range t.conns {
-		if s.closed || len(c.work) == 0 {
+		if s.closed || len(c.writes) == 0 {
 			continue
 		}
-		j := <-c.work
-		c.whole.Store(j.a)
-		t.at(t.service, func() { t.answer(s, j.a) })
+		j := <-c.writes
+		c.lastWritten.Store(j.attempt)
+		t.schedule(t.serviceTime, func() { t.reply(s, j.attempt) })
 	}
 }
 
 // answer brings the answer to an attempt, and lays down its second copy.
-func (t *traffic) answer(s *socket, a *Attempt) {
-	again := t.rng.Float64() < t.secondShare
-	late := t.late
-	if t.lateUpTo > late {
-		late += time.Duration(t.rng.Int64N(int64(t.lateUpTo - late)))
+func (t *traffic) reply(s *socket, a *Attempt) {
+	again := t.rng.Float64() < t.duplicateShare
+	late := t.duplicateDelay
+	if t.maxDuplicateDelay > late {
+		late += time.Duration(t.rng.Int64N(int64(t.maxDuplicateDelay - late)))
 	}
 	if s.closed {
 		return
 	}
-	rep := Reply{Value: []byte(strconv.Itoa(a.Number)), outcome: policy.Succeeded, keep: true}
+	rep := Reply{Value: []byte(strconv.Itoa(a.Number)), outcome: policy.Succeeded, reusable: true}
 	if again {
-		t.seconds++
-		t.at(late, func() {
+		t.duplicates++
+		t.schedule(late, func() {
 			if !s.closed {
-				t.p.Handle(replied{s.c, s.c.whole.Load(), rep})
+				t.pool.Handle(replyReceived{s.conn, s.conn.lastWritten.Load(), rep})
 			}
 		})
 	}
-	t.p.Handle(replied{s.c, s.c.whole.Load(), rep})
-	if t.once {
+	t.pool.Handle(replyReceived{s.conn, s.conn.lastWritten.Load(), rep})
+	if t.closesAfterReply {
 		s.Close()
 	}
 }
 
 // usual is ordinary traffic: 12 backends of 2 ms, connections that come up in 0.3 ms. A tenth of the requests, and all with HITCHSPRING_TRIALS=1.
-func usual(name string, rate float64, requests int) scenario {
+func usualScenario(name string, rate float64, requests int) scenario {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" {
 		requests /= 10
 	}
-	return scenario{name: name, rate: rate, backends: 12, requests: requests, service: 2 * ms, connect: 300 * time.Microsecond}
+	return scenario{name: name, rate: rate, backends: 12, requests: requests, serviceTime: 2 * ms, connectTime: 300 * time.Microsecond}
 }
 
 // mostAdded is the bound on what the pool may add to a request at the 99th percentile.
-const mostAdded = 3600 * time.Microsecond
+const maxAddedDelay = 3600 * time.Microsecond
 
 // Requests don't wait for connections to rest: with a router that sends to a node that has nothing out, one connection a node once carried all,
 // and the median request waited 8.4 ms at 190 a second.
@@ -312,7 +312,7 @@
 		change(&s)
 		return s
 	}
-	few, many := usual("190/s", 190, 40000), usual("3,000/s", 3000, 100000)
+	few, many := usualScenario("190/s", 190, 40000), usualScenario("3,000/s", 3000, 100000)
 	for _, s := range []scenario{
 		few, many,
 		with(few, "190/s, some preferred", func(s *scenario) { s.prefers = true }),
@@ -320,27 +320,27 @@
 		with(few, "3 backends", func(s *scenario) { s.backends = 3 }),
 		with(few, "300 backends", func(s *scenario) { s.backends = 300 }),
 		with(few, "bursts after idleness", func(s *scenario) { s.burst, s.idleFor = 64, 30*time.Second }),
-		with(few, "connections come up in 1 s from some moment on", func(s *scenario) { s.slow, s.connectAfter = time.Second, 5*time.Second }),
-		with(few, "one connection a backend", func(s *scenario) { s.limit, s.prefers, s.requests = 1, true, 40000 }), // until each is known
-		with(many, "connections cost 3 ms", func(s *scenario) { s.connect = 3 * ms }),
+		with(few, "connections come up in 1 s from some moment on", func(s *scenario) { s.slowConnect, s.connectTimeout = time.Second, 5*time.Second }),
+		with(few, "one connection a backend", func(s *scenario) { s.maxConnections, s.prefers, s.requests = 1, true, 40000 }), // until each is known
+		with(many, "connections cost 3 ms", func(s *scenario) { s.connectTime = 3 * ms }),
 	} {
 		m := s.play()
 		t.Logf("%s: %v", s.name, m)
-		bound := mostAdded
-		if s.limit > 0 { // the rest of the only connection there is, until the node is known
-			bound = restTime
+		bound := maxAddedDelay
+		if s.maxConnections > 0 { // the rest of the only connection there is, until the node is known
+			bound = reuseDelay
 		}
 		if p50, p99 := quantile(m.waits, 0.5), quantile(m.waits, 0.99); p50 > ms/2 || p99 > bound {
 			t.Errorf("%s: requests wait %v at the median and %v at the 99th percentile, %v at most is wanted", s.name, p50, p99, bound)
 		}
-		if lost := max(s.requests, m.began) - m.ends[policy.Succeeded]; lost > s.requests/1000+s.burst/64 {
+		if lost := max(s.requests, m.requestsStarted) - m.ends[policy.Succeeded]; lost > s.requests/1000+s.burst/64 {
 			t.Errorf("%s: %d of %d were not served: %v", s.name, lost, s.requests, m.ends)
 		}
 	}
 }
 
 // safeUpTo is how late a second answer may be and is never taken for another command's, whatever restTime says.
-const safeUpTo = 15 * ms
+const safeDuplicateDelay = 15 * ms
 
 // Second answers, at 1 answer in 100, are never taken for another command's up to 15 ms late. Beyond, the chance is what a connection's rest
 // leaves, and it is logged.
@@ -348,15 +348,15 @@
 	t.Parallel()
 	for _, rate := range []float64{190, 3000} {
 		for _, late := range []time.Duration{0, 5 * ms, 10 * ms, 15*ms - time.Microsecond, 20 * ms, 30 * ms, 50 * ms} {
-			s := usual("", rate, 100000)
-			s.prefers, s.secondShare, s.late, s.seed = true, 0.01, late, uint64(rate)
+			s := usualScenario("", rate, 100000)
+			s.prefers, s.duplicateShare, s.duplicateDelay, s.seed = true, 0.01, late, uint64(rate)
 			m := s.play()
 			t.Logf("%v/s, %v late: %v", rate, late, m)
-			if m.seconds < s.requests/200 {
-				t.Errorf("%v/s, %v late: only %d second answers came", rate, late, m.seconds)
+			if m.duplicates < s.requests/200 {
+				t.Errorf("%v/s, %v late: only %d second answers came", rate, late, m.duplicates)
 			}
-			if late < safeUpTo && m.taken > 0 {
-				t.Errorf("%v/s: %d of %d second answers %v late were taken for another command's", rate, m.taken, m.seconds, late)
+			if late < safeDuplicateDelay && m.misattributed > 0 {
+				t.Errorf("%v/s: %d of %d second answers %v late were taken for another command's", rate, m.misattributed, m.duplicates, late)
 			}
 		}
 	}
@@ -366,12 +366,12 @@
 func TestSecondAnswersWhereConnectionsAreScarce(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{ms, 8 * ms, 15*ms - time.Microsecond} {
-		s := usual("", 190, 100000)
-		s.prefers, s.limit, s.secondShare, s.late = true, 1, 0.01, late
+		s := usualScenario("", 190, 100000)
+		s.prefers, s.maxConnections, s.duplicateShare, s.duplicateDelay = true, 1, 0.01, late
 		m := s.play()
 		t.Logf("%v late: %v", late, m)
-		if m.taken > 0 {
-			t.Errorf("%d of %d second answers %v late were taken for another command's", m.taken, m.seconds, late)
+		if m.misattributed > 0 {
+			t.Errorf("%d of %d second answers %v late were taken for another command's", m.misattributed, m.duplicates, late)
 		}
 	}
 }
@@ -380,26 +380,26 @@
 // open another connection.
 func TestEveryBackendAnswersTwice(t *testing.T) {
 	t.Parallel()
-	s := usual("", 1000, 30000)
-	s.secondShare, s.late = 1, 8500*time.Microsecond
+	s := usualScenario("", 1000, 30000)
+	s.duplicateShare, s.duplicateDelay = 1, 8500*time.Microsecond
 	m := s.play()
 	t.Log(m)
-	if m.taken > 0 {
-		t.Errorf("%d second answers were taken for another command's", m.taken)
+	if m.misattributed > 0 {
+		t.Errorf("%d second answers were taken for another command's", m.misattributed)
 	}
-	if p99 := quantile(m.waits, 0.99); p99 > mostAdded {
-		t.Errorf("requests wait %v at the 99th percentile, %v at most is wanted", p99, mostAdded)
+	if p99 := quantile(m.waits, 0.99); p99 > maxAddedDelay {
+		t.Errorf("requests wait %v at the 99th percentile, %v at most is wanted", p99, maxAddedDelay)
 	}
 }
 
 // A backend that closes each connection right after its answer is dialled for each command, and serves them.
 func TestBackendClosesAfterItsAnswer(t *testing.T) {
 	t.Parallel()
-	s := usual("", 190, 10000)
-	s.once = true
+	s := usualScenario("", 190, 10000)
+	s.closesAfterReply = true
 	m := s.play()
 	t.Log(m)
-	if p99 := quantile(m.waits, 0.99); p99 > mostAdded || m.ends[policy.Succeeded] != s.requests {
+	if p99 := quantile(m.waits, 0.99); p99 > maxAddedDelay || m.ends[policy.Succeeded] != s.requests {
 		t.Errorf("requests wait %v at the 99th percentile, ends %v", p99, m.ends)
 	}
 }
