--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -86,7 +86,13 @@
 
 func entries(addrs ...string) (out []Endpoint) {
 	for i, a := range addrs {
-		out = append(out, Endpoint{policy.Backend{ID: policy.BackendID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running}, a})
+		out = append(
+			out,
+			Endpoint{
+				policy.Backend{ID: policy.BackendID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running},
+				a,
+			},
+		)
 	}
 	return out
 }
@@ -94,7 +100,15 @@
 func newOwner(t *testing.T, addrs ...string) *testOwner {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &testOwner{now: time.Minute, events: make(chan Event, 64), ctx: ctx}
-	g.pool = New(g, Config{ConnectTimeout: 5 * time.Second, Idle: 15 * time.Second, MaxConnections: 96, Frames: resp.NewBudget(1 << 20)})
+	g.pool = New(
+		g,
+		Config{
+			ConnectTimeout: 5 * time.Second,
+			Idle:           15 * time.Second,
+			MaxConnections: 96,
+			Frames:         resp.NewBudget(1 << 20),
+		},
+	)
 	g.pool.Update(entries(addrs...), true)
 	t.Cleanup(func() {
 		cancel()
@@ -315,8 +329,8 @@
 	}
 }
 
-// A large value that nobody waits for any more is no fault of its node's: the attempt is cancelled, not reset. One that is wanted and
-// breaks off is a reset, whatever had come.
+// A large value that nobody waits for any more is no fault of its node's: the attempt is cancelled, not reset. One
+// that is wanted and breaks off is a reset, whatever had come.
 func TestLargeValueUnwantedOrBroken(t *testing.T) {
 	for name, c := range map[string]struct {
 		unwanted bool
@@ -358,8 +372,8 @@
 	}
 }
 
-// What waits for a connection to a node is not kept waiting when the node stops serving, and a node that is gone is forgotten with the last that
-// waited for it or was begun for them.
+// What waits for a connection to a node is not kept waiting when the node stops serving, and a node that is gone is
+// forgotten with the last that waited for it or was begun for them.
 func TestNobodyWaitsForANodeThatStopsServing(t *testing.T) {
 	for name, list := range map[string][]Endpoint{"gone": nil, "drains": {{policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
 		be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
@@ -392,8 +406,9 @@
 	}
 }
 
-// TestNothingIsWrittenAfterItsTime has a connection come up when an attempt's time is over, before the owner has come to giving it up, as after a
-// moment in which the process stood still. It is not written: its client waits no longer.
+// TestNothingIsWrittenAfterItsTime has a connection come up when an attempt's time is over, before the owner has
+// come to giving it up, as after a moment in which the process stood still. It is not written: its client waits no
+// longer.
 func TestNothingIsWrittenAfterItsTime(t *testing.T) {
 	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	g := newOwner(t, be.Addr)
--- a/internal/backend/backendpool.go
+++ b/internal/backend/backendpool.go
@@ -8,48 +8,62 @@
 )
 
 const (
-	maxConnectionsPerBackend = 48                   // connections to one node
-	minDialGain              = 2 * time.Millisecond // a wait for a rested connection that is not worth a dial
-	dialGainDivisor          = 4                    // nor is one below such a part of the node's usual time for an answer: a handshake costs the node work
-	replyTimeWeight          = 0.125                // of one answer's time in the usual one
-	growthPause              = time.Second          // without dials beyond need, after a dial that was refused or slower than a rest
+	maxConnectionsPerBackend = 48
+	// minDialGain is the shortest wait for an idle connection that is worth a dial.
+	minDialGain = 2 * time.Millisecond
+	// dialGainDivisor gives the same as a part of the backend's usual reply time: a handshake costs the backend work.
+	dialGainDivisor = 4
+	// replyTimeWeight is that of one reply in the usual reply time.
+	replyTimeWeight = 0.125
+	// growthPause is for how long no connection beyond need is dialed after a dial that failed or took longer than
+	// reuseDelay.
+	growthPause = time.Second
 )
 
-// node is what is kept of a node: its entry, its connections, and the attempts that wait for one. A connection carries one
-// attempt at a time, so that giving one up hurts no other.
+// noneTaken is the minSpare of a backend of which no idle connection was taken.
+const noneTaken = maxConnectionsPerBackend + 1
+
+// backendPool holds the connections to one backend and the attempts that wait for one. A connection carries one
+// attempt at a time, so that aborting one disturbs no other.
 type backendPool struct {
 	policy.Backend
 	addr          string
-	idle          []*conn // with nothing to do, rested or not; the one that has been idle longest is first
-	waiting       []*Attempt
-	dialing       int
-	connections   int           // all: dialing, idle and busy
-	lastHeardAt   time.Duration // last time that it answered or took a connection
-	wakeScheduled bool          // a timer serves those that wait once a connection has rested
-	connectTime   time.Duration // what the last connection took to come up; 0: not known
-	replyTime     time.Duration // its usual time for an answer; 0: not known
-	noGrowthUntil time.Duration // until when no connection is dialled that only saves a rest
+	idle          []*conn       // reusable or not yet; the one that has been idle longest is first
+	waiting       []*Attempt    // for a connection, first come first
+	dialing       int           // connections being dialed
+	connections   int           // dialing, idle and busy
+	lastHeardAt   time.Duration // when it last replied or accepted a connection
+	wakeScheduled bool          // a timer calls serveWaiting once an idle connection is reusable
+
+	connectTime   time.Duration // of the last dial; 0: unknown
+	replyTime     time.Duration // moving average; 0: unknown
+	noGrowthUntil time.Duration // no connection beyond need is dialed before
 	duplicates    duplicateReplies
-	minSpare      int           // the fewest rested connections that an attempt left idle since spareFrom; noTake: there was none
-	trimAt        time.Duration // when spare is next acted on
-}
 
-// noTake is the spare of a node where no connection was taken.
-const noneTaken = maxConnectionsPerBackend + 1
+	minSpare int           // the fewest reusable connections left idle when one was taken since the last trim, or noneTaken
+	trimAt   time.Duration // when minSpare is next acted on; 0: not set yet
+}
 
-// choose returns the idle connection for the next attempt: the one that has rested longest; where none has rested and unrested
-// ones may be used, the one that has been idle longest. -1: none.
-func (b *backendPool) chooseIdle(now time.Duration, unrested bool) int {
+// chooseIdle returns the index of the idle connection for the next attempt: the one that has been reusable longest. If
+// none is reusable and early is set, it is the one that has been idle longest. -1 means none.
+func (b *backendPool) chooseIdle(now time.Duration, early bool) int {
 	if i := slices.IndexFunc(b.idle, func(c *conn) bool { return c.reusable(now) }); i >= 0 {
 		return i
 	}
-	if unrested && len(b.idle) > 0 {
+	if early && len(b.idle) > 0 {
 		return 0
 	}
 	return -1
 }
 
-// rested is how many idle connections have rested.
+// removeIdle removes a connection from the idle ones, if it is among them.
+func (b *backendPool) removeIdle(c *conn) {
+	if i := slices.Index(b.idle, c); i >= 0 {
+		b.idle = slices.Delete(b.idle, i, i+1)
+	}
+}
+
+// countReusable is how many idle connections are reusable.
 func (b *backendPool) countReusable(now time.Duration) (count int) {
 	for _, c := range b.idle {
 		if c.reusable(now) {
@@ -59,7 +73,8 @@
 	return count
 }
 
-// soon is how many idle connections will have rested before another could be dialled, or soon enough for a dial not to be worth its cost.
+// countReusableSoon is how many idle connections will be reusable before another could be dialed, or so soon that a
+// dial is not worth its cost.
 func (b *backendPool) countReusableSoon(now time.Duration) int {
 	if b.replyTime == 0 {
 		return len(b.idle)
@@ -67,7 +82,7 @@
 	return b.countReusable(now + max(minDialGain, b.connectTime, b.replyTime/dialGainDivisor))
 }
 
-// answered takes in how long an answer took.
+// recordReplyTime records how long a reply took.
 func (b *backendPool) recordReplyTime(took time.Duration) {
 	if b.replyTime == 0 {
 		b.replyTime = took
@@ -76,7 +91,7 @@
 	b.replyTime += time.Duration(replyTimeWeight * float64(took-b.replyTime))
 }
 
-// connected takes in how long a connection took to come up. Where that is longer than a rest, dialling saves nothing.
+// recordConnectTime records how long a dial took. If that is longer than reuseDelay, dialing saves nothing.
 func (b *backendPool) recordConnectTime(now, took time.Duration) {
 	b.connectTime = took
 	if took >= reuseDelay {
@@ -85,5 +100,5 @@
 	}
 }
 
-// refused takes in that the node did not take a connection, or took it and ended it at once.
+// pauseGrowth records that a dial has failed, or that the backend closed a connection before any reply.
 func (b *backendPool) pauseGrowth(now time.Duration) { b.noGrowthUntil = now + growthPause }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -12,39 +12,46 @@
 	"hitchspring/internal/resp"
 )
 
-const partialReplyTimeout = 200 * time.Millisecond // for the rest of an answer that has begun: one that never ends is spoilt
+// partialReplyTimeout is for the rest of a reply that has begun to arrive.
+const partialReplyTimeout = 200 * time.Millisecond
 
-// conn is a connection to a node, owned by its goroutine run; the fields from begun on are the pool's.
+// conn is a connection to a backend. Its goroutine run dials and reads, and starts a second one that writes; both
+// end when nc is closed, by the pool, by an error or by the end of the owner's context. They notify the pool by
+// events only. The fields of the first block are set before the goroutine that uses them starts, those of the last
+// belong to the pool.
 type conn struct {
-	backend        *backendPool
-	addr           string
-	nc             net.Conn // set before connUp is posted
-	rawConn        syscall.RawConn
-	frameBudget    *resp.Budget
-	onSent         func()
-	writes         chan pendingWrite
-	readerDone     chan struct{}
-	writeMu        sync.Mutex              // held from before a command's first byte until whole tells of it
+	backend     *backendPool
+	addr        string
+	nc          net.Conn // set before connectionOpened is posted
+	rawConn     syscall.RawConn
+	frameBudget *resp.Budget
+	onSent      func()
+	writes      chan pendingWrite
+	readerDone  chan struct{}
+
+	writeMu        sync.Mutex              // held from before a command's first byte until lastWritten has it
 	lastWritten    atomic.Pointer[Attempt] // the last one that was written to its last byte: it may have run
-	currentStream  atomic.Pointer[Stream]  // the last value that it began to pass on
-	clientDeadline atomic.Int64            // when its client gives that up, in nanoseconds of Unix time; 0: nobody does
-	dialedAt       time.Duration           // when it was dialled
-	current        *Attempt
-	idleSince      time.Duration // idle since
-	used           bool          // it was given a command
-	hasReplied     bool          // it has brought an answer to one
-	closed         bool          // by the pool
-	disconnected   bool
+	currentStream  atomic.Pointer[Stream]  // the value being streamed
+	clientDeadline atomic.Int64            // when the client of that value gives up, Unix time in ns; 0: never
+
+	dialedAt     time.Duration // when the dial began
+	current      *Attempt      // the attempt that it carries
+	idleSince    time.Duration
+	used         bool // it was given a command
+	hasReplied   bool // it has brought a reply to one
+	closed       bool // by the pool
+	disconnected bool // its last event has been handled
 }
 
+// pendingWrite is a command that a connection's writer is to write.
 type pendingWrite struct {
 	attempt  *Attempt
 	command  []byte
-	deadline time.Time // when its owner gives it up
-	writeBy  time.Time // when its last byte is out at the latest
+	deadline time.Time // when the owner gives the attempt up
+	writeBy  time.Time // when the last byte must be written
 }
 
-// run dials, then reads answers until the connection ends; it posts connDown last.
+// run dials, then reads replies until the connection ends. It posts connectionClosed last.
 func (c *conn) run(ctx context.Context, timeout time.Duration, post func(Event)) {
 	dialer := net.Dialer{Timeout: timeout}
 	nc, err := dialer.DialContext(ctx, "tcp", c.addr)
@@ -76,27 +83,19 @@
 	post(connectionClosed{conn: c, wasOpen: true})
 }
 
-// read posts answers until the connection ends or is of no further use: bytes behind an answer may be a second copy of
-// it, which must never be taken for the answer to the next command.
+// read posts replies until the connection ends or must not be used any more.
 func (c *conn) read(ctx context.Context, post func(Event)) {
 	in := resp.Inbox{Budget: c.frameBudget}
 	defer in.Close()
-	limited := false
+	deadlineSet := false
 	for {
 		head, size, err := resp.Large(in.Begun())
 		if size > 0 {
 			in.Drop(head)
-			reply, err := c.streamValue(ctx, &in, size, post)
-			if err != nil {
-				return
-			}
-			reply.trailing = in.Partial()
-			reply.reusable = !reply.trailing
-			post(replyReceived{c, c.lastWritten.Load(), reply})
-			if !reply.reusable {
+			if !c.readLargeReply(ctx, &in, size, post) {
 				return
 			}
-			limited = false
+			deadlineSet = false
 			continue
 		}
 		var frame []byte
@@ -107,23 +106,16 @@
 		case err != nil:
 			return
 		case frame != nil:
-			reply := parseReply(frame)
-			reply.trailing = in.Partial()
-			reply.reusable = reply.reusable && !reply.trailing
-			c.writeMu.Lock()
-			attempt := c.lastWritten.Load()
-			c.writeMu.Unlock()
-			post(replyReceived{c, attempt, reply})
-			if !reply.reusable {
+			if !c.readReply(frame, in.Partial(), post) {
 				return
 			}
 			continue
-		case in.Partial() && !limited:
+		case in.Partial() && !deadlineSet:
 			c.nc.SetReadDeadline(time.Now().Add(partialReplyTimeout))
-			limited = true
-		case limited && !in.Partial():
+			deadlineSet = true
+		case deadlineSet && !in.Partial():
 			c.nc.SetReadDeadline(time.Time{})
-			limited = false
+			deadlineSet = false
 		}
 		if in.Fill(c.nc.Read) != nil {
 			return
@@ -131,45 +123,84 @@
 	}
 }
 
-// look is what a look at a connection's socket shows.
+// readReply posts a reply that came as one frame, and reports whether the connection may be used further. It may not if
+// bytes follow the reply: they may be a duplicate of it, which must never be taken for the reply to the next command.
+func (c *conn) readReply(frame []byte, trailing bool, post func(Event)) bool {
+	reply := parseReply(frame)
+	reply.trailing = trailing
+	reply.reusable = reply.reusable && !trailing
+	c.writeMu.Lock()
+	attempt := c.lastWritten.Load()
+	c.writeMu.Unlock()
+	post(replyReceived{c, attempt, reply})
+	return reply.reusable
+}
+
+// readLargeReply streams a value of size bytes whose head has been read, and posts the reply after its end. It reports
+// whether the connection may be used further.
+func (c *conn) readLargeReply(ctx context.Context, in *resp.Inbox, size int, post func(Event)) bool {
+	reply, err := c.streamValue(ctx, in, size, post)
+	if err != nil {
+		return false
+	}
+	reply.trailing = in.Partial()
+	reply.reusable = !reply.trailing
+	post(replyReceived{c, c.lastWritten.Load(), reply})
+	return reply.reusable
+}
+
+// socketState is what a socket shows without being read.
 type socketState int
 
 const (
-	socketQuiet    socketState = iota // open, and nothing has come that was not read
-	socketReadable                    // something has come that was not read
-	socketClosed                      // it has ended
+	socketQuiet    socketState = iota // open, and nothing unread has arrived
+	socketReadable                    // something unread has arrived
+	socketClosed                      // the connection has ended
 )
 
-// look looks at the socket and takes nothing from it.
+// String names the state.
+func (s socketState) String() string {
+	switch s {
+	case socketQuiet:
+		return "quiet"
+	case socketReadable:
+		return "readable"
+	case socketClosed:
+		return "closed"
+	}
+	return "unknown"
+}
+
+// peek looks at the socket and takes nothing from it.
 func (c *conn) peek() socketState {
 	if c.rawConn == nil {
 		return socketQuiet
 	}
-	var b [1]byte
+	var buf [1]byte
 	var count int
-	var peeked error
+	var peekErr error
 	err := c.rawConn.Control(func(fd uintptr) {
-		count, _, peeked = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		count, _, peekErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
 		return socketClosed
-	case errors.Is(peeked, syscall.EAGAIN):
+	case errors.Is(peekErr, syscall.EAGAIN):
 		return socketQuiet
-	case peeked == nil && count > 0:
+	case peekErr == nil && count > 0:
 		return socketReadable
 	}
 	return socketClosed
 }
 
-// write writes what it is given until the connection is dead or broken.
+// write writes commands until the reader has ended or a write fails.
 func (c *conn) write() {
 	for {
 		select {
 		case <-c.readerDone:
 			return
 		case pending := <-c.writes:
-			c.nc.SetWriteDeadline(pending.writeBy) // also of one that comes too late to be begun
+			c.nc.SetWriteDeadline(pending.writeBy) // also where that has passed: nothing is written then
 			if !pending.deadline.IsZero() {
 				c.clientDeadline.Store(pending.deadline.UnixNano())
 			}
--- a/internal/backend/duplicates.go
+++ b/internal/backend/duplicates.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	// restTime is how long a connection that has answered is left alone, so that a second answer to the same command comes
-	// while no other command is out on it. Seen: second answers 1.2 to 8.4 ms late.
+	// reuseDelay is how long a connection that has brought a reply is left idle, so that a duplicate of the reply
+	// arrives while no other command is out on it.
 	reuseDelay = 15 * time.Millisecond
-	// cleanRests is after how many rests without a second answer a node counts as one that sends none: of a node that answers
-	// one command in 100 twice, 1 in 23,000 would pass.
+	// cleanReusesToTrust is after how many delays without a duplicate a backend is trusted to send none. Of
+	// backends that duplicate one reply in 100, 1 in 23,000 is trusted by mistake.
 	cleanReusesToTrust = 1000
-	// secondMemory is for how long a node that has sent a second answer counts as one that does.
+	// duplicateMemory is for how long a backend that has sent a duplicate is not trusted.
 	duplicateMemory = 5 * time.Minute
 )
 
-// rested says whether a second answer to what the connection has carried would have come by now.
+// reusable reports whether a duplicate of any earlier reply would have arrived on the connection by now.
 func (c *conn) reusable(now time.Duration) bool { return !c.used || now-c.idleSince >= reuseDelay }
 
-// secondAnswers is what is known of whether a node answers commands twice.
+// duplicateReplies is what is known of whether a backend answers commands twice.
 type duplicateReplies struct {
 	seen        bool
-	lastSeenAt  time.Duration // when one was seen last
-	cleanReuses int           // rests since then after which nothing had come
+	lastSeenAt  time.Duration // when a duplicate was last seen
+	cleanReuses int           // reuse delays since then in which nothing arrived
 }
 
-// saw takes in a second answer.
+// recordDuplicate records a duplicate reply.
 func (d *duplicateReplies) recordDuplicate(now time.Duration) {
 	*d = duplicateReplies{seen: true, lastSeenAt: now}
 }
 
-// passed takes in a rest after which nothing had come.
+// recordCleanReuse records a reuse delay in which nothing arrived.
 func (d *duplicateReplies) recordCleanReuse() {
 	d.cleanReuses = min(d.cleanReuses+1, cleanReusesToTrust)
 }
 
-// none says whether the node counts as one that sends no second answers. Of one that is not known well it doesn't.
+// unlikely reports whether the backend is trusted to send no duplicates. A backend that is not known well is not.
 func (d *duplicateReplies) unlikely(now time.Duration) bool {
 	return d.cleanReuses >= cleanReusesToTrust && (!d.seen || now-d.lastSeenAt >= duplicateMemory)
 }
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -1,24 +1,29 @@
 package backend
 
-import (
-	"slices"
-
-	"hitchspring/policy"
-)
-
-// The events of a connection.
-type (
-	connectionOpened struct{ conn *conn }
-	connectionClosed struct { // the last event of a connection
-		conn    *conn
-		wasOpen bool
-	}
-	replyReceived struct {
-		conn    *conn
-		attempt *Attempt // what had been written when it came; nil: nothing
-		Reply
-	}
-)
+import "hitchspring/policy"
+
+// connectionOpened says that a dial has succeeded.
+type connectionOpened struct{ conn *conn }
+
+// connectionClosed is the last event of a connection.
+type connectionClosed struct {
+	conn    *conn
+	wasOpen bool // false if the dial failed
+}
+
+// replyReceived brings a reply that has arrived to its end.
+type replyReceived struct {
+	conn    *conn
+	attempt *Attempt // the last one that had been written when the reply arrived; nil: none
+	Reply
+}
+
+// streamStarted brings the head of a large value.
+type streamStarted struct {
+	conn    *conn
+	attempt *Attempt // as in replyReceived
+	stream  *Stream
+}
 
 func (connectionOpened) event() {}
 
@@ -26,7 +31,9 @@
 
 func (replyReceived) event() {}
 
-// Handle takes in what a connection has told.
+func (streamStarted) event() {}
+
+// Handle takes in an event of a connection.
 func (p *Pool) Handle(ev Event) {
 	switch ev := ev.(type) {
 	case connectionOpened:
@@ -41,26 +48,30 @@
 }
 
 func (p *Pool) handleConnectionOpened(ev connectionOpened) {
-	backend, now := ev.conn.backend, p.owner.Now()
+	backend := ev.conn.backend
+	now := p.owner.Now()
 	backend.dialing--
 	backend.lastHeardAt = now
 	backend.recordConnectTime(now, now-ev.conn.dialedAt)
 	p.release(ev.conn)
 }
 
-// begun hands a value that has begun to the owner; one that nobody waits for ends its connection.
+// handleStreamStarted hands a large value to the owner. If nobody waits for the value, its connection is closed.
 func (p *Pool) handleStreamStarted(ev streamStarted) {
-	c, attempt := ev.conn, ev.conn.current
+	c := ev.conn
+	attempt := c.current
 	c.backend.lastHeardAt = p.owner.Now()
-	if attempt == nil || ev.attempt != attempt || attempt.Command == nil || attempt.abortedAs != notAborted {
+	unsolicited := attempt == nil || ev.attempt != attempt
+	if unsolicited || attempt.Command == nil || attempt.abortedAs != notAborted {
 		ev.stream.Close()
-		if attempt == nil || ev.attempt != attempt {
+		if unsolicited {
 			p.recordUnsolicited(c)
 		}
 		p.closeConn(c)
 		return
 	}
-	attempt.stream, c.hasReplied = ev.stream, true
+	attempt.stream = ev.stream
+	c.hasReplied = true
 	if !p.owner.AttemptBegan(attempt, ev.stream) {
 		attempt.abortedAs = policy.Cancelled
 		ev.stream.Close()
@@ -68,26 +79,30 @@
 	}
 }
 
+// handleReply ends the attempt that a reply belongs to, and closes the connection if its order is in doubt.
 func (p *Pool) handleReply(ev replyReceived) {
-	c, attempt := ev.conn, ev.conn.current
+	c := ev.conn
+	attempt := c.current
 	c.backend.lastHeardAt = p.owner.Now()
-	if attempt == nil || ev.attempt != attempt { // nobody asked for it, or it came before its command was out: the order is lost
+	if attempt == nil || ev.attempt != attempt { // no command was out, or not yet: the order is lost
 		p.recordUnsolicited(c)
 		p.closeConn(c)
 		return
 	}
-	c.current, c.hasReplied = nil, true
+	c.current = nil
+	c.hasReplied = true
 	if attempt.Command != nil {
 		c.backend.recordReplyTime(p.owner.Now() - attempt.assignedAt)
 	}
-	if ev.trailing || !attempt.fits(ev.Reply) {
+	fits := attempt.fits(ev.Reply)
+	if ev.trailing || !fits {
 		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	}
-	if !attempt.fits(ev.Reply) { // it is another command's
+	if !fits { // it is another command's
 		ev.Reply = Reply{outcome: policy.Failed}
 	}
 	switch {
-	case attempt.abortedAs != notAborted: // it is closed
+	case attempt.abortedAs != notAborted: // the connection is closed already
 	case ev.reusable:
 		p.release(c)
 	default:
@@ -96,11 +111,11 @@
 	p.finish(attempt, ev.outcome, ev.Reply)
 }
 
-// unasked takes in that something came on a connection where no command was out: a second answer, or, before there was any
-// command, a node that does not want the connection.
+// recordUnsolicited records that something arrived on a connection on which no command was out. Where there had
+// been one, it is a duplicate reply; otherwise the backend doesn't accept the connection.
 func (p *Pool) recordUnsolicited(c *conn) {
 	switch {
-	case c.closed: // an answer that was not waited for any more
+	case c.closed: // a reply that was not waited for any more
 	case c.used:
 		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	default:
@@ -109,13 +124,12 @@
 }
 
 func (p *Pool) handleConnectionClosed(ev connectionClosed) {
-	c, backend := ev.conn, ev.conn.backend
+	c := ev.conn
+	backend := c.backend
 	c.disconnected = true
 	backend.connections--
 	p.connections--
-	if i := slices.Index(backend.idle, c); i >= 0 {
-		backend.idle = slices.Delete(backend.idle, i, i+1)
-	}
+	backend.removeIdle(c)
 	if !ev.wasOpen || !c.hasReplied && !c.closed {
 		backend.pauseGrowth(p.owner.Now())
 	}
@@ -130,7 +144,7 @@
 	p.forgetIfGone(backend)
 }
 
-// notConnected ends the first attempt that waits, unless other connections are there or on their way for all of them.
+// failOneWaiting ends the first attempt that waits, unless other connections are idle or being dialed for all of them.
 func (p *Pool) failOneWaiting(backend *backendPool) {
 	if len(backend.waiting) > backend.dialing+len(backend.idle) {
 		attempt := backend.waiting[0]
@@ -139,15 +153,17 @@
 	}
 }
 
-// outcome is how the attempt that a connection carries has ended with it.
+// attemptOutcome is how the attempt that a connection carries ends with the connection.
 func (c *conn) attemptOutcome() policy.Outcome {
 	attempt := c.current
+	written := c.lastWritten.Load() == attempt
+	aborted := attempt.abortedAs != notAborted
 	switch {
-	case c.lastWritten.Load() != attempt && attempt.abortedAs != notAborted:
+	case !written && aborted:
 		return policy.NotSent
-	case c.lastWritten.Load() != attempt:
+	case !written:
 		return policy.NoConnect
-	case attempt.abortedAs != notAborted:
+	case aborted:
 		return attempt.abortedAs
 	}
 	return policy.Reset
--- a/internal/backend/explore_test.go
+++ b/internal/backend/explore_test.go
@@ -13,8 +13,9 @@
 	"hitchspring/policy"
 )
 
-// The pool explored: two attempts to one node, and everything that can end one of them, a connection or the node, in every order. The pool is the
-// real one; its connections are played here as their goroutines and the network play them, with their events on the way to the pool.
+// The pool explored: two attempts to one node, and everything that can end one of them, a connection or the node,
+// in every order. The pool is the real one; its connections are played here as their goroutines and the network
+// play them, with their events on the way to the pool.
 
 const (
 	maxSteps       = 8  // of one order
@@ -109,7 +110,15 @@
 
 func newExploration() *exploration {
 	o := &exploration{now: time.Minute, ends: map[*Attempt]policy.Outcome{}, written: map[*Attempt]bool{}}
-	o.pool = New(o, Config{ConnectTimeout: 250 * time.Millisecond, Idle: 15 * time.Second, MaxConnections: 2, Frames: resp.NewBudget(1 << 20)})
+	o.pool = New(
+		o,
+		Config{
+			ConnectTimeout: 250 * time.Millisecond,
+			Idle:           15 * time.Second,
+			MaxConnections: 2,
+			Frames:         resp.NewBudget(1 << 20),
+		},
+	)
 	o.pool.startConn = func(c *conn) { o.conns = append(o.conns, &simulatedConn{conn: c}) }
 	o.pool.Update(entries("127.0.0.1:1"), true)
 	for n := range 2 {
@@ -133,7 +142,11 @@
 }
 
 // exploredReplies are what a node may say to a command.
-var exploredReplies = []Reply{{Value: []byte("v"), outcome: policy.Succeeded, reusable: true}, {outcome: policy.Failed}, {outcome: policy.Rejected, reusable: true}}
+var exploredReplies = []Reply{
+	{Value: []byte("v"), outcome: policy.Succeeded, reusable: true},
+	{outcome: policy.Failed},
+	{outcome: policy.Rejected, reusable: true},
+}
 
 // steps are all that can happen now, always in the same order.
 func (e *exploration) possibleSteps() (out []step) {
@@ -282,7 +295,8 @@
 				ending[pc.conn.backend]++
 			}
 		}
-		if a := pc.conn.current; a != nil && pc.replyHandled && a.assignedAt-pc.repliedAt < reuseDelay && e.mutation != trustedAndScarce {
+		if a := pc.conn.current; a != nil && pc.replyHandled && a.assignedAt-pc.repliedAt < reuseDelay &&
+			e.mutation != trustedAndScarce {
 			e.violate("conn %d is given attempt %d before it has rested", k, a.Number)
 		}
 	}
@@ -303,7 +317,8 @@
 		if len(n.waiting) > 0 && len(n.idle) > 0 && !n.wakeScheduled {
 			e.violate("%d attempts wait for idle connections, and nothing will serve them", len(n.waiting))
 		}
-		if len(n.waiting) > n.dialing+len(n.idle)+ending[n] && n.connections < maxConnectionsPerBackend && e.pool.connections < e.pool.cfg.MaxConnections {
+		if len(n.waiting) > n.dialing+len(n.idle)+ending[n] && n.connections < maxConnectionsPerBackend &&
+			e.pool.connections < e.pool.cfg.MaxConnections {
 			e.violate("%d attempts wait, with %d connections begun and %d idle", len(n.waiting), n.dialing, len(n.idle))
 		}
 		for _, c := range n.idle {
@@ -321,11 +336,12 @@
 	}
 }
 
-// settle ends what is open as its owner would: everything that is on its way is heard, each attempt is given up at its time, connections that
-// the pool has closed end, time passes. Nothing may be owed then.
+// settle ends what is open as its owner would: everything that is on its way is heard, each attempt is given up at
+// its time, connections that the pool has closed end, time passes. Nothing may be owed then.
 func (e *exploration) settleAll() {
 	open := func() bool {
-		return len(e.timers) > 0 || slices.ContainsFunc(e.conns, func(pc *simulatedConn) bool { return !pc.ended || len(pc.events) > 0 })
+		return len(e.timers) > 0 ||
+			slices.ContainsFunc(e.conns, func(pc *simulatedConn) bool { return !pc.ended || len(pc.events) > 0 })
 	}
 	for round := 0; round < 100 && open(); round++ {
 		for _, a := range e.attempts {
@@ -362,7 +378,15 @@
 	}
 	for id, n := range e.pool.backends {
 		if n.connections != 0 || n.dialing != 0 || n.wakeScheduled || len(n.waiting) != 0 || len(n.idle) != 0 {
-			e.violate("%s: %d connections, %d begun, waking %v, %d wait, %d idle, and all is over", id, n.connections, n.dialing, n.wakeScheduled, len(n.waiting), len(n.idle))
+			e.violate(
+				"%s: %d connections, %d begun, waking %v, %d wait, %d idle, and all is over",
+				id,
+				n.connections,
+				n.dialing,
+				n.wakeScheduled,
+				len(n.waiting),
+				len(n.idle),
+			)
 		}
 		if n.State == policy.Gone {
 			e.violate("%s is gone and is not forgotten", id)
@@ -390,15 +414,43 @@
 	try := func(a *Attempt) int { return slices.Index(e.attempts, a) }
 	for _, a := range e.attempts {
 		out, ended := e.ends[a]
-		put(yes(e.unassignedAtDisconnect[a]), yes(a.backend != nil), int(a.abortedAs), yes(ended), int(out), yes(e.written[a]), conn(a.conn))
+		put(
+			yes(e.unassignedAtDisconnect[a]),
+			yes(a.backend != nil),
+			int(a.abortedAs),
+			yes(ended),
+			int(out),
+			yes(e.written[a]),
+			conn(a.conn),
+		)
 		if a.conn != nil {
 			put(yes(a.backend.lastHeardAt <= a.assignedAt), yes(e.now-a.assignedAt >= e.pool.cfg.ConnectTimeout))
 		}
 	}
 	for _, pc := range e.conns {
-		put(yes(pc.conn.used), yes(pc.conn.hasReplied), yes(pc.conn.closed), yes(pc.conn.reusable(e.now)), yes(pc.replyHandled && e.now-pc.repliedAt < reuseDelay))
-		put(yes(pc.up), yes(pc.ended), pc.duplicates, try(pc.repliedTo), yes(pc.socket.closed), len(pc.conn.writes), try(pc.conn.lastWritten.Load()), try(pc.conn.current),
-			yes(pc.conn.disconnected), int(pc.conn.addr[len(pc.conn.addr)-1]), yes(e.now-pc.conn.idleSince > e.pool.retireAfter()), len(pc.events))
+		put(
+			yes(pc.conn.used),
+			yes(pc.conn.hasReplied),
+			yes(pc.conn.closed),
+			yes(pc.conn.reusable(e.now)),
+			yes(pc.replyHandled && e.now-pc.repliedAt < reuseDelay),
+		)
+		put(
+			yes(pc.up),
+			yes(pc.ended),
+			pc.duplicates,
+			try(pc.repliedTo),
+			yes(pc.socket.closed),
+			len(pc.conn.writes),
+			try(pc.conn.lastWritten.Load()),
+			try(pc.conn.current),
+			yes(
+				pc.conn.disconnected,
+			),
+			int(pc.conn.addr[len(pc.conn.addr)-1]),
+			yes(e.now-pc.conn.idleSince > e.pool.retireAfter()),
+			len(pc.events),
+		)
 		for _, ev := range pc.events {
 			switch ev := ev.(type) {
 			case connectionOpened:
@@ -411,8 +463,21 @@
 		}
 	}
 	if n := e.pool.backends["s0"]; n != nil {
-		put(int(n.State), int(n.addr[len(n.addr)-1]), n.dialing, yes(n.wakeScheduled), n.connections, len(n.waiting), len(n.idle),
-			yes(n.duplicates.unlikely(e.now)), yes(n.duplicates.seen), yes(e.now < n.noGrowthUntil), yes(n.connectTime > minDialGain))
+		put(
+			int(n.State),
+			int(n.addr[len(n.addr)-1]),
+			n.dialing,
+			yes(n.wakeScheduled),
+			n.connections,
+			len(n.waiting),
+			len(n.idle),
+			yes(
+				n.duplicates.unlikely(e.now),
+			),
+			yes(n.duplicates.seen),
+			yes(e.now < n.noGrowthUntil),
+			yes(n.connectTime > minDialGain),
+		)
 		put(int(n.replyTime / time.Millisecond))
 		for _, a := range n.waiting {
 			put(try(a))
@@ -457,7 +522,8 @@
 	steps                    []step
 }
 
-// explore walks through all orders of so many steps, each state once; it ends with the first that breaks something, the shortest there is.
+// explore walks through all orders of so many steps, each state once; it ends with the first that breaks something,
+// the shortest there is.
 func explore(mutation string, steps int, until time.Time) (found result) {
 	known := map[string]bool{}
 	level := [][]uint8{nil}
@@ -497,15 +563,24 @@
 	return found
 }
 
-// Every order of what can happen to two attempts, their connections and their node: each ends once, with an outcome that is true; nothing is sent
-// for one that has ended; whatever is settled at the end leaves no place taken, no connection counted, nobody waiting, and no node that has gone.
+// Every order of what can happen to two attempts, their connections and their node: each ends once, with an outcome
+// that is true; nothing is sent for one that has ended; whatever is settled at the end leaves no place taken, no
+// connection counted, nobody waiting, and no node that has gone.
 func TestPoolInEveryOrder(t *testing.T) {
 	steps, within := maxSteps, exploreTime
 	if os.Getenv("HITCHSPRING_TRIALS") != "" {
 		steps, within = trialSteps, trialTime
 	}
 	x := explore("", steps, time.Now().Add(within))
-	t.Logf("%d states, %d settled, %d steps deep, whole: %v (left out: more than %d steps, more than %d connections)", x.states, x.settled, x.deepest-1, x.complete, steps, maxConnections)
+	t.Logf(
+		"%d states, %d settled, %d steps deep, whole: %v (left out: more than %d steps, more than %d connections)",
+		x.states,
+		x.settled,
+		x.deepest-1,
+		x.complete,
+		steps,
+		maxConnections,
+	)
 	if x.violation != "" {
 		t.Fatalf("%s, after:\n%v", x.violation, x.steps)
 	}
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -1,26 +1,30 @@
 package backend
 
 import (
-	"slices"
 	"time"
 
 	"hitchspring/policy"
 )
 
-// RetireIdle closes connections that the node is about to close: a command that crossed that would be a reset, and may not be
-// sent again. It also closes half of those that were not needed for as long: connections are used in turn, so that none of them
-// would ever grow old by itself.
+// RetireIdle closes connections that the backend is about to close: a command that crosses that close is reset, and
+// may not be sent again. It also closes half of the connections that were not needed for as long. Connections are
+// used in turn, so that none of them would become old by itself.
 func (p *Pool) RetireIdle() {
 	now := p.owner.Now()
 	for _, backend := range p.backends {
-		for len(backend.idle) > 0 && (backend.State != policy.Running || backend.idle[0].addr != backend.addr || now-backend.idle[0].idleSince > p.retireAfter()) {
+		for len(backend.idle) > 0 && p.mustRetire(backend, backend.idle[0], now) {
 			p.closeOldestIdle(backend)
 		}
 		p.trimIdle(backend, now)
 	}
 }
 
-// trim closes half of the connections that no attempt has needed since the last time.
+// mustRetire reports whether an idle connection may not be used any more.
+func (p *Pool) mustRetire(backend *backendPool, c *conn, now time.Duration) bool {
+	return backend.State != policy.Running || c.addr != backend.addr || now-c.idleSince > p.retireAfter()
+}
+
+// trimIdle closes half of the connections that no attempt has needed since the last trim.
 func (p *Pool) trimIdle(backend *backendPool, now time.Duration) {
 	if now < backend.trimAt {
 		return
@@ -30,13 +34,14 @@
 			p.closeOldestIdle(backend)
 		}
 	}
-	backend.minSpare, backend.trimAt = noneTaken, now+p.retireAfter()
+	backend.minSpare = noneTaken
+	backend.trimAt = now + p.retireAfter()
 }
 
 // retireAfter is for how long a connection may be idle and still be used.
 func (p *Pool) retireAfter() time.Duration { return p.cfg.Idle * 2 / 3 }
 
-// CloseIdle closes all idle connections to a node.
+// CloseIdle closes all idle connections to a backend.
 func (p *Pool) CloseIdle(id policy.BackendID) {
 	backend := p.backends[id]
 	for backend != nil && len(backend.idle) > 0 {
@@ -44,23 +49,25 @@
 	}
 }
 
-// closeIdle closes the connection that has been idle longest; connDown does the books.
+// closeOldestIdle closes the connection that has been idle longest; its connectionClosed event updates the counts.
 func (p *Pool) closeOldestIdle(backend *backendPool) { p.closeConn(backend.idle[0]) }
 
-// close closes a connection, which is not idle from then on.
+// closeConn closes a connection, which is not idle from then on.
 func (p *Pool) closeConn(c *conn) {
 	c.closed = true
-	if i := slices.Index(c.backend.idle, c); i >= 0 {
-		c.backend.idle = slices.Delete(c.backend.idle, i, i+1)
-	}
+	c.backend.removeIdle(c)
 	c.nc.Close()
 }
 
-// closeOldestIdle makes room for a new connection to a node, at another one where nobody waits.
-func (p *Pool) evictIdle(to *backendPool) bool {
+// evictIdle closes the connection that has been idle longest, at a backend other than except for which no attempt
+// waits. It reports whether there was one.
+func (p *Pool) evictIdle(except *backendPool) bool {
 	var oldest *backendPool
 	for _, backend := range p.backends {
-		if backend != to && len(backend.idle) > 0 && len(backend.waiting) == 0 && (oldest == nil || backend.idle[0].idleSince < oldest.idle[0].idleSince) {
+		if backend == except || len(backend.idle) == 0 || len(backend.waiting) > 0 {
+			continue
+		}
+		if oldest == nil || backend.idle[0].idleSince < oldest.idle[0].idleSince {
 			oldest = backend
 		}
 	}
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -14,33 +14,28 @@
 )
 
 const (
-	streamChunkSize     = 8 << 10                // of a value that is passed on as it comes
-	minStreamChunkSize  = 1 << 10                // where the account of memory is empty
-	streamStallTimeout  = 5 * time.Second        // for a node to go on in the middle of such a value
-	overdueStallTimeout = 250 * time.Millisecond // the same once its client's time is over: the client is owed an end, if it still reads
+	streamChunkSize    = 8 << 10 // bytes of a value that are read at a time
+	minStreamChunkSize = 1 << 10 // where the memory budget is spent
+	// streamStallTimeout is how long a backend may send nothing in the middle of a value.
+	streamStallTimeout = 5 * time.Second
+	// overdueStallTimeout is the same once the client's deadline has passed: the client is owed an end, if it still
+	// reads.
+	overdueStallTimeout = 250 * time.Millisecond
+	// trailerFrames are the frames behind a value: the usage and the load report.
+	trailerFrames = 2
 )
 
-// stall is until when a node may say nothing in the middle of a value.
-func (c *conn) streamDeadline(now time.Time) time.Time {
-	usual, overdue := now.Add(streamStallTimeout), now.Add(overdueStallTimeout)
-	if at := c.clientDeadline.Load(); at != 0 {
-		if end := time.Unix(0, at).Add(overdueStallTimeout); end.After(overdue) {
-			overdue = end
-		}
-		if overdue.Before(usual) {
-			return overdue
-		}
-	}
-	return usual
-}
+var (
+	// ErrUnwanted is the error of a stream that was closed before its end.
+	ErrUnwanted = errors.New("the value is not wanted any more")
 
-// ErrUnwanted is what a stream ends with that nobody waits for any more.
-var ErrUnwanted = errors.New("the value is not wanted any more")
+	errBrokenOff = errors.New("the node has broken off")
+)
 
-// Stream is a value on its way from a node, in pieces. One goroutine reads it to its end or closes it; it holds one piece at a
-// time, and the node's connection reads on only when that has been taken.
+// Stream is a large value on its way from a backend. One goroutine reads it to its end or closes it. The connection
+// holds one chunk at a time, and reads on only when that has been taken.
 type Stream struct {
-	Size   int // bytes of the value
+	Size   int // of the value, in bytes
 	reader *io.PipeReader
 	writer *io.PipeWriter
 }
@@ -51,34 +46,42 @@
 	return s
 }
 
-// Read is io.Reader's: io.EOF after Size bytes, another error where the node has broken off.
+// Read implements io.Reader: io.EOF after Size bytes, another error if the backend has failed before.
 func (s *Stream) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
-// Close ends the attempt that brings the value, where it has not ended; it may be called at any time, more than once.
+// Close ends the attempt that brings the value, if it has not ended. It may be called at any time, more than once.
 func (s *Stream) Close() { s.reader.CloseWithError(ErrUnwanted) }
 
-// begun is the event of a value's head.
-type streamStarted struct {
-	conn    *conn
-	attempt *Attempt
-	stream  *Stream
+// streamDeadline is until when a backend may send nothing in the middle of a value.
+func (c *conn) streamDeadline(now time.Time) time.Time {
+	usual := now.Add(streamStallTimeout)
+	overdue := now.Add(overdueStallTimeout)
+	deadline := c.clientDeadline.Load()
+	if deadline == 0 {
+		return usual
+	}
+	if end := time.Unix(0, deadline).Add(overdueStallTimeout); end.After(overdue) {
+		overdue = end
+	}
+	if overdue.Before(usual) {
+		return overdue
+	}
+	return usual
 }
 
-func (streamStarted) event() {}
-
-// pass passes a large value on, whose head has just come, and reads the rest of the answer.
+// streamValue passes a large value on, whose head has just been read, and reads the rest of the reply.
 func (c *conn) streamValue(ctx context.Context, in *resp.Inbox, size int, post func(Event)) (Reply, error) {
 	stream := newStream(size)
 	c.currentStream.Store(stream)
 	defer c.currentStream.Store(nil)
-	if ctx.Err() != nil { // else its end closes the stream
+	if ctx.Err() != nil { // from here on the end of ctx closes the stream
 		return Reply{}, ctx.Err()
 	}
 	c.writeMu.Lock()
 	attempt := c.lastWritten.Load()
 	c.writeMu.Unlock()
 	post(streamStarted{c, attempt, stream})
-	defer stream.writer.CloseWithError(errors.New("the node has broken off")) // nothing after the end
+	defer stream.writer.CloseWithError(errBrokenOff) // no effect after the end
 	chunkSize := streamChunkSize
 	if c.frameBudget.Take(chunkSize) {
 		defer c.frameBudget.Give(chunkSize)
@@ -86,9 +89,9 @@
 		chunkSize = minStreamChunkSize
 	}
 	left := size
-	forward := func(piece []byte) error {
-		left -= len(piece)
-		_, err := stream.writer.Write(piece)
+	forward := func(chunk []byte) error {
+		left -= len(chunk)
+		_, err := stream.writer.Write(chunk)
 		return err
 	}
 	first := in.Begun()[:min(in.ArrivedAt(), left)]
@@ -110,7 +113,7 @@
 	return c.readStreamTail(in)
 }
 
-// tail reads what stands behind a value that was passed on: the end of its line, the figures on use, the load report.
+// readStreamTail reads what follows a streamed value: the end of its line, the usage and the load report.
 func (c *conn) readStreamTail(in *resp.Inbox) (Reply, error) {
 	c.nc.SetReadDeadline(c.streamDeadline(time.Now()))
 	for in.ArrivedAt() < 2 {
@@ -123,7 +126,7 @@
 	}
 	in.Drop(2)
 	reply := Reply{outcome: policy.Succeeded, reusable: true}
-	for i := 0; i < 2; {
+	for frames := 0; frames < trailerFrames; {
 		frame, err := in.Next()
 		if err != nil {
 			return Reply{}, err
@@ -134,9 +137,10 @@
 			}
 			continue
 		}
-		if i++; i == 2 {
-			if _, r := redcon.ReadNextRESP(frame); r.Type == redcon.Bulk {
-				reply.Load = parseLoad(string(r.Data))
+		frames++
+		if frames == trailerFrames {
+			if _, value := redcon.ReadNextRESP(frame); value.Type == redcon.Bulk {
+				reply.Load = parseLoad(string(value.Data))
 			}
 		}
 	}
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -16,8 +16,8 @@
 	"hitchspring/policy"
 )
 
-// Traffic through the real pool in simulated time: requests arrive, backends and their connections are played here. What is measured needs
-// no machine of its own, and 100,000 requests take a second or two.
+// Traffic through the real pool in simulated time: requests arrive, backends and their connections are played here.
+// What is measured needs no machine of its own, and 100,000 requests take a second or two.
 
 const (
 	ms               = time.Millisecond
@@ -79,9 +79,23 @@
 }
 
 func (m measurement) String() string {
-	return fmt.Sprintf("wait p50 %v p99 %v most %v, %d over 1 ms; took p50 %v p99 %v; %d dials, %d open at most; %d second answers, %d taken for another's; ends %v",
-		quantile(m.waits, 0.5), quantile(m.waits, 0.99), quantile(m.waits, 1), countLonger(m.waits, ms), quantile(m.took, 0.5), quantile(m.took, 0.99),
-		m.dials, m.maxOpen, m.duplicates, m.misattributed, m.ends)
+	return fmt.Sprintf(
+		"wait p50 %v p99 %v most %v, %d over 1 ms; took p50 %v p99 %v; %d dials, %d open at most; %d second answers, %d taken for another's; ends %v",
+		quantile(
+			m.waits,
+			0.5,
+		),
+		quantile(m.waits, 0.99),
+		quantile(m.waits, 1),
+		countLonger(m.waits, ms),
+		quantile(m.took, 0.5),
+		quantile(m.took, 0.99),
+		m.dials,
+		m.maxOpen,
+		m.duplicates,
+		m.misattributed,
+		m.ends,
+	)
 }
 
 // happening is something at a time of the simulation.
@@ -164,14 +178,26 @@
 // play plays a scenario to its end.
 func (s scenario) play() measurement {
 	t := &traffic{
-		scenario: s, now: time.Minute, rng: rand.New(rand.NewPCG(s.seed+1, 7)), conns: map[*conn]*socket{}, open: map[policy.BackendID]int{},
+		scenario: s,
+		now:      time.Minute,
+		rng:      rand.New(rand.NewPCG(s.seed+1, 7)),
+		conns:    map[*conn]*socket{},
+		open:     map[policy.BackendID]int{},
 		inFlight: make([]int, s.backends),
 	}
 	t.ends = map[policy.Outcome]int{}
 	if t.connectTimeout == 0 {
 		t.connectTimeout = 250 * ms
 	}
-	t.pool = New(t, Config{ConnectTimeout: t.connectTimeout, Idle: 15 * time.Second, MaxConnections: 384, Frames: resp.NewBudget(1 << 20)})
+	t.pool = New(
+		t,
+		Config{
+			ConnectTimeout: t.connectTimeout,
+			Idle:           15 * time.Second,
+			MaxConnections: 384,
+			Frames:         resp.NewBudget(1 << 20),
+		},
+	)
 	t.pool.startConn = t.openConn
 	list := make([]Endpoint, s.backends)
 	for i := range list {
@@ -292,19 +318,27 @@
 	}
 }
 
-// usual is ordinary traffic: 12 backends of 2 ms, connections that come up in 0.3 ms. A tenth of the requests, and all with HITCHSPRING_TRIALS=1.
+// usual is ordinary traffic: 12 backends of 2 ms, connections that come up in 0.3 ms. A tenth of the requests, and
+// all with HITCHSPRING_TRIALS=1.
 func usualScenario(name string, rate float64, requests int) scenario {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" {
 		requests /= 10
 	}
-	return scenario{name: name, rate: rate, backends: 12, requests: requests, serviceTime: 2 * ms, connectTime: 300 * time.Microsecond}
+	return scenario{
+		name:        name,
+		rate:        rate,
+		backends:    12,
+		requests:    requests,
+		serviceTime: 2 * ms,
+		connectTime: 300 * time.Microsecond,
+	}
 }
 
 // mostAdded is the bound on what the pool may add to a request at the 99th percentile.
 const maxAddedDelay = 3600 * time.Microsecond
 
-// Requests don't wait for connections to rest: with a router that sends to a node that has nothing out, one connection a node once carried all,
-// and the median request waited 8.4 ms at 190 a second.
+// Requests don't wait for connections to rest: with a router that sends to a node that has nothing out, one
+// connection a node once carried all, and the median request waited 8.4 ms at 190 a second.
 func TestRequestsDoNotWaitForRest(t *testing.T) {
 	t.Parallel()
 	with := func(s scenario, name string, change func(*scenario)) scenario {
@@ -331,7 +365,13 @@
 			bound = reuseDelay
 		}
 		if p50, p99 := quantile(m.waits, 0.5), quantile(m.waits, 0.99); p50 > ms/2 || p99 > bound {
-			t.Errorf("%s: requests wait %v at the median and %v at the 99th percentile, %v at most is wanted", s.name, p50, p99, bound)
+			t.Errorf(
+				"%s: requests wait %v at the median and %v at the 99th percentile, %v at most is wanted",
+				s.name,
+				p50,
+				p99,
+				bound,
+			)
 		}
 		if lost := max(s.requests, m.requestsStarted) - m.ends[policy.Succeeded]; lost > s.requests/1000+s.burst/64 {
 			t.Errorf("%s: %d of %d were not served: %v", s.name, lost, s.requests, m.ends)
@@ -342,8 +382,8 @@
 // safeUpTo is how late a second answer may be and is never taken for another command's, whatever restTime says.
 const safeDuplicateDelay = 15 * ms
 
-// Second answers, at 1 answer in 100, are never taken for another command's up to 15 ms late. Beyond, the chance is what a connection's rest
-// leaves, and it is logged.
+// Second answers, at 1 answer in 100, are never taken for another command's up to 15 ms late. Beyond, the chance is
+// what a connection's rest leaves, and it is logged.
 func TestSecondAnswersAreNotTakenForOthers(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{190, 3000} {
@@ -356,13 +396,20 @@
 				t.Errorf("%v/s, %v late: only %d second answers came", rate, late, m.duplicates)
 			}
 			if late < safeDuplicateDelay && m.misattributed > 0 {
-				t.Errorf("%v/s: %d of %d second answers %v late were taken for another command's", rate, m.misattributed, m.duplicates, late)
+				t.Errorf(
+					"%v/s: %d of %d second answers %v late were taken for another command's",
+					rate,
+					m.misattributed,
+					m.duplicates,
+					late,
+				)
 			}
 		}
 	}
 }
 
-// The same where connections are scarce, so that one that has not rested may have to do: a limit of one connection a backend.
+// The same where connections are scarce, so that one that has not rested may have to do: a limit of one connection
+// a backend.
 func TestSecondAnswersWhereConnectionsAreScarce(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{ms, 8 * ms, 15*ms - time.Microsecond} {
@@ -371,13 +418,18 @@
 		m := s.play()
 		t.Logf("%v late: %v", late, m)
 		if m.misattributed > 0 {
-			t.Errorf("%d of %d second answers %v late were taken for another command's", m.misattributed, m.duplicates, late)
+			t.Errorf(
+				"%d of %d second answers %v late were taken for another command's",
+				m.misattributed,
+				m.duplicates,
+				late,
+			)
 		}
 	}
 }
 
-// Every backend answers each command twice, 8.5 ms late, under load; none is taken for another's, and requests don't wait for longer than it takes to
-// open another connection.
+// Every backend answers each command twice, 8.5 ms late, under load; none is taken for another's, and requests
+// don't wait for longer than it takes to open another connection.
 func TestEveryBackendAnswersTwice(t *testing.T) {
 	t.Parallel()
 	s := usualScenario("", 1000, 30000)
