--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -20,7 +20,7 @@
 
 func (noCommand) Encode(time.Duration) []byte { return []byte("*1\r\n$4\r\nNONE\r\n") }
 
-// testOwner is an owner whose goroutine is the test: it hands the pool the events itself, and moves the clock.
+// testOwner is an owner whose goroutine is the test, which handles events and moves the clock itself.
 type testOwner struct {
 	pool    *Pool
 	now     time.Duration
@@ -30,7 +30,7 @@
 	timers  []testTimer
 	ends    []attemptEnd
 	streams []*Stream
-	// unwanted says that no value is waited for.
+	// unwanted makes AttemptBegan say that no value is waited for.
 	unwanted bool
 }
 
@@ -66,131 +66,129 @@
 
 func (o *testOwner) AttemptWanted(*Attempt) bool { return true }
 
-func (o *testOwner) AttemptBegan(a *Attempt, s *Stream) bool {
-	o.streams = append(o.streams, s)
+func (o *testOwner) AttemptBegan(_ *Attempt, stream *Stream) bool {
+	o.streams = append(o.streams, stream)
 	return !o.unwanted
 }
 
-// ring does what is due.
+// fireTimers calls the timers that are due.
 func (o *testOwner) fireTimers() {
 	due := o.timers
 	o.timers = nil
-	for _, a := range due {
-		if a.at <= o.now {
-			a.do()
+	for _, timer := range due {
+		if timer.at <= o.now {
+			timer.do()
 		} else {
-			o.timers = append(o.timers, a)
+			o.timers = append(o.timers, timer)
 		}
 	}
 }
 
-func entries(addrs ...string) (out []Endpoint) {
-	for i, a := range addrs {
-		out = append(
-			out,
-			Endpoint{
-				policy.Backend{ID: policy.BackendID("s" + string(rune('0'+i))), Zone: "a", State: policy.Running},
-				a,
-			},
-		)
+// entries returns an endpoint list of backends that serve, s0 and so on.
+func entries(addrs ...string) (list []Endpoint) {
+	for i, addr := range addrs {
+		id := policy.BackendID("s" + string(rune('0'+i)))
+		list = append(list, Endpoint{policy.Backend{ID: id, Zone: "a", State: policy.Running}, addr})
 	}
-	return out
+	return list
 }
 
 func newOwner(t *testing.T, addrs ...string) *testOwner {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &testOwner{now: time.Minute, events: make(chan Event, 64), ctx: ctx}
-	g.pool = New(
-		g,
-		Config{
-			ConnectTimeout: 5 * time.Second,
-			Idle:           15 * time.Second,
-			MaxConnections: 96,
-			Frames:         resp.NewBudget(1 << 20),
-		},
-	)
-	g.pool.Update(entries(addrs...), true)
+	owner := &testOwner{now: time.Minute, events: make(chan Event, 64), ctx: ctx}
+	owner.pool = New(owner, Config{
+		ConnectTimeout: 5 * time.Second,
+		Idle:           15 * time.Second,
+		MaxConnections: 96,
+		Frames:         resp.NewBudget(1 << 20),
+	})
+	owner.pool.Update(entries(addrs...), true)
 	t.Cleanup(func() {
 		cancel()
-		g.wg.Wait()
+		owner.wg.Wait()
 	})
-	return g
+	return owner
 }
 
-// A drain counts from when it was told: what waited for a connection then is not written any more.
-func TestDrainStopsWhatWaits(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	g := newOwner(t, be.Addr)
-	a := waitingAttempt(g, "s0")
-	g.pool.assign(a)
-	up := (<-g.events).(connectionOpened)
-	f := entries(be.Addr)
+// A drain counts from the update on: what waits for a connection then is never written.
+func TestDrainCancelsWaitingAttempt(t *testing.T) {
+	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
+	owner := newOwner(t, server.Addr)
+	attempt := waitingAttempt(owner, "s0")
+	owner.pool.assign(attempt)
+	up := (<-owner.events).(connectionOpened)
+	f := entries(server.Addr)
 	f[0].State = policy.Draining
-	g.pool.Update(f, false)
-	g.pool.handleConnectionOpened(up)
-	if ev := g.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil {
-		t.Fatalf("outcome %v, want moot and nothing on the connection", ev.outcome)
+	owner.pool.Update(f, false)
+	owner.pool.handleConnectionOpened(up)
+	if ev := owner.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil {
+		t.Fatalf("got outcome %v, want %v and nothing on the connection", ev.outcome, policy.NotSent)
 	}
 }
 
-// A cancelled attempt that still waits for its connection is moot, and is not written later.
-func TestCancelledWhileItWaits(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	g := newOwner(t, be.Addr)
-	a := waitingAttempt(g, "s0")
-	g.pool.assign(a)
-	g.pool.Abort(a, policy.Cancelled)
-	up := (<-g.events).(connectionOpened)
-	g.pool.handleConnectionOpened(up)
-	if ev := g.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil || len(g.ends) != 1 {
-		t.Fatalf("told %v, want one moot end", g.ends)
+// An attempt that is aborted while it waits for its connection ends as not sent, and is not written later.
+func TestAbortWhileWaiting(t *testing.T) {
+	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
+	owner := newOwner(t, server.Addr)
+	attempt := waitingAttempt(owner, "s0")
+	owner.pool.assign(attempt)
+	owner.pool.Abort(attempt, policy.Cancelled)
+	up := (<-owner.events).(connectionOpened)
+	owner.pool.handleConnectionOpened(up)
+	if ev := owner.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil || len(owner.ends) != 1 {
+		t.Fatalf("told %v, want one end as not sent", owner.ends)
 	}
 }
 
-// An idle connection is closed before the node would: a command that crossed that would be a reset.
+// An idle connection is closed before the backend would close it: a command that crosses that is reset.
 func TestIdleConnectionIsRetired(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	g := newOwner(t, be.Addr)
-	b := g.pool.backends["s0"]
+	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
+	owner := newOwner(t, server.Addr)
+	b := owner.pool.backends["s0"]
 	b.waiting = append(b.waiting, nil)
-	g.pool.dialForWaiting(b)
+	owner.pool.dialForWaiting(b)
 	b.waiting = nil
-	g.pool.handleConnectionOpened((<-g.events).(connectionOpened))
-	g.pool.RetireIdle()
+	owner.pool.handleConnectionOpened((<-owner.events).(connectionOpened))
+	owner.pool.RetireIdle()
 	if len(b.idle) != 1 {
 		t.Fatal("a fresh connection was retired")
 	}
-	g.now += g.pool.cfg.Idle - time.Second
-	g.pool.RetireIdle()
-	if down := (<-g.events).(connectionClosed); len(b.idle) != 0 || !down.wasOpen {
+	owner.now += owner.pool.cfg.Idle - time.Second
+	owner.pool.RetireIdle()
+	if down := (<-owner.events).(connectionClosed); len(b.idle) != 0 || !down.wasOpen {
 		t.Fatal("an old connection was kept")
 	}
 }
 
-// An answer that was there before its command had been written belongs to another: the attempt never ran.
-func TestAnswerBeforeItsCommand(t *testing.T) {
-	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
-	a := waitingAttempt(g, "s0")
-	g.pool.assign(a)
-	up := (<-g.events).(connectionOpened)
-	up.conn.current = a
-	g.pool.Handle(replyReceived{up.conn, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), reusable: true}})
-	if a.ended {
+// A reply that arrives before its command was written belongs to another attempt: this one never ran.
+func TestReplyBeforeCommandIsWritten(t *testing.T) {
+	owner := newOwner(t, scripted.NewBackend(t, nil).Addr)
+	attempt := waitingAttempt(owner, "s0")
+	owner.pool.assign(attempt)
+	up := (<-owner.events).(connectionOpened)
+	up.conn.current = attempt
+	owner.pool.Handle(replyReceived{up.conn, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), reusable: true}})
+	if attempt.ended {
 		t.Fatal("served with another's answer")
 	}
-	g.pool.Handle(<-g.events)
-	if !a.ended || len(g.ends) != 1 {
+	owner.pool.Handle(<-owner.events)
+	if !attempt.ended || len(owner.ends) != 1 {
 		t.Fatal("not ended with its connection")
 	}
 }
 
 func TestParseReply(t *testing.T) {
 	load := policy.Load{"qps": 7}
+	value := []byte("x")
+	succeeded := Reply{outcome: policy.Succeeded, Value: value, reusable: true}
+	reported := succeeded
+	reported.Load = load
 	for in, want := range map[string]Reply{
-		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         {outcome: policy.Succeeded, Value: []byte("x"), Load: load, reusable: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       {outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
-		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": {outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
-		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  {outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
+		"*3\r\n$1\r\nx\r\n$-1\r\n$5\r\nqps=7\r\n":         reported,
+		"*3\r\n$1\r\nx\r\n$-1\r\n$7\r\nqps=NaN\r\n":       succeeded,
+		"*3\r\n$1\r\nx\r\n$-1\r\n$12\r\nqps=7,a=+Inf\r\n": succeeded,
+		"*3\r\n$1\r\nx\r\n:7\r\n+ok\r\n":                  succeeded,
 		"*2\r\n$1\r\nx\r\n$-1\r\n":                        {outcome: policy.Failed},
 		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                      {outcome: policy.Failed},
 		"-ERR failed\r\n":                                 {outcome: policy.Failed, reusable: true},
@@ -208,44 +206,44 @@
 	}
 }
 
-// Where all connections that may be open are busy elsewhere, the next that is free makes room: an attempt
-// at another node once waited for good.
-func TestWaitingForTheCapOfAll(t *testing.T) {
+// If all connections that may be open are busy at other backends, the next one that is free is closed for the attempt
+// that waits.
+func TestWaitingForConnectionLimit(t *testing.T) {
 	a, b := scripted.NewBackend(t, nil), scripted.NewBackend(t, nil)
-	g := newOwner(t, a.Addr, b.Addr)
-	g.pool.cfg.MaxConnections = 1
-	first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s1")
-	g.pool.assign(first)
-	up := (<-g.events).(connectionOpened)
-	g.pool.Handle(up)
-	g.pool.assign(second)
-	g.pool.Handle(replyReceived{up.conn, first, Reply{outcome: policy.Succeeded, reusable: true}})
-	g.now += reuseDelay
-	g.fireTimers()
+	owner := newOwner(t, a.Addr, b.Addr)
+	owner.pool.cfg.MaxConnections = 1
+	first, second := waitingAttempt(owner, "s0"), waitingAttempt(owner, "s1")
+	owner.pool.assign(first)
+	up := (<-owner.events).(connectionOpened)
+	owner.pool.Handle(up)
+	owner.pool.assign(second)
+	owner.pool.Handle(replyReceived{up.conn, first, Reply{outcome: policy.Succeeded, reusable: true}})
+	owner.now += reuseDelay
+	owner.fireTimers()
 	for second.conn == nil {
-		g.pool.Handle(<-g.events)
+		owner.pool.Handle(<-owner.events)
 	}
 }
 
-// A node that answers what was not yet written to it must not block the owner's goroutine.
+// A backend that replies to what was not yet written to it must not block the owner's goroutine.
 func TestFullConnectionDoesNotBlock(t *testing.T) {
-	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
+	owner := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := &conn{backend: g.pool.backends["s0"], nc: near, writes: make(chan pendingWrite, 1)}
-	g.pool.send(c, waitingAttempt(g, "s0"))
-	g.pool.send(c, waitingAttempt(g, "s0"))
+	c := &conn{backend: owner.pool.backends["s0"], nc: near, writes: make(chan pendingWrite, 1)}
+	owner.pool.send(c, waitingAttempt(owner, "s0"))
+	owner.pool.send(c, waitingAttempt(owner, "s0"))
 	if _, err := near.Write(nil); err == nil {
 		t.Fatal("the connection was kept")
 	}
 }
 
-// A command that was cut off before its last byte never ran; one that was written whole may have.
-func TestOnlyWholeCommandsMayHaveRun(t *testing.T) {
+// A command that was cut off before its last byte never ran; one that was written completely may have.
+func TestOnlyCompleteCommandsMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
-		read  int
-		whole bool
-	}{"cut off": {3, false}, "whole": {9, true}} {
+		read     int
+		complete bool
+	}{"cut off": {3, false}, "complete": {9, true}} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
 			a := &Attempt{}
@@ -256,169 +254,182 @@
 				defer close(written)
 				cn.write()
 			}()
-			io.ReadFull(far, make([]byte, c.read))
-			if c.whole {
+			if _, err := io.ReadFull(far, make([]byte, c.read)); err != nil {
+				t.Fatal(err)
+			}
+			if c.complete {
 				close(cn.readerDone)
 			} else {
 				far.Close()
 			}
 			<-written
-			if got := cn.lastWritten.Load(); (got == a) != c.whole {
-				t.Fatalf("whole: %v, want %v", got == a, c.whole)
+			if got := cn.lastWritten.Load(); (got == a) != c.complete {
+				t.Fatalf("complete: %v, want %v", got == a, c.complete)
 			}
 		})
 	}
 }
 
-func waitingAttempt(g *testOwner, id policy.BackendID) *Attempt {
-	return &Attempt{Ref: g, Command: noCommand{}, backend: g.pool.backends[id], Deadline: time.Hour}
+func waitingAttempt(owner *testOwner, id policy.BackendID) *Attempt {
+	return &Attempt{Ref: owner, Command: noCommand{}, backend: owner.pool.backends[id], Deadline: time.Hour}
 }
 
-// A keyed request may be sent again only while its group remembers it, and the module leaves 10% of that time for
-// the way. A copy that waits for a connection for longer must not be written any more: it never ran.
+// A request with an idempotency key may be sent again only while its group remembers the key, and the policy leaves a
+// tenth of that time for the way. An attempt that waits for a connection for longer must not be written any more.
 func TestWaitForConnectionEnds(t *testing.T) {
-	g := newOwner(t, scripted.NewBackend(t, nil).Addr)
-	g.pool.cfg.MaxConnections = 0
-	a := waitingAttempt(g, "s0")
-	g.pool.assign(a)
-	g.now += g.pool.cfg.ConnectTimeout
-	g.fireTimers()
-	if !a.ended || len(a.backend.waiting) != 0 {
-		t.Fatal("the attempt still waits for a connection")
+	owner := newOwner(t, scripted.NewBackend(t, nil).Addr)
+	owner.pool.cfg.MaxConnections = 0
+	attempt := waitingAttempt(owner, "s0")
+	owner.pool.assign(attempt)
+	owner.now += owner.pool.cfg.ConnectTimeout
+	owner.fireTimers()
+	if !attempt.ended || len(attempt.backend.waiting) != 0 {
+		t.Fatal("the attempt still waits for attempt connection")
 	}
 }
 
-// An attempt that is known to be written whole ends the moment it is given up: a gateway that was busy once
-// failed the request before the connection's own word came.
+// An attempt that is known to be written ends when it is aborted, without waiting for the event of its connection's
+// end.
 func TestWrittenAttemptEndsAtOnce(t *testing.T) {
-	be := scripted.NewBackend(t, nil)
-	g := newOwner(t, be.Addr)
-	a := waitingAttempt(g, "s0")
-	g.pool.assign(a)
-	g.pool.Handle(<-g.events)
-	for len(be.Seen()) < 1 || a.conn.lastWritten.Load() != a {
+	server := scripted.NewBackend(t, nil)
+	owner := newOwner(t, server.Addr)
+	attempt := waitingAttempt(owner, "s0")
+	owner.pool.assign(attempt)
+	owner.pool.Handle(<-owner.events)
+	for len(server.Seen()) < 1 || attempt.conn.lastWritten.Load() != attempt {
 		time.Sleep(time.Millisecond)
 	}
-	g.pool.Abort(a, policy.TimedOut)
-	if !a.ended || g.ends[0].outcome != policy.TimedOut {
-		t.Fatalf("ended: %v, told %v", a.ended, g.ends)
+	owner.pool.Abort(attempt, policy.TimedOut)
+	if !attempt.ended || owner.ends[0].outcome != policy.TimedOut {
+		t.Fatalf("ended: %v, told %v", attempt.ended, owner.ends)
 	}
 }
 
-// Backends come under ever new ids: one that is gone is forgotten as soon as its last connection is, though another may
-// have taken its address by then.
+// Backends come under ever new ids: one that is gone is forgotten with its last connection, though another may have
+// taken its address by then.
 func TestGoneBackendIsForgotten(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	g := newOwner(t, be.Addr)
-	a := waitingAttempt(g, "s0")
-	g.pool.assign(a)
-	up := (<-g.events).(connectionOpened)
-	g.pool.Handle(up)
-	f := entries(be.Addr, be.Addr)
+	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
+	owner := newOwner(t, server.Addr)
+	attempt := waitingAttempt(owner, "s0")
+	owner.pool.assign(attempt)
+	up := (<-owner.events).(connectionOpened)
+	owner.pool.Handle(up)
+	f := entries(server.Addr, server.Addr)
 	f[0].State = policy.Gone
-	g.pool.Update(f, false)
-	if len(g.pool.backends) != 2 {
-		t.Fatalf("%d nodes while an attempt is out, want 2", len(g.pool.backends))
+	owner.pool.Update(f, false)
+	if len(owner.pool.backends) != 2 {
+		t.Fatalf("%d backends while an attempt is in flight, want 2", len(owner.pool.backends))
 	}
-	g.pool.Handle(<-g.events) // the answer
-	g.now += reuseDelay
-	g.fireTimers()
-	g.pool.Handle(<-g.events) // the connection's end
-	if g.pool.connections != 0 || g.pool.backends["s1"] == nil {
-		t.Fatalf("%d connections, nodes %v", g.pool.connections, g.pool.backends)
+	owner.pool.Handle(<-owner.events) // the answer
+	owner.now += reuseDelay
+	owner.fireTimers()
+	owner.pool.Handle(<-owner.events) // the connection's end
+	if owner.pool.connections != 0 || owner.pool.backends["s1"] == nil {
+		t.Fatalf("%d connections, backends %v", owner.pool.connections, owner.pool.backends)
 	}
 }
 
-// A large value that nobody waits for any more is no fault of its node's: the attempt is cancelled, not reset. One
-// that is wanted and breaks off is a reset, whatever had come.
+// drainStream reads a stream to its end, and reports how it ended.
+func drainStream(stream *Stream, ended chan<- error) {
+	_, err := io.Copy(io.Discard, stream)
+	ended <- err
+}
+
+// A large value that nobody waits for any more is no fault of its backend: the attempt ends as cancelled.
+// A value that is wanted and breaks off is a reset, whatever had arrived.
 func TestLargeValueUnwantedOrBroken(t *testing.T) {
-	for name, c := range map[string]struct {
-		unwanted bool
-		want     policy.Outcome
-	}{"unwanted": {true, policy.Cancelled}, "broken": {false, policy.Reset}} {
-		t.Run(name, func(t *testing.T) {
-			be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
-				io.WriteString(nc, "*3\r\n$1000000\r\nsome")
-				if !c.unwanted {
-					nc.Close()
-				}
-				return ""
-			})
-			g := newOwner(t, be.Addr)
-			g.unwanted = c.unwanted
-			a := waitingAttempt(g, "s0")
-			g.pool.assign(a)
-			read := make(chan error, 1)
-			for len(g.ends) == 0 {
-				g.pool.Handle(<-g.events)
-				if len(g.streams) == 1 && !c.unwanted {
-					s := g.streams[0]
-					g.streams = append(g.streams, nil)
-					go func() {
-						_, err := io.Copy(io.Discard, s)
-						read <- err
-					}()
-				}
-			}
-			if g.ends[0].outcome != c.want || len(g.ends) != 1 {
-				t.Fatalf("ended as %v, want %v", g.ends, c.want)
-			}
-			if !c.unwanted {
-				if err := <-read; err == nil {
-					t.Fatal("a value that broke off was read to an end")
-				}
+	t.Run("unwanted", func(t *testing.T) {
+		owner := startLargeValue(t, false)
+		owner.unwanted = true
+		for len(owner.ends) == 0 {
+			owner.pool.Handle(<-owner.events)
+		}
+		if len(owner.ends) != 1 || owner.ends[0].outcome != policy.Cancelled {
+			t.Fatalf("ended as %v, want %v", owner.ends, policy.Cancelled)
+		}
+	})
+	t.Run("broken", func(t *testing.T) {
+		owner := startLargeValue(t, true)
+		ended := make(chan error, 1)
+		for len(owner.ends) == 0 {
+			owner.pool.Handle(<-owner.events)
+			if len(owner.streams) == 1 {
+				go drainStream(owner.streams[0], ended)
+				owner.streams = append(owner.streams, nil)
 			}
-		})
-	}
+		}
+		if len(owner.ends) != 1 || owner.ends[0].outcome != policy.Reset {
+			t.Fatalf("ended as %v, want %v", owner.ends, policy.Reset)
+		}
+		if err := <-ended; err == nil {
+			t.Fatal("a value that broke off was read to an end")
+		}
+	})
+}
+
+// startLargeValue starts an attempt at a backend that sends the head of a large value and a few bytes of it, and
+// breaks off there or sends no more.
+func startLargeValue(t *testing.T, breaksOff bool) *testOwner {
+	t.Helper()
+	server := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
+		io.WriteString(nc, "*3\r\n$1000000\r\nsome")
+		if breaksOff {
+			nc.Close()
+		}
+		return ""
+	})
+	owner := newOwner(t, server.Addr)
+	owner.pool.assign(waitingAttempt(owner, "s0"))
+	return owner
 }
 
-// What waits for a connection to a node is not kept waiting when the node stops serving, and a node that is gone is
-// forgotten with the last that waited for it or was begun for them.
-func TestNobodyWaitsForANodeThatStopsServing(t *testing.T) {
-	for name, list := range map[string][]Endpoint{"gone": nil, "drains": {{policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}, ""}}} {
-		be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
+// Attempts don't wait for a backend that stops serving, and a backend that is gone is forgotten with the last
+// attempt that waited for it or the last connection that was begun for one.
+func TestWaitingEndsWhenBackendStopsServing(t *testing.T) {
+	draining := policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}
+	for name, list := range map[string][]Endpoint{"gone": nil, "drains": {{draining, ""}}} {
+		server := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 			io.WriteString(nc, served)
 			nc.Close()
 			return ""
 		})
-		g := newOwner(t, be.Addr)
-		first, second := waitingAttempt(g, "s0"), waitingAttempt(g, "s0")
-		g.pool.assign(first)
-		for !first.ended || g.pool.connections > 0 { // served, and its connection has ended
-			g.pool.Handle(<-g.events)
+		owner := newOwner(t, server.Addr)
+		first, second := waitingAttempt(owner, "s0"), waitingAttempt(owner, "s0")
+		owner.pool.assign(first)
+		for !first.ended || owner.pool.connections > 0 { // served, and its connection has ended
+			owner.pool.Handle(<-owner.events)
 		}
-		g.pool.assign(second)
+		owner.pool.assign(second)
 		if second.ended || second.conn != nil { // its own is only begun
 			t.Fatalf("%s: the second attempt does not wait", name)
 		}
-		g.pool.Update(list, true)
-		if !second.ended || g.ends[1].outcome != policy.NotSent {
-			t.Errorf("%s: the second attempt waits for a node that does not serve", name)
+		owner.pool.Update(list, true)
+		if !second.ended || owner.ends[1].outcome != policy.NotSent {
+			t.Errorf("%s: the second attempt waits for a backend that does not serve", name)
 		}
-		for g.pool.connections > 0 { // the end of what was begun for the second attempt
-			g.pool.Handle(<-g.events)
+		for owner.pool.connections > 0 { // the end of what was begun for the second attempt
+			owner.pool.Handle(<-owner.events)
 		}
-		g.now += reuseDelay
-		g.fireTimers()
-		if _, known := g.pool.backends["s0"]; known != (name == "drains") {
-			t.Errorf("%s: the node is known: %v", name, known)
+		owner.now += reuseDelay
+		owner.fireTimers()
+		if _, known := owner.pool.backends["s0"]; known != (name == "drains") {
+			t.Errorf("%s: the backend is known: %v", name, known)
 		}
 	}
 }
 
-// TestNothingIsWrittenAfterItsTime has a connection come up when an attempt's time is over, before the owner has
-// come to giving it up, as after a moment in which the process stood still. It is not written: its client waits no
-// longer.
-func TestNothingIsWrittenAfterItsTime(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	g := newOwner(t, be.Addr)
-	a := waitingAttempt(g, "s0")
-	a.Deadline = g.now + time.Second
-	g.pool.assign(a)
-	up := (<-g.events).(connectionOpened)
-	g.now = a.Deadline
-	g.pool.handleConnectionOpened(up)
-	if len(g.ends) != 1 || g.ends[0].outcome != policy.NotSent || up.conn.current != nil {
-		t.Fatalf("told %v, want one moot end and nothing on the connection", g.ends)
+// A connection comes up when an attempt's deadline has passed and the owner has not aborted the attempt yet, as after a
+// moment in which the process was stopped. The command is not written: its client waits no longer.
+func TestNothingIsWrittenAfterDeadline(t *testing.T) {
+	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
+	owner := newOwner(t, server.Addr)
+	attempt := waitingAttempt(owner, "s0")
+	attempt.Deadline = owner.now + time.Second
+	owner.pool.assign(attempt)
+	up := (<-owner.events).(connectionOpened)
+	owner.now = attempt.Deadline
+	owner.pool.handleConnectionOpened(up)
+	if len(owner.ends) != 1 || owner.ends[0].outcome != policy.NotSent || up.conn.current != nil {
+		t.Fatalf("told %v, want one end as not sent and nothing on the connection", owner.ends)
 	}
 }
--- a/internal/backend/backendpool.go
+++ b/internal/backend/backendpool.go
@@ -40,7 +40,7 @@
 	noGrowthUntil time.Duration // no connection beyond need is dialed before
 	duplicates    duplicateReplies
 
-	minSpare int           // the fewest reusable connections left idle when one was taken since the last trim, or noneTaken
+	minSpare int           // the fewest reusable ones left when one was taken since the last trim, or noneTaken
 	trimAt   time.Duration // when minSpare is next acted on; 0: not set yet
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -53,7 +53,7 @@
 	Idle           time.Duration // after which a backend closes an idle connection
 	MaxConnections int           // to all backends together
 	Frames         *resp.Budget  // memory of replies that are arriving
-	OnSent         func()        // called, from any goroutine, for each request's attempt that was written to its last byte
+	OnSent         func()        // called from any goroutine for each request that was written to its last byte
 }
 
 // Pool holds the connections to all backends. It is not safe for concurrent use: only its owner's goroutine calls it.
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -29,7 +29,7 @@
 	// ErrUnwanted is the error of a stream that was closed before its end.
 	ErrUnwanted = errors.New("the value is not wanted any more")
 
-	errBrokenOff = errors.New("the node has broken off")
+	errBrokenOff = errors.New("the backend broke off within the value")
 )
 
 // Stream is a large value on its way from a backend. One goroutine reads it to its end or closes it. The connection
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -16,7 +16,7 @@
 	"hitchspring/policy"
 )
 
-// Traffic through the real pool in simulated time: requests arrive, backends and their connections are played here.
+// Traffic through the real pool in simulated time: requests arrive, backends and their connections are simulated here.
 // What is measured needs no machine of its own, and 100,000 requests take a second or two.
 
 const (
@@ -25,97 +25,84 @@
 	sweepEvery       = time.Second           // of RetireIdle, as the core calls it
 )
 
-// scenario is what traffic comes, and what the backends do.
+// scenario says what requests arrive and what the backends do.
 type scenario struct {
 	name              string
 	rate              float64 // requests a second, to all backends
 	backends          int
 	requests          int
-	prefers           bool          // the router prefers some backends as long as they have nothing out
+	prefers           bool          // the router prefers some backends as long as they have nothing in flight
 	burst             int           // requests that arrive at one moment; 0: one
 	serviceTime       time.Duration // of a command
 	connectTime       time.Duration // for a connection to come up
-	slowConnect       time.Duration // for those that are begun after the first tenth of the requests; 0: as connect
+	slowConnect       time.Duration // for those that are begun after the first tenth of the requests; 0: as connectTime
 	maxConnections    int           // connections that a backend takes; further ones are refused. 0: any number
-	closesAfterReply  bool          // a backend closes a connection right after its answer
-	duplicateShare    float64       // of the answers that come twice
-	duplicateDelay    time.Duration // from an answer to its second copy
-	maxDuplicateDelay time.Duration // above late: uniform between them
+	closesAfterReply  bool          // a backend closes a connection right after its reply
+	duplicateShare    float64       // of the replies that come twice
+	duplicateDelay    time.Duration // from a reply to its duplicate
+	maxDuplicateDelay time.Duration // if above duplicateDelay: uniform between them
 	seed              uint64
 	idleFor           time.Duration // without requests, after the first half of them
 	connectTimeout    time.Duration // ConnectTimeout of the pool; 0: 250 ms
 }
 
-// measured is what came of a scenario.
+// measurement is what came of a scenario.
 type measurement struct {
 	waits           []time.Duration // from an attempt's start until a connection had it
-	took            []time.Duration // from its start to its answer
-	misattributed   int             // attempts that were served with another's answer
+	took            []time.Duration // from its start to its reply
+	misattributed   int             // attempts that were served with another's reply
 	ends            map[policy.Outcome]int
 	dials           int
 	maxOpen         int // connections that were open at once
-	duplicates      int // second answers that were sent
-	requestsStarted int // requests
+	duplicates      int // that were sent
+	requestsStarted int
 }
 
-// quantile is of durations; q from 0 to 1.
-func quantile(xs []time.Duration, q float64) time.Duration {
-	if len(xs) == 0 {
+// quantile returns the q-quantile of durations, q from 0 to 1.
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	xs = slices.Clone(xs)
-	slices.Sort(xs)
-	return xs[min(len(xs)-1, int(q*float64(len(xs))))]
+	sorted := slices.Sorted(slices.Values(durations))
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// longer is how many durations are above a bound.
-func countLonger(xs []time.Duration, bound time.Duration) (n int) {
-	for _, x := range xs {
-		if x > bound {
-			n++
+// countLonger is how many durations are above a bound.
+func countLonger(durations []time.Duration, bound time.Duration) (count int) {
+	for _, duration := range durations {
+		if duration > bound {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func (m measurement) String() string {
-	return fmt.Sprintf(
-		"wait p50 %v p99 %v most %v, %d over 1 ms; took p50 %v p99 %v; %d dials, %d open at most; %d second answers, %d taken for another's; ends %v",
-		quantile(
-			m.waits,
-			0.5,
-		),
-		quantile(m.waits, 0.99),
-		quantile(m.waits, 1),
-		countLonger(m.waits, ms),
-		quantile(m.took, 0.5),
-		quantile(m.took, 0.99),
-		m.dials,
-		m.maxOpen,
-		m.duplicates,
-		m.misattributed,
-		m.ends,
-	)
+	return fmt.Sprintf("wait p50 %v p99 %v max %v, %d over 1 ms; took p50 %v p99 %v; "+
+		"%d dials, at most %d open; %d duplicates, %d taken for another's; ends %v",
+		quantile(m.waits, 0.5), quantile(m.waits, 0.99), quantile(m.waits, 1), countLonger(m.waits, ms),
+		quantile(m.took, 0.5), quantile(m.took, 0.99), m.dials, m.maxOpen, m.duplicates, m.misattributed, m.ends)
 }
 
-// happening is something at a time of the simulation.
+// scheduledEvent is something that happens at a time of the simulation.
 type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []scheduledEvent
 
-func (h eventQueue) Len() int { return len(h) }
-func (h eventQueue) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventQueue) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
-func (h *eventQueue) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -134,7 +121,7 @@
 	measurement
 }
 
-// socket is a played connection to a backend.
+// socket is a simulated connection to a backend.
 type socket struct {
 	net.Conn
 	traffic *traffic
@@ -157,15 +144,15 @@
 func (t *traffic) AttemptBegan(*Attempt, *Stream) bool { return false }
 func (t *traffic) AttemptWanted(*Attempt) bool         { return true }
 
-func (t *traffic) AttemptEnded(a *Attempt, o policy.Outcome, r Reply) {
-	t.inFlight[a.Ref.(int)]--
-	t.ends[o]++
-	if o != policy.Succeeded {
+func (t *traffic) AttemptEnded(attempt *Attempt, outcome policy.Outcome, reply Reply) {
+	t.inFlight[attempt.Ref.(int)]--
+	t.ends[outcome]++
+	if outcome != policy.Succeeded {
 		return
 	}
-	t.waits = append(t.waits, a.assignedAt-a.StartedAt)
-	t.took = append(t.took, t.now-a.StartedAt)
-	if string(r.Value) != strconv.Itoa(a.Number) {
+	t.waits = append(t.waits, attempt.assignedAt-attempt.StartedAt)
+	t.took = append(t.took, t.now-attempt.StartedAt)
+	if string(reply.Value) != strconv.Itoa(attempt.Number) {
 		t.misattributed++
 	}
 }
@@ -189,15 +176,12 @@
 	if t.connectTimeout == 0 {
 		t.connectTimeout = 250 * ms
 	}
-	t.pool = New(
-		t,
-		Config{
-			ConnectTimeout: t.connectTimeout,
-			Idle:           15 * time.Second,
-			MaxConnections: 384,
-			Frames:         resp.NewBudget(1 << 20),
-		},
-	)
+	t.pool = New(t, Config{
+		ConnectTimeout: t.connectTimeout,
+		Idle:           15 * time.Second,
+		MaxConnections: 384,
+		Frames:         resp.NewBudget(1 << 20),
+	})
 	t.pool.startConn = t.openConn
 	list := make([]Endpoint, s.backends)
 	for i := range list {
@@ -207,31 +191,32 @@
 	t.arrive()
 	t.sweep()
 	for len(t.queue) > 0 {
-		h := heap.Pop(&t.queue).(scheduledEvent)
-		t.now = h.at
-		h.do()
+		event := heap.Pop(&t.queue).(scheduledEvent)
+		t.now = event.at
+		event.do()
 		t.deliverWrites()
 	}
-	t.dials, t.requestsStarted = t.pool.Dials(), t.started
+	t.dials = t.pool.Dials()
+	t.requestsStarted = t.started
 	return t.measurement
 }
 
 func backendID(i int) policy.BackendID { return policy.BackendID("s" + strconv.Itoa(i)) }
 
-// arrive starts the next requests and lays down when the ones after them come.
+// arrive starts the next requests and schedules those after them.
 func (t *traffic) arrive() {
-	n := max(t.burst, 1)
-	for range n {
-		a := &Attempt{Number: t.started, Command: noCommand{}, StartedAt: t.now, Deadline: t.now + time.Second}
+	burst := max(t.burst, 1)
+	for range burst {
+		attempt := &Attempt{Number: t.started, Command: noCommand{}, StartedAt: t.now, Deadline: t.now + time.Second}
 		t.started++
 		to := t.choose()
-		a.Ref = to
+		attempt.Ref = to
 		t.inFlight[to]++
-		t.pool.Start(a, backendID(to))
-		t.schedule(time.Second, func() { t.pool.Abort(a, policy.TimedOut) })
+		t.pool.Start(attempt, backendID(to))
+		t.schedule(time.Second, func() { t.pool.Abort(attempt, policy.TimedOut) })
 	}
-	gap := time.Duration(t.rng.ExpFloat64() * float64(n) / t.rate * float64(time.Second))
-	if t.idleFor > 0 && t.started >= t.requests/2 && t.started < t.requests/2+n {
+	gap := time.Duration(t.rng.ExpFloat64() * float64(burst) / t.rate * float64(time.Second))
+	if t.idleFor > 0 && t.started >= t.requests/2 && t.started < t.requests/2+burst {
 		gap = t.idleFor
 	}
 	if t.started < t.requests {
@@ -239,7 +224,8 @@
 	}
 }
 
-// choose routes a request: evenly, or as a router does that prefers some backends as long as they have nothing out.
+// choose routes a request: evenly, or as a router does that prefers some backends as long as they have nothing in
+// flight.
 func (t *traffic) choose() int {
 	if t.prefers {
 		return slices.Index(t.inFlight, slices.Min(t.inFlight))
@@ -254,7 +240,7 @@
 	}
 }
 
-// begin plays a connection that the pool begins.
+// openConn simulates a connection that the pool opens.
 func (t *traffic) openConn(c *conn) {
 	took := t.connectTime
 	if t.slowConnect > 0 && t.started > t.requests/10 {
@@ -281,45 +267,45 @@
 	t.pool.Handle(connectionClosed{conn: s.conn, wasOpen: true})
 }
 
-// carry takes to the backends what the pool has handed to connections.
+// deliverWrites brings the backends the commands that the pool has given to connections.
 func (t *traffic) deliverWrites() {
 	for c, s := range t.conns {
 		if s.closed || len(c.writes) == 0 {
 			continue
 		}
-		j := <-c.writes
-		c.lastWritten.Store(j.attempt)
-		t.schedule(t.serviceTime, func() { t.reply(s, j.attempt) })
+		pending := <-c.writes
+		c.lastWritten.Store(pending.attempt)
+		t.schedule(t.serviceTime, func() { t.reply(s, pending.attempt) })
 	}
 }
 
-// answer brings the answer to an attempt, and lays down its second copy.
-func (t *traffic) reply(s *socket, a *Attempt) {
-	again := t.rng.Float64() < t.duplicateShare
-	late := t.duplicateDelay
-	if t.maxDuplicateDelay > late {
-		late += time.Duration(t.rng.Int64N(int64(t.maxDuplicateDelay - late)))
+// reply brings the reply to an attempt, and schedules its duplicate.
+func (t *traffic) reply(s *socket, attempt *Attempt) {
+	duplicated := t.rng.Float64() < t.duplicateShare
+	delay := t.duplicateDelay
+	if t.maxDuplicateDelay > delay {
+		delay += time.Duration(t.rng.Int64N(int64(t.maxDuplicateDelay - delay)))
 	}
 	if s.closed {
 		return
 	}
-	rep := Reply{Value: []byte(strconv.Itoa(a.Number)), outcome: policy.Succeeded, reusable: true}
-	if again {
+	reply := Reply{Value: []byte(strconv.Itoa(attempt.Number)), outcome: policy.Succeeded, reusable: true}
+	if duplicated {
 		t.duplicates++
-		t.schedule(late, func() {
+		t.schedule(delay, func() {
 			if !s.closed {
-				t.pool.Handle(replyReceived{s.conn, s.conn.lastWritten.Load(), rep})
+				t.pool.Handle(replyReceived{s.conn, s.conn.lastWritten.Load(), reply})
 			}
 		})
 	}
-	t.pool.Handle(replyReceived{s.conn, s.conn.lastWritten.Load(), rep})
+	t.pool.Handle(replyReceived{s.conn, s.conn.lastWritten.Load(), reply})
 	if t.closesAfterReply {
 		s.Close()
 	}
 }
 
-// usual is ordinary traffic: 12 backends of 2 ms, connections that come up in 0.3 ms. A tenth of the requests, and
-// all with HITCHSPRING_TRIALS=1.
+// usualScenario is ordinary traffic: 12 backends of 2 ms, connections that come up in 0.3 ms. It has a tenth of the
+// requests, and all with HITCHSPRING_TRIALS=1.
 func usualScenario(name string, rate float64, requests int) scenario {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" {
 		requests /= 10
@@ -334,12 +320,12 @@
 	}
 }
 
-// mostAdded is the bound on what the pool may add to a request at the 99th percentile.
+// maxAddedDelay bounds what the pool may add to a request at the 99th percentile.
 const maxAddedDelay = 3600 * time.Microsecond
 
-// Requests don't wait for connections to rest: with a router that sends to a node that has nothing out, one
-// connection a node once carried all, and the median request waited 8.4 ms at 190 a second.
-func TestRequestsDoNotWaitForRest(t *testing.T) {
+// Requests don't wait for the reuse delay of connections, also with a router that prefers idle backends and would
+// use one connection of each again and again.
+func TestRequestsDoNotWaitForReuseDelay(t *testing.T) {
 	t.Parallel()
 	with := func(s scenario, name string, change func(*scenario)) scenario {
 		s.name = name
@@ -354,24 +340,26 @@
 		with(few, "3 backends", func(s *scenario) { s.backends = 3 }),
 		with(few, "300 backends", func(s *scenario) { s.backends = 300 }),
 		with(few, "bursts after idleness", func(s *scenario) { s.burst, s.idleFor = 64, 30*time.Second }),
-		with(few, "connections come up in 1 s from some moment on", func(s *scenario) { s.slowConnect, s.connectTimeout = time.Second, 5*time.Second }),
-		with(few, "one connection a backend", func(s *scenario) { s.maxConnections, s.prefers, s.requests = 1, true, 40000 }), // until each is known
+		with(few, "connections come up in 1 s from some moment on", func(s *scenario) {
+			s.slowConnect = time.Second
+			s.connectTimeout = 5 * time.Second
+		}),
+		with(few, "one connection a backend", func(s *scenario) {
+			s.maxConnections = 1
+			s.prefers = true
+			s.requests = 40000 // until each backend is trusted
+		}),
 		with(many, "connections cost 3 ms", func(s *scenario) { s.connectTime = 3 * ms }),
 	} {
 		m := s.play()
 		t.Logf("%s: %v", s.name, m)
 		bound := maxAddedDelay
-		if s.maxConnections > 0 { // the rest of the only connection there is, until the node is known
+		if s.maxConnections > 0 { // the reuse delay of the only connection, until the backend is trusted
 			bound = reuseDelay
 		}
 		if p50, p99 := quantile(m.waits, 0.5), quantile(m.waits, 0.99); p50 > ms/2 || p99 > bound {
-			t.Errorf(
-				"%s: requests wait %v at the median and %v at the 99th percentile, %v at most is wanted",
-				s.name,
-				p50,
-				p99,
-				bound,
-			)
+			t.Errorf("%s: requests wait %v at the median and %v at the 99th percentile, want at most %v and %v",
+				s.name, p50, p99, ms/2, bound)
 		}
 		if lost := max(s.requests, m.requestsStarted) - m.ends[policy.Succeeded]; lost > s.requests/1000+s.burst/64 {
 			t.Errorf("%s: %d of %d were not served: %v", s.name, lost, s.requests, m.ends)
@@ -379,12 +367,13 @@
 	}
 }
 
-// safeUpTo is how late a second answer may be and is never taken for another command's, whatever restTime says.
+// safeDuplicateDelay is how late a duplicate may arrive and is never taken for another command's reply, whatever
+// reuseDelay is.
 const safeDuplicateDelay = 15 * ms
 
-// Second answers, at 1 answer in 100, are never taken for another command's up to 15 ms late. Beyond, the chance is
-// what a connection's rest leaves, and it is logged.
-func TestSecondAnswersAreNotTakenForOthers(t *testing.T) {
+// Duplicates, of 1 reply in 100, are never taken for another command's reply up to safeDuplicateDelay. Beyond it,
+// how many are is logged.
+func TestDuplicatesAreNotTakenForOthers(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{190, 3000} {
 		for _, late := range []time.Duration{0, 5 * ms, 10 * ms, 15*ms - time.Microsecond, 20 * ms, 30 * ms, 50 * ms} {
@@ -393,24 +382,18 @@
 			m := s.play()
 			t.Logf("%v/s, %v late: %v", rate, late, m)
 			if m.duplicates < s.requests/200 {
-				t.Errorf("%v/s, %v late: only %d second answers came", rate, late, m.duplicates)
+				t.Errorf("%v/s, %v late: only %d duplicates came", rate, late, m.duplicates)
 			}
 			if late < safeDuplicateDelay && m.misattributed > 0 {
-				t.Errorf(
-					"%v/s: %d of %d second answers %v late were taken for another command's",
-					rate,
-					m.misattributed,
-					m.duplicates,
-					late,
-				)
+				t.Errorf("%v/s: %d of %d duplicates %v late were taken for another command's",
+					rate, m.misattributed, m.duplicates, late)
 			}
 		}
 	}
 }
 
-// The same where connections are scarce, so that one that has not rested may have to do: a limit of one connection
-// a backend.
-func TestSecondAnswersWhereConnectionsAreScarce(t *testing.T) {
+// The same where connections are scarce, with one a backend, so that one may be used before its reuse delay is over.
+func TestDuplicatesWhereConnectionsAreScarce(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{ms, 8 * ms, 15*ms - time.Microsecond} {
 		s := usualScenario("", 190, 100000)
@@ -418,34 +401,30 @@
 		m := s.play()
 		t.Logf("%v late: %v", late, m)
 		if m.misattributed > 0 {
-			t.Errorf(
-				"%d of %d second answers %v late were taken for another command's",
-				m.misattributed,
-				m.duplicates,
-				late,
-			)
+			t.Errorf("%d of %d duplicates %v late were taken for another command's",
+				m.misattributed, m.duplicates, late)
 		}
 	}
 }
 
-// Every backend answers each command twice, 8.5 ms late, under load; none is taken for another's, and requests
-// don't wait for longer than it takes to open another connection.
-func TestEveryBackendAnswersTwice(t *testing.T) {
+// Every backend replies to each command twice, 8.5 ms late, under load; no duplicate is taken for another command's
+// reply, and requests don't wait for longer than it takes to open another connection.
+func TestEveryBackendRepliesTwice(t *testing.T) {
 	t.Parallel()
 	s := usualScenario("", 1000, 30000)
 	s.duplicateShare, s.duplicateDelay = 1, 8500*time.Microsecond
 	m := s.play()
 	t.Log(m)
 	if m.misattributed > 0 {
-		t.Errorf("%d second answers were taken for another command's", m.misattributed)
+		t.Errorf("%d duplicates were taken for another command's", m.misattributed)
 	}
 	if p99 := quantile(m.waits, 0.99); p99 > maxAddedDelay {
 		t.Errorf("requests wait %v at the 99th percentile, %v at most is wanted", p99, maxAddedDelay)
 	}
 }
 
-// A backend that closes each connection right after its answer is dialled for each command, and serves them.
-func TestBackendClosesAfterItsAnswer(t *testing.T) {
+// A backend that closes each connection right after its reply is dialed for each command, and serves them.
+func TestBackendClosesAfterReply(t *testing.T) {
 	t.Parallel()
 	s := usualScenario("", 190, 10000)
 	s.closesAfterReply = true
