--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -121,7 +121,7 @@
 				}
 				var c store.Counter = tally.New(addr, time.Second, sink)
 				if kind == "redis" {
-					r, err := redis.New(redis.Options{Address: addr, Prefix: "bench", Timeout: time.Second}, storetest.Quiet, sink)
+					r, err := redis.New(redis.Options{Address: addr, Prefix: "bench", Timeout: time.Second}, storetest.DiscardLogger, sink)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -177,10 +177,10 @@
 			}}
 			if kind == "redis" {
 				cfg.Store = func(sink store.Sink) (store.Counter, error) {
-					return redis.New(redis.Options{Address: addr, Prefix: "bench", Timeout: time.Second}, storetest.Quiet, sink)
+					return redis.New(redis.Options{Address: addr, Prefix: "bench", Timeout: time.Second}, storetest.DiscardLogger, sink)
 				}
 			}
-			g, err := ingress.New(cfg, storetest.Quiet)
+			g, err := ingress.New(cfg, storetest.DiscardLogger)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/ledger/ledger_test.go
+++ b/internal/store/ledger/ledger_test.go
@@ -24,14 +24,14 @@
 	return t
 }
 
-func (m modelStore) apply(w Write) Answer {
-	f := m[w.Since]
-	a := Answer{Had: f.seq}
+func (m modelStore) apply(w Write) Reply {
+	f := m[w.FirstSeq]
+	a := Reply{PreviousSeq: f.seq}
 	if w.Seq > f.seq {
 		f = field{w.Seq, w.Sum}
-		m[w.Since] = f
+		m[w.FirstSeq] = f
 	}
-	a.Mine, a.Total = f.sum, m.total()
+	a.Own, a.Total = f.sum, m.total()
 	return a
 }
 
@@ -59,21 +59,21 @@
 		spent := int64(0)       // by this instance, all that was not refused
 		knownOthers := int64(0) // what any answer has shown of them
 		backup := m.clone()
-		answer := func(w Write, a Answer) {
-			v := l.Answered(now, w, a)
-			knownOthers = max(knownOthers, a.Total-a.Mine)
-			if least := float64(knownOthers+w.Sum) / Scale; v.Total < least-1e-9 {
+		answer := func(w Write, a Reply) {
+			v := l.Confirm(now, w, a)
+			knownOthers = max(knownOthers, a.Total-a.Own)
+			if least := float64(knownOthers+w.Sum) / MicrosPerUnit; v.Total < least-1e-9 {
 				t.Fatalf("total %v, yet %v is known to be spent", v.Total, least)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				units := float64(rapid.IntRange(-300, 1000).Draw(t, "units")) / 100
-				w, err := l.Put(now, "a", units, time.Hour)
+				w, err := l.Add(now, "a", units, time.Hour)
 				if err != nil {
 					t.Fatal(err)
 				}
-				n, _ := Micro(units)
+				n, _ := ToMicros(units)
 				spent += n
 				outs = append(outs, open{w, units})
 			},
@@ -89,7 +89,7 @@
 				if len(outs) == 0 {
 					return
 				}
-				l.Unsure(outs[0].w)
+				l.MarkUnconfirmed(outs[0].w)
 				flying = append(flying, outs[0].w)
 				outs = outs[1:]
 			},
@@ -110,8 +110,8 @@
 				if sent && rapid.Bool().Draw(t, "lied") {
 					m.apply(o.w) // the refusal was another's, or a copy's
 				}
-				l.Refused(o.w, o.units, sent)
-				n, _ := Micro(o.units)
+				l.Reject(o.w, o.units, sent)
+				n, _ := ToMicros(o.units)
 				spent -= n
 			},
 			"others add": func(t *rapid.T) {
@@ -122,14 +122,14 @@
 			"backup": func(t *rapid.T) { backup = m.clone() },
 			"rollback": func(t *rapid.T) { // the others tell theirs again sooner or later
 				m = backup.clone()
-				l.Doubt(now)
+				l.MarkAllUnconfirmed(now)
 			},
 			"empty": func(t *rapid.T) {
 				m = modelStore{}
-				l.Doubt(now)
+				l.MarkAllUnconfirmed(now)
 			},
 			"tell again": func(t *rapid.T) {
-				for _, w := range l.Again(now, 3) {
+				for _, w := range l.TakePending(now, 3) {
 					answer(w, m.apply(w))
 				}
 			},
@@ -138,8 +138,8 @@
 		for _, o := range outs {
 			answer(o.w, m.apply(o.w))
 		}
-		for l.Dirty() {
-			for _, w := range l.Again(now, 10) {
+		for l.HasPending() {
+			for _, w := range l.TakePending(now, 10) {
 				answer(w, m.apply(w))
 			}
 		}
@@ -154,21 +154,21 @@
 
 // A verdict tells of a write that had landed before, and of a store that lost what it had confirmed.
 func TestVerdicts(t *testing.T) {
-	l, m := New(2), modelStore{7: {9, 40 * Scale}}
-	w, _ := l.Put(0, "a", 1.5, time.Minute)
-	if v := l.Answered(0, w, m.apply(w)); v != (Verdict{Total: 41.5}) {
+	l, m := New(2), modelStore{7: {9, 40 * MicrosPerUnit}}
+	w, _ := l.Add(0, "a", 1.5, time.Minute)
+	if v := l.Confirm(0, w, m.apply(w)); v != (Confirmation{Total: 41.5}) {
 		t.Fatalf("first: %+v", v)
 	}
-	if v := l.Answered(0, w, m.apply(w)); v != (Verdict{Total: 41.5, Landed: true}) {
+	if v := l.Confirm(0, w, m.apply(w)); v != (Confirmation{Total: 41.5, AlreadyApplied: true}) {
 		t.Fatalf("told again: %+v", v)
 	}
-	w, _ = l.Put(0, "a", 1, time.Minute)
-	if v := l.Answered(0, w, modelStore{}.apply(w)); v != (Verdict{Total: 42.5, Lost: true}) {
+	w, _ = l.Add(0, "a", 1, time.Minute)
+	if v := l.Confirm(0, w, modelStore{}.apply(w)); v != (Confirmation{Total: 42.5, Lost: true}) {
 		t.Fatalf("an empty store: %+v, want the others' 40 to be remembered", v)
 	}
-	m = modelStore{7: {9, 41 * Scale}}
-	w, _ = l.Put(0, "a", 0, time.Minute)
-	if v := l.Answered(0, w, m.apply(w)); v.Total != 43.5 {
+	m = modelStore{7: {9, 41 * MicrosPerUnit}}
+	w, _ = l.Add(0, "a", 0, time.Minute)
+	if v := l.Confirm(0, w, m.apply(w)); v.Total != 43.5 {
 		t.Fatalf("the others are back with 41: %+v", v)
 	}
 }
@@ -176,27 +176,27 @@
 // A name's life ends; what comes after is a new one, and an answer to the old one moves nothing.
 func TestLives(t *testing.T) {
 	l := New(2)
-	w, _ := l.Put(0, "a", 1, time.Second)
-	v, _ := l.Put(time.Second, "a", 2, time.Second)
-	if v.Since == w.Since || v.Sum != 2*Scale {
+	w, _ := l.Add(0, "a", 1, time.Second)
+	v, _ := l.Add(time.Second, "a", 2, time.Second)
+	if v.FirstSeq == w.FirstSeq || v.Sum != 2*MicrosPerUnit {
 		t.Fatalf("second life %+v after %+v", v, w)
 	}
-	l.Answered(time.Second, w, Answer{Mine: Scale, Total: Scale})
-	l.Unsure(w)
-	if l.Dirty() {
+	l.Confirm(time.Second, w, Reply{Own: MicrosPerUnit, Total: MicrosPerUnit})
+	l.MarkUnconfirmed(w)
+	if l.HasPending() {
 		t.Fatal("an answer to the old life left something to tell again")
 	}
-	if _, err := l.Put(time.Second, "b", 1, time.Second); err != nil {
+	if _, err := l.Add(time.Second, "b", 1, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := l.Put(time.Second, "c", 1, time.Second); err != ErrFull {
+	if _, err := l.Add(time.Second, "c", 1, time.Second); err != ErrTooManyNames {
 		t.Fatalf("a third name: %v", err)
 	}
 	if l.Expire(time.Minute); l.Len() != 0 {
 		t.Fatalf("%d names left", l.Len())
 	}
 	for _, units := range []float64{math.NaN(), math.Inf(1), 1e11} {
-		if _, err := l.Put(0, "a", units, time.Second); err != ErrAmount {
+		if _, err := l.Add(0, "a", units, time.Second); err != ErrAmountRange {
 			t.Fatalf("%v units: %v", units, err)
 		}
 	}
@@ -206,7 +206,7 @@
 	l := New(10)
 	b.ReportAllocs()
 	for i := range b.N {
-		w, _ := l.Put(0, "a", 0.5, time.Hour)
-		l.Answered(0, w, Answer{Had: uint64(i), Mine: w.Sum, Total: w.Sum})
+		w, _ := l.Add(0, "a", 0.5, time.Hour)
+		l.Confirm(0, w, Reply{PreviousSeq: uint64(i), Own: w.Sum, Total: w.Sum})
 	}
 }
--- a/internal/store/redis/conn.go
+++ b/internal/store/redis/conn.go
@@ -19,21 +19,21 @@
 	"hitchspring/internal/store"
 )
 
-const idleRead = 15 * time.Second // between two looks at a connection on which nothing is out
+const idleReadTimeout = 15 * time.Second // between two looks at a connection on which nothing is out
 
 // conn is a connection that is up: logged in, at a primary.
 type conn struct {
-	nc      net.Conn
-	in      resp.Inbox
-	pending chan item
-	broken  chan struct{}              // closed when the reader has ended
-	kick    chan struct{}              // the reader has something for the writer
-	leave   atomic.Pointer[redisError] // the error that says that this is not the server to ask
-	useful  atomic.Bool                // an add was confirmed
-	readBy  atomic.Int64               // the read deadline, Unix time in ns
-	writeBy time.Time                  // the write deadline; the writer's
-	err     error                      // why the reader ended; to be read after broken
-	head    []item                     // the write whose answer was none; the same
+	nc            net.Conn
+	in            resp.Inbox
+	pending       chan pendingWrite
+	readerDone    chan struct{}              // closed when the reader has ended
+	wakeWriter    chan struct{}              // the reader has something for the writer
+	leaveReason   atomic.Pointer[redisError] // the error that says that this is not the server to ask
+	confirmedAny  atomic.Bool                // an add was confirmed
+	readDeadline  atomic.Int64               // the read deadline, Unix time in ns
+	writeDeadline time.Time                  // the write deadline; the writer's
+	readErr       error                      // why the reader ended; to be read after broken
+	unreadable    []pendingWrite             // the write whose answer was none; the same
 }
 
 // redisError is an error line of Redis.
@@ -41,14 +41,14 @@
 
 func (e redisError) Error() string { return string(e) }
 
-func (e redisError) word() string {
+func (e redisError) code() string {
 	w, _, _ := strings.Cut(string(e), " ")
 	return w
 }
 
 // elsewhere says that the server is not the one to ask, or not now: the connection is given up.
-func (e redisError) elsewhere() bool {
-	switch e.word() {
+func (e redisError) unavailable() bool {
+	switch e.code() {
 	case "LOADING", "MASTERDOWN", "CLUSTERDOWN", "READONLY", "MOVED", "NOAUTH", "NOPERM", "WRONGPASS", "UNBLOCKED":
 		return true
 	}
@@ -56,45 +56,45 @@
 }
 
 var (
-	errOrder    = errors.New("an answer that belongs to no call, or to another one")
-	errSilent   = errors.New("no answer in time")
-	errClosed   = errors.New("closed by the server")
-	errReplica  = errors.New("not a primary")
-	errNoMaster = errors.New("no Sentinel knows the primary")
+	errUnexpectedReply = errors.New("an answer that belongs to no call, or to another one")
+	errNoReply         = errors.New("no answer in time")
+	errClosed          = errors.New("closed by the server")
+	errNotPrimary      = errors.New("not a primary")
+	errPrimaryUnknown  = errors.New("no Sentinel knows the primary")
 )
 
 // connect dials, logs in and makes sure that it has found a primary.
-func (l *lane) connect(ctx context.Context) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.opt.ConnectTimeout)
+func (s *shard) connect(ctx context.Context) (*conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.options.ConnectTimeout)
 	defer cancel()
-	if len(l.opt.Sentinels) > 0 {
-		addr, err := l.askSentinels(ctx)
+	if len(s.options.Sentinels) > 0 {
+		addr, err := s.querySentinels(ctx)
 		if err != nil {
 			return nil, err
 		}
-		l.addr = addr
+		s.addr = addr
 	}
-	c, err := l.dial(ctx, l.addr)
+	c, err := s.dial(ctx, s.addr)
 	if err != nil {
-		l.addr = l.opt.Address // a node that another one named may be gone
+		s.addr = s.options.Address // a node that another one named may be gone
 		return nil, err
 	}
-	if err := l.greet(c); err != nil {
+	if err := s.handshake(c); err != nil {
 		c.nc.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (l *lane) dial(ctx context.Context, addr string) (*conn, error) {
-	nc, err := l.opt.Dial(ctx, addr)
+func (s *shard) dial(ctx context.Context, addr string) (*conn, error) {
+	nc, err := s.options.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	until, _ := ctx.Deadline()
 	nc.SetDeadline(until)
-	if l.opt.TLS != nil {
-		cfg, err := l.opt.TLS()
+	if s.options.TLS != nil {
+		cfg, err := s.options.TLS()
 		if err != nil {
 			nc.Close()
 			return nil, err
@@ -110,11 +110,11 @@
 		}
 		nc = t
 	}
-	return &conn{nc: nc, pending: make(chan item, laneQueue), broken: make(chan struct{}), kick: make(chan struct{}, 1)}, nil
+	return &conn{nc: nc, pending: make(chan pendingWrite, shardQueueSize), readerDone: make(chan struct{}), wakeWriter: make(chan struct{}, 1)}, nil
 }
 
 // greet logs in, names the connection, asks for the server's role and brings the script, in one round trip.
-func (l *lane) greet(c *conn) error {
+func (s *shard) handshake(c *conn) error {
 	var b []byte
 	var does []string
 	send := func(what string, args ...string) {
@@ -124,21 +124,21 @@
 		}
 		does = append(does, what)
 	}
-	if l.opt.Password != nil {
-		password, err := l.opt.Password()
+	if s.options.Password != nil {
+		password, err := s.options.Password()
 		if err != nil {
 			return fmt.Errorf("password: %w", err)
 		}
-		if l.opt.Username != "" {
-			send("log-in", "AUTH", l.opt.Username, password)
+		if s.options.Username != "" {
+			send("log-in", "AUTH", s.options.Username, password)
 		} else {
 			send("log-in", "AUTH", password)
 		}
 	}
-	if l.opt.Database > 0 {
-		send("database", "SELECT", strconv.Itoa(l.opt.Database))
+	if s.options.Database > 0 {
+		send("database", "SELECT", strconv.Itoa(s.options.Database))
 	}
-	send("name", "CLIENT", "SETNAME", "hitchspring-"+l.instance+"-"+strconv.Itoa(l.n))
+	send("name", "CLIENT", "SETNAME", "hitchspring-"+s.instanceID+"-"+strconv.Itoa(s.index))
 	send("role", "ROLE")
 	send("script", "SCRIPT", "LOAD", addScript)
 	if _, err := c.nc.Write(b); err != nil {
@@ -155,10 +155,10 @@
 		}
 		switch {
 		case refusal != nil && (what == "log-in" || what == "database" || strings.Contains(refusal.Error(), "max number of clients") ||
-			redisError(bytes.TrimSpace(f[1:])).elsewhere()):
+			redisError(bytes.TrimSpace(f[1:])).unavailable()):
 			return refusal
 		case what == "role" && refusal == nil && !bytes.HasPrefix(f, []byte("*3\r\n$6\r\nmaster\r\n")):
-			return errReplica
+			return errNotPrimary
 		}
 	}
 	c.nc.SetDeadline(time.Time{})
@@ -179,11 +179,11 @@
 }
 
 // askSentinels asks one after the other for the primary's address.
-func (l *lane) askSentinels(ctx context.Context) (string, error) {
-	last := errNoMaster
-	for _, addr := range l.opt.Sentinels {
-		part, cancel := context.WithTimeout(ctx, l.opt.ConnectTimeout/time.Duration(len(l.opt.Sentinels)+1))
-		found, err := l.askSentinel(part, addr)
+func (s *shard) querySentinels(ctx context.Context) (string, error) {
+	last := errPrimaryUnknown
+	for _, addr := range s.options.Sentinels {
+		part, cancel := context.WithTimeout(ctx, s.options.ConnectTimeout/time.Duration(len(s.options.Sentinels)+1))
+		found, err := s.querySentinel(part, addr)
 		cancel()
 		if err == nil {
 			return found, nil
@@ -193,14 +193,14 @@
 	return "", last
 }
 
-func (l *lane) askSentinel(ctx context.Context, addr string) (string, error) {
-	c, err := l.dial(ctx, addr)
+func (s *shard) querySentinel(ctx context.Context, addr string) (string, error) {
+	c, err := s.dial(ctx, addr)
 	if err != nil {
 		return "", err
 	}
 	defer c.nc.Close()
 	b := redcon.AppendArray(nil, 3)
-	for _, a := range []string{"SENTINEL", "get-master-addr-by-name", l.opt.Master} {
+	for _, a := range []string{"SENTINEL", "get-master-addr-by-name", s.options.Master} {
 		b = redcon.AppendBulkString(b, a)
 	}
 	if _, err := c.nc.Write(b); err != nil {
@@ -219,37 +219,37 @@
 		})
 	}
 	if len(parts) != 2 {
-		return "", fmt.Errorf("%w as %q", errNoMaster, l.opt.Master)
+		return "", fmt.Errorf("%w as %q", errPrimaryUnknown, s.options.Master)
 	}
 	return net.JoinHostPort(parts[0], parts[1]), nil
 }
 
 // told is a confirmed add.
-type told struct {
+type confirmedAdd struct {
 	call  *store.Call
 	total float64
 }
 
 // read hands answers to the writes in their order until the connection ends or its order is lost.
-func (l *lane) read(c *conn) error {
+func (s *shard) read(c *conn) error {
 	defer c.in.Close()
-	done := make([]told, 0, mostBatch)
+	done := make([]confirmedAdd, 0, maxBatch)
 	for {
 		var rest []byte
 		var err error
-		done, rest, err = l.confirmed(c, done[:0])
+		done, rest, err = s.readConfirmations(c, done[:0])
 		for _, t := range done {
-			l.sink(t.call, store.Result{Certainty: store.Added, Seen: true, Total: t.total})
+			s.sink(t.call, store.Result{Certainty: store.Added, Seen: true, Total: t.total})
 		}
 		if err == nil && rest != nil {
-			err = l.refusal(c, rest)
+			err = s.handleErrorReply(c, rest)
 		}
 		if err != nil {
-			l.spoilt()
+			s.countUnreadable()
 			return err
 		}
 		if rest == nil && len(done) < cap(done) {
-			if err := l.fill(c); err != nil {
+			if err := s.fill(c); err != nil {
 				return err
 			}
 		}
@@ -257,9 +257,9 @@
 }
 
 // confirmed books the answers that have come, up to one that confirms nothing, which is returned.
-func (l *lane) confirmed(c *conn, done []told) (_ []told, rest []byte, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *shard) readConfirmations(c *conn, done []confirmedAdd) (_ []confirmedAdd, rest []byte, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	lost := ""
 	for len(done) < cap(done) {
 		f, err := c.in.Next()
@@ -270,82 +270,82 @@
 			}
 			break
 		}
-		it, ok := c.next()
+		it, ok := c.takePending()
 		if !ok {
-			return done, nil, errOrder
+			return done, nil, errUnexpectedReply
 		}
 		seq, a, ok := parseAdd(f)
-		if !ok || seq != it.w.Seq { // its fate is open
-			it.sent = true
-			c.head = append(c.head, it)
-			return done, nil, errOrder
+		if !ok || seq != it.write.Seq { // its fate is open
+			it.maybeSent = true
+			c.unreadable = append(c.unreadable, it)
+			return done, nil, errUnexpectedReply
 		}
-		v := l.books.Answered(l.now(), it.w, a)
+		v := s.ledger.Confirm(s.now(), it.write, a)
 		if v.Lost {
-			l.stats.Lost++
-			lost = it.w.Name
+			s.stats.Lost++
+			lost = it.write.Name
 		}
 		if it.call == nil {
 			continue
 		}
-		l.stats.Added++
-		if v.Landed {
-			l.stats.Landed++
+		s.stats.Added++
+		if v.AlreadyApplied {
+			s.stats.AlreadyApplied++
 		}
-		done = append(done, told{it.call, v.Total})
+		done = append(done, confirmedAdd{it.call, v.Total})
 	}
 	if len(done) > 0 {
-		l.byText = false
-		c.useful.Store(true)
+		s.sendScript = false
+		c.confirmedAny.Store(true)
 	}
-	if lost != "" && !l.complained {
-		l.complained = true
-		l.log.Warn("Redis has lost adds that it had confirmed: they are told again", "name", lost)
+	if lost != "" && !s.lossLogged {
+		s.lossLogged = true
+		s.log.Warn("Redis has lost adds that it had confirmed: they are told again", "name", lost)
 	}
-	if l.books.Dirty() {
+	if s.ledger.HasPending() {
 		c.wake()
 	}
 	return done, rest, nil
 }
 
 // next takes the write whose answer is due.
-func (c *conn) next() (item, bool) {
+func (c *conn) takePending() (pendingWrite, bool) {
 	select {
 	case it := <-c.pending:
 		return it, true
 	default:
-		return item{}, false
+		return pendingWrite{}, false
 	}
 }
 
-func (l *lane) spoilt() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.stats.Spoilt++
+func (s *shard) countUnreadable() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stats.Unreadable++
 }
 
 // until gives the reader about d more. Setting a deadline costs as much as reading a short answer does, so one that is
 // near enough stays: it comes out up to a quarter shorter or longer.
-func (c *conn) until(now time.Time, d time.Duration) {
+func (c *conn) extendReadDeadline(now time.Time, d time.Duration) {
 	want := now.Add(d).UnixNano()
-	if off := want - c.readBy.Load(); off > int64(d)/4 || off < -int64(d)/4 {
-		c.readBy.Store(want)
+	if off := want - c.readDeadline.Load(); off > int64(d)/4 || off < -int64(d)/4 {
+		c.readDeadline.Store(want)
 		c.nc.SetReadDeadline(time.Unix(0, want))
 	}
 }
 
 // fill reads once. A connection is given silence while something is out on it, and the rest of an answer that has begun
 // must come at once.
-func (l *lane) fill(c *conn) error {
+func (s *shard) fill(c *conn) error {
 	switch now := time.Now(); {
 	case c.in.Partial():
-		c.until(now, answerRest)
+		c.extendReadDeadline(now, partialReplyTimeout)
 	case len(c.pending) > 0:
-		c.until(now, silence*l.opt.Timeout)
-	case c.readBy.Load() <= now.UnixNano(): // else the last answer's limit stands: it runs out in vain
-		c.until(now, idleRead)
+		c.extendReadDeadline(now, silentTimeouts*s.options.Timeout)
+	case c.readDeadline.Load() <= now.UnixNano(): // else the last answer's limit stands: it runs out in vain
+		c.extendReadDeadline(now, idleReadTimeout)
 		if len(c.pending) > 0 { // the writer has begun since
-			c.until(now, silence*l.opt.Timeout)
+			c.extendReadDeadline(now, silentTimeouts*s.options.Timeout)
 		}
 	}
 	err := c.in.Fill(c.nc.Read)
@@ -355,7 +355,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) && len(c.pending) == 0 && !c.in.Partial():
 		return nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return errSilent
+		return errNoReply
 	case errors.Is(err, net.ErrClosed): // by us
 		return errClosed
 	case len(c.pending) == 0 && !c.in.Partial():
@@ -365,45 +365,45 @@
 }
 
 // refusal gives a write its error line.
-func (l *lane) refusal(c *conn, f []byte) error {
-	it, ok := c.next()
+func (s *shard) handleErrorReply(c *conn, f []byte) error {
+	it, ok := c.takePending()
 	if !ok {
-		return errOrder
+		return errUnexpectedReply
 	}
 	e := redisError(bytes.TrimSpace(f[1:]))
 	switch {
-	case e.word() == "NOSCRIPT":
-		it.sent = true
-		l.mu.Lock()
-		l.byText = true
-		l.retry = append(l.retry, it)
-		l.mu.Unlock()
+	case e.code() == "NOSCRIPT":
+		it.maybeSent = true
+		s.mu.Lock()
+		s.sendScript = true
+		s.retry = append(s.retry, it)
+		s.mu.Unlock()
 		c.wake()
 		return nil
-	case e.elsewhere():
-		c.leave.CompareAndSwap(nil, &e)
+	case e.unavailable():
+		c.leaveReason.CompareAndSwap(nil, &e)
 		c.wake()
 	default:
-		l.complain(e)
+		s.logRejection(e)
 	}
-	l.refused(it, true)
+	s.reject(it, true)
 	return nil
 }
 
 // complain logs a refusal of Redis, each kind once until another one comes or the connection is a new one.
-func (l *lane) complain(e redisError) {
-	l.mu.Lock()
-	known := l.refusedBy == e.word()
-	l.refusedBy = e.word()
-	l.mu.Unlock()
+func (s *shard) logRejection(e redisError) {
+	s.mu.Lock()
+	known := s.loggedRejection == e.code()
+	s.loggedRejection = e.code()
+	s.mu.Unlock()
 	if !known {
-		l.log.Warn("Redis refuses adds: each instance keeps its fair share of every quota until it takes them", "err", e)
+		s.log.Warn("Redis refuses adds: each instance keeps its fair share of every quota until it takes them", "err", e)
 	}
 }
 
 func (c *conn) wake() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
--- a/internal/store/redis/golden_test.go
+++ b/internal/store/redis/golden_test.go
@@ -17,11 +17,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := ledger.Write{Name: "0000000000000001/p", Since: 35, Seq: 7, Sum: -42, Keep: 1500 * time.Millisecond}
+	w := ledger.Write{Name: "0000000000000001/p", FirstSeq: 35, Seq: 7, Sum: -42, TTL: 1500 * time.Millisecond}
 	var b bytes.Buffer
-	for _, l := range c.lanes {
+	for _, l := range c.shards {
 		for _, byText := range []bool{false, true} {
-			b.Write(appendAdd(nil, l.key, "00112233aabbccdd", w, byText))
+			b.Write(appendAdd(nil, l.keyPrefix, "00112233aabbccdd", w, byText))
 		}
 	}
 	golden.Compare(t, "commands", b.Bytes())
--- a/internal/store/redis/redis.go
+++ b/internal/store/redis/redis.go
@@ -39,21 +39,21 @@
 
 // Stats count what a store did since its start.
 type Stats struct {
-	Connected        bool  // on all lanes
-	Added            int64 // adds that were confirmed
-	Landed           int64 // of them, those that were found to have landed when they were told again
-	Refused          int64 // adds that Redis refused, or that were never written
-	Unsure           int64 // adds answered as maybe
-	Retold           int64 // figures told again without an add
-	Lost             int64 // answers that showed that Redis had lost what it had confirmed
-	Spoilt           int64 // answers that could not be read or belonged to another call
-	Connects, Lapses int64 // connections that came up, and that broke or fell silent
-	Names            int   // in the ledgers
+	Connected             bool  // on all lanes
+	Added                 int64 // adds that were confirmed
+	AlreadyApplied        int64 // of them, those that were found to have landed when they were told again
+	Rejected              int64 // adds that Redis refused, or that were never written
+	Unconfirmed           int64 // adds answered as maybe
+	Resent                int64 // figures told again without an add
+	Lost                  int64 // answers that showed that Redis had lost what it had confirmed
+	Unreadable            int64 // answers that could not be read or belonged to another call
+	Connects, Disconnects int64 // connections that came up, and that broke or fell silent
+	Names                 int   // in the ledgers
 }
 
 // Counter is a store.Counter on Redis. Its methods are safe for many goroutines.
 type Counter struct {
-	lanes []*lane
+	shards []*shard
 }
 
 // Check says what is wrong with the options, by the name that the field has in the options file.
@@ -98,7 +98,7 @@
 	c := &Counter{}
 	for i := range opt.Shards {
 		key := opt.Prefix + ":{" + strconv.Itoa(i) + "}:"
-		c.lanes = append(c.lanes, newLane(opt, i, key, hex.EncodeToString(id[:]), log, sink))
+		c.shards = append(c.shards, newShard(opt, i, key, hex.EncodeToString(id[:]), log, sink))
 	}
 	return c, nil
 }
@@ -106,7 +106,7 @@
 // Run serves until ctx ends.
 func (c *Counter) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, l := range c.lanes {
+	for _, l := range c.shards {
 		wg.Go(func() { l.run(ctx) })
 	}
 	wg.Wait()
@@ -114,8 +114,8 @@
 
 // Move goes over to Redis at another address; all figures that live are told there again.
 func (c *Counter) SetAddress(addr string) {
-	for _, l := range c.lanes {
-		l.moves.Set(addr)
+	for _, l := range c.shards {
+		l.addressChanges.Set(addr)
 	}
 }
 
@@ -124,7 +124,7 @@
 	h := fnv.New32a()
 	h.Write([]byte(k.Name))
 	select {
-	case c.lanes[int(h.Sum32())%len(c.lanes)].calls <- k:
+	case c.shards[int(h.Sum32())%len(c.shards)].calls <- k:
 	default:
 	}
 }
@@ -132,21 +132,21 @@
 // Stats returns the counts so far.
 func (c *Counter) Stats() Stats {
 	all := Stats{Connected: true}
-	for _, l := range c.lanes {
+	for _, l := range c.shards {
 		l.mu.Lock()
 		s := l.stats
-		s.Names = l.books.Len()
+		s.Names = l.ledger.Len()
 		l.mu.Unlock()
 		all.Connected = all.Connected && s.Connected
 		all.Added += s.Added
-		all.Landed += s.Landed
-		all.Refused += s.Refused
-		all.Unsure += s.Unsure
-		all.Retold += s.Retold
+		all.AlreadyApplied += s.AlreadyApplied
+		all.Rejected += s.Rejected
+		all.Unconfirmed += s.Unconfirmed
+		all.Resent += s.Resent
 		all.Lost += s.Lost
-		all.Spoilt += s.Spoilt
+		all.Unreadable += s.Unreadable
 		all.Connects += s.Connects
-		all.Lapses += s.Lapses
+		all.Disconnects += s.Disconnects
 		all.Names += s.Names
 	}
 	return all
--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -35,7 +35,7 @@
 
 func maker(t testing.TB, opt Options) func(store.Sink) store.Counter {
 	return func(sink store.Sink) store.Counter {
-		c, err := New(opt, storetest.Quiet, sink)
+		c, err := New(opt, storetest.DiscardLogger, sink)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,9 +56,9 @@
 }
 
 func TestConformance(t *testing.T) {
-	storetest.Run(t, func(t *testing.T) storetest.Backend {
+	storetest.Run(t, func(t *testing.T) storetest.Server {
 		s := startServer(t, standin.Options{})
-		return storetest.Backend{
+		return storetest.Server{
 			Addr: s.Addr(), Total: func(n string) float64 { return total(s, n) }, Stop: s.Stop,
 			Listen: func() { s.Listen() }, New: maker(t, options(s.Addr())),
 		}
@@ -93,30 +93,30 @@
 			opt := options(s.Addr())
 			opt.Timeout = 50 * time.Millisecond
 			i := start(t, opt)
-			i.Do(t, "a", 10)
+			i.AddAndWait(t, "a", 10)
 			s.Fault(rule)
 			k := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 			i.Add(k)
-			got := i.Next(t) // told again on a new connection, it is found
+			got := i.NextAnswer(t) // told again on a new connection, it is found
 			if got.Call != k || got.Result != (store.Result{Certainty: store.Added, Seen: true, Total: 11}) {
 				t.Fatalf("%+v", got.Result)
 			}
-			landed := stats(i).Landed == 1
+			landed := stats(i).AlreadyApplied == 1
 			if want := name == "landed" || name == "reset after"; landed != want {
 				t.Errorf("found landed: %v, want %v", landed, want)
 			}
-			if r := i.Do(t, "a", 5); r.Total != 16 {
+			if r := i.AddAndWait(t, "a", 5); r.Total != 16 {
 				t.Fatalf("the next: %+v", r)
 			}
 			if name == "lands later" { // behind a newer figure, which it must not undo
-				storetest.Until(t, "the late landing", func() bool {
+				storetest.Eventually(t, "the late landing", func() bool {
 					return slices.ContainsFunc(s.Records(), func(r standin.Record) bool { return r.Fault == fault.Late && r.Applied })
 				})
 			}
 			if held := total(s, "a"); held != 16 {
 				t.Fatalf("the server holds %v, want 16", held)
 			}
-			if r := i.Do(t, "a", 0); r.Total != 16 {
+			if r := i.AddAndWait(t, "a", 0); r.Total != 16 {
 				t.Fatalf("total %v, want 16", r.Total)
 			}
 		})
@@ -130,7 +130,7 @@
 		opt := options(s.Addr())
 		opt.Timeout = 50 * time.Millisecond
 		i := start(t, opt)
-		i.Do(t, "a", 10)
+		i.AddAndWait(t, "a", 10)
 		hold := on(fault.Delay, 1)
 		hold.By = 100 * time.Millisecond
 		s.Fault(hold)
@@ -140,12 +140,12 @@
 		s.Fault(rule)
 		k := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 		i.Add(k)
-		storetest.Until(t, "the call to be taken", func() bool { return !k.IsQueued() })
+		storetest.Eventually(t, "the call to be taken", func() bool { return !k.IsQueued() })
 		if !k.Lapse() {
 			t.Fatal("the store has refused it already")
 		}
-		storetest.Until(t, string(kind)+": the unit in the total", func() bool { return total(s, "a") == 11 })
-		if r := i.DoLast(t, "a", 0); r.Total != 11 {
+		storetest.Eventually(t, string(kind)+": the unit in the total", func() bool { return total(s, "a") == 11 })
+		if r := i.AddAndSkipEarlier(t, "a", 0); r.Total != 11 {
 			t.Fatalf("%s: total %v", kind, r.Total)
 		}
 	}
@@ -158,7 +158,7 @@
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
 			s := startServer(t, standin.Options{})
 			i := start(t, options(s.Addr()))
-			i.Do(t, "z", 0)
+			i.AddAndWait(t, "z", 0)
 			rule := on(fault.DropAfter, 1)
 			rule.After = 36
 			hold := on(fault.Delay, 1) // so that all hundred are on their way
@@ -172,19 +172,19 @@
 			for j := range 100 {
 				i.Add(&store.Call{Name: fmt.Sprint("n", j%10), Amount: 1, TTL: time.Minute})
 			}
-			if a := i.Next(t); a.Call.Name != "z" {
+			if a := i.NextAnswer(t); a.Call.Name != "z" {
 				t.Fatal(a.Call.Name)
 			}
 			count := map[store.Certainty]int{}
 			for range 100 {
-				count[i.Next(t).Result.Certainty]++
+				count[i.NextAnswer(t).Result.Certainty]++
 			}
 			held := 0.0
 			for j := range 10 {
 				held += total(s, fmt.Sprint("n", j))
 			}
-			if back && (count[store.Added] != 100 || held != 100 || stats(i).Landed == 0) {
-				t.Fatalf("%v; the server holds %v, %d found landed", count, held, stats(i).Landed)
+			if back && (count[store.Added] != 100 || held != 100 || stats(i).AlreadyApplied == 0) {
+				t.Fatalf("%v; the server holds %v, %d found landed", count, held, stats(i).AlreadyApplied)
 			}
 			if !back {
 				if count[store.Added] > 37 || count[store.Added]+count[store.Maybe]+count[store.NotAdded] != 100 || count[store.Maybe] == 0 {
@@ -194,7 +194,7 @@
 					t.Fatalf("%v, yet the server holds %v", count, held)
 				}
 				s.NextConnections(nil)
-				storetest.Until(t, "what may have been added to be", func() bool {
+				storetest.Eventually(t, "what may have been added to be", func() bool {
 					held = 0
 					for j := range 10 {
 						held += total(s, fmt.Sprint("n", j))
@@ -214,7 +214,7 @@
 			opt := options(s.Addr())
 			opt.Timeout = 50 * time.Millisecond
 			i := start(t, opt)
-			i.Do(t, "a", 0)
+			i.AddAndWait(t, "a", 0)
 			hold := on(fault.Delay, 1)
 			hold.By = 100 * time.Millisecond
 			s.Fault(hold)
@@ -223,17 +223,17 @@
 				i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 			}
 			for j := range 11 {
-				if a := i.Next(t); a.Result.Certainty != store.Added || a.Result.Total < float64(j+1) {
+				if a := i.NextAnswer(t); a.Result.Certainty != store.Added || a.Result.Total < float64(j+1) {
 					t.Fatalf("answer %d: %+v", j, a.Result)
 				}
 			}
-			if r := i.Do(t, "a", 0); r.Total != 11 || total(s, "a") != 11 {
+			if r := i.AddAndWait(t, "a", 0); r.Total != 11 || total(s, "a") != 11 {
 				t.Fatalf("total %v, the server holds %v", r.Total, total(s, "a"))
 			}
 			if st := stats(i); st.Connects < 2 {
 				t.Errorf("%+v: the connection was kept", st)
 			}
-			i.None(t)
+			i.NoAnswer(t)
 		})
 	}
 }
@@ -244,7 +244,7 @@
 	opt := options(s.Addr())
 	opt.Timeout = 50 * time.Millisecond
 	i := start(t, opt)
-	i.Do(t, "a", 0)
+	i.AddAndWait(t, "a", 0)
 	hold := on(fault.Delay, 1)
 	hold.By = 100 * time.Millisecond
 	s.Fault(hold)
@@ -255,20 +255,20 @@
 	for range 5 {
 		i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 	}
-	storetest.Until(t, "the repeated error", func() bool { return adds(s) >= 3 })
+	storetest.Eventually(t, "the repeated error", func() bool { return adds(s) >= 3 })
 	s.Full(false)
 	want := 0.0
 	for range 6 {
-		if a := i.Next(t); a.Result.Certainty != store.NotAdded {
+		if a := i.NextAnswer(t); a.Result.Certainty != store.NotAdded {
 			want += a.Call.Amount
 		}
 	}
-	storetest.Until(t, "just what was not refused", func() bool { return total(s, "a") == want && !anyDirty(i) })
+	storetest.Eventually(t, "just what was not refused", func() bool { return total(s, "a") == want && !anyDirty(i) })
 }
 
 func anyDirty(i *storetest.Instance) bool {
-	for _, l := range i.Counter.(*Counter).lanes {
-		if l.dirty() {
+	for _, l := range i.Counter.(*Counter).shards {
+		if l.hasPending() {
 			return true
 		}
 	}
@@ -301,13 +301,13 @@
 			opt := options(s.Addr())
 			opt.Timeout, opt.ConnectTimeout = 50*time.Millisecond, 200*time.Millisecond
 			x, y := start(t, opt), start(t, opt)
-			x.Do(t, "a", 5)
-			y.Do(t, "a", 7)
-			x.Do(t, "a", 0)
+			x.AddAndWait(t, "a", 5)
+			y.AddAndWait(t, "a", 7)
+			x.AddAndWait(t, "a", 0)
 			c.begin(s)
 			counted := 12.0
 			for range 4 {
-				if r := x.Do(t, "a", 1); r.Certainty != store.NotAdded {
+				if r := x.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
 					counted++
 					if r.Seen && r.Total < counted-1e-9 {
 						t.Fatalf("total %v, %v are known to be spent", r.Total, counted)
@@ -315,16 +315,16 @@
 				}
 			}
 			c.end(s)
-			storetest.Until(t, "the way back", func() bool {
-				r := x.Do(t, "a", 0)
+			storetest.Eventually(t, "the way back", func() bool {
+				r := x.AddAndWait(t, "a", 0)
 				if r.Seen && r.Total < counted-1e-9 {
 					t.Fatalf("total %v, %v are known to be spent", r.Total, counted)
 				}
 				return r.Certainty == store.Added
 			})
 			// y says nothing new, but tells what it had told.
-			storetest.Until(t, "all in the total", func() bool { return storetest.Near(total(s, "a"), counted) })
-			if r := x.Do(t, "a", 0); !storetest.Near(r.Total, counted) {
+			storetest.Eventually(t, "all in the total", func() bool { return storetest.ApproxEqual(total(s, "a"), counted) })
+			if r := x.AddAndWait(t, "a", 0); !storetest.ApproxEqual(r.Total, counted) {
 				t.Fatalf("total %v, want %v", r.Total, counted)
 			}
 		})
@@ -355,12 +355,12 @@
 					opt.Address, opt.Sentinels, opt.Master = "", []string{"127.0.0.1:1", sen.Addr()}, name
 				}
 				x, y := start(t, opt), start(t, opt)
-				x.Do(t, "a", 1)
-				y.Do(t, "a", 2)
+				x.AddAndWait(t, "a", 1)
+				y.AddAndWait(t, "a", 2)
 				g.SetLag(500 * time.Millisecond)
-				x.Do(t, "a", 10)
-				y.Do(t, "a", 20)
-				if r := x.Do(t, "a", 0); r.Total != 33 {
+				x.AddAndWait(t, "a", 10)
+				y.AddAndWait(t, "a", 20)
+				if r := x.AddAndWait(t, "a", 0); r.Total != 33 {
 					t.Fatal(r.Total)
 				}
 				if lost := g.Failover(b, split); lost == 0 {
@@ -372,14 +372,14 @@
 				} else {
 					a.Kick()
 				}
-				storetest.Until(t, "the new primary", func() bool {
-					r := x.Do(t, "a", 0)
+				storetest.Eventually(t, "the new primary", func() bool {
+					r := x.AddAndWait(t, "a", 0)
 					if r.Seen && r.Total < 33 {
 						t.Fatalf("total %v, 33 are known to be spent", r.Total)
 					}
 					return r.Seen && total(b, "a") > 0
 				})
-				storetest.Until(t, "all on the new primary", func() bool { return total(b, "a") == 33 })
+				storetest.Eventually(t, "all on the new primary", func() bool { return total(b, "a") == 33 })
 			})
 		}
 	}
@@ -389,20 +389,20 @@
 func TestSilentRollback(t *testing.T) {
 	s := startServer(t, standin.Options{})
 	x, y := start(t, options(s.Addr())), start(t, options(s.Addr()))
-	x.Do(t, "a", 1)
-	y.Do(t, "a", 20)
-	if r := x.Do(t, "a", 1); r.Total != 22 {
+	x.AddAndWait(t, "a", 1)
+	y.AddAndWait(t, "a", 20)
+	if r := x.AddAndWait(t, "a", 1); r.Total != 22 {
 		t.Fatal(r.Total)
 	}
 	s.Flush()
-	if r := x.Do(t, "a", 1); r.Total != 23 {
+	if r := x.AddAndWait(t, "a", 1); r.Total != 23 {
 		t.Fatalf("total %v, want 23: the others' 20 are known", r.Total)
 	}
 	if st := stats(x); st.Lost != 1 {
 		t.Fatalf("%+v", st)
 	}
-	y.Do(t, "a", 5)
-	if r := x.Do(t, "a", 0); r.Total != 28 || total(s, "a") != 28 {
+	y.AddAndWait(t, "a", 5)
+	if r := x.AddAndWait(t, "a", 0); r.Total != 28 || total(s, "a") != 28 {
 		t.Fatalf("total %v, the server holds %v", r.Total, total(s, "a"))
 	}
 }
@@ -429,11 +429,11 @@
 		}
 		return c
 	})
-	if r := i.Do(t, "a", 1); r.Certainty != store.NotAdded {
+	if r := i.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
 		t.Fatalf("with a wrong password: %+v", r)
 	}
 	password = "s3cret"
-	storetest.Until(t, "the right password", func() bool { return i.Do(t, "a", 1).Certainty == store.Added })
+	storetest.Eventually(t, "the right password", func() bool { return i.AddAndWait(t, "a", 1).Certainty == store.Added })
 	if text := log.String(); !strings.Contains(text, "WRONGPASS") || strings.Contains(text, "s3cret") || strings.Contains(text, "wrong-one") {
 		t.Fatal(text)
 	}
@@ -449,7 +449,7 @@
 	opt := options(s.Addr())
 	opt.TLS = func() (*tls.Config, error) { return &tls.Config{RootCAs: other}, nil }
 	i := start(t, opt)
-	if r := i.Do(t, "a", 1); r.Certainty != store.NotAdded || adds(s) != 0 {
+	if r := i.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded || adds(s) != 0 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -483,13 +483,13 @@
 			i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: 1, TTL: time.Minute})
 		}
 		for range 50 {
-			if i.Next(t).Result.Certainty != store.NotAdded {
+			if i.NextAnswer(t).Result.Certainty != store.NotAdded {
 				want++
 			}
 		}
 	}
 	add()
-	storetest.Until(t, "both shards", func() bool {
+	storetest.Eventually(t, "both shards", func() bool {
 		add()
 		return sum() == want && adds(c.Shards()[0]) > 0 && adds(c.Shards()[1]) > 0
 	})
@@ -530,7 +530,7 @@
 				}
 				for _, i := range []*storetest.Instance{x, y} {
 					for range 10 {
-						if a := i.Next(t); a.Result.Certainty != store.NotAdded {
+						if a := i.NextAnswer(t); a.Result.Certainty != store.NotAdded {
 							want[a.Call.Name] += a.Call.Amount
 						}
 					}
@@ -539,20 +539,20 @@
 			s.Faults().Clear()
 			s.Kick() // as a restart would
 			for n := range want {
-				storetest.Until(t, "the connections", func() bool {
-					return x.Do(t, n, 0).Certainty == store.Added && y.Do(t, n, 0).Certainty == store.Added
+				storetest.Eventually(t, "the connections", func() bool {
+					return x.AddAndWait(t, n, 0).Certainty == store.Added && y.AddAndWait(t, n, 0).Certainty == store.Added
 				})
 			}
-			storetest.Until(t, "just what was not refused", func() bool {
+			storetest.Eventually(t, "just what was not refused", func() bool {
 				for n, w := range want {
-					if !storetest.Near(total(s, n), w) {
+					if !storetest.ApproxEqual(total(s, n), w) {
 						return false
 					}
 				}
 				return true
 			})
-			x.None(t)
-			y.None(t)
+			x.NoAnswer(t)
+			y.NoAnswer(t)
 		})
 	}
 }
@@ -564,7 +564,7 @@
 		"lanes":    {Address: "127.0.0.1:1", Shards: 65},
 		"database": {Address: "127.0.0.1:1", Database: -1},
 	} {
-		if _, err := New(opt, storetest.Quiet, nil); err == nil || !strings.Contains(err.Error(), want+":") {
+		if _, err := New(opt, storetest.DiscardLogger, nil); err == nil || !strings.Contains(err.Error(), want+":") {
 			t.Errorf("%+v: %v", opt, err)
 		}
 	}
@@ -574,7 +574,7 @@
 func TestEndsAtOnce(t *testing.T) {
 	s := startServer(t, standin.Options{})
 	s.Silent(true)
-	c, err := New(options(s.Addr()), storetest.Quiet, func(*store.Call, store.Result) {})
+	c, err := New(options(s.Addr()), storetest.DiscardLogger, func(*store.Call, store.Result) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -585,11 +585,11 @@
 		defer close(done)
 		c.Run(ctx)
 	}()
-	storetest.Until(t, "a connection", func() bool { return s.Clients() > 0 })
+	storetest.Eventually(t, "a connection", func() bool { return s.Clients() > 0 })
 	cancel()
 	select {
 	case <-done:
-	case <-time.After(storetest.Patience):
+	case <-time.After(storetest.Timeout):
 		t.Fatal("it does not end")
 	}
 }
@@ -602,7 +602,7 @@
 		if !ok {
 			return
 		}
-		text := fmt.Sprintf("*5\r\n:%d\r\n:%d\r\n:%d\r\n:%d\r\n", seq, a.Total, a.Had, a.Mine)
+		text := fmt.Sprintf("*5\r\n:%d\r\n:%d\r\n:%d\r\n:%d\r\n", seq, a.Total, a.PreviousSeq, a.Own)
 		if !strings.HasPrefix(strings.ReplaceAll(string(b), ":-0\r", ":0\r"), text) && !strings.Contains(string(b), ":0") && !strings.Contains(string(b), ":-0") {
 			t.Fatalf("%q was read as %q", b, text)
 		}
@@ -614,21 +614,21 @@
 func TestOlderTotal(t *testing.T) {
 	s := startServer(t, standin.Options{})
 	x, y := start(t, options(s.Addr())), start(t, options(s.Addr()))
-	x.Do(t, "a", 1)
-	y.Do(t, "a", 1)
+	x.AddAndWait(t, "a", 1)
+	y.AddAndWait(t, "a", 1)
 	hold := on(fault.Hold, 1)
 	hold.By = 200 * time.Millisecond
 	s.Fault(hold)
 	k := &store.Call{Name: "a", Amount: 10, TTL: time.Minute}
 	x.Add(k)
-	storetest.Until(t, "the add to land", func() bool { return total(s, "a") == 12 })
-	if r := y.Do(t, "a", 100); r.Total != 112 {
+	storetest.Eventually(t, "the add to land", func() bool { return total(s, "a") == 12 })
+	if r := y.AddAndWait(t, "a", 100); r.Total != 112 {
 		t.Fatalf("the later add: %+v", r)
 	}
-	if a := x.Next(t); a.Call != k || a.Result.Total != 12 {
+	if a := x.NextAnswer(t); a.Call != k || a.Result.Total != 12 {
 		t.Fatalf("the held answer: %+v", a.Result)
 	}
-	if r := x.Do(t, "a", 0); r.Total != 112 {
+	if r := x.AddAndWait(t, "a", 0); r.Total != 112 {
 		t.Fatalf("the next: %+v", r)
 	}
 }
@@ -646,14 +646,14 @@
 		}
 		return c
 	})
-	i.Do(t, "a", 1)
+	i.AddAndWait(t, "a", 1)
 	s.Stop()
 	for range 20 {
-		i.Do(t, "a", 1)
+		i.AddAndWait(t, "a", 1)
 		time.Sleep(5 * time.Millisecond)
 	}
 	s.Listen()
-	storetest.Until(t, "the way back", func() bool { return i.Do(t, "a", 1).Certainty == store.Added })
+	storetest.Eventually(t, "the way back", func() bool { return i.AddAndWait(t, "a", 1).Certainty == store.Added })
 	for line, want := range map[string]int{"connected": 1, "no store: each instance keeps its fair share": 1, "back: quotas are shared again": 1} {
 		if n := strings.Count(text.String(), line); n != want {
 			t.Errorf("%q stands %d times, want %d:\n%s", line, n, want, text.String())
--- a/internal/store/redis/script.go
+++ b/internal/store/redis/script.go
@@ -49,25 +49,25 @@
 	b = redcon.AppendBulkString(b, "1")
 	var text [96]byte
 	b = redcon.AppendBulk(b, append(append(text[:0], prefix...), w.Name...))
-	b = redcon.AppendBulk(b, strconv.AppendUint(append(append(text[:0], instance...), '.'), w.Since, 36))
+	b = redcon.AppendBulk(b, strconv.AppendUint(append(append(text[:0], instance...), '.'), w.FirstSeq, 36))
 	b = redcon.AppendBulk(b, strconv.AppendUint(text[:0], w.Seq, 10))
 	b = redcon.AppendBulk(b, strconv.AppendInt(text[:0], w.Sum, 10))
-	return redcon.AppendBulk(b, strconv.AppendInt(text[:0], max(1, w.Keep.Milliseconds()), 10))
+	return redcon.AppendBulk(b, strconv.AppendInt(text[:0], max(1, w.TTL.Milliseconds()), 10))
 }
 
 // parseAdd reads the script's answer; ok is false for anything else. It allocates nothing.
-func parseAdd(f []byte) (seq uint64, a ledger.Answer, ok bool) {
+func parseAdd(f []byte) (seq uint64, a ledger.Reply, ok bool) {
 	var n [5]int64
 	f, ok = cutLine(f, '*', '5')
 	for i := 0; ok && i < len(n); i++ {
 		n[i], f, ok = cutInt(f)
 	}
 	if !ok || len(f) != 0 || n[0] < 0 || n[2] < 0 {
-		return 0, ledger.Answer{}, false
+		return 0, ledger.Reply{}, false
 	}
-	return uint64(n[0]), ledger.Answer{
-		Total: n[1], Had: uint64(n[2]), Mine: n[3],
-		Left: time.Duration(max(0, n[4])) * time.Millisecond,
+	return uint64(n[0]), ledger.Reply{
+		Total: n[1], PreviousSeq: uint64(n[2]), Own: n[3],
+		TTL: time.Duration(max(0, n[4])) * time.Millisecond,
 	}, true
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -40,10 +40,10 @@
 // The states of a call.
 const (
 	queued int32 = iota
-	taken
+	claimed
 	withdrawn
 	lapsed
-	refused
+	rejected
 )
 
 // Call is one add. Its fields are set before it is handed to a store and not changed after. The caller and the store
@@ -55,12 +55,12 @@
 	TTL       time.Duration // the life of a new name, from its first add on
 	StartedAt time.Duration // on the caller's clock, for the caller's own books
 	state     atomic.Int32
-	ended     bool
+	answered  bool
 }
 
 // Take is the store's: it claims a call before anything of it leaves the process, and reports false for one that was
 // withdrawn, which must then not be sent.
-func (c *Call) Claim() bool { return c.state.CompareAndSwap(queued, taken) }
+func (c *Call) Claim() bool { return c.state.CompareAndSwap(queued, claimed) }
 
 // Withdraw is the caller's: it reports whether the call was taken back before a store took it, so that it is surely not
 // added.
@@ -68,19 +68,19 @@
 
 // Lapse is the caller's, for a call that it could not withdraw and waits for no longer: it counts as added from then on.
 // False means that the store has refused it, and says so presently.
-func (c *Call) Lapse() bool { return c.state.CompareAndSwap(taken, lapsed) }
+func (c *Call) Lapse() bool { return c.state.CompareAndSwap(claimed, lapsed) }
 
 // Refuse is the store's, before it takes the amount of a call that it took out of the total: false means that the caller
 // has counted the call as added, and added it must stay.
-func (c *Call) Reject() bool { return c.state.CompareAndSwap(taken, refused) }
+func (c *Call) Reject() bool { return c.state.CompareAndSwap(claimed, rejected) }
 
 // Open reports whether nobody has taken or withdrawn the call.
 func (c *Call) IsQueued() bool { return c.state.Load() == queued }
 
 // End is the caller's, on one goroutine: it reports whether this is the call's first answer.
 func (c *Call) FirstAnswer() bool {
-	first := !c.ended
-	c.ended = true
+	first := !c.answered
+	c.answered = true
 	return first
 }
 
--- a/internal/store/storetest/storetest.go
+++ b/internal/store/storetest/storetest.go
@@ -18,13 +18,13 @@
 )
 
 // Quiet is a logger that says nothing.
-var Quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var DiscardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // Patience is how long a test waits for what must come; no test passes by waiting.
-const Patience = 20 * time.Second
+const Timeout = 20 * time.Second
 
 // Backend is a stand-in as the suite needs it.
-type Backend struct {
+type Server struct {
 	Addr   string
 	New    func(store.Sink) store.Counter // a further instance of the store; its time-out is a second or more
 	Total  func(name string) float64      // what the stand-in holds, 0 for a name that it does not know
@@ -33,7 +33,7 @@
 }
 
 // Told is an answer as the sink was told it.
-type Answered struct {
+type Answer struct {
 	Call   *store.Call
 	Result store.Result
 	At     time.Time
@@ -42,14 +42,14 @@
 // Instance is a store that runs, with what it tells.
 type Instance struct {
 	store.Counter
-	told chan Answered
+	answers chan Answer
 }
 
 // Start runs a store until the test ends.
-func Start(t testing.TB, make_ func(store.Sink) store.Counter) *Instance {
+func Start(t testing.TB, newCounter func(store.Sink) store.Counter) *Instance {
 	t.Helper()
-	i := &Instance{told: make(chan Answered, 1<<16)}
-	i.Counter = make_(func(k *store.Call, r store.Result) { i.told <- Answered{k, r, time.Now()} })
+	i := &Instance{answers: make(chan Answer, 1<<16)}
+	i.Counter = newCounter(func(k *store.Call, r store.Result) { i.answers <- Answer{k, r, time.Now()} })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -60,7 +60,7 @@
 		cancel()
 		select {
 		case <-done:
-		case <-time.After(Patience):
+		case <-time.After(Timeout):
 			t.Error("the store does not end")
 		}
 	})
@@ -68,33 +68,33 @@
 }
 
 // Next waits for an answer.
-func (i *Instance) Next(t testing.TB) Answered {
+func (i *Instance) NextAnswer(t testing.TB) Answer {
 	t.Helper()
 	select {
-	case a := <-i.told:
+	case a := <-i.answers:
 		return a
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatal("no answer")
-		return Answered{}
+		return Answer{}
 	}
 }
 
 // None fails where an answer is there.
-func (i *Instance) None(t testing.TB) {
+func (i *Instance) NoAnswer(t testing.TB) {
 	t.Helper()
 	select {
-	case a := <-i.told:
+	case a := <-i.answers:
 		t.Fatalf("an answer that nobody is owed: %s %+v", a.Call.Name, a.Result)
 	default:
 	}
 }
 
 // Do adds and waits for the answer to just that.
-func (i *Instance) Do(t testing.TB, name string, amount float64) store.Result {
+func (i *Instance) AddAndWait(t testing.TB, name string, amount float64) store.Result {
 	t.Helper()
 	k := &store.Call{Name: name, Amount: amount, TTL: time.Minute}
 	i.Add(k)
-	a := i.Next(t)
+	a := i.NextAnswer(t)
 	if a.Call != k {
 		t.Fatalf("the answer is to %s %v", a.Call.Name, a.Call.Amount)
 	}
@@ -102,21 +102,21 @@
 }
 
 // DoLast is Do where earlier calls may be answered first.
-func (i *Instance) DoLast(t testing.TB, name string, amount float64) store.Result {
+func (i *Instance) AddAndSkipEarlier(t testing.TB, name string, amount float64) store.Result {
 	t.Helper()
 	k := &store.Call{Name: name, Amount: amount, TTL: time.Minute}
 	i.Add(k)
 	for {
-		if a := i.Next(t); a.Call == k {
+		if a := i.NextAnswer(t); a.Call == k {
 			return a.Result
 		}
 	}
 }
 
 // Until waits until ok.
-func Until(t testing.TB, what string, ok func() bool) {
+func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("in vain: ", what)
 		}
@@ -124,44 +124,44 @@
 }
 
 // Near compares totals to what seven digits hold.
-func Near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
+func ApproxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
 // Run runs the suite; open starts a stand-in for one test.
-func Run(t *testing.T, open func(*testing.T) Backend) {
-	run := func(name string, f func(*testing.T, Backend)) {
+func Run(t *testing.T, open func(*testing.T) Server) {
+	run := func(name string, f func(*testing.T, Server)) {
 		t.Run(name, func(t *testing.T) {
 			leaks := goleak.IgnoreCurrent()
 			t.Cleanup(func() { goleak.VerifyNone(t, leaks) })
 			f(t, open(t))
 		})
 	}
-	run("totals", func(t *testing.T, b Backend) {
+	run("totals", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
 		want := 0.0
 		for _, n := range []float64{1, 2.5, -0.75, 0, 1e-6, 123456.5, -3} {
 			want += n
-			if r := i.Do(t, "a", n); r.Certainty != store.Added || !r.Seen || !Near(r.Total, want) {
+			if r := i.AddAndWait(t, "a", n); r.Certainty != store.Added || !r.Seen || !ApproxEqual(r.Total, want) {
 				t.Fatalf("after %v: %+v, want %v", n, r, want)
 			}
 		}
-		if r := i.Do(t, "b", 1); !Near(r.Total, 1) {
+		if r := i.AddAndWait(t, "b", 1); !ApproxEqual(r.Total, 1) {
 			t.Fatalf("another name: %+v", r)
 		}
-		if got := b.Total("a"); !Near(got, want) {
+		if got := b.Total("a"); !ApproxEqual(got, want) {
 			t.Fatalf("the stand-in holds %v, want %v", got, want)
 		}
 	})
-	run("instances share", func(t *testing.T, b Backend) {
+	run("instances share", func(t *testing.T, b Server) {
 		x, y := Start(t, b.New), Start(t, b.New)
-		x.Do(t, "a", 2)
-		if r := y.Do(t, "a", 3); !Near(r.Total, 5) {
+		x.AddAndWait(t, "a", 2)
+		if r := y.AddAndWait(t, "a", 3); !ApproxEqual(r.Total, 5) {
 			t.Fatalf("%+v", r)
 		}
-		if r := x.Do(t, "a", -1); !Near(r.Total, 4) {
+		if r := x.AddAndWait(t, "a", -1); !ApproxEqual(r.Total, 4) {
 			t.Fatalf("%+v", r)
 		}
 	})
-	run("order of a name", func(t *testing.T, b Backend) {
+	run("order of a name", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
 		const n = 300
 		calls := make([]*store.Call, n)
@@ -170,12 +170,12 @@
 			i.Add(calls[j])
 		}
 		for j := range calls {
-			if a := i.Next(t); a.Call != calls[j] || !Near(a.Result.Total, float64(j+1)) {
+			if a := i.NextAnswer(t); a.Call != calls[j] || !ApproxEqual(a.Result.Total, float64(j+1)) {
 				t.Fatalf("answer %d: total %v", j, a.Result.Total)
 			}
 		}
 	})
-	run("many names at once", func(t *testing.T, b Backend) {
+	run("many names at once", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
 		const names, each = 40, 10
 		for range each {
@@ -185,57 +185,57 @@
 		}
 		last := map[string]float64{}
 		for range names * each {
-			a := i.Next(t)
+			a := i.NextAnswer(t)
 			if !a.Result.Seen {
 				t.Fatalf("%s: %+v", a.Call.Name, a.Result)
 			}
 			last[a.Call.Name] = a.Result.Total
 		}
 		for j := range names {
-			if got := last[fmt.Sprint("n", j)]; !Near(got, float64(each*j)) {
+			if got := last[fmt.Sprint("n", j)]; !ApproxEqual(got, float64(each*j)) {
 				t.Fatalf("n%d: %v, want %v", j, got, each*j)
 			}
 		}
 	})
-	run("a name's life", func(t *testing.T, b Backend) {
+	run("a name's life", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
 		i.Add(&store.Call{Name: "a", Amount: 5, TTL: 200 * time.Millisecond})
-		began := i.Next(t).At
-		Until(t, "the name's end", func() bool { return b.Total("a") == 0 })
+		began := i.NextAnswer(t).At
+		Eventually(t, "the name's end", func() bool { return b.Total("a") == 0 })
 		if lived := time.Since(began); lived < 100*time.Millisecond {
 			t.Fatalf("it lived %v of 200 ms", lived)
 		}
-		if r := i.Do(t, "a", 2); !Near(r.Total, 2) {
+		if r := i.AddAndWait(t, "a", 2); !ApproxEqual(r.Total, 2) {
 			t.Fatalf("after its end: %+v", r)
 		}
 	})
-	run("withdrawn", func(t *testing.T, b Backend) {
+	run("withdrawn", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
 		k := &store.Call{Name: "a", Amount: 7, TTL: time.Minute}
 		if !k.Withdraw() {
 			t.Fatal("a call that nobody has")
 		}
 		i.Add(k)
-		if r := i.Do(t, "a", 1); !Near(r.Total, 1) {
+		if r := i.AddAndWait(t, "a", 1); !ApproxEqual(r.Total, 1) {
 			t.Fatalf("%+v", r)
 		}
-		i.None(t)
+		i.NoAnswer(t)
 	})
-	run("nobody listens", func(t *testing.T, b Backend) {
+	run("nobody listens", func(t *testing.T, b Server) {
 		b.Stop()
 		i := Start(t, b.New)
 		for range 3 {
-			if r := i.Do(t, "a", 1); r.Certainty != store.NotAdded {
+			if r := i.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
 				t.Fatalf("%+v", r)
 			}
 		}
 		b.Listen()
-		Until(t, "the store's return", func() bool { return i.Do(t, "a", 1).Certainty == store.Added })
-		if got := b.Total("a"); !Near(got, 1) {
+		Eventually(t, "the store's return", func() bool { return i.AddAndWait(t, "a", 1).Certainty == store.Added })
+		if got := b.Total("a"); !ApproxEqual(got, 1) {
 			t.Fatalf("the stand-in holds %v, want the one that was added", got)
 		}
 	})
-	run("comes and goes", func(t *testing.T, b Backend) {
+	run("comes and goes", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
 		var mu sync.Mutex
 		least, most := 0.0, 0.0
@@ -246,7 +246,7 @@
 			b.Stop()
 			b.Listen()
 			for range 50 {
-				a := i.Next(t)
+				a := i.NextAnswer(t)
 				mu.Lock()
 				if a.Result.Certainty != store.NotAdded {
 					most++
@@ -256,8 +256,8 @@
 				}
 				mu.Unlock()
 			}
-			Until(t, "the store's return", func() bool {
-				r := i.Do(t, "b", 0)
+			Eventually(t, "the store's return", func() bool {
+				r := i.AddAndWait(t, "b", 0)
 				return r.Certainty == store.Added
 			})
 		}
@@ -265,7 +265,7 @@
 			t.Fatalf("the stand-in holds %v; %v were added and %v may have been", got, least, most)
 		}
 	})
-	run("full queue", func(t *testing.T, b Backend) {
+	run("full queue", func(t *testing.T, b Server) {
 		b.Stop()
 		i := Start(t, b.New)
 		calls := make([]*store.Call, 5000)
@@ -280,18 +280,18 @@
 			}
 		}
 		for range answered {
-			if a := i.Next(t); a.Result.Certainty != store.NotAdded {
+			if a := i.NextAnswer(t); a.Result.Certainty != store.NotAdded {
 				t.Fatalf("%+v", a.Result)
 			}
 		}
 	})
-	run("moves", func(t *testing.T, b Backend) {
+	run("moves", func(t *testing.T, b Server) {
 		i := Start(t, b.New)
-		i.Do(t, "a", 1)
+		i.AddAndWait(t, "a", 1)
 		other := open(t)
 		i.SetAddress(other.Addr)
-		Until(t, "the move", func() bool {
-			i.Do(t, "a", 1)
+		Eventually(t, "the move", func() bool {
+			i.AddAndWait(t, "a", 1)
 			return other.Total("a") > 0
 		})
 	})
--- a/internal/store/tally/conformance_test.go
+++ b/internal/store/tally/conformance_test.go
@@ -10,13 +10,13 @@
 )
 
 func TestConformance(t *testing.T) {
-	storetest.Run(t, func(t *testing.T) storetest.Backend {
+	storetest.Run(t, func(t *testing.T) storetest.Server {
 		s, err := standin.Start("", 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		return storetest.Backend{
+		return storetest.Server{
 			Addr: s.Addr(), Total: s.Total, Stop: s.Stop, Listen: func() { s.Listen() },
 			New: func(sink store.Sink) store.Counter { return New(s.Addr(), time.Second, sink) },
 		}
--- a/internal/store/tally/tally.go
+++ b/internal/store/tally/tally.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	counterLinks   = 4                     // connections; calls of one name share one, so that they stay in order
-	counterQueue   = 512                   // calls that wait for a connection, or on it for an answer
-	counterIdle    = 3 * time.Second       // a connection without a call for so long is closed, before the counter does
-	counterSilence = 4                     // time-outs: one without an answer for so long is dead, its line of calls is no longer
-	counterRest    = 20 * time.Millisecond // for the rest of an answer: a few bytes
-	mostTotal      = 1e12                  // a total beyond is none
+	shardCount          = 4                     // connections; calls of one name share one, so that they stay in order
+	shardQueueSize      = 512                   // calls that wait for a connection, or on it for an answer
+	idleTimeout         = 3 * time.Second       // a connection without a call for so long is closed, before the counter does
+	silentTimeouts      = 4                     // time-outs: one without an answer for so long is dead, its line of calls is no longer
+	partialReplyTimeout = 20 * time.Millisecond // for the rest of an answer: a few bytes
+	maxTotal            = 1e12                  // a total beyond is none
 )
 
 // Counter is the client of the shared counter service.
 type Counter struct {
-	links [counterLinks]*link
+	shards [shardCount]*shard
 }
 
 // link is one connection of the counter, opened when there is something to say.
-type link struct {
-	addr    string
-	timeout time.Duration
-	calls   chan *store.Call
-	moves   store.Latest[string]
-	sink    store.Sink
+type shard struct {
+	addr           string
+	timeout        time.Duration
+	calls          chan *store.Call
+	addressChanges store.Latest[string]
+	sink           store.Sink
 }
 
 // written is a call that is on its way; short says that its last byte was never written.
-type written struct {
+type pendingCall struct {
 	*store.Call
-	short bool
+	incomplete bool
 }
 
 // New returns a counter at addr that does not run yet. A connection that is not up after timeout has failed, and one on
 // which calls wait four times as long for an answer is dead.
 func New(addr string, timeout time.Duration, sink store.Sink) *Counter {
 	c := &Counter{}
-	for i := range c.links {
-		c.links[i] = &link{
-			addr: addr, timeout: timeout, calls: make(chan *store.Call, counterQueue),
-			moves: store.NewLatest[string](), sink: sink,
+	for i := range c.shards {
+		c.shards[i] = &shard{
+			addr: addr, timeout: timeout, calls: make(chan *store.Call, shardQueueSize),
+			addressChanges: store.NewLatest[string](), sink: sink,
 		}
 	}
 	return c
@@ -61,7 +61,7 @@
 // Run serves until ctx ends.
 func (c *Counter) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, l := range c.links {
+	for _, l := range c.shards {
 		wg.Go(func() { l.run(ctx) })
 	}
 	wg.Wait()
@@ -69,8 +69,8 @@
 
 // Move goes over to a counter at another address.
 func (c *Counter) SetAddress(addr string) {
-	for _, l := range c.links {
-		l.moves.Set(addr)
+	for _, l := range c.shards {
+		l.addressChanges.Set(addr)
 	}
 }
 
@@ -79,25 +79,25 @@
 	h := fnv.New32a()
 	h.Write([]byte(k.Name))
 	select {
-	case c.links[h.Sum32()%counterLinks].calls <- k:
+	case c.shards[h.Sum32()%shardCount].calls <- k:
 	default:
 	}
 }
 
 // run serves the calls of one link until ctx ends.
-func (l *link) run(ctx context.Context) {
+func (s *shard) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case l.addr = <-l.moves:
-		case k := <-l.calls:
+		case s.addr = <-s.addressChanges:
+		case k := <-s.calls:
 			select {
-			case l.addr = <-l.moves:
+			case s.addr = <-s.addressChanges:
 			default:
 			}
 			if k.IsQueued() { // else it has timed out: no connection for its sake
-				l.serve(ctx, k)
+				s.serve(ctx, k)
 			}
 		}
 	}
@@ -106,35 +106,35 @@
 // serve opens a connection for the first call and writes calls to it until it breaks, falls silent or the counter
 // moves. On a move the calls that are out have their time for an answer before later ones go elsewhere: answers for
 // one name come in the order of its calls.
-func (l *link) serve(ctx context.Context, first *store.Call) {
-	d := net.Dialer{Timeout: l.timeout}
-	nc, err := d.DialContext(ctx, "tcp", l.addr)
+func (s *shard) serve(ctx context.Context, first *store.Call) {
+	d := net.Dialer{Timeout: s.timeout}
+	nc, err := d.DialContext(ctx, "tcp", s.addr)
 	if err != nil {
-		l.sink(first, store.Result{Certainty: store.NotAdded})
+		s.sink(first, store.Result{Certainty: store.NotAdded})
 		return
 	}
-	pending, broken, idle := make(chan *written, counterQueue), make(chan struct{}), make(chan struct{}, 1)
+	pending, broken, idle := make(chan *pendingCall, shardQueueSize), make(chan struct{}), make(chan struct{}, 1)
 	go func() {
 		defer close(broken)
-		l.read(nc, pending, idle)
+		s.read(nc, pending, idle)
 	}()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
 	var buf []byte
 	var ends []int
 	batch := []*store.Call{first}
-	var sent []*written
+	var sent []*pendingCall
 	for open := true; open; {
-		for more := true; more && len(batch) < counterQueue/2; {
+		for more := true; more && len(batch) < shardQueueSize/2; {
 			select {
-			case k := <-l.calls:
+			case k := <-s.calls:
 				batch = append(batch, k)
 			default:
 				more = false
 			}
 		}
 		if len(pending) == 0 {
-			l.limit(nc, true)
+			s.setReadDeadline(nc, true)
 		}
 		buf, ends = buf[:0], ends[:0]
 		sent = sent[:0]
@@ -144,25 +144,25 @@
 			}
 			buf = appendCall(buf, k)
 			ends = append(ends, len(buf))
-			w := &written{Call: k}
+			w := &pendingCall{Call: k}
 			sent = append(sent, w)
 			pending <- w
 		}
-		nc.SetWriteDeadline(time.Now().Add(l.timeout))
+		nc.SetWriteDeadline(time.Now().Add(s.timeout))
 		n, err := nc.Write(buf)
 		for i, w := range sent {
-			w.short = ends[i] > n
+			w.incomplete = ends[i] > n
 		}
 		batch = batch[:0]
 		if err != nil {
 			break
 		}
 		select {
-		case k := <-l.calls:
+		case k := <-s.calls:
 			batch = append(batch, k)
-		case l.addr = <-l.moves:
+		case s.addr = <-s.addressChanges:
 			open = false
-			late := time.After(l.timeout)
+			late := time.After(s.timeout)
 			for waits := true; waits && len(pending) > 0; {
 				select {
 				case <-idle:
@@ -181,32 +181,32 @@
 	for len(pending) > 0 {
 		w := <-pending
 		var r store.Result
-		if w.short {
+		if w.incomplete {
 			r.Certainty = store.NotAdded
 		}
-		l.sink(w.Call, r)
+		s.sink(w.Call, r)
 	}
 	for _, k := range batch { // read from the queue, never written
-		l.sink(k, store.Result{Certainty: store.NotAdded})
+		s.sink(k, store.Result{Certainty: store.NotAdded})
 	}
 }
 
 // read hands the answers to the calls in their order, and tells idle when none is out any more; a late answer is for
 // the gateway to drop. It ends at an answer that cannot be read: that call was added, and nothing more comes.
-func (l *link) read(nc net.Conn, pending <-chan *written, idle chan<- struct{}) {
+func (s *shard) read(nc net.Conn, pending <-chan *pendingCall, idle chan<- struct{}) {
 	in := bufio.NewReaderSize(nc, 1<<10)
 	for {
 		line, err := readLine(nc, in)
 		if len(pending) == 0 || err != nil && len(line) == 0 {
 			return
 		}
-		k, r := (<-pending).Call, spoilt
+		k, r := (<-pending).Call, unreadable
 		if err == nil {
-			r = parseAnswer(string(line))
-			l.limit(nc, len(pending) > 0)
+			r = parseReply(string(line))
+			s.setReadDeadline(nc, len(pending) > 0)
 		}
-		l.sink(k, r)
-		if r == spoilt {
+		s.sink(k, r)
+		if r == unreadable {
 			return
 		}
 		if len(pending) == 0 {
@@ -228,35 +228,35 @@
 		return nil, err
 	}
 	if begun, _ := in.Peek(in.Buffered()); bytes.IndexByte(begun, '\n') < 0 {
-		nc.SetReadDeadline(time.Now().Add(counterRest))
+		nc.SetReadDeadline(time.Now().Add(partialReplyTimeout))
 	}
 	return in.ReadSlice('\n')
 }
 
 // limit sets how long the counter may say nothing.
-func (l *link) limit(nc net.Conn, waits bool) {
-	d := counterIdle
+func (s *shard) setReadDeadline(nc net.Conn, waits bool) {
+	d := idleTimeout
 	if waits {
-		d = counterSilence * l.timeout
+		d = silentTimeouts * s.timeout
 	}
 	nc.SetReadDeadline(time.Now().Add(d))
 }
 
 // spoilt stands for an answer that cannot be read: the amount was added.
-var spoilt = store.Result{Certainty: store.Added}
+var unreadable = store.Result{Certainty: store.Added}
 
 // parseAnswer reads one line of the counter.
-func parseAnswer(s string) store.Result {
+func parseReply(s string) store.Result {
 	s = strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r")
 	if s == "busy" || s == "error" { // turned away, no such call
 		return store.Result{Certainty: store.NotAdded}
 	}
 	if total, ok := strings.CutPrefix(s, "ok "); ok {
-		if t, err := strconv.ParseFloat(total, 64); err == nil && math.Abs(t) <= mostTotal {
+		if t, err := strconv.ParseFloat(total, 64); err == nil && math.Abs(t) <= maxTotal {
 			return store.Result{Certainty: store.Added, Seen: true, Total: t}
 		}
 	}
-	return spoilt
+	return unreadable
 }
 
 func appendCall(b []byte, k *store.Call) []byte {
--- a/internal/store/tally/tally_test.go
+++ b/internal/store/tally/tally_test.go
@@ -15,16 +15,16 @@
 )
 
 // told is an answer as the sink was told it.
-type told struct {
+type answer struct {
 	call   *store.Call
 	result store.Result
 }
 
 // startLink runs one link to a counter that serve plays, and returns it with the events that it posts.
-func startLink(t *testing.T, serve func(nc net.Conn, lines *bufio.Reader)) (*link, <-chan told) {
-	events := make(chan told, 64)
+func startShard(t *testing.T, serve func(nc net.Conn, lines *bufio.Reader)) (*shard, <-chan answer) {
+	events := make(chan answer, 64)
 	addr := scripted.Listen(t, func(nc net.Conn) { serve(nc, bufio.NewReader(nc)) })
-	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *store.Call, 16), moves: store.NewLatest[string](), sink: func(k *store.Call, r store.Result) { events <- told{k, r} }}
+	l := &shard{addr: addr, timeout: 5 * time.Second, calls: make(chan *store.Call, 16), addressChanges: store.NewLatest[string](), sink: func(k *store.Call, r store.Result) { events <- answer{k, r} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -40,7 +40,7 @@
 
 // Each form of answer means what the protocol says, in the order of the calls.
 func TestCounterAnswers(t *testing.T) {
-	l, events := startLink(t, func(nc net.Conn, in *bufio.Reader) {
+	l, events := startShard(t, func(nc net.Conn, in *bufio.Reader) {
 		for _, answer := range []string{"ok 3.5\r\n", "busy\r\n", "error\r\n", ""} {
 			if _, err := in.ReadString('\n'); err != nil {
 				return
@@ -74,7 +74,7 @@
 	}()
 	for _, spoilt := range []string{"ok NaN\r\n", "ok +Inf\r\n", "ok 1e99\r\n", "ok x\r\n", "ok\r\n", "ok 12", "\x00\x7f\r\n", strings.Repeat("x", 5000)} {
 		var conns atomic.Int32
-		l, events := startLink(t, func(nc net.Conn, in *bufio.Reader) {
+		l, events := startShard(t, func(nc net.Conn, in *bufio.Reader) {
 			n := conns.Add(1)
 			for {
 				s, err := in.ReadString('\n')
@@ -112,7 +112,7 @@
 // A call that was taken back before it was written is never written: its time-out said that nothing was added.
 func TestCounterDroppedCallIsNotWritten(t *testing.T) {
 	seen := make(chan string, 16)
-	l, events := startLink(t, func(nc net.Conn, in *bufio.Reader) {
+	l, events := startShard(t, func(nc net.Conn, in *bufio.Reader) {
 		for {
 			s, err := in.ReadString('\n')
 			if err != nil {
@@ -142,8 +142,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	events := make(chan told, 1)
-	l := &link{addr: addr, timeout: 5 * time.Second, calls: make(chan *store.Call, 1), moves: store.NewLatest[string](), sink: func(k *store.Call, r store.Result) { events <- told{k, r} }}
+	events := make(chan answer, 1)
+	l := &shard{addr: addr, timeout: 5 * time.Second, calls: make(chan *store.Call, 1), addressChanges: store.NewLatest[string](), sink: func(k *store.Call, r store.Result) { events <- answer{k, r} }}
 	l.serve(context.Background(), &store.Call{Name: "a"})
 	if ev := <-events; ev.result.Certainty != store.NotAdded {
 		t.Fatalf("outcome %v", ev.result)
@@ -154,7 +154,7 @@
 // one of its name go to the new one.
 func TestCounterMoves(t *testing.T) {
 	asked, answer := make(chan struct{}), make(chan struct{})
-	l, events := startLink(t, func(nc net.Conn, in *bufio.Reader) {
+	l, events := startShard(t, func(nc net.Conn, in *bufio.Reader) {
 		in.ReadString('\n')
 		close(asked)
 		<-answer
@@ -168,8 +168,8 @@
 	})
 	l.calls <- &store.Call{Name: "a"}
 	<-asked
-	l.moves.Set(next)
-	for len(l.moves) > 0 { // fetched
+	l.addressChanges.Set(next)
+	for len(l.addressChanges) > 0 { // fetched
 		time.Sleep(time.Millisecond)
 	}
 	l.calls <- &store.Call{Name: "a"}
