--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -12,54 +12,61 @@
 	"hitchspring/internal/resp"
 )
 
-const answerTime = 200 * time.Millisecond // for the rest of an answer that has begun: one that never ends is spoilt
+// partialReplyTimeout is for the rest of a reply that has begun to arrive.
+const partialReplyTimeout = 200 * time.Millisecond
 
-// conn is a connection to a node, owned by its goroutine run; the fields from begun on are the pool's.
+// conn is a connection to a backend. Its goroutine run dials and reads, and starts a second one that writes; both
+// end when nc is closed, by the pool, by an error or by the end of the owner's context. They notify the pool by
+// events only. The fields of the first block are set before the goroutine that uses them starts, those of the last
+// belong to the pool.
 type conn struct {
-	node     *node
-	addr     string
-	nc       net.Conn // set before connUp is posted
-	raw      syscall.RawConn
-	frames   *resp.Budget
-	sent     func()
-	work     chan job
-	dead     chan struct{}
-	writing  sync.Mutex              // held from before a command's first byte until whole tells of it
-	whole    atomic.Pointer[Attempt] // the last one that was written to its last byte: it may have run
-	passing  atomic.Pointer[Stream]  // the last value that it began to pass on
-	until    atomic.Int64            // when its client gives that up, in nanoseconds of Unix time; 0: nobody does
-	begun    time.Duration           // when it was dialled
-	cur      *Attempt
-	since    time.Duration // idle since
-	used     bool          // it was given a command
-	answered bool          // it has brought an answer to one
-	closed   bool          // by the pool
-	down     bool
+	backend     *backendPool
+	addr        string
+	nc          net.Conn // set before connectionOpened is posted
+	rawConn     syscall.RawConn
+	frameBudget *resp.Budget
+	onSent      func()
+	writes      chan pendingWrite
+	readerDone  chan struct{}
+
+	writeMu        sync.Mutex              // held from before a command's first byte until lastWritten has it
+	lastWritten    atomic.Pointer[Attempt] // the last one that was written to its last byte: it may have run
+	currentStream  atomic.Pointer[Stream]  // the value being streamed
+	clientDeadline atomic.Int64            // when the client of that value gives up, Unix time in ns; 0: never
+
+	dialedAt     time.Duration // when the dial began
+	current      *Attempt      // the attempt that it carries
+	idleSince    time.Duration
+	used         bool // it was given a command
+	hasReplied   bool // it has brought a reply to one
+	closed       bool // by the pool
+	disconnected bool // its last event has been handled
 }
 
-type job struct {
-	a     *Attempt
-	buf   []byte
-	until time.Time // when its owner gives it up
-	by    time.Time // when its last byte is out at the latest
+// pendingWrite is a command that a connection's writer is to write.
+type pendingWrite struct {
+	attempt  *Attempt
+	command  []byte
+	deadline time.Time // when the owner gives the attempt up
+	writeBy  time.Time // when the last byte must be written
 }
 
-// run dials, then reads answers until the connection ends; it posts connDown last.
+// run dials, then reads replies until the connection ends. It posts connectionClosed last.
 func (c *conn) run(ctx context.Context, timeout time.Duration, post func(Event)) {
-	d := net.Dialer{Timeout: timeout}
-	nc, err := d.DialContext(ctx, "tcp", c.addr)
+	dialer := net.Dialer{Timeout: timeout}
+	nc, err := dialer.DialContext(ctx, "tcp", c.addr)
 	if err != nil {
-		post(connDown{c: c})
+		post(connectionClosed{conn: c})
 		return
 	}
 	c.nc = nc
-	if t, ok := nc.(*net.TCPConn); ok {
-		c.raw, _ = t.SyscallConn()
+	if tcp, ok := nc.(*net.TCPConn); ok {
+		c.rawConn, _ = tcp.SyscallConn()
 	}
 	stop := context.AfterFunc(ctx, func() {
 		nc.Close()
-		if s := c.passing.Load(); s != nil {
-			s.Close()
+		if stream := c.currentStream.Load(); stream != nil {
+			stream.Close()
 		}
 	})
 	defer stop()
@@ -68,62 +75,47 @@
 		defer close(written)
 		c.write()
 	}()
-	post(connUp{c})
+	post(connectionOpened{c})
 	c.read(ctx, post)
 	nc.Close()
-	close(c.dead)
+	close(c.readerDone)
 	<-written
-	post(connDown{c: c, up: true})
+	post(connectionClosed{conn: c, wasOpen: true})
 }
 
-// read posts answers until the connection ends or is of no further use: bytes behind an answer may be a second copy of
-// it, which must never be taken for the answer to the next command.
+// read posts replies until the connection ends or must not be used any more.
 func (c *conn) read(ctx context.Context, post func(Event)) {
-	in := resp.Inbox{Budget: c.frames}
+	in := resp.Inbox{Budget: c.frameBudget}
 	defer in.Close()
-	limited := false
+	deadlineSet := false
 	for {
 		head, size, err := resp.Large(in.Begun())
 		if size > 0 {
 			in.Drop(head)
-			rep, err := c.pass(ctx, &in, size, post)
-			if err != nil {
+			if !c.readLargeReply(ctx, &in, size, post) {
 				return
 			}
-			rep.extra = in.Partial()
-			rep.keep = !rep.extra
-			post(replied{c, c.whole.Load(), rep})
-			if !rep.keep {
-				return
-			}
-			limited = false
+			deadlineSet = false
 			continue
 		}
-		var f []byte
+		var frame []byte
 		if err == nil {
-			f, err = in.Next()
+			frame, err = in.Next()
 		}
 		switch {
 		case err != nil:
 			return
-		case f != nil:
-			rep := parseReply(f)
-			rep.extra = in.Partial()
-			rep.keep = rep.keep && !rep.extra
-			c.writing.Lock()
-			to := c.whole.Load()
-			c.writing.Unlock()
-			post(replied{c, to, rep})
-			if !rep.keep {
+		case frame != nil:
+			if !c.readReply(frame, in.Partial(), post) {
 				return
 			}
 			continue
-		case in.Partial() && !limited:
-			c.nc.SetReadDeadline(time.Now().Add(answerTime))
-			limited = true
-		case limited && !in.Partial():
+		case in.Partial() && !deadlineSet:
+			c.nc.SetReadDeadline(time.Now().Add(partialReplyTimeout))
+			deadlineSet = true
+		case deadlineSet && !in.Partial():
 			c.nc.SetReadDeadline(time.Time{})
-			limited = false
+			deadlineSet = false
 		}
 		if in.Fill(c.nc.Read) != nil {
 			return
@@ -131,57 +123,96 @@
 	}
 }
 
-// look is what a look at a connection's socket shows.
-type look int
+// readReply posts a reply that came as one frame, and reports whether the connection may be used further. It may not if
+// bytes follow the reply: they may be a duplicate of it, which must never be taken for the reply to the next command.
+func (c *conn) readReply(frame []byte, trailing bool, post func(Event)) bool {
+	reply := parseReply(frame)
+	reply.trailing = trailing
+	reply.reusable = reply.reusable && !trailing
+	c.writeMu.Lock()
+	attempt := c.lastWritten.Load()
+	c.writeMu.Unlock()
+	post(replyReceived{c, attempt, reply})
+	return reply.reusable
+}
+
+// readLargeReply streams a value of size bytes whose head has been read, and posts the reply after its end. It reports
+// whether the connection may be used further.
+func (c *conn) readLargeReply(ctx context.Context, in *resp.Inbox, size int, post func(Event)) bool {
+	reply, err := c.streamValue(ctx, in, size, post)
+	if err != nil {
+		return false
+	}
+	reply.trailing = in.Partial()
+	reply.reusable = !reply.trailing
+	post(replyReceived{c, c.lastWritten.Load(), reply})
+	return reply.reusable
+}
+
+// socketState is what a socket shows without being read.
+type socketState int
 
 const (
-	quiet look = iota // open, and nothing has come that was not read
-	spoke             // something has come that was not read
-	over              // it has ended
+	socketQuiet    socketState = iota // open, and nothing unread has arrived
+	socketReadable                    // something unread has arrived
+	socketClosed                      // the connection has ended
 )
 
-// look looks at the socket and takes nothing from it.
-func (c *conn) look() look {
-	if c.raw == nil {
-		return quiet
+// String names the state.
+func (s socketState) String() string {
+	switch s {
+	case socketQuiet:
+		return "quiet"
+	case socketReadable:
+		return "readable"
+	case socketClosed:
+		return "closed"
+	}
+	return "unknown"
+}
+
+// peek looks at the socket and takes nothing from it.
+func (c *conn) peek() socketState {
+	if c.rawConn == nil {
+		return socketQuiet
 	}
-	var b [1]byte
+	var buf [1]byte
 	var count int
-	var peeked error
-	err := c.raw.Control(func(fd uintptr) {
-		count, _, peeked = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var peekErr error
+	err := c.rawConn.Control(func(fd uintptr) {
+		count, _, peekErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
-		return over
-	case errors.Is(peeked, syscall.EAGAIN):
-		return quiet
-	case peeked == nil && count > 0:
-		return spoke
+		return socketClosed
+	case errors.Is(peekErr, syscall.EAGAIN):
+		return socketQuiet
+	case peekErr == nil && count > 0:
+		return socketReadable
 	}
-	return over
+	return socketClosed
 }
 
-// write writes what it is given until the connection is dead or broken.
+// write writes commands until the reader has ended or a write fails.
 func (c *conn) write() {
 	for {
 		select {
-		case <-c.dead:
+		case <-c.readerDone:
 			return
-		case j := <-c.work:
-			c.nc.SetWriteDeadline(j.by) // also of one that comes too late to be begun
-			if !j.until.IsZero() {
-				c.until.Store(j.until.UnixNano())
+		case pending := <-c.writes:
+			c.nc.SetWriteDeadline(pending.writeBy) // also where that has passed: nothing is written then
+			if !pending.deadline.IsZero() {
+				c.clientDeadline.Store(pending.deadline.UnixNano())
 			}
-			c.writing.Lock()
-			n, err := c.nc.Write(j.buf)
-			if n == len(j.buf) {
-				c.whole.Store(j.a)
-				if j.a.Command != nil {
-					c.sent()
+			c.writeMu.Lock()
+			n, err := c.nc.Write(pending.command)
+			if n == len(pending.command) {
+				c.lastWritten.Store(pending.attempt)
+				if pending.attempt.Command != nil {
+					c.onSent()
 				}
 			}
-			c.writing.Unlock()
+			c.writeMu.Unlock()
 			if err != nil {
 				c.nc.Close()
 				return
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -1,154 +1,170 @@
 package backend
 
-import (
-	"slices"
-
-	"hitchspring/policy"
-)
-
-// The events of a connection.
-type (
-	connUp   struct{ c *conn }
-	connDown struct { // the last event of a connection
-		c  *conn
-		up bool
-	}
-	replied struct {
-		c  *conn
-		to *Attempt // what had been written when it came; nil: nothing
-		Reply
-	}
-)
+import "hitchspring/policy"
 
-func (connUp) event() {}
+// connectionOpened says that a dial has succeeded.
+type connectionOpened struct{ conn *conn }
+
+// connectionClosed is the last event of a connection.
+type connectionClosed struct {
+	conn    *conn
+	wasOpen bool // false if the dial failed
+}
 
-func (connDown) event() {}
+// replyReceived brings a reply that has arrived to its end.
+type replyReceived struct {
+	conn    *conn
+	attempt *Attempt // the last one that had been written when the reply arrived; nil: none
+	Reply
+}
+
+// streamStarted brings the head of a large value.
+type streamStarted struct {
+	conn    *conn
+	attempt *Attempt // as in replyReceived
+	stream  *Stream
+}
 
-func (replied) event() {}
+func (connectionOpened) event() {}
 
-// Handle takes in what a connection has told.
+func (connectionClosed) event() {}
+
+func (replyReceived) event() {}
+
+func (streamStarted) event() {}
+
+// Handle takes in an event of a connection.
 func (p *Pool) Handle(ev Event) {
 	switch ev := ev.(type) {
-	case connUp:
-		p.connUp(ev)
-	case connDown:
-		p.connDown(ev)
-	case replied:
-		p.replied(ev)
-	case begun:
-		p.begun(ev)
+	case connectionOpened:
+		p.handleConnectionOpened(ev)
+	case connectionClosed:
+		p.handleConnectionClosed(ev)
+	case replyReceived:
+		p.handleReply(ev)
+	case streamStarted:
+		p.handleStreamStarted(ev)
 	}
 }
 
-func (p *Pool) connUp(ev connUp) {
-	n, now := ev.c.node, p.owner.Now()
-	n.dialing--
-	n.heard = now
-	n.connected(now, now-ev.c.begun)
-	p.free(ev.c)
+func (p *Pool) handleConnectionOpened(ev connectionOpened) {
+	backend := ev.conn.backend
+	now := p.owner.Now()
+	backend.dialing--
+	backend.lastHeardAt = now
+	backend.recordConnectTime(now, now-ev.conn.dialedAt)
+	p.release(ev.conn)
 }
 
-// begun hands a value that has begun to the owner; one that nobody waits for ends its connection.
-func (p *Pool) begun(ev begun) {
-	c, a := ev.c, ev.c.cur
-	c.node.heard = p.owner.Now()
-	if a == nil || ev.to != a || a.Command == nil || a.why != still {
-		ev.s.Close()
-		if a == nil || ev.to != a {
-			p.unasked(c)
+// handleStreamStarted hands a large value to the owner. If nobody waits for the value, its connection is closed.
+func (p *Pool) handleStreamStarted(ev streamStarted) {
+	c := ev.conn
+	attempt := c.current
+	c.backend.lastHeardAt = p.owner.Now()
+	unsolicited := attempt == nil || ev.attempt != attempt
+	if unsolicited || attempt.Command == nil || attempt.abortedAs != notAborted {
+		ev.stream.Close()
+		if unsolicited {
+			p.recordUnsolicited(c)
 		}
-		p.close(c)
+		p.closeConn(c)
 		return
 	}
-	a.stream, c.answered = ev.s, true
-	if !p.owner.AttemptBegan(a, ev.s) {
-		a.why = policy.Cancelled
-		ev.s.Close()
-		p.close(c)
+	attempt.stream = ev.stream
+	c.hasReplied = true
+	if !p.owner.AttemptBegan(attempt, ev.stream) {
+		attempt.abortedAs = policy.Cancelled
+		ev.stream.Close()
+		p.closeConn(c)
 	}
 }
 
-func (p *Pool) replied(ev replied) {
-	c, a := ev.c, ev.c.cur
-	c.node.heard = p.owner.Now()
-	if a == nil || ev.to != a { // nobody asked for it, or it came before its command was out: the order is lost
-		p.unasked(c)
-		p.close(c)
+// handleReply ends the attempt that a reply belongs to, and closes the connection if its order is in doubt.
+func (p *Pool) handleReply(ev replyReceived) {
+	c := ev.conn
+	attempt := c.current
+	c.backend.lastHeardAt = p.owner.Now()
+	if attempt == nil || ev.attempt != attempt { // no command was out, or not yet: the order is lost
+		p.recordUnsolicited(c)
+		p.closeConn(c)
 		return
 	}
-	c.cur, c.answered = nil, true
-	if a.Command != nil {
-		c.node.answered(p.owner.Now() - a.handed)
+	c.current = nil
+	c.hasReplied = true
+	if attempt.Command != nil {
+		c.backend.recordReplyTime(p.owner.Now() - attempt.assignedAt)
 	}
-	if ev.extra || !a.fits(ev.Reply) {
-		c.node.second.saw(p.owner.Now())
+	fits := attempt.fits(ev.Reply)
+	if ev.trailing || !fits {
+		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	}
-	if !a.fits(ev.Reply) { // it is another command's
+	if !fits { // it is another command's
 		ev.Reply = Reply{outcome: policy.Failed}
 	}
 	switch {
-	case a.why != still: // it is closed
-	case ev.keep:
-		p.free(c)
+	case attempt.abortedAs != notAborted: // the connection is closed already
+	case ev.reusable:
+		p.release(c)
 	default:
-		p.close(c)
+		p.closeConn(c)
 	}
-	p.end(a, ev.outcome, ev.Reply)
+	p.finish(attempt, ev.outcome, ev.Reply)
 }
 
-// unasked takes in that something came on a connection where no command was out: a second answer, or, before there was any
-// command, a node that does not want the connection.
-func (p *Pool) unasked(c *conn) {
+// recordUnsolicited records that something arrived on a connection on which no command was out. Where there had
+// been one, it is a duplicate reply; otherwise the backend doesn't accept the connection.
+func (p *Pool) recordUnsolicited(c *conn) {
 	switch {
-	case c.closed: // an answer that was not waited for any more
+	case c.closed: // a reply that was not waited for any more
 	case c.used:
-		c.node.second.saw(p.owner.Now())
+		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	default:
-		c.node.refused(p.owner.Now())
+		c.backend.pauseGrowth(p.owner.Now())
 	}
 }
 
-func (p *Pool) connDown(ev connDown) {
-	c, n := ev.c, ev.c.node
-	c.down = true
-	n.conns--
-	p.conns--
-	if i := slices.Index(n.idle, c); i >= 0 {
-		n.idle = slices.Delete(n.idle, i, i+1)
-	}
-	if !ev.up || !c.answered && !c.closed {
-		n.refused(p.owner.Now())
-	}
-	if !ev.up {
-		n.dialing--
-		p.notConnected(n)
-	} else if c.cur != nil {
-		p.end(c.cur, c.outcome(), Reply{})
-	}
-	p.serve(n)
-	p.feed()
-	p.drop(n)
+func (p *Pool) handleConnectionClosed(ev connectionClosed) {
+	c := ev.conn
+	backend := c.backend
+	c.disconnected = true
+	backend.connections--
+	p.connections--
+	backend.removeIdle(c)
+	if !ev.wasOpen || !c.hasReplied && !c.closed {
+		backend.pauseGrowth(p.owner.Now())
+	}
+	if !ev.wasOpen {
+		backend.dialing--
+		p.failOneWaiting(backend)
+	} else if c.current != nil {
+		p.finish(c.current, c.attemptOutcome(), Reply{})
+	}
+	p.serveWaiting(backend)
+	p.dialAfterLimit()
+	p.forgetIfGone(backend)
 }
 
-// notConnected ends the first attempt that waits, unless other connections are there or on their way for all of them.
-func (p *Pool) notConnected(n *node) {
-	if len(n.waiting) > n.dialing+len(n.idle) {
-		a := n.waiting[0]
-		n.waiting = n.waiting[1:]
-		p.end(a, policy.NoConnect, Reply{})
+// failOneWaiting ends the first attempt that waits, unless other connections are idle or being dialed for all of them.
+func (p *Pool) failOneWaiting(backend *backendPool) {
+	if len(backend.waiting) > backend.dialing+len(backend.idle) {
+		attempt := backend.waiting[0]
+		backend.waiting = backend.waiting[1:]
+		p.finish(attempt, policy.NoConnect, Reply{})
 	}
 }
 
-// outcome is how the attempt that a connection carries has ended with it.
-func (c *conn) outcome() policy.Outcome {
-	a := c.cur
+// attemptOutcome is how the attempt that a connection carries ends with the connection.
+func (c *conn) attemptOutcome() policy.Outcome {
+	attempt := c.current
+	written := c.lastWritten.Load() == attempt
+	aborted := attempt.abortedAs != notAborted
 	switch {
-	case c.whole.Load() != a && a.why != still:
+	case !written && aborted:
 		return policy.NotSent
-	case c.whole.Load() != a:
+	case !written:
 		return policy.NoConnect
-	case a.why != still:
-		return a.why
+	case aborted:
+		return attempt.abortedAs
 	}
 	return policy.Reset
 }
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -1,71 +1,78 @@
 package backend
 
 import (
-	"slices"
 	"time"
 
 	"hitchspring/policy"
 )
 
-// RetireIdle closes connections that the node is about to close: a command that crossed that would be a reset, and may not be
-// sent again. It also closes half of those that were not needed for as long: connections are used in turn, so that none of them
-// would ever grow old by itself.
+// RetireIdle closes connections that the backend is about to close: a command that crosses that close is reset, and
+// may not be sent again. It also closes half of the connections that were not needed for as long. Connections are
+// used in turn, so that none of them would become old by itself.
 func (p *Pool) RetireIdle() {
 	now := p.owner.Now()
-	for _, n := range p.nodes {
-		for len(n.idle) > 0 && (n.State != policy.Running || n.idle[0].addr != n.addr || now-n.idle[0].since > p.retireAfter()) {
-			p.closeIdle(n)
+	for _, backend := range p.backends {
+		for len(backend.idle) > 0 && p.mustRetire(backend, backend.idle[0], now) {
+			p.closeOldestIdle(backend)
 		}
-		p.trim(n, now)
+		p.trimIdle(backend, now)
 	}
 }
 
-// trim closes half of the connections that no attempt has needed since the last time.
-func (p *Pool) trim(n *node, now time.Duration) {
-	if now < n.spareAt {
+// mustRetire reports whether an idle connection may not be used any more.
+func (p *Pool) mustRetire(backend *backendPool, c *conn, now time.Duration) bool {
+	return backend.State != policy.Running || c.addr != backend.addr || now-c.idleSince > p.retireAfter()
+}
+
+// trimIdle closes half of the connections that no attempt has needed since the last trim.
+func (p *Pool) trimIdle(backend *backendPool, now time.Duration) {
+	if now < backend.trimAt {
 		return
 	}
-	if n.spareAt > 0 && n.spare != noTake {
-		for range min(n.spare/2, len(n.idle)) {
-			p.closeIdle(n)
+	if backend.trimAt > 0 && backend.minSpare != noneTaken {
+		for range min(backend.minSpare/2, len(backend.idle)) {
+			p.closeOldestIdle(backend)
 		}
 	}
-	n.spare, n.spareAt = noTake, now+p.retireAfter()
+	backend.minSpare = noneTaken
+	backend.trimAt = now + p.retireAfter()
 }
 
 // retireAfter is for how long a connection may be idle and still be used.
 func (p *Pool) retireAfter() time.Duration { return p.cfg.Idle * 2 / 3 }
 
-// CloseIdle closes all idle connections to a node.
+// CloseIdle closes all idle connections to a backend.
 func (p *Pool) CloseIdle(id policy.BackendID) {
-	n := p.nodes[id]
-	for n != nil && len(n.idle) > 0 {
-		p.closeIdle(n)
+	backend := p.backends[id]
+	for backend != nil && len(backend.idle) > 0 {
+		p.closeOldestIdle(backend)
 	}
 }
 
-// closeIdle closes the connection that has been idle longest; connDown does the books.
-func (p *Pool) closeIdle(n *node) { p.close(n.idle[0]) }
+// closeOldestIdle closes the connection that has been idle longest; its connectionClosed event updates the counts.
+func (p *Pool) closeOldestIdle(backend *backendPool) { p.closeConn(backend.idle[0]) }
 
-// close closes a connection, which is not idle from then on.
-func (p *Pool) close(c *conn) {
+// closeConn closes a connection, which is not idle from then on.
+func (p *Pool) closeConn(c *conn) {
 	c.closed = true
-	if i := slices.Index(c.node.idle, c); i >= 0 {
-		c.node.idle = slices.Delete(c.node.idle, i, i+1)
-	}
+	c.backend.removeIdle(c)
 	c.nc.Close()
 }
 
-// closeOldestIdle makes room for a new connection to a node, at another one where nobody waits.
-func (p *Pool) closeOldestIdle(to *node) bool {
-	var oldest *node
-	for _, n := range p.nodes {
-		if n != to && len(n.idle) > 0 && len(n.waiting) == 0 && (oldest == nil || n.idle[0].since < oldest.idle[0].since) {
-			oldest = n
+// evictIdle closes the connection that has been idle longest, at a backend other than except for which no attempt
+// waits. It reports whether there was one.
+func (p *Pool) evictIdle(except *backendPool) bool {
+	var oldest *backendPool
+	for _, backend := range p.backends {
+		if backend == except || len(backend.idle) == 0 || len(backend.waiting) > 0 {
+			continue
+		}
+		if oldest == nil || backend.idle[0].idleSince < oldest.idle[0].idleSince {
+			oldest = backend
 		}
 	}
 	if oldest != nil {
-		p.closeIdle(oldest)
+		p.closeOldestIdle(oldest)
 	}
 	return oldest != nil
 }
