--- a/internal/front/resp/command.go
+++ b/internal/front/resp/command.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	mostKey      = 256     // bytes of an idempotency key
-	mostCustomer = 1 << 33 // a customer's number is below
+	maxKeyBytes = 256     // bytes of an idempotency key
+	tenantLimit = 1 << 33 // a customer's number is below
 )
 
 // command is a request as it came, to be passed on to a node.
 type command struct {
-	args  [][]byte // name, customer, id, fields, body
-	dFrom int      // where the value of d stands in the fields
-	dTo   int
+	args          [][]byte // name, customer, id, fields, body
+	deadlineStart int      // where the value of d stands in the fields
+	deadlineEnd   int
 }
 
 // Encode is the client's own command, with the time that is left for it.
@@ -30,9 +30,9 @@
 	b := redcon.AppendArray(make([]byte, 0, 192+len(c.args[len(c.args)-1])), len(c.args))
 	for i, arg := range c.args {
 		if i == 3 {
-			fields := append(make([]byte, 0, len(arg)+8), arg[:c.dFrom]...)
+			fields := append(make([]byte, 0, len(arg)+8), arg[:c.deadlineStart]...)
 			fields = strconv.AppendInt(fields, max(1, left.Milliseconds()), 10)
-			arg = append(fields, arg[c.dTo:]...)
+			arg = append(fields, arg[c.deadlineEnd:]...)
 		}
 		b = redcon.AppendBulk(b, arg)
 	}
@@ -40,85 +40,85 @@
 }
 
 // fields are the values of a request's list of fields; those that the front doesn't know are passed on unread.
-type fields struct {
-	class, plan, key string
-	units            float64
-	deadline         uint64 // milliseconds
-	spread, first    uint64
-	hasFirst         bool
-	dFrom, dTo       int // where the value of d stands in the list
+type requestFields struct {
+	class, plan, idempotencyKey string
+	units                       float64
+	deadlineMillis              uint64 // milliseconds
+	spread, first               uint64
+	hasFirst                    bool
+	deadlineStart, deadlineEnd  int // where the value of d stands in the list
 }
 
 // parse checks a request that came at a time; it goes on only if a backend would take it. The error names what is wrong.
-func (f *Front) parse(args [][]byte, at time.Time) (*core.Request, error) {
+func (f *Front) parseRequest(args [][]byte, arrivedAt time.Time) (*core.Request, error) {
 	if len(args) < 4 || len(args) > 5 {
 		return nil, fmt.Errorf("%s wants a customer, an id, fields and at most a body", args[0])
 	}
-	customer, err := hex16(args[1])
-	if err != nil || customer >= mostCustomer {
+	tenant, err := parseHex16(args[1])
+	if err != nil || tenant >= tenantLimit {
 		return nil, errors.New("the customer is not 16 hex digits below 2^33")
 	}
-	id, err := hex16(args[2])
+	id, err := parseHex16(args[2])
 	if err != nil {
 		return nil, errors.New("the id is not 16 hex digits")
 	}
-	given, err := parseFields(string(args[3]))
+	fields, err := parseFields(string(args[3]))
 	if err != nil {
 		return nil, err
 	}
-	class, err := f.check(given, string(args[0]) == "Q.DO")
+	class, err := f.checkFields(fields, string(args[0]) == "Q.DO")
 	if err != nil {
 		return nil, err
 	}
-	r := &core.Request{}
-	r.ClientID, r.Tenant = id, strings.ToLower(string(args[1])) // one number, one customer
-	r.Class, r.Plan, r.Units, r.IdempotencyKey = given.class, given.plan, given.units, given.key
-	r.Spread, r.First = int(given.spread), int(given.first)
+	request := &core.Request{}
+	request.ClientID, request.Tenant = id, strings.ToLower(string(args[1])) // one number, one customer
+	request.Class, request.Plan, request.Units, request.IdempotencyKey = fields.class, fields.plan, fields.units, fields.idempotencyKey
+	request.Spread, request.First = int(fields.spread), int(fields.first)
 	// A client that says it will wait for ever is not believed.
-	r.GiveUpAt = f.core.GiveUpAt(class, at, time.Duration(given.deadline)*time.Millisecond)
-	cmd := &command{dFrom: given.dFrom, dTo: given.dTo}
-	for _, a := range args { // the buffer is the connection's
-		cmd.args = append(cmd.args, append(make([]byte, 0, len(a)), a...))
-		r.Size += len(a)
+	request.GiveUpAt = f.core.GiveUpAt(class, arrivedAt, time.Duration(fields.deadlineMillis)*time.Millisecond)
+	cmd := &command{deadlineStart: fields.deadlineStart, deadlineEnd: fields.deadlineEnd}
+	for _, arg := range args { // the buffer is the connection's
+		cmd.args = append(cmd.args, append(make([]byte, 0, len(arg)), arg...))
+		request.Size += len(arg)
 	}
-	r.Command = cmd
-	return r, nil
+	request.Command = cmd
+	return request, nil
 }
 
 // parseFields reads a list of different names and values: name=value,...
-func parseFields(list string) (fields, error) {
-	var given fields
+func parseFields(list string) (requestFields, error) {
+	var fields requestFields
 	seen := map[string]bool{}
-	for from := 0; from <= len(list); {
-		part, _, _ := strings.Cut(list[from:], ",")
-		name, value, ok := strings.Cut(part, "=")
+	for start := 0; start <= len(list); {
+		field, _, _ := strings.Cut(list[start:], ",")
+		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" || seen[name] {
-			return fields{}, errors.New("the fields are not a list of different names and values")
+			return requestFields{}, errors.New("the fields are not a list of different names and values")
 		}
 		seen[name] = true
 		if name == "d" {
-			given.dFrom, given.dTo = from+len("d="), from+len(part)
+			fields.deadlineStart, fields.deadlineEnd = start+len("d="), start+len(field)
 		}
-		if err := given.set(name, value); err != nil {
-			return fields{}, err
+		if err := fields.set(name, value); err != nil {
+			return requestFields{}, err
 		}
-		from += len(part) + 1
+		start += len(field) + 1
 	}
-	given.hasFirst = seen["first"]
-	return given, nil
+	fields.hasFirst = seen["first"]
+	return fields, nil
 }
 
 // set puts the value of one field in its place.
-func (f *fields) set(name, value string) (err error) {
+func (f *requestFields) set(name, value string) (err error) {
 	switch name {
 	case "c":
 		f.class = value
 	case "t":
 		f.plan = value
 	case "k":
-		f.key = value
+		f.idempotencyKey = value
 	case "d":
-		f.deadline, err = strconv.ParseUint(value, 10, 31)
+		f.deadlineMillis, err = strconv.ParseUint(value, 10, 31)
 	case "spread":
 		f.spread, err = strconv.ParseUint(value, 10, 31)
 	case "first":
@@ -137,23 +137,23 @@
 
 // check holds a request's fields against the settings in force; do: the command is one that may have effects. The module takes a customer's
 // plan and set from the first request that names it, so only what can be true goes on.
-func (f *Front) check(given fields, do bool) (policy.Class, error) {
-	class, known := f.core.Class(given.class)
-	gateways := uint64(f.core.Instances())
+func (f *Front) checkFields(fields requestFields, mayHaveEffects bool) (policy.Class, error) {
+	class, known := f.core.Class(fields.class)
+	instances := uint64(f.core.Instances())
 	switch {
 	case !known:
 		return class, errors.New("unknown class")
-	case !f.core.Plan(given.plan):
+	case !f.core.Plan(fields.plan):
 		return class, errors.New("unknown plan")
-	case do == (class.Effect == policy.Safe):
+	case mayHaveEffects == (class.Effect == policy.Safe):
 		return class, errors.New("the class does not go with the command")
-	case class.Effect == policy.Keyed && (given.key == "" || len(given.key) > mostKey):
+	case class.Effect == policy.Keyed && (fields.idempotencyKey == "" || len(fields.idempotencyKey) > maxKeyBytes):
 		return class, errors.New("field k is missing or too long")
-	case given.deadline == 0 || !given.hasFirst:
+	case fields.deadlineMillis == 0 || !fields.hasFirst:
 		return class, errors.New("field d or first is missing or nought")
-	case given.spread == 0 || given.spread > gateways || given.first >= gateways:
+	case fields.spread == 0 || fields.spread > instances || fields.first >= instances:
 		return class, errors.New("there is no such set of gateways")
-	case !(given.units > 0) || given.units > f.core.MaxUnits():
+	case !(fields.units > 0) || fields.units > f.core.MaxUnits():
 		return class, errors.New("field units is missing or out of range")
 	}
 	return class, nil
@@ -163,15 +163,15 @@
 func (c *command) Args() [][]byte { return c.args }
 
 // Rebuild makes a request of a command's words, as another instance has them; it is checked like a client's.
-func (f *Front) Rebuild(words [][]byte) (*core.Request, error) {
-	if len(words) == 0 {
+func (f *Front) Rebuild(args [][]byte) (*core.Request, error) {
+	if len(args) == 0 {
 		return nil, errors.New("no words")
 	}
-	return f.parse(words, time.Now())
+	return f.parseRequest(args, time.Now())
 }
 
 // hex16 reads a number of 16 hex digits.
-func hex16(b []byte) (uint64, error) {
+func parseHex16(b []byte) (uint64, error) {
 	if len(b) != 16 {
 		return 0, errors.New("not 16 digits")
 	}
--- a/internal/front/resp/connection.go
+++ b/internal/front/resp/connection.go
@@ -16,68 +16,68 @@
 )
 
 // phase is how far a connection has come to its end.
-type phase uint8
+type connectionPhase uint8
 
 const (
-	serving    phase = iota
-	readClosed       // the reader takes no command any more; what was taken is answered
-	finished         // all is answered, or is in the writer's hands: no reply may be added
-	released         // its goroutines write nothing any more: no answer is kept
+	serving    connectionPhase = iota
+	readClosed                 // the reader takes no command any more; what was taken is answered
+	finished                   // all is answered, or is in the writer's hands: no reply may be added
+	released                   // its goroutines write nothing any more: no answer is kept
 )
 
 // connection is one client's connection: a goroutine that reads, one that writes. Answers go out in the order of commands.
 type connection struct {
-	f              *Front
-	nc             net.Conn
-	window         chan struct{} // the pipeline's: taken by each command until its answer is written
+	front          *Front
+	conn           net.Conn
+	pipelineWindow chan struct{} // the pipeline's: taken by each command until its answer is written
 	wake           chan struct{} // room for one: the writer has something to look at
 	written        chan struct{} // closed when nothing is written any more
 	protocolErrors atomic.Int32  // that the client has made
-	partial        atomic.Bool   // a command has begun and not ended
-	aborted        atomic.Int32  // why this process closed it under way, as a figures.Close and one more; 0: it did not
+	partialCommand atomic.Bool   // a command has begun and not ended
+	abortReason    atomic.Int32  // why this process closed it under way, as a figures.Close and one more; 0: it did not
 
-	mu           sync.Mutex
-	waiting      []*pendingReply // commands whose answers are not in out yet
-	out          []byte          // answers that the writer has not taken
-	ready        int             // answers in out
-	unsent       int             // bytes of answers that are not written
-	used         time.Time       // when it was opened, the last command came or the last answer left
-	hasAsked     bool            // a whole command has come
-	closing      bool            // it will end when nothing waits for an answer
-	endRequested bool            // the reader is asked to end it, if nothing has come that it has not taken
-	readUntil    time.Time       // when reading is to stop, if no end is requested
-	phase        phase           // only ever rises
+	mu              sync.Mutex
+	pending         []*pendingReply // commands whose answers are not in out yet
+	outgoing        []byte          // answers that the writer has not taken
+	outgoingReplies int             // answers in out
+	unsentBytes     int             // bytes of answers that are not written
+	lastActive      time.Time       // when it was opened, the last command came or the last answer left
+	hasSentCommand  bool            // a whole command has come
+	closing         bool            // it will end when nothing waits for an answer
+	endRequested    bool            // the reader is asked to end it, if nothing has come that it has not taken
+	readDeadline    time.Time       // when reading is to stop, if no end is requested
+	phase           connectionPhase // only ever rises
 
 	// The reader's alone:
-	in         resp.Inbox
-	receipts   receipts
-	backedOff  int32 // protocol errors for which it has paused
-	peerClosed bool  // the client has left while the reader could take no more
+	inbox           resp.Inbox
+	receipts        receiptLog
+	errorsBackedOff int32 // protocol errors for which it has paused
+	peerClosed      bool  // the client has left while the reader could take no more
 }
 
-func newConnection(f *Front, nc net.Conn) *connection {
+func newConnection(front *Front, conn net.Conn) *connection {
 	return &connection{
-		f:       f,
-		nc:      nc,
-		window:  make(chan struct{}, mostPipelined),
-		wake:    make(chan struct{}, 1),
-		written: make(chan struct{}),
-		used:    time.Now(),
+		front:          front,
+		conn:           conn,
+		pipelineWindow: make(chan struct{}, maxPipelined),
+		wake:           make(chan struct{}, 1),
+		written:        make(chan struct{}),
+		lastActive:     time.Now(),
 	}
 }
 
 // serve runs a connection to its end.
 func (c *connection) serve() {
-	defer c.f.serving.Done()
+	defer c.front.serving.Done()
 	done := make(chan struct{})
 	go func() {
 		defer close(c.written)
-		c.write(done)
+		c.writeReplies(done)
 	}()
-	why := metrics.ClosedByClient
-	switch c.read() {
+	reason := metrics.ClosedByClient
+	switch c.readCommands() {
 	case protocolFailed:
-		why = metrics.ClosedByProtocol
+		reason = metrics.ClosedByProtocol
 		// What came before is answered, then the protocol error, then the connection ends. Little more is read until then, for its end: a flood
 		// costs its sender's time only.
 		c.mu.Lock()
@@ -85,63 +85,63 @@
 		c.mu.Unlock()
 		c.close()
 		if c.discardUntilWritten() {
-			c.nc.SetReadDeadline(time.Now().Add(lingerTime))
-			socket.CloseWrite(c.nc)
-			io.CopyN(io.Discard, c.nc, lingerBytes)
+			c.conn.SetReadDeadline(time.Now().Add(lingerTime))
+			socket.CloseWrite(c.conn)
+			io.CopyN(io.Discard, c.conn, lingerBytes)
 		}
 	case endedByServer:
-		why = metrics.ClosedByServer
+		reason = metrics.ClosedByServer
 		c.linger()
 	}
-	c.nc.Close()
+	c.conn.Close()
 	close(done)
 	c.closeStreams()
 	<-c.written
-	if by := c.aborted.Load(); by != 0 {
-		why = metrics.CloseReason(by - 1)
+	if abortReason := c.abortReason.Load(); abortReason != 0 {
+		reason = metrics.CloseReason(abortReason - 1)
 	}
-	c.release(why)
+	c.release(reason)
 }
 
 // abort closes the connection under way; the first reason counts.
-func (c *connection) abort(why metrics.CloseReason) {
-	c.aborted.CompareAndSwap(0, int32(why)+1)
-	c.nc.Close()
+func (c *connection) abort(reason metrics.CloseReason) {
+	c.abortReason.CompareAndSwap(0, int32(reason)+1)
+	c.conn.Close()
 }
 
 // release gives back what the connection holds, once its goroutines write nothing any more, and abandons the requests that are not answered.
-func (c *connection) release(why metrics.CloseReason) {
-	c.f.fig.ConnectionClosed(why)
+func (c *connection) release(reason metrics.CloseReason) {
+	c.front.metrics.ConnectionClosed(reason)
 	c.mu.Lock()
-	var left []*core.Request
-	for _, s := range c.waiting {
-		if s.reply == nil {
-			left = append(left, s.req)
+	var abandoned []*core.Request
+	for _, reply := range c.pending {
+		if reply.encoded == nil {
+			abandoned = append(abandoned, reply.request)
 		}
 	}
 	c.phase = released
-	c.f.unsent.Add(-int64(c.unsent))
+	c.front.unsent.Add(-int64(c.unsentBytes))
 	c.mu.Unlock()
 	c.closeStreams() // that came meanwhile
-	if len(left) > 0 {
-		if why == metrics.ClosedByServer || why == metrics.ClosedShutdownLimit {
-			c.f.guard.Violated(guard.ClosedUnanswered, "request", fmt.Sprintf("%016x", left[0].ClientID), "requests", len(left), "client", c.nc.RemoteAddr(), "why", why.String())
+	if len(abandoned) > 0 {
+		if reason == metrics.ClosedByServer || reason == metrics.ClosedShutdownLimit {
+			c.front.guard.Violated(guard.ClosedUnanswered, "request", fmt.Sprintf("%016x", abandoned[0].ClientID), "requests", len(abandoned), "client", c.conn.RemoteAddr(), "why", reason.String())
 		}
-		c.f.core.NotifyDisconnected(left)
+		c.front.core.NotifyDisconnected(abandoned)
 	}
-	c.f.mu.Lock()
-	delete(c.f.connections, c)
-	c.f.mu.Unlock()
-	<-c.f.places
+	c.front.mu.Lock()
+	delete(c.front.connections, c)
+	c.front.mu.Unlock()
+	<-c.front.slots
 }
 
 // closeStreams ends the attempts whose values are passed on: the client has gone.
 func (c *connection) closeStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.waiting {
-		if s != nil && s.value != nil {
-			s.value.Close()
+	for _, reply := range c.pending {
+		if reply != nil && reply.stream != nil {
+			reply.stream.Close()
 		}
 	}
 }
--- a/internal/front/resp/drain.go
+++ b/internal/front/resp/drain.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	drainReapEvery   = 50 * time.Millisecond  // between two looks for idle connections of a draining front
-	drainIdleAfter   = 600 * time.Millisecond // of draining: new connections still come; then those without an open request are closed
-	drainRefuseAfter = 700 * time.Millisecond // of draining for good: what comes later on a connection that is still open is refused at once
+	drainReapInterval = 50 * time.Millisecond  // between two looks for idle connections of a draining front
+	drainIdleAfter    = 600 * time.Millisecond // of draining: new connections still come; then those without an open request are closed
+	drainRejectAfter  = 700 * time.Millisecond // of draining for good: what comes later on a connection that is still open is refused at once
 )
 
 // Leave begins a graceful drain, once: PING is answered by an error, each connection is closed after its next answer, after 0.6 s also
@@ -42,7 +42,7 @@
 // once. What comes later than 0.7 s after Leave on a connection that is still open, because an answer is owed on it, is refused at once: it was
 // taken by being written. It returns when all have ended.
 func (f *Front) Drain(ctx context.Context) {
-	f.ln.Close()
+	f.listener.Close()
 	defer func() {
 		f.stop()
 		f.reaping.Wait()
--- a/internal/front/resp/accept_test.go
+++ b/internal/front/resp/drain_test.go
@@ -11,14 +11,14 @@
 )
 
 // lateListener has a connection in hand that it returns only when a test lets it, also after it was closed.
-type lateListener struct {
+type delayedListener struct {
 	net.Listener
 	accepted chan struct{} // closed when it has one
 	release  chan struct{}
 }
 
 // Accept is net.Listener's.
-func (l *lateListener) Accept() (net.Conn, error) {
+func (l *delayedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -30,44 +30,44 @@
 
 // TestDrainWaitsForWhatWasAccepted has a drain begin when a connection has been accepted and is not served yet. Before, the drain found no
 // connection and ended, and with it the process, under a request that had been taken.
-func TestDrainWaitsForWhatWasAccepted(t *testing.T) {
+func TestDrainWaitsForAcceptedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := &lateListener{Listener: ln, accepted: make(chan struct{}), release: make(chan struct{})}
-	desk := deskCore{make(chan *core.Request, 1), make(chan *core.Request, 1)}
-	f := New(late, desk, 4, 1<<20)
-	f.Start()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	delayed := &delayedListener{Listener: ln, accepted: make(chan struct{}), release: make(chan struct{})}
+	fake := newManualCore(1)
+	front := New(delayed, fake, 4, 1<<20)
+	front.Start()
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	io.WriteString(far, question(1))
-	<-late.accepted
+	defer client.Close()
+	io.WriteString(client, encodeRequest(1))
+	<-delayed.accepted
 	drained := make(chan int, 1)
 	go func() {
-		f.Drain(context.Background())
-		drained <- f.OpenConnections()
+		front.Drain(context.Background())
+		drained <- front.OpenConnections()
 	}()
-	for !f.terminating.Load() {
+	for !front.terminating.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	close(late.release)
+	close(delayed.release)
 	select {
-	case r := <-desk.came:
+	case request := <-fake.submitted:
 		select {
 		case open := <-drained:
 			t.Errorf("the drain has ended while a request is open, on %d connections", open)
 			drained <- 0
 		case <-time.After(100 * time.Millisecond):
 		}
-		r.Sink.Deliver(core.Answer{Kind: core.Rejected})
+		request.Sink.Deliver(core.Answer{Kind: core.Rejected})
 	case <-time.After(10 * time.Second):
 		t.Fatal("the request was not taken")
 	}
-	far.(*net.TCPConn).CloseWrite()
+	client.(*net.TCPConn).CloseWrite()
 	if open := <-drained; open != 0 {
 		t.Errorf("%d connections are open after the drain", open)
 	}
--- a/internal/front/resp/ending.go
+++ b/internal/front/resp/ending.go
@@ -12,7 +12,7 @@
 // taken yet, and what lies in the kernel, was written before the end of the connection and is owed an answer.
 func (c *connection) requestEnd() {
 	c.endRequested = true
-	c.nc.SetReadDeadline(time.Unix(1, 0))
+	c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
 // takeEndRequest takes a request for the end back, and reports whether there was one; c.mu is held.
@@ -21,19 +21,19 @@
 		return false
 	}
 	c.endRequested = false
-	c.nc.SetReadDeadline(c.readUntil)
+	c.conn.SetReadDeadline(c.readDeadline)
 	return true
 }
 
 // tryEnd reports whether the reader was asked to end the connection, and whether that is done: nothing waits for an answer, and nothing has
 // come. From then on nothing is read or taken any more. Where it isn't, the next answer asks again.
-func (c *connection) tryEnd() (asked, ended bool) {
+func (c *connection) tryEnd() (requested, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.takeEndRequest() {
 		return false, false
 	}
-	if came, gone := socket.Peek(c.nc); len(c.waiting) > 0 || c.in.Partial() || came || gone {
+	if arrived, disconnected := socket.Peek(c.conn); len(c.pending) > 0 || c.inbox.Partial() || arrived || disconnected {
 		return true, false
 	}
 	c.phase = finished
@@ -45,9 +45,9 @@
 // crosses our end is not read: the client sends it again elsewhere.
 func (c *connection) linger() {
 	<-c.written
-	socket.CloseWrite(c.nc)
-	for until := time.Now().Add(lingerTime); time.Now().Before(until); time.Sleep(lingerLook) {
-		if _, gone := socket.Peek(c.nc); gone || socket.HungUp(c.nc) { // by the client, or by the end of a drain
+	socket.CloseWrite(c.conn)
+	for deadline := time.Now().Add(lingerTime); time.Now().Before(deadline); time.Sleep(lingerPollInterval) {
+		if _, disconnected := socket.Peek(c.conn); disconnected || socket.HungUp(c.conn) { // by the client, or by the end of a drain
 			return
 		}
 	}
@@ -56,25 +56,25 @@
 // discardUntilWritten waits for the last answer, and discards a bounded part of what comes meanwhile, so that a client that
 // leaves is noticed: false.
 func (c *connection) discardUntilWritten() (written bool) {
-	b := make([]byte, relaySize)
-	for n := 0; ; {
+	buffer := make([]byte, relayBufferSize)
+	for discarded := 0; ; {
 		select {
 		case <-c.written:
 			return true
 		default:
 		}
-		if n < discardedBytes {
-			c.nc.SetReadDeadline(time.Now().Add(peerClosedLook))
-			k, err := c.nc.Read(b)
-			n += k
+		if discarded < maxDiscardedBytes {
+			c.conn.SetReadDeadline(time.Now().Add(peerClosedPollInterval))
+			n, err := c.conn.Read(buffer)
+			discarded += n
 			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				return false
 			}
 			continue
 		}
-		if socket.HungUp(c.nc) {
+		if socket.HungUp(c.conn) {
 			return false
 		}
-		wait(c.written, peerClosedLook)
+		waitClosed(c.written, peerClosedPollInterval)
 	}
 }
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -36,21 +36,21 @@
 // Front accepts clients on one address. Its methods may be called from any goroutine. Locks are taken in the order reserving, mu, and the
 // mu of one connection.
 type Front struct {
-	ln            net.Listener
+	listener      net.Listener
 	core          Core
-	fig           *metrics.Set
+	metrics       *metrics.Set
 	guard         *guard.Monitor
 	requestMemory *resp.Budget // bytes of commands that are being read
-	mostUnsent    int64        // bytes of answers that clients have not read, all together
+	maxUnsent     int64        // bytes of answers that clients have not read, all together
 	unsent        atomic.Int64
 
-	places      chan struct{} // one is taken by each connection, and by each place that is reserved
-	toReserve   atomic.Int64  // places that are to be left to another process
-	reserving   sync.Mutex    // of reserved
-	reserved    int           // those of them that no connection can take any more
-	mu          sync.Mutex
-	connections map[*connection]bool
-	serving     sync.WaitGroup // of connections
+	slots          chan struct{} // one is taken by each connection, and by each place that is reserved
+	slotsToReserve atomic.Int64  // places that are to be left to another process
+	reserveMu      sync.Mutex    // of reserved
+	slotsReserved  int           // those of them that no connection can take any more
+	mu             sync.Mutex
+	connections    map[*connection]bool
+	serving        sync.WaitGroup // of connections
 
 	drainingSince atomic.Int64  // nanoseconds of Unix time; 0: the front is not draining
 	terminating   atomic.Bool   // draining, and the process is about to end
@@ -63,21 +63,21 @@
 
 // New returns a front on ln for at most so many connections, and so many bytes each of commands that come in and of
 // answers that are unread. It does not serve yet.
-func New(ln net.Listener, c Core, most, memory int) *Front {
+func New(listener net.Listener, core Core, maxConnections, memory int) *Front {
 	return &Front{
-		ln:            ln,
-		core:          c,
-		fig:           metrics.New(nil, nil, nil),
+		listener:      listener,
+		core:          core,
+		metrics:       metrics.New(nil, nil, nil),
 		requestMemory: resp.NewBudget(memory),
-		mostUnsent:    int64(memory),
-		places:        make(chan struct{}, most),
+		maxUnsent:     int64(memory),
+		slots:         make(chan struct{}, maxConnections),
 		connections:   map[*connection]bool{},
 		changed:       make(chan struct{}, 1),
 	}
 }
 
 // Observe has the front count in a process' figures and invariants; it is called before Start.
-func (f *Front) Observe(fig *metrics.Set, m *guard.Monitor) { f.fig, f.guard = fig, m }
+func (f *Front) Observe(set *metrics.Set, monitor *guard.Monitor) { f.metrics, f.guard = set, monitor }
 
 // Start serves until Drain.
 func (f *Front) Start() {
@@ -89,12 +89,12 @@
 
 // SetMost changes how many connections there may be, up to what New was told; where there are more, the idlest are closed.
 func (f *Front) SetMaxConnections(n int) {
-	f.toReserve.Store(int64(max(0, cap(f.places)-n)))
+	f.slotsToReserve.Store(int64(max(0, cap(f.slots)-n)))
 	f.notify()
 }
 
 // Most is how many connections there may be at the most, as New was told.
-func (f *Front) MaxConnections() int { return cap(f.places) }
+func (f *Front) MaxConnections() int { return cap(f.slots) }
 
 // Open is how many connections there are.
 func (f *Front) OpenConnections() int {
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -11,13 +11,13 @@
 // accept takes connections until the listener closes.
 func (f *Front) accept() {
 	for {
-		f.acquirePlace()
-		nc, err := f.ln.Accept()
+		f.acquireSlot()
+		nc, err := f.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // out of descriptors, say: a pause, then on
-			<-f.places
+			<-f.slots
 			time.Sleep(acceptPause)
 			continue
 		}
@@ -35,4 +35,4 @@
 }
 
 // Close closes the listener: this process's use of it, where others have it too.
-func (f *Front) Close() { f.ln.Close() }
+func (f *Front) Close() { f.listener.Close() }
--- a/internal/front/resp/pending.go
+++ b/internal/front/resp/pending.go
@@ -13,61 +13,61 @@
 
 // pendingReply is one command's answer, in its place in the order of commands, until it is written.
 type pendingReply struct {
-	c     *connection
-	reply []byte          // nil until answered; of a value that is passed on: its head
-	value *backend.Stream // that value; nil: reply is all
-	req   *core.Request
+	conn    *connection
+	encoded []byte          // nil until answered; of a value that is passed on: its head
+	stream  *backend.Stream // that value; nil: reply is all
+	request *core.Request
 }
 
 // addPending adds a pending reply at the end of the order; nil when the connection takes no more.
-func (c *connection) addPending(r *core.Request) *pendingReply {
+func (c *connection) addPending(request *core.Request) *pendingReply {
 	if !c.acquireWindow() {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase >= finished {
-		<-c.window
+		<-c.pipelineWindow
 		return nil
 	}
-	s := &pendingReply{c: c, req: r}
-	c.used, c.hasAsked = time.Now(), true
-	c.waiting = append(c.waiting, s)
-	return s
+	reply := &pendingReply{conn: c, request: request}
+	c.lastActive, c.hasSentCommand = time.Now(), true
+	c.pending = append(c.pending, reply)
+	return reply
 }
 
 // acquireWindow waits for room in the pipeline's window for a further command; false when the connection ends first. Room comes as answers are written, and each
 // request has a time limit.
-func (c *connection) acquireWindow() (entered bool) {
-	over := false
-	c.waitReading(func(most time.Duration) bool {
+func (c *connection) acquireWindow() (acquired bool) {
+	ended := false
+	c.waitWhileReading(func(maxWait time.Duration) bool {
 		select {
-		case c.window <- struct{}{}:
-			entered = true
+		case c.pipelineWindow <- struct{}{}:
+			acquired = true
 		case <-c.written:
-			over = true
+			ended = true
 		default:
-			if most > 0 {
-				t := time.NewTimer(most)
-				defer t.Stop()
+			if maxWait > 0 {
+				timer := time.NewTimer(maxWait)
+				defer timer.Stop()
 				select {
-				case c.window <- struct{}{}:
-					entered = true
+				case c.pipelineWindow <- struct{}{}:
+					acquired = true
 				case <-c.written:
-					over = true
-				case <-t.C:
+					ended = true
+				case <-timer.C:
 				}
 			}
 		}
-		return entered || over
+		return acquired || ended
 	})
-	return entered
+	return acquired
 }
 
 // replyNow answers a command without the core.
-func (c *connection) replyNow(b []byte) {
-	if s := c.addPending(nil); s != nil {
-		s.answer(b)
+func (c *connection) replyNow(encoded []byte) {
+	if reply := c.addPending(nil); reply != nil {
+		reply.complete(encoded)
 	}
 }
 
@@ -76,48 +76,48 @@
 	switch a.Kind {
 	case core.Served:
 		if v := a.Stream; v != nil {
-			p.stream(v)
+			p.completeWithStream(v)
 			return
 		}
-		p.answer(redcon.AppendBulk(make([]byte, 0, len(a.Value)+16), a.Value))
+		p.complete(redcon.AppendBulk(make([]byte, 0, len(a.Value)+16), a.Value))
 	case core.Rejected:
-		b := refusal(a)
-		p.answer(b)
+		b := encodeRejection(a)
+		p.complete(b)
 	case core.Duplicate:
-		p.c.protocolErrors.Add(1)
-		p.answer([]byte("-ERR a request of this id is being served\r\n"))
+		p.conn.protocolErrors.Add(1)
+		p.complete([]byte("-ERR a request of this id is being served\r\n"))
 	default:
-		p.answer([]byte("-ERR failed\r\n"))
+		p.complete([]byte("-ERR failed\r\n"))
 	}
 }
 
 // Gone reports whether the client has closed its connection, whether or not the reader has come to that: the command and the end of the
 // connection may have come together, and the reader may be held up. It asks the kernel and never waits.
-func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.c.nc) }
+func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.conn.conn) }
 
 // answer completes the reply and never blocks. Clients that leave their answers unread lose their connections before they
 // can fill the memory.
-func (p *pendingReply) answer(b []byte) {
-	c := p.c
+func (p *pendingReply) complete(encoded []byte) {
+	c := p.conn
 	c.mu.Lock()
 	if c.phase == released {
 		c.mu.Unlock()
 		return
 	}
-	p.reply = b
-	c.unsent += len(b)
-	c.f.unsent.Add(int64(len(b)))
-	c.collect()
-	c.used = time.Now()
+	p.encoded = encoded
+	c.unsentBytes += len(encoded)
+	c.front.unsent.Add(int64(len(encoded)))
+	c.collectReplies()
+	c.lastActive = time.Now()
 	c.mu.Unlock()
-	if c.f.unsent.Load() > c.f.mostUnsent {
-		c.f.closeSlowestReader()
+	if c.front.unsent.Load() > c.front.maxUnsent {
+		c.front.closeSlowestReader()
 	}
 	c.wakeWriter()
 }
 
 // refusal encodes a refusal, with when to come back.
-func refusal(a core.Answer) []byte {
+func encodeRejection(a core.Answer) []byte {
 	if a.RetryAfter <= 0 {
 		return []byte("-BUSY\r\n")
 	}
@@ -125,27 +125,27 @@
 }
 
 // stream completes the reply with a value that is passed on as it comes. The goroutine that writes reads it when its turn has come.
-func (p *pendingReply) stream(v *backend.Stream) {
-	c := p.c
+func (p *pendingReply) completeWithStream(v *backend.Stream) {
+	c := p.conn
 	c.mu.Lock()
 	if c.phase == released {
 		c.mu.Unlock()
 		v.Close()
 		return
 	}
-	p.value = v
-	p.reply = append(strconv.AppendInt([]byte{'$'}, int64(v.Size), 10), '\r', '\n')
-	c.used = time.Now()
+	p.stream = v
+	p.encoded = append(strconv.AppendInt([]byte{'$'}, int64(v.Size), 10), '\r', '\n')
+	c.lastActive = time.Now()
 	c.mu.Unlock()
 	c.wakeWriter()
 }
 
 // collect moves the answers that are due to out, up to one that is passed on; c.mu is held.
-func (c *connection) collect() {
-	for len(c.waiting) > 0 && c.waiting[0].reply != nil && c.waiting[0].value == nil {
-		c.out = append(c.out, c.waiting[0].reply...)
-		c.ready++
-		c.waiting[0] = nil
-		c.waiting = c.waiting[1:]
+func (c *connection) collectReplies() {
+	for len(c.pending) > 0 && c.pending[0].encoded != nil && c.pending[0].stream == nil {
+		c.outgoing = append(c.outgoing, c.pending[0].encoded...)
+		c.outgoingReplies++
+		c.pending[0] = nil
+		c.pending = c.pending[1:]
 	}
 }
--- a/internal/front/resp/reader.go
+++ b/internal/front/resp/reader.go
@@ -23,37 +23,37 @@
 
 // commandProgress is what the reader knows of a command that has begun and not ended.
 type commandProgress struct {
-	began time.Time // zero: none has begun
-	came  int       // bytes of it, by the last look at its progress
+	beganAt      time.Time // zero: none has begun
+	arrivedBytes int       // bytes of it, by the last look at its progress
 }
 
 // read takes commands until the connection ends.
-func (c *connection) read() readResult {
-	in := &c.in
-	in.Budget, in.Max = c.f.requestMemory, resp.MaxLarge
+func (c *connection) readCommands() readResult {
+	in := &c.inbox
+	in.Budget, in.Max = c.front.requestMemory, resp.MaxLarge
 	defer in.Close()
 	var progress commandProgress
 	for {
-		f, err := in.Next()
-		if f != nil {
+		command, err := in.Next()
+		if command != nil {
 			progress = commandProgress{}
-			c.handle(f, c.receipts.take(in.ArrivedAt()))
+			c.handle(command, c.receipts.takeCommand(in.ArrivedAt()))
 			if n := c.protocolErrors.Load(); c.peerClosed {
 				return clientLeft
-			} else if n >= mostProtocolErrors {
-				c.refuseReceived()
+			} else if n >= maxProtocolErrors {
+				c.rejectReceived()
 				return protocolFailed
-			} else if n > c.backedOff { // of one that the core found
+			} else if n > c.errorsBackedOff { // of one that the core found
 				c.backOff()
 			}
 			continue
 		}
 		if err == nil {
-			c.limitPartial(&progress, c.receipts.forget())
+			c.limitPartialCommand(&progress, c.receipts.forgetPartial())
 			if err = in.Fill(c.receive); errors.Is(err, os.ErrDeadlineExceeded) {
-				if asked, ended := c.tryEnd(); ended {
+				if endRequested, ended := c.tryEnd(); ended {
 					return endedByServer
-				} else if asked {
+				} else if endRequested {
 					continue
 				}
 			}
@@ -70,43 +70,43 @@
 // limitPartial sets the time limit of a command that has begun and not ended, which is longer while it makes progress, and takes it off
 // behind its end. Only the rest of a command has a time limit; setting one for each read would cost CPU. What came first may have waited for this
 // process: its time counts from when it came, and what has come behind it is read first.
-func (c *connection) limitPartial(p *commandProgress, came time.Time) {
-	partial := c.in.Partial()
+func (c *connection) limitPartialCommand(progress *commandProgress, arrivedAt time.Time) {
+	partial := c.inbox.Partial()
 	switch {
-	case !partial && c.partial.Load():
-		c.setReadLimit(time.Time{})
-		c.partial.Store(false)
-	case partial && (p.began.IsZero() || c.in.ArrivedAt()-p.came >= leastProgress):
+	case !partial && c.partialCommand.Load():
+		c.setReadDeadline(time.Time{})
+		c.partialCommand.Store(false)
+	case partial && (progress.beganAt.IsZero() || c.inbox.ArrivedAt()-progress.arrivedBytes >= minProgressBytes):
 		now := time.Now()
-		limit := earlier(now.Add(firstCommand), p.began.Add(wholeCommand))
-		if p.began.IsZero() {
-			if p.began = now; !came.IsZero() {
-				p.began = came
+		deadline := earlier(now.Add(firstCommandTimeout), progress.beganAt.Add(commandTimeout))
+		if progress.beganAt.IsZero() {
+			if progress.beganAt = now; !arrivedAt.IsZero() {
+				progress.beganAt = arrivedAt
 			}
-			limit = later(p.began.Add(firstCommand), now.Add(restOfCommand))
+			deadline = later(progress.beganAt.Add(firstCommandTimeout), now.Add(minRestTimeout))
 		}
-		p.came = c.in.ArrivedAt()
-		c.partial.Store(true)
-		c.setReadLimit(limit)
+		progress.arrivedBytes = c.inbox.ArrivedAt()
+		c.partialCommand.Store(true)
+		c.setReadDeadline(deadline)
 	}
 }
 
 // receive reads from the connection, and notes when what it brings has come.
 func (c *connection) receive(b []byte) (int, error) {
 	var began time.Time // the time of a read matters only behind a stop
-	if !c.receipts.stopped.IsZero() {
+	if !c.receipts.stoppedAt.IsZero() {
 		began = time.Now()
 	}
-	n, err := c.nc.Read(b)
+	n, err := c.conn.Read(b)
 	if n > 0 {
 		now := time.Now()
-		if c.receipts.total == 0 { // it may have waited in the listen queue, for a place here, with more behind it
-			if waited := min(socket.SinceData(c.nc), mostQueued); waited >= receiptGap {
-				c.receipts.stop(now.Add(-waited))
+		if c.receipts.totalBytes == 0 { // it may have waited in the listen queue, for a place here, with more behind it
+			if waited := min(socket.SinceData(c.conn), maxListenQueueWait); waited >= receiptGap {
+				c.receipts.noteStop(now.Add(-waited))
 				began = now
 			}
 		}
-		c.receipts.add(n, began, now)
+		c.receipts.noteRead(n, began, now)
 	}
 	return n, err
 }
@@ -114,16 +114,16 @@
 // skipCommand reads past a command for which there is no memory now, and refuses it, if its end is known. It has the same time as any other
 // that has begun: a client that stops within it is not waited for.
 func (c *connection) skipCommand() error {
-	end := time.Now().Add(wholeCommand)
-	skipped, err := c.in.Skip(func(b []byte) (int, error) {
+	end := time.Now().Add(commandTimeout)
+	skipped, err := c.inbox.Skip(func(b []byte) (int, error) {
 		c.mu.Lock()
 		c.takeEndRequest() // its rest comes first
 		c.mu.Unlock()
-		c.setReadLimit(earlier(time.Now().Add(firstCommand), end))
+		c.setReadDeadline(earlier(time.Now().Add(firstCommandTimeout), end))
 		return c.receive(b)
 	})
 	if skipped {
-		c.replyNow(refusal(core.Answer{RetryAfter: core.OverloadRetryAfter}))
+		c.replyNow(encodeRejection(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 		return nil
 	}
 	if err == nil {
@@ -134,24 +134,24 @@
 
 // refuseReceived refuses the requests that had been read behind the protocol error that ends the connection, up to the next error: a request
 // that was read is owed an answer.
-func (c *connection) refuseReceived() {
-	for left := c.in.ArrivedAt(); left > 0 && !c.peerClosed; {
-		f, err := c.in.Next()
-		if f == nil || err != nil || !c.isRequest(f) {
+func (c *connection) rejectReceived() {
+	for remaining := c.inbox.ArrivedAt(); remaining > 0 && !c.peerClosed; {
+		command, err := c.inbox.Next()
+		if command == nil || err != nil || !c.isRequest(command) {
 			return
 		}
-		left -= len(f)
-		c.replyNow(refusal(core.Answer{RetryAfter: core.OverloadRetryAfter}))
+		remaining -= len(command)
+		c.replyNow(encodeRejection(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 	}
 }
 
 // isRequest reports whether a whole command is a request that would be served.
-func (c *connection) isRequest(f []byte) bool {
-	whole, args, _, _, err := redcon.ReadNextCommand(f, nil)
-	if err != nil || !whole || len(args) == 0 {
+func (c *connection) isRequest(command []byte) bool {
+	complete, args, _, _, err := redcon.ReadNextCommand(command, nil)
+	if err != nil || !complete || len(args) == 0 {
 		return false
 	}
-	_, err = c.f.parse(args, time.Now())
+	_, err = c.front.parseRequest(args, time.Now())
 	return err == nil
 }
 
@@ -161,7 +161,7 @@
 	case errors.Is(err, resp.ErrFraming) || errors.Is(err, resp.ErrTooLong) || errors.Is(err, resp.ErrMemory):
 		c.protocolError(err.Error())
 		return protocolFailed
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.partial.Load():
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.partialCommand.Load():
 		c.protocolError("the command does not end")
 		return protocolFailed
 	}
@@ -169,40 +169,40 @@
 }
 
 // setReadLimit sets when reading is to stop, unless an end is requested, for which it stops at once.
-func (c *connection) setReadLimit(t time.Time) {
+func (c *connection) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readUntil = t; !c.endRequested {
-		c.nc.SetReadDeadline(t)
+	if c.readDeadline = t; !c.endRequested {
+		c.conn.SetReadDeadline(t)
 	}
 }
 
 // waitReading waits until done returns true, which itself waits for so long at the most (0: not at all), and notices meanwhile when the
 // client leaves, since what it has asked must not be sent any more: peerClosed holds then. It reads a bounded part of what comes next.
-func (c *connection) waitReading(done func(time.Duration) bool) {
+func (c *connection) waitWhileReading(done func(time.Duration) bool) {
 	if done(0) {
 		return
 	}
-	defer c.setReadLimit(time.Time{})
-	for ahead := true; !done(0); {
+	defer c.setReadDeadline(time.Time{})
+	for readAhead := true; !done(0); {
 		c.mu.Lock()
 		c.takeEndRequest() // what has been read comes first
 		c.mu.Unlock()
-		if ahead = ahead && c.in.ArrivedAt() < readAheadBytes; !ahead {
-			c.receipts.stop(time.Now())
-			if done(peerClosedLook) {
+		if readAhead = readAhead && c.inbox.ArrivedAt() < readAheadBytes; !readAhead {
+			c.receipts.noteStop(time.Now())
+			if done(peerClosedPollInterval) {
 				return
 			}
-			if c.peerClosed = socket.HungUp(c.nc); c.peerClosed {
+			if c.peerClosed = socket.HungUp(c.conn); c.peerClosed {
 				return
 			}
 			continue
 		}
-		c.setReadLimit(time.Now().Add(peerClosedLook))
-		switch err := c.in.Fill(c.receive); {
+		c.setReadDeadline(time.Now().Add(peerClosedPollInterval))
+		switch err := c.inbox.Fill(c.receive); {
 		case err == nil || errors.Is(err, os.ErrDeadlineExceeded):
 		case errors.Is(err, resp.ErrMemory) || errors.Is(err, resp.ErrTooLong):
-			ahead = false
+			readAhead = false
 		default:
 			c.peerClosed = true
 			return
@@ -211,13 +211,13 @@
 }
 
 // wait waits until a channel closes, for so long at the most; it says whether that has closed.
-func wait(closed <-chan struct{}, most time.Duration) bool {
-	t := time.NewTimer(most)
-	defer t.Stop()
+func waitClosed(closed <-chan struct{}, maxWait time.Duration) bool {
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
 	select {
 	case <-closed:
 		return true
-	case <-t.C:
+	case <-timer.C:
 		return false
 	}
 }
@@ -246,40 +246,40 @@
 
 // backOff waits, longer with each protocol error, once for each.
 func (c *connection) backOff() {
-	c.backedOff = c.protocolErrors.Load()
-	end := time.Now().Add(time.Duration(c.backedOff) * protocolErrorPause)
-	c.waitReading(func(most time.Duration) bool {
-		return wait(c.written, min(most, time.Until(end))) || !time.Now().Before(end)
+	c.errorsBackedOff = c.protocolErrors.Load()
+	end := time.Now().Add(time.Duration(c.errorsBackedOff) * protocolErrorPause)
+	c.waitWhileReading(func(maxWait time.Duration) bool {
+		return waitClosed(c.written, min(maxWait, time.Until(end))) || !time.Now().Before(end)
 	})
 }
 
 // handle serves one whole command, which came at a time.
-func (c *connection) handle(f []byte, at time.Time) {
-	whole, args, _, _, err := redcon.ReadNextCommand(f, nil)
-	if err != nil || !whole || len(args) == 0 {
+func (c *connection) handle(command []byte, arrivedAt time.Time) {
+	complete, args, _, _, err := redcon.ReadNextCommand(command, nil)
+	if err != nil || !complete || len(args) == 0 {
 		c.protocolError("a command is an array of bulk strings")
 		return
 	}
 	switch string(args[0]) {
 	case "PING":
-		if c.f.Draining() {
+		if c.front.Draining() {
 			c.replyNow(redcon.AppendError(nil, "ERR draining"))
 		} else {
 			c.replyNow(redcon.AppendString(nil, "PONG"))
 		}
 	case "Q.ASK", "Q.DO":
-		r, err := c.f.parse(args, at)
+		request, err := c.front.parseRequest(args, arrivedAt)
 		if err != nil {
 			c.protocolError(err.Error())
 			return
 		}
-		if c.f.terminating.Load() && c.f.drainingFor() > drainRefuseAfter { // something else is owed on this connection
-			c.replyNow(refusal(core.Answer{RetryAfter: core.OverloadRetryAfter}))
+		if c.front.terminating.Load() && c.front.drainingFor() > drainRejectAfter { // something else is owed on this connection
+			c.replyNow(encodeRejection(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 			return
 		}
-		if s := c.addPending(r); s != nil {
-			r.Sink = s
-			c.f.core.Submit(r)
+		if reply := c.addPending(request); reply != nil {
+			request.Sink = reply
+			c.front.core.Submit(request)
 		}
 	default:
 		c.protocolError("unknown command")
--- a/internal/front/resp/queue_test.go
+++ b/internal/front/resp/receipts_test.go
@@ -13,33 +13,33 @@
 
 // TestAgeOfCommandsInTheListenQueue has a connection wait in the listen queue for a place, with its command. The command's time counts from when it
 // came, not from when there was a place: before, backends were told time that the client did not have any more.
-func TestAgeOfCommandsInTheListenQueue(t *testing.T) {
+func TestAgeOfCommandsInListenQueue(t *testing.T) {
 	const waited = 400 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	aged := agedCore{deskCore{make(chan *core.Request, 200), make(chan *core.Request, 200)}, time.Now()}
-	f := New(ln, aged, 1, 1<<20)
+	fake := arrivalCore{newManualCore(200), time.Now()}
+	f := New(ln, fake, 1, 1<<20)
 	f.Start()
 	dial := func(id int) net.Conn {
-		nc, err := net.Dial("tcp", ln.Addr().String())
+		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { nc.Close() })
-		if _, err := io.WriteString(nc, question(id)+strings.Repeat(question(id+10), 40)); err != nil { // more than one read brings
+		t.Cleanup(func() { conn.Close() })
+		if _, err := io.WriteString(conn, encodeRequest(id)+strings.Repeat(encodeRequest(id+10), 40)); err != nil { // more than one read brings
 			t.Fatal(err)
 		}
-		return nc
+		return conn
 	}
 	const each = 41
 	answer := func(n int, check func(*core.Request)) {
 		for range n {
 			select {
-			case r := <-aged.came:
-				check(r)
-				r.Sink.Deliver(core.Answer{Kind: core.Failed})
+			case request := <-fake.submitted:
+				check(request)
+				request.Sink.Deliver(core.Answer{Kind: core.Failed})
 			case <-time.After(10 * time.Second):
 				t.Fatal("a command is not taken")
 			}
@@ -47,13 +47,13 @@
 	}
 	dial(1)
 	answer(each-1, func(*core.Request) {})
-	last := <-aged.came // its connection has the one place until it is answered
-	sent := time.Since(aged.start)
+	last := <-fake.submitted // its connection has the one place until it is answered
+	sent := time.Since(fake.start)
 	dial(2)
 	time.AfterFunc(waited, func() { last.Sink.Deliver(core.Answer{Kind: core.Failed}) })
-	answer(each, func(r *core.Request) {
-		if r.GiveUpAt-sent > waited/2 {
-			t.Errorf("a command that came at %v, and was taken at %v, counts from %v", sent, time.Since(aged.start), r.GiveUpAt)
+	answer(each, func(request *core.Request) {
+		if request.GiveUpAt-sent > waited/2 {
+			t.Errorf("a command that came at %v, and was taken at %v, counts from %v", sent, time.Since(fake.start), request.GiveUpAt)
 		}
 	})
 	f.Close()
@@ -62,41 +62,41 @@
 
 // TestAgeOfCommandsBeyondTheReadAhead has more come behind a full window than is read meanwhile: the rest lies in the kernel. What is read of it later
 // counts as come when reading stopped, at the latest.
-func TestAgeOfCommandsBeyondTheReadAhead(t *testing.T) {
+func TestAgeOfCommandsBeyondReadAhead(t *testing.T) {
 	const waited, large = 600 * time.Millisecond, 100 // more than the kernel holds for us: the rest is in the client's
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	aged := agedCore{deskCore{make(chan *core.Request, 200), make(chan *core.Request, 200)}, time.Now()}
-	f := New(ln, aged, 4, 1<<20)
+	fake := arrivalCore{newManualCore(200), time.Now()}
+	f := New(ln, fake, 4, 1<<20)
 	f.Start()
-	nc, err := net.Dial("tcp", ln.Addr().String())
+	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	defer conn.Close()
 	var text strings.Builder
-	for id := range mostPipelined + large {
-		if id < mostPipelined {
-			text.WriteString(question(id))
+	for id := range maxPipelined + large {
+		if id < maxPipelined {
+			text.WriteString(encodeRequest(id))
 		} else {
-			text.WriteString(words("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=read,t=p,d=50000,units=1,spread=1,first=0", strings.Repeat("b", readAheadBytes/4)))
+			text.WriteString(encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=read,t=p,d=50000,units=1,spread=1,first=0", strings.Repeat("b", readAheadBytes/4)))
 		}
 	}
-	go io.Copy(io.Discard, nc)
-	go io.WriteString(nc, text.String())
-	sent := time.Since(aged.start)
-	for id := range mostPipelined + large {
+	go io.Copy(io.Discard, conn)
+	go io.WriteString(conn, text.String())
+	sent := time.Since(fake.start)
+	for id := range maxPipelined + large {
 		if id == 1 { // the others wait until then
 			time.Sleep(waited)
 		}
 		select {
-		case r := <-aged.came:
-			if came := r.GiveUpAt; came-sent > waited/2 {
-				t.Fatalf("command %d came at %v, and counts from %v", id, sent, came)
+		case request := <-fake.submitted:
+			if arrivedAt := request.GiveUpAt; arrivedAt-sent > waited/2 {
+				t.Fatalf("command %d came at %v, and counts from %v", id, sent, arrivedAt)
 			}
-			r.Sink.Deliver(core.Answer{Kind: core.Failed})
+			request.Sink.Deliver(core.Answer{Kind: core.Failed})
 		case <-time.After(10 * time.Second):
 			t.Fatalf("command %d is not taken", id)
 		}
--- a/internal/front/resp/places.go
+++ b/internal/front/resp/slots.go
@@ -13,20 +13,20 @@
 
 // reservePlaces takes and gives back the places that are to be left to another process, and reports whether that is done; no connection is
 // accepted before.
-func (f *Front) reservePlaces(now time.Time) bool {
-	f.reserving.Lock()
-	defer f.reserving.Unlock()
-	for want := int(f.toReserve.Load()); f.reserved != want; {
-		if f.reserved > want {
-			<-f.places
-			f.reserved--
+func (f *Front) reserveSlots(now time.Time) bool {
+	f.reserveMu.Lock()
+	defer f.reserveMu.Unlock()
+	for want := int(f.slotsToReserve.Load()); f.slotsReserved != want; {
+		if f.slotsReserved > want {
+			<-f.slots
+			f.slotsReserved--
 			continue
 		}
 		select {
-		case f.places <- struct{}{}:
-			f.reserved++
+		case f.slots <- struct{}{}:
+			f.slotsReserved++
 		default: // a later call finds the places of the connections that are closed now
-			for range want - f.reserved - f.closingCount() {
+			for range want - f.slotsReserved - f.closingCount() {
 				f.evictIdlest(now)
 			}
 			return false
@@ -51,20 +51,20 @@
 
 // acquirePlace waits for the place of a further connection. Clients keep idle ones for good and hundreds may say nothing at
 // all, so where all places are taken one of these is closed.
-func (f *Front) acquirePlace() {
+func (f *Front) acquireSlot() {
 	for {
-		if !f.reservePlaces(time.Now()) {
+		if !f.reserveSlots(time.Now()) {
 			time.Sleep(evictionPause)
 			continue
 		}
 		select {
-		case f.places <- struct{}{}:
+		case f.slots <- struct{}{}:
 			return
 		default: // all are taken
 		}
 		f.evictIdlest(time.Now())
 		select {
-		case f.places <- struct{}{}:
+		case f.slots <- struct{}{}:
 			return
 		case <-time.After(evictionPause):
 		}
@@ -78,13 +78,13 @@
 	defer f.mu.Unlock()
 	var idlest *connection
 	var since time.Time
-	var spoken bool
+	var idlestHasSent bool
 	for c := range f.connections {
 		c.mu.Lock()
-		free := !c.closing && len(c.waiting) == 0 && (c.hasAsked || now.Sub(c.used) > newcomerGrace) &&
-			!(c.partial.Load() && now.Sub(c.used) < firstCommand)
-		if free && (idlest == nil || spoken && !c.hasAsked || spoken == c.hasAsked && c.used.Before(since)) {
-			idlest, since, spoken = c, c.used, c.hasAsked
+		evictable := !c.closing && len(c.pending) == 0 && (c.hasSentCommand || now.Sub(c.lastActive) > newcomerGrace) &&
+			!(c.partialCommand.Load() && now.Sub(c.lastActive) < firstCommandTimeout)
+		if evictable && (idlest == nil || idlestHasSent && !c.hasSentCommand || idlestHasSent == c.hasSentCommand && c.lastActive.Before(since)) {
+			idlest, since, idlestHasSent = c, c.lastActive, c.hasSentCommand
 		}
 		c.mu.Unlock()
 	}
@@ -98,11 +98,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var slowest *connection
-	most := 0
+	maxUnsent := 0
 	for c := range f.connections {
 		c.mu.Lock()
-		if c.unsent > most {
-			slowest, most = c, c.unsent
+		if c.unsentBytes > maxUnsent {
+			slowest, maxUnsent = c, c.unsentBytes
 		}
 		c.mu.Unlock()
 	}
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -13,31 +13,31 @@
 
 // relay writes a value as it comes, in its place, as the first reply that waits. A value that breaks off ends the
 // connection, so that the client sees that it is cut.
-func (c *connection) relay(s *pendingReply) error {
-	defer s.value.Close()
-	if err := c.sendValue(s); err != nil {
+func (c *connection) relayStream(reply *pendingReply) error {
+	defer reply.stream.Close()
+	if err := c.sendStream(reply); err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.waiting[0] = nil
-	c.waiting = c.waiting[1:]
-	c.collect()
-	c.used = time.Now()
+	c.pending[0] = nil
+	c.pending = c.pending[1:]
+	c.collectReplies()
+	c.lastActive = time.Now()
 	c.mu.Unlock()
-	<-c.window
+	<-c.pipelineWindow
 	return nil
 }
 
 // sendValue writes a bulk string: its head, its value as that comes, its end.
-func (c *connection) sendValue(s *pendingReply) error {
-	if err := c.send(s.reply); err != nil {
+func (c *connection) sendStream(reply *pendingReply) error {
+	if err := c.send(reply.encoded); err != nil {
 		return err
 	}
-	buf := make([]byte, relaySize)
+	buffer := make([]byte, relayBufferSize)
 	for {
-		n, err := s.value.Read(buf)
+		n, err := reply.stream.Read(buffer)
 		if n > 0 {
-			if err := c.send(buf[:n]); err != nil {
+			if err := c.send(buffer[:n]); err != nil {
 				return err
 			}
 		}
@@ -53,24 +53,24 @@
 // send writes all of b. The client's time-out is for want of progress: one that reads slowly gets it all. Where nothing more can be written,
 // what the client has taken of what was shows that it reads: the kernel lets more be written only when a third of its buffer is free.
 func (c *connection) send(b []byte) error {
-	owed := socket.Unknown // what the client had not taken when half of its time had passed
+	unacknowledged := socket.Unknown // what the client had not taken when half of its time had passed
 	for len(b) > 0 {
-		c.nc.SetWriteDeadline(time.Now().Add(writeStall / 2))
-		n, err := c.nc.Write(b)
+		c.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout / 2))
+		n, err := c.conn.Write(b)
 		b = b[n:]
 		switch {
 		case n > 0 && (err == nil || errors.Is(err, os.ErrDeadlineExceeded)):
-			owed = socket.Unknown
+			unacknowledged = socket.Unknown
 		case err == nil:
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
 		default:
-			now := socket.Unsent(c.nc)
-			if owed != socket.Unknown && (now >= owed || now == socket.Unknown) {
+			now := socket.Unsent(c.conn)
+			if unacknowledged != socket.Unknown && (now >= unacknowledged || now == socket.Unknown) {
 				return err
 			}
-			if owed = now; now == socket.Unknown { // nobody can tell: the other half of its time, and no more
-				owed = 0
+			if unacknowledged = now; now == socket.Unknown { // nobody can tell: the other half of its time, and no more
+				unacknowledged = 0
 			}
 		}
 	}
@@ -79,15 +79,15 @@
 
 // batch is what the writer has taken to send at one wake-up.
 type batch struct {
-	out    []byte        // whole answers
-	ready  int           // their number
-	stream *pendingReply // the reply behind them whose value is passed on; nil: none, or its turn has not come
-	ends   bool          // the connection is to end once they are written, if nothing more has come
-	last   bool          // nothing is written behind them
+	encoded      []byte        // whole answers
+	replies      int           // their number
+	stream       *pendingReply // the reply behind them whose value is passed on; nil: none, or its turn has not come
+	endRequested bool          // the connection is to end once they are written, if nothing more has come
+	last         bool          // nothing is written behind them
 }
 
 // write sends answers as they come due, and ends the connection between requests once it is closing.
-func (c *connection) write(done <-chan struct{}) {
+func (c *connection) writeReplies(done <-chan struct{}) {
 	var spare []byte
 	for {
 		select {
@@ -100,13 +100,13 @@
 			c.abort(writeFailure(err))
 			return
 		}
-		if spare = b.out; cap(spare) > resp.SmallBuffer {
+		if spare = b.encoded; cap(spare) > resp.SmallBuffer {
 			spare = nil
 		}
 		if b.last {
 			return
 		}
-		if b.ends && !c.partial.Load() { // the rest of a command comes first, or its time runs out
+		if b.endRequested && !c.partialCommand.Load() { // the rest of a command comes first, or its time runs out
 			c.mu.Lock()
 			c.requestEnd()
 			c.mu.Unlock()
@@ -126,13 +126,13 @@
 func (c *connection) nextBatch(spare []byte) batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := batch{out: c.out, ready: c.ready}
-	c.out, c.ready = spare[:0], 0
-	if len(c.waiting) > 0 && c.waiting[0].value != nil {
-		b.stream = c.waiting[0]
+	b := batch{encoded: c.outgoing, replies: c.outgoingReplies}
+	c.outgoing, c.outgoingReplies = spare[:0], 0
+	if len(c.pending) > 0 && c.pending[0].stream != nil {
+		b.stream = c.pending[0]
 	}
-	b.ends = (c.closing || b.ready > 0 && c.f.Draining()) && len(c.waiting) == 0
-	if b.ends && c.phase == readClosed {
+	b.endRequested = (c.closing || b.replies > 0 && c.front.Draining()) && len(c.pending) == 0
+	if b.endRequested && c.phase == readClosed {
 		c.phase = finished
 	}
 	b.last = c.phase >= finished
@@ -141,23 +141,23 @@
 
 // sendBatch writes a batch and makes room in the window for as many commands.
 func (c *connection) sendBatch(b batch) error {
-	if len(b.out) > 0 {
-		err := c.send(b.out)
+	if len(b.encoded) > 0 {
+		err := c.send(b.encoded)
 		c.mu.Lock()
-		c.unsent -= len(b.out)
+		c.unsentBytes -= len(b.encoded)
 		c.mu.Unlock()
-		c.f.unsent.Add(-int64(len(b.out)))
+		c.front.unsent.Add(-int64(len(b.encoded)))
 		if err != nil {
 			return err
 		}
-		for range b.ready {
-			<-c.window
+		for range b.replies {
+			<-c.pipelineWindow
 		}
 	}
 	if b.stream == nil {
 		return nil
 	}
-	if err := c.relay(b.stream); err != nil {
+	if err := c.relayStream(b.stream); err != nil {
 		return err
 	}
 	c.wakeWriter() // for what came due behind it
