--- a/internal/front/resp/age_test.go
+++ b/internal/front/resp/age_test.go
@@ -14,7 +14,7 @@
 	"hitchspring/policy"
 )
 
-// agedCore notes how old each command was when its deadline was reckoned, by the test's clock.
+// arrivalCore shows from when the deadline of each command counts, on the test's clock.
 type arrivalCore struct {
 	manualCore
 	start time.Time
@@ -25,7 +25,7 @@
 	return at.Sub(c.start)
 }
 
-// virtual is a front with one client on a pipe, in the bubble of a synctest.
+// virtualClient is the one client of a front, on a pipe in the bubble of a synctest.
 type virtualClient struct {
 	arrivalCore
 	conn    net.Conn
@@ -35,7 +35,11 @@
 func newVirtualClient(t *testing.T, memoryBytes int) *virtualClient {
 	t.Helper()
 	server, client := net.Pipe()
-	v := &virtualClient{arrivalCore: arrivalCore{newManualCore(200), time.Now()}, conn: client, replies: bufio.NewReader(client)}
+	v := &virtualClient{
+		arrivalCore: arrivalCore{newManualCore(200), time.Now()},
+		conn:        client,
+		replies:     bufio.NewReader(client),
+	}
 	f := New(nil, v.arrivalCore, 4, memoryBytes)
 	c := newConnection(f, server)
 	f.slots <- struct{}{}
@@ -49,13 +53,14 @@
 	return v
 }
 
-// sendLater writes text without waiting for its reader.
+// sendAsync writes text without waiting for its reader.
 func (v *virtualClient) sendAsync(text string) {
 	go io.WriteString(v.conn, text)
 }
 
-// TestAgeOfCommandsBehindAFullWindow has more commands come at once than may be open. The time of those that wait counts from when they
-// came: before, it counted from when there was room, so that backends were told more time than the client had left.
+// More commands arrive at once than the pipeline window takes. The time of those
+// that wait counts from their arrival, so that backends aren't given more time than
+// the client has left.
 func TestAgeOfCommandsBehindFullWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualClient(t, 1<<20)
@@ -78,7 +83,8 @@
 	})
 }
 
-// TestAgeOfCommandsBehindNonsense has commands stand behind others that are no requests, whose answers are held back for a while.
+// A command arrives behind protocol errors, whose answers are delayed. Its time
+// counts from its arrival.
 func TestAgeOfCommandsBehindProtocolErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualClient(t, 1<<20)
@@ -87,7 +93,8 @@
 		go io.Copy(io.Discard, v.replies)
 		request := <-v.submitted
 		passed, age := time.Since(v.start), time.Since(v.start)-request.GiveUpAt
-		if pauses := (1 + 2 + 3 + 4 + 5 + 6) * protocolErrorPause; passed < pauses || passed > pauses+peerClosedPollInterval {
+		pauses := (1 + 2 + 3 + 4 + 5 + 6) * protocolErrorPause
+		if passed < pauses || passed > pauses+peerClosedPollInterval {
 			t.Errorf("the command was taken after %v, want %v: a pause for each error", passed, pauses)
 		}
 		if age < passed-peerClosedPollInterval {
@@ -97,24 +104,29 @@
 	})
 }
 
-// TestStalledCommandWithoutMemory has a client stop within a command for which there is no memory: it is owed an error, or the end of its
-// connection, as soon as any other that stops within one.
+// A client that stops within a command for which there is no memory gets an error,
+// or the end of its connection, as soon as any other that stops within a command.
 func TestStalledCommandWithoutMemory(t *testing.T) {
-	const owed = 3 * time.Second
+	const maxWait = 3 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualClient(t, 1)
-		body := fmt.Sprintf("*5\r\n$4\r\nQ.DO\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$3\r\nc=x\r\n$50000\r\n%s", 1, strings.Repeat("b", 30000))
+		body := fmt.Sprintf(
+			"*5\r\n$4\r\nQ.DO\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$3\r\nc=x\r\n$50000\r\n%s",
+			1,
+			strings.Repeat("b", 30000),
+		)
 		v.sendAsync(body)
 		if _, err := v.replies.ReadByte(); err != nil && err != io.EOF {
 			t.Fatal(err)
 		}
-		if took := time.Since(v.start); took > owed {
-			t.Errorf("the client was left without a word for %v", took)
+		if took := time.Since(v.start); took > maxWait {
+			t.Errorf("the client got no answer for %v", took)
 		}
 	})
 }
 
-// TestRequestsBehindTheLastErrorAreRefused has requests stand behind the protocol error that ends a connection, read with it: each has its answer.
+// Requests that were read with the protocol error that ends a connection, and
+// behind it, are answered.
 func TestRequestsBehindLastProtocolErrorAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualClient(t, 1<<20)
@@ -124,11 +136,16 @@
 			t.Fatal(err)
 		}
 		lines := strings.Split(strings.TrimSpace(string(text)), "\r\n")
-		if len(lines) != maxProtocolErrors+2 || !strings.HasPrefix(lines[maxProtocolErrors], "-BUSY") || !strings.HasPrefix(lines[maxProtocolErrors+1], "-BUSY") {
-			t.Errorf("%d answers: %q", len(lines), lines)
+		if len(lines) != maxProtocolErrors+2 {
+			t.Fatalf("got %d answers: %q, want %d", len(lines), lines, maxProtocolErrors+2)
+		}
+		for _, line := range lines[maxProtocolErrors:] {
+			if !strings.HasPrefix(line, "-BUSY") {
+				t.Errorf("got answer %q, want -BUSY; all: %q", line, lines)
+			}
 		}
 		if len(v.submitted) != 0 {
-			t.Error("one was taken")
+			t.Error("a request was submitted")
 		}
 	})
 }
--- a/internal/front/resp/command.go
+++ b/internal/front/resp/command.go
@@ -14,22 +14,33 @@
 )
 
 const (
-	maxKeyBytes = 256     // bytes of an idempotency key
-	tenantLimit = 1 << 33 // a customer's number is below
+	maxKeyBytes = 256     // of an idempotency key
+	tenantLimit = 1 << 33 // tenants' numbers are below
 )
 
-// command is a request as it came, to be passed on to a node.
+// Positions of a request's arguments.
+const (
+	argName = iota
+	argTenant
+	argID
+	argFields
+	argBody // may be missing
+	maxArgs
+)
+
+// command is a request as the client sent it, to be forwarded to a backend.
 type command struct {
-	args          [][]byte // name, customer, id, fields, body
-	deadlineStart int      // where the value of d stands in the fields
-	deadlineEnd   int
+	args          [][]byte // name, tenant, id, fields, body
+	deadlineStart int      // where the value of d begins in the fields
+	deadlineEnd   int      // where it ends
 }
 
-// Encode is the client's own command, with the time that is left for it.
+// Encode returns the client's own command with the time that is left for it, for
+// a backend.
 func (c *command) Encode(left time.Duration) []byte {
 	b := redcon.AppendArray(make([]byte, 0, 192+len(c.args[len(c.args)-1])), len(c.args))
 	for i, arg := range c.args {
-		if i == 3 {
+		if i == argFields {
 			fields := append(make([]byte, 0, len(arg)+8), arg[:c.deadlineStart]...)
 			fields = strconv.AppendInt(fields, max(1, left.Milliseconds()), 10)
 			arg = append(fields, arg[c.deadlineEnd:]...)
@@ -39,45 +50,54 @@
 	return b
 }
 
-// fields are the values of a request's list of fields; those that the front doesn't know are passed on unread.
+// requestFields are the values of a request's list of fields. Unknown fields are
+// forwarded unread.
 type requestFields struct {
-	class, plan, idempotencyKey string
-	units                       float64
-	deadlineMillis              uint64 // milliseconds
-	spread, first               uint64
-	hasFirst                    bool
-	deadlineStart, deadlineEnd  int // where the value of d stands in the list
+	class          string  // c
+	plan           string  // t
+	idempotencyKey string  // k
+	units          float64 // units
+	deadlineMillis uint64  // d
+	spread         uint64  // spread
+	first          uint64  // first
+	hasFirst       bool    // the list has a field first
+	deadlineStart  int     // where the value of d begins in the list
+	deadlineEnd    int     // where it ends
 }
 
-// parse checks a request that came at a time; it goes on only if a backend would take it. The error names what is wrong.
+// parseRequest checks a request and returns it, if a backend would take it. The
+// error says what is wrong, for the client.
 func (f *Front) parseRequest(args [][]byte, arrivedAt time.Time) (*core.Request, error) {
-	if len(args) < 4 || len(args) > 5 {
-		return nil, fmt.Errorf("%s wants a customer, an id, fields and at most a body", args[0])
+	if len(args) <= argFields || len(args) > maxArgs {
+		return nil, fmt.Errorf("%s wants a customer, an id, fields and at most a body", args[argName])
 	}
-	tenant, err := parseHex16(args[1])
+	tenant, err := parseHex16(args[argTenant])
 	if err != nil || tenant >= tenantLimit {
 		return nil, errors.New("the customer is not 16 hex digits below 2^33")
 	}
-	id, err := parseHex16(args[2])
+	id, err := parseHex16(args[argID])
 	if err != nil {
 		return nil, errors.New("the id is not 16 hex digits")
 	}
-	fields, err := parseFields(string(args[3]))
+	fields, err := parseFields(string(args[argFields]))
 	if err != nil {
 		return nil, err
 	}
-	class, err := f.checkFields(fields, string(args[0]) == "Q.DO")
+	class, err := f.checkFields(fields, string(args[argName]) == "Q.DO")
 	if err != nil {
 		return nil, err
 	}
-	request := &core.Request{}
-	request.ClientID, request.Tenant = id, strings.ToLower(string(args[1])) // one number, one customer
-	request.Class, request.Plan, request.Units, request.IdempotencyKey = fields.class, fields.plan, fields.units, fields.idempotencyKey
-	request.Spread, request.First = int(fields.spread), int(fields.first)
-	// A client that says it will wait for ever is not believed.
+	request := &core.Request{ClientID: id, IdempotencyKey: fields.idempotencyKey}
+	request.Tenant = strings.ToLower(string(args[argTenant])) // a tenant is a number, in capitals or not
+	request.Class = fields.class
+	request.Plan = fields.plan
+	request.Units = fields.units
+	request.Spread = int(fields.spread)
+	request.First = int(fields.first)
+	// The core bounds the time that a client says it will wait.
 	request.GiveUpAt = f.core.GiveUpAt(class, arrivedAt, time.Duration(fields.deadlineMillis)*time.Millisecond)
 	cmd := &command{deadlineStart: fields.deadlineStart, deadlineEnd: fields.deadlineEnd}
-	for _, arg := range args { // the buffer is the connection's
+	for _, arg := range args { // the buffer belongs to the connection
 		cmd.args = append(cmd.args, append(make([]byte, 0, len(arg)), arg...))
 		request.Size += len(arg)
 	}
@@ -85,7 +105,7 @@
 	return request, nil
 }
 
-// parseFields reads a list of different names and values: name=value,...
+// parseFields reads a list of fields with different names: name=value,...
 func parseFields(list string) (requestFields, error) {
 	var fields requestFields
 	seen := map[string]bool{}
@@ -108,7 +128,7 @@
 	return fields, nil
 }
 
-// set puts the value of one field in its place.
+// set sets the value of one field.
 func (f *requestFields) set(name, value string) (err error) {
 	switch name {
 	case "c":
@@ -135,8 +155,10 @@
 	return nil
 }
 
-// check holds a request's fields against the settings in force; do: the command is one that may have effects. The module takes a customer's
-// plan and set from the first request that names it, so only what can be true goes on.
+// checkFields compares a request's fields with the settings in force.
+// mayHaveEffects is whether the command's name allows effects. The engine takes a
+// tenant's plan and set of instances from the first request that names it, so
+// impossible values are rejected here.
 func (f *Front) checkFields(fields requestFields, mayHaveEffects bool) (policy.Class, error) {
 	class, known := f.core.Class(fields.class)
 	instances := uint64(f.core.Instances())
@@ -159,10 +181,11 @@
 	return class, nil
 }
 
-// Words are the command as it came.
+// Args returns the command as the client sent it.
 func (c *command) Args() [][]byte { return c.args }
 
-// Rebuild makes a request of a command's words, as another instance has them; it is checked like a client's.
+// Rebuild makes a request of a command that another instance has received. It is
+// checked like a client's.
 func (f *Front) Rebuild(args [][]byte) (*core.Request, error) {
 	if len(args) == 0 {
 		return nil, errors.New("no words")
--- a/internal/front/resp/connection.go
+++ b/internal/front/resp/connection.go
@@ -15,44 +15,46 @@
 	"hitchspring/internal/socket"
 )
 
-// phase is how far a connection has come to its end.
+// connectionPhase is how far a connection has come to its end. It only rises.
 type connectionPhase uint8
 
 const (
 	serving    connectionPhase = iota
-	readClosed                 // the reader takes no command any more; what was taken is answered
-	finished                   // all is answered, or is in the writer's hands: no reply may be added
-	released                   // its goroutines write nothing any more: no answer is kept
+	readClosed                 // the reader takes no more commands; those that it took are answered
+	finished                   // every answer is with the writer: no reply may be added
+	released                   // nothing is written any more: late answers are dropped
 )
 
-// connection is one client's connection: a goroutine that reads, one that writes. Answers go out in the order of commands.
+// connection is one client's connection. Its reader takes commands, its writer
+// sends the answers in the order of the commands; serve starts both goroutines
+// and waits for them.
 type connection struct {
 	front          *Front
 	conn           net.Conn
-	pipelineWindow chan struct{} // the pipeline's: taken by each command until its answer is written
-	wake           chan struct{} // room for one: the writer has something to look at
+	pipelineWindow chan struct{} // holds one element for each command until its answer is written
+	wake           chan struct{} // holds an element if the writer has something to do
 	written        chan struct{} // closed when nothing is written any more
-	protocolErrors atomic.Int32  // that the client has made
+	protocolErrors atomic.Int32  // made by the client
 	partialCommand atomic.Bool   // a command has begun and not ended
-	abortReason    atomic.Int32  // why this process closed it under way, as a figures.Close and one more; 0: it did not
+	abortReason    atomic.Int32  // one more than the metrics.CloseReason of an abort; 0: not aborted
 
-	mu              sync.Mutex
-	pending         []*pendingReply // commands whose answers are not in out yet
-	outgoing        []byte          // answers that the writer has not taken
-	outgoingReplies int             // answers in out
-	unsentBytes     int             // bytes of answers that are not written
-	lastActive      time.Time       // when it was opened, the last command came or the last answer left
-	hasSentCommand  bool            // a whole command has come
-	closing         bool            // it will end when nothing waits for an answer
-	endRequested    bool            // the reader is asked to end it, if nothing has come that it has not taken
-	readDeadline    time.Time       // when reading is to stop, if no end is requested
-	phase           connectionPhase // only ever rises
+	mu              sync.Mutex      // guards the fields up to phase
+	pending         []*pendingReply // replies that are not in outgoing yet, in the order of commands
+	outgoing        []byte          // encoded replies that the writer has not taken
+	outgoingReplies int             // number of replies in outgoing
+	unsentBytes     int             // bytes of replies that are not written
+	lastActive      time.Time       // when it was opened, the last command came or the last answer was given
+	hasSentCommand  bool            // the client has sent a complete command
+	closing         bool            // the connection ends as soon as no command is without an answer
+	endRequested    bool            // the reader shall end the connection, unless more has come
+	readDeadline    time.Time       // of the reader, while no end is requested
+	phase           connectionPhase // only rises
 
-	// The reader's alone:
+	// Used by the reader only:
 	inbox           resp.Inbox
 	receipts        receiptLog
-	errorsBackedOff int32 // protocol errors for which it has paused
-	peerClosed      bool  // the client has left while the reader could take no more
+	errorsBackedOff int32 // protocol errors for which the reader has paused
+	peerClosed      bool  // the client has disconnected while the reader waited
 }
 
 func newConnection(front *Front, conn net.Conn) *connection {
@@ -66,7 +68,7 @@
 	}
 }
 
-// serve runs a connection to its end.
+// serve runs the connection to its end.
 func (c *connection) serve() {
 	defer c.front.serving.Done()
 	done := make(chan struct{})
@@ -78,20 +80,11 @@
 	switch c.readCommands() {
 	case protocolFailed:
 		reason = metrics.ClosedByProtocol
-		// What came before is answered, then the protocol error, then the connection ends. Little more is read until then, for its end: a flood
-		// costs its sender's time only.
-		c.mu.Lock()
-		c.phase = readClosed
-		c.mu.Unlock()
-		c.close()
-		if c.discardUntilWritten() {
-			c.conn.SetReadDeadline(time.Now().Add(lingerTime))
-			socket.CloseWrite(c.conn)
-			io.CopyN(io.Discard, c.conn, lingerBytes)
-		}
+		c.endAfterProtocolError()
 	case endedByServer:
 		reason = metrics.ClosedByServer
 		c.linger()
+	case clientLeft:
 	}
 	c.conn.Close()
 	close(done)
@@ -103,13 +96,30 @@
 	c.release(reason)
 }
 
-// abort closes the connection under way; the first reason counts.
+// endAfterProtocolError has the earlier answers written, then that of the
+// protocol error. Little of what comes meanwhile is read, so that a flood costs
+// only its sender's time.
+func (c *connection) endAfterProtocolError() {
+	c.mu.Lock()
+	c.phase = readClosed
+	c.mu.Unlock()
+	c.close()
+	if !c.discardUntilWritten() {
+		return
+	}
+	c.conn.SetReadDeadline(time.Now().Add(lingerTime))
+	socket.CloseWrite(c.conn)
+	_, _ = io.CopyN(io.Discard, c.conn, lingerBytes) // the connection ends whatever is read
+}
+
+// abort closes the connection at once. The first reason counts.
 func (c *connection) abort(reason metrics.CloseReason) {
 	c.abortReason.CompareAndSwap(0, int32(reason)+1)
 	c.conn.Close()
 }
 
-// release gives back what the connection holds, once its goroutines write nothing any more, and abandons the requests that are not answered.
+// release gives back what the connection holds and abandons its requests that
+// have no answer. It is called when nothing is written any more.
 func (c *connection) release(reason metrics.CloseReason) {
 	c.front.metrics.ConnectionClosed(reason)
 	c.mu.Lock()
@@ -122,10 +132,12 @@
 	c.phase = released
 	c.front.unsent.Add(-int64(c.unsentBytes))
 	c.mu.Unlock()
-	c.closeStreams() // that came meanwhile
+	c.closeStreams() // those that began since the connection was closed
 	if len(abandoned) > 0 {
 		if reason == metrics.ClosedByServer || reason == metrics.ClosedShutdownLimit {
-			c.front.guard.Violated(guard.ClosedUnanswered, "request", fmt.Sprintf("%016x", abandoned[0].ClientID), "requests", len(abandoned), "client", c.conn.RemoteAddr(), "why", reason.String())
+			c.front.guard.Violated(guard.ClosedUnanswered,
+				"request", fmt.Sprintf("%016x", abandoned[0].ClientID), "requests", len(abandoned),
+				"client", c.conn.RemoteAddr(), "why", reason.String())
 		}
 		c.front.core.NotifyDisconnected(abandoned)
 	}
@@ -135,7 +147,8 @@
 	<-c.front.slots
 }
 
-// closeStreams ends the attempts whose values are passed on: the client has gone.
+// closeStreams ends the attempts whose values are being relayed: the client has
+// disconnected.
 func (c *connection) closeStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +159,8 @@
 	}
 }
 
-// close asks for the end of the connection at the next moment between requests.
+// close has the connection end at the next moment when no command is without an
+// answer.
 func (c *connection) close() {
 	c.mu.Lock()
 	c.closing = true
@@ -154,7 +168,7 @@
 	c.wakeWriter()
 }
 
-// wakeWriter has the writer look at the connection; it never blocks.
+// wakeWriter has the writer look for something to do. It never blocks.
 func (c *connection) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/front/resp/connection_test.go
+++ b/internal/front/resp/connection_test.go
@@ -14,7 +14,7 @@
 	"hitchspring/internal/core"
 )
 
-// fakeCore notes the requests that are abandoned.
+// fakeCore records the requests whose clients have disconnected.
 type fakeCore struct {
 	Core
 	disconnected []*core.Request
@@ -24,8 +24,8 @@
 	f.disconnected = append(f.disconnected, reqs...)
 }
 
-// What comes on a connection that is closing is dropped, however much: a reader that waited there for room
-// kept a shutdown from ending.
+// Commands on a finished connection are dropped, however many: a reader that waited
+// for the pipeline window would keep a shutdown from ending.
 func TestFinishedConnectionTakesNoCommand(t *testing.T) {
 	c := newConnection(nil, nil)
 	c.phase = finished
@@ -36,7 +36,7 @@
 	}
 }
 
-// limits notes the read limits that are set on a connection.
+// deadlineRecorder records whether each read deadline of a connection is set or removed.
 type deadlineRecorder struct {
 	net.Conn
 	isSet []bool
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// A command that has begun must end in time, so that a half-open client does not stay for good; between
-// commands a client may be silent.
+// A partial command must end in time, so that a half-open client doesn't stay for
+// good. Between commands a client may be silent.
 func TestOnlyPartialCommandsHaveReadDeadline(t *testing.T) {
 	server, client := net.Pipe()
 	c := newConnection(New(nil, nil, 1, 1<<20), &deadlineRecorder{Conn: server})
@@ -68,7 +68,8 @@
 	}
 }
 
-// A client that leaves its answers unread loses its connection before they fill the memory, and not one that reads.
+// A client that leaves its answers unread is disconnected before these fill the
+// memory, and not one that reads them.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	f := New(nil, nil, 2, 1000)
 	var clients [2]net.Conn
@@ -82,14 +83,15 @@
 	connections[1].addPending(nil).complete(make([]byte, 200))
 	clients[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
 	if _, err := clients[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-		t.Fatalf("the slow reader's connection was kept: %v", err)
+		t.Fatalf("the slow reader's connection was not closed: %v", err)
 	}
 	if _, err := clients[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the other's was closed: %v", err)
 	}
 }
 
-// What is not written yet is counted to its end, also where the client has left by then: the figure once only rose.
+// Bytes that are not written are counted until their connection ends, also if the
+// client has disconnected by then.
 func TestUnsentBytesAreReleased(t *testing.T) {
 	fake := &fakeCore{}
 	f := New(nil, fake, 1, 1<<20)
@@ -103,7 +105,7 @@
 	c.serve()
 	first.complete([]byte("-ERR failed\r\n"))
 	if n := f.unsent.Load(); n != 0 {
-		t.Fatalf("%d bytes unsent of nobody", n)
+		t.Fatalf("got %d unsent bytes without a connection, want 0", n)
 	}
 	if len(fake.disconnected) != 1 {
 		t.Fatalf("%d requests abandoned", len(fake.disconnected))
--- /dev/null
+++ b/internal/front/resp/dispatch.go
@@ -0,0 +1,88 @@
+package resp
+
+import (
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"hitchspring/internal/core"
+)
+
+// handle serves one complete command.
+func (c *connection) handle(command []byte, arrivedAt time.Time) {
+	complete, args, _, _, err := redcon.ReadNextCommand(command, nil)
+	if err != nil || !complete || len(args) == 0 {
+		c.protocolError("a command is an array of bulk strings")
+		return
+	}
+	switch string(args[0]) {
+	case "PING":
+		if c.front.Draining() {
+			c.replyNow(redcon.AppendError(nil, "ERR draining"))
+		} else {
+			c.replyNow(redcon.AppendString(nil, "PONG"))
+		}
+	case "Q.ASK", "Q.DO":
+		request, err := c.front.parseRequest(args, arrivedAt)
+		if err != nil {
+			c.protocolError(err.Error())
+			return
+		}
+		if c.front.terminating.Load() && c.front.drainingFor() > drainRejectAfter {
+			c.rejectOverloaded()
+			return
+		}
+		if reply := c.addPending(request); reply != nil {
+			request.Sink = reply
+			c.front.core.Submit(request)
+		}
+	default:
+		c.protocolError("unknown command")
+	}
+}
+
+// rejectReceived rejects the requests that were read behind the protocol error
+// that ends the connection, up to the next error: a request that was read is owed
+// an answer.
+func (c *connection) rejectReceived() {
+	for remaining := c.inbox.ArrivedAt(); remaining > 0 && !c.peerClosed; {
+		command, err := c.inbox.Next()
+		if command == nil || err != nil || !c.isRequest(command) {
+			return
+		}
+		remaining -= len(command)
+		c.rejectOverloaded()
+	}
+}
+
+// isRequest reports whether a complete command is a request that would be served.
+func (c *connection) isRequest(command []byte) bool {
+	complete, args, _, _, err := redcon.ReadNextCommand(command, nil)
+	if err != nil || !complete || len(args) == 0 {
+		return false
+	}
+	_, err = c.front.parseRequest(args, time.Now())
+	return err == nil
+}
+
+// rejectOverloaded rejects a command that is not passed to the core.
+func (c *connection) rejectOverloaded() {
+	c.replyNow(encodeRejection(core.Answer{RetryAfter: core.OverloadRetryAfter}))
+}
+
+// protocolError answers a protocol error after a pause, so that a client that
+// repeats it as soon as it is answered takes no CPU time from the others.
+func (c *connection) protocolError(text string) {
+	c.protocolErrors.Add(1)
+	c.backOff()
+	c.replyNow(redcon.AppendError(nil, "ERR "+text))
+}
+
+// backOff pauses for protocolErrorPause times the number of protocol errors.
+func (c *connection) backOff() {
+	c.errorsBackedOff = c.protocolErrors.Load()
+	end := time.Now().Add(time.Duration(c.errorsBackedOff) * protocolErrorPause)
+	c.waitWhileReading(func(maxWait time.Duration) bool {
+		return waitClosed(c.written, min(maxWait, time.Until(end))) || !time.Now().Before(end)
+	})
+}
--- a/internal/front/resp/drain.go
+++ b/internal/front/resp/drain.go
@@ -8,29 +8,33 @@
 )
 
 const (
-	drainReapInterval = 50 * time.Millisecond  // between two looks for idle connections of a draining front
-	drainIdleAfter    = 600 * time.Millisecond // of draining: new connections still come; then those without an open request are closed
-	drainRejectAfter  = 700 * time.Millisecond // of draining for good: what comes later on a connection that is still open is refused at once
+	drainReapInterval = 50 * time.Millisecond  // between searches for idle connections while draining
+	drainIdleAfter    = 600 * time.Millisecond // of draining, after which connections without an open request end
+	drainRejectAfter  = 700 * time.Millisecond // of draining, after which a terminating front rejects commands
 )
 
-// Leave begins a graceful drain, once: PING is answered by an error, each connection is closed after its next answer, after 0.6 s also
-// those without an open request. New ones are served in the same way. The listener stays.
+// StartDrain begins a graceful drain, unless the front is draining already. PING
+// is answered by an error and each connection is closed after its next answer;
+// after drainIdleAfter, connections without an open request are closed too. New
+// connections are served in the same way: the listener stays open.
 func (f *Front) StartDrain() {
 	if f.drainingSince.CompareAndSwap(0, time.Now().UnixNano()) {
-		f.notify()
+		f.notifyChanged()
 	}
 }
 
-// Return ends the drain that Leave has begun; a connection that is about to be closed is closed all the same.
+// StopDrain ends the drain that StartDrain has begun. A connection that is about
+// to be closed is closed all the same.
 func (f *Front) StopDrain() {
 	f.drainingSince.Store(0)
-	f.notify()
+	f.notifyChanged()
 }
 
-// Leaving reports whether the front is draining.
+// Draining reports whether the front is draining.
 func (f *Front) Draining() bool { return f.drainingSince.Load() != 0 }
 
-// drainingFor is for how long the front has been draining; below 0 where it is not.
+// drainingFor is how long the front has been draining; it is negative if the
+// front is not draining.
 func (f *Front) drainingFor() time.Duration {
 	if since := f.drainingSince.Load(); since != 0 {
 		return time.Duration(time.Now().UnixNano() - since)
@@ -38,9 +42,13 @@
 	return -1
 }
 
-// Drain closes the listener, and every connection as soon as nothing on it waits for an answer; where ctx ends first, at
-// once. What comes later than 0.7 s after Leave on a connection that is still open, because an answer is owed on it, is refused at once: it was
-// taken by being written. It returns when all have ended.
+// Drain closes the listener, then each connection as soon as no command on it is
+// without an answer, or at once when ctx ends. It returns when all connections
+// have ended.
+//
+// A connection on which an answer is owed may stay open for longer than
+// drainRejectAfter. Commands that come on it later are rejected and not left
+// unread: the client has written them to an open connection.
 func (f *Front) Drain(ctx context.Context) {
 	f.listener.Close()
 	defer func() {
--- a/internal/front/resp/drain_test.go
+++ b/internal/front/resp/drain_test.go
@@ -10,14 +10,15 @@
 	"hitchspring/internal/core"
 )
 
-// lateListener has a connection in hand that it returns only when a test lets it, also after it was closed.
+// delayedListener returns an accepted connection only when a test lets it, also
+// after the listener was closed.
 type delayedListener struct {
 	net.Listener
 	accepted chan struct{} // closed when it has one
 	release  chan struct{}
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *delayedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -28,8 +29,8 @@
 	return nc, nil
 }
 
-// TestDrainWaitsForWhatWasAccepted has a drain begin when a connection has been accepted and is not served yet. Before, the drain found no
-// connection and ended, and with it the process, under a request that had been taken.
+// A drain begins when a connection has been accepted and isn't served yet. It must
+// not end, and with it the process, while a request of that connection is open.
 func TestDrainWaitsForAcceptedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/front/resp/ending.go
+++ b/internal/front/resp/ending.go
@@ -8,14 +8,17 @@
 	"hitchspring/internal/socket"
 )
 
-// requestEnd asks the reader to end the connection, if nothing has come; c.mu is held. The reader alone can tell: what it has read and not
-// taken yet, and what lies in the kernel, was written before the end of the connection and is owed an answer.
+// requestEnd has the reader end the connection, unless more has arrived. Only the
+// reader knows: a command that it has read and not taken yet, or that lies in the
+// kernel, was written to an open connection and is owed an answer. The caller has
+// locked c.mu.
 func (c *connection) requestEnd() {
 	c.endRequested = true
 	c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// takeEndRequest takes a request for the end back, and reports whether there was one; c.mu is held.
+// takeEndRequest clears a request for the end, and reports whether there was one.
+// The caller has locked c.mu.
 func (c *connection) takeEndRequest() bool {
 	if !c.endRequested {
 		return false
@@ -25,15 +28,18 @@
 	return true
 }
 
-// tryEnd reports whether the reader was asked to end the connection, and whether that is done: nothing waits for an answer, and nothing has
-// come. From then on nothing is read or taken any more. Where it isn't, the next answer asks again.
-func (c *connection) tryEnd() (requested, ended bool) {
+// endIfIdle ends the connection if that was requested, no command is without an
+// answer, and nothing more has come. From then on nothing is read. It reports
+// whether the end was requested and whether the connection has ended; if it
+// hasn't, the next answer requests the end again.
+func (c *connection) endIfIdle() (requested, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.takeEndRequest() {
 		return false, false
 	}
-	if arrived, disconnected := socket.Peek(c.conn); len(c.pending) > 0 || c.inbox.Partial() || arrived || disconnected {
+	arrived, disconnected := socket.Peek(c.conn)
+	if len(c.pending) > 0 || c.inbox.Partial() || arrived || disconnected {
 		return true, false
 	}
 	c.phase = finished
@@ -41,20 +47,23 @@
 	return true, true
 }
 
-// linger ends the connection so that no answer is lost to a reset: our end is told first, then there is some time for the client's. What
-// crosses our end is not read: the client sends it again elsewhere.
+// linger closes our direction of the connection and gives the client some time
+// to close its own, so that no answer is lost to a reset. Commands that cross our
+// end are not read: the client sends them again elsewhere.
 func (c *connection) linger() {
 	<-c.written
 	socket.CloseWrite(c.conn)
 	for deadline := time.Now().Add(lingerTime); time.Now().Before(deadline); time.Sleep(lingerPollInterval) {
-		if _, disconnected := socket.Peek(c.conn); disconnected || socket.HungUp(c.conn) { // by the client, or by the end of a drain
+		_, disconnected := socket.Peek(c.conn)
+		if disconnected || socket.HungUp(c.conn) { // by the client, or by the end of a drain
 			return
 		}
 	}
 }
 
-// discardUntilWritten waits for the last answer, and discards a bounded part of what comes meanwhile, so that a client that
-// leaves is noticed: false.
+// discardUntilWritten waits for the last answer to be written and discards a
+// bounded part of what comes meanwhile. It reports false if the client has
+// disconnected before.
 func (c *connection) discardUntilWritten() (written bool) {
 	buffer := make([]byte, relayBufferSize)
 	for discarded := 0; ; {
--- a/internal/front/resp/ending_test.go
+++ b/internal/front/resp/ending_test.go
@@ -19,7 +19,7 @@
 	"hitchspring/policy"
 )
 
-// deskCore hands each request to the test, which answers it.
+// manualCore passes each request to the test, which answers it.
 type manualCore struct {
 	submitted    chan *core.Request
 	disconnected chan *core.Request
@@ -40,14 +40,20 @@
 }
 
 func (manualCore) Class(name string) (policy.Class, bool) {
-	return policy.Class{Name: name, LatencyObjective: time.Second, Deadline: time.Minute, Effect: policy.Safe}, name == "read"
+	return policy.Class{
+		Name:             name,
+		LatencyObjective: time.Second,
+		Deadline:         time.Minute,
+		Effect:           policy.Safe,
+	}, name == "read"
 }
 func (manualCore) Plan(string) bool                                              { return true }
 func (manualCore) Instances() int                                                { return 1 }
 func (manualCore) MaxUnits() float64                                             { return 4 }
 func (manualCore) GiveUpAt(policy.Class, time.Time, time.Duration) time.Duration { return time.Minute }
 
-// heldConn is a real connection whose reads a test holds back: before the kernel is asked, or with what it has brought in hand.
+// gatedConn is a real connection whose reads a test delays: before the system call,
+// or between the call and its return.
 type gatedConn struct {
 	*net.TCPConn
 	beforeRead, afterRead chan struct{} // a read waits for each; nil: it doesn't
@@ -66,7 +72,7 @@
 	return n, err
 }
 
-// bench is a front with one client on a real connection.
+// testConnection is the connection of a front with one client, on a real socket.
 type testConnection struct {
 	manualCore
 	front      *Front
@@ -130,7 +136,12 @@
 }
 
 func encodeRequest(id int) string {
-	return encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=read,t=p,d=50000,units=1,spread=1,first=0")
+	return encodeCommand(
+		"Q.ASK",
+		"00000000b4d65521",
+		fmt.Sprintf("%016x", id),
+		"c=read,t=p,d=50000,units=1,spread=1,first=0",
+	)
 }
 
 func (tc *testConnection) send(t *testing.T, text string) {
@@ -140,7 +151,7 @@
 	}
 }
 
-// next is the next request that is taken.
+// nextRequest waits for the next request that is submitted.
 func (tc *testConnection) nextRequest(t *testing.T) *core.Request {
 	t.Helper()
 	select {
@@ -166,7 +177,8 @@
 	}
 }
 
-// asks waits until the writer has asked the reader to end the connection, or has ended it itself.
+// awaitEndRequest waits until the writer has requested the end of the connection,
+// or has ended it itself.
 func (tc *testConnection) awaitEndRequest(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -182,8 +194,9 @@
 	}
 }
 
-// An end that we ask for crosses a command that has come: it lies in the kernel, or it was read and is not taken yet. Either was written
-// to an open connection, so it is owed an answer, and the end comes after that.
+// The end of a connection is requested while a command lies in the kernel, or was
+// read and isn't taken yet. Either was written to an open connection, so it is owed
+// an answer, and the end comes after that.
 func TestEndCrossesCommand(t *testing.T) {
 	for where, configure := range map[string]func(*gatedConn){
 		"unread": func(conn *gatedConn) { conn.beforeRead = make(chan struct{}) },
@@ -223,8 +236,9 @@
 	}
 }
 
-// A client goes on sending on a connection that stays open during a shutdown since an answer is owed on it. What comes late is not served any
-// more; it is refused behind that answer, and not left unread: it was written to an open connection.
+// A client goes on sending on a connection that stays open during a shutdown, since
+// an answer is owed on it. Late commands are rejected behind that answer and not
+// left unread: they were written to an open connection.
 func TestTerminatingFrontRejectsLateCommands(t *testing.T) {
 	tc := newTestConnection(t, nil)
 	tc.send(t, encodeRequest(1))
@@ -258,24 +272,26 @@
 	}
 }
 
-// A client that leaves is heard of at once, wherever its reader stands: what it has asked is given up.
+// A client's disconnect is noticed at once, wherever the reader waits, and its
+// requests are abandoned.
 func TestDisconnectIsNoticedWhileNothingIsRead(t *testing.T) {
 	many := strings.Builder{}
 	for i := range maxPipelined + 1 {
 		many.WriteString(encodeRequest(i + 1))
 	}
 	for name, text := range map[string]string{
-		"asks for more than may wait":     many.String(),
-		"and for much more":               many.String() + strings.Repeat(encodeRequest(500), 800),
-		"nonsense behind a command":       encodeRequest(1) + "nonsense\r\n",
-		"much nonsense behind a command":  encodeRequest(1) + strings.Repeat("nonsense\r\n", 100000),
-		"faults behind a command":         encodeRequest(1) + strings.Repeat(encodeCommand("HELLO"), maxProtocolErrors-1),
-		"a command of many, not finished": many.String() + encodeRequest(400)[:30],
+		"full pipeline":            many.String(),
+		"more than is read ahead":  many.String() + strings.Repeat(encodeRequest(500), 800),
+		"protocol error":           encodeRequest(1) + "nonsense\r\n",
+		"flood of protocol errors": encodeRequest(1) + strings.Repeat("nonsense\r\n", 100000),
+		"unknown commands":         encodeRequest(1) + strings.Repeat(encodeCommand("HELLO"), maxProtocolErrors-1),
+		"partial command":          many.String() + encodeRequest(400)[:30],
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc := newTestConnection(t, nil)
 			tc.client.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
-			if _, err := io.WriteString(tc.client, text); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // what doesn't fit is never sent
+			_, err := io.WriteString(tc.client, text)
+			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // what doesn't fit is never sent
 				t.Fatal(err)
 			}
 			taken := min(strings.Count(text, "Q.ASK"), maxPipelined)
@@ -298,7 +314,8 @@
 	}
 }
 
-// A front that leaves and does not end serves what comes, on each connection until its next answer.
+// A front that drains and isn't terminating serves each connection until its next
+// answer.
 func TestDrainingFrontServes(t *testing.T) {
 	tc := newTestConnection(t, nil)
 	tc.front.drainingSince.Store(time.Now().Add(-drainRejectAfter - time.Second).UnixNano())
@@ -309,7 +326,7 @@
 	tc.wantEnd(t)
 }
 
-// A customer is a number: written in capitals it is the same one, with the same books.
+// A tenant is a number: in capitals it is the same one, with the same quota.
 func TestTenantIgnoresCaseOfDigits(t *testing.T) {
 	front := New(nil, manualCore{}, 1, 1<<20)
 	for _, digits := range []string{"00000000b4d65521", "00000000B4D65521"} {
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -1,11 +1,10 @@
-// Package resp is the front for the platform's clients.
-//
-// In: connections of one listener, with pipelined commands in RESP2 (PING, Q.ASK, Q.DO). Out: a core.Request for each command that a backend
-// would take, and its answer on the connection, in the order of commands. Connections, bytes of unfinished commands, unanswered commands of a
-// connection and bytes of unread answers are bounded. It must never know how a request is decided or where it is sent.
-//
-// The listener takes a place for each connection; a connection has a reader and a writer, each a goroutine. Where all places are taken the
-// idlest connection is evicted; the reaper closes those that have been idle for too long. A drain lets the clients go.
+// Package resp is the front for the platform's clients. It accepts connections
+// on one listener and reads pipelined commands in RESP2: PING, Q.ASK and Q.DO.
+// Each command that a backend would take becomes a core.Request, and its answer
+// goes out on the same connection, in the order of the commands. Connections,
+// bytes of unfinished commands, commands without an answer and bytes of unread
+// answers are all bounded. The package doesn't know how a request is decided or
+// where it is sent.
 package resp
 
 import (
@@ -24,49 +23,64 @@
 
 // Core is what the front needs of the core.
 type Core interface {
+	// Submit takes a request; its answer comes through the request's Sink.
 	Submit(*core.Request)
+	// NotifyDisconnected says that the clients of these requests have disconnected.
 	NotifyDisconnected([]*core.Request)
+	// Class finds a request class of the settings in force.
 	Class(name string) (policy.Class, bool)
+	// Plan reports whether the settings in force have a plan of this name.
 	Plan(name string) bool
+	// Instances is the number of instances of the ingress.
 	Instances() int
+	// MaxUnits is the most units that one request may cost.
 	MaxUnits() float64
+	// GiveUpAt is when a client gives up that sent a request at a time and
+	// waits for d, on the core's clock.
 	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
-// Front accepts clients on one address. Its methods may be called from any goroutine. Locks are taken in the order reserving, mu, and the
-// mu of one connection.
+// Front accepts clients on one address. Its methods may be called from any
+// goroutine.
+//
+// Start begins two goroutines: one accepts connections, one closes idle ones.
+// Each connection has two more, a reader and a writer. Drain ends them all.
+// Locks are taken in the order reserveMu, mu, and the mu of one connection.
 type Front struct {
 	listener      net.Listener
 	core          Core
 	metrics       *metrics.Set
 	guard         *guard.Monitor
-	requestMemory *resp.Budget // bytes of commands that are being read
-	maxUnsent     int64        // bytes of answers that clients have not read, all together
-	unsent        atomic.Int64
-
-	slots          chan struct{} // one is taken by each connection, and by each place that is reserved
-	slotsToReserve atomic.Int64  // places that are to be left to another process
-	reserveMu      sync.Mutex    // of reserved
-	slotsReserved  int           // those of them that no connection can take any more
-	mu             sync.Mutex
-	connections    map[*connection]bool
-	serving        sync.WaitGroup // of connections
+	requestMemory *resp.Budget // for the bytes of commands that are being read
+	maxUnsent     int64        // bytes of answers that clients may leave unread, all together
+	unsent        atomic.Int64 // bytes of answers that are not written
+
+	slots          chan struct{} // holds one element for each connection and each reserved slot
+	slotsToReserve atomic.Int64  // slots to be left to another process
+
+	reserveMu     sync.Mutex // guards slotsReserved
+	slotsReserved int        // slots that no connection can take any more
+
+	mu          sync.Mutex // guards connections
+	connections map[*connection]bool
+	serving     sync.WaitGroup // of connections
 
 	drainingSince atomic.Int64  // nanoseconds of Unix time; 0: the front is not draining
 	terminating   atomic.Bool   // draining, and the process is about to end
-	changed       chan struct{} // room for one: drainingSince or toReserve has changed
+	changed       chan struct{} // holds an element after drainingSince or slotsToReserve has changed
 
-	stop      context.CancelFunc
-	accepting sync.WaitGroup // of the goroutine that accepts
-	reaping   sync.WaitGroup // of the goroutine that reaps idle connections
+	stop      context.CancelFunc // ends the goroutine that closes idle connections
+	accepting sync.WaitGroup     // of the goroutine that accepts
+	reaping   sync.WaitGroup     // of the goroutine that closes idle connections
 }
 
-// New returns a front on ln for at most so many connections, and so many bytes each of commands that come in and of
-// answers that are unread. It does not serve yet.
-func New(listener net.Listener, core Core, maxConnections, memory int) *Front {
+// New returns a front on listener that does not serve yet. It takes up to
+// maxConnections connections; memory bounds, in bytes, the unfinished commands
+// of all connections, and separately their unread answers.
+func New(listener net.Listener, c Core, maxConnections, memory int) *Front {
 	return &Front{
 		listener:      listener,
-		core:          core,
+		core:          c,
 		metrics:       metrics.New(nil, nil, nil),
 		requestMemory: resp.NewBudget(memory),
 		maxUnsent:     int64(memory),
@@ -76,8 +90,11 @@
 	}
 }
 
-// Observe has the front count in a process' figures and invariants; it is called before Start.
-func (f *Front) Observe(set *metrics.Set, monitor *guard.Monitor) { f.metrics, f.guard = set, monitor }
+// Observe has the front count in the metrics and invariants of a process. It is
+// called before Start.
+func (f *Front) Observe(set *metrics.Set, monitor *guard.Monitor) {
+	f.metrics, f.guard = set, monitor
+}
 
 // Start serves until Drain.
 func (f *Front) Start() {
@@ -87,24 +104,26 @@
 	f.reaping.Go(func() { f.reapIdle(ctx) })
 }
 
-// SetMost changes how many connections there may be, up to what New was told; where there are more, the idlest are closed.
+// SetMaxConnections changes how many connections there may be, up to the number
+// given to New. If there are more, the idlest are closed.
 func (f *Front) SetMaxConnections(n int) {
 	f.slotsToReserve.Store(int64(max(0, cap(f.slots)-n)))
-	f.notify()
+	f.notifyChanged()
 }
 
-// Most is how many connections there may be at the most, as New was told.
+// MaxConnections is the largest number of connections, as given to New.
 func (f *Front) MaxConnections() int { return cap(f.slots) }
 
-// Open is how many connections there are.
+// OpenConnections is the number of connections.
 func (f *Front) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.connections)
 }
 
-// notify tells the goroutine that reaps idle connections that drainingSince or toReserve has changed; it never blocks.
-func (f *Front) notify() {
+// notifyChanged wakes the goroutine that closes idle connections after a change
+// of drainingSince or slotsToReserve. It never blocks.
+func (f *Front) notifyChanged() {
 	select {
 	case f.changed <- struct{}{}:
 	default:
--- a/internal/front/resp/idle.go
+++ b/internal/front/resp/idle.go
@@ -7,11 +7,12 @@
 
 const (
 	idleTimeout  = 2100 * time.Millisecond // after which a connection without an open request is closed
-	reapInterval = 250 * time.Millisecond  // between two looks for idle connections
+	reapInterval = 250 * time.Millisecond  // between searches for idle connections
 )
 
-// reapIdle closes, until ctx ends, the connections that have been without an open request for too long: every one of them
-// keeps memory and a descriptor, and some clients ask once and stay for good, or never ask.
+// reapIdle closes, until ctx ends, the connections that have been without an
+// open request for too long. Each of them holds memory and a descriptor, and some
+// clients send one request and stay for good, or never send any.
 func (f *Front) reapIdle(ctx context.Context) {
 	tick := time.NewTicker(reapInterval)
 	defer tick.Stop()
@@ -34,8 +35,8 @@
 	}
 }
 
-// closeExpired closes the connections whose time without an open request is over. The front has been draining for so long; below 0: it
-// is not.
+// closeExpired closes the connections whose time without an open request is
+// over. draining is how long the front has been draining, or negative.
 func (f *Front) closeExpired(now time.Time, draining time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,7 +47,8 @@
 	}
 }
 
-// expired reports whether the connection is to be closed at its next moment between requests.
+// isExpired reports whether the connection is to be closed at the next moment
+// when no command on it is without an answer.
 func (c *connection) isExpired(now time.Time, draining time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +57,7 @@
 	if !c.hasSentCommand {
 		timeout = firstCommandTimeout - reapInterval
 	}
-	// A command that has begun has a time limit of its own, by its reader.
+	// The reader limits the time of a partial command.
 	if len(c.pending) == 0 && !c.partialCommand.Load() && idle > timeout {
 		return true
 	}
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -12,7 +12,7 @@
 func (f *Front) accept() {
 	for {
 		f.acquireSlot()
-		nc, err := f.listener.Accept()
+		conn, err := f.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -21,7 +21,7 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		c := newConnection(f, nc)
+		c := newConnection(f, conn)
 		f.mu.Lock()
 		f.connections[c] = true
 		f.serving.Add(1)
@@ -34,5 +34,6 @@
 	}
 }
 
-// Close closes the listener: this process's use of it, where others have it too.
+// Close closes the listener in this process; other processes that share the
+// socket keep it.
 func (f *Front) Close() { f.listener.Close() }
--- a/internal/front/resp/pending.go
+++ b/internal/front/resp/pending.go
@@ -11,15 +11,17 @@
 	"hitchspring/internal/socket"
 )
 
-// pendingReply is one command's answer, in its place in the order of commands, until it is written.
+// pendingReply is the reply to one command, at its place in the order of commands
+// until it is written. It is the core.ReplySink of its request.
 type pendingReply struct {
 	conn    *connection
-	encoded []byte          // nil until answered; of a value that is passed on: its head
-	stream  *backend.Stream // that value; nil: reply is all
-	request *core.Request
+	request *core.Request   // nil: the command was answered without the core
+	encoded []byte          // nil until answered; of a streamed value, its head
+	stream  *backend.Stream // the value that follows the head; nil: encoded is the entire reply
 }
 
-// addPending adds a pending reply at the end of the order; nil when the connection takes no more.
+// addPending adds a pending reply at the end of the order, or returns nil if the
+// connection takes no more commands.
 func (c *connection) addPending(request *core.Request) *pendingReply {
 	if !c.acquireWindow() {
 		return nil
@@ -36,8 +38,9 @@
 	return reply
 }
 
-// acquireWindow waits for room in the pipeline's window for a further command; false when the connection ends first. Room comes as answers are written, and each
-// request has a time limit.
+// acquireWindow waits until the pipeline window takes a further command, and
+// reports false if the connection ends first. Written answers free the window, and
+// each request has a time limit.
 func (c *connection) acquireWindow() (acquired bool) {
 	ended := false
 	c.waitWhileReading(func(maxWait time.Duration) bool {
@@ -48,15 +51,7 @@
 			ended = true
 		default:
 			if maxWait > 0 {
-				timer := time.NewTimer(maxWait)
-				defer timer.Stop()
-				select {
-				case c.pipelineWindow <- struct{}{}:
-					acquired = true
-				case <-c.written:
-					ended = true
-				case <-timer.C:
-				}
+				acquired, ended = c.awaitWindow(maxWait)
 			}
 		}
 		return acquired || ended
@@ -64,6 +59,21 @@
 	return acquired
 }
 
+// awaitWindow waits up to maxWait for the pipeline window to take a command, or
+// for the last write of the connection.
+func (c *connection) awaitWindow(maxWait time.Duration) (acquired, ended bool) {
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
+	select {
+	case c.pipelineWindow <- struct{}{}:
+		return true, false
+	case <-c.written:
+		return false, true
+	case <-timer.C:
+		return false, false
+	}
+}
+
 // replyNow answers a command without the core.
 func (c *connection) replyNow(encoded []byte) {
 	if reply := c.addPending(nil); reply != nil {
@@ -71,18 +81,18 @@
 	}
 }
 
-// Answer encodes the final answer of a request; the core calls it once.
+// Deliver encodes the final answer of the request. The core calls it once.
 func (p *pendingReply) Deliver(a core.Answer) {
 	switch a.Kind {
 	case core.Served:
-		if v := a.Stream; v != nil {
-			p.completeWithStream(v)
+		if a.Stream != nil {
+			p.completeWithStream(a.Stream)
 			return
 		}
 		p.complete(redcon.AppendBulk(make([]byte, 0, len(a.Value)+16), a.Value))
 	case core.Rejected:
-		b := encodeRejection(a)
-		p.complete(b)
+		rejection := encodeRejection(a)
+		p.complete(rejection)
 	case core.Duplicate:
 		p.conn.protocolErrors.Add(1)
 		p.complete([]byte("-ERR a request of this id is being served\r\n"))
@@ -91,12 +101,13 @@
 	}
 }
 
-// Gone reports whether the client has closed its connection, whether or not the reader has come to that: the command and the end of the
-// connection may have come together, and the reader may be held up. It asks the kernel and never waits.
+// Disconnected reports whether the client has closed its connection, also before
+// the reader has noticed: a command and the end of the connection may arrive
+// together, and the reader may be waiting. It looks into the kernel and never blocks.
 func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.conn.conn) }
 
-// answer completes the reply and never blocks. Clients that leave their answers unread lose their connections before they
-// can fill the memory.
+// complete sets the encoded reply and never blocks. Clients that leave their
+// answers unread are disconnected before these fill the memory.
 func (p *pendingReply) complete(encoded []byte) {
 	c := p.conn
 	c.mu.Lock()
@@ -116,7 +127,8 @@
 	c.wakeWriter()
 }
 
-// refusal encodes a refusal, with when to come back.
+// encodeRejection encodes a rejection, with the milliseconds after which the
+// client should retry.
 func encodeRejection(a core.Answer) []byte {
 	if a.RetryAfter <= 0 {
 		return []byte("-BUSY\r\n")
@@ -124,7 +136,8 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), max(1, a.RetryAfter.Milliseconds()), 10), '\r', '\n')
 }
 
-// stream completes the reply with a value that is passed on as it comes. The goroutine that writes reads it when its turn has come.
+// completeWithStream sets a reply whose value is relayed as it arrives. The
+// connection's writer reads it when the replies before it are written.
 func (p *pendingReply) completeWithStream(v *backend.Stream) {
 	c := p.conn
 	c.mu.Lock()
@@ -140,7 +153,8 @@
 	c.wakeWriter()
 }
 
-// collect moves the answers that are due to out, up to one that is passed on; c.mu is held.
+// collectReplies moves the replies that are due to outgoing, up to the first that
+// is streamed. The caller has locked c.mu.
 func (c *connection) collectReplies() {
 	for len(c.pending) > 0 && c.pending[0].encoded != nil && c.pending[0].stream == nil {
 		c.outgoing = append(c.outgoing, c.pending[0].encoded...)
--- a/internal/front/resp/receipts.go
+++ b/internal/front/resp/receipts.go
@@ -2,35 +2,41 @@
 
 import "time"
 
-// mostInFlight is more than two kernels hold for a connection: what is read beyond it was sent after reading had stopped.
+// maxInFlightBytes is more than two kernels hold for a connection: bytes that are
+// read beyond it were sent after reading had stopped.
 const maxInFlightBytes = 8 << 20
 
-// receiptGap is the time between two reads that are told apart: what comes sooner after another piece counts as come with that one.
+// receiptGap is the shortest time between two receipts: bytes that come sooner
+// after others count as arrived with these.
 const receiptGap = 25 * time.Millisecond
 
-// receipts remembers when the bytes of a connection came that are not taken yet. A request's time counts from its last byte: a command that
-// waits behind others, for room or for the end of a pause, must not be given the time that has passed meanwhile.
+// receiptLog remembers when the bytes of a connection arrived that no command has
+// been taken from yet. A request's time counts from the arrival of its last byte,
+// also if it waits behind other commands, for the pipeline window or for the end
+// of a pause.
 type receiptLog struct {
-	totalBytes     int64 // bytes that have come
-	entries        []receipt
-	stoppedAt      time.Time // when reading stopped though more may have come, also to the client's kernel; zero: all that has come was read
-	bytesSinceStop int64     // bytes read since
+	totalBytes     int64     // that have arrived
+	entries        []receipt // in the order of arrival
+	stoppedAt      time.Time // when reading stopped while more may have arrived; zero: all that arrived was read
+	bytesSinceStop int64     // read since stoppedAt
 }
 
-// receipt says that bytes, up to a count of all that have come, came at a time.
+// receipt is the arrival of the bytes up to an offset in the connection's stream.
 type receipt struct {
 	endOffset int64
 	arrivedAt time.Time
 }
 
-// stop notes that nothing is read for a while: what is sent meanwhile counts as come now.
+// noteStop notes that nothing is read for a while: bytes that are sent meanwhile
+// count as arrived now.
 func (log *receiptLog) noteStop(now time.Time) {
 	if log.stoppedAt.IsZero() {
 		log.stoppedAt, log.bytesSinceStop = now, 0
 	}
 }
 
-// add notes bytes that have been read, by a read that began at a time. One that had to wait brings what was sent just now.
+// noteRead notes bytes that a read has brought which began at a time. If the read
+// had to wait, they were sent just now.
 func (log *receiptLog) noteRead(bytes int, began, now time.Time) {
 	log.bytesSinceStop += int64(bytes)
 	if now.Sub(began) >= receiptGap || log.bytesSinceStop > maxInFlightBytes {
@@ -47,7 +53,8 @@
 	log.entries = append(log.entries, receipt{endOffset: log.totalBytes, arrivedAt: now})
 }
 
-// take returns when the last byte of a command came, where so many bytes came behind it, and forgets what came before.
+// takeCommand returns when the last byte of a command arrived, behind which
+// further bytes have arrived, and forgets the receipts before it.
 func (log *receiptLog) takeCommand(behind int) time.Time {
 	end := log.totalBytes - int64(behind)
 	for len(log.entries) > 1 && log.entries[0].endOffset < end {
@@ -56,7 +63,8 @@
 	return log.entries[0].arrivedAt
 }
 
-// forget forgets all that has come, whose command has not ended, and returns when it began; zero where nothing has come.
+// forgetPartial forgets the receipts of a partial command, and returns when its
+// first bytes arrived, or zero if there is none.
 func (log *receiptLog) forgetPartial() (beganAt time.Time) {
 	if len(log.entries) > 0 {
 		beganAt = log.entries[0].arrivedAt
--- a/internal/front/resp/receipts_test.go
+++ b/internal/front/resp/receipts_test.go
@@ -11,8 +11,9 @@
 	"hitchspring/internal/core"
 )
 
-// TestAgeOfCommandsInTheListenQueue has a connection wait in the listen queue for a place, with its command. The command's time counts from when it
-// came, not from when there was a place: before, backends were told time that the client did not have any more.
+// A connection waits in the listen queue for a slot, with its commands. Their time
+// counts from their arrival and not from when the slot was free, so that backends
+// aren't given time that the client no longer has.
 func TestAgeOfCommandsInListenQueue(t *testing.T) {
 	const waited = 400 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,18 +23,18 @@
 	fake := arrivalCore{newManualCore(200), time.Now()}
 	f := New(ln, fake, 1, 1<<20)
 	f.Start()
-	dial := func(id int) net.Conn {
+	dial := func(id int) {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		if _, err := io.WriteString(conn, encodeRequest(id)+strings.Repeat(encodeRequest(id+10), 40)); err != nil { // more than one read brings
+		commands := encodeRequest(id) + strings.Repeat(encodeRequest(id+10), 40) // more than one read takes
+		if _, err := io.WriteString(conn, commands); err != nil {
 			t.Fatal(err)
 		}
-		return conn
 	}
-	const each = 41
+	const commandsPerConnection = 41
 	answer := func(n int, check func(*core.Request)) {
 		for range n {
 			select {
@@ -46,22 +47,24 @@
 		}
 	}
 	dial(1)
-	answer(each-1, func(*core.Request) {})
-	last := <-fake.submitted // its connection has the one place until it is answered
+	answer(commandsPerConnection-1, func(*core.Request) {})
+	last := <-fake.submitted // its connection has the one slot until it is answered
 	sent := time.Since(fake.start)
 	dial(2)
 	time.AfterFunc(waited, func() { last.Sink.Deliver(core.Answer{Kind: core.Failed}) })
-	answer(each, func(request *core.Request) {
+	answer(commandsPerConnection, func(request *core.Request) {
 		if request.GiveUpAt-sent > waited/2 {
-			t.Errorf("a command that came at %v, and was taken at %v, counts from %v", sent, time.Since(fake.start), request.GiveUpAt)
+			t.Errorf("a command that arrived at %v, and was taken at %v, counts from %v",
+				sent, time.Since(fake.start), request.GiveUpAt)
 		}
 	})
 	f.Close()
 	f.stop()
 }
 
-// TestAgeOfCommandsBeyondTheReadAhead has more come behind a full window than is read meanwhile: the rest lies in the kernel. What is read of it later
-// counts as come when reading stopped, at the latest.
+// More arrives behind a full pipeline window than is read ahead: the rest lies in
+// the kernel. When it is read, it counts as arrived no later than when reading
+// stopped.
 func TestAgeOfCommandsBeyondReadAhead(t *testing.T) {
 	const waited, large = 600 * time.Millisecond, 100 // more than the kernel holds for us: the rest is in the client's
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,7 +84,8 @@
 		if id < maxPipelined {
 			text.WriteString(encodeRequest(id))
 		} else {
-			text.WriteString(encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=read,t=p,d=50000,units=1,spread=1,first=0", strings.Repeat("b", readAheadBytes/4)))
+			text.WriteString(encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id),
+				"c=read,t=p,d=50000,units=1,spread=1,first=0", strings.Repeat("b", readAheadBytes/4)))
 		}
 	}
 	go io.Copy(io.Discard, conn)
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	evictionPause = 5 * time.Millisecond  // before a further connection is closed for want of a place
-	newcomerGrace = 50 * time.Millisecond // in which a new connection that has sent nothing is not closed for want of a place
+	evictionPause = 5 * time.Millisecond  // before a further connection is closed to free a slot
+	newcomerGrace = 50 * time.Millisecond // in which a connection that has sent nothing is not evicted
 )
 
-// reservePlaces takes and gives back the places that are to be left to another process, and reports whether that is done; no connection is
-// accepted before.
+// reserveSlots takes or gives back the slots that are to be left to another
+// process, and reports whether that is done. No connection is accepted before.
 func (f *Front) reserveSlots(now time.Time) bool {
 	f.reserveMu.Lock()
 	defer f.reserveMu.Unlock()
@@ -25,7 +25,7 @@
 		select {
 		case f.slots <- struct{}{}:
 			f.slotsReserved++
-		default: // a later call finds the places of the connections that are closed now
+		default: // a later call finds the slots of the connections that are closed now
 			for range want - f.slotsReserved - f.closingCount() {
 				f.evictIdlest(now)
 			}
@@ -35,7 +35,7 @@
 	return true
 }
 
-// closingCount is how many connections are about to end.
+// closingCount is the number of connections that are about to end.
 func (f *Front) closingCount() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,8 +49,9 @@
 	return n
 }
 
-// acquirePlace waits for the place of a further connection. Clients keep idle ones for good and hundreds may say nothing at
-// all, so where all places are taken one of these is closed.
+// acquireSlot waits for the slot of a further connection. Clients keep idle
+// connections for good, and hundreds may never send anything, so one of these is
+// closed if all slots are taken.
 func (f *Front) acquireSlot() {
 	for {
 		if !f.reserveSlots(time.Now()) {
@@ -71,20 +72,20 @@
 	}
 }
 
-// evictIdlest closes the oldest connection that has asked nothing yet, or else the one that has been between requests
-// for the longest.
+// evictIdlest closes the oldest connection that has sent no command yet, or else
+// the one that has been between requests for the longest.
 func (f *Front) evictIdlest(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var idlest *connection
-	var since time.Time
+	var idleSince time.Time
 	var idlestHasSent bool
 	for c := range f.connections {
 		c.mu.Lock()
-		evictable := !c.closing && len(c.pending) == 0 && (c.hasSentCommand || now.Sub(c.lastActive) > newcomerGrace) &&
-			!(c.partialCommand.Load() && now.Sub(c.lastActive) < firstCommandTimeout)
-		if evictable && (idlest == nil || idlestHasSent && !c.hasSentCommand || idlestHasSent == c.hasSentCommand && c.lastActive.Before(since)) {
-			idlest, since, idlestHasSent = c, c.lastActive, c.hasSentCommand
+		idler := idlest == nil || idlestHasSent && !c.hasSentCommand ||
+			idlestHasSent == c.hasSentCommand && c.lastActive.Before(idleSince)
+		if idler && c.evictable(now) {
+			idlest, idleSince, idlestHasSent = c, c.lastActive, c.hasSentCommand
 		}
 		c.mu.Unlock()
 	}
@@ -93,6 +94,19 @@
 	}
 }
 
+// evictable reports whether the connection may be closed to free its slot. The
+// caller has locked c.mu.
+func (c *connection) evictable(now time.Time) bool {
+	idle := now.Sub(c.lastActive)
+	if c.closing || len(c.pending) > 0 {
+		return false
+	}
+	if c.partialCommand.Load() && idle < firstCommandTimeout {
+		return false
+	}
+	return c.hasSentCommand || idle > newcomerGrace
+}
+
 // closeSlowestReader closes the connection with the most bytes of answers unsent.
 func (f *Front) closeSlowestReader() {
 	f.mu.Lock()
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -11,8 +11,8 @@
 	"hitchspring/internal/socket"
 )
 
-// relay writes a value as it comes, in its place, as the first reply that waits. A value that breaks off ends the
-// connection, so that the client sees that it is cut.
+// relayStream writes the first pending reply, whose value is streamed. A value
+// that breaks off ends the connection, so that the client sees that it is cut.
 func (c *connection) relayStream(reply *pendingReply) error {
 	defer reply.stream.Close()
 	if err := c.sendStream(reply); err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// sendValue writes a bulk string: its head, its value as that comes, its end.
+// sendStream writes a bulk string: its head, its value as it arrives, its end.
 func (c *connection) sendStream(reply *pendingReply) error {
 	if err := c.send(reply.encoded); err != nil {
 		return err
@@ -41,7 +41,7 @@
 				return err
 			}
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return c.send([]byte("\r\n"))
 		}
 		if err != nil {
@@ -50,10 +50,12 @@
 	}
 }
 
-// send writes all of b. The client's time-out is for want of progress: one that reads slowly gets it all. Where nothing more can be written,
-// what the client has taken of what was shows that it reads: the kernel lets more be written only when a third of its buffer is free.
+// send writes all of b. It fails only if the client makes no progress for
+// writeStallTimeout: one that reads slowly gets it all. While nothing can be
+// written, the bytes that the client acknowledges count as progress, since the
+// kernel takes more only when a third of its buffer is free.
 func (c *connection) send(b []byte) error {
-	unacknowledged := socket.Unknown // what the client had not taken when half of its time had passed
+	unacknowledged := socket.Unknown // bytes, when half of the client's time had passed
 	for len(b) > 0 {
 		c.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout / 2))
 		n, err := c.conn.Write(b)
@@ -69,7 +71,8 @@
 			if unacknowledged != socket.Unknown && (now >= unacknowledged || now == socket.Unknown) {
 				return err
 			}
-			if unacknowledged = now; now == socket.Unknown { // nobody can tell: the other half of its time, and no more
+			unacknowledged = now
+			if now == socket.Unknown { // the client has the other half of its time, and no more
 				unacknowledged = 0
 			}
 		}
@@ -77,16 +80,17 @@
 	return nil
 }
 
-// batch is what the writer has taken to send at one wake-up.
+// batch is what the writer sends at one wake-up.
 type batch struct {
-	encoded      []byte        // whole answers
+	encoded      []byte        // complete replies
 	replies      int           // their number
-	stream       *pendingReply // the reply behind them whose value is passed on; nil: none, or its turn has not come
-	endRequested bool          // the connection is to end once they are written, if nothing more has come
+	stream       *pendingReply // the streamed reply behind them; nil: none, or its turn has not come
+	endRequested bool          // the connection is to end once they are written, unless more has come
 	last         bool          // nothing is written behind them
 }
 
-// write sends answers as they come due, and ends the connection between requests once it is closing.
+// writeReplies sends replies as they become due, and requests the end of the
+// connection once it is closing and no command is without an answer.
 func (c *connection) writeReplies(done <-chan struct{}) {
 	var spare []byte
 	for {
@@ -106,7 +110,7 @@
 		if b.last {
 			return
 		}
-		if b.endRequested && !c.partialCommand.Load() { // the rest of a command comes first, or its time runs out
+		if b.endRequested && !c.partialCommand.Load() { // a partial command ends first, or its time does
 			c.mu.Lock()
 			c.requestEnd()
 			c.mu.Unlock()
@@ -114,7 +118,7 @@
 	}
 }
 
-// writeFailure says why a connection ends on which an answer could not be written.
+// writeFailure is why a connection ends if a write fails with err.
 func writeFailure(err error) metrics.CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return metrics.ClosedSlowReader
@@ -122,7 +126,7 @@
 	return metrics.ClosedByClient
 }
 
-// nextBatch takes the answers that are due; spare is the buffer for the next ones.
+// nextBatch takes the replies that are due. spare is the buffer for the next ones.
 func (c *connection) nextBatch(spare []byte) batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +143,7 @@
 	return b
 }
 
-// sendBatch writes a batch and makes room in the window for as many commands.
+// sendBatch writes a batch and frees the pipeline window of its commands.
 func (c *connection) sendBatch(b batch) error {
 	if len(b.encoded) > 0 {
 		err := c.send(b.encoded)
@@ -160,6 +164,6 @@
 	if err := c.relayStream(b.stream); err != nil {
 		return err
 	}
-	c.wakeWriter() // for what came due behind it
+	c.wakeWriter() // for the replies that became due behind it
 	return nil
 }
