--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -56,33 +56,35 @@
 
 // Front answers calls. It is safe for many goroutines.
 type Front struct {
-	cfg      Config
-	core     Core
-	log      *slog.Logger
-	table    atomic.Pointer[Table]
-	calls    chan struct{}
-	conns    atomic.Int64
-	draining atomic.Bool
-	key      atomic.Uint64
-	srv      *http.Server
-	ended    chan struct{}
-	met      *metrics
+	config          Config
+	core            Core
+	log             *slog.Logger
+	table           atomic.Pointer[Table]
+	callSlots       chan struct{}
+	openConnections atomic.Int64
+	draining        atomic.Bool
+	lastRequestID   atomic.Uint64
+	server          *http.Server
+	ended           chan struct{}
+	metrics         *metrics
 }
 
 // New returns a front that does not serve yet. Its metrics are registered with reg.
 func New(cfg Config, table *Table, c Core, log *slog.Logger, reg prometheus.Registerer) *Front {
-	f := &Front{cfg: cfg, core: c, log: log, calls: make(chan struct{}, cfg.MaxCalls), ended: make(chan struct{}), met: newMetrics(reg)}
-	f.key.Store(1 << 63) // apart from the ids of other fronts
+	f := &Front{config: cfg, core: c, log: log, callSlots: make(chan struct{}, cfg.MaxCalls), ended: make(chan struct{}), metrics: newMetrics(reg)}
+	f.lastRequestID.Store(1 << 63) // apart from the ids of other fronts
 	f.table.Store(table)
-	f.srv = &http.Server{
+	f.server = &http.Server{
 		Handler: f.handler(), ReadHeaderTimeout: cfg.HeaderTimeout, ReadTimeout: cfg.HeaderTimeout + 5*time.Second, IdleTimeout: cfg.IdleTimeout,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, ConnState: f.connState,
-		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) }, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-	}
-	f.srv.Protocols = new(http.Protocols)
-	f.srv.Protocols.SetHTTP1(true)
-	f.srv.Protocols.SetUnencryptedHTTP2(true)
-	f.srv.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: 256}
+		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+			return context.WithValue(ctx, connectionKey{}, nc)
+		}, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
+	f.server.Protocols = new(http.Protocols)
+	f.server.Protocols.SetHTTP1(true)
+	f.server.Protocols.SetUnencryptedHTTP2(true)
+	f.server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: 256}
 	return f
 }
 
@@ -93,7 +95,7 @@
 func (f *Front) Start(ln net.Listener) {
 	go func() {
 		defer close(f.ended)
-		if err := f.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		if err := f.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			f.log.Error("forward authentication has ended", "err", err)
 		}
 	}()
@@ -106,8 +108,8 @@
 // left is closed.
 func (f *Front) Drain(ctx context.Context) {
 	f.Unready()
-	if f.srv.Shutdown(ctx) != nil {
-		f.srv.Close()
+	if f.server.Shutdown(ctx) != nil {
+		f.server.Close()
 	}
 	<-f.ended
 }
@@ -116,14 +118,14 @@
 func (f *Front) connState(nc net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
-		if f.conns.Add(1) > int64(f.cfg.MaxConnections) {
-			f.met.shed.WithLabelValues("connections").Inc()
+		if f.openConnections.Add(1) > int64(f.config.MaxConnections) {
+			f.metrics.shed.WithLabelValues("connections").Inc()
 			nc.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
-		f.conns.Add(-1)
+		f.openConnections.Add(-1)
 	}
-	f.met.conns.Set(float64(f.conns.Load()))
+	f.metrics.openConnections.Set(float64(f.openConnections.Load()))
 }
 
 func (f *Front) handler() http.Handler {
@@ -134,12 +136,12 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	mux.HandleFunc("POST /v1/attempts/{lease}", f.reportOne)
-	mux.HandleFunc("POST /v1/attempts", f.reportMany)
+	mux.HandleFunc("POST /v1/attempts/{lease}", f.handleReport)
+	mux.HandleFunc("POST /v1/attempts", f.handleReports)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !f.trusts(r.RemoteAddr) {
-			f.met.asks.WithLabelValues("untrusted").Inc()
-			f.problem(w, r, http.StatusUnauthorized, "this caller is not trusted", 0)
+		if !f.isTrusted(r.RemoteAddr) {
+			f.metrics.calls.WithLabelValues("untrusted").Inc()
+			f.writeProblem(w, r, http.StatusUnauthorized, "this caller is not trusted", 0)
 			return
 		}
 		// The gates' own paths are never cleaned or redirected: a mux would.
@@ -147,19 +149,19 @@
 		case p == "/healthz" || p == "/readyz" || strings.HasPrefix(p, "/v1/attempts"):
 			mux.ServeHTTP(w, r)
 		default:
-			f.ask(w, r)
+			f.authorize(w, r)
 		}
 	})
 }
 
-func (f *Front) trusts(remote string) bool {
-	ap, err := netip.ParseAddrPort(remote)
+func (f *Front) isTrusted(remote string) bool {
+	addrPort, err := netip.ParseAddrPort(remote)
 	if err != nil {
 		return false
 	}
-	a := ap.Addr().Unmap()
-	for _, p := range f.cfg.Trusted {
-		if p.Contains(a) {
+	addr := addrPort.Addr().Unmap()
+	for _, prefix := range f.config.Trusted {
+		if prefix.Contains(addr) {
 			return true
 		}
 	}
@@ -167,88 +169,88 @@
 }
 
 // place waits for one answer.
-type place struct {
-	got    chan core.Answer
-	caller context.Context // of the call; it ends when the server has seen that the caller left
+type callSink struct {
+	answer chan core.Answer
+	ctx    context.Context // of the call; it ends when the server has seen that the caller left
 	conn   net.Conn        // that the call came on; nil: not known
 }
 
-func (p *place) Deliver(a core.Answer) { p.got <- a } // it has room for the one
+func (s *callSink) Deliver(a core.Answer) { s.answer <- a } // it has room for the one
 
 // Gone reports whether the caller has hung up, whether or not the server has come to that.
-func (p *place) Disconnected() bool {
-	return p.caller.Err() != nil || p.conn != nil && socket.HungUp(p.conn)
+func (s *callSink) Disconnected() bool {
+	return s.ctx.Err() != nil || s.conn != nil && socket.HungUp(s.conn)
 }
 
 // connKey is under what a call's context has its connection.
-type connKey struct{}
+type connectionKey struct{}
 
 // ask answers one call.
-func (f *Front) ask(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
-	if r.ContentLength > f.cfg.MaxBodyBytes {
-		f.problem(w, r, http.StatusRequestEntityTooLarge, "a call has no use for a body of this size", 0)
+func (f *Front) authorize(w http.ResponseWriter, r *http.Request) {
+	arrivedAt := time.Now()
+	if r.ContentLength > f.config.MaxBodyBytes {
+		f.writeProblem(w, r, http.StatusRequestEntityTooLarge, "a call has no use for a body of this size", 0)
 		return
 	}
 	select {
-	case f.calls <- struct{}{}:
-		defer func() { <-f.calls }()
+	case f.callSlots <- struct{}{}:
+		defer func() { <-f.callSlots }()
 	default:
-		f.met.shed.WithLabelValues("calls").Inc()
-		f.problem(w, r, http.StatusServiceUnavailable, "too many calls at once", 250*time.Millisecond)
+		f.metrics.shed.WithLabelValues("calls").Inc()
+		f.writeProblem(w, r, http.StatusServiceUnavailable, "too many calls at once", 250*time.Millisecond)
 		return
 	}
-	req, id, print, err := f.read(r, began)
+	request, id, print, err := f.parseCall(r, arrivedAt)
 	if err != nil {
-		f.met.asks.WithLabelValues("unreadable").Inc()
-		f.problem(w, r, http.StatusBadRequest, err.Error(), 0)
+		f.metrics.calls.WithLabelValues("unreadable").Inc()
+		f.writeProblem(w, r, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	conn, _ := r.Context().Value(connKey{}).(net.Conn)
-	p := &place{got: make(chan core.Answer, 1), caller: r.Context(), conn: conn}
-	f.core.RequestLease(req, id, print, p)
+	conn, _ := r.Context().Value(connectionKey{}).(net.Conn)
+	sink := &callSink{answer: make(chan core.Answer, 1), ctx: r.Context(), conn: conn}
+	f.core.RequestLease(request, id, print, sink)
 	select {
-	case a := <-p.got:
-		f.met.took.Observe(time.Since(began).Seconds())
-		f.answer(w, r, a)
+	case answer := <-sink.answer:
+		f.metrics.answerSeconds.Observe(time.Since(arrivedAt).Seconds())
+		f.writeAnswer(w, r, answer)
 	case <-r.Context().Done():
-		f.core.CancelWait(id, p)
-		f.met.asks.WithLabelValues("left").Inc()
+		f.core.CancelWait(id, sink)
+		f.metrics.calls.WithLabelValues("left").Inc()
 	}
 }
 
 // answer words the core's answer.
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, a core.Answer) {
-	h := w.Header()
-	h.Set("Cache-Control", "no-store")
-	switch a.Kind {
+func (f *Front) writeAnswer(w http.ResponseWriter, r *http.Request, answer core.Answer) {
+	header := w.Header()
+	header.Set("Cache-Control", "no-store")
+	switch answer.Kind {
 	case core.Granted:
-		f.met.asks.WithLabelValues("granted").Inc()
-		f.grant(h, a.Grant)
+		f.metrics.calls.WithLabelValues("granted").Inc()
+		f.setGrantHeaders(header, answer.Grant)
 		w.WriteHeader(http.StatusOK)
 	case core.Rejected:
-		f.met.asks.WithLabelValues("refused").Inc()
-		f.problem(w, r, http.StatusTooManyRequests, "the channel's quota or the fleet has no room for this now; it was not sent", max(a.RetryAfter, time.Millisecond))
+		f.metrics.calls.WithLabelValues("refused").Inc()
+		f.writeProblem(w, r, http.StatusTooManyRequests, "the channel's quota or the fleet has no room for this now; it was not sent", max(answer.RetryAfter, time.Millisecond))
 	case core.Concluded:
-		f.met.asks.WithLabelValues("over").Inc()
-		f.problem(w, r, http.StatusConflict, "the request of this id is over: "+a.State.String(), 0)
+		f.metrics.calls.WithLabelValues("over").Inc()
+		f.writeProblem(w, r, http.StatusConflict, "the request of this id is over: "+answer.State.String(), 0)
 	case core.Mismatched:
-		f.met.asks.WithLabelValues("other").Inc()
-		f.problem(w, r, http.StatusConflict, "a request of this id was asked with other particulars", 0)
+		f.metrics.calls.WithLabelValues("other").Inc()
+		f.writeProblem(w, r, http.StatusConflict, "a request of this id was asked with other particulars", 0)
 	default:
-		f.met.asks.WithLabelValues("failed").Inc()
-		f.problem(w, r, http.StatusServiceUnavailable, "no node can take this within its time, or an attempt may have run", 0)
+		f.metrics.calls.WithLabelValues("failed").Inc()
+		f.writeProblem(w, r, http.StatusServiceUnavailable, "no node can take this within its time, or an attempt may have run", 0)
 	}
 }
 
-func (f *Front) grant(h http.Header, g core.Grant) {
-	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
-	h.Set(f.cfg.Header+"-Node", g.Addr)
-	h.Set(f.cfg.Header+"-Node-Id", g.Backend)
-	h.Set(f.cfg.Header+"-Lease", g.Lease)
-	h.Set(f.cfg.Header+"-Attempt", strconv.Itoa(g.Attempt))
-	h.Set(f.cfg.Header+"-Start-Within-Ms", ms(g.StartWithin))
-	h.Set(f.cfg.Header+"-Ends-Within-Ms", ms(g.EndsWithin))
+func (f *Front) setGrantHeaders(header http.Header, grant core.Grant) {
+	millis := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
+	header.Set(f.config.Header+"-Node", grant.Addr)
+	header.Set(f.config.Header+"-Node-Id", grant.Backend)
+	header.Set(f.config.Header+"-Lease", grant.Lease)
+	header.Set(f.config.Header+"-Attempt", strconv.Itoa(grant.Attempt))
+	header.Set(f.config.Header+"-Start-Within-Ms", millis(grant.StartWithin))
+	header.Set(f.config.Header+"-Ends-Within-Ms", millis(grant.EndsWithin))
 }
 
 // problemBody is RFC 9457's, with one member more.
@@ -260,32 +262,32 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-func (f *Front) problem(w http.ResponseWriter, r *http.Request, status int, detail string, retry time.Duration) {
-	h := w.Header()
-	h.Set("Content-Type", "application/problem+json")
-	h.Set("Cache-Control", "no-store")
-	b := problemBody{Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: detail}
-	if retry > 0 {
-		b.RetryAfterMS = retry.Milliseconds()
-		h.Set("Retry-After", strconv.FormatInt(int64(math.Ceil(retry.Seconds())), 10))
-		h.Set(f.cfg.Header+"-Retry-After-Ms", strconv.FormatInt(b.RetryAfterMS, 10))
+func (f *Front) writeProblem(w http.ResponseWriter, r *http.Request, status int, detail string, retryAfter time.Duration) {
+	header := w.Header()
+	header.Set("Content-Type", "application/problem+json")
+	header.Set("Cache-Control", "no-store")
+	body := problemBody{Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: detail}
+	if retryAfter > 0 {
+		body.RetryAfterMS = retryAfter.Milliseconds()
+		header.Set("Retry-After", strconv.FormatInt(int64(math.Ceil(retryAfter.Seconds())), 10))
+		header.Set(f.config.Header+"-Retry-After-Ms", strconv.FormatInt(body.RetryAfterMS, 10))
 	}
 	w.WriteHeader(status)
 	if r.Method != http.MethodHead {
-		json.NewEncoder(w).Encode(b)
+		json.NewEncoder(w).Encode(body)
 	}
 }
 
 const (
-	mostID  = 64
-	mostKey = 64
+	maxIDBytes  = 64
+	maxKeyBytes = 64
 )
 
 // read makes a request of a call: by its headers, and by the table where these say nothing.
-func (f *Front) read(r *http.Request, at time.Time) (req *core.Request, id string, print uint64, err error) {
-	get := func(name string) string { return r.Header.Get(f.cfg.Header + "-" + name) }
+func (f *Front) parseCall(r *http.Request, at time.Time) (req *core.Request, id string, print uint64, err error) {
+	get := func(name string) string { return r.Header.Get(f.config.Header + "-" + name) }
 	req = &core.Request{}
-	method, target := original(r, f.cfg.Prefix)
+	method, target := originalRequest(r, f.config.Prefix)
 	segments, err := Segments(target)
 	if err != nil {
 		return nil, "", 0, err
@@ -304,7 +306,7 @@
 	class, known := f.core.Class(req.Class)
 	switch {
 	case req.Class == "":
-		return nil, "", 0, fmt.Errorf("no rule fits %s %s, and %s-Class is missing", method, target, f.cfg.Header)
+		return nil, "", 0, fmt.Errorf("no rule fits %s %s, and %s-Class is missing", method, target, f.config.Header)
 	case !known:
 		return nil, "", 0, fmt.Errorf("class %q is none of the settings", req.Class)
 	case !f.core.Plan(req.Plan):
@@ -342,16 +344,16 @@
 	}
 	req.GiveUpAt = f.core.GiveUpAt(class, at, wait)
 	key := get("Key")
-	if class.Effect == policy.Keyed && (key == "" || len(key) > mostKey) {
-		return nil, "", 0, fmt.Errorf("class %s wants a key of up to %d characters", req.Class, mostKey)
+	if class.Effect == policy.Keyed && (key == "" || len(key) > maxKeyBytes) {
+		return nil, "", 0, fmt.Errorf("class %s wants a key of up to %d characters", req.Class, maxKeyBytes)
 	}
-	req.ClientID = f.key.Add(1)
+	req.ClientID = f.lastRequestID.Add(1)
 	req.Size = 256
 	if id = get("Id"); id == "" {
 		id = fmt.Sprintf("\x00%d", req.ClientID) // nobody can ask for it again
 	}
-	if len(id) > mostID {
-		return nil, "", 0, fmt.Errorf("id %q is longer than %d characters", id[:mostID], mostID)
+	if len(id) > maxIDBytes {
+		return nil, "", 0, fmt.Errorf("id %q is longer than %d characters", id[:maxIDBytes], maxIDBytes)
 	}
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\x00%s\x00%s\x00%v\x00%d/%d\x00%s", req.Class, req.Plan, req.Tenant, req.Units, req.Spread, req.First, key)
@@ -359,117 +361,117 @@
 }
 
 // report is one in the body of a call.
-type report struct {
+type reportBody struct {
 	Lease   string  `json:"lease,omitempty"`
 	Outcome string  `json:"outcome"`
 	TookMS  float64 `json:"took_ms,omitempty"`
 }
 
 // reported is the answer to one.
-type reported struct {
-	Lease  string            `json:"lease"`
-	Status int               `json:"status"`
-	State  string            `json:"state,omitempty"`
-	Error  string            `json:"error,omitempty"`
-	Next   map[string]string `json:"next,omitempty"` // another grant, as the headers of a call's answer have it
-	Retry  int64             `json:"retry_after_ms,omitempty"`
+type reportAnswer struct {
+	Lease        string            `json:"lease"`
+	Status       int               `json:"status"`
+	State        string            `json:"state,omitempty"`
+	Error        string            `json:"error,omitempty"`
+	Next         map[string]string `json:"next,omitempty"` // another grant, as the headers of a call's answer have it
+	RetryAfterMS int64             `json:"retry_after_ms,omitempty"`
 }
 
-func (f *Front) reportOne(w http.ResponseWriter, r *http.Request) {
-	var in report
-	if !f.body(w, r, &in) {
+func (f *Front) handleReport(w http.ResponseWriter, r *http.Request) {
+	var body reportBody
+	if !f.decodeBody(w, r, &body) {
 		return
 	}
-	in.Lease = r.PathValue("lease")
-	out, ok := f.report(r.Context(), in)
+	body.Lease = r.PathValue("lease")
+	answer, ok := f.reportOutcome(r.Context(), body)
 	if !ok {
 		return
 	}
-	f.json(w, out.Status, out)
+	f.writeJSON(w, answer.Status, answer)
 }
 
-func (f *Front) reportMany(w http.ResponseWriter, r *http.Request) {
-	var in []report
-	if !f.body(w, r, &in) {
+func (f *Front) handleReports(w http.ResponseWriter, r *http.Request) {
+	var bodies []reportBody
+	if !f.decodeBody(w, r, &bodies) {
 		return
 	}
-	if len(in) > f.cfg.MaxReports {
-		f.problem(w, r, http.StatusRequestEntityTooLarge, fmt.Sprintf("%d reports in one call, %d at most", len(in), f.cfg.MaxReports), 0)
+	if len(bodies) > f.config.MaxReports {
+		f.writeProblem(w, r, http.StatusRequestEntityTooLarge, fmt.Sprintf("%d reports in one call, %d at most", len(bodies), f.config.MaxReports), 0)
 		return
 	}
-	out := make([]reported, 0, len(in))
-	for _, x := range in {
-		one, ok := f.report(r.Context(), x)
+	answers := make([]reportAnswer, 0, len(bodies))
+	for _, body := range bodies {
+		answer, ok := f.reportOutcome(r.Context(), body)
 		if !ok {
 			return
 		}
-		out = append(out, one)
+		answers = append(answers, answer)
 	}
-	f.json(w, http.StatusOK, out)
+	f.writeJSON(w, http.StatusOK, answers)
 }
 
-func (f *Front) body(w http.ResponseWriter, r *http.Request, into any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, f.cfg.MaxBodyBytes))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+func (f *Front) decodeBody(w http.ResponseWriter, r *http.Request, value any) bool {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, f.config.MaxBodyBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
 		status := http.StatusBadRequest
-		var big *http.MaxBytesError
-		if errors.As(err, &big) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
-		f.problem(w, r, status, "the report cannot be read: "+err.Error(), 0)
+		f.writeProblem(w, r, status, "the report cannot be read: "+err.Error(), 0)
 		return false
 	}
 	return true
 }
 
-func (f *Front) json(w http.ResponseWriter, status int, v any) {
+func (f *Front) writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(v)
+	json.NewEncoder(w).Encode(value)
 }
 
 // report passes one on; false where the caller has left meanwhile.
-func (f *Front) report(ctx context.Context, in report) (reported, bool) {
-	o, known := lease.ParseOutcome(in.Outcome)
+func (f *Front) reportOutcome(ctx context.Context, body reportBody) (reportAnswer, bool) {
+	outcome, known := lease.ParseOutcome(body.Outcome)
 	if !known {
-		f.met.reports.WithLabelValues("unreadable").Inc()
-		return reported{Lease: in.Lease, Status: http.StatusBadRequest, Error: fmt.Sprintf("outcome %q is none of served, refused, failed, unsent", in.Outcome)}, true
+		f.metrics.reports.WithLabelValues("unreadable").Inc()
+		return reportAnswer{Lease: body.Lease, Status: http.StatusBadRequest, Error: fmt.Sprintf("outcome %q is none of served, refused, failed, unsent", body.Outcome)}, true
 	}
-	got := make(chan core.ReportResult, 1)
-	f.core.ReportOutcome(in.Lease, o, func(a core.ReportResult) { got <- a })
-	var a core.ReportResult
+	results := make(chan core.ReportResult, 1)
+	f.core.ReportOutcome(body.Lease, outcome, func(result core.ReportResult) { results <- result })
+	var result core.ReportResult
 	select {
-	case a = <-got:
+	case result = <-results:
 	case <-ctx.Done():
-		return reported{}, false
+		return reportAnswer{}, false
 	}
-	out := reported{Lease: in.Lease, Status: http.StatusOK, State: a.State.String()}
-	word := in.Outcome
+	answer := reportAnswer{Lease: body.Lease, Status: http.StatusOK, State: result.State.String()}
+	label := body.Outcome
 	switch {
-	case errors.Is(a.Err, lease.ErrUnknown):
-		out.Status, out.State, word = http.StatusNotFound, "", "unknown"
-	case errors.Is(a.Err, lease.ErrLate):
-		out.Status, word = http.StatusGone, "late"
-	case a.Err != nil:
-		out.Status, word = http.StatusConflict, "conflict"
-	case !a.First:
-		word = "again"
-	}
-	f.met.reports.WithLabelValues(word).Inc()
-	if a.Err != nil {
-		out.Error = a.Err.Error()
-	}
-	switch a.Next.Kind {
+	case errors.Is(result.Err, lease.ErrUnknown):
+		answer.Status, answer.State, label = http.StatusNotFound, "", "unknown"
+	case errors.Is(result.Err, lease.ErrLate):
+		answer.Status, label = http.StatusGone, "late"
+	case result.Err != nil:
+		answer.Status, label = http.StatusConflict, "conflict"
+	case !result.First:
+		label = "again"
+	}
+	f.metrics.reports.WithLabelValues(label).Inc()
+	if result.Err != nil {
+		answer.Error = result.Err.Error()
+	}
+	switch result.Next.Kind {
 	case core.Granted:
-		h := http.Header{}
-		f.grant(h, a.Next.Grant)
-		out.Next = map[string]string{}
-		for k := range h {
-			out.Next[k] = h.Get(k)
+		header := http.Header{}
+		f.setGrantHeaders(header, result.Next.Grant)
+		answer.Next = map[string]string{}
+		for name := range header {
+			answer.Next[name] = header.Get(name)
 		}
 	case core.Rejected:
-		out.Retry = max(1, a.Next.RetryAfter.Milliseconds())
+		answer.RetryAfterMS = max(1, result.Next.RetryAfter.Milliseconds())
 	}
-	return out, true
+	return answer, true
 }
--- a/internal/front/forwardauth/front_test.go
+++ b/internal/front/forwardauth/front_test.go
@@ -477,11 +477,11 @@
 	front := New(Config{Header: "X-Hitch", MaxCalls: 1, MaxConnections: 1, MaxBodyBytes: 1024, MaxReports: 3}, &Table{}, &fake{report: func(string, lease.Outcome) core.ReportResult { return core.ReportResult{First: true} }},
 		slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 	f.Fuzz(func(t *testing.T, body string) {
-		var in report
+		var in reportBody
 		if json.Unmarshal([]byte(body), &in) != nil {
 			return
 		}
-		out, ok := front.report(context.Background(), in)
+		out, ok := front.reportOutcome(context.Background(), in)
 		if !ok || out.Status != 200 && out.Status != 400 {
 			t.Fatalf("%q: %+v", body, out)
 		}
--- a/internal/front/forwardauth/golden_test.go
+++ b/internal/front/forwardauth/golden_test.go
@@ -18,7 +18,7 @@
 
 // Gates read these answers, headers and bodies.
 func TestGoldenAnswers(t *testing.T) {
-	f := &Front{cfg: Config{Header: "X-Hitch"}, met: newMetrics(prometheus.NewRegistry())}
+	f := &Front{config: Config{Header: "X-Hitch"}, metrics: newMetrics(prometheus.NewRegistry())}
 	var all bytes.Buffer
 	for _, a := range []core.Answer{
 		{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Backend: "node-1", Addr: "10.0.0.1:99", Attempt: 2, StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}},
@@ -28,7 +28,7 @@
 		{Kind: core.Failed},
 	} {
 		w := httptest.NewRecorder()
-		f.answer(w, httptest.NewRequest(http.MethodGet, "/", nil), a)
+		f.writeAnswer(w, httptest.NewRequest(http.MethodGet, "/", nil), a)
 		fmt.Fprintln(&all, w.Code)
 		writeHeaders(&all, w.Header())
 		all.WriteString(w.Body.String() + "\n")
@@ -48,14 +48,14 @@
 }
 
 func TestGoldenReports(t *testing.T) {
-	for _, v := range []any{report{}, reported{}, problemBody{}} {
+	for _, v := range []any{reportBody{}, reportAnswer{}, problemBody{}} {
 		golden.RequireTags(t, "json", v)
 	}
-	var in report
-	var out reported
+	var in reportBody
+	var out reportAnswer
 	golden.Fill(&in)
 	golden.Fill(&out)
 	w := httptest.NewRecorder()
-	(&Front{}).json(w, http.StatusOK, []any{in, out})
+	(&Front{}).writeJSON(w, http.StatusOK, []any{in, out})
 	golden.Compare(t, "reports", w.Body.Bytes())
 }
--- a/internal/front/forwardauth/metrics.go
+++ b/internal/front/forwardauth/metrics.go
@@ -4,14 +4,14 @@
 
 // metrics are what the front counts.
 type metrics struct {
-	asks, reports, shed *prometheus.CounterVec
-	took                prometheus.Histogram
-	conns               prometheus.Gauge
+	calls, reports, shed *prometheus.CounterVec
+	answerSeconds        prometheus.Histogram
+	openConnections      prometheus.Gauge
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
 	m := &metrics{
-		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
+		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "hitchspring_forward_auth_calls_total",
 			Help: "Calls by what they were answered: granted, refused, failed, over, other, left, unreadable, untrusted.",
 		}, []string{"answer"}),
@@ -23,12 +23,12 @@
 			Name: "hitchspring_forward_auth_shed_total",
 			Help: "Calls and connections that found no room.",
 		}, []string{"bound"}),
-		took: prometheus.NewHistogram(prometheus.HistogramOpts{
+		answerSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "hitchspring_forward_auth_answer_seconds",
 			Help: "Time from a call's headers to its answer.", Buckets: []float64{.0005, .001, .002, .003, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5},
 		}),
-		conns: prometheus.NewGauge(prometheus.GaugeOpts{Name: "hitchspring_forward_auth_connections", Help: "Open connections of gates."}),
+		openConnections: prometheus.NewGauge(prometheus.GaugeOpts{Name: "hitchspring_forward_auth_connections", Help: "Open connections of gates."}),
 	}
-	reg.MustRegister(m.asks, m.reports, m.shed, m.took, m.conns)
+	reg.MustRegister(m.calls, m.reports, m.shed, m.answerSeconds, m.openConnections)
 	return m
 }
--- a/internal/front/forwardauth/rules.go
+++ b/internal/front/forwardauth/rules.go
@@ -18,27 +18,27 @@
 }
 
 // Table is the rules in their order; the first that fits counts. It does not change once made.
-type Table struct{ rules []rule }
+type Table struct{ rules []compiledRule }
 
-type rule struct {
+type compiledRule struct {
 	Rule
 	segments []string
 }
 
 // NewTable checks the rules; the error names the rule, from 0.
 func NewTable(rules []Rule) (*Table, error) {
-	t := &Table{}
+	table := &Table{}
 	for i, r := range rules {
 		if !strings.HasPrefix(r.Path, "/") {
 			return nil, fmt.Errorf("rule[%d]: path %q does not begin with /", i, r.Path)
 		}
-		segs := strings.Split(r.Path[1:], "/")
-		for k, s := range segs {
+		segments := strings.Split(r.Path[1:], "/")
+		for position, segment := range segments {
 			switch {
-			case s == "**" && k != len(segs)-1:
+			case segment == "**" && position != len(segments)-1:
 				return nil, fmt.Errorf("rule[%d]: path %q: ** stands last or not at all", i, r.Path)
-			case strings.ContainsAny(s, "{}") && s != "{channel}":
-				return nil, fmt.Errorf("rule[%d]: path %q: %q is no segment, want {channel}", i, r.Path, s)
+			case strings.ContainsAny(segment, "{}") && segment != "{channel}":
+				return nil, fmt.Errorf("rule[%d]: path %q: %q is no segment, want {channel}", i, r.Path, segment)
 			}
 		}
 		if r.Class == "" {
@@ -47,26 +47,26 @@
 		if !(r.Units >= 0) {
 			return nil, fmt.Errorf("rule[%d]: units %v is below 0", i, r.Units)
 		}
-		t.rules = append(t.rules, rule{r, segs})
+		table.rules = append(table.rules, compiledRule{r, segments})
 	}
-	return t, nil
+	return table, nil
 }
 
 // Match finds the first rule that fits. channel is what stood at {channel}.
 func (t *Table) Match(method string, segments []string) (r Rule, channel string, ok bool) {
-	for _, x := range t.rules {
-		if x.Method != "" && !strings.EqualFold(x.Method, method) {
+	for _, rule := range t.rules {
+		if rule.Method != "" && !strings.EqualFold(rule.Method, method) {
 			continue
 		}
-		if channel, ok := x.fits(segments); ok {
-			return x.Rule, channel, true
+		if channel, ok := rule.matches(segments); ok {
+			return rule.Rule, channel, true
 		}
 	}
 	return Rule{}, "", false
 }
 
-func (x *rule) fits(segments []string) (channel string, ok bool) {
-	for i, want := range x.segments {
+func (r *compiledRule) matches(segments []string) (channel string, ok bool) {
+	for i, want := range r.segments {
 		if want == "**" {
 			return channel, true
 		}
@@ -83,10 +83,10 @@
 			}
 		}
 	}
-	return channel, len(segments) == len(x.segments)
+	return channel, len(segments) == len(r.segments)
 }
 
-var errPath = errors.New("the path can be read in more than one way")
+var errAmbiguousPath = errors.New("the path can be read in more than one way")
 
 // Segments takes a request's target apart. What a server behind might read as another path than this one is refused, not
 // mended: dot segments, empty ones, parameters behind a semicolon, an encoded slash or dot, a backslash, a control character.
@@ -95,34 +95,34 @@
 		target = target[:i]
 	}
 	if !strings.HasPrefix(target, "/") || len(target) > 8<<10 {
-		return nil, errPath
+		return nil, errAmbiguousPath
 	}
 	if target == "/" {
 		return []string{""}, nil
 	}
-	segs := strings.Split(target[1:], "/")
-	for i, s := range segs {
-		plain, err := url.PathUnescape(s)
+	segments := strings.Split(target[1:], "/")
+	for i, segment := range segments {
+		decoded, err := url.PathUnescape(segment)
 		if err != nil {
-			return nil, errPath
+			return nil, errAmbiguousPath
 		}
-		if plain == "" && i != len(segs)-1 || plain == "." || plain == ".." || strings.ContainsAny(plain, "/\\;%") {
-			return nil, errPath
+		if decoded == "" && i != len(segments)-1 || decoded == "." || decoded == ".." || strings.ContainsAny(decoded, "/\\;%") {
+			return nil, errAmbiguousPath
 		}
-		for _, c := range []byte(plain) {
+		for _, c := range []byte(decoded) {
 			if c < 0x20 || c == 0x7f {
-				return nil, errPath
+				return nil, errAmbiguousPath
 			}
 		}
-		segs[i] = plain
+		segments[i] = decoded
 	}
-	return segs, nil
+	return segments, nil
 }
 
 // original is the method and target of the request that the gate asks about, as the gates word it: X-Forwarded-Method and
 // -Uri (Traefik, Caddy), X-Original-Method and -URI (nginx, as its configuration sets them), or the call's own behind a
 // prefix (Envoy).
-func original(r *http.Request, prefix string) (method, target string) {
+func originalRequest(r *http.Request, prefix string) (method, target string) {
 	method, target = r.Header.Get("X-Forwarded-Method"), r.Header.Get("X-Forwarded-Uri")
 	if target == "" {
 		method, target = r.Header.Get("X-Original-Method"), r.Header.Get("X-Original-Uri")
