--- a/internal/front/forwardauth/golden_test.go
+++ b/internal/front/forwardauth/golden_test.go
@@ -20,18 +20,25 @@
 func TestGoldenAnswers(t *testing.T) {
 	f := &Front{config: Config{Header: "X-Hitch"}, metrics: newMetrics(prometheus.NewRegistry())}
 	var all bytes.Buffer
-	for _, a := range []core.Answer{
-		{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Backend: "node-1", Addr: "10.0.0.1:99", Attempt: 2, StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}},
+	for _, answer := range []core.Answer{
+		{Kind: core.Granted, Grant: core.Grant{
+			Lease:       "abc",
+			Backend:     "node-1",
+			Addr:        "10.0.0.1:99",
+			Attempt:     2,
+			StartWithin: 500 * time.Millisecond,
+			EndsWithin:  5 * time.Second,
+		}},
 		{Kind: core.Rejected, RetryAfter: 1500 * time.Millisecond},
 		{Kind: core.Concluded, State: lease.Served},
 		{Kind: core.Mismatched},
 		{Kind: core.Failed},
 	} {
-		w := httptest.NewRecorder()
-		f.writeAnswer(w, httptest.NewRequest(http.MethodGet, "/", nil), a)
-		fmt.Fprintln(&all, w.Code)
-		writeHeaders(&all, w.Header())
-		all.WriteString(w.Body.String() + "\n")
+		recorder := httptest.NewRecorder()
+		f.writeAnswer(recorder, httptest.NewRequest(http.MethodGet, "/", nil), answer)
+		fmt.Fprintln(&all, recorder.Code)
+		writeHeaders(&all, recorder.Header())
+		all.WriteString(recorder.Body.String() + "\n")
 	}
 	golden.Compare(t, "answers", all.Bytes())
 }
@@ -51,11 +58,11 @@
 	for _, v := range []any{reportBody{}, reportAnswer{}, problemBody{}} {
 		golden.RequireTags(t, "json", v)
 	}
-	var in reportBody
-	var out reportAnswer
-	golden.Fill(&in)
-	golden.Fill(&out)
-	w := httptest.NewRecorder()
-	(&Front{}).writeJSON(w, http.StatusOK, []any{in, out})
-	golden.Compare(t, "reports", w.Body.Bytes())
+	var body reportBody
+	var answer reportAnswer
+	golden.Fill(&body)
+	golden.Fill(&answer)
+	recorder := httptest.NewRecorder()
+	(&Front{}).writeJSON(recorder, http.StatusOK, []any{body, answer})
+	golden.Compare(t, "reports", recorder.Body.Bytes())
 }
--- a/internal/front/forwardauth/rules.go
+++ b/internal/front/forwardauth/rules.go
@@ -3,21 +3,21 @@
 import (
 	"errors"
 	"fmt"
-	"net/http"
 	"net/url"
 	"strings"
 )
 
-// Rule says what a request is, by its method and path.
+// Rule determines what a request is by its method and path.
 type Rule struct {
 	Method string  // empty: any
-	Path   string  // segments; {channel} stands for the channel, * for any one segment, a last ** for any rest
+	Path   string  // {channel} stands for the channel, * for one segment, a last ** for any rest
 	Class  string  // of the settings
-	Plan   string  // of the settings; empty: a header says
-	Units  float64 // 0: a header says, else 1
+	Plan   string  // of the settings; empty: by a header
+	Units  float64 // 0: by a header, else 1
 }
 
-// Table is the rules in their order; the first that fits counts. It does not change once made.
+// Table holds rules in their order; the first that matches counts. It doesn't
+// change once it is made.
 type Table struct{ rules []compiledRule }
 
 type compiledRule struct {
@@ -25,7 +25,8 @@
 	segments []string
 }
 
-// NewTable checks the rules; the error names the rule, from 0.
+// NewTable checks rules and returns their table. An error names the rule by its
+// position, from 0.
 func NewTable(rules []Rule) (*Table, error) {
 	table := &Table{}
 	for i, r := range rules {
@@ -52,7 +53,8 @@
 	return table, nil
 }
 
-// Match finds the first rule that fits. channel is what stood at {channel}.
+// Match finds the first rule that matches a request. channel is the segment at
+// {channel}.
 func (t *Table) Match(method string, segments []string) (r Rule, channel string, ok bool) {
 	for _, rule := range t.rules {
 		if rule.Method != "" && !strings.EqualFold(rule.Method, method) {
@@ -86,15 +88,22 @@
 	return channel, len(segments) == len(r.segments)
 }
 
+const (
+	maxTargetBytes = 8 << 10
+	asciiDelete    = 0x7f
+)
+
 var errAmbiguousPath = errors.New("the path can be read in more than one way")
 
-// Segments takes a request's target apart. What a server behind might read as another path than this one is refused, not
-// mended: dot segments, empty ones, parameters behind a semicolon, an encoded slash or dot, a backslash, a control character.
+// Segments returns the decoded segments of a request's target. A path that a
+// backend might read in another way is an error: dot segments, empty ones,
+// parameters behind a semicolon, an encoded slash or dot, a backslash, a control
+// character.
 func Segments(target string) ([]string, error) {
 	if i := strings.IndexAny(target, "?#"); i >= 0 {
 		target = target[:i]
 	}
-	if !strings.HasPrefix(target, "/") || len(target) > 8<<10 {
+	if !strings.HasPrefix(target, "/") || len(target) > maxTargetBytes {
 		return nil, errAmbiguousPath
 	}
 	if target == "/" {
@@ -106,35 +115,24 @@
 		if err != nil {
 			return nil, errAmbiguousPath
 		}
-		if decoded == "" && i != len(segments)-1 || decoded == "." || decoded == ".." || strings.ContainsAny(decoded, "/\\;%") {
+		if isAmbiguous(decoded) || decoded == "" && i != len(segments)-1 {
 			return nil, errAmbiguousPath
 		}
-		for _, c := range []byte(decoded) {
-			if c < 0x20 || c == 0x7f {
-				return nil, errAmbiguousPath
-			}
-		}
 		segments[i] = decoded
 	}
 	return segments, nil
 }
 
-// original is the method and target of the request that the gate asks about, as the gates word it: X-Forwarded-Method and
-// -Uri (Traefik, Caddy), X-Original-Method and -URI (nginx, as its configuration sets them), or the call's own behind a
-// prefix (Envoy).
-func originalRequest(r *http.Request, prefix string) (method, target string) {
-	method, target = r.Header.Get("X-Forwarded-Method"), r.Header.Get("X-Forwarded-Uri")
-	if target == "" {
-		method, target = r.Header.Get("X-Original-Method"), r.Header.Get("X-Original-Uri")
+// isAmbiguous reports whether a backend might read a decoded segment as anything
+// but one segment.
+func isAmbiguous(segment string) bool {
+	if segment == "." || segment == ".." || strings.ContainsAny(segment, "/\\;%") {
+		return true
 	}
-	if target == "" {
-		method, target = r.Method, strings.TrimPrefix(r.RequestURI, strings.TrimSuffix(prefix, "/"))
-		if target == "" {
-			target = "/"
+	for _, c := range []byte(segment) {
+		if c < ' ' || c == asciiDelete {
+			return true
 		}
 	}
-	if method == "" {
-		method = r.Method
-	}
-	return method, target
+	return false
 }
--- a/internal/front/forwardauth/rules_bounds_test.go
+++ b/internal/front/forwardauth/rules_size_test.go
@@ -9,11 +9,15 @@
 // manyRules is a table of so many rules that begin alike, as those of one platform do.
 func manyRules(tb testing.TB, n int) *Table {
 	tb.Helper()
-	list := make([]Rule, n)
-	for i := range list {
-		list[i] = Rule{Method: http.MethodGet, Path: fmt.Sprintf("/v1/channels/{channel}/assets/%05d/segments", i), Class: fmt.Sprint("class", i)}
+	rules := make([]Rule, n)
+	for i := range rules {
+		rules[i] = Rule{
+			Method: http.MethodGet,
+			Path:   fmt.Sprintf("/v1/channels/{channel}/assets/%05d/segments", i),
+			Class:  fmt.Sprint("class", i),
+		}
 	}
-	table, err := NewTable(list)
+	table, err := NewTable(rules)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -24,7 +28,10 @@
 func TestManyRules(t *testing.T) {
 	table := manyRules(t, 12000)
 	for _, i := range []int{0, 500, 11999} {
-		r, channel, ok := table.Match(http.MethodGet, []string{"v1", "channels", "c7", "assets", fmt.Sprintf("%05d", i), "segments"})
+		r, channel, ok := table.Match(
+			http.MethodGet,
+			[]string{"v1", "channels", "c7", "assets", fmt.Sprintf("%05d", i), "segments"},
+		)
 		if !ok || channel != "c7" || r.Class != fmt.Sprint("class", i) {
 			t.Errorf("%d: %+v %q %v", i, r, channel, ok)
 		}
