--- a/internal/front/forwardauth/golden_test.go
+++ b/internal/front/forwardauth/golden_test.go
@@ -18,20 +18,27 @@
 
 // Gates read these answers, headers and bodies.
 func TestGoldenAnswers(t *testing.T) {
-	f := &Front{cfg: Config{Header: "X-Hitch"}, met: newMetrics(prometheus.NewRegistry())}
+	f := &Front{config: Config{Header: "X-Hitch"}, metrics: newMetrics(prometheus.NewRegistry())}
 	var all bytes.Buffer
-	for _, a := range []core.Answer{
-		{Kind: core.Granted, Grant: core.Grant{Lease: "abc", Backend: "node-1", Addr: "10.0.0.1:99", Attempt: 2, StartWithin: 500 * time.Millisecond, EndsWithin: 5 * time.Second}},
+	for _, answer := range []core.Answer{
+		{Kind: core.Granted, Grant: core.Grant{
+			Lease:       "abc",
+			Backend:     "node-1",
+			Addr:        "10.0.0.1:99",
+			Attempt:     2,
+			StartWithin: 500 * time.Millisecond,
+			EndsWithin:  5 * time.Second,
+		}},
 		{Kind: core.Rejected, RetryAfter: 1500 * time.Millisecond},
 		{Kind: core.Concluded, State: lease.Served},
 		{Kind: core.Mismatched},
 		{Kind: core.Failed},
 	} {
-		w := httptest.NewRecorder()
-		f.answer(w, httptest.NewRequest(http.MethodGet, "/", nil), a)
-		fmt.Fprintln(&all, w.Code)
-		writeHeaders(&all, w.Header())
-		all.WriteString(w.Body.String() + "\n")
+		recorder := httptest.NewRecorder()
+		f.writeAnswer(recorder, httptest.NewRequest(http.MethodGet, "/", nil), answer)
+		fmt.Fprintln(&all, recorder.Code)
+		writeHeaders(&all, recorder.Header())
+		all.WriteString(recorder.Body.String() + "\n")
 	}
 	golden.Compare(t, "answers", all.Bytes())
 }
@@ -48,14 +55,14 @@
 }
 
 func TestGoldenReports(t *testing.T) {
-	for _, v := range []any{report{}, reported{}, problemBody{}} {
+	for _, v := range []any{reportBody{}, reportAnswer{}, problemBody{}} {
 		golden.RequireTags(t, "json", v)
 	}
-	var in report
-	var out reported
-	golden.Fill(&in)
-	golden.Fill(&out)
-	w := httptest.NewRecorder()
-	(&Front{}).json(w, http.StatusOK, []any{in, out})
-	golden.Compare(t, "reports", w.Body.Bytes())
+	var body reportBody
+	var answer reportAnswer
+	golden.Fill(&body)
+	golden.Fill(&answer)
+	recorder := httptest.NewRecorder()
+	(&Front{}).writeJSON(recorder, http.StatusOK, []any{body, answer})
+	golden.Compare(t, "reports", recorder.Body.Bytes())
 }
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -11,17 +11,17 @@
 // accept takes connections until the listener closes.
 func (f *Front) accept() {
 	for {
-		f.acquirePlace()
-		nc, err := f.ln.Accept()
+		f.acquireSlot()
+		conn, err := f.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // out of descriptors, say: a pause, then on
-			<-f.places
+			<-f.slots
 			time.Sleep(acceptPause)
 			continue
 		}
-		c := newConnection(f, nc)
+		c := newConnection(f, conn)
 		f.mu.Lock()
 		f.connections[c] = true
 		f.serving.Add(1)
@@ -34,5 +34,6 @@
 	}
 }
 
-// Close closes the listener: this process's use of it, where others have it too.
-func (f *Front) Close() { f.ln.Close() }
+// Close closes the listener in this process; other processes that share the
+// socket keep it.
+func (f *Front) Close() { f.listener.Close() }
--- a/internal/front/resp/pending.go
+++ b/internal/front/resp/pending.go
@@ -11,141 +11,155 @@
 	"hitchspring/internal/socket"
 )
 
-// pendingReply is one command's answer, in its place in the order of commands, until it is written.
+// pendingReply is the reply to one command, at its place in the order of commands
+// until it is written. It is the core.ReplySink of its request.
 type pendingReply struct {
-	c     *connection
-	reply []byte          // nil until answered; of a value that is passed on: its head
-	value *backend.Stream // that value; nil: reply is all
-	req   *core.Request
+	conn    *connection
+	request *core.Request   // nil: the command was answered without the core
+	encoded []byte          // nil until answered; of a streamed value, its head
+	stream  *backend.Stream // the value that follows the head; nil: encoded is the entire reply
 }
 
-// addPending adds a pending reply at the end of the order; nil when the connection takes no more.
-func (c *connection) addPending(r *core.Request) *pendingReply {
+// addPending adds a pending reply at the end of the order, or returns nil if the
+// connection takes no more commands.
+func (c *connection) addPending(request *core.Request) *pendingReply {
 	if !c.acquireWindow() {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase >= finished {
-		<-c.window
+		<-c.pipelineWindow
 		return nil
 	}
-	s := &pendingReply{c: c, req: r}
-	c.used, c.hasAsked = time.Now(), true
-	c.waiting = append(c.waiting, s)
-	return s
+	reply := &pendingReply{conn: c, request: request}
+	c.lastActive, c.hasSentCommand = time.Now(), true
+	c.pending = append(c.pending, reply)
+	return reply
 }
 
-// acquireWindow waits for room in the pipeline's window for a further command; false when the connection ends first. Room comes as answers are written, and each
-// request has a time limit.
-func (c *connection) acquireWindow() (entered bool) {
-	over := false
-	c.waitReading(func(most time.Duration) bool {
+// acquireWindow waits until the pipeline window takes a further command, and
+// reports false if the connection ends first. Written answers free the window, and
+// each request has a time limit.
+func (c *connection) acquireWindow() (acquired bool) {
+	ended := false
+	c.waitWhileReading(func(maxWait time.Duration) bool {
 		select {
-		case c.window <- struct{}{}:
-			entered = true
+		case c.pipelineWindow <- struct{}{}:
+			acquired = true
 		case <-c.written:
-			over = true
+			ended = true
 		default:
-			if most > 0 {
-				t := time.NewTimer(most)
-				defer t.Stop()
-				select {
-				case c.window <- struct{}{}:
-					entered = true
-				case <-c.written:
-					over = true
-				case <-t.C:
-				}
+			if maxWait > 0 {
+				acquired, ended = c.awaitWindow(maxWait)
 			}
 		}
-		return entered || over
+		return acquired || ended
 	})
-	return entered
+	return acquired
+}
+
+// awaitWindow waits up to maxWait for the pipeline window to take a command, or
+// for the last write of the connection.
+func (c *connection) awaitWindow(maxWait time.Duration) (acquired, ended bool) {
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
+	select {
+	case c.pipelineWindow <- struct{}{}:
+		return true, false
+	case <-c.written:
+		return false, true
+	case <-timer.C:
+		return false, false
+	}
 }
 
 // replyNow answers a command without the core.
-func (c *connection) replyNow(b []byte) {
-	if s := c.addPending(nil); s != nil {
-		s.answer(b)
+func (c *connection) replyNow(encoded []byte) {
+	if reply := c.addPending(nil); reply != nil {
+		reply.complete(encoded)
 	}
 }
 
-// Answer encodes the final answer of a request; the core calls it once.
+// Deliver encodes the final answer of the request. The core calls it once.
 func (p *pendingReply) Deliver(a core.Answer) {
 	switch a.Kind {
 	case core.Served:
-		if v := a.Stream; v != nil {
-			p.stream(v)
+		if a.Stream != nil {
+			p.completeWithStream(a.Stream)
 			return
 		}
-		p.answer(redcon.AppendBulk(make([]byte, 0, len(a.Value)+16), a.Value))
+		p.complete(redcon.AppendBulk(make([]byte, 0, len(a.Value)+16), a.Value))
 	case core.Rejected:
-		b := refusal(a)
-		p.answer(b)
+		rejection := encodeRejection(a)
+		p.complete(rejection)
 	case core.Duplicate:
-		p.c.protocolErrors.Add(1)
-		p.answer([]byte("-ERR a request of this id is being served\r\n"))
+		p.conn.protocolErrors.Add(1)
+		p.complete([]byte("-ERR a request of this id is being served\r\n"))
 	default:
-		p.answer([]byte("-ERR failed\r\n"))
+		p.complete([]byte("-ERR failed\r\n"))
 	}
 }
 
-// Gone reports whether the client has closed its connection, whether or not the reader has come to that: the command and the end of the
-// connection may have come together, and the reader may be held up. It asks the kernel and never waits.
-func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.c.nc) }
+// Disconnected reports whether the client has closed its connection, also before
+// the reader has noticed: a command and the end of the connection may arrive
+// together, and the reader may be waiting. It looks into the kernel and never blocks.
+func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.conn.conn) }
 
-// answer completes the reply and never blocks. Clients that leave their answers unread lose their connections before they
-// can fill the memory.
-func (p *pendingReply) answer(b []byte) {
-	c := p.c
+// complete sets the encoded reply and never blocks. Clients that leave their
+// answers unread are disconnected before these fill the memory.
+func (p *pendingReply) complete(encoded []byte) {
+	c := p.conn
 	c.mu.Lock()
 	if c.phase == released {
 		c.mu.Unlock()
 		return
 	}
-	p.reply = b
-	c.unsent += len(b)
-	c.f.unsent.Add(int64(len(b)))
-	c.collect()
-	c.used = time.Now()
+	p.encoded = encoded
+	c.unsentBytes += len(encoded)
+	c.front.unsent.Add(int64(len(encoded)))
+	c.collectReplies()
+	c.lastActive = time.Now()
 	c.mu.Unlock()
-	if c.f.unsent.Load() > c.f.mostUnsent {
-		c.f.closeSlowestReader()
+	if c.front.unsent.Load() > c.front.maxUnsent {
+		c.front.closeSlowestReader()
 	}
 	c.wakeWriter()
 }
 
-// refusal encodes a refusal, with when to come back.
-func refusal(a core.Answer) []byte {
+// encodeRejection encodes a rejection, with the milliseconds after which the
+// client should retry.
+func encodeRejection(a core.Answer) []byte {
 	if a.RetryAfter <= 0 {
 		return []byte("-BUSY\r\n")
 	}
 	return append(strconv.AppendInt([]byte("-BUSY "), max(1, a.RetryAfter.Milliseconds()), 10), '\r', '\n')
 }
 
-// stream completes the reply with a value that is passed on as it comes. The goroutine that writes reads it when its turn has come.
-func (p *pendingReply) stream(v *backend.Stream) {
-	c := p.c
+// completeWithStream sets a reply whose value is relayed as it arrives. The
+// connection's writer reads it when the replies before it are written.
+func (p *pendingReply) completeWithStream(v *backend.Stream) {
+	c := p.conn
 	c.mu.Lock()
 	if c.phase == released {
 		c.mu.Unlock()
 		v.Close()
 		return
 	}
-	p.value = v
-	p.reply = append(strconv.AppendInt([]byte{'$'}, int64(v.Size), 10), '\r', '\n')
-	c.used = time.Now()
+	p.stream = v
+	p.encoded = append(strconv.AppendInt([]byte{'$'}, int64(v.Size), 10), '\r', '\n')
+	c.lastActive = time.Now()
 	c.mu.Unlock()
 	c.wakeWriter()
 }
 
-// collect moves the answers that are due to out, up to one that is passed on; c.mu is held.
-func (c *connection) collect() {
-	for len(c.waiting) > 0 && c.waiting[0].reply != nil && c.waiting[0].value == nil {
-		c.out = append(c.out, c.waiting[0].reply...)
-		c.ready++
-		c.waiting[0] = nil
-		c.waiting = c.waiting[1:]
+// collectReplies moves the replies that are due to outgoing, up to the first that
+// is streamed. The caller has locked c.mu.
+func (c *connection) collectReplies() {
+	for len(c.pending) > 0 && c.pending[0].encoded != nil && c.pending[0].stream == nil {
+		c.outgoing = append(c.outgoing, c.pending[0].encoded...)
+		c.outgoingReplies++
+		c.pending[0] = nil
+		c.pending = c.pending[1:]
 	}
 }
