--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -154,6 +154,27 @@
 	}
 }
 
+// The same while all attempts are answered, so that nothing but the ceiling limits
+// them.
+func TestCeilingHoldsWhileAttemptsAreAnswered(t *testing.T) {
+	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
+	h.engine.plans["capped"].Rate = 0 // no quota but the ceiling
+	h.engine.window.size = 1000
+	sent := 0
+	for i := range 400 {
+		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.pass(10*ms)...)
+		for sends := actionsOf[SendAttempt](actions); len(sends) > 0; sends = sends[1:] {
+			sent++
+			answered := h.notify(succeeded(sends[0].ID, sends[0].Backend, 5*ms))
+			sends = append(sends, actionsOf[SendAttempt](answered)...)
+		}
+	}
+	share := 4 * 20 / 2 // 4 s of half the ceiling's rate
+	if sent < share-2 || sent > share+1 {
+		t.Fatalf("got %d sent in 4 s, want %d", sent, share)
+	}
+}
+
 func TestInFlightLimitIsSharedAndQueues(t *testing.T) {
 	settings := testSettings()
 	limited := Plan{Name: "limited", Price: 1, Rate: 100, Burst: 100, MaxInFlight: 4, ExcessCost: 1}
