--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -167,7 +167,7 @@
 			return fmt.Errorf("admin_addr: %w", err)
 		}
 		g.admin.Store(ln.Addr().(*net.TCPAddr))
-		defer admin.Open(ln, door{g}, g.log).Close()
+		defer admin.Serve(ln, door{g}, g.log).Close()
 	}
 	leave, err := g.takePart() // before anything is served, so that a starter knows what the others know
 	if err != nil {
