--- a/internal/ingress/ends_test.go
+++ b/internal/ingress/ending_test.go
@@ -149,9 +149,9 @@
 	began := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	<-time.After(graceOpen - 150*time.Millisecond) // as late as clients still come
+	<-time.After(listenerGrace - 150*time.Millisecond) // as late as clients still come
 	send(6, false, func(id int) string { return ask(id, fields) })
-	<-time.After(time.Until(began.Add(graceTake + 60*time.Millisecond)))
+	<-time.After(time.Until(began.Add(commandGrace + 60*time.Millisecond)))
 	for i, e := range ends[4:] { // they are owed an answer still: their connections are open
 		e.late = true
 		io.WriteString(e.nc, ask(500+i, fields))
@@ -159,8 +159,8 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took > deadline+graceTake {
-		t.Errorf("ended after %v, the platform kills after %v", took, deadline+graceTake)
+	if took := time.Since(began); took > deadline+commandGrace {
+		t.Errorf("ended after %v, the platform kills after %v", took, deadline+commandGrace)
 	}
 	for i, e := range ends {
 		var got []string
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -21,9 +21,9 @@
 	golden.Fill(&h)
 	golden.Fill(&p)
 	reg := prometheus.NewPedanticRegistry()
-	reg.MustRegister(newHallFigures(func() (zones.Status, bool) { return h, true }),
-		newPeerFigures(func() (peers.Status, bool) { return p, true }),
-		newRequestFigures(metrics.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
+	reg.MustRegister(newZoneCollector(func() (zones.Status, bool) { return h, true }),
+		newPeerCollector(func() (peers.Status, bool) { return p, true }),
+		newRequestCollector(metrics.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
 	families, err := reg.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -256,7 +256,7 @@
 	}
 	eventually(t, 2*time.Second, "all places at the start", more)
 	_, stopSecond := start()
-	half := (most - spare - admin.MaxConnections) / 2
+	half := (most - reservedDescriptors - admin.MaxConnections) / 2
 	eventually(t, time.Second, "half of the places are left", func() bool { return first.front.Load().OpenConnections() <= half })
 	open(most) // each takes the place of one that is idle
 	if n := first.front.Load().OpenConnections(); n > half+1 {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	firstList = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
-	spare     = 32                     // descriptors for the counter, discovery, the listener and the runtime
+	discoveryWait = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
+	reservedDescriptors     = 32                     // descriptors for the counter, discovery, the listener and the runtime
 
-	drillsEvery = 500 * time.Millisecond // the file of drills is read again
+	zoneDrainInterval = 500 * time.Millisecond // the file of drills is read again
 
-	mostMetrics = 8  // connections and calls for figures
-	leastConns  = 32 // of clients
+	maxMetricsCalls = 8  // connections and calls for figures
+	minClientConnections  = 32 // of clients
 )
 
 // Config is all that an ingress is told.
@@ -67,21 +67,21 @@
 
 // Gateway is one ingress.
 type Instance struct {
-	cfg      Config
+	config      Config
 	core     *core.Core
 	log      *slog.Logger
 	ready    chan struct{}
 	addr     net.Addr
 	auth     *forwardauth.Front          // nil: off
-	at       net.Addr                    // of auth
+	authAddr       net.Addr                    // of auth
 	admin    atomic.Pointer[net.TCPAddr] // of the door; nil: not open
 	front    atomic.Pointer[resp.Front]  // nil until clients are taken
 	prepared atomic.Bool                 // prepared to serve, also where another process still does
-	over     atomic.Bool                 // shutting down
-	words    *words                      // the folder that this ingress's processes share, where there is one that can be used
-	others   atomic.Int64                // other processes of this ingress that are there
-	reg      *prometheus.Registry
-	company  *company // nil: there are no peers
+	shuttingDown     atomic.Bool                 // shutting down
+	overrides    *overrideStore                      // the folder that this ingress's processes share, where there is one that can be used
+	siblingCount   atomic.Int64                // other processes of this ingress that are there
+	registry      *prometheus.Registry
+	peers  *peerLink // nil: there are no peers
 }
 
 // New checks the configuration and returns an ingress that does not run yet.
@@ -106,20 +106,20 @@
 			return tally.New(cfg.Counter, cfg.Settings.CounterTimeout, sink), nil
 		}
 	}
-	kept := &words{}
+	kept := &overrideStore{}
 	if cfg.StateDir != "" {
 		cfg.Overrides = kept
 	}
-	var others *company
+	var others *peerLink
 	if cfg.Peers != nil {
-		others = &company{name: cfg.Peers.Name}
+		others = &peerLink{name: cfg.Peers.Name}
 		cfg.Config.Peers = others
 	}
 	var later *Instance // which takes over, once it is there
 	if cfg.Takeover = nil; cfg.EnableTakeover && others != nil {
 		cfg.Takeover = &core.Takeover{
 			Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Incarnation: 1, Transport: others,
-			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuild(words) },
+			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuildRequest(words) },
 		}
 	}
 	if cfg.Config.Escrow = nil; cfg.EnableEscrow && others != nil {
@@ -129,59 +129,59 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Instance{cfg: cfg, core: c, company: others, log: log, words: kept, ready: make(chan struct{}), reg: prometheus.NewRegistry()}
+	g := &Instance{config: cfg, core: c, peers: others, log: log, overrides: kept, ready: make(chan struct{}), registry: prometheus.NewRegistry()}
 	later = g
 	if cfg.Auth != nil {
-		g.auth = forwardauth.New(cfg.Auth.Config, cfg.Auth.Table, c, log, g.reg)
+		g.auth = forwardauth.New(cfg.Auth.Config, cfg.Auth.Table, c, log, g.registry)
 	}
-	g.others.Store(int64(cfg.Siblings))
+	g.siblingCount.Store(int64(cfg.Siblings))
 	return g, nil
 }
 
 // SetRules puts another table of rules in force at the front for gates; it does nothing where that is off.
-func (g *Instance) SetRules(t *forwardauth.Table) {
-	if g.auth != nil {
-		g.auth.SetTable(t)
+func (i *Instance) SetRules(t *forwardauth.Table) {
+	if i.auth != nil {
+		i.auth.SetTable(t)
 	}
 }
 
 // AuthAddr is where gates ask, once Ready has closed; nil where that is off.
-func (g *Instance) AuthAddr() net.Addr { return g.at }
+func (i *Instance) AuthAddr() net.Addr { return i.authAddr }
 
 // Ready closes when clients are taken.
-func (g *Instance) Ready() <-chan struct{} { return g.ready }
+func (i *Instance) Ready() <-chan struct{} { return i.ready }
 
 // Addr is where, once Ready has closed.
-func (g *Instance) Addr() net.Addr { return g.addr }
+func (i *Instance) Addr() net.Addr { return i.addr }
 
 // Move goes over to discovery and a counter at other addresses; see core.Core.
-func (g *Instance) SetAddresses(discovery, counter string) { g.core.SetAddresses(discovery, counter) }
+func (i *Instance) SetAddresses(discovery, counter string) { i.core.SetAddresses(discovery, counter) }
 
 // Run serves until ctx ends, then answers what it has taken and returns.
-func (g *Instance) Run(ctx context.Context) error {
-	endKeeping := g.keep()
+func (i *Instance) Run(ctx context.Context) error {
+	endKeeping := i.openStateDir()
 	defer endKeeping()
-	if g.cfg.Admin != "" { // first, so that a start that takes its time says so
-		ln, err := net.Listen("tcp", g.cfg.Admin)
+	if i.config.Admin != "" { // first, so that a start that takes its time says so
+		ln, err := net.Listen("tcp", i.config.Admin)
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
-		g.admin.Store(ln.Addr().(*net.TCPAddr))
-		defer admin.Serve(ln, door{g}, g.log).Close()
+		i.admin.Store(ln.Addr().(*net.TCPAddr))
+		defer admin.Serve(ln, adminService{i}, i.log).Close()
 	}
-	leave, err := g.takePart() // before anything is served, so that a starter knows what the others know
+	leave, err := i.joinPeers() // before anything is served, so that a starter knows what the others know
 	if err != nil {
 		return err
 	}
 	defer leave()
-	g.core.Start()
-	defer g.core.End()
-	if g.cfg.ZoneDrains != "" {
+	i.core.Start()
+	defer i.core.End()
+	if i.config.ZoneDrains != "" {
 		watching, end := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			zonedrain.Watch(watching, g.cfg.ZoneDrains, drillsEvery, g.core.SetZoneDrains, g.log)
+			zonedrain.Watch(watching, i.config.ZoneDrains, zoneDrainInterval, i.core.SetZoneDrains, i.log)
 		}()
 		defer func() {
 			end()
@@ -189,87 +189,87 @@
 		}()
 	}
 	select {
-	case <-g.core.DiscoveryReady():
-	case <-time.After(firstList):
+	case <-i.core.DiscoveryReady():
+	case <-time.After(discoveryWait):
 	case <-ctx.Done():
 		return nil
 	}
-	g.learnFirst(ctx)
-	ln, err := g.listen(ctx)
+	i.awaitPeerSync(ctx)
+	ln, err := i.listen(ctx)
 	if err != nil || ln == nil {
 		return err
 	}
-	conns, memory := g.core.FrontLimits()
-	if g.auth != nil {
-		conns -= g.cfg.Auth.Config.MaxConnections
+	conns, memory := i.core.FrontLimits()
+	if i.auth != nil {
+		conns -= i.config.Auth.Config.MaxConnections
 	}
-	if g.cfg.Metrics != "" {
-		conns -= mostMetrics
+	if i.config.Metrics != "" {
+		conns -= maxMetricsCalls
 	}
-	if g.cfg.Admin != "" {
+	if i.config.Admin != "" {
 		conns -= admin.MaxConnections
 	}
-	if conns-spare < leastConns {
-		return fmt.Errorf("the limit on sockets leaves %d for clients, %d at least are wanted: fewer forward_auth.connections", conns-spare, leastConns)
+	if conns-reservedDescriptors < minClientConnections {
+		return fmt.Errorf("the limit on sockets leaves %d for clients, %d at least are wanted: fewer forward_auth.connections", conns-reservedDescriptors, minClientConnections)
 	}
 	var gates net.Listener
-	if g.auth != nil {
-		if gates, err = net.Listen("tcp", g.cfg.Auth.Listen); err != nil {
+	if i.auth != nil {
+		if gates, err = net.Listen("tcp", i.config.Auth.Listen); err != nil {
 			ln.Close()
 			return fmt.Errorf("listening for gates: %w", err)
 		}
-		g.at = gates.Addr()
-		g.auth.Start(gates)
+		i.authAddr = gates.Addr()
+		i.auth.Start(gates)
 	}
-	endMetrics, err := g.serveMetrics()
+	endMetrics, err := i.serveStatus()
 	if err != nil {
 		ln.Close()
 		if gates != nil {
-			g.auth.Drain(ctx)
+			i.auth.Drain(ctx)
 		}
 		return err
 	}
 	defer endMetrics()
-	f := resp.New(ln, g.core, conns-spare, memory)
-	f.Observe(g.core.Metrics(), g.core.Guard())
-	g.front.Store(f)
-	g.room()
+	f := resp.New(ln, i.core, conns-reservedDescriptors, memory)
+	f.Observe(i.core.Metrics(), i.core.Guard())
+	i.front.Store(f)
+	i.shareConnections()
 	f.Start()
-	g.addr = ln.Addr()
-	g.prepared.Store(true)
-	close(g.ready)
-	g.log.Info("serving", "listen", g.cfg.Listen)
+	i.addr = ln.Addr()
+	i.prepared.Store(true)
+	close(i.ready)
+	i.log.Info("serving", "listen", i.config.Listen)
 
 	<-ctx.Done()
-	g.shutDown(f, time.Now())
+	i.shutDown(f, time.Now())
 	return nil
 }
 
 // serveMetrics serves the figures where the settings name a place for them.
-func (g *Instance) serveMetrics() (end func(), err error) {
-	if g.cfg.Metrics == "" {
+func (i *Instance) serveStatus() (end func(), err error) {
+	if i.config.Metrics == "" {
 		return func() {}, nil
 	}
-	ln, err := net.Listen("tcp", g.cfg.Metrics)
+	ln, err := net.Listen("tcp", i.config.Metrics)
 	if err != nil {
 		return nil, fmt.Errorf("listening for metrics: %w", err)
 	}
-	g.reg.MustRegister(newRequestFigures(g.core.Metrics(), g.core.Guard()))
-	if g.cfg.Zones != nil {
-		g.reg.MustRegister(newHallFigures(g.core.ZoneStatus))
+	i.registry.MustRegister(newRequestCollector(i.core.Metrics(), i.core.Guard()))
+	if i.config.Zones != nil {
+		i.registry.MustRegister(newZoneCollector(i.core.ZoneStatus))
 	}
-	if g.company != nil {
-		g.reg.MustRegister(newPeerFigures(g.PeersStatus))
+	if i.peers != nil {
+		i.registry.MustRegister(newPeerCollector(i.PeersStatus))
 	}
-	g.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	i.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /halls", g.serveHalls)
-	mux.HandleFunc("GET /peers", g.servePeers)
-	mux.HandleFunc("GET /nodes", g.serveNodes)
-	mux.HandleFunc("GET /work", g.serveWork)
-	mux.HandleFunc("GET /budgets", g.serveBudgets)
-	mux.HandleFunc("GET /rights", g.serveRights)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(g.reg, promhttp.HandlerOpts{MaxRequestsInFlight: mostMetrics}))
+	mux.HandleFunc("GET /halls", i.serveZones)
+	mux.HandleFunc("GET /peers", i.servePeers)
+	mux.HandleFunc("GET /nodes", i.serveBackends)
+	mux.HandleFunc("GET /work", i.serveWork)
+	mux.HandleFunc("GET /budgets", i.serveQuotaBounds)
+	mux.HandleFunc("GET /rights", i.serveEscrow)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsCalls}))
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 8 << 10}
 	done := make(chan struct{})
 	go func() {
--- a/internal/ingress/pieces_test.go
+++ b/internal/ingress/partial_test.go
@@ -98,8 +98,8 @@
 		want  string        // the begin of its one answer; "": none, or an error
 	}{
 		{"the rest while it serves", 200 * time.Millisecond, "$5"},
-		{"the rest behind the close of the listener", graceOpen + 30*time.Millisecond, "$5"},
-		{"the rest too late", graceTake + 300*time.Millisecond, "-BUSY "},
+		{"the rest behind the close of the listener", listenerGrace + 30*time.Millisecond, "$5"},
+		{"the rest too late", commandGrace + 300*time.Millisecond, "-BUSY "},
 		{"no rest", 0, ""},
 	}
 	node := newObservedNode(t, nil)
@@ -141,7 +141,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if took, most := time.Since(began), graceMost+graceTake; took > most {
+	if took, most := time.Since(began), maxRequestGrace+commandGrace; took > most {
 		t.Errorf("ended %v after SIGTERM, want %v at the most", took, most)
 	}
 	if n, _ := node.commands(); n != 2 {
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	graceOpen = 600 * time.Millisecond // after SIGTERM: new connections go on being served
-	graceTake = 700 * time.Millisecond // after SIGTERM: what has been taken by then is owed its whole time, and the platform leaves that
-	graceMost = 3 * time.Second        // of a request's time
-	graceEnd  = 100 * time.Millisecond // before the platform's SIGKILL all has ended, and so long before that all is answered: answers take time to leave
+	listenerGrace = 600 * time.Millisecond // after SIGTERM: new connections go on being served
+	commandGrace = 700 * time.Millisecond // after SIGTERM: what has been taken by then is owed its whole time, and the platform leaves that
+	maxRequestGrace = 3 * time.Second        // of a request's time
+	lastAnswersGrace  = 100 * time.Millisecond // before the platform's SIGKILL all has ended, and so long before that all is answered: answers take time to leave
 )
 
 // shutDown answers what has been taken and returns when all clients have gone, or when their time is over. Each of its times counts from when
 // the process was told to end, whatever the steps before it have taken: the platform's SIGKILL counts from there. Connections are closed no
 // sooner than graceEnd after the last answers, also where the process was held up: these come first, however late they are.
-func (g *Instance) shutDown(f *resp.Front, told time.Time) {
-	g.log.Info("shutting down")
-	g.over.Store(true)
+func (i *Instance) shutDown(f *resp.Front, signaledAt time.Time) {
+	i.log.Info("shutting down")
+	i.shuttingDown.Store(true)
 	f.StartDrain()
-	if g.cfg.Listener != nil { // the next process has the queue
+	if i.config.Listener != nil { // the next process has the queue
 		f.Close()
-		g.handOn()
+		i.handOver()
 	}
-	if g.auth != nil {
-		g.auth.Unready()
+	if i.auth != nil {
+		i.auth.Unready()
 	}
-	time.Sleep(time.Until(told.Add(graceOpen)))
+	time.Sleep(time.Until(signaledAt.Add(listenerGrace)))
 	limit, endLimit := context.WithCancel(context.Background())
 	lastAnswers := make(chan struct{})
-	timer := time.AfterFunc(time.Until(told.Add(graceAll(g.cfg.Settings)-graceEnd)), func() {
+	timer := time.AfterFunc(time.Until(signaledAt.Add(shutdownTimeout(i.config.Settings)-lastAnswersGrace)), func() {
 		defer close(lastAnswers)
-		g.core.AnswerAll()
-		pause(limit, graceEnd)
+		i.core.AnswerAll()
+		waitFor(limit, lastAnswersGrace)
 		endLimit()
 	})
 	gatesDone := make(chan struct{})
 	go func() {
 		defer close(gatesDone)
-		if g.auth != nil {
-			g.auth.Drain(limit)
+		if i.auth != nil {
+			i.auth.Drain(limit)
 		}
 	}()
 	f.Drain(limit)
@@ -54,7 +54,7 @@
 }
 
 // pause waits, unless ctx ends before.
-func pause(ctx context.Context, d time.Duration) {
+func waitFor(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -65,10 +65,10 @@
 
 // graceAll is when an ingress is gone after SIGTERM: before the platform's SIGKILL, which comes no sooner than the longest time that a client
 // waits after the last request that is taken.
-func graceAll(set policy.Settings) time.Duration {
+func shutdownTimeout(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, graceMost) + graceTake - graceEnd
+	return min(longest, maxRequestGrace) + commandGrace - lastAnswersGrace
 }
--- a/internal/ingress/halls.go
+++ b/internal/ingress/zones.go
@@ -10,20 +10,20 @@
 )
 
 // hallFigures exports what is known of halls, read when it is asked for.
-type hallFigures struct {
+type zoneCollector struct {
 	status func() (zones.Status, bool)
-	reach, planned, spilled, panicking,
-	capacity, nominal, offered, answered, late, ramp, price, state, caution, nodes *prometheus.Desc
+	availableShare, plannedSpill, spilled, panicking,
+	capacity, nominal, offered, answered, late, ramp, price, state, caution, backends *prometheus.Desc
 }
 
-func newHallFigures(status func() (zones.Status, bool)) *hallFigures {
+func newZoneCollector(status func() (zones.Status, bool)) *zoneCollector {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("hitchspring_"+name, help, labels, nil)
 	}
-	return &hallFigures{
+	return &zoneCollector{
 		status:    status,
-		reach:     d("halls_reach_ratio", "Share of all halls' capacity that is to be had."),
-		planned:   d("halls_spill_planned_ratio", "Share of this instance's work that leaves its own hall at the least."),
+		availableShare:     d("halls_reach_ratio", "Share of all halls' capacity that is to be had."),
+		plannedSpill:   d("halls_spill_planned_ratio", "Share of this instance's work that leaves its own hall at the least."),
 		spilled:   d("halls_spill_ratio", "Share of this instance's attempts that left its own hall over the last second."),
 		panicking: d("halls_panic", "1 while no hall is preferred for want of capacity."),
 		capacity:  d("hall_capacity_nodes", "What a hall can take now, in usual warm nodes.", "hall"),
@@ -35,15 +35,15 @@
 		price:     d("hall_price_ratio", "What a node there counts for against one at home with the same load.", "hall"),
 		state:     d("hall_state", "1 for the state that a hall is in.", "hall", "state"),
 		caution:   d("hall_caution", "Losses that are not forgotten: each doubles the ramp.", "hall"),
-		nodes:     d("hall_nodes", "Nodes that run by the list, and those of them that are held to answer.", "hall", "kind"),
+		backends:     d("hall_nodes", "Nodes that run by the list, and those of them that are held to answer.", "hall", "kind"),
 	}
 }
 
 // Describe is for prometheus.
-func (f *hallFigures) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(f, ch) }
+func (f *zoneCollector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(f, ch) }
 
 // Collect is for prometheus.
-func (f *hallFigures) Collect(ch chan<- prometheus.Metric) {
+func (f *zoneCollector) Collect(ch chan<- prometheus.Metric) {
 	s, ok := f.status()
 	if !ok {
 		return
@@ -51,8 +51,8 @@
 	put := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	put(f.reach, s.AvailableShare)
-	put(f.planned, s.PlannedSpill)
+	put(f.availableShare, s.AvailableShare)
+	put(f.plannedSpill, s.PlannedSpill)
 	put(f.spilled, s.Spilled)
 	put(f.panicking, map[bool]float64{true: 1}[s.Panic])
 	for _, h := range s.Zones {
@@ -64,8 +64,8 @@
 		put(f.ramp, h.Ramp, h.Name)
 		put(f.price, h.Price, h.Name)
 		put(f.caution, float64(h.Caution), h.Name)
-		put(f.nodes, float64(h.Backends), h.Name, "listed")
-		put(f.nodes, float64(h.Proven), h.Name, "proven")
+		put(f.backends, float64(h.Backends), h.Name, "listed")
+		put(f.backends, float64(h.Proven), h.Name, "proven")
 		for _, state := range zones.States() {
 			put(f.state, map[bool]float64{true: 1}[state == h.State], h.Name, state)
 		}
@@ -73,8 +73,8 @@
 }
 
 // serveHalls answers what is known of the halls as JSON, for `hitchspring status halls`.
-func (g *Instance) serveHalls(w http.ResponseWriter, _ *http.Request) {
-	s, ok := g.core.ZoneStatus()
+func (i *Instance) serveZones(w http.ResponseWriter, _ *http.Request) {
+	s, ok := i.core.ZoneStatus()
 	if !ok {
 		http.Error(w, "nothing is known of halls: [halls] is off, or no node has been listed yet", http.StatusServiceUnavailable)
 		return
