--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"sync/atomic"
@@ -12,18 +13,23 @@
 	"hitchspring/internal/override"
 )
 
-// giveTime is what giving over may take; after it the next process starts without.
+// handoverTimeout is for writing the state for the next process, which starts
+// without it afterwards.
 const handoverTimeout = 300 * time.Millisecond
 
-// keep takes a place in the folder that the processes of this ingress share, and follows what the others say there. Where that
-// fails, the ingress serves without.
+// errStopped says that the instance was stopped before it could accept clients.
+var errStopped = errors.New("stopped before it served")
+
+// openStateDir opens the directory that the processes of this ingress share, and
+// follows what the others write there until end is called. If that fails, the
+// instance serves without it.
 func (i *Instance) openStateDir() (end func()) {
 	if i.config.StateDir == "" {
 		return func() {}
 	}
 	dir, err := handover.Open(i.config.StateDir, i.config.Listen, i.log)
 	if err != nil {
-		i.log.Warn("nothing is kept for the next process", "err", err)
+		i.log.Warn("state directory unusable, serving without it", "dir", i.config.StateDir, "err", err)
 		return func() {}
 	}
 	i.overrides.dir.Store(dir)
@@ -32,11 +38,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		dir.Watch(ctx, func(others int) {
-			i.siblingCount.Store(int64(others))
-			i.core.SetSiblings(others)
-			i.shareConnections()
-		}, i.core.MergeOverrides)
+		dir.Watch(ctx, i.setSiblingCount, i.core.MergeOverrides)
 	}()
 	return func() {
 		cancel()
@@ -45,27 +47,37 @@
 	}
 }
 
-// room leaves half of the clients' places to another process while there is one.
+func (i *Instance) setSiblingCount(count int) {
+	i.siblingCount.Store(int64(count))
+	i.core.SetSiblings(count)
+	i.shareConnections()
+}
+
+// shareConnections leaves half of the clients' connections to another process of
+// this ingress while there is one. The descriptors that are not for clients each
+// process has for itself.
 func (i *Instance) shareConnections() {
-	f := i.front.Load()
-	switch {
-	case f == nil:
-	case i.siblingCount.Load() > 0:
-		f.SetMaxConnections(max(minClientConnections, (f.MaxConnections()-reservedDescriptors-admin.MaxConnections)/2)) // what is not for clients each has for itself
-	default:
-		f.SetMaxConnections(f.MaxConnections())
+	front := i.front.Load()
+	if front == nil {
+		return
+	}
+	limit := front.MaxConnections()
+	if i.siblingCount.Load() > 0 {
+		limit = max(minClientConnections, (limit-reservedDescriptors-admin.MaxConnections)/2)
 	}
+	front.SetMaxConnections(limit)
 }
 
-// listen opens the clients' socket. Where the platform holds it, this process is ready to serve from here on, and takes clients
-// when the one before takes none any more; nil, nil where ctx ends first.
+// listen opens the clients' socket. If the platform holds it, this process is
+// prepared to serve from here on, but accepts clients only when the process before
+// it no longer does. It returns errStopped if ctx ends before.
 func (i *Instance) listen(ctx context.Context) (net.Listener, error) {
 	if i.config.Listener == nil {
-		ln, err := net.Listen("tcp", i.config.Listen)
+		listener, err := net.Listen("tcp", i.config.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("listening: %w", err)
 		}
-		return ln, nil
+		return listener, nil
 	}
 	i.prepared.Store(true)
 	dir := i.overrides.dir.Load()
@@ -76,19 +88,20 @@
 	if err := dir.Lock(ctx); err != nil {
 		if ctx.Err() != nil {
 			i.config.Listener.Close()
-			return nil, nil
+			return nil, errStopped
 		}
-		i.log.Warn("takes the clients beside any other process", "err", err)
+		i.log.Warn("handover lock unavailable, accepting clients beside any other process", "err", err)
 		return i.config.Listener, nil
 	}
-	if s, ok := dir.ReadState(time.Duration(time.Now().UnixNano())); ok {
-		i.core.AcceptHandover(s)
+	if state, ok := dir.ReadState(time.Duration(time.Now().UnixNano())); ok {
+		i.core.AcceptHandover(state)
 	}
-	i.log.Info("takes the clients", "waited", time.Since(began).Round(time.Millisecond))
+	i.log.Info("accepting clients", "waited", time.Since(began).Round(time.Millisecond))
 	return i.config.Listener, nil
 }
 
-// handOn leaves what is known to the next process, if there is one, and lets it take the clients.
+// handOver writes the core's state for the next process, if there is one, and lets
+// it accept the clients.
 func (i *Instance) handOver() {
 	dir := i.overrides.dir.Load()
 	if dir == nil {
@@ -100,22 +113,23 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
-	s, err := i.core.HandOver(ctx)
+	state, err := i.core.HandOver(ctx)
 	if err == nil {
-		err = dir.WriteState(s)
+		err = dir.WriteState(state)
 	}
 	if err != nil {
-		i.log.Warn("the next process starts without what is known here", "err", err)
+		i.log.Warn("handover state not written, next process starts without it", "err", err)
 	}
 }
 
-// words keeps operators' words in the folder, where there is one that can be used.
+// overrideStore stores operators' overrides in the state directory, if there is one
+// that can be used.
 type overrideStore struct{ dir atomic.Pointer[handover.Dir] }
 
-// Save is core.WordStore's.
-func (w *overrideStore) Save(said []override.Override) error {
-	if d := w.dir.Load(); d != nil {
-		return d.Save(said)
+// Save implements the store that the core writes overrides to.
+func (s *overrideStore) Save(overrides []override.Override) error {
+	if dir := s.dir.Load(); dir != nil {
+		return dir.Save(overrides)
 	}
 	return nil
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,4 +1,9 @@
-// Package ingress puts the lean ingress together: the core, the front for the platform's clients, and the one for gates.
+// Package ingress assembles one instance of the ingress: the core, the front for
+// the platform's clients, the front for reverse proxies, the admin server, the
+// status server and the link to other instances. Run serves until its context ends
+// and then shuts down gracefully. Processes of one ingress that follow one another
+// share a state directory and the listening socket. The package makes no decisions
+// about requests.
 package ingress
 
 import (
@@ -7,13 +12,10 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"sync/atomic"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/collectors"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"hitchspring/internal/admin"
 	"hitchspring/internal/core"
@@ -27,75 +29,81 @@
 )
 
 const (
-	discoveryWait = 300 * time.Millisecond // what a start waits for discovery before it serves from the known list
-	reservedDescriptors     = 32                     // descriptors for the counter, discovery, the listener and the runtime
+	discoveryWait     = 300 * time.Millisecond // for discovery, before the known list is served
+	zoneDrainInterval = 500 * time.Millisecond // between two reads of the zone drain file
 
-	zoneDrainInterval = 500 * time.Millisecond // the file of drills is read again
-
-	maxMetricsCalls = 8  // connections and calls for figures
-	minClientConnections  = 32 // of clients
+	reservedDescriptors  = 32 // for the counter, discovery, the listener and the runtime
+	minClientConnections = 32
 )
 
-// Config is all that an ingress is told.
+// Config is the configuration of an instance.
 type Config struct {
-	Listen  string
-	Counter string // the address of tally, where Store is nil
-	Auth    *Auth  // nil: no gate may ask
-	Metrics string // host:port where figures are served; empty: nowhere
-	Admin   string // host:port of the operators' door; empty: there is none
-	// Listener is the clients' listening socket where the platform holds it and every process inherits it; nil: Listen is
-	// opened.
+	// Listen is the address for clients.
+	Listen string
+	// Counter is the address of the shared counter, used if Store is nil.
+	Counter string
+	// Auth configures the front for reverse proxies; nil: there is none.
+	Auth *Auth
+	// Metrics is the host:port of the status server; empty: there is none.
+	Metrics string
+	// Admin is the host:port of the admin server; empty: there is none.
+	Admin string
+	// Listener is the clients' listening socket if the platform holds it and
+	// every process inherits it; nil: Listen is opened.
 	Listener net.Listener
-	// StateDir is the folder that all processes of this ingress have in common, where the operators' words and what one process
-	// leaves to the next are kept; empty: nothing is kept.
-	StateDir   string
-	ZoneDrains string        // file of the halls that are taken out on purpose; empty: there is none
-	Peers      *peers.Config // other instances with whom this one shares what it sees; nil: none
-	// TakesOver is whether keyed work in hand survives this instance, and this one finishes others'; it needs Peers.
+	// StateDir is the directory that all processes of this ingress share, for
+	// the operators' overrides and what one process hands over to the next;
+	// empty: nothing is stored.
+	StateDir string
+	// ZoneDrains is the file of the zones that are drained; empty: there is none.
+	ZoneDrains string
+	// Peers configures the link to other instances; nil: there are none.
+	Peers *peers.Config
+	// EnableTakeover is whether keyed requests survive this instance, and this
+	// one takes over those of others; it needs Peers.
 	EnableTakeover bool
-	// Lends is whether parts of budgets move between this instance and others; it needs Peers.
+	// EnableEscrow is whether allocations of quotas move between this instance
+	// and others; it needs Peers.
 	EnableEscrow bool
 	core.Config
 }
 
-// Auth is the front for gates.
+// Auth configures the front for reverse proxies.
 type Auth struct {
 	Listen string
 	Config forwardauth.Config
 	Table  *forwardauth.Table
 }
 
-// Gateway is one ingress.
+// Instance is one instance of the ingress. Run starts and ends all its goroutines;
+// the other methods may be called from any goroutine.
 type Instance struct {
-	config      Config
+	config   Config
 	core     *core.Core
 	log      *slog.Logger
-	ready    chan struct{}
-	addr     net.Addr
-	auth     *forwardauth.Front          // nil: off
-	authAddr       net.Addr                    // of auth
-	admin    atomic.Pointer[net.TCPAddr] // of the door; nil: not open
-	front    atomic.Pointer[resp.Front]  // nil until clients are taken
-	prepared atomic.Bool                 // prepared to serve, also where another process still does
-	shuttingDown     atomic.Bool                 // shutting down
-	overrides    *overrideStore                      // the folder that this ingress's processes share, where there is one that can be used
-	siblingCount   atomic.Int64                // other processes of this ingress that are there
-	registry      *prometheus.Registry
-	peers  *peerLink // nil: there are no peers
+	registry *prometheus.Registry
+	auth     *forwardauth.Front // nil: there is none
+	peers    *peerLink          // nil: there are no peers
+
+	ready    chan struct{} // closed when clients are accepted
+	addr     net.Addr      // of the clients' listener; set before ready closes
+	authAddr net.Addr      // of auth; set before ready closes
+
+	admin        atomic.Pointer[net.TCPAddr] // address of the admin server; nil: not open
+	front        atomic.Pointer[resp.Front]  // nil until clients are accepted
+	prepared     atomic.Bool                 // ready to serve, even if another process still does
+	shuttingDown atomic.Bool
+	overrides    *overrideStore
+	siblingCount atomic.Int64 // other processes of this ingress
 }
 
-// New checks the configuration and returns an ingress that does not run yet.
+// New checks the configuration and returns an instance that does not run yet.
 func New(cfg Config, log *slog.Logger) (*Instance, error) {
-	for _, addr := range []string{cfg.Listen, cfg.Counter} {
-		if _, _, err := net.SplitHostPort(addr); addr != "" && err != nil {
-			return nil, fmt.Errorf("not an address: %w", err)
-		}
-	}
-	if _, _, err := net.SplitHostPort(cfg.Admin); cfg.Admin != "" && err != nil {
-		return nil, fmt.Errorf("admin_addr %q: %w", cfg.Admin, err)
+	if err := checkAddresses(cfg); err != nil {
+		return nil, err
 	}
 	cfg.Operated = cfg.Admin != "" || cfg.Metrics != ""
-	if cfg.Listener != nil { // until the locks have told
+	if cfg.Listener != nil { // until the state directory shows their number
 		cfg.Siblings = 1
 	}
 	if cfg.Store == nil {
@@ -106,88 +114,101 @@
 			return tally.New(cfg.Counter, cfg.Settings.CounterTimeout, sink), nil
 		}
 	}
-	kept := &overrideStore{}
-	if cfg.StateDir != "" {
-		cfg.Overrides = kept
+	instance := &Instance{
+		log:       log,
+		overrides: &overrideStore{},
+		ready:     make(chan struct{}),
+		registry:  prometheus.NewRegistry(),
 	}
-	var others *peerLink
-	if cfg.Peers != nil {
-		others = &peerLink{name: cfg.Peers.Name}
-		cfg.Config.Peers = others
-	}
-	var later *Instance // which takes over, once it is there
-	if cfg.Takeover = nil; cfg.EnableTakeover && others != nil {
-		cfg.Takeover = &core.Takeover{
-			Self: takeover.Member{Name: others.name, Zone: cfg.Settings.Zone}, Incarnation: 1, Transport: others,
-			Rebuild: func(words [][]byte) (*core.Request, error) { return later.rebuildRequest(words) },
-		}
-	}
-	if cfg.Config.Escrow = nil; cfg.EnableEscrow && others != nil {
-		cfg.Config.Escrow = others
+	if cfg.StateDir != "" {
+		cfg.Overrides = instance.overrides
 	}
+	instance.configurePeers(&cfg)
 	c, err := core.New(cfg.Config, log)
 	if err != nil {
 		return nil, err
 	}
-	g := &Instance{config: cfg, core: c, peers: others, log: log, overrides: kept, ready: make(chan struct{}), registry: prometheus.NewRegistry()}
-	later = g
+	instance.config, instance.core = cfg, c
 	if cfg.Auth != nil {
-		g.auth = forwardauth.New(cfg.Auth.Config, cfg.Auth.Table, c, log, g.registry)
+		instance.auth = forwardauth.New(cfg.Auth.Config, cfg.Auth.Table, c, log, instance.registry)
 	}
-	g.siblingCount.Store(int64(cfg.Siblings))
-	return g, nil
+	instance.siblingCount.Store(int64(cfg.Siblings))
+	return instance, nil
 }
 
-// SetRules puts another table of rules in force at the front for gates; it does nothing where that is off.
+func checkAddresses(cfg Config) error {
+	for _, addr := range []string{cfg.Listen, cfg.Counter} {
+		if _, _, err := net.SplitHostPort(addr); addr != "" && err != nil {
+			return fmt.Errorf("not an address: %w", err)
+		}
+	}
+	if _, _, err := net.SplitHostPort(cfg.Admin); cfg.Admin != "" && err != nil {
+		return fmt.Errorf("admin_addr %q: %w", cfg.Admin, err)
+	}
+	return nil
+}
+
+// configurePeers gives the core what it needs of other instances.
+func (i *Instance) configurePeers(cfg *Config) {
+	cfg.Takeover, cfg.Escrow = nil, nil
+	if cfg.Peers == nil {
+		return
+	}
+	i.peers = &peerLink{name: cfg.Peers.Name}
+	cfg.Config.Peers = i.peers
+	if cfg.EnableTakeover {
+		cfg.Takeover = &core.Takeover{
+			Self:        takeover.Member{Name: i.peers.name, Zone: cfg.Settings.Zone},
+			Incarnation: 1,
+			Transport:   i.peers,
+			Rebuild:     i.rebuildRequest,
+		}
+	}
+	if cfg.EnableEscrow {
+		cfg.Escrow = i.peers
+	}
+}
+
+// SetRules puts another table of rules in force at the front for reverse proxies.
+// It does nothing if there is none.
 func (i *Instance) SetRules(t *forwardauth.Table) {
 	if i.auth != nil {
 		i.auth.SetTable(t)
 	}
 }
 
-// AuthAddr is where gates ask, once Ready has closed; nil where that is off.
+// AuthAddr is the address of the front for reverse proxies, once Ready has closed;
+// nil if there is none.
 func (i *Instance) AuthAddr() net.Addr { return i.authAddr }
 
-// Ready closes when clients are taken.
+// Ready closes when clients are accepted.
 func (i *Instance) Ready() <-chan struct{} { return i.ready }
 
-// Addr is where, once Ready has closed.
+// Addr is the address for clients, once Ready has closed.
 func (i *Instance) Addr() net.Addr { return i.addr }
 
-// Move goes over to discovery and a counter at other addresses; see core.Core.
+// SetAddresses migrates to discovery and a counter at other addresses; see
+// core.Core.
 func (i *Instance) SetAddresses(discovery, counter string) { i.core.SetAddresses(discovery, counter) }
 
 // Run serves until ctx ends, then answers what it has taken and returns.
 func (i *Instance) Run(ctx context.Context) error {
-	endKeeping := i.openStateDir()
-	defer endKeeping()
-	if i.config.Admin != "" { // first, so that a start that takes its time says so
-		ln, err := net.Listen("tcp", i.config.Admin)
-		if err != nil {
-			return fmt.Errorf("admin_addr: %w", err)
-		}
-		i.admin.Store(ln.Addr().(*net.TCPAddr))
-		defer admin.Serve(ln, adminService{i}, i.log).Close()
+	closeStateDir := i.openStateDir()
+	defer closeStateDir()
+	closeAdmin, err := i.serveAdmin() // first, so that a slow start can be seen
+	if err != nil {
+		return err
 	}
-	leave, err := i.joinPeers() // before anything is served, so that a starter knows what the others know
+	defer closeAdmin()
+	leavePeers, err := i.joinPeers() // before anything is served, so that it is known what the others know
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer leavePeers()
 	i.core.Start()
 	defer i.core.End()
-	if i.config.ZoneDrains != "" {
-		watching, end := context.WithCancel(context.Background())
-		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			zonedrain.Watch(watching, i.config.ZoneDrains, zoneDrainInterval, i.core.SetZoneDrains, i.log)
-		}()
-		defer func() {
-			end()
-			<-ended
-		}()
-	}
+	endWatch := i.watchZoneDrains()
+	defer endWatch()
 	select {
 	case <-i.core.DiscoveryReady():
 	case <-time.After(discoveryWait):
@@ -195,89 +216,98 @@
 		return nil
 	}
 	i.awaitPeerSync(ctx)
-	ln, err := i.listen(ctx)
-	if err != nil || ln == nil {
+	listener, err := i.listen(ctx)
+	if errors.Is(err, errStopped) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	front, endStatus, err := i.startFronts(ctx, listener)
+	if err != nil {
 		return err
 	}
-	conns, memory := i.core.FrontLimits()
+	defer endStatus()
+	i.log.Info("serving", "listen", i.config.Listen)
+
+	<-ctx.Done()
+	i.shutDown(front, time.Now())
+	return nil
+}
+
+// watchZoneDrains follows the zone drain file until end is called.
+func (i *Instance) watchZoneDrains() (end func()) {
+	if i.config.ZoneDrains == "" {
+		return func() {}
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		zonedrain.Watch(ctx, i.config.ZoneDrains, zoneDrainInterval, i.core.SetZoneDrains, i.log)
+	}()
+	return func() {
+		cancel()
+		<-done
+	}
+}
+
+// clientLimits is the number of client connections that the limit on descriptors
+// leaves, and the bytes for them.
+func (i *Instance) clientLimits() (connections, memory int, err error) {
+	connections, memory = i.core.FrontLimits()
 	if i.auth != nil {
-		conns -= i.config.Auth.Config.MaxConnections
+		connections -= i.config.Auth.Config.MaxConnections
 	}
 	if i.config.Metrics != "" {
-		conns -= maxMetricsCalls
+		connections -= maxMetricsCalls
 	}
 	if i.config.Admin != "" {
-		conns -= admin.MaxConnections
+		connections -= admin.MaxConnections
 	}
-	if conns-reservedDescriptors < minClientConnections {
-		return fmt.Errorf("the limit on sockets leaves %d for clients, %d at least are wanted: fewer forward_auth.connections", conns-reservedDescriptors, minClientConnections)
+	connections -= reservedDescriptors
+	if connections < minClientConnections {
+		return 0, 0, fmt.Errorf(
+			"the limit on sockets leaves %d for clients, %d at least are wanted: fewer forward_auth.connections",
+			connections, minClientConnections)
+	}
+	return connections, memory, nil
+}
+
+// startFronts starts the status server and the fronts for reverse proxies and for
+// the clients on listener.
+func (i *Instance) startFronts(
+	ctx context.Context,
+	listener net.Listener,
+) (front *resp.Front, endStatus func(), err error) {
+	connections, memory, err := i.clientLimits()
+	if err != nil {
+		return nil, nil, err
 	}
-	var gates net.Listener
 	if i.auth != nil {
-		if gates, err = net.Listen("tcp", i.config.Auth.Listen); err != nil {
-			ln.Close()
-			return fmt.Errorf("listening for gates: %w", err)
+		authListener, err := net.Listen("tcp", i.config.Auth.Listen)
+		if err != nil {
+			listener.Close()
+			return nil, nil, fmt.Errorf("listening for gates: %w", err)
 		}
-		i.authAddr = gates.Addr()
-		i.auth.Start(gates)
+		i.authAddr = authListener.Addr()
+		i.auth.Start(authListener)
 	}
-	endMetrics, err := i.serveStatus()
+	endStatus, err = i.serveStatus()
 	if err != nil {
-		ln.Close()
-		if gates != nil {
+		listener.Close()
+		if i.auth != nil {
 			i.auth.Drain(ctx)
 		}
-		return err
+		return nil, nil, err
 	}
-	defer endMetrics()
-	f := resp.New(ln, i.core, conns-reservedDescriptors, memory)
-	f.Observe(i.core.Metrics(), i.core.Guard())
-	i.front.Store(f)
+	front = resp.New(listener, i.core, connections, memory)
+	front.Observe(i.core.Metrics(), i.core.Guard())
+	i.front.Store(front)
 	i.shareConnections()
-	f.Start()
-	i.addr = ln.Addr()
+	front.Start()
+	i.addr = listener.Addr()
 	i.prepared.Store(true)
 	close(i.ready)
-	i.log.Info("serving", "listen", i.config.Listen)
-
-	<-ctx.Done()
-	i.shutDown(f, time.Now())
-	return nil
-}
-
-// serveMetrics serves the figures where the settings name a place for them.
-func (i *Instance) serveStatus() (end func(), err error) {
-	if i.config.Metrics == "" {
-		return func() {}, nil
-	}
-	ln, err := net.Listen("tcp", i.config.Metrics)
-	if err != nil {
-		return nil, fmt.Errorf("listening for metrics: %w", err)
-	}
-	i.registry.MustRegister(newRequestCollector(i.core.Metrics(), i.core.Guard()))
-	if i.config.Zones != nil {
-		i.registry.MustRegister(newZoneCollector(i.core.ZoneStatus))
-	}
-	if i.peers != nil {
-		i.registry.MustRegister(newPeerCollector(i.PeersStatus))
-	}
-	i.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /halls", i.serveZones)
-	mux.HandleFunc("GET /peers", i.servePeers)
-	mux.HandleFunc("GET /nodes", i.serveBackends)
-	mux.HandleFunc("GET /work", i.serveWork)
-	mux.HandleFunc("GET /budgets", i.serveQuotaBounds)
-	mux.HandleFunc("GET /rights", i.serveEscrow)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsCalls}))
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 8 << 10}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		srv.Serve(ln)
-	}()
-	return func() {
-		srv.Close()
-		<-done
-	}, nil
+	return front, endStatus, nil
 }
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -2,14 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"net/http"
 	"sync/atomic"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"hitchspring/internal/core"
 	"hitchspring/internal/gossip"
 	"hitchspring/internal/peers"
@@ -17,36 +13,56 @@
 	"hitchspring/internal/takeover"
 )
 
-// company is the other instances, once this one takes part: until then it has heard nothing.
+// peerLink is the connection to the other instances. Until Run has joined them it
+// knows of none, and what is published is dropped.
 type peerLink struct {
-	name string
-	joined    atomic.Pointer[peers.Peers]
+	name   string // of this instance among its peers
+	joined atomic.Pointer[peers.Peers]
 }
 
-// Tell, Facts, Version and Name are core.Peers's.
-func (c *peerLink) Publish(kind, subject string, born time.Duration, data []byte) {
-	if p := c.joined.Load(); p != nil {
+// Publish implements core.Peers.
+func (l *peerLink) Publish(kind, subject string, born time.Duration, data []byte) {
+	if p := l.joined.Load(); p != nil {
 		p.Publish(kind, subject, born, data)
 	}
 }
 
-func (c *peerLink) Facts(kind string) ([]gossip.Fact, map[string]string) {
-	if p := c.joined.Load(); p != nil {
+// Facts implements core.Peers.
+func (l *peerLink) Facts(kind string) ([]gossip.Fact, map[string]string) {
+	if p := l.joined.Load(); p != nil {
 		return p.Facts(kind)
 	}
 	return nil, nil
 }
 
-func (c *peerLink) Version() uint64 {
-	if p := c.joined.Load(); p != nil {
+// Version implements core.Peers.
+func (l *peerLink) Version() uint64 {
+	if p := l.joined.Load(); p != nil {
 		return p.Version()
 	}
 	return 0
 }
 
-func (c *peerLink) Name() string { return c.name }
+// Name implements core.Peers.
+func (l *peerLink) Name() string { return l.name }
+
+// Send sends a message of the core to another instance.
+func (l *peerLink) Send(to string, data []byte) {
+	if p := l.joined.Load(); p != nil {
+		p.Send(to, data)
+	}
+}
 
-// takePart begins to take part among the peers, where the options name any.
+// ClockReading returns the clock of another instance, as its last message had it.
+func (l *peerLink) ClockReading(name string) time.Duration {
+	if p := l.joined.Load(); p != nil {
+		return p.ClockReading(name)
+	}
+	return 0
+}
+
+// joinPeers joins the other instances, if the configuration has any, until leave is
+// called.
 func (i *Instance) joinPeers() (leave func(), err error) {
 	if i.config.Peers == nil {
 		return func() {}, nil
@@ -54,12 +70,14 @@
 	cfg := *i.config.Peers
 	cfg.Clock = i.core.Now
 	cfg.Incarnation = uint64(time.Now().UnixNano())
-	cfg.Zone, cfg.Seed = i.config.Settings.Zone, i.config.Seed
+	cfg.Zone = i.config.Settings.Zone
+	cfg.Seed = i.config.Seed
 	cfg.WaitForAddress = i.config.Listener != nil
-	if i.config.Takeover != nil || i.config.Config.Escrow != nil {
-		cfg.OnMessages = func(list []peers.Message) {
-			for _, p := range list {
-				i.core.ReceiveMessage(p.From, p.Incarnation, p.Data)
+	exchangesMessages := i.config.Takeover != nil || i.config.Escrow != nil
+	if exchangesMessages {
+		cfg.OnMessages = func(messages []peers.Message) {
+			for _, m := range messages {
+				i.core.ReceiveMessage(m.From, m.Incarnation, m.Data)
 			}
 		}
 		cfg.OnChange = i.peersChanged
@@ -69,17 +87,19 @@
 		return nil, err
 	}
 	i.peers.joined.Store(p)
-	if i.config.Takeover != nil || i.config.Config.Escrow != nil {
-		i.peersChanged(nil) // who was found before that
+	if exchangesMessages {
+		i.peersChanged(nil) // the members that were found before joined was set
 	}
 	return p.Close, nil
 }
 
-// firstWord is how long a starter whose list has come waits for what another instance knows; without an answer it serves all the same.
+// peerSyncWait is how long a starting instance waits for what another one knows.
+// Without an answer it serves all the same.
 const peerSyncWait = 30 * time.Millisecond
 
-// learnFirst has the core know what the others do before the first client comes: else the starter's first requests go to nodes that all others
-// have left.
+// awaitPeerSync has the core know what the other instances know before the first
+// client comes. Otherwise its first requests would go to backends that all others
+// avoid.
 func (i *Instance) awaitPeerSync(ctx context.Context) {
 	if i.peers == nil {
 		return
@@ -96,7 +116,8 @@
 	i.core.AssessBackends()
 }
 
-// changed tells the core who is there, and whose life has ended or begun.
+// peersChanged passes the members to the core, and the incarnations that have
+// ended, started or left.
 func (i *Instance) peersChanged(changes []swim.Change) {
 	p := i.peers.joined.Load()
 	if p == nil {
@@ -115,7 +136,7 @@
 				left = append(left, core.Incarnation{Name: c.Name, Number: c.Incarnation})
 			}
 		case c.State == swim.Alive:
-			if c.New && c.Incarnation > 0 { // an earlier life of the name has ended, whether or not anybody saw it
+			if c.New && c.Incarnation > 0 { // an earlier incarnation has ended, whether or not that was seen
 				ended = append(ended, core.Incarnation{Name: c.Name, Number: c.Incarnation - 1})
 			}
 			started = append(started, core.Incarnation{Name: c.Name, Number: c.Incarnation})
@@ -124,36 +145,20 @@
 	i.core.UpdateMembers(members, ended, started, left)
 }
 
-// Send and ClockOf are core.Works's.
-func (c *peerLink) Send(to string, data []byte) {
-	if p := c.joined.Load(); p != nil {
-		p.Send(to, data)
-	}
-}
-
-func (c *peerLink) ClockReading(name string) time.Duration {
-	if p := c.joined.Load(); p != nil {
-		return p.ClockReading(name)
-	}
-	return 0
-}
+// errNoFront says that requests cannot be rebuilt before clients are accepted.
+var errNoFront = errors.New("this instance serves nobody yet")
 
-// rebuild makes a request of another instance's, once there is a front.
+// rebuildRequest makes a request of a command that another instance has received.
 func (i *Instance) rebuildRequest(args [][]byte) (*core.Request, error) {
-	f := i.front.Load()
-	if f == nil {
-		return nil, errors.New("this instance serves nobody yet")
+	front := i.front.Load()
+	if front == nil {
+		return nil, errNoFront
 	}
-	return f.Rebuild(args)
-}
-
-// serveWork answers what is in custody, for `hitchspring status work`.
-func (i *Instance) serveWork(w http.ResponseWriter, _ *http.Request) {
-	s, ok := i.core.WorkStatus()
-	writeStatus(w, s, ok, "work in hand ends with this instance: [takeover] is off")
+	return front.Rebuild(args)
 }
 
-// PeersStatus is what this instance believes of its peers; false where it has none.
+// PeersStatus is what this instance knows of its peers. It reports false if there
+// are none.
 func (i *Instance) PeersStatus() (peers.Status, bool) {
 	if i.peers == nil {
 		return peers.Status{}, false
@@ -163,84 +168,3 @@
 	}
 	return peers.Status{}, false
 }
-
-// servePeers answers what is known of the peers, for `hitchspring status peers`.
-func (i *Instance) servePeers(w http.ResponseWriter, _ *http.Request) {
-	s, ok := i.PeersStatus()
-	writeStatus(w, s, ok, "this instance takes no part among peers: [peers] is off, or its address is not free yet")
-}
-
-// serveNodes answers what is believed of nodes, for `hitchspring status nodes`.
-func (i *Instance) serveBackends(w http.ResponseWriter, _ *http.Request) {
-	s, ok := i.core.BackendsStatus()
-	writeStatus(w, s, ok, "nobody tells of nodes here: [peers] is off")
-}
-
-func writeStatus(w http.ResponseWriter, v any, ok bool, why string) {
-	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	enc := json.NewEncoder(w)
-	enc.SetIndent("", "  ")
-	enc.Encode(v)
-}
-
-// peerFigures exports what the peers come to, read when it is asked for.
-type peerCollector struct {
-	status                                                       func() (peers.Status, bool)
-	members, facts, bytes, messages, traffic, ignored, refuted, stalls *prometheus.Desc
-}
-
-func newPeerCollector(status func() (peers.Status, bool)) *peerCollector {
-	d := func(name, help string, labels ...string) *prometheus.Desc {
-		return prometheus.NewDesc("hitchspring_peers_"+name, help, labels, nil)
-	}
-	return &peerCollector{
-		status:   status,
-		members:  d("members", "Other instances by what is believed of them.", "state"),
-		facts:    d("facts", "Facts that are held, of all instances."),
-		bytes:    d("facts_bytes", "Memory that facts take."),
-		messages: d("messages_total", "Datagrams from and to other instances.", "way"),
-		traffic:  d("bytes_total", "Bytes of datagrams from and to other instances.", "way"),
-		ignored:    d("left_aside_total", "Datagrams and parts of them that were left aside.", "why"),
-		refuted:      d("refuted_total", "Times that others took this instance for gone and were told otherwise."),
-		stalls:   d("stalls_total", "Times that this process did not run for long."),
-	}
-}
-
-// Describe is for prometheus.
-func (f *peerCollector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(f, ch) }
-
-// Collect is for prometheus.
-func (f *peerCollector) Collect(ch chan<- prometheus.Metric) {
-	s, ok := f.status()
-	if !ok {
-		return
-	}
-	put := func(d *prometheus.Desc, kind prometheus.ValueType, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, kind, v, labels...)
-	}
-	states := map[string]float64{"alive": 0, "suspect": 0, "dead": 0, "left": 0}
-	for _, m := range s.Members {
-		states[m.State]++
-	}
-	for state, n := range states {
-		put(f.members, prometheus.GaugeValue, n, state)
-	}
-	put(f.facts, prometheus.GaugeValue, float64(s.Facts))
-	put(f.bytes, prometheus.GaugeValue, float64(s.Bytes))
-	for way, n := range map[string][2]int{"in": {s.Counts.In, s.Counts.BytesIn}, "out": {s.Counts.Out, s.Counts.BytesOut}} {
-		put(f.messages, prometheus.CounterValue, float64(n[0]), way)
-		put(f.traffic, prometheus.CounterValue, float64(n[1]), way)
-	}
-	for why, n := range map[string]int{
-		"key": s.Counts.WrongKey, "malformed": s.Counts.Malformed + s.Gossip.Malformed, "newer": s.Counts.Newer, "late": s.Gossip.Late,
-		"ended life": s.Swim.EndedIncarnation + s.Gossip.EndedIncarnation, "stray": s.Swim.Stray + s.Counts.Unsolicited, "full": s.Swim.Full + s.Gossip.Full,
-	} {
-		put(f.ignored, prometheus.CounterValue, float64(n), why)
-	}
-	put(f.refuted, prometheus.CounterValue, float64(s.Swim.Refuted))
-	put(f.stalls, prometheus.CounterValue, float64(s.Swim.Stalls))
-}
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -9,21 +9,24 @@
 )
 
 const (
-	listenerGrace = 600 * time.Millisecond // after SIGTERM: new connections go on being served
-	commandGrace = 700 * time.Millisecond // after SIGTERM: what has been taken by then is owed its whole time, and the platform leaves that
-	maxRequestGrace = 3 * time.Second        // of a request's time
-	lastAnswersGrace  = 100 * time.Millisecond // before the platform's SIGKILL all has ended, and so long before that all is answered: answers take time to leave
+	listenerGrace    = 600 * time.Millisecond // after SIGTERM, in which new connections are served
+	commandGrace     = 700 * time.Millisecond // after SIGTERM, in which commands are taken that have all their time
+	maxRequestGrace  = 3 * time.Second        // for a request that was taken
+	lastAnswersGrace = 100 * time.Millisecond // from the last answers to the end, and from the end to SIGKILL
 )
 
-// shutDown answers what has been taken and returns when all clients have gone, or when their time is over. Each of its times counts from when
-// the process was told to end, whatever the steps before it have taken: the platform's SIGKILL counts from there. Connections are closed no
-// sooner than graceEnd after the last answers, also where the process was held up: these come first, however late they are.
-func (i *Instance) shutDown(f *resp.Front, signaledAt time.Time) {
+// shutDown answers what has been taken and returns when all clients have
+// disconnected, or when their time is over.
+//
+// Its times count from signaledAt, whatever the steps before have taken, since the
+// platform's SIGKILL counts from there. Connections are closed no sooner than
+// lastAnswersGrace after the last answers, even if the process was delayed.
+func (i *Instance) shutDown(front *resp.Front, signaledAt time.Time) {
 	i.log.Info("shutting down")
 	i.shuttingDown.Store(true)
-	f.StartDrain()
-	if i.config.Listener != nil { // the next process has the queue
-		f.Close()
+	front.StartDrain()
+	if i.config.Listener != nil { // the next process accepts what is in the listen queue
+		front.Close()
 		i.handOver()
 	}
 	if i.auth != nil {
@@ -45,7 +48,7 @@
 			i.auth.Drain(limit)
 		}
 	}()
-	f.Drain(limit)
+	front.Drain(limit)
 	<-gatesDone
 	endLimit()
 	if !timer.Stop() {
@@ -53,7 +56,7 @@
 	}
 }
 
-// pause waits, unless ctx ends before.
+// waitFor waits for d, unless ctx ends before.
 func waitFor(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -63,8 +66,9 @@
 	}
 }
 
-// graceAll is when an ingress is gone after SIGTERM: before the platform's SIGKILL, which comes no sooner than the longest time that a client
-// waits after the last request that is taken.
+// shutdownTimeout is the time from SIGTERM to the end of the process. It is over
+// before the platform's SIGKILL, which comes no sooner than the longest deadline of
+// a class after commandGrace.
 func shutdownTimeout(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
