--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -23,25 +23,25 @@
 )
 
 // call makes one operator's call, with the second that operators wait.
-func call(t testing.TB, g *Instance, verb, path string) (status int, body string) {
+func adminCall(t testing.TB, instance *Instance, method, path string) (status int, body string) {
 	t.Helper()
 	const prompt = 25 * time.Millisecond // for the caller to say its call, from connecting on; the door waits for 50 ms where it is crowded
-	var began, said time.Time
+	var began, wroteAt time.Time
 	trace := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { began = time.Now() },
-		WroteRequest: func(httptrace.WroteRequestInfo) { said = time.Now() },
+		WroteRequest: func(httptrace.WroteRequestInfo) { wroteAt = time.Now() },
 	})
-	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	req, err := http.NewRequestWithContext(trace, verb, "http://"+g.AdminAddr().String()+path, nil)
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	req, err := http.NewRequestWithContext(trace, method, "http://"+instance.AdminAddr().String()+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := c.Do(req)
-	for late := 0; err != nil && said.Sub(began) > prompt && late < 10; late++ { // this machine had no time for the caller
-		resp, err = c.Do(req)
+	resp, err := client.Do(req)
+	for late := 0; err != nil && wroteAt.Sub(began) > prompt && late < 10; late++ { // this machine had no time for the caller
+		resp, err = client.Do(req)
 	}
 	if err != nil {
-		t.Errorf("%s %s: %v", verb, path, err)
+		t.Errorf("%s %s: %v", method, path, err)
 		return 0, ""
 	}
 	defer resp.Body.Close()
@@ -49,68 +49,68 @@
 	return resp.StatusCode, string(text)
 }
 
-func wantCall(t testing.TB, g *Instance, verb, path string, status int) {
+func requireAdminCall(t testing.TB, instance *Instance, method, path string, status int) {
 	t.Helper()
-	if got, body := call(t, g, verb, path); got != status {
-		t.Errorf("%s %s: %d %q, want %d", verb, path, got, body, status)
+	if got, body := adminCall(t, instance, method, path); got != status {
+		t.Errorf("%s %s: %d %q, want %d", method, path, got, body, status)
 	}
 }
 
 // figure reads one of the figures; -1 where it is not there.
-func figure(t testing.TB, g *Instance, name string) int {
+func metricValue(t testing.TB, instance *Instance, name string) int {
 	t.Helper()
-	_, body := call(t, g, "GET", "/v1/metrics")
+	_, body := adminCall(t, instance, "GET", "/v1/metrics")
 	for line := range strings.Lines(body) {
-		if k, v, _ := strings.Cut(strings.TrimSpace(line), "="); k == "edge_router."+name {
-			n, _ := strconv.Atoi(v)
+		if key, value, _ := strings.Cut(strings.TrimSpace(line), "="); key == "edge_router."+name {
+			n, _ := strconv.Atoi(value)
 			return n
 		}
 	}
 	return -1
 }
 
-func eventually(t testing.TB, within time.Duration, what string, is func() bool) {
+func eventually(t testing.TB, within time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !is(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(within); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not within %v: %s", within, what)
 		}
 	}
 }
 
-func doorConfig(disc string, known discovery.List) Config {
-	cfg := testConfig(disc, known)
+func adminConfig(discoveryAddr string, known discovery.List) Config {
+	cfg := testConfig(discoveryAddr, known)
 	cfg.Admin = "127.0.0.1:0"
 	return cfg
 }
 
 // stalling is a counter whose adds hold the caller, which is the event loop, for a while.
-type stalling struct {
-	hold    time.Duration
-	holding chan struct{}
+type stallingCounter struct {
+	stallTime time.Duration
+	stalled   chan struct{}
 }
 
-func (s *stalling) Add(*store.Call) {
+func (s *stallingCounter) Add(*store.Call) {
 	select {
-	case s.holding <- struct{}{}:
-		time.Sleep(s.hold)
+	case s.stalled <- struct{}{}:
+		time.Sleep(s.stallTime)
 	default:
 	}
 }
-func (s *stalling) SetAddress(string)       {}
-func (s *stalling) Run(ctx context.Context) { <-ctx.Done() }
+func (s *stallingCounter) SetAddress(string)       {}
+func (s *stallingCounter) Run(ctx context.Context) { <-ctx.Done() }
 
 // A hundred callers who say nothing, a byte a second or a megabyte of headers keep nobody out, and neither does an event
 // loop that stands still.
-func TestDoorAnswersWhileCrowdedAndStalled(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
-	cfg := doorConfig(scripted.Registry(t, list, nil), list)
+func TestAdminAnswersWhileCrowdedAndStalled(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
+	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.Counter, cfg.Settings.CounterTimeout = true, 50*time.Millisecond
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 1, Burst: 4}}
-	stall := &stalling{hold: 2 * time.Second, holding: make(chan struct{}, 1)}
+	stall := &stallingCounter{stallTime: 2 * time.Second, stalled: make(chan struct{}, 1)}
 	cfg.Store = func(store.Sink) (store.Counter, error) { return stall, nil }
-	g, _ := runIngress(t, cfg)
+	instance, _ := runIngress(t, cfg)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -118,7 +118,7 @@
 	for i := range 100 {
 		wg.Go(func() {
 			for {
-				nc, err := net.Dial("tcp", g.AdminAddr().String())
+				nc, err := net.Dial("tcp", instance.AdminAddr().String())
 				if err != nil {
 					return
 				}
@@ -152,20 +152,20 @@
 			}
 		})
 	}
-	nc, _ := dial(t, g.Addr().String())
+	nc, _ := dial(t, instance.Addr().String())
 	for id := range 20 { // the block is spent, and the counter is asked
-		io.WriteString(nc, ask(id, readFields))
+		io.WriteString(nc, encodeRead(id, readFields))
 	}
-	eventually(t, 5*time.Second, "the event loop is held", func() bool { return len(stall.holding) == 1 })
+	eventually(t, 5*time.Second, "the event loop is held", func() bool { return len(stall.stalled) == 1 })
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		wantCall(t, g, "GET", "/v1/readyz", 200)
-		wantCall(t, g, "GET", "/v1/metrics", 200)
+		requireAdminCall(t, instance, "GET", "/v1/readyz", 200)
+		requireAdminCall(t, instance, "GET", "/v1/metrics", 200)
 	}
 }
 
-func TestDoorSaysNo(t *testing.T) {
+func TestAdminErrors(t *testing.T) {
 	list := fleetOf(scripted.NewBackend(t, nil).Addr)
-	g, _ := runIngress(t, doorConfig(scripted.Registry(t, list, nil), list))
+	instance, _ := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
 	for _, c := range []struct {
 		verb, path string
 		status     int
@@ -182,10 +182,10 @@
 		{"PUT", "/v1/backends/" + strings.Repeat("x", 200) + "/suspend", 400},
 		{"PUT", "/v1/backends/s0/resume", 200}, // listed, and nobody took it out
 	} {
-		wantCall(t, g, c.verb, c.path, c.status)
+		requireAdminCall(t, instance, c.verb, c.path, c.status)
 	}
-	cfg := doorConfig("127.0.0.1:1", list)
-	cfg.Admin = g.AdminAddr().String()
+	cfg := adminConfig("127.0.0.1:1", list)
+	cfg.Admin = instance.AdminAddr().String()
 	second, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -201,34 +201,34 @@
 
 // A node that was taken out gets nothing from the grace on, whatever discovery deletes, lists again or says; one call puts it
 // back, and it is in use again.
-func TestSuspendHoldsOverTheList(t *testing.T) {
+func TestSuspensionOutlivesEndpointList(t *testing.T) {
 	var sent [2]atomic.Int64
 	var nodes [2]*scripted.Backend
 	for i := range nodes {
 		nodes[i] = scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
-			return served
+			return servedReply
 		})
 	}
 	list := fleetOf(nodes[0].Addr, nodes[1].Addr)
 	changes := make(chan discovery.List)
-	cfg := doorConfig(scripted.Registry(t, list, changes), list)
+	cfg := adminConfig(scripted.Registry(t, list, changes), list)
 	cfg.Settings.SlowStartWindow, cfg.Settings.SlowStartShare = 10*time.Second, 0.25
-	g, _ := runIngress(t, cfg)
-	nc, in := dial(t, g.Addr().String())
+	instance, _ := runIngress(t, cfg)
+	nc, in := dial(t, instance.Addr().String())
 	id := 0
 	load := func() {
 		id++
-		io.WriteString(nc, ask(id, readFields))
-		wantValue(t, in)
+		io.WriteString(nc, encodeRead(id, readFields))
+		requireValue(t, in)
 	}
 	eventually(t, 5*time.Second, "both nodes in use", func() bool {
 		load()
 		return sent[0].Load() > 0 && sent[1].Load() > 0
 	})
-	wantCall(t, g, "PUT", "/v1/backends/s0/suspend", 200)
-	wantCall(t, g, "PUT", "/v1/backends/s0/suspend", 200)
-	eventually(t, time.Second, "s0 counts as avoided", func() bool { return figure(t, g, "cluster_unhealthy") == 1 })
+	requireAdminCall(t, instance, "PUT", "/v1/backends/s0/suspend", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/backends/s0/suspend", 200)
+	eventually(t, time.Second, "s0 counts as avoided", func() bool { return metricValue(t, instance, "cluster_unhealthy") == 1 })
 	before := sent[0].Load()
 	change := func(state string) {
 		one := list.Targets[0]
@@ -251,13 +251,13 @@
 	if n := sent[0].Load() - before; n > 0 {
 		t.Fatalf("%d sends to a node that was taken out", n)
 	}
-	wantCall(t, g, "PUT", "/v1/backends/s0/resume", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/backends/s0/resume", 200)
 	eventually(t, 5*time.Second, "s0 in use again", func() bool {
 		load()
 		return sent[0].Load() > before
 	})
-	eventually(t, time.Second, "nobody is avoided", func() bool { return figure(t, g, "cluster_unhealthy") == 0 })
-	if n := figure(t, g, "cluster_size"); n != 2 {
+	eventually(t, time.Second, "nobody is avoided", func() bool { return metricValue(t, instance, "cluster_unhealthy") == 0 })
+	if n := metricValue(t, instance, "cluster_size"); n != 2 {
 		t.Fatalf("cluster_size is %d, want 2", n)
 	}
 }
@@ -265,39 +265,39 @@
 // Drained: no at once, late connections are served, every connection is closed between two requests with nothing lost, one
 // that never pauses too. Activated: yes again, also right after.
 func TestDrainAndActivate(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
-	g, _ := runIngress(t, doorConfig(scripted.Registry(t, list, nil), list))
-	addr := g.Addr().String()
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
+	instance, _ := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
+	addr := instance.Addr().String()
 	ping := func() string {
 		nc, in := dial(t, addr)
 		defer nc.Close()
-		io.WriteString(nc, command("PING"))
-		return line(t, in)
+		io.WriteString(nc, encodeCommand("PING"))
+		return readLine(t, in)
 	}
 	// Drained and back within 50 ms.
-	wantCall(t, g, "PUT", "/v1/ingress/drain", 200)
-	wantCall(t, g, "PUT", "/v1/ingress/drain", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	if s := ping(); s == "+PONG" {
 		t.Fatal("PING says yes after the drain")
 	}
-	wantCall(t, g, "GET", "/v1/readyz", 503)
-	wantCall(t, g, "PUT", "/v1/ingress/activate", 200)
+	requireAdminCall(t, instance, "GET", "/v1/readyz", 503)
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/activate", 200)
 	if s := ping(); s != "+PONG" {
 		t.Fatalf("PING says %s after activate", s)
 	}
-	wantCall(t, g, "GET", "/v1/readyz", 200)
+	requireAdminCall(t, instance, "GET", "/v1/readyz", 200)
 
 	idle, idleIn := dial(t, addr)
-	io.WriteString(idle, ask(1, readFields))
-	wantValue(t, idleIn)
+	io.WriteString(idle, encodeRead(1, readFields))
+	requireValue(t, idleIn)
 	busy, busyIn := dial(t, addr)
 	var written, answered atomic.Int64
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { // never pauses: always some commands ahead of the answers
 		for id := 1000; ; id++ {
-			if _, err := io.WriteString(busy, ask(id, readFields)); err != nil {
+			if _, err := io.WriteString(busy, encodeRead(id, readFields)); err != nil {
 				return
 			}
 			written.Add(1)
@@ -329,10 +329,10 @@
 		}
 	}()
 	eventually(t, 5*time.Second, "the busy connection is served", func() bool { return answered.Load() > 50 })
-	wantCall(t, g, "PUT", "/v1/ingress/drain", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	late, lateIn := dial(t, addr)
-	io.WriteString(late, ask(2, readFields))
-	wantValue(t, lateIn)
+	io.WriteString(late, encodeRead(2, readFields))
+	requireValue(t, lateIn)
 	for name, in := range map[string]*bufio.Reader{"the idle": idleIn, "the late": lateIn} {
 		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 			t.Fatalf("%s connection ends with %q, %v", name, rest, err)
@@ -346,16 +346,16 @@
 	case <-time.After(4 * time.Second):
 		t.Fatal("the connection that never pauses is open 4 s after the drain")
 	}
-	wantCall(t, g, "PUT", "/v1/ingress/activate", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/activate", 200)
 	if s := ping(); s != "+PONG" {
 		t.Fatalf("PING says %s after activate", s)
 	}
 }
 
 // The figures are what the clients got and the nodes saw, with errors, resets and repeats among them.
-func TestFiguresAreTrue(t *testing.T) {
+func TestMetricsMatchTraffic(t *testing.T) {
 	var seen atomic.Int64
-	be := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
+	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		if strings.HasPrefix(args[0], "Q.") {
 			seen.Add(1)
 		}
@@ -368,20 +368,20 @@
 		case 6:
 			return "-BUSY\r\n"
 		}
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
-	cfg := doorConfig(scripted.Registry(t, list, nil), list)
+	list := fleetOf(backend.Addr)
+	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts = 3
 	cfg.Metrics = freeAddr(t)
-	g, _ := runIngress(t, cfg)
-	nc, in := dial(t, g.Addr().String())
+	instance, _ := runIngress(t, cfg)
+	nc, in := dial(t, instance.Addr().String())
 	got := map[string]int{}
 	for id := range 300 {
-		io.WriteString(nc, ask(id+1, readFields))
-		switch l := line(t, in); {
+		io.WriteString(nc, encodeRead(id+1, readFields))
+		switch l := readLine(t, in); {
 		case strings.HasPrefix(l, "$"):
-			line(t, in)
+			readLine(t, in)
 			got["answered"]++
 		case strings.HasPrefix(l, "-BUSY"):
 			got["deferred"]++
@@ -390,12 +390,12 @@
 		}
 	}
 	for name, n := range got {
-		if f := figure(t, g, "transactions.read."+name); f != n {
+		if f := metricValue(t, instance, "transactions.read."+name); f != n {
 			t.Errorf("%s is %d, clients got %d", name, f, n)
 		}
 	}
-	if len(got) < 2 || figure(t, g, "sends") != int(seen.Load()) || figure(t, g, "current") != 0 {
-		t.Errorf("answers %v; sends %d, the node saw %d; current %d", got, figure(t, g, "sends"), seen.Load(), figure(t, g, "current"))
+	if len(got) < 2 || metricValue(t, instance, "sends") != int(seen.Load()) || metricValue(t, instance, "current") != 0 {
+		t.Errorf("answers %v; sends %d, the node saw %d; current %d", got, metricValue(t, instance, "sends"), seen.Load(), metricValue(t, instance, "current"))
 	}
 	resp, err := http.Get("http://" + cfg.Metrics + "/metrics") // the same counters in the other form
 	if err != nil {
@@ -411,14 +411,14 @@
 			t.Errorf("no line %q at [metrics]", want)
 		}
 	}
-	if figure(t, g, "transactions.write.answered") != 0 {
+	if metricValue(t, instance, "transactions.write.answered") != 0 {
 		t.Error("a class without a request is not there with 0")
 	}
 }
 
 // A node is taken out while a request is out there: its repeat and its second copy go elsewhere, what is out may end. With all
 // nodes out nothing is sent, every request has its one answer in time, and one call brings the work back.
-func TestSuspendDuringRepeats(t *testing.T) {
+func TestSuspendDuringRetries(t *testing.T) {
 	var mu sync.Mutex
 	after := map[int]int{}
 	var out atomic.Int64 // nodes that are out, as bits, from the yes on
@@ -437,37 +437,37 @@
 			case 4:
 				time.Sleep(150 * time.Millisecond) // a second copy
 			}
-			return served
+			return servedReply
 		}).Addr
 	}
 	list := fleetOf(nodes[:]...)
-	cfg := doorConfig(scripted.Registry(t, list, nil), list)
+	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging, cfg.Settings.MaxRetryAfter = 4, true, 100*time.Millisecond
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = time.Second, 2*time.Second
 		cfg.Settings.Classes[i].Group, cfg.Settings.Classes[i].RepeatWindow = policy.GroupAll, 5*time.Second
 	}
-	g, _ := runIngress(t, cfg)
-	c := crowd{pause: time.Millisecond, fields: "c=read,t=p,d=1000,units=1,spread=1,first=0"}
-	c.run(g.Addr().String(), 8)
+	instance, _ := runIngress(t, cfg)
+	c := clientCrowd{pause: time.Millisecond, fields: "c=read,t=p,d=1000,units=1,spread=1,first=0"}
+	c.run(instance.Addr().String(), 8)
 	time.Sleep(300 * time.Millisecond)
 	for i := range nodes {
-		wantCall(t, g, "PUT", fmt.Sprintf("/v1/backends/s%d/suspend", i), 200)
+		requireAdminCall(t, instance, "PUT", fmt.Sprintf("/v1/backends/s%d/suspend", i), 200)
 		time.Sleep(300 * time.Millisecond) // far inside the grace
 		out.Store(out.Load() | 1<<i)
 	}
-	had := c.answered.Load() + c.odd.Load()
+	had := c.answered.Load() + c.unexpected.Load()
 	time.Sleep(1200 * time.Millisecond)
-	if c.answered.Load()+c.odd.Load() == had {
+	if c.answered.Load()+c.unexpected.Load() == had {
 		t.Error("with all nodes out nobody is answered")
 	}
 	out.Store(0)
 	had = c.answered.Load()
-	wantCall(t, g, "PUT", "/v1/backends/s1/resume", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/backends/s1/resume", 200)
 	eventually(t, 5*time.Second, "work comes back", func() bool { return c.answered.Load() > had+20 })
 	c.end()
-	if len(after) > 0 || c.turned.Load() > 0 {
-		t.Errorf("sends to nodes that were out: %v; %d requests without an answer", after, c.turned.Load())
+	if len(after) > 0 || c.unanswered.Load() > 0 {
+		t.Errorf("sends to nodes that were out: %v; %d requests without an answer", after, c.unanswered.Load())
 	}
 }
 
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -13,34 +13,34 @@
 )
 
 // sight is one command as a backend saw it.
-type sight struct {
-	at   time.Time
-	args []string
+type receivedCommand struct {
+	receivedAt time.Time
+	args       []string
 }
 
 // observedNode is a backend that answers as a test says, and records when commands came and how many connections are open.
-type observedNode struct {
-	addr   string
-	answer func(n int) string // to the nth command, from 1; "" is silence
-	mu     sync.Mutex
-	seen   []sight
-	open   int
+type observedBackend struct {
+	addr            string
+	answer          func(n int) string // to the nth command, from 1; "" is silence
+	mu              sync.Mutex
+	received        []receivedCommand
+	openConnections int
 }
 
 // newObservedNode starts a backend; nil answers each command with a value.
-func newObservedNode(t testing.TB, answer func(n int) string) *observedNode {
+func newObservedBackend(t testing.TB, answer func(backend int) string) *observedBackend {
 	t.Helper()
 	if answer == nil {
-		answer = func(int) string { return served }
+		answer = func(int) string { return servedReply }
 	}
-	n := &observedNode{answer: answer}
-	n.addr = scripted.Listen(t, n.serve)
-	return n
+	backend := &observedBackend{answer: answer}
+	backend.addr = scripted.Listen(t, backend.serve)
+	return backend
 }
 
-func (n *observedNode) serve(nc net.Conn) {
-	n.count(1)
-	defer n.count(-1)
+func (b *observedBackend) serve(nc net.Conn) {
+	b.count(1)
+	defer b.count(-1)
 	for in := redcon.NewReader(nc); ; {
 		cmd, err := in.ReadCommand()
 		if err != nil {
@@ -50,33 +50,33 @@
 		for _, a := range cmd.Args {
 			args = append(args, string(a))
 		}
-		n.mu.Lock()
-		n.seen = append(n.seen, sight{time.Now(), args})
-		number := len(n.seen)
-		n.mu.Unlock()
-		io.WriteString(nc, n.answer(number))
+		b.mu.Lock()
+		b.received = append(b.received, receivedCommand{time.Now(), args})
+		number := len(b.received)
+		b.mu.Unlock()
+		io.WriteString(nc, b.answer(number))
 	}
 }
 
-func (n *observedNode) count(by int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.open += by
+func (b *observedBackend) count(by int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.openConnections += by
 }
 
 // connections is how many are open now.
-func (n *observedNode) connections() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.open
+func (b *observedBackend) connections() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.openConnections
 }
 
 // commands is how many came so far, and when the last one did.
-func (n *observedNode) commands() (number int, last time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(n.seen) > 0 {
-		last = n.seen[len(n.seen)-1].at
+func (b *observedBackend) commands() (number int, last time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.received) > 0 {
+		last = b.received[len(b.received)-1].receivedAt
 	}
-	return len(n.seen), last
+	return len(b.received), last
 }
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -21,16 +21,16 @@
 // a node itself, and a call over HTTP with its report, where the caller would send it. Both figures hold the client's own
 // cost; cpu-us is user and system time of the whole process for one.
 func BenchmarkFronts(b *testing.B) {
-	cfg := gateConfig(b, 8, func(c *Config) {
+	cfg := authConfig(b, 8, func(c *Config) {
 		for i := range c.Known.Targets {
-			c.Known.Targets[i].Endpoint = scripted.NewBackend(b, func(int, []string, net.Conn) string { return served }).Addr
+			c.Known.Targets[i].Endpoint = scripted.NewBackend(b, func(int, []string, net.Conn) string { return servedReply }).Addr
 		}
 		c.Discovery = scripted.Registry(b, c.Known, nil)
 		c.Sockets, c.Leases.Retention, c.Leases.MaxRequests = 4096, time.Second, 1<<20
 		c.Settings.MaxAttempts, c.Settings.Hedging = 1, false
 		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].Deadline = time.Second, time.Second
 	})
-	g, _ := runIngress(b, cfg)
+	instance, _ := runIngress(b, cfg)
 	var id atomic.Int64
 	cpu := func() time.Duration {
 		var u syscall.Rusage
@@ -45,7 +45,7 @@
 	}
 	b.Run("resp", func(b *testing.B) {
 		measure(b, func(pb *testing.PB) {
-			nc, err := net.Dial("tcp", g.Addr().String())
+			nc, err := net.Dial("tcp", instance.Addr().String())
 			if err != nil {
 				b.Error(err)
 				return
@@ -53,7 +53,7 @@
 			defer nc.Close()
 			in := bufio.NewReader(nc)
 			for pb.Next() {
-				io.WriteString(nc, command("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id.Add(1)), "c=read,t=p,d=900,units=1,spread=1,first=0"))
+				io.WriteString(nc, encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id.Add(1)), "c=read,t=p,d=900,units=1,spread=1,first=0"))
 				if l, err := in.ReadString('\n'); err != nil || l[0] == '$' && func() bool { _, err := in.ReadString('\n'); return err != nil }() {
 					b.Error(l, err)
 					return
@@ -64,7 +64,7 @@
 	tr := &http.Transport{MaxIdleConnsPerHost: 100}
 	defer tr.CloseIdleConnections()
 	client := &http.Client{Transport: tr}
-	base := "http://" + g.AuthAddr().String()
+	base := "http://" + instance.AuthAddr().String()
 	body := []byte(`{"outcome":"served"}`)
 	http1 := func(b *testing.B, report bool) {
 		var mu sync.Mutex
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -24,17 +24,17 @@
 )
 
 const (
-	crowdSockets  = 128                   // the descriptors' limit of the ingress; 48 of them are for clients
-	crowdEvery    = 15 * time.Millisecond // between two idle clients that come
-	partialOfTen  = 1                     // of ten idle clients: begin a command and don't end it
-	silentOfTen   = 4                     // of ten idle clients: never ask; the rest ask once and stay
-	usualClients  = 4                     // that ask again and again on connections they keep
-	newcomerEvery = 50 * time.Millisecond // between two clients that come, ask once and leave
-	backendTime   = 20 * time.Millisecond // for an answer
-	answerWithin  = time.Second           // from the first send, or from dialling; the deadline is twice that
-	discoveryDown = 1500 * time.Millisecond
-	quotaRate     = 800.0           // units a second over two instances: half of it holds all clients while the counter is not heard
-	listWithin    = 4 * time.Second // from discovery's return to the first command at a backend that is new in its list
+	descriptorLimit    = 128                   // the descriptors' limit of the ingress; 48 of them are for clients
+	idleClientInterval = 15 * time.Millisecond // between two idle clients that come
+	partialOfTen       = 1                     // of ten idle clients: begin a command and don't end it
+	silentOfTen        = 4                     // of ten idle clients: never ask; the rest ask once and stay
+	persistentClients  = 4                     // that ask again and again on connections they keep
+	newcomerInterval   = 50 * time.Millisecond // between two clients that come, ask once and leave
+	backendAnswerTime  = 20 * time.Millisecond // for an answer
+	maxAnswerTime      = time.Second           // from the first send, or from dialling; the deadline is twice that
+	outageTime         = 1500 * time.Millisecond
+	quotaRate          = 800.0           // units a second over two instances: half of it holds all clients while the counter is not heard
+	maxListDelay       = 4 * time.Second // from discovery's return to the first command at a backend that is new in its list
 )
 
 // outageRegistry is discovery's agent with an outage: its watches are cut, and calls are reset or get no answer until it ends.
@@ -128,14 +128,14 @@
 }
 
 // idleCrowd is clients that come on and on, and stay without a request until the ingress closes them.
-type idleCrowd struct {
+type idleClients struct {
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
 // run lets one come in each crowdEvery until stop closes.
-func (c *idleCrowd) run(addr string, stop <-chan struct{}) {
-	tick := time.NewTicker(crowdEvery)
+func (c *idleClients) run(addr string, stop <-chan struct{}) {
+	tick := time.NewTicker(idleClientInterval)
 	defer tick.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -155,18 +155,18 @@
 			io.WriteString(nc, "*4\r\n$5\r\nQ.A")
 		case kind < partialOfTen+silentOfTen:
 		default:
-			io.WriteString(nc, ask(1_000_000+i, crowdFields))
+			io.WriteString(nc, encodeRead(1_000_000+i, sharedQuotaFields))
 		}
 	}
 }
 
-func (c *idleCrowd) count() int {
+func (c *idleClients) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-func (c *idleCrowd) close() {
+func (c *idleClients) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, nc := range c.conns {
@@ -175,98 +175,98 @@
 }
 
 // crowdFields are a request's, whose quota is shared with another instance so that the counter is asked.
-const crowdFields = "c=read,t=p,d=2000,units=1,spread=2,first=0"
+const sharedQuotaFields = "c=read,t=p,d=2000,units=1,spread=2,first=0"
 
 // timings records how long requests took, and what went wrong with any.
-type timings struct {
-	mu    sync.Mutex
-	took  []time.Duration
-	wrong []string
+type requestTimings struct {
+	mu        sync.Mutex
+	durations []time.Duration
+	failures  []string
 }
 
-func (s *timings) add(took time.Duration, err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.took = append(s.took, took)
+func (r *requestTimings) add(took time.Duration, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.durations = append(r.durations, took)
 	if err != nil {
-		s.wrong = append(s.wrong, err.Error())
+		r.failures = append(r.failures, err.Error())
 	}
 }
 
-func (s *timings) check(t *testing.T, what string, least int) {
+func (r *requestTimings) check(t *testing.T, what string, minRequests int) {
 	t.Helper()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.took) < least {
-		t.Fatalf("%s: %d requests, want %d at least", what, len(s.took), least)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.durations) < minRequests {
+		t.Fatalf("%s: %d requests, want %d at least", what, len(r.durations), minRequests)
 	}
-	slices.Sort(s.took)
-	n := len(s.took)
-	t.Logf("%s: %d requests, half within %v, 99 in 100 within %v, the slowest %v", what, n, s.took[n/2].Round(time.Millisecond),
-		s.took[n*99/100].Round(time.Millisecond), s.took[n-1].Round(time.Millisecond))
-	if late := s.took[n-1]; late > answerWithin {
-		t.Errorf("%s: the slowest answer took %v, want %v at the most", what, late, answerWithin)
+	slices.Sort(r.durations)
+	n := len(r.durations)
+	t.Logf("%s: %d requests, half within %v, 99 in 100 within %v, the slowest %v", what, n, r.durations[n/2].Round(time.Millisecond),
+		r.durations[n*99/100].Round(time.Millisecond), r.durations[n-1].Round(time.Millisecond))
+	if late := r.durations[n-1]; late > maxAnswerTime {
+		t.Errorf("%s: the slowest answer took %v, want %v at the most", what, late, maxAnswerTime)
 	}
-	if len(s.wrong) > 0 {
-		t.Errorf("%s: %d requests without their value, the first: %s", what, len(s.wrong), s.wrong[0])
+	if len(r.failures) > 0 {
+		t.Errorf("%s: %d requests without their value, the first: %s", what, len(r.failures), r.failures[0])
 	}
 }
 
 // usualClient asks one request after the other, and asks again on a new connection where the ingress has ended the one it kept.
-type usualClient struct {
+type persistentClient struct {
 	addr string
-	nc   net.Conn
+	conn net.Conn
 }
 
 // ask returns an error where there is no value in answerWithin.
-func (u *usualClient) ask(id int) error {
-	until := time.Now().Add(answerWithin)
+func (c *persistentClient) request(id int) error {
+	deadline := time.Now().Add(maxAnswerTime)
 	for {
-		value, err := u.try(id, until)
+		value, err := c.attempt(id, deadline)
 		if err == nil && value == scripted.Served[len("*3\r\n"):len("*3\r\n$5\r\nvalue\r\n")] {
 			return nil
 		}
-		u.close()
+		c.close()
 		switch {
 		case err == nil:
 			return fmt.Errorf("request %d: answered %q", id, value)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return fmt.Errorf("request %d: no answer in %v", id, answerWithin)
+			return fmt.Errorf("request %d: no answer in %v", id, maxAnswerTime)
 		}
 	}
 }
 
-func (u *usualClient) try(id int, until time.Time) (value string, err error) {
-	if u.nc == nil {
-		if u.nc, err = net.DialTimeout("tcp", u.addr, time.Until(until)); err != nil {
-			u.nc = nil
+func (c *persistentClient) attempt(id int, deadline time.Time) (value string, err error) {
+	if c.conn == nil {
+		if c.conn, err = net.DialTimeout("tcp", c.addr, time.Until(deadline)); err != nil {
+			c.conn = nil
 			return "", err
 		}
 	}
-	u.nc.SetDeadline(until)
-	if _, err := io.WriteString(u.nc, ask(id, crowdFields)); err != nil {
+	c.conn.SetDeadline(deadline)
+	if _, err := io.WriteString(c.conn, encodeRead(id, sharedQuotaFields)); err != nil {
 		return "", err
 	}
 	answer := make([]byte, len("$5\r\nvalue\r\n"))
-	n, err := io.ReadAtLeast(u.nc, answer, 1)
+	n, err := io.ReadAtLeast(c.conn, answer, 1)
 	if err == nil && answer[0] == '$' {
-		_, err = io.ReadFull(u.nc, answer[n:])
+		_, err = io.ReadFull(c.conn, answer[n:])
 		n = len(answer)
 	}
 	return string(answer[:n]), err
 }
 
-func (u *usualClient) close() {
-	if u.nc != nil {
-		u.nc.Close()
+func (c *persistentClient) close() {
+	if c.conn != nil {
+		c.conn.Close()
 	}
-	u.nc = nil
+	c.conn = nil
 }
 
 // socketsOf counts this process's open TCP connections in the kernel's table: those at a listener's own port, and those to other ports.
 // Connections that wait to be accepted have no descriptor, and are not counted. The table changes while it is read, and then has some
 // connections more than once: each counts once, by the inode of its descriptor.
-func socketsOf(table string, local int, remote []int) (open int) {
+func countSockets(table string, local int, remote []int) (open int) {
 	counted := map[string]bool{}
 	for text := range strings.Lines(table) {
 		fields := strings.Fields(text)
@@ -304,17 +304,17 @@
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("discovery silent %v", silent), func(t *testing.T) {
 			t.Parallel()
-			testIdleCrowd(t, silent)
+			testIdleClients(t, silent)
 		})
 	}
 }
 
-func testIdleCrowd(t *testing.T, silent bool) {
-	say := func(int, []string, net.Conn) string {
-		time.Sleep(backendTime)
+func testIdleClients(t *testing.T, silent bool) {
+	answer := func(int, []string, net.Conn) string {
+		time.Sleep(backendAnswerTime)
 		return scripted.Served
 	}
-	first, second := scripted.NewBackend(t, say), scripted.NewBackend(t, say)
+	first, second := scripted.NewBackend(t, answer), scripted.NewBackend(t, answer)
 	counter, err := tally.Start("", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -323,28 +323,28 @@
 	list := fleetOf(first.Addr)
 	registry := newOutageRegistry(t, silent, list)
 	cfg := testConfig(registry.addr, list)
-	cfg.Sockets, cfg.Settings.Instances = crowdSockets, 2 // the other one says nothing to the counter
+	cfg.Sockets, cfg.Settings.Instances = descriptorLimit, 2 // the other one says nothing to the counter
 	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: quotaRate, Burst: 100, ExcessCost: 0.5}}
-	addr, g := startGateway(t, cfg)
-	front := g.front.Load()
+	addr, instance := startInstance(t, cfg)
+	front := instance.front.Load()
 
 	stop := make(chan struct{})
 	var running sync.WaitGroup
-	var crowd idleCrowd
-	var usual, newcomers timings
+	var idle idleClients
+	var persistent, newcomers requestTimings
 	end := sync.OnceFunc(func() {
 		close(stop)
 		running.Wait()
-		crowd.close()
+		idle.close()
 	})
 	defer end()
-	running.Go(func() { crowd.run(addr, stop) })
+	running.Go(func() { idle.run(addr, stop) })
 	eventually(t, 5*time.Second, "all places are taken", func() bool { return front.OpenConnections() == front.MaxConnections() })
-	for i := range usualClients {
-		running.Go(func() { askOn(addr, i*100_000, 0, &usual, stop) })
+	for i := range persistentClients {
+		running.Go(func() { sendUntilStopped(addr, i*100_000, 0, &persistent, stop) })
 	}
-	running.Go(func() { askOn(addr, 500_000, newcomerEvery, &newcomers, stop) })
+	running.Go(func() { sendUntilStopped(addr, 500_000, newcomerInterval, &newcomers, stop) })
 	peak, local := 0, portOf(t, addr)
 	var remote []int
 	for _, a := range []string{first.Addr, second.Addr, counter.Addr(), registry.addr} {
@@ -353,41 +353,41 @@
 	running.Go(func() { peak = peakSockets(stop, local, remote) })
 
 	registry.fail()
-	time.Sleep(discoveryDown / 2)
+	time.Sleep(outageTime / 2)
 	counter.Stop()
 	if err := counter.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	counted := len(counter.Records())
 	t.Logf("the counter was asked %d times before its connections were cut", counted)
-	time.Sleep(discoveryDown / 2)
+	time.Sleep(outageTime / 2)
 	if registry.calls.Load() == 0 {
 		t.Error("discovery was not asked during its outage")
 	}
 	both := fleetOf(first.Addr, second.Addr)
 	both.Rev = 2
 	registry.recover(both)
-	back := time.Now()
-	eventually(t, listWithin, "the backend that is new in the list is sent commands", func() bool { return len(second.Seen()) > 0 })
-	t.Logf("the new backend had its first command %v after discovery's return", time.Since(back).Round(time.Millisecond))
+	returnedAt := time.Now()
+	eventually(t, maxListDelay, "the backend that is new in the list is sent commands", func() bool { return len(second.Seen()) > 0 })
+	t.Logf("the new backend had its first command %v after discovery's return", time.Since(returnedAt).Round(time.Millisecond))
 	time.Sleep(500 * time.Millisecond)
 	eventually(t, time.Second, "all places are taken at the end", func() bool { return front.OpenConnections() == front.MaxConnections() })
 	if n := len(counter.Records()) - counted; n == 0 {
 		t.Error("the counter was not asked after its connections were cut")
 	}
 	end()
-	t.Logf("%d idle clients came for %d places; the ingress held %d of %d descriptors at the most", crowd.count(), front.MaxConnections(), peak, crowdSockets)
-	if peak < front.MaxConnections() || peak > crowdSockets {
-		t.Errorf("the ingress held %d connections, its limit is %d", peak, crowdSockets)
+	t.Logf("%d idle clients came for %d places; the ingress held %d of %d descriptors at the most", idle.count(), front.MaxConnections(), peak, descriptorLimit)
+	if peak < front.MaxConnections() || peak > descriptorLimit {
+		t.Errorf("the ingress held %d connections, its limit is %d", peak, descriptorLimit)
 	}
-	usual.check(t, "usual clients", 50)
+	persistent.check(t, "usual clients", 50)
 	newcomers.check(t, "newcomers", 5)
 }
 
 // askOn asks until stop closes, on one connection without a pause, or else on a new one after each pause.
-func askOn(addr string, id int, pause time.Duration, to *timings, stop <-chan struct{}) {
-	u := &usualClient{addr: addr}
-	defer u.close()
+func sendUntilStopped(addr string, id int, pause time.Duration, results *requestTimings, stop <-chan struct{}) {
+	client := &persistentClient{addr: addr}
+	defer client.close()
 	for {
 		select {
 		case <-stop:
@@ -396,10 +396,10 @@
 		}
 		id++
 		began := time.Now()
-		err := u.ask(id)
-		to.add(time.Since(began), err)
+		err := client.request(id)
+		results.add(time.Since(began), err)
 		if pause > 0 {
-			u.close()
+			client.close()
 		}
 	}
 }
@@ -414,7 +414,7 @@
 			return peak
 		case <-tick.C:
 			table, _ := os.ReadFile("/proc/self/net/tcp")
-			peak = max(peak, socketsOf(string(table), local, remote))
+			peak = max(peak, countSockets(string(table), local, remote))
 		}
 	}
 }
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -16,31 +16,31 @@
 const sendGrace = 100 * time.Millisecond
 
 // departures records when clients closed their connections, and what a backend began for them after that.
-type departures struct {
-	mu     sync.Mutex
-	closed map[string]time.Time // by request id
-	late   []string
-	sent   map[string]int
+type disconnectLog struct {
+	mu       sync.Mutex
+	closed   map[string]time.Time // by request id
+	late     []string
+	attempts map[string]int
 }
 
-func newDepartures() *departures {
-	return &departures{closed: map[string]time.Time{}, sent: map[string]int{}}
+func newDisconnectLog() *disconnectLog {
+	return &disconnectLog{closed: map[string]time.Time{}, attempts: map[string]int{}}
 }
 
 // began is the backend's observer: it is told of each command whose last byte has come.
-func (d *departures) began(args []string) {
+func (d *disconnectLog) noteAttempt(args []string) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	id := args[2]
-	d.sent[id]++
+	d.attempts[id]++
 	if closed, ok := d.closed[id]; ok && now.Sub(closed) > sendGrace {
 		d.late = append(d.late, fmt.Sprintf("%s, %v after the close", id, now.Sub(closed).Round(time.Millisecond)))
 	}
 }
 
 // close closes the connection of a request's client; hard resets it.
-func (d *departures) close(nc net.Conn, hard bool, ids ...int) {
+func (d *disconnectLog) close(nc net.Conn, hard bool, ids ...int) {
 	if hard {
 		nc.(*net.TCPConn).SetLinger(0)
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-func (d *departures) check(t *testing.T) {
+func (d *disconnectLog) check(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,17 +61,17 @@
 	}
 }
 
-func (d *departures) count(id int) int {
+func (d *disconnectLog) count(id int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.sent[fmt.Sprintf("%016x", id)]
+	return d.attempts[fmt.Sprintf("%016x", id)]
 }
 
 // occupy takes all places of clients with connections whose command has begun and not ended, which nobody closes for want of a place.
-func occupy(t *testing.T, addr string, places int) (release func()) {
+func occupySlots(t *testing.T, addr string, slots int) (release func()) {
 	t.Helper()
 	var conns []net.Conn
-	for range places {
+	for range slots {
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, "*4\r\n$5\r\nQ.A")
 		conns = append(conns, nc)
@@ -85,7 +85,7 @@
 
 // Clients that wait for a place write their command and close before anybody has accepted them: command and end lie in the kernel
 // together. Whoever is accepted later is not sent on.
-func TestNothingIsSentForClientsThatLeftTheListenQueue(t *testing.T) {
+func TestNothingIsSentForClientsDisconnectedInListenQueue(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
@@ -94,27 +94,27 @@
 	}{{"one", 1, false}, {"a thousand", 1000, false}, {"a thousand that reset", 1000, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			left := newDepartures()
-			be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
-				left.began(args)
+			left := newDisconnectLog()
+			backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+				left.noteAttempt(args)
 				return scripted.Served
 			})
-			list := fleetOf(be.Addr)
-			addr, g := startGateway(t, testConfig(scripted.Registry(t, list, nil), list))
-			places := g.front.Load().MaxConnections()
-			release := occupy(t, addr, places)
-			eventually(t, 10*time.Second, "all places are taken", func() bool { return g.front.Load().OpenConnections() == places })
+			list := fleetOf(backend.Addr)
+			addr, instance := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
+			places := instance.front.Load().MaxConnections()
+			release := occupySlots(t, addr, places)
+			eventually(t, 10*time.Second, "all places are taken", func() bool { return instance.front.Load().OpenConnections() == places })
 			for i := range c.clients {
 				nc, _ := dial(t, addr)
-				io.WriteString(nc, ask(100+i, readFields))
+				io.WriteString(nc, encodeRead(100+i, readFields))
 				left.close(nc, c.reset, 100+i)
 			}
 			time.Sleep(sendGrace + 50*time.Millisecond)
 			release()
 			stays, in := dial(t, addr) // behind them in the queue
-			io.WriteString(stays, ask(99, readFields))
-			wantValue(t, in)
-			eventually(t, 10*time.Second, "nothing is open", func() bool { return g.core.Metrics().Current() == 0 })
+			io.WriteString(stays, encodeRead(99, readFields))
+			requireValue(t, in)
+			eventually(t, 10*time.Second, "nothing is open", func() bool { return instance.core.Metrics().Current() == 0 })
 			left.check(t)
 			if left.count(99) != 1 {
 				t.Errorf("the client that stayed was sent on %d times", left.count(99))
@@ -124,27 +124,27 @@
 }
 
 // The same while the process shuts down: connections go on coming for some tenths of a second then.
-func TestNothingIsSentForClientsThatLeftAtShutdown(t *testing.T) {
+func TestNothingIsSentForClientsDisconnectedAtShutdown(t *testing.T) {
 	t.Parallel()
-	left := newDepartures()
-	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
-		left.began(args)
+	left := newDisconnectLog()
+	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+		left.noteAttempt(args)
 		return scripted.Served
 	})
-	list := fleetOf(be.Addr)
-	g, stop := runIngress(t, testConfig(scripted.Registry(t, list, nil), list))
-	addr, places := g.Addr().String(), g.front.Load().MaxConnections()
-	release := occupy(t, addr, places)
-	eventually(t, 10*time.Second, "all places are taken", func() bool { return g.front.Load().OpenConnections() == places })
+	list := fleetOf(backend.Addr)
+	instance, stop := runIngress(t, testConfig(scripted.Registry(t, list, nil), list))
+	addr, places := instance.Addr().String(), instance.front.Load().MaxConnections()
+	release := occupySlots(t, addr, places)
+	eventually(t, 10*time.Second, "all places are taken", func() bool { return instance.front.Load().OpenConnections() == places })
 	for i := range 200 {
 		nc, _ := dial(t, addr)
-		io.WriteString(nc, ask(100+i, readFields))
+		io.WriteString(nc, encodeRead(100+i, readFields))
 		left.close(nc, i%2 == 1, 100+i)
 	}
 	time.Sleep(sendGrace)
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	eventually(t, 10*time.Second, "it shuts down", func() bool { return g.front.Load().Draining() })
+	eventually(t, 10*time.Second, "it shuts down", func() bool { return instance.front.Load().Draining() })
 	release()
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -153,17 +153,17 @@
 }
 
 // A client that leaves while its attempt waits for a connection that comes up late, or between a failed attempt and the next.
-func TestNothingIsSentForClientsThatLeftBeforeAnAttempt(t *testing.T) {
+func TestNothingIsSentForClientsDisconnectedBeforeAttempt(t *testing.T) {
 	t.Parallel()
 	const clients = 20
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("before a retry, reset %v", reset), func(t *testing.T) {
 			t.Parallel()
-			left := newDepartures()
+			left := newDisconnectLog()
 			var mu sync.Mutex
 			conns := map[string]net.Conn{}
-			be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
-				left.began(args)
+			backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+				left.noteAttempt(args)
 				mu.Lock()
 				defer mu.Unlock()
 				if nc := conns[args[2]]; nc != nil { // its client leaves, and the attempt fails right behind that
@@ -175,46 +175,46 @@
 				}
 				return "-ERR failed\r\n"
 			})
-			list := fleetOf(be.Addr)
+			list := fleetOf(backend.Addr)
 			cfg := testConfig(scripted.Registry(t, list, nil), list)
 			cfg.Settings.MaxAttempts = 4
-			addr, g := startGateway(t, cfg)
+			addr, instance := startInstance(t, cfg)
 			for i := range clients {
 				nc, _ := dial(t, addr)
 				mu.Lock()
 				conns[fmt.Sprintf("%016x", 100+i)] = nc
 				mu.Unlock()
-				io.WriteString(nc, ask(100+i, readFields))
+				io.WriteString(nc, encodeRead(100+i, readFields))
 			}
 			eventually(t, 20*time.Second, "all have ended", func() bool {
 				mu.Lock()
 				defer mu.Unlock()
-				return len(conns) == 0 && g.core.Metrics().Current() == 0
+				return len(conns) == 0 && instance.core.Metrics().Current() == 0
 			})
 			left.check(t)
 		})
 		t.Run(fmt.Sprintf("waiting for a connection, reset %v", reset), func(t *testing.T) {
 			t.Parallel()
-			left := newDepartures()
-			be := scripted.NewLate(t, func(_ int, args []string, _ net.Conn) string {
-				left.began(args)
+			left := newDisconnectLog()
+			backend := scripted.NewLate(t, func(_ int, args []string, _ net.Conn) string {
+				left.noteAttempt(args)
 				return scripted.Served
 			})
-			be.Hold()
-			list := fleetOf(be.Addr)
+			backend.Hold()
+			list := fleetOf(backend.Addr)
 			cfg := testConfig(scripted.Registry(t, list, nil), list)
-			addr, g := startGateway(t, cfg)
+			addr, instance := startInstance(t, cfg)
 			for i := range clients {
 				nc, _ := dial(t, addr)
-				io.WriteString(nc, ask(100+i, readFields))
-				eventually(t, 10*time.Second, "it is taken", func() bool { return g.core.Metrics().Current() >= int64(min(i+1, 1)) })
+				io.WriteString(nc, encodeRead(100+i, readFields))
+				eventually(t, 10*time.Second, "it is taken", func() bool { return instance.core.Metrics().Current() >= int64(min(i+1, 1)) })
 				left.close(nc, reset, 100+i)
 			}
 			stays, in := dial(t, addr)
-			io.WriteString(stays, ask(99, strings.Replace(readFields, "d=50000", "d=20000", 1)))
+			io.WriteString(stays, encodeRead(99, strings.Replace(readFields, "d=50000", "d=20000", 1)))
 			time.Sleep(sendGrace)
-			be.Open()
-			wantValue(t, in)
+			backend.Open()
+			requireValue(t, in)
 			left.check(t)
 		})
 	}
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -19,25 +19,25 @@
 )
 
 // held is a listening socket that the platform holds, and the folder that the processes on it have in common.
-type held struct {
+type sharedListener struct {
 	*net.TCPListener
 	dir string
 }
 
-func hold(t testing.TB) held {
+func newSharedListener(t testing.TB) sharedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return held{l.(*net.TCPListener), t.TempDir()}
+	return sharedListener{l.(*net.TCPListener), t.TempDir()}
 }
 
 // start runs a process on its own copy of the socket and waits for its door alone: its clients may still be another's.
-func (h held) start(t *testing.T, cfg Config) (*Instance, func() error) {
+func (l sharedListener) start(t *testing.T, cfg Config) (*Instance, func() error) {
 	t.Helper()
-	f, err := h.File()
+	f, err := l.File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,28 +45,28 @@
 	if cfg.Listener, err = net.FileListener(f); err != nil {
 		t.Fatal(err)
 	}
-	cfg.Listen, cfg.StateDir = h.Addr().String(), h.dir
-	g, stop := runAside(t, cfg)
+	cfg.Listen, cfg.StateDir = l.Addr().String(), l.dir
+	g, stop := startWithoutWaiting(t, cfg)
 	eventually(t, 5*time.Second, "the door opens", func() bool { return g.AdminAddr() != nil })
 	return g, stop
 }
 
 // wantYes waits for a process to say that it is ready.
-func wantYes(t *testing.T, g *Instance) {
+func requireReady(t *testing.T, instance *Instance) {
 	t.Helper()
-	eventually(t, 6*time.Second, "yes", func() bool { s, _ := call(t, g, "GET", "/v1/readyz"); return s == 200 })
+	eventually(t, 6*time.Second, "yes", func() bool { s, _ := adminCall(t, instance, "GET", "/v1/readyz"); return s == 200 })
 }
 
 // crowd is clients that ask one request after another, each on a kept connection, and go over to a new one when theirs is closed.
-type crowd struct {
-	answered, odd, turned atomic.Int64 // turned: closed with a request on it that has no answer
-	wg                    sync.WaitGroup
-	stop                  chan struct{}
-	pause                 time.Duration
-	fields                string // of each request; empty: readFields
+type clientCrowd struct {
+	answered, unexpected, unanswered atomic.Int64 // turned: closed with a request on it that has no answer
+	wg                               sync.WaitGroup
+	stop                             chan struct{}
+	pause                            time.Duration
+	fields                           string // of each request; empty: readFields
 }
 
-func (c *crowd) run(addr string, n int) {
+func (c *clientCrowd) run(addr string, n int) {
 	c.stop = make(chan struct{})
 	var id atomic.Int64
 	for range n {
@@ -74,10 +74,10 @@
 			for {
 				nc, err := net.Dial("tcp", addr)
 				if err != nil {
-					c.odd.Add(1)
+					c.unexpected.Add(1)
 					return
 				}
-				c.talk(nc, &id)
+				c.sendRequests(nc, &id)
 				nc.Close()
 				select {
 				case <-c.stop:
@@ -89,7 +89,7 @@
 	}
 }
 
-func (c *crowd) talk(nc net.Conn, id *atomic.Int64) {
+func (c *clientCrowd) sendRequests(nc net.Conn, id *atomic.Int64) {
 	in := bufio.NewReader(nc)
 	for {
 		select {
@@ -103,28 +103,28 @@
 			return
 		}
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
-		if _, err := io.WriteString(nc, ask(int(id.Add(1)), cmp.Or(c.fields, readFields))); err != nil {
-			c.turned.Add(1)
+		if _, err := io.WriteString(nc, encodeRead(int(id.Add(1)), cmp.Or(c.fields, readFields))); err != nil {
+			c.unanswered.Add(1)
 			return
 		}
 		head, err := in.ReadString('\n')
 		switch {
 		case err != nil:
-			c.turned.Add(1)
+			c.unanswered.Add(1)
 			return
 		case strings.HasPrefix(head, "$"):
 			if _, err := in.ReadString('\n'); err != nil {
-				c.odd.Add(1)
+				c.unexpected.Add(1)
 				return
 			}
 			c.answered.Add(1)
 		default:
-			c.odd.Add(1)
+			c.unexpected.Add(1)
 		}
 	}
 }
 
-func (c *crowd) end() {
+func (c *clientCrowd) end() {
 	close(c.stop)
 	c.wg.Wait()
 }
@@ -138,30 +138,30 @@
 		nodes = append(nodes, scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
 			time.Sleep(5 * time.Millisecond)
-			return served
+			return servedReply
 		}).Addr)
 	}
 	list := fleetOf(nodes...)
 	registry := scripted.Registry(t, list, nil)
-	ln := hold(t)
+	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
-		cfg := doorConfig(registry, list)
+		cfg := adminConfig(registry, list)
 		cfg.Settings.MaxAttempts = 3 // an attempt that waits to be written when its node is taken out is not
 		return ln.start(t, cfg)
 	}
 	old, stop := start()
-	wantYes(t, old)
-	c := crowd{pause: 2 * time.Millisecond}
+	requireReady(t, old)
+	c := clientCrowd{pause: 2 * time.Millisecond}
 	c.run(ln.Addr().String(), 20)
 	time.Sleep(300 * time.Millisecond)
-	wantCall(t, old, "PUT", "/v1/backends/s2/suspend", 200)
+	requireAdminCall(t, old, "PUT", "/v1/backends/s2/suspend", 200)
 	time.Sleep(300 * time.Millisecond)
 	before := [3]int64{2: sent[2].Load()}
 	for round := range 2 {
 		next, stopNext := start()
-		wantYes(t, next)
+		requireReady(t, next)
 		if round == 1 { // told to one while both are there
-			wantCall(t, old, "PUT", "/v1/backends/s1/suspend", 200)
+			requireAdminCall(t, old, "PUT", "/v1/backends/s1/suspend", 200)
 			time.Sleep(500 * time.Millisecond)
 			before[1] = sent[1].Load()
 		}
@@ -173,54 +173,54 @@
 		old, stop = next, stopNext
 	}
 	c.end()
-	if c.odd.Load() > 0 || c.turned.Load() > 2 {
-		t.Errorf("%d answered, %d lost or failed, %d turned back", c.answered.Load(), c.odd.Load(), c.turned.Load())
+	if c.unexpected.Load() > 0 || c.unanswered.Load() > 2 {
+		t.Errorf("%d answered, %d lost or failed, %d turned back", c.answered.Load(), c.unexpected.Load(), c.unanswered.Load())
 	}
 	for i := 1; i <= 2; i++ {
 		if n := sent[i].Load() - before[i]; n > 0 {
 			t.Errorf("%d sends to s%d, which is suspended", n, i)
 		}
 	}
-	t.Logf("%d answered, %d turned back", c.answered.Load(), c.turned.Load())
+	t.Logf("%d answered, %d turned back", c.answered.Load(), c.unanswered.Load())
 }
 
 // A process that is told of a suspension and dies at once leaves it to the next; one that dies before its yes leaves the
 // first in place; discovery and the counter that say nothing keep no process from its yes.
-func TestReplacementInTrouble(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+func TestReplacementDuringFaults(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	mute := scripted.Listen(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
-	ln := hold(t)
+	ln := newSharedListener(t)
 	start := func(known discovery.List) (*Instance, func() error) {
-		cfg := doorConfig(mute, known)
+		cfg := adminConfig(mute, known)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = mute, true, 50*time.Millisecond
 		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 100, Burst: 100, ExcessCost: 0.5}}
 		return ln.start(t, cfg)
 	}
 	first, stopFirst := start(list)
-	wantYes(t, first)
+	requireReady(t, first)
 	_, stopEarly := start(list)
 	stopEarly() // before its yes, or after: it never had the baton
 	nc, in := dial(t, ln.Addr().String())
-	io.WriteString(nc, ask(1, readFields))
-	wantValue(t, in)
-	wantCall(t, first, "PUT", "/v1/backends/s0/suspend", 200)
+	io.WriteString(nc, encodeRead(1, readFields))
+	requireValue(t, in)
+	requireAdminCall(t, first, "PUT", "/v1/backends/s0/suspend", 200)
 
 	// The next one's own list is older than the first one's: what goes over has the node.
 	second, _ := start(discovery.List{Complete: true})
-	wantYes(t, second)
+	requireReady(t, second)
 	stopFirst()
-	eventually(t, 5*time.Second, "the list goes over", func() bool { return figure(t, second, "cluster_size") == 1 })
-	if n := figure(t, second, "cluster_unhealthy"); n != 1 {
+	eventually(t, 5*time.Second, "the list goes over", func() bool { return metricValue(t, second, "cluster_size") == 1 })
+	if n := metricValue(t, second, "cluster_unhealthy"); n != 1 {
 		t.Fatalf("after the replacement %d nodes are avoided, the suspended one is wanted", n)
 	}
-	wantCall(t, second, "PUT", "/v1/backends/s0/resume", 200)
+	requireAdminCall(t, second, "PUT", "/v1/backends/s0/resume", 200)
 	nc, in = dial(t, ln.Addr().String())
 	eventually(t, 5*time.Second, "the node that was put back serves", func() bool {
-		io.WriteString(nc, ask(int(time.Now().UnixNano()%1e9), readFields))
-		l := line(t, in)
+		io.WriteString(nc, encodeRead(int(time.Now().UnixNano()%1e9), readFields))
+		l := readLine(t, in)
 		if strings.HasPrefix(l, "$") {
-			line(t, in)
+			readLine(t, in)
 			return true
 		}
 		return false
@@ -229,41 +229,41 @@
 
 // While another process is there this one makes room for it, idle connections first, and has all places again when the other
 // has gone.
-func TestRoomForAnotherProcess(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+func TestConnectionsAreSharedWithSibling(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	registry := scripted.Registry(t, list, nil)
-	ln := hold(t)
+	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
-		cfg := doorConfig(registry, list)
+		cfg := adminConfig(registry, list)
 		return ln.start(t, cfg)
 	}
 	first, _ := start()
 	eventually(t, 5*time.Second, "the first process serves", func() bool { return first.front.Load() != nil })
-	most := first.front.Load().MaxConnections()
+	maxConnections := first.front.Load().MaxConnections()
 	id := 0
 	open := func(n int) {
 		for range n {
 			id++
 			nc, in := dial(t, ln.Addr().String())
-			io.WriteString(nc, ask(id, readFields))
-			wantValue(t, in)
+			io.WriteString(nc, encodeRead(id, readFields))
+			requireValue(t, in)
 		}
 	}
-	more := func() bool { // than a half of the places can be taken
-		open(most * 3 / 4)
-		return first.front.Load().OpenConnections() > most/2
+	fillsAllSlots := func() bool { // than a half of the places can be taken
+		open(maxConnections * 3 / 4)
+		return first.front.Load().OpenConnections() > maxConnections/2
 	}
-	eventually(t, 2*time.Second, "all places at the start", more)
+	eventually(t, 2*time.Second, "all places at the start", fillsAllSlots)
 	_, stopSecond := start()
-	half := (most - reservedDescriptors - admin.MaxConnections) / 2
+	half := (maxConnections - reservedDescriptors - admin.MaxConnections) / 2
 	eventually(t, time.Second, "half of the places are left", func() bool { return first.front.Load().OpenConnections() <= half })
-	open(most) // each takes the place of one that is idle
+	open(maxConnections) // each takes the place of one that is idle
 	if n := first.front.Load().OpenConnections(); n > half+1 {
-		t.Fatalf("%d of %d places are taken while another process is there", n, most)
+		t.Fatalf("%d of %d places are taken while another process is there", n, maxConnections)
 	}
 	stopSecond()
-	eventually(t, 2*time.Second, "all places are back", more)
+	eventually(t, 2*time.Second, "all places are back", fillsAllSlots)
 }
 
 // A channel asks for five times its quota while one process follows another: neither its ceiling nor its quota is spent twice,
@@ -278,19 +278,19 @@
 	t.Cleanup(counter.Stop)
 	var mu sync.Mutex
 	var sends []time.Time
-	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		if strings.HasPrefix(args[0], "Q.") {
 			mu.Lock()
 			sends = append(sends, time.Now())
 			mu.Unlock()
 		}
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	registry := scripted.Registry(t, list, nil)
-	ln := hold(t)
+	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
-		cfg := doorConfig(registry, list)
+		cfg := adminConfig(registry, list)
 		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
 		cfg.Settings.MaxUnits, cfg.Settings.MaxRetryAfter = 1, 200*time.Millisecond
 		cfg.Settings.Plans = []policy.Plan{{
@@ -300,13 +300,13 @@
 		return ln.start(t, cfg)
 	}
 	old, stop := start()
-	wantYes(t, old)
-	c := crowd{pause: 40 * time.Millisecond, fields: "c=read,t=p,d=2000,units=1,spread=1,first=0"}
+	requireReady(t, old)
+	c := clientCrowd{pause: 40 * time.Millisecond, fields: "c=read,t=p,d=2000,units=1,spread=1,first=0"}
 	c.run(ln.Addr().String(), 6)
 	time.Sleep(3 * time.Second)
 	for range 3 {
 		next, stopNext := start()
-		wantYes(t, next)
+		requireReady(t, next)
 		if err := stop(); err != nil {
 			t.Fatal(err)
 		}
@@ -334,28 +334,28 @@
 	if quota < -0.45*quotaBurst { // -6 without a replacement, -14 where each process takes a fresh block
 		t.Errorf("%d sends: the quota's store went to %.1f", len(sends), quota)
 	}
-	if n := c.answered.Load() + c.odd.Load(); float64(len(sends)) > 0.5*float64(n) || len(sends) < 50 {
+	if n := c.answered.Load() + c.unexpected.Load(); float64(len(sends)) > 0.5*float64(n) || len(sends) < 50 {
 		t.Errorf("%d of %d requests were sent on: the channel does not ask for far more than it has", len(sends), n)
 	}
-	t.Logf("%d sends of %d requests; the ceiling's store went to %.1f, the quota's to %.1f", len(sends), c.answered.Load()+c.odd.Load(), ceiling, quota)
+	t.Logf("%d sends of %d requests; the ceiling's store went to %.1f, the quota's to %.1f", len(sends), c.answered.Load()+c.unexpected.Load(), ceiling, quota)
 }
 
 // A drained ingress that is told to end ends as it would otherwise, and a repeated drain changes nothing.
-func TestTermWhileDrained(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string {
+func TestShutdownWhileDrained(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		time.Sleep(700 * time.Millisecond)
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
-	g, stop := runIngress(t, doorConfig(scripted.Registry(t, list, nil), list))
-	nc, in := dial(t, g.Addr().String())
-	io.WriteString(nc, ask(1, readFields))
-	eventually(t, time.Second, "the request is out", func() bool { return len(be.Seen()) == 1 })
-	wantCall(t, g, "PUT", "/v1/ingress/drain", 200)
-	wantCall(t, g, "PUT", "/v1/ingress/drain", 200)
+	list := fleetOf(backend.Addr)
+	instance, stop := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
+	nc, in := dial(t, instance.Addr().String())
+	io.WriteString(nc, encodeRead(1, readFields))
+	eventually(t, time.Second, "the request is out", func() bool { return len(backend.Seen()) == 1 })
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
+	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	wantValue(t, in)
+	requireValue(t, in)
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 		t.Fatalf("after the answer: %q, %v; want a clean end", rest, err)
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -23,18 +23,18 @@
 )
 
 func fleetOf(addrs ...string) discovery.List {
-	f := discovery.List{Rev: 1, Complete: true}
-	for i, a := range addrs {
-		f.Targets = append(f.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: a, Zone: "a", State: "SERVING"})
+	list := discovery.List{Rev: 1, Complete: true}
+	for i, addr := range addrs {
+		list.Targets = append(list.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"})
 	}
-	return f
+	return list
 }
 
-const served = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+const servedReply = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-func testConfig(disc string, known discovery.List) Config {
+func testConfig(discoveryAddr string, known discovery.List) Config {
 	return Config{Listen: "127.0.0.1:0", Config: core.Config{
-		Discovery: disc, Sockets: 256, Known: known,
+		Discovery: discoveryAddr, Sockets: 256, Known: known,
 		Settings: policy.Settings{
 			Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
@@ -51,43 +51,43 @@
 // startIngress runs an ingress and returns its address and what stops it and gives Run's result.
 func startIngress(t *testing.T, cfg Config) (addr string, stop func() error) {
 	t.Helper()
-	g, stop := runIngress(t, cfg)
-	return g.Addr().String(), stop
+	instance, stop := runIngress(t, cfg)
+	return instance.Addr().String(), stop
 }
 
-func startGateway(t *testing.T, cfg Config) (addr string, g *Instance) {
+func startInstance(t *testing.T, cfg Config) (addr string, instance *Instance) {
 	t.Helper()
-	g, _ = runIngress(t, cfg)
-	return g.Addr().String(), g
+	instance, _ = runIngress(t, cfg)
+	return instance.Addr().String(), instance
 }
 
-func runIngress(t testing.TB, cfg Config) (g *Instance, stop func() error) {
+func runIngress(t testing.TB, cfg Config) (instance *Instance, stop func() error) {
 	t.Helper()
-	g, stop = runAside(t, cfg)
+	instance, stop = startWithoutWaiting(t, cfg)
 	select {
-	case <-g.Ready():
+	case <-instance.Ready():
 	case <-time.After(10 * time.Second):
 		t.Fatal("the ingress does not serve: ", stop())
 	}
-	return g, stop
+	return instance, stop
 }
 
 // runAside runs an ingress and does not wait for it.
-func runAside(t testing.TB, cfg Config) (g *Instance, stop func() error) {
+func startWithoutWaiting(t testing.TB, cfg Config) (instance *Instance, stop func() error) {
 	t.Helper()
-	g, err := New(cfg, slog.New(slog.DiscardHandler))
+	instance, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- g.Run(ctx) }()
+	go func() { done <- instance.Run(ctx) }()
 	stop = sync.OnceValue(func() error {
 		cancel()
 		return <-done
 	})
 	t.Cleanup(func() { stop() })
-	return g, stop
+	return instance, stop
 }
 
 // dial opens a client's connection; every read of it ends the test after a minute.
@@ -102,92 +102,92 @@
 	return nc, bufio.NewReader(nc)
 }
 
-func command(args ...string) string {
-	b := redcon.AppendArray(nil, len(args))
-	for _, a := range args {
-		b = redcon.AppendBulkString(b, a)
+func encodeCommand(args ...string) string {
+	encoded := redcon.AppendArray(nil, len(args))
+	for _, arg := range args {
+		encoded = redcon.AppendBulkString(encoded, arg)
 	}
-	return string(b)
+	return string(encoded)
 }
 
-func ask(id int, fields string) string {
-	return command("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), fields)
+func encodeRead(id int, fields string) string {
+	return encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), fields)
 }
 
 const readFields = "c=read,t=p,d=50000,units=1,spread=1,first=0"
 
-func line(t *testing.T, in *bufio.Reader) string {
+func readLine(t *testing.T, reader *bufio.Reader) string {
 	t.Helper()
-	s, err := in.ReadString('\n')
+	text, err := reader.ReadString('\n')
 	if err != nil {
-		t.Fatalf("read %q: %v", s, err)
+		t.Fatalf("read %q: %v", text, err)
 	}
-	return strings.TrimRight(s, "\r\n")
+	return strings.TrimRight(text, "\r\n")
 }
 
-func wantValue(t *testing.T, in *bufio.Reader) {
+func requireValue(t *testing.T, reader *bufio.Reader) {
 	t.Helper()
-	if a, b := line(t, in), line(t, in); a != "$5" || b != "value" {
+	if a, b := readLine(t, reader), readLine(t, reader); a != "$5" || b != "value" {
 		t.Fatalf("answer %q %q, want the backend's value", a, b)
 	}
 }
 
 // rested is longer than a connection to a node is left alone after its answer.
-const rested = 50 * time.Millisecond
+const reuseDelay = 50 * time.Millisecond
 
 // An answered attempt must free its connection: once all of them were taken for given up. Requests that follow sooner than it has rested may
 // have others.
 func TestConnectionIsReused(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	for i := range 5 {
-		io.WriteString(nc, ask(i, readFields))
-		wantValue(t, in)
-		time.Sleep(rested)
+		io.WriteString(nc, encodeRead(i, readFields))
+		requireValue(t, in)
+		time.Sleep(reuseDelay)
 	}
-	if n := be.Conns.Load(); n != 1 {
+	if n := backend.Conns.Load(); n != 1 {
 		t.Fatalf("%d connections for requests one after another, want 1", n)
 	}
 }
 
 // A silent backend's attempt ends at the request's time, before the client leaves; its connection is given up.
 func TestSilentBackendIsTimedOut(t *testing.T) {
-	be := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
+	backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
 			return ""
 		}
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	began := time.Now()
-	io.WriteString(nc, ask(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
-	if got := line(t, in); !strings.HasPrefix(got, "-BUSY") {
+	io.WriteString(nc, encodeRead(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
+	if got := readLine(t, in); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("answer %q, want the module's refusal of a read that timed out", got)
 	}
 	if took := time.Since(began); took < 900*time.Millisecond {
 		t.Fatalf("given up after %v of 1 s", took)
 	}
-	io.WriteString(nc, ask(2, readFields))
-	wantValue(t, in)
-	if n := be.Conns.Load(); n != 2 {
+	io.WriteString(nc, encodeRead(2, readFields))
+	requireValue(t, in)
+	if n := backend.Conns.Load(); n != 2 {
 		t.Fatalf("%d connections, want a new one after the given-up one", n)
 	}
 }
 
 // The command, customer, id, key and body go on as they came; d becomes what is left of it.
-func TestCommandGoesOn(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+func TestCommandIsForwarded(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
-	io.WriteString(nc, command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
 		"c=keyed,t=p,d=9000,k=5c0f,units=2,spread=1,first=0,r=1", "BODY\r\n"))
-	wantValue(t, in)
-	got := be.Seen()[0]
+	requireValue(t, in)
+	got := backend.Seen()[0]
 	var left int
 	if _, err := fmt.Sscanf(got[3], "c=keyed,t=p,d=%d,k=5c0f,units=2,spread=1,first=0,r=1", &left); err != nil {
 		t.Fatalf("fields %q: %v", got[3], err)
@@ -204,49 +204,49 @@
 // Bad input gets one error line and reaches no backend; where the framing holds, the connection goes on.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	long := strings.Repeat("x", resp.MaxValue+1)
 	for name, c := range map[string]struct {
 		in     string
 		closed bool
 	}{
-		"unknown command":  {command("HELLO", "3"), false},
-		"no fields":        {command("Q.ASK"), false},
-		"bad customer":     {command("Q.ASK", "zz", "9b1f03aa5c7e2d41", readFields), false},
-		"large customer":   {command("Q.ASK", "ffffffffb4d65521", "9b1f03aa5c7e2d41", readFields), false},
-		"bad id":           {command("Q.ASK", "00000000b4d65521", "9", readFields), false},
-		"no d":             {ask(1, "c=read,t=p,units=1,spread=1,first=0"), false},
-		"bad d":            {ask(1, "c=read,t=p,d=-1,units=1,spread=1,first=0"), false},
-		"huge d":           {ask(1, "c=read,t=p,d=99999999999,units=1,spread=1,first=0"), false},
-		"many units":       {ask(1, "c=read,t=p,d=9,units=5,spread=1,first=0"), false},
-		"odd units":        {ask(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
-		"wide set":         {ask(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
-		"set elsewhere":    {ask(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
-		"long key":         {command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
+		"unknown command":  {encodeCommand("HELLO", "3"), false},
+		"no fields":        {encodeCommand("Q.ASK"), false},
+		"bad customer":     {encodeCommand("Q.ASK", "zz", "9b1f03aa5c7e2d41", readFields), false},
+		"large customer":   {encodeCommand("Q.ASK", "ffffffffb4d65521", "9b1f03aa5c7e2d41", readFields), false},
+		"bad id":           {encodeCommand("Q.ASK", "00000000b4d65521", "9", readFields), false},
+		"no d":             {encodeRead(1, "c=read,t=p,units=1,spread=1,first=0"), false},
+		"bad d":            {encodeRead(1, "c=read,t=p,d=-1,units=1,spread=1,first=0"), false},
+		"huge d":           {encodeRead(1, "c=read,t=p,d=99999999999,units=1,spread=1,first=0"), false},
+		"many units":       {encodeRead(1, "c=read,t=p,d=9,units=5,spread=1,first=0"), false},
+		"odd units":        {encodeRead(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
+		"wide set":         {encodeRead(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
+		"set elsewhere":    {encodeRead(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
+		"long key":         {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
 		"empty array":      {"*0\r\n", false},
 		"null array":       {"*-1\r\n", false},
 		"60 MB":            {"*5\r\n$4\r\nQ.DO\r\n$60000000\r\n", true},
-		"bad units":        {ask(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
-		"no value":         {ask(1, "c=read,t=p,d"), false},
-		"twice":            {ask(1, readFields+",d=7"), false},
-		"unknown class":    {ask(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
-		"unknown plan":     {ask(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
-		"wrong command":    {ask(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
-		"no key":           {command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
+		"bad units":        {encodeRead(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
+		"no value":         {encodeRead(1, "c=read,t=p,d"), false},
+		"twice":            {encodeRead(1, readFields+",d=7"), false},
+		"unknown class":    {encodeRead(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
+		"unknown plan":     {encodeRead(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
+		"wrong command":    {encodeRead(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
+		"no key":           {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
 		"not an array":     {"PING\r\n", true},
 		"negative bulk":    {"*1\r\n$-5\r\n", true},
 		"null bulk":        {"*1\r\n$-1\r\n", false},
 		"overflowing bulk": {"*1\r\n$9223372036854775807\r\n", true},
 		"many elements":    {"*1000000\r\n", true},
-		"oversized":        {command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
+		"oversized":        {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
 		"endless line":     {"*" + strings.Repeat("1", 4000), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			nc, in := dial(t, addr)
 			go io.WriteString(nc, c.in)
-			if got := line(t, in); !strings.HasPrefix(got, "-ERR ") {
+			if got := readLine(t, in); !strings.HasPrefix(got, "-ERR ") {
 				t.Fatalf("answer %q", got)
 			}
 			if c.closed {
@@ -255,13 +255,13 @@
 				}
 				return
 			}
-			io.WriteString(nc, command("PING"))
-			if got := line(t, in); got != "+PONG" {
+			io.WriteString(nc, encodeCommand("PING"))
+			if got := readLine(t, in); got != "+PONG" {
 				t.Fatalf("PING after the error: %q", got)
 			}
 		})
 	}
-	if got := be.Seen(); len(got) > 0 {
+	if got := backend.Seen(); len(got) > 0 {
 		t.Fatalf("sent to a backend: %q", got)
 	}
 }
@@ -294,18 +294,18 @@
 		}, "-ERR"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := &scripted.Backend{Addr: dead.Addr().String()}
+			backend := &scripted.Backend{Addr: dead.Addr().String()}
 			if c.say != nil {
-				be = scripted.NewBackend(t, c.say)
+				backend = scripted.NewBackend(t, c.say)
 			}
-			list := fleetOf(be.Addr)
+			list := fleetOf(backend.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 			nc, in := dial(t, addr)
-			io.WriteString(nc, command("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write,t=p,d=50000,units=1,spread=1,first=0"))
-			if got := line(t, in); !strings.HasPrefix(got, c.want) {
+			io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write,t=p,d=50000,units=1,spread=1,first=0"))
+			if got := readLine(t, in); !strings.HasPrefix(got, c.want) {
 				t.Fatalf("answer %q, want %s", got, c.want)
 			}
-			if n := len(be.Seen()); n > 1 {
+			if n := len(backend.Seen()); n > 1 {
 				t.Fatalf("sent %d times", n)
 			}
 		})
@@ -315,7 +315,7 @@
 // Answers leave in the order of the commands, whatever comes first from the backends.
 func TestPipelinedAnswersInOrder(t *testing.T) {
 	second := make(chan struct{})
-	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		if strings.HasSuffix(args[2], "1") {
 			<-second // the first is answered last
 		} else {
@@ -323,37 +323,37 @@
 		}
 		return "*3\r\n$1\r\n" + args[2][15:] + "\r\n$-1\r\n$-1\r\n"
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields)+ask(2, readFields)+command("PING"))
+	io.WriteString(nc, encodeRead(1, readFields)+encodeRead(2, readFields)+encodeCommand("PING"))
 	for _, want := range []string{"$1", "1", "$1", "2", "+PONG"} {
-		if got := line(t, in); got != want {
+		if got := readLine(t, in); got != want {
 			t.Fatalf("%q, want %q", got, want)
 		}
 	}
 }
 
 // A shutdown answers what was taken, and what still comes on an open connection, before the connection ends.
-func TestShutdownAnswersWhatWasTaken(t *testing.T) {
+func TestShutdownAnswersTakenCommands(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		taken <- struct{}{}
 		<-release
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	addr, stop := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
+	io.WriteString(nc, encodeRead(1, readFields))
 	<-taken
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	io.WriteString(nc, ask(2, readFields))
+	io.WriteString(nc, encodeRead(2, readFields))
 	<-taken
 	close(release)
-	wantValue(t, in)
-	wantValue(t, in)
+	requireValue(t, in)
+	requireValue(t, in)
 	if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
 		t.Fatalf("after the answers: %q, %v; want a clean end", rest, err)
 	}
@@ -364,17 +364,17 @@
 
 // After a move the list is asked for at the new address at once, the watch goes on there, and no client or backend
 // notices.
-func TestMoveOfDiscovery(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+func TestSetDiscoveryAddress(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	list.Rev = 2
 	from, to := scripted.Registry(t, fleetOf(), nil), scripted.Registry(t, list, nil)
-	addr, g := startGateway(t, testConfig(from, fleetOf()))
+	addr, instance := startInstance(t, testConfig(from, fleetOf()))
 	nc, in := dial(t, addr)
-	g.SetAddresses("127.0.0.1:1", "")
-	g.SetAddresses(to, "")
-	io.WriteString(nc, ask(1, readFields)) // waits for a backend
-	wantValue(t, in)
+	instance.SetAddresses("127.0.0.1:1", "")
+	instance.SetAddresses(to, "")
+	io.WriteString(nc, encodeRead(1, readFields)) // waits for a backend
+	requireValue(t, in)
 }
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -386,7 +386,7 @@
 		return "*3\r\n$16\r\n" + args[2] + "\r\n$-1\r\n$4\r\nqps=\r\n"
 	}
 	sent := make(chan struct{}, 1) // what stands behind the answer is on its way too
-	for name, say := range map[string]func(n int, args []string, nc net.Conn) string{
+	for name, answer := range map[string]func(n int, args []string, nc net.Conn) string{
 		"second copy":  func(_ int, args []string, _ net.Conn) string { return value(args) + value(args) },
 		"noise behind": func(_ int, args []string, _ net.Conn) string { return value(args) + "\x00\xff" },
 		"copy apart": func(_ int, args []string, nc net.Conn) string {
@@ -397,20 +397,20 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			be := scripted.NewBackend(t, say)
-			list := fleetOf(be.Addr)
+			backend := scripted.NewBackend(t, answer)
+			list := fleetOf(backend.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 			nc, in := dial(t, addr)
 			for i := range 20 {
-				io.WriteString(nc, ask(i, readFields))
-				if a, b := line(t, in), line(t, in); a != "$16" || b != fmt.Sprintf("%016x", i) {
+				io.WriteString(nc, encodeRead(i, readFields))
+				if a, b := readLine(t, in), readLine(t, in); a != "$16" || b != fmt.Sprintf("%016x", i) {
 					t.Fatalf("request %d: answer %q %q", i, a, b)
 				}
 				if name == "copy apart" {
 					<-sent
 				}
 			}
-			if n := be.Conns.Load(); n != 20 {
+			if n := backend.Conns.Load(); n != 20 {
 				t.Fatalf("%d connections, want a new one each time", n)
 			}
 		})
@@ -422,7 +422,7 @@
 func TestIdleConnectionsOfSilentBackendAreDropped(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
-	be := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
+	backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		switch {
 		case n <= 3: // all three are out at once, each on its own connection
 			together.Done()
@@ -430,68 +430,68 @@
 		case n == 4:
 			return ""
 		}
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Connections.ConnectTimeout = 500 * time.Millisecond // less than the silent request's time
 	addr, _ := startIngress(t, cfg)
 	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields)+ask(2, readFields)+ask(3, readFields))
+	io.WriteString(nc, encodeRead(1, readFields)+encodeRead(2, readFields)+encodeRead(3, readFields))
 	for range 3 {
-		wantValue(t, in)
+		requireValue(t, in)
 	}
-	time.Sleep(rested) // the fourth goes out on one of the three
-	io.WriteString(nc, ask(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
-	if got := line(t, in); !strings.HasPrefix(got, "-BUSY") {
+	time.Sleep(reuseDelay) // the fourth goes out on one of the three
+	io.WriteString(nc, encodeRead(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
+	if got := readLine(t, in); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("answer %q", got)
 	}
-	io.WriteString(nc, ask(5, readFields))
-	wantValue(t, in)
-	if n := be.Conns.Load(); n != 4 {
+	io.WriteString(nc, encodeRead(5, readFields))
+	requireValue(t, in)
+	if n := backend.Conns.Load(); n != 4 {
 		t.Fatalf("%d connections, want a new one after the silence", n)
 	}
 }
 
 // With all descriptors for clients in use, an idle connection makes room for a new one.
-func TestIdleClientMakesRoom(t *testing.T) {
-	be := scripted.NewBackend(t, nil)
-	list := fleetOf(be.Addr)
+func TestIdleClientIsEvicted(t *testing.T) {
+	backend := scripted.NewBackend(t, nil)
+	list := fleetOf(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets = 128 // 16 for clients
 	addr, _ := startIngress(t, cfg)
 	for range 22 {
 		nc, in := dial(t, addr)
-		io.WriteString(nc, command("PING"))
-		if got := line(t, in); got != "+PONG" {
+		io.WriteString(nc, encodeCommand("PING"))
+		if got := readLine(t, in); got != "+PONG" {
 			t.Fatal(got)
 		}
 	}
 }
 
 // Beyond the open requests that the settings allow, or the memory for them, a request is turned away unseen.
-func TestMostOpen(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "" })
-	list := fleetOf(be.Addr)
+func TestOpenRequestsAreBounded(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "" })
+	list := fleetOf(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Connections.MaxOpen = 2
 	addr, _ := startIngress(t, cfg)
 	first, _ := dial(t, addr)
-	io.WriteString(first, ask(1, readFields)+ask(2, readFields))
-	for len(be.Seen()) < 2 {
+	io.WriteString(first, encodeRead(1, readFields)+encodeRead(2, readFields))
+	for len(backend.Seen()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(3, readFields))
-	if got := line(t, in); got != "-BUSY 250" {
+	io.WriteString(nc, encodeRead(3, readFields))
+	if got := readLine(t, in); got != "-BUSY 250" {
 		t.Fatalf("answer %q", got)
 	}
 }
 
 // A client that leaves ends its request: the attempt is given up, and nothing is kept of it.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnectEndsRequest(t *testing.T) {
 	gone := make(chan struct{})
-	be := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
+	backend := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 		go func() {
 			nc.Read(make([]byte, 1)) // ends when the ingress gives the attempt up
 			close(gone)
@@ -499,11 +499,11 @@
 		<-gone
 		return ""
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, _ := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
-	for len(be.Seen()) < 1 {
+	io.WriteString(nc, encodeRead(1, readFields))
+	for len(backend.Seen()) < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	nc.Close()
@@ -514,8 +514,8 @@
 // while hundreds of them sit there, usual clients still get in.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets = 128 // 48 for clients
 	addr, _ := startIngress(t, cfg)
@@ -527,8 +527,8 @@
 		case 1:
 			io.WriteString(nc, "*5\r\n$4\r\nQ.")
 		case 2:
-			io.WriteString(nc, command("PING"))
-			line(t, in)
+			io.WriteString(nc, encodeCommand("PING"))
+			readLine(t, in)
 		}
 		silent = append(silent, nc)
 	}
@@ -545,17 +545,17 @@
 	}
 	for i := range 20 {
 		nc, in := dial(t, addr)
-		io.WriteString(nc, ask(i, readFields))
-		wantValue(t, in)
+		io.WriteString(nc, encodeRead(i, readFields))
+		requireValue(t, in)
 	}
 }
 
 // Nonsense over and over is answered ever more slowly, and ends the connection.
-func TestRepeatedNonsense(t *testing.T) {
+func TestRepeatedProtocolErrors(t *testing.T) {
 	t.Parallel()
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, fleetOf(), nil), fleetOf()))
 	nc, in := dial(t, addr)
-	io.WriteString(nc, strings.Repeat(command("HELLO"), 500))
+	io.WriteString(nc, strings.Repeat(encodeCommand("HELLO"), 500))
 	rest, err := io.ReadAll(in)
 	if n := strings.Count(string(rest), "-ERR"); n > 10 || n == 0 {
 		t.Fatalf("%d errors, %v; want at most %d and the end", n, err, 10)
@@ -563,16 +563,16 @@
 }
 
 // A request's id is taken until its time is up, also once it has been answered: whoever copies it is not served.
-func TestCopiedID(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
+func TestDuplicateRequestID(t *testing.T) {
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
-	wantValue(t, in)
+	io.WriteString(nc, encodeRead(1, readFields))
+	requireValue(t, in)
 	other, in := dial(t, addr)
-	io.WriteString(other, ask(1, readFields))
-	if got := line(t, in); !strings.HasPrefix(got, "-ERR") {
+	io.WriteString(other, encodeRead(1, readFields))
+	if got := readLine(t, in); !strings.HasPrefix(got, "-ERR") {
 		t.Fatalf("answer %q", got)
 	}
 }
--- a/internal/ingress/large_values_test.go
+++ b/internal/ingress/large_values_test.go
@@ -33,12 +33,12 @@
 }
 
 // idOf is the number that ask has put into a command.
-func idOf(args []string) int {
+func requestID(args []string) int {
 	n, _ := strconv.ParseInt(args[2], 16, 32)
 	return int(n)
 }
 
-func answerOf(value []byte) string {
+func encodeValue(value []byte) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
@@ -63,9 +63,9 @@
 // middle.
 func TestLargeValuesInPieces(t *testing.T) {
 	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLarge, 3}
-	be := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
-		id := idOf(args)
-		b := []byte(answerOf(pattern(id, sizes[id])))
+	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
+		id := requestID(args)
+		b := []byte(encodeValue(pattern(id, sizes[id])))
 		r := rand.New(rand.NewPCG(uint64(id), 2))
 		for len(b) > 0 {
 			k := min(len(b), 1+r.IntN(1+len(b)/3))
@@ -83,12 +83,12 @@
 		}
 		return ""
 	})
-	list := fleetOf(be.Addr)
-	addr, _ := startGateway(t, testConfig(scripted.Registry(t, list, nil), list))
+	list := fleetOf(backend.Addr)
+	addr, _ := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	var all string
 	for id := range sizes {
-		all += ask(id, readFields)
+		all += encodeRead(id, readFields)
 	}
 	io.WriteString(nc, all)
 	for id, size := range sizes {
@@ -100,12 +100,12 @@
 }
 
 // A value that breaks off is visibly cut, a length beyond the bound is no value, and a client that goes ends the attempt.
-func TestLargeValueThatBreaksOff(t *testing.T) {
+func TestTruncatedLargeValue(t *testing.T) {
 	ended := make(chan struct{}, 9)
-	be := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
-		switch idOf(args) {
+	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
+		switch requestID(args) {
 		case 1:
-			io.WriteString(nc, answerOf(pattern(1, 1<<20))[:500000])
+			io.WriteString(nc, encodeValue(pattern(1, 1<<20))[:500000])
 			nc.Close()
 		case 2:
 			return fmt.Sprintf("*3\r\n$%d\r\nxxx", resp.MaxLarge+1)
@@ -122,24 +122,24 @@
 			}()
 			return fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLarge)
 		}
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
-	cfg := doorConfig(scripted.Registry(t, list, nil), list)
-	g, _ := runIngress(t, cfg)
-	nc, in := dial(t, g.Addr().String())
-	io.WriteString(nc, ask(1, readFields))
+	list := fleetOf(backend.Addr)
+	cfg := adminConfig(scripted.Registry(t, list, nil), list)
+	instance, _ := runIngress(t, cfg)
+	nc, in := dial(t, instance.Addr().String())
+	io.WriteString(nc, encodeRead(1, readFields))
 	if v, err := readValue(in); err == nil {
 		t.Fatalf("a value that broke off came as %d bytes", len(v))
 	}
-	nc, in = dial(t, g.Addr().String())
+	nc, in = dial(t, instance.Addr().String())
 	for id := 2; id <= 3; id++ {
-		io.WriteString(nc, ask(id, readFields))
-		if l := line(t, in); l[0] != '-' {
+		io.WriteString(nc, encodeRead(id, readFields))
+		if l := readLine(t, in); l[0] != '-' {
 			t.Fatalf("a length that lies was answered %q", l)
 		}
 	}
-	io.WriteString(nc, ask(4, readFields))
+	io.WriteString(nc, encodeRead(4, readFields))
 	io.ReadFull(in, make([]byte, 1<<20))
 	nc.Close()
 	select {
@@ -147,8 +147,8 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the attempt goes on though its client has left")
 	}
-	eventually(t, 5*time.Second, "nothing is open", func() bool { return figure(t, g, "current") == 0 })
-	if a, e := figure(t, g, "transactions.read.answered"), figure(t, g, "transactions.read.errored"); a != 0 || e == 0 {
+	eventually(t, 5*time.Second, "nothing is open", func() bool { return metricValue(t, instance, "current") == 0 })
+	if a, e := metricValue(t, instance, "transactions.read.answered"), metricValue(t, instance, "transactions.read.errored"); a != 0 || e == 0 {
 		t.Errorf("answered %d, errored %d: no value was whole", a, e)
 	}
 }
@@ -156,20 +156,20 @@
 // Many slow readers of large values cost little memory each, and nobody else waits for them.
 func TestSlowReadersOfLargeValues(t *testing.T) {
 	const readers, size, other = 200, resp.MaxLarge, 1000
-	value := []byte(answerOf(pattern(0, size))) // one for all: a string is copied for each write
-	be := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
-		if idOf(args) == other {
-			return served
+	value := []byte(encodeValue(pattern(0, size))) // one for all: a string is copied for each write
+	backend := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
+		if requestID(args) == other {
+			return servedReply
 		}
 		go nc.Write(value)
 		return ""
 	})
 	// A node has 48 connections, and the module counts a value that is on its way as done: it may send a 49th reader there, who is
 	// refused after 5 s and asks again.
-	list := fleetOf(slices.Repeat([]string{be.Addr}, 24)...)
+	list := fleetOf(slices.Repeat([]string{backend.Addr}, 24)...)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets, cfg.Memory = 1024, 32<<20
-	addr, _ := startGateway(t, cfg)
+	addr, _ := startInstance(t, cfg)
 	heap := func() int {
 		runtime.GC()
 		var m runtime.MemStats
@@ -187,7 +187,7 @@
 			nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 			head := ""
 			for try := range 4 {
-				io.WriteString(nc, ask(id+try<<16, readFields))
+				io.WriteString(nc, encodeRead(id+try<<16, readFields))
 				if head, _ = in.ReadString('\n'); !strings.HasPrefix(head, "-BUSY") {
 					break
 				}
@@ -220,8 +220,8 @@
 	}
 	nc, in := dial(t, addr)
 	began := time.Now()
-	io.WriteString(nc, ask(other, readFields))
-	wantValue(t, in)
+	io.WriteString(nc, encodeRead(other, readFields))
+	requireValue(t, in)
 	if d := time.Since(began); d > time.Second {
 		t.Errorf("another request took %v", d)
 	}
@@ -233,16 +233,16 @@
 // connection goes on; a longer one is an error that says so.
 func TestLargeBodies(t *testing.T) {
 	got := make(chan []string, 4)
-	be := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		got <- args
-		return served
+		return servedReply
 	})
-	list := fleetOf(be.Addr)
+	list := fleetOf(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Memory = 32 << 20 // 4 MiB for commands that come in
-	addr, _ := startGateway(t, cfg)
+	addr, _ := startInstance(t, cfg)
 	write := func(id, size int) string {
-		return command("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=write,t=p,d=50000,units=1,spread=1,first=0", string(pattern(id, size)))
+		return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=write,t=p,d=50000,units=1,spread=1,first=0", string(pattern(id, size)))
 	}
 	nc, in := dial(t, addr)
 	text := write(1, 1<<20)
@@ -251,33 +251,33 @@
 		io.WriteString(nc, text[from:from+n])
 		from += n
 	}
-	wantValue(t, in)
+	requireValue(t, in)
 	if args := <-got; len(args) != 5 || args[4] != string(pattern(1, 1<<20)) {
 		t.Fatalf("the node got %d arguments, not the body as it came", len(args))
 	}
-	go io.WriteString(nc, write(2, resp.MaxLarge)+ask(3, readFields))
-	if l := line(t, in); l != "-BUSY 250" {
+	go io.WriteString(nc, write(2, resp.MaxLarge)+encodeRead(3, readFields))
+	if l := readLine(t, in); l != "-BUSY 250" {
 		t.Fatalf("a body without room: %q", l)
 	}
-	wantValue(t, in)
+	requireValue(t, in)
 	go io.WriteString(nc, write(4, resp.MaxLarge+1))
-	if l := line(t, in); l != "-ERR value too long" {
+	if l := readLine(t, in); l != "-ERR value too long" {
 		t.Fatalf("a body that is too long: %q", l)
 	}
 }
 
 // A client may take two seconds for a head, and longer for a body that comes on.
 func TestSlowCommand(t *testing.T) {
-	be := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
-	list := fleetOf(be.Addr)
-	addr, _ := startGateway(t, testConfig(scripted.Registry(t, list, nil), list))
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
+	addr, _ := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
 	for name, c := range map[string]struct {
 		text  string
 		piece int
 		pause time.Duration
 	}{
-		"head": {ask(1, readFields), 12, 200 * time.Millisecond},
-		"body": {command("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 2), "c=write,t=p,d=50000,units=1,spread=1,first=0",
+		"head": {encodeRead(1, readFields), 12, 200 * time.Millisecond},
+		"body": {encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 2), "c=write,t=p,d=50000,units=1,spread=1,first=0",
 			strings.Repeat("x", 60000)), 2000, 110 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -288,7 +288,7 @@
 				io.WriteString(nc, c.text[from:min(len(c.text), from+c.piece)])
 				time.Sleep(c.pause)
 			}
-			wantValue(t, in)
+			requireValue(t, in)
 		})
 	}
 }
--- a/internal/ingress/partial_test.go
+++ b/internal/ingress/partial_test.go
@@ -15,11 +15,11 @@
 // Commands that come byte by byte are served like others, in their order and once each.
 func TestCommandsInSingleBytes(t *testing.T) {
 	t.Parallel()
-	node := newObservedNode(t, nil)
+	node := newObservedBackend(t, nil)
 	list := fleetOf(node.addr)
 	addr, _ := startIngress(t, testConfig(registryOf(t, list), list))
 	nc, in := dial(t, addr)
-	text := ask(1, readFields) + command("PING") + ask(2, readFields) + command("HELLO") + ask(3, readFields)
+	text := encodeRead(1, readFields) + encodeCommand("PING") + encodeRead(2, readFields) + encodeCommand("HELLO") + encodeRead(3, readFields)
 	for i := range len(text) {
 		if _, err := io.WriteString(nc, text[i:i+1]); err != nil {
 			t.Fatal(err)
@@ -27,7 +27,7 @@
 		time.Sleep(bytePause)
 	}
 	for _, want := range []string{"$5", "value", "+PONG", "$5", "value", "-ERR unknown command", "$5", "value"} {
-		if got := line(t, in); got != want {
+		if got := readLine(t, in); got != want {
 			t.Fatalf("answer %q, want %q", got, want)
 		}
 	}
@@ -38,7 +38,7 @@
 
 // A connection that ends within a command, wherever, ends with nothing sent on, no answer to what was no command, and no place kept. What was
 // answered before stays answered.
-func TestConnectionEndsWithinACommand(t *testing.T) {
+func TestConnectionEndsWithinCommand(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*net.TCPConn) error{
 		"closed":      (*net.TCPConn).Close,
@@ -52,16 +52,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			node := newObservedNode(t, nil)
+			node := newObservedBackend(t, nil)
 			list := fleetOf(node.addr)
-			addr, g := startGateway(t, testConfig(registryOf(t, list), list))
-			text := ask(1<<20, readFields)
+			addr, instance := startInstance(t, testConfig(registryOf(t, list), list))
+			text := encodeRead(1<<20, readFields)
 			for cut := 1; cut < len(text); cut++ {
 				nc, in := dial(t, addr)
 				before := cut%5 == 0 // of some, a whole command comes first
 				if before {
-					io.WriteString(nc, ask(cut, readFields))
-					wantValue(t, in)
+					io.WriteString(nc, encodeRead(cut, readFields))
+					requireValue(t, in)
 				}
 				io.WriteString(nc, text[:cut])
 				if cut%3 == 0 { // of some, what is there is read before the end comes
@@ -77,11 +77,11 @@
 					t.Fatalf("after %d of %d bytes and the end: %q, %v", cut, len(text), rest, err)
 				}
 			}
-			eventually(t, 5*time.Second, "no connection is kept", func() bool { return g.front.Load().OpenConnections() == 0 })
+			eventually(t, 5*time.Second, "no connection is kept", func() bool { return instance.front.Load().OpenConnections() == 0 })
 			if n, _ := node.commands(); n != (len(text)-1)/5 {
 				t.Errorf("%d commands were sent on, want the %d whole ones", n, (len(text)-1)/5)
 			}
-			if n := g.core.Metrics().Current(); n != 0 {
+			if n := instance.core.Metrics().Current(); n != 0 {
 				t.Errorf("%d requests are open", n)
 			}
 		})
@@ -90,7 +90,7 @@
 
 // A half command at SIGTERM is owed its end: the rest is waited for. It is served while the ingress serves, then refused; one whose rest
 // doesn't come ends with its connection, and never keeps the process beyond its time.
-func TestHalfCommandAtShutdown(t *testing.T) {
+func TestPartialCommandAtShutdown(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name  string
@@ -102,7 +102,7 @@
 		{"the rest too late", commandGrace + 300*time.Millisecond, "-BUSY "},
 		{"no rest", 0, ""},
 	}
-	node := newObservedNode(t, nil)
+	node := newObservedBackend(t, nil)
 	list := fleetOf(node.addr)
 	addr, stop := startIngress(t, testConfig(registryOf(t, list), list))
 	type client struct {
@@ -110,7 +110,7 @@
 		all chan string
 	}
 	clients := make([]client, len(cases))
-	text := func(n int) string { return ask(n+1, readFields) }
+	text := func(n int) string { return encodeRead(n+1, readFields) }
 	for n := range cases {
 		nc, in := dial(t, addr)
 		clients[n] = client{nc, make(chan string, 1)}
@@ -151,26 +151,26 @@
 
 // A backend that answers a part and falls silent, wherever, is waited for 0.2 s. The request has one end: the answer of another backend where
 // it may be repeated, else a failure; the connection with the part is closed, so that the rest is taken for nothing else.
-func TestBackendFallsSilentWithinAnAnswer(t *testing.T) {
+func TestBackendFallsSilentWithinAnswer(t *testing.T) {
 	t.Parallel()
 	const most = 2 * time.Second // the backend's 0.2 s, and room for a machine that is busy; the request has 50 s
 	for _, class := range []struct {
 		name, command, want string
 		attempts            int
 	}{
-		{"safe", ask(1, readFields), "$5", 2},
-		{"unsafe", command("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 1), strings.Replace(readFields, "c=read", "c=write", 1)), "-ERR", 2},
+		{"safe", encodeRead(1, readFields), "$5", 2},
+		{"unsafe", encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 1), strings.Replace(readFields, "c=read", "c=write", 1)), "-ERR", 2},
 	} {
 		t.Run(class.name, func(t *testing.T) {
 			t.Parallel()
-			for cut := 1; cut < len(served); cut++ {
-				t.Run(fmt.Sprintf("after %d of %d bytes", cut, len(served)), func(t *testing.T) {
+			for cut := 1; cut < len(servedReply); cut++ {
+				t.Run(fmt.Sprintf("after %d of %d bytes", cut, len(servedReply)), func(t *testing.T) {
 					t.Parallel()
-					node := newObservedNode(t, func(n int) string {
+					node := newObservedBackend(t, func(n int) string {
 						if n == 1 {
-							return served[:cut]
+							return servedReply[:cut]
 						}
-						return served
+						return servedReply
 					})
 					list := fleetOf(node.addr)
 					cfg := testConfig(registryOf(t, list), list)
@@ -178,18 +178,18 @@
 					addr, _ := startIngress(t, cfg)
 					nc, in := dial(t, addr)
 					began := time.Now()
-					io.WriteString(nc, class.command+command("PING"))
-					got := line(t, in)
+					io.WriteString(nc, class.command+encodeCommand("PING"))
+					got := readLine(t, in)
 					if !strings.HasPrefix(got, class.want) {
 						t.Fatalf("answer %q, want %s", got, class.want)
 					}
 					if strings.HasPrefix(got, "$") {
-						line(t, in)
+						readLine(t, in)
 					}
 					if took := time.Since(began); took > most {
 						t.Errorf("answered after %v", took)
 					}
-					if got := line(t, in); got != "+PONG" {
+					if got := readLine(t, in); got != "+PONG" {
 						t.Fatalf("behind the answer %q", got)
 					}
 					if open := node.connections(); open > 1 {
--- a/internal/ingress/quota_test.go
+++ b/internal/ingress/quota_test.go
@@ -14,15 +14,15 @@
 )
 
 // A real ingress states how its quotas stand; a span that is none is one line that names it.
-func TestServesBudgets(t *testing.T) {
-	list := fleetOf(scripted.NewBackend(t, func(int, []string, net.Conn) string { return served }).Addr)
+func TestQuotaBounds(t *testing.T) {
+	list := fleetOf(scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply }).Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Metrics = freeAddr(t)
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
-	addr, _ := startGateway(t, cfg)
+	addr, _ := startInstance(t, cfg)
 	nc, in := dial(t, addr)
-	io.WriteString(nc, ask(1, readFields))
-	line(t, in)
+	io.WriteString(nc, encodeRead(1, readFields))
+	readLine(t, in)
 	get := func(query string) (int, string) {
 		resp, err := http.Get("http://" + cfg.Metrics + "/budgets" + query)
 		if err != nil {
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	toldWithin   = 2 * time.Second        // of the moment in which discovery could be reached and had the change: nothing new is sent then
-	toldAtStart  = 3 * time.Second        // the same for many instances that move to one discovery: they begin there within 2 s of one another
-	toldAtReturn = 5 * time.Second        // and where the watches of many end: they come back within 4 s
-	toldAtLast   = 6 * time.Second        // the same for many instances that ask, where a call failed before
-	quietFor     = 500 * time.Millisecond // that is looked on after that
-	loadClients  = 6
-	loadPause    = 3 * time.Millisecond
-	agentRevives = 700 * time.Millisecond
+	stopsWithin             = 2 * time.Second        // of the moment in which discovery could be reached and had the change: nothing new is sent then
+	stopsWithinAtMove       = 3 * time.Second        // the same for many instances that move to one discovery: they begin there within 2 s of one another
+	stopsWithinAtReturn     = 5 * time.Second        // and where the watches of many end: they come back within 4 s
+	stopsWithinAfterFailure = 6 * time.Second        // the same for many instances that ask, where a call failed before
+	observationTime         = 500 * time.Millisecond // that is looked on after that
+	loadClients             = 6
+	loadPause               = 3 * time.Millisecond
+	agentRevives            = 700 * time.Millisecond
 )
 
 // agent is a stand-in of discovery whose calls a test answers one by one: list is for a whole list, watch for the nth watch, from 1.
-type agent struct {
-	addr  string
-	mu    sync.Mutex
-	n     int
-	list  func(w http.ResponseWriter, r *http.Request)
-	watch func(n int, w http.ResponseWriter, r *http.Request)
+type discoveryAgent struct {
+	addr    string
+	mu      sync.Mutex
+	watches int
+	list    func(w http.ResponseWriter, r *http.Request)
+	watch   func(n int, w http.ResponseWriter, r *http.Request)
 }
 
-func newAgent(t testing.TB, list func(http.ResponseWriter, *http.Request), watch func(int, http.ResponseWriter, *http.Request)) *agent {
+func newDiscoveryAgent(t testing.TB, list func(http.ResponseWriter, *http.Request), watch func(int, http.ResponseWriter, *http.Request)) *discoveryAgent {
 	t.Helper()
-	a := &agent{list: list, watch: watch}
+	a := &discoveryAgent{list: list, watch: watch}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("follow") == "" {
 			a.list(w, r)
 			return
 		}
 		a.mu.Lock()
-		a.n++
-		n := a.n
+		a.watches++
+		n := a.watches
 		a.mu.Unlock()
 		a.watch(n, w, r)
 	}))
@@ -59,16 +59,16 @@
 // registryOf is an agent of one list whose watch stays open, and begins with the list where the caller holds another revision.
 func registryOf(t testing.TB, list discovery.List) (addr string) {
 	t.Helper()
-	return newAgent(t, tell(list), func(_ int, w http.ResponseWriter, r *http.Request) {
+	return newDiscoveryAgent(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("since") != fmt.Sprint(list.Rev) {
-			tell(list)(w, r)
+			serveList(list)(w, r)
 		}
-		stay(w, r)
+		keepWatchOpen(w, r)
 	}).addr
 }
 
 // tell answers a call with a list.
-func tell(list discovery.List) func(http.ResponseWriter, *http.Request) {
+func serveList(list discovery.List) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(list)
 		w.(http.Flusher).Flush()
@@ -76,7 +76,7 @@
 }
 
 // stay keeps a watch open, with an empty line now and then.
-func stay(w http.ResponseWriter, r *http.Request) {
+func keepWatchOpen(w http.ResponseWriter, r *http.Request) {
 	w.(http.Flusher).Flush()
 	for {
 		select {
@@ -90,7 +90,7 @@
 }
 
 // with is a list with another revision and another state of its first node; "" leaves that out.
-func with(list discovery.List, rev int64, state string) discovery.List {
+func withFirstBackend(list discovery.List, rev int64, state string) discovery.List {
 	out := discovery.List{Rev: rev, Complete: true}
 	for n, target := range list.Targets {
 		if n == 0 {
@@ -104,7 +104,7 @@
 }
 
 // load asks without a pause, from several clients, until the test ends; each request is to be served.
-func load(t *testing.T, addr string) {
+func startLoad(t *testing.T, addr string) {
 	t.Helper()
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -117,7 +117,7 @@
 					return
 				case <-time.After(loadPause):
 				}
-				io.WriteString(nc, ask(id, readFields))
+				io.WriteString(nc, encodeRead(id, readFields))
 				head, err := in.ReadString('\n')
 				if err == nil && strings.HasPrefix(head, "$") {
 					_, err = in.ReadString('\n')
@@ -138,7 +138,7 @@
 // SIGHUP moves discovery while a backend drains, and lists come in the worst ways that the platform allows. From 2 s after the change could be
 // told nothing new reaches the backend that drains or is left out, though it still answers; its idle connections are closed; all clients are
 // served by the others, and those that wait at it too.
-func TestReloadWhileABackendDrains(t *testing.T) {
+func TestReloadWhileBackendDrains(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		state   string // of the first backend by the new list; "": left out
@@ -149,16 +149,16 @@
 		"a whole list says that it drains": {state: "DRAINING", to: listed},
 		"a whole list leaves it out":       {to: listed},
 		"a whole list on the watch alone": {to: func(t *testing.T, list discovery.List, state string) string {
-			return newAgent(t, unavailable, func(_ int, w http.ResponseWriter, r *http.Request) {
-				tell(with(list, 6, state))(w, r)
-				stay(w, r)
+			return newDiscoveryAgent(t, unavailable, func(_ int, w http.ResponseWriter, r *http.Request) {
+				serveList(withFirstBackend(list, 6, state))(w, r)
+				keepWatchOpen(w, r)
 			}).addr
 		}},
 		"the new watch ends, then a whole list": {failed: true, to: func(t *testing.T, list discovery.List, state string) string {
-			return newAgent(t, unavailable, func(n int, w http.ResponseWriter, r *http.Request) {
+			return newDiscoveryAgent(t, unavailable, func(n int, w http.ResponseWriter, r *http.Request) {
 				if n > 1 {
-					tell(with(list, 6, state))(w, r)
-					stay(w, r)
+					serveList(withFirstBackend(list, 6, state))(w, r)
+					keepWatchOpen(w, r)
 				}
 			}).addr
 		}},
@@ -171,14 +171,14 @@
 				}
 				return false
 			}
-			return newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+			return newDiscoveryAgent(t, func(w http.ResponseWriter, r *http.Request) {
 				if !hang(r) {
-					tell(with(list, 6, state))(w, r)
+					serveList(withFirstBackend(list, 6, state))(w, r)
 				}
 			}, func(_ int, w http.ResponseWriter, r *http.Request) {
 				if !hang(r) {
-					tell(with(list, 6, state))(w, r)
-					stay(w, r)
+					serveList(withFirstBackend(list, 6, state))(w, r)
+					keepWatchOpen(w, r)
 				}
 			}).addr
 		}},
@@ -186,21 +186,21 @@
 		for _, many := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, many %v", name, many), func(t *testing.T) {
 				t.Parallel()
-				drains, stays := newObservedNode(t, nil), newObservedNode(t, nil)
+				drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
 				list := fleetOf(drains.addr, stays.addr)
 				list.Rev = 5
-				addr, g := startGateway(t, reloadConfig(registryOf(t, list), list, many))
-				load(t, addr)
+				addr, instance := startInstance(t, reloadConfig(registryOf(t, list), list, many))
+				startLoad(t, addr)
 				awaitLoad(t, drains)
 				to := c.to(t, list, c.state)
 				moved := time.Now()
-				g.SetAddresses(to, "")
-				within := toldWithin
+				instance.SetAddresses(to, "")
+				within := stopsWithin
 				switch {
 				case many && c.failed:
-					within = toldAtLast
+					within = stopsWithinAfterFailure
 				case many:
-					within = toldAtStart
+					within = stopsWithinAtMove
 				}
 				nothingMoreAt(t, drains, moved.Add(c.reached), within)
 			})
@@ -209,8 +209,8 @@
 }
 
 // reloadConfig is of an ingress alone, or of one of 24 that ask one discovery.
-func reloadConfig(disc string, known discovery.List, many bool) Config {
-	cfg := testConfig(disc, known)
+func reloadConfig(discoveryAddr string, known discovery.List, many bool) Config {
+	cfg := testConfig(discoveryAddr, known)
 	cfg.Settings.MaxAttempts, cfg.Settings.MayProbe = 3, true
 	if many {
 		cfg.Settings.Instances, cfg.Settings.PollEndpoints = 24, true
@@ -219,7 +219,7 @@
 }
 
 // A watch that ends is followed by a whole list that leaves a backend out, or by one that has it drain: it counts as told by that.
-func TestWholeListAfterAnEndedWatch(t *testing.T) {
+func TestCompleteListAfterEndedWatch(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ last, state string }{
 		{"", ""},
@@ -229,11 +229,11 @@
 		for _, many := range []bool{false, true} { // instances that share what discovery can do
 			t.Run(fmt.Sprintf("last word %q, state %q, many %v", c.last, c.state, many), func(t *testing.T) {
 				t.Parallel()
-				drains, stays := newObservedNode(t, nil), newObservedNode(t, nil)
+				drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
 				list := fleetOf(drains.addr, stays.addr)
 				list.Rev = 5
 				end := make(chan struct{})
-				a := newAgent(t, tell(list), func(n int, w http.ResponseWriter, r *http.Request) {
+				a := newDiscoveryAgent(t, serveList(list), func(n int, w http.ResponseWriter, r *http.Request) {
 					w.(http.Flusher).Flush()
 					if n == 1 {
 						io.WriteString(w, "\n")
@@ -242,22 +242,22 @@
 						io.WriteString(w, c.last)
 						return
 					}
-					tell(with(list, 6, c.state))(w, r)
-					stay(w, r)
+					serveList(withFirstBackend(list, 6, c.state))(w, r)
+					keepWatchOpen(w, r)
 				})
 				addr, _ := startIngress(t, reloadConfig(a.addr, list, many))
-				load(t, addr)
+				startLoad(t, addr)
 				awaitLoad(t, drains)
 				eventually(t, 5*time.Second, "the watch is open", func() bool {
 					a.mu.Lock()
 					defer a.mu.Unlock()
-					return a.n == 1
+					return a.watches == 1
 				})
 				ended := time.Now()
 				close(end)
-				within := toldWithin
+				within := stopsWithin
 				if many {
-					within = toldAtReturn
+					within = stopsWithinAtReturn
 				}
 				nothingMoreAt(t, drains, ended, within)
 			})
@@ -266,74 +266,74 @@
 }
 
 // A drain that was told holds over a move to an agent that is behind: an older list, whole, revives nobody.
-func TestReloadToAnOlderListRevivesNobody(t *testing.T) {
+func TestReloadToOlderListRevivesNoBackend(t *testing.T) {
 	t.Parallel()
-	drains, stays := newObservedNode(t, nil), newObservedNode(t, nil)
+	drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
 	list := fleetOf(drains.addr, stays.addr)
 	list.Rev = 5
-	from := newAgent(t, tell(with(list, 6, "DRAINING")), func(_ int, w http.ResponseWriter, r *http.Request) { stay(w, r) })
-	addr, g := startGateway(t, reloadConfig(from.addr, list, false))
+	from := newDiscoveryAgent(t, serveList(withFirstBackend(list, 6, "DRAINING")), func(_ int, w http.ResponseWriter, r *http.Request) { keepWatchOpen(w, r) })
+	addr, instance := startInstance(t, reloadConfig(from.addr, list, false))
 	told := time.Now()
-	load(t, addr)
-	time.Sleep(quietFor)
-	g.SetAddresses(registryOf(t, list), "") // revision 5, in which it serves
-	nothingMoreAt(t, drains, told, toldWithin)
+	startLoad(t, addr)
+	time.Sleep(observationTime)
+	instance.SetAddresses(registryOf(t, list), "") // revision 5, in which it serves
+	nothingMoreAt(t, drains, told, stopsWithin)
 }
 
 // What runs at a backend that a whole list leaves out ends there, and reaches its client; then the connections to it are closed. One that is
 // listed again later is used again.
-func TestBackendLeftOutEndsItsWork(t *testing.T) {
+func TestUnlistedBackendCompletesItsWork(t *testing.T) {
 	t.Parallel()
 	const held, firstHeld = 3, 1 << 30 // requests that it works on; nobody else may do that again
 	unsafe := strings.Replace(readFields, "c=read", "c=write", 1)
 	release := make(chan struct{})
-	leaves := newObservedNode(t, func(n int) string {
+	leaves := newObservedBackend(t, func(n int) string {
 		if n <= held {
 			<-release
 		}
-		return served
+		return servedReply
 	})
-	stays := newObservedNode(t, nil)
+	stays := newObservedBackend(t, nil)
 	list := fleetOf(leaves.addr)
 	changes := make(chan discovery.List)
-	a := newAgent(t, tell(list), func(_ int, w http.ResponseWriter, r *http.Request) {
+	a := newDiscoveryAgent(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		for {
 			select {
 			case <-r.Context().Done():
 				return
 			case l := <-changes:
-				tell(l)(w, r)
+				serveList(l)(w, r)
 			}
 		}
 	})
-	addr, g := startGateway(t, reloadConfig(a.addr, list, false))
+	addr, instance := startInstance(t, reloadConfig(a.addr, list, false))
 	waiting, in := dial(t, addr)
 	for id := range held {
-		io.WriteString(waiting, command("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", firstHeld+id), unsafe))
+		io.WriteString(waiting, encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", firstHeld+id), unsafe))
 	}
 	eventually(t, 5*time.Second, "it works on them", func() bool {
 		n, _ := leaves.commands()
 		return n == held
 	})
 	both := fleetOf(leaves.addr, stays.addr)
-	changes <- with(both, 2, "")
-	load(t, addr)
+	changes <- withFirstBackend(both, 2, "")
+	startLoad(t, addr)
 	awaitLoad(t, stays) // the change is known
 	before, _ := leaves.commands()
-	time.Sleep(quietFor)
+	time.Sleep(observationTime)
 	if n, _ := leaves.commands(); n > before {
 		t.Errorf("%d commands came after the list", n-before)
 	}
 	close(release)
 	for range held {
-		wantValue(t, in)
+		requireValue(t, in)
 	}
 	eventually(t, 2*time.Second, "its connections are closed", func() bool { return leaves.connections() == 0 })
-	if n := g.core.Metrics().Current(); n > loadClients {
+	if n := instance.core.Metrics().Current(); n > loadClients {
 		t.Errorf("%d requests are open", n)
 	}
-	changes <- with(both, 3, "SERVING")
+	changes <- withFirstBackend(both, 3, "SERVING")
 	eventually(t, 5*time.Second, "it is used again", func() bool {
 		n, _ := leaves.commands()
 		return n > before
@@ -342,7 +342,7 @@
 
 // listed is an agent that has the change and tells it on each call.
 func listed(t *testing.T, list discovery.List, state string) (addr string) {
-	return registryOf(t, with(list, 6, state))
+	return registryOf(t, withFirstBackend(list, 6, state))
 }
 
 // unavailable answers 503.
@@ -351,7 +351,7 @@
 }
 
 // awaitLoad waits until a backend is busy.
-func awaitLoad(t *testing.T, n *observedNode) {
+func awaitLoad(t *testing.T, n *observedBackend) {
 	t.Helper()
 	eventually(t, 10*time.Second, "the backend is used", func() bool {
 		number, _ := n.commands()
@@ -361,9 +361,9 @@
 
 // nothingMoreAt waits until a change counts as told and a while on, and reports what still came at a backend after it, and connections that are
 // open there still.
-func nothingMoreAt(t *testing.T, n *observedNode, reachable time.Time, within time.Duration) {
+func nothingMoreAt(t *testing.T, n *observedBackend, reachable time.Time, within time.Duration) {
 	t.Helper()
-	time.Sleep(time.Until(reachable.Add(within + quietFor)))
+	time.Sleep(time.Until(reachable.Add(within + observationTime)))
 	_, last := n.commands()
 	if last.IsZero() {
 		last = reachable
