--- /dev/null
+++ b/internal/ingress/backend_test.go
@@ -0,0 +1,82 @@
+package ingress
+
+import (
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"hitchspring/internal/standin/scripted"
+)
+
+// sight is one command as a backend saw it.
+type receivedCommand struct {
+	receivedAt time.Time
+	args       []string
+}
+
+// observedNode is a backend that answers as a test says, and records when commands came and how many connections are open.
+type observedBackend struct {
+	addr            string
+	answer          func(n int) string // to the nth command, from 1; "" is silence
+	mu              sync.Mutex
+	received        []receivedCommand
+	openConnections int
+}
+
+// newObservedNode starts a backend; nil answers each command with a value.
+func newObservedBackend(t testing.TB, answer func(backend int) string) *observedBackend {
+	t.Helper()
+	if answer == nil {
+		answer = func(int) string { return servedReply }
+	}
+	backend := &observedBackend{answer: answer}
+	backend.addr = scripted.Listen(t, backend.serve)
+	return backend
+}
+
+func (b *observedBackend) serve(nc net.Conn) {
+	b.count(1)
+	defer b.count(-1)
+	for in := redcon.NewReader(nc); ; {
+		cmd, err := in.ReadCommand()
+		if err != nil {
+			return
+		}
+		args := make([]string, 0, len(cmd.Args))
+		for _, a := range cmd.Args {
+			args = append(args, string(a))
+		}
+		b.mu.Lock()
+		b.received = append(b.received, receivedCommand{time.Now(), args})
+		number := len(b.received)
+		b.mu.Unlock()
+		io.WriteString(nc, b.answer(number))
+	}
+}
+
+func (b *observedBackend) count(by int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.openConnections += by
+}
+
+// connections is how many are open now.
+func (b *observedBackend) connections() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.openConnections
+}
+
+// commands is how many came so far, and when the last one did.
+func (b *observedBackend) commands() (number int, last time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.received) > 0 {
+		last = b.received[len(b.received)-1].receivedAt
+	}
+	return len(b.received), last
+}
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"sync/atomic"
@@ -12,31 +13,32 @@
 	"hitchspring/internal/override"
 )
 
-// giveTime is what giving over may take; after it the next process starts without.
-const giveTime = 300 * time.Millisecond
+// handoverTimeout is for writing the state for the next process, which starts
+// without it afterwards.
+const handoverTimeout = 300 * time.Millisecond
 
-// keep takes a place in the folder that the processes of this ingress share, and follows what the others say there. Where that
-// fails, the ingress serves without.
-func (g *Instance) keep() (end func()) {
-	if g.cfg.StateDir == "" {
+// errStopped says that the instance was stopped before it could accept clients.
+var errStopped = errors.New("stopped before it served")
+
+// openStateDir opens the directory that the processes of this ingress share, and
+// follows what the others write there until end is called. If that fails, the
+// instance serves without it.
+func (i *Instance) openStateDir() (end func()) {
+	if i.config.StateDir == "" {
 		return func() {}
 	}
-	dir, err := handover.Open(g.cfg.StateDir, g.cfg.Listen, g.log)
+	dir, err := handover.Open(i.config.StateDir, i.config.Listen, i.log)
 	if err != nil {
-		g.log.Warn("nothing is kept for the next process", "err", err)
+		i.log.Warn("state directory unusable, serving without it", "dir", i.config.StateDir, "err", err)
 		return func() {}
 	}
-	g.words.dir.Store(dir)
-	g.core.MergeOverrides(dir.Overrides())
+	i.overrides.dir.Store(dir)
+	i.core.MergeOverrides(dir.Overrides())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		dir.Watch(ctx, func(others int) {
-			g.others.Store(int64(others))
-			g.core.SetSiblings(others)
-			g.room()
-		}, g.core.MergeOverrides)
+		dir.Watch(ctx, i.setSiblingCount, i.core.MergeOverrides)
 	}()
 	return func() {
 		cancel()
@@ -45,52 +47,63 @@
 	}
 }
 
-// room leaves half of the clients' places to another process while there is one.
-func (g *Instance) room() {
-	f := g.front.Load()
-	switch {
-	case f == nil:
-	case g.others.Load() > 0:
-		f.SetMaxConnections(max(leastConns, (f.MaxConnections()-spare-admin.MaxConnections)/2)) // what is not for clients each has for itself
-	default:
-		f.SetMaxConnections(f.MaxConnections())
+func (i *Instance) setSiblingCount(count int) {
+	i.siblingCount.Store(int64(count))
+	i.core.SetSiblings(count)
+	i.shareConnections()
+}
+
+// shareConnections leaves half of the clients' connections to another process of
+// this ingress while there is one. The descriptors that are not for clients each
+// process has for itself.
+func (i *Instance) shareConnections() {
+	front := i.front.Load()
+	if front == nil {
+		return
+	}
+	limit := front.MaxConnections()
+	if i.siblingCount.Load() > 0 {
+		limit = max(minClientConnections, (limit-reservedDescriptors-admin.MaxConnections)/2)
 	}
+	front.SetMaxConnections(limit)
 }
 
-// listen opens the clients' socket. Where the platform holds it, this process is ready to serve from here on, and takes clients
-// when the one before takes none any more; nil, nil where ctx ends first.
-func (g *Instance) listen(ctx context.Context) (net.Listener, error) {
-	if g.cfg.Listener == nil {
-		ln, err := net.Listen("tcp", g.cfg.Listen)
+// listen opens the clients' socket. If the platform holds it, this process is
+// prepared to serve from here on, but accepts clients only when the process before
+// it no longer does. It returns errStopped if ctx ends before.
+func (i *Instance) listen(ctx context.Context) (net.Listener, error) {
+	if i.config.Listener == nil {
+		listener, err := net.Listen("tcp", i.config.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("listening: %w", err)
 		}
-		return ln, nil
+		return listener, nil
 	}
-	g.prepared.Store(true)
-	dir := g.words.dir.Load()
+	i.prepared.Store(true)
+	dir := i.overrides.dir.Load()
 	if dir == nil {
-		return g.cfg.Listener, nil
+		return i.config.Listener, nil
 	}
 	began := time.Now()
 	if err := dir.Lock(ctx); err != nil {
 		if ctx.Err() != nil {
-			g.cfg.Listener.Close()
-			return nil, nil
+			i.config.Listener.Close()
+			return nil, errStopped
 		}
-		g.log.Warn("takes the clients beside any other process", "err", err)
-		return g.cfg.Listener, nil
+		i.log.Warn("handover lock unavailable, accepting clients beside any other process", "err", err)
+		return i.config.Listener, nil
 	}
-	if s, ok := dir.ReadState(time.Duration(time.Now().UnixNano())); ok {
-		g.core.AcceptHandover(s)
+	if state, ok := dir.ReadState(time.Duration(time.Now().UnixNano())); ok {
+		i.core.AcceptHandover(state)
 	}
-	g.log.Info("takes the clients", "waited", time.Since(began).Round(time.Millisecond))
-	return g.cfg.Listener, nil
+	i.log.Info("accepting clients", "waited", time.Since(began).Round(time.Millisecond))
+	return i.config.Listener, nil
 }
 
-// handOn leaves what is known to the next process, if there is one, and lets it take the clients.
-func (g *Instance) handOn() {
-	dir := g.words.dir.Load()
+// handOver writes the core's state for the next process, if there is one, and lets
+// it accept the clients.
+func (i *Instance) handOver() {
+	dir := i.overrides.dir.Load()
 	if dir == nil {
 		return
 	}
@@ -98,24 +111,25 @@
 	if dir.SiblingCount() == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), giveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
-	s, err := g.core.HandOver(ctx)
+	state, err := i.core.HandOver(ctx)
 	if err == nil {
-		err = dir.WriteState(s)
+		err = dir.WriteState(state)
 	}
 	if err != nil {
-		g.log.Warn("the next process starts without what is known here", "err", err)
+		i.log.Warn("handover state not written, next process starts without it", "err", err)
 	}
 }
 
-// words keeps operators' words in the folder, where there is one that can be used.
-type words struct{ dir atomic.Pointer[handover.Dir] }
+// overrideStore stores operators' overrides in the state directory, if there is one
+// that can be used.
+type overrideStore struct{ dir atomic.Pointer[handover.Dir] }
 
-// Save is core.WordStore's.
-func (w *words) Save(said []override.Override) error {
-	if d := w.dir.Load(); d != nil {
-		return d.Save(said)
+// Save implements the store that the core writes overrides to.
+func (s *overrideStore) Save(overrides []override.Override) error {
+	if dir := s.dir.Load(); dir != nil {
+		return dir.Save(overrides)
 	}
 	return nil
 }
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -9,43 +9,46 @@
 )
 
 const (
-	graceOpen = 600 * time.Millisecond // after SIGTERM: new connections go on being served
-	graceTake = 700 * time.Millisecond // after SIGTERM: what has been taken by then is owed its whole time, and the platform leaves that
-	graceMost = 3 * time.Second        // of a request's time
-	graceEnd  = 100 * time.Millisecond // before the platform's SIGKILL all has ended, and so long before that all is answered: answers take time to leave
+	listenerGrace    = 600 * time.Millisecond // after SIGTERM, in which new connections are served
+	commandGrace     = 700 * time.Millisecond // after SIGTERM, in which commands are taken that have all their time
+	maxRequestGrace  = 3 * time.Second        // for a request that was taken
+	lastAnswersGrace = 100 * time.Millisecond // from the last answers to the end, and from the end to SIGKILL
 )
 
-// shutDown answers what has been taken and returns when all clients have gone, or when their time is over. Each of its times counts from when
-// the process was told to end, whatever the steps before it have taken: the platform's SIGKILL counts from there. Connections are closed no
-// sooner than graceEnd after the last answers, also where the process was held up: these come first, however late they are.
-func (g *Instance) shutDown(f *resp.Front, told time.Time) {
-	g.log.Info("shutting down")
-	g.over.Store(true)
-	f.StartDrain()
-	if g.cfg.Listener != nil { // the next process has the queue
-		f.Close()
-		g.handOn()
+// shutDown answers what has been taken and returns when all clients have
+// disconnected, or when their time is over.
+//
+// Its times count from signaledAt, whatever the steps before have taken, since the
+// platform's SIGKILL counts from there. Connections are closed no sooner than
+// lastAnswersGrace after the last answers, even if the process was delayed.
+func (i *Instance) shutDown(front *resp.Front, signaledAt time.Time) {
+	i.log.Info("shutting down")
+	i.shuttingDown.Store(true)
+	front.StartDrain()
+	if i.config.Listener != nil { // the next process accepts what is in the listen queue
+		front.Close()
+		i.handOver()
 	}
-	if g.auth != nil {
-		g.auth.Unready()
+	if i.auth != nil {
+		i.auth.Unready()
 	}
-	time.Sleep(time.Until(told.Add(graceOpen)))
+	time.Sleep(time.Until(signaledAt.Add(listenerGrace)))
 	limit, endLimit := context.WithCancel(context.Background())
 	lastAnswers := make(chan struct{})
-	timer := time.AfterFunc(time.Until(told.Add(graceAll(g.cfg.Settings)-graceEnd)), func() {
+	timer := time.AfterFunc(time.Until(signaledAt.Add(shutdownTimeout(i.config.Settings)-lastAnswersGrace)), func() {
 		defer close(lastAnswers)
-		g.core.AnswerAll()
-		pause(limit, graceEnd)
+		i.core.AnswerAll()
+		waitFor(limit, lastAnswersGrace)
 		endLimit()
 	})
 	gatesDone := make(chan struct{})
 	go func() {
 		defer close(gatesDone)
-		if g.auth != nil {
-			g.auth.Drain(limit)
+		if i.auth != nil {
+			i.auth.Drain(limit)
 		}
 	}()
-	f.Drain(limit)
+	front.Drain(limit)
 	<-gatesDone
 	endLimit()
 	if !timer.Stop() {
@@ -53,8 +56,8 @@
 	}
 }
 
-// pause waits, unless ctx ends before.
-func pause(ctx context.Context, d time.Duration) {
+// waitFor waits for d, unless ctx ends before.
+func waitFor(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -63,12 +66,13 @@
 	}
 }
 
-// graceAll is when an ingress is gone after SIGTERM: before the platform's SIGKILL, which comes no sooner than the longest time that a client
-// waits after the last request that is taken.
-func graceAll(set policy.Settings) time.Duration {
+// shutdownTimeout is the time from SIGTERM to the end of the process. It is over
+// before the platform's SIGKILL, which comes no sooner than the longest deadline of
+// a class after commandGrace.
+func shutdownTimeout(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, graceMost) + graceTake - graceEnd
+	return min(longest, maxRequestGrace) + commandGrace - lastAnswersGrace
 }
