--- a/cmd/hitchspring/instance_test.go
+++ b/cmd/hitchspring/instance_test.go
@@ -1,16 +1,14 @@
 package main
 
 import (
-	"bytes"
+	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"sync"
 	"testing"
 	"time"
 
@@ -18,116 +16,112 @@
 )
 
 const (
-	pingEvery   = 20 * time.Millisecond  // between two looks whether an instance is ready
-	pingTimeout = 500 * time.Millisecond // for one answer to PING
+	pingInterval   = 20 * time.Millisecond  // between two checks whether an instance is ready
+	pingTimeout    = 500 * time.Millisecond // for one answer to PING
+	requestTimeout = 2 * time.Second        // for the answer to one request
 )
 
-// instance is one real ingress of a test: an address that stays the same over its restarts, and the process that runs now.
+// instance is one real instance of a test: an address that stays the same over its restarts, and its latest process.
 // It is used by one goroutine at a time.
 type instance struct {
-	program string
-	listen  string
-	config  string // path of its configuration file
-	cmd     *exec.Cmd
-	ended   chan struct{} // closed when cmd has been waited for
-	err     error         // of cmd; read it after ended
-	stderr  lockedBuffer
-}
-
-// lockedBuffer keeps what a process writes.
-type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-// Write is io.Writer's.
-func (l *lockedBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-// String is what was written so far.
-func (l *lockedBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
+	program    string
+	listen     string
+	configPath string
+	process    *process // nil before the first start
 }
 
 // platform is what the platform tells an instance.
 type platform struct {
-	discovery string
-	known     discovery.List
-	instances int    // that share the settings
-	mode      string // of discovery: "subscribe" asks for the list, "push" has an agent
-	attempts  int    // at most, of one request; 0: one
+	discovery   string         // host:port
+	known       discovery.List // endpoint list of the configuration file
+	instances   int            // that share the settings
+	mode        string         // of discovery: "subscribe" polls for the list, "push" has an agent
+	maxAttempts int            // of one request; 0: one
 }
 
-// newInstance returns an instance that does not run yet. Its host is its own, so that no outgoing connection of another process takes its
-// port between two starts.
-func newInstance(t *testing.T, n int) *instance {
+// healthyPlatform is a platform of one instance whose discovery is healthy, and which allows three attempts.
+func healthyPlatform(t *testing.T, list discovery.List) platform {
 	t.Helper()
-	free, err := net.Listen("tcp", fmt.Sprintf("127.94.%d.%d:0", 1+os.Getpid()%250, n+1))
-	if err != nil {
-		t.Fatal(err)
+	return platform{
+		discovery:   startDiscovery(t, list, healthy),
+		known:       list,
+		instances:   1,
+		mode:        "push",
+		maxAttempts: 3,
+	}
+}
+
+// newInstance returns an instance that doesn't run yet. Its host is its own, so that no outgoing connection of another
+// process takes its port between two starts.
+func newInstance(t *testing.T, index int) *instance {
+	t.Helper()
+	i := &instance{
+		program:    programPath(t),
+		listen:     freeAddrOn(t, fmt.Sprintf("127.94.%d.%d", 1+os.Getpid()%250, index+1)),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
 	}
-	free.Close()
-	i := &instance{program: programPath(t), listen: free.Addr().String(), config: filepath.Join(t.TempDir(), "config.json")}
 	t.Cleanup(i.kill)
 	return i
 }
 
+// startInstance returns an instance that is configured and ready.
+func startInstance(t *testing.T, p platform) *instance {
+	t.Helper()
+	i := newInstance(t, 0)
+	i.configure(t, 0, p)
+	i.startReady(t)
+	return i
+}
+
 // configure writes the configuration of the next start, or of the next SIGHUP.
-func (i *instance) configure(t *testing.T, me int, p platform) {
+func (i *instance) configure(t *testing.T, index int, p platform) {
 	t.Helper()
 	known, err := json.Marshal(p.known)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"%x","known":%s,"limits":{"cores":1,"memory_mb":64,"sockets":256},
+	writeFile(t, i.configPath, fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"%x","known":%s,
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},
 		"settings":{"me":%d,"replicasOfMe":%d,"registryMode":%q,
 		"permissions":{"maxAttempts":%d,"retryAfter":true,"maxRetryAfterUs":500000,"mayCancel":true},
 		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}],
-		"contracts":[{"name":"p","price":1}]}}`, i.listen, p.discovery, me+1, known, me, p.instances, p.mode, max(1, p.attempts))
-	if err := os.WriteFile(i.config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+		"contracts":[{"name":"p","price":1}]}}`,
+		i.listen, p.discovery, index+1, known, index, p.instances, p.mode, max(1, p.maxAttempts)))
 }
 
-// start starts the process and waits for nothing.
-func (i *instance) start() error {
-	i.cmd = exec.Command(i.program)
-	i.cmd.Env = []string{"ROUTER_CONFIG=" + i.config}
-	i.cmd.Stderr = &i.stderr
-	if err := i.cmd.Start(); err != nil {
-		return err
+// start starts a process and waits for nothing.
+func (i *instance) start() (err error) {
+	i.process, err = startProcess(i.program, []string{"ROUTER_CONFIG=" + i.configPath})
+	return err
+}
+
+// startReady starts a process and waits until it is ready.
+func (i *instance) startReady(t *testing.T) {
+	t.Helper()
+	if err := i.start(); err != nil {
+		t.Fatal(err)
+	}
+	if err := i.awaitReady(t.Context()); err != nil {
+		t.Fatal(err)
 	}
-	cmd, ended := i.cmd, make(chan struct{})
-	i.ended = ended
-	go func() {
-		i.err = cmd.Wait()
-		close(ended)
-	}()
-	return nil
 }
 
-// kill ends the process by SIGKILL, and waits for its end.
+// kill ends the process by SIGKILL and waits for its end.
 func (i *instance) kill() {
-	if i.cmd == nil || i.cmd.Process == nil {
-		return
+	if i.process != nil {
+		i.process.kill()
 	}
-	i.cmd.Process.Kill()
-	<-i.ended
 }
 
-// awaitReady waits until the instance answers PING with +PONG; it fails where the process ends first, or ctx.
+// awaitReady waits until the instance answers PING. It returns an error if the process or ctx ends before.
 func (i *instance) awaitReady(ctx context.Context) error {
-	tick := time.NewTicker(pingEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for !i.ping() {
 		select {
-		case <-i.ended:
-			return fmt.Errorf("instance %s ended at its start: %v: %s", i.listen, i.err, &i.stderr)
+		case <-i.process.ended:
+			state := i.process.cmd.ProcessState
+			return fmt.Errorf("instance %s ended at its start: %s: %s", i.listen, state, &i.process.log)
 		case <-ctx.Done():
 			return fmt.Errorf("instance %s is not ready: %w", i.listen, ctx.Err())
 		case <-tick.C:
@@ -136,22 +130,30 @@
 	return nil
 }
 
-// ping says whether the instance answers PING with +PONG.
+// ping reports whether the instance answers PING with +PONG.
 func (i *instance) ping() bool {
-	nc, err := net.DialTimeout("tcp", i.listen, pingTimeout)
+	conn, err := net.DialTimeout("tcp", i.listen, pingTimeout)
 	if err != nil {
 		return false
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(pingTimeout))
-	io.WriteString(nc, "*1\r\n$4\r\nPING\r\n")
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(pingTimeout))
+	io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
 	var answer [7]byte
-	_, err = io.ReadFull(nc, answer[:])
+	_, err = io.ReadFull(conn, answer[:])
 	return err == nil && string(answer[:]) == "+PONG\r\n"
 }
 
-// request is a command of class a, with 900 ms for its answer.
-func request(id int) string {
-	const fields = "c=a,t=p,d=900,units=1,spread=1,first=0"
-	return fmt.Sprintf("*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$%d\r\n%s\r\n", id, len(fields), fields)
+// send sends one request on a new connection and returns the first line of its answer.
+func (i *instance) send(id int) (answer string, err error) {
+	conn, err := net.DialTimeout("tcp", i.listen, pingTimeout)
+	if err != nil {
+		return "", err
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(requestTimeout))
+	if _, err := io.WriteString(conn, request(id)); err != nil {
+		return "", err
+	}
+	return bufio.NewReader(conn).ReadString('\n')
 }
--- a/cmd/hitchspring/kill_test.go
+++ b/cmd/hitchspring/kill_test.go
@@ -17,255 +17,270 @@
 )
 
 const (
-	killRounds   = 12                    // with another moment of the kill each
-	killClients  = 60                    // that connect around the kill, of each round
-	killStep     = 4 * time.Millisecond  // by which the kill comes later in each round
-	sentAfter    = 50 * time.Millisecond // of a process's end: what was written before has surely come at its backend
-	nodeWork     = 3 * time.Millisecond  // of a backend for one request
-	termClients  = 360                   // that connect around a SIGTERM
-	termBefore   = 100 * time.Millisecond
-	termAfter    = 800 * time.Millisecond
-	termServed   = 500 * time.Millisecond // after SIGTERM: who comes by then is answered; the listener closes at 600 ms
-	firstKillID  = 1 << 24
-	firstTermID  = 1 << 28
-	answerWithin = 3 * time.Second
+	killRounds     = 12                    // with another moment of the kill each
+	killClients    = 60                    // that connect around the kill, of each round
+	killStep       = 4 * time.Millisecond  // by which the kill comes later in each round
+	deliveryGrace  = 50 * time.Millisecond // after a process's end, by when what it wrote has reached its backend
+	backendLatency = 3 * time.Millisecond  // of a backend for one request
+	termClients    = 360                   // that connect around a SIGTERM
+	termBefore     = 100 * time.Millisecond
+	termAfter      = 800 * time.Millisecond
+	termServed     = 500 * time.Millisecond // after SIGTERM clients are still answered; the listener closes at 600 ms
+	firstKillID    = 1 << 24
+	firstTermID    = 1 << 28
+	clientTimeout  = 3 * time.Second
 )
 
-// sentLog is what a backend saw: when the command of each id came.
-type sentLog struct {
-	mu   sync.Mutex
-	came map[string][]time.Time
+// arrivalLog records when the command of each request ID arrived at a backend.
+type arrivalLog struct {
+	mu       sync.Mutex // guards arrivals
+	arrivals map[string][]time.Time
 }
 
-// backend starts a backend that records what it sees, and returns its address.
-func (l *sentLog) backend(t *testing.T) (addr string) {
+// startBackend starts a backend that records what arrives, and returns its address.
+func (l *arrivalLog) startBackend(t *testing.T) (addr string) {
 	t.Helper()
-	l.came = map[string][]time.Time{}
+	l.arrivals = map[string][]time.Time{}
 	return scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
+		id := args[2]
 		l.mu.Lock()
-		l.came[args[2]] = append(l.came[args[2]], time.Now())
+		l.arrivals[id] = append(l.arrivals[id], time.Now())
 		l.mu.Unlock()
-		time.Sleep(nodeWork)
+		time.Sleep(backendLatency)
 		return scripted.Served
 	}).Addr
 }
 
-// of returns when the command of an id came.
-func (l *sentLog) of(id int) []time.Time {
+// count returns how often the command of a request ID arrived.
+func (l *arrivalLog) count(id int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.came[fmt.Sprintf("%016x", id)]
+	return len(l.arrivals[fmt.Sprintf("%016x", id)])
 }
 
-// latest returns when the last command of all came, and its id.
-func (l *sentLog) latest() (last time.Time, id string) {
+// latest returns when the last command of all arrived, and its request ID.
+func (l *arrivalLog) latest() (last time.Time, lastID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, times := range l.came {
+	for id, times := range l.arrivals {
 		for _, at := range times {
 			if at.After(last) {
-				last, id = at, name
+				last = at
+				lastID = id
 			}
 		}
 	}
-	return last, id
+	return last, lastID
 }
 
-// ending is what one client saw, from its dial to the end of its connection.
-type ending struct {
-	id      int
-	began   time.Time
-	dialled time.Time // when it was connected; zero: it was refused
-	answers []string  // first lines, in their order
-	cut     bool      // the last answer was not whole
-	err     error     // other than a clean end
+// clientRecord is what one client saw, from its dial to the end of its connection.
+type clientRecord struct {
+	id        int
+	began     time.Time
+	connected bool     // false: the connection was refused
+	answers   []string // first lines, in their order
+	truncated bool     // the last answer was incomplete
+	err       error    // other than a clean end
 }
 
-// visit connects, asks once, and reads to the end of the connection.
-func visit(addr string, id int) (e ending) {
-	e.id, e.began = id, time.Now()
-	nc, err := net.DialTimeout("tcp", addr, answerWithin)
+// runClient connects, sends one request, and reads to the end of the connection.
+func runClient(addr string, id int) (c clientRecord) {
+	c.id = id
+	c.began = time.Now()
+	conn, err := net.DialTimeout("tcp", addr, clientTimeout)
 	if err != nil {
-		e.err = err
-		return e
+		c.err = err
+		return c
 	}
-	defer nc.Close()
-	e.dialled = time.Now()
-	nc.SetDeadline(time.Now().Add(answerWithin))
-	if _, err := io.WriteString(nc, request(id)); err != nil {
-		e.err = err
-		return e
+	defer conn.Close()
+	c.connected = true
+	conn.SetDeadline(time.Now().Add(clientTimeout))
+	if _, err := io.WriteString(conn, request(id)); err != nil {
+		c.err = err
+		return c
 	}
-	in := bufio.NewReader(nc)
+	c.readAnswers(bufio.NewReader(conn))
+	return c
+}
+
+// readAnswers reads to the end of the connection, or to an answer that is incomplete.
+func (c *clientRecord) readAnswers(in *bufio.Reader) {
 	for {
 		head, err := in.ReadString('\n')
 		if err != nil {
-			e.cut = e.cut || head != ""
+			c.truncated = head != ""
 			if !errors.Is(err, io.EOF) {
-				e.err = err
+				c.err = err
 			}
-			return e
+			return
 		}
-		e.answers = append(e.answers, strings.TrimSpace(head))
+		c.answers = append(c.answers, strings.TrimSpace(head))
 		if !strings.HasPrefix(head, "$") {
 			continue
 		}
 		if body, err := in.ReadString('\n'); err != nil || body != "value\r\n" {
-			e.cut = true
-			return e
+			c.truncated = true
+			return
 		}
 	}
 }
 
-// checkOnce reports what no client may see: more than one answer, one that is cut, or none for want of any end.
-func (e ending) checkOnce(t *testing.T) {
+// check reports what no client may see: more than one answer, one that is incomplete, or no end of the connection.
+func (c *clientRecord) check(t *testing.T) {
 	t.Helper()
-	if len(e.answers) > 1 {
-		t.Errorf("client %d was answered %q, want one answer at the most", e.id, e.answers)
+	if len(c.answers) > 1 {
+		t.Errorf("client %d: got answers %q, want one at most", c.id, c.answers)
 	}
-	if e.cut {
-		t.Errorf("client %d was given a part of an answer: %q", e.id, e.answers)
+	if c.truncated {
+		t.Errorf("client %d: got an incomplete answer: %q", c.id, c.answers)
 	}
-	if timeout := net.Error(nil); errors.As(e.err, &timeout) && timeout.Timeout() {
-		t.Errorf("client %d saw no end within %v: %v", e.id, answerWithin, e.err)
+	if netErr := net.Error(nil); errors.As(c.err, &netErr) && netErr.Timeout() {
+		t.Errorf("client %d: got no end within %v: %v", c.id, clientTimeout, c.err)
+	}
+}
+
+// clientCounts counts clients by how their connection ended.
+type clientCounts struct{ answered, reset, refused int }
+
+// add counts one client.
+func (n *clientCounts) add(c *clientRecord) {
+	switch {
+	case len(c.answers) > 0:
+		n.answered++
+	case c.connected:
+		n.reset++
+	default:
+		n.refused++
 	}
 }
 
-// A process that is killed right after it accepted ends each of its clients by one answer or by a reset; nothing reaches a backend after it,
-// and nothing reaches one twice. The moments of the kill are spread from before the first accept to after the first answers.
+// A process that is killed right after it accepted ends each of its clients by one answer or by a reset; nothing
+// reaches a backend after it, and nothing reaches one twice. The moments of the kill are spread from before the first
+// accept to after the first answers.
 func TestKillBehindAnAccept(t *testing.T) {
-	var seen sentLog
-	list := discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: seen.backend(t), Zone: "a", State: "SERVING"}}}
+	var arrivals arrivalLog
 	i := newInstance(t, 0)
-	i.configure(t, 0, platform{discovery: registry(t, list, healthy), known: list, instances: 1, mode: "push", attempts: 3})
-	answered, reset, refused := 0, 0, 0
+	i.configure(t, 0, healthyPlatform(t, servingList(1, arrivals.startBackend(t))))
+	var counts clientCounts
 	for round := range killRounds {
-		if err := i.start(); err != nil {
-			t.Fatal(err)
+		i.startReady(t)
+		clients, ended := killUnderClients(i, firstKillID+round*killClients, time.Duration(round)*killStep)
+		time.Sleep(deliveryGrace)
+		if last, id := arrivals.latest(); last.Sub(ended) > deliveryGrace {
+			t.Errorf("round %d: %s reached its backend %v after the process had ended", round, id, last.Sub(ended))
 		}
-		if err := i.awaitReady(t.Context()); err != nil {
-			t.Fatal(err)
-		}
-		ends := make([]ending, killClients)
-		var clients sync.WaitGroup
-		began := make(chan struct{})
-		for n := range ends {
-			clients.Go(func() {
-				<-began
-				ends[n] = visit(i.listen, firstKillID+round*killClients+n)
-			})
-		}
-		close(began)
-		time.Sleep(time.Duration(round) * killStep)
-		i.kill()
-		ended := time.Now()
-		clients.Wait()
-		time.Sleep(sentAfter)
-		if last, id := seen.latest(); last.Sub(ended) > sentAfter {
-			t.Errorf("round %d: %s came at its backend %v after the process had ended", round, id, last.Sub(ended))
-		}
-		for _, e := range ends {
-			e.checkOnce(t)
-			if n := len(seen.of(e.id)); n > 1 {
-				t.Errorf("client %d: %d sends to a backend that reset nothing", e.id, n)
-			}
-			switch {
-			case len(e.answers) > 0:
-				answered++
-			case !e.dialled.IsZero():
-				reset++
-			default:
-				refused++
+		for n := range clients {
+			c := &clients[n]
+			c.check(t)
+			counts.add(c)
+			if sends := arrivals.count(c.id); sends > 1 {
+				t.Errorf("client %d: got %d sends to a backend that reset nothing, want one at most", c.id, sends)
 			}
 		}
 	}
-	t.Logf("%d kills: %d clients answered, %d connected and reset, %d refused", killRounds, answered, reset, refused)
-	if reset == 0 || answered == 0 {
+	t.Logf("%d kills: %d clients answered, %d connected and reset, %d refused",
+		killRounds, counts.answered, counts.reset, counts.refused)
+	if counts.reset == 0 || counts.answered == 0 {
 		t.Error("no kill fell between an accept and its answer: the test forces nothing")
 	}
 }
 
-// Clients that connect from before a SIGTERM to after the listener's close are each answered once, or not accepted: whose connection ends with
-// no answer was never sent on. The process ends by itself and cleanly.
-func TestTermBehindAnAccept(t *testing.T) {
-	var seen sentLog
-	list := discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: seen.backend(t), Zone: "a", State: "SERVING"}}}
-	i := newInstance(t, 0)
-	i.configure(t, 0, platform{discovery: registry(t, list, healthy), known: list, instances: 1, mode: "push", attempts: 3})
-	if err := i.start(); err != nil {
-		t.Fatal(err)
-	}
-	if err := i.awaitReady(t.Context()); err != nil {
-		t.Fatal(err)
+// killUnderClients has clients connect at once and kills the process after a delay. It returns what they saw, and when
+// the process had ended.
+func killUnderClients(i *instance, firstID int, delay time.Duration) (clients []clientRecord, ended time.Time) {
+	clients = make([]clientRecord, killClients)
+	var running sync.WaitGroup
+	begin := make(chan struct{})
+	for n := range clients {
+		running.Go(func() {
+			<-begin
+			clients[n] = runClient(i.listen, firstID+n)
+		})
 	}
-	ends := make([]ending, termClients)
-	var clients sync.WaitGroup
+	close(begin)
+	time.Sleep(delay)
+	i.kill()
+	ended = time.Now()
+	running.Wait()
+	return clients, ended
+}
+
+// Clients that connect from before a SIGTERM to after the listener's close are each answered once, or not accepted: a
+// request whose connection ends with no answer was never sent to a backend. The process ends by itself and cleanly.
+func TestTermBehindAnAccept(t *testing.T) {
+	var arrivals arrivalLog
+	i := startInstance(t, healthyPlatform(t, servingList(1, arrivals.startBackend(t))))
+	clients := make([]clientRecord, termClients)
+	var running sync.WaitGroup
 	began := time.Now()
-	for n := range ends {
-		clients.Go(func() {
+	for n := range clients {
+		running.Go(func() {
 			time.Sleep((termBefore + termAfter) * time.Duration(n) / termClients)
-			ends[n] = visit(i.listen, firstTermID+n)
+			clients[n] = runClient(i.listen, firstTermID+n)
 		})
 	}
 	time.Sleep(time.Until(began.Add(termBefore)))
-	i.cmd.Process.Signal(syscall.SIGTERM)
+	i.process.signal(syscall.SIGTERM)
 	term := time.Now()
-	clients.Wait()
+	running.Wait()
 	select {
-	case <-i.ended:
-	case <-time.After(answerWithin):
+	case <-i.process.ended:
+	case <-time.After(clientTimeout):
 		t.Fatal("the process does not end after SIGTERM")
 	}
-	if i.err != nil {
-		t.Errorf("the process ended with %v: %s", i.err, &i.stderr)
+	if i.process.result != nil {
+		t.Errorf("the process ended with %v: %s", i.process.result, &i.process.log)
 	}
-	answered, reset, refused := 0, 0, 0
-	for _, e := range ends {
-		e.checkOnce(t)
-		sends := len(seen.of(e.id))
-		switch {
-		case len(e.answers) > 0:
-			answered++
-		case !e.dialled.IsZero():
-			reset++
-		default:
-			refused++
-		}
-		if after := e.began.Sub(term); len(e.answers) == 0 && after < termServed {
-			t.Errorf("client %d, which came %v after SIGTERM, was not answered: %v", e.id, after, e.err)
-		}
-		if len(e.answers) == 0 && sends > 0 {
-			t.Errorf("client %d was sent on and not answered: %v", e.id, e.err)
-		}
-		if sends > 1 {
-			t.Errorf("client %d: %d sends to a backend that reset nothing", e.id, sends)
-		}
+	var counts clientCounts
+	for n := range clients {
+		counts.add(&clients[n])
+		clients[n].checkAroundTerm(t, term, arrivals.count(clients[n].id))
 	}
-	t.Logf("%d clients answered, %d connected and ended with no answer, %d refused", answered, reset, refused)
-	if answered == 0 || refused == 0 {
+	t.Logf("%d clients answered, %d connected and ended with no answer, %d refused",
+		counts.answered, counts.reset, counts.refused)
+	if counts.answered == 0 || counts.refused == 0 {
 		t.Error("the clients did not cross the shutdown: the test forces nothing")
 	}
 }
 
-// A SIGTERM during a start, which waits for discovery, ends the process at once and cleanly, with no client taken.
+// checkAroundTerm reports what a client must not see around a SIGTERM; sends is how often its request reached a
+// backend.
+func (c *clientRecord) checkAroundTerm(t *testing.T, term time.Time, sends int) {
+	t.Helper()
+	c.check(t)
+	unanswered := len(c.answers) == 0
+	if after := c.began.Sub(term); unanswered && after < termServed {
+		t.Errorf("client %d, which came %v after SIGTERM, was not answered: %v", c.id, after, c.err)
+	}
+	if unanswered && sends > 0 {
+		t.Errorf("client %d: the request was forwarded and not answered: %v", c.id, c.err)
+	}
+	if sends > 1 {
+		t.Errorf("client %d: got %d sends to a backend that reset nothing, want one at most", c.id, sends)
+	}
+}
+
+// A SIGTERM during a start, which waits for discovery, ends the process at once and cleanly, with no client accepted.
 func TestTermDuringAStart(t *testing.T) {
-	const atOnce = 500 * time.Millisecond // less than a process takes that has begun to serve
+	const endsWithin = 500 * time.Millisecond // less than a process takes that has begun to serve
 	i := newInstance(t, 0)
-	i.configure(t, 0, platform{discovery: registry(t, discovery.List{}, silent), instances: 1, mode: "push"})
-	for _, after := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} { // it waits for 300 ms
+	i.configure(t, 0, platform{discovery: startDiscovery(t, discovery.List{}, silent), instances: 1, mode: "push"})
+	startWait := []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} // a start waits for 300 ms
+	for _, delay := range startWait {
 		if err := i.start(); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(after)
-		i.cmd.Process.Signal(syscall.SIGTERM)
+		time.Sleep(delay)
+		i.process.signal(syscall.SIGTERM)
 		select {
-		case <-i.ended:
-		case <-time.After(atOnce):
-			t.Errorf("the process does not end within %v of a SIGTERM %v after its start", atOnce, after)
+		case <-i.process.ended:
+		case <-time.After(endsWithin):
+			t.Errorf("the process does not end within %v of a SIGTERM %v after its start", endsWithin, delay)
 			i.kill()
 		}
-		if i.err != nil {
-			t.Errorf("SIGTERM %v after the start: the process ended with %v: %s", after, i.err, &i.stderr)
+		if i.process.result != nil {
+			t.Errorf("SIGTERM %v after the start: the process ended with %v: %s",
+				delay, i.process.result, &i.process.log)
 		}
 	}
 }
--- a/cmd/hitchspring/replace_test.go
+++ b/cmd/hitchspring/replace_test.go
@@ -3,12 +3,12 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -22,18 +22,32 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// process is the program as the platform runs it.
-type process struct {
-	cmd   *exec.Cmd
-	admin string
-	ended chan struct{}
-	err   error
+const (
+	maxDescriptors  = 256      // the platform's smallest limits, for two processes together
+	maxMemoryKiB    = 32 << 10 // the same
+	replaceClients  = 25
+	maxTermCut      = 2  // requests cut off by a SIGTERM of the first process
+	maxKillCut      = 30 // requests cut off by that and by a SIGKILL of the second
+	drainedBackend  = "s1"
+	replaceReady    = 6 * time.Second
+	replaceInterval = 20 * time.Millisecond // between two checks whether a process is ready
+	drainEffective  = 500 * time.Millisecond
+)
+
+// replacedProcess is one of several processes that follow each other on an inherited socket.
+type replacedProcess struct {
+	*process
+	admin string // host:port for operators
 }
 
-func (p *process) call(verb, path string) int {
-	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	req, _ := http.NewRequest(verb, "http://"+p.admin+path, nil)
-	resp, err := c.Do(req)
+// call sends an operator's request and returns the status code, or 0 if there is no answer.
+func (p *replacedProcess) call(method, path string) int {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	req, err := http.NewRequest(method, "http://"+p.admin+path, nil)
+	if err != nil {
+		return 0
+	}
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -41,181 +55,247 @@
 	return resp.StatusCode
 }
 
-// holds is the descriptors and the memory of its own in KiB that a process has now; 0, 0 when it has gone.
-func (p *process) holds() (fds, kib int) {
+// usage returns how many descriptors and KiB of anonymous memory a process has now; 0, 0 when it has ended.
+func (p *replacedProcess) usage() (descriptors, memoryKiB int) {
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
-	list, _ := os.ReadDir(dir + "/fd")
-	text, _ := os.ReadFile(dir + "/status")
-	for l := range strings.Lines(string(text)) {
-		if v, ok := strings.CutPrefix(l, "RssAnon:"); ok {
-			kib, _ = strconv.Atoi(strings.Fields(v)[0])
+	open, _ := os.ReadDir(dir + "/fd")
+	status, _ := os.ReadFile(dir + "/status")
+	for line := range strings.Lines(string(status)) {
+		if value, ok := strings.CutPrefix(line, "RssAnon:"); ok {
+			memoryKiB, _ = strconv.Atoi(strings.Fields(value)[0])
 		}
 	}
-	return len(list), kib
+	return len(open), memoryKiB
 }
 
-// Processes of the real program follow each other on an inherited socket under load: by SIGTERM, and by SIGKILL with requests
-// open. What was told to the first holds at the last, and two together stay within the platform's smallest limits.
-func TestProcessesFollowEachOther(t *testing.T) {
-	program := filepath.Join(t.TempDir(), "hitchspring")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
-	}
-	var sent [2]atomic.Int64
+// replacement is what the processes have in common: the socket, the files, and two backends.
+type replacement struct {
+	program    string
+	configPath string
+	stateDir   string
+	addr       string   // of the clients' listening socket
+	socket     *os.File // which every process inherits
+	sends      [2]atomic.Int64
+}
+
+// newReplacement opens the socket, starts the backends and writes the configuration.
+func newReplacement(t *testing.T) *replacement {
+	t.Helper()
+	r := &replacement{program: programPath(t), stateDir: t.TempDir()}
+	r.configPath = filepath.Join(r.stateDir, "config.json")
 	list := discovery.List{Rev: 1, Complete: true}
-	for i := range sent {
-		n := scripted.NewBackend(t, func(int, []string, net.Conn) string {
-			sent[i].Add(1)
-			time.Sleep(3 * time.Millisecond)
+	for n := range r.sends {
+		backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
+			r.sends[n].Add(1)
+			time.Sleep(backendLatency)
 			return scripted.Served
 		})
-		list.Targets = append(list.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: n.Addr, Zone: "a", State: "SERVING"})
+		list.Targets = append(list.Targets, target(fmt.Sprint("s", n), backend.Addr, "SERVING"))
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	socket, err := ln.(*net.TCPListener).File()
+	t.Cleanup(func() { listener.Close() })
+	r.addr = listener.Addr().String()
+	if r.socket, err = listener.(*net.TCPListener).File(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.socket.Close() })
+	known, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer socket.Close()
-	dir := t.TempDir()
-	known, _ := json.Marshal(list)
-	config := filepath.Join(dir, "config.json")
-	text := fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"1","known":%s,"limits":{"cores":1,"memory_mb":32,"sockets":256},"settings":{"replicasOfMe":1,
+	writeFile(t, r.configPath, fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"1","known":%s,
+		"limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":{"replicasOfMe":1,
 		"permissions":{"maxAttempts":3,"retryAfter":true,"maxRetryAfterUs":500000},
-		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}],"contracts":[{"name":"p","price":1}]}}`,
-		ln.Addr(), scripted.Registry(t, list, nil), known)
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}],
+		"contracts":[{"name":"p","price":1}]}}`,
+		r.addr, scripted.Registry(t, list, nil), known, maxMemoryKiB>>10, maxDescriptors))
+	return r
+}
+
+// start starts a further process and waits until it is ready.
+func (r *replacement) start(t *testing.T) *replacedProcess {
+	t.Helper()
+	admin := freeAddr(t)
+	environment := []string{
+		"ROUTER_CONFIG=" + r.configPath,
+		"ROUTER_ADMIN_ADDR=" + admin,
+		"ROUTER_SOCKET_FD=3",
+		"TMPDIR=" + r.stateDir,
+	}
+	started, err := startProcess(r.program, environment, r.socket)
+	if err != nil {
 		t.Fatal(err)
 	}
-	start := func() *process {
-		free, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
+	p := &replacedProcess{process: started, admin: admin}
+	t.Cleanup(func() {
+		p.kill()
+		t.Logf("log of the process at %s:\n%s", p.admin, &p.log)
+	})
+	for end := time.Now().Add(replaceReady); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(replaceInterval) {
+		if time.Now().After(end) {
+			t.Fatalf("the process is not ready within %v", replaceReady)
 		}
-		p := &process{admin: free.Addr().String(), ended: make(chan struct{})}
-		free.Close()
-		p.cmd = exec.Command(program)
-		p.cmd.Env = []string{"ROUTER_CONFIG=" + config, "ROUTER_ADMIN_ADDR=" + p.admin, "ROUTER_SOCKET_FD=3", "TMPDIR=" + dir}
-		p.cmd.ExtraFiles = []*os.File{socket}
-		p.cmd.Stderr = t.Output()
-		if err := p.cmd.Start(); err != nil {
-			t.Fatal(err)
+	}
+	return p
+}
+
+// loadClients are clients that send one request after the other, and connect again when a process closes their
+// connection. stop ends them.
+type loadClients struct {
+	addr       string
+	lastID     atomic.Int64
+	answered   atomic.Int64
+	cut        atomic.Int64 // requests whose connection ended with no answer
+	unexpected atomic.Int64 // refused connections, and answers that are not a value
+	stopped    chan struct{}
+	running    sync.WaitGroup
+}
+
+// startLoad starts clients. The test must stop them.
+func startLoad(addr string) *loadClients {
+	c := &loadClients{addr: addr, stopped: make(chan struct{})}
+	for range replaceClients {
+		c.running.Go(c.run)
+	}
+	return c
+}
+
+// stop ends all clients and waits for them.
+func (c *loadClients) stop() {
+	close(c.stopped)
+	c.running.Wait()
+}
+
+// run is one client, over all its connections.
+func (c *loadClients) run() {
+	for {
+		conn, err := net.Dial("tcp", c.addr)
+		if err != nil {
+			c.unexpected.Add(1)
+			return
 		}
-		go func() {
-			p.err = p.cmd.Wait()
-			close(p.ended)
-		}()
-		t.Cleanup(func() {
-			p.cmd.Process.Kill()
-			<-p.ended
-		})
-		for end := time.Now().Add(6 * time.Second); p.call("GET", "/v1/readyz") != 200; time.Sleep(20 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("no yes within 6 s")
-			}
+		stopped := c.useConnection(conn)
+		conn.Close()
+		if stopped {
+			return
 		}
-		return p
-	}
-	first := start()
-
-	var answered, cut, odd atomic.Int64
-	var id atomic.Int64
-	stop := make(chan struct{})
-	var clients sync.WaitGroup
-	defer clients.Wait()
-	for range 25 {
-		clients.Go(func() {
-			for {
-				nc, err := net.Dial("tcp", ln.Addr().String())
-				if err != nil {
-					odd.Add(1)
-					return
-				}
-				in := bufio.NewReader(nc)
-				for ok := true; ok; {
-					select {
-					case <-stop:
-						nc.Close()
-						return
-					case <-time.After(2 * time.Millisecond):
-					}
-					nc.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-					if _, err := in.Peek(1); err == io.EOF {
-						break
-					}
-					nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-					fields := "c=a,t=p,d=900,units=1,spread=1,first=0"
-					fmt.Fprintf(nc, "*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$%d\r\n%s\r\n", id.Add(1), len(fields), fields)
-					switch head, err := in.ReadString('\n'); {
-					case err != nil:
-						cut.Add(1)
-						ok = false
-					case strings.HasPrefix(head, "$"):
-						in.ReadString('\n')
-						answered.Add(1)
-					default:
-						odd.Add(1)
-					}
-				}
-				nc.Close()
-			}
-		})
 	}
-	goesOn := func() {
-		t.Helper()
-		had := answered.Load()
-		for end := time.Now().Add(5 * time.Second); answered.Load() < had+200; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("the clients are not answered any more")
-			}
+}
+
+// useConnection sends requests until the connection ends. It reports whether the clients were stopped.
+func (c *loadClients) useConnection(conn net.Conn) (stopped bool) {
+	const (
+		requestInterval = 2 * time.Millisecond
+		closeProbe      = 50 * time.Microsecond // to see whether the process has closed the connection
+		answerTimeout   = 5 * time.Second
+	)
+	in := bufio.NewReader(conn)
+	for {
+		select {
+		case <-c.stopped:
+			return true
+		case <-time.After(requestInterval):
 		}
+		conn.SetReadDeadline(time.Now().Add(closeProbe))
+		if _, err := in.Peek(1); errors.Is(err, io.EOF) {
+			return false
+		}
+		conn.SetReadDeadline(time.Now().Add(answerTimeout))
+		io.WriteString(conn, request(int(c.lastID.Add(1))))
+		head, err := in.ReadString('\n')
+		if err != nil {
+			c.cut.Add(1)
+			return false
+		}
+		if !strings.HasPrefix(head, "$") {
+			c.unexpected.Add(1)
+			continue
+		}
+		if _, err := in.ReadString('\n'); err != nil {
+			c.cut.Add(1)
+			return false
+		}
+		c.answered.Add(1)
 	}
-	goesOn()
-	if s := first.call("PUT", "/v1/backends/s1/suspend"); s != 200 {
-		t.Fatalf("suspend: %d", s)
-	}
-	time.Sleep(500 * time.Millisecond)
-	had := sent[1].Load()
+}
 
-	second := start()
-	first.cmd.Process.Signal(syscall.SIGTERM)
-	for gone := false; !gone; {
-		f1, m1 := first.holds()
-		f2, m2 := second.holds()
-		if f1+f2 > 256 || m1+m2 > 32<<10 {
-			t.Errorf("two processes hold %d+%d descriptors and %d+%d KiB", f1, f2, m1, m2)
-		}
-		select {
-		case <-first.ended:
-			gone = true
-		case <-time.After(50 * time.Millisecond):
+// awaitProgress waits until a further 200 requests are answered.
+func (c *loadClients) awaitProgress(t *testing.T) {
+	t.Helper()
+	const (
+		progress = 200
+		within   = 5 * time.Second
+	)
+	before := c.answered.Load()
+	for end := time.Now().Add(within); c.answered.Load() < before+progress; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%d requests were answered within %v, want %d", c.answered.Load()-before, within, progress)
 		}
 	}
-	if first.err != nil {
-		t.Errorf("after SIGTERM the first ended with %v", first.err)
+}
+
+// Processes of the real program follow each other on an inherited socket under load: by SIGTERM, and by SIGKILL with
+// requests open. What an operator told the first holds at the last, and two together stay within the platform's
+// smallest limits.
+func TestProcessesFollowEachOther(t *testing.T) {
+	r := newReplacement(t)
+	first := r.start(t)
+	clients := startLoad(r.addr)
+	stopClients := sync.OnceFunc(clients.stop)
+	defer stopClients()
+	clients.awaitProgress(t)
+	if status := first.call("PUT", "/v1/backends/"+drainedBackend+"/suspend"); status != http.StatusOK {
+		t.Fatalf("suspend: got status %d, want %d", status, http.StatusOK)
 	}
-	goesOn()
-	if cut.Load() > 2 || odd.Load() > 0 {
-		t.Errorf("by SIGTERM: %d requests turned back, %d answered oddly, of %d", cut.Load(), odd.Load(), answered.Load())
+	time.Sleep(drainEffective)
+	sendsBefore := r.sends[1].Load()
+
+	second := r.start(t)
+	first.signal(syscall.SIGTERM)
+	checkUsageUntilEnd(t, first, second)
+	if first.result != nil {
+		t.Errorf("after SIGTERM the first process ended with %v", first.result)
+	}
+	clients.awaitProgress(t)
+	if cut, unexpected := clients.cut.Load(), clients.unexpected.Load(); cut > maxTermCut || unexpected > 0 {
+		t.Errorf("SIGTERM: got %d requests cut and %d unexpected answers, of %d, want %d and 0 at most",
+			cut, unexpected, clients.answered.Load(), maxTermCut)
 	}
 
-	third := start()
+	third := r.start(t)
 	second.cmd.Process.Kill() // with requests open
-	goesOn()
-	close(stop)
-	clients.Wait()
-	if odd.Load() > 0 || cut.Load() > 30 {
-		t.Errorf("by SIGKILL: %d requests cut, %d answered oddly", cut.Load(), odd.Load())
+	clients.awaitProgress(t)
+	stopClients()
+	if cut, unexpected := clients.cut.Load(), clients.unexpected.Load(); cut > maxKillCut || unexpected > 0 {
+		t.Errorf("SIGKILL: got %d requests cut and %d unexpected answers, want %d and 0 at most",
+			cut, unexpected, maxKillCut)
+	}
+	if sends := r.sends[1].Load() - sendsBefore; sends > 0 {
+		t.Errorf("got %d sends to the suspended backend, want none", sends)
 	}
-	if n := sent[1].Load() - had; n > 0 {
-		t.Errorf("%d sends to the node that was taken out", n)
+	if status := third.call("PUT", "/v1/backends/"+drainedBackend+"/resume"); status != http.StatusOK {
+		t.Errorf("resume at the third process: got status %d, want %d", status, http.StatusOK)
 	}
-	if s := third.call("PUT", "/v1/backends/s1/resume"); s != 200 {
-		t.Errorf("resume at the third: %d", s)
+	t.Logf("%d answered, %d cut", clients.answered.Load(), clients.cut.Load())
+}
+
+// checkUsageUntilEnd checks that two processes together stay within the limits until the first has ended.
+func checkUsageUntilEnd(t *testing.T, first, second *replacedProcess) {
+	t.Helper()
+	for {
+		descriptors1, memory1 := first.usage()
+		descriptors2, memory2 := second.usage()
+		if descriptors1+descriptors2 > maxDescriptors || memory1+memory2 > maxMemoryKiB {
+			t.Errorf("two processes hold %d+%d descriptors and %d+%d KiB, want %d and %d at most",
+				descriptors1, descriptors2, memory1, memory2, maxDescriptors, maxMemoryKiB)
+		}
+		select {
+		case <-first.ended:
+			return
+		case <-time.After(50 * time.Millisecond):
+		}
 	}
-	t.Logf("%d answered, %d cut", answered.Load(), cut.Load())
 }
--- a/cmd/hitchspring/restart_test.go
+++ b/cmd/hitchspring/restart_test.go
@@ -1,14 +1,9 @@
 package main
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
-	"net/http/httptest"
 	"os"
 	"slices"
 	"strings"
@@ -24,155 +19,120 @@
 	restartedInstances = 24 // that are killed and started again at once
 	trialInstances     = 40 // the same with HITCHSPRING_TRIALS=1
 
-	mostReady = 10 * time.Second // for nine in ten restarted instances
-	allReady  = 30 * time.Second // for each of them
-	slowCall  = 3 * time.Second  // before slow discovery answers a call
-	firstWord = 15 * time.Second // within which a request is served that needs a list of discovery's
+	maxReadyP90     = 10 * time.Second // for nine in ten restarted instances
+	maxReady        = 30 * time.Second // for each of them
+	maxServedKnown  = time.Second      // until a ready instance serves that has an endpoint list
+	maxServedCalled = 15 * time.Second // the same for one that gets it from discovery
 )
 
-// callAnswer says how a stand-in of discovery answers one call; it returns whether the call is to be answered with the list.
-type callAnswer func(w http.ResponseWriter, r *http.Request) (list bool)
-
-// healthy answers at once.
-func healthy(http.ResponseWriter, *http.Request) bool { return true }
-
-// slow answers each call after slowCall.
-func slow(_ http.ResponseWriter, r *http.Request) bool {
-	select {
-	case <-r.Context().Done():
-		return false
-	case <-time.After(slowCall):
-		return true
-	}
-}
-
-// silent takes the call and never answers.
-func silent(_ http.ResponseWriter, r *http.Request) bool {
-	<-r.Context().Done()
-	return false
+// restartCase is one way in which discovery and the configuration meet restarted instances.
+type restartCase struct {
+	mode      string // of discovery
+	known     bool   // the configuration holds an endpoint list
+	discovery namedDiscovery
 }
 
-// unavailable answers 503.
-func unavailable(w http.ResponseWriter, _ *http.Request) bool {
-	w.WriteHeader(http.StatusServiceUnavailable)
-	return false
+// namedDiscovery is a stand-in of discovery.
+type namedDiscovery struct {
+	name, addr string
+	answers    bool // with the list, sooner or later
 }
 
-// registry starts a stand-in of discovery that tells one list: whole on each call, also at the begin of a watch, which then stays open.
-func registry(t *testing.T, list discovery.List, answer callAnswer) (addr string) {
-	t.Helper()
-	const emptyLine = 2 * time.Second // between two signs of life on a watch
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !answer(w, r) {
-			return
-		}
-		json.NewEncoder(w).Encode(list)
-		if r.URL.Query().Get("follow") == "" {
-			return
-		}
-		for {
-			w.(http.Flusher).Flush()
-			select {
-			case <-r.Context().Done():
-				return
-			case <-time.After(emptyLine):
-				io.WriteString(w, "\n")
-			}
-		}
-	}))
-	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
-	})
-	return s.Listener.Addr().String()
+// name returns the name of the subtest.
+func (c restartCase) name() string {
+	if c.known {
+		return fmt.Sprintf("%s/known list/%s", c.mode, c.discovery.name)
+	}
+	return fmt.Sprintf("%s/no list/%s", c.mode, c.discovery.name)
 }
 
-// refusing is an address at which every connection is refused, on a host of its own, so that nobody else takes the port.
-func refusing(t *testing.T) (addr string) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.93.81.8:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ln.Close()
-	return ln.Addr().String()
+// serves reports whether the instances can serve: they hold a list, or can get one. A pushed list that is slow is given
+// up on after 1 s.
+func (c restartCase) serves() bool {
+	slowPush := c.discovery.name == "slow" && c.mode == "push"
+	return c.known || c.discovery.answers && !slowPush
 }
 
-// Nine in ten instances that were killed and started again, all at once, answer PING within 10 s, and all within 30 s, however discovery
-// fares. Those that hold a list, or can get one, then serve.
+// Nine in ten instances that were killed and started again, all at once, answer PING within 10 s, and all within 30 s,
+// however discovery fares. Those that hold an endpoint list, or can get one, then serve.
 func TestRestartOfAllInstances(t *testing.T) {
-	number := restartedInstances
+	count := restartedInstances
 	if os.Getenv("HITCHSPRING_TRIALS") != "" {
-		number = trialInstances
-	}
-	node := scripted.NewBackend(t, func(int, []string, net.Conn) string { return scripted.Served })
-	list := discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0", Endpoint: node.Addr, Zone: "a", State: "SERVING"}}}
-	discoveries := []struct {
-		name, addr string
-		tells      bool // the list, sooner or later
-	}{
-		{"healthy", registry(t, list, healthy), true},
-		{"slow", registry(t, list, slow), true},
-		{"silent", registry(t, list, silent), false},
-		{"refuses", refusing(t), false},
-		{"unavailable", registry(t, list, unavailable), false},
+		count = trialInstances
 	}
-	var instances []*instance
-	for n := range number {
-		instances = append(instances, newInstance(t, n))
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return scripted.Served })
+	list := servingList(7, backend.Addr)
+	discoveries := []namedDiscovery{
+		{"healthy", startDiscovery(t, list, healthy), true},
+		{"slow", startDiscovery(t, list, slow), true},
+		{"silent", startDiscovery(t, list, silent), false},
+		{"refuses", refusedAddr(t), false},
+		{"unavailable", startDiscovery(t, list, unavailable), false},
 	}
-	restart(t, instances, platform{discovery: discoveries[0].addr, known: list, instances: number, mode: "push"})
-	requests := 0
+	var cases []restartCase
 	for _, mode := range []string{"subscribe", "push"} {
 		for _, known := range []bool{true, false} {
 			for _, d := range discoveries {
-				p := platform{discovery: d.addr, instances: number, mode: mode}
-				name := fmt.Sprintf("%s/no list/%s", mode, d.name)
-				if known {
-					p.known, name = list, fmt.Sprintf("%s/known list/%s", mode, d.name)
-				}
-				t.Run(name, func(t *testing.T) {
-					took := restart(t, instances, p)
-					nine := took[(len(took)*9+9)/10-1]
-					t.Logf("ready after: p50 %v, p90 %v, last %v", took[len(took)/2], nine, took[len(took)-1])
-					if nine > mostReady {
-						t.Errorf("nine in ten were ready after %v, want %v at the most", nine, mostReady)
-					}
-					if !known && (!d.tells || d.name == "slow" && mode == "push") { // a pushed list is given up on after 1 s
-						return
-					}
-					within := firstWord
-					if known {
-						within = time.Second
-					}
-					served := time.Now()
-					requests += number
-					serveAll(t, instances, requests, within)
-					t.Logf("the last served %v later", time.Since(served).Round(time.Millisecond))
-				})
+				cases = append(cases, restartCase{mode: mode, known: known, discovery: d})
 			}
 		}
 	}
+	var instances []*instance
+	for n := range count {
+		instances = append(instances, newInstance(t, n))
+	}
+	restart(t, instances, platform{discovery: discoveries[0].addr, known: list, instances: count, mode: "push"})
+	firstID := 0
+	for _, c := range cases {
+		t.Run(c.name(), func(t *testing.T) {
+			checkRestart(t, c, instances, list, &firstID)
+		})
+	}
+}
+
+// checkRestart restarts all instances in one case, and checks that they become ready and serve in time.
+func checkRestart(t *testing.T, c restartCase, instances []*instance, list discovery.List, firstID *int) {
+	t.Helper()
+	p := platform{discovery: c.discovery.addr, instances: len(instances), mode: c.mode}
+	maxServed := maxServedCalled
+	if c.known {
+		p.known = list
+		maxServed = maxServedKnown
+	}
+	spans := restart(t, instances, p)
+	p90 := spans[(len(spans)*9+9)/10-1]
+	t.Logf("ready after: p50 %v, p90 %v, last %v", spans[len(spans)/2], p90, spans[len(spans)-1])
+	if p90 > maxReadyP90 {
+		t.Errorf("nine in ten were ready after %v, want %v at most", p90, maxReadyP90)
+	}
+	if !c.serves() {
+		return
+	}
+	began := time.Now()
+	*firstID += len(instances)
+	serveAll(t, instances, *firstID, maxServed)
+	t.Logf("the last served %v later", time.Since(began).Round(time.Millisecond))
 }
 
-// restart kills all instances, starts them again at once, waits until each is ready, and returns in order how long that took.
-func restart(t *testing.T, instances []*instance, p platform) (took []time.Duration) {
+// restart kills all instances, starts them again at once, waits until each is ready, and returns how long that took, in
+// ascending order.
+func restart(t *testing.T, instances []*instance, p platform) []time.Duration {
 	t.Helper()
 	for _, i := range instances {
-		if i.cmd != nil {
-			i.cmd.Process.Kill()
+		if i.process != nil { // all at once, before the wait for the first
+			i.process.signal(os.Kill)
 		}
 	}
 	for n, i := range instances {
 		i.kill()
 		i.configure(t, n, p)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), allReady)
+	ctx, cancel := context.WithTimeout(t.Context(), maxReady)
 	defer cancel()
-	took = make([]time.Duration, len(instances))
-	var all sync.WaitGroup
+	spans := make([]time.Duration, len(instances))
+	var running sync.WaitGroup
 	for n, i := range instances {
-		all.Go(func() {
+		running.Go(func() {
 			began := time.Now()
 			if err := i.start(); err != nil {
 				t.Error(err)
@@ -181,52 +141,37 @@
 			if err := i.awaitReady(ctx); err != nil {
 				t.Error(err)
 			}
-			took[n] = time.Since(began).Round(time.Millisecond)
+			spans[n] = time.Since(began).Round(time.Millisecond)
 		})
 	}
-	all.Wait()
+	running.Wait()
 	if t.Failed() {
 		t.FailNow()
 	}
-	slices.Sort(took)
-	return took
+	slices.Sort(spans)
+	return spans
 }
 
-// serveAll has each instance serve a request within a time; what is refused before is asked again.
+// serveAll has each instance serve a request within a time; one that is rejected earlier is sent again with another ID.
 func serveAll(t *testing.T, instances []*instance, firstID int, within time.Duration) {
 	t.Helper()
 	end := time.Now().Add(within)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for n, i := range instances {
-		all.Go(func() {
-			last := ""
-			for try := 0; ; try++ {
-				answer, err := i.ask(firstID + n + try<<20)
+		running.Go(func() {
+			for attempt := 0; ; attempt++ {
+				answer, err := i.send(firstID + n + attempt<<20)
 				if strings.HasPrefix(answer, "$5") {
 					return
 				}
-				last = fmt.Sprintf("%q, %v", answer, err)
 				if time.Now().After(end) {
-					t.Errorf("instance %s serves no request within %v: %s", i.listen, within, last)
+					t.Errorf("instance %s serves no request within %v: last answer %q, %v",
+						i.listen, within, answer, err)
 					return
 				}
-				time.Sleep(pingEvery)
+				time.Sleep(pingInterval)
 			}
 		})
 	}
-	all.Wait()
-}
-
-// ask sends one request on a new connection and returns the first line of its answer.
-func (i *instance) ask(id int) (answer string, err error) {
-	nc, err := net.DialTimeout("tcp", i.listen, pingTimeout)
-	if err != nil {
-		return "", err
-	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := io.WriteString(nc, request(id)); err != nil {
-		return "", err
-	}
-	return bufio.NewReader(nc).ReadString('\n')
+	running.Wait()
 }
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -15,74 +15,162 @@
 	"hitchspring/policy"
 )
 
-// printed runs a status command against a server that answers so, and returns what it prints.
-func printed(t *testing.T, answer http.HandlerFunc, args ...string) (string, error) {
+// runStatus runs a status command against a server that answers so, and returns what it prints.
+func runStatus(t *testing.T, answer http.HandlerFunc, args ...string) (string, error) {
 	t.Helper()
-	s := httptest.NewServer(answer)
-	defer s.Close()
-	var out strings.Builder
-	err := runCommand(append(append([]string{"status"}, args...), "--at", strings.TrimPrefix(s.URL, "http://")), &out, slog.New(slog.DiscardHandler))
-	return out.String(), err
+	server := httptest.NewServer(answer)
+	defer server.Close()
+	all := append([]string{"status"}, args...)
+	return runQuietly(append(all, "--at", strings.TrimPrefix(server.URL, "http://"))...)
 }
 
-// What 60 instances say of each of 1,200 nodes, some 6 MB, is shown whole.
-func TestStatusOfManyNodes(t *testing.T) {
-	var s core.BackendsStatus
-	for i := range 1200 {
-		n := core.BackendStatus{Backend: policy.BackendID(fmt.Sprintf("node-%04d", i)), PeerSlowness: 1}
-		for w := range 60 {
-			n.Reports = append(n.Reports, core.PeerReport{Owner: fmt.Sprintf("instance-%03d", w), Zone: "zone-a", Cause: "slow", Bad: 1})
+// respond returns a handler that answers every request so.
+func respond(status int, body string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(status)
+		io.WriteString(w, body)
+	}
+}
+
+// requireContains fails the test unless text contains all that is wanted.
+func requireContains(t *testing.T, text string, wants ...string) {
+	t.Helper()
+	for _, want := range wants {
+		if !strings.Contains(text, want) {
+			t.Errorf("got\n%s\nwant it with %q", text, want)
 		}
-		s.Backends = append(s.Backends, n)
 	}
-	text, err := json.Marshal(s)
-	if err != nil || len(text) < 5<<20 {
-		t.Fatal(len(text), err)
+}
+
+// The zones are a table with the reasons, or JSON on request.
+func TestStatusZones(t *testing.T) {
+	const answer = `{"own":"hall-a","reach":0.66,"planned":1,"spilled":0.97,
+		"why":"the own hall is lost: 4 of 4 nodes failed for 30ms","halls":[
+		{"name":"hall-a","tier":0,"state":"lost","why":"4 of 4 nodes failed for 30ms","nodes":4,"nominal":4,"price":1},
+		{"name":"hall-b","tier":1,"state":"up","rate":-1,"price":1,"grey":true}]}`
+	table, err := runStatus(t, respond(http.StatusOK, answer), "halls")
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireContains(t, table, "hall-a   own       lost", "up (grey)",
+		"3% kept, 97% spilled (planned at least 100%): the own hall is lost", "hall-a is lost: 4 of 4")
+	text, err := runStatus(t, respond(http.StatusOK, answer), "halls", "--json")
+	if err != nil {
+		t.Fatal(err)
 	}
-	out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }, "nodes")
-	if err != nil || strings.Count(out, "instance-059") != 1200 {
-		t.Fatal(err, strings.Count(out, "instance-059"))
+	if text != answer {
+		t.Errorf("got JSON %s, want the answer as it came: %s", text, answer)
 	}
 }
 
-// An answer beyond the bound is one error that says so; a part of it is never printed, as JSON neither.
+// A listener without the section, something else that answers, and no listener are each one line.
+func TestStatusErrors(t *testing.T) {
+	_, err := runStatus(t, respond(http.StatusServiceUnavailable, "[halls] is off"), "halls")
+	requireOneLine(t, err, "503 Service Unavailable: [halls] is off")
+	_, err = runStatus(t, respond(http.StatusOK, "hello"), "halls")
+	requireOneLine(t, err, "something else")
+	_, err = runQuietly("status", "halls", "--at", "127.0.0.1:1")
+	requireOneLine(t, err, "status halls: ")
+}
+
+// Quotas are a table with their modes, for the span that was requested.
+func TestStatusQuotas(t *testing.T) {
+	const answer = `[{"Customer":"c1","Plan":"storby","Mode":"alone","Ways":3,"Demand":40,"Age":1500000000,
+		"Held":4.5,"Untold":2,"Room":-3,"For":10000000000,"Spend":91.2,"Uncounted":88.7}]`
+	path := ""
+	table, err := runStatus(t, func(w http.ResponseWriter, r *http.Request) {
+		path = r.URL.String()
+		io.WriteString(w, answer)
+	}, "budgets", "--for", "10s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireContains(t, table, "c1", "alone", "1.5s ago", "91.2", "88.7", "10s")
+	if want := "/budgets?for=10s"; path != want {
+		t.Errorf("got a request of %s, want %s", path, want)
+	}
+}
+
+// What 60 instances report of each of 1,200 backends, some 6 MB, is shown completely.
+func TestStatusOfManyBackends(t *testing.T) {
+	const backends, reporters, minBytes = 1200, 60, 5 << 20
+	var status core.BackendsStatus
+	for n := range backends {
+		backend := core.BackendStatus{Backend: policy.BackendID(fmt.Sprintf("node-%04d", n)), PeerSlowness: 1}
+		for r := range reporters {
+			report := core.PeerReport{Owner: fmt.Sprintf("instance-%03d", r), Zone: "zone-a", Cause: "slow", Bad: 1}
+			backend.Reports = append(backend.Reports, report)
+		}
+		status.Backends = append(status.Backends, backend)
+	}
+	text, err := json.Marshal(status)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(text) < minBytes {
+		t.Fatalf("got an answer of %d bytes, want %d at least", len(text), minBytes)
+	}
+	out, err := runStatus(t, respond(http.StatusOK, string(text)), "nodes")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := strings.Count(out, "instance-059"); got != backends {
+		t.Fatalf("got %d reports of the last instance, want %d", got, backends)
+	}
+}
+
+// An answer beyond the bound is one error that says so; a part of it is never printed, neither as JSON.
 func TestStatusAnswerTooLarge(t *testing.T) {
-	large := func(w http.ResponseWriter, _ *http.Request) {
+	tooLarge := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(maxStatusBytes+1))
 		io.WriteString(w, "{}")
 	}
 	for _, args := range [][]string{{"nodes"}, {"nodes", "--json"}} {
-		out, err := printed(t, large, args...)
-		if out != "" || err == nil || !strings.Contains(err.Error(), "status nodes: 127.0.0.1:") ||
-			!strings.Contains(err.Error(), "the answer is larger than 67108864 bytes") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %d bytes, %v", args, len(out), err)
+		out, err := runStatus(t, tooLarge, args...)
+		if out != "" {
+			t.Errorf("%q: got %d bytes printed, want none", args, len(out))
 		}
+		requireOneLine(t, err, "status nodes: 127.0.0.1:")
+		requireOneLine(t, err, "the answer is larger than 67108864 bytes")
 	}
 }
 
-// An answer that does not say its size is read up to the bound, whole or not at all.
-func TestReadAnswer(t *testing.T) {
-	for size, whole := range map[int]bool{0: true, 999: true, 1000: true, 1001: false, 1 << 20: false} {
-		body := strings.NewReader(strings.Repeat("x", size))
-		text, err := readBody(&http.Response{ContentLength: -1, Body: io.NopCloser(body)}, 1000)
-		if whole != (err == nil) || whole && len(text) != size || !whole && text != nil {
-			t.Errorf("%d bytes: %d read, %v", size, len(text), err)
-		}
-		if read := size - body.Len(); read > 1001 {
-			t.Errorf("%d bytes: %d were read", size, read)
-		}
+// A body that does not say its size is read up to the bound, completely or not at all.
+func TestReadBody(t *testing.T) {
+	const bound = 1000
+	for _, test := range []struct {
+		size     int
+		complete bool
+	}{{0, true}, {bound - 1, true}, {bound, true}, {bound + 1, false}, {1 << 20, false}} {
+		t.Run(fmt.Sprint(test.size), func(t *testing.T) {
+			content := strings.NewReader(strings.Repeat("x", test.size))
+			body, err := readBody(&http.Response{ContentLength: -1, Body: io.NopCloser(content)}, bound)
+			if test.complete {
+				if err != nil || len(body) != test.size {
+					t.Errorf("got %d bytes, %v, want %d and no error", len(body), err, test.size)
+				}
+			} else if want := bodyTooLargeError(bound); !errors.Is(err, want) || body != nil {
+				t.Errorf("got %d bytes, %v, want none and %v", len(body), err, want)
+			}
+			if read := test.size - content.Len(); read > bound+1 {
+				t.Errorf("got %d bytes read, want %d at most", read, bound+1)
+			}
+		})
 	}
 }
 
-// A list of budgets that is as long as it may be says that there may be more.
-func TestStatusBudgetsAtTheBound(t *testing.T) {
-	for _, n := range []int{core.MaxBoundsShown - 1, core.MaxBoundsShown} {
-		out, err := printed(t, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(make([]overrun.Bound, n)) }, "budgets")
+// A list of quotas that is as long as it may be says that there may be more.
+func TestStatusQuotasAtTheBound(t *testing.T) {
+	for _, count := range []int{core.MaxBoundsShown - 1, core.MaxBoundsShown} {
+		out, err := runStatus(t, func(w http.ResponseWriter, _ *http.Request) {
+			json.NewEncoder(w).Encode(make([]overrun.Bound, count))
+		}, "budgets")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if said := strings.Contains(out, "the 1024 channels with the most demand are shown"); said != (n == core.MaxBoundsShown) {
-			t.Errorf("%d budgets: said is %v", n, said)
+		got := strings.Contains(out, "the 1024 channels with the most demand are shown")
+		if want := count == core.MaxBoundsShown; got != want {
+			t.Errorf("%d quotas: got a note of more %v, want %v", count, got, want)
 		}
 	}
 }
