--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -14,21 +14,22 @@
 	"hitchspring/internal/lab/cost"
 )
 
+//nolint:lll // a struct tag stands on one line
 type costCmd struct {
-	Build       []string      `help:"NAME=PATH of a hitchspring; may stand several times." default:"bin/hitchspring" sep:"none" placeholder:"NAME=PATH"`
-	Rate        []int         `help:"Requests a second; may stand several times." default:"190,3000"`
+	Builds      []string      `name:"build" help:"NAME=PATH of a hitchspring; may stand several times." default:"bin/hitchspring" sep:"none" placeholder:"NAME=PATH"`
+	Rates       []int         `name:"rate" help:"Requests a second; may stand several times." default:"190,3000"`
 	Seconds     float64       `help:"Length of each measurement, after a second of the same load." default:"5"`
-	Repeats     int           `help:"Rounds; in each every build is measured at every rate." default:"3"`
+	Rounds      int           `name:"repeats" help:"Rounds; in each every build is measured at every rate." default:"3"`
 	Backends    int           `help:"Stand-in backends." default:"12"`
 	Connections int           `help:"Client connections." default:"64"`
-	Second      time.Duration `name:"second-answers" help:"Backends answer a share of requests again, so long after the first answer." placeholder:"LATE"`
+	SecondDelay time.Duration `name:"second-answers" help:"Backends answer a share of requests again, so long after the first answer." placeholder:"LATE"`
 	SecondShare float64       `help:"That share." default:"0.01"`
 	Short       bool          `help:"The check for CI: 190 a second, the added median at most 1 ms in the best of up to three rounds; under 12 s."`
 	JSON        string        `help:"Write all measurements and their sums as JSON." type:"path" placeholder:"FILE"`
 	Chart       string        `help:"Write a chart as SVG." type:"path" placeholder:"FILE"`
 }
 
-// config is what the flags come to.
+// config returns the configuration of a measurement.
 func (c *costCmd) config() (cost.Config, error) {
 	cfg := cost.Default()
 	self, err := os.Executable()
@@ -36,53 +37,59 @@
 		return cfg, err
 	}
 	cfg.Proxy = []string{self, "cost-proxy"}
-	for _, text := range c.Build {
-		b, err := cost.ParseBuild(text)
+	for _, text := range c.Builds {
+		build, err := cost.ParseBuild(text)
 		if err != nil {
 			return cfg, err
 		}
-		if b.Program, err = filepath.Abs(b.Program); err != nil {
+		if build.Program, err = filepath.Abs(build.Program); err != nil {
 			return cfg, err
 		}
-		cfg.Builds = append(cfg.Builds, b)
+		cfg.Builds = append(cfg.Builds, build)
 	}
-	cfg.Rates, cfg.Length, cfg.Repeats = c.Rate, time.Duration(c.Seconds*float64(time.Second)), c.Repeats
-	cfg.Backends, cfg.Connections = c.Backends, c.Connections
-	if c.Second > 0 {
-		cfg.SecondLate, cfg.SecondShare = c.Second, c.SecondShare
+	cfg.Rates = c.Rates
+	cfg.Length = time.Duration(c.Seconds * float64(time.Second))
+	cfg.Repeats = c.Rounds
+	cfg.Backends = c.Backends
+	cfg.Connections = c.Connections
+	if c.SecondDelay > 0 {
+		cfg.SecondLate = c.SecondDelay
+		cfg.SecondShare = c.SecondShare
 	}
 	return cfg, cfg.Check()
 }
 
+// run measures every build at every rate, and prints and writes the results.
 func (c *costCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	cfg, err := c.config()
 	if err != nil {
 		return failed, err
 	}
 	if c.Short {
-		return c.short(ctx, cfg, out)
+		return c.runShort(ctx, cfg, out)
 	}
-	r, err := cost.Run(ctx, cfg, func(m cost.Measurement) {
-		fmt.Fprintf(out, "round %d, %d/s, %s: p50 %.2f p99 %.2f ms, %.0f us, %.1f MB %s\n", m.Round+1, m.Rate, m.Build, m.P50, m.P99, m.CPU, m.PeakMB, m.Void)
+	report, err := cost.Run(ctx, cfg, func(m cost.Measurement) {
+		fmt.Fprintf(out, "round %d, %d/s, %s: p50 %.2f p99 %.2f ms, %.0f us, %.1f MB %s\n",
+			m.Round+1, m.Rate, m.Build, m.P50, m.P99, m.CPU, m.PeakMB, m.Void)
 	})
 	if err != nil {
 		return failed, err
 	}
-	fmt.Fprint(out, "\n", r.Text())
-	if err := c.write(r); err != nil {
+	fmt.Fprint(out, "\n", report.Text())
+	if err := c.writeReport(report); err != nil {
 		return failed, err
 	}
-	if n := len(r.Voids()); n > 0 {
+	if n := len(report.Voids()); n > 0 {
 		return failed, fmt.Errorf("%d measurements are void", n)
 	}
 	return lab.Clean, nil
 }
 
-// short is the check for CI: 1 where a build is too slow, 2 where nothing could be judged.
-func (c *costCmd) short(ctx context.Context, cfg cost.Config, out io.Writer) (int, error) {
-	r, err := cost.Short(ctx, cfg, out)
-	if r != nil {
-		err = errors.Join(err, c.write(r))
+// runShort is the check for CI. The exit status is 1 where a build is too slow and 2 where nothing could be judged.
+func (c *costCmd) runShort(ctx context.Context, cfg cost.Config, out io.Writer) (int, error) {
+	report, err := cost.Short(ctx, cfg, out)
+	if report != nil {
+		err = errors.Join(err, c.writeReport(report))
 	}
 	switch {
 	case err == nil:
@@ -93,12 +100,13 @@
 	return failed, err
 }
 
-func (c *costCmd) write(r *cost.Report) error {
+// writeReport writes the files that the flags ask for.
+func (c *costCmd) writeReport(report *cost.Report) error {
 	if c.JSON != "" {
 		all := struct {
 			*cost.Report
 			Rows []cost.Row `json:"rows"`
-		}{r, r.Rows()}
+		}{report, report.Rows()}
 		if err := writeJSON(c.JSON, all); err != nil {
 			return err
 		}
@@ -110,24 +118,25 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(r.Chart(file), file.Close())
+	return errors.Join(report.Chart(file), file.Close())
 }
 
 // costProxyCmd is the bare proxy that 'lab cost' starts as a process of its own.
 type costProxyCmd struct {
-	Listen  string   `help:"Loopback address." required:""`
-	Backend []string `help:"Address of a backend; may stand several times." required:"" sep:"none"`
+	Listen   string   `help:"Loopback address." required:""`
+	Backends []string `name:"backend" help:"Address of a backend; may stand several times." required:"" sep:"none"`
 }
 
+// run serves until ctx ends.
 func (c *costProxyCmd) run(ctx context.Context, _ io.Writer) (int, error) {
-	if err := onLoopback(c.Listen); err != nil {
+	if err := checkLoopback(c.Listen); err != nil {
 		return failed, err
 	}
-	ln, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return failed, err
 	}
-	if err := cost.ServeProxy(ctx, ln, c.Backend); err != nil {
+	if err := cost.ServeProxy(ctx, listener, c.Backends); err != nil {
 		return failed, err
 	}
 	return lab.Clean, nil
--- a/cmd/lab/prove.go
+++ b/cmd/lab/mutation.go
@@ -10,7 +10,8 @@
 	"hitchspring/internal/lab/mutation"
 )
 
-type proveCmd struct {
+//nolint:lll // a struct tag stands on one line
+type mutationCmd struct {
 	Names []string `arg:"" optional:"" help:"Defects, or rules (lost, twice, drains, cold, ceilings, quotas); none: all."`
 	Short bool     `help:"The short set alone."`
 	List  bool     `help:"List the defects; play nothing."`
@@ -21,22 +22,20 @@
 	JSON  string   `help:"Write the results as JSON." type:"path" placeholder:"FILE"`
 }
 
-func (c *proveCmd) run(ctx context.Context, out io.Writer) (int, error) {
+// run plants defects, plays the scenarios that must find them, and prints what was found.
+func (c *mutationCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	if c.List {
-		all, err := mutation.Defects()
-		if err != nil {
-			return failed, err
-		}
-		for _, d := range all {
-			short := " "
-			if d.Short {
-				short = "*"
-			}
-			fmt.Fprintf(out, "%s %-22s %-9s %-12s %-12s %s\n", short, d.Name, d.Rule, d.Part, d.Scenario, d.About)
-		}
-		return lab.Clean, nil
+		return listDefects(out)
 	}
-	results, err := mutation.Run(ctx, mutation.Config{Only: c.Names, Short: c.Short, Seed: c.Seed, Seeds: c.Seeds, Clean: c.Clean, Jobs: c.Jobs, Out: out})
+	results, err := mutation.Run(ctx, mutation.Config{
+		Only:  c.Names,
+		Short: c.Short,
+		Seed:  c.Seed,
+		Seeds: c.Seeds,
+		Clean: c.Clean,
+		Jobs:  c.Jobs,
+		Out:   out,
+	})
 	if err != nil {
 		return failed, err
 	}
@@ -52,3 +51,19 @@
 	}
 	return lab.Clean, err
 }
+
+// listDefects prints a line for each defect; a star marks those of the short set.
+func listDefects(out io.Writer) (int, error) {
+	defects, err := mutation.Defects()
+	if err != nil {
+		return failed, err
+	}
+	for _, d := range defects {
+		short := " "
+		if d.Short {
+			short = "*"
+		}
+		fmt.Fprintf(out, "%s %-22s %-9s %-12s %-12s %s\n", short, d.Name, d.Rule, d.Part, d.Scenario, d.About)
+	}
+	return lab.Clean, nil
+}
--- a/cmd/lab/overlap.go
+++ b/cmd/lab/overlapping_faults.go
@@ -4,42 +4,35 @@
 	"context"
 	"fmt"
 	"io"
-	"os"
 	"path/filepath"
 	"time"
 
-	"hitchspring/internal/lab"
 	"hitchspring/internal/lab/soak"
 )
 
-// mostShown is how many breaks of one rule are told in full.
-const mostShown = 3
+// maxViolationsShown is how many violations of one rule are printed in full.
+const maxViolationsShown = 3
 
-type overlapCmd struct {
+//nolint:lll // a struct tag stands on one line
+type overlappingFaultsCmd struct {
 	Seed      uint64        `help:"The first." default:"1"`
 	Seeds     int           `help:"How many." default:"1"`
 	Instances int           `help:"Processes, up to 30." default:"24"`
 	For       time.Duration `help:"Length of the load, up to 5m." default:"20s"`
-	Ingress   string        `help:"Another build of the ingress; empty: it is built from this source." type:"path" placeholder:"PROGRAM"`
+	Program   string        `name:"ingress" help:"Another build of the ingress; empty: it is built from this source." type:"path" placeholder:"PROGRAM"`
 	Race      bool          `help:"Build the ingress with the race detector."`
 	Logs      string        `help:"Folder for what the ingresses log, one for each seed in it; empty: it is not kept." type:"path" placeholder:"DIR"`
 }
 
-// run plays one run for each seed and prints a line each, and what is known of each break.
-func (c *overlapCmd) run(ctx context.Context, out io.Writer) (int, error) {
-	program := c.Ingress
-	if program == "" {
-		dir, err := os.MkdirTemp("", "lab-overlap-")
-		if err != nil {
-			return failed, err
-		}
-		defer os.RemoveAll(dir)
-		program = filepath.Join(dir, "hitchspring")
-		if err := lab.Build(ctx, program, c.Race, ""); err != nil {
-			return failed, err
-		}
+// run plays one run for each seed, and prints a line each and what is known of each violation.
+func (c *overlappingFaultsCmd) run(ctx context.Context, out io.Writer) (int, error) {
+	program, removeProgram, err := programOrBuild(ctx, c.Program, "lab-overlap-", c.Race)
+	if err != nil {
+		return failed, err
 	}
-	broken, doubtful := 0, 0
+	defer removeProgram()
+	broken := 0
+	doubtful := 0
 	for i := range c.Seeds {
 		cfg := soak.Config{Program: program, Seed: c.Seed + uint64(i), Instances: c.Instances, Length: c.For}
 		if c.Logs != "" {
@@ -50,7 +43,7 @@
 			return failed, fmt.Errorf("seed %d: %w", cfg.Seed, err)
 		}
 		fmt.Fprintln(out, report.Line())
-		io.WriteString(out, report.Text(mostShown))
+		fmt.Fprint(out, report.Text(maxViolationsShown))
 		switch {
 		case report.Certain() > 0:
 			broken++
@@ -58,12 +51,7 @@
 			doubtful++
 		}
 	}
-	fmt.Fprintf(out, "%d runs: %d with a broken promise, %d with breaks that late observers may explain\n", c.Seeds, broken, doubtful)
-	switch {
-	case broken > 0:
-		return lab.Broken, nil
-	case doubtful > 0:
-		return lab.Unjudged, nil
-	}
-	return lab.Clean, nil
+	fmt.Fprintf(out, "%d runs: %d with a broken promise, %d with breaks that late observers may explain\n",
+		c.Seeds, broken, doubtful)
+	return exitCode(broken, doubtful), nil
 }
--- a/cmd/lab/redis.go
+++ b/cmd/lab/redis.go
@@ -14,49 +14,67 @@
 	"hitchspring/internal/standin/redis"
 )
 
+// readHeaderTimeout bounds the headers of a request to a stand-in.
+const readHeaderTimeout = 5 * time.Second
+
 type redisCmd struct {
 	Listen       string `help:"Loopback address." default:"127.0.0.1:6379"`
 	Control      string `help:"Loopback address that takes faults over HTTP; empty: none."`
 	PasswordFile string `help:"The password that clients must give." type:"path" placeholder:"FILE"`
 }
 
-// run is the stand-in on its own, until a signal.
+// run serves the stand-in until ctx ends.
 func (c *redisCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	for _, addr := range []string{c.Listen, c.Control} {
-		if err := onLoopback(addr); err != nil {
+		if err := checkLoopback(addr); err != nil {
 			return failed, err
 		}
 	}
-	opt := redis.Options{Listen: c.Listen}
+	options := redis.Options{Listen: c.Listen}
 	if c.PasswordFile != "" {
-		b, err := os.ReadFile(c.PasswordFile)
+		text, err := os.ReadFile(c.PasswordFile)
 		if err != nil {
 			return failed, err
 		}
-		opt.Password = strings.TrimSpace(string(b))
+		options.Password = strings.TrimSpace(string(text))
 	}
-	s, err := redis.Start(opt)
+	server, err := redis.Start(options)
 	if err != nil {
 		return failed, err
 	}
-	defer s.Close()
-	fmt.Fprintln(out, "redis stand-in on", s.Addr())
+	defer server.Close()
+	fmt.Fprintln(out, "redis stand-in on", server.Addr())
 	if c.Control != "" {
-		ln, err := net.Listen("tcp", c.Control)
+		listener, err := net.Listen("tcp", c.Control)
 		if err != nil {
 			return failed, err
 		}
-		srv := &http.Server{Handler: s.Control(), ReadHeaderTimeout: 5 * time.Second}
-		defer srv.Close()
-		go srv.Serve(ln)
-		fmt.Fprintf(out, "control on %s: curl -d 'stall 2s' http://%s/fault\n", ln.Addr(), ln.Addr())
+		stop := serveHTTP(listener, server.Control())
+		defer stop()
+		addr := listener.Addr()
+		fmt.Fprintf(out, "control on %s: curl -d 'stall 2s' http://%s/fault\n", addr, addr)
 	}
 	<-ctx.Done()
 	return lab.Clean, nil
 }
 
-// onLoopback refuses addresses that others could reach: a stand-in keeps no secret.
-func onLoopback(addr string) error {
+// serveHTTP serves on a listener in a goroutine of its own. The caller calls stop, which closes the listener and all
+// connections and waits for the goroutine.
+func serveHTTP(listener net.Listener, handler http.Handler) (stop func()) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = server.Serve(listener) // it ends when stop closes the server
+	}()
+	return func() {
+		server.Close()
+		<-done
+	}
+}
+
+// checkLoopback returns an error for an address that others could reach: a stand-in protects nothing.
+func checkLoopback(addr string) error {
 	if addr == "" {
 		return nil
 	}
--- a/cmd/lab/trial.go
+++ b/cmd/lab/trial.go
@@ -10,6 +10,7 @@
 	"hitchspring/internal/lab/trial"
 )
 
+//nolint:lll // a struct tag stands on one line
 type trialCmd struct {
 	Name      string   `arg:"" optional:"" help:"The trial; none: list them."`
 	Seed      uint64   `help:"The first." default:"1"`
@@ -17,11 +18,11 @@
 	Instances []int    `help:"Processes, 2 to 24; several sizes with commas; none: the trial's."`
 	Cases     []string `help:"Some of the trial's cases, with commas; none: all." sep:","`
 	Jobs      int      `help:"Runs at once: six processes take about half a core." default:"3"`
-	Ingress   string   `help:"Another build of the ingress; empty: it is built from this source." type:"path" placeholder:"PROGRAM"`
+	Program   string   `name:"ingress" help:"Another build of the ingress; empty: it is built from this source." type:"path" placeholder:"PROGRAM"`
 	Out       string   `help:"Folder for results.jsonl, table.txt and chart.svg." type:"path" placeholder:"DIR"`
 }
 
-// run plays many processes under faults between them.
+// run plays many processes under faults between them, or lists the trials.
 func (c *trialCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	if c.Name == "" {
 		for _, line := range trial.Names() {
@@ -29,7 +30,17 @@
 		}
 		return lab.Clean, nil
 	}
-	_, err := trial.Run(ctx, trial.Config{Name: c.Name, Program: c.Ingress, Seed: c.Seed, Seeds: c.Seeds, Instances: c.Instances, Cases: c.Cases, Jobs: c.Jobs, Out: c.Out}, out)
+	cfg := trial.Config{
+		Name:      c.Name,
+		Program:   c.Program,
+		Seed:      c.Seed,
+		Seeds:     c.Seeds,
+		Instances: c.Instances,
+		Cases:     c.Cases,
+		Jobs:      c.Jobs,
+		Out:       c.Out,
+	}
+	_, err := trial.Run(ctx, cfg, out)
 	switch {
 	case errors.Is(err, trial.ErrBroken):
 		return lab.Broken, nil
--- /dev/null
+++ b/cmd/lab/zones.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"context"
+	"io"
+	"strings"
+
+	"hitchspring/internal/lab/experiment"
+	"hitchspring/internal/lab/scenario"
+)
+
+type zonesCmd struct {
+	Scenarios string `name:"days" help:"Days, with commas; empty: all that lose a hall, and a calm one." default:""`
+	Seeds     int    `help:"How many, from --seed on." default:"3"`
+	Seed      uint64 `help:"The first." default:"1"`
+	OnlyOn    bool   `name:"on" help:"Only with [halls] on; else each run is also played with it off."`
+	Jobs      int    `help:"Runs at once: a run takes about a third of a core." default:"4"`
+	Out       string `help:"Folder for results.jsonl and index.html." type:"path" default:"found/halls"`
+}
+
+// run is an experiment: how instances with zones of their own fare when a zone is lost, against instances without.
+func (c *zonesCmd) run(ctx context.Context, out io.Writer) (int, error) {
+	spec := &experiment.Spec{
+		Name:     "halls",
+		About:    "Losing and regaining a hall, with [halls] off and on.",
+		Seeds:    c.Seeds,
+		First:    c.Seed,
+		Variants: []experiment.Variant{{Name: "off"}, {Name: "on", Zones: true}},
+	}
+	if c.OnlyOn {
+		spec.Variants = spec.Variants[1:]
+	}
+	for _, name := range scenario.Names() {
+		if strings.HasPrefix(name, "hall-") || name == "calm" {
+			spec.Scenarios = append(spec.Scenarios, name)
+		}
+	}
+	if c.Scenarios != "" {
+		spec.Scenarios = strings.Split(c.Scenarios, ",")
+	}
+	if err := spec.Check(); err != nil {
+		return failed, err
+	}
+	lines, code, err := runExperiment(ctx, spec, c.Out, c.Jobs, out)
+	if err != nil {
+		return code, err
+	}
+	_, err = io.WriteString(out, spec.ZoneText(lines))
+	return code, err
+}
+
+// Help is printed below the command's own line of help.
+func (c *zonesCmd) Help() string {
+	return "Figures are from the clients' and the nodes' records alone: " +
+		"what was earned of what a worth-ordered fill of the true capacity would earn " +
+		"while the hall was lost and from 5 s after its return, how long until nearly that was reached again, " +
+		"how near cold nodes came to their fall, the share of sends that cross halls, " +
+		"and how far the spill swings from second to second."
+}
