--- a/internal/store/ledger/ledger.go
+++ b/internal/store/ledger/ledger.go
@@ -1,14 +1,15 @@
-// Package ledger is one instance's books on what it has told a shared store, so that an add may be told any number of
-// times and counts once. It does no I/O and takes the time as an argument.
+// Package ledger is the record of what one instance has added to a shared store, so that an add may be sent any
+// number of times and counts once. It takes in adds and the store's replies, and yields the writes to send, or to
+// send again. It does no I/O, starts no goroutine and takes the time as an argument.
 //
-// A name's total in the store is the sum of one figure for each instance: all that the instance has added so far. An
-// add raises the instance's own figure and tells the new figure under a new number; the store takes a figure only if its
-// number is higher than the one that it holds. So a write that is repeated, overtaken or late changes nothing, a write
-// that was lost is made good by the next one, and a store that lost what it had confirmed shows it by the number that it
-// still holds. An add that was refused is taken out of the figure, and the next write makes that true wherever a copy
-// of the refused one may have gone.
+// A name's total in the store is the sum of one number for each instance: the sum of all that the instance has
+// added. An add raises the instance's own sum and writes the new sum under a new sequence number; the store takes a
+// sum only if its sequence number is higher than the one that it holds. So a write that is repeated, overtaken or
+// late changes nothing, a write that was lost is made good by the next one, and a store that has lost what it had
+// confirmed shows that by the sequence number that it still holds. An add that was rejected is taken out of the
+// sum, and the next write makes that true wherever a copy of the rejected one may have gone.
 //
-// Figures are integers of a millionth of a unit, exact up to 2^53 of them: nine thousand million units.
+// Sums are integers of a millionth of a unit, exact up to 2^53 of them: nine thousand million units.
 package ledger
 
 import (
@@ -17,154 +18,160 @@
 	"time"
 )
 
-// grace is the time in which the others find a store that has changed and tell theirs again.
+// reportGrace is the time in which the other instances find a store that has changed and write their sums again.
 const reportGrace = 3 * time.Second
 
-// early is the part of a name's life by which the ledger ends it before the store does.
+// expiryMarginDivisor gives the part of a name's life by which the ledger ends it before the store does.
 const expiryMarginDivisor = 20
 
-// Scale is how many of the ledger's figures make a unit.
+// MicrosPerUnit is how many of the ledger's integers make a unit.
 const MicrosPerUnit = 1e6
 
-// MaxSum bounds an instance's figure for a name: what a double holds exactly.
+// MaxSum bounds an instance's sum for a name, in millionths of a unit: what a double holds exactly.
 const MaxSum = int64(1) << 53
 
-// The errors of Put.
+// The errors of Ledger.Add.
 var (
 	ErrTooManyNames = errors.New("ledger: too many names")
 	ErrAmountRange  = errors.New("ledger: the amount is out of range")
 )
 
-// Write is one telling of an instance's figure for a name. The same Write may be sent again as it is.
+// Write is an instance's sum for a name on its way to the store. The same Write may be sent again as it is.
 type Write struct {
 	Name     string
-	FirstSeq uint64        // number of the first write of this life of the name: it tells two lives apart
-	Seq      uint64        // higher than that of every earlier write of the ledger
-	Sum      int64         // the instance's figure
-	TTL      time.Duration // for a name that the store does not know: what is left of its life
+	FirstSeq uint64        // Seq of the name's first write: it tells a name from an earlier one of the same text
+	Seq      uint64        // sequence number, higher than that of every earlier write of the ledger
+	Sum      int64         // of this instance, in millionths of a unit
+	TTL      time.Duration // what is left of the name's life, for a store that does not know the name
 }
 
-// Answer is what a store says to a write.
+// Reply is what a store replies to a write. Sums are in millionths of a unit.
 type Reply struct {
-	PreviousSeq uint64        // the highest number that it held from this instance before, 0 for none
-	Own         int64         // the figure that it now holds from this instance
-	Total       int64         // of all instances, Mine in it
-	TTL         time.Duration // of the name's life; 0: not told
+	PreviousSeq uint64        // the highest sequence number that it held from this instance before; 0: none
+	Own         int64         // the sum that it now holds from this instance
+	Total       int64         // the sum over all instances, with Own
+	TTL         time.Duration // what is left of the name's life; 0: not told
 }
 
-// Verdict is what an answer comes to.
+// Confirmation is what follows from the reply to a write.
 type Confirmation struct {
-	Total          float64 // units: with the write's figure, and never less of the others' than was known
-	AlreadyApplied bool    // the write, or a later one, had landed before this copy of it came
+	Total          float64 // in units, with the write's sum; of the other instances never less than was known
+	AlreadyApplied bool    // the write, or a later one, had been applied before this copy of it arrived
 	Lost           bool    // the store has lost what it had confirmed
 }
 
+// account is what the ledger knows of one name.
 type account struct {
 	firstSeq     uint64
-	sum          int64
+	sum          int64 // of this instance
 	expiresAt    time.Duration
-	sent         uint64        // number of the last write
-	confirmedSeq uint64        // highest number that the store has confirmed
-	confirmedSum int64         // the figure that it then held
-	others       int64         // what the others had, at the last answer
-	othersFloor  int64         // what they are known to have had in a store that has lost it since
-	floorActive  bool          // floor counts: until the others have told theirs again
-	floorUntil   time.Duration // or until then, where the store is only doubted; 0: to the end of the name's life
-	unconfirmed  bool          // the store may have lost it
-	queued       bool          // in dirty
+	confirmedSeq uint64 // highest sequence number that the store has confirmed; 0: none
+	confirmedSum int64  // what it then held of this instance
+	others       int64  // what it then held of the other instances
+	unconfirmed  bool   // the store may not hold confirmedSum any more
+	queued       bool   // in Ledger.pending
+
+	// After the store may have lost data, othersFloor counts instead of a lower others, until the other instances have
+	// written theirs again.
+	floorActive bool
+	othersFloor int64
+	floorUntil  time.Duration // when it ends at the latest; 0: with the name, as the store has surely lost data
 }
 
-// Ledger holds the figures of the names that live. It is for one goroutine at a time.
+// Ledger holds the sums of all names that live. It is not safe for concurrent use.
 type Ledger struct {
 	maxNames int
-	seq      uint64
+	seq      uint64 // of the last write
 	accounts map[string]*account
-	pending  []string // names whose figure the store may not hold, oldest first
+	pending  []string // names whose sum the store may not hold, oldest first; some may be gone
 }
 
-// New returns an empty ledger for so many names.
+// New returns an empty ledger for up to maxNames names.
 func New(maxNames int) *Ledger { return &Ledger{maxNames: maxNames, accounts: map[string]*account{}} }
 
 // Len is the number of names that it holds.
 func (l *Ledger) Len() int { return len(l.accounts) }
 
-// Micro is an amount of units in the ledger's figures; ok is false where they cannot hold it.
-func ToMicros(units float64) (n int64, ok bool) {
-	f := math.Round(units * MicrosPerUnit)
-	return int64(f), math.Abs(f) <= float64(MaxSum) // false for a NaN too
+// ToMicros converts units to millionths of a unit. It reports false for an amount beyond MaxSum.
+func ToMicros(units float64) (micros int64, ok bool) {
+	rounded := math.Round(units * MicrosPerUnit)
+	return int64(rounded), math.Abs(rounded) <= float64(MaxSum) // false for a NaN too
 }
 
-// Put adds an amount of units to a name that lives for keep from its first add on, and returns what is to be told.
-func (l *Ledger) Add(now time.Duration, name string, units float64, keep time.Duration) (Write, error) {
-	n, ok := ToMicros(units)
+// Add adds an amount of units to a name that lives for ttl from its first add on, and returns what is to be written. It
+// returns ErrAmountRange or ErrTooManyNames, and changes nothing then.
+func (l *Ledger) Add(now time.Duration, name string, units float64, ttl time.Duration) (Write, error) {
+	micros, ok := ToMicros(units)
 	if !ok {
 		return Write{}, ErrAmountRange
 	}
-	e := l.accounts[name]
-	if e != nil && now >= e.expiresAt {
-		l.forget(name, e)
-		e = nil
+	a := l.accounts[name]
+	if a != nil && now >= a.expiresAt {
+		l.forget(name, a)
+		a = nil
 	}
-	if e == nil {
+	if a == nil {
 		if len(l.accounts) >= l.maxNames {
 			return Write{}, ErrTooManyNames
 		}
-		e = &account{firstSeq: l.seq + 1, expiresAt: now + keep}
-		l.accounts[name] = e
+		a = &account{firstSeq: l.seq + 1, expiresAt: now + ttl}
+		l.accounts[name] = a
 	}
-	if s := e.sum + n; s > MaxSum || s < -MaxSum {
+	if sum := a.sum + micros; sum > MaxSum || sum < -MaxSum {
 		return Write{}, ErrAmountRange
 	}
-	e.sum += n
-	return l.nextWrite(now, name, e), nil
+	a.sum += micros
+	return l.nextWrite(now, name, a), nil
 }
 
-func (l *Ledger) nextWrite(now time.Duration, name string, e *account) Write {
+func (l *Ledger) nextWrite(now time.Duration, name string, a *account) Write {
 	l.seq++
-	e.sent = l.seq
-	return Write{Name: name, FirstSeq: e.firstSeq, Seq: l.seq, Sum: e.sum, TTL: max(e.expiresAt-now, time.Millisecond)}
+	ttl := max(a.expiresAt-now, time.Millisecond)
+	return Write{Name: name, FirstSeq: a.firstSeq, Seq: l.seq, Sum: a.sum, TTL: ttl}
 }
 
-// of is the entry that a write belongs to, or nil where that life of the name is over.
-func (l *Ledger) accountOf(w Write) *account {
-	if e := l.accounts[w.Name]; e != nil && e.firstSeq == w.FirstSeq {
-		return e
+// accountOf is the account that a write belongs to, or nil if that has expired.
+func (l *Ledger) accountOf(write Write) *account {
+	if a := l.accounts[write.Name]; a != nil && a.firstSeq == write.FirstSeq {
+		return a
 	}
 	return nil
 }
 
-// Answered books the store's answer to a write.
-func (l *Ledger) Confirm(now time.Duration, w Write, a Reply) Confirmation {
-	v := Confirmation{AlreadyApplied: a.PreviousSeq >= w.Seq}
-	others := a.Total - a.Own
-	e := l.accountOf(w)
-	if e == nil {
-		v.Total = float64(others+w.Sum) / MicrosPerUnit
-		return v
+// Confirm records the store's reply to a write.
+func (l *Ledger) Confirm(now time.Duration, write Write, reply Reply) Confirmation {
+	result := Confirmation{AlreadyApplied: reply.PreviousSeq >= write.Seq}
+	others := reply.Total - reply.Own
+	a := l.accountOf(write)
+	if a == nil {
+		result.Total = float64(others+write.Sum) / MicrosPerUnit
+		return result
 	}
-	if a.PreviousSeq < e.confirmedSeq { // it held more from us once: it is another, or has gone back
-		v.Lost = true
-		e.keepFloor(0)
+	if reply.PreviousSeq < a.confirmedSeq { // it held a later write once: it is another store, or was rolled back
+		result.Lost = true
+		a.keepFloor(0)
 	}
-	if e.floorActive && (others >= e.othersFloor || e.floorUntil > 0 && now >= e.floorUntil) {
-		e.floorActive = false
+	if a.floorActive && (others >= a.othersFloor || a.floorUntil > 0 && now >= a.floorUntil) {
+		a.floorActive = false
 	}
-	e.others = others
-	if a.TTL > 0 { // a little early: a figure told after the store's name has ended would begin the next one's life with it
-		e.expiresAt = now + a.TTL - a.TTL/expiryMarginDivisor
+	a.others = others
+	if reply.TTL > 0 { // ends a little early: a sum written after the store's name has expired would start a new one
+		a.expiresAt = now + reply.TTL - reply.TTL/expiryMarginDivisor
 	}
-	e.confirmedSeq, e.confirmedSum, e.unconfirmed = max(w.Seq, a.PreviousSeq), a.Own, false
-	if e.confirmedSum != e.sum {
-		l.markPending(w.Name, e)
+	a.confirmedSeq = max(write.Seq, reply.PreviousSeq)
+	a.confirmedSum = reply.Own
+	a.unconfirmed = false
+	if a.confirmedSum != a.sum {
+		l.markPending(write.Name, a)
 	}
-	if e.floorActive {
-		others = e.othersFloor
+	if a.floorActive {
+		others = a.othersFloor
 	}
-	v.Total = float64(others+w.Sum) / MicrosPerUnit
-	return v
+	result.Total = float64(others+write.Sum) / MicrosPerUnit
+	return result
 }
 
-// hold keeps what the others are known to have had.
+// keepFloor keeps what the other instances are known to have added; until is as in floorUntil.
 func (a *account) keepFloor(until time.Duration) {
 	if !a.floorActive || a.others > a.othersFloor {
 		a.othersFloor = a.others
@@ -175,89 +182,90 @@
 	a.floorActive = true
 }
 
-// Refused takes out of its name an amount of units that the store has refused. Unless nothing of the write was sent, the
-// figure is told again, so that the refusal becomes true wherever a copy has gone.
-func (l *Ledger) Reject(w Write, units float64, sent bool) {
-	e := l.accountOf(w)
-	if e == nil {
+// Reject takes out of its name an amount of units that the store has rejected. If anything of the write was sent,
+// the sum is written again, so that the rejection becomes true wherever a copy has gone.
+func (l *Ledger) Reject(write Write, units float64, sent bool) {
+	a := l.accountOf(write)
+	if a == nil {
 		return
 	}
-	n, _ := ToMicros(units)
-	e.sum -= n
-	e.unconfirmed = e.unconfirmed || sent
-	if e.unconfirmed || e.confirmedSum != e.sum {
-		l.markPending(w.Name, e)
+	micros, _ := ToMicros(units)
+	a.sum -= micros
+	a.unconfirmed = a.unconfirmed || sent
+	if a.unconfirmed || a.confirmedSum != a.sum {
+		l.markPending(write.Name, a)
 	}
 }
 
-// Unsure says that a write may or may not have landed: it is told again in time.
-func (l *Ledger) MarkUnconfirmed(w Write) {
-	if e := l.accountOf(w); e != nil {
-		e.unconfirmed = true
-		l.markPending(w.Name, e)
+// MarkUnconfirmed records that a write may or may not have been applied: its sum is written again.
+func (l *Ledger) MarkUnconfirmed(write Write) {
+	if a := l.accountOf(write); a != nil {
+		a.unconfirmed = true
+		l.markPending(write.Name, a)
 	}
 }
 
-// Doubt says that the store may have lost anything, or be another one: all is told again in time. Until the others have
-// told theirs again, for which they have the grace, totals show what they are known to have had.
+// MarkAllUnconfirmed records that the store may have lost anything, or may be another one: all sums are written
+// again. Until the other instances have written theirs again, within reportGrace, totals include what they are
+// known to have had.
 func (l *Ledger) MarkAllUnconfirmed(now time.Duration) {
-	for name, e := range l.accounts {
-		if now >= e.expiresAt {
-			l.forget(name, e)
+	for name, a := range l.accounts {
+		if now >= a.expiresAt {
+			l.forget(name, a)
 			continue
 		}
-		if e.confirmedSeq != 0 {
-			e.keepFloor(now + reportGrace)
+		if a.confirmedSeq != 0 {
+			a.keepFloor(now + reportGrace)
 		}
-		if e.sum != 0 || e.confirmedSeq != 0 {
-			e.unconfirmed = true
-			l.markPending(name, e)
+		if a.sum != 0 || a.confirmedSeq != 0 {
+			a.unconfirmed = true
+			l.markPending(name, a)
 		}
 	}
 }
 
-func (l *Ledger) markPending(name string, e *account) {
-	if !e.queued {
-		e.queued = true
+func (l *Ledger) markPending(name string, a *account) {
+	if !a.queued {
+		a.queued = true
 		l.pending = append(l.pending, name)
 	}
 }
 
-func (l *Ledger) forget(name string, e *account) {
-	e.queued = false
+func (l *Ledger) forget(name string, a *account) {
+	a.queued = false
 	delete(l.accounts, name)
 }
 
-// Dirty says whether there is something to tell again.
+// HasPending reports whether there may be something to write again.
 func (l *Ledger) HasPending() bool { return len(l.pending) > 0 }
 
-// Again returns up to n writes that tell again what the store may not hold.
-func (l *Ledger) TakePending(now time.Duration, n int) []Write {
-	var out []Write
-	for len(l.pending) > 0 && len(out) < n {
+// TakePending returns up to limit writes of sums that the store may not hold.
+func (l *Ledger) TakePending(now time.Duration, limit int) []Write {
+	var writes []Write
+	for len(l.pending) > 0 && len(writes) < limit {
 		name := l.pending[0]
 		l.pending = l.pending[1:]
-		e := l.accounts[name]
-		if e == nil || !e.queued {
+		a := l.accounts[name]
+		if a == nil || !a.queued {
 			continue
 		}
-		e.queued = false
-		if now >= e.expiresAt {
+		a.queued = false
+		if now >= a.expiresAt {
 			delete(l.accounts, name)
 			continue
 		}
-		if e.unconfirmed || e.confirmedSum != e.sum {
-			out = append(out, l.nextWrite(now, name, e))
+		if a.unconfirmed || a.confirmedSum != a.sum {
+			writes = append(writes, l.nextWrite(now, name, a))
 		}
 	}
-	return out
+	return writes
 }
 
 // Expire forgets the names whose life is over.
 func (l *Ledger) Expire(now time.Duration) {
-	for name, e := range l.accounts {
-		if now >= e.expiresAt {
-			l.forget(name, e)
+	for name, a := range l.accounts {
+		if now >= a.expiresAt {
+			l.forget(name, a)
 		}
 	}
 	if len(l.accounts) == 0 {
--- a/internal/store/ledger/ledger_test.go
+++ b/internal/store/ledger/ledger_test.go
@@ -1,6 +1,8 @@
 package ledger
 
 import (
+	"errors"
+	"maps"
 	"math"
 	"testing"
 	"time"
@@ -8,205 +10,231 @@
 	"pgregory.net/rapid"
 )
 
-// field is what a store holds for one life of a name at one instance.
+// field is what a store holds of one instance for a name, from its first add to its expiry.
 type field struct {
 	seq uint64
 	sum int64
 }
 
-// modelStore is the store as the package comment describes it.
+// modelStore is the store as the package comment describes it, with a field for each FirstSeq.
 type modelStore map[uint64]field
 
-func (m modelStore) total() (t int64) {
+func (m modelStore) total() (total int64) {
 	for _, f := range m {
-		t += f.sum
+		total += f.sum
 	}
-	return t
+	return total
 }
 
-func (m modelStore) apply(w Write) Reply {
-	f := m[w.FirstSeq]
-	a := Reply{PreviousSeq: f.seq}
-	if w.Seq > f.seq {
-		f = field{w.Seq, w.Sum}
-		m[w.FirstSeq] = f
+func (m modelStore) apply(write Write) Reply {
+	f := m[write.FirstSeq]
+	reply := Reply{PreviousSeq: f.seq}
+	if write.Seq > f.seq {
+		f = field{write.Seq, write.Sum}
+		m[write.FirstSeq] = f
 	}
-	a.Own, a.Total = f.sum, m.total()
-	return a
+	reply.Own = f.sum
+	reply.Total = m.total()
+	return reply
 }
 
-func (m modelStore) clone() modelStore {
-	out := modelStore{}
-	for k, v := range m {
-		out[k] = v
+// otherInstance is the field of another instance.
+const otherInstance = math.MaxUint64
+
+// unansweredAdd is an add whose write has not been answered.
+type unansweredAdd struct {
+	write Write
+	units float64
+}
+
+// ledgerModel is a ledger and its store, with what may have happened between them.
+type ledgerModel struct {
+	ledger      *Ledger
+	store       modelStore
+	backup      modelStore // what a rollback restores
+	unanswered  []unansweredAdd
+	inFlight    []Write // sent on a connection that broke: may be applied at any time, any number of times
+	spent       int64   // by this instance: all that was not rejected
+	knownOthers int64   // the highest sum of the others that any reply has shown
+}
+
+func (m *ledgerModel) confirm(t *rapid.T, write Write, reply Reply) {
+	got := m.ledger.Confirm(0, write, reply)
+	m.knownOthers = max(m.knownOthers, reply.Total-reply.Own)
+	if known := float64(m.knownOthers+write.Sum) / MicrosPerUnit; got.Total < known-1e-9 {
+		t.Fatalf("got total %v, yet %v is known to be spent", got.Total, known)
+	}
+}
+
+func (m *ledgerModel) add(t *rapid.T) {
+	units := float64(rapid.IntRange(-300, 1000).Draw(t, "units")) / 100
+	write, err := m.ledger.Add(0, "a", units, time.Hour)
+	if err != nil {
+		t.Fatal(err)
+	}
+	micros, _ := ToMicros(units)
+	m.spent += micros
+	m.unanswered = append(m.unanswered, unansweredAdd{write, units})
+}
+
+func (m *ledgerModel) applyAndReply(t *rapid.T) {
+	if len(m.unanswered) == 0 {
+		return
+	}
+	add := m.unanswered[0]
+	m.unanswered = m.unanswered[1:]
+	m.confirm(t, add.write, m.store.apply(add.write))
+}
+
+func (m *ledgerModel) breakConnection(*rapid.T) {
+	if len(m.unanswered) == 0 {
+		return
+	}
+	add := m.unanswered[0]
+	m.unanswered = m.unanswered[1:]
+	m.ledger.MarkUnconfirmed(add.write)
+	m.inFlight = append(m.inFlight, add.write)
+}
+
+func (m *ledgerModel) applyLate(t *rapid.T) {
+	if len(m.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "i")
+	m.store.apply(m.inFlight[i]) // it stays in flight: it may be applied once more
+}
+
+func (m *ledgerModel) reject(t *rapid.T) {
+	if len(m.unanswered) == 0 {
+		return
+	}
+	last := len(m.unanswered) - 1
+	add := m.unanswered[last]
+	m.unanswered = m.unanswered[:last]
+	sent := rapid.Bool().Draw(t, "sent")
+	if sent && rapid.Bool().Draw(t, "applied") {
+		m.store.apply(add.write) // the rejection was another's, or that of a copy
 	}
-	return out
+	m.ledger.Reject(add.write, add.units, sent)
+	micros, _ := ToMicros(add.units)
+	m.spent -= micros
+}
+
+func (m *ledgerModel) othersAdd(t *rapid.T) {
+	f := m.store[otherInstance]
+	f.sum += int64(rapid.IntRange(0, 5e6).Draw(t, "n"))
+	m.store[otherInstance] = f
+}
+
+// rollBack restores the backup; the other instances write theirs again sooner or later.
+func (m *ledgerModel) rollBack(*rapid.T) {
+	m.store = maps.Clone(m.backup)
+	m.ledger.MarkAllUnconfirmed(0)
 }
 
-// Whatever is repeated, lost, late, refused or rolled back: once all has been told again, the store holds exactly what
-// was added and not refused, and no verdict ever shows less than this instance's own figure and what it knew of others.
+func (m *ledgerModel) empty(*rapid.T) {
+	m.store = modelStore{}
+	m.ledger.MarkAllUnconfirmed(0)
+}
+
+func (m *ledgerModel) writeAgain(t *rapid.T, limit int) {
+	for _, write := range m.ledger.TakePending(0, limit) {
+		m.confirm(t, write, m.store.apply(write))
+	}
+}
+
+// Whatever is repeated, lost, late, rejected or rolled back: once all has been written again, the store holds
+// exactly what was added and not rejected, and no confirmation ever shows less than this instance's own sum and
+// what it knew of others.
 func TestOnceWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, m := New(10), modelStore{}
-		const other = math.MaxUint64 // another instance's field
-		now := time.Duration(0)
-		var flying []Write // sent, fate unknown
-		type open struct {
-			w     Write
-			units float64
-		}
-		var outs []open
-		spent := int64(0)       // by this instance, all that was not refused
-		knownOthers := int64(0) // what any answer has shown of them
-		backup := m.clone()
-		answer := func(w Write, a Reply) {
-			v := l.Confirm(now, w, a)
-			knownOthers = max(knownOthers, a.Total-a.Own)
-			if least := float64(knownOthers+w.Sum) / MicrosPerUnit; v.Total < least-1e-9 {
-				t.Fatalf("total %v, yet %v is known to be spent", v.Total, least)
-			}
-		}
+		m := &ledgerModel{ledger: New(10), store: modelStore{}, backup: modelStore{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"add": func(t *rapid.T) {
-				units := float64(rapid.IntRange(-300, 1000).Draw(t, "units")) / 100
-				w, err := l.Add(now, "a", units, time.Hour)
-				if err != nil {
-					t.Fatal(err)
-				}
-				n, _ := ToMicros(units)
-				spent += n
-				outs = append(outs, open{w, units})
-			},
-			"land and answer": func(t *rapid.T) {
-				if len(outs) == 0 {
-					return
-				}
-				o := outs[0]
-				outs = outs[1:]
-				answer(o.w, m.apply(o.w))
-			},
-			"fly": func(t *rapid.T) { // it was sent, and the connection broke
-				if len(outs) == 0 {
-					return
-				}
-				l.MarkUnconfirmed(outs[0].w)
-				flying = append(flying, outs[0].w)
-				outs = outs[1:]
-			},
-			"land late": func(t *rapid.T) {
-				if len(flying) == 0 {
-					return
-				}
-				i := rapid.IntRange(0, len(flying)-1).Draw(t, "i")
-				m.apply(flying[i]) // it stays in flight: it may land once more
-			},
-			"refuse": func(t *rapid.T) {
-				if len(outs) == 0 {
-					return
-				}
-				o := outs[len(outs)-1]
-				outs = outs[:len(outs)-1]
-				sent := rapid.Bool().Draw(t, "sent")
-				if sent && rapid.Bool().Draw(t, "lied") {
-					m.apply(o.w) // the refusal was another's, or a copy's
-				}
-				l.Reject(o.w, o.units, sent)
-				n, _ := ToMicros(o.units)
-				spent -= n
-			},
-			"others add": func(t *rapid.T) {
-				f := m[other]
-				f.sum += int64(rapid.IntRange(0, 5e6).Draw(t, "n"))
-				m[other] = f
-			},
-			"backup": func(t *rapid.T) { backup = m.clone() },
-			"rollback": func(t *rapid.T) { // the others tell theirs again sooner or later
-				m = backup.clone()
-				l.MarkAllUnconfirmed(now)
-			},
-			"empty": func(t *rapid.T) {
-				m = modelStore{}
-				l.MarkAllUnconfirmed(now)
-			},
-			"tell again": func(t *rapid.T) {
-				for _, w := range l.TakePending(now, 3) {
-					answer(w, m.apply(w))
-				}
-			},
-			"": func(t *rapid.T) {},
+			"add":              m.add,
+			"apply and reply":  m.applyAndReply,
+			"break connection": m.breakConnection,
+			"apply late":       m.applyLate,
+			"reject":           m.reject,
+			"others add":       m.othersAdd,
+			"backup":           func(*rapid.T) { m.backup = maps.Clone(m.store) },
+			"roll back":        m.rollBack,
+			"empty":            m.empty,
+			"write again":      func(t *rapid.T) { m.writeAgain(t, 3) },
+			"":                 func(*rapid.T) {},
 		})
-		for _, o := range outs {
-			answer(o.w, m.apply(o.w))
+		for len(m.unanswered) > 0 {
+			m.applyAndReply(t)
 		}
-		for l.HasPending() {
-			for _, w := range l.TakePending(now, 10) {
-				answer(w, m.apply(w))
-			}
+		for m.ledger.HasPending() {
+			m.writeAgain(t, 10)
 		}
-		for _, w := range flying { // whatever lands now is old
-			m.apply(w)
+		for _, write := range m.inFlight { // whatever is applied now is old
+			m.store.apply(write)
 		}
-		if got := m.total() - m[other].sum; got != spent {
-			t.Fatalf("the store holds %d of this instance, which spent %d", got, spent)
+		if got := m.store.total() - m.store[otherInstance].sum; got != m.spent {
+			t.Fatalf("the store holds %d of this instance, want %d", got, m.spent)
 		}
 	})
 }
 
-// A verdict tells of a write that had landed before, and of a store that lost what it had confirmed.
-func TestVerdicts(t *testing.T) {
-	l, m := New(2), modelStore{7: {9, 40 * MicrosPerUnit}}
-	w, _ := l.Add(0, "a", 1.5, time.Minute)
-	if v := l.Confirm(0, w, m.apply(w)); v != (Confirmation{Total: 41.5}) {
-		t.Fatalf("first: %+v", v)
+// A confirmation shows that a write had been applied before, and that a store has lost what it had confirmed.
+func TestConfirmations(t *testing.T) {
+	l := New(2)
+	store := modelStore{7: {9, 40 * MicrosPerUnit}}
+	write, _ := l.Add(0, "a", 1.5, time.Minute)
+	if got, want := l.Confirm(0, write, store.apply(write)), (Confirmation{Total: 41.5}); got != want {
+		t.Fatalf("first: got %+v, want %+v", got, want)
 	}
-	if v := l.Confirm(0, w, m.apply(w)); v != (Confirmation{Total: 41.5, AlreadyApplied: true}) {
-		t.Fatalf("told again: %+v", v)
+	want := Confirmation{Total: 41.5, AlreadyApplied: true}
+	if got := l.Confirm(0, write, store.apply(write)); got != want {
+		t.Fatalf("sent again: got %+v, want %+v", got, want)
 	}
-	w, _ = l.Add(0, "a", 1, time.Minute)
-	if v := l.Confirm(0, w, modelStore{}.apply(w)); v != (Confirmation{Total: 42.5, Lost: true}) {
-		t.Fatalf("an empty store: %+v, want the others' 40 to be remembered", v)
+	write, _ = l.Add(0, "a", 1, time.Minute)
+	want = Confirmation{Total: 42.5, Lost: true}
+	if got := l.Confirm(0, write, modelStore{}.apply(write)); got != want {
+		t.Fatalf("an empty store: got %+v, want %+v with the others' 40", got, want)
 	}
-	m = modelStore{7: {9, 41 * MicrosPerUnit}}
-	w, _ = l.Add(0, "a", 0, time.Minute)
-	if v := l.Confirm(0, w, m.apply(w)); v.Total != 43.5 {
-		t.Fatalf("the others are back with 41: %+v", v)
+	store = modelStore{7: {9, 41 * MicrosPerUnit}}
+	write, _ = l.Add(0, "a", 0, time.Minute)
+	if got := l.Confirm(0, write, store.apply(write)); got.Total != 43.5 {
+		t.Fatalf("the others are back with 41: got total %v, want 43.5", got.Total)
 	}
 }
 
-// A name's life ends; what comes after is a new one, and an answer to the old one moves nothing.
-func TestLives(t *testing.T) {
+// A name expires; what is added after that is a new name, and a reply to a write of the old one changes nothing.
+func TestExpiry(t *testing.T) {
 	l := New(2)
-	w, _ := l.Add(0, "a", 1, time.Second)
-	v, _ := l.Add(time.Second, "a", 2, time.Second)
-	if v.FirstSeq == w.FirstSeq || v.Sum != 2*MicrosPerUnit {
-		t.Fatalf("second life %+v after %+v", v, w)
+	first, _ := l.Add(0, "a", 1, time.Second)
+	second, _ := l.Add(time.Second, "a", 2, time.Second)
+	if second.FirstSeq == first.FirstSeq || second.Sum != 2*MicrosPerUnit {
+		t.Fatalf("got %+v after %+v, want a new name", second, first)
 	}
-	l.Confirm(time.Second, w, Reply{Own: MicrosPerUnit, Total: MicrosPerUnit})
-	l.MarkUnconfirmed(w)
+	l.Confirm(time.Second, first, Reply{Own: MicrosPerUnit, Total: MicrosPerUnit})
+	l.MarkUnconfirmed(first)
 	if l.HasPending() {
-		t.Fatal("an answer to the old life left something to tell again")
+		t.Fatal("a reply to the old name's write left something to write again")
 	}
 	if _, err := l.Add(time.Second, "b", 1, time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := l.Add(time.Second, "c", 1, time.Second); err != ErrTooManyNames {
-		t.Fatalf("a third name: %v", err)
+	if _, err := l.Add(time.Second, "c", 1, time.Second); !errors.Is(err, ErrTooManyNames) {
+		t.Fatalf("a third name: got %v, want %v", err, ErrTooManyNames)
 	}
 	if l.Expire(time.Minute); l.Len() != 0 {
-		t.Fatalf("%d names left", l.Len())
+		t.Fatalf("got %d names after expiry, want 0", l.Len())
 	}
 	for _, units := range []float64{math.NaN(), math.Inf(1), 1e11} {
-		if _, err := l.Add(0, "a", units, time.Second); err != ErrAmountRange {
-			t.Fatalf("%v units: %v", units, err)
+		if _, err := l.Add(0, "a", units, time.Second); !errors.Is(err, ErrAmountRange) {
+			t.Fatalf("%v units: got %v, want %v", units, err, ErrAmountRange)
 		}
 	}
 }
 
-func BenchmarkPutAnswered(b *testing.B) {
+func BenchmarkAddConfirm(b *testing.B) {
 	l := New(10)
 	b.ReportAllocs()
 	for i := range b.N {
-		w, _ := l.Add(0, "a", 0.5, time.Hour)
-		l.Confirm(0, w, Reply{PreviousSeq: uint64(i), Own: w.Sum, Total: w.Sum})
+		write, _ := l.Add(0, "a", 0.5, time.Hour)
+		l.Confirm(0, write, Reply{PreviousSeq: uint64(i), Own: write.Sum, Total: write.Sum})
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the seam between the core and the shared counter: named numbers to which every instance adds and
-// whose totals it reads back. It says what an add may answer and who may still take it back; what stands behind it
-// (tally, Redis) is known to the implementations alone.
+// Package store is the seam between the core and the shared counter: named numbers to which all instances add and
+// whose totals they read back. It defines what an add may be answered and who may still take the add back. What
+// stands behind a counter (tally, Redis) is known to the implementations alone.
 package store
 
 import (
@@ -26,6 +26,7 @@
 		return "added"
 	case NotAdded:
 		return "not added"
+	case Maybe:
 	}
 	return "maybe"
 }
@@ -33,75 +34,77 @@
 // Result is the answer to an add.
 type Result struct {
 	Certainty Certainty
-	Seen      bool    // Total was read; an add may have landed with an answer that could not be
+	Seen      bool    // Total was read; an add may take effect with a reply that could not be read
 	Total     float64 // units, with this add in it: never less than what this instance knows to be spent
 }
 
-// The states of a call.
+// The states of a call. From queued it becomes claimed or withdrawn, from claimed it becomes lapsed or rejected,
+// and may stay claimed.
 const (
-	queued int32 = iota
-	claimed
-	withdrawn
-	lapsed
-	rejected
+	queued    int32 = iota // nobody has decided on it
+	claimed                // the store may send it
+	withdrawn              // the caller took it back: it is not sent
+	lapsed                 // the caller counts it as added
+	rejected               // the store reports that it is not added
 )
 
-// Call is one add. Its fields are set before it is handed to a store and not changed after. The caller and the store
-// decide between them, in any order and from any goroutine, who has the last word on it: a call that its caller has
-// counted as added is never taken out of the total again.
+// Call is one add. Its exported fields are set before it is handed to a store and not changed after. The caller and
+// the store decide between them, in any order and from any goroutine, what becomes of it: a call that its caller
+// has counted as added is never taken out of the total again.
 type Call struct {
 	Name      string        // 1 to 64 bytes, no spaces
-	Amount    float64       // units; below 0 gives back
+	Amount    float64       // units; negative gives back
 	TTL       time.Duration // the life of a new name, from its first add on
-	StartedAt time.Duration // on the caller's clock, for the caller's own books
+	StartedAt time.Duration // on the caller's clock, for the caller's own use
 	state     atomic.Int32
-	answered  bool
+	answered  bool // the caller's
 }
 
-// Take is the store's: it claims a call before anything of it leaves the process, and reports false for one that was
-// withdrawn, which must then not be sent.
+// Claim is for the store, before anything of the call leaves the process. It reports false for a call that was
+// withdrawn, which must not be sent.
 func (c *Call) Claim() bool { return c.state.CompareAndSwap(queued, claimed) }
 
-// Withdraw is the caller's: it reports whether the call was taken back before a store took it, so that it is surely not
-// added.
+// Withdraw is for the caller. It reports whether the call was taken back before the store claimed it, so that it is
+// surely not added.
 func (c *Call) Withdraw() bool { return c.state.CompareAndSwap(queued, withdrawn) }
 
-// Lapse is the caller's, for a call that it could not withdraw and waits for no longer: it counts as added from then on.
-// False means that the store has refused it, and says so presently.
+// Lapse is for the caller, for a call that it could not withdraw and does not wait for any longer: the call counts
+// as added from then on. It reports false if the store has rejected the call, whose answer comes presently.
 func (c *Call) Lapse() bool { return c.state.CompareAndSwap(claimed, lapsed) }
 
-// Refuse is the store's, before it takes the amount of a call that it took out of the total: false means that the caller
-// has counted the call as added, and added it must stay.
+// Reject is for the store, before it takes the amount of the call out of the total. It reports false if the caller has
+// counted the call as added: then it must stay added.
 func (c *Call) Reject() bool { return c.state.CompareAndSwap(claimed, rejected) }
 
-// Open reports whether nobody has taken or withdrawn the call.
+// IsQueued reports whether the call was neither claimed nor withdrawn.
 func (c *Call) IsQueued() bool { return c.state.Load() == queued }
 
-// End is the caller's, on one goroutine: it reports whether this is the call's first answer.
+// FirstAnswer is for the caller, on one goroutine. It reports whether it is called for the first time, that is for the
+// call's first answer.
 func (c *Call) FirstAnswer() bool {
 	first := !c.answered
 	c.answered = true
 	return first
 }
 
-// Sink is told the answer to a call, once at most, from a goroutine of the store. A caller that waits no longer
-// withdraws the call or counts it as Maybe; a later answer is the caller's to drop.
+// Sink receives the answer to a call, at most once, from a goroutine of the store. A caller that does not wait any
+// longer withdraws the call or counts it as Maybe, and drops a later answer.
 type Sink func(*Call, Result)
 
 // Counter is a shared counter. Answers to the calls of one name come in the order in which the calls were added.
 type Counter interface {
-	// Add queues a call and never blocks; where there is no room the call stays unanswered and may be withdrawn.
+	// Add queues a call and never blocks. If the queue is full, the call stays unanswered and may be withdrawn.
 	Add(*Call)
 	// Run serves the calls until ctx ends, and leaves no goroutine behind.
 	Run(ctx context.Context)
-	// Move goes over to another address; it waits for nothing, may come at any time, and the last of several counts.
+	// SetAddress changes to another address. It does not block and may be called at any time; the last address counts.
 	SetAddress(addr string)
 }
 
-// Latest is a place for one value; one that is put there takes the place of one that was not fetched.
+// Latest is a channel for one value; a value that is set replaces one that was not received.
 type Latest[T any] chan T
 
-// NewLatest returns an empty place.
+// NewLatest returns an empty channel.
 func NewLatest[T any]() Latest[T] { return make(Latest[T], 1) }
 
 // Set never blocks; it is for one goroutine at a time.
