--- /dev/null
+++ b/internal/store/redis/failover_test.go
@@ -0,0 +1,223 @@
+package redis
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"hitchspring/internal/standin/fault"
+	standin "hitchspring/internal/standin/redis"
+	"hitchspring/internal/store"
+	"hitchspring/internal/store/storetest"
+)
+
+// In each of these states adds are rejected or unanswered for a while, and then all is as if it had not been.
+func TestStates(t *testing.T) {
+	failFor := func(text string) func(testing.TB, *standin.Server) {
+		return func(_ testing.TB, s *standin.Server) {
+			s.Fault(fault.Rule{Kind: fault.Fail, On: "EVALSHA", For: 300 * time.Millisecond, Text: text})
+		}
+	}
+	type change = func(testing.TB, *standin.Server)
+	on := func(do func(*standin.Server)) change { return func(_ testing.TB, s *standin.Server) { do(s) } }
+	for name, c := range map[string]struct {
+		begin change
+		end   change // nil: it ends by itself
+	}{
+		"loading": {on(func(s *standin.Server) { s.Load(400 * time.Millisecond) }), nil},
+		"out of memory": {
+			on(func(s *standin.Server) { s.Full(true) }),
+			on(func(s *standin.Server) { s.Full(false) }),
+		},
+		"read only": {
+			on(func(s *standin.Server) { s.ReadOnly(true) }),
+			on(func(s *standin.Server) { s.ReadOnly(false) }),
+		},
+		"max clients": {
+			on(func(s *standin.Server) {
+				s.MaxClients(0)
+				s.Kick()
+			}),
+			on(func(s *standin.Server) { s.MaxClients(10) }),
+		},
+		"silent": {
+			on(func(s *standin.Server) { s.Silent(true) }),
+			on(func(s *standin.Server) { s.Silent(false) }),
+		},
+		"stopped":      {on(func(s *standin.Server) { s.Stop() }), listen},
+		"empty":        {on(func(s *standin.Server) { s.Restart(200 * time.Millisecond) }), nil},
+		"no scripts":   {on(func(s *standin.Server) { s.ForgetScripts() }), nil},
+		"busy":         {failFor("BUSY Redis is busy running a script."), nil},
+		"cluster down": {failFor("CLUSTERDOWN The cluster is down"), nil},
+	} {
+		t.Run(name, func(t *testing.T) { testState(t, c.begin, c.end) })
+	}
+}
+
+func testState(t *testing.T, begin, end func(testing.TB, *standin.Server)) {
+	t.Helper()
+	s := startServer(t, standin.Options{})
+	opt := options(s.Addr())
+	opt.Timeout = 50 * time.Millisecond
+	opt.ConnectTimeout = 200 * time.Millisecond
+	x, y := start(t, opt), start(t, opt)
+	x.AddAndWait(t, "a", 5)
+	y.AddAndWait(t, "a", 7)
+	x.AddAndWait(t, "a", 0)
+	begin(t, s)
+	spent := 12.0
+	for range 4 {
+		if r := x.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
+			spent++
+			if r.Seen && r.Total < spent-1e-9 {
+				t.Fatalf("total %v, %v are known to be spent", r.Total, spent)
+			}
+		}
+	}
+	if end != nil {
+		end(t, s)
+	}
+	storetest.Eventually(t, "the end of the state", func() bool {
+		return addKnowing(t, x, 0, spent).Certainty == store.Added
+	})
+	// y adds nothing further, but writes its sum again.
+	storetest.Eventually(t, "all in the total", func() bool {
+		return storetest.ApproxEqual(total(t, s, "a"), spent)
+	})
+	if r := x.AddAndWait(t, "a", 0); !storetest.ApproxEqual(r.Total, spent) {
+		t.Fatalf("total %v, want %v", r.Total, spent)
+	}
+}
+
+// addKnowing adds to the name a; the total must not show less than is known to be spent.
+func addKnowing(t *testing.T, i *storetest.Instance, amount, spent float64) store.Result {
+	t.Helper()
+	result := i.AddAndWait(t, "a", amount)
+	if result.Seen && result.Total < spent-1e-9 {
+		t.Fatalf("total %v, %v are known to be spent", result.Total, spent)
+	}
+	return result
+}
+
+// A failover loses the writes of the last half second. Both instances write theirs again, and until then no total shows
+// less than was known.
+func TestFailoverLosesWrites(t *testing.T) {
+	for _, split := range []bool{false, true} {
+		for _, by := range []string{"sentinel", "move"} {
+			t.Run(fmt.Sprint(by, " split ", split), func(t *testing.T) { testFailover(t, split, by == "sentinel") })
+		}
+	}
+}
+
+func testFailover(t *testing.T, split, bySentinel bool) {
+	t.Helper()
+	const spent = 33.0
+	primary := startServer(t, standin.Options{})
+	group := primary.Group()
+	replica, err := group.AddReplica(standin.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(replica.Close)
+	opt := options(primary.Addr())
+	opt.Timeout = 100 * time.Millisecond
+	if bySentinel {
+		sentinel, name, err := group.AddSentinel(standin.Options{})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(sentinel.Close)
+		opt.Address = ""
+		opt.Sentinels = []string{"127.0.0.1:1", sentinel.Addr()}
+		opt.Master = name
+	}
+	x, y := start(t, opt), start(t, opt)
+	x.AddAndWait(t, "a", 1)
+	y.AddAndWait(t, "a", 2)
+	group.SetLag(500 * time.Millisecond)
+	x.AddAndWait(t, "a", 10)
+	y.AddAndWait(t, "a", 20)
+	requireTotal(t, x, 0, spent)
+	if lost := group.Failover(replica, split); lost == 0 {
+		t.Fatal("nothing was lost")
+	}
+	if bySentinel {
+		primary.Kick()
+	} else {
+		x.SetAddress(replica.Addr())
+		y.SetAddress(replica.Addr())
+	}
+	storetest.Eventually(t, "the new primary", func() bool {
+		result := x.AddAndWait(t, "a", 0)
+		if result.Seen && result.Total < spent {
+			t.Fatalf("total %v, %v are known to be spent", result.Total, spent)
+		}
+		return result.Seen && total(t, replica, "a") > 0
+	})
+	storetest.Eventually(t, "all on the new primary", func() bool { return total(t, replica, "a") == spent })
+}
+
+// A failover behind a proxy breaks no connection: the lost writes show in the next reply.
+func TestSilentRollback(t *testing.T) {
+	s := startServer(t, standin.Options{})
+	x, y := start(t, options(s.Addr())), start(t, options(s.Addr()))
+	x.AddAndWait(t, "a", 1)
+	y.AddAndWait(t, "a", 20)
+	if r := x.AddAndWait(t, "a", 1); r.Total != 22 {
+		t.Fatal(r.Total)
+	}
+	s.Flush()
+	if r := x.AddAndWait(t, "a", 1); r.Total != 23 {
+		t.Fatalf("total %v, want 23: the others' 20 are known", r.Total)
+	}
+	if st := stats(x); st.Lost != 1 {
+		t.Fatalf("%+v", st)
+	}
+	y.AddAndWait(t, "a", 5)
+	if r := x.AddAndWait(t, "a", 0); r.Total != 28 || total(t, s, "a") != 28 {
+		t.Fatalf("total %v, the server holds %v", r.Total, total(t, s, "a"))
+	}
+}
+
+// A server of a cluster that does not hold a shard's slot names the one that does.
+func TestCluster(t *testing.T) {
+	const (
+		shards = 8
+		names  = 50
+	)
+	cluster, err := standin.StartCluster(standin.Options{}, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(cluster.Close)
+	servers := cluster.Shards()
+	opt := options(servers[0].Addr())
+	opt.Shards = shards
+	i := start(t, opt)
+	held := func() (sum float64) {
+		for field := range shards * names {
+			key := fmt.Sprintf("%s:{%d}:n%d", prefix, field/names, field%names)
+			for _, s := range servers {
+				text, _ := s.HashField(0, key, "t")
+				sum += units(t, text)
+			}
+		}
+		return sum
+	}
+	want := 0.0
+	add := func() {
+		for j := range names {
+			i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: 1, TTL: time.Minute})
+		}
+		for range names {
+			if i.NextAnswer(t).Result.Certainty != store.NotAdded {
+				want++
+			}
+		}
+	}
+	add()
+	storetest.Eventually(t, "both servers", func() bool {
+		add()
+		return held() == want && adds(servers[0]) > 0 && adds(servers[1]) > 0
+	})
+}
--- a/internal/store/redis/golden_test.go
+++ b/internal/store/redis/golden_test.go
@@ -13,7 +13,11 @@
 
 // Instances of different versions share one Redis: its keys, its fields and the script are the same for all of them.
 func TestGoldenCommands(t *testing.T) {
-	c, err := New(Options{Address: "127.0.0.1:1", Prefix: "hitchspring", Shards: 3}, slog.New(slog.DiscardHandler), func(*store.Call, store.Result) {})
+	c, err := New(
+		Options{Address: "127.0.0.1:1", Prefix: "hitchspring", Shards: 3},
+		slog.New(slog.DiscardHandler),
+		func(*store.Call, store.Result) {},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/redis/helpers_test.go
+++ b/internal/store/redis/helpers_test.go
@@ -24,9 +24,15 @@
 		t.Fatal(err)
 	}
 	tmpl := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in"},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
+		SerialNumber: big.NewInt(1),
+		Subject:      pkix.Name{CommonName: "stand-in"},
+		NotBefore: time.Now().
+			Add(-time.Hour),
+		NotAfter:              time.Now().Add(time.Hour),
+		IPAddresses:           []net.IP{net.IPv4(127, 0, 0, 1)},
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, &key.PublicKey, key)
 	if err != nil {
--- /dev/null
+++ b/internal/store/redis/outage.go
@@ -0,0 +1,73 @@
+package redis
+
+import (
+	"errors"
+	"net"
+	"time"
+)
+
+// logInterval is between two logged causes of one outage.
+const logInterval = 30 * time.Second
+
+// markConnected records a new connection, and logs the first one and the end of an outage.
+func (s *shard) markConnected() {
+	s.mu.Lock()
+	s.stats.Connected = true
+	s.stats.Connects++
+	first := s.stats.Connects == 1
+	names := s.ledger.Len()
+	if !first {
+		s.ledger.MarkAllUnconfirmed(s.now())
+	}
+	s.sendScript = false
+	s.lossLogged = false
+	s.loggedRejection = ""
+	s.mu.Unlock()
+	switch {
+	case !s.disconnectedAt.IsZero():
+		s.log.Info("store reachable again, sharing quotas",
+			"addr", s.addr, "after", time.Since(s.disconnectedAt).Round(time.Millisecond), "names", names)
+	case first:
+		s.log.Info("store connected", "addr", s.addr)
+	}
+	s.disconnectedAt = time.Time{}
+	s.loggedCause = ""
+	s.loggedAt = time.Time{}
+}
+
+// markDisconnected records that there is no connection, and logs the beginning of an outage and each new cause of it.
+func (s *shard) markDisconnected(err error) {
+	s.mu.Lock()
+	s.stats.Connected = false
+	s.stats.Disconnects++
+	s.mu.Unlock()
+	if s.disconnectedAt.IsZero() {
+		s.disconnectedAt = time.Now()
+	}
+	now := time.Now()
+	if cause := errorCause(err); cause != s.loggedCause && now.Sub(s.loggedAt) > logInterval {
+		s.loggedCause = cause
+		s.loggedAt = now
+		s.log.Warn("store unreachable, using fair shares", "addr", s.addr, "err", err)
+	}
+}
+
+// errorCause is the text of an error without the ports and times that differ from one to the next.
+func errorCause(err error) string {
+	var op *net.OpError
+	if errors.As(err, &op) {
+		return op.Op + ": " + op.Err.Error()
+	}
+	return err.Error()
+}
+
+// logRejection logs an error reply to an add, once until one of another code comes or the connection is a new one.
+func (s *shard) logRejection(e redisError) {
+	s.mu.Lock()
+	known := s.loggedRejection == e.code()
+	s.loggedRejection = e.code()
+	s.mu.Unlock()
+	if !known {
+		s.log.Warn("store rejects adds, using fair shares", "err", e)
+	}
+}
