--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -23,7 +23,7 @@
 	for _, n := range w.fleet.Backends() {
 		why, at := n.Fell()
 		if n.Pushed() > 0 {
-			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, At: at, Reason: why, Pushed: n.Pushed()})
+			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FellAt: at, Reason: why, Pressure: n.Pushed()})
 		}
 	}
 	return e
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -166,7 +166,7 @@
 	cfg.Tolerance = 0
 	cfg.Faults = []string{"node/7:delay 300ms for 3s share 0.5 at 1s", "node/4:delay 1200ms for 3s share 0.2 at 1s"}
 	r := play(t, cfg)
-	if n := r.Rules[rulecheck.NoneLost]; n > 0 && len(r.Doubts()) == 0 {
+	if n := r.Rules[rulecheck.NoRequestLost]; n > 0 && len(r.Doubts()) == 0 {
 		t.Fatal(r.Text())
 	}
 }
--- a/internal/lab/lateness/lateness.go
+++ b/internal/lab/lateness/lateness.go
@@ -44,7 +44,7 @@
 		}
 		now := m.clock()
 		if by := now - last - wakeEvery; by > keptFrom {
-			m.add(rulecheck.ObserverDelay{At: now - by, By: by})
+			m.add(rulecheck.ObserverDelay{At: now - by, Delay: by})
 		}
 		last = now
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -274,7 +274,7 @@
 	g := l.w.ingresses[at]
 	id := l.lastID.Add(1)
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{ClientRequest: rulecheck.ClientRequest{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, Patience: wait}, ch: ch, class: c, retry: retry}
+	t = tried{ClientRequest: rulecheck.ClientRequest{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, Timeout: wait}, ch: ch, class: c, retry: retry}
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=%d", c.name, ch.plan.name, wait.Milliseconds(), c.units, ch.spread, ch.first)
 	name := "Q.DO"
 	switch c.effect {
@@ -302,7 +302,7 @@
 			if at := t.Answers[0].At; at-t.SentAt > wait { // one that was stopped answers when it wakes
 				t.Excused = g.wasDown(t.SentAt, at)
 			}
-			t.Spoilt = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !(key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")) // the key's first try may have made it
+			t.ForeignAnswer = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !(key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")) // the key's first try may have made it
 			if nc.more() {
 				t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: "failed"})
 				nc.Close()
@@ -329,14 +329,14 @@
 	g := l.w.ingresses[at]
 	id := fmt.Sprintf("%016x", l.lastID.Add(1))
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{ClientRequest: rulecheck.ClientRequest{ID: id, Instance: g.Name, Class: c.name, Patience: wait, SentAt: l.w.clock()}, ch: ch, class: c, retry: retry}
+	t = tried{ClientRequest: rulecheck.ClientRequest{ID: id, Instance: g.Name, Class: c.name, Timeout: wait, SentAt: l.w.clock()}, ch: ch, class: c, retry: retry}
 	wish := gate.Request{ID: id, Channel: fmt.Sprintf("%016x", ch.id), Class: c.name, Plan: ch.plan.name, Units: c.units, Spread: ch.spread, First: ch.first, Wait: wait}
 	if c.effect == "idempotency_key" {
 		wish.Key = id
 	}
 	res := l.w.gates[at].Do(context.Background(), wish)
 	t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: res.Kind})
-	t.Spoilt = res.Kind == "served" && res.Value != "value of "+id
+	t.ForeignAnswer = res.Kind == "served" && res.Value != "value of "+id
 	t.Excused = res.Kind != "served" && g.wasDown(t.SentAt, l.w.clock())
 	return t, res.After
 }
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -56,7 +56,7 @@
 }
 
 // rules are the short names.
-var rules = map[string]string{"lost": rulecheck.NoneLost, "twice": rulecheck.NoneTwice, "drains": rulecheck.Drains, "cold": rulecheck.SlowStart, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Reports, "once": lab.OnceByKey}
+var rules = map[string]string{"lost": rulecheck.NoRequestLost, "twice": rulecheck.NoEffectTwice, "drains": rulecheck.Drains, "cold": rulecheck.SlowStart, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Reports, "once": lab.OnceByKey}
 
 // Defects are all that come with the program, by name.
 func Defects() ([]Defect, error) {
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -80,7 +80,7 @@
 		ObserverDelayMS: float64(verdict.WorstDelay.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost(),
 	}
 	for _, rule := range rulecheck.RuleNames {
-		r.Rules[rule] = len(verdict.Of(rule))
+		r.Rules[rule] = len(verdict.ForRule(rule))
 	}
 	for _, g := range w.ingresses {
 		g.mu.Lock()
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -188,7 +188,7 @@
 
 // Code is the exit code: a break that lateness cannot explain is one, however late the lab was elsewhere.
 func (r *Report) Code() int {
-	certain := r.verdict.Certain()
+	certain := r.verdict.CountCertain()
 	for _, b := range r.Violations {
 		if b.Rule == Quotas {
 			certain++
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -75,7 +75,7 @@
 	}
 	for _, n := range r.fleet.Backends() {
 		if why, at := n.Fell(); n.Pushed() > 0 {
-			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, At: at, Reason: why, Pushed: n.Pushed()})
+			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FellAt: at, Reason: why, Pressure: n.Pushed()})
 		}
 	}
 	verdict := rulecheck.Check(r.deployment.auditRules(), e)
@@ -92,14 +92,14 @@
 
 // asAudited is a request as package audit judges it: excused where nobody owes it an answer.
 func (r *run) asAudited(a *asked, sent []backend.Record) rulecheck.ClientRequest {
-	out := rulecheck.ClientRequest{ID: a.id, Instance: a.in.Name, Class: a.class, SentAt: a.sent, Patience: max(a.wait, a.owed) + lateBy, Answers: a.answers}
-	out.Spoilt = len(a.answers) > 0 && a.answers[0].Kind == "served" && a.value != "value of "+a.id
+	out := rulecheck.ClientRequest{ID: a.id, Instance: a.in.Name, Class: a.class, SentAt: a.sent, Timeout: max(a.wait, a.owed) + lateBy, Answers: a.answers}
+	out.ForeignAnswer = len(a.answers) > 0 && a.answers[0].Kind == "served" && a.value != "value of "+a.id
 	end := max(a.ended, a.waited)
 	if len(a.answers) > 0 {
 		end = a.answers[0].At
 	}
 	if a.fresh && end > 0 && a.in.crowded(a.sent, end) { // it has waited for a place
-		out.Patience = max(out.Patience, end-a.sent)
+		out.Timeout = max(out.Timeout, end-a.sent)
 	}
 	switch leaving := a.in.leavingFor(a.sent); {
 	case a.noConnect, a.left > 0, a.in.killedWithin(cmp.Or(a.since, a.sent), end):
@@ -239,7 +239,7 @@
 	for i := range r.findings {
 		f := &r.findings[i]
 		for _, l := range late {
-			f.Doubtful = f.Doubtful || l.By > tolerance && l.At-time.Second <= f.At && f.At <= l.At+l.By+time.Second
+			f.Doubtful = f.Doubtful || l.Delay > tolerance && l.At-time.Second <= f.At && f.At <= l.At+l.Delay+time.Second
 		}
 	}
 }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -60,7 +60,7 @@
 	in.mu.Unlock()
 	before := in.generation()
 	if sleep(ctx, drainShows) && in.ping() && in.generation() == before {
-		in.run.found(rulecheck.NoneLost, in.run.clock(), fmt.Sprintf("%s says yes to PING %v after it was drained", in.Name, drainShows))
+		in.run.found(rulecheck.NoRequestLost, in.run.clock(), fmt.Sprintf("%s says yes to PING %v after it was drained", in.Name, drainShows))
 	}
 	if !sleep(ctx, d) || !in.call("/v1/ingress/activate") {
 		return
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -181,7 +181,7 @@
 func TestLateObserversLeaveDoubt(t *testing.T) {
 	r, _ := newJudged()
 	r.findings = []Finding{{At: 10 * time.Second}, {At: 20 * time.Second}}
-	r.doubtBy([]rulecheck.ObserverDelay{{At: 9500 * time.Millisecond, By: 2 * tolerance}, {At: 20 * time.Second, By: tolerance / 2}})
+	r.doubtBy([]rulecheck.ObserverDelay{{At: 9500 * time.Millisecond, Delay: 2 * tolerance}, {At: 20 * time.Second, Delay: tolerance / 2}})
 	if !r.findings[0].Doubtful || r.findings[1].Doubtful {
 		t.Errorf("%+v", r.findings)
 	}
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -40,7 +40,7 @@
 		}
 		x := by[t.key]
 		if x == nil {
-			x = &ClientRequest{Key: t.key, Class: t.class.name, First: t.SentAt, Patience: t.Patience, Instance: t.Instance, Lost: len(t.Answers) == 0}
+			x = &ClientRequest{Key: t.key, Class: t.class.name, First: t.SentAt, Patience: t.Timeout, Instance: t.Instance, Lost: len(t.Answers) == 0}
 			by[t.key], values[t.key], racks[t.key] = x, map[string]bool{}, map[int]bool{}
 		}
 		x.Attempts++
@@ -203,7 +203,7 @@
 		}
 	}
 	var beyond []measure.Forwarded
-	for _, s := range rulecheck.Beyond(w.quotas(), e.Attempts) {
+	for _, s := range rulecheck.AttemptsBeyondQuota(w.quotas(), e.Attempts) {
 		beyond = append(beyond, measure.Forwarded{At: s.ArrivedAt - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
 	}
 	mc, mp := worths(w.classes, w.plans)
@@ -217,7 +217,7 @@
 	uses := rulecheck.QuotaUses(w.quotas(), e.Attempts)
 	inside, beyond := 0.0, 0.0
 	for _, u := range uses {
-		inside, beyond = inside+u.Inside, beyond+u.Beyond
+		inside, beyond = inside+u.WithinQuota, beyond+u.BeyondQuota
 	}
 	if inside > 0 {
 		r.BeyondShare = beyond / inside
@@ -233,7 +233,7 @@
 			continue
 		}
 		size := ch.plan.ceilingBurst()
-		c := Channel{Tenant: id, Plan: u.Plan, Inside: u.Inside, Beyond: u.Beyond, Overrun: u.Overrun, OfCeiling: u.Overrun / size, Closest: r.verdict.Closest[id]}
+		c := Channel{Tenant: id, Plan: u.Plan, Inside: u.WithinQuota, Beyond: u.BeyondQuota, Overrun: u.Overrun, OfCeiling: u.Overrun / size, Closest: r.verdict.Closest[id]}
 		r.WorstOverrun = max(r.WorstOverrun, c.OfCeiling)
 		r.Channels = append(r.Channels, c)
 	}
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -50,9 +50,9 @@
 	Instance string // that it was sent to
 	Class    string
 	SentAt   time.Duration // of its last byte
-	Patience time.Duration // after Sent
+	Timeout time.Duration // after Sent
 	Answers  []Answer      // final ones; more than one breaks a rule
-	Spoilt   bool          // an answer that was not made for it
+	ForeignAnswer   bool          // an answer that was not made for it
 	Excused  bool          // its instance was killed, or never took it
 }
 
@@ -75,8 +75,8 @@
 }
 
 // neverRan says whether the instance could know at a time that the attempt never ran.
-func (s BackendAttempt) neverRan(at time.Duration) bool {
-	return s.Busy && s.EndedAt > 0 && s.EndedAt <= at
+func (a BackendAttempt) neverRan(at time.Duration) bool {
+	return a.Busy && a.EndedAt > 0 && a.EndedAt <= at
 }
 
 // Told is one entry of the list, as discovery wrote it to an instance.
@@ -89,13 +89,13 @@
 // ColdNode is a node that started cold.
 type Overload struct {
 	Backend string
-	At      time.Duration // of its fall; 0: it stands
+	FellAt      time.Duration // of its fall; 0: it stands
 	Reason  string        // of its fall
-	Pushed  float64       // how near it came to its fall: 1 is the edge
+	Pressure  float64       // how near it came to its fall: 1 is the edge
 }
 
 // Late is a time in which the machine kept the observers from running.
-type ObserverDelay struct{ At, By time.Duration }
+type ObserverDelay struct{ At, Delay time.Duration }
 
 // Evidence is all that the peers saw.
 type Evidence struct {
@@ -117,15 +117,15 @@
 
 // The rules.
 const (
-	NoneLost  = "no request lost"
-	NoneTwice = "no effect twice"
+	NoRequestLost  = "no request lost"
+	NoEffectTwice = "no effect twice"
 	Drains    = "drains kept"
 	SlowStart = "no cold node pushed over"
 	Ceilings  = "ceilings kept"
 )
 
 // RuleNames lists the rules in their order.
-var RuleNames = []string{NoneLost, NoneTwice, Drains, SlowStart, Ceilings}
+var RuleNames = []string{NoRequestLost, NoEffectTwice, Drains, SlowStart, Ceilings}
 
 // Edges is how near a run came to what the rules forbid. A run that never came near one is no proof of it.
 type Margins struct {
@@ -155,7 +155,7 @@
 func (v Result) Clean() bool { return len(v.Violations) == 0 }
 
 // Certain are the breaks that no lateness of the observers can explain.
-func (v Result) Certain() int {
+func (v Result) CountCertain() int {
 	n := 0
 	for _, b := range v.Violations {
 		if !b.Doubtful {
@@ -166,7 +166,7 @@
 }
 
 // Of returns the breaks of one rule.
-func (v Result) Of(rule string) []Violation {
+func (v Result) ForRule(rule string) []Violation {
 	var out []Violation
 	for _, b := range v.Violations {
 		if b.Rule == rule {
@@ -189,42 +189,42 @@
 	for i := range e.Requests {
 		asked[e.Requests[i].ID] = &e.Requests[i]
 	}
-	v.lost(r, e.Requests, byID)
-	v.held(r, e.Requests, byID)
-	v.twice(r, byID, asked)
-	v.drains(r, e.Notifications, sent, asked)
-	v.cold(sent, e.Overloads)
-	v.ceilings(r, sent)
+	v.checkAnswers(r, e.Requests, byID)
+	v.checkLateRejections(r, e.Requests, byID)
+	v.checkRepeats(r, byID, asked)
+	v.checkDrains(r, e.Notifications, sent, asked)
+	v.checkSlowStart(sent, e.Overloads)
+	v.checkCeilings(r, sent)
 	for _, l := range e.ObserverDelays {
-		v.WorstDelay = max(v.WorstDelay, l.By)
+		v.WorstDelay = max(v.WorstDelay, l.Delay)
 		for i := range v.Violations {
 			b := &v.Violations[i]
-			b.Doubtful = b.Doubtful || l.By > r.Tolerance && l.At+l.By >= b.At && l.At-l.By <= b.Until+r.Tolerance
+			b.Doubtful = b.Doubtful || l.Delay > r.Tolerance && l.At+l.Delay >= b.At && l.At-l.Delay <= b.Until+r.Tolerance
 		}
 	}
 	sort.SliceStable(v.Violations, func(i, j int) bool { return v.Violations[i].At < v.Violations[j].At })
 	return v
 }
 
-func (v *Result) add(rule string, at, until time.Duration, format string, args ...any) {
+func (v *Result) addViolation(rule string, at, until time.Duration, format string, args ...any) {
 	v.Violations = append(v.Violations, Violation{Rule: rule, At: at, Until: max(at, until), Detail: fmt.Sprintf(format, args...)})
 }
 
 // lost: one final answer, in time, and nothing sent after it.
-func (v *Result) lost(r Rules, asked []ClientRequest, byID map[string][]BackendAttempt) {
+func (v *Result) checkAnswers(r Rules, asked []ClientRequest, byID map[string][]BackendAttempt) {
 	for _, a := range asked {
-		v.Checked[NoneLost]++
-		end := a.SentAt + a.Patience
+		v.Checked[NoRequestLost]++
+		end := a.SentAt + a.Timeout
 		switch {
-		case a.Spoilt:
-			v.add(NoneLost, a.SentAt, end, "%s %s was answered with what no node made for it", a.Class, a.ID)
+		case a.ForeignAnswer:
+			v.addViolation(NoRequestLost, a.SentAt, end, "%s %s was answered with what no node made for it", a.Class, a.ID)
 		case len(a.Answers) > 1:
-			v.add(NoneLost, a.SentAt, end, "%s %s has %d answers", a.Class, a.ID, len(a.Answers))
+			v.addViolation(NoRequestLost, a.SentAt, end, "%s %s has %d answers", a.Class, a.ID, len(a.Answers))
 		case a.Excused:
 		case len(a.Answers) == 0:
-			v.add(NoneLost, a.SentAt, end, "%s %s to %s has no answer", a.Class, a.ID, a.Instance)
+			v.addViolation(NoRequestLost, a.SentAt, end, "%s %s to %s has no answer", a.Class, a.ID, a.Instance)
 		case a.Answers[0].At > end+r.Tolerance:
-			v.add(NoneLost, a.SentAt, a.Answers[0].At, "%s %s was answered %v after its time", a.Class, a.ID, a.Answers[0].At-end)
+			v.addViolation(NoRequestLost, a.SentAt, a.Answers[0].At, "%s %s was answered %v after its time", a.Class, a.ID, a.Answers[0].At-end)
 		}
 		if len(a.Answers) == 0 {
 			continue
@@ -241,7 +241,7 @@
 				continue // a taker can't know of the answer of one who is cut off from it; that it adds no effect is judged below
 			}
 			if s.ArrivedAt > first.At+r.Tolerance {
-				v.add(NoneLost, first.At, s.ArrivedAt, "%s %s was sent to %s %v after its answer", a.Class, a.ID, s.Backend, s.ArrivedAt-first.At)
+				v.addViolation(NoRequestLost, first.At, s.ArrivedAt, "%s %s was sent to %s %v after its answer", a.Class, a.ID, s.Backend, s.ArrivedAt-first.At)
 			}
 		}
 	}
@@ -254,7 +254,7 @@
 
 // held: a request that was given up on is answered at once. A refusal that comes when no node could have served it any
 // more, and none was out, was decided on earlier.
-func (v *Result) held(r Rules, asked []ClientRequest, byID map[string][]BackendAttempt) {
+func (v *Result) checkLateRejections(r Rules, asked []ClientRequest, byID map[string][]BackendAttempt) {
 	type group struct{ instance, class string }
 	all, held := map[group]int{}, map[group][]ClientRequest{}
 	for _, a := range asked {
@@ -265,7 +265,7 @@
 		all[g]++
 		at, least := a.Answers[0].At, r.MinAttempts[a.Class]-r.Tolerance
 		out := slices.ContainsFunc(byID[a.ID], func(s BackendAttempt) bool { return s.EndedAt == 0 || s.EndedAt > at-2*r.MinAttempts[a.Class] })
-		if a.SentAt+a.Patience-at < least && !out {
+		if a.SentAt+a.Timeout-at < least && !out {
 			held[g] = append(held[g], a)
 		}
 	}
@@ -274,17 +274,17 @@
 			continue
 		}
 		a := list[0]
-		v.add(NoneLost, a.SentAt, a.Answers[0].At, "%s held %d of %d refusals of %s until no node could have served them, %s until %v before its time", g.instance,
-			len(list), all[g], g.class, a.ID, a.SentAt+a.Patience-a.Answers[0].At)
+		v.addViolation(NoRequestLost, a.SentAt, a.Answers[0].At, "%s held %d of %d refusals of %s until no node could have served them, %s until %v before its time", g.instance,
+			len(list), all[g], g.class, a.ID, a.SentAt+a.Timeout-a.Answers[0].At)
 	}
 }
 
 // twice: after an attempt that may have run, by what the instance could know, only what the class allows.
-func (v *Result) twice(r Rules, byID map[string][]BackendAttempt, asked map[string]*ClientRequest) {
+func (v *Result) checkRepeats(r Rules, byID map[string][]BackendAttempt, asked map[string]*ClientRequest) {
 	for id, list := range byID {
 		effect := r.Classes[list[0].Class]
 		for i, s := range list {
-			v.Checked[NoneTwice]++
+			v.Checked[NoEffectTwice]++
 			before := slices.IndexFunc(list[:i], func(b BackendAttempt) bool { return !b.neverRan(s.ArrivedAt) })
 			if before < 0 {
 				continue
@@ -294,11 +294,11 @@
 			case effect == Safe:
 				v.Margins.Repeats++
 			case effect == Unsafe:
-				v.add(NoneTwice, first.ArrivedAt, s.ArrivedAt, "%s %s, which may not be repeated, was sent to %s and %s", s.Class, id, first.Backend, s.Backend)
+				v.addViolation(NoEffectTwice, first.ArrivedAt, s.ArrivedAt, "%s %s, which may not be repeated, was sent to %s and %s", s.Class, id, first.Backend, s.Backend)
 			case s.Rack != first.Rack:
-				v.add(NoneTwice, first.ArrivedAt, s.ArrivedAt, "%s %s went to rack %d and rack %d", s.Class, id, first.Rack, s.Rack)
+				v.addViolation(NoEffectTwice, first.ArrivedAt, s.ArrivedAt, "%s %s went to rack %d and rack %d", s.Class, id, first.Rack, s.Rack)
 			case s.ArrivedAt-first.ArrivedAt > r.KeyMemory+r.Tolerance:
-				v.add(NoneTwice, first.ArrivedAt, s.ArrivedAt, "%s %s was repeated after %v", s.Class, id, s.ArrivedAt-first.ArrivedAt)
+				v.addViolation(NoEffectTwice, first.ArrivedAt, s.ArrivedAt, "%s %s was repeated after %v", s.Class, id, s.ArrivedAt-first.ArrivedAt)
 			default:
 				v.Margins.Repeats++
 			}
@@ -311,14 +311,14 @@
 		if i := slices.IndexFunc(list, func(s BackendAttempt) bool { return s.ArrivedAt < at && !s.neverRan(at) }); i >= 0 {
 			v.Margins.Withheld++
 			if a.Answers[0].Kind == "refused" {
-				v.add(NoneTwice, list[i].ArrivedAt, at, "%s %s was refused, as if trying again were harmless, though %s may have run it", a.Class, id, list[i].Backend)
+				v.addViolation(NoEffectTwice, list[i].ArrivedAt, at, "%s %s was refused, as if trying again were harmless, though %s may have run it", a.Class, id, list[i].Backend)
 			}
 		}
 	}
 }
 
 // cold: no node was pushed over, by all instances together.
-func (v *Result) cold(sent []BackendAttempt, nodes []Overload) {
+func (v *Result) checkSlowStart(sent []BackendAttempt, nodes []Overload) {
 	for _, s := range sent {
 		if s.WarmingUp {
 			v.Margins.SlowStartSends++
@@ -326,15 +326,15 @@
 	}
 	v.Checked[SlowStart] = v.Margins.SlowStartSends
 	for _, n := range nodes {
-		v.Margins.SlowStartPush = max(v.Margins.SlowStartPush, n.Pushed)
-		if n.At > 0 {
-			v.add(SlowStart, n.At, n.At, "node %s fell over: %s", n.Backend, n.Reason)
+		v.Margins.SlowStartPush = max(v.Margins.SlowStartPush, n.Pressure)
+		if n.FellAt > 0 {
+			v.addViolation(SlowStart, n.FellAt, n.FellAt, "node %s fell over: %s", n.Backend, n.Reason)
 		}
 	}
 }
 
 // drains: nothing new to a node after the grace, by the instance that was told.
-func (v *Result) drains(r Rules, told []Notification, sent []BackendAttempt, asked map[string]*ClientRequest) {
+func (v *Result) checkDrains(r Rules, told []Notification, sent []BackendAttempt, asked map[string]*ClientRequest) {
 	type pair struct{ instance, node string }
 	told = slices.Clone(told)
 	slices.SortStableFunc(told, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
@@ -352,7 +352,7 @@
 	}
 	for _, s := range sent {
 		if asked[s.ID] == nil {
-			v.add(NoneLost, s.ArrivedAt, s.ArrivedAt, "node %s was sent %s, which no client asked", s.Backend, s.ID)
+			v.addViolation(NoRequestLost, s.ArrivedAt, s.ArrivedAt, "node %s was sent %s, which no client asked", s.Backend, s.ID)
 			continue
 		}
 		v.Checked[Drains]++
@@ -369,13 +369,13 @@
 			}
 		}
 		if drains && s.ArrivedAt-since > r.DrainGrace+r.Tolerance {
-			v.add(Drains, since, s.ArrivedAt, "%s sent to %s %v after it was told that this one drains", s.Instance, s.Backend, s.ArrivedAt-since)
+			v.addViolation(Drains, since, s.ArrivedAt, "%s sent to %s %v after it was told that this one drains", s.Instance, s.Backend, s.ArrivedAt-since)
 		}
 	}
 }
 
 // ceilings: the units of first attempts, over all instances together.
-func (v *Result) ceilings(r Rules, sent []BackendAttempt) {
+func (v *Result) checkCeilings(r Rules, sent []BackendAttempt) {
 	type store struct {
 		level float64
 		at    time.Duration
@@ -403,7 +403,7 @@
 		slack := max(r.CeilingSlack*burst, r.MaxUnits) + rate*0.15
 		if -st.level > slack && !broken[s.Tenant] {
 			broken[s.Tenant] = true
-			v.add(Ceilings, s.ArrivedAt, s.ArrivedAt, "customer %s of %s is %.1f units over its ceiling of %.1f and %.1f a second", s.Tenant, s.Plan, -st.level, burst, rate)
+			v.addViolation(Ceilings, s.ArrivedAt, s.ArrivedAt, "customer %s of %s is %.1f units over its ceiling of %.1f and %.1f a second", s.Tenant, s.Plan, -st.level, burst, rate)
 		}
 	}
 	for _, c := range v.Closest {
@@ -417,7 +417,7 @@
 // Use is what one customer used of its quota, replayed over all instances together.
 type QuotaUse struct {
 	Plan           string
-	Inside, Beyond float64 // units of first attempts
+	WithinQuota, BeyondQuota float64 // units of first attempts
 	Overrun        float64 // the most units by which the quota's store was overdrawn at a time, as all use is taken from it
 }
 
@@ -427,13 +427,13 @@
 // Uses replays the quotas.
 func QuotaUses(quotas map[string]Quota, sent []BackendAttempt) map[string]QuotaUse {
 	out := map[string]QuotaUse{}
-	replay(quotas, sent, func(s BackendAttempt, inside bool, overrun float64) {
+	replayQuotas(quotas, sent, func(s BackendAttempt, inside bool, overrun float64) {
 		u := out[s.Tenant]
 		u.Plan, u.Overrun = s.Plan, max(u.Overrun, overrun)
 		if inside {
-			u.Inside += s.Units
+			u.WithinQuota += s.Units
 		} else {
-			u.Beyond += s.Units
+			u.BeyondQuota += s.Units
 		}
 		out[s.Tenant] = u
 	})
@@ -441,8 +441,8 @@
 }
 
 // Beyond are the first attempts that their channels' quotas did not hold.
-func Beyond(quotas map[string]Quota, sent []BackendAttempt) (out []BackendAttempt) {
-	replay(quotas, sent, func(s BackendAttempt, inside bool, _ float64) {
+func AttemptsBeyondQuota(quotas map[string]Quota, sent []BackendAttempt) (out []BackendAttempt) {
+	replayQuotas(quotas, sent, func(s BackendAttempt, inside bool, _ float64) {
 		if !inside {
 			out = append(out, s)
 		}
@@ -452,7 +452,7 @@
 
 // replay takes each first attempt from its channel's store, in the order in which they came, and tells whether it held it,
 // and how far all use together has overdrawn it.
-func replay(quotas map[string]Quota, all []BackendAttempt, tell func(s BackendAttempt, inside bool, overrun float64)) {
+func replayQuotas(quotas map[string]Quota, all []BackendAttempt, tell func(s BackendAttempt, inside bool, overrun float64)) {
 	sent := slices.Clone(all)
 	slices.SortStableFunc(sent, func(a, b BackendAttempt) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	type store struct {
@@ -487,7 +487,7 @@
 func (v Result) String() string {
 	var b strings.Builder
 	for _, rule := range RuleNames {
-		breaks := v.Of(rule)
+		breaks := v.ForRule(rule)
 		mark := "kept"
 		if len(breaks) > 0 {
 			mark = fmt.Sprintf("BROKEN %d times", len(breaks))
