--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -14,7 +14,7 @@
 	ms = time.Millisecond
 )
 
-func rules() Rules {
+func testRules() Rules {
 	r := DefaultRules()
 	r.Classes = map[string]Effect{"read": Safe, "publish": Keyed, "once": Unsafe}
 	r.MinAttempts = map[string]time.Duration{"read": 20 * ms, "publish": 80 * ms, "once": 80 * ms}
@@ -22,188 +22,401 @@
 	return r
 }
 
-func asked(id, class string, more func(*ClientRequest)) ClientRequest {
-	a := ClientRequest{ID: id, Instance: "i0", Class: class, SentAt: 10 * s, Timeout: s, Answers: []Answer{{At: 10*s + s/2, Kind: "served"}}}
-	if more != nil {
-		more(&a)
+// request is a request of class that was served in time, changed by change where that is given.
+func request(id, class string, change func(*ClientRequest)) ClientRequest {
+	r := ClientRequest{
+		ID:       id,
+		Instance: "i0",
+		Class:    class,
+		SentAt:   10 * s,
+		Timeout:  s,
+		Answers:  []Answer{{At: 10*s + s/2, Kind: AnswerServed}},
 	}
-	return a
+	if change != nil {
+		change(&r)
+	}
+	return r
 }
 
+// answered changes a request's answer.
 func answered(kind string, at time.Duration) func(*ClientRequest) {
-	return func(a *ClientRequest) { a.Answers = []Answer{{At: at, Kind: kind}} }
+	return func(r *ClientRequest) { r.Answers = []Answer{{At: at, Kind: kind}} }
+}
+
+// servedWithin makes a request that was sent at 0 and served just at its timeout.
+func servedWithin(timeout time.Duration) func(*ClientRequest) {
+	return func(r *ClientRequest) { r.SentAt, r.Timeout, r.Answers[0].At = 0, timeout, timeout }
 }
 
-func sent(id, class, node string, rack int, at time.Duration) BackendAttempt {
-	return BackendAttempt{ArrivedAt: at, EndedAt: at + 40*ms, Instance: "i0", ID: id, Class: class, Backend: node, Rack: rack, Plan: "bygd", Tenant: "c", Units: 1}
+// attempt is an attempt of 40 ms by the instance i0.
+func attempt(id, class, backend string, rack int, at time.Duration) BackendAttempt {
+	return BackendAttempt{
+		ArrivedAt: at,
+		EndedAt:   at + 40*ms,
+		Instance:  "i0",
+		ID:        id,
+		Class:     class,
+		Backend:   backend,
+		Rack:      rack,
+		Plan:      "bygd",
+		Tenant:    "c",
+		Units:     1,
+	}
 }
 
-func busy(x BackendAttempt, ended time.Duration) BackendAttempt {
-	x.Busy, x.EndedAt = true, ended
-	return x
+func endedBusy(a BackendAttempt, endedAt time.Duration) BackendAttempt {
+	a.Busy, a.EndedAt = true, endedAt
+	return a
 }
 
-func from(x BackendAttempt, instance string) BackendAttempt {
-	x.Instance = instance
-	return x
+func endedAt(a BackendAttempt, endedAt time.Duration) BackendAttempt {
+	a.EndedAt = endedAt
+	return a
 }
 
-// many is n first attempts of a channel under a ceiling, through the instances in turn.
-func many(n int, units float64, every time.Duration) (e Evidence) {
+func via(a BackendAttempt, instance string) BackendAttempt {
+	a.Instance = instance
+	return a
+}
+
+// attemptsUnderCeiling is n first attempts of a tenant under a ceiling, through two instances in turn.
+func attemptsUnderCeiling(n int, units float64, every time.Duration) (e Evidence) {
 	for i := range n {
 		id := string(rune('a' + i))
-		e.Requests = append(e.Requests, asked(id, "read", func(a *ClientRequest) { a.SentAt, a.Timeout, a.Answers[0].At = 0, time.Minute, time.Minute }))
-		x := from(sent(id, "read", "n1", 1, every*time.Duration(i)), fmt.Sprint("i", i%2))
-		x.Plan, x.Units = "storby", units
-		e.Attempts = append(e.Attempts, x)
+		e.Requests = append(e.Requests, request(id, "read", servedWithin(time.Minute)))
+		first := via(attempt(id, "read", "n1", 1, every*time.Duration(i)), fmt.Sprint("i", i%2))
+		first.Plan, first.Units = "storby", units
+		e.Attempts = append(e.Attempts, first)
 	}
 	return e
 }
 
-// refusals is n refusals of publish, each so long before its time.
-func refusals(n int, before time.Duration, more ...BackendAttempt) (e Evidence) {
+// rejections is n rejections of publish, each so long before its timeout.
+func rejections(n int, before time.Duration, attempts ...BackendAttempt) (e Evidence) {
 	for i := range n {
-		e.Requests = append(e.Requests, asked(string(rune('a'+i)), "publish", answered("refused", 11*s-before)))
+		id := string(rune('a' + i))
+		e.Requests = append(e.Requests, request(id, "publish", answered(AnswerRejected, 11*s-before)))
 	}
-	e.Attempts = more
+	e.Attempts = attempts
 	return e
 }
 
-// Each rule is found broken where it is, and nowhere else.
-func TestJudge(t *testing.T) {
-	read, once, publish := asked("a", "read", nil), asked("a", "once", nil), asked("a", "publish", nil)
-	slow := asked("a", "publish", func(a *ClientRequest) { a.Timeout, a.Answers[0].At = 5*s, 14*s })
-	failed, refused := asked("a", "once", answered("failed", 11*s)), asked("a", "once", answered("refused", 11*s))
-	one := func(a ClientRequest, sent ...BackendAttempt) Evidence {
-		return Evidence{Requests: []ClientRequest{a}, Attempts: sent}
-	}
-	told := func(e Evidence, told ...Notification) Evidence { e.Notifications = told; return e }
-	for name, c := range map[string]struct {
-		e    Evidence
-		want string
-	}{
-		"all well":               {one(read, sent("a", "read", "n1", 1, 10*s)), ""},
-		"no answer":              {one(asked("a", "read", func(a *ClientRequest) { a.Answers = nil })), NoRequestLost},
-		"excused":                {one(asked("a", "read", func(a *ClientRequest) { a.Answers, a.Excused = nil, true })), ""},
-		"two answers":            {one(asked("a", "read", func(a *ClientRequest) { a.Answers = append(a.Answers, a.Answers[0]) })), NoRequestLost},
-		"late answer":            {one(asked("a", "read", answered("served", 11*s+51*ms))), NoRequestLost},
-		"just in time":           {one(asked("a", "read", answered("served", 11*s+49*ms))), ""},
-		"another's value":        {one(asked("a", "read", func(a *ClientRequest) { a.ForeignAnswer = true })), NoRequestLost},
-		"sent 60 ms after":       {one(read, sent("a", "read", "n1", 1, 10*s+560*ms)), NoRequestLost},
-		"sent 40 ms after":       {one(read, sent("a", "read", "n1", 1, 10*s+540*ms)), ""},
-		"delayed at its node":    {one(read, func() BackendAttempt { x := sent("a", "read", "n1", 1, 10*s); x.EndedAt = 12 * s; return x }()), ""},
-		"sent by nobody":         {Evidence{Attempts: []BackendAttempt{sent("a", "read", "n1", 1, 10*s)}}, NoRequestLost},
-		"refused at once":        {refusals(5, 900*ms), ""},
-		"refused when hopeless":  {refusals(5, 100*ms), ""},
-		"held to the end":        {refusals(5, 20*ms), NoRequestLost},
-		"two by chance":          {refusals(2, 20*ms), ""},
-		"tried to the end":       {refusals(3, 20*ms, busy(sent("a", "publish", "n1", 1, 10900*ms), 10970*ms), busy(sent("b", "publish", "n1", 1, 10900*ms), 10970*ms)), ""},
-		"unsafe again":           {one(once, sent("a", "once", "n1", 1, 10*s), sent("a", "once", "n1", 1, 10*s+1)), NoEffectTwice},
-		"unsafe after busy":      {one(once, busy(sent("a", "once", "n1", 1, 10*s), 10*s+ms), sent("a", "once", "n2", 2, 10*s+2*ms)), ""},
-		"before it knew of busy": {one(once, busy(sent("a", "once", "n1", 1, 10*s), 10*s+3*ms), sent("a", "once", "n2", 2, 10*s+2*ms)), NoEffectTwice},
-		"unsafe failed":          {one(failed, sent("a", "once", "n1", 1, 10*s)), ""},
-		"unsafe refused":         {one(refused, sent("a", "once", "n1", 1, 10*s)), NoEffectTwice},
-		"refused after busy":     {one(refused, busy(sent("a", "once", "n1", 1, 10*s), 10*s+ms)), ""},
-		"keyed refused":          {one(asked("a", "publish", answered("refused", 11*s)), sent("a", "publish", "n1", 1, 10*s)), NoEffectTwice},
-		"safe refused":           {one(asked("a", "read", answered("refused", 11*s)), sent("a", "read", "n1", 1, 10*s)), ""},
-		"safe again":             {one(read, sent("a", "read", "n1", 1, 10*s), sent("a", "read", "n2", 2, 10*s+1)), ""},
-		"keyed in its rack":      {one(slow, sent("a", "publish", "n1", 1, 10*s), sent("a", "publish", "n2", 1, 13*s)), ""},
-		"keyed elsewhere":        {one(publish, sent("a", "publish", "n1", 1, 10*s), sent("a", "publish", "n2", 2, 10*s+1)), NoEffectTwice},
-		"keyed too late":         {one(slow, sent("a", "publish", "n1", 1, 10*s), sent("a", "publish", "n2", 1, 13*s+100*ms)), NoEffectTwice},
-		"drained":                {told(one(read, sent("a", "read", "n1", 1, 10*s)), Notification{8*s - 100*ms, "i0", "n1", false}), Drains},
-		"in the grace":           {told(one(read, sent("a", "read", "n1", 1, 10*s)), Notification{8 * s, "i0", "n1", false}), ""},
-		"told another":           {told(one(read, sent("a", "read", "n1", 1, 10*s)), Notification{5 * s, "i1", "n1", false}), ""},
-		"the third does not": {told(Evidence{
-			Requests: []ClientRequest{read, asked("b", "read", nil), asked("c", "read", nil)},
-			Attempts: []BackendAttempt{sent("a", "read", "n2", 1, 10*s), from(sent("b", "read", "n2", 1, 10*s), "i1"), from(sent("c", "read", "n1", 1, 10*s), "i2")},
-		},
-			Notification{5 * s, "i0", "n1", false}, Notification{5 * s, "i1", "n1", false}, Notification{5 * s, "i2", "n1", false}), Drains},
-		"serves again": {told(one(read, sent("a", "read", "n1", 1, 10*s)), Notification{5 * s, "i0", "n1", false}, Notification{9 * s, "i0", "n1", true}), ""},
-		"fell":         {Evidence{Overloads: []Overload{{Backend: "n1", FellAt: s, Reason: "too much", Pressure: 1.1}}}, SlowStart},
-		"stood":        {Evidence{Overloads: []Overload{{Backend: "n1", Pressure: 0.9}}}, ""},
-		"under it":     {many(10, 2, ms), ""},
-		"within slack": {many(13, 2, ms), ""}, // 26 of 20, slack 6 and 1.5
-		"two together": {many(14, 2, ms), Ceilings},
-		"as it fills":  {many(20, 4, 400*ms), ""},
-		"faster":       {many(20, 4, 200*ms), Ceilings},
-	} {
-		v := Check(rules(), c.e)
-		got := ""
-		for _, b := range v.Violations {
-			got = b.Rule
-		}
-		if got != c.want || len(v.Violations) > 1 {
-			t.Errorf("%s: %v, want %q", name, v.Violations, c.want)
-		}
-		if text := v.String(); (c.want == "") != !strings.Contains(text, "BROKEN") {
-			t.Errorf("%s: %s", name, text)
-		}
-		c.e.ObserverDelays = []ObserverDelay{{At: 10 * s, Delay: 2 * s}, {At: 1500 * ms, Delay: 2 * s}}
-		if v := Check(rules(), c.e); v.CountCertain() > 0 || v.WorstDelay != 2*s {
-			t.Errorf("%s: certain though the observers were late: %v", name, v.Violations)
-		}
-		c.e.ObserverDelays = []ObserverDelay{{At: time.Hour, Delay: 2 * s}, {At: 10 * s, Delay: 40 * ms}}
-		if v := Check(rules(), c.e); v.CountCertain() != len(v.Violations) {
-			t.Errorf("%s: doubtful for a lateness at another time, or within the tolerance: %v", name, v.Violations)
-		}
+// oneRequest is the evidence of one request with its attempts.
+func oneRequest(request ClientRequest, attempts ...BackendAttempt) Evidence {
+	return Evidence{Requests: []ClientRequest{request}, Attempts: attempts}
+}
+
+func withNotifications(e Evidence, notifications ...Notification) Evidence {
+	e.Notifications = notifications
+	return e
+}
+
+// evidenceCase is evidence with the one rule that it breaks, or none.
+type evidenceCase struct {
+	evidence Evidence
+	want     string
+}
+
+func checkCases(t *testing.T, cases map[string]evidenceCase) {
+	t.Helper()
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) { checkEvidence(t, c.evidence, c.want) })
+	}
+}
+
+// checkEvidence checks that the evidence breaks the rule wanted once, or none, and that a delay of the observers
+// makes a violation doubtful just if it overlaps with it and is beyond the tolerance.
+func checkEvidence(t *testing.T, evidence Evidence, want string) {
+	t.Helper()
+	result := Check(testRules(), evidence)
+	got := ""
+	for _, violation := range result.Violations {
+		got = violation.Rule
+	}
+	if got != want || len(result.Violations) > 1 {
+		t.Errorf("got %v, want %q", result.Violations, want)
 	}
+	if text := result.String(); (want == "") != !strings.Contains(text, "BROKEN") {
+		t.Errorf("got the text %s, want BROKEN in it just for a violation", text)
+	}
+	evidence.ObserverDelays = []ObserverDelay{{At: 10 * s, Delay: 2 * s}, {At: 1500 * ms, Delay: 2 * s}}
+	if result := Check(testRules(), evidence); result.CountCertain() > 0 || result.WorstDelay != 2*s {
+		t.Errorf("certain though the observers were delayed: %v", result.Violations)
+	}
+	evidence.ObserverDelays = []ObserverDelay{{At: time.Hour, Delay: 2 * s}, {At: 10 * s, Delay: 40 * ms}}
+	if result := Check(testRules(), evidence); result.CountCertain() != len(result.Violations) {
+		t.Errorf("doubtful for a delay at another time, or within the tolerance: %v", result.Violations)
+	}
+}
+
+// TestCheckAnswers covers one final answer in time, and nothing sent after it.
+func TestCheckAnswers(t *testing.T) {
+	read := request("a", "read", nil)
+	checkCases(t, map[string]evidenceCase{
+		"all well": {oneRequest(read, attempt("a", "read", "n1", 1, 10*s)), ""},
+		"no answer": {
+			evidence: oneRequest(request("a", "read", func(r *ClientRequest) { r.Answers = nil })),
+			want:     NoRequestLost,
+		},
+		"excused": {
+			evidence: oneRequest(request("a", "read", func(r *ClientRequest) { r.Answers, r.Excused = nil, true })),
+		},
+		"two answers": {
+			evidence: oneRequest(
+				request("a", "read", func(r *ClientRequest) { r.Answers = append(r.Answers, r.Answers[0]) }),
+			),
+			want: NoRequestLost,
+		},
+		"late answer":  {oneRequest(request("a", "read", answered(AnswerServed, 11*s+51*ms))), NoRequestLost},
+		"just in time": {oneRequest(request("a", "read", answered(AnswerServed, 11*s+49*ms))), ""},
+		"foreign answer": {
+			evidence: oneRequest(request("a", "read", func(r *ClientRequest) { r.ForeignAnswer = true })),
+			want:     NoRequestLost,
+		},
+		"sent 60 ms after":    {oneRequest(read, attempt("a", "read", "n1", 1, 10*s+560*ms)), NoRequestLost},
+		"sent 40 ms after":    {oneRequest(read, attempt("a", "read", "n1", 1, 10*s+540*ms)), ""},
+		"delayed at its node": {oneRequest(read, endedAt(attempt("a", "read", "n1", 1, 10*s), 12*s)), ""},
+		"sent by nobody": {
+			evidence: Evidence{Attempts: []BackendAttempt{attempt("a", "read", "n1", 1, 10*s)}},
+			want:     NoRequestLost,
+		},
+	})
+}
+
+// TestCheckLateRejections covers rejections that an instance delayed.
+func TestCheckLateRejections(t *testing.T) {
+	checkCases(t, map[string]evidenceCase{
+		"rejected at once":       {rejections(5, 900*ms), ""},
+		"rejected when hopeless": {rejections(5, 100*ms), ""},
+		"rejected too late":      {rejections(5, 20*ms), NoRequestLost},
+		"two by chance":          {rejections(2, 20*ms), ""},
+		"attempted to the end": {
+			evidence: rejections(3, 20*ms,
+				endedBusy(attempt("a", "publish", "n1", 1, 10900*ms), 10970*ms),
+				endedBusy(attempt("b", "publish", "n1", 1, 10900*ms), 10970*ms),
+			),
+		},
+	})
 }
 
-// The edges tell how near a run came to what is forbidden.
-func TestEdges(t *testing.T) {
-	cold := sent("a", "read", "n3", 1, 10*s)
-	cold.WarmingUp = true
-	e := Evidence{
-		Requests:      []ClientRequest{asked("a", "read", nil), asked("b", "once", answered("failed", 10*s+900*ms)), asked("c", "publish", answered("refused", 10*s+100*ms)), asked("d", "read", nil)},
-		Attempts:      []BackendAttempt{sent("a", "read", "n1", 1, 10*s-ms), cold, sent("b", "once", "n1", 1, 10*s), sent("d", "read", "n2", 1, 10*s)},
+// TestCheckUnsafeRepeats covers what may follow an attempt of an unsafe request that may have run.
+func TestCheckUnsafeRepeats(t *testing.T) {
+	once := request("a", "once", nil)
+	failed := request("a", "once", answered(AnswerFailed, 11*s))
+	rejected := request("a", "once", answered(AnswerRejected, 11*s))
+	checkCases(t, map[string]evidenceCase{
+		"unsafe again": {
+			evidence: oneRequest(once, attempt("a", "once", "n1", 1, 10*s), attempt("a", "once", "n1", 1, 10*s+1)),
+			want:     NoEffectTwice,
+		},
+		"unsafe after busy": {
+			evidence: oneRequest(
+				once,
+				endedBusy(attempt("a", "once", "n1", 1, 10*s), 10*s+ms),
+				attempt("a", "once", "n2", 2, 10*s+2*ms),
+			),
+		},
+		"before it knew of busy": {
+			evidence: oneRequest(
+				once,
+				endedBusy(attempt("a", "once", "n1", 1, 10*s), 10*s+3*ms),
+				attempt("a", "once", "n2", 2, 10*s+2*ms),
+			),
+			want: NoEffectTwice,
+		},
+		"unsafe failed":   {oneRequest(failed, attempt("a", "once", "n1", 1, 10*s)), ""},
+		"unsafe rejected": {oneRequest(rejected, attempt("a", "once", "n1", 1, 10*s)), NoEffectTwice},
+		"rejected after busy": {
+			evidence: oneRequest(rejected, endedBusy(attempt("a", "once", "n1", 1, 10*s), 10*s+ms)),
+		},
+	})
+}
+
+// TestCheckIdempotentRepeats covers what may follow an attempt that may have run if the class allows a repeat.
+func TestCheckIdempotentRepeats(t *testing.T) {
+	read, publish := request("a", "read", nil), request("a", "publish", nil)
+	slow := request("a", "publish", func(r *ClientRequest) { r.Timeout, r.Answers[0].At = 5*s, 14*s })
+	checkCases(t, map[string]evidenceCase{
+		"keyed rejected": {
+			evidence: oneRequest(
+				request("a", "publish", answered(AnswerRejected, 11*s)),
+				attempt("a", "publish", "n1", 1, 10*s),
+			),
+			want: NoEffectTwice,
+		},
+		"safe rejected": {
+			evidence: oneRequest(
+				request("a", "read", answered(AnswerRejected, 11*s)),
+				attempt("a", "read", "n1", 1, 10*s),
+			),
+		},
+		"safe again": {
+			evidence: oneRequest(read, attempt("a", "read", "n1", 1, 10*s), attempt("a", "read", "n2", 2, 10*s+1)),
+		},
+		"keyed in its rack": {
+			evidence: oneRequest(slow, attempt("a", "publish", "n1", 1, 10*s), attempt("a", "publish", "n2", 1, 13*s)),
+		},
+		"keyed elsewhere": {
+			evidence: oneRequest(
+				publish,
+				attempt("a", "publish", "n1", 1, 10*s),
+				attempt("a", "publish", "n2", 2, 10*s+1),
+			),
+			want: NoEffectTwice,
+		},
+		"keyed too late": {
+			evidence: oneRequest(
+				slow,
+				attempt("a", "publish", "n1", 1, 10*s),
+				attempt("a", "publish", "n2", 1, 13*s+100*ms),
+			),
+			want: NoEffectTwice,
+		},
+	})
+}
+
+// TestCheckDrains covers sends to a backend that drains.
+func TestCheckDrains(t *testing.T) {
+	read := request("a", "read", nil)
+	checkCases(t, map[string]evidenceCase{
+		"drained": {
+			evidence: withNotifications(
+				oneRequest(read, attempt("a", "read", "n1", 1, 10*s)),
+				Notification{8*s - 100*ms, "i0", "n1", false},
+			),
+			want: Drains,
+		},
+		"in the grace": {
+			evidence: withNotifications(
+				oneRequest(read, attempt("a", "read", "n1", 1, 10*s)),
+				Notification{8 * s, "i0", "n1", false},
+			),
+		},
+		"another was notified": {
+			evidence: withNotifications(
+				oneRequest(read, attempt("a", "read", "n1", 1, 10*s)),
+				Notification{5 * s, "i1", "n1", false},
+			),
+		},
+		"serves again": {
+			evidence: withNotifications(
+				oneRequest(read, attempt("a", "read", "n1", 1, 10*s)),
+				Notification{5 * s, "i0", "n1", false},
+				Notification{9 * s, "i0", "n1", true},
+			),
+		},
+		"the third sends on": {
+			evidence: withNotifications(
+				Evidence{
+					Requests: []ClientRequest{read, request("b", "read", nil), request("c", "read", nil)},
+					Attempts: []BackendAttempt{
+						attempt("a", "read", "n2", 1, 10*s),
+						via(attempt("b", "read", "n2", 1, 10*s), "i1"),
+						via(attempt("c", "read", "n1", 1, 10*s), "i2"),
+					},
+				},
+				Notification{5 * s, "i0", "n1", false},
+				Notification{5 * s, "i1", "n1", false},
+				Notification{5 * s, "i2", "n1", false},
+			),
+			want: Drains,
+		},
+	})
+}
+
+// TestCheckLoadLimits covers backends that warm up and tenants under a ceiling.
+func TestCheckLoadLimits(t *testing.T) {
+	checkCases(t, map[string]evidenceCase{
+		"failed under load": {
+			evidence: Evidence{Overloads: []Overload{{Backend: "n1", FellAt: s, Reason: "too much", Pressure: 1.1}}},
+			want:     SlowStart,
+		},
+		"withstood its load": {Evidence{Overloads: []Overload{{Backend: "n1", Pressure: 0.9}}}, ""},
+		"under its ceiling":  {attemptsUnderCeiling(10, 2, ms), ""},
+		"within slack":       {attemptsUnderCeiling(13, 2, ms), ""}, // 26 of 20, slack 6 and 1.5
+		"two together":       {attemptsUnderCeiling(14, 2, ms), Ceilings},
+		"as it fills":        {attemptsUnderCeiling(20, 4, 400*ms), ""},
+		"faster":             {attemptsUnderCeiling(20, 4, 200*ms), Ceilings},
+	})
+}
+
+// TestMargins checks that the margins tell how near a run came to what is forbidden.
+func TestMargins(t *testing.T) {
+	warmingUp := attempt("a", "read", "n3", 1, 10*s)
+	warmingUp.WarmingUp = true
+	evidence := Evidence{
+		Requests: []ClientRequest{
+			request("a", "read", nil),
+			request("b", "once", answered(AnswerFailed, 10*s+900*ms)),
+			request("c", "publish", answered(AnswerRejected, 10*s+100*ms)),
+			request("d", "read", nil),
+		},
+		Attempts: []BackendAttempt{
+			attempt("a", "read", "n1", 1, 10*s-ms),
+			warmingUp,
+			attempt("b", "once", "n1", 1, 10*s),
+			attempt("d", "read", "n2", 1, 10*s),
+		},
 		Notifications: []Notification{{At: 7 * s, Instance: "i0", Backend: "n9"}},
 		Overloads:     []Overload{{Backend: "n3", Pressure: 0.6}},
 	}
-	want := Margins{Refused: 1, Tight: 1, Repeats: 1, Withheld: 1, Drains: 1, SlowStartSends: 1, SlowStartPush: 0.6, Ceiling: -1}
-	if v := Check(rules(), e); v.Margins != want || !v.Clean() {
-		t.Fatalf("%+v, %v", v.Margins, v.Violations)
+	want := Margins{
+		Refused:        1,
+		Tight:          1,
+		Repeats:        1,
+		Withheld:       1,
+		Drains:         1,
+		SlowStartSends: 1,
+		SlowStartPush:  0.6,
+		Ceiling:        -1,
+	}
+	if result := Check(testRules(), evidence); result.Margins != want || !result.Clean() {
+		t.Fatalf("got %+v, %v, want %+v and no violation", result.Margins, result.Violations, want)
 	}
-	v := Check(rules(), many(10, 2, ms))
-	if v.Margins.CeilingFor != 1 || v.Margins.Ceiling < -0.01 || v.Margins.Ceiling > 0 {
-		t.Fatalf("%+v", v.Margins)
+	margins := Check(testRules(), attemptsUnderCeiling(10, 2, ms)).Margins
+	if margins.CeilingFor != 1 || margins.Ceiling < -0.01 || margins.Ceiling > 0 {
+		t.Fatalf("got %+v, want one tenant just under its ceiling", margins)
 	}
 }
 
-// Whatever a run holds, what a ceiling's store cannot hold is found, and nothing else: against a plain replay.
+// TestCeilingAgainstReplay checks that what exceeds a ceiling is found, and nothing else, against a plain token bucket.
 func TestCeilingAgainstReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var e Evidence
-		level, at, over := 20.0, time.Duration(0), 0.0
+		var evidence Evidence
+		level, over := 20.0, 0.0
+		at, previous := time.Duration(0), time.Duration(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "n") {
 			at += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
-			u := float64(rapid.IntRange(1, 6).Draw(t, "units"))
+			units := float64(rapid.IntRange(1, 6).Draw(t, "units"))
 			id := fmt.Sprint(i)
-			x := from(sent(id, "read", "n1", 1, at), fmt.Sprint("i", rapid.IntRange(0, 2).Draw(t, "instance")))
-			x.Plan, x.Units = "storby", u
-			e.Requests = append(e.Requests, asked(id, "read", func(a *ClientRequest) { a.SentAt, a.Timeout, a.Answers[0].At = 0, time.Hour, time.Hour }))
-			e.Attempts = append(e.Attempts, x, x) // a further attempt takes nothing
+			first := via(attempt(id, "read", "n1", 1, at), fmt.Sprint("i", rapid.IntRange(0, 2).Draw(t, "instance")))
+			first.Plan, first.Units = "storby", units
+			evidence.Requests = append(evidence.Requests, request(id, "read", servedWithin(time.Hour)))
+			evidence.Attempts = append(evidence.Attempts, first, first) // a retry takes nothing
 			if i > 0 {
-				level = min(20, level+10*(at-e.Attempts[len(e.Attempts)-3].ArrivedAt).Seconds())
+				level = min(20, level+10*(at-previous).Seconds())
 			}
-			level -= u
+			previous = at
+			level -= units
 			over = max(over, -level)
 		}
-		v := Check(rules(), e)
-		if broken := len(v.ForRule(Ceilings)) > 0; broken != (over > 7.5) {
-			t.Fatalf("%.2f units over: %v", over, v.Violations)
+		result := Check(testRules(), evidence)
+		if broken := len(result.ForRule(Ceilings)) > 0; broken != (over > 7.5) {
+			t.Fatalf("got %v for %.2f units over the ceiling", result.Violations, over)
 		}
 	})
 }
 
-// A quota's use is replayed with each try once, and the overrun is what all use together overdraws.
-func TestUses(t *testing.T) {
-	var list []BackendAttempt
+// TestQuotaUses checks that a quota's use counts each request once, and that the overrun is what all use together
+// overdraws.
+func TestQuotaUses(t *testing.T) {
+	var attempts []BackendAttempt
 	for i := range 10 {
-		x := sent(string(rune('a'+i)), "read", "n1", 1, time.Duration(i)*100*time.Millisecond)
-		list = append(list, x, x) // the second is a further attempt
+		first := attempt(string(rune('a'+i)), "read", "n1", 1, time.Duration(i)*100*time.Millisecond)
+		attempts = append(attempts, first, first) // the second is a retry
 	}
-	u := QuotaUses(map[string]Quota{"bygd": {Rate: 1, Burst: 3}}, list)["c"]
-	if u.WithinQuota != 3 || u.BeyondQuota != 7 || u.Overrun < 6 || u.Overrun > 6.2 {
-		t.Fatalf("%+v", u)
+	use := QuotaUses(map[string]Quota{"bygd": {Rate: 1, Burst: 3}}, attempts)["c"]
+	if use.WithinQuota != 3 || use.BeyondQuota != 7 || use.Overrun < 6 || use.Overrun > 6.2 {
+		t.Fatalf("got %+v, want 3 units within the quota, 7 beyond it and an overrun of 6 to 6.2", use)
 	}
 }
--- /dev/null
+++ b/internal/rulecheck/slow_start.go
@@ -0,0 +1,18 @@
+package rulecheck
+
+// checkSlowStart checks that no backend failed while it warmed up under the load of all instances together.
+func (r *Result) checkSlowStart(idx *index, overloads []Overload) {
+	for _, attempt := range idx.attempts {
+		if attempt.WarmingUp {
+			r.Margins.SlowStartSends++
+		}
+	}
+	r.Checked[SlowStart] = r.Margins.SlowStartSends
+	for _, overload := range overloads {
+		r.Margins.SlowStartPush = max(r.Margins.SlowStartPush, overload.Pressure)
+		if overload.FellAt > 0 {
+			r.addViolation(SlowStart, overload.FellAt, overload.FellAt,
+				"node %s fell over: %s", overload.Backend, overload.Reason)
+		}
+	}
+}
