--- a/internal/lab/cost/load_test.go
+++ b/internal/lab/cost/load_test.go
@@ -56,11 +56,11 @@
 		name            string
 		got, least, top float64
 	}{
-		{"p50", corrected.waits.MS(0.5), 1.9, 2.1},
-		{"p95", corrected.waits.MS(0.95), 480, 520},
-		{"p99.9", corrected.waits.MS(0.999), 980, 1010},
-		{"late p99", corrected.late.MS(0.99), 890, 920},
-		{"p95 from the sending", naive.waits.MS(0.95), 1.9, 2.1},
+		{"p50", corrected.waits.QuantileMS(0.5), 1.9, 2.1},
+		{"p95", corrected.waits.QuantileMS(0.95), 480, 520},
+		{"p99.9", corrected.waits.QuantileMS(0.999), 980, 1010},
+		{"late p99", corrected.late.QuantileMS(0.99), 890, 920},
+		{"p95 from the sending", naive.waits.QuantileMS(0.95), 1.9, 2.1},
 	} {
 		if x.got < x.least || x.got > x.top {
 			t.Errorf("%s: %.2f ms, want %v to %v", x.name, x.got, x.least, x.top)
--- a/internal/lab/cost/run.go
+++ b/internal/lab/cost/run.go
@@ -146,8 +146,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m.Sent, m.Served, m.Refused, m.Failed, m.Foreign = t.sent, t.served, t.refused, t.failed, t.foreign
-	m.P50, m.P90, m.P99, m.P999 = t.waits.MS(0.5), t.waits.MS(0.9), t.waits.MS(0.99), t.waits.MS(0.999)
-	m.LoadLate = t.late.MS(0.99)
+	m.P50, m.P90, m.P99, m.P999 = t.waits.QuantileMS(0.5), t.waits.QuantileMS(0.9), t.waits.QuantileMS(0.99), t.waits.QuantileMS(0.999)
+	m.LoadLate = t.late.QuantileMS(0.99)
 	var why []string
 	if m.Sent == 0 {
 		why = append(why, "nothing was sent")
@@ -158,7 +158,7 @@
 	if m.Failed > 0 {
 		why = append(why, fmt.Sprintf("%d failed", m.Failed))
 	}
-	if late := t.late.MS(lateQuantile); late > mostLateMS {
+	if late := t.late.QuantileMS(lateQuantile); late > mostLateMS {
 		why = append(why, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
 	}
 	m.Void = strings.Join(why, ", ")
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -69,7 +69,7 @@
 }
 
 // halls sums up what each hall was sent, and the figures of a loss.
-func (w *Testbed) halls(r *Report, a *ableTrack, wishes []measure.ClientRequest) {
+func (w *Testbed) halls(r *Report, a *ableTrack, wishes []measure.Operation) {
 	spans := int(time.Duration(w.day.Length) / hallSpan)
 	began := w.load.began
 	tracks := map[string]*ZoneTrack{}
@@ -116,15 +116,15 @@
 	r.Swing = swing(r.Zones, r.Marks)
 }
 
-func (w *Testbed) loss(from, to time.Duration, lost []string, able []float64, wishes []measure.ClientRequest) *Loss {
+func (w *Testbed) loss(from, to time.Duration, lost []string, able []float64, wishes []measure.Operation) *Loss {
 	mc, mp := worths(w.classes, w.plans)
 	work := map[string]time.Duration{}
 	for _, c := range w.classes {
 		work[c.name] = c.work.Mean()
 	}
-	fills := measure.WeightOrdered(mc, mp, work, wishes, able, hallSpan)
+	fills := measure.MeasureAttainment(mc, mp, work, wishes, able, hallSpan)
 	out := &Loss{RecoverS: -1, LastSentS: -1}
-	var before, during, after measure.Fill
+	var before, during, after measure.Attainment
 	for k, f := range fills {
 		at := time.Duration(k) * hallSpan
 		switch {
@@ -141,7 +141,7 @@
 	}
 	out.Before, out.During, out.After, out.DuringRequested = before.Ratio(), during.Ratio(), after.Ratio(), 1
 	if during.Requested > 0 {
-		out.DuringRequested = during.Got / during.Requested
+		out.DuringRequested = during.Earned / during.Requested
 	}
 	began := w.load.began
 	for _, rec := range w.fleet.Records(0) {
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -103,7 +103,7 @@
 			if x == nil {
 				x = &cell{took: measure.NewLatencies()}
 			}
-			fmt.Fprintf(out, " %-28s", fmt.Sprintf("%d/%d (%.0f, %.0f)", x.served, x.refused, x.took.MS(0.5), x.took.MS(0.99)))
+			fmt.Fprintf(out, " %-28s", fmt.Sprintf("%d/%d (%.0f, %.0f)", x.served, x.refused, x.took.QuantileMS(0.5), x.took.QuantileMS(0.99)))
 		}
 		fmt.Fprintln(out)
 	}
@@ -175,6 +175,6 @@
 		}
 	}
 	fmt.Fprintf(out, "%6.1f %7.0f %7d %8d %7d %6d %8.1f %8.1f  %6.0f of %6.0f units/s   %s\n", w.clock().Seconds(), float64(len(now))/span.Seconds(), kinds["served"], kinds["refused"],
-		kinds["failed"], kinds["none"], took.MS(0.5), took.MS(0.99), units/span.Seconds(), allowed/span.Seconds(), strings.Join(held, " "))
+		kinds["failed"], kinds["none"], took.QuantileMS(0.5), took.QuantileMS(0.99), units/span.Seconds(), allowed/span.Seconds(), strings.Join(held, " "))
 	return next, sentFrom + len(records)
 }
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -25,16 +25,16 @@
 }
 
 // Wish is what a client wanted: a first try with its retries.
-type ClientRequest struct {
+type Operation struct {
 	Due                  time.Duration // when the first try ought to have gone out
-	Channel, Plan, Class string
+	Tenant, Plan, Class string
 	Units                float64
 	Served               bool
-	At                   time.Duration // of the answer that served it, or of the last other one
+	AnsweredAt                   time.Duration // of the answer that served it, or of the last other one
 }
 
 // Passed is a first attempt as its node saw it, beyond its channel's quota.
-type Forwarded struct {
+type ExcessAttempt struct {
 	At          time.Duration
 	Plan, Class string
 	Units       float64
@@ -42,9 +42,9 @@
 
 // Costs are what the service was had for.
 type Costs struct {
-	Requested, Done time.Duration // work that wishes asked for, and that nodes did
+	WorkRequested, WorkDone time.Duration // work that wishes asked for, and that nodes did
 	CounterCalls    int
-	CrossZone       int
+	CrossZoneSends       int
 }
 
 // The brief's prices: points of service for one of each a request.
@@ -70,67 +70,67 @@
 }
 
 // share is worth earned of worth asked for.
-type share struct{ asked, got float64 }
+type earnings struct{ requested, earned float64 }
 
-func (s share) of() float64 {
-	if s.asked == 0 {
+func (e earnings) ratio() float64 {
+	if e.requested == 0 {
 		return 1
 	}
-	return s.got / s.asked
+	return e.earned / e.requested
 }
 
 // Rate computes the score. What a channel earned beyond the worth that it asked for inside its quota counts for none.
-func Rate(classes map[string]Class, plans map[string]Plan, wishes []ClientRequest, beyond []Forwarded, costs Costs) Score {
+func ComputeScore(classes map[string]Class, plans map[string]Plan, wishes []Operation, beyond []ExcessAttempt, costs Costs) Score {
 	wishes = slices.Clone(wishes)
-	slices.SortStableFunc(wishes, func(a, b ClientRequest) int { return cmp.Compare(a.Due, b.Due) })
-	var whole share
-	byClass, byPlan := map[string]*share{}, map[string]*share{}
-	steps := map[int]*share{} // by second
-	at := func(m map[string]*share, k string) *share {
+	slices.SortStableFunc(wishes, func(a, b Operation) int { return cmp.Compare(a.Due, b.Due) })
+	var whole earnings
+	byClass, byPlan := map[string]*earnings{}, map[string]*earnings{}
+	steps := map[int]*earnings{} // by second
+	at := func(m map[string]*earnings, k string) *earnings {
 		if m[k] == nil {
-			m[k] = &share{}
+			m[k] = &earnings{}
 		}
 		return m[k]
 	}
-	add := func(w ClientRequest, asked, got float64) {
+	add := func(w Operation, asked, got float64) {
 		second := int(w.Due / time.Second)
 		if steps[second] == nil {
-			steps[second] = &share{}
+			steps[second] = &earnings{}
 		}
-		for _, s := range []*share{&whole, at(byClass, w.Class), at(byPlan, w.Plan), steps[second]} {
-			s.asked += asked
-			s.got += got
+		for _, s := range []*earnings{&whole, at(byClass, w.Class), at(byPlan, w.Plan), steps[second]} {
+			s.requested += asked
+			s.earned += got
 		}
 	}
 	late := 0
-	for i, c := range credits(classes, plans, wishes) {
+	for i, c := range creditOperations(classes, plans, wishes) {
 		w := wishes[i]
-		if !w.Served && w.At-w.Due > classes[w.Class].LatencyObjective {
+		if !w.Served && w.AnsweredAt-w.Due > classes[w.Class].LatencyObjective {
 			late++
 		}
-		add(w, c.asked, c.got)
+		add(w, c.requested, c.earned)
 	}
 	var s Score
 	cost := 0.0
 	for _, b := range beyond {
 		x := classes[b.Class].PriorityWeight * plans[b.Plan].Price * b.Units * plans[b.Plan].ExcessCost
 		cost += x
-		add(ClientRequest{Due: b.At, Class: b.Class, Plan: b.Plan}, 0, -x)
+		add(Operation{Due: b.At, Class: b.Class, Plan: b.Plan}, 0, -x)
 	}
-	s.Complete, s.WorstClass, s.WorstPlan, s.Worst10s = whole.of(), 1, 1, worst(steps)
+	s.Complete, s.WorstClass, s.WorstPlan, s.Worst10s = whole.ratio(), 1, 1, worst(steps)
 	for _, x := range byClass {
-		s.WorstClass = min(s.WorstClass, x.of())
+		s.WorstClass = min(s.WorstClass, x.ratio())
 	}
 	for _, x := range byPlan {
-		s.WorstPlan = min(s.WorstPlan, x.of())
+		s.WorstPlan = min(s.WorstPlan, x.ratio())
 	}
-	if whole.asked > 0 {
-		s.Beyond = cost / whole.asked
+	if whole.requested > 0 {
+		s.Beyond = cost / whole.requested
 	}
 	if n := float64(len(wishes)); n > 0 {
-		s.CrossShare = float64(costs.CrossZone) / n
-		if costs.Requested > 0 {
-			s.Waste = max(0, (costs.Done-costs.Requested).Seconds()/costs.Requested.Seconds())
+		s.CrossShare = float64(costs.CrossZoneSends) / n
+		if costs.WorkRequested > 0 {
+			s.Waste = max(0, (costs.WorkDone-costs.WorkRequested).Seconds()/costs.WorkRequested.Seconds())
 		}
 		s.Prices = priceCounter*float64(costs.CounterCalls)/n + priceWaste*min(1, s.Waste) + priceCross*s.CrossShare + priceLate*float64(late)/n
 	}
@@ -139,7 +139,7 @@
 }
 
 // worst is the least share of any ten seconds.
-func worst(steps map[int]*share) float64 {
+func worst(steps map[int]*earnings) float64 {
 	if len(steps) == 0 {
 		return 1
 	}
@@ -150,45 +150,45 @@
 	width := int(worstWindow / time.Second)
 	least := 1.0
 	for from := first; from == first || from+width <= last+1; from++ {
-		var s share
+		var s earnings
 		for k := from; k < from+width; k++ {
 			if x := steps[k]; x != nil {
-				s.asked += x.asked
-				s.got += x.got
+				s.requested += x.requested
+				s.earned += x.earned
 			}
 		}
-		least = min(least, s.of())
+		least = min(least, s.ratio())
 	}
 	return least
 }
 
 // credits is what each wish asked for inside its channel's quota and what it earned, in worth; wishes are in order of when
 // they were due. What a channel earned beyond the worth that it had asked for inside counts for none.
-func credits(classes map[string]Class, plans map[string]Plan, wishes []ClientRequest) []share {
-	inside := insideQuota(plans, wishes)
+func creditOperations(classes map[string]Class, plans map[string]Plan, wishes []Operation) []earnings {
+	inside := withinQuota(plans, wishes)
 	room := map[string]float64{} // worth that a channel asked for inside and has not earned yet
-	out := make([]share, len(wishes))
+	out := make([]earnings, len(wishes))
 	for i, w := range wishes {
 		c := classes[w.Class]
 		worth := c.PriorityWeight * plans[w.Plan].Price * w.Units
 		if inside[i] {
-			out[i].asked = worth
-			room[w.Channel] += worth
+			out[i].requested = worth
+			room[w.Tenant] += worth
 		}
 		switch {
-		case w.Served && w.At-w.Due <= c.LatencyObjective:
-			out[i].got = worth
+		case w.Served && w.AnsweredAt-w.Due <= c.LatencyObjective:
+			out[i].earned = worth
 		case w.Served:
-			out[i].got = worth * c.LateShare
+			out[i].earned = worth * c.LateShare
 		}
-		out[i].got = min(out[i].got, room[w.Channel])
-		room[w.Channel] -= out[i].got
+		out[i].earned = min(out[i].earned, room[w.Tenant])
+		room[w.Tenant] -= out[i].earned
 	}
 	return out
 }
 
 // insideQuota replays each channel's quota over its first tries, in their order.
-func insideQuota(plans map[string]Plan, wishes []ClientRequest) []bool {
+func withinQuota(plans map[string]Plan, wishes []Operation) []bool {
 	type store struct {
 		level float64
 		at    time.Duration
@@ -197,10 +197,10 @@
 	out := make([]bool, len(wishes))
 	for i, w := range wishes {
 		p := plans[w.Plan]
-		st := stores[w.Channel]
+		st := stores[w.Tenant]
 		if st == nil {
 			st = &store{p.Burst, w.Due}
-			stores[w.Channel] = st
+			stores[w.Tenant] = st
 		}
 		st.level = min(p.Burst, st.level+p.Rate*(w.Due-st.at).Seconds())
 		st.at = w.Due
@@ -213,7 +213,7 @@
 
 // Latencies is a histogram of how long answers took, from when their requests were due: a client that was late to ask does
 // not hide a wait. From 100 us to 2 minutes, three figures. Not safe for many goroutines.
-type Latencies struct{ h *hdrhistogram.Histogram }
+type Latencies struct{ histogram *hdrhistogram.Histogram }
 
 // NewLatencies returns an empty histogram.
 func NewLatencies() *Latencies {
@@ -222,13 +222,13 @@
 
 // Add counts one.
 func (l *Latencies) Add(d time.Duration) {
-	l.h.RecordValue(min(max(d.Microseconds(), 100), l.h.HighestTrackableValue()))
+	l.histogram.RecordValue(min(max(d.Microseconds(), 100), l.histogram.HighestTrackableValue()))
 }
 
 // MS is a quantile in milliseconds, 0 where there is nothing.
-func (l *Latencies) MS(q float64) float64 {
-	if l.h.TotalCount() == 0 {
+func (l *Latencies) QuantileMS(q float64) float64 {
+	if l.histogram.TotalCount() == 0 {
 		return 0
 	}
-	return float64(l.h.ValueAtQuantile(100*q)) / 1000
+	return float64(l.histogram.ValueAtQuantile(100*q)) / 1000
 }
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -155,14 +155,14 @@
 		}
 	}
 	for i, s := range seconds {
-		s.P50MS, s.P99MS = perSecond[i].MS(0.5), perSecond[i].MS(0.99)
+		s.P50MS, s.P99MS = perSecond[i].QuantileMS(0.5), perSecond[i].QuantileMS(0.99)
 		r.Timeline = append(r.Timeline, *s)
 	}
 	for _, p := range w.plans {
 		for _, c := range w.classes {
 			k := key{c.name, p.name}
 			if row := byKey[k]; row != nil {
-				row.P50MS, row.P99MS = took[k].MS(0.5), took[k].MS(0.99)
+				row.P50MS, row.P99MS = took[k].QuantileMS(0.5), took[k].QuantileMS(0.99)
 				r.Rows = append(r.Rows, *row)
 			}
 		}
@@ -170,44 +170,44 @@
 }
 
 // score is the service as the brief counts it, from the clients' and the nodes' records.
-func (w *Testbed) score(r *Report, e rulecheck.Evidence, calls int) (list []measure.ClientRequest) {
-	wishes := map[int]*measure.ClientRequest{}
+func (w *Testbed) score(r *Report, e rulecheck.Evidence, calls int) (list []measure.Operation) {
+	wishes := map[int]*measure.Operation{}
 	costs := measure.Costs{CounterCalls: calls}
 	w.load.mu.Lock()
 	for _, t := range w.load.tried {
 		x := wishes[t.wish]
 		if x == nil {
-			x = &measure.ClientRequest{Due: t.due - w.load.began, Channel: fmt.Sprint(t.ch.id), Plan: t.ch.plan.name, Class: t.class.name, Units: t.class.units}
+			x = &measure.Operation{Due: t.due - w.load.began, Tenant: fmt.Sprint(t.ch.id), Plan: t.ch.plan.name, Class: t.class.name, Units: t.class.units}
 			wishes[t.wish] = x
-			costs.Requested += t.class.work.Mean()
+			costs.WorkRequested += t.class.work.Mean()
 		}
 		if x.Served || len(t.Answers) == 0 {
 			continue
 		}
-		x.At, x.Served = t.Answers[0].At-w.load.began, t.Answers[0].Kind == "served"
+		x.AnsweredAt, x.Served = t.Answers[0].At-w.load.began, t.Answers[0].Kind == "served"
 	}
 	w.load.mu.Unlock()
-	list = make([]measure.ClientRequest, 0, len(wishes))
+	list = make([]measure.Operation, 0, len(wishes))
 	for _, x := range wishes {
 		list = append(list, *x)
 	}
-	slices.SortFunc(list, func(a, b measure.ClientRequest) int {
-		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Channel, b.Channel))
+	slices.SortFunc(list, func(a, b measure.Operation) int {
+		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	for _, rec := range w.fleet.Records(0) {
 		if rec.Fate != backend.Busy {
-			costs.Done += rec.Work
+			costs.WorkDone += rec.Work
 		}
 		if rec.Zone != "hall-"+string(rune('a'+rec.Instance%3)) {
-			costs.CrossZone++
+			costs.CrossZoneSends++
 		}
 	}
-	var beyond []measure.Forwarded
+	var beyond []measure.ExcessAttempt
 	for _, s := range rulecheck.AttemptsBeyondQuota(w.quotas(), e.Attempts) {
-		beyond = append(beyond, measure.Forwarded{At: s.ArrivedAt - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
+		beyond = append(beyond, measure.ExcessAttempt{At: s.ArrivedAt - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
 	}
 	mc, mp := worths(w.classes, w.plans)
-	r.Score = measure.Rate(mc, mp, list, beyond, costs)
+	r.Score = measure.ComputeScore(mc, mp, list, beyond, costs)
 	r.Service = r.Score.Service
 	return list
 }
