--- a/cmd/hitchspring/cli.go
+++ b/cmd/hitchspring/cli.go
@@ -41,11 +41,13 @@
 	optionsPath string // empty: there are no options
 }
 
+// serveCmd serves; it is what the program does without a command.
 type serveCmd struct{}
 
 // Run serves until a signal ends it.
 func (serveCmd) Run(e *commandEnv) error { return serve(e.optionsPath, e.log) }
 
+// versionCmd prints which build the program is.
 type versionCmd struct{}
 
 // Run prints one line.
@@ -54,6 +56,7 @@
 	return err
 }
 
+// checkCmd checks the configuration and the options.
 type checkCmd struct{}
 
 // Run checks both files and prints the options in force. It starts nothing.
--- a/cmd/hitchspring/status.go
+++ b/cmd/hitchspring/status.go
@@ -40,6 +40,7 @@
 	JSON    bool   `help:"As JSON."`
 }
 
+// statusZonesCmd shows the states of the zones.
 type statusZonesCmd struct{ statusFlags }
 
 // Run prints the zones of a running instance.
@@ -47,6 +48,7 @@
 	return printStatus(c.statusFlags, e, "halls", printZones)
 }
 
+// statusPeersCmd shows the membership of the other instances.
 type statusPeersCmd struct{ statusFlags }
 
 // Run prints the other instances that a running instance knows.
@@ -54,6 +56,7 @@
 	return printStatus(c.statusFlags, e, "peers", printPeers)
 }
 
+// statusBackendsCmd shows what is known of the backends.
 type statusBackendsCmd struct{ statusFlags }
 
 // Run prints what a running instance knows of its backends.
@@ -61,6 +64,7 @@
 	return printStatus(c.statusFlags, e, "nodes", printBackends)
 }
 
+// statusWorkCmd shows the counts of pending work.
 type statusWorkCmd struct{ statusFlags }
 
 // Run prints the pending work of a running instance.
@@ -68,6 +72,7 @@
 	return printStatus(c.statusFlags, e, "work", printWork)
 }
 
+// statusQuotasCmd shows the quotas and what may be overspent while no other instance is heard.
 type statusQuotasCmd struct {
 	statusFlags
 	For time.Duration `help:"What would be passed on within so long, up to 10m." default:"1m"`
@@ -78,6 +83,7 @@
 	return printStatus(c.statusFlags, e, "budgets?for="+c.For.String(), printQuotas)
 }
 
+// statusEscrowCmd shows the transferred quota allocations.
 type statusEscrowCmd struct{ statusFlags }
 
 // Run prints the quota allocations that a running instance has transferred or received.
--- a/cmd/hitchspring/zones.go
+++ b/cmd/hitchspring/zones.go
@@ -16,6 +16,7 @@
 	List   zoneListCmd   `cmd:"" help:"The drills in force."`
 }
 
+// zoneDrainCmd takes a zone out of service for a time.
 type zoneDrainCmd struct {
 	Zone   string        `arg:"" name:"hall" help:"The hall's name, as in the list of nodes."`
 	For    time.Duration `help:"For how long, 4h at most." default:"15m"`
@@ -39,6 +40,7 @@
 	})
 }
 
+// zoneReturnCmd takes a zone into service again.
 type zoneReturnCmd struct {
 	Zone string `arg:"" name:"hall" help:"The hall's name."`
 }
@@ -53,6 +55,7 @@
 	})
 }
 
+// zoneListCmd shows the drains.
 type zoneListCmd struct{}
 
 // Run prints the drains in force.
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -14,6 +14,8 @@
 	"hitchspring/internal/lab/cost"
 )
 
+// costCmd measures latency and CPU per request of builds and of a bare proxy.
+//
 //nolint:lll // a struct tag stands on one line
 type costCmd struct {
 	Builds      []string      `name:"build" help:"NAME=PATH of a hitchspring; may stand several times." default:"bin/hitchspring" sep:"none" placeholder:"NAME=PATH"`
--- a/cmd/lab/experiment.go
+++ b/cmd/lab/experiment.go
@@ -14,6 +14,8 @@
 	"hitchspring/internal/lab/scenario"
 )
 
+// experimentCmd runs an experiment that a file describes.
+//
 //nolint:lll // a struct tag stands on one line
 type experimentCmd struct {
 	File string `arg:"" help:"The experiment (TOML)." type:"path"`
@@ -74,6 +76,8 @@
 	return err
 }
 
+// compareCmd compares this source with another commit.
+//
 //nolint:lll // a struct tag stands on one line
 type compareCmd struct {
 	Base      string        `help:"The other commit." default:"HEAD"`
@@ -85,7 +89,7 @@
 	Out       string        `help:"Folder for results.jsonl and index.html; empty: they are not kept." type:"path" default:""`
 }
 
-// run is an experiment of two builds, which share their backends and load, so that both meet the same machine.
+// run is an experiment of two builds, which also share a testbed, so that both meet the same machine.
 func (c *compareCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	spec := &experiment.Spec{
 		Name:      "compare",
--- a/cmd/lab/fleetlogs.go
+++ b/cmd/lab/fleetlogs.go
@@ -9,6 +9,8 @@
 	"hitchspring/internal/lab/fleetlog"
 )
 
+// fleetLogsCmd adds up the logged summaries of many instances.
+//
 //nolint:lll // a struct tag stands on one line
 type fleetLogsCmd struct {
 	Dir  string `arg:"" help:"Folder with one *.log of each instance, written with [log] summary on." type:"existingdir"`
--- a/cmd/lab/gate.go
+++ b/cmd/lab/gate.go
@@ -11,6 +11,8 @@
 	"hitchspring/internal/standin/gate"
 )
 
+// gateCmd runs the stand-in gate alone.
+//
 //nolint:lll // a struct tag stands on one line
 type gateCmd struct {
 	Listen   string   `help:"Loopback address for plain HTTP: /CHANNEL/CLASS?plan=PLAN&key=KEY." default:"127.0.0.1:8080"`
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -96,6 +96,7 @@
 	return code, err
 }
 
+// versionCmd prints which build the program is.
 type versionCmd struct{}
 
 // run prints one line.
--- a/cmd/lab/mutation.go
+++ b/cmd/lab/mutation.go
@@ -10,6 +10,8 @@
 	"hitchspring/internal/lab/mutation"
 )
 
+// mutationCmd tests the rule checker with planted defects.
+//
 //nolint:lll // a struct tag stands on one line
 type mutationCmd struct {
 	Names []string `arg:"" optional:"" help:"Defects, or rules (lost, twice, drains, cold, ceilings, quotas); none: all."`
--- a/cmd/lab/overlapping_faults.go
+++ b/cmd/lab/overlapping_faults.go
@@ -13,6 +13,8 @@
 // maxViolationsShown is how many violations of one rule are printed in full.
 const maxViolationsShown = 3
 
+// overlappingFaultsCmd plays random faults that overlap against many processes.
+//
 //nolint:lll // a struct tag stands on one line
 type overlappingFaultsCmd struct {
 	Seed      uint64        `help:"The first." default:"1"`
--- a/cmd/lab/redis.go
+++ b/cmd/lab/redis.go
@@ -17,6 +17,7 @@
 // readHeaderTimeout bounds the headers of a request to a stand-in.
 const readHeaderTimeout = 5 * time.Second
 
+// redisCmd runs the Redis stand-in alone.
 type redisCmd struct {
 	Listen       string `help:"Loopback address." default:"127.0.0.1:6379"`
 	Control      string `help:"Loopback address that takes faults over HTTP; empty: none."`
--- a/cmd/lab/scenarios.go
+++ b/cmd/lab/scenarios.go
@@ -71,6 +71,7 @@
 	return cfg, closeLog, nil
 }
 
+// demoCmd plays a scenario once, for people to watch.
 type demoCmd struct {
 	scenarioFlags
 	Quiet bool `help:"No live table."`
@@ -99,6 +100,7 @@
 	return report.Code(), nil
 }
 
+// scenariosCmd shows the scenarios that come with the program.
 type scenariosCmd struct {
 	Name string `arg:"" optional:"" help:"Print this one."`
 }
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -12,6 +12,7 @@
 	"hitchspring/internal/lab/scenario"
 )
 
+// soakCmd plays scenarios over many seeds.
 type soakCmd struct {
 	scenarioFlags
 	Seeds int    `help:"How many, from --seed on." default:"20"`
--- a/cmd/lab/trial.go
+++ b/cmd/lab/trial.go
@@ -10,6 +10,8 @@
 	"hitchspring/internal/lab/trial"
 )
 
+// trialCmd runs a trial of many processes.
+//
 //nolint:lll // a struct tag stands on one line
 type trialCmd struct {
 	Name      string   `arg:"" optional:"" help:"The trial; none: list them."`
--- a/cmd/lab/zones.go
+++ b/cmd/lab/zones.go
@@ -9,6 +9,7 @@
 	"hitchspring/internal/lab/scenario"
 )
 
+// zonesCmd measures the loss and return of zones.
 type zonesCmd struct {
 	Scenarios string `name:"days" help:"Days, with commas; empty: all that lose a hall, and a calm one." default:""`
 	Seeds     int    `help:"How many, from --seed on." default:"3"`
--- a/internal/config/clock.go
+++ b/internal/config/clock.go
@@ -15,6 +15,7 @@
 	Rate   float64  `toml:"rate,omitempty"`  // seconds that pass on it in a true second; 0: one
 }
 
+// validate returns what is wrong.
 func (c *Clock) validate() []fieldError {
 	s := section{name: "clock"}
 	if c.Offset < -maxClockOffset || c.Offset > maxClockOffset {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -31,6 +31,7 @@
 	return fmt.Errorf("options %s:%d: %s: %s in %q", path, line, key, reason, source)
 }
 
+// oneLine returns a text without line ends.
 func oneLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
 
 // sourceLine returns a line of the file, counted from 1, without the spaces around it; empty if there is no such line.
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -135,12 +135,14 @@
 	return errs
 }
 
+// validate returns what is wrong.
 func (m *Metrics) validate() []fieldError {
 	s := section{name: "metrics"}
 	s.validateListen(m.Listen)
 	return s.errs
 }
 
+// validate returns what is wrong. A summary is required unless requests are logged.
 func (l *Log) validate() []fieldError {
 	s := section{name: "log"}
 	onlyRequests := l.LogRequests && l.SummaryInterval == 0
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -13,6 +13,7 @@
 	err error
 }
 
+// newFieldError returns an error for a key with its section. The format is fmt.Errorf's.
 func newFieldError(key, format string, args ...any) fieldError {
 	return fieldError{key: key, err: fmt.Errorf(format, args...)}
 }
