--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -122,7 +122,7 @@
 	for _, c := range w.classes {
 		work[c.name] = c.work.Mean()
 	}
-	fills := measure.MeasureAttainment(mc, mp, work, wishes, able, hallSpan)
+	fills := measure.AttainmentPerSpan(mc, mp, work, wishes, able, hallSpan)
 	out := &Loss{RecoverS: -1, LastSentS: -1}
 	var before, during, after measure.Attainment
 	for k, f := range fills {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,234 +1,201 @@
-// Package measure turns what clients and nodes saw into figures: the service as the users' brief counts it, and latencies
-// from the moment that a request was due. In: wishes and what was passed on. Out: figures. It knows no process, no socket
-// and no clock.
+// Package measure turns what clients and backends recorded into the score of a run. Its input is the operations of
+// the clients, the attempts that backends saw beyond quotas, and the costs of the run. Its output is the score as
+// the users' brief defines it, what the capacity would have allowed, and latencies from the moment that a request
+// was due. It starts no process and has no socket and no clock.
 package measure
 
-import (
-	"cmp"
-	"slices"
-	"time"
+import "time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-)
-
-// Class is what a kind of request is worth.
+// Class holds the value of the requests of a class.
 type Class struct {
-	PriorityWeight   float64
+	PriorityWeight   float64 // value of a unit
 	LatencyObjective time.Duration
-	LateShare        float64 // of the worth, for an answer after the aim
+	LateShare        float64 // fraction of the value that an answer after the latency objective earns
 }
 
-// Plan is what a channel may use, and what use beyond it costs.
+// Plan is what a tenant may use, and what use beyond that costs.
 type Plan struct {
-	Price, Rate, Burst float64
-	ExcessCost         float64 // share of the worth
+	Price      float64 // factor on the value
+	Rate       float64 // of the quota: units a second that its token bucket gains
+	Burst      float64 // of the quota: units that its token bucket holds
+	ExcessCost float64 // fraction of the value that a unit beyond the quota costs
 }
 
-// Wish is what a client wanted: a first try with its retries.
+// Operation is what a client wanted: its first request together with its retries.
 type Operation struct {
-	Due                  time.Duration // when the first try ought to have gone out
-	Tenant, Plan, Class string
-	Units                float64
-	Served               bool
-	AnsweredAt                   time.Duration // of the answer that served it, or of the last other one
+	Due        time.Duration // when the first request was to be sent
+	Tenant     string
+	Plan       string
+	Class      string
+	Units      float64
+	Served     bool
+	AnsweredAt time.Duration // of the answer that served it, or else of the last answer
 }
 
-// Passed is a first attempt as its node saw it, beyond its channel's quota.
+// latency is how long the client waited, from when the operation was due.
+func (o Operation) latency() time.Duration { return o.AnsweredAt - o.Due }
+
+// ExcessAttempt is a first attempt beyond its tenant's quota, as its backend saw it.
 type ExcessAttempt struct {
 	At          time.Duration
 	Plan, Class string
 	Units       float64
 }
 
-// Costs are what the service was had for.
+// Costs holds what the service of a run cost.
 type Costs struct {
-	WorkRequested, WorkDone time.Duration // work that wishes asked for, and that nodes did
-	CounterCalls    int
-	CrossZoneSends       int
+	WorkRequested  time.Duration // work that the operations requested
+	WorkDone       time.Duration // work that the backends did
+	CounterCalls   int           // calls of the quota store
+	CrossZoneSends int           // attempts sent to another zone
 }
 
-// The brief's prices: points of service for one of each a request.
+// The prices of the users' brief, in points of service for one of each for every operation.
+const (
+	counterCallPrice = 0.005
+	wastePrice       = 0.03
+	crossZonePrice   = 0.01
+	lateFailurePrice = 0.05
+)
+
+// The weights of the users' brief for the parts of the service.
 const (
-	priceCounter = 0.005
-	priceWaste   = 0.03
-	priceCross   = 0.01
-	priceLate    = 0.05
-	worstWindow  = 10 * time.Second
+	completeWeight   = 0.5
+	worst10sWeight   = 0.25
+	worstClassWeight = 0.1
+	worstPlanWeight  = 0.15
 )
 
-// Score is the service with its parts; shares of the worth that was asked for inside quotas.
+// worstWindow is the length of the window whose service is the worst of a run.
+const worstWindow = 10 * time.Second
+
+// Score is the service with its parts, which are fractions of the value that was requested within quotas.
 type Score struct {
-	Service    float64 `json:"Service"` // all below, by the brief's weights, less the prices
-	Complete   float64 `json:"Whole"`   // answered within the wanted time, less what was passed on beyond quotas at its cost
-	Worst10s   float64 `json:"Worst10s"`
-	WorstClass float64 `json:"WorstClass"`
-	WorstPlan  float64 `json:"WorstPlan"`
-	Beyond     float64 `json:"Beyond"`     // what use beyond quotas cost
-	Prices     float64 `json:"Prices"`     // counter calls, wasted work, crossing halls, failing late
-	CrossShare float64 `json:"CrossShare"` // sends to another hall, for each wish
-	Waste      float64 `json:"Waste"`      // work done beyond what was asked for, as a share of it
+	// Service is the weighted sum of the parts, less Prices.
+	Service float64 `json:"Service"`
+	// Complete is what was answered within the latency objective, less the cost of what was sent beyond quotas.
+	Complete   float64 `json:"Whole"`
+	Worst10s   float64 `json:"Worst10s"`   // Complete of the worst ten seconds
+	WorstClass float64 `json:"WorstClass"` // Complete of the worst class
+	WorstPlan  float64 `json:"WorstPlan"`  // Complete of the worst plan
+	Beyond     float64 `json:"Beyond"`     // cost of use beyond quotas
+	Prices     float64 `json:"Prices"`     // for counter calls, wasted work, cross-zone sends and late failures
+	CrossShare float64 `json:"CrossShare"` // cross-zone sends for each operation
+	Waste      float64 `json:"Waste"`      // work done beyond what was requested, as a fraction of that
 }
 
-// share is worth earned of worth asked for.
-type earnings struct{ requested, earned float64 }
+// tally sums up the earnings of a run in the ways that the score needs.
+type tally struct {
+	all      earnings
+	byClass  map[string]*earnings
+	byPlan   map[string]*earnings
+	bySecond map[int]*earnings
+}
 
-func (e earnings) ratio() float64 {
-	if e.requested == 0 {
-		return 1
+func newTally() *tally {
+	return &tally{
+		byClass:  map[string]*earnings{},
+		byPlan:   map[string]*earnings{},
+		bySecond: map[int]*earnings{},
 	}
-	return e.earned / e.requested
 }
 
-// Rate computes the score. What a channel earned beyond the worth that it asked for inside its quota counts for none.
-func ComputeScore(classes map[string]Class, plans map[string]Plan, wishes []Operation, beyond []ExcessAttempt, costs Costs) Score {
-	wishes = slices.Clone(wishes)
-	slices.SortStableFunc(wishes, func(a, b Operation) int { return cmp.Compare(a.Due, b.Due) })
-	var whole earnings
-	byClass, byPlan := map[string]*earnings{}, map[string]*earnings{}
-	steps := map[int]*earnings{} // by second
-	at := func(m map[string]*earnings, k string) *earnings {
-		if m[k] == nil {
-			m[k] = &earnings{}
-		}
-		return m[k]
-	}
-	add := func(w Operation, asked, got float64) {
-		second := int(w.Due / time.Second)
-		if steps[second] == nil {
-			steps[second] = &earnings{}
-		}
-		for _, s := range []*earnings{&whole, at(byClass, w.Class), at(byPlan, w.Plan), steps[second]} {
-			s.requested += asked
-			s.earned += got
-		}
+// add counts value that was requested and earned at a time.
+func (t *tally) add(at time.Duration, class, plan string, requested, earned float64) {
+	t.all.add(requested, earned)
+	entry(t.byClass, class).add(requested, earned)
+	entry(t.byPlan, plan).add(requested, earned)
+	entry(t.bySecond, int(at/time.Second)).add(requested, earned)
+}
+
+// entry returns the earnings of a key, which it adds if there are none.
+func entry[K comparable](sums map[K]*earnings, key K) *earnings {
+	if sums[key] == nil {
+		sums[key] = &earnings{}
 	}
-	late := 0
-	for i, c := range creditOperations(classes, plans, wishes) {
-		w := wishes[i]
-		if !w.Served && w.AnsweredAt-w.Due > classes[w.Class].LatencyObjective {
-			late++
+	return sums[key]
+}
+
+// ComputeScore computes the score of a run. What a tenant earned beyond the value that it requested within its
+// quota does not count.
+func ComputeScore(
+	classes map[string]Class, plans map[string]Plan, operations []Operation, excess []ExcessAttempt, costs Costs,
+) Score {
+	operations = sortedByDue(operations)
+	sums := newTally()
+	lateFailures := 0
+	for i, credit := range creditOperations(classes, plans, operations) {
+		operation := operations[i]
+		if !operation.Served && operation.latency() > classes[operation.Class].LatencyObjective {
+			lateFailures++
 		}
-		add(w, c.requested, c.earned)
-	}
-	var s Score
-	cost := 0.0
-	for _, b := range beyond {
-		x := classes[b.Class].PriorityWeight * plans[b.Plan].Price * b.Units * plans[b.Plan].ExcessCost
-		cost += x
-		add(Operation{Due: b.At, Class: b.Class, Plan: b.Plan}, 0, -x)
-	}
-	s.Complete, s.WorstClass, s.WorstPlan, s.Worst10s = whole.ratio(), 1, 1, worst(steps)
-	for _, x := range byClass {
-		s.WorstClass = min(s.WorstClass, x.ratio())
-	}
-	for _, x := range byPlan {
-		s.WorstPlan = min(s.WorstPlan, x.ratio())
+		sums.add(operation.Due, operation.Class, operation.Plan, credit.requested, credit.earned)
+	}
+	excessCost := 0.0
+	for _, attempt := range excess {
+		plan := plans[attempt.Plan]
+		cost := classes[attempt.Class].PriorityWeight * plan.Price * attempt.Units * plan.ExcessCost
+		excessCost += cost
+		sums.add(attempt.At, attempt.Class, attempt.Plan, 0, -cost)
+	}
+	score := Score{
+		Complete:   sums.all.ratio(),
+		Worst10s:   worstWindowRatio(sums.bySecond),
+		WorstClass: worstRatio(sums.byClass),
+		WorstPlan:  worstRatio(sums.byPlan),
+	}
+	if sums.all.requested > 0 {
+		score.Beyond = excessCost / sums.all.requested
+	}
+	score.addPrices(costs, len(operations), lateFailures)
+	score.Service = completeWeight*score.Complete + worst10sWeight*score.Worst10s +
+		worstClassWeight*score.WorstClass + worstPlanWeight*score.WorstPlan - score.Prices
+	return score
+}
+
+// addPrices sets the costs of a run as prices for each operation.
+func (s *Score) addPrices(costs Costs, operations, lateFailures int) {
+	if operations == 0 {
+		return
 	}
-	if whole.requested > 0 {
-		s.Beyond = cost / whole.requested
+	count := float64(operations)
+	s.CrossShare = float64(costs.CrossZoneSends) / count
+	if costs.WorkRequested > 0 {
+		s.Waste = max(0, (costs.WorkDone-costs.WorkRequested).Seconds()/costs.WorkRequested.Seconds())
 	}
-	if n := float64(len(wishes)); n > 0 {
-		s.CrossShare = float64(costs.CrossZoneSends) / n
-		if costs.WorkRequested > 0 {
-			s.Waste = max(0, (costs.WorkDone-costs.WorkRequested).Seconds()/costs.WorkRequested.Seconds())
-		}
-		s.Prices = priceCounter*float64(costs.CounterCalls)/n + priceWaste*min(1, s.Waste) + priceCross*s.CrossShare + priceLate*float64(late)/n
+	s.Prices = counterCallPrice*float64(costs.CounterCalls)/count + wastePrice*min(1, s.Waste) +
+		crossZonePrice*s.CrossShare + lateFailurePrice*float64(lateFailures)/count
+}
+
+// worstRatio returns the least ratio, 1 at the most.
+func worstRatio(sums map[string]*earnings) float64 {
+	worst := 1.0
+	for _, sum := range sums {
+		worst = min(worst, sum.ratio())
 	}
-	s.Service = 0.5*s.Complete + 0.25*s.Worst10s + 0.1*s.WorstClass + 0.15*s.WorstPlan - s.Prices
-	return s
+	return worst
 }
 
-// worst is the least share of any ten seconds.
-func worst(steps map[int]*earnings) float64 {
-	if len(steps) == 0 {
+// worstWindowRatio returns the least ratio of any worstWindow that lies within the run, 1 at the most. A shorter
+// run is one window.
+func worstWindowRatio(bySecond map[int]*earnings) float64 {
+	if len(bySecond) == 0 {
 		return 1
 	}
 	first, last := 1<<30, -1
-	for k := range steps {
-		first, last = min(first, k), max(last, k)
+	for second := range bySecond {
+		first, last = min(first, second), max(last, second)
 	}
 	width := int(worstWindow / time.Second)
-	least := 1.0
+	worst := 1.0
 	for from := first; from == first || from+width <= last+1; from++ {
-		var s earnings
-		for k := from; k < from+width; k++ {
-			if x := steps[k]; x != nil {
-				s.requested += x.requested
-				s.earned += x.earned
+		var window earnings
+		for second := from; second < from+width; second++ {
+			if sum := bySecond[second]; sum != nil {
+				window.add(sum.requested, sum.earned)
 			}
 		}
-		least = min(least, s.ratio())
-	}
-	return least
-}
-
-// credits is what each wish asked for inside its channel's quota and what it earned, in worth; wishes are in order of when
-// they were due. What a channel earned beyond the worth that it had asked for inside counts for none.
-func creditOperations(classes map[string]Class, plans map[string]Plan, wishes []Operation) []earnings {
-	inside := withinQuota(plans, wishes)
-	room := map[string]float64{} // worth that a channel asked for inside and has not earned yet
-	out := make([]earnings, len(wishes))
-	for i, w := range wishes {
-		c := classes[w.Class]
-		worth := c.PriorityWeight * plans[w.Plan].Price * w.Units
-		if inside[i] {
-			out[i].requested = worth
-			room[w.Tenant] += worth
-		}
-		switch {
-		case w.Served && w.AnsweredAt-w.Due <= c.LatencyObjective:
-			out[i].earned = worth
-		case w.Served:
-			out[i].earned = worth * c.LateShare
-		}
-		out[i].earned = min(out[i].earned, room[w.Tenant])
-		room[w.Tenant] -= out[i].earned
-	}
-	return out
-}
-
-// insideQuota replays each channel's quota over its first tries, in their order.
-func withinQuota(plans map[string]Plan, wishes []Operation) []bool {
-	type store struct {
-		level float64
-		at    time.Duration
-	}
-	stores := map[string]*store{}
-	out := make([]bool, len(wishes))
-	for i, w := range wishes {
-		p := plans[w.Plan]
-		st := stores[w.Tenant]
-		if st == nil {
-			st = &store{p.Burst, w.Due}
-			stores[w.Tenant] = st
-		}
-		st.level = min(p.Burst, st.level+p.Rate*(w.Due-st.at).Seconds())
-		st.at = w.Due
-		if out[i] = st.level >= w.Units; out[i] {
-			st.level -= w.Units
-		}
-	}
-	return out
-}
-
-// Latencies is a histogram of how long answers took, from when their requests were due: a client that was late to ask does
-// not hide a wait. From 100 us to 2 minutes, three figures. Not safe for many goroutines.
-type Latencies struct{ histogram *hdrhistogram.Histogram }
-
-// NewLatencies returns an empty histogram.
-func NewLatencies() *Latencies {
-	return &Latencies{hdrhistogram.New(100, int64(2*time.Minute/time.Microsecond), 3)}
-}
-
-// Add counts one.
-func (l *Latencies) Add(d time.Duration) {
-	l.histogram.RecordValue(min(max(d.Microseconds(), 100), l.histogram.HighestTrackableValue()))
-}
-
-// MS is a quantile in milliseconds, 0 where there is nothing.
-func (l *Latencies) QuantileMS(q float64) float64 {
-	if l.histogram.TotalCount() == 0 {
-		return 0
+		worst = min(worst, window.ratio())
 	}
-	return float64(l.histogram.ValueAtQuantile(100*q)) / 1000
+	return worst
 }
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -15,84 +15,110 @@
 	plans   = map[string]Plan{"storby": {1.6, 10, 20, 0.6}, "bygd": {0.9, 1, 5, 0.8}}
 )
 
-func wish(plan, class string, due, took time.Duration, served bool) Operation {
-	return Operation{Due: due, Tenant: plan, Plan: plan, Class: class, Units: 1, Served: served, AnsweredAt: due + took}
+// operation is one operation of a tenant of storby that asks for a unit and was answered so long after it was due.
+func operation(class string, due, latency time.Duration, served bool) Operation {
+	return Operation{
+		Due:        due,
+		Tenant:     "storby",
+		Plan:       "storby",
+		Class:      class,
+		Units:      1,
+		Served:     served,
+		AnsweredAt: due + latency,
+	}
 }
 
-func TestRate(t *testing.T) {
-	served := wish("storby", "read", 0, 100*ms, true)
+func TestComputeScore(t *testing.T) {
+	served := operation("read", 0, 100*ms, true)
+	classLost := []Operation{operation("read", 0, ms, true), operation("publish", 0, ms, false)}
 	for name, c := range map[string]struct {
-		wishes  []Operation
-		beyond  []ExcessAttempt
-		costs   Costs
-		service float64
+		operations []Operation
+		excess     []ExcessAttempt
+		costs      Costs
+		want       float64
 	}{
-		"all served":          {[]Operation{served}, nil, Costs{}, 1},
-		"too late earns less": {[]Operation{wish("storby", "read", 0, 500*ms, true)}, nil, Costs{}, 0.1},
-		"refused":             {[]Operation{wish("storby", "read", 0, 10*ms, false)}, nil, Costs{}, 0},
-		"failed too late":     {[]Operation{wish("storby", "read", 0, 900*ms, false)}, nil, Costs{}, -0.05},
-		// Half of the whole and of the worst 10 s; the worst class and plan are lost.
-		"a class lost":     {[]Operation{wish("storby", "read", 0, ms, true), wish("storby", "publish", 0, ms, false)}, nil, Costs{}, 0.5*2/7 + 0.25*2/7 + 0.15*2/7},
-		"one crossing":     {[]Operation{served}, nil, Costs{CrossZoneSends: 1}, 0.99},
-		"one counter call": {[]Operation{served}, nil, Costs{CounterCalls: 1}, 0.995},
-		"work twice over":  {[]Operation{served}, nil, Costs{WorkRequested: 10 * ms, WorkDone: 20 * ms}, 0.97},
-		"one beyond":       {[]Operation{served}, []ExcessAttempt{{0, "storby", "read", 1}}, Costs{}, 0.4},
+		"all served":          {operations: []Operation{served}, want: 1},
+		"too late earns less": {operations: []Operation{operation("read", 0, 500*ms, true)}, want: 0.1},
+		"rejected":            {operations: []Operation{operation("read", 0, 10*ms, false)}, want: 0},
+		"failed too late":     {operations: []Operation{operation("read", 0, 900*ms, false)}, want: -0.05},
+		// Two sevenths are complete, in the worst ten seconds and plan too; the worst class has nothing.
+		"a class lost":     {operations: classLost, want: 0.5*2/7 + 0.25*2/7 + 0.15*2/7},
+		"one crossing":     {operations: []Operation{served}, costs: Costs{CrossZoneSends: 1}, want: 0.99},
+		"one counter call": {operations: []Operation{served}, costs: Costs{CounterCalls: 1}, want: 0.995},
+		"work twice over": {
+			operations: []Operation{served},
+			costs:      Costs{WorkRequested: 10 * ms, WorkDone: 20 * ms},
+			want:       0.97,
+		},
+		"one beyond": {
+			operations: []Operation{served},
+			excess:     []ExcessAttempt{{0, "storby", "read", 1}},
+			want:       0.4,
+		},
 	} {
-		if got := ComputeScore(classes, plans, c.wishes, c.beyond, c.costs).Service; math.Abs(got-c.service) > 1e-9 {
-			t.Errorf("%s: %v, want %v", name, got, c.service)
-		}
+		t.Run(name, func(t *testing.T) {
+			got := ComputeScore(classes, plans, c.operations, c.excess, c.costs).Service
+			if math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// A build that serves all that is asked for is never better than one that serves just what is inside quotas, and worse as
-// soon as anything was beyond.
+// A build that serves all that is requested is never better than one that serves just what is within quotas, and
+// worse as soon as anything was beyond.
 func TestBeyondNeverPays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Operation
 		gap := rapid.IntRange(1, 200).Draw(t, "gap")
 		for i := range rapid.IntRange(1, 200).Draw(t, "n") {
-			all = append(all, wish("storby", "read", time.Duration(i*gap)*ms, 50*ms, true))
+			all = append(all, operation("read", time.Duration(i*gap)*ms, 50*ms, true))
 		}
-		var kept []Operation
-		var beyond []ExcessAttempt
-		for i, in := range withinQuota(plans, all) {
-			w := all[i]
-			if w.Served = in; !in {
-				beyond = append(beyond, ExcessAttempt{w.Due, "storby", "read", 1})
+		var enforced []Operation
+		var excess []ExcessAttempt
+		for i, within := range withinQuota(plans, all) {
+			o := all[i]
+			o.Served = within
+			if !within {
+				excess = append(excess, ExcessAttempt{o.Due, "storby", "read", 1})
 			}
-			kept = append(kept, w)
+			enforced = append(enforced, o)
 		}
-		k, b := ComputeScore(classes, plans, kept, nil, Costs{}), ComputeScore(classes, plans, all, beyond, Costs{})
-		if math.Abs(k.Service-1) > 1e-9 || b.Service > k.Service+1e-9 || len(beyond) > 0 && b.Service > k.Service-1e-9 {
-			t.Fatalf("%d beyond: kept %+v, all %+v", len(beyond), k, b)
+		quotaScore := ComputeScore(classes, plans, enforced, nil, Costs{})
+		allScore := ComputeScore(classes, plans, all, excess, Costs{})
+		notWorse := len(excess) > 0 && allScore.Service > quotaScore.Service-1e-9
+		if math.Abs(quotaScore.Service-1) > 1e-9 || allScore.Service > quotaScore.Service+1e-9 || notWorse {
+			t.Fatalf("%d beyond: got %+v within quotas, %+v for all", len(excess), quotaScore, allScore)
 		}
 	})
 }
 
-// A hole of ten seconds shows in the worst of them, whatever the length of the run.
-func TestWorst(t *testing.T) {
+// An outage of ten seconds shows in the worst of them, whatever the length of the run.
+func TestWorst10s(t *testing.T) {
 	var all []Operation
-	for s := range 60 {
-		all = append(all, Operation{Due: time.Duration(s) * time.Second, Tenant: "c", Plan: "storby", Class: "read", Units: 1, Served: s < 20 || s >= 30, AnsweredAt: time.Duration(s)*time.Second + ms})
+	for second := range 60 {
+		served := second < 20 || second >= 30
+		all = append(all, operation("read", time.Duration(second)*time.Second, ms, served))
 	}
-	if s := ComputeScore(classes, plans, all, nil, Costs{}); s.Worst10s != 0 || math.Abs(s.Complete-50.0/60) > 1e-9 {
-		t.Fatalf("%+v", s)
+	score := ComputeScore(classes, plans, all, nil, Costs{})
+	if score.Worst10s != 0 || math.Abs(score.Complete-50.0/60) > 1e-9 {
+		t.Fatalf("got %+v, want nothing in the worst ten seconds and 50 of 60 seconds complete", score)
 	}
 }
 
 func TestLatencies(t *testing.T) {
-	l := NewLatencies()
-	if l.QuantileMS(0.5) != 0 {
-		t.Fatal(l.QuantileMS(0.5))
+	latencies := NewLatencies()
+	if got := latencies.QuantileMS(0.5); got != 0 {
+		t.Fatalf("got %v ms of an empty histogram, want 0", got)
 	}
 	for i := 1; i <= 1000; i++ {
-		l.Add(time.Duration(i) * ms)
+		latencies.Add(time.Duration(i) * ms)
 	}
-	l.Add(time.Hour) // more than it can hold counts as the most
-	if p := l.QuantileMS(0.5); p < 499 || p > 502 {
-		t.Fatal(p)
+	latencies.Add(time.Hour) // more than it can hold counts as the most
+	if got := latencies.QuantileMS(0.5); got < 499 || got > 502 {
+		t.Fatalf("got a median of %v ms, want 499 to 502", got)
 	}
-	if p := l.QuantileMS(1); p < 119000 {
-		t.Fatal(p)
+	if got := latencies.QuantileMS(1); got < 119000 {
+		t.Fatalf("got a maximum of %v ms, want 119000 at least", got)
 	}
 }
