--- a/internal/lab/measure/attainment.go
+++ b/internal/lab/measure/attainment.go
@@ -7,7 +7,7 @@
 )
 
 // Attainment compares what was served in a span of a run with what an allocation that knows the true capacity could
-// have served. All values are value within quotas.
+// have served. All fields are in value within quotas.
 type Attainment struct {
 	Requested  float64 // of all operations that were due
 	Attainable float64 // what the capacity allowed at the most
