--- a/cmd/lab/prove.go
+++ b/cmd/lab/prove.go
@@ -29,14 +29,14 @@
 		}
 		for _, d := range all {
 			short := " "
-			if d.Short {
+			if d.ShortSet {
 				short = "*"
 			}
-			fmt.Fprintf(out, "%s %-22s %-9s %-12s %-12s %s\n", short, d.Name, d.Rule, d.Part, d.Scenario, d.About)
+			fmt.Fprintf(out, "%s %-22s %-9s %-12s %-12s %s\n", short, d.Name, d.Rule, d.Component, d.Scenario, d.About)
 		}
 		return lab.Clean, nil
 	}
-	results, err := mutation.Run(ctx, mutation.Config{Only: c.Names, Short: c.Short, Seed: c.Seed, Seeds: c.Seeds, Clean: c.Clean, Jobs: c.Jobs, Out: out})
+	results, err := mutation.Run(ctx, mutation.Config{Names: c.Names, ShortSet: c.Short, Seed: c.Seed, Seeds: c.Seeds, Untouched: c.Clean, Jobs: c.Jobs, Output: out})
 	if err != nil {
 		return failed, err
 	}
@@ -45,7 +45,7 @@
 			return failed, err
 		}
 	}
-	text, err := mutation.Sum(results)
+	text, err := mutation.Summarize(results)
 	fmt.Fprintln(out, text)
 	if errors.Is(err, mutation.ErrMissed) {
 		return lab.Broken, nil
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -171,7 +171,7 @@
 		if i < 0 {
 			return fmt.Errorf("variant %s: there is no defect %q", v.Name, v.Defect)
 		}
-		root, err := mutation.Root(ctx)
+		root, err := mutation.ModuleRoot(ctx)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -29,10 +29,10 @@
 )
 
 //go:embed defects/*.toml
-var files embed.FS
+var defectFiles embed.FS
 
 // Edit is one change: the text found, which must stand exactly once in the file, is replaced.
-type MutationEdit struct {
+type Edit struct {
 	File    string `toml:"file"` // from the module's root
 	Find    string `toml:"find"`
 	Replace string `toml:"replace"`
@@ -40,37 +40,37 @@
 
 // Defect is a break of a rule that is planted on purpose.
 type Defect struct {
-	Name     string         `toml:"-"`
-	About    string         `toml:"about"`
-	Rule     string         `toml:"rule"` // a short name: lost, twice, drains, cold, ceilings or quotas
-	Part     string         `toml:"part"` // what it is planted in: logic, core, a front or a store
-	Scenario string         `toml:"day"`
-	Store    string         `toml:"store"`    // instead of the day's
-	Zones    bool           `toml:"halls"`    // the ingresses know of halls
-	Peers    int            `toml:"peers"`    // so many ingresses that know one another; 0: the day's, which don't
-	Takeover bool           `toml:"takeover"` // work in hand survives its ingress; Peers too
-	Left     string         `toml:"left"`     // with rule words: the node that the first ingress alone can't reach, and the others must not leave
-	Short    bool           `toml:"short"`    // it belongs to the short set, which CI plays
-	Faults   []string       `toml:"faults"`   // beside the day's
-	Edits    []MutationEdit `toml:"edit"`
+	Name               string   `toml:"-"`
+	About              string   `toml:"about"`
+	Rule               string   `toml:"rule"` // a short name: lost, twice, drains, cold, ceilings or quotas
+	Component          string   `toml:"part"` // what it is planted in: logic, core, a front or a store
+	Scenario           string   `toml:"day"`
+	Store              string   `toml:"store"`    // instead of the day's
+	Zones              bool     `toml:"halls"`    // the ingresses know of halls
+	Peers              int      `toml:"peers"`    // so many ingresses that know one another; 0: the day's, which don't
+	Takeover           bool     `toml:"takeover"` // work in hand survives its ingress; Peers too
+	LocallyUnreachable string   `toml:"left"`     // with rule words: the node that the first ingress alone can't reach, and the others must not leave
+	ShortSet           bool     `toml:"short"`    // it belongs to the short set, which CI plays
+	Faults             []string `toml:"faults"`   // beside the day's
+	Edits              []Edit   `toml:"edit"`
 }
 
 // rules are the short names.
-var rules = map[string]string{"lost": rulecheck.NoRequestLost, "twice": rulecheck.NoEffectTwice, "drains": rulecheck.Drains, "cold": rulecheck.SlowStart, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Reports, "once": lab.OnceByKey}
+var ruleNames = map[string]string{"lost": rulecheck.NoRequestLost, "twice": rulecheck.NoEffectTwice, "drains": rulecheck.Drains, "cold": rulecheck.SlowStart, "ceilings": rulecheck.Ceilings, "quotas": lab.Quotas, "words": lab.Reports, "once": lab.OnceByKey}
 
 // Defects are all that come with the program, by name.
 func Defects() ([]Defect, error) {
-	entries, err := files.ReadDir("defects")
+	entries, err := defectFiles.ReadDir("defects")
 	if err != nil {
 		return nil, err
 	}
 	var out []Defect
 	for _, e := range entries {
-		text, err := files.ReadFile(path.Join("defects", e.Name()))
+		text, err := defectFiles.ReadFile(path.Join("defects", e.Name()))
 		if err != nil {
 			return nil, err
 		}
-		d, err := parse(strings.TrimSuffix(e.Name(), ".toml"), text)
+		d, err := parseDefect(strings.TrimSuffix(e.Name(), ".toml"), text)
 		if err != nil {
 			return nil, err
 		}
@@ -79,25 +79,25 @@
 	return out, nil
 }
 
-func parse(name string, text []byte) (Defect, error) {
+func parseDefect(name string, text []byte) (Defect, error) {
 	d := Defect{Name: name}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&d); err != nil {
 		return d, fmt.Errorf("defect %s: %w", name, err)
 	}
 	switch {
-	case rules[d.Rule] == "":
+	case ruleNames[d.Rule] == "":
 		return d, fmt.Errorf("defect %s: rule: %q is none of lost, twice, drains, cold, ceilings, quotas, words, once", name, d.Rule)
-	case d.About == "" || d.Part == "" || len(d.Edits) == 0:
+	case d.About == "" || d.Component == "" || len(d.Edits) == 0:
 		return d, fmt.Errorf("defect %s: about, part and edit are wanted", name)
 	case !slices.Contains(scenario.Names(), d.Scenario):
 		return d, fmt.Errorf("defect %s: day: there is no %q", name, d.Scenario)
 	}
-	d.Edits = append(d.Edits, unguarded)
+	d.Edits = append(d.Edits, disableGuards)
 	return d, nil
 }
 
 // unguarded has the ingress hold nothing back by its own invariants: it is the judge that is to see a defect.
-var unguarded = MutationEdit{File: "internal/core/guards.go", Find: "const enforced = true", Replace: "const enforced = false"}
+var disableGuards = Edit{File: "internal/core/guards.go", Find: "const enforced = true", Replace: "const enforced = false"}
 
 // Plant writes the changed files and the overlay that puts them in place into dir, and returns the overlay's path. A place
 // that is not there, or more than once, is an error: the source has moved, and the defect must follow.
@@ -137,7 +137,7 @@
 }
 
 // Root is the module's folder.
-func Root(ctx context.Context) (string, error) {
+func ModuleRoot(ctx context.Context) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}", "hitchspring").Output()
 	if err != nil {
 		return "", fmt.Errorf("finding the source, which a defect is planted in: %w", err)
@@ -147,33 +147,33 @@
 
 // Config says what is proved.
 type Config struct {
-	Only  []string // names, or rules; empty: all
-	Short bool     // the short set alone
-	Seed  uint64   // the first
-	Seeds int      // for each defect
-	Clean bool     // the untouched build is played on the same days as well, and must stay clean
-	Jobs  int      // runs at a time
-	Out   io.Writer
+	Names     []string // names, or rules; empty: all
+	ShortSet  bool     // the short set alone
+	Seed      uint64   // the first
+	Seeds     int      // for each defect
+	Untouched bool     // the untouched build is played on the same days as well, and must stay clean
+	Jobs      int      // runs at a time
+	Output    io.Writer
 }
 
 // Result is one run of one defect, or of the untouched build where Defect is empty.
 type Result struct {
-	Defect   string            `json:"Defect"`
-	Rule     string            `json:"Rule"`
-	Part     string            `json:"Part"`
-	Scenario string            `json:"Day"`
-	Seed     uint64            `json:"Seed"`
-	Seen     bool              `json:"Seen"`
-	AfterS   float64           `json:"AfterS"` // seconds of load until it shows
-	Also     []string          `json:"Also"`
-	Doubts   []string          `json:"Doubts"` // why the run could not be judged
-	Edges    rulecheck.Margins `json:"Edges"`
-	Err      string            `json:"Err,omitempty"`
+	Defect          string            `json:"Defect"`
+	Rule            string            `json:"Rule"`
+	Component       string            `json:"Part"`
+	Scenario        string            `json:"Day"`
+	Seed            uint64            `json:"Seed"`
+	Detected        bool              `json:"Seen"`
+	DetectedAfterS  float64           `json:"AfterS"` // seconds of load until it shows
+	OtherViolations []string          `json:"Also"`
+	Doubts          []string          `json:"Doubts"` // why the run could not be judged
+	Margins         rulecheck.Margins `json:"Edges"`
+	Error           string            `json:"Err,omitempty"`
 }
 
 // job is a build with a day.
 type job struct {
-	d       Defect
+	defect  Defect
 	program string
 	seed    uint64
 }
@@ -185,12 +185,12 @@
 		return nil, err
 	}
 	all = slices.DeleteFunc(all, func(d Defect) bool {
-		return cfg.Short && !d.Short || len(cfg.Only) > 0 && !slices.Contains(cfg.Only, d.Name) && !slices.Contains(cfg.Only, d.Rule)
+		return cfg.ShortSet && !d.ShortSet || len(cfg.Names) > 0 && !slices.Contains(cfg.Names, d.Name) && !slices.Contains(cfg.Names, d.Rule)
 	})
 	if len(all) == 0 {
-		return nil, fmt.Errorf("no defect is called %s, and no rule", strings.Join(cfg.Only, " or "))
+		return nil, fmt.Errorf("no defect is called %s, and no rule", strings.Join(cfg.Names, " or "))
 	}
-	root, err := Root(ctx)
+	root, err := ModuleRoot(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -200,7 +200,7 @@
 	}
 	defer os.RemoveAll(dir)
 	var jobs []job
-	if cfg.Clean {
+	if cfg.Untouched {
 		program := filepath.Join(dir, "untouched")
 		if err := lab.Build(ctx, program, false, ""); err != nil {
 			return nil, err
@@ -210,7 +210,7 @@
 			if key := d.Scenario + d.Store + strings.Join(d.Faults, ";"); !done[key] {
 				done[key] = true
 				for s := range cfg.Seeds {
-					jobs = append(jobs, job{Defect{Scenario: d.Scenario, Store: d.Store, Faults: d.Faults, Peers: d.Peers, Left: d.Left, Takeover: d.Takeover}, program, cfg.Seed + uint64(s)})
+					jobs = append(jobs, job{Defect{Scenario: d.Scenario, Store: d.Store, Faults: d.Faults, Peers: d.Peers, LocallyUnreachable: d.LocallyUnreachable, Takeover: d.Takeover}, program, cfg.Seed + uint64(s)})
 				}
 			}
 		}
@@ -241,10 +241,10 @@
 			jobs = append(jobs, job{d, filepath.Join(dir, d.Name), cfg.Seed + uint64(s)})
 		}
 	}
-	return play(ctx, cfg, jobs), ctx.Err()
+	return runJobs(ctx, cfg, jobs), ctx.Err()
 }
 
-func play(ctx context.Context, cfg Config, jobs []job) []Result {
+func runJobs(ctx context.Context, cfg Config, jobs []job) []Result {
 	results := make([]Result, len(jobs))
 	var wg sync.WaitGroup
 	var mu sync.Mutex // of Out
@@ -252,10 +252,10 @@
 	for range max(1, cfg.Jobs) {
 		wg.Go(func() {
 			for i := range next {
-				results[i] = jobs[i].judged(ctx)
-				if cfg.Out != nil {
+				results[i] = jobs[i].runUntilConclusive(ctx)
+				if cfg.Output != nil {
 					mu.Lock()
-					fmt.Fprintln(cfg.Out, results[i])
+					fmt.Fprintln(cfg.Output, results[i])
 					mu.Unlock()
 				}
 			}
@@ -273,13 +273,13 @@
 }
 
 // again is how often a run that can't be judged is played with another seed.
-const again = 2
+const maxReruns = 2
 
 // judged plays until a run says something: one in which the lab was late, or which did not come near its day's edges, is no
 // proof either way.
-func (j job) judged(ctx context.Context) (r Result) {
-	for range 1 + again {
-		if r = j.run(ctx); r.Err != "" || r.Seen || len(r.Also) > 0 || len(r.Doubts) == 0 || ctx.Err() != nil {
+func (j job) runUntilConclusive(ctx context.Context) (r Result) {
+	for range 1 + maxReruns {
+		if r = j.runOnce(ctx); r.Error != "" || r.Detected || len(r.OtherViolations) > 0 || len(r.Doubts) == 0 || ctx.Err() != nil {
 			break
 		}
 		j.seed += 1000
@@ -287,33 +287,33 @@
 	return r
 }
 
-func (j job) run(ctx context.Context) Result {
-	r := Result{Defect: j.d.Name, Rule: j.d.Rule, Part: j.d.Part, Scenario: j.d.Scenario, Seed: j.seed}
-	rep, err := lab.Run(ctx, lab.Config{Scenario: j.d.Scenario, Store: j.d.Store, Faults: j.d.Faults, Seed: j.seed, Ingress: j.program, Zones: j.d.Zones, Ingresses: j.d.Peers, Peers: j.d.Peers > 0, Takeover: j.d.Takeover})
+func (j job) runOnce(ctx context.Context) Result {
+	r := Result{Defect: j.defect.Name, Rule: j.defect.Rule, Component: j.defect.Component, Scenario: j.defect.Scenario, Seed: j.seed}
+	rep, err := lab.Run(ctx, lab.Config{Scenario: j.defect.Scenario, Store: j.defect.Store, Faults: j.defect.Faults, Seed: j.seed, Ingress: j.program, Zones: j.defect.Zones, Ingresses: j.defect.Peers, Peers: j.defect.Peers > 0, Takeover: j.defect.Takeover})
 	if err != nil {
-		r.Err = err.Error()
+		r.Error = err.Error()
 		return r
 	}
-	r.Doubts, r.Edges = rep.Doubts(), rep.Margins
-	if j.d.Left != "" {
-		rep.Violations = append(rep.Violations, rep.LeftOnReport(j.d.Left, 0)...)
+	r.Doubts, r.Margins = rep.Doubts(), rep.Margins
+	if j.defect.LocallyUnreachable != "" {
+		rep.Violations = append(rep.Violations, rep.LeftOnReport(j.defect.LocallyUnreachable, 0)...)
 	}
-	if j.d.Takeover {
+	if j.defect.Takeover {
 		rep.Violations = append(rep.Violations, rep.CheckOnce()...)
 	}
 	for _, b := range rep.Violations {
 		switch {
 		case b.Doubtful:
-		case j.d.Name != "" && b.Rule == rules[j.d.Rule]:
-			if after := max(0, b.Until.Seconds()-rep.BeganS); !r.Seen || after < r.AfterS {
-				r.Seen, r.AfterS = true, after
+		case j.defect.Name != "" && b.Rule == ruleNames[j.defect.Rule]:
+			if after := max(0, b.Until.Seconds()-rep.BeganS); !r.Detected || after < r.DetectedAfterS {
+				r.Detected, r.DetectedAfterS = true, after
 			}
 		default:
-			r.Also = append(r.Also, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Detail))
+			r.OtherViolations = append(r.OtherViolations, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Detail))
 		}
 	}
 	for _, c := range rep.Crashed {
-		r.Also = append(r.Also, c)
+		r.OtherViolations = append(r.OtherViolations, c)
 	}
 	return r
 }
@@ -324,29 +324,29 @@
 	if name == "" {
 		name = "(untouched)"
 	}
-	line := fmt.Sprintf("%-22s %-9s %-12s %-12s seed %3d  ", name, r.Rule, r.Part, r.Scenario, r.Seed)
+	line := fmt.Sprintf("%-22s %-9s %-12s %-12s seed %3d  ", name, r.Rule, r.Component, r.Scenario, r.Seed)
 	switch {
-	case r.Err != "":
-		return line + "NOT PLAYED: " + r.Err
-	case r.Defect == "" && len(r.Also) == 0 && len(r.Doubts) == 0:
+	case r.Error != "":
+		return line + "NOT PLAYED: " + r.Error
+	case r.Defect == "" && len(r.OtherViolations) == 0 && len(r.Doubts) == 0:
 		return line + "clean"
-	case r.Defect == "" && len(r.Also) == 0:
+	case r.Defect == "" && len(r.OtherViolations) == 0:
 		return line + "can't judge: " + strings.Join(r.Doubts, "; ")
 	case r.Defect == "":
-		return line + "FALSE ALARM, or a true break: " + strings.Join(r.Also[:min(3, len(r.Also))], "; ")
-	case r.Seen:
-		return line + fmt.Sprintf("seen after %.1f s", r.AfterS)
+		return line + "FALSE ALARM, or a true break: " + strings.Join(r.OtherViolations[:min(3, len(r.OtherViolations))], "; ")
+	case r.Detected:
+		return line + fmt.Sprintf("seen after %.1f s", r.DetectedAfterS)
 	case len(r.Doubts) > 0:
 		return line + "MISSED; the run can't be judged: " + strings.Join(r.Doubts, "; ")
 	}
-	return line + fmt.Sprintf("MISSED: %+v", r.Edges)
+	return line + fmt.Sprintf("MISSED: %+v", r.Margins)
 }
 
 // ErrMissed is a defect that was not seen, or an alarm on the untouched build.
 var ErrMissed = errors.New("the judge does not see what it must")
 
 // Sum says what the results come to: nil, or ErrMissed with the figures.
-func Sum(results []Result) (text string, err error) {
+func Summarize(results []Result) (text string, err error) {
 	type tally struct{ seen, runs int }
 	defects := map[string]*tally{}
 	var names []string
@@ -354,9 +354,9 @@
 	slowest := time.Duration(0)
 	for _, r := range results {
 		switch {
-		case r.Err != "":
+		case r.Error != "":
 			wrong++
-		case r.Defect == "" && len(r.Also) > 0:
+		case r.Defect == "" && len(r.OtherViolations) > 0:
 			alarms++
 		case r.Defect == "" && len(r.Doubts) > 0:
 			doubts++
@@ -370,9 +370,9 @@
 				names = append(names, r.Defect)
 			}
 			t.runs++
-			if r.Seen {
+			if r.Detected {
 				t.seen++
-				slowest = max(slowest, time.Duration(r.AfterS*float64(time.Second)))
+				slowest = max(slowest, time.Duration(r.DetectedAfterS*float64(time.Second)))
 			}
 		}
 	}
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -17,14 +17,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	root, err := Root(context.Background())
+	root, err := ModuleRoot(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	of := map[string]int{}
 	for _, d := range all {
 		of[d.Rule]++
-		of[d.Part]++
+		of[d.Component]++
 		if _, err := d.Plant(root, t.TempDir()); err != nil {
 			t.Error(err)
 		}
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	root, err := Root(t.Context())
+	root, err := ModuleRoot(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,19 +75,19 @@
 		t.Fatal(err)
 	}
 	for find, want := range map[string]string{"three": "there 0 times", "two": "there 2 times"} {
-		_, err := Defect{Name: "x", Edits: []MutationEdit{{File: "a.go", Find: find}}}.Plant(root, root)
+		_, err := Defect{Name: "x", Edits: []Edit{{File: "a.go", Find: find}}}.Plant(root, root)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", find, err)
 		}
 	}
-	if _, err := (Defect{Name: "x", Edits: []MutationEdit{{File: "b.go", Find: "one"}}}).Plant(root, root); !errors.Is(err, os.ErrNotExist) {
+	if _, err := (Defect{Name: "x", Edits: []Edit{{File: "b.go", Find: "one"}}}).Plant(root, root); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 	for text, want := range map[string]string{
 		"rule = \"first\"": `rule: "first"`, "role = \"lost\"": "strict mode", "rule = \"lost\"": "are wanted",
 		"rule = \"lost\"\nabout = \"x\"\npart = \"x\"\nday = \"doomsday\"\n[[edit]]\nfile = \"a.go\"": `no "doomsday"`,
 	} {
-		if _, err := parse("x", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := parseDefect("x", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -96,18 +96,18 @@
 // What the runs come to: a miss, an alarm and a run that was not played each fail; a run that can't be judged proves
 // nothing either way.
 func TestSum(t *testing.T) {
-	seen := Result{Defect: "a", Seen: true, AfterS: 3}
+	seen := Result{Defect: "a", Detected: true, DetectedAfterS: 3}
 	for name, c := range map[string]struct {
 		list []Result
 		bad  bool
 	}{
 		"all well":   {[]Result{seen, {}}, false},
 		"missed":     {[]Result{seen, {Defect: "a"}}, true},
-		"alarm":      {[]Result{seen, {Also: []string{"x"}}}, true},
+		"alarm":      {[]Result{seen, {OtherViolations: []string{"x"}}}, true},
 		"no verdict": {[]Result{seen, {Doubts: []string{"x"}}}, false},
-		"not played": {[]Result{seen, {Err: "x"}}, true},
+		"not played": {[]Result{seen, {Error: "x"}}, true},
 	} {
-		if text, err := Sum(c.list); errors.Is(err, ErrMissed) != c.bad {
+		if text, err := Summarize(c.list); errors.Is(err, ErrMissed) != c.bad {
 			t.Errorf("%s: %v, %s", name, err, text)
 		}
 	}
