--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -175,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		overlay, err := all[i].Plant(root, filepath.Dir(to))
+		overlay, err := all[i].WriteOverlay(root, filepath.Dir(to))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -1,7 +1,6 @@
 package mutation
 
 import (
-	"context"
 	"errors"
 	"os"
 	"os/exec"
@@ -10,33 +9,33 @@
 	"testing"
 )
 
-// Each defect that comes with the program is a good one, and its places are still there. Four at least are kept for each
-// rule, one for each front and store.
+// Each defect that comes with the program is valid and can be planted. There are four at least for each rule, and
+// one for each front and store.
 func TestPlaces(t *testing.T) {
-	all, err := Defects()
+	defects, err := Defects()
 	if err != nil {
 		t.Fatal(err)
 	}
-	root, err := ModuleRoot(context.Background())
+	root, err := ModuleRoot(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := map[string]int{}
-	for _, d := range all {
-		of[d.Rule]++
-		of[d.Component]++
-		if _, err := d.Plant(root, t.TempDir()); err != nil {
+	count := map[string]int{}
+	for _, defect := range defects {
+		count[defect.Rule]++
+		count[defect.Component]++
+		if _, err := defect.WriteOverlay(root, t.TempDir()); err != nil {
 			t.Error(err)
 		}
 	}
 	for _, rule := range []string{"lost", "twice", "drains", "cold", "ceilings"} {
-		if of[rule] < 4 {
-			t.Errorf("%d defects for %s", of[rule], rule)
+		if count[rule] < 4 {
+			t.Errorf("got %d defects for %s, want 4 at least", count[rule], rule)
 		}
 	}
-	for _, part := range []string{"front/resp", "store/tally", "store/redis"} {
-		if of[part] < 1 {
-			t.Errorf("no defect is planted in %s", part)
+	for _, component := range []string{"front/resp", "store/tally", "store/redis"} {
+		if count[component] < 1 {
+			t.Errorf("no defect is planted in %s", component)
 		}
 	}
 }
@@ -46,7 +45,7 @@
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // as many builds as defects
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
-	all, err := Defects()
+	defects, err := Defects()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,13 +53,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range all {
-		t.Run(d.Name, func(t *testing.T) {
-			overlay, err := d.Plant(root, t.TempDir())
+	for _, defect := range defects {
+		t.Run(defect.Name, func(t *testing.T) {
+			overlay, err := defect.WriteOverlay(root, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
-			build := exec.CommandContext(t.Context(), "go", "build", "-overlay", overlay, "-o", os.DevNull, "hitchspring/cmd/hitchspring")
+			build := exec.CommandContext(
+				t.Context(), "go", "build", "-overlay", overlay, "-o", os.DevNull, "hitchspring/cmd/hitchspring",
+			)
 			if out, err := build.CombinedOutput(); err != nil {
 				t.Errorf("%v\n%s", err, out)
 			}
@@ -68,47 +69,58 @@
 	}
 }
 
-// A defect whose place has moved fails loudly, and a file that cannot be read says why.
-func TestPlantFails(t *testing.T) {
+// A defect whose text has changed fails with its place, and a file that cannot be read says why.
+func TestWriteOverlayFails(t *testing.T) {
 	root := t.TempDir()
 	if err := os.WriteFile(filepath.Join(root, "a.go"), []byte("one\ntwo\ntwo\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
+	writeOverlay := func(edit Edit) error {
+		_, err := Defect{Name: "x", Edits: []Edit{edit}}.WriteOverlay(root, root)
+		return err
+	}
 	for find, want := range map[string]string{"three": "there 0 times", "two": "there 2 times"} {
-		_, err := Defect{Name: "x", Edits: []Edit{{File: "a.go", Find: find}}}.Plant(root, root)
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", find, err)
+		if err := writeOverlay(Edit{File: "a.go", Find: find}); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("finding %q: got %v, want %q", find, err, want)
 		}
 	}
-	if _, err := (Defect{Name: "x", Edits: []Edit{{File: "b.go", Find: "one"}}}).Plant(root, root); !errors.Is(err, os.ErrNotExist) {
-		t.Error(err)
+	if err := writeOverlay(Edit{File: "b.go", Find: "one"}); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("got %v for a missing file, want %v", err, os.ErrNotExist)
 	}
+}
+
+// A defect that cannot be run is an error with the field and the value.
+func TestParseDefectFails(t *testing.T) {
 	for text, want := range map[string]string{
-		"rule = \"first\"": `rule: "first"`, "role = \"lost\"": "strict mode", "rule = \"lost\"": "are wanted",
+		"rule = \"first\"": `rule: "first"`,
+		"role = \"lost\"":  "strict mode",
+		"rule = \"lost\"":  "are wanted",
 		"rule = \"lost\"\nabout = \"x\"\npart = \"x\"\nday = \"doomsday\"\n[[edit]]\nfile = \"a.go\"": `no "doomsday"`,
 	} {
 		if _, err := parseDefect("x", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
 }
 
-// What the runs come to: a miss, an alarm and a run that was not played each fail; a run that can't be judged proves
-// nothing either way.
-func TestSum(t *testing.T) {
-	seen := Result{Defect: "a", Detected: true, DetectedAfterS: 3}
+// A missed defect, a violation of the untouched build and a missing run each fail. A run that cannot be judged does
+// not.
+func TestSummarize(t *testing.T) {
+	detected := Result{Defect: "a", Detected: true, DetectedAfterS: 3}
 	for name, c := range map[string]struct {
-		list []Result
-		bad  bool
+		results []Result
+		want    error
 	}{
-		"all well":   {[]Result{seen, {}}, false},
-		"missed":     {[]Result{seen, {Defect: "a"}}, true},
-		"alarm":      {[]Result{seen, {OtherViolations: []string{"x"}}}, true},
-		"no verdict": {[]Result{seen, {Doubts: []string{"x"}}}, false},
-		"not played": {[]Result{seen, {Error: "x"}}, true},
+		"all well":   {[]Result{detected, {}}, nil},
+		"missed":     {[]Result{detected, {Defect: "a"}}, ErrMissed},
+		"alarm":      {[]Result{detected, {OtherViolations: []string{"x"}}}, ErrMissed},
+		"no verdict": {[]Result{detected, {Doubts: []string{"x"}}}, nil},
+		"not played": {[]Result{detected, {Error: "x"}}, ErrMissed},
 	} {
-		if text, err := Summarize(c.list); errors.Is(err, ErrMissed) != c.bad {
-			t.Errorf("%s: %v, %s", name, err, text)
-		}
+		t.Run(name, func(t *testing.T) {
+			if text, err := Summarize(c.results); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v: %s", err, c.want, text)
+			}
+		})
 	}
 }
