--- a/internal/lab/mutation/defect.go
+++ b/internal/lab/mutation/defect.go
@@ -99,7 +99,8 @@
 	switch {
 	case ruleNames[defect.Rule] == "":
 		return defect, fmt.Errorf(
-			"defect %s: rule: %q is none of lost, twice, drains, cold, ceilings, quotas, words, once", name, defect.Rule)
+			"defect %s: rule: %q is none of lost, twice, drains, cold, ceilings, quotas, words, once",
+			name, defect.Rule)
 	case defect.About == "" || defect.Component == "" || len(defect.Edits) == 0:
 		return defect, fmt.Errorf("defect %s: about, part and edit are wanted", name)
 	case !slices.Contains(scenario.Names(), defect.Scenario):
