--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -79,8 +79,11 @@
 	storetest.Run(t, func(t *testing.T) storetest.Server {
 		s := startServer(t, standin.Options{})
 		return storetest.Server{
-			Addr: s.Addr(), Total: func(n string) float64 { return total(t, s, n) }, Stop: s.Stop,
-			Listen: func() { listen(t, s) }, New: maker(t, options(s.Addr())),
+			Addr:   s.Addr(),
+			Total:  func(name string) float64 { return total(t, s, name) },
+			Stop:   s.Stop,
+			Listen: s.Listen,
+			New:    maker(t, options(s.Addr())),
 		}
 	})
 }
--- a/internal/store/tally/conformance_test.go
+++ b/internal/store/tally/conformance_test.go
@@ -17,8 +17,11 @@
 		}
 		t.Cleanup(s.Close)
 		return storetest.Server{
-			Addr: s.Addr(), Total: s.Total, Stop: s.Stop, Listen: func() { s.Listen() },
-			New: func(sink store.Sink) store.Counter { return New(s.Addr(), time.Second, sink) },
+			Addr:   s.Addr(),
+			Total:  s.Total,
+			Stop:   s.Stop,
+			Listen: s.Listen,
+			New:    func(sink store.Sink) store.Counter { return New(s.Addr(), time.Second, sink) },
 		}
 	})
 }
