--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -1,7 +1,6 @@
 package ingress
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -22,10 +21,13 @@
 	"hitchspring/policy"
 )
 
-// call makes one operator's call, with the second that operators wait.
+// adminCall makes one call of the admin server, within the second that
+// operators wait.
 func adminCall(t testing.TB, instance *Instance, method, path string) (status int, body string) {
 	t.Helper()
-	const prompt = 25 * time.Millisecond // for the caller to say its call, from connecting on; the door waits for 50 ms where it is crowded
+	// The caller sends its call this soon after connecting: a crowded admin server
+	// waits for 50 ms.
+	const maxWriteDelay = 25 * time.Millisecond
 	var began, wroteAt time.Time
 	trace := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { began = time.Now() },
@@ -37,7 +39,7 @@
 		t.Fatal(err)
 	}
 	resp, err := client.Do(req)
-	for late := 0; err != nil && wroteAt.Sub(began) > prompt && late < 10; late++ { // this machine had no time for the caller
+	for late := 0; err != nil && wroteAt.Sub(began) > maxWriteDelay && late < 10; late++ { // a busy machine
 		resp, err = client.Do(req)
 	}
 	if err != nil {
@@ -56,7 +58,7 @@
 	}
 }
 
-// figure reads one of the figures; -1 where it is not there.
+// metricValue reads one metric of the admin server; -1 if it is not there.
 func metricValue(t testing.TB, instance *Instance, name string) int {
 	t.Helper()
 	_, body := adminCall(t, instance, "GET", "/v1/metrics")
@@ -69,6 +71,14 @@
 	return -1
 }
 
+// requireMetric fails the test unless a metric of the admin server has a value.
+func requireMetric(t testing.TB, instance *Instance, name string, want int) {
+	t.Helper()
+	if got := metricValue(t, instance, name); got != want {
+		t.Errorf("got %s %d, want %d", name, got, want)
+	}
+}
+
 func eventually(t testing.TB, within time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(within); !condition(); time.Sleep(10 * time.Millisecond) {
@@ -84,7 +94,8 @@
 	return cfg
 }
 
-// stalling is a counter whose adds hold the caller, which is the event loop, for a while.
+// stallingCounter is a counter whose Add stalls its caller, which is the event
+// loop, once.
 type stallingCounter struct {
 	stallTime time.Duration
 	stalled   chan struct{}
@@ -100,8 +111,8 @@
 func (s *stallingCounter) SetAddress(string)       {}
 func (s *stallingCounter) Run(ctx context.Context) { <-ctx.Done() }
 
-// A hundred callers who say nothing, a byte a second or a megabyte of headers keep nobody out, and neither does an event
-// loop that stands still.
+// A hundred callers that send nothing, a byte or a megabyte of headers keep no
+// other caller out, and neither does an event loop that stands still.
 func TestAdminAnswersWhileCrowdedAndStalled(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -111,58 +122,66 @@
 	stall := &stallingCounter{stallTime: 2 * time.Second, stalled: make(chan struct{}, 1)}
 	cfg.Store = func(store.Sink) (store.Counter, error) { return stall, nil }
 	instance, _ := runIngress(t, cfg)
+	payloads := []string{
+		"",
+		"G",
+		"GET /v1/readyz HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20),
+	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer close(stop)
 	for i := range 100 {
-		wg.Go(func() {
-			for {
-				nc, err := net.Dial("tcp", instance.AdminAddr().String())
-				if err != nil {
-					return
-				}
-				switch i % 3 {
-				case 1:
-					io.WriteString(nc, "G")
-				case 2:
-					io.WriteString(nc, "GET /v1/readyz HTTP/1.1\r\nX: "+strings.Repeat("x", 1<<20))
-				}
-				gone := make(chan struct{})
-				go func() {
-					defer close(gone)
-					io.Copy(io.Discard, nc)
-				}()
-				select {
-				case <-stop:
-				case <-gone:
-					select {
-					case <-stop:
-					case <-time.After(500 * time.Millisecond):
-					}
-				case <-time.After(4 * time.Second):
-				}
-				nc.Close()
-				<-gone
-				select {
-				case <-stop:
-					return
-				default:
-				}
-			}
-		})
+		wg.Go(func() { crowdAdmin(instance.AdminAddr().String(), payloads[i%len(payloads)], stop) })
 	}
 	nc, _ := dial(t, instance.Addr().String())
-	for id := range 20 { // the block is spent, and the counter is asked
+	for id := range 20 { // the block is spent, and the counter is used
 		io.WriteString(nc, encodeRead(id, readFields))
 	}
-	eventually(t, 5*time.Second, "the event loop is held", func() bool { return len(stall.stalled) == 1 })
+	eventually(t, 5*time.Second, "the event loop is stalled", func() bool { return len(stall.stalled) == 1 })
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		requireAdminCall(t, instance, "GET", "/v1/readyz", 200)
 		requireAdminCall(t, instance, "GET", "/v1/metrics", 200)
 	}
 }
 
+// crowdAdmin keeps connecting to the admin server until stop closes, and never
+// completes a call.
+func crowdAdmin(addr, payload string, stop <-chan struct{}) {
+	for {
+		nc, err := net.Dial("tcp", addr)
+		if err != nil {
+			return
+		}
+		if payload != "" {
+			io.WriteString(nc, payload)
+		}
+		closed := make(chan struct{})
+		go func() {
+			defer close(closed)
+			io.Copy(io.Discard, nc)
+		}()
+		select {
+		case <-stop:
+		case <-closed:
+			select {
+			case <-stop:
+			case <-time.After(500 * time.Millisecond):
+			}
+		case <-time.After(4 * time.Second):
+		}
+		nc.Close()
+		<-closed
+		select {
+		case <-stop:
+			return
+		default:
+		}
+	}
+}
+
+// Each call that cannot succeed has its status, and an admin address that
+// cannot be opened is an error that names it.
 func TestAdminErrors(t *testing.T) {
 	list := fleetOf(scripted.NewBackend(t, nil).Addr)
 	instance, _ := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
@@ -190,7 +209,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := second.Run(t.Context()); err == nil || !strings.Contains(err.Error(), "admin_addr") || !strings.Contains(err.Error(), cfg.Admin) {
+	err = second.Run(t.Context())
+	if err == nil || !strings.Contains(err.Error(), "admin_addr") || !strings.Contains(err.Error(), cfg.Admin) {
 		t.Fatalf("a taken address: %v", err)
 	}
 	cfg.Admin = "nonsense"
@@ -199,18 +219,18 @@
 	}
 }
 
-// A node that was taken out gets nothing from the grace on, whatever discovery deletes, lists again or says; one call puts it
-// back, and it is in use again.
+// A suspended backend gets no attempts, whatever the endpoint list says of it.
+// One call resumes it, and it is used again.
 func TestSuspensionOutlivesEndpointList(t *testing.T) {
 	var sent [2]atomic.Int64
-	var nodes [2]*scripted.Backend
-	for i := range nodes {
-		nodes[i] = scripted.NewBackend(t, func(int, []string, net.Conn) string {
+	var addrs [2]string
+	for i := range addrs {
+		addrs[i] = scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
 			return servedReply
-		})
+		}).Addr
 	}
-	list := fleetOf(nodes[0].Addr, nodes[1].Addr)
+	list := fleetOf(addrs[:]...)
 	changes := make(chan discovery.List)
 	cfg := adminConfig(scripted.Registry(t, list, changes), list)
 	cfg.Settings.SlowStartWindow, cfg.Settings.SlowStartShare = 10*time.Second, 0.25
@@ -222,137 +242,46 @@
 		io.WriteString(nc, encodeRead(id, readFields))
 		requireValue(t, in)
 	}
-	eventually(t, 5*time.Second, "both nodes in use", func() bool {
+	eventually(t, 5*time.Second, "both backends in use", func() bool {
 		load()
 		return sent[0].Load() > 0 && sent[1].Load() > 0
 	})
 	requireAdminCall(t, instance, "PUT", "/v1/backends/s0/suspend", 200)
 	requireAdminCall(t, instance, "PUT", "/v1/backends/s0/suspend", 200)
-	eventually(t, time.Second, "s0 counts as avoided", func() bool { return metricValue(t, instance, "cluster_unhealthy") == 1 })
+	eventually(t, time.Second, "s0 counts as avoided", func() bool {
+		return metricValue(t, instance, "cluster_unhealthy") == 1
+	})
 	before := sent[0].Load()
-	change := func(state string) {
-		one := list.Targets[0]
-		one.State = state
-		list.Rev++
-		changes <- discovery.List{Rev: list.Rev, Targets: []discovery.Target{one}}
-	}
 	for _, state := range []string{"SERVING", "DELETED", "SERVING", "DRAINING", "SERVING"} {
-		change(state)
+		first := list.Targets[0]
+		first.State = state
+		list.Rev++
+		changes <- discovery.List{Rev: list.Rev, Targets: []discovery.Target{first}}
 		for range 20 {
 			load()
 		}
 	}
-	whole := list
-	whole.Rev++
-	changes <- whole
+	list.Rev++
+	changes <- list
 	for range 50 {
 		load()
 	}
 	if n := sent[0].Load() - before; n > 0 {
-		t.Fatalf("%d sends to a node that was taken out", n)
+		t.Fatalf("%d attempts were sent to a suspended backend", n)
 	}
 	requireAdminCall(t, instance, "PUT", "/v1/backends/s0/resume", 200)
 	eventually(t, 5*time.Second, "s0 in use again", func() bool {
 		load()
 		return sent[0].Load() > before
 	})
-	eventually(t, time.Second, "nobody is avoided", func() bool { return metricValue(t, instance, "cluster_unhealthy") == 0 })
-	if n := metricValue(t, instance, "cluster_size"); n != 2 {
-		t.Fatalf("cluster_size is %d, want 2", n)
-	}
-}
-
-// Drained: no at once, late connections are served, every connection is closed between two requests with nothing lost, one
-// that never pauses too. Activated: yes again, also right after.
-func TestDrainAndActivate(t *testing.T) {
-	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
-	instance, _ := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
-	addr := instance.Addr().String()
-	ping := func() string {
-		nc, in := dial(t, addr)
-		defer nc.Close()
-		io.WriteString(nc, encodeCommand("PING"))
-		return readLine(t, in)
-	}
-	// Drained and back within 50 ms.
-	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
-	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
-	if s := ping(); s == "+PONG" {
-		t.Fatal("PING says yes after the drain")
-	}
-	requireAdminCall(t, instance, "GET", "/v1/readyz", 503)
-	requireAdminCall(t, instance, "PUT", "/v1/ingress/activate", 200)
-	if s := ping(); s != "+PONG" {
-		t.Fatalf("PING says %s after activate", s)
-	}
-	requireAdminCall(t, instance, "GET", "/v1/readyz", 200)
-
-	idle, idleIn := dial(t, addr)
-	io.WriteString(idle, encodeRead(1, readFields))
-	requireValue(t, idleIn)
-	busy, busyIn := dial(t, addr)
-	var written, answered atomic.Int64
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	wg.Go(func() { // never pauses: always some commands ahead of the answers
-		for id := 1000; ; id++ {
-			if _, err := io.WriteString(busy, encodeRead(id, readFields)); err != nil {
-				return
-			}
-			written.Add(1)
-			for written.Load()-answered.Load() > 20 {
-				time.Sleep(time.Millisecond)
-				if answered.Load() < 0 {
-					return
-				}
-			}
-		}
+	eventually(t, time.Second, "nobody is avoided", func() bool {
+		return metricValue(t, instance, "cluster_unhealthy") == 0
 	})
-	ended := make(chan error, 1)
-	go func() {
-		for {
-			head, err := busyIn.ReadString('\n')
-			if err == nil && head != "$5\r\n" {
-				err = fmt.Errorf("answer %q", head)
-			}
-			if err == nil {
-				_, err = busyIn.ReadString('\n')
-			}
-			if err != nil {
-				answered.Store(-1 << 40)
-				busy.Close()
-				ended <- err
-				return
-			}
-			answered.Add(1)
-		}
-	}()
-	eventually(t, 5*time.Second, "the busy connection is served", func() bool { return answered.Load() > 50 })
-	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
-	late, lateIn := dial(t, addr)
-	io.WriteString(late, encodeRead(2, readFields))
-	requireValue(t, lateIn)
-	for name, in := range map[string]*bufio.Reader{"the idle": idleIn, "the late": lateIn} {
-		if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-			t.Fatalf("%s connection ends with %q, %v", name, rest, err)
-		}
-	}
-	select {
-	case err := <-ended:
-		if err != io.EOF {
-			t.Fatalf("the connection that never pauses ends with %v, want a clean end", err)
-		}
-	case <-time.After(4 * time.Second):
-		t.Fatal("the connection that never pauses is open 4 s after the drain")
-	}
-	requireAdminCall(t, instance, "PUT", "/v1/ingress/activate", 200)
-	if s := ping(); s != "+PONG" {
-		t.Fatalf("PING says %s after activate", s)
-	}
+	requireMetric(t, instance, "cluster_size", 2)
 }
 
-// The figures are what the clients got and the nodes saw, with errors, resets and repeats among them.
+// The metrics are what clients were answered and backends were sent, with
+// errors, resets and retries among them.
 func TestMetricsMatchTraffic(t *testing.T) {
 	var seen atomic.Int64
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
@@ -390,41 +319,47 @@
 		}
 	}
 	for name, n := range got {
-		if f := metricValue(t, instance, "transactions.read."+name); f != n {
-			t.Errorf("%s is %d, clients got %d", name, f, n)
-		}
+		requireMetric(t, instance, "transactions.read."+name, n)
 	}
-	if len(got) < 2 || metricValue(t, instance, "sends") != int(seen.Load()) || metricValue(t, instance, "current") != 0 {
-		t.Errorf("answers %v; sends %d, the node saw %d; current %d", got, metricValue(t, instance, "sends"), seen.Load(), metricValue(t, instance, "current"))
+	if len(got) < 2 {
+		t.Errorf("got answers %v, want several kinds", got)
 	}
-	resp, err := http.Get("http://" + cfg.Metrics + "/metrics") // the same counters in the other form
+	requireMetric(t, instance, "sends", int(seen.Load()))
+	requireMetric(t, instance, "current", 0)
+	requirePrometheusLines(t, cfg.Metrics,
+		fmt.Sprintf(`hitchspring_requests_total{class="read",end="answered"} %d`, got["answered"]),
+		fmt.Sprintf("hitchspring_attempts_written_total %d", seen.Load()),
+	)
+	requireMetric(t, instance, "transactions.write.answered", 0) // a class without a request
+}
+
+// requirePrometheusLines checks that the status server's metrics have some lines.
+func requirePrometheusLines(t *testing.T, addr string, lines ...string) {
+	t.Helper()
+	resp, err := http.Get("http://" + addr + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
-	for _, want := range []string{
-		fmt.Sprintf(`hitchspring_requests_total{class="read",end="answered"} %d`, got["answered"]),
-		fmt.Sprintf("hitchspring_attempts_written_total %d", seen.Load()),
-	} {
+	for _, want := range lines {
 		if !strings.Contains(string(text), want+"\n") {
 			t.Errorf("no line %q at [metrics]", want)
 		}
 	}
-	if metricValue(t, instance, "transactions.write.answered") != 0 {
-		t.Error("a class without a request is not there with 0")
-	}
 }
 
-// A node is taken out while a request is out there: its repeat and its second copy go elsewhere, what is out may end. With all
-// nodes out nothing is sent, every request has its one answer in time, and one call brings the work back.
+// Backends are suspended while requests are out there: retries and hedged
+// requests go elsewhere, attempts that are out may end. With all backends
+// suspended nothing is sent and every request has its answer in time; one call
+// brings the work back.
 func TestSuspendDuringRetries(t *testing.T) {
 	var mu sync.Mutex
 	after := map[int]int{}
-	var out atomic.Int64 // nodes that are out, as bits, from the yes on
-	var nodes [3]string
-	for i := range nodes {
-		nodes[i] = scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
+	var out atomic.Int64 // suspended backends, as bits, from the answer on
+	var addrs [3]string
+	for i := range addrs {
+		addrs[i] = scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 			if out.Load()&(1<<i) != 0 && strings.HasPrefix(args[0], "Q.") {
 				mu.Lock()
 				after[i]++
@@ -440,7 +375,7 @@
 			return servedReply
 		}).Addr
 	}
-	list := fleetOf(nodes[:]...)
+	list := fleetOf(addrs[:]...)
 	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging, cfg.Settings.MaxRetryAfter = 4, true, 100*time.Millisecond
 	for i := range cfg.Settings.Classes {
@@ -451,7 +386,7 @@
 	c := clientCrowd{pause: time.Millisecond, fields: "c=read,t=p,d=1000,units=1,spread=1,first=0"}
 	c.run(instance.Addr().String(), 8)
 	time.Sleep(300 * time.Millisecond)
-	for i := range nodes {
+	for i := range addrs {
 		requireAdminCall(t, instance, "PUT", fmt.Sprintf("/v1/backends/s%d/suspend", i), 200)
 		time.Sleep(300 * time.Millisecond) // far inside the grace
 		out.Store(out.Load() | 1<<i)
@@ -459,7 +394,7 @@
 	had := c.answered.Load() + c.unexpected.Load()
 	time.Sleep(1200 * time.Millisecond)
 	if c.answered.Load()+c.unexpected.Load() == had {
-		t.Error("with all nodes out nobody is answered")
+		t.Error("with all addrs out nobody is answered")
 	}
 	out.Store(0)
 	had = c.answered.Load()
@@ -467,7 +402,7 @@
 	eventually(t, 5*time.Second, "work comes back", func() bool { return c.answered.Load() > had+20 })
 	c.end()
 	if len(after) > 0 || c.unanswered.Load() > 0 {
-		t.Errorf("sends to nodes that were out: %v; %d requests without an answer", after, c.unanswered.Load())
+		t.Errorf("sends to addrs that were out: %v; %d requests without an answer", after, c.unanswered.Load())
 	}
 }
 
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -12,13 +12,14 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// sight is one command as a backend saw it.
+// receivedCommand is one command as a backend received it.
 type receivedCommand struct {
 	receivedAt time.Time
 	args       []string
 }
 
-// observedNode is a backend that answers as a test says, and records when commands came and how many connections are open.
+// observedBackend is a backend that answers as a test says, and records when
+// commands arrived and how many connections are open.
 type observedBackend struct {
 	addr            string
 	answer          func(n int) string // to the nth command, from 1; "" is silence
@@ -27,7 +28,8 @@
 	openConnections int
 }
 
-// newObservedNode starts a backend; nil answers each command with a value.
+// newObservedBackend starts a backend; a nil answer answers each command with a
+// value.
 func newObservedBackend(t testing.TB, answer func(backend int) string) *observedBackend {
 	t.Helper()
 	if answer == nil {
@@ -64,14 +66,14 @@
 	b.openConnections += by
 }
 
-// connections is how many are open now.
+// connections is the number of connections that are open now.
 func (b *observedBackend) connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.openConnections
 }
 
-// commands is how many came so far, and when the last one did.
+// commands is the number of commands so far, and when the last one arrived.
 func (b *observedBackend) commands() (number int, last time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"bufio"
-	"bytes"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"slices"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -17,13 +16,16 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// BenchmarkFronts puts the two fronts side by side in one process and one run: a request over RESP2, which the ingress sends to
-// a node itself, and a call over HTTP with its report, where the caller would send it. Both figures hold the client's own
-// cost; cpu-us is user and system time of the whole process for one.
+// BenchmarkFronts compares the two fronts in one process and one run: a request
+// over RESP2, which the ingress sends to a backend itself, and a call over HTTP
+// with its report, where the caller would send it. Both results include the
+// client's own cost; cpu-us is user and system time of the entire process for
+// one request.
 func BenchmarkFronts(b *testing.B) {
 	cfg := authConfig(b, 8, func(c *Config) {
 		for i := range c.Known.Targets {
-			c.Known.Targets[i].Endpoint = scripted.NewBackend(b, func(int, []string, net.Conn) string { return servedReply }).Addr
+			backend := scripted.NewBackend(b, func(int, []string, net.Conn) string { return servedReply })
+			c.Known.Targets[i].Endpoint = backend.Addr
 		}
 		c.Discovery = scripted.Registry(b, c.Known, nil)
 		c.Sockets, c.Leases.Retention, c.Leases.MaxRequests = 4096, time.Second, 1<<20
@@ -31,91 +33,129 @@
 		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].Deadline = time.Second, time.Second
 	})
 	instance, _ := runIngress(b, cfg)
-	var id atomic.Int64
-	cpu := func() time.Duration {
-		var u syscall.Rusage
-		syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
-	}
-	measure := func(b *testing.B, one func(*testing.PB)) {
-		before := cpu()
-		b.ResetTimer()
-		b.RunParallel(one)
-		b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+	proxy := &http.Transport{MaxIdleConnsPerHost: 100}
+	defer proxy.CloseIdleConnections()
+	client := &http.Client{Transport: proxy}
+	baseURL := "http://" + instance.AuthAddr().String()
+	b.Run("resp", func(b *testing.B) { benchmarkRESP(b, instance.Addr().String()) })
+	b.Run("http and report", func(b *testing.B) { benchmarkAuth(b, client, baseURL) })
+	b.Run("http, bare", func(b *testing.B) { benchmarkBareHTTP(b, client, baseURL) })
+}
+
+// benchmarkID numbers the requests of all runs over RESP2.
+var benchmarkID atomic.Int64
+
+func cpuTime(b *testing.B) time.Duration {
+	b.Helper()
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		b.Fatal(err)
 	}
-	b.Run("resp", func(b *testing.B) {
-		measure(b, func(pb *testing.PB) {
-			nc, err := net.Dial("tcp", instance.Addr().String())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// runMeasured runs a benchmark in parallel and reports its CPU time.
+func runMeasured(b *testing.B, body func(*testing.PB)) {
+	b.Helper()
+	before := cpuTime(b)
+	b.ResetTimer()
+	b.RunParallel(body)
+	b.ReportMetric(float64((cpuTime(b)-before).Microseconds())/float64(b.N), "cpu-us/op")
+}
+
+func benchmarkRESP(b *testing.B, addr string) {
+	runMeasured(b, func(pb *testing.PB) {
+		nc, err := net.Dial("tcp", addr)
+		if err != nil {
+			b.Error(err)
+			return
+		}
+		defer nc.Close()
+		in := bufio.NewReader(nc)
+		for pb.Next() {
+			id := int(benchmarkID.Add(1))
+			io.WriteString(nc, encodeRead(id, "c=read,t=p,d=900,units=1,spread=1,first=0"))
+			head, err := in.ReadString('\n')
+			if err == nil && head[0] == '$' {
+				_, err = in.ReadString('\n')
+			}
 			if err != nil {
-				b.Error(err)
+				b.Error(head, err)
 				return
 			}
-			defer nc.Close()
-			in := bufio.NewReader(nc)
-			for pb.Next() {
-				io.WriteString(nc, encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id.Add(1)), "c=read,t=p,d=900,units=1,spread=1,first=0"))
-				if l, err := in.ReadString('\n'); err != nil || l[0] == '$' && func() bool { _, err := in.ReadString('\n'); return err != nil }() {
-					b.Error(l, err)
-					return
-				}
-			}
-		})
+		}
 	})
-	tr := &http.Transport{MaxIdleConnsPerHost: 100}
-	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr}
-	base := "http://" + instance.AuthAddr().String()
-	body := []byte(`{"outcome":"served"}`)
-	http1 := func(b *testing.B, report bool) {
-		var mu sync.Mutex
-		var took []time.Duration
-		measure(b, func(pb *testing.PB) {
-			var mine []time.Duration
-			defer func() {
-				mu.Lock()
-				took = append(took, mine...)
-				mu.Unlock()
-			}()
-			for pb.Next() {
-				req, _ := http.NewRequest("GET", base+"/x", nil)
-				req.Header = http.Header{"X-Hitch-Class": {"read"}, "X-Hitch-Plan": {"p"}, "X-Hitch-Channel": {"b4d65521"}}
-				began := time.Now()
-				resp, err := client.Do(req)
-				if err != nil {
-					b.Error(err)
-					return
-				}
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-				mine = append(mine, time.Since(began))
-				lease := resp.Header.Get("X-Hitch-Lease")
-				if !report || lease == "" {
-					continue
-				}
-				if resp, err = client.Post(base+"/v1/attempts/"+lease, "application/json", bytes.NewReader(body)); err != nil {
-					b.Error(err)
-					return
-				}
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+}
+
+// benchmarkAuth makes calls with their reports. The quantiles are of the calls
+// alone.
+func benchmarkAuth(b *testing.B, client *http.Client, baseURL string) {
+	var mu sync.Mutex
+	var durations []time.Duration
+	runMeasured(b, func(pb *testing.PB) {
+		var own []time.Duration
+		defer func() {
+			mu.Lock()
+			durations = append(durations, own...)
+			mu.Unlock()
+		}()
+		for pb.Next() {
+			duration, err := callAndReport(client, baseURL)
+			if err != nil {
+				b.Error(err)
+				return
 			}
-		})
-		if slices.Sort(took); len(took) > 0 { // of the call alone, its report left out
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "ask-p50-us")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "ask-p99-us")
+			own = append(own, duration)
 		}
+	})
+	if slices.Sort(durations); len(durations) > 0 {
+		b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), "ask-p50-us")
+		b.ReportMetric(float64(durations[len(durations)*99/100].Microseconds()), "ask-p99-us")
+	}
+}
+
+// callAndReport makes a call, and reports its attempt as served if one is granted.
+// It returns the time of the call.
+func callAndReport(client *http.Client, baseURL string) (time.Duration, error) {
+	req, err := http.NewRequest("GET", baseURL+"/x", nil)
+	if err != nil {
+		return 0, err
+	}
+	req.Header.Set("X-Hitch-Class", "read")
+	req.Header.Set("X-Hitch-Plan", "p")
+	req.Header.Set("X-Hitch-Channel", "b4d65521")
+	began := time.Now()
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, err
+	}
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	duration := time.Since(began)
+	lease := resp.Header.Get("X-Hitch-Lease")
+	if lease == "" {
+		return duration, nil
 	}
-	b.Run("http and report", func(b *testing.B) { http1(b, true) })
-	b.Run("http, bare", func(b *testing.B) { // what net/http and its client cost by themselves
-		measure(b, func(pb *testing.PB) {
-			for pb.Next() {
-				resp, err := client.Get(base + "/healthz")
-				if err != nil {
-					b.Error(err)
-					return
-				}
-				resp.Body.Close()
+	body := strings.NewReader(`{"outcome":"served"}`)
+	resp, err = client.Post(baseURL+"/v1/attempts/"+lease, "application/json", body)
+	if err != nil {
+		return 0, err
+	}
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	return duration, nil
+}
+
+// benchmarkBareHTTP is what net/http and its client cost by themselves.
+func benchmarkBareHTTP(b *testing.B, client *http.Client, baseURL string) {
+	runMeasured(b, func(pb *testing.PB) {
+		for pb.Next() {
+			resp, err := client.Get(baseURL + "/healthz")
+			if err != nil {
+				b.Error(err)
+				return
 			}
-		})
+			resp.Body.Close()
+		}
 	})
 }
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"hitchspring/internal/discovery"
+	"hitchspring/internal/front/resp"
 	"hitchspring/internal/standin/scripted"
 	"hitchspring/internal/standin/tally"
 	"hitchspring/policy"
@@ -26,18 +27,19 @@
 const (
 	descriptorLimit    = 128                   // the descriptors' limit of the ingress; 48 of them are for clients
 	idleClientInterval = 15 * time.Millisecond // between two idle clients that come
-	partialOfTen       = 1                     // of ten idle clients: begin a command and don't end it
-	silentOfTen        = 4                     // of ten idle clients: never ask; the rest ask once and stay
-	persistentClients  = 4                     // that ask again and again on connections they keep
-	newcomerInterval   = 50 * time.Millisecond // between two clients that come, ask once and leave
+	partialOfTen       = 1                     // of ten idle clients: send a partial command
+	silentOfTen        = 4                     // of ten idle clients: send nothing; the rest send one request
+	persistentClients  = 4                     // that send requests on persistent connections
+	newcomerInterval   = 50 * time.Millisecond // between two clients that send one request and leave
 	backendAnswerTime  = 20 * time.Millisecond // for an answer
 	maxAnswerTime      = time.Second           // from the first send, or from dialling; the deadline is twice that
 	outageTime         = 1500 * time.Millisecond
-	quotaRate          = 800.0           // units a second over two instances: half of it holds all clients while the counter is not heard
-	maxListDelay       = 4 * time.Second // from discovery's return to the first command at a backend that is new in its list
+	quotaRate          = 800.0           // units a second; half of it suffices while the counter is down
+	maxListDelay       = 4 * time.Second // from discovery's return to the first command at a new backend
 )
 
-// outageRegistry is discovery's agent with an outage: its watches are cut, and calls are reset or get no answer until it ends.
+// outageRegistry is a discovery agent with an outage: its watches are cut, and
+// calls are reset or get no answer until it ends.
 type outageRegistry struct {
 	addr   string
 	silent bool // during the outage calls get no answer; else they are reset
@@ -56,7 +58,8 @@
 	return r
 }
 
-// ServeHTTP answers with the list; a watch stays open until the outage begins or its caller leaves.
+// ServeHTTP answers with the list. A watch stays open until the outage begins
+// or its caller disconnects.
 func (r *outageRegistry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	down, list := r.down, r.list
@@ -127,13 +130,14 @@
 	nc.Close()
 }
 
-// idleCrowd is clients that come on and on, and stay without a request until the ingress closes them.
+// idleClients are clients that keep coming, and stay without a request until
+// the ingress closes them.
 type idleClients struct {
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// run lets one come in each crowdEvery until stop closes.
+// run has one client come in each idleClientInterval until stop closes.
 func (c *idleClients) run(addr string, stop <-chan struct{}) {
 	tick := time.NewTicker(idleClientInterval)
 	defer tick.Stop()
@@ -174,10 +178,11 @@
 	}
 }
 
-// crowdFields are a request's, whose quota is shared with another instance so that the counter is asked.
+// sharedQuotaFields are those of a request whose quota is shared with another
+// instance, so that the counter is used.
 const sharedQuotaFields = "c=read,t=p,d=2000,units=1,spread=2,first=0"
 
-// timings records how long requests took, and what went wrong with any.
+// requestTimings records how long requests took, and how they failed.
 type requestTimings struct {
 	mu        sync.Mutex
 	durations []time.Duration
@@ -202,7 +207,8 @@
 	}
 	slices.Sort(r.durations)
 	n := len(r.durations)
-	t.Logf("%s: %d requests, half within %v, 99 in 100 within %v, the slowest %v", what, n, r.durations[n/2].Round(time.Millisecond),
+	t.Logf("%s: %d requests, half within %v, 99 in 100 within %v, the slowest %v", what, n,
+		r.durations[n/2].Round(time.Millisecond),
 		r.durations[n*99/100].Round(time.Millisecond), r.durations[n-1].Round(time.Millisecond))
 	if late := r.durations[n-1]; late > maxAnswerTime {
 		t.Errorf("%s: the slowest answer took %v, want %v at the most", what, late, maxAnswerTime)
@@ -212,13 +218,14 @@
 	}
 }
 
-// usualClient asks one request after the other, and asks again on a new connection where the ingress has ended the one it kept.
+// persistentClient sends one request after the other, and again on a new
+// connection if the ingress has closed the one that it kept.
 type persistentClient struct {
 	addr string
 	conn net.Conn
 }
 
-// ask returns an error where there is no value in answerWithin.
+// request returns an error if there is no value within maxAnswerTime.
 func (c *persistentClient) request(id int) error {
 	deadline := time.Now().Add(maxAnswerTime)
 	for {
@@ -263,14 +270,17 @@
 	c.conn = nil
 }
 
-// socketsOf counts this process's open TCP connections in the kernel's table: those at a listener's own port, and those to other ports.
-// Connections that wait to be accepted have no descriptor, and are not counted. The table changes while it is read, and then has some
-// connections more than once: each counts once, by the inode of its descriptor.
+// countSockets counts this process's open TCP connections in the kernel's
+// table: those at a listener's own port, and those to other ports. Connections
+// in the listen queue have no descriptor and are not counted. The table changes
+// while it is read, and may then have a connection more than once: each counts
+// once, by the inode of its descriptor.
 func countSockets(table string, local int, remote []int) (open int) {
 	counted := map[string]bool{}
 	for text := range strings.Lines(table) {
 		fields := strings.Fields(text)
-		if len(fields) < 10 || fields[3] == "0A" || fields[9] == "0" || counted[fields[9]] { // listens, or has no descriptor
+		const stateListen, noInode = "0A", "0"
+		if len(fields) < 10 || fields[3] == stateListen || fields[9] == noInode || counted[fields[9]] {
 			continue
 		}
 		if tablePort(fields[1]) == local || slices.Contains(remote, tablePort(fields[2])) {
@@ -281,7 +291,7 @@
 	return open
 }
 
-// tablePort is the port of an address as the kernel's table has it.
+// tablePort is the port of an address in the kernel's table.
 func tablePort(addr string) int {
 	_, port, _ := strings.Cut(addr, ":")
 	n, _ := strconv.ParseInt(port, 16, 32)
@@ -297,10 +307,13 @@
 	return a.Port
 }
 
-// The descriptors' limit is reached by idle clients that come on and on while discovery is down and the counter's connections are cut.
-// Requests of usual clients are answered in time, those of newcomers too; the counter goes on being asked; a list that discovery has after
-// its outage is taken over, and a backend that is new in it is connected to.
-func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) { // not beside others: it measures times and loads the machine
+// The limit on descriptors is reached by idle clients that keep coming while
+// discovery is down and the counter's connections are cut. Requests of
+// persistent clients and of newcomers are answered in time; the counter goes on
+// being used; the list that discovery has after its outage is applied, and a
+// backend that is new in it is connected to. The test measures times and loads
+// the machine, so it doesn't run beside others.
+func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("discovery silent %v", silent), func(t *testing.T) {
 			t.Parallel()
@@ -309,26 +322,89 @@
 	}
 }
 
-func testIdleClients(t *testing.T, silent bool) {
+// outageFixture is an instance with few descriptors, whose discovery and counter a
+// test can cut off.
+type outageFixture struct {
+	first    *scripted.Backend // the only one in the list before the outage
+	second   *scripted.Backend // new in the list after it
+	counter  *tally.Server
+	registry *outageRegistry
+	addr     string // for clients
+	front    *resp.Front
+}
+
+func newOutageFixture(t *testing.T, silent bool) *outageFixture {
+	t.Helper()
 	answer := func(int, []string, net.Conn) string {
 		time.Sleep(backendAnswerTime)
 		return scripted.Served
 	}
-	first, second := scripted.NewBackend(t, answer), scripted.NewBackend(t, answer)
-	counter, err := tally.Start("", 1)
-	if err != nil {
+	f := &outageFixture{first: scripted.NewBackend(t, answer), second: scripted.NewBackend(t, answer)}
+	var err error
+	if f.counter, err = tally.Start("", 1); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(counter.Close)
-	list := fleetOf(first.Addr)
-	registry := newOutageRegistry(t, silent, list)
-	cfg := testConfig(registry.addr, list)
-	cfg.Sockets, cfg.Settings.Instances = descriptorLimit, 2 // the other one says nothing to the counter
-	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = counter.Addr(), true, 50*time.Millisecond
+	t.Cleanup(f.counter.Close)
+	list := fleetOf(f.first.Addr)
+	f.registry = newOutageRegistry(t, silent, list)
+	cfg := testConfig(f.registry.addr, list)
+	cfg.Sockets = descriptorLimit
+	cfg.Settings.Instances = 2 // the other instance doesn't use the counter
+	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = f.counter.Addr(), true, 50*time.Millisecond
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: quotaRate, Burst: 100, ExcessCost: 0.5}}
 	addr, instance := startInstance(t, cfg)
-	front := instance.front.Load()
+	f.addr, f.front = addr, instance.front.Load()
+	return f
+}
+
+// allSlotsTaken reports whether clients have all connections that they may have.
+func (f *outageFixture) allSlotsTaken() bool {
+	return f.front.OpenConnections() == f.front.MaxConnections()
+}
 
+// remotePorts are those that the instance itself connects to.
+func (f *outageFixture) remotePorts(t *testing.T) (ports []int) {
+	t.Helper()
+	for _, addr := range []string{f.first.Addr, f.second.Addr, f.counter.Addr(), f.registry.addr} {
+		ports = append(ports, portOf(t, addr))
+	}
+	return ports
+}
+
+// runOutage has discovery fail and the counter's connections cut, and checks that
+// both are used again.
+func (f *outageFixture) runOutage(t *testing.T) {
+	t.Helper()
+	f.registry.fail()
+	time.Sleep(outageTime / 2)
+	f.counter.Stop()
+	if err := f.counter.Listen(); err != nil {
+		t.Fatal(err)
+	}
+	counted := len(f.counter.Records())
+	t.Logf("the counter was used %d times before its connections were cut", counted)
+	time.Sleep(outageTime / 2)
+	if f.registry.calls.Load() == 0 {
+		t.Error("discovery was not polled during its outage")
+	}
+	both := fleetOf(f.first.Addr, f.second.Addr)
+	both.Rev = 2
+	f.registry.recover(both)
+	returnedAt := time.Now()
+	eventually(t, maxListDelay, "the backend that is new in the list is sent commands", func() bool {
+		return len(f.second.Seen()) > 0
+	})
+	t.Logf("the new backend had its first command %v after discovery's return",
+		time.Since(returnedAt).Round(time.Millisecond))
+	time.Sleep(500 * time.Millisecond)
+	eventually(t, time.Second, "all slots are taken at the end", f.allSlotsTaken)
+	if n := len(f.counter.Records()) - counted; n == 0 {
+		t.Error("the counter was not used after its connections were cut")
+	}
+}
+
+func testIdleClients(t *testing.T, silent bool) {
+	f := newOutageFixture(t, silent)
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	var idle idleClients
@@ -339,52 +415,27 @@
 		idle.close()
 	})
 	defer end()
-	running.Go(func() { idle.run(addr, stop) })
-	eventually(t, 5*time.Second, "all places are taken", func() bool { return front.OpenConnections() == front.MaxConnections() })
+	running.Go(func() { idle.run(f.addr, stop) })
+	eventually(t, 5*time.Second, "all slots are taken", f.allSlotsTaken)
 	for i := range persistentClients {
-		running.Go(func() { sendUntilStopped(addr, i*100_000, 0, &persistent, stop) })
-	}
-	running.Go(func() { sendUntilStopped(addr, 500_000, newcomerInterval, &newcomers, stop) })
-	peak, local := 0, portOf(t, addr)
-	var remote []int
-	for _, a := range []string{first.Addr, second.Addr, counter.Addr(), registry.addr} {
-		remote = append(remote, portOf(t, a))
+		running.Go(func() { sendUntilStopped(f.addr, i*100_000, 0, &persistent, stop) })
 	}
+	running.Go(func() { sendUntilStopped(f.addr, 500_000, newcomerInterval, &newcomers, stop) })
+	peak, local, remote := 0, portOf(t, f.addr), f.remotePorts(t)
 	running.Go(func() { peak = peakSockets(stop, local, remote) })
-
-	registry.fail()
-	time.Sleep(outageTime / 2)
-	counter.Stop()
-	if err := counter.Listen(); err != nil {
-		t.Fatal(err)
-	}
-	counted := len(counter.Records())
-	t.Logf("the counter was asked %d times before its connections were cut", counted)
-	time.Sleep(outageTime / 2)
-	if registry.calls.Load() == 0 {
-		t.Error("discovery was not asked during its outage")
-	}
-	both := fleetOf(first.Addr, second.Addr)
-	both.Rev = 2
-	registry.recover(both)
-	returnedAt := time.Now()
-	eventually(t, maxListDelay, "the backend that is new in the list is sent commands", func() bool { return len(second.Seen()) > 0 })
-	t.Logf("the new backend had its first command %v after discovery's return", time.Since(returnedAt).Round(time.Millisecond))
-	time.Sleep(500 * time.Millisecond)
-	eventually(t, time.Second, "all places are taken at the end", func() bool { return front.OpenConnections() == front.MaxConnections() })
-	if n := len(counter.Records()) - counted; n == 0 {
-		t.Error("the counter was not asked after its connections were cut")
-	}
+	f.runOutage(t)
 	end()
-	t.Logf("%d idle clients came for %d places; the ingress held %d of %d descriptors at the most", idle.count(), front.MaxConnections(), peak, descriptorLimit)
-	if peak < front.MaxConnections() || peak > descriptorLimit {
+	t.Logf("%d idle clients came for %d slots; the ingress held up to %d of %d descriptors",
+		idle.count(), f.front.MaxConnections(), peak, descriptorLimit)
+	if peak < f.front.MaxConnections() || peak > descriptorLimit {
 		t.Errorf("the ingress held %d connections, its limit is %d", peak, descriptorLimit)
 	}
 	persistent.check(t, "usual clients", 50)
 	newcomers.check(t, "newcomers", 5)
 }
 
-// askOn asks until stop closes, on one connection without a pause, or else on a new one after each pause.
+// sendUntilStopped sends requests until stop closes, on one connection without
+// a pause, or else on a new one after each pause.
 func sendUntilStopped(addr string, id int, pause time.Duration, results *requestTimings, stop <-chan struct{}) {
 	client := &persistentClient{addr: addr}
 	defer client.close()
@@ -404,7 +455,8 @@
 	}
 }
 
-// peakSockets samples the connections of an ingress until stop closes; 0 where the kernel's table can't be read.
+// peakSockets samples the connections of an ingress until stop closes; 0 if the
+// kernel's table can't be read.
 func peakSockets(stop <-chan struct{}, local int, remote []int) (peak int) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
--- a/internal/ingress/ending_test.go
+++ b/internal/ingress/ending_test.go
@@ -14,14 +14,17 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// leftFor is how long after a client has left nothing may go out for it any more.
+// disconnectGrace is how long after a client has disconnected something may
+// still be sent for it.
 const disconnectGrace = 100 * time.Millisecond
 
-// What a client has asked that left while it waited is not sent when there is room again. The node holds what fills the window; the
-// observer is the node's record of commands. The last request, of a client that stays, passes the same queue behind them.
+// A client disconnects while its requests are queued: they are not sent when
+// there is capacity again. Delayed answers fill the backend's window; what was
+// sent is the backend's record of commands. The last request, of a client that
+// stays, passes the same queue behind them.
 func TestNothingIsSentForDisconnectedClients(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(t *testing.T, addr string, id func() int) (gone func()){
+	for name, leave := range map[string]leavingClients{
 		"one client": func(t *testing.T, addr string, id func() int) func() {
 			nc, _ := dial(t, addr)
 			io.WriteString(nc, encodeRead(id(), readFields))
@@ -49,61 +52,78 @@
 		},
 		"nonsense and away": func(t *testing.T, addr string, id func() int) func() {
 			nc, _ := dial(t, addr)
-			io.WriteString(nc, encodeRead(id(), readFields)+encodeRead(id(), readFields)+strings.Repeat("nonsense\r\n", 2000))
+			io.WriteString(nc, encodeRead(id(), readFields)+encodeRead(id(), readFields))
+			io.WriteString(nc, strings.Repeat("nonsense\r\n", 2000))
 			return func() { nc.Close() }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			holds := make(chan struct{})
-			release := sync.OnceFunc(func() { close(holds) })
-			defer release()
-			var mu sync.Mutex
-			leftIDs := map[string]bool{}
-			backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
-				<-holds
-				return servedReply
-			})
-			list := fleetOf(backend.Addr)
-			addr, instance := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
-			first, fin := dial(t, addr)
-			const window = 4 // of one node at one instance
-			for i := range window {
-				io.WriteString(first, encodeRead(i+1, readFields))
-			}
-			eventually(t, 10*time.Second, "the window is full", func() bool { return len(backend.Seen()) == window })
-			n := 100
-			gone := leave(t, addr, func() int {
-				n++
-				mu.Lock()
-				leftIDs[fmt.Sprintf("%016x", n)] = true
-				mu.Unlock()
-				return n
-			})
-			held := min(len(leftIDs), 64)
-			eventually(t, 10*time.Second, "they wait", func() bool { return instance.core.Metrics().Current() >= int64(window+held) })
-			stays, in := dial(t, addr)
-			gone()
-			<-time.After(disconnectGrace)
-			io.WriteString(stays, encodeRead(99, readFields))
-			eventually(t, 10*time.Second, "one more waits", func() bool { return instance.core.Metrics().Current() == window+1 })
-			release()
-			requireValue(t, in)
-			for range window {
-				requireValue(t, fin)
-			}
-			for _, args := range backend.Seen() {
-				if leftIDs[args[2]] {
-					t.Errorf("%s was sent %v or more after its client had left", args[2], disconnectGrace)
-				}
-			}
+			testNothingIsSentAfterDisconnect(t, leave)
 		})
 	}
 }
 
-// At a restart with short deadlines the platform kills what has not ended 0.7 s and the longest deadline after SIGTERM. By then each request
-// that was taken has its answer: what waited and never ran is refused, what may have run of a class that may not be repeated has failed, and
-// what clients go on sending on connections that are open since an answer is owed there is refused.
+// leavingClients sends requests with ids from id, and returns what disconnects
+// their clients.
+type leavingClients func(t *testing.T, addr string, id func() int) (disconnect func())
+
+func testNothingIsSentAfterDisconnect(t *testing.T, leave leavingClients) {
+	answering := make(chan struct{})
+	release := sync.OnceFunc(func() { close(answering) })
+	defer release()
+	var mu sync.Mutex
+	disconnected := map[string]bool{}
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
+		<-answering
+		return servedReply
+	})
+	list := fleetOf(backend.Addr)
+	addr, instance := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
+	first, firstIn := dial(t, addr)
+	const window = 4 // of one backend at one instance
+	for i := range window {
+		io.WriteString(first, encodeRead(i+1, readFields))
+	}
+	eventually(t, 10*time.Second, "the window is full", func() bool {
+		return len(backend.Seen()) == window
+	})
+	n := 100
+	disconnect := leave(t, addr, func() int {
+		n++
+		mu.Lock()
+		disconnected[fmt.Sprintf("%016x", n)] = true
+		mu.Unlock()
+		return n
+	})
+	queued := min(len(disconnected), 64)
+	eventually(t, 10*time.Second, "they wait", func() bool {
+		return instance.core.Metrics().Current() >= int64(window+queued)
+	})
+	stays, in := dial(t, addr)
+	disconnect()
+	<-time.After(disconnectGrace)
+	io.WriteString(stays, encodeRead(99, readFields))
+	eventually(t, 10*time.Second, "one more waits", func() bool {
+		return instance.core.Metrics().Current() == window+1
+	})
+	release()
+	requireValue(t, in)
+	for range window {
+		requireValue(t, firstIn)
+	}
+	for _, args := range backend.Seen() {
+		if disconnected[args[2]] {
+			t.Errorf("%s was sent %v or more after its client had disconnected", args[2], disconnectGrace)
+		}
+	}
+}
+
+// At a restart with short deadlines the platform kills what has not ended 0.7 s
+// and the longest deadline after SIGTERM. By then each request that was taken
+// has its answer: queued ones that never ran are rejected, unsafe ones that may
+// have run have failed, and what clients go on sending on connections that are
+// still open is rejected.
 func TestShutdownWithinShortDeadlines(t *testing.T) {
 	t.Parallel()
 	const deadline = 900 * time.Millisecond
@@ -117,28 +137,12 @@
 	addr, stop := startIngress(t, cfg)
 	fields := strings.Replace(readFields, "d=50000", "d=900", 1)
 	unsafe := strings.Replace(fields, "c=read", "c=write", 1)
-	type end struct {
-		out, late bool
-		nc        net.Conn
-		got       chan string
-	}
-	var ends []*end
-	send := func(n int, out bool, text func(id int) string) {
-		for range n {
-			nc, in := dial(t, addr)
-			e := &end{out: out, nc: nc, got: make(chan string, 8)}
-			ends = append(ends, e)
-			io.WriteString(nc, text(len(ends)))
-			go func() {
-				defer close(e.got)
-				for {
-					s, err := in.ReadString('\n')
-					if err != nil {
-						return
-					}
-					e.got <- s
-				}
-			}()
+	var clients []*shutdownClient
+	send := func(count int, isSent bool, text func(id int) string) {
+		for range count {
+			client := startShutdownClient(t, addr, isSent)
+			clients = append(clients, client)
+			io.WriteString(client.conn, text(len(clients)))
 		}
 	}
 	write := func(id int) string {
@@ -152,9 +156,9 @@
 	<-time.After(listenerGrace - 150*time.Millisecond) // as late as clients still come
 	send(6, false, func(id int) string { return encodeRead(id, fields) })
 	<-time.After(time.Until(began.Add(commandGrace + 60*time.Millisecond)))
-	for i, e := range ends[4:] { // they are owed an answer still: their connections are open
-		e.late = true
-		io.WriteString(e.nc, encodeRead(500+i, fields))
+	for i, client := range clients[4:] { // they have no answer yet: their connections are open
+		client.sentLate = true
+		io.WriteString(client.conn, encodeRead(500+i, fields))
 	}
 	if err := <-ended; err != nil {
 		t.Fatal(err)
@@ -162,22 +166,9 @@
 	if took := time.Since(began); took > deadline+commandGrace {
 		t.Errorf("ended after %v, the platform kills after %v", took, deadline+commandGrace)
 	}
-	for i, e := range ends {
-		var got []string
-		for s := range e.got {
-			got = append(got, s)
-		}
-		want := 1
-		if e.late {
-			want = 2
-		}
-		if len(got) != want {
-			t.Errorf("client %d: answers %q, want %d", i, got, want)
-		}
-		for _, s := range got {
-			if e.out && !strings.HasPrefix(s, "-ERR") || !e.out && !strings.HasPrefix(s, "-BUSY ") {
-				t.Errorf("client %d: %q", i, s)
-			}
+	for i, client := range clients {
+		if err := client.check(); err != nil {
+			t.Errorf("client %d: %v", i, err)
 		}
 	}
 	if n := len(backend.Seen()); n > 4+6 {
@@ -185,8 +176,57 @@
 	}
 }
 
-// A second copy of an answer may come some milliseconds late. It must not be taken for the answer to the next command, which waits on
-// that connection: the node holds it back for longer than a command took to follow once.
+// shutdownClient is a client whose requests are open at a shutdown.
+type shutdownClient struct {
+	conn     net.Conn
+	answers  chan string // closed at the connection's end
+	isSent   bool        // its request was sent to a backend, and may have run
+	sentLate bool        // it has sent another request late in the shutdown
+}
+
+func startShutdownClient(t *testing.T, addr string, isSent bool) *shutdownClient {
+	t.Helper()
+	conn, in := dial(t, addr)
+	c := &shutdownClient{conn: conn, answers: make(chan string, 8), isSent: isSent}
+	go func() {
+		defer close(c.answers)
+		for {
+			answer, err := in.ReadString('\n')
+			if err != nil {
+				return
+			}
+			c.answers <- answer
+		}
+	}()
+	return c
+}
+
+// check returns an error unless each request has its answer: a failure if it may
+// have run, else a rejection.
+func (c *shutdownClient) check() error {
+	wantCount := 1
+	if c.sentLate {
+		wantCount = 2
+	}
+	wantPrefix := "-BUSY "
+	if c.isSent {
+		wantPrefix = "-ERR"
+	}
+	var got []string
+	for answer := range c.answers {
+		got = append(got, answer)
+		if !strings.HasPrefix(answer, wantPrefix) {
+			return fmt.Errorf("got answer %q, want %s", answer, wantPrefix)
+		}
+	}
+	if len(got) != wantCount {
+		return fmt.Errorf("got answers %q, want %d", got, wantCount)
+	}
+	return nil
+}
+
+// A duplicate of an answer may come some milliseconds late. It must not be
+// taken for the answer to the next command on that connection.
 func TestLateDuplicateAnswer(t *testing.T) {
 	t.Parallel()
 	value := func(args []string) string { return "*3\r\n$1\r\n" + args[2][15:] + "\r\n$-1\r\n$-1\r\n" }
@@ -210,8 +250,8 @@
 	}
 }
 
-// A large value whose node falls silent in the middle is owed an end when its client's time is over: it is cut, so that the client sees that
-// it is not whole, and not seconds later.
+// A large value whose backend falls silent in the middle is cut when its
+// client's time is over, so that the client sees that it is not complete.
 func TestLargeValueIsCutAtDeadline(t *testing.T) {
 	t.Parallel()
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
@@ -229,8 +269,9 @@
 	}
 }
 
-// A keyed request is sent again only while the nodes that would drop the repeat still know the first attempt. The repeat's connection comes up when
-// they may have forgotten it: it is not written any more.
+// A keyed request is retried only while backends still know the first attempt's
+// key. The retry's connection comes up when they may have forgotten it: it is
+// not written any more.
 func TestRetryIsNotSentAfterRepeatWindow(t *testing.T) {
 	t.Parallel()
 	var backend *scripted.Late
@@ -248,11 +289,13 @@
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts = 3
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].RepeatWindow = 700 * time.Millisecond // a connection that is begun now comes up after a second
+		// A connection that is begun now comes up after a second.
+		cfg.Settings.Classes[i].RepeatWindow = 700 * time.Millisecond
 	}
 	addr, _ := startIngress(t, cfg)
 	nc, in := dial(t, addr)
-	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=50000,k=1,units=1,spread=1,first=0"))
+	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+		"c=keyed,t=p,d=50000,k=1,units=1,spread=1,first=0"))
 	<-reset
 	eventually(t, 10*time.Second, "the repeat's connection is begun", backend.Begun)
 	backend.Open()
@@ -268,8 +311,9 @@
 	}
 }
 
-// Nothing goes out for a request that is over, also where the settings let nothing be called off: what still waits for a connection then is not
-// written when that comes up.
+// An attempt that waits for a connection is not written if its request has been
+// concluded when the connection comes up, also if the settings allow no
+// cancellation.
 func TestNothingIsSentForConcludedRequests(t *testing.T) {
 	t.Parallel()
 	later := encodeRead(9, readFields)
@@ -285,7 +329,9 @@
 		io.WriteString(nc, encodeRead(1, readFields))
 		eventually(t, 10*time.Second, "a connection to the node is begun", backend.Begun)
 		nc.Close()
-		eventually(t, 10*time.Second, "its leaving is known", func() bool { return instance.core.Metrics().Current() == 0 })
+		eventually(t, 10*time.Second, "its leaving is known", func() bool {
+			return instance.core.Metrics().Current() == 0
+		})
 		backend.Open()
 		nc, in := dial(t, addr)
 		io.WriteString(nc, later)
@@ -329,7 +375,8 @@
 	})
 }
 
-// A node is drained by an entry that says so and no more: nothing is sent to it after that.
+// A backend is drained by an entry that says no more than that: nothing is sent
+// to it afterwards.
 func TestDrainWithoutAddress(t *testing.T) {
 	t.Parallel()
 	first := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
@@ -337,13 +384,13 @@
 	changes := make(chan discovery.List)
 	list := fleetOf(first.Addr, second.Addr)
 	cfg := testConfig(scripted.Registry(t, list, changes), list)
-	cfg.Settings.MaxAttempts = 3 // an attempt that waits for a connection when its node is taken out is not written
+	cfg.Settings.MaxAttempts = 3 // an attempt that waits for a connection when its backend is taken out is not written
 	instance, _ := runIngress(t, cfg)
 	changes <- discovery.List{Rev: 2, Targets: []discovery.Target{{UID: "s0", Zone: "a", State: "DRAINING"}}}
-	changes <- discovery.List{Rev: 3} // has come when the one before was told
+	changes <- discovery.List{Rev: 3} // is sent when the one before was received
 	nc, in := dial(t, instance.Addr().String())
 	id := 0
-	ask := func() {
+	request := func() {
 		id++
 		io.WriteString(nc, encodeRead(id, readFields))
 		requireValue(t, in)
@@ -351,13 +398,13 @@
 	eventually(t, 10*time.Second, "the drain is known", func() bool {
 		n := len(first.Seen())
 		for range 8 { // all to the other, by chance, once in 256 times
-			ask()
+			request()
 		}
 		return len(first.Seen()) == n
 	})
 	n := len(first.Seen())
 	for range 40 {
-		ask()
+		request()
 	}
 	if got := len(first.Seen()); got > n {
 		t.Errorf("%d more were sent to the node that drains", got-n)
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -5,6 +5,7 @@
 	"cmp"
 	"io"
 	"net"
+	"net/http"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -18,7 +19,8 @@
 	"hitchspring/policy"
 )
 
-// held is a listening socket that the platform holds, and the folder that the processes on it have in common.
+// sharedListener is a listening socket that the platform holds, and the state
+// directory that the processes on it share.
 type sharedListener struct {
 	*net.TCPListener
 	dir string
@@ -34,7 +36,8 @@
 	return sharedListener{l.(*net.TCPListener), t.TempDir()}
 }
 
-// start runs a process on its own copy of the socket and waits for its door alone: its clients may still be another's.
+// start runs a process on its own copy of the socket and waits for its admin
+// server only: another process may still have the clients.
 func (l sharedListener) start(t *testing.T, cfg Config) (*Instance, func() error) {
 	t.Helper()
 	f, err := l.File()
@@ -51,13 +54,17 @@
 	return g, stop
 }
 
-// wantYes waits for a process to say that it is ready.
+// requireReady waits for a process to become ready.
 func requireReady(t *testing.T, instance *Instance) {
 	t.Helper()
-	eventually(t, 6*time.Second, "yes", func() bool { s, _ := adminCall(t, instance, "GET", "/v1/readyz"); return s == 200 })
+	eventually(t, 6*time.Second, "the process is ready", func() bool {
+		status, _ := adminCall(t, instance, "GET", "/v1/readyz")
+		return status == http.StatusOK
+	})
 }
 
-// crowd is clients that ask one request after another, each on a kept connection, and go over to a new one when theirs is closed.
+// clientCrowd is a number of clients that send one request after another, each
+// on a persistent connection, and open a new one when theirs is closed.
 type clientCrowd struct {
 	answered, unexpected, unanswered atomic.Int64 // turned: closed with a request on it that has no answer
 	wg                               sync.WaitGroup
@@ -129,24 +136,24 @@
 	c.wg.Wait()
 }
 
-// At full load one process follows another, twice in a row: no request is lost, failed or turned back, and what operators said
-// to the first holds at the last.
+// At full load one process replaces another, twice in a row: no request is lost
+// or fails, and what operators said to the first holds at the last.
 func TestReplacementUnderLoad(t *testing.T) {
 	var sent [3]atomic.Int64
-	var nodes []string
+	var addrs []string
 	for i := range 3 {
-		nodes = append(nodes, scripted.NewBackend(t, func(int, []string, net.Conn) string {
+		addrs = append(addrs, scripted.NewBackend(t, func(int, []string, net.Conn) string {
 			sent[i].Add(1)
 			time.Sleep(5 * time.Millisecond)
 			return servedReply
 		}).Addr)
 	}
-	list := fleetOf(nodes...)
+	list := fleetOf(addrs...)
 	registry := scripted.Registry(t, list, nil)
 	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
 		cfg := adminConfig(registry, list)
-		cfg.Settings.MaxAttempts = 3 // an attempt that waits to be written when its node is taken out is not
+		cfg.Settings.MaxAttempts = 3 // an attempt that waits to be written when its backend is suspended is not
 		return ln.start(t, cfg)
 	}
 	old, stop := start()
@@ -160,7 +167,7 @@
 	for round := range 2 {
 		next, stopNext := start()
 		requireReady(t, next)
-		if round == 1 { // told to one while both are there
+		if round == 1 { // said to one process while there are two
 			requireAdminCall(t, old, "PUT", "/v1/backends/s1/suspend", 200)
 			time.Sleep(500 * time.Millisecond)
 			before[1] = sent[1].Load()
@@ -169,12 +176,15 @@
 		if err := stop(); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, 5*time.Second, "the next process answers", func() bool { return c.answered.Load() > had+100 })
+		eventually(t, 5*time.Second, "the next process answers", func() bool {
+			return c.answered.Load() > had+100
+		})
 		old, stop = next, stopNext
 	}
 	c.end()
 	if c.unexpected.Load() > 0 || c.unanswered.Load() > 2 {
-		t.Errorf("%d answered, %d lost or failed, %d turned back", c.answered.Load(), c.unexpected.Load(), c.unanswered.Load())
+		t.Errorf("%d answered, %d lost or failed, %d without an answer",
+			c.answered.Load(), c.unexpected.Load(), c.unanswered.Load())
 	}
 	for i := 1; i <= 2; i++ {
 		if n := sent[i].Load() - before[i]; n > 0 {
@@ -184,8 +194,9 @@
 	t.Logf("%d answered, %d turned back", c.answered.Load(), c.unanswered.Load())
 }
 
-// A process that is told of a suspension and dies at once leaves it to the next; one that dies before its yes leaves the
-// first in place; discovery and the counter that say nothing keep no process from its yes.
+// A process that is killed right after a suspension leaves it to the next; one
+// that ends before it is ready leaves the first in place; discovery and a
+// counter that answer nothing keep no process from being ready.
 func TestReplacementDuringFaults(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -200,19 +211,22 @@
 	first, stopFirst := start(list)
 	requireReady(t, first)
 	_, stopEarly := start(list)
-	stopEarly() // before its yes, or after: it never had the baton
+	requireStop(t, stopEarly) // before it is ready, or after: it never had the lock
 	nc, in := dial(t, ln.Addr().String())
 	io.WriteString(nc, encodeRead(1, readFields))
 	requireValue(t, in)
 	requireAdminCall(t, first, "PUT", "/v1/backends/s0/suspend", 200)
 
-	// The next one's own list is older than the first one's: what goes over has the node.
+	// The next one's own list is older than the first one's: the handover state has
+	// the backend.
 	second, _ := start(discovery.List{Complete: true})
 	requireReady(t, second)
-	stopFirst()
-	eventually(t, 5*time.Second, "the list goes over", func() bool { return metricValue(t, second, "cluster_size") == 1 })
+	requireStop(t, stopFirst)
+	eventually(t, 5*time.Second, "the list goes over", func() bool {
+		return metricValue(t, second, "cluster_size") == 1
+	})
 	if n := metricValue(t, second, "cluster_unhealthy"); n != 1 {
-		t.Fatalf("after the replacement %d nodes are avoided, the suspended one is wanted", n)
+		t.Fatalf("after the replacement %d addrs are avoided, the suspended one is wanted", n)
 	}
 	requireAdminCall(t, second, "PUT", "/v1/backends/s0/resume", 200)
 	nc, in = dial(t, ln.Addr().String())
@@ -227,8 +241,8 @@
 	})
 }
 
-// While another process is there this one makes room for it, idle connections first, and has all places again when the other
-// has gone.
+// While there is another process, this one leaves it half of the connections,
+// idle ones first, and has all slots again when the other has ended.
 func TestConnectionsAreSharedWithSibling(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -250,24 +264,27 @@
 			requireValue(t, in)
 		}
 	}
-	fillsAllSlots := func() bool { // than a half of the places can be taken
+	fillsAllSlots := func() bool { // than a half of the slots can be taken
 		open(maxConnections * 3 / 4)
 		return first.front.Load().OpenConnections() > maxConnections/2
 	}
-	eventually(t, 2*time.Second, "all places at the start", fillsAllSlots)
+	eventually(t, 2*time.Second, "all slots at the start", fillsAllSlots)
 	_, stopSecond := start()
 	half := (maxConnections - reservedDescriptors - admin.MaxConnections) / 2
-	eventually(t, time.Second, "half of the places are left", func() bool { return first.front.Load().OpenConnections() <= half })
+	eventually(t, time.Second, "half of the slots are left", func() bool {
+		return first.front.Load().OpenConnections() <= half
+	})
 	open(maxConnections) // each takes the place of one that is idle
 	if n := first.front.Load().OpenConnections(); n > half+1 {
-		t.Fatalf("%d of %d places are taken while another process is there", n, maxConnections)
+		t.Fatalf("%d of %d slots are taken while another process is there", n, maxConnections)
 	}
-	stopSecond()
-	eventually(t, 2*time.Second, "all places are back", fillsAllSlots)
+	requireStop(t, stopSecond)
+	eventually(t, 2*time.Second, "all slots are back", fillsAllSlots)
 }
 
-// A channel asks for five times its quota while one process follows another: neither its ceiling nor its quota is spent twice,
-// as the node sees it, and what is repeated goes on being refused with when to come back.
+// A channel sends five times its quota while one process replaces another:
+// neither its ceiling nor its quota is spent twice, as the backend sees it, and
+// the excess goes on being rejected.
 func TestCeilingHoldsOverReplacement(t *testing.T) {
 	const rate, burst, slack = 30.0, 30.0, 4.0 // the ceiling's
 	const quotaRate, quotaBurst = 20.0, 20.0
@@ -316,31 +333,36 @@
 	c.end()
 	mu.Lock()
 	defer mu.Unlock()
-	lowest := func(rate, burst float64) float64 { // of a store that each send takes one unit from
-		level, least := burst, burst
-		for i, at := range sends {
-			if i > 0 {
-				level = min(burst, level+rate*at.Sub(sends[i-1]).Seconds())
-			}
-			level--
-			least = min(least, level)
-		}
-		return least
-	}
-	ceiling, quota := lowest(rate, burst), lowest(quotaRate, quotaBurst)
+	ceiling, quota := lowestLevel(sends, rate, burst), lowestLevel(sends, quotaRate, quotaBurst)
 	if ceiling < -slack-0.15*rate {
-		t.Errorf("%d sends: the ceiling's store went to %.1f", len(sends), ceiling)
+		t.Errorf("%d attempts: the ceiling's level went to %.1f", len(sends), ceiling)
 	}
 	if quota < -0.45*quotaBurst { // -6 without a replacement, -14 where each process takes a fresh block
-		t.Errorf("%d sends: the quota's store went to %.1f", len(sends), quota)
+		t.Errorf("%d attempts: the quota's level went to %.1f", len(sends), quota)
 	}
 	if n := c.answered.Load() + c.unexpected.Load(); float64(len(sends)) > 0.5*float64(n) || len(sends) < 50 {
-		t.Errorf("%d of %d requests were sent on: the channel does not ask for far more than it has", len(sends), n)
+		t.Errorf("%d of %d requests were forwarded: the channel does not exceed its quota by far", len(sends), n)
+	}
+	t.Logf("%d attempts of %d requests; the ceiling's level went to %.1f, the quota's to %.1f",
+		len(sends), c.answered.Load()+c.unexpected.Load(), ceiling, quota)
+}
+
+// lowestLevel is the lowest level of a token bucket that each send takes one unit
+// from.
+func lowestLevel(sends []time.Time, rate, burst float64) float64 {
+	level, lowest := burst, burst
+	for i, at := range sends {
+		if i > 0 {
+			level = min(burst, level+rate*at.Sub(sends[i-1]).Seconds())
+		}
+		level--
+		lowest = min(lowest, level)
 	}
-	t.Logf("%d sends of %d requests; the ceiling's store went to %.1f, the quota's to %.1f", len(sends), c.answered.Load()+c.unexpected.Load(), ceiling, quota)
+	return lowest
 }
 
-// A drained ingress that is told to end ends as it would otherwise, and a repeated drain changes nothing.
+// A drained ingress that gets SIGTERM ends as it would otherwise, and a
+// repeated drain changes nothing.
 func TestShutdownWhileDrained(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		time.Sleep(700 * time.Millisecond)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -1,142 +1,24 @@
 package ingress
 
 import (
-	"bufio"
-	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
-	"github.com/tidwall/redcon"
-
-	"hitchspring/internal/core"
-	"hitchspring/internal/discovery"
 	"hitchspring/internal/resp"
-	"hitchspring/internal/settings"
 	"hitchspring/internal/standin/scripted"
-	"hitchspring/policy"
 )
 
-func fleetOf(addrs ...string) discovery.List {
-	list := discovery.List{Rev: 1, Complete: true}
-	for i, addr := range addrs {
-		list.Targets = append(list.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"})
-	}
-	return list
-}
-
-const servedReply = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-
-func testConfig(discoveryAddr string, known discovery.List) Config {
-	return Config{Listen: "127.0.0.1:0", Config: core.Config{
-		Discovery: discoveryAddr, Sockets: 256, Known: known,
-		Settings: policy.Settings{
-			Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
-			Classes: []policy.Class{
-				{Name: "read", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Safe},
-				{Name: "write", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Unsafe},
-				{Name: "keyed", PriorityWeight: 1, LatencyObjective: 20 * time.Second, Deadline: 60 * time.Second, Effect: policy.Keyed},
-			},
-			Plans: []policy.Plan{{Name: "p", Price: 1}},
-		},
-		Connections: settings.Connections{Idle: 15 * time.Second, ConnectTimeout: 5 * time.Second},
-	}}
-}
-
-// startIngress runs an ingress and returns its address and what stops it and gives Run's result.
-func startIngress(t *testing.T, cfg Config) (addr string, stop func() error) {
-	t.Helper()
-	instance, stop := runIngress(t, cfg)
-	return instance.Addr().String(), stop
-}
-
-func startInstance(t *testing.T, cfg Config) (addr string, instance *Instance) {
-	t.Helper()
-	instance, _ = runIngress(t, cfg)
-	return instance.Addr().String(), instance
-}
-
-func runIngress(t testing.TB, cfg Config) (instance *Instance, stop func() error) {
-	t.Helper()
-	instance, stop = startWithoutWaiting(t, cfg)
-	select {
-	case <-instance.Ready():
-	case <-time.After(10 * time.Second):
-		t.Fatal("the ingress does not serve: ", stop())
-	}
-	return instance, stop
-}
-
-// runAside runs an ingress and does not wait for it.
-func startWithoutWaiting(t testing.TB, cfg Config) (instance *Instance, stop func() error) {
-	t.Helper()
-	instance, err := New(cfg, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- instance.Run(ctx) }()
-	stop = sync.OnceValue(func() error {
-		cancel()
-		return <-done
-	})
-	t.Cleanup(func() { stop() })
-	return instance, stop
-}
-
-// dial opens a client's connection; every read of it ends the test after a minute.
-func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
-	t.Helper()
-	nc, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { nc.Close() })
-	nc.SetReadDeadline(time.Now().Add(time.Minute))
-	return nc, bufio.NewReader(nc)
-}
-
-func encodeCommand(args ...string) string {
-	encoded := redcon.AppendArray(nil, len(args))
-	for _, arg := range args {
-		encoded = redcon.AppendBulkString(encoded, arg)
-	}
-	return string(encoded)
-}
-
-func encodeRead(id int, fields string) string {
-	return encodeCommand("Q.ASK", "00000000b4d65521", fmt.Sprintf("%016x", id), fields)
-}
-
-const readFields = "c=read,t=p,d=50000,units=1,spread=1,first=0"
-
-func readLine(t *testing.T, reader *bufio.Reader) string {
-	t.Helper()
-	text, err := reader.ReadString('\n')
-	if err != nil {
-		t.Fatalf("read %q: %v", text, err)
-	}
-	return strings.TrimRight(text, "\r\n")
-}
-
-func requireValue(t *testing.T, reader *bufio.Reader) {
-	t.Helper()
-	if a, b := readLine(t, reader), readLine(t, reader); a != "$5" || b != "value" {
-		t.Fatalf("answer %q %q, want the backend's value", a, b)
-	}
-}
-
-// rested is longer than a connection to a node is left alone after its answer.
+// reuseDelay is longer than a connection to a backend is left alone after its
+// answer.
 const reuseDelay = 50 * time.Millisecond
 
-// An answered attempt must free its connection: once all of them were taken for given up. Requests that follow sooner than it has rested may
-// have others.
+// An answered attempt frees its connection. Requests that follow sooner than
+// reuseDelay may have others.
 func TestConnectionIsReused(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -152,7 +34,8 @@
 	}
 }
 
-// A silent backend's attempt ends at the request's time, before the client leaves; its connection is given up.
+// A silent backend's attempt ends at the request's deadline, before the client
+// gives up; its connection is closed.
 func TestSilentBackendIsTimedOut(t *testing.T) {
 	backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
@@ -178,7 +61,8 @@
 	}
 }
 
-// The command, customer, id, key and body go on as they came; d becomes what is left of it.
+// Command, tenant, id, key and body are forwarded as they came; d becomes the
+// time that is left.
 func TestCommandIsForwarded(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -201,40 +85,40 @@
 	}
 }
 
-// Bad input gets one error line and reaches no backend; where the framing holds, the connection goes on.
-func TestBadInput(t *testing.T) {
-	t.Parallel()
-	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
-	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
+// badInput is text that a client may not send.
+type badInput struct {
+	in     string
+	closed bool // the connection ends
+}
+
+func badInputs() map[string]badInput {
 	long := strings.Repeat("x", resp.MaxValue+1)
-	for name, c := range map[string]struct {
-		in     string
-		closed bool
-	}{
-		"unknown command":  {encodeCommand("HELLO", "3"), false},
-		"no fields":        {encodeCommand("Q.ASK"), false},
-		"bad customer":     {encodeCommand("Q.ASK", "zz", "9b1f03aa5c7e2d41", readFields), false},
-		"large customer":   {encodeCommand("Q.ASK", "ffffffffb4d65521", "9b1f03aa5c7e2d41", readFields), false},
-		"bad id":           {encodeCommand("Q.ASK", "00000000b4d65521", "9", readFields), false},
-		"no d":             {encodeRead(1, "c=read,t=p,units=1,spread=1,first=0"), false},
-		"bad d":            {encodeRead(1, "c=read,t=p,d=-1,units=1,spread=1,first=0"), false},
-		"huge d":           {encodeRead(1, "c=read,t=p,d=99999999999,units=1,spread=1,first=0"), false},
-		"many units":       {encodeRead(1, "c=read,t=p,d=9,units=5,spread=1,first=0"), false},
-		"odd units":        {encodeRead(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
-		"wide set":         {encodeRead(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
-		"set elsewhere":    {encodeRead(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
-		"long key":         {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
-		"empty array":      {"*0\r\n", false},
-		"null array":       {"*-1\r\n", false},
-		"60 MB":            {"*5\r\n$4\r\nQ.DO\r\n$60000000\r\n", true},
-		"bad units":        {encodeRead(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
-		"no value":         {encodeRead(1, "c=read,t=p,d"), false},
-		"twice":            {encodeRead(1, readFields+",d=7"), false},
-		"unknown class":    {encodeRead(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
-		"unknown plan":     {encodeRead(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
-		"wrong command":    {encodeRead(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
-		"no key":           {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
+	return map[string]badInput{
+		"unknown command": {encodeCommand("HELLO", "3"), false},
+		"no fields":       {encodeCommand("Q.ASK"), false},
+		"bad customer":    {encodeCommand("Q.ASK", "zz", "9b1f03aa5c7e2d41", readFields), false},
+		"large customer":  {encodeCommand("Q.ASK", "ffffffffb4d65521", "9b1f03aa5c7e2d41", readFields), false},
+		"bad id":          {encodeCommand("Q.ASK", "00000000b4d65521", "9", readFields), false},
+		"no d":            {encodeRead(1, "c=read,t=p,units=1,spread=1,first=0"), false},
+		"bad d":           {encodeRead(1, "c=read,t=p,d=-1,units=1,spread=1,first=0"), false},
+		"huge d":          {encodeRead(1, "c=read,t=p,d=99999999999,units=1,spread=1,first=0"), false},
+		"many units":      {encodeRead(1, "c=read,t=p,d=9,units=5,spread=1,first=0"), false},
+		"odd units":       {encodeRead(1, "c=read,t=p,d=9,units=0x1p1,spread=1,first=0"), false},
+		"wide set":        {encodeRead(1, "c=read,t=p,d=9,units=1,spread=2,first=0"), false},
+		"set elsewhere":   {encodeRead(1, "c=read,t=p,d=9,units=1,spread=1,first=1"), false},
+		"long key": {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+			"c=keyed,t=p,d=9,units=1,spread=1,first=0,k="+strings.Repeat("k", 300)), false},
+		"empty array":   {"*0\r\n", false},
+		"null array":    {"*-1\r\n", false},
+		"60 MB":         {"*5\r\n$4\r\nQ.DO\r\n$60000000\r\n", true},
+		"bad units":     {encodeRead(1, "c=read,t=p,d=9,units=NaN,spread=1,first=0"), false},
+		"no value":      {encodeRead(1, "c=read,t=p,d"), false},
+		"twice":         {encodeRead(1, readFields+",d=7"), false},
+		"unknown class": {encodeRead(1, "c=odd,t=p,d=9,units=1,spread=1,first=0"), false},
+		"unknown plan":  {encodeRead(1, "c=read,t=odd,d=9,units=1,spread=1,first=0"), false},
+		"wrong command": {encodeRead(1, "c=write,t=p,d=9,units=1,spread=1,first=0"), false},
+		"no key": {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+			"c=keyed,t=p,d=9,units=1,spread=1,first=0"), false},
 		"not an array":     {"PING\r\n", true},
 		"negative bulk":    {"*1\r\n$-5\r\n", true},
 		"null bulk":        {"*1\r\n$-1\r\n", false},
@@ -242,7 +126,17 @@
 		"many elements":    {"*1000000\r\n", true},
 		"oversized":        {encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write", long), true},
 		"endless line":     {"*" + strings.Repeat("1", 4000), true},
-	} {
+	}
+}
+
+// Bad input gets one error line and reaches no backend. The connection goes on
+// if the framing holds.
+func TestBadInput(t *testing.T) {
+	t.Parallel()
+	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
+	list := fleetOf(backend.Addr)
+	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
+	for name, c := range badInputs() {
 		t.Run(name, func(t *testing.T) {
 			nc, in := dial(t, addr)
 			go io.WriteString(nc, c.in)
@@ -266,8 +160,8 @@
 	}
 }
 
-// What happened to an attempt decides what an unsafe request's client is told: harmless to try again only
-// where the command never ran.
+// What happened to an attempt decides the answer to an unsafe request: it may
+// be retried only if the command never ran.
 func TestUnsafeOutcomes(t *testing.T) {
 	t.Parallel()
 	dead, err := net.Listen("tcp", "127.93.81.7:0") // an address where nobody else takes the port that is free again
@@ -301,7 +195,8 @@
 			list := fleetOf(backend.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 			nc, in := dial(t, addr)
-			io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "c=write,t=p,d=50000,units=1,spread=1,first=0"))
+			io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
+				"c=write,t=p,d=50000,units=1,spread=1,first=0"))
 			if got := readLine(t, in); !strings.HasPrefix(got, c.want) {
 				t.Fatalf("answer %q, want %s", got, c.want)
 			}
@@ -312,7 +207,8 @@
 	}
 }
 
-// Answers leave in the order of the commands, whatever comes first from the backends.
+// Answers leave in the order of the commands, whatever the order of the
+// backends' answers.
 func TestPipelinedAnswersInOrder(t *testing.T) {
 	second := make(chan struct{})
 	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
@@ -334,7 +230,8 @@
 	}
 }
 
-// A shutdown answers what was taken, and what still comes on an open connection, before the connection ends.
+// A shutdown answers the commands that were taken, and those that still come on
+// an open connection, before the connection ends.
 func TestShutdownAnswersTakenCommands(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
@@ -362,8 +259,8 @@
 	}
 }
 
-// After a move the list is asked for at the new address at once, the watch goes on there, and no client or backend
-// notices.
+// After a change of discovery's address the list is polled there at once, the
+// watch goes on there, and no client or backend notices.
 func TestSetDiscoveryAddress(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -377,10 +274,8 @@
 	requireValue(t, in)
 }
 
-var quiet = slog.New(slog.DiscardHandler)
-
-// Each command gets its own answer or none: what stands behind an answer, or is of no known form, ends its connection.
-// Once a second copy was served to the next request.
+// Each command gets its own answer or none: bytes behind an answer, or of no
+// known form, end the backend's connection.
 func TestOneAnswerForEachCommand(t *testing.T) {
 	value := func(args []string) string {
 		return "*3\r\n$16\r\n" + args[2] + "\r\n$-1\r\n$4\r\nqps=\r\n"
@@ -417,8 +312,9 @@
 	}
 }
 
-// A machine that has vanished answers nothing and resets nothing. Once an attempt shows that, its other idle
-// connections are not trusted with further requests: a new one tells within the connect time-out.
+// A machine that has vanished answers nothing and resets nothing. Once an
+// attempt shows that, its other idle connections are not used for further
+// requests: a new one shows within the connect timeout whether it is there.
 func TestIdleConnectionsOfSilentBackendAreDropped(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
@@ -453,7 +349,8 @@
 	}
 }
 
-// With all descriptors for clients in use, an idle connection makes room for a new one.
+// With all descriptors for clients in use, an idle connection is closed for a
+// new one.
 func TestIdleClientIsEvicted(t *testing.T) {
 	backend := scripted.NewBackend(t, nil)
 	list := fleetOf(backend.Addr)
@@ -469,7 +366,8 @@
 	}
 }
 
-// Beyond the open requests that the settings allow, or the memory for them, a request is turned away unseen.
+// Beyond the open requests that the settings allow, or the memory for them, a
+// request is rejected unseen.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "" })
 	list := fleetOf(backend.Addr)
@@ -488,15 +386,15 @@
 	}
 }
 
-// A client that leaves ends its request: the attempt is given up, and nothing is kept of it.
+// A client that disconnects ends its request: the attempt is canceled.
 func TestClientDisconnectEndsRequest(t *testing.T) {
-	gone := make(chan struct{})
+	canceled := make(chan struct{})
 	backend := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 		go func() {
-			nc.Read(make([]byte, 1)) // ends when the ingress gives the attempt up
-			close(gone)
+			_, _ = nc.Read(make([]byte, 1)) // ends when the attempt is canceled
+			close(canceled)
 		}()
-		<-gone
+		<-canceled
 		return ""
 	})
 	list := fleetOf(backend.Addr)
@@ -507,11 +405,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	nc.Close()
-	<-gone
+	<-canceled
 }
 
-// Clients that say nothing, or half a command, are closed within 3 s, those that ask once and stay a little after 2 s;
-// while hundreds of them sit there, usual clients still get in.
+// Clients that send nothing, or a partial command, are closed within 3 s, those
+// that send one request and stay after 2 s. While hundreds of them are
+// connected, other clients still get in.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
@@ -550,7 +449,8 @@
 	}
 }
 
-// Nonsense over and over is answered ever more slowly, and ends the connection.
+// Repeated protocol errors are answered ever more slowly, and end the
+// connection.
 func TestRepeatedProtocolErrors(t *testing.T) {
 	t.Parallel()
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, fleetOf(), nil), fleetOf()))
@@ -562,7 +462,8 @@
 	}
 }
 
-// A request's id is taken until its time is up, also once it has been answered: whoever copies it is not served.
+// A request's id is in use until its deadline, also once it has been answered:
+// a copy of it is not served.
 func TestDuplicateRequestID(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
--- a/internal/ingress/large_values_test.go
+++ b/internal/ingress/large_values_test.go
@@ -19,7 +19,7 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// pattern is a value that shows when a piece is missing, doubled or of another request.
+// pattern is a value in which a missing, doubled or foreign piece shows.
 func pattern(seed, size int) []byte {
 	b := make([]byte, size)
 	r := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -32,7 +32,7 @@
 	return b
 }
 
-// idOf is the number that ask has put into a command.
+// requestID is the number that encodeRead has put into a command.
 func requestID(args []string) int {
 	n, _ := strconv.ParseInt(args[2], 16, 32)
 	return int(n)
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// readValue reads one answer, piece by piece, with pauses where the test wants them.
+// readValue reads one answer of a value.
 func readValue(in *bufio.Reader) ([]byte, error) {
 	head, err := in.ReadString('\n')
 	if err != nil {
@@ -59,8 +59,8 @@
 	return b[:n], nil
 }
 
-// Values of all sizes come whole and in their order on one connection, cut anywhere on the way, also with a stop of 2 s in the
-// middle.
+// Values of all sizes arrive complete and in order on one connection, cut
+// anywhere on the way, also with a stop of 2 s in the middle.
 func TestLargeValuesInPieces(t *testing.T) {
 	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLarge, 3}
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
@@ -99,7 +99,8 @@
 	}
 }
 
-// A value that breaks off is visibly cut, a length beyond the bound is no value, and a client that goes ends the attempt.
+// A value that breaks off is visibly cut, a length beyond the bound is no
+// value, and a client that disconnects ends the attempt.
 func TestTruncatedLargeValue(t *testing.T) {
 	ended := make(chan struct{}, 9)
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
@@ -140,20 +141,27 @@
 		}
 	}
 	io.WriteString(nc, encodeRead(4, readFields))
-	io.ReadFull(in, make([]byte, 1<<20))
+	if _, err := io.ReadFull(in, make([]byte, 1<<20)); err != nil {
+		t.Error(err)
+	}
 	nc.Close()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
 		t.Fatal("the attempt goes on though its client has left")
 	}
-	eventually(t, 5*time.Second, "nothing is open", func() bool { return metricValue(t, instance, "current") == 0 })
-	if a, e := metricValue(t, instance, "transactions.read.answered"), metricValue(t, instance, "transactions.read.errored"); a != 0 || e == 0 {
-		t.Errorf("answered %d, errored %d: no value was whole", a, e)
+	eventually(t, 5*time.Second, "nothing is open", func() bool {
+		return metricValue(t, instance, "current") == 0
+	})
+	answered := metricValue(t, instance, "transactions.read.answered")
+	errored := metricValue(t, instance, "transactions.read.errored")
+	if answered != 0 || errored == 0 {
+		t.Errorf("answered %d, errored %d: no value was complete", answered, errored)
 	}
 }
 
-// Many slow readers of large values cost little memory each, and nobody else waits for them.
+// Many slow readers of large values cost little memory each, and no other
+// client waits for them.
 func TestSlowReadersOfLargeValues(t *testing.T) {
 	const readers, size, other = 200, resp.MaxLarge, 1000
 	value := []byte(encodeValue(pattern(0, size))) // one for all: a string is copied for each write
@@ -164,8 +172,9 @@
 		go nc.Write(value)
 		return ""
 	})
-	// A node has 48 connections, and the module counts a value that is on its way as done: it may send a 49th reader there, who is
-	// refused after 5 s and asks again.
+	// A backend has 48 connections, and the engine counts a value that is on its way
+	// as done: it may send a 49th reader there, which is rejected after 5 s and
+	// retries.
 	list := fleetOf(slices.Repeat([]string{backend.Addr}, 24)...)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets, cfg.Memory = 1024, 32<<20
@@ -184,38 +193,17 @@
 		nc, in := dial(t, addr)
 		begun.Add(1)
 		wg.Go(func() {
-			nc.(*net.TCPConn).SetReadBuffer(4 << 10)
-			head := ""
-			for try := range 4 {
-				io.WriteString(nc, encodeRead(id+try<<16, readFields))
-				if head, _ = in.ReadString('\n'); !strings.HasPrefix(head, "-BUSY") {
-					break
-				}
-			}
-			begun.Done()
-			if !strings.HasPrefix(head, "$") {
-				t.Errorf("a slow reader got %q in the place of a value", head)
-				return
-			}
-			one := make([]byte, 64)
-			for {
-				select {
-				case <-stop:
-					return
-				case <-time.After(60 * time.Millisecond):
-					if _, err := io.ReadFull(in, one); err != nil {
-						t.Errorf("a slow reader was cut off: %v", err)
-						return
-					}
-				}
+			if err := nc.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+				t.Error(err)
 			}
+			readSlowly(t, nc, in, id, &begun, stop)
 		})
 	}
 	begun.Wait()
 	time.Sleep(time.Second)
 	used := heap() - before
 	t.Logf("%d values of %d bytes on their way: %d KiB a reader", readers, size, used/readers>>10)
-	if used > 20<<20 { // clients and nodes of the test among them; the rest of 32 MB is for the program itself
+	if used > 20<<20 { // the test's clients and backends among them; the rest of 32 MB is for the program itself
 		t.Errorf("%d values of %d bytes hold %d bytes", readers, size, used)
 	}
 	nc, in := dial(t, addr)
@@ -229,8 +217,44 @@
 	wg.Wait()
 }
 
-// A body of up to 4 MiB goes on as it came; one for which there is no memory now is refused with when to come back, and the
-// connection goes on; a longer one is an error that says so.
+// readSlowly requests a large value and reads it slowly until stop closes. It
+// retries up to three times if it is rejected, and then calls begun.Done.
+func readSlowly(
+	t *testing.T,
+	nc net.Conn,
+	in *bufio.Reader,
+	id int,
+	begun *sync.WaitGroup,
+	stop <-chan struct{},
+) {
+	head := ""
+	for attempt := range 4 {
+		io.WriteString(nc, encodeRead(id+attempt<<16, readFields))
+		if head, _ = in.ReadString('\n'); !strings.HasPrefix(head, "-BUSY") {
+			break
+		}
+	}
+	begun.Done()
+	if !strings.HasPrefix(head, "$") {
+		t.Errorf("a slow reader got %q in the place of a value", head)
+		return
+	}
+	piece := make([]byte, 64)
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(60 * time.Millisecond):
+			if _, err := io.ReadFull(in, piece); err != nil {
+				t.Errorf("a slow reader was cut off: %v", err)
+				return
+			}
+		}
+	}
+}
+
+// A body of up to 4 MiB is forwarded as it came. One for which there is no
+// memory now is rejected and the connection goes on; a longer one is an error.
 func TestLargeBodies(t *testing.T) {
 	got := make(chan []string, 4)
 	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
@@ -242,7 +266,8 @@
 	cfg.Memory = 32 << 20 // 4 MiB for commands that come in
 	addr, _ := startInstance(t, cfg)
 	write := func(id, size int) string {
-		return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id), "c=write,t=p,d=50000,units=1,spread=1,first=0", string(pattern(id, size)))
+		return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id),
+			"c=write,t=p,d=50000,units=1,spread=1,first=0", string(pattern(id, size)))
 	}
 	nc, in := dial(t, addr)
 	text := write(1, 1<<20)
@@ -266,7 +291,8 @@
 	}
 }
 
-// A client may take two seconds for a head, and longer for a body that comes on.
+// A client may take two seconds for the fields of a command, and longer for a
+// body that makes progress.
 func TestSlowCommand(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	list := fleetOf(backend.Addr)
@@ -277,7 +303,8 @@
 		pause time.Duration
 	}{
 		"head": {encodeRead(1, readFields), 12, 200 * time.Millisecond},
-		"body": {encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 2), "c=write,t=p,d=50000,units=1,spread=1,first=0",
+		"body": {encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 2),
+			"c=write,t=p,d=50000,units=1,spread=1,first=0",
 			strings.Repeat("x", 60000)), 2000, 110 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/ingress/partial_test.go
+++ b/internal/ingress/partial_test.go
@@ -12,14 +12,16 @@
 // bytePause lies between two bytes of a command that comes in pieces.
 const bytePause = time.Millisecond
 
-// Commands that come byte by byte are served like others, in their order and once each.
+// Commands that come byte by byte are served like others, in order and once
+// each.
 func TestCommandsInSingleBytes(t *testing.T) {
 	t.Parallel()
-	node := newObservedBackend(t, nil)
-	list := fleetOf(node.addr)
+	backend := newObservedBackend(t, nil)
+	list := fleetOf(backend.addr)
 	addr, _ := startIngress(t, testConfig(registryOf(t, list), list))
 	nc, in := dial(t, addr)
-	text := encodeRead(1, readFields) + encodeCommand("PING") + encodeRead(2, readFields) + encodeCommand("HELLO") + encodeRead(3, readFields)
+	text := encodeRead(1, readFields) + encodeCommand("PING") + encodeRead(2, readFields) +
+		encodeCommand("HELLO") + encodeRead(3, readFields)
 	for i := range len(text) {
 		if _, err := io.WriteString(nc, text[i:i+1]); err != nil {
 			t.Fatal(err)
@@ -31,13 +33,14 @@
 			t.Fatalf("answer %q, want %q", got, want)
 		}
 	}
-	if n, _ := node.commands(); n != 3 {
-		t.Errorf("%d commands were sent on, want 3", n)
+	if n, _ := backend.commands(); n != 3 {
+		t.Errorf("%d commands were forwarded, want 3", n)
 	}
 }
 
-// A connection that ends within a command, wherever, ends with nothing sent on, no answer to what was no command, and no place kept. What was
-// answered before stays answered.
+// A connection that ends within a command, at whatever byte, ends with nothing
+// forwarded, no answer to the partial command, and its slot free. Earlier
+// commands are answered.
 func TestConnectionEndsWithinCommand(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*net.TCPConn) error{
@@ -52,34 +55,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			node := newObservedBackend(t, nil)
-			list := fleetOf(node.addr)
+			backend := newObservedBackend(t, nil)
+			list := fleetOf(backend.addr)
 			addr, instance := startInstance(t, testConfig(registryOf(t, list), list))
 			text := encodeRead(1<<20, readFields)
 			for cut := 1; cut < len(text); cut++ {
-				nc, in := dial(t, addr)
-				before := cut%5 == 0 // of some, a whole command comes first
-				if before {
-					io.WriteString(nc, encodeRead(cut, readFields))
-					requireValue(t, in)
-				}
-				io.WriteString(nc, text[:cut])
-				if cut%3 == 0 { // of some, what is there is read before the end comes
-					time.Sleep(bytePause)
-				}
-				if err := end(nc.(*net.TCPConn)); err != nil {
-					t.Fatal(err)
-				}
-				if name != "half closed" {
-					continue
-				}
-				if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
-					t.Fatalf("after %d of %d bytes and the end: %q, %v", cut, len(text), rest, err)
-				}
+				endWithinCommand(t, addr, text, cut, name == "half closed", end)
 			}
-			eventually(t, 5*time.Second, "no connection is kept", func() bool { return instance.front.Load().OpenConnections() == 0 })
-			if n, _ := node.commands(); n != (len(text)-1)/5 {
-				t.Errorf("%d commands were sent on, want the %d whole ones", n, (len(text)-1)/5)
+			eventually(t, 5*time.Second, "no connection is kept", func() bool {
+				return instance.front.Load().OpenConnections() == 0
+			})
+			if n, _ := backend.commands(); n != (len(text)-1)/5 {
+				t.Errorf("%d commands were forwarded, want the %d complete ones", n, (len(text)-1)/5)
 			}
 			if n := instance.core.Metrics().Current(); n != 0 {
 				t.Errorf("%d requests are open", n)
@@ -88,8 +75,36 @@
 	}
 }
 
-// A half command at SIGTERM is owed its end: the rest is waited for. It is served while the ingress serves, then refused; one whose rest
-// doesn't come ends with its connection, and never keeps the process beyond its time.
+// endWithinCommand sends the first bytes of a command and ends the connection. On
+// every fifth connection a complete command comes first; on every third the bytes
+// are read before the end comes. A half-closed connection must end without an
+// answer.
+func endWithinCommand(t *testing.T, addr, text string, cut int, halfClosed bool, end func(*net.TCPConn) error) {
+	t.Helper()
+	nc, in := dial(t, addr)
+	if cut%5 == 0 {
+		io.WriteString(nc, encodeRead(cut, readFields))
+		requireValue(t, in)
+	}
+	io.WriteString(nc, text[:cut])
+	if cut%3 == 0 {
+		time.Sleep(bytePause)
+	}
+	if err := end(nc.(*net.TCPConn)); err != nil {
+		t.Fatal(err)
+	}
+	if !halfClosed {
+		return
+	}
+	if rest, err := io.ReadAll(in); len(rest) > 0 || err != nil {
+		t.Fatalf("after %d of %d bytes and the end: %q, %v", cut, len(text), rest, err)
+	}
+}
+
+// The rest of a command that is partial at SIGTERM is waited for. The command
+// is served while the ingress serves, then rejected. If the rest doesn't come,
+// the command ends with its connection, and never keeps the process beyond its
+// time.
 func TestPartialCommandAtShutdown(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -102,8 +117,8 @@
 		{"the rest too late", commandGrace + 300*time.Millisecond, "-BUSY "},
 		{"no rest", 0, ""},
 	}
-	node := newObservedBackend(t, nil)
-	list := fleetOf(node.addr)
+	backend := newObservedBackend(t, nil)
+	list := fleetOf(backend.addr)
 	addr, stop := startIngress(t, testConfig(registryOf(t, list), list))
 	type client struct {
 		nc  net.Conn
@@ -141,62 +156,67 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if took, most := time.Since(began), maxRequestGrace+commandGrace; took > most {
-		t.Errorf("ended %v after SIGTERM, want %v at the most", took, most)
+	if took, limit := time.Since(began), maxRequestGrace+commandGrace; took > limit {
+		t.Errorf("ended %v after SIGTERM, want %v at the most", took, limit)
 	}
-	if n, _ := node.commands(); n != 2 {
-		t.Errorf("%d commands were sent on, want those of two", n)
+	if n, _ := backend.commands(); n != 2 {
+		t.Errorf("%d commands were forwarded, want those of two", n)
 	}
 }
 
-// A backend that answers a part and falls silent, wherever, is waited for 0.2 s. The request has one end: the answer of another backend where
-// it may be repeated, else a failure; the connection with the part is closed, so that the rest is taken for nothing else.
+// A backend that answers a part and falls silent, at whatever byte, is waited
+// for 0.2 s. The request has one end: the answer of another backend if it may
+// be retried, else a failure. The connection with the part is closed, so that
+// the rest is not taken for another answer.
 func TestBackendFallsSilentWithinAnswer(t *testing.T) {
 	t.Parallel()
-	const most = 2 * time.Second // the backend's 0.2 s, and room for a machine that is busy; the request has 50 s
-	for _, class := range []struct {
-		name, command, want string
-		attempts            int
-	}{
-		{"safe", encodeRead(1, readFields), "$5", 2},
-		{"unsafe", encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 1), strings.Replace(readFields, "c=read", "c=write", 1)), "-ERR", 2},
+	const attempts = 2
+	unsafeFields := strings.Replace(readFields, "c=read", "c=write", 1)
+	for _, class := range []struct{ name, command, want string }{
+		{"safe", encodeRead(1, readFields), "$5"},
+		{"unsafe", encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", 1), unsafeFields), "-ERR"},
 	} {
 		t.Run(class.name, func(t *testing.T) {
 			t.Parallel()
 			for cut := 1; cut < len(servedReply); cut++ {
 				t.Run(fmt.Sprintf("after %d of %d bytes", cut, len(servedReply)), func(t *testing.T) {
 					t.Parallel()
-					node := newObservedBackend(t, func(n int) string {
-						if n == 1 {
-							return servedReply[:cut]
-						}
-						return servedReply
-					})
-					list := fleetOf(node.addr)
-					cfg := testConfig(registryOf(t, list), list)
-					cfg.Settings.MaxAttempts = class.attempts
-					addr, _ := startIngress(t, cfg)
-					nc, in := dial(t, addr)
-					began := time.Now()
-					io.WriteString(nc, class.command+encodeCommand("PING"))
-					got := readLine(t, in)
-					if !strings.HasPrefix(got, class.want) {
-						t.Fatalf("answer %q, want %s", got, class.want)
-					}
-					if strings.HasPrefix(got, "$") {
-						readLine(t, in)
-					}
-					if took := time.Since(began); took > most {
-						t.Errorf("answered after %v", took)
-					}
-					if got := readLine(t, in); got != "+PONG" {
-						t.Fatalf("behind the answer %q", got)
-					}
-					if open := node.connections(); open > 1 {
-						t.Errorf("%d connections are open, the one with the part among them", open)
-					}
+					testSilenceWithinAnswer(t, class.command, class.want, cut, attempts)
 				})
 			}
 		})
 	}
 }
+
+func testSilenceWithinAnswer(t *testing.T, command, want string, cut, attempts int) {
+	const maxAnswerTime = 2 * time.Second // 0.2 s for the backend, and some for a busy machine; the request has 50 s
+	backend := newObservedBackend(t, func(n int) string {
+		if n == 1 {
+			return servedReply[:cut]
+		}
+		return servedReply
+	})
+	list := fleetOf(backend.addr)
+	cfg := testConfig(registryOf(t, list), list)
+	cfg.Settings.MaxAttempts = attempts
+	addr, _ := startIngress(t, cfg)
+	nc, in := dial(t, addr)
+	began := time.Now()
+	io.WriteString(nc, command+encodeCommand("PING"))
+	got := readLine(t, in)
+	if !strings.HasPrefix(got, want) {
+		t.Fatalf("got answer %q, want %s", got, want)
+	}
+	if strings.HasPrefix(got, "$") {
+		readLine(t, in)
+	}
+	if took := time.Since(began); took > maxAnswerTime {
+		t.Errorf("answered after %v, want %v at most", took, maxAnswerTime)
+	}
+	if got := readLine(t, in); got != "+PONG" {
+		t.Fatalf("got %q behind the answer, want +PONG", got)
+	}
+	if open := backend.connections(); open > 1 {
+		t.Errorf("%d connections are open, the one with the part among them", open)
+	}
+}
--- a/internal/ingress/quota_test.go
+++ b/internal/ingress/quota_test.go
@@ -13,7 +13,8 @@
 	"hitchspring/policy"
 )
 
-// A real ingress states how its quotas stand; a span that is none is one line that names it.
+// An instance answers how its quotas stand. A duration that is none is an error
+// of one line that names it.
 func TestQuotaBounds(t *testing.T) {
 	list := fleetOf(scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply }).Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
@@ -37,11 +38,14 @@
 	if err := json.Unmarshal([]byte(text), &all); code != 200 || err != nil || len(all) != 1 {
 		t.Fatal(code, err, text)
 	}
-	if s := all[0]; s.Tenant != "00000000b4d65521" || s.Mode != overrun.NeverHeard || s.MaxSpend < 50 || s.MaxSpend > 62 { // a block of 9, one spent, and 50 in 10 s
-		t.Errorf("%+v", s)
+	bound := all[0]
+	if bound.Tenant != "00000000b4d65521" || bound.Mode != overrun.NeverHeard ||
+		bound.MaxSpend < 50 || bound.MaxSpend > 62 { // a block of 9, one spent, and 50 in 10 s
+		t.Errorf("%+v", bound)
 	}
 	for _, bad := range []string{"11h", "x", "-1s"} {
-		if code, text := get("?for=" + bad); code != 400 || !strings.Contains(text, bad) || strings.Count(text, "\n") != 1 {
+		code, text := get("?for=" + bad)
+		if code != 400 || !strings.Contains(text, bad) || strings.Count(text, "\n") != 1 {
 			t.Errorf("%s: %d %q", bad, code, text)
 		}
 	}
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -15,17 +15,26 @@
 )
 
 const (
-	stopsWithin             = 2 * time.Second        // of the moment in which discovery could be reached and had the change: nothing new is sent then
-	stopsWithinAtMove       = 3 * time.Second        // the same for many instances that move to one discovery: they begin there within 2 s of one another
-	stopsWithinAtReturn     = 5 * time.Second        // and where the watches of many end: they come back within 4 s
-	stopsWithinAfterFailure = 6 * time.Second        // the same for many instances that ask, where a call failed before
-	observationTime         = 500 * time.Millisecond // that is looked on after that
-	loadClients             = 6
-	loadPause               = 3 * time.Millisecond
-	agentRevives            = 700 * time.Millisecond
+	// Commands to a backend stop this soon after discovery can be reached and has
+	// the change.
+	stopsWithin = 2 * time.Second
+	// The same for many instances that move to one discovery: they begin there
+	// within 2 s of one another.
+	stopsWithinAtMove = 3 * time.Second
+	// The same if the watches of many end: they come back within 4 s.
+	stopsWithinAtReturn = 5 * time.Second
+	// The same for many instances that poll, after a call that failed.
+	stopsWithinAfterFailure = 6 * time.Second
+	// A backend is observed for this long after that.
+	observationTime = 500 * time.Millisecond
+
+	loadClients  = 6
+	loadPause    = 3 * time.Millisecond
+	agentRevives = 700 * time.Millisecond
 )
 
-// agent is a stand-in of discovery whose calls a test answers one by one: list is for a whole list, watch for the nth watch, from 1.
+// discoveryAgent is a stand-in of discovery whose calls a test answers one by
+// one: list is for a poll, watch for the nth watch, from 1.
 type discoveryAgent struct {
 	addr    string
 	mu      sync.Mutex
@@ -34,7 +43,11 @@
 	watch   func(n int, w http.ResponseWriter, r *http.Request)
 }
 
-func newDiscoveryAgent(t testing.TB, list func(http.ResponseWriter, *http.Request), watch func(int, http.ResponseWriter, *http.Request)) *discoveryAgent {
+func newDiscoveryAgent(
+	t testing.TB,
+	list func(http.ResponseWriter, *http.Request),
+	watch func(int, http.ResponseWriter, *http.Request),
+) *discoveryAgent {
 	t.Helper()
 	a := &discoveryAgent{list: list, watch: watch}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +69,8 @@
 	return a
 }
 
-// registryOf is an agent of one list whose watch stays open, and begins with the list where the caller holds another revision.
+// registryOf is an agent of one list whose watch stays open, and begins with
+// the list if the caller holds another revision.
 func registryOf(t testing.TB, list discovery.List) (addr string) {
 	t.Helper()
 	return newDiscoveryAgent(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
@@ -67,7 +81,7 @@
 	}).addr
 }
 
-// tell answers a call with a list.
+// serveList answers a call with a list.
 func serveList(list discovery.List) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(list)
@@ -75,7 +89,7 @@
 	}
 }
 
-// stay keeps a watch open, with an empty line now and then.
+// keepWatchOpen keeps a watch open, with an empty line now and then.
 func keepWatchOpen(w http.ResponseWriter, r *http.Request) {
 	w.(http.Flusher).Flush()
 	for {
@@ -89,7 +103,8 @@
 	}
 }
 
-// with is a list with another revision and another state of its first node; "" leaves that out.
+// withFirstBackend returns a list with another revision and another state of
+// its first backend, or without it if state is empty.
 func withFirstBackend(list discovery.List, rev int64, state string) discovery.List {
 	out := discovery.List{Rev: rev, Complete: true}
 	for n, target := range list.Targets {
@@ -103,7 +118,8 @@
 	return out
 }
 
-// load asks without a pause, from several clients, until the test ends; each request is to be served.
+// startLoad sends requests without a pause, from several clients, until the
+// test ends. Each is to be served.
 func startLoad(t *testing.T, addr string) {
 	t.Helper()
 	stop := make(chan struct{})
@@ -135,9 +151,11 @@
 	})
 }
 
-// SIGHUP moves discovery while a backend drains, and lists come in the worst ways that the platform allows. From 2 s after the change could be
-// told nothing new reaches the backend that drains or is left out, though it still answers; its idle connections are closed; all clients are
-// served by the others, and those that wait at it too.
+// SIGHUP moves discovery while a backend drains, and lists come in the worst
+// ways that the platform allows. From 2 s after the change could be known,
+// nothing new reaches the backend that drains or is unlisted, though it still
+// answers; its idle connections are closed; all clients are served by the
+// others, queued ones too.
 func TestReloadWhileBackendDrains(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -146,42 +164,11 @@
 		reached time.Duration // after the move, when the new address answers first
 		failed  bool          // a call failed or was silent: many instances pace their next ones
 	}{
-		"a whole list says that it drains": {state: "DRAINING", to: listed},
-		"a whole list leaves it out":       {to: listed},
-		"a whole list on the watch alone": {to: func(t *testing.T, list discovery.List, state string) string {
-			return newDiscoveryAgent(t, unavailable, func(_ int, w http.ResponseWriter, r *http.Request) {
-				serveList(withFirstBackend(list, 6, state))(w, r)
-				keepWatchOpen(w, r)
-			}).addr
-		}},
-		"the new watch ends, then a whole list": {failed: true, to: func(t *testing.T, list discovery.List, state string) string {
-			return newDiscoveryAgent(t, unavailable, func(n int, w http.ResponseWriter, r *http.Request) {
-				if n > 1 {
-					serveList(withFirstBackend(list, 6, state))(w, r)
-					keepWatchOpen(w, r)
-				}
-			}).addr
-		}},
-		"the new address takes calls and says nothing at first": {reached: agentRevives, failed: true, to: func(t *testing.T, list discovery.List, state string) string {
-			began := time.Now()
-			hang := func(r *http.Request) bool { // a call of before the revival is never answered
-				if time.Since(began) < agentRevives {
-					<-r.Context().Done()
-					return true
-				}
-				return false
-			}
-			return newDiscoveryAgent(t, func(w http.ResponseWriter, r *http.Request) {
-				if !hang(r) {
-					serveList(withFirstBackend(list, 6, state))(w, r)
-				}
-			}, func(_ int, w http.ResponseWriter, r *http.Request) {
-				if !hang(r) {
-					serveList(withFirstBackend(list, 6, state))(w, r)
-					keepWatchOpen(w, r)
-				}
-			}).addr
-		}},
+		"complete list with the drain":            {state: "DRAINING", to: listed},
+		"complete list without the backend":       {to: listed},
+		"complete list on the watch alone":        {to: listedOnWatch},
+		"complete list after the new watch ended": {failed: true, to: listedAfterEndedWatch},
+		"complete list after a silence":           {failed: true, to: listedAfterSilence, reached: agentRevives},
 	} {
 		for _, many := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, many %v", name, many), func(t *testing.T) {
@@ -208,7 +195,52 @@
 	}
 }
 
-// reloadConfig is of an ingress alone, or of one of 24 that ask one discovery.
+// listedOnWatch is an agent that has the change on its watch, and answers no poll.
+func listedOnWatch(t *testing.T, list discovery.List, state string) string {
+	t.Helper()
+	return newDiscoveryAgent(t, unavailable, func(_ int, w http.ResponseWriter, r *http.Request) {
+		serveList(withFirstBackend(list, 6, state))(w, r)
+		keepWatchOpen(w, r)
+	}).addr
+}
+
+// listedAfterEndedWatch is one whose first watch ends without the change.
+func listedAfterEndedWatch(t *testing.T, list discovery.List, state string) string {
+	t.Helper()
+	return newDiscoveryAgent(t, unavailable, func(n int, w http.ResponseWriter, r *http.Request) {
+		if n > 1 {
+			serveList(withFirstBackend(list, 6, state))(w, r)
+			keepWatchOpen(w, r)
+		}
+	}).addr
+}
+
+// listedAfterSilence is one that accepts calls, and answers those that come from
+// agentRevives on.
+func listedAfterSilence(t *testing.T, list discovery.List, state string) string {
+	t.Helper()
+	began := time.Now()
+	hang := func(r *http.Request) bool {
+		if time.Since(began) < agentRevives {
+			<-r.Context().Done()
+			return true
+		}
+		return false
+	}
+	return newDiscoveryAgent(t, func(w http.ResponseWriter, r *http.Request) {
+		if !hang(r) {
+			serveList(withFirstBackend(list, 6, state))(w, r)
+		}
+	}, func(_ int, w http.ResponseWriter, r *http.Request) {
+		if !hang(r) {
+			serveList(withFirstBackend(list, 6, state))(w, r)
+			keepWatchOpen(w, r)
+		}
+	}).addr
+}
+
+// reloadConfig is of an ingress alone, or of one of 24 instances that poll one
+// discovery.
 func reloadConfig(discoveryAddr string, known discovery.List, many bool) Config {
 	cfg := testConfig(discoveryAddr, known)
 	cfg.Settings.MaxAttempts, cfg.Settings.MayProbe = 3, true
@@ -218,7 +250,8 @@
 	return cfg
 }
 
-// A watch that ends is followed by a whole list that leaves a backend out, or by one that has it drain: it counts as told by that.
+// A watch that ends is followed by a complete list without a backend, or in
+// which it drains. The change counts as known from then on.
 func TestCompleteListAfterEndedWatch(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ last, state string }{
@@ -265,30 +298,33 @@
 	}
 }
 
-// A drain that was told holds over a move to an agent that is behind: an older list, whole, revives nobody.
+// A drain that is known holds over a move to an agent that is behind: an older
+// list, although complete, revives no backend.
 func TestReloadToOlderListRevivesNoBackend(t *testing.T) {
 	t.Parallel()
 	drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
 	list := fleetOf(drains.addr, stays.addr)
 	list.Rev = 5
-	from := newDiscoveryAgent(t, serveList(withFirstBackend(list, 6, "DRAINING")), func(_ int, w http.ResponseWriter, r *http.Request) { keepWatchOpen(w, r) })
+	from := newDiscoveryAgent(t, serveList(withFirstBackend(list, 6, "DRAINING")),
+		func(_ int, w http.ResponseWriter, r *http.Request) { keepWatchOpen(w, r) })
 	addr, instance := startInstance(t, reloadConfig(from.addr, list, false))
-	told := time.Now()
+	knownAt := time.Now()
 	startLoad(t, addr)
 	time.Sleep(observationTime)
 	instance.SetAddresses(registryOf(t, list), "") // revision 5, in which it serves
-	nothingMoreAt(t, drains, told, stopsWithin)
+	nothingMoreAt(t, drains, knownAt, stopsWithin)
 }
 
-// What runs at a backend that a whole list leaves out ends there, and reaches its client; then the connections to it are closed. One that is
-// listed again later is used again.
+// Attempts at a backend that a complete list leaves out complete there, and
+// their answers reach the clients; then the connections to it are closed. If it
+// is listed again later, it is used again.
 func TestUnlistedBackendCompletesItsWork(t *testing.T) {
 	t.Parallel()
-	const held, firstHeld = 3, 1 << 30 // requests that it works on; nobody else may do that again
+	const running, firstID = 3, 1 << 30 // requests that it works on; they are unsafe
 	unsafe := strings.Replace(readFields, "c=read", "c=write", 1)
 	release := make(chan struct{})
 	leaves := newObservedBackend(t, func(n int) string {
-		if n <= held {
+		if n <= running {
 			<-release
 		}
 		return servedReply
@@ -309,12 +345,12 @@
 	})
 	addr, instance := startInstance(t, reloadConfig(a.addr, list, false))
 	waiting, in := dial(t, addr)
-	for id := range held {
-		io.WriteString(waiting, encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", firstHeld+id), unsafe))
+	for id := range running {
+		io.WriteString(waiting, encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", firstID+id), unsafe))
 	}
 	eventually(t, 5*time.Second, "it works on them", func() bool {
 		n, _ := leaves.commands()
-		return n == held
+		return n == running
 	})
 	both := fleetOf(leaves.addr, stays.addr)
 	changes <- withFirstBackend(both, 2, "")
@@ -326,10 +362,12 @@
 		t.Errorf("%d commands came after the list", n-before)
 	}
 	close(release)
-	for range held {
+	for range running {
 		requireValue(t, in)
 	}
-	eventually(t, 2*time.Second, "its connections are closed", func() bool { return leaves.connections() == 0 })
+	eventually(t, 2*time.Second, "its connections are closed", func() bool {
+		return leaves.connections() == 0
+	})
 	if n := instance.core.Metrics().Current(); n > loadClients {
 		t.Errorf("%d requests are open", n)
 	}
@@ -340,7 +378,7 @@
 	})
 }
 
-// listed is an agent that has the change and tells it on each call.
+// listed is an agent that has the change and answers each call with it.
 func listed(t *testing.T, list discovery.List, state string) (addr string) {
 	return registryOf(t, withFirstBackend(list, 6, state))
 }
@@ -359,8 +397,9 @@
 	})
 }
 
-// nothingMoreAt waits until a change counts as told and a while on, and reports what still came at a backend after it, and connections that are
-// open there still.
+// nothingMoreAt waits until a change counts as known and then for
+// observationTime, and reports commands that a backend got after that, and
+// connections to it that are still open.
 func nothingMoreAt(t *testing.T, n *observedBackend, reachable time.Time, within time.Duration) {
 	t.Helper()
 	time.Sleep(time.Until(reachable.Add(within + observationTime)))
@@ -368,9 +407,9 @@
 	if last.IsZero() {
 		last = reachable
 	}
-	t.Logf("the last command came %v after the change could be told", last.Sub(reachable).Round(time.Millisecond))
+	t.Logf("the last command came %v after the change could be known", last.Sub(reachable).Round(time.Millisecond))
 	if late := last.Sub(reachable); late > within {
-		t.Errorf("a command came %v after the change could be told, want %v at the most", late, within)
+		t.Errorf("a command came %v after the change could be known, want %v at the most", late, within)
 	}
 	if open := n.connections(); open > 0 {
 		t.Errorf("%d connections to it are open still", open)
