--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -138,7 +138,7 @@
 	for id := range 20 { // the block is spent, and the counter is used
 		io.WriteString(nc, encodeRead(id, readFields))
 	}
-	eventually(t, 5*time.Second, "the event loop is held", func() bool { return len(stall.stalled) == 1 })
+	eventually(t, 5*time.Second, "the event loop is stalled", func() bool { return len(stall.stalled) == 1 })
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		requireAdminCall(t, instance, "GET", "/v1/readyz", 200)
 		requireAdminCall(t, instance, "GET", "/v1/metrics", 200)
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -59,7 +59,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.late) > 0 {
-		t.Errorf("%d attempts began for clients that had gone, the first for %s", len(d.late), d.late[0])
+		t.Errorf("%d attempts began for disconnected clients, the first for %s", len(d.late), d.late[0])
 	}
 }
 
@@ -125,7 +125,7 @@
 			})
 			left.check(t)
 			if left.count(99) != 1 {
-				t.Errorf("the client that stayed was sent on %d times", left.count(99))
+				t.Errorf("the client that stayed was forwarded %d times", left.count(99))
 			}
 		})
 	}
--- a/internal/ingress/partial_test.go
+++ b/internal/ingress/partial_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if n, _ := backend.commands(); n != 3 {
-		t.Errorf("%d commands were sent on, want 3", n)
+		t.Errorf("%d commands were forwarded, want 3", n)
 	}
 }
 
@@ -66,7 +66,7 @@
 				return instance.front.Load().OpenConnections() == 0
 			})
 			if n, _ := backend.commands(); n != (len(text)-1)/5 {
-				t.Errorf("%d commands were sent on, want the %d whole ones", n, (len(text)-1)/5)
+				t.Errorf("%d commands were forwarded, want the %d complete ones", n, (len(text)-1)/5)
 			}
 			if n := instance.core.Metrics().Current(); n != 0 {
 				t.Errorf("%d requests are open", n)
@@ -160,7 +160,7 @@
 		t.Errorf("ended %v after SIGTERM, want %v at the most", took, limit)
 	}
 	if n, _ := backend.commands(); n != 2 {
-		t.Errorf("%d commands were sent on, want those of two", n)
+		t.Errorf("%d commands were forwarded, want those of two", n)
 	}
 }
 
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -407,9 +407,9 @@
 	if last.IsZero() {
 		last = reachable
 	}
-	t.Logf("the last command came %v after the change could be told", last.Sub(reachable).Round(time.Millisecond))
+	t.Logf("the last command came %v after the change could be known", last.Sub(reachable).Round(time.Millisecond))
 	if late := last.Sub(reachable); late > within {
-		t.Errorf("a command came %v after the change could be told, want %v at the most", late, within)
+		t.Errorf("a command came %v after the change could be known, want %v at the most", late, within)
 	}
 	if open := n.connections(); open > 0 {
 		t.Errorf("%d connections to it are open still", open)
