--- a/internal/store/ledger/ledger.go
+++ b/internal/store/ledger/ledger.go
@@ -7,7 +7,7 @@
 // sum only if its sequence number is higher than the one that it holds. So a write that is repeated, overtaken or
 // late changes nothing, a write that was lost is made good by the next one, and a store that has lost what it had
 // confirmed shows that by the sequence number that it still holds. An add that was rejected is taken out of the
-// sum, and the next write makes that true wherever a copy of the rejected one may have gone.
+// sum, and the next write makes that true wherever a copy of the rejected one may arrive.
 //
 // Sums are integers of a millionth of a unit, exact up to 2^53 of them: nine thousand million units.
 package ledger
@@ -21,7 +21,7 @@
 // reportGrace is the time in which the other instances find a store that has changed and write their sums again.
 const reportGrace = 3 * time.Second
 
-// expiryMarginDivisor gives the part of a name's life by which the ledger ends it before the store does.
+// expiryMarginDivisor gives the part of a name's time to live by which the ledger forgets it before the store does.
 const expiryMarginDivisor = 20
 
 // MicrosPerUnit is how many of the ledger's integers make a unit.
@@ -42,15 +42,15 @@
 	FirstSeq uint64        // Seq of the name's first write: it tells a name from an earlier one of the same text
 	Seq      uint64        // sequence number, higher than that of every earlier write of the ledger
 	Sum      int64         // of this instance, in millionths of a unit
-	TTL      time.Duration // what is left of the name's life, for a store that does not know the name
+	TTL      time.Duration // time to live that is left, for a store that does not know the name
 }
 
 // Reply is what a store replies to a write. Sums are in millionths of a unit.
 type Reply struct {
-	PreviousSeq uint64        // the highest sequence number that it held from this instance before; 0: none
-	Own         int64         // the sum that it now holds from this instance
+	PreviousSeq uint64        // the highest sequence number that it had from this instance before; 0: none
+	Own         int64         // the sum that it now has from this instance
 	Total       int64         // the sum over all instances, with Own
-	TTL         time.Duration // what is left of the name's life; 0: not told
+	TTL         time.Duration // time to live that is left of the name; 0: not known
 }
 
 // Confirmation is what follows from the reply to a write.
@@ -66,8 +66,8 @@
 	sum          int64 // of this instance
 	expiresAt    time.Duration
 	confirmedSeq uint64 // highest sequence number that the store has confirmed; 0: none
-	confirmedSum int64  // what it then held of this instance
-	others       int64  // what it then held of the other instances
+	confirmedSum int64  // what it then had of this instance
+	others       int64  // what it then had of the other instances
 	unconfirmed  bool   // the store may not hold confirmedSum any more
 	queued       bool   // in Ledger.pending
 
@@ -78,12 +78,12 @@
 	floorUntil  time.Duration // when it ends at the latest; 0: with the name, as the store has surely lost data
 }
 
-// Ledger holds the sums of all names that live. It is not safe for concurrent use.
+// Ledger holds the sums of all names that have not expired. It is not safe for concurrent use.
 type Ledger struct {
 	maxNames int
 	seq      uint64 // of the last write
 	accounts map[string]*account
-	pending  []string // names whose sum the store may not hold, oldest first; some may be gone
+	pending  []string // names whose sum the store may not hold, oldest first; some may be forgotten
 }
 
 // New returns an empty ledger for up to maxNames names.
@@ -98,7 +98,7 @@
 	return int64(rounded), math.Abs(rounded) <= float64(MaxSum) // false for a NaN too
 }
 
-// Add adds an amount of units to a name that lives for ttl from its first add on, and returns what is to be written. It
+// Add adds an amount of units to a name that expires ttl after its first add, and returns what is to be written. It
 // returns ErrAmountRange or ErrTooManyNames, and changes nothing then.
 func (l *Ledger) Add(now time.Duration, name string, units float64, ttl time.Duration) (Write, error) {
 	micros, ok := ToMicros(units)
@@ -147,7 +147,7 @@
 		result.Total = float64(others+write.Sum) / MicrosPerUnit
 		return result
 	}
-	if reply.PreviousSeq < a.confirmedSeq { // it held a later write once: it is another store, or was rolled back
+	if reply.PreviousSeq < a.confirmedSeq { // it had a later write once: it is another store, or was rolled back
 		result.Lost = true
 		a.keepFloor(0)
 	}
@@ -183,7 +183,7 @@
 }
 
 // Reject takes out of its name an amount of units that the store has rejected. If anything of the write was sent,
-// the sum is written again, so that the rejection becomes true wherever a copy has gone.
+// the sum is written again, so that the rejection becomes true wherever a copy arrives.
 func (l *Ledger) Reject(write Write, units float64, sent bool) {
 	a := l.accountOf(write)
 	if a == nil {
@@ -261,7 +261,7 @@
 	return writes
 }
 
-// Expire forgets the names whose life is over.
+// Expire forgets the names that have expired.
 func (l *Ledger) Expire(now time.Duration) {
 	for name, a := range l.accounts {
 		if now >= a.expiresAt {
--- a/internal/store/redis/redis.go
+++ b/internal/store/redis/redis.go
@@ -30,7 +30,7 @@
 	maxShards             = 64
 )
 
-// Options say where Redis is and how names are kept there. All instances that share a store need the same Prefix and
+// Options say where Redis is and how names are stored there. All instances that share a store need the same Prefix and
 // Shards.
 type Options struct {
 	Address   string   // host:port of the primary, of a proxy before it, or of any server of a cluster
@@ -115,7 +115,7 @@
 	wg.Wait()
 }
 
-// SetAddress changes to Redis at another address; all sums that live are written there again.
+// SetAddress changes to Redis at another address; all sums are written there again.
 func (c *Counter) SetAddress(addr string) {
 	for _, s := range c.shards {
 		s.addressChanges.Set(addr)
--- a/internal/store/redis/script.go
+++ b/internal/store/redis/script.go
@@ -11,13 +11,13 @@
 	"hitchspring/internal/store/ledger"
 )
 
-// addScript takes an instance's sum for a name if its sequence number is higher than the one held. It returns the
-// sequence number that came, the total of all instances, the sequence number held before, the sum held now, and
-// what is left of the name's life if the instance was new to it. All that it writes goes in one HSET, so that no
-// half of it can be lost.
+// addScript takes an instance's sum for a name if its sequence number is higher than the one stored. It returns the
+// sequence number that came, the total of all instances, the sequence number stored before, the sum stored now, and
+// what is left of the name's time to live if the instance was new to it. All that it writes goes in one HSET, so
+// that no half of it can be lost.
 //
 //	KEYS[1]  the name's hash: t is the total, each other field an instance's "number:sum"
-//	ARGV     field, sequence number, sum, life of a new name in ms
+//	ARGV     field, sequence number, sum, time to live of a new name in ms
 const addScript = `local v=redis.call('HMGET',KEYS[1],'t',ARGV[1])
 local t,had,mine,left=0,0,0,0
 if v[1] then t=tonumber(v[1]) end
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -54,7 +54,7 @@
 type Call struct {
 	Name      string        // 1 to 64 bytes, no spaces
 	Amount    float64       // units; negative gives back
-	TTL       time.Duration // the life of a new name, from its first add on
+	TTL       time.Duration // time to live of a new name, from its first add on
 	StartedAt time.Duration // on the caller's clock, for the caller's own use
 	state     atomic.Int32
 	answered  bool // the caller's
--- a/internal/store/tally/protocol.go
+++ b/internal/store/tally/protocol.go
@@ -47,7 +47,7 @@
 	return unreadable
 }
 
-// appendCall appends the line of a call: name, amount, and the life of a new name in milliseconds.
+// appendCall appends the line of a call: name, amount, and the time to live of a new name in milliseconds.
 func appendCall(b []byte, call *store.Call) []byte {
 	b = append(append(b, "tally "...), call.Name...)
 	b = strconv.AppendFloat(append(b, ' '), call.Amount, 'f', -1, 64)
