--- a/internal/store/redis/failover_test.go
+++ b/internal/store/redis/failover_test.go
@@ -90,9 +90,9 @@
 }
 
 // addKnowing adds to the name a; the total must not show less than is known to be spent.
-func addKnowing(t *testing.T, i *storetest.Instance, amount, spent float64) store.Result {
+func addKnowing(t *testing.T, instance *storetest.Instance, amount, spent float64) store.Result {
 	t.Helper()
-	result := i.AddAndWait(t, "a", amount)
+	result := instance.AddAndWait(t, "a", amount)
 	if result.Seen && result.Total < spent-1e-9 {
 		t.Fatalf("total %v, %v are known to be spent", result.Total, spent)
 	}
@@ -193,7 +193,7 @@
 	servers := cluster.Shards()
 	opt := options(servers[0].Addr())
 	opt.Shards = shards
-	i := start(t, opt)
+	instance := start(t, opt)
 	held := func() (sum float64) {
 		for field := range shards * names {
 			key := fmt.Sprintf("%s:{%d}:n%d", prefix, field/names, field%names)
@@ -207,10 +207,10 @@
 	want := 0.0
 	add := func() {
 		for j := range names {
-			i.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: 1, TTL: time.Minute})
+			instance.Add(&store.Call{Name: fmt.Sprint("n", j), Amount: 1, TTL: time.Minute})
 		}
 		for range names {
-			if i.NextAnswer(t).Result.Certainty != store.NotAdded {
+			if instance.NextAnswer(t).Result.Certainty != store.NotAdded {
 				want++
 			}
 		}
--- a/internal/store/redis/faults_test.go
+++ b/internal/store/redis/faults_test.go
@@ -41,34 +41,34 @@
 			s := startServer(t, standin.Options{})
 			opt := options(s.Addr())
 			opt.Timeout = 50 * time.Millisecond
-			i := start(t, opt)
-			i.AddAndWait(t, "a", 10)
+			instance := start(t, opt)
+			instance.AddAndWait(t, "a", 10)
 			s.Fault(c.rule)
 			call := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
-			i.Add(call)
-			got := i.NextAnswer(t) // sent again on a new connection, it is found
+			instance.Add(call)
+			got := instance.NextAnswer(t) // sent again on a new connection, it is found
 			if got.Call != call || got.Result != (store.Result{Certainty: store.Added, Seen: true, Total: 11}) {
 				t.Fatalf("%+v", got.Result)
 			}
-			if got := stats(i).AlreadyApplied == 1; got != c.alreadyApplied {
+			if got := stats(instance).AlreadyApplied == 1; got != c.alreadyApplied {
 				t.Errorf("found to be applied: got %v, want %v", got, c.alreadyApplied)
 			}
-			requireTotal(t, i, 5, 16)
+			requireTotal(t, instance, 5, 16)
 			if c.rule.Kind == fault.Late { // behind a newer sum, which it must not undo
 				awaitLateAdd(t, s)
 			}
 			if got := total(t, s, "a"); got != 16 {
 				t.Fatalf("the server holds %v, want 16", got)
 			}
-			requireTotal(t, i, 0, 16)
+			requireTotal(t, instance, 0, 16)
 		})
 	}
 }
 
 // requireTotal adds to the name a and compares the total.
-func requireTotal(t *testing.T, i *storetest.Instance, amount, want float64) {
+func requireTotal(t *testing.T, instance *storetest.Instance, amount, want float64) {
 	t.Helper()
-	if got := i.AddAndWait(t, "a", amount); got.Total != want {
+	if got := instance.AddAndWait(t, "a", amount); got.Total != want {
 		t.Fatalf("got %+v, want total %v", got, want)
 	}
 }
@@ -81,11 +81,11 @@
 }
 
 // delayNext makes the server delay the next add, and sends it, so that further calls are pending behind it.
-func delayNext(s *standin.Server, i *storetest.Instance, name string) {
+func delayNext(s *standin.Server, instance *storetest.Instance, name string) {
 	delay := once(fault.Delay)
 	delay.By = 100 * time.Millisecond
 	s.Fault(delay)
-	i.Add(&store.Call{Name: name, TTL: time.Minute})
+	instance.Add(&store.Call{Name: name, TTL: time.Minute})
 }
 
 // The same if nobody waits for the answer any more: the unit is in the total in the end, once, without another add.
@@ -94,20 +94,20 @@
 		s := startServer(t, standin.Options{})
 		opt := options(s.Addr())
 		opt.Timeout = 50 * time.Millisecond
-		i := start(t, opt)
-		i.AddAndWait(t, "a", 10)
-		delayNext(s, i, "a")
+		instance := start(t, opt)
+		instance.AddAndWait(t, "a", 10)
+		delayNext(s, instance, "a")
 		rule := once(kind)
 		rule.Text = outOfMemory
 		s.Fault(rule)
 		call := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
-		i.Add(call)
+		instance.Add(call)
 		storetest.Eventually(t, "the call to be claimed", func() bool { return !call.IsQueued() })
 		if !call.Lapse() {
 			t.Fatal("the store has rejected it already")
 		}
 		storetest.Eventually(t, string(kind)+": the unit in the total", func() bool { return total(t, s, "a") == 11 })
-		if r := i.AddAndSkipEarlier(t, "a", 0); r.Total != 11 {
+		if r := instance.AddAndSkipEarlier(t, "a", 0); r.Total != 11 {
 			t.Fatalf("%s: total %v", kind, r.Total)
 		}
 	}
@@ -130,39 +130,39 @@
 		}
 		return sum
 	}
-	run := func(t *testing.T, s *standin.Server, i *storetest.Instance) map[store.Certainty]int {
+	run := func(t *testing.T, s *standin.Server, instance *storetest.Instance) map[store.Certainty]int {
 		t.Helper()
-		i.AddAndWait(t, "z", 0)
-		delayNext(s, i, "z")
+		instance.AddAndWait(t, "z", 0)
+		delayNext(s, instance, "z")
 		rule := once(fault.DropAfter)
 		rule.After = applied - 1
 		s.Fault(rule)
 		for j := range adds {
-			i.Add(&store.Call{Name: names[j%len(names)], Amount: 1, TTL: time.Minute})
+			instance.Add(&store.Call{Name: names[j%len(names)], Amount: 1, TTL: time.Minute})
 		}
-		if a := i.NextAnswer(t); a.Call.Name != "z" {
+		if a := instance.NextAnswer(t); a.Call.Name != "z" {
 			t.Fatal(a.Call.Name)
 		}
 		count := map[store.Certainty]int{}
 		for range adds {
-			count[i.NextAnswer(t).Result.Certainty]++
+			count[instance.NextAnswer(t).Result.Certainty]++
 		}
 		return count
 	}
 	t.Run("back", func(t *testing.T) {
 		s := startServer(t, standin.Options{})
-		i := start(t, options(s.Addr()))
-		count := run(t, s, i)
-		if held := held(s); count[store.Added] != adds || held != adds || stats(i).AlreadyApplied == 0 {
-			t.Fatalf("%v; the server holds %v, %d found to be applied", count, held, stats(i).AlreadyApplied)
+		instance := start(t, options(s.Addr()))
+		count := run(t, s, instance)
+		if held := held(s); count[store.Added] != adds || held != adds || stats(instance).AlreadyApplied == 0 {
+			t.Fatalf("%v; the server holds %v, %d found to be applied", count, held, stats(instance).AlreadyApplied)
 		}
 	})
 	t.Run("not back", func(t *testing.T) {
 		s := startServer(t, standin.Options{})
-		i := start(t, options(s.Addr()))
-		i.AddAndWait(t, "z", 0) // connects
+		instance := start(t, options(s.Addr()))
+		instance.AddAndWait(t, "z", 0) // connects
 		s.NextConnections(func(net.Conn) bool { return false })
-		count := run(t, s, i)
+		count := run(t, s, instance)
 		added, maybe := count[store.Added], count[store.Maybe]
 		if added > applied || added+maybe+count[store.NotAdded] != adds || maybe == 0 {
 			t.Fatalf("%v", count)
@@ -188,27 +188,27 @@
 			s := startServer(t, standin.Options{})
 			opt := options(s.Addr())
 			opt.Timeout = 50 * time.Millisecond
-			i := start(t, opt)
-			i.AddAndWait(t, "a", 0)
+			instance := start(t, opt)
+			instance.AddAndWait(t, "a", 0)
 			hold := once(fault.Delay)
 			hold.By = 100 * time.Millisecond
 			s.Fault(hold)
 			s.Fault(rule)
 			for range 11 {
-				i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
+				instance.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 			}
 			for j := range 11 {
-				if a := i.NextAnswer(t); a.Result.Certainty != store.Added || a.Result.Total < float64(j+1) {
+				if a := instance.NextAnswer(t); a.Result.Certainty != store.Added || a.Result.Total < float64(j+1) {
 					t.Fatalf("answer %d: %+v", j, a.Result)
 				}
 			}
-			if r := i.AddAndWait(t, "a", 0); r.Total != 11 || total(t, s, "a") != 11 {
+			if r := instance.AddAndWait(t, "a", 0); r.Total != 11 || total(t, s, "a") != 11 {
 				t.Fatalf("total %v, the server holds %v", r.Total, total(t, s, "a"))
 			}
-			if st := stats(i); st.Connects < 2 {
+			if st := stats(instance); st.Connects < 2 {
 				t.Errorf("%+v: the connection was kept", st)
 			}
-			i.NoAnswer(t)
+			instance.NoAnswer(t)
 		})
 	}
 }
@@ -218,33 +218,33 @@
 	s := startServer(t, standin.Options{})
 	opt := options(s.Addr())
 	opt.Timeout = 50 * time.Millisecond
-	i := start(t, opt)
-	i.AddAndWait(t, "a", 0)
+	instance := start(t, opt)
+	instance.AddAndWait(t, "a", 0)
 	hold := once(fault.Delay)
 	hold.By = 100 * time.Millisecond
 	s.Fault(hold)
 	rule := once(fault.Repeat)
 	s.Full(true)
-	i.Add(&store.Call{Name: "z", TTL: time.Minute})
+	instance.Add(&store.Call{Name: "z", TTL: time.Minute})
 	s.Fault(rule)
 	for range 5 {
-		i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
+		instance.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 	}
 	storetest.Eventually(t, "the repeated error", func() bool { return adds(s) >= 3 })
 	s.Full(false)
 	want := 0.0
 	for range 6 {
-		if a := i.NextAnswer(t); a.Result.Certainty != store.NotAdded {
+		if a := instance.NextAnswer(t); a.Result.Certainty != store.NotAdded {
 			want += a.Call.Amount
 		}
 	}
 	storetest.Eventually(t, "just what was not rejected", func() bool {
-		return total(t, s, "a") == want && !hasPending(i)
+		return total(t, s, "a") == want && !hasPending(instance)
 	})
 }
 
-func hasPending(i *storetest.Instance) bool {
-	for _, l := range i.Counter.(*Counter).shards {
+func hasPending(instance *storetest.Instance) bool {
+	for _, l := range instance.Counter.(*Counter).shards {
 		if l.hasPending() {
 			return true
 		}
@@ -326,15 +326,15 @@
 func randomAdds(t *testing.T, rng *rand.Rand, want map[string]float64, instances ...*storetest.Instance) {
 	t.Helper()
 	const each = 10
-	for _, i := range instances {
+	for _, instance := range instances {
 		for range each {
 			name := fmt.Sprint("n", rng.IntN(3))
-			i.Add(&store.Call{Name: name, Amount: float64(rng.IntN(500)-100) / 100, TTL: time.Minute})
+			instance.Add(&store.Call{Name: name, Amount: float64(rng.IntN(500)-100) / 100, TTL: time.Minute})
 		}
 	}
-	for _, i := range instances {
+	for _, instance := range instances {
 		for range each {
-			if a := i.NextAnswer(t); a.Result.Certainty != store.NotAdded {
+			if a := instance.NextAnswer(t); a.Result.Certainty != store.NotAdded {
 				want[a.Call.Name] += a.Call.Amount
 			}
 		}
--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -45,7 +45,7 @@
 
 func start(t testing.TB, opt Options) *storetest.Instance { return storetest.Start(t, maker(t, opt)) }
 
-func stats(i *storetest.Instance) Stats { return i.Counter.(*Counter).Stats() }
+func stats(instance *storetest.Instance) Stats { return instance.Counter.(*Counter).Stats() }
 
 // units reads a sum that the server holds, in units; "" is 0.
 func units(t testing.TB, sum string) float64 {
@@ -113,21 +113,21 @@
 	password := "wrong-one"
 	opt.Password = func() (string, error) { return password, nil }
 	opt.TLS = func() (*tls.Config, error) { return &tls.Config{RootCAs: pool}, nil }
-	i := storetest.Start(t, func(sink store.Sink) store.Counter {
+	instance := storetest.Start(t, func(sink store.Sink) store.Counter {
 		c, err := New(opt, logTo(&log), sink)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	})
-	if r := i.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
+	if r := instance.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
 		t.Fatalf("with a wrong password: %+v", r)
 	}
 	password = "s3cret"
 	storetest.Eventually(
 		t,
 		"the right password",
-		func() bool { return i.AddAndWait(t, "a", 1).Certainty == store.Added },
+		func() bool { return instance.AddAndWait(t, "a", 1).Certainty == store.Added },
 	)
 	if text := log.String(); !strings.Contains(text, "WRONGPASS") || strings.Contains(text, "s3cret") ||
 		strings.Contains(text, "wrong-one") {
@@ -144,8 +144,8 @@
 	}})
 	opt := options(s.Addr())
 	opt.TLS = func() (*tls.Config, error) { return &tls.Config{RootCAs: other}, nil }
-	i := start(t, opt)
-	if r := i.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded || adds(s) != 0 {
+	instance := start(t, opt)
+	if r := instance.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded || adds(s) != 0 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -235,22 +235,22 @@
 	var text strings.Builder
 	opt := options(s.Addr())
 	opt.Timeout = 50 * time.Millisecond
-	i := storetest.Start(t, func(sink store.Sink) store.Counter {
+	instance := storetest.Start(t, func(sink store.Sink) store.Counter {
 		c, err := New(opt, logTo(&text), sink)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	})
-	i.AddAndWait(t, "a", 1)
+	instance.AddAndWait(t, "a", 1)
 	s.Stop()
 	for range 20 {
-		i.AddAndWait(t, "a", 1)
+		instance.AddAndWait(t, "a", 1)
 		time.Sleep(5 * time.Millisecond)
 	}
 	listen(t, s)
 	storetest.Eventually(t, "the end of the outage", func() bool {
-		return i.AddAndWait(t, "a", 1).Certainty == store.Added
+		return instance.AddAndWait(t, "a", 1).Certainty == store.Added
 	})
 	for _, message := range []string{
 		"store connected",
--- a/internal/store/storetest/suite.go
+++ b/internal/store/storetest/suite.go
@@ -32,16 +32,16 @@
 }
 
 func checkTotals(t *testing.T, s Server) {
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	want := 0.0
 	for _, amount := range []float64{1, 2.5, -0.75, 0, 1e-6, 123456.5, -3} {
 		want += amount
-		got := i.AddAndWait(t, "a", amount)
+		got := instance.AddAndWait(t, "a", amount)
 		if got.Certainty != store.Added || !got.Seen || !ApproxEqual(got.Total, want) {
 			t.Fatalf("after %v: got %+v, want %v", amount, got, want)
 		}
 	}
-	if got := i.AddAndWait(t, "b", 1); !ApproxEqual(got.Total, 1) {
+	if got := instance.AddAndWait(t, "b", 1); !ApproxEqual(got.Total, 1) {
 		t.Fatalf("another name: got %+v, want 1", got)
 	}
 	if got := s.Total("a"); !ApproxEqual(got, want) {
@@ -61,30 +61,30 @@
 }
 
 func checkOrder(t *testing.T, s Server) {
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	calls := make([]*store.Call, 300)
 	for n := range calls {
 		calls[n] = &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
-		i.Add(calls[n])
+		instance.Add(calls[n])
 	}
 	for n, call := range calls {
-		if got := i.NextAnswer(t); got.Call != call || !ApproxEqual(got.Result.Total, float64(n+1)) {
+		if got := instance.NextAnswer(t); got.Call != call || !ApproxEqual(got.Result.Total, float64(n+1)) {
 			t.Fatalf("answer %d: total %v", n, got.Result.Total)
 		}
 	}
 }
 
 func checkManyNames(t *testing.T, s Server) {
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	const names, each = 40, 10
 	for range each {
 		for n := range names {
-			i.Add(&store.Call{Name: fmt.Sprint("n", n), Amount: float64(n), TTL: time.Minute})
+			instance.Add(&store.Call{Name: fmt.Sprint("n", n), Amount: float64(n), TTL: time.Minute})
 		}
 	}
 	last := map[string]float64{}
 	for range names * each {
-		got := i.NextAnswer(t)
+		got := instance.NextAnswer(t)
 		if !got.Result.Seen {
 			t.Fatalf("%s: %+v", got.Call.Name, got.Result)
 		}
@@ -99,41 +99,43 @@
 
 func checkExpiry(t *testing.T, s Server) {
 	const ttl = 200 * time.Millisecond
-	i := Start(t, s.New)
-	i.Add(&store.Call{Name: "a", Amount: 5, TTL: ttl})
-	began := i.NextAnswer(t).At
+	instance := Start(t, s.New)
+	instance.Add(&store.Call{Name: "a", Amount: 5, TTL: ttl})
+	began := instance.NextAnswer(t).At
 	Eventually(t, "the name's expiry", func() bool { return s.Total("a") == 0 })
 	if lived := time.Since(began); lived < ttl/2 {
 		t.Fatalf("it lived %v of %v", lived, ttl)
 	}
-	if got := i.AddAndWait(t, "a", 2); !ApproxEqual(got.Total, 2) {
+	if got := instance.AddAndWait(t, "a", 2); !ApproxEqual(got.Total, 2) {
 		t.Fatalf("after its expiry: got %+v, want 2", got)
 	}
 }
 
 func checkWithdrawn(t *testing.T, s Server) {
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	call := &store.Call{Name: "a", Amount: 7, TTL: time.Minute}
 	if !call.Withdraw() {
 		t.Fatal("a call that was not added can't be withdrawn")
 	}
-	i.Add(call)
-	if got := i.AddAndWait(t, "a", 1); !ApproxEqual(got.Total, 1) {
+	instance.Add(call)
+	if got := instance.AddAndWait(t, "a", 1); !ApproxEqual(got.Total, 1) {
 		t.Fatalf("got %+v, want 1", got)
 	}
-	i.NoAnswer(t)
+	instance.NoAnswer(t)
 }
 
 func checkUnreachable(t *testing.T, s Server) {
 	s.Stop()
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	for range 3 {
-		if got := i.AddAndWait(t, "a", 1); got.Certainty != store.NotAdded {
+		if got := instance.AddAndWait(t, "a", 1); got.Certainty != store.NotAdded {
 			t.Fatalf("got %+v, want %v", got, store.NotAdded)
 		}
 	}
 	s.listen(t)
-	Eventually(t, "the stand-in's return", func() bool { return i.AddAndWait(t, "a", 1).Certainty == store.Added })
+	Eventually(t, "the stand-in's return", func() bool {
+		return instance.AddAndWait(t, "a", 1).Certainty == store.Added
+	})
 	if got := s.Total("a"); !ApproxEqual(got, 1) {
 		t.Fatalf("the stand-in holds %v, want the one that was added", got)
 	}
@@ -141,16 +143,16 @@
 
 func checkRestarts(t *testing.T, s Server) {
 	const adds = 50
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	minAdded, maxAdded := 0.0, 0.0
 	for range 3 {
 		for range adds {
-			i.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
+			instance.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 		}
 		s.Stop()
 		s.listen(t)
 		for range adds {
-			switch i.NextAnswer(t).Result.Certainty {
+			switch instance.NextAnswer(t).Result.Certainty {
 			case store.Added:
 				minAdded++
 				maxAdded++
@@ -159,7 +161,9 @@
 			case store.NotAdded:
 			}
 		}
-		Eventually(t, "the stand-in's return", func() bool { return i.AddAndWait(t, "b", 0).Certainty == store.Added })
+		Eventually(t, "the stand-in's return", func() bool {
+			return instance.AddAndWait(t, "b", 0).Certainty == store.Added
+		})
 	}
 	if got := s.Total("a"); got < minAdded-1e-6 || got > maxAdded+1e-6 {
 		t.Fatalf("the stand-in holds %v; %v were added and %v may have been", got, minAdded, maxAdded)
@@ -168,11 +172,11 @@
 
 func checkFullQueue(t *testing.T, s Server) {
 	s.Stop()
-	i := Start(t, s.New)
+	instance := Start(t, s.New)
 	calls := make([]*store.Call, 5000)
 	for n := range calls {
 		calls[n] = &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
-		i.Add(calls[n]) // must not block
+		instance.Add(calls[n]) // must not block
 	}
 	claimed := 0
 	for _, call := range calls {
@@ -181,18 +185,18 @@
 		}
 	}
 	for range claimed {
-		if got := i.NextAnswer(t); got.Result.Certainty != store.NotAdded {
+		if got := instance.NextAnswer(t); got.Result.Certainty != store.NotAdded {
 			t.Fatalf("got %+v, want %v", got.Result, store.NotAdded)
 		}
 	}
 }
 
 func checkAddressChange(t *testing.T, s, next Server) {
-	i := Start(t, s.New)
-	i.AddAndWait(t, "a", 1)
-	i.SetAddress(next.Addr)
+	instance := Start(t, s.New)
+	instance.AddAndWait(t, "a", 1)
+	instance.SetAddress(next.Addr)
 	Eventually(t, "the change of address", func() bool {
-		i.AddAndWait(t, "a", 1)
+		instance.AddAndWait(t, "a", 1)
 		return next.Total("a") > 0
 	})
 }
