--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -109,12 +109,12 @@
 	if w.links == nil {
 		return fmt.Errorf("there are no links in this run")
 	}
-	f, err := link.Parse(s.What)
+	f, err := link.Parse(s.Action)
 	if err != nil {
 		return err
 	}
 	from, to := w.ends(s.From), w.ends(s.To)
-	if err := w.links.Fault(from, to, f); err != nil || !s.Both {
+	if err := w.links.Fault(from, to, f); err != nil || !s.Bidirectional {
 		return err
 	}
 	return w.links.Fault(to, from, f)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -103,9 +103,9 @@
 	l := &load{w: w, open: make(chan struct{}, mostOpen)}
 	l.lastID.Store(w.cfg.Seed<<40 | 1)
 	id := uint64(1000)
-	hot := map[string][]scenario.Hot{}
+	hot := map[string][]scenario.HotTenants{}
 	for _, h := range w.day.Hot {
-		for range h.Channels {
+		for range h.Tenants {
 			hot[h.Plan] = append(hot[h.Plan], h)
 		}
 	}
@@ -125,7 +125,7 @@
 			}
 			if i < len(hot[p.name]) {
 				h := hot[p.name][i]
-				c.demand, c.spread, c.on, c.off = h.Times, n, time.Duration(h.On), time.Duration(h.Off)
+				c.demand, c.spread, c.on, c.off = h.QuotaFactor, n, time.Duration(h.On), time.Duration(h.Off)
 			}
 			inside += p.quota().Rate * min(1, c.mean())
 			l.channels = append(l.channels, c)
@@ -155,10 +155,10 @@
 		if p := ch.asks(due); p < 1 && rng.Float64() >= p { // thinned: the draw stays the same process
 			continue
 		}
-		if shift < 0 || l.w.day.Uneven && ch.on == 0 && due-shift > shiftEvery {
+		if shift < 0 || l.w.day.UnevenRouting && ch.on == 0 && due-shift > shiftEvery {
 			shift = due
 			for i := range weights {
-				if weights[i] = 1; l.w.day.Uneven && ch.on == 0 {
+				if weights[i] = 1; l.w.day.UnevenRouting && ch.on == 0 {
 					weights[i] = 0.1 + rng.Float64()*rng.Float64()
 				}
 			}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -21,11 +21,11 @@
 )
 
 //go:embed days/*.toml
-var files embed.FS
+var scenarioFiles embed.FS
 
 // Bounds of a day.
 const (
-	MaxTime      = 10 * time.Minute
+	MaxLength    = 10 * time.Minute
 	MaxBackends  = 60
 	MaxIngresses = 24
 	MaxLoad      = 2.0
@@ -52,10 +52,10 @@
 }
 
 // Hot is channels that ask for far more than their quota.
-type Hot struct {
-	Plan     string  `toml:"plan"`
-	Channels int     `toml:"channels"`
-	Times    float64 `toml:"times"` // their quota
+type HotTenants struct {
+	Plan        string  `toml:"plan"`
+	Tenants     int     `toml:"channels"`
+	QuotaFactor float64 `toml:"times"` // their quota
 	// Where On is set, they ask for so much only in bursts of that length, with Off between two: then for hardly anything,
 	// so that what may be used at once is there in full when the next begins.
 	On  Duration `toml:"on"`
@@ -77,7 +77,7 @@
 
 // Loss says which halls are lost, from when and until when, for the figures of a loss: what was served against what what was
 // left could have done.
-type Loss struct {
+type ZoneLoss struct {
 	Zones []string `toml:"halls"`
 	From  Duration `toml:"from"`
 	To    Duration `toml:"to"`
@@ -85,29 +85,29 @@
 
 // Day says what a run plays.
 type Scenario struct {
-	Name      string   `toml:"-"`
-	About     string   `toml:"about"`
-	Length    Duration `toml:"length"` // of the load
-	Backends  int      `toml:"nodes"`
-	Ingresses int      `toml:"ingresses"`
-	Store     string   `toml:"store"`
-	Load      float64  `toml:"load"`   // asked inside quotas, as a share of what the fleet can do
-	Uneven    bool     `toml:"uneven"` // channels come by ways that are uneven and move every 5 s
-	Unsafe    bool     `toml:"unsafe"` // a class more, which may not be repeated
-	Cut       int      `toml:"cut"`    // so many channels of storby have half the ceiling
-	WarmedBy  int      `toml:"warm_by"`
-	Hot       []Hot    `toml:"hot"`
-	Faults    []string `toml:"faults"` // TARGET:WHAT at TIME
-	Random    int      `toml:"random"` // faults drawn by the seed, on top
+	Name           string       `toml:"-"`
+	About          string       `toml:"about"`
+	Length         Duration     `toml:"length"` // of the load
+	Backends       int          `toml:"nodes"`
+	Ingresses      int          `toml:"ingresses"`
+	Store          string       `toml:"store"`
+	Load           float64      `toml:"load"`   // asked inside quotas, as a share of what the fleet can do
+	UnevenRouting  bool         `toml:"uneven"` // channels come by ways that are uneven and move every 5 s
+	UnsafeClass    bool         `toml:"unsafe"` // a class more, which may not be repeated
+	HalvedCeilings int          `toml:"cut"`    // so many channels of storby have half the ceiling
+	WarmedBy       int          `toml:"warm_by"`
+	Hot            []HotTenants `toml:"hot"`
+	Faults         []string     `toml:"faults"` // TARGET:WHAT at TIME
+	RandomFaults   int          `toml:"random"` // faults drawn by the seed, on top
 	// MostBeyond is the most that may be passed on beyond quotas, as a share of what is passed on inside. 0: any.
-	MaxBeyond float64  `toml:"most_beyond"`
-	Required  Required `toml:"must"`
-	Loss      *Loss    `toml:"loss"`
+	MaxBeyond float64   `toml:"most_beyond"`
+	Required  Required  `toml:"must"`
+	Loss      *ZoneLoss `toml:"loss"`
 }
 
 // Names lists the days that come with the program.
 func Names() []string {
-	entries, err := files.ReadDir("days")
+	entries, err := scenarioFiles.ReadDir("days")
 	if err != nil {
 		panic(err) // they are part of the program
 	}
@@ -121,7 +121,7 @@
 // Load returns a day by its name or from a file, checked.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
-		text, err := files.ReadFile(path.Join("days", name+".toml"))
+		text, err := scenarioFiles.ReadFile(path.Join("days", name+".toml"))
 		if err != nil {
 			return nil, err
 		}
@@ -143,8 +143,8 @@
 	if err := Decode("day "+name, text, d); err != nil {
 		return nil, err
 	}
-	d.Fill()
-	if err := d.Check(); err != nil {
+	d.SetDefaults()
+	if err := d.Validate(); err != nil {
 		return nil, err
 	}
 	return d, nil
@@ -169,7 +169,7 @@
 }
 
 // Fill gives what is not set its usual value.
-func (d *Scenario) Fill() {
+func (d *Scenario) SetDefaults() {
 	if d.Backends == 0 {
 		d.Backends = 12
 	}
@@ -188,13 +188,13 @@
 }
 
 // Check says what is wrong with the day, with the field and the value.
-func (d *Scenario) Check() error {
+func (d *Scenario) Validate() error {
 	bad := func(field string, format string, args ...any) error {
 		return fmt.Errorf("day %s: %s: %s", d.Name, field, fmt.Sprintf(format, args...))
 	}
 	switch {
-	case d.Length < 0 || time.Duration(d.Length) > MaxTime:
-		return bad("length", "%v is out of range, up to %v", time.Duration(d.Length), MaxTime)
+	case d.Length < 0 || time.Duration(d.Length) > MaxLength:
+		return bad("length", "%v is out of range, up to %v", time.Duration(d.Length), MaxLength)
 	case d.Backends < 3 || d.Backends > MaxBackends:
 		return bad("nodes", "%d is out of range, 3 to %d", d.Backends, MaxBackends)
 	case d.Ingresses < 1 || d.Ingresses > MaxIngresses:
@@ -203,10 +203,10 @@
 		return bad("load", "%v is out of range, above 0 and up to %v", d.Load, MaxLoad)
 	case !slices.Contains([]string{StoreTally, StoreRedis, StoreSentinel}, d.Store):
 		return bad("store", "%q is none, want %s, %s or %s", d.Store, StoreTally, StoreRedis, StoreSentinel)
-	case d.Cut < 0 || d.Cut > 7:
-		return bad("cut", "%d is out of range, 0 to 7", d.Cut)
-	case d.Random < 0 || d.Random > 100:
-		return bad("random", "%d is out of range, 0 to 100", d.Random)
+	case d.HalvedCeilings < 0 || d.HalvedCeilings > 7:
+		return bad("cut", "%d is out of range, 0 to 7", d.HalvedCeilings)
+	case d.RandomFaults < 0 || d.RandomFaults > 100:
+		return bad("random", "%d is out of range, 0 to 100", d.RandomFaults)
 	case d.WarmedBy < 0:
 		return bad("warm_by", "%d is below 0", d.WarmedBy)
 	case !(d.MaxBeyond >= 0):
@@ -223,8 +223,8 @@
 		}
 	}
 	for i, h := range d.Hot {
-		if !(h.Times >= 0 && h.Times <= 10) || h.Channels < 0 || h.Plan == "" {
-			return bad(fmt.Sprintf("hot[%d]", i), "plan %q, channels %d, times %v: want a plan, and up to 10 times", h.Plan, h.Channels, h.Times)
+		if !(h.QuotaFactor >= 0 && h.QuotaFactor <= 10) || h.Tenants < 0 || h.Plan == "" {
+			return bad(fmt.Sprintf("hot[%d]", i), "plan %q, channels %d, times %v: want a plan, and up to 10 times", h.Plan, h.Tenants, h.QuotaFactor)
 		}
 		if h.On < 0 || h.Off < 0 || (h.On == 0) != (h.Off == 0) {
 			return bad(fmt.Sprintf("hot[%d]", i), "on %v, off %v: want both or neither", time.Duration(h.On), time.Duration(h.Off))
@@ -236,12 +236,12 @@
 
 // Steps are the day's faults in their order, those drawn by the seed among them.
 func (d *Scenario) Steps(seed uint64) ([]Step, error) {
-	list := slices.Concat(d.Faults, d.draw(seed))
+	list := slices.Concat(d.Faults, d.drawFaults(seed))
 	var out []Step
 	for _, text := range list {
 		s, err := ParseStep(text)
 		if err == nil {
-			err = s.fits(d)
+			err = s.validateFor(d)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("day %s: fault %q: %w", d.Name, text, err)
@@ -253,7 +253,7 @@
 }
 
 // draw makes faults from the seed: all that the days know, at any time but the last tenth.
-func (d *Scenario) draw(seed uint64) (out []string) {
+func (d *Scenario) drawFaults(seed uint64) (out []string) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	within := time.Duration(float64(d.Length) * 0.85)
 	node := func() int { return rng.IntN(d.Backends) }
@@ -292,31 +292,31 @@
 		func() string { return fmt.Sprintf("store:stop %v", span(200*time.Millisecond, 2*time.Second)) },
 		func() string { return fmt.Sprintf("store:restart %v", span(100*time.Millisecond, time.Second)) },
 	}
-	for range d.Random {
+	for range d.RandomFaults {
 		out = append(out, fmt.Sprintf("%s at %v", kinds[rng.IntN(len(kinds))](), span(500*time.Millisecond, within)))
 	}
 	return out
 }
 
 // Unmet says what a run ought to have exercised and did not; empty: it proves what the day is for.
-func (m Required) Unmet(e rulecheck.Margins) (out []string) {
+func (r Required) Unmet(e rulecheck.Margins) (out []string) {
 	count := func(name string, got, want int) {
 		if got < want {
 			out = append(out, fmt.Sprintf("%s: %d, the day wants %d", name, got, want))
 		}
 	}
-	count("tries refused", e.Refused, m.Refused)
-	count("answers just before the client gave up", e.Tight, m.Tight)
-	count("repeats that were allowed", e.Repeats, m.Repeats)
-	count("attempts that may have run and were not repeated", e.Withheld, m.Withheld)
-	count("drains that outlasted their grace", e.Drains, m.Drains)
-	count("sends to cold nodes", e.SlowStartSends, m.SlowStartSends)
-	count("channels within a tenth of their ceiling", e.CeilingFor, m.CeilingFor)
-	if e.SlowStartPush < m.SlowStartPush {
-		out = append(out, fmt.Sprintf("the most that a cold node was pushed: %.2f of the edge, the day wants %.2f", e.SlowStartPush, m.SlowStartPush))
+	count("tries refused", e.Refused, r.Refused)
+	count("answers just before the client gave up", e.Tight, r.Tight)
+	count("repeats that were allowed", e.Repeats, r.Repeats)
+	count("attempts that may have run and were not repeated", e.Withheld, r.Withheld)
+	count("drains that outlasted their grace", e.Drains, r.Drains)
+	count("sends to cold nodes", e.SlowStartSends, r.SlowStartSends)
+	count("channels within a tenth of their ceiling", e.CeilingFor, r.CeilingFor)
+	if e.SlowStartPush < r.SlowStartPush {
+		out = append(out, fmt.Sprintf("the most that a cold node was pushed: %.2f of the edge, the day wants %.2f", e.SlowStartPush, r.SlowStartPush))
 	}
-	if m.Ceiling != nil && e.Ceiling < *m.Ceiling {
-		out = append(out, fmt.Sprintf("nearest to a ceiling: %+.0f%%, the day wants %+.0f%%", 100*e.Ceiling, 100**m.Ceiling))
+	if r.Ceiling != nil && e.Ceiling < *r.Ceiling {
+		out = append(out, fmt.Sprintf("nearest to a ceiling: %+.0f%%, the day wants %+.0f%%", 100*e.Ceiling, 100**r.Ceiling))
 	}
 	return out
 }
@@ -326,6 +326,6 @@
 	if !slices.Contains(Names(), name) {
 		return "", fmt.Errorf("day %q: there is none of this name (%s)", name, strings.Join(Names(), ", "))
 	}
-	text, err := files.ReadFile(path.Join("days", name+".toml"))
+	text, err := scenarioFiles.ReadFile(path.Join("days", name+".toml"))
 	return string(text), err
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -106,7 +106,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := ParseStep(text); err == nil && (s.At < 0 || s.N < 0 || verbs[s.Kind].words == nil || len(s.Args()) == 0) {
+		if s, err := ParseStep(text); err == nil && (s.At < 0 || s.Index < 0 || targets[s.Kind].words == nil || len(s.ActionWords()) == 0) {
 			t.Fatalf("%q: %+v", text, s)
 		}
 	})
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -47,26 +47,26 @@
 }
 
 func (w *Testbed) do(ctx context.Context, s scenario.Step) error {
-	verb := s.Args()[0]
+	verb := s.ActionWords()[0]
 	switch s.Kind {
 	case "store":
-		return w.store.Do(s.What)
+		return w.store.Do(s.Action)
 	case "ingress":
-		return w.doIngress(ctx, w.ingresses[s.N], s)
+		return w.doIngress(ctx, w.ingresses[s.Index], s)
 	case "discovery":
-		w.registry.Mute(s.N, true)
-		w.later(ctx, s.Span(1), func() { w.registry.Mute(s.N, false) })
+		w.registry.Mute(s.Index, true)
+		w.later(ctx, s.Duration(1), func() { w.registry.Mute(s.Index, false) })
 		return nil
 	case "lab":
-		return w.pause(s.Span(1))
+		return w.pause(s.Duration(1))
 	case "node":
-		return w.doNode(s.N, s)
+		return w.doNode(s.Index, s)
 	case "link":
 		return w.doLink(s)
 	}
 	var which []int // of a hall, or the fleet
 	for i, spec := range w.specs {
-		if s.Kind == "fleet" || spec.Zone == "hall-"+string(rune('a'+s.N)) {
+		if s.Kind == "fleet" || spec.Zone == "hall-"+string(rune('a'+s.Index)) {
 			which = append(which, i)
 		}
 	}
@@ -81,15 +81,15 @@
 		}
 		return nil
 	case verb == "drill":
-		return w.drill("hall-"+string(rune('a'+s.N)), s.Span(1))
+		return w.drill("hall-"+string(rune('a'+s.Index)), s.Duration(1))
 	case verb == "die" || verb == "trickle": // nobody tells discovery; cold when it is back
 		for _, i := range which {
 			w.stopNode(i)
 		}
 		for k, i := range which {
-			d := s.Span(1)
+			d := s.Duration(1)
 			if verb == "trickle" {
-				d += time.Duration(k) * s.Span(2)
+				d += time.Duration(k) * s.Duration(2)
 			}
 			w.backLater(ctx, d, i)
 		}
@@ -98,9 +98,9 @@
 		for _, i := range which {
 			n, _ := w.node(i)
 			for at := range w.day.Ingresses {
-				n.Cut(at, s.Span(1)+time.Second)
+				n.Cut(at, s.Duration(1)+time.Second)
 			}
-			w.backLater(ctx, s.Span(1), i)
+			w.backLater(ctx, s.Duration(1), i)
 		}
 		return nil
 	case verb == "out":
@@ -110,7 +110,7 @@
 			w.tell(t, "DELETED")
 		}
 		for _, i := range which {
-			w.backLater(ctx, s.Span(1), i)
+			w.backLater(ctx, s.Duration(1), i)
 		}
 		return nil
 	}
@@ -178,7 +178,7 @@
 }
 
 func (w *Testbed) doIngress(ctx context.Context, g *ingress, s scenario.Step) error {
-	switch s.Args()[0] {
+	switch s.ActionWords()[0] {
 	case "kill":
 		g.down()
 		g.Signal(syscall.SIGKILL)
@@ -186,22 +186,22 @@
 		g.down()
 		g.Signal(syscall.SIGTERM)
 	case "restart": // others go on meanwhile
-		w.wg.Go(func() { w.fault(g.restart(ctx, s.Span(1))) })
+		w.wg.Go(func() { w.fault(g.restart(ctx, s.Duration(1))) })
 	case "pause":
-		w.wg.Go(func() { w.fault(g.pause(ctx, s.Span(1))) })
+		w.wg.Go(func() { w.fault(g.pause(ctx, s.Duration(1))) })
 	}
 	return nil
 }
 
 func (w *Testbed) doNode(i int, s scenario.Step) error {
 	n, t := w.node(i)
-	switch words := s.Args(); words[0] {
+	switch words := s.ActionWords(); words[0] {
 	case "slow":
-		n.Slow(s.Factor(1), s.Span(2))
+		n.Slow(s.Factor(1), s.Duration(2))
 	case "pause":
-		n.Pause(s.Span(1))
+		n.Pause(s.Duration(1))
 	case "neighbour":
-		n.Neighbour(s.Factor(1), s.Span(2), s.Span(3), s.Span(4))
+		n.Neighbour(s.Factor(1), s.Duration(2), s.Duration(3), s.Duration(4))
 	case "reset":
 		n.Reset()
 	case "drain":
@@ -217,12 +217,12 @@
 		return w.restart(i)
 	case "cut":
 		if len(words) == 3 {
-			n.Cut(s.Number(1), s.Span(2))
+			n.Cut(s.Number(1), s.Duration(2))
 			return nil
 		}
-		return ruleAt(n, s.What)
+		return ruleAt(n, s.Action)
 	default:
-		return ruleAt(n, s.What)
+		return ruleAt(n, s.Action)
 	}
 	return nil
 }
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -76,7 +76,7 @@
 
 func newWorld(cfg Config, d *scenario.Scenario) *Testbed {
 	return &Testbed{
-		cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
+		cfg: cfg, day: d, classes: classes(d.UnsafeClass), plans: plans(d.HalvedCeilings), began: time.Now(), lastHost: 1,
 		net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256)), rng: rand.New(rand.NewPCG(cfg.Seed, 5)),
 		byName: map[string]*backend.Backend{}, targets: map[string]discovery.Target{},
 	}
