--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -93,7 +93,7 @@
 		return nil, fmt.Errorf("http: %v is no share, 0 to 1", c.HTTP)
 	}
 	if c.Hot > 0 {
-		d.Hot = append(d.Hot, scenario.HotTenants{Plan: "storby", Tenants: 1, QuotaFactor: c.Hot})
+		d.HotTenants = append(d.HotTenants, scenario.HotTenants{Plan: "storby", Tenants: 1, QuotaFactor: c.Hot})
 	}
 	return d, d.Validate()
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -104,7 +104,7 @@
 	l.lastID.Store(w.cfg.Seed<<40 | 1)
 	id := uint64(1000)
 	hot := map[string][]scenario.HotTenants{}
-	for _, h := range w.day.Hot {
+	for _, h := range w.day.HotTenants {
 		for range h.Tenants {
 			hot[h.Plan] = append(hot[h.Plan], h)
 		}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,27 +9,28 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// Each day that comes with the program is a good one, and says what it is about.
-func TestOwnDays(t *testing.T) {
+// Each scenario that comes with the program is valid with any seed, and says what it is about.
+func TestOwnScenarios(t *testing.T) {
 	for _, name := range Names() {
-		d, err := Load(name)
-		if err != nil {
-			t.Error(err)
-			continue
-		}
-		if d.About == "" || d.Name != name {
-			t.Errorf("%s: about %q, name %q", name, d.About, d.Name)
-		}
-		for seed := range uint64(200) {
-			if _, err := d.Steps(seed); err != nil {
-				t.Error(err)
+		t.Run(name, func(t *testing.T) {
+			s, err := Load(name)
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
+			if s.About == "" || s.Name != name {
+				t.Errorf("got about %q and name %q, want some text and %q", s.About, s.Name, name)
+			}
+			for seed := range uint64(200) {
+				if _, err := s.Steps(seed); err != nil {
+					t.Error(err)
+				}
+			}
+		})
 	}
 }
 
-// A file that cannot be played is one clear line that names the field and the value.
-func TestBadDays(t *testing.T) {
+// A file that cannot be run is an error of one line with the field and the value.
+func TestParseFails(t *testing.T) {
 	for text, want := range map[string]string{
 		"lenght = \"3s\"":                               `line 1: unknown key "lenght"`,
 		"load = 0.5\n[must]\nrefusals = 3":              `line 3: unknown key "must.refusals"`,
@@ -62,52 +63,67 @@
 		"faults = [\"link/0>1:explode at 1s\"]":         `"explode" is nothing that can be done to a link`,
 		"faults = [\"link/0>1:drop 2 1s at 1s\"]":       `drop: "2" is out of range`,
 		"faults = [\"link/0>1:cut at 1s\"]":             "cut wants 1 words behind it, there are 0",
-		"faults = [\"store:failover at 1s\"]":           `"failover" is nothing that can be done to a store of kind tally`,
 		"faults = [\"store:explode at 1s\"]":            `there is no kind "explode"`,
 		"faults = [\"node/1: at 1s\"]":                  "nothing to do",
 		"faults = [\"store:drop-after share 2 at 1s\"]": "out of range",
+
+		"faults = [\"store:failover at 1s\"]": `"failover" is nothing that can be done to a store of kind tally`,
 	} {
 		_, err := Parse("x", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
 }
 
-// A day is found by its name, or as a file; a name that is neither says which there are.
+// A scenario is found by its name, or as a file. The error for a name that is neither lists the names.
 func TestLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "mine.toml")
 	if err := os.WriteFile(file, []byte("load = 0.7"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if d, err := Load(file); err != nil || d.Name != "mine" || d.Load != 0.7 || d.Backends != 12 {
-		t.Fatal(d, err)
+	s, err := Load(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Name != "mine" || s.Load != 0.7 || s.Backends != 12 {
+		t.Fatalf("got %+v, want the name mine, a load of 0.7 and 12 backends", s)
 	}
 	if _, err := Load("evning"); err == nil || !strings.Contains(err.Error(), "evening") {
-		t.Fatal(err)
+		t.Fatalf("got %v, want the names of all scenarios", err)
 	}
 }
 
-// What a run did not exercise is said; what it did is not.
+// What a run did not exercise is listed; what it did is not.
 func TestUnmet(t *testing.T) {
 	near := -0.1
-	m := Required{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: &near}
-	if out := m.Unmet(rulecheck.Margins{Ceiling: -0.5}); len(out) != 4 {
-		t.Fatal(out)
+	required := Required{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: &near}
+	if unmet := required.Unmet(rulecheck.Margins{Ceiling: -0.5}); len(unmet) != 4 {
+		t.Fatalf("got %q, want 4 lines", unmet)
 	}
-	if out := m.Unmet(rulecheck.Margins{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: -0.05}); out != nil {
-		t.Fatal(out)
+	met := rulecheck.Margins{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: -0.05}
+	if unmet := required.Unmet(met); unmet != nil {
+		t.Fatalf("got %q, want none", unmet)
 	}
 }
 
-// Whatever a fault's text, it is a step that can be played or an error.
+// Any text is a step that can be injected or an error.
 func FuzzParseStep(f *testing.F) {
-	for _, text := range []string{"node/1:slow 3 2s at 1s", "hall/a:out 1s at 2s", "store:hold 70ms for 1s on EVALSHA at 4s", "lab:pause 200ms at 1s"} {
+	for _, text := range []string{
+		"node/1:slow 3 2s at 1s",
+		"hall/a:out 1s at 2s",
+		"store:hold 70ms for 1s on EVALSHA at 4s",
+		"lab:pause 200ms at 1s",
+	} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := ParseStep(text); err == nil && (s.At < 0 || s.Index < 0 || targets[s.Kind].words == nil || len(s.ActionWords()) == 0) {
-			t.Fatalf("%q: %+v", text, s)
+		step, err := ParseStep(text)
+		if err != nil {
+			return
+		}
+		if step.At < 0 || step.Index < 0 || targets[step.Kind].actions == nil || len(step.ActionFields()) == 0 {
+			t.Fatalf("%q: got %+v", text, step)
 		}
 	})
 }
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -47,7 +47,7 @@
 }
 
 func (w *Testbed) do(ctx context.Context, s scenario.Step) error {
-	verb := s.ActionWords()[0]
+	verb := s.ActionFields()[0]
 	switch s.Kind {
 	case "store":
 		return w.store.Do(s.Action)
@@ -178,7 +178,7 @@
 }
 
 func (w *Testbed) doIngress(ctx context.Context, g *ingress, s scenario.Step) error {
-	switch s.ActionWords()[0] {
+	switch s.ActionFields()[0] {
 	case "kill":
 		g.down()
 		g.Signal(syscall.SIGKILL)
@@ -195,7 +195,7 @@
 
 func (w *Testbed) doNode(i int, s scenario.Step) error {
 	n, t := w.node(i)
-	switch words := s.ActionWords(); words[0] {
+	switch words := s.ActionFields(); words[0] {
 	case "slow":
 		n.Slow(s.Factor(1), s.Duration(2))
 	case "pause":
