--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -44,7 +44,7 @@
 }
 
 // retransmitted is how much later a lost part of a stream comes.
-const retransmitted = 200 * time.Millisecond
+const retransmissionDelay = 200 * time.Millisecond
 
 // Parse reads a fault: cut D | flap ON D | delay T D | jitter T D | drop S D | repeat S D | swap S D | corrupt S D | throttle BYTES D |
 // reset.
@@ -87,75 +87,75 @@
 }
 
 // Acted says what one fault did on one way.
-type Acted struct {
-	Way   string        `json:"Way"`
+type FaultRecord struct {
+	Direction   string        `json:"Way"`
 	Fault Fault         `json:"Fault"`
-	Set   time.Duration `json:"Set"` // when it was put in force
-	First time.Duration `json:"First"`
-	Last  time.Duration `json:"Last"` // when it acted; 0: never
-	Times int           `json:"Times"`
+	SetAt   time.Duration `json:"Set"` // when it was put in force
+	FirstActedAt time.Duration `json:"First"`
+	LastActedAt  time.Duration `json:"Last"` // when it acted; 0: never
+	Count int           `json:"Times"`
 }
 
 // rule is a fault in force.
-type rule struct {
+type activeFault struct {
 	Fault
 	until time.Duration
-	acted *Acted
+	record *FaultRecord
 }
 
 // way is one direction of a link.
-type way struct {
+type direction struct {
 	name  string
-	net   *Net
+	network   *Network
 	mu    sync.Mutex // of all below
-	rules []*rule
-	all   []*Acted
+	active []*activeFault
+	records   []*FaultRecord
 	count int // datagrams or chunks that came in
-	next  time.Time
+	throttledUntil  time.Time
 }
 
 // Net is the links of a run, with one clock and one chance.
-type Net struct {
+type Network struct {
 	clock     func() time.Duration
 	mu        sync.Mutex // of all below
 	rng       *rand.Rand
-	ways      []*way
-	ends      []func()
-	datagrams []*datagrams
+	directions      []*direction
+	closers      []func()
+	udpLinks []*udpLink
 	wg        sync.WaitGroup
-	shut      chan struct{}
+	closed      chan struct{}
 }
 
 // New returns a network without links.
-func New(seed uint64, clock func() time.Duration) *Net {
-	return &Net{clock: clock, rng: rand.New(rand.NewPCG(seed, 61)), shut: make(chan struct{})}
+func New(seed uint64, clock func() time.Duration) *Network {
+	return &Network{clock: clock, rng: rand.New(rand.NewPCG(seed, 61)), closed: make(chan struct{})}
 }
 
-func (n *Net) chance() float64 {
+func (n *Network) randomFraction() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
 }
 
-func (n *Net) newWay(from, to string) *way {
-	w := &way{name: from + ">" + to, net: n}
+func (n *Network) addDirection(from, to string) *direction {
+	w := &direction{name: from + ">" + to, network: n}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ways = append(n.ways, w)
+	n.directions = append(n.directions, w)
 	return w
 }
 
-func (n *Net) onClose(f func()) {
+func (n *Network) onClose(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ends = append(n.ends, f)
+	n.closers = append(n.closers, f)
 }
 
 // Close ends all links.
-func (n *Net) Close() {
-	close(n.shut)
+func (n *Network) Close() {
+	close(n.closed)
 	n.mu.Lock()
-	ends := n.ends
+	ends := n.closers
 	n.mu.Unlock()
 	for _, f := range ends {
 		f()
@@ -165,9 +165,9 @@
 
 // Fault puts a fault in force on all ways from one of the names to one of the others. That there is no such way, or that the
 // fault is nothing for one of them, is an error.
-func (n *Net) Fault(from, to []string, f Fault) error {
+func (n *Network) Inject(from, to []string, f Fault) error {
 	n.mu.Lock()
-	ways := slices.Clone(n.ways)
+	ways := slices.Clone(n.directions)
 	n.mu.Unlock()
 	found := false
 	for _, w := range ways {
@@ -176,7 +176,7 @@
 			continue
 		}
 		found = true
-		w.put(f)
+		w.inject(f)
 	}
 	if !found {
 		return fmt.Errorf("there is no link from %s to %s", strings.Join(from, ","), strings.Join(to, ","))
@@ -185,13 +185,13 @@
 }
 
 // Acted is what each fault on each way has done so far.
-func (n *Net) Acted() (out []Acted) {
+func (n *Network) FaultRecords() (out []FaultRecord) {
 	n.mu.Lock()
-	ways := slices.Clone(n.ways)
+	ways := slices.Clone(n.directions)
 	n.mu.Unlock()
 	for _, w := range ways {
 		w.mu.Lock()
-		for _, a := range w.all {
+		for _, a := range w.records {
 			out = append(out, *a)
 		}
 		w.mu.Unlock()
@@ -199,106 +199,106 @@
 	return out
 }
 
-func (w *way) put(f Fault) {
+func (w *direction) inject(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.net.clock()
-	a := &Acted{Way: w.name, Fault: f, Set: now}
-	w.all = append(w.all, a)
-	w.rules = append(w.rules, &rule{f, now + f.For, a})
+	now := w.network.clock()
+	a := &FaultRecord{Direction: w.name, Fault: f, SetAt: now}
+	w.records = append(w.records, a)
+	w.active = append(w.active, &activeFault{f, now + f.For, a})
 }
 
 // fate is what becomes of one datagram or chunk.
-type fate struct {
-	lost, twice, swap bool
-	later             time.Duration
-	flip              bool
-	until             time.Duration // it is held until then
+type treatment struct {
+	lost, duplicated, swapped bool
+	delay             time.Duration
+	corrupted              bool
+	lostUntil             time.Duration // it is held until then
 }
 
 // meet decides what becomes of what comes now, and counts what acted.
-func (w *way) meet(size int, stream bool) (f fate) {
-	now := w.net.clock()
+func (w *direction) treat(size int, stream bool) (f treatment) {
+	now := w.network.clock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.count++
-	w.rules = slices.DeleteFunc(w.rules, func(r *rule) bool { return now >= r.until && r.Kind != Reset })
-	for _, r := range w.rules {
-		hit := r.Share == 0 || r.Kind == Throttle || w.net.chance() < r.Share
+	w.active = slices.DeleteFunc(w.active, func(r *activeFault) bool { return now >= r.until && r.Kind != Reset })
+	for _, r := range w.active {
+		hit := r.Share == 0 || r.Kind == Throttle || w.network.randomFraction() < r.Share
 		if !hit {
 			continue
 		}
 		acts := true
 		switch r.Kind {
 		case Cut:
-			f.lost, f.until = true, max(f.until, r.until)
+			f.lost, f.lostUntil = true, max(f.lostUntil, r.until)
 		case Flap:
-			k := (now - r.acted.Set) / r.Time
+			k := (now - r.record.SetAt) / r.Time
 			if acts = k%2 == 0; acts {
-				f.lost, f.until = true, max(f.until, min(r.until, r.acted.Set+(k+1)*r.Time))
+				f.lost, f.lostUntil = true, max(f.lostUntil, min(r.until, r.record.SetAt+(k+1)*r.Time))
 			}
 		case Delay:
-			f.later += r.Time
+			f.delay += r.Time
 		case Jitter:
-			f.later += time.Duration(w.net.chance() * float64(r.Time))
+			f.delay += time.Duration(w.network.randomFraction() * float64(r.Time))
 		case Drop:
 			if stream {
-				f.later += retransmitted
+				f.delay += retransmissionDelay
 			} else {
 				f.lost = true
 			}
 		case Repeat:
-			f.twice, acts = true, !stream
+			f.duplicated, acts = true, !stream
 		case Swap:
-			f.swap, acts = true, !stream
+			f.swapped, acts = true, !stream
 		case Corrupt:
-			f.flip = true
+			f.corrupted = true
 		case Throttle:
 			t := time.Now()
-			if w.next.Before(t) {
-				w.next = t
+			if w.throttledUntil.Before(t) {
+				w.throttledUntil = t
 			}
-			w.next = w.next.Add(time.Duration(float64(size) / r.Share * float64(time.Second)))
-			f.later += w.next.Sub(t)
+			w.throttledUntil = w.throttledUntil.Add(time.Duration(float64(size) / r.Share * float64(time.Second)))
+			f.delay += w.throttledUntil.Sub(t)
 			acts = stream
 		case Reset:
 			acts = false
 		}
 		if acts {
-			r.acted.hit(now)
+			r.record.add(now)
 		}
 	}
 	return f
 }
 
-func (a *Acted) hit(now time.Duration) {
-	if a.Times++; a.First == 0 {
-		a.First = now
+func (a *FaultRecord) add(now time.Duration) {
+	if a.Count++; a.FirstActedAt == 0 {
+		a.FirstActedAt = now
 	}
-	a.Last = now
+	a.LastActedAt = now
 }
 
 // cut says whether nothing passes at the moment.
-func (w *way) cut() bool {
-	now := w.net.clock()
+func (w *direction) isCut() bool {
+	now := w.network.clock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.ContainsFunc(w.rules, func(r *rule) bool { return (r.Kind == Cut || r.Kind == Flap) && now < r.until })
+	return slices.ContainsFunc(w.active, func(r *activeFault) bool { return (r.Kind == Cut || r.Kind == Flap) && now < r.until })
 }
 
 // resets takes the resets that are to be done now.
-func (w *way) resets() bool {
+func (w *direction) takeResets() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := len(w.rules)
-	w.rules = slices.DeleteFunc(w.rules, func(r *rule) bool { return r.Kind == Reset })
-	return len(w.rules) < n
+	n := len(w.active)
+	w.active = slices.DeleteFunc(w.active, func(r *activeFault) bool { return r.Kind == Reset })
+	return len(w.active) < n
 }
 
 // flip changes one byte.
-func (n *Net) flip(b []byte) {
+func (n *Network) corrupt(b []byte) {
 	if len(b) > 0 {
-		i := int(n.chance() * float64(len(b)))
-		b[i] ^= byte(1 + int(n.chance()*255))
+		i := int(n.randomFraction() * float64(len(b)))
+		b[i] ^= byte(1 + int(n.randomFraction()*255))
 	}
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -47,10 +47,10 @@
 	return ln.Addr().String()
 }
 
-func stream(t *testing.T) (*Net, *Stream, net.Conn) {
+func stream(t *testing.T) (*Network, *TCPLink, net.Conn) {
 	n := New(1, clock())
 	t.Cleanup(n.Close)
-	s, err := n.Streams("n0", "counter", "127.0.0.1", echo(t))
+	s, err := n.AddTCPLink("n0", "counter", "127.0.0.1", echo(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,21 +73,21 @@
 	return string(b[:k]), err
 }
 
-func fault(t *testing.T, n *Net, from, to, text string) {
+func fault(t *testing.T, n *Network, from, to, text string) {
 	t.Helper()
 	f, err := Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.Fault([]string{from}, []string{to}, f); err != nil {
+	if err := n.Inject([]string{from}, []string{to}, f); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func acted(n *Net, k Kind) (times int) {
-	for _, a := range n.Acted() {
+func acted(n *Network, k Kind) (times int) {
+	for _, a := range n.FaultRecords() {
 		if a.Fault.Kind == k {
-			times += a.Times
+			times += a.Count
 		}
 	}
 	return times
@@ -113,10 +113,10 @@
 		t.Fatal(got, err)
 	}
 	if acted(n, Cut) == 0 || acted(n, Corrupt) == 0 {
-		t.Fatal(n.Acted())
+		t.Fatal(n.FaultRecords())
 	}
-	for _, a := range n.Acted() {
-		if a.Fault.Kind == Cut && (a.Way != "n0>counter" || a.First < a.Set) {
+	for _, a := range n.FaultRecords() {
+		if a.Fault.Kind == Cut && (a.Direction != "n0>counter" || a.FirstActedAt < a.SetAt) {
 			t.Fatal(a)
 		}
 	}
@@ -159,7 +159,7 @@
 	}
 	for end := time.Now().Add(5 * time.Second); acted(n, Reset) != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(n.Acted())
+			t.Fatal(n.FaultRecords())
 		}
 	}
 	s.Close()
@@ -186,7 +186,7 @@
 }
 
 // oneWay is a link for datagrams from n0 to n1, with a socket at each end.
-func oneWay(t *testing.T) (n *Net, in net.PacketConn, out net.Conn) {
+func oneWay(t *testing.T) (n *Network, in net.PacketConn, out net.Conn) {
 	t.Helper()
 	in, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -195,7 +195,7 @@
 	t.Cleanup(func() { in.Close() })
 	n = New(2, clock())
 	t.Cleanup(n.Close)
-	at, err := n.Datagrams("n0", "n1", "127.0.0.1", in.LocalAddr().String())
+	at, err := n.AddUDPLink("n0", "n1", "127.0.0.1", in.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.Fault([]string{"n0"}, []string{"n1"}, f); err != nil {
+		if err := n.Inject([]string{"n0"}, []string{"n1"}, f); err != nil {
 			t.Fatal(err)
 		}
 		if got := some(20); !fits(got) {
@@ -287,7 +287,7 @@
 			t.Errorf("step %d: turned back: %v", i, !c.want)
 		}
 	}
-	if err := n.Fault([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Minute}); err != nil {
+	if err := n.Inject([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Minute}); err != nil {
 		t.Fatal(err)
 	}
 	n.SetServing("n1", false)
@@ -315,7 +315,7 @@
 	}
 	n := New(1, clock())
 	defer n.Close()
-	if err := n.Fault([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Second}); err == nil || err.Error() != "there is no link from n0 to n1" {
+	if err := n.Inject([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Second}); err == nil || err.Error() != "there is no link from n0 to n1" {
 		t.Error(err)
 	}
 }
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -8,63 +8,63 @@
 )
 
 const (
-	chunk      = 16 << 10
-	dialTime   = 2 * time.Second
-	resetEvery = 5 * time.Millisecond   // resets are looked for
-	mostHeld   = 256                    // chunks that one direction of a connection holds back
-	mostDial   = 200 * time.Millisecond // that a connection waits for its first packet
-	mostWait   = 900 * time.Millisecond // that a cut lasts on: what it has held for longer is reset at its end, as who sent it has given it up
+	chunkSize      = 16 << 10
+	dialTimeout   = 2 * time.Second
+	resetPollInterval = 5 * time.Millisecond   // resets are looked for
+	maxQueuedChunks   = 256                    // chunks that one direction of a connection holds back
+	maxConnectDelay   = 200 * time.Millisecond // that a connection waits for its first packet
+	maxCutDelay   = 900 * time.Millisecond // that a cut lasts on: what it has held for longer is reset at its end, as who sent it has given it up
 )
 
 // Stream is a link for connections from one name to another.
-type Stream struct {
-	net       *Net
-	there     *way // towards the target
-	back      *way
+type TCPLink struct {
+	network       *Network
+	toTarget     *direction // towards the target
+	fromTarget      *direction
 	target    string
-	ln        net.Listener
+	listener        net.Listener
 	mu        sync.Mutex // of all below
-	conns     map[net.Conn]net.Conn
-	shut      bool
+	targetConns     map[net.Conn]net.Conn
+	closed      bool
 	closeOnce sync.Once
 }
 
 // Streams opens a link for connections, at an address of a loopback host; what comes there goes on to target.
-func (n *Net) Streams(from, to, host, target string) (*Stream, error) {
+func (n *Network) AddTCPLink(from, to, host, target string) (*TCPLink, error) {
 	ln, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	s := &Stream{net: n, there: n.newWay(from, to), back: n.newWay(to, from), target: target, ln: ln, conns: map[net.Conn]net.Conn{}}
+	s := &TCPLink{network: n, toTarget: n.addDirection(from, to), fromTarget: n.addDirection(to, from), target: target, listener: ln, targetConns: map[net.Conn]net.Conn{}}
 	n.onClose(s.Close)
-	n.wg.Go(s.accept)
-	n.wg.Go(s.resets)
+	n.wg.Go(s.acceptLoop)
+	n.wg.Go(s.resetLoop)
 	return s, nil
 }
 
 // Addr is where it listens.
-func (s *Stream) Addr() string { return s.ln.Addr().String() }
+func (s *TCPLink) Addr() string { return s.listener.Addr().String() }
 
 // Close ends the link: its target is no more, so nobody can connect to it, and what is open is reset.
-func (s *Stream) Close() {
+func (s *TCPLink) Close() {
 	s.closeOnce.Do(func() {
-		s.ln.Close()
+		s.listener.Close()
 		s.mu.Lock()
-		s.shut = true
+		s.closed = true
 		s.mu.Unlock()
-		s.reset()
+		s.resetConns()
 	})
 }
 
-func (s *Stream) reset() (any bool) {
+func (s *TCPLink) resetConns() (any bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for a, b := range s.conns {
+	for a, b := range s.targetConns {
 		abort(a)
 		abort(b)
 		any = true
 	}
-	clear(s.conns)
+	clear(s.targetConns)
 	return any
 }
 
@@ -76,20 +76,20 @@
 }
 
 // resets carries out resets as they are asked for.
-func (s *Stream) resets() {
-	for s.net.sleep(resetEvery) {
+func (s *TCPLink) resetLoop() {
+	for s.network.sleep(resetPollInterval) {
 		s.mu.Lock()
-		shut := s.shut
+		shut := s.closed
 		s.mu.Unlock()
 		if shut {
 			return
 		}
-		for _, w := range []*way{s.there, s.back} {
-			if w.resets() && s.reset() {
+		for _, w := range []*direction{s.toTarget, s.fromTarget} {
+			if w.takeResets() && s.resetConns() {
 				w.mu.Lock()
-				for _, a := range w.all {
-					if a.Fault.Kind == Reset && a.Times == 0 {
-						a.hit(s.net.clock())
+				for _, a := range w.records {
+					if a.Fault.Kind == Reset && a.Count == 0 {
+						a.add(s.network.clock())
 					}
 				}
 				w.mu.Unlock()
@@ -98,65 +98,65 @@
 	}
 }
 
-func (s *Stream) accept() {
+func (s *TCPLink) acceptLoop() {
 	for {
-		c, err := s.ln.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.net.wg.Go(func() { s.carry(c) })
+		s.network.wg.Go(func() { s.serveConn(c) })
 	}
 }
 
 // carry joins a connection with one to the target.
-func (s *Stream) carry(c net.Conn) {
+func (s *TCPLink) serveConn(c net.Conn) {
 	began := time.Now()
-	for f := s.there.meet(0, true); f.lost; f = s.there.meet(0, true) { // its first packet is cut
-		if !s.net.sleep(max(f.until-s.net.clock(), time.Millisecond)) || time.Since(began) > mostDial {
+	for f := s.toTarget.treat(0, true); f.lost; f = s.toTarget.treat(0, true) { // its first packet is cut
+		if !s.network.sleep(max(f.lostUntil-s.network.clock(), time.Millisecond)) || time.Since(began) > maxConnectDelay {
 			abort(c) // who dialled has given it up, whatever it has written meanwhile
 			return
 		}
 	}
-	d, err := net.DialTimeout("tcp4", s.target, dialTime)
+	d, err := net.DialTimeout("tcp4", s.target, dialTimeout)
 	if err != nil {
 		abort(c)
 		return
 	}
 	s.mu.Lock()
-	if s.shut {
+	if s.closed {
 		s.mu.Unlock()
 		abort(c)
 		abort(d)
 		return
 	}
-	s.conns[c] = d
+	s.targetConns[c] = d
 	s.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { s.pass(s.there, c, d) })
-	both.Go(func() { s.pass(s.back, d, c) })
+	both.Go(func() { s.copyChunks(s.toTarget, c, d) })
+	both.Go(func() { s.copyChunks(s.fromTarget, d, c) })
 	both.Wait()
 	s.mu.Lock()
-	delete(s.conns, c)
+	delete(s.targetConns, c)
 	s.mu.Unlock()
 	c.Close()
 	d.Close()
 }
 
 // part is a chunk that is to be written at a time.
-type part struct {
+type chunk struct {
 	data []byte
-	at   time.Time
-	gone bool // it is not written, the connection ends
+	writeAt   time.Time
+	dropped bool // it is not written, the connection ends
 }
 
 // pass carries one direction, in order: what is held or late holds what comes behind it.
-func (s *Stream) pass(w *way, from, to net.Conn) {
-	parts := make(chan part, mostHeld)
+func (s *TCPLink) copyChunks(w *direction, from, to net.Conn) {
+	parts := make(chan chunk, maxQueuedChunks)
 	done := make(chan struct{})
-	s.net.wg.Go(func() {
+	s.network.wg.Go(func() {
 		defer close(done)
 		for p := range parts {
-			if d := time.Until(p.at); d > 0 && !s.net.sleep(d) || p.gone {
+			if d := time.Until(p.writeAt); d > 0 && !s.network.sleep(d) || p.dropped {
 				abort(to)
 				abort(from)
 				continue
@@ -167,19 +167,19 @@
 		}
 	})
 	for {
-		b := make([]byte, chunk)
+		b := make([]byte, chunkSize)
 		k, err := from.Read(b)
 		if k > 0 {
-			f := w.meet(k, true)
-			if f.flip {
-				s.net.flip(b[:k])
+			f := w.treat(k, true)
+			if f.corrupted {
+				s.network.corrupt(b[:k])
 			}
-			at := time.Now().Add(f.later)
+			at := time.Now().Add(f.delay)
 			cut := time.Duration(0)
 			if f.lost {
-				cut = max(0, f.until-s.net.clock())
+				cut = max(0, f.lostUntil-s.network.clock())
 			}
-			parts <- part{data: b[:k], at: at.Add(cut), gone: cut > mostWait}
+			parts <- chunk{data: b[:k], writeAt: at.Add(cut), dropped: cut > maxCutDelay}
 		}
 		if err != nil {
 			close(parts)
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -11,7 +11,7 @@
 
 // Datagrams opens a one-way link for datagrams from one name to another, at an address of a loopback host, and returns the
 // address. What comes there goes on to target.
-func (n *Net) Datagrams(from, to, host, target string) (string, error) {
+func (n *Network) AddUDPLink(from, to, host, target string) (string, error) {
 	in, err := net.ListenPacket("udp4", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
@@ -21,22 +21,22 @@
 		in.Close()
 		return "", err
 	}
-	d := &datagrams{way: n.newWay(from, to), at: in.LocalAddr().String(), in: in, out: out}
+	d := &udpLink{direction: n.addDirection(from, to), addr: in.LocalAddr().String(), in: in, out: out}
 	n.mu.Lock()
-	n.datagrams = append(n.datagrams, d)
+	n.udpLinks = append(n.udpLinks, d)
 	n.mu.Unlock()
 	n.onClose(func() {
-		d.turn(false)
+		d.setOpen(false)
 		out.Close()
 	})
-	n.wg.Go(func() { d.carry(in) })
-	return d.at, nil
+	n.wg.Go(func() { d.forwardLoop(in) })
+	return d.addr, nil
 }
 
 // datagrams is a one-way link for datagrams.
-type datagrams struct {
-	*way
-	at  string
+type udpLink struct {
+	*direction
+	addr  string
 	out net.Conn
 	mu  sync.Mutex // of in
 	in  net.PacketConn
@@ -44,21 +44,21 @@
 
 // Serves says whether there is a process at a name. A host turns datagrams back to a port without one, so the links to it do the same; where the way is
 // cut nothing comes back, and the link goes on losing what comes.
-func (n *Net) SetServing(to string, there bool) error {
+func (n *Network) SetServing(to string, there bool) error {
 	n.mu.Lock()
-	list := slices.Clone(n.datagrams)
+	list := slices.Clone(n.udpLinks)
 	n.mu.Unlock()
 	var errs []error
 	for _, d := range list {
-		if _, name, _ := strings.Cut(d.name, ">"); name == to && (there || !d.cut()) {
-			errs = append(errs, d.turn(there))
+		if _, name, _ := strings.Cut(d.name, ">"); name == to && (there || !d.isCut()) {
+			errs = append(errs, d.setOpen(there))
 		}
 	}
 	return errors.Join(errs...)
 }
 
 // turn opens or closes the link's own port.
-func (d *datagrams) turn(open bool) error {
+func (d *udpLink) setOpen(open bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -70,21 +70,21 @@
 		return nil
 	}
 	select {
-	case <-d.net.shut:
+	case <-d.network.closed:
 		return nil
 	default:
 	}
-	in, err := net.ListenPacket("udp4", d.at)
+	in, err := net.ListenPacket("udp4", d.addr)
 	if err != nil {
 		return err
 	}
 	d.in = in
-	d.net.wg.Go(func() { d.carry(in) })
+	d.network.wg.Go(func() { d.forwardLoop(in) })
 	return nil
 }
 
-func (d *datagrams) carry(in net.PacketConn) {
-	w, out := d.way, d.out
+func (d *udpLink) forwardLoop(in net.PacketConn) {
+	w, out := d.direction, d.out
 	b := make([]byte, 64<<10)
 	var waits []byte // for the next to overtake it
 	for {
@@ -92,47 +92,47 @@
 		if err != nil {
 			return
 		}
-		f := w.meet(k, false)
+		f := w.treat(k, false)
 		if f.lost {
 			continue
 		}
 		data := slices.Clone(b[:k])
-		if f.flip {
-			w.net.flip(data)
+		if f.corrupted {
+			w.network.corrupt(data)
 		}
-		if f.swap && waits == nil {
+		if f.swapped && waits == nil {
 			waits = data
 			continue
 		}
-		w.forward(out, data, f.later)
-		if f.twice {
-			w.forward(out, data, f.later)
+		w.send(out, data, f.delay)
+		if f.duplicated {
+			w.send(out, data, f.delay)
 		}
 		if waits != nil {
-			w.forward(out, waits, f.later)
+			w.send(out, waits, f.delay)
 			waits = nil
 		}
 	}
 }
 
-func (w *way) forward(out net.Conn, data []byte, later time.Duration) {
+func (w *direction) send(out net.Conn, data []byte, later time.Duration) {
 	if later <= 0 {
 		out.Write(data) // who is not there loses it
 		return
 	}
-	w.net.wg.Go(func() {
-		if w.net.sleep(later) {
+	w.network.wg.Go(func() {
+		if w.network.sleep(later) {
 			out.Write(data)
 		}
 	})
 }
 
 // sleep waits, and returns false where the network is closed before.
-func (n *Net) sleep(d time.Duration) bool {
+func (n *Network) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-n.shut:
+	case <-n.closed:
 		return false
 	case <-t.C:
 		return true
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -24,7 +24,7 @@
 	}
 	w.links = link.New(w.cfg.Seed, w.clock)
 	w.onClose(w.links.Close)
-	w.ways = map[string][]*link.Stream{}
+	w.ways = map[string][]*link.TCPLink{}
 	w.key = filepath.Join(w.dir, "peers.key")
 	return os.WriteFile(w.key, []byte(fmt.Sprintf("the lab's key for seed %d on %s\n", w.cfg.Seed, w.net)), 0o600)
 }
@@ -36,7 +36,7 @@
 	if w.links == nil {
 		return target, nil
 	}
-	s, err := w.links.Streams(g.Name, name, g.host, target)
+	s, err := w.links.AddTCPLink(g.Name, name, g.host, target)
 	if err != nil {
 		return "", fmt.Errorf("link from %s to %s: %w", g.Name, name, err)
 	}
@@ -49,9 +49,9 @@
 		return n.Addrs(), nil
 	}
 	var out []string
-	var ways []*link.Stream
+	var ways []*link.TCPLink
 	for i, target := range n.Addrs() {
-		s, err := w.links.Streams(fmt.Sprint("n", i), spec.ID, w.instanceHost(i), target)
+		s, err := w.links.AddTCPLink(fmt.Sprint("n", i), spec.ID, w.instanceHost(i), target)
 		if err != nil {
 			return nil, fmt.Errorf("link to %s: %w", spec.ID, err)
 		}
@@ -85,7 +85,7 @@
 		if i == g.n {
 			continue
 		}
-		at, err := w.links.Datagrams(g.Name, fmt.Sprint("n", i), g.host, w.peerAddr(i))
+		at, err := w.links.AddUDPLink(g.Name, fmt.Sprint("n", i), g.host, w.peerAddr(i))
 		if err != nil {
 			return "", fmt.Errorf("link from %s to n%d: %w", g.Name, i, err)
 		}
@@ -114,10 +114,10 @@
 		return err
 	}
 	from, to := w.ends(s.From), w.ends(s.To)
-	if err := w.links.Fault(from, to, f); err != nil || !s.Bidirectional {
+	if err := w.links.Inject(from, to, f); err != nil || !s.Bidirectional {
 		return err
 	}
-	return w.links.Fault(to, from, f)
+	return w.links.Inject(to, from, f)
 }
 
 // ends are the names of a link's end: a hall's are its nodes'.
@@ -147,12 +147,12 @@
 	}
 	acted := map[key]bool{}
 	var order []key
-	for _, a := range w.links.Acted() { // one step is on many ways: some may have nothing to carry
-		k := key{a.Fault, a.Set.Milliseconds() / 50}
+	for _, a := range w.links.FaultRecords() { // one step is on many ways: some may have nothing to carry
+		k := key{a.Fault, a.SetAt.Milliseconds() / 50}
 		if _, seen := acted[k]; !seen {
 			order = append(order, k)
 		}
-		acted[k] = acted[k] || a.Times > 0
+		acted[k] = acted[k] || a.Count > 0
 	}
 	for _, k := range order {
 		if !acted[k] {
@@ -176,8 +176,8 @@
 func (r *Report) LeftOnReport(node string, but int) (out []rulecheck.Violation) {
 	from := time.Duration(0)
 	for _, l := range r.Links {
-		if from == 0 || l.Set < from {
-			from = l.Set
+		if from == 0 || l.SetAt < from {
+			from = l.SetAt
 		}
 	}
 	hall := ""
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -108,7 +108,7 @@
 	w.commands(r)
 	w.wishes(r)
 	if w.links != nil {
-		r.Links = w.links.Acted()
+		r.Links = w.links.FaultRecords()
 	}
 	return r, nil
 }
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -29,8 +29,8 @@
 	classes   []class
 	plans     []*plan
 	dir       string
-	links     *link.Net                 // nil: not Linked
-	ways      map[string][]*link.Stream // by node id: those to its present start
+	links     *link.Network                 // nil: not Linked
+	ways      map[string][]*link.TCPLink // by node id: those to its present start
 	key       string                    // file of the key that instances share
 	drills    string                    // the file of drills
 	net       string                    // the loopback network of this run: three bytes of an address
