--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -15,14 +16,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// clock returns a clock that begins now.
 func clock() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
 }
 
-// echo is a target that sends back what comes.
-func echo(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// startEcho starts a target that sends back what arrives, and returns its address.
+func startEcho(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,292 +33,318 @@
 	go func() {
 		defer close(done)
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				io.Copy(c, c)
-				c.Close()
+				io.Copy(conn, conn)
+				conn.Close()
 			}()
 		}
 	}()
 	t.Cleanup(func() {
-		ln.Close()
+		listener.Close()
 		<-done
 	})
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
-func stream(t *testing.T) (*Network, *TCPLink, net.Conn) {
-	n := New(1, clock())
-	t.Cleanup(n.Close)
-	s, err := n.AddTCPLink("n0", "counter", "127.0.0.1", echo(t))
+// newTCPLink returns a link from n0 to counter with a connection through it.
+func newTCPLink(t *testing.T) (*Network, *TCPLink, net.Conn) {
+	t.Helper()
+	network := New(1, clock())
+	t.Cleanup(network.Close)
+	link, err := network.AddTCPLink("n0", "counter", "127.0.0.1", startEcho(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", s.Addr())
+	conn, err := net.Dial("tcp", link.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return n, s, c
+	t.Cleanup(func() { conn.Close() })
+	return network, link, conn
 }
 
-func say(t *testing.T, c net.Conn, text string, wait time.Duration) (string, error) {
+// exchange sends a text and returns what comes back within a time, up to the text's length.
+func exchange(t *testing.T, conn net.Conn, text string, timeout time.Duration) (string, error) {
 	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		return "", err
 	}
-	c.SetReadDeadline(time.Now().Add(wait))
-	b := make([]byte, len(text))
-	k, err := io.ReadFull(c, b)
-	return string(b[:k]), err
+	conn.SetReadDeadline(time.Now().Add(timeout))
+	buffer := make([]byte, len(text))
+	size, err := io.ReadFull(conn, buffer)
+	return string(buffer[:size]), err
+}
+
+// mustExchange fails the test unless a text comes back.
+func mustExchange(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if got, err := exchange(t, conn, text, 5*time.Second); got != text {
+		t.Fatalf("got %q and %v, want %q", got, err, text)
+	}
 }
 
-func fault(t *testing.T, n *Network, from, to, text string) {
+// inject injects a fault between two names and returns it.
+func inject(t *testing.T, network *Network, from, to, text string) Fault {
 	t.Helper()
-	f, err := Parse(text)
+	fault, err := Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.Inject([]string{from}, []string{to}, f); err != nil {
+	if err := network.Inject([]string{from}, []string{to}, fault); err != nil {
 		t.Fatal(err)
 	}
+	return fault
 }
 
-func acted(n *Network, k Kind) (times int) {
-	for _, a := range n.FaultRecords() {
-		if a.Fault.Kind == k {
-			times += a.Count
+// countActions returns how often the faults of a kind have acted.
+func countActions(network *Network, kind Kind) (count int) {
+	for _, record := range network.FaultRecords() {
+		if record.Fault.Kind == kind {
+			count += record.Count
 		}
 	}
-	return times
+	return count
 }
 
 // Each fault of a stream does what it says, in its own direction alone, and leaves a record; without any all passes.
 func TestStream(t *testing.T) {
-	n, _, c := stream(t)
-	if got, err := say(t, c, "hello", 5*time.Second); got != "hello" {
-		t.Fatal(got, err)
-	}
-	fault(t, n, "n0", "counter", "cut 400ms")
-	if got, err := say(t, c, "held", 100*time.Millisecond); err == nil {
-		t.Fatal("it passed a cut: ", got)
-	}
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	b := make([]byte, 4)
-	if _, err := io.ReadFull(c, b); err != nil || string(b) != "held" {
-		t.Fatal("a short cut loses nothing: ", string(b), err)
-	}
-	fault(t, n, "counter", "n0", "corrupt 1 10s")
-	if got, err := say(t, c, "corrupt me", 5*time.Second); got == "corrupt me" || len(got) != 10 || err != nil {
-		t.Fatal(got, err)
-	}
-	if acted(n, Cut) == 0 || acted(n, Corrupt) == 0 {
-		t.Fatal(n.FaultRecords())
-	}
-	for _, a := range n.FaultRecords() {
-		if a.Fault.Kind == Cut && (a.Direction != "n0>counter" || a.FirstActedAt < a.SetAt) {
-			t.Fatal(a)
+	network, _, conn := newTCPLink(t)
+	mustExchange(t, conn, "hello")
+	inject(t, network, "n0", "counter", "cut 400ms")
+	if got, err := exchange(t, conn, "late", 100*time.Millisecond); err == nil {
+		t.Fatalf("got %q through a cut", got)
+	}
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	buffer := make([]byte, 4)
+	if _, err := io.ReadFull(conn, buffer); err != nil || string(buffer) != "late" {
+		t.Fatalf("got %q and %v after a short cut, want %q", buffer, err, "late")
+	}
+	inject(t, network, "counter", "n0", "corrupt 1 10s")
+	got, err := exchange(t, conn, "corrupt me", 5*time.Second)
+	if got == "corrupt me" || len(got) != len("corrupt me") || err != nil {
+		t.Fatalf("got %q and %v, want another text of the same length", got, err)
+	}
+	if countActions(network, Cut) == 0 || countActions(network, Corrupt) == 0 {
+		t.Fatalf("got the records %+v, want a cut and a corruption", network.FaultRecords())
+	}
+	for _, record := range network.FaultRecords() {
+		if record.Fault.Kind == Cut && (record.Direction != "n0>counter" || record.FirstActedAt < record.SetAt) {
+			t.Fatalf("got %+v, want it on n0>counter, and acting after it was set", record)
 		}
 	}
 }
 
-// A long cut delivers nothing late: its connection is reset at its end, and one that was begun meanwhile as well.
+// A long cut delivers nothing late: its connection is reset at its end, and one that was opened meanwhile as well.
 func TestLongCut(t *testing.T) {
-	n, s, c := stream(t)
-	if got, err := say(t, c, "hello", 5*time.Second); got != "hello" {
-		t.Fatal(got, err)
-	}
-	fault(t, n, "n0", "counter", "cut 1200ms")
-	io.WriteString(c, "too late")
-	d, err := net.Dial("tcp", s.Addr())
+	network, link, conn := newTCPLink(t)
+	mustExchange(t, conn, "hello")
+	inject(t, network, "n0", "counter", "cut 1200ms")
+	io.WriteString(conn, "too late")
+	second, err := net.Dial("tcp", link.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	io.WriteString(d, "too late")
-	for _, x := range []net.Conn{c, d} {
-		x.SetReadDeadline(time.Now().Add(5 * time.Second))
-		if k, err := x.Read(make([]byte, 10)); err == nil || errors.Is(err, io.EOF) && k > 0 {
+	defer second.Close()
+	io.WriteString(second, "too late")
+	for _, c := range []net.Conn{conn, second} {
+		c.SetReadDeadline(time.Now().Add(5 * time.Second))
+		var netErr net.Error
+		if size, err := c.Read(make([]byte, 10)); err == nil || errors.Is(err, io.EOF) && size > 0 {
 			t.Fatal("it was delivered")
-		} else if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
+		} else if errors.As(err, &netErr) && netErr.Timeout() {
 			t.Fatal("it was not reset")
 		}
 	}
 }
 
-// A reset ends all connections; a link whose target has gone takes none.
+// A reset ends all connections; a link whose target has gone accepts none.
 func TestReset(t *testing.T) {
-	n, s, c := stream(t)
-	if got, err := say(t, c, "hello", 5*time.Second); got != "hello" {
-		t.Fatal(got, err)
-	}
-	fault(t, n, "n0", "counter", "reset")
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Fatal("it goes on")
-	}
-	for end := time.Now().Add(5 * time.Second); acted(n, Reset) != 1; time.Sleep(time.Millisecond) {
+	network, link, conn := newTCPLink(t)
+	mustExchange(t, conn, "hello")
+	inject(t, network, "n0", "counter", "reset")
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := conn.Read(make([]byte, 1)); err == nil {
+		t.Fatal("the connection was not reset")
+	}
+	for end := time.Now().Add(5 * time.Second); countActions(network, Reset) != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(n.FaultRecords())
+			t.Fatalf("got the records %+v, want one reset", network.FaultRecords())
 		}
 	}
-	s.Close()
-	if d, err := net.Dial("tcp", s.Addr()); err == nil {
-		d.Close()
-		t.Fatal("it still listens")
+	link.Close()
+	if second, err := net.Dial("tcp", link.Addr()); err == nil {
+		second.Close()
+		t.Fatal("the closed link still listens")
 	}
 }
 
 // A stream that is throttled takes its time.
 func TestThrottle(t *testing.T) {
-	n, _, c := stream(t)
-	say(t, c, "x", 5*time.Second)
-	fault(t, n, "n0", "counter", "throttle 1000 10s")
+	network, _, conn := newTCPLink(t)
+	mustExchange(t, conn, "x")
+	inject(t, network, "n0", "counter", "throttle 1000 10s")
 	began := time.Now()
 	for range 3 {
-		if got, err := say(t, c, strings.Repeat("x", 100), 5*time.Second); len(got) != 100 {
-			t.Fatal(err)
-		}
+		mustExchange(t, conn, strings.Repeat("x", 100))
 	}
-	if d := time.Since(began); d < 280*time.Millisecond {
-		t.Fatal("300 bytes at 1,000 a second passed in ", d)
+	if took := time.Since(began); took < 280*time.Millisecond {
+		t.Fatalf("300 bytes at 1,000 a second passed in %v", took)
 	}
 }
 
-// oneWay is a link for datagrams from n0 to n1, with a socket at each end.
-func oneWay(t *testing.T) (n *Network, in net.PacketConn, out net.Conn) {
+// newUDPLink returns a link for datagrams from n0 to n1, with the receiver's socket and the sender's.
+func newUDPLink(t *testing.T) (network *Network, receiver net.PacketConn, sender net.Conn) {
 	t.Helper()
-	in, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	receiver, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { in.Close() })
-	n = New(2, clock())
-	t.Cleanup(n.Close)
-	at, err := n.AddUDPLink("n0", "n1", "127.0.0.1", in.LocalAddr().String())
+	t.Cleanup(func() { receiver.Close() })
+	network = New(2, clock())
+	t.Cleanup(network.Close)
+	addr, err := network.AddUDPLink("n0", "n1", "127.0.0.1", receiver.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out, err = net.Dial("udp4", at); err != nil {
+	if sender, err = net.Dial("udp4", addr); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { out.Close() })
-	return n, in, out
+	t.Cleanup(func() { sender.Close() })
+	return network, receiver, sender
 }
 
-// Datagrams are lost, doubled, swapped, spoilt and delayed as is asked.
-func TestDatagrams(t *testing.T) {
-	n, in, out := oneWay(t)
-	// some is what comes within a while of so many that go out.
-	some := func(k int) (got [][]byte) {
-		for i := range k {
-			out.Write([]byte{byte(i), 1, 2, 3, 4, 5, 6, 7})
+// payload follows the number of a datagram.
+var payload = []byte{1, 2, 3, 4, 5, 6, 7}
+
+// transmit sends count datagrams, each with its number and payload, and returns what arrives until there is a pause.
+func transmit(sender net.Conn, receiver net.PacketConn, count int) (received [][]byte) {
+	for i := range count {
+		sender.Write(append([]byte{byte(i)}, payload...))
+	}
+	buffer := make([]byte, 100)
+	for wait := 2 * time.Second; ; wait = 100 * time.Millisecond {
+		receiver.SetReadDeadline(time.Now().Add(wait))
+		size, _, err := receiver.ReadFrom(buffer)
+		if err != nil {
+			return received
 		}
-		b := make([]byte, 100)
-		for wait := 2 * time.Second; ; wait = 100 * time.Millisecond {
-			in.SetReadDeadline(time.Now().Add(wait))
-			m, _, err := in.ReadFrom(b)
-			if err != nil {
-				return got
-			}
-			got = append(got, bytes.Clone(b[:m]))
+		received = append(received, bytes.Clone(buffer[:size]))
+	}
+}
+
+// reordered reports whether a datagram is not in the place of its number.
+func reordered(received [][]byte) bool {
+	for i, datagram := range received {
+		if int(datagram[0]) != i {
+			return true
 		}
 	}
-	if got := some(20); len(got) != 20 {
-		t.Fatal(len(got))
-	}
-	for text, fits := range map[string]func([][]byte) bool{
-		"cut 600ms":        func(g [][]byte) bool { return len(g) == 0 },
-		"drop 0.5 300ms":   func(g [][]byte) bool { return len(g) > 0 && len(g) < 20 },
-		"repeat 0.5 300ms": func(g [][]byte) bool { return len(g) > 20 && len(g) < 40 },
-		"swap 0.5 300ms": func(g [][]byte) bool {
-			for i, x := range g {
-				if int(x[0]) != i {
-					return true
-				}
-			}
-			return false
-		},
-		"corrupt 0.5 300ms": func(g [][]byte) bool {
-			for _, x := range g {
-				if !bytes.Equal(x[1:], []byte{1, 2, 3, 4, 5, 6, 7}) {
-					return true
-				}
-			}
-			return false
-		},
+	return false
+}
+
+// corrupted reports whether a payload was changed.
+func corrupted(received [][]byte) bool {
+	return slices.ContainsFunc(received, func(datagram []byte) bool { return !bytes.Equal(datagram[1:], payload) })
+}
+
+// Datagrams are lost, duplicated, swapped and corrupted as the faults say.
+func TestDatagrams(t *testing.T) {
+	network, receiver, sender := newUDPLink(t)
+	if received := transmit(sender, receiver, 20); len(received) != 20 {
+		t.Fatalf("got %d of 20 datagrams without a fault", len(received))
+	}
+	for text, want := range map[string]func(received [][]byte) bool{
+		"cut 600ms":         func(received [][]byte) bool { return len(received) == 0 },
+		"drop 0.5 300ms":    func(received [][]byte) bool { return len(received) > 0 && len(received) < 20 },
+		"repeat 0.5 300ms":  func(received [][]byte) bool { return len(received) > 20 && len(received) < 40 },
+		"swap 0.5 300ms":    reordered,
+		"corrupt 0.5 300ms": corrupted,
 	} {
-		f, err := Parse(text)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := n.Inject([]string{"n0"}, []string{"n1"}, f); err != nil {
-			t.Fatal(err)
+		fault := inject(t, network, "n0", "n1", text)
+		if received := transmit(sender, receiver, 20); !want(received) {
+			t.Errorf("%s: got %d datagrams: %v", text, len(received), received)
 		}
-		if got := some(20); !fits(got) {
-			t.Errorf("%s: %d came: %v", text, len(got), got)
-		}
-		if acted(n, f.Kind) == 0 {
+		if countActions(network, fault.Kind) == 0 {
 			t.Errorf("%s left no record", text)
 		}
-		time.Sleep(f.For)
+		time.Sleep(fault.For)
 	}
 }
 
-// A link to a name that has no process turns datagrams back as its host would, from its own address, and carries them again when there is one;
-// while the way is cut nothing comes back.
-func TestTurnedBack(t *testing.T) {
-	n, in, out := oneWay(t)
+// A link to a name without a process refuses datagrams as the process's host would, from its own address, and forwards
+// them again when there is a process. While the direction is cut nothing comes back.
+func TestSetServing(t *testing.T) {
+	network, receiver, sender := newUDPLink(t)
 	refused := func() bool {
-		out.Write([]byte("x"))
-		out.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-		_, err := out.Read(make([]byte, 1))
+		sender.Write([]byte("x"))
+		sender.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+		_, err := sender.Read(make([]byte, 1))
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
 	for i, c := range []struct {
-		to    string
-		there bool
-		want  bool
-	}{{"n1", true, false}, {"n1", false, true}, {"n1", false, true}, {"n1", true, false}, {"n0", false, false}} {
-		if err := n.SetServing(c.to, c.there); err != nil {
+		to      string
+		serving bool
+		want    bool
+	}{
+		{"n1", true, false},
+		{"n1", false, true},
+		{"n1", false, true},
+		{"n1", true, false},
+		{"n0", false, false},
+	} {
+		if err := network.SetServing(c.to, c.serving); err != nil {
 			t.Fatal(err)
 		}
-		if refused() != c.want {
-			t.Errorf("step %d: turned back: %v", i, !c.want)
+		if got := refused(); got != c.want {
+			t.Errorf("step %d: got refused %v, want %v", i, got, c.want)
 		}
 	}
-	if err := n.Inject([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Minute}); err != nil {
+	inject(t, network, "n0", "n1", "cut 1m")
+	if err := network.SetServing("n1", false); err != nil {
 		t.Fatal(err)
 	}
-	n.SetServing("n1", false)
 	if refused() {
-		t.Error("a way that is cut has turned a datagram back")
+		t.Error("a datagram was refused though its direction is cut")
 	}
-	b := make([]byte, 10)
-	for range 2 { // what came while there was a process
-		in.SetReadDeadline(time.Now().Add(2 * time.Second))
-		if _, _, err := in.ReadFrom(b); err != nil {
+	buffer := make([]byte, 10)
+	for range 2 { // what was sent while there was a process
+		receiver.SetReadDeadline(time.Now().Add(2 * time.Second))
+		if _, _, err := receiver.ReadFrom(buffer); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// What can't be done is one line, and a way that is not there is an error.
-func TestBadFaults(t *testing.T) {
+// A fault that cannot be injected is an error of one line.
+func TestParseFails(t *testing.T) {
 	for text, want := range map[string]string{
-		"": "nothing", "explode 1s": `"explode" is nothing`, "cut": "cut wants 1 words", "cut soon": `"soon" is no duration`, "cut 0s": `"0s" is no duration`,
-		"drop 2 1s": `"2" is out of range`, "drop x 1s": `"x" is out of range`, "delay x 1s": `"x" is no duration`, "reset now": "reset wants 0 words", "throttle 0 1s": `"0" is out of range`,
+		"":              "nothing",
+		"explode 1s":    `"explode" is nothing`,
+		"cut":           "cut wants 1 words",
+		"cut soon":      `"soon" is no duration`,
+		"cut 0s":        `"0s" is no duration`,
+		"drop 2 1s":     `"2" is out of range`,
+		"drop x 1s":     `"x" is out of range`,
+		"delay x 1s":    `"x" is no duration`,
+		"reset now":     "reset wants 0 words",
+		"throttle 0 1s": `"0" is out of range`,
 	} {
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
-	n := New(1, clock())
-	defer n.Close()
-	if err := n.Inject([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Second}); err == nil || err.Error() != "there is no link from n0 to n1" {
-		t.Error(err)
+}
+
+// A fault between names that no link joins is an error.
+func TestInjectFails(t *testing.T) {
+	network := New(1, clock())
+	defer network.Close()
+	err := network.Inject([]string{"n0"}, []string{"n1"}, Fault{Kind: Cut, For: time.Second})
+	if want := "there is no link from n0 to n1"; err == nil || err.Error() != want {
+		t.Errorf("got %v, want %s", err, want)
 	}
 }
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -8,190 +9,235 @@
 )
 
 const (
-	chunkSize      = 16 << 10
-	dialTimeout   = 2 * time.Second
-	resetPollInterval = 5 * time.Millisecond   // resets are looked for
-	maxQueuedChunks   = 256                    // chunks that one direction of a connection holds back
-	maxConnectDelay   = 200 * time.Millisecond // that a connection waits for its first packet
-	maxCutDelay   = 900 * time.Millisecond // that a cut lasts on: what it has held for longer is reset at its end, as who sent it has given it up
+	chunkSize         = 16 << 10 // bytes
+	dialTimeout       = 2 * time.Second
+	resetPollInterval = 5 * time.Millisecond
+	// maxQueuedChunks is how many chunks one direction of a connection queues before it stops reading.
+	maxQueuedChunks = 256
+	// maxConnectDelay is how long a new connection waits for a cut to end: its client gives up then.
+	maxConnectDelay = 200 * time.Millisecond
+	// maxCutDelay is how long a chunk waits for a cut to end. After that the connection is reset at the cut's end,
+	// because its sender has given the data up.
+	maxCutDelay = 900 * time.Millisecond
 )
 
-// Stream is a link for connections from one name to another.
+// TCPLink is a link for connections from one name to another. It has a goroutine that accepts, one that does
+// resets, and four for each connection. Close ends them, and Network.Close waits for them.
 type TCPLink struct {
-	network       *Network
-	toTarget     *direction // towards the target
-	fromTarget      *direction
-	target    string
-	listener        net.Listener
-	mu        sync.Mutex // of all below
-	targetConns     map[net.Conn]net.Conn
+	network    *Network
+	toTarget   *direction
+	fromTarget *direction
+	target     string // address
+	listener   net.Listener
+	closeOnce  sync.Once
+
+	mu          sync.Mutex            // guards all below
+	targetConns map[net.Conn]net.Conn // by the connection that was accepted
 	closed      bool
-	closeOnce sync.Once
 }
 
-// Streams opens a link for connections, at an address of a loopback host; what comes there goes on to target.
+// AddTCPLink adds a link for connections, at an address of a loopback host. Connections to it go on to target.
 func (n *Network) AddTCPLink(from, to, host, target string) (*TCPLink, error) {
-	ln, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
+	listener, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	s := &TCPLink{network: n, toTarget: n.addDirection(from, to), fromTarget: n.addDirection(to, from), target: target, listener: ln, targetConns: map[net.Conn]net.Conn{}}
-	n.onClose(s.Close)
-	n.wg.Go(s.acceptLoop)
-	n.wg.Go(s.resetLoop)
-	return s, nil
+	l := &TCPLink{
+		network:     n,
+		toTarget:    n.addDirection(from, to),
+		fromTarget:  n.addDirection(to, from),
+		target:      target,
+		listener:    listener,
+		targetConns: map[net.Conn]net.Conn{},
+	}
+	n.onClose(l.Close)
+	n.wg.Go(l.acceptLoop)
+	n.wg.Go(l.resetLoop)
+	return l, nil
 }
 
-// Addr is where it listens.
-func (s *TCPLink) Addr() string { return s.listener.Addr().String() }
+// Addr returns the address that the link listens on.
+func (l *TCPLink) Addr() string { return l.listener.Addr().String() }
 
-// Close ends the link: its target is no more, so nobody can connect to it, and what is open is reset.
-func (s *TCPLink) Close() {
-	s.closeOnce.Do(func() {
-		s.listener.Close()
-		s.mu.Lock()
-		s.closed = true
-		s.mu.Unlock()
-		s.resetConns()
+// Close ends the link as if its target had gone: it accepts no connection any more, and resets the open ones.
+func (l *TCPLink) Close() {
+	l.closeOnce.Do(func() {
+		l.listener.Close()
+		l.mu.Lock()
+		l.closed = true
+		l.mu.Unlock()
+		l.resetConns()
 	})
 }
 
-func (s *TCPLink) resetConns() (any bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for a, b := range s.targetConns {
-		abort(a)
-		abort(b)
-		any = true
+// resetConns resets all connections and reports whether there were any.
+func (l *TCPLink) resetConns() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	found := len(l.targetConns) > 0
+	for client, target := range l.targetConns {
+		abort(client)
+		abort(target)
 	}
-	clear(s.targetConns)
-	return any
+	clear(l.targetConns)
+	return found
 }
 
-func abort(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
-		t.Close()
+// isClosed reports whether Close was called.
+func (l *TCPLink) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
+}
+
+// abort closes a connection with a reset.
+func abort(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
+		tcp.Close()
 	}
 }
 
-// resets carries out resets as they are asked for.
-func (s *TCPLink) resetLoop() {
-	for s.network.sleep(resetPollInterval) {
-		s.mu.Lock()
-		shut := s.closed
-		s.mu.Unlock()
-		if shut {
+// resetLoop does the resets that are injected.
+func (l *TCPLink) resetLoop() {
+	for l.network.sleep(resetPollInterval) {
+		if l.isClosed() {
 			return
 		}
-		for _, w := range []*direction{s.toTarget, s.fromTarget} {
-			if w.takeResets() && s.resetConns() {
-				w.mu.Lock()
-				for _, a := range w.records {
-					if a.Fault.Kind == Reset && a.Count == 0 {
-						a.add(s.network.clock())
-					}
-				}
-				w.mu.Unlock()
+		for _, d := range []*direction{l.toTarget, l.fromTarget} {
+			if d.takeResets() && l.resetConns() {
+				d.recordResets()
 			}
 		}
 	}
 }
 
-func (s *TCPLink) acceptLoop() {
+func (l *TCPLink) acceptLoop() {
 	for {
-		c, err := s.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.network.wg.Go(func() { s.serveConn(c) })
+		l.network.wg.Go(func() { l.serveConn(conn) })
 	}
 }
 
-// carry joins a connection with one to the target.
-func (s *TCPLink) serveConn(c net.Conn) {
+// awaitConnect waits while a new connection's first packet is cut, and returns false if its client has given up.
+func (l *TCPLink) awaitConnect() bool {
 	began := time.Now()
-	for f := s.toTarget.treat(0, true); f.lost; f = s.toTarget.treat(0, true) { // its first packet is cut
-		if !s.network.sleep(max(f.lostUntil-s.network.clock(), time.Millisecond)) || time.Since(began) > maxConnectDelay {
-			abort(c) // who dialled has given it up, whatever it has written meanwhile
-			return
+	for t := l.toTarget.treat(0, true); t.lost; t = l.toTarget.treat(0, true) {
+		wait := max(t.lostUntil-l.network.clock(), time.Millisecond)
+		if !l.network.sleep(wait) || time.Since(began) > maxConnectDelay {
+			return false
 		}
 	}
-	d, err := net.DialTimeout("tcp4", s.target, dialTimeout)
+	return true
+}
+
+// track has the link's resets end a connection. It returns false if the link is closed.
+func (l *TCPLink) track(client, target net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return false
+	}
+	l.targetConns[client] = target
+	return true
+}
+
+// serveConn joins a connection with one to the target until both directions have ended.
+func (l *TCPLink) serveConn(client net.Conn) {
+	if !l.awaitConnect() {
+		abort(client)
+		return
+	}
+	target, err := net.DialTimeout("tcp4", l.target, dialTimeout)
 	if err != nil {
-		abort(c)
+		abort(client)
 		return
 	}
-	s.mu.Lock()
-	if s.closed {
-		s.mu.Unlock()
-		abort(c)
-		abort(d)
+	if !l.track(client, target) {
+		abort(client)
+		abort(target)
 		return
 	}
-	s.targetConns[c] = d
-	s.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { s.copyChunks(s.toTarget, c, d) })
-	both.Go(func() { s.copyChunks(s.fromTarget, d, c) })
+	both.Go(func() { l.copyChunks(l.toTarget, client, target) })
+	both.Go(func() { l.copyChunks(l.fromTarget, target, client) })
 	both.Wait()
-	s.mu.Lock()
-	delete(s.targetConns, c)
-	s.mu.Unlock()
-	c.Close()
-	d.Close()
+	l.mu.Lock()
+	delete(l.targetConns, client)
+	l.mu.Unlock()
+	client.Close()
+	target.Close()
 }
 
-// part is a chunk that is to be written at a time.
+// chunk is data that is to be written at a time.
 type chunk struct {
-	data []byte
-	writeAt   time.Time
-	dropped bool // it is not written, the connection ends
+	data    []byte
+	writeAt time.Time
+	dropped bool // it is not written, the connection is reset instead
 }
 
-// pass carries one direction, in order: what is held or late holds what comes behind it.
-func (s *TCPLink) copyChunks(w *direction, from, to net.Conn) {
-	parts := make(chan chunk, maxQueuedChunks)
+// copyChunks copies one direction of a connection, in order: a chunk that waits delays those behind it.
+func (l *TCPLink) copyChunks(d *direction, from, to net.Conn) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	done := make(chan struct{})
-	s.network.wg.Go(func() {
+	l.network.wg.Go(func() {
 		defer close(done)
-		for p := range parts {
-			if d := time.Until(p.writeAt); d > 0 && !s.network.sleep(d) || p.dropped {
-				abort(to)
-				abort(from)
-				continue
-			}
-			if _, err := to.Write(p.data); err != nil {
-				abort(from)
-			}
-		}
+		l.writeChunks(chunks, from, to)
 	})
+	err := l.readChunks(d, from, chunks)
+	close(chunks)
+	<-done
+	if !errors.Is(err, io.EOF) {
+		abort(to)
+		return
+	}
+	if tcp, ok := to.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // fails only on a closed connection
+	}
+}
+
+// readChunks queues what it reads, with what the faults do to it, until reading fails.
+func (l *TCPLink) readChunks(d *direction, from net.Conn, chunks chan<- chunk) error {
 	for {
-		b := make([]byte, chunkSize)
-		k, err := from.Read(b)
-		if k > 0 {
-			f := w.treat(k, true)
-			if f.corrupted {
-				s.network.corrupt(b[:k])
-			}
-			at := time.Now().Add(f.delay)
-			cut := time.Duration(0)
-			if f.lost {
-				cut = max(0, f.lostUntil-s.network.clock())
-			}
-			parts <- chunk{data: b[:k], writeAt: at.Add(cut), dropped: cut > maxCutDelay}
+		buffer := make([]byte, chunkSize)
+		size, err := from.Read(buffer)
+		if size > 0 {
+			chunks <- l.treatChunk(d, buffer[:size])
 		}
 		if err != nil {
-			close(parts)
-			<-done
-			if err == io.EOF {
-				if t, ok := to.(*net.TCPConn); ok {
-					t.CloseWrite()
-				}
-			} else {
-				abort(to)
-			}
-			return
+			return err
+		}
+	}
+}
+
+// treatChunk applies the active faults to data that was read.
+func (l *TCPLink) treatChunk(d *direction, data []byte) chunk {
+	t := d.treat(len(data), true)
+	if t.corrupted {
+		l.network.corrupt(data)
+	}
+	writeAt := time.Now().Add(t.delay)
+	cutDelay := time.Duration(0)
+	if t.lost {
+		cutDelay = max(0, t.lostUntil-l.network.clock())
+	}
+	return chunk{data: data, writeAt: writeAt.Add(cutDelay), dropped: cutDelay > maxCutDelay}
+}
+
+// writeChunks writes each chunk at its time until the queue is closed. After a failure it goes on to empty the queue.
+func (l *TCPLink) writeChunks(chunks <-chan chunk, from, to net.Conn) {
+	for c := range chunks {
+		wait := time.Until(c.writeAt)
+		if wait > 0 && !l.network.sleep(wait) || c.dropped {
+			abort(to)
+			abort(from)
+			continue
+		}
+		if _, err := to.Write(c.data); err != nil {
+			abort(from)
 		}
 	}
 }
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -9,8 +9,11 @@
 	"time"
 )
 
-// Datagrams opens a one-way link for datagrams from one name to another, at an address of a loopback host, and returns the
-// address. What comes there goes on to target.
+// maxDatagram is the largest datagram that is forwarded, in bytes.
+const maxDatagram = 64 << 10
+
+// AddUDPLink adds a one-way link for datagrams from one name to another, at an address of a loopback host, and
+// returns the address. What arrives there is forwarded to target.
 func (n *Network) AddUDPLink(from, to, host, target string) (string, error) {
 	in, err := net.ListenPacket("udp4", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -21,120 +24,112 @@
 		in.Close()
 		return "", err
 	}
-	d := &udpLink{direction: n.addDirection(from, to), addr: in.LocalAddr().String(), in: in, out: out}
+	l := &udpLink{direction: n.addDirection(from, to), addr: in.LocalAddr().String(), in: in, out: out}
 	n.mu.Lock()
-	n.udpLinks = append(n.udpLinks, d)
+	n.udpLinks = append(n.udpLinks, l)
 	n.mu.Unlock()
 	n.onClose(func() {
-		d.setOpen(false)
+		// Closing an open port cannot fail in a way that matters here.
+		_ = l.setOpen(false)
 		out.Close()
 	})
-	n.wg.Go(func() { d.forwardLoop(in) })
-	return d.addr, nil
+	n.wg.Go(func() { l.forwardLoop(in) })
+	return l.addr, nil
 }
 
-// datagrams is a one-way link for datagrams.
+// udpLink is a one-way link for datagrams. It has one goroutine while its port is open.
 type udpLink struct {
 	*direction
-	addr  string
-	out net.Conn
-	mu  sync.Mutex // of in
-	in  net.PacketConn
+	addr string // of the link's port
+	out  net.Conn
+
+	inMu sync.Mutex     // guards in
+	in   net.PacketConn // nil while the port is closed
 }
 
-// Serves says whether there is a process at a name. A host turns datagrams back to a port without one, so the links to it do the same; where the way is
-// cut nothing comes back, and the link goes on losing what comes.
-func (n *Network) SetServing(to string, there bool) error {
+// SetServing says whether there is a process at a name. A host answers a datagram to a port without a process with
+// an ICMP error, so the links to the name close their ports to do the same. A link whose direction is cut stays
+// open, because nothing may come back from it: it goes on losing what arrives.
+func (n *Network) SetServing(to string, serving bool) error {
 	n.mu.Lock()
-	list := slices.Clone(n.udpLinks)
+	links := slices.Clone(n.udpLinks)
 	n.mu.Unlock()
 	var errs []error
-	for _, d := range list {
-		if _, name, _ := strings.Cut(d.name, ">"); name == to && (there || !d.isCut()) {
-			errs = append(errs, d.setOpen(there))
+	for _, l := range links {
+		if _, name, _ := strings.Cut(l.name, ">"); name == to && (serving || !l.isCut()) {
+			errs = append(errs, l.setOpen(serving))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// turn opens or closes the link's own port.
-func (d *udpLink) setOpen(open bool) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// setOpen opens or closes the link's port. A port is not opened again after the network was closed.
+func (l *udpLink) setOpen(open bool) error {
+	l.inMu.Lock()
+	defer l.inMu.Unlock()
 	switch {
-	case open == (d.in != nil):
+	case open == (l.in != nil):
 		return nil
 	case !open:
-		d.in.Close()
-		d.in = nil
+		l.in.Close()
+		l.in = nil
 		return nil
 	}
 	select {
-	case <-d.network.closed:
+	case <-l.network.closed:
 		return nil
 	default:
 	}
-	in, err := net.ListenPacket("udp4", d.addr)
+	in, err := net.ListenPacket("udp4", l.addr)
 	if err != nil {
 		return err
 	}
-	d.in = in
-	d.network.wg.Go(func() { d.forwardLoop(in) })
+	l.in = in
+	l.network.wg.Go(func() { l.forwardLoop(in) })
 	return nil
 }
 
-func (d *udpLink) forwardLoop(in net.PacketConn) {
-	w, out := d.direction, d.out
-	b := make([]byte, 64<<10)
-	var waits []byte // for the next to overtake it
+// forwardLoop forwards what arrives at a port until the port is closed.
+func (l *udpLink) forwardLoop(in net.PacketConn) {
+	buffer := make([]byte, maxDatagram)
+	var overtaken []byte // a datagram that the next one is to overtake; nil: none
 	for {
-		k, _, err := in.ReadFrom(b)
+		size, _, err := in.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		f := w.treat(k, false)
-		if f.lost {
+		t := l.treat(size, false)
+		if t.lost {
 			continue
 		}
-		data := slices.Clone(b[:k])
-		if f.corrupted {
-			w.network.corrupt(data)
+		data := slices.Clone(buffer[:size])
+		if t.corrupted {
+			l.network.corrupt(data)
 		}
-		if f.swapped && waits == nil {
-			waits = data
+		if t.swapped && overtaken == nil {
+			overtaken = data
 			continue
 		}
-		w.send(out, data, f.delay)
-		if f.duplicated {
-			w.send(out, data, f.delay)
+		l.send(data, t.delay)
+		if t.duplicated {
+			l.send(data, t.delay)
 		}
-		if waits != nil {
-			w.send(out, waits, f.delay)
-			waits = nil
+		if overtaken != nil {
+			l.send(overtaken, t.delay)
+			overtaken = nil
 		}
 	}
 }
 
-func (w *direction) send(out net.Conn, data []byte, later time.Duration) {
-	if later <= 0 {
-		out.Write(data) // who is not there loses it
+// send writes a datagram to the target after a delay. A target without a process loses it, so errors are ignored.
+func (l *udpLink) send(data []byte, delay time.Duration) {
+	if delay <= 0 {
+		_, _ = l.out.Write(data)
 		return
 	}
-	w.network.wg.Go(func() {
-		if w.network.sleep(later) {
-			out.Write(data)
+	l.network.wg.Go(func() {
+		if l.network.sleep(delay) {
+			_, _ = l.out.Write(data)
 		}
 	})
 }
-
-// sleep waits, and returns false where the network is closed before.
-func (n *Network) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-n.closed:
-		return false
-	case <-t.C:
-		return true
-	}
-}
