--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -29,12 +29,12 @@
 
 // startTarget starts a build, or the bare proxy, before the backends and waits until it serves.
 func startTarget(ctx context.Context, c *Config, build Build, b *backends, dir string) (*target, error) {
-	held, err := proc.Hold(loopback)
+	held, err := proc.HoldAddress(loopback)
 	if err != nil {
 		return nil, err
 	}
 	t := &target{addr: held}
-	t.Process = proc.Process{Name: build.Name, Serves: func() bool { return answersPing(held.Addr()) }}
+	t.Process = proc.Process{Name: build.Name, IsServing: func() bool { return answersPing(held.Addr()) }}
 	t.Env = append(os.Environ(), "GOMAXPROCS=1", "HITCHSPRING_OPTIONS=", "ROUTER_ADMIN_ADDR=", "ROUTER_SOCKET_FD=")
 	if build.Name == Bare {
 		t.Program = c.Proxy[0]
@@ -60,7 +60,7 @@
 
 // stop ends the process.
 func (t *target) stop() {
-	t.Signal(syscall.SIGKILL)
+	t.Stop(syscall.SIGKILL)
 	t.addr.Release()
 }
 
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -10,7 +10,7 @@
 
 // evidence gathers what the peers saw.
 func (w *Testbed) evidence() rulecheck.Evidence {
-	e := rulecheck.Evidence{Requests: w.load.asked(), ObserverDelays: w.meter.Late()}
+	e := rulecheck.Evidence{Requests: w.load.asked(), ObserverDelays: w.meter.Delays()}
 	for _, r := range w.fleet.Records(0) {
 		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
 			ArrivedAt: r.ArrivedAt, EndedAt: r.EndedAt, ID: r.ID, Backend: r.Backend, Instance: fmt.Sprint("n", r.Instance), Tenant: r.Tenant,
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -17,7 +17,7 @@
 )
 
 // mostLine bounds a line; a longer one ends the reading of its file with an error.
-const mostLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Table is sums over all instances.
 type Table struct {
@@ -40,9 +40,9 @@
 			return nil, err
 		}
 		in := bufio.NewScanner(f)
-		in.Buffer(nil, mostLine)
+		in.Buffer(nil, maxLineBytes)
 		for in.Scan() {
-			t.line(in.Text(), known)
+			t.addLine(in.Text(), known)
 		}
 		f.Close()
 		if err := in.Err(); err != nil {
@@ -54,7 +54,7 @@
 }
 
 // line adds one line up; what is not of this kind, or cut off, is passed over.
-func (t *Table) line(text string, known map[string]bool) {
+func (t *Table) addLine(text string, known map[string]bool) {
 	second := strings.Contains(text, " msg=second ")
 	if !second && !strings.Contains(text, " msg=serving ") {
 		return
--- a/internal/lab/instance.go
+++ b/internal/lab/instance.go
@@ -17,7 +17,7 @@
 // newIngress writes an instance's files.
 func (w *Testbed) newIngress(i int, program string) (*ingress, error) {
 	g := &ingress{w: w, n: i, host: w.instanceHost(i)}
-	g.Process = proc.Process{Name: fmt.Sprint("n", i), Program: program, Log: w.cfg.Log, Serves: g.ping, Ended: g.ended}
+	g.Process = proc.Process{Name: fmt.Sprint("n", i), Program: program, Output: w.cfg.Log, IsServing: g.ping, OnExit: g.ended}
 	var err error
 	if g.addr, err = g.hold(); err != nil {
 		return nil, err
--- a/internal/lab/lateness/lateness.go
+++ b/internal/lab/lateness/lateness.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	wakeEvery = 2 * time.Millisecond
-	keptFrom  = 20 * time.Millisecond // of lateness
-	mostKept  = 1000
+	wakeInterval = 2 * time.Millisecond
+	minDelay     = 20 * time.Millisecond // of lateness
+	maxDelays    = 1000
 )
 
 // Meter records lateness until Close.
@@ -22,8 +22,8 @@
 	stop  chan struct{}
 	wg    sync.WaitGroup
 
-	mu    sync.Mutex
-	spans []rulecheck.ObserverDelay
+	mu     sync.Mutex
+	delays []rulecheck.ObserverDelay
 }
 
 // Start begins to measure by a clock.
@@ -34,7 +34,7 @@
 }
 
 func (m *Meter) run() {
-	ticker := time.NewTicker(wakeEvery)
+	ticker := time.NewTicker(wakeInterval)
 	defer ticker.Stop()
 	for last := m.clock(); ; {
 		select {
@@ -43,7 +43,7 @@
 		case <-ticker.C:
 		}
 		now := m.clock()
-		if by := now - last - wakeEvery; by > keptFrom {
+		if by := now - last - wakeInterval; by > minDelay {
 			m.add(rulecheck.ObserverDelay{At: now - by, Delay: by})
 		}
 		last = now
@@ -53,16 +53,16 @@
 func (m *Meter) add(span rulecheck.ObserverDelay) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.spans) < mostKept {
-		m.spans = append(m.spans, span)
+	if len(m.delays) < maxDelays {
+		m.delays = append(m.delays, span)
 	}
 }
 
 // Late is what has been recorded so far.
-func (m *Meter) Late() []rulecheck.ObserverDelay {
+func (m *Meter) Delays() []rulecheck.ObserverDelay {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.spans)
+	return slices.Clone(m.delays)
 }
 
 // Close ends the measurement.
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -284,7 +284,7 @@
 		t.key = cmp.Or(key, fmt.Sprintf("%016x", id))
 		fields += ",k=" + t.key
 	}
-	command := respclient.Command(name, fmt.Sprintf("%016x", ch.id), t.ID, fields)
+	command := respclient.EncodeCommand(name, fmt.Sprintf("%016x", ch.id), t.ID, fields)
 	for fresh := false; ; fresh = true {
 		nc, err := l.pools[at].get(fresh)
 		if err != nil {
@@ -309,10 +309,10 @@
 			} else {
 				l.pools[at].put(nc)
 			}
-			return t, ans.After
+			return t, ans.RetryAfter
 		}
 		nc.Close()
-		if !fresh && nc.used && errors.Is(err, respclient.ErrEnded) { // it was closed between requests: the protocol has us send again
+		if !fresh && nc.used && errors.Is(err, respclient.ErrClosed) { // it was closed between requests: the protocol has us send again
 			continue
 		}
 		at := l.w.clock()
@@ -404,9 +404,9 @@
 func (c *clientConn) ask(command string, wait time.Duration) (respclient.Answer, error) {
 	c.SetDeadline(time.Now().Add(wait))
 	if _, err := io.WriteString(c, command); err != nil {
-		return respclient.Answer{}, respclient.ErrEnded
+		return respclient.Answer{}, respclient.ErrClosed
 	}
-	return respclient.Read(c.in)
+	return respclient.ReadAnswer(c.in)
 }
 
 // more says whether something came that nobody asked for.
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -23,7 +23,7 @@
 	w.load.begin()
 	before := make([]proc.Usage, len(w.ingresses))
 	for i, g := range w.ingresses {
-		before[i] = g.Use()
+		before[i] = g.Usage()
 	}
 	calls := w.store.Calls()
 	faulty := make(chan error, 1)
@@ -53,7 +53,7 @@
 	var procs []Process
 	cpu := time.Duration(0)
 	for i, g := range w.ingresses {
-		u := g.Use()
+		u := g.Usage()
 		cpu += u.CPU - before[i].CPU
 		procs = append(procs, Process{Name: g.Name, CPUS: (u.CPU - before[i].CPU).Seconds(), PeakMB: float64(u.PeakKB) / 1024})
 	}
--- a/internal/lab/proc/hold.go
+++ b/internal/lab/proc/hold.go
@@ -14,7 +14,7 @@
 }
 
 // Hold draws a free TCP port of a loopback host and holds it until Release.
-func Hold(host string) (*HeldAddress, error) {
+func HoldAddress(host string) (*HeldAddress, error) {
 	ip, err := netip.ParseAddr(host)
 	if err != nil || !ip.Is4() {
 		return nil, fmt.Errorf("holding an address: %q is no IPv4 address", host)
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -20,9 +20,9 @@
 
 const (
 	// StartLimit is how long a start may take.
-	StartLimit = 20 * time.Second
-	endLimit   = 8 * time.Second
-	tailBytes  = 4 << 10
+	StartTimeout = 20 * time.Second
+	stopTimeout  = 8 * time.Second
+	maxTailBytes = 4 << 10
 )
 
 // Usage is what the kernel says of a process, over all its starts.
@@ -34,19 +34,19 @@
 // Process is one program that may be started, ended and started again. Its methods are safe for many goroutines; Start and
 // Signal of one process are not called at one time.
 type Process struct {
-	Name    string
-	Program string
-	Args    []string // beside the program's own name
-	Env     []string
-	Log     io.Writer   // what it writes goes there too; nil: nowhere
-	Serves  func() bool // asked until it says yes, or the process has ended
-	Ended   func(error) // called at each end, before Signal returns; nil: nobody
-
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	use  Usage
-	said tail
+	Name      string
+	Program   string
+	Args      []string // beside the program's own name
+	Env       []string
+	Output    io.Writer   // what it writes goes there too; nil: nowhere
+	IsServing func() bool // asked until it says yes, or the process has ended
+	OnExit    func(error) // called at each end, before Signal returns; nil: nobody
+
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
+	usage  Usage
+	output tail
 }
 
 // Start starts the process and waits until it serves. One that ends before is an error that has its last line.
@@ -55,15 +55,15 @@
 	cmd := exec.Command(p.Program, p.Args...)
 	cmd.Env = p.Env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the lab killed in the middle leaves none behind
-	out := io.Writer(&p.said)
-	if p.Log != nil {
-		out = io.MultiWriter(&p.said, p.Log)
+	out := io.Writer(&p.output)
+	if p.Output != nil {
+		out = io.MultiWriter(&p.output, p.Output)
 	}
 	cmd.Stdout, cmd.Stderr = out, out
 	err := cmd.Start()
 	done := make(chan struct{})
 	if err == nil {
-		p.cmd, p.done = cmd, done
+		p.cmd, p.exited = cmd, done
 	}
 	p.mu.Unlock()
 	if err != nil {
@@ -74,26 +74,26 @@
 		err := cmd.Wait()
 		p.mu.Lock()
 		if s, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.use.CPU += time.Duration(s.Utime.Nano() + s.Stime.Nano())
-			p.use.PeakKB = max(p.use.PeakKB, int64(s.Maxrss))
+			p.usage.CPU += time.Duration(s.Utime.Nano() + s.Stime.Nano())
+			p.usage.PeakKB = max(p.usage.PeakKB, int64(s.Maxrss))
 		}
 		p.mu.Unlock()
-		if p.Ended != nil {
-			p.Ended(err)
+		if p.OnExit != nil {
+			p.OnExit(err)
 		}
 	}()
-	limit := time.NewTimer(StartLimit)
+	limit := time.NewTimer(StartTimeout)
 	defer limit.Stop()
 	again := time.NewTicker(5 * time.Millisecond)
 	defer again.Stop()
-	for !p.Serves() {
+	for !p.IsServing() {
 		select {
 		case <-done:
 			return fmt.Errorf("%s ended at its start: %s", p.Name, p.LastLine())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-limit.C:
-			return fmt.Errorf("%s does not serve after %v: %s", p.Name, StartLimit, p.LastLine())
+			return fmt.Errorf("%s does not serve after %v: %s", p.Name, StartTimeout, p.LastLine())
 		case <-again.C:
 		}
 	}
@@ -104,8 +104,8 @@
 var ErrNotRunning = errors.New("the process is not running")
 
 // Send sends a signal and waits for nothing.
-func (p *Process) Send(sig syscall.Signal) error {
-	cmd, done := p.running()
+func (p *Process) SendSignal(sig syscall.Signal) error {
+	cmd, done := p.command()
 	if cmd == nil {
 		return fmt.Errorf("%s: %w", p.Name, ErrNotRunning)
 	}
@@ -118,15 +118,15 @@
 }
 
 // Signal sends a signal that ends the process, and waits for that; one that does not end in time is killed.
-func (p *Process) Signal(sig syscall.Signal) {
-	cmd, done := p.running()
+func (p *Process) Stop(sig syscall.Signal) {
+	cmd, done := p.command()
 	if cmd == nil {
 		return
 	}
 	cmd.Process.Signal(sig)
 	select {
 	case <-done:
-	case <-time.After(endLimit):
+	case <-time.After(stopTimeout):
 		cmd.Process.Kill()
 		<-done
 	}
@@ -134,7 +134,7 @@
 
 // Running says whether it was started and has not ended.
 func (p *Process) Running() bool {
-	cmd, done := p.running()
+	cmd, done := p.command()
 	if cmd == nil {
 		return false
 	}
@@ -146,33 +146,33 @@
 	}
 }
 
-func (p *Process) running() (*exec.Cmd, chan struct{}) {
+func (p *Process) command() (*exec.Cmd, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd, p.done
+	return p.cmd, p.exited
 }
 
 // Pid is the process's number; 0 where it was never started.
 func (p *Process) Pid() int {
-	if cmd, _ := p.running(); cmd != nil {
+	if cmd, _ := p.command(); cmd != nil {
 		return cmd.Process.Pid
 	}
 	return 0
 }
 
 // LastLine is the last whole line that it wrote.
-func (p *Process) LastLine() string { return p.said.last() }
+func (p *Process) LastLine() string { return p.output.last() }
 
 // Use reads what the process has used so far, with what was used before its last start.
-func (p *Process) Use() Usage {
+func (p *Process) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := p.use
+	u := p.usage
 	if p.cmd == nil {
 		return u
 	}
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return u
 	default:
 	}
@@ -208,7 +208,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.b = append(t.b, b...)
-	if n := len(t.b) - tailBytes; n > 0 {
+	if n := len(t.b) - maxTailBytes; n > 0 {
 		t.b = append(t.b[:0], t.b[n:]...)
 	}
 	return len(b), nil
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -9,7 +9,7 @@
 
 // An address that is held is nobody else's draw, and its process can listen on it, again and again.
 func TestHold(t *testing.T) {
-	h, err := Hold("127.0.0.77")
+	h, err := HoldAddress("127.0.0.77")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		ln.Close()
 	}
 	for _, host := range []string{"", "::1", "localhost"} {
-		if _, err := Hold(host); err == nil || !strings.Contains(err.Error(), "IPv4") {
+		if _, err := HoldAddress(host); err == nil || !strings.Contains(err.Error(), "IPv4") {
 			t.Error(host, err)
 		}
 	}
@@ -43,13 +43,13 @@
 
 // A process that ends at its start is an error with its last line, and no other process's answer is taken for its own.
 func TestEndsAtStart(t *testing.T) {
-	p := &Process{Name: "n1", Program: "/bin/sh", Serves: func() bool { return false }}
+	p := &Process{Name: "n1", Program: "/bin/sh", IsServing: func() bool { return false }}
 	p.Env = []string{}
 	p.Program = "/bin/false"
 	if err := p.Start(t.Context()); err == nil || !strings.Contains(err.Error(), "n1 ended at its start: it said nothing") {
 		t.Fatal(err)
 	}
-	if p.Running() || p.Send(syscall.SIGTERM) == nil {
+	if p.Running() || p.SendSignal(syscall.SIGTERM) == nil {
 		t.Fatal("it runs")
 	}
 	var said tail
@@ -57,8 +57,8 @@
 	if said.last() != "two" {
 		t.Fatal(said.last())
 	}
-	said.Write([]byte(strings.Repeat("x", 3*tailBytes) + "\nthree\n"))
-	if said.last() != "three" || len(said.b) > tailBytes {
+	said.Write([]byte(strings.Repeat("x", 3*maxTailBytes) + "\nthree\n"))
+	if said.last() != "three" || len(said.b) > maxTailBytes {
 		t.Fatal(said.last(), len(said.b))
 	}
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -34,7 +34,7 @@
 
 // hold draws an address of the instance's own host, which is held until the run's end.
 func (g *ingress) hold() (string, error) {
-	h, err := proc.Hold(g.host)
+	h, err := proc.HoldAddress(g.host)
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", g.Name, err)
 	}
@@ -102,7 +102,7 @@
 // restart kills the process and starts it after a while.
 func (g *ingress) restart(ctx context.Context, after time.Duration) error {
 	g.down()
-	g.Signal(syscall.SIGKILL)
+	g.Stop(syscall.SIGKILL)
 	select {
 	case <-ctx.Done():
 		return nil
@@ -124,14 +124,14 @@
 // pause stops the process and lets it go on after a while.
 func (g *ingress) pause(ctx context.Context, d time.Duration) error {
 	g.down()
-	if err := g.Send(syscall.SIGSTOP); err != nil {
+	if err := g.SendSignal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
-	err := g.Send(syscall.SIGCONT)
+	err := g.SendSignal(syscall.SIGCONT)
 	select {
 	case <-ctx.Done():
 	case <-time.After(wakeTime):
@@ -144,7 +144,7 @@
 func (g *ingress) end() {
 	if g.Running() {
 		g.down()
-		g.Signal(syscall.SIGTERM)
+		g.Stop(syscall.SIGTERM)
 	}
 }
 
--- a/internal/lab/respclient/respclient.go
+++ b/internal/lab/respclient/respclient.go
@@ -14,27 +14,27 @@
 )
 
 // mostValue is the longest value that is read.
-const mostValue = 1 << 16
+const maxValueBytes = 1 << 16
 
 // The kinds of answers.
 const (
-	Served  = "served"
-	Refused = "refused"
-	Failed  = "failed"
+	Served   = "served"
+	Rejected = "refused"
+	Failed   = "failed"
 )
 
 // Answer is one answer of an ingress.
 type Answer struct {
-	Kind  string
-	Value string        // of one that served; the error's line of one that failed
-	After time.Duration // of a refusal: when to come back; 0: not told
+	Kind       string
+	Value      string        // of one that served; the error's line of one that failed
+	RetryAfter time.Duration // of a refusal: when to come back; 0: not told
 }
 
 // ErrEnded is a connection that ended before a byte of the answer.
-var ErrEnded = errors.New("the connection has ended")
+var ErrClosed = errors.New("the connection has ended")
 
 // Command words a command.
-func Command(words ...string) string {
+func EncodeCommand(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
 	for _, w := range words {
@@ -44,12 +44,12 @@
 }
 
 // Read reads one answer.
-func Read(in *bufio.Reader) (Answer, error) {
+func ReadAnswer(in *bufio.Reader) (Answer, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		var ne net.Error
 		if line == "" && !(errors.As(err, &ne) && ne.Timeout()) {
-			return Answer{}, ErrEnded
+			return Answer{}, ErrClosed
 		}
 		return Answer{}, err
 	}
@@ -57,7 +57,7 @@
 	switch {
 	case strings.HasPrefix(line, "$") && line != "$-1":
 		n, err := strconv.Atoi(line[1:])
-		if err != nil || n < 0 || n > mostValue {
+		if err != nil || n < 0 || n > maxValueBytes {
 			return Answer{}, fmt.Errorf("an answer of length %q", line[1:])
 		}
 		b := make([]byte, n+2)
@@ -67,7 +67,7 @@
 		return Answer{Kind: Served, Value: string(b[:n])}, nil
 	case strings.HasPrefix(line, "-BUSY"):
 		after, _ := strconv.Atoi(strings.TrimSpace(line[len("-BUSY"):]))
-		return Answer{Kind: Refused, After: time.Duration(after) * time.Millisecond}, nil
+		return Answer{Kind: Rejected, RetryAfter: time.Duration(after) * time.Millisecond}, nil
 	}
 	return Answer{Kind: Failed, Value: line}, nil
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -91,7 +91,7 @@
 	if c.effect != safe && rng.Float64() < bodyShare {
 		words = append(words, strings.Repeat("b", 1+rng.IntN(mostBody)))
 	}
-	text := respclient.Command(words...)
+	text := respclient.EncodeCommand(words...)
 	return request{asked: asked{id: id, class: c.name, kind: kind, in: in, wait: wait}, text: text}
 }
 
@@ -114,7 +114,7 @@
 // answer reads one answer.
 func (c *conn) answer(until time.Time) (respclient.Answer, error) {
 	c.SetReadDeadline(until)
-	return respclient.Read(c.in)
+	return respclient.ReadAnswer(c.in)
 }
 
 // note records a request as it went.
@@ -134,7 +134,7 @@
 	case err == nil:
 		a.answers = append(a.answers, rulecheck.Answer{At: now, Kind: answer.Kind})
 		a.value = answer.Value
-	case errors.Is(err, respclient.ErrEnded):
+	case errors.Is(err, respclient.ErrClosed):
 		a.ended = now
 	default:
 		a.waited = now
@@ -150,7 +150,7 @@
 		if c == nil {
 			var err error
 			if !a.in.open() { // the front sends it to another
-				err = respclient.ErrEnded
+				err = respclient.ErrClosed
 			} else {
 				c, err = a.in.dial()
 			}
@@ -269,7 +269,7 @@
 			list[i] = r.newRequest("pipelining", in, rng)
 			if nonsense > 0 && rng.IntN(12) == 0 {
 				nonsense--
-				text.WriteString(respclient.Command("NONSENSE", "x"))
+				text.WriteString(respclient.EncodeCommand("NONSENSE", "x"))
 			}
 			text.WriteString(list[i].text)
 		}
--- a/internal/lab/soak/instance.go
+++ b/internal/lab/soak/instance.go
@@ -72,12 +72,12 @@
 // newInstance prepares an instance; it does not run yet.
 func (r *run) newInstance(n int) (*instance, error) {
 	in := &instance{run: r, n: n, config: filepath.Join(r.dir, fmt.Sprintf("n%d.json", n))}
-	held, err := proc.Hold(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
+	held, err := proc.HoldAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
 	if err != nil {
 		return nil, err
 	}
 	r.onClose(held.Release)
-	door, err := proc.Hold(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
+	door, err := proc.HoldAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	}
 	r.onClose(func() { log.Close() })
 	in.Process = proc.Process{
-		Name: fmt.Sprint("n", n), Program: r.cfg.Program, Log: &lineWriter{to: log, line: in.logged}, Serves: in.ping, Ended: in.ended,
+		Name: fmt.Sprint("n", n), Program: r.cfg.Program, Output: &lineWriter{to: log, line: in.logged}, IsServing: in.ping, OnExit: in.ended,
 		Env: append(os.Environ(), "ROUTER_CONFIG="+in.config, "HITCHSPRING_OPTIONS=", "TMPDIR="+state),
 	}
 	return in, nil
@@ -115,7 +115,7 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(500 * time.Millisecond))
-	io.WriteString(nc, respclient.Command("PING"))
+	io.WriteString(nc, respclient.EncodeCommand("PING"))
 	var b [5]byte
 	_, err = io.ReadFull(nc, b[:])
 	return err == nil && string(b[:]) == "+PONG"
@@ -171,7 +171,7 @@
 	in.acting.Lock()
 	defer in.acting.Unlock()
 	in.expect(&in.kills)
-	in.Signal(syscall.SIGKILL)
+	in.Stop(syscall.SIGKILL)
 	in.startAgain(ctx, pause)
 }
 
@@ -183,7 +183,7 @@
 	limit := min(in.run.deployment.longest(), 3*time.Second) + killAfter
 	in.expect(&in.terms)
 	began := in.run.clock()
-	in.Send(syscall.SIGTERM)
+	in.SendSignal(syscall.SIGTERM)
 	if hold > 0 {
 		sleep(ctx, limit-killAfter+450*time.Millisecond)
 		in.holdUp(ctx, hold)
@@ -197,7 +197,7 @@
 		in.mu.Lock()
 		in.overrun = append(in.overrun, in.run.clock())
 		in.mu.Unlock()
-		in.Signal(syscall.SIGKILL)
+		in.Stop(syscall.SIGKILL)
 	}
 	in.startAgain(ctx, pause)
 }
@@ -215,11 +215,11 @@
 
 // holdUp stops the process for a moment, as a machine without time for it does.
 func (in *instance) holdUp(ctx context.Context, d time.Duration) {
-	if in.Send(syscall.SIGSTOP) != nil {
+	if in.SendSignal(syscall.SIGSTOP) != nil {
 		return
 	}
 	sleep(ctx, d)
-	in.Send(syscall.SIGCONT)
+	in.SendSignal(syscall.SIGCONT)
 }
 
 // hangUp gives the process a new configuration, so many times, each of which moves to the other agent; with torn the file is half written once in between.
@@ -229,13 +229,13 @@
 	for i := range times {
 		if torn && i == times/2 {
 			os.WriteFile(in.config, []byte(`{"listen":"`+in.addr+`","disco`), 0o600)
-			in.Send(syscall.SIGHUP)
+			in.SendSignal(syscall.SIGHUP)
 			sleep(ctx, gap)
 		}
 		in.mu.Lock()
 		next := 1 - in.told
 		in.mu.Unlock()
-		if in.write(next) != nil || in.Send(syscall.SIGHUP) != nil {
+		if in.write(next) != nil || in.SendSignal(syscall.SIGHUP) != nil {
 			return
 		}
 		in.mu.Lock()
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -66,7 +66,7 @@
 	}
 	r.judgeRecords(records, requests)
 	r.judgeInstances()
-	e := rulecheck.Evidence{Requests: list, Notifications: r.toldToInstances(), ObserverDelays: r.meter.Late()}
+	e := rulecheck.Evidence{Requests: list, Notifications: r.toldToInstances(), ObserverDelays: r.meter.Delays()}
 	for _, rec := range records {
 		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
 			ArrivedAt: rec.ArrivedAt, EndedAt: rec.EndedAt, ID: rec.ID, Backend: rec.Backend, Instance: fmt.Sprint("n", rec.Instance), Tenant: rec.Tenant,
@@ -82,7 +82,7 @@
 	for _, b := range verdict.Violations {
 		r.findings = append(r.findings, Finding{Rule: b.Rule, At: b.At, Detail: b.Detail, Doubtful: b.Doubtful})
 	}
-	r.doubtBy(r.meter.Late())
+	r.doubtBy(r.meter.Delays())
 	for i := range r.findings {
 		r.tellStory(&r.findings[i], requests, byID)
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -216,7 +216,7 @@
 			defer in.acting.Unlock()
 			if in.Running() {
 				in.expect(&in.terms)
-				in.Signal(syscall.SIGTERM)
+				in.Stop(syscall.SIGTERM)
 			}
 		})
 	}
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -181,10 +181,10 @@
 	switch s.ActionFields()[0] {
 	case "kill":
 		g.down()
-		g.Signal(syscall.SIGKILL)
+		g.Stop(syscall.SIGKILL)
 	case "term":
 		g.down()
-		g.Signal(syscall.SIGTERM)
+		g.Stop(syscall.SIGTERM)
 	case "restart": // others go on meanwhile
 		w.wg.Go(func() { w.fault(g.restart(ctx, s.Duration(1))) })
 	case "pause":
