--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -8,190 +9,235 @@
 )
 
 const (
-	chunk      = 16 << 10
-	dialTime   = 2 * time.Second
-	resetEvery = 5 * time.Millisecond   // resets are looked for
-	mostHeld   = 256                    // chunks that one direction of a connection holds back
-	mostDial   = 200 * time.Millisecond // that a connection waits for its first packet
-	mostWait   = 900 * time.Millisecond // that a cut lasts on: what it has held for longer is reset at its end, as who sent it has given it up
+	chunkSize         = 16 << 10 // bytes
+	dialTimeout       = 2 * time.Second
+	resetPollInterval = 5 * time.Millisecond
+	// maxQueuedChunks is how many chunks one direction of a connection queues before it stops reading.
+	maxQueuedChunks = 256
+	// maxConnectDelay is how long a new connection waits for a cut to end: its client gives up then.
+	maxConnectDelay = 200 * time.Millisecond
+	// maxCutDelay is how long a chunk waits for a cut to end. After that the connection is reset at the cut's end,
+	// because its sender has given the data up.
+	maxCutDelay = 900 * time.Millisecond
 )
 
-// Stream is a link for connections from one name to another.
-type Stream struct {
-	net       *Net
-	there     *way // towards the target
-	back      *way
-	target    string
-	ln        net.Listener
-	mu        sync.Mutex // of all below
-	conns     map[net.Conn]net.Conn
-	shut      bool
-	closeOnce sync.Once
-}
-
-// Streams opens a link for connections, at an address of a loopback host; what comes there goes on to target.
-func (n *Net) Streams(from, to, host, target string) (*Stream, error) {
-	ln, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
+// TCPLink is a link for connections from one name to another. It has a goroutine that accepts, one that does
+// resets, and four for each connection. Close ends them, and Network.Close waits for them.
+type TCPLink struct {
+	network    *Network
+	toTarget   *direction
+	fromTarget *direction
+	target     string // address
+	listener   net.Listener
+	closeOnce  sync.Once
+
+	mu          sync.Mutex            // guards all below
+	targetConns map[net.Conn]net.Conn // by the connection that was accepted
+	closed      bool
+}
+
+// AddTCPLink adds a link for connections, at an address of a loopback host. Connections to it go on to target.
+func (n *Network) AddTCPLink(from, to, host, target string) (*TCPLink, error) {
+	listener, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	s := &Stream{net: n, there: n.newWay(from, to), back: n.newWay(to, from), target: target, ln: ln, conns: map[net.Conn]net.Conn{}}
-	n.onClose(s.Close)
-	n.wg.Go(s.accept)
-	n.wg.Go(s.resets)
-	return s, nil
+	l := &TCPLink{
+		network:     n,
+		toTarget:    n.addDirection(from, to),
+		fromTarget:  n.addDirection(to, from),
+		target:      target,
+		listener:    listener,
+		targetConns: map[net.Conn]net.Conn{},
+	}
+	n.onClose(l.Close)
+	n.wg.Go(l.acceptLoop)
+	n.wg.Go(l.resetLoop)
+	return l, nil
 }
 
-// Addr is where it listens.
-func (s *Stream) Addr() string { return s.ln.Addr().String() }
+// Addr returns the address that the link listens on.
+func (l *TCPLink) Addr() string { return l.listener.Addr().String() }
 
-// Close ends the link: its target is no more, so nobody can connect to it, and what is open is reset.
-func (s *Stream) Close() {
-	s.closeOnce.Do(func() {
-		s.ln.Close()
-		s.mu.Lock()
-		s.shut = true
-		s.mu.Unlock()
-		s.reset()
+// Close ends the link as if its target had gone: it accepts no connection any more, and resets the open ones.
+func (l *TCPLink) Close() {
+	l.closeOnce.Do(func() {
+		l.listener.Close()
+		l.mu.Lock()
+		l.closed = true
+		l.mu.Unlock()
+		l.resetConns()
 	})
 }
 
-func (s *Stream) reset() (any bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for a, b := range s.conns {
-		abort(a)
-		abort(b)
-		any = true
+// resetConns resets all connections and reports whether there were any.
+func (l *TCPLink) resetConns() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	found := len(l.targetConns) > 0
+	for client, target := range l.targetConns {
+		abort(client)
+		abort(target)
 	}
-	clear(s.conns)
-	return any
+	clear(l.targetConns)
+	return found
 }
 
-func abort(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
-		t.Close()
+// isClosed reports whether Close was called.
+func (l *TCPLink) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
+}
+
+// abort closes a connection with a reset.
+func abort(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
+		tcp.Close()
 	}
 }
 
-// resets carries out resets as they are asked for.
-func (s *Stream) resets() {
-	for s.net.sleep(resetEvery) {
-		s.mu.Lock()
-		shut := s.shut
-		s.mu.Unlock()
-		if shut {
+// resetLoop does the resets that are injected.
+func (l *TCPLink) resetLoop() {
+	for l.network.sleep(resetPollInterval) {
+		if l.isClosed() {
 			return
 		}
-		for _, w := range []*way{s.there, s.back} {
-			if w.resets() && s.reset() {
-				w.mu.Lock()
-				for _, a := range w.all {
-					if a.Fault.Kind == Reset && a.Times == 0 {
-						a.hit(s.net.clock())
-					}
-				}
-				w.mu.Unlock()
+		for _, d := range []*direction{l.toTarget, l.fromTarget} {
+			if d.takeResets() && l.resetConns() {
+				d.recordResets()
 			}
 		}
 	}
 }
 
-func (s *Stream) accept() {
+func (l *TCPLink) acceptLoop() {
 	for {
-		c, err := s.ln.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.net.wg.Go(func() { s.carry(c) })
+		l.network.wg.Go(func() { l.serveConn(conn) })
 	}
 }
 
-// carry joins a connection with one to the target.
-func (s *Stream) carry(c net.Conn) {
+// awaitConnect waits while a new connection's first packet is cut, and returns false if its client has given up.
+func (l *TCPLink) awaitConnect() bool {
 	began := time.Now()
-	for f := s.there.meet(0, true); f.lost; f = s.there.meet(0, true) { // its first packet is cut
-		if !s.net.sleep(max(f.until-s.net.clock(), time.Millisecond)) || time.Since(began) > mostDial {
-			abort(c) // who dialled has given it up, whatever it has written meanwhile
-			return
+	for t := l.toTarget.treat(0, true); t.lost; t = l.toTarget.treat(0, true) {
+		wait := max(t.lostUntil-l.network.clock(), time.Millisecond)
+		if !l.network.sleep(wait) || time.Since(began) > maxConnectDelay {
+			return false
 		}
 	}
-	d, err := net.DialTimeout("tcp4", s.target, dialTime)
+	return true
+}
+
+// track has the link's resets end a connection. It returns false if the link is closed.
+func (l *TCPLink) track(client, target net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return false
+	}
+	l.targetConns[client] = target
+	return true
+}
+
+// serveConn joins a connection with one to the target until both directions have ended.
+func (l *TCPLink) serveConn(client net.Conn) {
+	if !l.awaitConnect() {
+		abort(client)
+		return
+	}
+	target, err := net.DialTimeout("tcp4", l.target, dialTimeout)
 	if err != nil {
-		abort(c)
+		abort(client)
 		return
 	}
-	s.mu.Lock()
-	if s.shut {
-		s.mu.Unlock()
-		abort(c)
-		abort(d)
+	if !l.track(client, target) {
+		abort(client)
+		abort(target)
 		return
 	}
-	s.conns[c] = d
-	s.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { s.pass(s.there, c, d) })
-	both.Go(func() { s.pass(s.back, d, c) })
+	both.Go(func() { l.copyChunks(l.toTarget, client, target) })
+	both.Go(func() { l.copyChunks(l.fromTarget, target, client) })
 	both.Wait()
-	s.mu.Lock()
-	delete(s.conns, c)
-	s.mu.Unlock()
-	c.Close()
-	d.Close()
+	l.mu.Lock()
+	delete(l.targetConns, client)
+	l.mu.Unlock()
+	client.Close()
+	target.Close()
 }
 
-// part is a chunk that is to be written at a time.
-type part struct {
-	data []byte
-	at   time.Time
-	gone bool // it is not written, the connection ends
+// chunk is data that is to be written at a time.
+type chunk struct {
+	data    []byte
+	writeAt time.Time
+	dropped bool // it is not written, the connection is reset instead
 }
 
-// pass carries one direction, in order: what is held or late holds what comes behind it.
-func (s *Stream) pass(w *way, from, to net.Conn) {
-	parts := make(chan part, mostHeld)
+// copyChunks copies one direction of a connection, in order: a chunk that waits delays those behind it.
+func (l *TCPLink) copyChunks(d *direction, from, to net.Conn) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	done := make(chan struct{})
-	s.net.wg.Go(func() {
+	l.network.wg.Go(func() {
 		defer close(done)
-		for p := range parts {
-			if d := time.Until(p.at); d > 0 && !s.net.sleep(d) || p.gone {
-				abort(to)
-				abort(from)
-				continue
-			}
-			if _, err := to.Write(p.data); err != nil {
-				abort(from)
-			}
-		}
+		l.writeChunks(chunks, from, to)
 	})
+	err := l.readChunks(d, from, chunks)
+	close(chunks)
+	<-done
+	if !errors.Is(err, io.EOF) {
+		abort(to)
+		return
+	}
+	if tcp, ok := to.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // fails only on a closed connection
+	}
+}
+
+// readChunks queues what it reads, with what the faults do to it, until reading fails.
+func (l *TCPLink) readChunks(d *direction, from net.Conn, chunks chan<- chunk) error {
 	for {
-		b := make([]byte, chunk)
-		k, err := from.Read(b)
-		if k > 0 {
-			f := w.meet(k, true)
-			if f.flip {
-				s.net.flip(b[:k])
-			}
-			at := time.Now().Add(f.later)
-			cut := time.Duration(0)
-			if f.lost {
-				cut = max(0, f.until-s.net.clock())
-			}
-			parts <- part{data: b[:k], at: at.Add(cut), gone: cut > mostWait}
+		buffer := make([]byte, chunkSize)
+		size, err := from.Read(buffer)
+		if size > 0 {
+			chunks <- l.treatChunk(d, buffer[:size])
 		}
 		if err != nil {
-			close(parts)
-			<-done
-			if err == io.EOF {
-				if t, ok := to.(*net.TCPConn); ok {
-					t.CloseWrite()
-				}
-			} else {
-				abort(to)
-			}
-			return
+			return err
+		}
+	}
+}
+
+// treatChunk applies the active faults to data that was read.
+func (l *TCPLink) treatChunk(d *direction, data []byte) chunk {
+	t := d.treat(len(data), true)
+	if t.corrupted {
+		l.network.corrupt(data)
+	}
+	writeAt := time.Now().Add(t.delay)
+	cutDelay := time.Duration(0)
+	if t.lost {
+		cutDelay = max(0, t.lostUntil-l.network.clock())
+	}
+	return chunk{data: data, writeAt: writeAt.Add(cutDelay), dropped: cutDelay > maxCutDelay}
+}
+
+// writeChunks writes each chunk at its time until the queue is closed. After a failure it goes on to empty the queue.
+func (l *TCPLink) writeChunks(chunks <-chan chunk, from, to net.Conn) {
+	for c := range chunks {
+		wait := time.Until(c.writeAt)
+		if wait > 0 && !l.network.sleep(wait) || c.dropped {
+			abort(to)
+			abort(from)
+			continue
+		}
+		if _, err := to.Write(c.data); err != nil {
+			abort(from)
 		}
 	}
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -103,9 +103,9 @@
 	l := &load{w: w, open: make(chan struct{}, mostOpen)}
 	l.lastID.Store(w.cfg.Seed<<40 | 1)
 	id := uint64(1000)
-	hot := map[string][]scenario.Hot{}
-	for _, h := range w.day.Hot {
-		for range h.Channels {
+	hot := map[string][]scenario.HotTenants{}
+	for _, h := range w.day.HotTenants {
+		for range h.Tenants {
 			hot[h.Plan] = append(hot[h.Plan], h)
 		}
 	}
@@ -125,7 +125,7 @@
 			}
 			if i < len(hot[p.name]) {
 				h := hot[p.name][i]
-				c.demand, c.spread, c.on, c.off = h.Times, n, time.Duration(h.On), time.Duration(h.Off)
+				c.demand, c.spread, c.on, c.off = h.QuotaFactor, n, time.Duration(h.On), time.Duration(h.Off)
 			}
 			inside += p.quota().Rate * min(1, c.mean())
 			l.channels = append(l.channels, c)
@@ -155,10 +155,10 @@
 		if p := ch.asks(due); p < 1 && rng.Float64() >= p { // thinned: the draw stays the same process
 			continue
 		}
-		if shift < 0 || l.w.day.Uneven && ch.on == 0 && due-shift > shiftEvery {
+		if shift < 0 || l.w.day.UnevenRouting && ch.on == 0 && due-shift > shiftEvery {
 			shift = due
 			for i := range weights {
-				if weights[i] = 1; l.w.day.Uneven && ch.on == 0 {
+				if weights[i] = 1; l.w.day.UnevenRouting && ch.on == 0 {
 					weights[i] = 0.1 + rng.Float64()*rng.Float64()
 				}
 			}
@@ -284,7 +284,7 @@
 		t.key = cmp.Or(key, fmt.Sprintf("%016x", id))
 		fields += ",k=" + t.key
 	}
-	command := respclient.Command(name, fmt.Sprintf("%016x", ch.id), t.ID, fields)
+	command := respclient.EncodeCommand(name, fmt.Sprintf("%016x", ch.id), t.ID, fields)
 	for fresh := false; ; fresh = true {
 		nc, err := l.pools[at].get(fresh)
 		if err != nil {
@@ -309,10 +309,10 @@
 			} else {
 				l.pools[at].put(nc)
 			}
-			return t, ans.After
+			return t, ans.RetryAfter
 		}
 		nc.Close()
-		if !fresh && nc.used && errors.Is(err, respclient.ErrEnded) { // it was closed between requests: the protocol has us send again
+		if !fresh && nc.used && errors.Is(err, respclient.ErrClosed) { // it was closed between requests: the protocol has us send again
 			continue
 		}
 		at := l.w.clock()
@@ -404,9 +404,9 @@
 func (c *clientConn) ask(command string, wait time.Duration) (respclient.Answer, error) {
 	c.SetDeadline(time.Now().Add(wait))
 	if _, err := io.WriteString(c, command); err != nil {
-		return respclient.Answer{}, respclient.ErrEnded
+		return respclient.Answer{}, respclient.ErrClosed
 	}
-	return respclient.Read(c.in)
+	return respclient.ReadAnswer(c.in)
 }
 
 // more says whether something came that nobody asked for.
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -29,8 +29,8 @@
 	classes   []class
 	plans     []*plan
 	dir       string
-	links     *link.Net                 // nil: not Linked
-	ways      map[string][]*link.Stream // by node id: those to its present start
+	links     *link.Network                 // nil: not Linked
+	ways      map[string][]*link.TCPLink // by node id: those to its present start
 	key       string                    // file of the key that instances share
 	drills    string                    // the file of drills
 	net       string                    // the loopback network of this run: three bytes of an address
@@ -76,7 +76,7 @@
 
 func newWorld(cfg Config, d *scenario.Scenario) *Testbed {
 	return &Testbed{
-		cfg: cfg, day: d, classes: classes(d.Unsafe), plans: plans(d.Cut), began: time.Now(), lastHost: 1,
+		cfg: cfg, day: d, classes: classes(d.UnsafeClass), plans: plans(d.HalvedCeilings), began: time.Now(), lastHost: 1,
 		net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256)), rng: rand.New(rand.NewPCG(cfg.Seed, 5)),
 		byName: map[string]*backend.Backend{}, targets: map[string]discovery.Target{},
 	}
