--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,168 +1,150 @@
-// Package fault is the script of what goes wrong at a stand-in: rules that pick calls by name, caller, count, time and
-// seeded chance. It does no I/O; the stand-ins carry the rules out.
+// Package fault holds the scripted faults of the stand-in servers. A rule picks calls by name, caller, count, time and
+// seeded chance, and names the kind of fault that hits them; Parse reads a rule from one line of text. A Script holds
+// the rules in force and decides which of them hits a call. The package does no I/O: each stand-in carries the faults
+// out itself.
 package fault
 
 import (
+	"errors"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 )
 
-// Kind says what goes wrong with a call. A stand-in lists the kinds that it knows.
+// Kind is the kind of fault that hits a call. A stand-in rejects the kinds that it cannot carry out.
 type Kind string
 
-// The kinds that concern one call.
+// The kinds of fault that concern one call.
 const (
-	Delay      Kind = "delay"       // By passes before the call takes effect
-	Hold       Kind = "hold"        // it takes effect, and By passes before its answer leaves
-	Stall      Kind = "stall"       // it waits for the end of the rule's window
-	Ignore     Kind = "ignore"      // no effect, no answer
-	Swallow    Kind = "swallow"     // it takes effect, and has no answer
-	Late       Kind = "late"        // it takes effect after By and has no answer; later calls go on meanwhile
-	DropBefore Kind = "drop-before" // the connection is reset before it takes effect
-	DropAfter  Kind = "drop-after"  // the connection is reset after it has
-	Repeat     Kind = "repeat"      // its answer comes twice
-	RepeatLate Kind = "repeat-late" // its answer comes again By after the first; later calls go on meanwhile
-	Swap       Kind = "swap"        // its answer comes after the next one's
-	Cut        Kind = "cut"         // half of its answer comes, then the connection ends
-	Fail       Kind = "fail"        // it is answered with Text and takes no effect
+	Delay      Kind = "delay"       // the call takes effect after By
+	Hold       Kind = "hold"        // the call takes effect, and its reply is sent after By
+	Stall      Kind = "stall"       // the call takes effect at the end of the rule's window
+	Ignore     Kind = "ignore"      // no effect, no reply
+	Swallow    Kind = "swallow"     // the call takes effect and gets no reply
+	Late       Kind = "late"        // the call takes effect after By and gets no reply; later calls are not delayed
+	DropBefore Kind = "drop-before" // the connection is reset before the call takes effect
+	DropAfter  Kind = "drop-after"  // the connection is reset after the call has taken effect
+	Repeat     Kind = "repeat"      // the reply is sent twice
+	RepeatLate Kind = "repeat-late" // the reply is sent again By after the first; later calls are not delayed
+	Swap       Kind = "swap"        // the reply is sent after that of the next call
+	Cut        Kind = "cut"         // half of the reply is sent, then the connection ends
+	Fail       Kind = "fail"        // the call takes no effect, and its reply is Text
 )
 
-// Rule is one thing that goes wrong.
+// Rule says which calls are hit by a fault, and by which.
 type Rule struct {
-	Kind   Kind
-	On     string        // the call's name; empty: all
-	Caller string        // the caller's name; empty: all
-	After  int           // that many matching calls pass first
-	Times  int           // then so many are hit; 0: all
-	By     time.Duration // of Delay, Hold, Late, RepeatLate
-	For    time.Duration // from when it was set; 0: for good
-	Share  float64       // chance for a matching call; 0: all
-	Text   string        // of Fail
+	// Kind is the kind of fault.
+	Kind Kind
+	// On is the name of the calls that match, in any case; empty matches all.
+	On string
+	// Caller is the caller whose calls match; empty matches all.
+	Caller string
+	// After is the number of matching calls that pass before the rule hits any.
+	After int
+	// Times is the number of calls that the rule hits; 0 means no limit.
+	Times int
+	// By is the length of the delay of Delay, Hold, Late and RepeatLate.
+	By time.Duration
+	// For is how long the rule is in force, from when it was added; 0 means for good.
+	For time.Duration
+	// Share is the probability that a matching call is hit; 0 means that all are.
+	Share float64
+	// Text is the reply of Fail.
+	Text string
 }
 
-// kinds are all of them.
-var kinds = []Kind{Delay, Hold, Stall, Ignore, Swallow, Late, DropBefore, DropAfter, Repeat, RepeatLate, Swap, Cut, Fail}
+// kinds lists all kinds.
+var kinds = []Kind{
+	Delay, Hold, Stall, Ignore, Swallow, Late, DropBefore, DropAfter, Repeat, RepeatLate, Swap, Cut, Fail,
+}
 
-// timed kinds take their first duration as By, others as For.
-var timed = []Kind{Delay, Hold, Late, RepeatLate}
+// delayingKinds lists the kinds whose first duration is By; that of all others is For.
+var delayingKinds = []Kind{Delay, Hold, Late, RepeatLate}
 
 // Parse reads a rule in the form
 //
 //	KIND [DURATION] [for DURATION] [on NAME] [caller NAME] [after N] [times N] [share P] [text REST OF THE LINE]
 //
-// where the first duration is that of the delay, or else how long the rule holds.
+// where the first duration is By if the kind delays, and For otherwise. Its errors begin with "fault" and the quoted
+// line.
 func Parse(line string) (Rule, error) {
-	words := strings.Fields(line)
-	if len(words) == 0 {
+	fields := strings.Fields(line)
+	if len(fields) == 0 {
 		return Rule{}, fmt.Errorf("fault %q: no kind", line)
 	}
-	r := Rule{Kind: Kind(words[0])}
-	if !slices.Contains(kinds, r.Kind) { // it would change nothing, and say nothing
-		return Rule{}, fmt.Errorf("fault %q: there is no kind %q", line, words[0])
-	}
-	words = words[1:]
-	if len(words) > 0 {
-		if d, err := time.ParseDuration(words[0]); err == nil {
-			if slices.Contains(timed, r.Kind) {
-				r.By = d
-			} else {
-				r.For = d
-			}
-			words = words[1:]
-		}
+	rule := Rule{Kind: Kind(fields[0])}
+	if !slices.Contains(kinds, rule.Kind) {
+		return Rule{}, fmt.Errorf("fault %q: there is no kind %q", line, fields[0])
 	}
-	for len(words) > 0 {
-		if len(words) < 2 {
-			return Rule{}, fmt.Errorf("fault %q: %s has no value", line, words[0])
-		}
-		var err error
-		switch v := words[1]; words[0] {
-		case "for":
-			r.For, err = time.ParseDuration(v)
-		case "on":
-			r.On = v
-		case "caller":
-			r.Caller = v
-		case "after":
-			r.After, err = strconv.Atoi(v)
-		case "times":
-			r.Times, err = strconv.Atoi(v)
-		case "share":
-			r.Share, err = strconv.ParseFloat(v, 64)
-		case "text":
-			r.Text, words = strings.Join(words[1:], " "), nil
-		default:
-			return Rule{}, fmt.Errorf("fault %q: unknown word %q", line, words[0])
+	options := rule.parseDuration(fields[1:])
+	for len(options) > 0 {
+		if len(options) < 2 {
+			return Rule{}, fmt.Errorf("fault %q: %s has no value", line, options[0])
 		}
-		if err != nil {
-			return Rule{}, fmt.Errorf("fault %q: %s: %w", line, words[0], err)
+		if options[0] == "text" {
+			rule.Text = strings.Join(options[1:], " ")
+			break
 		}
-		if words != nil {
-			words = words[2:]
+		if err := rule.setOption(options[0], options[1]); errors.Is(err, errUnknownOption) {
+			return Rule{}, fmt.Errorf("fault %q: %w %q", line, err, options[0])
+		} else if err != nil {
+			return Rule{}, fmt.Errorf("fault %q: %s: %w", line, options[0], err)
 		}
+		options = options[2:]
 	}
-	if r.By < 0 || r.For < 0 || r.After < 0 || r.Times < 0 || !(r.Share >= 0 && r.Share <= 1) {
+	if !rule.inRange() {
 		return Rule{}, fmt.Errorf("fault %q: a figure is out of range", line)
 	}
-	return r, nil
+	return rule, nil
 }
 
-type active struct {
-	Rule
-	until time.Duration // 0: for good
-	seen  int
-	hits  int
-}
-
-// Script holds the rules in force. It is safe for many goroutines.
-type Script struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	rules []*active
+// parseDuration takes the duration that may follow the kind, and returns the remaining arguments.
+func (r *Rule) parseDuration(args []string) (rest []string) {
+	if len(args) == 0 {
+		return args
+	}
+	duration, err := time.ParseDuration(args[0])
+	if err != nil {
+		return args
+	}
+	if slices.Contains(delayingKinds, r.Kind) {
+		r.By = duration
+	} else {
+		r.For = duration
+	}
+	return args[1:]
 }
 
-// New returns an empty script whose chances come from the seed.
-func New(seed uint64) *Script { return &Script{rng: rand.New(rand.NewPCG(seed, 1))} }
+// errUnknownOption is the error of an option that no rule has.
+var errUnknownOption = errors.New("unknown word")
 
-// Add puts a rule in force from now on, a time on the stand-in's clock.
-func (s *Script) Add(now time.Duration, r Rule) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := &active{Rule: r}
-	if r.For > 0 {
-		a.until = now + r.For
+// setOption sets the field of an option from its value.
+func (r *Rule) setOption(option, value string) (err error) {
+	switch option {
+	case "for":
+		r.For, err = time.ParseDuration(value)
+	case "on":
+		r.On = value
+	case "caller":
+		r.Caller = value
+	case "after":
+		r.After, err = strconv.Atoi(value)
+	case "times":
+		r.Times, err = strconv.Atoi(value)
+	case "share":
+		r.Share, err = strconv.ParseFloat(value, 64)
+	default:
+		return errUnknownOption
 	}
-	s.rules = append(s.rules, a)
-}
-
-// Clear ends all rules.
-func (s *Script) Clear() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.rules = nil
+	return err
 }
 
-// Next returns what goes wrong with a call, by the first rule that hits it; left is what remains of the rule's window.
-func (s *Script) Next(now time.Duration, name, caller string) (r Rule, left time.Duration, hit bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.rules = slices.DeleteFunc(s.rules, func(a *active) bool {
-		return a.until > 0 && now >= a.until || a.Times > 0 && a.hits >= a.Times
-	})
-	for _, a := range s.rules {
-		if a.On != "" && !strings.EqualFold(a.On, name) || a.Caller != "" && a.Caller != caller {
-			continue
-		}
-		if a.seen++; a.seen <= a.After || a.Share > 0 && s.rng.Float64() >= a.Share {
-			continue
-		}
-		a.hits++
-		return a.Rule, max(0, a.until-now), true
+// inRange reports whether no figure is negative and Share is a probability, which NaN is not.
+func (r *Rule) inRange() bool {
+	if r.By < 0 || r.For < 0 || r.After < 0 || r.Times < 0 {
+		return false
 	}
-	return Rule{}, 0, false
+	return r.Share >= 0 && r.Share <= 1
 }
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -8,18 +8,20 @@
 
 func TestParse(t *testing.T) {
 	for line, want := range map[string]Rule{
-		"stall 2s":                               {Kind: Stall, For: 2 * time.Second},
-		"delay 50ms for 3s caller a share 0.25":  {Kind: Delay, By: 50 * time.Millisecond, For: 3 * time.Second, Caller: "a", Share: 0.25},
+		"stall 2s": {Kind: Stall, For: 2 * time.Second},
+		"delay 50ms for 3s caller a share 0.25": {
+			Kind: Delay, By: 50 * time.Millisecond, For: 3 * time.Second, Caller: "a", Share: 0.25,
+		},
 		"drop-after on EVALSHA after 37 times 1": {Kind: DropAfter, On: "EVALSHA", After: 37, Times: 1},
 		"fail 1s text OOM command not allowed":   {Kind: Fail, For: time.Second, Text: "OOM command not allowed"},
 	} {
 		if got, err := Parse(line); err != nil || got != want {
-			t.Errorf("%s: %+v, %v", line, got, err)
+			t.Errorf("Parse(%q): got %+v, %v, want %+v", line, got, err, want)
 		}
 	}
 	for _, line := range []string{"", "stall 2s at", "delay 1s odd 3", "cut after x", "cut share 2", "delay -1s"} {
 		if got, err := Parse(line); err == nil || !strings.Contains(err.Error(), "fault ") {
-			t.Errorf("%q: %+v, error %v", line, got, err)
+			t.Errorf("Parse(%q): got %+v, error %v, want an error that begins with fault", line, got, err)
 		}
 	}
 }
@@ -49,11 +51,11 @@
 			got += "- "
 		}
 		if r.Kind == Stall && left != 300*time.Millisecond {
-			t.Errorf("%v left of the window", left)
+			t.Errorf("left of the window: got %v, want 300ms", left)
 		}
 	}
-	if got != "- - cut cut - stall - " {
-		t.Fatal(got)
+	if want := "- - cut cut - stall - "; got != want {
+		t.Fatalf("hits: got %q, want %q", got, want)
 	}
 }
 
