--- a/internal/standin/tally/control.go
+++ b/internal/standin/tally/control.go
@@ -9,40 +9,44 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// unknown are the kinds of rules that a counter has nothing to do for: its answers come in order.
-var unknown = []fault.Kind{fault.Late, fault.RepeatLate, fault.Swap}
+// unsupportedKinds lists the kinds of fault that a counter cannot carry out, because it replies in order.
+var unsupportedKinds = []fault.Kind{fault.Late, fault.RepeatLate, fault.Swap}
 
-// Do carries out one line: stop DURATION, restart DURATION (which forgets everything), silent DURATION (it takes no effect and
-// answers nothing), or a fault rule for calls.
+// Do carries out one line of the control port: stop DURATION, restart DURATION (which loses all counts), silent
+// DURATION (calls take no effect and get no reply), or a fault rule. It returns an error for a line that it cannot
+// read.
 func (s *Server) Do(line string) error {
-	words := strings.Fields(line)
-	if len(words) == 2 && words[0] == "silent" {
-		line = "ignore " + words[1]
-	}
-	if len(words) == 2 && (words[0] == "stop" || words[0] == "restart") {
-		d, err := time.ParseDuration(words[1])
-		if err != nil || d < 0 {
-			return fmt.Errorf("fault %q: %q is no duration", line, words[1])
-		}
-		if words[0] == "restart" {
-			s.Restart(d)
-			return nil
+	args := strings.Fields(line)
+	if len(args) == 2 {
+		switch args[0] {
+		case "stop", "restart":
+			return s.interrupt(line, args[0], args[1])
+		case "silent":
+			line = "ignore " + args[1]
 		}
-		s.Stop()
-		s.wg.Go(func() {
-			if s.sleep(d) {
-				s.Listen()
-			}
-		})
-		return nil
 	}
-	r, err := fault.Parse(line)
+	rule, err := fault.Parse(line)
 	if err != nil {
 		return err
 	}
-	if slices.Contains(unknown, r.Kind) {
-		return fmt.Errorf("fault %q: this counter knows no %q", line, r.Kind)
+	if slices.Contains(unsupportedKinds, rule.Kind) {
+		return fmt.Errorf("fault %q: this counter knows no %q", line, rule.Kind)
+	}
+	s.Fault(rule)
+	return nil
+}
+
+// interrupt carries out stop and restart: it ends all connections and takes new ones after a pause.
+func (s *Server) interrupt(line, command, value string) error {
+	pause, err := time.ParseDuration(value)
+	if err != nil || pause < 0 {
+		return fmt.Errorf("fault %q: %q is no duration", line, value)
+	}
+	if command == "restart" {
+		s.Restart(pause)
+		return nil
 	}
-	s.Fault(r)
+	s.Stop()
+	s.listenAfter(pause)
 	return nil
 }
--- a/internal/standin/tally/tally.go
+++ b/internal/standin/tally/tally.go
@@ -1,9 +1,10 @@
-// Package tally is a stand-in for the platform's shared counter, written from its protocol page: lines of text over TCP,
-// answered in their order, on numbers that live for a while. It has a fault script, and an observer that records calls.
+// Package tally is a stand-in for the platform's shared counter, written from its protocol page: lines of text over
+// TCP, answered in order, that add to named numbers with an expiry. Faults come from a fault script, and control.go
+// reads the lines of the control port. An observer records every call with what became of it. Nothing is stored on
+// disk: a restart loses all counts.
 package tally
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"math"
@@ -18,50 +19,62 @@
 )
 
 const (
-	mostConns    = 32 // of one caller's address
-	mostKeep     = 60 * time.Second
-	mostName     = 64
-	mostAmount   = 1e9
-	mostLine     = 256
-	mostRecorded = 1 << 20
-	writeTime    = 5 * time.Second
+	maxConnsPerCaller = 32 * 8 // 32 of each instance; on loopback all instances share one address
+	maxExpiry         = 60 * time.Second
+	maxNameLength     = 64
+	maxAmount         = 1e9
+	maxRecords        = 1 << 20
+	readBufferSize    = 4 << 10
+	writeTimeout      = 5 * time.Second
+	listenAttempts    = 100 // the port may be in use for a moment after Stop
+	listenInterval    = time.Millisecond
 )
 
 // Record is one call as the counter saw it.
 type Record struct {
-	At      time.Duration // since the start
-	Conn    int64
-	Caller  string // the address without its port
-	Name    string
-	Amount  float64
+	// At is when the call was received, since the start of the server.
+	At time.Duration
+	// Conn identifies the connection.
+	Conn int64
+	// Caller is the caller's address without its port.
+	Caller string
+	// Name and Amount are the call's number and what it added; zero if it was not applied.
+	Name   string
+	Amount float64
+	// Applied says whether the call took effect.
 	Applied bool
-	Total   float64
-	Fault   fault.Kind
+	// Total is the number's value after the call.
+	Total float64
+	// Fault is the kind of fault that hit the call; empty if none did.
+	Fault fault.Kind
 }
 
+// number is one shared count.
 type number struct {
 	total   float64
 	expires time.Time
 }
 
-// Server is one counter.
+// Server is one counter. It runs a goroutine that accepts connections, one for each connection, and one for each
+// pause of Restart and Do; Close ends them all and waits for them.
 type Server struct {
 	faults *fault.Script
 	start  time.Time
 	addr   string
-	ctx    context.Context
+	ctx    context.Context // done when the server is closed
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	ln      net.Listener
-	conns   map[net.Conn]string
-	last    int64
+	mu      sync.Mutex          // guards all below
+	ln      net.Listener        // nil while stopped
+	conns   map[net.Conn]string // open connections, and their callers
+	lastID  int64               // of a connection
 	numbers map[string]*number
-	record  []Record
+	records []Record
 }
 
-// Start starts a counter on listen, or on an ephemeral loopback port if that is empty.
+// Start starts a counter that listens on the address listen, or on an ephemeral loopback port if that is empty. The
+// seed is that of the fault script.
 func Start(listen string, seed uint64) (*Server, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
@@ -72,30 +85,36 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
-		faults: fault.New(seed), start: time.Now(), addr: ln.Addr().String(), ctx: ctx, stop: stop, ln: ln,
-		conns: map[net.Conn]string{}, numbers: map[string]*number{},
+		faults:  fault.New(seed),
+		start:   time.Now(),
+		addr:    ln.Addr().String(),
+		ctx:     ctx,
+		stop:    stop,
+		ln:      ln,
+		conns:   map[net.Conn]string{},
+		numbers: map[string]*number{},
 	}
 	s.wg.Go(func() { s.accept(ln) })
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address where the server listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Since is the time on its own clock, that of its records.
+// Since returns the time since the server's start, the clock of its records.
 func (s *Server) Since() time.Duration { return time.Since(s.start) }
 
 // Fault puts a rule in force from now on.
-func (s *Server) Fault(r fault.Rule) { s.faults.Add(s.Since(), r) }
+func (s *Server) Fault(rule fault.Rule) { s.faults.Add(s.Since(), rule) }
 
-// Records returns what came so far.
+// Records returns the calls received so far, in the order in which they ended.
 func (s *Server) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.record)
+	return slices.Clone(s.records)
 }
 
-// Total is a number's, or 0.
+// Total returns the value of a number, or 0 if there is none or it has expired.
 func (s *Server) Total(name string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +124,7 @@
 	return 0
 }
 
-// Stop ends all connections and refuses new ones until Listen; what it counted stays.
+// Stop resets all connections and accepts no new ones until Listen. The counts stay.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,14 +133,14 @@
 		s.ln = nil
 	}
 	for nc := range s.conns {
-		if t, ok := nc.(*net.TCPConn); ok {
-			t.SetLinger(0)
+		if tcp, ok := nc.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // so that Close resets the connection; fails only if it has ended
 		}
 		nc.Close()
 	}
 }
 
-// Listen takes connections again.
+// Listen accepts connections again after Stop. It returns an error if the port cannot be opened.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,187 +149,124 @@
 	}
 	var ln net.Listener
 	var err error
-	for range 100 {
+	for range listenAttempts {
 		if ln, err = net.Listen("tcp", s.addr); err == nil {
 			s.ln = ln
 			s.wg.Go(func() { s.accept(ln) })
 			return nil
 		}
-		time.Sleep(time.Millisecond)
+		time.Sleep(listenInterval)
 	}
 	return fmt.Errorf("tally stand-in: %w", err)
 }
 
-// Restart forgets everything and ends all connections; it takes new ones after pause.
+// Restart loses all counts and resets all connections. It accepts new ones after a pause.
 func (s *Server) Restart(pause time.Duration) {
 	s.Stop()
 	s.mu.Lock()
 	clear(s.numbers)
 	s.mu.Unlock()
+	s.listenAfter(pause)
+}
+
+// listenAfter accepts connections again after a pause, unless the server is closed by then.
+func (s *Server) listenAfter(pause time.Duration) {
 	s.wg.Go(func() {
 		if s.sleep(pause) {
-			s.Listen()
+			_ = s.Listen() // callers see that no connection comes up
 		}
 	})
 }
 
-// Close ends it.
+// Close stops the server for good and waits for its goroutines.
 func (s *Server) Close() {
 	s.stop()
 	s.Stop()
 	s.wg.Wait()
 }
 
+// sleep waits for d. It reports false, at once, when the server is closed.
 func (s *Server) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-s.ctx.Done():
 		return false
 	}
 }
 
+// accept serves the connections of a listener until it is closed.
 func (s *Server) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		host, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
-		s.mu.Lock()
-		held := 0
-		for _, h := range s.conns {
-			if h == host {
-				held++
-			}
-		}
-		if s.ctx.Err() != nil || held >= mostConns*8 { // all instances share one address on loopback
-			s.mu.Unlock()
+		caller, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
+		if !s.admit(nc, caller) {
 			nc.Close()
-			continue
 		}
-		s.conns[nc] = host
-		s.last++
-		id := s.last
-		s.wg.Go(func() {
-			s.serve(nc, host, id)
-			nc.Close()
-			s.mu.Lock()
-			delete(s.conns, nc)
-			s.mu.Unlock()
-		})
-		s.mu.Unlock()
 	}
 }
 
-func (s *Server) serve(nc net.Conn, caller string, id int64) {
-	in := bufio.NewReaderSize(nc, 4<<10)
-	var out []byte
-	flush := func() bool {
-		nc.SetWriteDeadline(time.Now().Add(writeTime))
-		_, err := nc.Write(out)
-		out = out[:0]
-		return err == nil
-	}
-	for {
-		line, err := in.ReadSlice('\n')
-		if err != nil {
-			return
-		}
-		text := strings.TrimRight(string(line), "\r\n")
-		if text == "ping" {
-			out = append(out, "pong\r\n"...)
-		} else if b, ok := s.call(nc, text, caller, id, &out, flush); ok {
-			out = append(out, b...)
-		} else {
-			return
-		}
-		if in.Buffered() == 0 && len(out) > 0 && !flush() {
-			return
+// admit starts to serve a connection, unless its caller has too many or the server is closed.
+func (s *Server) admit(nc net.Conn, caller string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	open := 0
+	for _, other := range s.conns {
+		if other == caller {
+			open++
 		}
 	}
-}
-
-// call answers one call; ok is false where the connection ends.
-func (s *Server) call(nc net.Conn, text, caller string, id int64, out *[]byte, flush func() bool) (answer []byte, ok bool) {
-	r, left, hit := s.faults.Next(s.Since(), "tally", caller)
-	rec := Record{At: s.Since(), Conn: id, Caller: caller}
-	if hit {
-		rec.Fault = r.Kind
-	}
-	run := func() []byte { return s.apply(text, &rec) }
-	defer func() { s.note(rec) }()
-	switch r.Kind {
-	case fault.Delay, fault.Stall:
-		wait := r.By
-		if r.Kind == fault.Stall {
-			wait = left
-		}
-		if !flush() || !s.sleep(wait) {
-			return nil, false
-		}
-		return run(), true
-	case fault.Hold:
-		b := run()
-		if !flush() || !s.sleep(r.By) {
-			return nil, false
-		}
-		return b, true
-	case fault.Ignore:
-		return nil, true
-	case fault.Swallow:
-		run()
-		return nil, true
-	case fault.DropBefore:
-		flush()
-		return nil, false
-	case fault.DropAfter:
-		run()
-		flush()
-		return nil, false
-	case fault.Repeat:
-		b := run()
-		return append(b, b...), true
-	case fault.Cut:
-		b := run()
-		*out = append(*out, b[:len(b)/2]...)
-		flush()
-		return nil, false
-	case fault.Fail:
-		return []byte(r.Text + "\r\n"), true
+	if s.ctx.Err() != nil || open >= maxConnsPerCaller {
+		return false
 	}
-	return run(), true
+	s.conns[nc] = caller
+	s.lastID++
+	c := &conn{server: s, nc: nc, caller: caller, id: s.lastID}
+	s.wg.Go(func() {
+		c.serve()
+		nc.Close()
+		s.mu.Lock()
+		delete(s.conns, nc)
+		s.mu.Unlock()
+	})
+	return true
 }
 
+// apply carries out a call and returns its reply. It fills in rec if the call took effect.
 func (s *Server) apply(text string, rec *Record) []byte {
-	f := strings.Fields(text)
-	if len(f) != 4 || f[0] != "tally" || len(f[1]) > mostName {
+	args := strings.Fields(text) // tally NAME AMOUNT EXPIRY-MS
+	if len(args) != 4 || args[0] != "tally" || len(args[1]) > maxNameLength {
 		return []byte("error\r\n")
 	}
-	amount, err1 := strconv.ParseFloat(f[2], 64)
-	ms, err2 := strconv.ParseInt(f[3], 10, 64)
-	if err1 != nil || err2 != nil || ms < 1 || !(math.Abs(amount) <= mostAmount) {
+	name := args[1]
+	amount, amountErr := strconv.ParseFloat(args[2], 64)
+	ms, expiryErr := strconv.ParseInt(args[3], 10, 64)
+	if amountErr != nil || expiryErr != nil || ms < 1 || !(math.Abs(amount) <= maxAmount) { // NaN is not
 		return []byte("error\r\n")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	n := s.numbers[f[1]]
+	n := s.numbers[name]
 	if n == nil || !now.Before(n.expires) {
-		n = &number{expires: now.Add(min(time.Duration(ms)*time.Millisecond, mostKeep))}
-		s.numbers[f[1]] = n
+		n = &number{expires: now.Add(min(time.Duration(ms)*time.Millisecond, maxExpiry))}
+		s.numbers[name] = n
 	}
 	n.total += amount
-	rec.Name, rec.Amount, rec.Applied, rec.Total = f[1], amount, true, n.total
+	rec.Name, rec.Amount, rec.Applied, rec.Total = name, amount, true, n.total
 	return append(strconv.AppendFloat([]byte("ok "), n.total, 'f', -1, 64), "\r\n"...)
 }
 
-func (s *Server) note(r Record) {
+// addRecord keeps the record of a call that has ended.
+func (s *Server) addRecord(rec Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.record) < mostRecorded {
-		s.record = append(s.record, r)
+	if len(s.records) < maxRecords {
+		s.records = append(s.records, rec)
 	}
 }
