--- a/internal/standin/discovery/capacity.go
+++ b/internal/standin/discovery/capacity.go
@@ -6,81 +6,46 @@
 	"time"
 )
 
-// Failure is a way for an agent not to answer.
-type Failure int
-
-const (
-	// Answering is none.
-	Answering Failure = iota
-	// Silent agents answer nothing; their open watches say nothing more, for good.
-	Silent
-	// Resetting agents break open watches, and each connection on which a call comes.
-	Resetting
-	// TurningAway agents break open watches and answer each call with 503.
-	TurningAway
-)
-
-// queue is what an agent can take, if it stands for a registry that many instances share.
-type queue struct {
-	failure  Failure
-	service  time.Duration // of one call; 0: no limit
-	patience time.Duration // a call that would be answered later is turned away
-	free     time.Time     // when it is through with the calls that it has taken
-	busiest  int           // most calls in one second of the clock
-	second   int64
-	calls    int // in that second
+// callLimit is the capacity of an agent that stands for a registry which many instances share: one call at a time.
+// The registry's mutex guards it.
+type callLimit struct {
+	failure     Failure
+	serviceTime time.Duration // of one call; 0: no limit
+	patience    time.Duration // a call that would be answered later is rejected
+	freeAt      time.Time     // when all calls so far are answered
+	second      int64         // the second of the clock in which calls are counted
+	calls       int           // in that second
+	maxCalls    int           // in any second so far
 }
 
-// Limit gives an agent one service for all its callers, each call of which takes so long. A call that would be answered later
-// than patience is turned away with 503.
+// Limit gives an agent a capacity that all its callers share: each call takes it a service time, one after another. A
+// call that would be answered later than patience is rejected with 503.
 func (r *Registry) Limit(agent int, service, patience time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.agents[agent].service, r.agents[agent].patience = service, patience
-}
-
-// Fail makes an agent fail, or answer again.
-func (r *Registry) Fail(agent int, f Failure) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	a := r.agents[agent]
-	a.failure, a.mute = f, f == Silent
-	close(a.news) // wakes up its watches
-	a.news = make(chan struct{})
+	limit := &r.agents[agent].limit
+	limit.serviceTime, limit.patience = service, patience
 }
 
-// Busiest is the most calls that came to an agent within one second.
+// Busiest returns the largest number of calls that came to an agent within one second.
 func (r *Registry) Busiest(agent int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.agents[agent].busiest
-}
-
-func (a *agent) muted() bool {
-	a.r.mu.Lock()
-	defer a.r.mu.Unlock()
-	return a.mute
-}
-
-// breakIfFailing ends a call by a reset of its connection, if the agent fails in such a way.
-func (a *agent) breakIfFailing() {
-	a.r.mu.Lock()
-	failing := a.failure == Resetting || a.failure == TurningAway
-	a.r.mu.Unlock()
-	if failing {
-		panic(http.ErrAbortHandler)
-	}
+	return r.agents[agent].limit.maxCalls
 }
 
-// takeCall waits for a call's turn; it answers those that have none.
+// takeCall waits for a call's turn. It reports false for a call that has none, which it has answered.
 func (a *agent) takeCall(ctx context.Context, w http.ResponseWriter) bool {
-	wait, failure := a.admit(time.Now())
+	a.registry.mu.Lock()
+	wait, failure := a.limit.admit(time.Now())
+	a.registry.mu.Unlock()
 	switch failure {
 	case Resetting:
 		panic(http.ErrAbortHandler)
 	case TurningAway:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
+	case Answering, Silent: // a call that came before the agent fell silent is answered
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -92,24 +57,23 @@
 	}
 }
 
-// admit says how long a call waits, or how it fails.
-func (a *agent) admit(now time.Time) (wait time.Duration, f Failure) {
-	a.r.mu.Lock()
-	defer a.r.mu.Unlock()
-	if now.Unix() != a.second {
-		a.second, a.calls = now.Unix(), 0
+// admit counts a call, and returns how long it waits for its answer or how it fails.
+func (l *callLimit) admit(now time.Time) (wait time.Duration, failure Failure) {
+	if now.Unix() != l.second {
+		l.second, l.calls = now.Unix(), 0
 	}
-	a.calls++
-	a.busiest = max(a.busiest, a.calls)
-	if a.failure != Answering || a.service == 0 {
-		return 0, a.failure
+	l.calls++
+	l.maxCalls = max(l.maxCalls, l.calls)
+	if l.failure != Answering || l.serviceTime == 0 {
+		return 0, l.failure
 	}
-	if a.free.Before(now) {
-		a.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	if wait = a.free.Sub(now) + a.service; wait > a.patience {
+	wait = l.freeAt.Sub(now) + l.serviceTime
+	if wait > l.patience {
 		return 0, TurningAway
 	}
-	a.free = a.free.Add(a.service)
+	l.freeAt = l.freeAt.Add(l.serviceTime)
 	return wait, Answering
 }
--- a/internal/standin/discovery/discovery_test.go
+++ b/internal/standin/discovery/discovery_test.go
@@ -9,6 +9,49 @@
 	"time"
 )
 
+// getList requests an agent's list or a watch on it.
+func getList(t *testing.T, url string) *bufio.Scanner {
+	t.Helper()
+	resp, err := http.Get(url)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { resp.Body.Close() })
+	return bufio.NewScanner(resp.Body)
+}
+
+// nextList reads the next list that is not an empty line.
+func nextList(t *testing.T, lines *bufio.Scanner) (l list) {
+	t.Helper()
+	for lines.Scan() {
+		if len(lines.Bytes()) == 0 {
+			continue
+		}
+		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
+			t.Fatal(err)
+		}
+		return l
+	}
+	t.Fatal("the watch has ended")
+	return l
+}
+
+// checkList reads the next list and checks its revision and the state of its only endpoint; an empty state wants no
+// endpoint.
+func checkList(t *testing.T, lines *bufio.Scanner, revision int64, state string) {
+	t.Helper()
+	got := nextList(t, lines)
+	ok := got.Rev == revision
+	if state == "" {
+		ok = ok && len(got.Targets) == 0
+	} else {
+		ok = ok && len(got.Targets) == 1 && got.Targets[0].State == state
+	}
+	if !ok {
+		t.Fatalf("list: got %+v, want revision %d, state %q", got, revision, state)
+	}
+}
+
 // A change is written to each watch late, and the record says when it was; a list and a new watch show what holds.
 func TestWatch(t *testing.T) {
 	began := time.Now()
@@ -20,54 +63,31 @@
 	}
 	r.Set(Target{UID: "a", Endpoint: "127.0.0.1:1", State: "SERVING"}, true)
 	url := "http://" + addr + "/registry/instances"
-	get := func(url string) *bufio.Scanner {
-		t.Helper()
-		resp, err := http.Get(url)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { resp.Body.Close() })
-		return bufio.NewScanner(resp.Body)
-	}
-	next := func(s *bufio.Scanner) (l list) {
-		t.Helper()
-		for s.Scan() {
-			if len(s.Bytes()) > 0 {
-				if err := json.Unmarshal(s.Bytes(), &l); err != nil {
-					t.Fatal(err)
-				}
-				return l
-			}
-		}
-		t.Fatal("the watch has ended")
-		return l
-	}
-	if l := next(get(url)); l.Rev != 2 || len(l.Targets) != 1 {
-		t.Fatalf("%+v", l)
-	}
-	watch := get(url + "?follow=1&since=0")
-	if l := next(watch); l.Rev != 2 || l.Targets[0].State != "SERVING" {
-		t.Fatalf("%+v", l)
-	}
+	checkList(t, getList(t, url), 2, "SERVING")
+	watch := getList(t, url+"?follow=1&since=0")
+	checkList(t, watch, 2, "SERVING")
 	set := time.Since(began)
 	r.Set(Target{UID: "a", Endpoint: "127.0.0.1:1", State: "DRAINING"}, false)
-	if l := next(watch); l.Rev != 3 || l.Targets[0].State != "DRAINING" {
-		t.Fatalf("%+v", l)
-	}
+	checkList(t, watch, 3, "DRAINING")
 	r.Set(Target{UID: "a", State: "DELETED"}, true)
-	if l := next(watch); l.Rev != 4 || len(l.Targets) != 0 {
-		t.Fatalf("%+v", l)
-	}
+	checkList(t, watch, 4, "")
 	for end := time.Now().Add(10 * time.Second); len(r.Notifications()) < 4 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	told := r.Notifications() // by the list, by the watch's first line, then the changes
-	if len(told) != 4 || told[2].State != "DRAINING" || told[2].At < set+50*time.Millisecond || told[3].State != "DELETED" {
-		t.Fatalf("%+v", told)
+	got := r.Notifications() // by the list, by the watch's first line, then the changes
+	if len(got) != 4 {
+		t.Fatalf("notifications: got %+v, want 4", got)
+	}
+	if got[2].State != "DRAINING" || got[2].At < set+50*time.Millisecond {
+		t.Errorf("third notification: got %+v, want DRAINING 50 ms after %v at the earliest", got[2], set)
+	}
+	if got[3].State != "DELETED" {
+		t.Errorf("fourth notification: got %+v, want DELETED", got[3])
 	}
 }
 
-// A failing agent breaks its watches and answers as it is told to; a limited one turns away what would wait for too long.
+// A failing agent breaks its watches and answers as it is told to; a limited one rejects calls that would wait for
+// too long.
 func TestFailAndLimit(t *testing.T) {
 	r := New(1, func() time.Duration { return 0 }, 0, time.Millisecond)
 	t.Cleanup(r.Close)
@@ -92,18 +112,18 @@
 	for failure, want := range map[Failure]int{TurningAway: 503, Resetting: 0, Answering: 200} {
 		r.Fail(0, failure)
 		if got := status(); got != want {
-			t.Errorf("failure %d: status %d, want %d", failure, got, want)
+			t.Errorf("agent %v: got status %d, want %d", failure, got, want)
 		}
 	}
 	if _, err := io.Copy(io.Discard, watch.Body); err == nil {
-		t.Error("the watch ended as if it were whole")
+		t.Error("the watch ended without an error, want a reset")
 	}
 	r.Fail(0, Answering)
 	r.Limit(0, time.Minute, time.Second)
 	if got := status(); got != 503 {
-		t.Errorf("a call that would wait for a minute: status %d, want 503", got)
+		t.Errorf("a call that would wait for a minute: got status %d, want 503", got)
 	}
 	if r.Busiest(0) == 0 {
-		t.Error("no calls were counted")
+		t.Error("calls within a second: got 0, want more")
 	}
 }
