--- a/cmd/hitchspring/configuration.go
+++ b/cmd/hitchspring/configuration.go
@@ -143,7 +143,7 @@
 	cfg.EnableTakeover = options.Takeover != nil
 	cfg.EnableEscrow = options.Escrow != nil
 	if clock := options.Clock; clock != nil {
-		cfg.Clock = core.Clock{Ahead: time.Duration(clock.Offset), Rate: clock.Rate}
+		cfg.Clock = core.Clock{Offset: time.Duration(clock.Offset), Rate: clock.Rate}
 	}
 }
 
@@ -163,7 +163,7 @@
 
 // forwardAuthConfig returns the configuration of forward authentication. Its rules must name classes and plans of the
 // settings.
-func forwardAuthConfig(f *config.ForwardAuth, set *policy.Settings) (*ingress.Auth, error) {
+func forwardAuthConfig(f *config.ForwardAuth, set *policy.Settings) (*ingress.ForwardAuth, error) {
 	networks, err := f.TrustedNetworks()
 	if err != nil {
 		return nil, err
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("forward_auth.%w", err)
 	}
-	return &ingress.Auth{Listen: f.Listen, Table: table, Config: forwardauth.Config{
+	return &ingress.ForwardAuth{Listen: f.Listen, Table: table, Config: forwardauth.Config{
 		Prefix:         f.PathPrefix,
 		Trusted:        networks,
 		Header:         f.HeaderPrefix,
@@ -207,8 +207,8 @@
 }
 
 // leaseConfig returns the bounds of the attempts that callers of forward authentication make themselves.
-func leaseConfig(f *config.ForwardAuth) *core.Leases {
-	return &core.Leases{
+func leaseConfig(f *config.ForwardAuth) *core.LeaseConfig {
+	return &core.LeaseConfig{
 		Timeout:     time.Duration(f.LeaseTimeout),
 		StartWithin: time.Duration(f.StartWithin),
 		Retention:   time.Duration(f.Retention),
--- a/cmd/hitchspring/status_tables.go
+++ b/cmd/hitchspring/status_tables.go
@@ -44,7 +44,7 @@
 		if z.Rate >= 0 {
 			rate = fmt.Sprintf("%.1f", z.Rate)
 		}
-		tier := tierNames[min(max(z.Tier, 0), len(tierNames)-1)]
+		tier := tierNames[min(max(z.Priority, 0), len(tierNames)-1)]
 		since := z.Since.Round(zoneAgeRounding)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t", z.Name, tier, state, since, z.Backends, z.Proven)
 		fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t%.1f\t", z.Capacity, z.Nominal, z.Offered, z.Answered)
@@ -115,14 +115,14 @@
 func printWork(out io.Writer, s core.WorkStatus) error {
 	fmt.Fprintf(out, "in hand %d; kept for all %d in %d bytes\n", s.Pending, s.Records, s.Bytes)
 	fmt.Fprintf(out, "own tries: %d covered, %d without a word of some keeper, %d uncovered, %d without any keeper\n",
-		s.Covered, s.Partly, s.Uncovered, s.NoReplica)
+		s.Covered, s.PartlyCovered, s.Uncovered, s.NoReplica)
 	fmt.Fprintf(out, "           %d joined another try, %d went on with one, %d had its answer, %d may not go on\n",
-		s.Joined, s.Bound, s.Answered, s.Halted)
-	fmt.Fprintf(out, "taken over from others: %d\n", s.TakenFrom)
+		s.Joined, s.Adopted, s.Answered, s.Aborted)
+	fmt.Fprintf(out, "taken over from others: %d\n", s.TookOver)
 	r := s.Replica
 	fmt.Fprintf(out, "as keeper: %d granted, %d asked again for an old clock, %d joined, %d bound, "+
 		"%d refused after a takeover, %d without room, %d taken over, %d failed, %d whose end was never told\n",
-		r.Granted, r.Again, r.Joined, r.Bound, r.Refused, r.Full, r.Taken, r.Failed, r.Late)
+		r.Granted, r.StaleClocks, r.Joined, r.Adopted, r.RefusedOwners, r.Full, r.TookOver, r.Failed, r.Unreported)
 	_, err := fmt.Fprintf(out, "messages that could not be read: %d\n", s.Unreadable)
 	return err
 }
--- a/internal/backend/assign.go
+++ b/internal/backend/assign.go
@@ -15,8 +15,8 @@
 func (p *Pool) assign(attempt *Attempt) {
 	backend := attempt.backend
 	wait := p.cfg.ConnectTimeout
-	if attempt.By > 0 {
-		wait = min(wait, attempt.By-p.owner.Now())
+	if attempt.WriteBy > 0 {
+		wait = min(wait, attempt.WriteBy-p.owner.Now())
 	}
 	if wait <= 0 {
 		p.finish(attempt, policy.NotSent, Reply{})
@@ -77,7 +77,7 @@
 // client may have left.
 func (p *Pool) sendable(attempt *Attempt) bool {
 	now := p.owner.Now()
-	if now >= attempt.Deadline || attempt.By > 0 && now >= attempt.By {
+	if now >= attempt.Deadline || attempt.WriteBy > 0 && now >= attempt.WriteBy {
 		return false
 	}
 	return attempt.Command == nil || attempt.backend.State == policy.Running && p.owner.AttemptWanted(attempt)
@@ -119,8 +119,8 @@
 	c.current = attempt
 	c.used = true
 	left := min(writeTimeout, attempt.Deadline-attempt.assignedAt) // the process may be stopped before it writes
-	if attempt.By > 0 {
-		left = min(left, attempt.By-attempt.assignedAt)
+	if attempt.WriteBy > 0 {
+		left = min(left, attempt.WriteBy-attempt.assignedAt)
 	}
 	now := time.Now()
 	pending := pendingWrite{
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -25,7 +25,7 @@
 	Command   Command       // nil for a health check
 	StartedAt time.Duration // on the owner's clock
 	Deadline  time.Duration // when the owner gives it up
-	By        time.Duration // its last byte is written by then, or it is never sent; 0 means any time before Deadline
+	WriteBy   time.Duration // its last byte is written by then, or it is never sent; 0 means any time before Deadline
 
 	backend    *backendPool
 	entry      policy.Backend // the backend as it was when the attempt started; the endpoint list may change it later
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -99,9 +99,9 @@
 	owner := &testOwner{now: time.Minute, events: make(chan Event, 64), ctx: ctx}
 	owner.pool = New(owner, Config{
 		ConnectTimeout: 5 * time.Second,
-		Idle:           15 * time.Second,
+		IdleTimeout:    15 * time.Second,
 		MaxConnections: 96,
-		Frames:         resp.NewBudget(1 << 20),
+		FrameBudget:    resp.NewBudget(1 << 20),
 	})
 	owner.pool.Update(entries(addrs...), true)
 	t.Cleanup(func() {
@@ -133,7 +133,7 @@
 	owner := newOwner(t, server.Addr)
 	attempt := waitingAttempt(owner, "s0")
 	owner.pool.assign(attempt)
-	owner.pool.Abort(attempt, policy.Cancelled)
+	owner.pool.Abort(attempt, policy.Canceled)
 	up := (<-owner.events).(connectionOpened)
 	owner.pool.handleConnectionOpened(up)
 	if ev := owner.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil || len(owner.ends) != 1 {
@@ -154,7 +154,7 @@
 	if len(b.idle) != 1 {
 		t.Fatal("a fresh connection was retired")
 	}
-	owner.now += owner.pool.cfg.Idle - time.Second
+	owner.now += owner.pool.cfg.IdleTimeout - time.Second
 	owner.pool.RetireIdle()
 	if down := (<-owner.events).(connectionClosed); len(b.idle) != 0 || !down.wasOpen {
 		t.Fatal("an old connection was kept")
@@ -344,8 +344,8 @@
 		for len(owner.ends) == 0 {
 			owner.pool.Handle(<-owner.events)
 		}
-		if len(owner.ends) != 1 || owner.ends[0].outcome != policy.Cancelled {
-			t.Fatalf("ended as %v, want %v", owner.ends, policy.Cancelled)
+		if len(owner.ends) != 1 || owner.ends[0].outcome != policy.Canceled {
+			t.Fatalf("ended as %v, want %v", owner.ends, policy.Canceled)
 		}
 	})
 	t.Run("broken", func(t *testing.T) {
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -89,9 +89,9 @@
 	defer in.Close()
 	deadlineSet := false
 	for {
-		head, size, err := resp.Large(in.Begun())
+		head, size, err := resp.LargeValue(in.Buffered())
 		if size > 0 {
-			in.Drop(head)
+			in.Discard(head)
 			if !c.readLargeReply(ctx, &in, size, post) {
 				return
 			}
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -33,7 +33,7 @@
 		backend:     backend,
 		addr:        backend.addr,
 		dialedAt:    p.owner.Now(),
-		frameBudget: p.cfg.Frames,
+		frameBudget: p.cfg.FrameBudget,
 		onSent:      p.cfg.OnSent,
 		writes:      make(chan pendingWrite, 1),
 		readerDone:  make(chan struct{}),
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -73,7 +73,7 @@
 	attempt.stream = ev.stream
 	c.hasReplied = true
 	if !p.owner.AttemptBegan(attempt, ev.stream) {
-		attempt.abortedAs = policy.Cancelled
+		attempt.abortedAs = policy.Canceled
 		ev.stream.Close()
 		p.closeConn(c)
 	}
--- a/internal/backend/exploration_test.go
+++ b/internal/backend/exploration_test.go
@@ -90,9 +90,9 @@
 	e := &exploration{now: time.Minute, ends: map[*Attempt]policy.Outcome{}, written: map[*Attempt]bool{}}
 	e.pool = New(e, Config{
 		ConnectTimeout: 250 * time.Millisecond,
-		Idle:           15 * time.Second,
+		IdleTimeout:    15 * time.Second,
 		MaxConnections: 2,
-		Frames:         resp.NewBudget(1 << 20),
+		FrameBudget:    resp.NewBudget(1 << 20),
 	})
 	e.pool.startConn = func(c *conn) { e.conns = append(e.conns, &simulatedConn{conn: c}) }
 	e.pool.Update(entries(firstAddr), true)
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -39,7 +39,7 @@
 }
 
 // retireAfter is for how long a connection may be idle and still be used.
-func (p *Pool) retireAfter() time.Duration { return p.cfg.Idle * 2 / 3 }
+func (p *Pool) retireAfter() time.Duration { return p.cfg.IdleTimeout * 2 / 3 }
 
 // CloseIdle closes all idle connections to a backend.
 func (p *Pool) CloseIdle(id policy.BackendID) {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -50,9 +50,9 @@
 // Config holds the limits of a pool.
 type Config struct {
 	ConnectTimeout time.Duration
-	Idle           time.Duration // after which a backend closes an idle connection
+	IdleTimeout    time.Duration // after which a backend closes an idle connection
 	MaxConnections int           // to all backends together
-	Frames         *resp.Budget  // memory of replies that are arriving
+	FrameBudget    *resp.Budget  // memory of replies that are arriving
 	OnSent         func()        // called from any goroutine for each request that was written to its last byte
 }
 
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -83,8 +83,8 @@
 	post(streamStarted{c, attempt, stream})
 	defer stream.writer.CloseWithError(errBrokenOff) // no effect after the end
 	chunkSize := streamChunkSize
-	if c.frameBudget.Take(chunkSize) {
-		defer c.frameBudget.Give(chunkSize)
+	if c.frameBudget.Reserve(chunkSize) {
+		defer c.frameBudget.Release(chunkSize)
 	} else {
 		chunkSize = minStreamChunkSize
 	}
@@ -94,8 +94,8 @@
 		_, err := stream.writer.Write(chunk)
 		return err
 	}
-	first := in.Begun()[:min(in.ArrivedAt(), left)]
-	in.Drop(len(first))
+	first := in.Buffered()[:min(in.BufferedBytes(), left)]
+	in.Discard(len(first))
 	if err := forward(first); err != nil {
 		return Reply{}, err
 	}
@@ -116,15 +116,15 @@
 // readStreamTail reads what follows a streamed value: the end of its line, the usage and the load report.
 func (c *conn) readStreamTail(in *resp.Inbox) (Reply, error) {
 	c.nc.SetReadDeadline(c.streamDeadline(time.Now()))
-	for in.ArrivedAt() < 2 {
+	for in.BufferedBytes() < 2 {
 		if err := in.Fill(c.nc.Read); err != nil {
 			return Reply{}, err
 		}
 	}
-	if string(in.Begun()[:2]) != "\r\n" {
+	if string(in.Buffered()[:2]) != "\r\n" {
 		return Reply{}, resp.ErrFraming
 	}
-	in.Drop(2)
+	in.Discard(2)
 	reply := Reply{outcome: policy.Succeeded, reusable: true}
 	for frames := 0; frames < trailerFrames; {
 		frame, err := in.Next()
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -178,9 +178,9 @@
 	}
 	t.pool = New(t, Config{
 		ConnectTimeout: t.connectTimeout,
-		Idle:           15 * time.Second,
+		IdleTimeout:    15 * time.Second,
 		MaxConnections: 384,
-		Frames:         resp.NewBudget(1 << 20),
+		FrameBudget:    resp.NewBudget(1 << 20),
 	})
 	t.pool.startConn = t.openConn
 	list := make([]Endpoint, s.backends)
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if !c.cancelAwaiting(r, action.Attempt) {
-		c.backends.Abort(r.attempts[action.Attempt], policy.Cancelled)
+		c.backends.Abort(r.attempts[action.Attempt], policy.Canceled)
 	}
 }
 
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -24,7 +24,7 @@
 		Command:   r.Command,
 		StartedAt: c.now,
 		Deadline:  r.GiveUpAt,
-		By:        c.retryDeadline(r),
+		WriteBy:   c.retryDeadline(r),
 	}
 	if s.StopAt > 0 {
 		attempt.Deadline = min(s.StopAt, r.GiveUpAt)
@@ -56,7 +56,7 @@
 	}
 	remembered := class.RepeatWindow * 19 / 20
 	if r.Prior != nil {
-		return r.Prior.At + remembered
+		return r.Prior.SentAt + remembered
 	}
 	for _, attempt := range r.attempts {
 		if !attempt.NeverRan() {
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -11,8 +11,8 @@
 
 // Clock is an error of a process's clock, for tests of what depends on clocks.
 type Clock struct {
-	Ahead time.Duration // of the true time, at the start
-	Rate  float64       // seconds that pass on it in each true second; 0: one
+	Offset time.Duration // of the true time, at the start
+	Rate   float64       // seconds that pass on it in each true second; 0: one
 }
 
 // elapsed returns how much time passes on the clock while a span passes in truth.
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -24,25 +24,25 @@
 
 // Config is the configuration of a core.
 type Config struct {
-	Discovery   string // address of the discovery service
-	Seed        uint64 // of all random draws
-	Sockets     int    // descriptors that the core and the fronts may use
-	Memory      int    // bytes that the core and the fronts may use; 0: a default
-	Known       discovery.List
-	Settings    policy.Settings
-	Store       func(store.Sink) (store.Counter, error) // creates the shared counter; nil: the settings name none
-	Connections settings.Connections
-	Leases      *Leases       // of attempts that callers send themselves; nil: none are granted
-	Zones       *zones.Config // nil: another zone costs a fixed factor
-	Summary     time.Duration // between two summary lines of the log; 0: no such lines
-	LogRequests bool          // write a log line for the end of each request
-	Siblings    int           // other processes of this instance at the start; limits hold for all together
-	Operated    bool          // keep the metrics of the endpoint list up to date
-	Overrides   OverrideStore // keeps operators' overrides; nil: they end with the process
-	Peers       Peers         // other instances, to share observations on backends with; nil: there are none
-	Clock       Clock         // an error of this process's clock, for tests
-	Escrow      Transport     // carries transfers of quota shares; nil: all shares are even
-	Takeover    *Takeover     // nil: this instance's work ends with it
+	Discovery     string // address of the discovery service
+	Seed          uint64 // of all random draws
+	Sockets       int    // descriptors that the core and the fronts may use
+	Memory        int    // bytes that the core and the fronts may use; 0: a default
+	Known         discovery.List
+	Settings      policy.Settings
+	Store         func(store.Sink) (store.Counter, error) // creates the shared counter; nil: the settings name none
+	Connections   settings.Connections
+	Leases        *LeaseConfig    // of attempts that callers send themselves; nil: none are granted
+	Zones         *zones.Config   // nil: another zone costs a fixed factor
+	Summary       time.Duration   // between two summary lines of the log; 0: no such lines
+	LogRequests   bool            // write a log line for the end of each request
+	Siblings      int             // other processes of this instance at the start; limits hold for all together
+	CountBackends bool            // keep the metrics of the endpoint list up to date
+	Overrides     OverrideStore   // keeps operators' overrides; nil: they end with the process
+	Peers         Peers           // other instances, to share observations on backends with; nil: there are none
+	Clock         Clock           // an error of this process's clock, for tests
+	Escrow        Transport       // carries transfers of quota shares; nil: all shares are even
+	Takeover      *TakeoverConfig // nil: this instance's work ends with it
 }
 
 // validate reports the first field whose value cannot be used.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,7 +113,7 @@
 		events:          make(chan event, eventQueueLength),
 		stopped:         make(chan struct{}),
 		startedAt:       startedAt,
-		epoch:           time.Duration(startedAt.UnixNano()) + cfg.Clock.Ahead,
+		epoch:           time.Duration(startedAt.UnixNano()) + cfg.Clock.Offset,
 		metrics:         newMetrics(cfg.Settings.Classes),
 		guard:           guard.NewMonitor(log),
 		maxConnections:  cfg.Sockets * 3 / 8,
@@ -163,9 +163,9 @@
 	c.backends = backend.New(poolOwner{c}, backend.Config{
 		OnSent:         c.metrics.AttemptSent,
 		ConnectTimeout: cfg.Connections.ConnectTimeout,
-		Idle:           cfg.Connections.Idle,
+		IdleTimeout:    cfg.Connections.Idle,
 		MaxConnections: c.backendConnections(cfg.Siblings),
-		Frames:         resp.NewBudget(cfg.Memory / memoryShares),
+		FrameBudget:    resp.NewBudget(cfg.Memory / memoryShares),
 	})
 	if cfg.Settings.Counter {
 		c.counter, err = cfg.Store(func(call *store.Call, result store.Result) { c.post(counterReplied{call, result}) })
@@ -194,8 +194,8 @@
 	c.spawn(c.discovery.Run)
 }
 
-// End stops at once, whatever is open, and waits for all goroutines.
-func (c *Core) End() {
+// Stop ends all at once, whatever is open, and waits for all goroutines.
+func (c *Core) Stop() {
 	c.stop()
 	c.spawned.Wait()
 	c.checkUnanswered()
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("%s: got %d clients disconnected, want %d", stage, got, want[stage])
 		}
 	}
-	if open := c.metrics.Current(); open != 0 {
+	if open := c.metrics.OpenRequests(); open != 0 {
 		t.Errorf("got %d open requests, want none", open)
 	}
 }
@@ -106,7 +106,7 @@
 // A caller that has disconnected is granted no lease, and its request's id can be used again.
 func TestNoLeaseForDisconnectedCallers(t *testing.T) {
 	cfg := testConfig(newBackends(t, 1))
-	cfg.Leases = &Leases{
+	cfg.Leases = &LeaseConfig{
 		Timeout:     time.Second,
 		StartWithin: 500 * time.Millisecond,
 		Retention:   time.Second,
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -72,7 +72,7 @@
 	entries := make([]backend.Endpoint, 0, len(list.Targets))
 	c.overrides.mu.Lock()
 	for _, target := range list.Targets {
-		listed := c.overrides.active.Apply(target.Server())
+		listed := c.overrides.active.Apply(target.Backend())
 		entries = append(entries, backend.Endpoint{Backend: listed, Addr: target.Endpoint})
 		ev.Backends = append(ev.Backends, listed)
 	}
--- a/internal/core/escrow.go
+++ b/internal/core/escrow.go
@@ -130,7 +130,7 @@
 		return
 	}
 	c.log.Warn("no capacity for further escrow accounts",
-		"rejected", full-e.fullLogged, "max_accounts", escrow.MaxBudgets)
+		"rejected", full-e.fullLogged, "max_accounts", escrow.MaxAccounts)
 	e.fullLogged, e.fullLoggedAt = full, c.now
 }
 
--- a/internal/core/escrow_test.go
+++ b/internal/core/escrow_test.go
@@ -20,7 +20,7 @@
 	c.now = time.Hour
 	c.escrow = newEscrowState(cfg, c.now)
 	var needs []escrow.Need
-	for i := range escrow.MaxBudgets + 1 {
+	for i := range escrow.MaxAccounts + 1 {
 		needs = append(needs, escrow.Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, WantedShare: 0.1})
 	}
 	countLines := func() int { return strings.Count(out.String(), "no capacity for further escrow accounts") }
--- a/internal/core/guards.go
+++ b/internal/core/guards.go
@@ -43,21 +43,21 @@
 func (c *Core) maySend(r *Request, attempt *backend.Attempt) bool {
 	to, serves := attempt.Backend()
 	send := guard.Send{
-		Class:    c.classOf(r),
-		Parallel: c.cfg.Settings.Hedging,
-		Answered: r.finished,
-		GiveUpAt: r.GiveUpAt,
-		Serves:   serves,
-		Zone:     to.Zone,
-		Cell:     to.Cell,
-		Earlier:  r.assignedAttempts(attempt),
+		Class:          c.classOf(r),
+		Parallel:       c.cfg.Settings.Hedging,
+		Answered:       r.finished,
+		GiveUpAt:       r.GiveUpAt,
+		BackendRunning: serves,
+		Zone:           to.Zone,
+		Cell:           to.Cell,
+		Earlier:        r.assignedAttempts(attempt),
 	}
 	broken := send.Check(c.now)
 	if broken == guard.None {
 		return true
 	}
 	if broken == guard.SendAfterDeadline { // no violation: time has passed since the engine's decision
-		c.metrics.AttemptWithheld(metrics.TimeOver)
+		c.metrics.AttemptWithheld(metrics.DeadlinePassed)
 		return false
 	}
 	c.guard.Violated(broken, append(r.logAttrs(),
@@ -78,7 +78,12 @@
 // to be written. The attempt of another instance, from which this one has taken the request over, is the first.
 func (r *Request) assignedAttempts(except *backend.Attempt) (assigned []guard.Attempt) {
 	if r.Prior != nil {
-		assigned = append(assigned, guard.Attempt{Zone: r.Prior.Zone, Cell: r.Prior.Cell, At: r.Prior.At, Ended: true})
+		assigned = append(assigned, guard.Attempt{
+			Zone:  r.Prior.Zone,
+			Cell:  r.Prior.Cell,
+			At:    r.Prior.SentAt,
+			Ended: true,
+		})
 	}
 	for _, attempt := range r.attempts {
 		if attempt == except || !attempt.Assigned() {
@@ -102,8 +107,8 @@
 	if late := c.now - r.GiveUpAt; late > maxAnswerDelay && r.arrivedAt > 0 {
 		c.guard.Violated(guard.AnsweredLate, append(r.logAttrs(), "late", late, "attempts", len(r.attempts))...)
 	}
-	if a.Kind == Rejected && !r.Delegated && !guard.MayRefuse(c.classOf(r), r.assignedAttempts(nil)) {
-		c.guard.Violated(guard.RefusedThoughRun, append(r.logAttrs(), "attempts", len(r.attempts))...)
+	if a.Kind == Rejected && !r.Delegated && !guard.MayReject(c.classOf(r), r.assignedAttempts(nil)) {
+		c.guard.Violated(guard.RejectedThoughRun, append(r.logAttrs(), "attempts", len(r.attempts))...)
 		if enforced {
 			a = Answer{Kind: Failed}
 		}
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -82,7 +82,7 @@
 	c.handle(awaitConnection(t, c))
 	c.performAction(policy.Reject{ID: r.ID, Reason: policy.NoRetry})
 	wantAnswer(t, sink, Failed)
-	wantViolations(t, c, guard.RefusedThoughRun, 1)
+	wantViolations(t, c, guard.RejectedThoughRun, 1)
 }
 
 // A second final answer is dropped and counted.
--- a/internal/core/known_faults_test.go
+++ b/internal/core/known_faults_test.go
@@ -21,7 +21,7 @@
 // before it is replicated again: nothing of it is kept.
 func TestRestartedWorkIsForgotten(t *testing.T) {
 	cfg := testConfig(endpointsAt()) // no backend: the request is queued
-	cfg.Takeover = &Takeover{
+	cfg.Takeover = &TakeoverConfig{
 		Self:        takeover.Member{Name: "n0"},
 		Incarnation: 1,
 		Transport:   unreachableTransport{},
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -13,8 +13,8 @@
 // maxLeaseWaiters bounds how many callers wait for the decision on one request.
 const maxLeaseWaiters = 4
 
-// Leases is how attempts are granted to callers who send them themselves.
-type Leases struct {
+// LeaseConfig is how attempts are granted to callers who send them themselves.
+type LeaseConfig struct {
 	Timeout     time.Duration // an attempt that nobody reports on is in flight for so long, and may have run after that
 	StartWithin time.Duration // an attempt must be sent within so long of its grant; well below the grace of a drain
 	Retention   time.Duration // an answer is kept for so long after its request's deadline
@@ -56,7 +56,7 @@
 	attempt *backend.Attempt // of the entry's lease, while that is out
 }
 
-func newLeaseTable(cfg Leases) *leaseTable {
+func newLeaseTable(cfg LeaseConfig) *leaseTable {
 	return &leaseTable{
 		registry: lease.New(lease.Config{
 			Timeout:     cfg.Timeout,
@@ -159,8 +159,8 @@
 		l := entry.Lease
 		return Answer{Kind: Granted, Grant: Grant{
 			Lease:       l.Name,
-			Backend:     l.Node,
-			Addr:        l.Addr,
+			Backend:     l.Backend,
+			Addr:        l.Address,
 			Attempt:     l.Attempt,
 			StartWithin: max(0, l.StartBy-c.now),
 			EndsWithin:  max(0, l.ExpiresAt-c.now),
@@ -223,7 +223,7 @@
 	var name [16]byte
 	rand.Read(name[:]) // never fails
 	granted := c.leases.registry.Grant(
-		c.now, l.entry, hex.EncodeToString(name[:]), string(id), addr, attempt.Number, r.GiveUpAt, attempt.By)
+		c.now, l.entry, hex.EncodeToString(name[:]), string(id), addr, attempt.Number, r.GiveUpAt, attempt.WriteBy)
 	if granted == nil {
 		return false
 	}
@@ -299,7 +299,7 @@
 	c.notifyAttemptEnded(r, policy.AttemptEnded{
 		ID:       r.ID,
 		Attempt:  attempt.Number,
-		Backend:  policy.BackendID(l.entry.Lease.Node),
+		Backend:  policy.BackendID(l.entry.Lease.Backend),
 		Outcome:  outcome,
 		Took:     c.now - attempt.StartedAt,
 		Finished: r.finished,
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -70,7 +70,7 @@
 		c.repeat(escrowTickInterval, c.tickEscrow)
 	}
 	c.startSummary()
-	if c.cfg.Operated {
+	if c.cfg.CountBackends {
 		c.repeat(backendCountInterval, c.updateBackendCounts)
 	}
 }
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -119,7 +119,7 @@
 	clear(t.startTimes)
 	c.overrides.mu.Lock()
 	for id, target := range c.endpoints.targets {
-		if listed := c.overrides.active.Apply(target.Server()); listed.State != policy.Gone {
+		if listed := c.overrides.active.Apply(target.Backend()); listed.State != policy.Gone {
 			t.startTimes[id] = listed.Started
 		}
 	}
@@ -156,7 +156,7 @@
 	onsets := map[policy.BackendID]time.Duration{}
 	for _, o := range own {
 		for _, peer := range t.peerObservations[o.Backend] {
-			if peer.IsAdverse() && peer.Onset < o.LastGood {
+			if peer.IsAdverse() && peer.Onset < o.LastSuccess {
 				onsets[o.Backend] = max(onsets[o.Backend], peer.Onset)
 			}
 		}
@@ -269,8 +269,8 @@
 func (t *outlierTracker) backendStatus(now time.Duration, o outlier.Observation, a outlier.Assessment) BackendStatus {
 	status := BackendStatus{
 		Backend:      o.Backend,
-		Good:         o.Good,
-		Bad:          o.Bad,
+		Good:         o.SuccessEvidence,
+		Bad:          o.FailureEvidence,
 		PeerSlowness: max(1, t.peerSlowness[o.Backend]),
 		Cause:        a.Cause.String(),
 		Reporters:    a.Reporters,
@@ -278,7 +278,7 @@
 		Reason:       a.Reason,
 		AgeMS:        a.Age.Milliseconds(),
 	}
-	if o.Bad > statusMinBad {
+	if o.FailureEvidence > statusMinBad {
 		status.OwnCause = o.Cause.String()
 	}
 	for _, peer := range t.peerObservations[o.Backend] {
@@ -286,8 +286,8 @@
 			Owner: peer.Owner,
 			Zone:  peer.Zone,
 			Cause: peer.Cause.String(),
-			Good:  peer.Good,
-			Bad:   peer.Bad,
+			Good:  peer.SuccessEvidence,
+			Bad:   peer.FailureEvidence,
 			AgeMS: (now - peer.ObservedAt()).Milliseconds(),
 		})
 	}
--- a/internal/core/quota_bounds_test.go
+++ b/internal/core/quota_bounds_test.go
@@ -19,7 +19,13 @@
 			name := func(i int) string { return fmt.Sprintf("c%05d", i) }
 			var learned policy.LearnedState
 			for i := range tenants {
-				tenant := policy.LearnedTenant{ID: name(i), Tenant: name(i), Plan: "p", Spread: 1, Demand: float64(i)}
+				tenant := policy.LearnedTenant{
+					Account: name(i),
+					Tenant:  name(i),
+					Plan:    "p",
+					Spread:  1,
+					Demand:  float64(i),
+				}
 				learned.Tenants = append(learned.Tenants, tenant)
 			}
 			c.engine.ImportState(time.Second, learned)
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -16,7 +16,7 @@
 
 // canReplicate reports whether replicas can hold a request.
 func (c *Core) canReplicate(r *Request) bool {
-	if c.classes[r.Class].Effect != policy.Keyed || r.IdempotencyKey == "" || r.Size > takeover.MaxBody {
+	if c.classes[r.Class].Effect != policy.Keyed || r.IdempotencyKey == "" || r.Size > takeover.MaxCommandBytes {
 		return false
 	}
 	_, ok := r.Command.(commandArgs)
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -49,7 +49,7 @@
 	policy.TimedOut:  "timeout",
 	policy.NoConnect: "noconnect",
 	policy.Reset:     "reset",
-	policy.Cancelled: "cancelled",
+	policy.Canceled:  "cancelled",
 	policy.NotSent:   "moot",
 }
 
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -11,8 +11,8 @@
 
 const takeoverTickInterval = 10 * time.Millisecond
 
-// Takeover is what the core needs so that other instances can complete the work of this one after its end.
-type Takeover struct {
+// TakeoverConfig is what the core needs so that other instances can complete the work of this one after its end.
+type TakeoverConfig struct {
 	Self        takeover.Member
 	Incarnation uint64
 	Transport   Transport
@@ -22,7 +22,7 @@
 // takeoverState is the work that replicas know of, and the records that this instance stores for others. It belongs to
 // the loop, except published.
 type takeoverState struct {
-	cfg         Takeover
+	cfg         TakeoverConfig
 	coordinator *takeover.Coordinator
 	byAttempt   map[uint64]*Request        // by ClientID: the requests with pending work
 	published   atomic.Pointer[WorkStatus] // nil: not yet
@@ -84,7 +84,7 @@
 // attemptBit returns the bit of an attempt in sentAttempts. All from the 64th on have one bit.
 func attemptBit(number int) uint64 { return 1 << min(number, 63) }
 
-func newTakeoverState(cfg Takeover) *takeoverState {
+func newTakeoverState(cfg TakeoverConfig) *takeoverState {
 	return &takeoverState{
 		cfg:         cfg,
 		coordinator: takeover.NewCoordinator(cfg.Self, cfg.Incarnation, cfg.Transport.ClockReading),
--- a/internal/core/takeover_actions.go
+++ b/internal/core/takeover_actions.go
@@ -55,7 +55,7 @@
 		c.withdrawFromEngine(r)
 		r.pending.phase = workActive
 		r.pending.scope = action.Scope
-		c.resubmit(r, &policy.Prior{Zone: action.Scope.Zone, Cell: action.Scope.Rack, At: action.StartedAt})
+		c.resubmit(r, &policy.Prior{Zone: action.Scope.Zone, Cell: action.Scope.Rack, SentAt: action.StartedAt})
 	case takeover.ActionAbort:
 		c.withdrawFromEngine(r)
 		c.answerRequest(r, Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
@@ -179,7 +179,7 @@
 	sent := work.Scope != takeover.ScopeNone
 	r.pending, r.Charged = &pendingWork{scope: work.Scope}, work.Charged || sent
 	if sent {
-		r.Prior = &policy.Prior{Zone: work.Scope.Zone, Cell: work.Scope.Rack, At: work.StartedAt}
+		r.Prior = &policy.Prior{Zone: work.Scope.Zone, Cell: work.Scope.Rack, SentAt: work.StartedAt}
 		r.attempts = []*backend.Attempt{{}} // stands for its owner's
 		r.pending.mayHaveRun = 1
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -37,8 +37,8 @@
 	BootMS   int64   `json:"boot_ms"`       // start of the backend's process, milliseconds on the platform's clock
 }
 
-// Server returns the entry as the policy module has it. A state that isn't known is draining.
-func (t Target) Server() policy.Backend {
+// Backend returns the entry as the policy module has it. A state that isn't known is draining.
+func (t Target) Backend() policy.Backend {
 	backend := policy.Backend{
 		ID:      policy.BackendID(t.UID),
 		Zone:    t.Zone,
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -106,7 +106,7 @@
 // checkTarget fails if an entry was posted that can't be used.
 func checkTarget(t *testing.T, target Target) {
 	t.Helper()
-	backend := target.Server()
+	backend := target.Backend()
 	if backend.State == policy.Running && target.check() != nil {
 		t.Errorf("got %+v posted, which serves and is invalid", target)
 	}
@@ -117,7 +117,7 @@
 
 func TestUnknownState(t *testing.T) {
 	target := Target{UID: "a", Endpoint: "127.0.0.1:1", State: "ODD"}
-	if got := target.Server().State; got != policy.Draining {
+	if got := target.Backend().State; got != policy.Draining {
 		t.Errorf("got state %v, want %v", got, policy.Draining)
 	}
 }
@@ -128,7 +128,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		w := New("127.0.0.1:1", 7, 1, false, func(l List) {
 			for _, target := range l.Targets {
-				if backend := target.Server(); backend.ID == "" || backend.Started < 0 {
+				if backend := target.Backend(); backend.ID == "" || backend.Started < 0 {
 					t.Fatalf("got %+v posted of %q, want an id and a start of at least 0", target, text)
 				}
 			}
--- a/internal/escrow/allocator.go
+++ b/internal/escrow/allocator.go
@@ -73,7 +73,7 @@
 
 // Tick takes in what is needed here and who is a member, and returns what is to
 // be sent. It must be called about every 50 ms. If there are more needs than
-// MaxBudgets, the largest must come first.
+// MaxAccounts, the largest must come first.
 func (a *Allocator) Tick(now time.Duration, needs []Need, members []Member) []Envelope {
 	a.advance(now)
 	a.forgetAbsentMembers(members)
@@ -117,7 +117,7 @@
 	if key == "" || len(key) > maxKeyBytes || spread < 2 || first < 0 {
 		return nil
 	}
-	if len(a.accounts) >= MaxBudgets {
+	if len(a.accounts) >= MaxAccounts {
 		a.counts.Full++
 		return nil
 	}
--- a/internal/escrow/allocator_test.go
+++ b/internal/escrow/allocator_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Accounts beyond MaxBudgets are counted and stay equally divided, those within
+// Accounts beyond MaxAccounts are counted and stay equally divided, those within
 // it are kept, and further ones find capacity when others have expired.
-func TestMaxBudgets(t *testing.T) {
+func TestMaxAccounts(t *testing.T) {
 	const excess = 44
 	now := time.Hour
 	a := New(0, instances, now, rand.New(rand.NewPCG(1, 2)))
 	var needs []Need
-	for i := range MaxBudgets + excess {
+	for i := range MaxAccounts + excess {
 		needs = append(needs, Need{Key: fmt.Sprintf("channel-%03d", i), Spread: 2, WantedShare: 0.1})
 	}
 	expect := func(accounts, full int) {
@@ -27,13 +27,13 @@
 			t.Fatalf("accounts without capacity: got %d, want %d", got, full)
 		}
 	}
-	a.Tick(now, needs[:MaxBudgets], nil)
-	expect(MaxBudgets, 0)
+	a.Tick(now, needs[:MaxAccounts], nil)
+	expect(MaxAccounts, 0)
 	a.Tick(now, needs, nil)
-	expect(MaxBudgets, excess)
+	expect(MaxAccounts, excess)
 	now += retention + time.Second
 	a.Tick(now, nil, nil)
-	a.Tick(now, needs[MaxBudgets:], nil)
+	a.Tick(now, needs[MaxAccounts:], nil)
 	expect(excess, excess)
 }
 
--- a/internal/escrow/escrow.go
+++ b/internal/escrow/escrow.go
@@ -31,10 +31,10 @@
 
 import "time"
 
-// MaxBudgets bounds the accounts of which one instance transfers shares; the
+// MaxAccounts bounds the accounts of which one instance transfers shares; the
 // others stay equally divided. It limits the cost of the usage messages, for
 // each of which all keys are sorted.
-const MaxBudgets = 256
+const MaxAccounts = 256
 
 // TransferTerm is how long a transferred share stays transferred, by its giver's clock.
 const TransferTerm = time.Second
--- a/internal/escrow/peers.go
+++ b/internal/escrow/peers.go
@@ -175,11 +175,11 @@
 	}
 	a.peerNumbers[from.Name] = m.Sender
 	a.recordUsages(p, m.Usages)
-	for _, grant := range m.Grants[:min(len(m.Grants), MaxBudgets)] {
+	for _, grant := range m.Grants[:min(len(m.Grants), MaxAccounts)] {
 		a.handleGrant(from, grant)
 	}
 	var grants []TransferGrant
-	for _, request := range m.Requests[:min(len(m.Requests), MaxBudgets)] {
+	for _, request := range m.Requests[:min(len(m.Requests), MaxAccounts)] {
 		if grant, ok := a.handleRequest(from, m.Sender, request); ok {
 			grants = append(grants, grant)
 		}
--- a/internal/front/resp/dispatch.go
+++ b/internal/front/resp/dispatch.go
@@ -45,7 +45,7 @@
 // that ends the connection, up to the next error: a request that was read is owed
 // an answer.
 func (c *connection) rejectReceived() {
-	for remaining := c.inbox.ArrivedAt(); remaining > 0 && !c.peerClosed; {
+	for remaining := c.inbox.BufferedBytes(); remaining > 0 && !c.peerClosed; {
 		command, err := c.inbox.Next()
 		if command == nil || err != nil || !c.isRequest(command) {
 			return
--- a/internal/front/resp/reader.go
+++ b/internal/front/resp/reader.go
@@ -27,14 +27,14 @@
 // readCommands takes commands until the connection ends.
 func (c *connection) readCommands() readResult {
 	in := &c.inbox
-	in.Budget, in.Max = c.front.requestMemory, resp.MaxLarge
+	in.Budget, in.Max = c.front.requestMemory, resp.MaxLargeValue
 	defer in.Close()
 	var progress commandProgress
 	for {
 		command, err := in.Next()
 		if command != nil {
 			progress = commandProgress{}
-			c.handle(command, c.receipts.takeCommand(in.ArrivedAt()))
+			c.handle(command, c.receipts.takeCommand(in.BufferedBytes()))
 			if result, ended := c.checkProtocolErrors(); ended {
 				return result
 			}
@@ -106,7 +106,7 @@
 	case !partial && c.partialCommand.Load():
 		c.setReadDeadline(time.Time{})
 		c.partialCommand.Store(false)
-	case partial && (progress.beganAt.IsZero() || c.inbox.ArrivedAt()-progress.arrivedBytes >= minProgressBytes):
+	case partial && (progress.beganAt.IsZero() || c.inbox.BufferedBytes()-progress.arrivedBytes >= minProgressBytes):
 		now := time.Now()
 		deadline := earlier(now.Add(firstCommandTimeout), progress.beganAt.Add(commandTimeout))
 		if progress.beganAt.IsZero() {
@@ -115,7 +115,7 @@
 			}
 			deadline = later(progress.beganAt.Add(firstCommandTimeout), now.Add(minRestTimeout))
 		}
-		progress.arrivedBytes = c.inbox.ArrivedAt()
+		progress.arrivedBytes = c.inbox.BufferedBytes()
 		c.partialCommand.Store(true)
 		c.setReadDeadline(deadline)
 	}
@@ -131,7 +131,7 @@
 	if n > 0 {
 		now := time.Now()
 		if c.receipts.totalBytes == 0 { // the first bytes may have waited in the listen queue for a slot
-			if waited := min(socket.SinceData(c.conn), maxListenQueueWait); waited >= receiptGap {
+			if waited := min(socket.SinceReceived(c.conn), maxListenQueueWait); waited >= receiptGap {
 				c.receipts.noteStop(now.Add(-waited))
 				began = now
 			}
@@ -146,7 +146,7 @@
 // that a client that stops within it is not waited for.
 func (c *connection) skipCommand() error {
 	end := time.Now().Add(commandTimeout)
-	skipped, err := c.inbox.Skip(func(b []byte) (int, error) {
+	skipped, err := c.inbox.SkipFrame(func(b []byte) (int, error) {
 		c.mu.Lock()
 		c.takeEndRequest() // the rest of the command comes first
 		c.mu.Unlock()
@@ -199,7 +199,7 @@
 		c.mu.Lock()
 		c.takeEndRequest() // the commands that have been read come first
 		c.mu.Unlock()
-		if readAhead = readAhead && c.inbox.ArrivedAt() < readAheadBytes; !readAhead {
+		if readAhead = readAhead && c.inbox.BufferedBytes() < readAheadBytes; !readAhead {
 			c.receipts.noteStop(time.Now())
 			if done(peerClosedPollInterval) {
 				return
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -104,7 +104,7 @@
 			c.abort(writeFailure(err))
 			return
 		}
-		if spare = b.encoded; cap(spare) > resp.SmallBuffer {
+		if spare = b.encoded; cap(spare) > resp.SmallBufferBytes {
 			spare = nil
 		}
 		if b.last {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -14,19 +14,19 @@
 
 // The invariants. Those up to TwoAttemptsOut are checked before an attempt is written; one that violates them is not.
 const (
-	None              Invariant = iota // no violation
-	SendAfterEnd                       // an attempt of a request that has its final answer
-	SendAfterDeadline                  // an attempt of a request whose deadline has passed
-	SendToDrained                      // an attempt at a backend that is not running by the endpoint list
-	RepeatOfUnsafe                     // a retry of a non-idempotent request, after an attempt that may have run
-	RepeatElsewhere                    // a retry with an idempotency key outside the group that drops duplicates
-	RepeatAfterWindow                  // a retry with an idempotency key that its group may have forgotten
-	TwoAttemptsOut                     // a second attempt in flight of a request that may have one
-	AnsweredTwice                      // a second final answer
-	AnsweredLate                       // a final answer later than half a second after the request's deadline
-	RefusedThoughRun                   // a rejection, which calls a retry harmless, after an attempt that may have run
-	ClosedUnanswered                   // this process closed a client's connection on a request without an answer
-	OpenAtExit                         // a request without an answer when the process has ended its work
+	None                Invariant = iota // no violation
+	SendAfterEnd                         // an attempt of a request that has its final answer
+	SendAfterDeadline                    // an attempt of a request whose deadline has passed
+	SendToDrained                        // an attempt at a backend that is not running by the endpoint list
+	RepeatOfUnsafe                       // a retry of a non-idempotent request, after an attempt that may have run
+	RepeatElsewhere                      // a retry with an idempotency key outside the group that drops duplicates
+	RepeatAfterWindow                    // a retry with an idempotency key that its group may have forgotten
+	TwoAttemptsInFlight                  // a second attempt in flight of a request that may have one
+	AnsweredTwice                        // a second final answer
+	AnsweredLate                         // a final answer later than half a second after the request's deadline
+	RejectedThoughRun                    // a rejection, which calls a retry harmless, though an attempt may have run
+	ClosedUnanswered                     // this process closed a client's connection on a request without an answer
+	OpenAtExit                           // a request without an answer when the process has ended its work
 	invariantCount
 )
 
--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -20,14 +20,14 @@
 
 // Send is an attempt that is about to be written, and what is known of its request.
 type Send struct {
-	Class    policy.Class
-	Parallel bool          // the settings allow two attempts in flight
-	Answered bool          // the request has its final answer
-	GiveUpAt time.Duration // the request's deadline
-	Serves   bool          // the backend is running, by the endpoint list
-	Zone     string        // of the backend
-	Cell     int           // of the backend
-	Earlier  []Attempt     // of the request, in the order in which they were sent
+	Class          policy.Class
+	Parallel       bool          // the settings allow two attempts in flight
+	Answered       bool          // the request has its final answer
+	GiveUpAt       time.Duration // the request's deadline
+	BackendRunning bool          // the backend is running, by the endpoint list
+	Zone           string        // of the backend
+	Cell           int           // of the backend
+	Earlier        []Attempt     // of the request, in the order in which they were sent
 }
 
 // Check returns the invariant that the attempt would violate if it were written now, or None.
@@ -37,10 +37,10 @@
 		return SendAfterEnd
 	case now >= s.GiveUpAt:
 		return SendAfterDeadline
-	case !s.Serves:
+	case !s.BackendRunning:
 		return SendToDrained
 	case !s.Parallel && s.hasInFlight():
-		return TwoAttemptsOut
+		return TwoAttemptsInFlight
 	}
 	for _, earlier := range s.Earlier {
 		if earlier.mayHaveRun() { // the group and the time of the first such attempt bind all that follow
@@ -87,8 +87,8 @@
 	}
 }
 
-// MayRefuse reports whether a request may be rejected, which lets its client take a retry for harmless.
-func MayRefuse(class policy.Class, attempts []Attempt) bool {
+// MayReject reports whether a request may be rejected, which lets its client take a retry for harmless.
+func MayReject(class policy.Class, attempts []Attempt) bool {
 	if class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Group == policy.GroupAll {
 		return true
 	}
--- a/internal/guard/send_test.go
+++ b/internal/guard/send_test.go
@@ -14,12 +14,12 @@
 // allowedSend returns a first attempt of a request of a class, which violates nothing.
 func allowedSend(effect policy.Effect) Send {
 	return Send{
-		Class:    policy.Class{Effect: effect, RepeatWindow: 3 * time.Second},
-		Parallel: true,
-		GiveUpAt: now + time.Second,
-		Serves:   true,
-		Zone:     "a",
-		Cell:     1,
+		Class:          policy.Class{Effect: effect, RepeatWindow: 3 * time.Second},
+		Parallel:       true,
+		GiveUpAt:       now + time.Second,
+		BackendRunning: true,
+		Zone:           "a",
+		Cell:           1,
 	}
 }
 
@@ -42,17 +42,19 @@
 		earlier []Attempt
 		want    Invariant
 	}{
-		"first":                           {policy.Unsafe, unchanged, nil, None},
-		"answered":                        {policy.Safe, func(s *Send) { s.Answered = true }, nil, SendAfterEnd},
-		"at its deadline":                 {policy.Safe, func(s *Send) { s.GiveUpAt = now }, nil, SendAfterDeadline},
-		"to a drained backend":            {policy.Safe, func(s *Send) { s.Serves = false }, nil, SendToDrained},
+		"first":           {policy.Unsafe, unchanged, nil, None},
+		"answered":        {policy.Safe, func(s *Send) { s.Answered = true }, nil, SendAfterEnd},
+		"at its deadline": {policy.Safe, func(s *Send) { s.GiveUpAt = now }, nil, SendAfterDeadline},
+		"to a drained backend": {
+			policy.Safe, func(s *Send) { s.BackendRunning = false }, nil, SendToDrained,
+		},
 		"unsafe after one that never ran": {policy.Unsafe, unchanged, []Attempt{neverRan}, None},
 		"unsafe after one that may have":  {policy.Unsafe, unchanged, []Attempt{neverRan, ran}, RepeatOfUnsafe},
 		"unsafe beside another":           {policy.Unsafe, unchanged, []Attempt{inFlight}, RepeatOfUnsafe},
 		"unknown effect":                  {policy.Effect(9), unchanged, []Attempt{ran}, RepeatOfUnsafe},
 		"safe beside another":             {policy.Safe, unchanged, []Attempt{inFlight}, None},
 		"safe beside another, not allowed": {
-			policy.Safe, notParallel, []Attempt{inFlight}, TwoAttemptsOut,
+			policy.Safe, notParallel, []Attempt{inFlight}, TwoAttemptsInFlight,
 		},
 		"safe after another, no two allowed": {policy.Safe, notParallel, []Attempt{ran}, None},
 		"keyed in its cell":                  {policy.Keyed, unchanged, []Attempt{ran}, None},
@@ -93,13 +95,13 @@
 		if allowed := send.Check(now) == None; allowed == mayHaveRun {
 			t.Fatalf("got a send allowed %v after %v, want %v", allowed, send.Earlier, !mayHaveRun)
 		}
-		if allowed := MayRefuse(send.Class, send.Earlier); allowed == mayHaveRun {
+		if allowed := MayReject(send.Class, send.Earlier); allowed == mayHaveRun {
 			t.Fatalf("got a rejection allowed %v after %v, want %v", allowed, send.Earlier, !mayHaveRun)
 		}
 	})
 }
 
-func TestMayRefuse(t *testing.T) {
+func TestMayReject(t *testing.T) {
 	ran := []Attempt{{Ended: true}}
 	for name, c := range map[string]struct {
 		class policy.Class
@@ -110,7 +112,7 @@
 		"keyed anywhere": {policy.Class{Effect: policy.Keyed, Group: policy.GroupAll}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := MayRefuse(c.class, ran); got != c.want {
+			if got := MayReject(c.class, ran); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -18,7 +18,7 @@
 func filledState() State {
 	var s State
 	golden.Fill(&s)
-	s.Listen, s.Learned.Tenants[0].ID = testListen, "customer/1"
+	s.Listen, s.Learned.Tenants[0].Account = testListen, "customer/1"
 	return s
 }
 
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -94,7 +94,7 @@
 	for _, tenant := range s.Learned.Tenants {
 		if !isPlausible(tenant) {
 			return fmt.Errorf("customer %q: open %d, spread %d, first %d",
-				tenant.ID, tenant.InFlight, tenant.Spread, tenant.First)
+				tenant.Account, tenant.InFlight, tenant.Spread, tenant.First)
 		}
 	}
 	if name := findOutOfRange(reflect.ValueOf(s.Learned), "learned", now); name != "" {
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -20,7 +20,7 @@
 		List:   discovery.List{Rev: 7, Complete: true, Targets: []discovery.Target{{UID: "s0"}}},
 		Learned: policy.LearnedState{
 			Window:  3,
-			Tenants: []policy.LearnedTenant{{ID: "c", Plan: "p", Spread: 2, LeasedUnits: -1, LevelAt: now}},
+			Tenants: []policy.LearnedTenant{{Account: "c", Plan: "p", Spread: 2, LeasedUnits: -1, LevelAt: now}},
 		},
 	}
 }
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -121,7 +121,7 @@
 			io.WriteString(stays, encodeRead(99, readFields))
 			requireValue(t, in)
 			eventually(t, 10*time.Second, "nothing is open", func() bool {
-				return instance.core.Metrics().Current() == 0
+				return instance.core.Metrics().OpenRequests() == 0
 			})
 			left.check(t)
 			if left.count(99) != 1 {
@@ -209,7 +209,7 @@
 	eventually(t, 20*time.Second, "all have ended", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(conns) == 0 && instance.core.Metrics().Current() == 0
+		return len(conns) == 0 && instance.core.Metrics().OpenRequests() == 0
 	})
 	left.check(t)
 }
@@ -228,7 +228,7 @@
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, encodeRead(100+i, readFields))
 		eventually(t, 10*time.Second, "it is taken", func() bool {
-			return instance.core.Metrics().Current() >= int64(min(i+1, 1))
+			return instance.core.Metrics().OpenRequests() >= int64(min(i+1, 1))
 		})
 		left.close(nc, reset, 100+i)
 	}
--- a/internal/ingress/ending_test.go
+++ b/internal/ingress/ending_test.go
@@ -98,14 +98,14 @@
 	})
 	queued := min(len(disconnected), 64)
 	eventually(t, 10*time.Second, "they wait", func() bool {
-		return instance.core.Metrics().Current() >= int64(window+queued)
+		return instance.core.Metrics().OpenRequests() >= int64(window+queued)
 	})
 	stays, in := dial(t, addr)
 	disconnect()
 	<-time.After(disconnectGrace)
 	io.WriteString(stays, encodeRead(99, readFields))
 	eventually(t, 10*time.Second, "one more waits", func() bool {
-		return instance.core.Metrics().Current() == window+1
+		return instance.core.Metrics().OpenRequests() == window+1
 	})
 	release()
 	requireValue(t, in)
@@ -330,7 +330,7 @@
 		eventually(t, 10*time.Second, "a connection to the node is begun", backend.Begun)
 		nc.Close()
 		eventually(t, 10*time.Second, "its leaving is known", func() bool {
-			return instance.core.Metrics().Current() == 0
+			return instance.core.Metrics().OpenRequests() == 0
 		})
 		backend.Open()
 		nc, in := dial(t, addr)
--- a/internal/ingress/forwardauth_test.go
+++ b/internal/ingress/forwardauth_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Auth = &Auth{Listen: "127.0.0.1:0", Table: table, Config: forwardauth.Config{
+	cfg.Auth = &ForwardAuth{Listen: "127.0.0.1:0", Table: table, Config: forwardauth.Config{
 		Header:         "X-Hitch",
 		Trusted:        []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")},
 		MaxCalls:       1000,
@@ -53,7 +53,7 @@
 		IdleTimeout:    time.Minute,
 		MaxReports:     10,
 	}}
-	cfg.Leases = &core.Leases{
+	cfg.Leases = &core.LeaseConfig{
 		Timeout:     10 * time.Second,
 		StartWithin: 500 * time.Millisecond,
 		Retention:   3 * time.Second,
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -43,7 +43,7 @@
 	// Counter is the address of the shared counter, used if Store is nil.
 	Counter string
 	// Auth configures the front for reverse proxies; nil: there is none.
-	Auth *Auth
+	Auth *ForwardAuth
 	// Metrics is the host:port of the status server; empty: there is none.
 	Metrics string
 	// Admin is the host:port of the admin server; empty: there is none.
@@ -68,8 +68,8 @@
 	core.Config
 }
 
-// Auth configures the front for reverse proxies.
-type Auth struct {
+// ForwardAuth configures the front for reverse proxies.
+type ForwardAuth struct {
 	Listen string
 	Config forwardauth.Config
 	Table  *forwardauth.Table
@@ -102,7 +102,7 @@
 	if err := checkAddresses(cfg); err != nil {
 		return nil, err
 	}
-	cfg.Operated = cfg.Admin != "" || cfg.Metrics != ""
+	cfg.CountBackends = cfg.Admin != "" || cfg.Metrics != ""
 	if cfg.Listener != nil { // until the state directory shows their number
 		cfg.Siblings = 1
 	}
@@ -157,7 +157,7 @@
 	i.peers = &peerLink{name: cfg.Peers.Name}
 	cfg.Config.Peers = i.peers
 	if cfg.EnableTakeover {
-		cfg.Takeover = &core.Takeover{
+		cfg.Takeover = &core.TakeoverConfig{
 			Self:        takeover.Member{Name: i.peers.name, Zone: cfg.Settings.Zone},
 			Incarnation: 1,
 			Transport:   i.peers,
@@ -206,7 +206,7 @@
 	}
 	defer leavePeers()
 	i.core.Start()
-	defer i.core.End()
+	defer i.core.Stop()
 	endWatch := i.watchZoneDrains()
 	defer endWatch()
 	select {
--- a/internal/ingress/large_values_test.go
+++ b/internal/ingress/large_values_test.go
@@ -62,7 +62,7 @@
 // Values of all sizes arrive complete and in order on one connection, cut
 // anywhere on the way, also with a stop of 2 s in the middle.
 func TestLargeValuesInPieces(t *testing.T) {
-	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLarge, 3}
+	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLargeValue, 3}
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		id := requestID(args)
 		b := []byte(encodeValue(pattern(id, sizes[id])))
@@ -109,7 +109,7 @@
 			io.WriteString(nc, encodeValue(pattern(1, 1<<20))[:500000])
 			nc.Close()
 		case 2:
-			return fmt.Sprintf("*3\r\n$%d\r\nxxx", resp.MaxLarge+1)
+			return fmt.Sprintf("*3\r\n$%d\r\nxxx", resp.MaxLargeValue+1)
 		case 3:
 			return "*3\r\n$-77777\r\nxxx"
 		case 4:
@@ -121,7 +121,7 @@
 					}
 				}
 			}()
-			return fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLarge)
+			return fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLargeValue)
 		}
 		return servedReply
 	})
@@ -163,7 +163,7 @@
 // Many slow readers of large values cost little memory each, and no other
 // client waits for them.
 func TestSlowReadersOfLargeValues(t *testing.T) {
-	const readers, size, other = 200, resp.MaxLarge, 1000
+	const readers, size, other = 200, resp.MaxLargeValue, 1000
 	value := []byte(encodeValue(pattern(0, size))) // one for all: a string is copied for each write
 	backend := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
 		if requestID(args) == other {
@@ -280,12 +280,12 @@
 	if args := <-got; len(args) != 5 || args[4] != string(pattern(1, 1<<20)) {
 		t.Fatalf("the node got %d arguments, not the body as it came", len(args))
 	}
-	go io.WriteString(nc, write(2, resp.MaxLarge)+encodeRead(3, readFields))
+	go io.WriteString(nc, write(2, resp.MaxLargeValue)+encodeRead(3, readFields))
 	if l := readLine(t, in); l != "-BUSY 250" {
 		t.Fatalf("a body without room: %q", l)
 	}
 	requireValue(t, in)
-	go io.WriteString(nc, write(4, resp.MaxLarge+1))
+	go io.WriteString(nc, write(4, resp.MaxLargeValue+1))
 	if l := readLine(t, in); l != "-ERR value too long" {
 		t.Fatalf("a body that is too long: %q", l)
 	}
--- a/internal/ingress/partial_test.go
+++ b/internal/ingress/partial_test.go
@@ -68,7 +68,7 @@
 			if n, _ := backend.commands(); n != (len(text)-1)/5 {
 				t.Errorf("%d commands were forwarded, want the %d complete ones", n, (len(text)-1)/5)
 			}
-			if n := instance.core.Metrics().Current(); n != 0 {
+			if n := instance.core.Metrics().OpenRequests(); n != 0 {
 				t.Errorf("%d requests are open", n)
 			}
 		})
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -368,7 +368,7 @@
 	eventually(t, 2*time.Second, "its connections are closed", func() bool {
 		return leaves.connections() == 0
 	})
-	if n := instance.core.Metrics().Current(); n > loadClients {
+	if n := instance.core.Metrics().OpenRequests(); n > loadClients {
 		t.Errorf("%d requests are open", n)
 	}
 	changes <- withFirstBackend(both, 3, "SERVING")
--- a/internal/ingress/request_metrics.go
+++ b/internal/ingress/request_metrics.go
@@ -67,7 +67,7 @@
 	}
 	size, unhealthy := c.set.Backends()
 	put(c.attemptsSent, prometheus.CounterValue, c.set.AttemptsSent())
-	put(c.open, prometheus.GaugeValue, c.set.Current())
+	put(c.open, prometheus.GaugeValue, c.set.OpenRequests())
 	put(c.backends, prometheus.GaugeValue, size)
 	put(c.avoided, prometheus.GaugeValue, unhealthy)
 }
--- a/internal/lab/cost/proxy.go
+++ b/internal/lab/cost/proxy.go
@@ -43,7 +43,7 @@
 // next returns the bytes of the next value; they hold until the next call.
 func (f *framed) next() ([]byte, error) {
 	for {
-		size, err := resp.Frame(f.buf[f.begin:f.end], 0)
+		size, err := resp.FrameLength(f.buf[f.begin:f.end], 0)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -163,7 +163,7 @@
 	History         []Step                `json:"-"`     // of keyed wishes, by clients and nodes
 	Keyed           []ClientRequest       `json:"-"`     // keyed wishes, by when their first try was sent
 	Commands        []Command             `json:"-"`
-	Links           []link.FaultRecord          `json:"Links,omitempty"` // what each fault of a link did
+	Links           []link.FaultRecord    `json:"Links,omitempty"` // what each fault of a link did
 	tolerance       time.Duration
 	lost            int // records that found no room
 	verdict         rulecheck.Result
--- a/internal/lab/takeover_test.go
+++ b/internal/lab/takeover_test.go
@@ -81,9 +81,9 @@
 			}
 			taken, covered, loose := 0, 0, 0
 			for _, s := range last {
-				taken += s.TakenFrom
+				taken += s.TookOver
 				covered += s.Covered
-				loose += s.Partly + s.Uncovered + s.NoReplica
+				loose += s.PartlyCovered + s.Uncovered + s.NoReplica
 			}
 			t.Logf("%d keyed wishes, %d whose first try had no answer: %d of them helped, %d served; %d doubled, %d with two values; covered %d, not %d, taken over %d", len(r.Keyed), lost, helped,
 				served, doubled, differ, covered, loose, taken)
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -29,11 +29,11 @@
 	classes   []class
 	plans     []*plan
 	dir       string
-	links     *link.Network                 // nil: not Linked
+	links     *link.Network              // nil: not Linked
 	ways      map[string][]*link.TCPLink // by node id: those to its present start
-	key       string                    // file of the key that instances share
-	drills    string                    // the file of drills
-	net       string                    // the loopback network of this run: three bytes of an address
+	key       string                     // file of the key that instances share
+	drills    string                     // the file of drills
+	net       string                     // the loopback network of this run: three bytes of an address
 	began     time.Time
 	rng       *rand.Rand
 	fleet     *backend.Fleet
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -86,8 +86,8 @@
 	// Name identifies the lease in reports. It can't be guessed.
 	Name string
 	// Node is the backend's id, Addr its host and port.
-	Node string
-	Addr string
+	Backend string
+	Address string
 	// Attempt is the number of the request's attempt.
 	Attempt int
 	// StartBy is when the attempt must have been sent at the latest.
--- a/internal/lease/registry.go
+++ b/internal/lease/registry.go
@@ -85,8 +85,8 @@
 	}
 	lease := &Lease{
 		Name:      name,
-		Node:      node,
-		Addr:      addr,
+		Backend:   node,
+		Address:   addr,
 		Attempt:   attempt,
 		ExpiresAt: min(now+r.cfg.Timeout, deadline),
 	}
--- a/internal/lease/registry_test.go
+++ b/internal/lease/registry_test.go
@@ -126,8 +126,8 @@
 	}
 	expect(4*time.Second, "z", OutcomeServed, false, ErrLate)
 	expect(4*time.Second, "x", OutcomeFailed, false, nil)
-	if _, lease, _, _ := registry.Report(4*time.Second, "x", OutcomeFailed); lease.Node != "n1" {
-		t.Errorf("backend of the first attempt: got %s, want n1", lease.Node)
+	if _, lease, _, _ := registry.Report(4*time.Second, "x", OutcomeFailed); lease.Backend != "n1" {
+		t.Errorf("backend of the first attempt: got %s, want n1", lease.Backend)
 	}
 	registry.Expire(8 * time.Second)
 	if got := registry.Len(); got != 0 {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -79,8 +79,8 @@
 // Backends returns how many backends are listed, and how many of them are avoided.
 func (s *Set) Backends() (size, unhealthy int64) { return s.backends.Load(), s.unhealthy.Load() }
 
-// Current returns the number of requests that were accepted and have not ended.
-func (s *Set) Current() int64 { return s.current.Load() }
+// OpenRequests returns the number of requests that were accepted and have not ended.
+func (s *Set) OpenRequests() int64 { return s.current.Load() }
 
 // Requests returns how many requests of a class had an end; 0 for a class that isn't in the settings.
 func (s *Set) Requests(class string, end RequestEnd) int64 {
@@ -113,7 +113,7 @@
 		}
 	}
 	appendLine("sends", s.AttemptsSent())
-	appendLine("current", s.Current())
+	appendLine("current", s.OpenRequests())
 	appendLine("cluster_size", s.backends.Load())
 	appendLine("cluster_unhealthy", s.unhealthy.Load())
 	for _, stage := range Stages() {
--- a/internal/metrics/reasons.go
+++ b/internal/metrics/reasons.go
@@ -53,7 +53,7 @@
 
 // The reasons to withhold an attempt.
 const (
-	TimeOver WithheldReason = iota // its request's deadline had passed
+	DeadlinePassed WithheldReason = iota // its request's deadline had passed
 	withheldReasonCount
 )
 
--- a/internal/outlier/assessment.go
+++ b/internal/outlier/assessment.go
@@ -87,22 +87,22 @@
 		result.Reporters = append(result.Reporters, a.Owner)
 	}
 	firstOnset, lastOnset := onsets(adverse)
-	if own.LastGood > lastOnset && own.LastGood > own.LastBad {
+	if own.LastSuccess > lastOnset && own.LastSuccess > own.LastFailure {
 		result.Defenders = append(result.Defenders, "")
 		result.Reason = reasonServesHere
 		return result
 	}
 	pool := poolEvidence(adverse, favorable)
 	for _, f := range favorable {
-		if f.LastGood > firstOnset {
-			pool.good += min(f.Good, fullWeight)
+		if f.LastSuccess > firstOnset {
+			pool.good += min(f.SuccessEvidence, fullWeight)
 			result.Defenders = append(result.Defenders, f.Owner)
 		}
 	}
 	if ownAdverse {
 		result.Reporters = append(result.Reporters, "")
-		pool.weight += min(1, own.Bad/fullWeight)
-		pool.bad += min(own.Bad, fullWeight)
+		pool.weight += min(1, own.FailureEvidence/fullWeight)
+		pool.bad += min(own.FailureEvidence, fullWeight)
 		firstOnset = min(firstOnset, own.Onset)
 	}
 	switch {
@@ -132,11 +132,11 @@
 	for _, r := range reports {
 		switch {
 		case r.isRecentlyAdverse(now):
-			if weight := min(1, r.Bad/fullWeight); weight > minReportWeight {
+			if weight := min(1, r.FailureEvidence/fullWeight); weight > minReportWeight {
 				adverse = append(adverse, weightedReport{r, weight})
 			}
-		case r.LastGood > 0 && now-r.LastGood <= Horizon:
-			favorable = append(favorable, weightedReport{r, min(1, r.Good/fullWeight)})
+		case r.LastSuccess > 0 && now-r.LastSuccess <= Horizon:
+			favorable = append(favorable, weightedReport{r, min(1, r.SuccessEvidence/fullWeight)})
 		}
 	}
 	return adverse, favorable
@@ -180,12 +180,12 @@
 	for _, a := range adverse {
 		undefended := 1.0
 		for _, f := range favorable {
-			if f.LastGood > a.Onset {
+			if f.LastSuccess > a.Onset {
 				undefended = max(0, undefended-f.weight)
 			}
 		}
 		pool.weight += a.weight * undefended
-		pool.bad += min(a.Bad, fullWeight) * undefended
+		pool.bad += min(a.FailureEvidence, fullWeight) * undefended
 	}
 	return pool
 }
@@ -208,10 +208,10 @@
 ) time.Duration {
 	var ages []time.Duration
 	for _, a := range adverse {
-		ages = append(ages, now-a.LastBad)
+		ages = append(ages, now-a.LastFailure)
 	}
 	if ownAdverse {
-		ages = append(ages, now-own.LastBad)
+		ages = append(ages, now-own.LastFailure)
 	}
 	slices.Sort(ages)
 	return ages[min(1, len(ages)-1)]
--- a/internal/outlier/assessment_test.go
+++ b/internal/outlier/assessment_test.go
@@ -19,23 +19,23 @@
 // against returns an adverse report with so much failure evidence, of a fault that began onsetAge ago.
 func against(owner, zone string, bad float64, onsetAge time.Duration) PeerObservation {
 	return PeerObservation{owner, zone, Observation{
-		Backend: "n", Bad: bad, Onset: now - onsetAge, LastBad: now - onsetAge/4, Cause: Slow,
+		Backend: "n", FailureEvidence: bad, Onset: now - onsetAge, LastFailure: now - onsetAge/4, Cause: Slow,
 	}}
 }
 
 // inFavor returns a favorable report with so much success evidence, of a success age ago.
 func inFavor(owner, zone string, good float64, age time.Duration) PeerObservation {
-	return PeerObservation{owner, zone, Observation{Backend: "n", Good: good, LastGood: now - age}}
+	return PeerObservation{owner, zone, Observation{Backend: "n", SuccessEvidence: good, LastSuccess: now - age}}
 }
 
 // ownObservation returns this instance's observation, with the ages of its last success and of its last failure.
 func ownObservation(good, bad float64, goodAge, badAge time.Duration) Observation {
-	o := Observation{Backend: "n", Good: good, Bad: bad}
+	o := Observation{Backend: "n", SuccessEvidence: good, FailureEvidence: bad}
 	if good > 0 {
-		o.LastGood = now - goodAge
+		o.LastSuccess = now - goodAge
 	}
 	if bad > 0 {
-		o.LastBad, o.Onset = now-badAge, now-badAge
+		o.LastFailure, o.Onset = now-badAge, now-badAge
 	}
 	return o
 }
@@ -143,7 +143,7 @@
 			time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "onset age")),
 		)
 		if rapid.Bool().Draw(t, "favorable") {
-			return inFavor(r.Owner, r.Zone, r.Bad, time.Second)
+			return inFavor(r.Owner, r.Zone, r.FailureEvidence, time.Second)
 		}
 		return r
 	})
@@ -179,8 +179,8 @@
 		}
 		strengthened := slices.Clone(reports)
 		for i := range strengthened {
-			if strengthened[i].IsAdverse() && strengthened[i].Bad >= fullWeight {
-				strengthened[i].Bad *= 1000
+			if strengthened[i].IsAdverse() && strengthened[i].FailureEvidence >= fullWeight {
+				strengthened[i].FailureEvidence *= 1000
 			}
 		}
 		if strong := Assess(now, testConfig, nothingSeen, strengthened); strong.Slowness > got.Slowness+1e-9 {
--- a/internal/outlier/backend_stats.go
+++ b/internal/outlier/backend_stats.go
@@ -42,24 +42,24 @@
 // decay brings the evidence up to now.
 func (s *backendStats) decay(now time.Duration) {
 	retained := math.Exp2(-(now - s.evidenceAt).Seconds() / evidenceHalfLife.Seconds())
-	s.Good *= retained
-	s.Bad *= retained
+	s.SuccessEvidence *= retained
+	s.FailureEvidence *= retained
 	s.evidenceAt = now
 }
 
 func (s *backendStats) recordSuccess(now time.Duration) {
 	s.decay(now)
-	s.Good = min(maxEvidence, s.Good+1)
-	s.Bad *= failureRetainedAfterSuccess
-	s.LastGood = now
+	s.SuccessEvidence = min(maxEvidence, s.SuccessEvidence+1)
+	s.FailureEvidence *= failureRetainedAfterSuccess
+	s.LastSuccess = now
 	s.Onset = 0
 }
 
 func (s *backendStats) recordFailure(now time.Duration, cause Cause) {
 	s.decay(now)
-	s.Bad = min(maxEvidence, s.Bad+1)
-	s.Good *= successRetainedAfterFailure
-	s.LastBad = now
+	s.FailureEvidence = min(maxEvidence, s.FailureEvidence+1)
+	s.SuccessEvidence *= successRetainedAfterFailure
+	s.LastFailure = now
 	s.Cause = cause
 	if s.Onset == 0 {
 		s.Onset = now
--- a/internal/outlier/golden_test.go
+++ b/internal/outlier/golden_test.go
@@ -12,11 +12,11 @@
 	for name, o := range map[string]Observation{
 		"good": {
 			Backend: "n", Started: 3 * time.Second,
-			Good: 7.5, Bad: 0.25, LastGood: 9 * time.Second, Cause: 1,
+			SuccessEvidence: 7.5, FailureEvidence: 0.25, LastSuccess: 9 * time.Second, Cause: 1,
 		},
 		"bad": {
 			Backend: "n", Started: 3 * time.Second,
-			Good: 0.5, Bad: 8, LastBad: 9 * time.Second, Onset: 8 * time.Second, Cause: 2,
+			SuccessEvidence: 0.5, FailureEvidence: 8, LastFailure: 9 * time.Second, Onset: 8 * time.Second, Cause: 2,
 		},
 	} {
 		golden.Compare(t, "opinion-"+name, o.Encode())
--- a/internal/outlier/local_detector.go
+++ b/internal/outlier/local_detector.go
@@ -90,7 +90,7 @@
 	switch outcome {
 	case policy.Succeeded:
 		d.attemptSucceeded(now, stats, ended, latency)
-	case policy.Cancelled:
+	case policy.Canceled:
 		if d.isSuperseded(now, stats, ended, latency) {
 			stats.recordFailure(now, Slow)
 		}
@@ -112,7 +112,7 @@
 	switch outcome {
 	case policy.Succeeded:
 		return true
-	case policy.Cancelled, policy.TimedOut:
+	case policy.Canceled, policy.TimedOut:
 		return latency > mean
 	default:
 		return false
@@ -189,10 +189,10 @@
 func (d *LocalDetector) Observations(now time.Duration, wanted func(policy.BackendID) bool) []Observation {
 	var observations []Observation
 	for id, stats := range d.backends {
-		if stats.LastGood == 0 && stats.LastBad == 0 {
+		if stats.LastSuccess == 0 && stats.LastFailure == 0 {
 			continue
 		}
-		if wanted != nil && stats.Bad < negligibleFailureEvidence && !wanted(id) {
+		if wanted != nil && stats.FailureEvidence < negligibleFailureEvidence && !wanted(id) {
 			continue
 		}
 		o, _ := d.Observation(now, id)
--- a/internal/outlier/local_detector_test.go
+++ b/internal/outlier/local_detector_test.go
@@ -74,14 +74,14 @@
 		}, Slow},
 		"superseded by a later attempt": {[]detectorStep{
 			send("n", first), wait(200 * ms), send("m", second), wait(100 * ms),
-			end(second, policy.Succeeded), end(first, policy.Cancelled),
+			end(second, policy.Succeeded), end(first, policy.Canceled),
 		}, Slow},
 		"the later attempt is superseded": {[]detectorStep{
 			send("m", first), wait(200 * ms), send("n", second), wait(100 * ms),
-			end(first, policy.Succeeded), end(second, policy.Cancelled),
+			end(first, policy.Succeeded), end(second, policy.Canceled),
 		}, NoCause},
 		"cancelled, for its client has disconnected": {[]detectorStep{
-			send("n", first), wait(300 * ms), end(first, policy.Cancelled),
+			send("n", first), wait(300 * ms), end(first, policy.Canceled),
 		}, NoCause},
 		"unreachable": {[]detectorStep{
 			send("n", first), wait(ms), end(first, policy.NoConnect),
@@ -162,7 +162,7 @@
 	for ; f.now < endsAt; f.now += 5 * ms {
 		f.Tick(f.now)
 	}
-	if outcome == policy.Cancelled { // a later attempt was served first
+	if outcome == policy.Canceled { // a later attempt was served first
 		f.AttemptSent(endsAt-usualLatency, "z", AttemptID{id.Request, 1}, "c")
 		f.lastServed = AttemptID{id.Request, 1}
 	}
@@ -224,11 +224,11 @@
 		"all are fine":                {all(1), policy.Succeeded, 0},
 		"one is slow":                 {oneBeside(10, 1), policy.Succeeded, 1},
 		"one is unreachable":          {oneBeside(20, 1), policy.TimedOut, 1},
-		"one is superseded":           {oneBeside(5, 1), policy.Cancelled, 1},
+		"one is superseded":           {oneBeside(5, 1), policy.Canceled, 1},
 		"all are slow":                {all(10), policy.Succeeded, 0},
 		"all are slow, unevenly":      {uneven, policy.Succeeded, 0},
 		"all are slow and time out":   {all(10), policy.TimedOut, 0},
-		"all are slow and superseded": {all(10), policy.Cancelled, 0},
+		"all are slow and superseded": {all(10), policy.Canceled, 0},
 		"all are slower, one is slow": {oneBeside(30, 3), policy.Succeeded, 1},
 		"a quarter is slow":           {quarter, policy.Succeeded, 3},
 	} {
--- a/internal/outlier/message.go
+++ b/internal/outlier/message.go
@@ -31,13 +31,13 @@
 func (o Observation) Encode() []byte {
 	m := message{
 		Started: o.Started.Milliseconds(),
-		Good:    float32(o.Good),
-		Bad:     float32(o.Bad),
+		Good:    float32(o.SuccessEvidence),
+		Bad:     float32(o.FailureEvidence),
 		Adverse: o.IsAdverse(),
 		Cause:   o.Cause,
 	}
 	if m.Adverse {
-		m.OnsetMS = (o.LastBad - o.Onset).Milliseconds()
+		m.OnsetMS = (o.LastFailure - o.Onset).Milliseconds()
 	}
 	data, err := cbor.Marshal(m)
 	if err != nil { // can't happen: a struct of numbers
@@ -57,17 +57,17 @@
 		return Observation{}, fmt.Errorf("observation of %q: %w", backend, err)
 	}
 	o := Observation{
-		Backend: policy.BackendID(backend),
-		Started: time.Duration(m.Started) * time.Millisecond,
-		Good:    min(float64(m.Good), maxEvidence),
-		Bad:     min(float64(m.Bad), maxEvidence),
-		Cause:   m.Cause,
+		Backend:         policy.BackendID(backend),
+		Started:         time.Duration(m.Started) * time.Millisecond,
+		SuccessEvidence: min(float64(m.Good), maxEvidence),
+		FailureEvidence: min(float64(m.Bad), maxEvidence),
+		Cause:           m.Cause,
 	}
 	if !m.Adverse {
-		o.LastGood = observedAt
+		o.LastSuccess = observedAt
 		return o, nil
 	}
-	o.LastBad = observedAt
+	o.LastFailure = observedAt
 	o.Onset = observedAt - time.Duration(m.OnsetMS)*time.Millisecond
 	if !o.IsAdverse() {
 		return Observation{}, fmt.Errorf("observation of %q: adverse with bad %v", backend, m.Bad)
--- a/internal/outlier/message_test.go
+++ b/internal/outlier/message_test.go
@@ -11,15 +11,15 @@
 func drawObservation(t *rapid.T) Observation {
 	t.Helper()
 	o := Observation{
-		Backend:  "n",
-		Started:  ms * time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "started")),
-		Good:     rapid.Float64Range(0, maxEvidence).Draw(t, "good"),
-		Bad:      rapid.Float64Range(0, maxEvidence).Draw(t, "bad"),
-		Cause:    Failing,
-		LastGood: time.Hour,
-		LastBad:  time.Hour + ms*time.Duration(rapid.Int64Range(-1000, 1000).Draw(t, "last bad")),
+		Backend:         "n",
+		Started:         ms * time.Duration(rapid.Int64Range(0, 1<<40).Draw(t, "started")),
+		SuccessEvidence: rapid.Float64Range(0, maxEvidence).Draw(t, "good"),
+		FailureEvidence: rapid.Float64Range(0, maxEvidence).Draw(t, "bad"),
+		Cause:           Failing,
+		LastSuccess:     time.Hour,
+		LastFailure:     time.Hour + ms*time.Duration(rapid.Int64Range(-1000, 1000).Draw(t, "last bad")),
 	}
-	o.Onset = o.LastBad - ms*time.Duration(rapid.Int64Range(0, 10000).Draw(t, "onset"))
+	o.Onset = o.LastFailure - ms*time.Duration(rapid.Int64Range(0, 10000).Draw(t, "onset"))
 	return o
 }
 
@@ -33,9 +33,9 @@
 		}
 		same := got.IsAdverse() == want.IsAdverse() && got.Started == want.Started
 		if want.IsAdverse() {
-			same = same && got.Onset == want.Onset && got.LastBad == want.LastBad
+			same = same && got.Onset == want.Onset && got.LastFailure == want.LastFailure
 		} else {
-			same = same && got.LastGood == want.LastGood
+			same = same && got.LastSuccess == want.LastSuccess
 		}
 		if !same {
 			t.Fatalf("got %+v, want %+v", got, want)
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -49,30 +49,32 @@
 // Observation is the evidence that one instance has gathered on one start of a backend. Times are on the clock of the
 // instance that holds the value.
 type Observation struct {
-	Backend  policy.BackendID
-	Started  time.Duration // the start of the backend that it speaks of, as the endpoint list has it
-	Good     float64       // success evidence, decayed; at most maxEvidence
-	Bad      float64       // failure evidence, decayed; at most maxEvidence
-	LastGood time.Duration // the last success; 0: never
-	LastBad  time.Duration // the last failure; 0: never
-	Onset    time.Duration // the first failure since the last success; 0: none
-	Cause    Cause         // of the last failure
+	Backend         policy.BackendID
+	Started         time.Duration // the start of the backend that it speaks of, as the endpoint list has it
+	SuccessEvidence float64       // success evidence, decayed; at most maxEvidence
+	FailureEvidence float64       // failure evidence, decayed; at most maxEvidence
+	LastSuccess     time.Duration // the last success; 0: never
+	LastFailure     time.Duration // the last failure; 0: never
+	Onset           time.Duration // the first failure since the last success; 0: none
+	Cause           Cause         // of the last failure
 }
 
 // IsAdverse reports whether the observation speaks against the backend: its last event was a failure, not long ago. A
 // success in earlier times doesn't excuse a backend that fails now.
-func (o Observation) IsAdverse() bool { return o.Bad >= adverseThreshold && o.LastBad > o.LastGood }
+func (o Observation) IsAdverse() bool {
+	return o.FailureEvidence >= adverseThreshold && o.LastFailure > o.LastSuccess
+}
 
 // ObservedAt returns the time of the event that the observation rests on: the last failure if it is adverse, else the
 // last success.
 func (o Observation) ObservedAt() time.Duration {
 	if o.IsAdverse() {
-		return o.LastBad
+		return o.LastFailure
 	}
-	return o.LastGood
+	return o.LastSuccess
 }
 
 // isRecentlyAdverse reports whether the observation is adverse and its last failure still has weight.
 func (o Observation) isRecentlyAdverse(now time.Duration) bool {
-	return o.IsAdverse() && now-o.LastBad <= Horizon
+	return o.IsAdverse() && now-o.LastFailure <= Horizon
 }
--- a/internal/outlier/publisher.go
+++ b/internal/outlier/publisher.go
@@ -60,9 +60,9 @@
 		publishedAt: now,
 		observedAt:  o.ObservedAt(),
 		adverse:     o.IsAdverse(),
-		fullWeight:  max(o.Good, o.Bad) >= fullWeight,
+		fullWeight:  max(o.SuccessEvidence, o.FailureEvidence) >= fullWeight,
 	}
-	defends := reported && o.LastGood > onset
+	defends := reported && o.LastSuccess > onset
 	urgent := next.adverse != last.adverse || defends && next.fullWeight && !last.fullWeight
 	if urgent {
 		return next, true
--- a/internal/overrun/bound.go
+++ b/internal/overrun/bound.go
@@ -64,11 +64,11 @@
 func BoundOf(now time.Duration, quota QuotaState, span time.Duration) Bound {
 	equalShare := 1 / float64(quota.instances())
 	bound := Bound{
-		Tenant:          cmp.Or(quota.Tenant, quota.ID),
+		Tenant:          cmp.Or(quota.Tenant, quota.Account),
 		Plan:            quota.LearnedTenant.Plan,
 		Instances:       quota.instances(),
 		Demand:          quota.Demand,
-		Others:          quota.Others,
+		Others:          quota.OthersRate,
 		Age:             noTotal,
 		ReservedUnits:   max(0, quota.LeasedUnits) + quota.QueuedUnits,
 		UnreportedUnits: max(0, quota.UnreportedUnits),
@@ -120,7 +120,7 @@
 // descending order, limit at the most. It sorts quotas.
 func TopBounds(now time.Duration, quotas []QuotaState, span time.Duration, limit int) []Bound {
 	slices.SortFunc(quotas, func(a, b QuotaState) int {
-		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Account, b.Account))
 	})
 	quotas = quotas[:min(limit, len(quotas))]
 	bounds := make([]Bound, 0, len(quotas))
--- a/internal/overrun/bound_test.go
+++ b/internal/overrun/bound_test.go
@@ -288,7 +288,7 @@
 			quota := QuotaState{
 				Plan: Plan{Rate: 10, Burst: 60, MaxUnits: 2},
 				LearnedTenant: policy.LearnedTenant{
-					ID:          "c",
+					Account:     "c",
 					Plan:        "p",
 					Spread:      3,
 					LeasedUnits: 5,
--- a/internal/overrun/overrun.go
+++ b/internal/overrun/overrun.go
@@ -45,7 +45,7 @@
 	var states []QuotaState
 	for _, tenant := range learned.Tenants {
 		if plan, limited := plans[tenant.Plan]; limited {
-			states = append(states, QuotaState{tenant, standings[tenant.ID], plan})
+			states = append(states, QuotaState{tenant, standings[tenant.Account], plan})
 		}
 	}
 	return states
--- a/internal/resp/budget.go
+++ b/internal/resp/budget.go
@@ -15,18 +15,18 @@
 	return b
 }
 
-// Take reserves n bytes. It reports false, and reserves nothing, if fewer are
+// Reserve reserves n bytes. It reports false, and reserves nothing, if fewer are
 // available.
-func (b *Budget) Take(n int) bool {
+func (b *Budget) Reserve(n int) bool {
 	if b == nil || b.available.Add(-int64(n)) >= 0 {
 		return true
 	}
-	b.Give(n)
+	b.Release(n)
 	return false
 }
 
-// Give releases n bytes.
-func (b *Budget) Give(n int) {
+// Release releases n bytes.
+func (b *Budget) Release(n int) {
 	if b != nil {
 		b.available.Add(int64(n))
 	}
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -11,11 +11,11 @@
 	exact bool // the value has exactly so many bytes
 }
 
-// Frame returns the length of the RESP value that b begins with, or 0 if the
+// FrameLength returns the length of the RESP value that b begins with, or 0 if the
 // value is incomplete. Depth is that of the value among nested arrays. The
 // function guards the parser, which trusts lengths: a huge or negative one makes
 // it panic.
-func Frame(b []byte, depth int) (int, error) {
+func FrameLength(b []byte, depth int) (int, error) {
 	size, _, err := scanFrame(b, depth, MaxValue)
 	return size, err
 }
@@ -116,11 +116,11 @@
 	return size, lengthBound{}, nil
 }
 
-// Large reports whether b begins with an array of three whose first element is a
+// LargeValue reports whether b begins with an array of three whose first element is a
 // string above MaxValue, which is forwarded as it arrives. It returns the bytes
 // of b before the string, and the length of the string; both are 0 if b begins
 // otherwise. A string above MaxLarge is ErrTooLong.
-func Large(b []byte) (head, value int, err error) {
+func LargeValue(b []byte) (head, value int, err error) {
 	const start = "*3\r\n$"
 	if len(b) <= len(start) || string(b[:len(start)]) != start {
 		return 0, 0, nil
@@ -134,7 +134,7 @@
 	switch {
 	case !valid || n <= MaxValue: // Frame decides
 		return 0, 0, nil
-	case n > MaxLarge:
+	case n > MaxLargeValue:
 		return 0, 0, ErrTooLong
 	}
 	return len(start) + end + 1, n, nil
--- a/internal/resp/inbox.go
+++ b/internal/resp/inbox.go
@@ -18,7 +18,7 @@
 
 // Close releases what was reserved of the budget.
 func (in *Inbox) Close() {
-	in.Budget.Give(in.reserved)
+	in.Budget.Release(in.reserved)
 	in.reserved = 0
 }
 
@@ -45,14 +45,14 @@
 // Partial reports whether a frame has begun that is not complete.
 func (in *Inbox) Partial() bool { return in.end > in.start }
 
-// ArrivedAt returns how many unconsumed bytes there are.
-func (in *Inbox) ArrivedAt() int { return in.end - in.start }
+// BufferedBytes returns how many unconsumed bytes there are.
+func (in *Inbox) BufferedBytes() int { return in.end - in.start }
 
-// Begun returns the unconsumed bytes. They are valid until Fill is called.
-func (in *Inbox) Begun() []byte { return in.buf[in.start:in.end] }
+// Buffered returns the unconsumed bytes. They are valid until Fill is called.
+func (in *Inbox) Buffered() []byte { return in.buf[in.start:in.end] }
 
-// Drop consumes n bytes.
-func (in *Inbox) Drop(n int) { in.start += n }
+// Discard consumes n bytes.
+func (in *Inbox) Discard(n int) { in.start += n }
 
 // Fill calls read once, and grows the buffer before if it is full, to one frame
 // at most. It returns ErrTooLong if the frame does not fit, ErrMemory if the
@@ -63,8 +63,8 @@
 		in.start = 0
 	}
 	switch {
-	case in.end == 0 && len(in.buf) != SmallBuffer: // the memory of a large frame is not retained
-		in.buf = make([]byte, SmallBuffer)
+	case in.end == 0 && len(in.buf) != SmallBufferBytes: // the memory of a large frame is not retained
+		in.buf = make([]byte, SmallBufferBytes)
 		in.Close()
 	case in.end == len(in.buf):
 		if err := in.grow(); err != nil {
@@ -89,9 +89,9 @@
 	}
 	growth := min(len(in.buf), maxBytes-in.end)
 	if in.pending.exact && in.pending.bytes > in.end {
-		growth = min(growth, in.pending.bytes-in.end+SmallBuffer)
+		growth = min(growth, in.pending.bytes-in.end+SmallBufferBytes)
 	}
-	if !in.Budget.Take(growth) {
+	if !in.Budget.Reserve(growth) {
 		return ErrMemory
 	}
 	in.reserved += growth
@@ -99,15 +99,15 @@
 	return nil
 }
 
-// Skip reads and discards the rest of the pending frame, so that the next one can
+// SkipFrame reads and discards the rest of the pending frame, so that the next one can
 // be read. It reports false if the end of the frame is unknown or could not be
 // read.
-func (in *Inbox) Skip(read func([]byte) (int, error)) (bool, error) {
+func (in *Inbox) SkipFrame(read func([]byte) (int, error)) (bool, error) {
 	if !in.pending.exact {
 		return false, nil
 	}
-	remaining := in.pending.bytes - in.ArrivedAt()
-	in.buf, in.start, in.end = make([]byte, SmallBuffer), 0, 0
+	remaining := in.pending.bytes - in.BufferedBytes()
+	in.buf, in.start, in.end = make([]byte, SmallBufferBytes), 0, 0
 	in.Close()
 	for remaining > 0 {
 		n, err := read(in.buf[:min(remaining, len(in.buf))])
--- a/internal/resp/large_fuzz_test.go
+++ b/internal/resp/large_fuzz_test.go
@@ -20,18 +20,18 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		head, size, err := Large(b)
+		head, size, err := LargeValue(b)
 		switch {
 		case err != nil && (head != 0 || size != 0):
 			t.Fatalf("got %d and %d with the error %v, want zeros", head, size, err)
 		case size == 0:
 			return
-		case size <= MaxValue || size > MaxLarge || head > len(b) || !bytes.HasPrefix(b, []byte("*3\r\n$")):
+		case size <= MaxValue || size > MaxLargeValue || head > len(b) || !bytes.HasPrefix(b, []byte("*3\r\n$")):
 			t.Fatalf("%q: got a head of %d bytes for a value of %d", b, head, size)
 		}
 		frame := append(append([]byte{}, b[:head]...), make([]byte, size)...)
 		frame = append(frame, "\r\n$-1\r\n$-1\r\n"...)
-		if n, _, err := scanFrame(frame, 0, MaxLarge); n != len(frame) || err != nil {
+		if n, _, err := scanFrame(frame, 0, MaxLargeValue); n != len(frame) || err != nil {
 			t.Fatalf("%q: got a frame of %d bytes, %v, want %d", b[:head], n, err, len(frame))
 		}
 	})
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -10,12 +10,12 @@
 // Bounds on what a peer may send, in bytes. A whole value is in memory before it
 // is parsed, so they also bound the buffer of a connection.
 const (
-	MaxValue = 64 << 10 // of one string
-	MaxLarge = 4 << 20  // of a string that is forwarded as it arrives, or of a request's body
-	MaxFrame = MaxValue + frameOverheadBytes
+	MaxValue      = 64 << 10 // of one string
+	MaxLargeValue = 4 << 20  // of a string that is forwarded as it arrives, or of a request's body
+	MaxFrame      = MaxValue + frameOverheadBytes
 
 	// SmallBuffer is the buffer that a connection retains between frames.
-	SmallBuffer = 2 << 10
+	SmallBufferBytes = 2 << 10
 
 	frameOverheadBytes = 4 << 10 // of a frame besides its largest string
 	maxHeaderBytes     = 1 << 10 // of a type, a length and a line end, or of a simple string
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -13,7 +13,7 @@
 
 // The memory of incomplete commands is bounded over all connections.
 func TestBudget(t *testing.T) {
-	budget := NewBudget(SmallBuffer + 10)
+	budget := NewBudget(SmallBufferBytes + 10)
 	fill := func(in *Inbox) error {
 		return in.Fill(func(p []byte) (int, error) { return len(p), nil })
 	}
@@ -48,12 +48,12 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := Frame(b, 0)
+		n, err := FrameLength(b, 0)
 		if n < 0 || n > len(b) || n > MaxFrame+MaxValue || err != nil && n != 0 {
 			t.Fatalf("got %d of %d bytes, %v", n, len(b), err)
 		}
 		if n > 0 {
-			if m, err := Frame(append(b[:n:n], "+OK\r\n"...), 0); m != n || err != nil {
+			if m, err := FrameLength(append(b[:n:n], "+OK\r\n"...), 0); m != n || err != nil {
 				t.Fatalf("got %d bytes, %v with more behind, want %d", m, err, n)
 			}
 		}
@@ -133,7 +133,7 @@
 	if !errors.Is(err, ErrMemory) {
 		t.Fatalf("got %v, want %v", err, ErrMemory)
 	}
-	if skipped, err := in.Skip(read); !skipped || err != nil {
+	if skipped, err := in.SkipFrame(read); !skipped || err != nil {
 		t.Fatalf("got %v, %v, want the frame skipped", skipped, err)
 	}
 	if err := in.Fill(read); err != nil {
--- a/internal/sim/instance.go
+++ b/internal/sim/instance.go
@@ -101,7 +101,7 @@
 	case policy.CancelAttempt:
 		r := s.requests[a.ID]
 		if r != nil && a.Attempt < len(r.attempts) {
-			s.endAttempt(r.attempts[a.Attempt], policy.Cancelled)
+			s.endAttempt(r.attempts[a.Attempt], policy.Canceled)
 		}
 	case policy.AddToCounter:
 		s.callCounter(i, a)
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -174,7 +174,7 @@
 	case "econnreset":
 		return policy.Reset
 	case "ecanceled":
-		return policy.Cancelled
+		return policy.Canceled
 	case "skipped":
 		return policy.NotSent
 	default:
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -62,9 +62,9 @@
 	return unsent
 }
 
-// SinceData returns the time since the last bytes arrived on a connection, read
+// SinceReceived returns the time since the last bytes arrived on a connection, read
 // or not. It is 0 if the kernel does not know.
-func SinceData(conn net.Conn) time.Duration {
+func SinceReceived(conn net.Conn) time.Duration {
 	var since time.Duration
 	control(conn, func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.SOL_TCP, unix.TCP_INFO)
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -37,18 +37,18 @@
 
 // Counts counts what became of this instance's attempts.
 type Counts struct {
-	Covered   int           `json:"Covered"`   // sent, acknowledged by all replicas
-	Partly    int           `json:"Partly"`    // sent, acknowledged by some replicas
-	Uncovered int           `json:"Uncovered"` // sent without any replica's consent
-	NoReplica int           `json:"NoKeeper"`  // sent, as there was no other instance
-	Joined    int           `json:"Joined"`    // left to another attempt
-	Bound     int           `json:"Bound"`     // continued another attempt in its scope
-	Answered  int           `json:"Answered"`  // given another attempt's answer
-	TakenFrom int           `json:"TakenFrom"` // taken over from other instances
-	Over      int           `json:"Over"`      // taken over by other instances
-	Halted    int           `json:"Halted"`    // not sent, as a replica didn't consent to a change of scope
-	Queried   int           `json:"Asked"`     // outcome queries
-	Replica   ReplicaCounts `json:"Keeper"`
+	Covered       int           `json:"Covered"`   // sent, acknowledged by all replicas
+	PartlyCovered int           `json:"Partly"`    // sent, acknowledged by some replicas
+	Uncovered     int           `json:"Uncovered"` // sent without any replica's consent
+	NoReplica     int           `json:"NoKeeper"`  // sent, as there was no other instance
+	Joined        int           `json:"Joined"`    // left to another attempt
+	Adopted       int           `json:"Bound"`     // continued another attempt in its scope
+	Answered      int           `json:"Answered"`  // given another attempt's answer
+	TookOver      int           `json:"TakenFrom"` // taken over from other instances
+	TakenOver     int           `json:"Over"`      // taken over by other instances
+	Aborted       int           `json:"Halted"`    // not sent, as a replica didn't consent to a change of scope
+	Queried       int           `json:"Asked"`     // outcome queries
+	Replica       ReplicaCounts `json:"Keeper"`
 }
 
 // NewCoordinator returns a Coordinator that knows no other member. The clock
@@ -290,7 +290,7 @@
 
 // takeOver makes another instance's work pending here.
 func (c *Coordinator) takeOver(taken TakenWork) {
-	c.counts.TakenFrom++
+	c.counts.TookOver++
 	work := &pendingWork{
 		Work:       taken.Work,
 		attempt:    taken.Attempt,
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -119,7 +119,7 @@
 	if covered {
 		c.counts.Covered++
 	} else { // a replica that might know of another attempt has not replied
-		c.counts.Partly++
+		c.counts.PartlyCovered++
 	}
 	c.emit(Action{
 		Kind:       ActionSend,
@@ -176,7 +176,7 @@
 // be in the reply already.
 func (c *Coordinator) joinOther(work *pendingWork, reply *Reply) {
 	if reply.Kind == ReplyTakenOver {
-		c.counts.Over++
+		c.counts.TakenOver++
 	}
 	work.join()
 	if reply.Answer != nil {
@@ -218,7 +218,7 @@
 
 // adopt lets an attempt continue another in that one's scope.
 func (c *Coordinator) adopt(work *pendingWork, covered bool) {
-	c.counts.Bound++
+	c.counts.Adopted++
 	work.covered = true
 	c.emit(Action{
 		Kind:      ActionAdopt,
@@ -232,6 +232,6 @@
 // abort ends an attempt that may not go out to another scope: a replica has not
 // heard that the attempt before never ran.
 func (c *Coordinator) abort(work *pendingWork) {
-	c.counts.Halted++
+	c.counts.Aborted++
 	c.emit(Action{Kind: ActionAbort, Attempt: work.attempt})
 }
--- a/internal/takeover/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -160,10 +160,10 @@
 			counts := c.Counts()
 			total["covered"] += counts.Covered
 			total["joined"] += counts.Joined
-			total["bound"] += counts.Bound
-			total["taken"] += counts.TakenFrom
+			total["bound"] += counts.Adopted
+			total["taken"] += counts.TookOver
 			total["answered"] += counts.Answered
-			total["uncovered"] += counts.Uncovered + counts.Partly
+			total["uncovered"] += counts.Uncovered + counts.PartlyCovered
 		}
 	}
 	for what, n := range total {
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -58,7 +58,7 @@
 		size += len(argument)
 	}
 	return i.Key != "" && len(i.Key) <= maxKeyBytes &&
-		size <= MaxBody && len(i.Command) <= maxArguments &&
+		size <= MaxCommandBytes && len(i.Command) <= maxArguments &&
 		i.Remaining >= 0 && i.Remaining <= maxRemaining &&
 		i.Age >= 0 && i.Age <= maxAge &&
 		i.IdempotencyWindow >= 0 && i.IdempotencyWindow <= maxWindow &&
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -138,15 +138,15 @@
 
 // ReplicaCounts counts what a replica store has decided.
 type ReplicaCounts struct {
-	Granted int `json:"Granted"`
-	Again   int `json:"Again"`   // stale clock readings
-	Joined  int `json:"Joined"`  // attempts that were left to another
-	Bound   int `json:"Bound"`   // attempts that were to continue another
-	Refused int `json:"Refused"` // owners whose work was taken over
-	Full    int `json:"Full"`    // intents without capacity
-	Taken   int `json:"Taken"`   // records taken over by this instance
-	Failed  int `json:"Failed"`  // orphaned records that could not be taken over
-	Late    int `json:"Late"`    // records whose owners reported nothing in time
+	Granted       int `json:"Granted"`
+	StaleClocks   int `json:"Again"`   // stale clock readings
+	Joined        int `json:"Joined"`  // attempts that were left to another
+	Adopted       int `json:"Bound"`   // attempts that were to continue another
+	RefusedOwners int `json:"Refused"` // owners whose work was taken over
+	Full          int `json:"Full"`    // intents without capacity
+	TookOver      int `json:"Taken"`   // records taken over by this instance
+	Failed        int `json:"Failed"`  // orphaned records that could not be taken over
+	Unreported    int `json:"Late"`    // records whose owners reported nothing in time
 }
 
 // newReplicaStore returns an empty store of an incarnation of self.
@@ -225,7 +225,7 @@
 		rec := r.records[key]
 		if rec.state != recordCompleted {
 			if now > rec.deadline+completionGrace {
-				r.counts.Late++
+				r.counts.Unreported++
 				r.completeRecord(now, rec, Answer{Kind: AnswerFailed})
 			}
 			continue
--- a/internal/takeover/replica_failover.go
+++ b/internal/takeover/replica_failover.go
@@ -43,7 +43,7 @@
 	formerOwner := rec.owner
 	rec.assign(r.self, r.incarnation)
 	rec.epoch++
-	r.counts.Taken++
+	r.counts.TookOver++
 	r.takenWork = append(r.takenWork, TakenWork{
 		Work:       rec.Work,
 		Attempt:    rec.attempt,
--- a/internal/takeover/replica_intent.go
+++ b/internal/takeover/replica_intent.go
@@ -22,7 +22,7 @@
 	sentAt := now
 	if from != r.self {
 		if now-intent.Clock > maxClockAge || intent.Clock > now {
-			r.counts.Again++
+			r.counts.StaleClocks++
 			reply.Kind = ReplyStaleClock
 			return reply
 		}
@@ -110,7 +110,7 @@
 // refuseFormerOwner decides on an intent of an instance whose attempt was
 // taken over. It is notified of the answer.
 func (r *ReplicaStore) refuseFormerOwner(from string, intent *Intent, rec *record, reply *Reply) {
-	r.counts.Refused++
+	r.counts.RefusedOwners++
 	reply.Kind, reply.Primary = ReplyTakenOver, rec.primary()
 	r.addWaiter(rec, from, intent.Attempt)
 	if rec.state == recordCompleted {
@@ -139,7 +139,7 @@
 		reply.Kind, reply.Epoch = ReplyGranted, rec.epoch
 	case rec.scope != ScopeNone && now < rec.reliableUntil():
 		// It was orphaned or has no reusable answer, and a repeat has no effect.
-		r.counts.Bound++
+		r.counts.Adopted++
 		rec.continueBy(now, from, incarnation, intent)
 		reply.Kind, reply.Epoch = ReplyAdopt, rec.epoch
 		reply.Scope, reply.Age = rec.scope, now-rec.startedAt
--- a/internal/takeover/replica_test.go
+++ b/internal/takeover/replica_test.go
@@ -11,7 +11,7 @@
 func TestInvalidIntentIsIgnored(t *testing.T) {
 	tests := map[string]Intent{
 		"empty":                     {},
-		"command too large":         {Work: Work{Key: "k", Command: [][]byte{make([]byte, MaxBody+1)}}},
+		"command too large":         {Work: Work{Key: "k", Command: [][]byte{make([]byte, MaxCommandBytes+1)}}},
 		"negative remaining time":   {Work: Work{Key: "k"}, Remaining: -1},
 		"remaining time too long":   {Work: Work{Key: "k"}, Remaining: time.Hour},
 		"negative window of repeat": {Work: Work{Key: "k", IdempotencyWindow: -1}},
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -32,8 +32,8 @@
 
 import "time"
 
-// MaxBody is the size in bytes up to which a command is covered by replicas.
-const MaxBody = 8 << 10
+// MaxCommandBytes is the size in bytes up to which a command is covered by replicas.
+const MaxCommandBytes = 8 << 10
 
 // Work is a request as another instance needs it to complete it.
 type Work struct {
--- a/internal/zones/backend.go
+++ b/internal/zones/backend.go
@@ -117,7 +117,7 @@
 	switch outcome {
 	case policy.NotSent:
 		return
-	case policy.Cancelled:
+	case policy.Canceled:
 		// A hedged attempt elsewhere was faster. That speaks against a backend that has answered nothing since.
 		if b.answeredAt < sentAt && latency > supersededFactor*t.usualLatency[class] {
 			b.recordFailure(sentAt)
--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -24,7 +24,7 @@
 // ZoneStatus is the state of one zone.
 type ZoneStatus struct {
 	Name        string        `json:"name"`
-	Tier        int           `json:"tier"`          // locality priority; 0: own, 1: near, 2: any other
+	Priority    int           `json:"tier"`          // locality priority; 0: own, 1: near, 2: any other
 	State       string        `json:"state"`         // a State's name
 	Since       time.Duration `json:"since_ns"`      // for how long it is in that state
 	Reason      string        `json:"why,omitempty"` // of the state
@@ -77,7 +77,7 @@
 func (t *Tracker) zoneStatus(now time.Duration, z *zone) ZoneStatus {
 	status := ZoneStatus{
 		Name:        z.name,
-		Tier:        int(z.priority),
+		Priority:    int(z.priority),
 		State:       z.state.String(),
 		Since:       now - z.since,
 		Reason:      z.reason,
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -36,7 +36,7 @@
 
 // Rule 2: an unsafe request that may have run is neither sent again nor rejected.
 func TestUnsafeRequestThatMayHaveRunIsFailed(t *testing.T) {
-	for _, outcome := range []Outcome{Failed, TimedOut, Reset, Cancelled, Outcome(99)} {
+	for _, outcome := range []Outcome{Failed, TimedOut, Reset, Canceled, Outcome(99)} {
 		h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 		backend := actionsOf[SendAttempt](h.arrive(1, "pay", "free"))[0].Backend
 		got := h.notify(AttemptEnded{ID: 1, Backend: backend, Outcome: outcome})
--- a/policy/handover_state.go
+++ b/policy/handover_state.go
@@ -11,7 +11,7 @@
 // for them. Its JSON names are those of earlier versions.
 type LearnedState struct {
 	Window           float64          `json:"Window"`
-	Lag              float64          `json:"Lag"` // mean latency, seconds
+	MeanLatency      float64          `json:"Lag"` // mean latency, seconds
 	AnswerRate       float64          `json:"Flow"`
 	AnswerRateAt     time.Duration    `json:"FlowAt"`
 	CounterCallShare float64          `json:"AskShare"`
@@ -41,7 +41,7 @@
 
 // LearnedTenant is the view of a tenant's quota, and what is leased of it.
 type LearnedTenant struct {
-	ID              string        `json:"ID"` // Request.Account
+	Account         string        `json:"ID"` // Request.Account
 	Plan            string        `json:"Plan"`
 	Tenant          string        `json:"Customer"`
 	Spread          int           `json:"Spread"`
@@ -50,7 +50,7 @@
 	UnreportedUnits float64       `json:"Owed"` // leased, and not yet added to the counter
 	Level           float64       `json:"Level"`
 	Demand          float64       `json:"Demand"`
-	Others          float64       `json:"Others"`
+	OthersRate      float64       `json:"Others"`
 	LevelAt         time.Duration `json:"At"`
 	TotalAt         time.Duration `json:"Looked"`
 	ExhaustedUntil  time.Duration `json:"Spent"`
@@ -73,7 +73,7 @@
 func (e *Engine) ExportState() LearnedState {
 	state := LearnedState{
 		Window:           e.window.size,
-		Lag:              e.meanLatency,
+		MeanLatency:      e.meanLatency,
 		AnswerRate:       e.answers.rate,
 		AnswerRateAt:     e.answers.rateAt,
 		CounterCallShare: e.counterCallShare,
@@ -107,7 +107,7 @@
 
 func (e *Engine) exportTenant(t *tenant) LearnedTenant {
 	return LearnedTenant{
-		ID:              t.account,
+		Account:         t.account,
 		Plan:            t.plan.Name,
 		Tenant:          t.name,
 		Spread:          t.spread,
@@ -116,7 +116,7 @@
 		UnreportedUnits: t.unreportedUnits,
 		Level:           t.level,
 		Demand:          t.demand,
-		Others:          t.othersRate,
+		OthersRate:      t.othersRate,
 		LevelAt:         t.levelAt,
 		TotalAt:         t.totalAt,
 		ExhaustedUntil:  t.exhaustedUntil,
@@ -150,7 +150,7 @@
 	if state.Window > 0 {
 		e.window.size = max(state.Window, minWindow)
 		e.counterCallShare = min(1, max(state.CounterCallShare, minCounterCallShare))
-		e.meanLatency = state.Lag
+		e.meanLatency = state.MeanLatency
 		e.answers.rate = state.AnswerRate
 		e.answers.rateAt = state.AnswerRateAt
 	}
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, learned := range state.Tenants {
-		if p := e.plans[learned.Plan]; p != nil && learned.ID != "" {
+		if p := e.plans[learned.Plan]; p != nil && learned.Account != "" {
 			e.importTenant(p, learned)
 		}
 	}
@@ -180,7 +180,7 @@
 
 func (e *Engine) importTenant(p *Plan, learned LearnedTenant) {
 	if learned.Tenant == "" { // from a version whose accounts had the tenant's name alone
-		learned.Tenant, _, _ = strings.Cut(learned.ID, "/")
+		learned.Tenant, _, _ = strings.Cut(learned.Account, "/")
 		learned.Epoch = -1
 		learned.Total = 0
 	}
@@ -196,7 +196,7 @@
 	t.levelAt = learned.LevelAt
 	t.refreshedAt = learned.RefreshedAt
 	t.demand = learned.Demand
-	t.othersRate = learned.Others
+	t.othersRate = learned.OthersRate
 	t.lastRequest = learned.LastRequest
 	t.epoch = learned.Epoch
 	t.total = learned.Total
@@ -229,7 +229,7 @@
 // fill there, and no longer here.
 func (e *Engine) RetainUnits(retained []LearnedTenant) {
 	for _, r := range retained {
-		if t := e.tenants[r.ID]; t != nil {
+		if t := e.tenants[r.Account]; t != nil {
 			t.leasedUnits = r.LeasedUnits
 			t.unreportedUnits = r.UnreportedUnits
 			t.ceilingLevel = r.CeilingLevel
--- a/policy/handover_state_test.go
+++ b/policy/handover_state_test.go
@@ -71,7 +71,7 @@
 		previous.arrive(id, "read", "small")
 	}
 	state := previous.engine.ExportState()
-	state.Tenants[0].ID = "c"
+	state.Tenants[0].Account = "c"
 	state.Tenants[0].Tenant = ""
 	state.Tenants[0].Total = 5
 	state.Tenants[0].LeasedUnits = 1.5
@@ -81,7 +81,8 @@
 	next.arrive(9, "read", "small")
 	got := next.engine.ExportState().Tenants
 	account := (&Request{Tenant: "c", Plan: "small"}).Account()
-	if len(got) != 1 || got[0].ID != account || got[0].Tenant != "c" || got[0].LeasedUnits >= 1.5 || got[0].Total != 0 {
+	if len(got) != 1 || got[0].Account != account || got[0].Tenant != "c" ||
+		got[0].LeasedUnits >= 1.5 || got[0].Total != 0 {
 		t.Errorf("got tenants %+v, want %s alone with less than 1.5 leased units and total 0", got, account)
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -69,7 +69,7 @@
 // recordOutcome learns from the end of an attempt: the latency of its class, the
 // slowness of its backend, and whether backend or zone can be reached.
 func (e *Engine) recordOutcome(a *attempt, c *class, outcome Outcome, took time.Duration) {
-	if outcome == Cancelled || outcome == NotSent {
+	if outcome == Canceled || outcome == NotSent {
 		return
 	}
 	b := a.backend
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -11,7 +11,7 @@
 	TimedOut                 // no answer in time
 	NoConnect                // no connection: it never ran
 	Reset                    // the connection was dropped
-	Cancelled                // canceled by this instance
+	Canceled                 // canceled by this instance
 	NotSent                  // never sent: it never ran
 )
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -40,9 +40,9 @@
 // Prior is an attempt that another instance has begun, that may have run and has
 // ended. It is attempt 0 of the request here.
 type Prior struct {
-	Zone string
-	Cell int
-	At   time.Duration // when it was sent, at the earliest
+	Zone   string
+	Cell   int
+	SentAt time.Duration // when it was sent, at the earliest
 }
 
 // requestPhase is how far a request has come.
@@ -115,7 +115,7 @@
 		backend:    &backend{Backend: Backend{Zone: p.Zone, Cell: p.Cell}},
 		zone:       p.Zone,
 		cell:       p.Cell,
-		sentAt:     p.At,
+		sentAt:     p.SentAt,
 		ended:      true,
 		mayHaveRun: true,
 	}
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -25,7 +25,7 @@
 			engine, now := newPriorEngine(t)
 			q := publishRequest(ran, now)
 			q.Charged = true
-			q.Prior = &Prior{Cell: c.cell, At: now - c.ago}
+			q.Prior = &Prior{Cell: c.cell, SentAt: now - c.ago}
 			actions := engine.Handle(now, Arrival{q}, nil)
 			for range 20 {
 				now += 20 * ms
