--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -24,12 +24,12 @@
 // target is one program under measurement, a process of its own.
 type target struct {
 	proc.Process
-	addr *proc.HeldAddress
+	addr *proc.ReservedAddress
 }
 
 // startTarget starts a build, or the bare proxy, before the backends and waits until it serves.
 func startTarget(ctx context.Context, c *Config, build Build, b *backends, dir string) (*target, error) {
-	held, err := proc.HoldAddress(loopback)
+	held, err := proc.ReserveAddress(loopback)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,158 +1,152 @@
-// Package proc runs one real process of a program for the lab: it holds its addresses from the draw on, starts it, waits until
-// it serves, signals it, and knows how it ended and what it said last. In: a program, its environment, a test of whether it
-// serves. Out: starts, ends, use of the machine. It must never know a day, a load or a rule.
+// Package proc runs one process of a program for the lab. It reserves the process's addresses, starts it, waits
+// until it serves, sends it signals, and reports how it ended, what it used and what it wrote last. Its input is a
+// program, its environment and a test of whether it serves. It knows no scenario, no load and no rule.
 package proc
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"os/exec"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
 const (
-	// StartLimit is how long a start may take.
+	// StartTimeout is how long a start may take.
 	StartTimeout = 20 * time.Second
-	stopTimeout  = 8 * time.Second
-	maxTailBytes = 4 << 10
+	// stopTimeout is how long a process may take to exit on a signal before it is killed.
+	stopTimeout = 8 * time.Second
+	// servingPollInterval is how often Start checks whether the process serves.
+	servingPollInterval = 5 * time.Millisecond
 )
 
-// Usage is what the kernel says of a process, over all its starts.
-type Usage struct {
-	CPU    time.Duration
-	PeakKB int64
-}
-
-// Process is one program that may be started, ended and started again. Its methods are safe for many goroutines; Start and
-// Signal of one process are not called at one time.
+// Process is one program that may be started, stopped and started again. Each start has a goroutine that waits for the
+// process's exit. Its methods are safe for concurrent use, but Start and Stop must not be called at the same time.
 type Process struct {
-	Name      string
+	Name      string // in errors
 	Program   string
-	Args      []string // beside the program's own name
+	Args      []string // without the program's name
 	Env       []string
-	Output    io.Writer   // what it writes goes there too; nil: nowhere
-	IsServing func() bool // asked until it says yes, or the process has ended
-	OnExit    func(error) // called at each end, before Signal returns; nil: nobody
-
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	usage  Usage
-	output tail
+	Output    io.Writer   // gets what the process writes; may be nil
+	IsServing func() bool // polled by Start
+	OnExit    func(error) // called at each exit, before Stop returns; may be nil
+
+	tail tail // of what it wrote
+
+	mu     sync.Mutex    // guards all below
+	cmd    *exec.Cmd     // of the last start; nil: it was never started
+	exited chan struct{} // closed at the exit of cmd
+	usage  Usage         // of the starts that have exited
 }
 
-// Start starts the process and waits until it serves. One that ends before is an error that has its last line.
+// Start starts the process and waits until it serves. If it exits before, the error has its last line.
 func (p *Process) Start(ctx context.Context) error {
-	p.mu.Lock()
+	exited, err := p.launch()
+	if err != nil {
+		return fmt.Errorf("starting %s: %w", p.Name, err)
+	}
+	return p.awaitServing(ctx, exited)
+}
+
+// launch starts the process and returns the channel that is closed at its exit.
+func (p *Process) launch() (exited chan struct{}, err error) {
 	cmd := exec.Command(p.Program, p.Args...)
 	cmd.Env = p.Env
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the lab killed in the middle leaves none behind
-	out := io.Writer(&p.output)
+	// A lab that is killed leaves no process behind.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	output := io.Writer(&p.tail)
 	if p.Output != nil {
-		out = io.MultiWriter(&p.output, p.Output)
+		output = io.MultiWriter(&p.tail, p.Output)
 	}
-	cmd.Stdout, cmd.Stderr = out, out
-	err := cmd.Start()
-	done := make(chan struct{})
-	if err == nil {
-		p.cmd, p.exited = cmd, done
+	cmd.Stdout, cmd.Stderr = output, output
+	exited = make(chan struct{})
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := cmd.Start(); err != nil {
+		return nil, err
 	}
+	p.cmd, p.exited = cmd, exited
+	go p.awaitExit(cmd, exited)
+	return exited, nil
+}
+
+// awaitExit waits for the process's exit, adds what it used and calls OnExit.
+func (p *Process) awaitExit(cmd *exec.Cmd, exited chan<- struct{}) {
+	defer close(exited)
+	err := cmd.Wait()
+	p.mu.Lock()
+	p.usage.addExited(cmd.ProcessState)
 	p.mu.Unlock()
-	if err != nil {
-		return fmt.Errorf("starting %s: %w", p.Name, err)
+	if p.OnExit != nil {
+		p.OnExit(err)
 	}
-	go func() {
-		defer close(done)
-		err := cmd.Wait()
-		p.mu.Lock()
-		if s, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.usage.CPU += time.Duration(s.Utime.Nano() + s.Stime.Nano())
-			p.usage.PeakKB = max(p.usage.PeakKB, int64(s.Maxrss))
-		}
-		p.mu.Unlock()
-		if p.OnExit != nil {
-			p.OnExit(err)
-		}
-	}()
-	limit := time.NewTimer(StartTimeout)
-	defer limit.Stop()
-	again := time.NewTicker(5 * time.Millisecond)
-	defer again.Stop()
+}
+
+// awaitServing polls until the process serves.
+func (p *Process) awaitServing(ctx context.Context, exited <-chan struct{}) error {
+	timeout := time.NewTimer(StartTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(servingPollInterval)
+	defer poll.Stop()
 	for !p.IsServing() {
 		select {
-		case <-done:
+		case <-exited:
 			return fmt.Errorf("%s ended at its start: %s", p.Name, p.LastLine())
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-limit.C:
+		case <-timeout.C:
 			return fmt.Errorf("%s does not serve after %v: %s", p.Name, StartTimeout, p.LastLine())
-		case <-again.C:
+		case <-poll.C:
 		}
 	}
 	return nil
 }
 
-// ErrNotRunning is a signal to a process that has ended, or was never started.
+// ErrNotRunning means that a signal was sent to a process that has exited, or was never started.
 var ErrNotRunning = errors.New("the process is not running")
 
-// Send sends a signal and waits for nothing.
-func (p *Process) SendSignal(sig syscall.Signal) error {
-	cmd, done := p.command()
-	if cmd == nil {
-		return fmt.Errorf("%s: %w", p.Name, ErrNotRunning)
-	}
-	select {
-	case <-done:
+// SendSignal sends a signal and does not wait.
+func (p *Process) SendSignal(signal syscall.Signal) error {
+	cmd, exited := p.command()
+	if cmd == nil || isClosed(exited) {
 		return fmt.Errorf("%s: %w", p.Name, ErrNotRunning)
-	default:
-		return cmd.Process.Signal(sig)
 	}
+	return cmd.Process.Signal(signal)
 }
 
-// Signal sends a signal that ends the process, and waits for that; one that does not end in time is killed.
-func (p *Process) Stop(sig syscall.Signal) {
-	cmd, done := p.command()
+// Stop sends a signal that ends the process and waits for its exit. A process that does not exit within stopTimeout is
+// killed.
+func (p *Process) Stop(signal syscall.Signal) {
+	cmd, exited := p.command()
 	if cmd == nil {
 		return
 	}
-	cmd.Process.Signal(sig)
+	_ = cmd.Process.Signal(signal) // fails only if it has exited
 	select {
-	case <-done:
+	case <-exited:
 	case <-time.After(stopTimeout):
-		cmd.Process.Kill()
-		<-done
+		_ = cmd.Process.Kill() // fails only if it has exited
+		<-exited
 	}
 }
 
-// Running says whether it was started and has not ended.
+// Running reports whether the process was started and has not exited.
 func (p *Process) Running() bool {
-	cmd, done := p.command()
-	if cmd == nil {
-		return false
-	}
-	select {
-	case <-done:
-		return false
-	default:
-		return true
-	}
+	cmd, exited := p.command()
+	return cmd != nil && !isClosed(exited)
 }
 
-func (p *Process) command() (*exec.Cmd, chan struct{}) {
+// command returns the command of the last start, or nil, with the channel that is closed at its exit.
+func (p *Process) command() (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.exited
 }
 
-// Pid is the process's number; 0 where it was never started.
+// Pid returns the process's id, 0 if it was never started.
 func (p *Process) Pid() int {
 	if cmd, _ := p.command(); cmd != nil {
 		return cmd.Process.Pid
@@ -160,66 +154,26 @@
 	return 0
 }
 
-// LastLine is the last whole line that it wrote.
-func (p *Process) LastLine() string { return p.output.last() }
+// LastLine returns the last line that the process wrote.
+func (p *Process) LastLine() string { return p.tail.lastLine() }
 
-// Use reads what the process has used so far, with what was used before its last start.
+// Usage returns what the process has used so far, over all its starts.
 func (p *Process) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := p.usage
-	if p.cmd == nil {
-		return u
-	}
-	select {
-	case <-p.exited:
-		return u
-	default:
+	usage := p.usage
+	if p.cmd != nil && !isClosed(p.exited) {
+		usage.addRunning(p.cmd.Process.Pid)
 	}
-	pid := p.cmd.Process.Pid
-	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
-		if i := bytes.LastIndexByte(text, ')'); i > 0 {
-			if f := strings.Fields(string(text[i+1:])); len(f) > 12 {
-				user, _ := strconv.ParseInt(f[11], 10, 64)
-				system, _ := strconv.ParseInt(f[12], 10, 64)
-				u.CPU += time.Duration(user+system) * 10 * time.Millisecond
-			}
-		}
-	}
-	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
-		for line := range strings.Lines(string(text)) {
-			if v, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-				kb, _ := strconv.ParseInt(strings.Fields(v)[0], 10, 64)
-				u.PeakKB = max(u.PeakKB, kb)
-			}
-		}
-	}
-	return u
-}
-
-// tail keeps the end of what was written.
-type tail struct {
-	mu sync.Mutex
-	b  []byte
-}
-
-// Write is io.Writer's.
-func (t *tail) Write(b []byte) (int, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.b = append(t.b, b...)
-	if n := len(t.b) - maxTailBytes; n > 0 {
-		t.b = append(t.b[:0], t.b[n:]...)
-	}
-	return len(b), nil
+	return usage
 }
 
-func (t *tail) last() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	text := strings.TrimRight(string(t.b), "\n")
-	if text == "" {
-		return "it said nothing"
+// isClosed reports whether a channel that is only closed is closed.
+func isClosed(channel <-chan struct{}) bool {
+	select {
+	case <-channel:
+		return true
+	default:
+		return false
 	}
-	return text[strings.LastIndexByte(text, '\n')+1:]
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -34,7 +34,7 @@
 
 // hold draws an address of the instance's own host, which is held until the run's end.
 func (g *ingress) hold() (string, error) {
-	h, err := proc.HoldAddress(g.host)
+	h, err := proc.ReserveAddress(g.host)
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", g.Name, err)
 	}
--- a/internal/lab/soak/instance.go
+++ b/internal/lab/soak/instance.go
@@ -72,12 +72,12 @@
 // newInstance prepares an instance; it does not run yet.
 func (r *run) newInstance(n int) (*instance, error) {
 	in := &instance{run: r, n: n, config: filepath.Join(r.dir, fmt.Sprintf("n%d.json", n))}
-	held, err := proc.HoldAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
+	held, err := proc.ReserveAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
 	if err != nil {
 		return nil, err
 	}
 	r.onClose(held.Release)
-	door, err := proc.HoldAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
+	door, err := proc.ReserveAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
 	if err != nil {
 		return nil, err
 	}
