--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -1,5 +1,6 @@
-// Package fleetlog adds up what many instances logged, second by second: the lines "second" that [log] summary writes. In:
-// a folder of logs; out: a table of sums over the fleet. It knows no figure by name: what is new in the lines is in the table.
+// Package fleetlog sums up what many instances logged, second by second. It reads the log lines "second" that the
+// setting [log] summary writes, and the lines "serving" of starts. Its input is a directory of logs, its output a
+// table of sums over the fleet. It knows no metric by name: a metric that is new in the lines is in the table.
 package fleetlog
 
 import (
@@ -16,54 +17,72 @@
 	"time"
 )
 
-// mostLine bounds a line; a longer one ends the reading of its file with an error.
-const maxLineBytes = 1 << 20
+const (
+	// maxLineBytes bounds a line. A longer one ends the reading with an error.
+	maxLineBytes = 1 << 20
+	// earlyLine is how long before the end of its second a line may be written.
+	earlyLine = 20 * time.Millisecond
+)
+
+// The metrics of the table that are not in the lines.
+const (
+	linesMetric  = "lines"  // instances that wrote a line for the second
+	startsMetric = "starts" // instances that began to serve
+)
 
-// Table is sums over all instances.
+// Table holds sums over all instances.
 type Table struct {
 	Seconds []time.Time                      // in order
-	Metrics []string                         // in order of first sight
-	Sums    map[time.Time]map[string]float64 // by second and figure; "lines" counts instances, "starts" those that began to serve
+	Metrics []string                         // in the order in which they were first read
+	Sums    map[time.Time]map[string]float64 // by second and metric
 }
 
-// Read adds up the files *.log of a folder.
+// Read sums up the files *.log of a directory.
 func Read(dir string) (*Table, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	t := &Table{Metrics: []string{"lines", "starts"}, Sums: map[time.Time]map[string]float64{}}
-	known := map[string]bool{"lines": true, "starts": true}
+	table := &Table{Metrics: []string{linesMetric, startsMetric}, Sums: map[time.Time]map[string]float64{}}
+	known := map[string]bool{linesMetric: true, startsMetric: true}
 	for _, name := range files {
-		f, err := os.Open(name)
-		if err != nil {
+		if err := table.addFile(name, known); err != nil {
 			return nil, err
 		}
-		in := bufio.NewScanner(f)
-		in.Buffer(nil, maxLineBytes)
-		for in.Scan() {
-			t.addLine(in.Text(), known)
-		}
-		f.Close()
-		if err := in.Err(); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
 	}
-	t.Seconds = slices.SortedFunc(maps.Keys(t.Sums), time.Time.Compare)
-	return t, nil
+	table.Seconds = slices.SortedFunc(maps.Keys(table.Sums), time.Time.Compare)
+	return table, nil
 }
 
-// line adds one line up; what is not of this kind, or cut off, is passed over.
+// addFile adds the lines of one file.
+func (t *Table) addFile(name string, known map[string]bool) error {
+	file, err := os.Open(name)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		t.addLine(scanner.Text(), known)
+	}
+	if err := scanner.Err(); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	return nil
+}
+
+// addLine adds one line. A line of another kind, or one that is cut off, is skipped.
 func (t *Table) addLine(text string, known map[string]bool) {
-	second := strings.Contains(text, " msg=second ")
-	if !second && !strings.Contains(text, " msg=serving ") {
+	isSecond := strings.Contains(text, " msg=second ")
+	if !isSecond && !strings.Contains(text, " msg=serving ") {
 		return
 	}
 	var at time.Time
-	sums := map[string]float64{}
-	for word := range strings.FieldsSeq(text) {
-		name, value, ok := strings.Cut(word, "=")
-		if !ok {
+	values := map[string]float64{}
+	for field := range strings.FieldsSeq(text) {
+		name, value, isAttribute := strings.Cut(field, "=")
+		if !isAttribute {
 			continue
 		}
 		if name == "time" {
@@ -73,52 +92,69 @@
 			}
 			continue
 		}
-		if n, err := strconv.ParseFloat(value, 64); err == nil && second {
-			sums[name] = n
-			if !known[name] {
-				known[name] = true
-				t.Metrics = append(t.Metrics, name)
-			}
+		if number, err := strconv.ParseFloat(value, 64); err == nil && isSecond {
+			values[name] = number
+			t.addMetric(name, known)
 		}
 	}
 	if at.IsZero() {
 		return
 	}
-	if second {
-		sums["lines"] = 1
+	if isSecond {
+		values[linesMetric] = 1
 	} else {
-		sums["starts"] = 1
+		values[startsMetric] = 1
 	}
-	at = at.Add(20 * time.Millisecond).Truncate(time.Second) // a line may be written a little before its second is over
-	into := t.Sums[at]
-	if into == nil {
-		into = map[string]float64{}
-		t.Sums[at] = into
+	t.addValues(at.Add(earlyLine).Truncate(time.Second), values)
+}
+
+// addMetric lists a metric that is not known yet.
+func (t *Table) addMetric(name string, known map[string]bool) {
+	if !known[name] {
+		known[name] = true
+		t.Metrics = append(t.Metrics, name)
 	}
-	for name, n := range sums {
-		into[name] += n
+}
+
+// addValues adds the values of one line to the sums of a second.
+func (t *Table) addValues(second time.Time, values map[string]float64) {
+	sums := t.Sums[second]
+	if sums == nil {
+		sums = map[string]float64{}
+		t.Sums[second] = sums
+	}
+	for name, value := range values {
+		sums[name] += value
 	}
 }
 
-// Write prints the table, a row a figure and a column a second; only names the beginnings of the figures that are wanted.
-func (t *Table) Write(out io.Writer, only string) error {
-	w := tabwriter.NewWriter(out, 0, 1, 1, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "second\t")
-	for _, at := range t.Seconds {
-		fmt.Fprintf(w, "%d\t", int(at.Sub(t.Seconds[0]).Seconds()))
+// Write prints the table with a row a metric and a column a second. prefixes is a comma-separated list of the
+// beginnings of the metrics to print; empty: all.
+func (t *Table) Write(out io.Writer, prefixes string) error {
+	table := tabwriter.NewWriter(out, 0, 1, 1, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "second\t")
+	for _, second := range t.Seconds {
+		fmt.Fprintf(table, "%d\t", int(second.Sub(t.Seconds[0]).Seconds()))
 	}
-	fmt.Fprintln(w, "all\t")
+	fmt.Fprintln(table, "all\t")
 	for _, name := range t.Metrics {
-		if only != "" && !slices.ContainsFunc(strings.Split(only, ","), func(p string) bool { return strings.HasPrefix(name, p) }) {
+		if !hasPrefix(name, prefixes) {
 			continue
 		}
-		fmt.Fprintf(w, "%s\t", name)
-		all := 0.0
-		for _, at := range t.Seconds {
-			fmt.Fprintf(w, "%.0f\t", t.Sums[at][name])
-			all += t.Sums[at][name]
+		fmt.Fprintf(table, "%s\t", name)
+		total := 0.0
+		for _, second := range t.Seconds {
+			fmt.Fprintf(table, "%.0f\t", t.Sums[second][name])
+			total += t.Sums[second][name]
 		}
-		fmt.Fprintf(w, "%.0f\t\n", all)
+		fmt.Fprintf(table, "%.0f\t\n", total)
 	}
-	return w.Flush()
+	return table.Flush()
+}
+
+// hasPrefix reports whether a name begins with one of the prefixes, which are separated by commas, or there are none.
+func hasPrefix(name, prefixes string) bool {
+	return prefixes == "" || slices.ContainsFunc(strings.Split(prefixes, ","), func(prefix string) bool {
+		return strings.HasPrefix(name, prefix)
+	})
 }
--- a/internal/lab/lateness/lateness.go
+++ b/internal/lab/lateness/lateness.go
@@ -1,5 +1,6 @@
-// Package lateness measures how late this process itself is run: what its observers record can be no better than that. In: a
-// clock. Out: the spans in which a goroutine that wanted to run did not. It knows no ingress and no rule.
+// Package lateness measures how late this process itself is scheduled, because what its observers record can be no more
+// precise than that. Its input is a clock. Its output is the spans in which a goroutine that was ready did not run. It
+// knows no ingress and no rule.
 package lateness
 
 import (
@@ -12,27 +13,30 @@
 
 const (
 	wakeInterval = 2 * time.Millisecond
-	minDelay     = 20 * time.Millisecond // of lateness
-	maxDelays    = 1000
+	// minDelay is the longest delay that is not recorded.
+	minDelay = 20 * time.Millisecond
+	// maxDelays bounds the record.
+	maxDelays = 1000
 )
 
-// Meter records lateness until Close.
+// Meter records delays in one goroutine, from Start until Close.
 type Meter struct {
 	clock func() time.Duration
-	stop  chan struct{}
+	stop  chan struct{} // closed by Close
 	wg    sync.WaitGroup
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards delays
 	delays []rulecheck.ObserverDelay
 }
 
-// Start begins to measure by a clock.
+// Start starts a meter that reads the time from clock.
 func Start(clock func() time.Duration) *Meter {
 	m := &Meter{clock: clock, stop: make(chan struct{})}
 	m.wg.Go(m.run)
 	return m
 }
 
+// run wakes at an interval and records by how much it woke too late.
 func (m *Meter) run() {
 	ticker := time.NewTicker(wakeInterval)
 	defer ticker.Stop()
@@ -43,29 +47,30 @@
 		case <-ticker.C:
 		}
 		now := m.clock()
-		if by := now - last - wakeInterval; by > minDelay {
-			m.add(rulecheck.ObserverDelay{At: now - by, Delay: by})
+		if delay := now - last - wakeInterval; delay > minDelay {
+			m.add(rulecheck.ObserverDelay{At: now - delay, Delay: delay})
 		}
 		last = now
 	}
 }
 
-func (m *Meter) add(span rulecheck.ObserverDelay) {
+// add records a delay unless the record is full.
+func (m *Meter) add(delay rulecheck.ObserverDelay) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.delays) < maxDelays {
-		m.delays = append(m.delays, span)
+		m.delays = append(m.delays, delay)
 	}
 }
 
-// Late is what has been recorded so far.
+// Delays returns what has been recorded so far.
 func (m *Meter) Delays() []rulecheck.ObserverDelay {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.delays)
 }
 
-// Close ends the measurement.
+// Close ends the measurement. It is called once.
 func (m *Meter) Close() {
 	close(m.stop)
 	m.wg.Wait()
