--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -66,40 +66,40 @@
 	clock func() time.Duration
 	mu    sync.Mutex // of all below
 	rng   *rand.Rand
-	nodes []*Backend
-	racks map[int]map[string]*seen
-	swept time.Duration
-	log   []Record
+	backends []*Backend
+	racks map[int]map[string]*keyEntry
+	sweptAt time.Duration
+	records   []Record
 	lost  int // records beyond the most
 	stop  chan struct{}
-	once  sync.Once
+	stopOnce  sync.Once
 	wg    sync.WaitGroup
-	conns atomic.Uint64
+	lastConnID atomic.Uint64
 }
 
 // seen is a key that a rack remembers, and the work that its first command brought.
-type seen struct {
+type keyEntry struct {
 	at  time.Duration
 	job *job
 }
 
 const (
-	mostRecords = 1 << 20
-	writeTime   = 5 * time.Second
-	reportEvery = 300 * time.Millisecond // of the figure that a probe is told
-	tickEvery   = time.Millisecond       // of the machines
+	maxRecords = 1 << 20
+	writeTimeout   = 5 * time.Second
+	reportInterval = 300 * time.Millisecond // of the figure that a probe is told
+	tickInterval   = time.Millisecond       // of the machines
 )
 
 // NewFleet returns a fleet without nodes. The clock is that of all its records.
 func NewFleet(rules Rules, seed uint64, clock func() time.Duration) *Fleet {
-	f := &Fleet{rules: rules, clock: clock, rng: rand.New(rand.NewPCG(seed, 7)), racks: map[int]map[string]*seen{}, stop: make(chan struct{})}
+	f := &Fleet{rules: rules, clock: clock, rng: rand.New(rand.NewPCG(seed, 7)), racks: map[int]map[string]*keyEntry{}, stop: make(chan struct{})}
 	f.wg.Go(f.tick)
 	return f
 }
 
 // tick moves the machines on.
 func (f *Fleet) tick() {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -109,9 +109,9 @@
 		}
 		f.mu.Lock()
 		now := f.clock()
-		for _, n := range f.nodes {
+		for _, n := range f.backends {
 			if !n.down {
-				n.m.advance(now)
+				n.machine.advance(now)
 			}
 		}
 		f.sweep(now)
@@ -122,18 +122,18 @@
 // Node is one machine.
 type Backend struct {
 	Spec
-	f       *Fleet
-	lns     []net.Listener
+	fleet       *Fleet
+	listeners     []net.Listener
 	faults  *fault.Script
-	gone    chan struct{} // closed when it ends
-	m       machine
+	ended    chan struct{} // closed when it ends
+	machine       machine
 	conns   map[net.Conn]bool
 	traffic []Traffic // by instance
-	cuts    []time.Duration
-	drains  bool
+	cutUntil    []time.Duration
+	draining  bool
 	down    bool
-	idle    atomic.Int64    // nanoseconds after which a connection without a command is closed; 0: never
-	counts  []time.Duration // ends of the last second, for qps
+	idleTimeout    atomic.Int64    // nanoseconds after which a connection without a command is closed; 0: never
+	completions  []time.Duration // ends of the last second, for qps
 }
 
 // Add starts a node, cold or warm, with an address for each of so many instances, on a loopback host. A host that no other
@@ -141,25 +141,25 @@
 func (f *Fleet) Add(s Spec, host string, cold bool, instances int) (*Backend, error) {
 	instances = max(1, instances)
 	n := &Backend{
-		Spec: s, f: f, faults: fault.New(uint64(len(s.ID))), gone: make(chan struct{}), conns: map[net.Conn]bool{},
-		traffic: make([]Traffic, instances), cuts: make([]time.Duration, instances),
+		Spec: s, fleet: f, faults: fault.New(uint64(len(s.ID))), ended: make(chan struct{}), conns: map[net.Conn]bool{},
+		traffic: make([]Traffic, instances), cutUntil: make([]time.Duration, instances),
 	}
 	for range instances {
 		ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		if err != nil {
-			for _, l := range n.lns {
+			for _, l := range n.listeners {
 				l.Close()
 			}
 			return nil, fmt.Errorf("node stand-in: %w", err)
 		}
-		n.lns = append(n.lns, ln)
+		n.listeners = append(n.listeners, ln)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	n.m = machine{Spec: s, rules: &f.rules, now: now, cold: cold, start: now}
-	f.nodes = append(f.nodes, n)
-	for i, ln := range n.lns {
+	n.machine = machine{Spec: s, rules: &f.rules, now: now, cold: cold, startedAt: now}
+	f.backends = append(f.backends, n)
+	for i, ln := range n.listeners {
 		f.wg.Go(func() { n.accept(i, ln) })
 	}
 	return n, nil
@@ -169,14 +169,14 @@
 func (f *Fleet) Backends() []*Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.nodes)
+	return slices.Clone(f.backends)
 }
 
 // Records returns what came so far, from the given one on. Those that have not ended may change yet.
 func (f *Fleet) Records(from int) []Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.log[min(from, len(f.log)):])
+	return slices.Clone(f.records[min(from, len(f.records)):])
 }
 
 // Lost is how many commands found no room in the record: a run with any proves nothing.
@@ -191,58 +191,58 @@
 	for _, n := range f.Backends() {
 		n.Stop()
 	}
-	f.once.Do(func() { close(f.stop) })
+	f.stopOnce.Do(func() { close(f.stop) })
 	f.wg.Wait()
 }
 
 // Addr is where the node listens for an instance.
-func (n *Backend) Addr(instance int) string { return n.lns[instance].Addr().String() }
+func (b *Backend) Addr(instance int) string { return b.listeners[instance].Addr().String() }
 
 // Addrs are all its addresses, by instance.
-func (n *Backend) Addrs() (out []string) {
-	for i := range n.lns {
-		out = append(out, n.Addr(i))
+func (b *Backend) Addrs() (out []string) {
+	for i := range b.listeners {
+		out = append(out, b.Addr(i))
 	}
 	return out
 }
 
 // Fault puts a rule in force from now on; calls are known by their class, callers as n0, n1 and so on.
-func (n *Backend) Fault(r fault.Rule) { n.faults.Add(n.f.clock(), r) }
+func (b *Backend) Fault(r fault.Rule) { b.faults.Add(b.fleet.clock(), r) }
 
 // change does something to the node under the fleet's lock, with the machine brought up to now.
-func (n *Backend) change(do func(now time.Duration)) {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	now := n.f.clock()
-	n.m.advance(now)
+func (b *Backend) update(do func(now time.Duration)) {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	now := b.fleet.clock()
+	b.machine.advance(now)
 	do(now)
 }
 
 // Stop ends the node as a killed process would.
-func (n *Backend) Stop() { n.change(func(time.Duration) { n.end() }) }
+func (b *Backend) Stop() { b.update(func(time.Duration) { b.shutDown() }) }
 
-func (n *Backend) end() {
-	if n.down {
+func (b *Backend) shutDown() {
+	if b.down {
 		return
 	}
-	n.down = true
-	close(n.gone)
-	for _, ln := range n.lns {
+	b.down = true
+	close(b.ended)
+	for _, ln := range b.listeners {
 		ln.Close()
 	}
-	for nc := range n.conns {
+	for nc := range b.conns {
 		reset(nc)
 	}
-	for _, j := range append(n.m.running, n.m.queue...) { // a rack's memory may have others wait for them
+	for _, j := range append(b.machine.running, b.machine.queue...) { // a rack's memory may have others wait for them
 		close(j.done)
 	}
-	n.m.running, n.m.queue = nil, nil
+	b.machine.running, b.machine.queue = nil, nil
 }
 
 // Down says whether the node has ended.
-func (n *Backend) Down() bool {
+func (b *Backend) Down() bool {
 	select {
-	case <-n.gone:
+	case <-b.ended:
 		return true
 	default:
 		return false
@@ -257,134 +257,134 @@
 }
 
 // Reset ends all connections as a machine between does that has forgotten them; what runs goes on.
-func (n *Backend) Reset() {
-	n.change(func(time.Duration) {
-		for nc := range n.conns {
+func (b *Backend) Reset() {
+	b.update(func(time.Duration) {
+		for nc := range b.conns {
 			reset(nc)
 		}
 	})
 }
 
 // Drain makes the node turn new work away, or ends that.
-func (n *Backend) Drain(on bool) { n.change(func(time.Duration) { n.drains = on }) }
+func (b *Backend) Drain(on bool) { b.update(func(time.Duration) { b.draining = on }) }
 
 // CloseIdle has the node close connections on which no command has come for so long; 0: none.
-func (n *Backend) CloseIdle(after time.Duration) { n.idle.Store(int64(after)) }
+func (b *Backend) CloseIdle(after time.Duration) { b.idleTimeout.Store(int64(after)) }
 
 // Slow makes the node so many times slower for a while, also in what it has begun.
-func (n *Backend) Slow(times float64, d time.Duration) {
-	n.change(func(now time.Duration) { n.m.slow(times, now+d) })
+func (b *Backend) Slow(times float64, d time.Duration) {
+	b.update(func(now time.Duration) { b.machine.slowDown(times, now+d) })
 }
 
 // Pause makes the node do nothing for a while; it goes on taking commands.
-func (n *Backend) Pause(d time.Duration) { n.change(func(now time.Duration) { n.m.paused = now + d }) }
+func (b *Backend) Pause(d time.Duration) { b.update(func(now time.Duration) { b.machine.pausedUntil = now + d }) }
 
 // Neighbour lets another program take a share of the machine for d, on and off.
-func (n *Backend) Neighbour(share float64, on, off, d time.Duration) {
-	n.change(func(now time.Duration) { n.m.other = neighbour{share, on, off, now, now + d} })
+func (b *Backend) Neighbour(share float64, on, off, d time.Duration) {
+	b.update(func(now time.Duration) { b.machine.neighbour = neighbour{share, on, off, now, now + d} })
 }
 
 // Cut cuts the node from one instance for a while: nothing is read or answered, and when it ends what was open is reset.
-func (n *Backend) Cut(instance int, d time.Duration) {
-	n.change(func(now time.Duration) { n.cuts[instance] = now + d })
+func (b *Backend) Cut(instance int, d time.Duration) {
+	b.update(func(now time.Duration) { b.cutUntil[instance] = now + d })
 }
 
 // Fell says why and when the node was pushed over while it was cold; empty: it was not.
-func (n *Backend) Fell() (why string, at time.Duration) {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	return n.m.fell, n.m.fellAt
+func (b *Backend) Fell() (why string, at time.Duration) {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	return b.machine.failure, b.machine.failedAt
 }
 
 // Pushed is how near a cold node came to falling over: 1 is the edge. 0 for one that was never cold, or got nothing.
-func (n *Backend) Pushed() float64 {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	return n.m.pushed
+func (b *Backend) Pushed() float64 {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	return b.machine.peakOverload
 }
 
 // Traffic is what an instance's connections came to.
-func (n *Backend) Traffic(instance int) Traffic {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	return n.traffic[instance]
+func (b *Backend) Traffic(instance int) Traffic {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	return b.traffic[instance]
 }
 
 // Load is how many requests it holds, and its capacity now in seconds of work a second.
-func (n *Backend) Load() (held int, capacity float64, down bool) {
-	n.change(func(time.Duration) { held, capacity, down = n.m.open, n.m.capacity(), n.down })
+func (b *Backend) Load() (held int, capacity float64, down bool) {
+	b.update(func(time.Duration) { held, capacity, down = b.machine.inFlight, b.machine.capacity(), b.down })
 	return held, capacity, down
 }
 
 // Able is what it does now for whoever reaches it, in seconds of work a second: with all that slows it, 0 while it is down,
 // paused, or cut from everybody.
-func (n *Backend) Capacity() (able float64) {
-	n.change(func(now time.Duration) {
+func (b *Backend) Capacity() (able float64) {
+	b.update(func(now time.Duration) {
 		reached := false
-		for _, until := range n.cuts {
+		for _, until := range b.cutUntil {
 			reached = reached || until <= now
 		}
-		if reached && !n.down {
-			able = n.m.rate() * float64(n.m.Cores)
+		if reached && !b.down {
+			able = b.machine.rate() * float64(b.machine.Cores)
 		}
 	})
 	return able
 }
 
-func (n *Backend) accept(instance int, ln net.Listener) {
+func (b *Backend) accept(instance int, ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		n.f.mu.Lock()
-		if n.down || n.f.rules.MaxConnections > 0 && len(n.conns) >= n.f.rules.MaxConnections {
-			n.f.mu.Unlock()
+		b.fleet.mu.Lock()
+		if b.down || b.fleet.rules.MaxConnections > 0 && len(b.conns) >= b.fleet.rules.MaxConnections {
+			b.fleet.mu.Unlock()
 			reset(nc)
 			continue
 		}
-		n.conns[nc] = true
-		n.traffic[instance].Opened++
-		n.traffic[instance].Open++
-		n.m.advance(n.f.clock())
-		c := &conn{Conn: nc, n: n, instance: instance, id: n.f.conns.Add(1)}
-		if n.f.rules.ConnWork > 0 {
-			c.hello = n.m.add(n.f.rules.ConnWork)
+		b.conns[nc] = true
+		b.traffic[instance].Opened++
+		b.traffic[instance].Open++
+		b.machine.advance(b.fleet.clock())
+		c := &conn{Conn: nc, backend: b, instance: instance, id: b.fleet.lastConnID.Add(1)}
+		if b.fleet.rules.ConnWork > 0 {
+			c.setup = b.machine.add(b.fleet.rules.ConnWork)
 		}
-		n.f.wg.Go(func() {
+		b.fleet.wg.Go(func() {
 			c.serve()
 			nc.Close()
-			n.f.mu.Lock()
-			delete(n.conns, nc)
-			n.traffic[instance].Open--
-			n.traffic[instance].In += c.in
-			n.traffic[instance].Out += c.out.Load()
-			n.f.mu.Unlock()
+			b.fleet.mu.Lock()
+			delete(b.conns, nc)
+			b.traffic[instance].Open--
+			b.traffic[instance].In += c.bytesIn
+			b.traffic[instance].Out += c.bytesOut.Load()
+			b.fleet.mu.Unlock()
 		})
-		n.f.mu.Unlock()
+		b.fleet.mu.Unlock()
 	}
 }
 
 // conn is one connection of an instance.
 type conn struct {
 	net.Conn
-	n        *Backend
+	backend        *Backend
 	instance int
 	id       uint64
-	hello    *job          // what the connection itself costs; its first command waits for it
-	again    time.Duration // the answer in hand is said again so long after it; 0: it is not
-	in       int64
-	out      atomic.Int64
+	setup    *job          // what the connection itself costs; its first command waits for it
+	repeatAfter    time.Duration // the answer in hand is said again so long after it; 0: it is not
+	bytesIn       int64
+	bytesOut      atomic.Int64
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	k, err := c.Conn.Read(b)
-	c.in += int64(k)
+	c.bytesIn += int64(k)
 	return k, err
 }
 
 // wait waits for a time, or for the node's end.
-func (n *Backend) wait(d time.Duration) (alive bool) {
+func (b *Backend) sleep(d time.Duration) (alive bool) {
 	if d <= 0 {
 		return true
 	}
@@ -393,20 +393,20 @@
 	select {
 	case <-t.C:
 		return true
-	case <-n.gone:
+	case <-b.ended:
 		return false
 	}
 }
 
 // cut waits out a cut of the network, and says whether there was one.
-func (c *conn) cut() bool {
-	c.n.f.mu.Lock()
-	left := c.n.cuts[c.instance] - c.n.f.clock()
-	c.n.f.mu.Unlock()
+func (c *conn) awaitCut() bool {
+	c.backend.fleet.mu.Lock()
+	left := c.backend.cutUntil[c.instance] - c.backend.fleet.clock()
+	c.backend.fleet.mu.Unlock()
 	if left <= 0 {
 		return false
 	}
-	c.n.wait(left)
+	c.backend.sleep(left)
 	return true
 }
 
@@ -414,7 +414,7 @@
 func (c *conn) serve() {
 	in := redcon.NewReader(c)
 	for {
-		if idle := time.Duration(c.n.idle.Load()); idle > 0 {
+		if idle := time.Duration(c.backend.idleTimeout.Load()); idle > 0 {
 			c.SetReadDeadline(time.Now().Add(idle))
 		} else {
 			c.SetReadDeadline(time.Time{})
@@ -425,7 +425,7 @@
 		}
 		answer, keep := c.command(cmd.Args)
 		if answer != "" {
-			if c.cut() {
+			if c.awaitCut() {
 				reset(c.Conn)
 				return
 			}
@@ -442,21 +442,21 @@
 }
 
 func (c *conn) write(answer string) error {
-	c.SetWriteDeadline(time.Now().Add(writeTime))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	k, err := io.WriteString(c.Conn, answer)
-	c.out.Add(int64(k))
+	c.bytesOut.Add(int64(k))
 	return err
 }
 
 // repeat says an answer again when it is due, while the connection goes on with further commands.
 func (c *conn) repeat(answer string) {
-	after := c.again
+	after := c.repeatAfter
 	if after == 0 {
 		return
 	}
-	c.again = 0
-	c.n.f.wg.Go(func() {
-		if c.n.wait(after) {
+	c.repeatAfter = 0
+	c.backend.fleet.wg.Go(func() {
+		if c.backend.sleep(after) {
 			c.write(answer) // to a connection that has ended it goes nowhere
 		}
 	})
@@ -464,12 +464,12 @@
 
 // command runs one command and returns its answer when it is due; keep is false where the connection ends.
 func (c *conn) command(args [][]byte) (answer string, keep bool) {
-	n := c.n
+	n := c.backend
 	switch name := string(args[0]); name {
 	case "PING":
 		return "+PONG\r\n", true
 	case "INFO":
-		text := n.report()
+		text := n.loadReport()
 		return fmt.Sprintf("$%d\r\n%s\r\n", len(text), text), true
 	case "CLIENT", "SELECT":
 		return "+OK\r\n", true
@@ -477,170 +477,170 @@
 	default:
 		return "-ERR unknown command\r\n", true
 	}
-	rec, valid := parse(args)
+	rec, valid := parseCommand(args)
 	if !valid {
 		return "-SYNTAX\r\n", true
 	}
 	rec.Instance, rec.Conn = c.instance, c.id
-	at := n.came(rec) // before anything goes wrong
-	if c.cut() {
-		n.ended(at, CutOff)
+	at := n.addRecord(rec) // before anything goes wrong
+	if c.awaitCut() {
+		n.endRecord(at, CutOff)
 		return "", false
 	}
-	rule, left, _ := n.faults.Next(n.f.clock(), rec.Class, fmt.Sprint("n", c.instance))
+	rule, left, _ := n.faults.Next(n.fleet.clock(), rec.Class, fmt.Sprint("n", c.instance))
 	switch rule.Kind {
 	case fault.Delay:
-		n.wait(rule.By)
+		n.sleep(rule.By)
 	case fault.Stall:
-		n.wait(left)
+		n.sleep(left)
 	case fault.DropBefore:
-		n.ended(at, DroppedBefore)
+		n.endRecord(at, DroppedBefore)
 		return "", false
 	case fault.Ignore:
-		n.ended(at, Unanswered)
+		n.endRecord(at, Unanswered)
 		return "", true
 	case fault.Fail:
-		n.ended(at, Failed)
+		n.endRecord(at, Failed)
 		return "-ERR failed\r\n", true
 	}
-	if c.hello != nil {
+	if c.setup != nil {
 		select {
-		case <-c.hello.done:
-		case <-n.gone:
+		case <-c.setup.done:
+		case <-n.ended:
 		}
-		c.hello = nil
+		c.setup = nil
 	}
 	j, how := n.submit(at)
 	switch how {
 	case Busy:
-		n.ended(at, Busy)
+		n.endRecord(at, Busy)
 		return "-BUSY\r\n", true
 	case Died:
-		n.ended(at, Died)
+		n.endRecord(at, Died)
 		return "", false
 	}
 	select {
 	case <-j.done:
-	case <-n.gone:
+	case <-n.ended:
 	}
 	n.release()
 	if n.Down() {
-		n.ended(at, Died)
+		n.endRecord(at, Died)
 		return "", false
 	}
 	value := "value of " + rec.ID
 	text := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 	switch rule.Kind {
 	case fault.DropAfter:
-		n.ended(at, DroppedAfter)
+		n.endRecord(at, DroppedAfter)
 		return "", false
 	case fault.Swallow:
-		n.ended(at, Unanswered)
+		n.endRecord(at, Unanswered)
 		return "", true
 	case fault.Cut:
-		n.ended(at, DroppedAfter)
+		n.endRecord(at, DroppedAfter)
 		return "*3\r\n$20\r\nval", false
 	case fault.Hold:
-		n.wait(rule.By)
+		n.sleep(rule.By)
 	case fault.Repeat:
 		text += text
 	case fault.RepeatLate:
-		c.again = rule.By
+		c.repeatAfter = rule.By
 	}
-	n.ended(at, how)
+	n.endRecord(at, how)
 	return text, true
 }
 
 // came records a command, and counts it where the node is cold.
-func (n *Backend) came(rec Record) (at int) {
-	n.change(func(now time.Duration) {
-		rec.ArrivedAt, rec.Backend, rec.Zone, rec.Rack = now, n.ID, n.Zone, n.Rack
-		rec.WarmingUp = n.m.warmth() < 1
-		w, known := n.f.rules.Work[rec.Class]
+func (b *Backend) addRecord(rec Record) (at int) {
+	b.update(func(now time.Duration) {
+		rec.ArrivedAt, rec.Backend, rec.Zone, rec.Rack = now, b.ID, b.Zone, b.Rack
+		rec.WarmingUp = b.machine.warmth() < 1
+		w, known := b.fleet.rules.Work[rec.Class]
 		if !known {
-			w = usualWork
+			w = defaultWork
 		}
-		rec.Work = w.Min + time.Duration(n.f.rng.Float64()*float64(w.Max-w.Min))
-		if at = len(n.f.log); at < mostRecords {
-			n.f.log = append(n.f.log, rec)
+		rec.Work = w.Min + time.Duration(b.fleet.rng.Float64()*float64(w.Max-w.Min))
+		if at = len(b.fleet.records); at < maxRecords {
+			b.fleet.records = append(b.fleet.records, rec)
 		} else {
-			at = mostRecords - 1
-			n.f.lost++
+			at = maxRecords - 1
+			b.fleet.lost++
 		}
-		if !n.down && n.m.push(rec.Work) {
-			n.end()
+		if !b.down && b.machine.addOverload(rec.Work) {
+			b.shutDown()
 		}
 	})
 	return at
 }
 
 // ended tells the record how a command ended.
-func (n *Backend) ended(at int, how Fate) {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	r := &n.f.log[at]
-	r.EndedAt, r.Fate = n.f.clock(), how
+func (b *Backend) endRecord(at int, how Fate) {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	r := &b.fleet.records[at]
+	r.EndedAt, r.Fate = b.fleet.clock(), how
 	if how == Ran || how == DroppedAfter || how == Remembered || how == Unanswered {
-		n.counts = append(n.counts, r.EndedAt)
-		n.m.served++
+		b.completions = append(b.completions, r.EndedAt)
+		b.machine.served++
 	}
 }
 
 // submit takes a recorded command into the queue.
-func (n *Backend) submit(at int) (j *job, how Fate) {
-	n.change(func(now time.Duration) {
-		rec := &n.f.log[at]
+func (b *Backend) submit(at int) (j *job, how Fate) {
+	b.update(func(now time.Duration) {
+		rec := &b.fleet.records[at]
 		switch {
-		case n.down:
+		case b.down:
 			how = Died
 			return
-		case n.drains || n.m.open >= n.QueueCapacity:
+		case b.draining || b.machine.inFlight >= b.QueueCapacity:
 			how = Busy
 			return
 		}
-		n.m.open++
-		rack := n.f.racks[n.Rack]
+		b.machine.inFlight++
+		rack := b.fleet.racks[b.Rack]
 		if rack == nil {
-			rack = map[string]*seen{}
-			n.f.racks[n.Rack] = rack
+			rack = map[string]*keyEntry{}
+			b.fleet.racks[b.Rack] = rack
 		}
-		if s := rack[rec.Key]; rec.Key != "" && s != nil && now-s.at < n.f.rules.KeyMemory {
+		if s := rack[rec.Key]; rec.Key != "" && s != nil && now-s.at < b.fleet.rules.KeyMemory {
 			j, how = s.job, Remembered
 			rec.Work = 0
 			return
 		}
-		j, how = n.m.add(rec.Work), Ran
+		j, how = b.machine.add(rec.Work), Ran
 		rec.StartedAt = now
 		if rec.Key != "" {
-			rack[rec.Key] = &seen{now, j}
+			rack[rec.Key] = &keyEntry{now, j}
 		}
 	})
 	return j, how
 }
 
-func (n *Backend) release() {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	n.m.open--
+func (b *Backend) release() {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	b.machine.inFlight--
 }
 
 // report is the load report of a probe.
-func (n *Backend) report() string {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	now := n.f.clock() / reportEvery * reportEvery
-	for len(n.counts) > 0 && now-n.counts[0] > time.Second {
-		n.counts = n.counts[1:]
+func (b *Backend) loadReport() string {
+	b.fleet.mu.Lock()
+	defer b.fleet.mu.Unlock()
+	now := b.fleet.clock() / reportInterval * reportInterval
+	for len(b.completions) > 0 && now-b.completions[0] > time.Second {
+		b.completions = b.completions[1:]
 	}
-	return fmt.Sprintf("qps=%d", len(n.counts))
+	return fmt.Sprintf("qps=%d", len(b.completions))
 }
 
 // sweep forgets keys that no rack remembers any more, now and then.
 func (f *Fleet) sweep(now time.Duration) {
-	if now-f.swept < max(f.rules.KeyMemory, time.Second) {
+	if now-f.sweptAt < max(f.rules.KeyMemory, time.Second) {
 		return
 	}
-	f.swept = now
+	f.sweptAt = now
 	for _, rack := range f.racks {
 		for k, s := range rack {
 			if now-s.at >= f.rules.KeyMemory {
@@ -648,15 +648,15 @@
 			}
 		}
 	}
-	for _, n := range f.nodes {
-		for len(n.counts) > 0 && now-n.counts[0] > 2*time.Second {
-			n.counts = n.counts[1:]
+	for _, n := range f.backends {
+		for len(n.completions) > 0 && now-n.completions[0] > 2*time.Second {
+			n.completions = n.completions[1:]
 		}
 	}
 }
 
 // parse reads what a node must be able to read of a command.
-func parse(args [][]byte) (r Record, ok bool) {
+func parseCommand(args [][]byte) (r Record, ok bool) {
 	if len(args) < 4 || len(args) > 5 || len(args[1]) != 16 || len(args[2]) != 16 {
 		return Record{}, false
 	}
--- a/internal/standin/backend/machine.go
+++ b/internal/standin/backend/machine.go
@@ -38,7 +38,7 @@
 }
 
 // usualWork is that of a class without a figure of its own.
-var usualWork = Work{20 * time.Millisecond, 40 * time.Millisecond}
+var defaultWork = Work{20 * time.Millisecond, 40 * time.Millisecond}
 
 // machine is the model of one node: cores that share nothing but what slows them all, a queue before them, warmth, and the
 // budget that a cold one falls over by. It does no I/O; the time comes with each call and never goes back.
@@ -47,29 +47,29 @@
 	rules   *Rules
 	now     time.Duration
 	cold    bool
-	start   time.Duration // of a cold start
+	startedAt   time.Duration // of a cold start
 	served  int
-	open    int // requests held
+	inFlight    int // requests held
 	running []*job
 	queue   []*job
-	spells  []spell
-	other   neighbour
-	paused  time.Duration // until then nothing moves
-	sent    []sentWork    // to a cold node, within the span
-	pushed  float64       // the most that was sent within a span, as a share of what lets it fall
-	fell    string        // why it fell over
-	fellAt  time.Duration
+	slowdowns  []slowdown
+	neighbour   neighbour
+	pausedUntil  time.Duration // until then nothing moves
+	recentWork    []arrivedWork    // to a cold node, within the span
+	peakOverload  float64       // the most that was sent within a span, as a share of what lets it fall
+	failure    string        // why it fell over
+	failedAt  time.Duration
 }
 
 // job is work on one core.
 type job struct {
-	rem   float64 // seconds of a core of speed 1
+	remaining   float64 // seconds of a core of speed 1
 	began time.Duration
 	done  chan struct{}
 }
 
-type spell struct {
-	times float64
+type slowdown struct {
+	factor float64
 	until time.Duration
 }
 
@@ -80,14 +80,14 @@
 	from, to time.Duration
 }
 
-func (n neighbour) takes(now time.Duration) float64 {
+func (n neighbour) shareAt(now time.Duration) float64 {
 	if now < n.from || now >= n.to || (now-n.from)%(n.on+n.off) >= n.on {
 		return 0
 	}
 	return n.share
 }
 
-type sentWork struct {
+type arrivedWork struct {
 	at   time.Duration
 	work float64 // seconds of a core of speed 1
 }
@@ -97,7 +97,7 @@
 	if !m.cold || m.rules.SlowStartWindow <= 0 {
 		return 1
 	}
-	grown := (m.now - m.start).Seconds() / m.rules.SlowStartWindow.Seconds()
+	grown := (m.now - m.startedAt).Seconds() / m.rules.SlowStartWindow.Seconds()
 	if m.rules.SlowStartRequests > 0 {
 		grown = max(grown, float64(m.served)/float64(m.rules.SlowStartRequests))
 	}
@@ -109,16 +109,16 @@
 
 // rate is what one core does now.
 func (m *machine) rate() float64 {
-	if m.now < m.paused {
+	if m.now < m.pausedUntil {
 		return 0
 	}
-	r := m.Speed * m.warmth() * (1 - m.other.takes(m.now))
-	for _, s := range m.spells {
+	r := m.Speed * m.warmth() * (1 - m.neighbour.shareAt(m.now))
+	for _, s := range m.slowdowns {
 		if m.now < s.until {
-			r /= s.times
+			r /= s.factor
 		}
 	}
-	if beyond := float64(m.open)/float64(m.Cores) - m.rules.Knee; m.rules.LossBeyond > 0 && beyond > 0 {
+	if beyond := float64(m.inFlight)/float64(m.Cores) - m.rules.Knee; m.rules.LossBeyond > 0 && beyond > 0 {
 		r /= 1 + m.rules.LossBeyond*beyond
 	}
 	return r
@@ -134,12 +134,12 @@
 		}
 		step := left
 		for _, j := range m.running {
-			step = min(step, j.rem/r)
+			step = min(step, j.remaining/r)
 		}
 		at := now - time.Duration((left-step)*float64(time.Second))
 		kept := m.running[:0]
 		for _, j := range m.running {
-			if j.rem -= step * r; j.rem > 1e-9 {
+			if j.remaining -= step * r; j.remaining > 1e-9 {
 				kept = append(kept, j)
 			} else {
 				close(j.done)
@@ -147,23 +147,23 @@
 		}
 		clear(m.running[len(kept):])
 		m.running = kept
-		m.fill(at)
+		m.startQueued(at)
 		left -= step
 	}
 	m.now = max(m.now, now)
-	if len(m.spells) > 0 {
-		kept := m.spells[:0]
-		for _, s := range m.spells {
+	if len(m.slowdowns) > 0 {
+		kept := m.slowdowns[:0]
+		for _, s := range m.slowdowns {
 			if m.now < s.until {
 				kept = append(kept, s)
 			}
 		}
-		m.spells = kept
+		m.slowdowns = kept
 	}
 }
 
 // fill gives free cores work.
-func (m *machine) fill(at time.Duration) {
+func (m *machine) startQueued(at time.Duration) {
 	for len(m.running) < m.Cores && len(m.queue) > 0 {
 		j := m.queue[0]
 		m.queue[0] = nil
@@ -175,40 +175,40 @@
 
 // add takes work in at the end of the queue.
 func (m *machine) add(work time.Duration) *job {
-	j := &job{rem: work.Seconds(), done: make(chan struct{})}
+	j := &job{remaining: work.Seconds(), done: make(chan struct{})}
 	m.queue = append(m.queue, j)
-	m.fill(m.now)
+	m.startQueued(m.now)
 	return j
 }
 
 // push counts what a cold node is sent, also what it turns away: within any span it must stay under the multiple of what
 // the node can do at the moment. It says whether the node has fallen over.
-func (m *machine) push(work time.Duration) bool {
+func (m *machine) addOverload(work time.Duration) bool {
 	r := m.rules
 	if r.OverloadMultiple <= 0 || m.warmth() >= 1 {
-		m.sent = nil
+		m.recentWork = nil
 		return false
 	}
-	m.sent = append(m.sent, sentWork{m.now, work.Seconds()})
-	for len(m.sent) > 0 && m.now-m.sent[0].at > r.OverloadSpan {
-		m.sent = m.sent[1:]
+	m.recentWork = append(m.recentWork, arrivedWork{m.now, work.Seconds()})
+	for len(m.recentWork) > 0 && m.now-m.recentWork[0].at > r.OverloadSpan {
+		m.recentWork = m.recentWork[1:]
 	}
 	sum := 0.0
-	for _, s := range m.sent {
+	for _, s := range m.recentWork {
 		sum += s.work
 	}
 	most := r.OverloadMultiple*m.capacity()*r.OverloadSpan.Seconds() + r.OverloadSlack.Seconds()
-	m.pushed = max(m.pushed, sum/most)
-	if sum <= most || m.fell != "" {
+	m.peakOverload = max(m.peakOverload, sum/most)
+	if sum <= most || m.failure != "" {
 		return false
 	}
-	m.fellAt = m.now
-	m.fell = fmt.Sprintf("%.2f s of work came within %v, %.2f is %g times what it can do at %.0f%% of its warmth, %v after its start", sum, r.OverloadSpan,
-		most, r.OverloadMultiple, 100*m.warmth(), (m.now - m.start).Round(time.Millisecond))
+	m.failedAt = m.now
+	m.failure = fmt.Sprintf("%.2f s of work came within %v, %.2f is %g times what it can do at %.0f%% of its warmth, %v after its start", sum, r.OverloadSpan,
+		most, r.OverloadMultiple, 100*m.warmth(), (m.now - m.startedAt).Round(time.Millisecond))
 	return true
 }
 
 // slow makes it so many times slower until a time; spells multiply.
-func (m *machine) slow(times float64, until time.Duration) {
-	m.spells = append(m.spells, spell{math.Max(times, 1e-3), until})
+func (m *machine) slowDown(times float64, until time.Duration) {
+	m.slowdowns = append(m.slowdowns, slowdown{math.Max(times, 1e-3), until})
 }
