--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -12,46 +13,61 @@
 	"hitchspring/internal/standin/fault"
 )
 
+// newTestFleet returns a fleet whose reads take a millisecond. It ends with the test.
 func newTestFleet(t *testing.T) *Fleet {
+	t.Helper()
 	began := time.Now()
 	f := NewFleet(Rules{
-		Work:      map[string]Work{"read": {time.Millisecond, time.Millisecond}, "long": {time.Hour, time.Hour}},
-		KeyMemory: time.Hour, SlowStartShare: 0.25, SlowStartWindow: time.Hour, OverloadMultiple: 4, OverloadSpan: time.Second,
+		Work:             map[string]Work{"read": {time.Millisecond, time.Millisecond}},
+		KeyMemory:        time.Hour,
+		SlowStartShare:   0.25,
+		SlowStartWindow:  time.Hour,
+		OverloadMultiple: 4,
+		OverloadSpan:     time.Second,
 	}, 1, func() time.Duration { return time.Since(began) })
+	t.Cleanup(f.Close)
 	return f
 }
 
-func addBackend(t *testing.T, f *Fleet, id string, rack int, cold bool) *Backend {
+// addBackend adds a warm backend.
+func addBackend(t *testing.T, f *Fleet, id string, rack int) *Backend {
 	t.Helper()
-	n, err := f.Add(Spec{ID: id, Zone: "a", Rack: rack, Cores: 2, Speed: 1, QueueCapacity: 2}, "127.0.0.1", cold, 2)
+	spec := Spec{ID: id, Zone: "a", Rack: rack, Cores: 2, Speed: 1, QueueCapacity: 2}
+	b, err := f.Add(spec, "127.0.0.1", false, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n
+	return b
 }
 
-// say sends a command on a connection of its own and returns the answer's first line.
-func sendCommand(t *testing.T, n *Backend, words ...string) string {
+// sendCommand sends a command on a connection of its own and returns the reply's first line.
+func sendCommand(t *testing.T, b *Backend, args ...string) string {
 	t.Helper()
-	nc, err := net.Dial("tcp", n.Addr(1))
+	nc, err := net.Dial("tcp", b.Addr(1))
 	if err != nil {
 		return "refused"
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	fmt.Fprintf(nc, "*%d\r\n", len(words))
-	for _, w := range words {
-		fmt.Fprintf(nc, "$%d\r\n%s\r\n", len(w), w)
-	}
+	writeCommand(nc, args)
 	line, err := bufio.NewReader(nc).ReadString('\n')
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		return "reset"
 	}
 	return strings.TrimSpace(line)
 }
 
-func askCommand(class, id, more string) []string {
-	return []string{"Q.ASK", "0000000000000001", id, "c=" + class + ",t=p,d=1000,units=1,spread=1,first=0" + more}
+// writeCommand writes a command in RESP2.
+func writeCommand(nc net.Conn, args []string) {
+	fmt.Fprintf(nc, "*%d\r\n", len(args))
+	for _, arg := range args {
+		fmt.Fprintf(nc, "$%d\r\n%s\r\n", len(arg), arg)
+	}
+}
+
+// readCommand returns the arguments of a read with an ID and further fields.
+func readCommand(id, more string) []string {
+	return []string{"Q.ASK", "0000000000000001", id, "c=read,t=p,d=1000,units=1,spread=1,first=0" + more}
 }
 
 const (
@@ -62,18 +78,20 @@
 // A rack drops a repeat of a key, another rack does not know it; the record says which of them took effect.
 func TestKeys(t *testing.T) {
 	f := newTestFleet(t)
-	t.Cleanup(f.Close)
-	one, two, far := addBackend(t, f, "one", 1, false), addBackend(t, f, "two", 1, false), addBackend(t, f, "far", 2, false)
-	for _, n := range []*Backend{one, two, far} {
-		if got := sendCommand(t, n, askCommand("read", idA, ",k=key")...); got != "*3" {
-			t.Fatal(got)
+	one := addBackend(t, f, "one", 1)
+	two := addBackend(t, f, "two", 1)
+	far := addBackend(t, f, "far", 2)
+	for _, b := range []*Backend{one, two, far} {
+		if got := sendCommand(t, b, readCommand(idA, ",k=key")...); got != "*3" {
+			t.Fatalf("reply: got %q, want %s", got, "*3")
 		}
 	}
-	if got := fates(f); got != "[ran remembered ran]" {
-		t.Fatal(got)
+	if got, want := fates(f), "[ran remembered ran]"; got != want {
+		t.Fatalf("fates: got %s, want %s", got, want)
 	}
 }
 
+// fates returns the fates of all commands so far.
 func fates(f *Fleet) string {
 	var how []Fate
 	for _, r := range f.Records(0) {
@@ -82,30 +100,29 @@
 	return fmt.Sprint(how)
 }
 
-// A node that drains or has no room turns work away unseen; what cannot be read is answered so.
-func TestTurnedAway(t *testing.T) {
+// A draining backend rejects work without effect; what cannot be read is answered so.
+func TestRejects(t *testing.T) {
 	f := newTestFleet(t)
-	t.Cleanup(f.Close)
-	n := addBackend(t, f, "one", 1, false)
-	n.Drain(true)
-	if got := sendCommand(t, n, askCommand("read", idA, "")...); got != "-BUSY" {
-		t.Fatal(got)
+	b := addBackend(t, f, "one", 1)
+	b.Drain(true)
+	if got := sendCommand(t, b, readCommand(idA, "")...); got != "-BUSY" {
+		t.Fatalf("reply: got %q, want %s", got, "-BUSY")
 	}
-	n.Drain(false)
-	if got := sendCommand(t, n, askCommand("read", idB, "")...); got != "*3" {
-		t.Fatal(got)
+	b.Drain(false)
+	if got := sendCommand(t, b, readCommand(idB, "")...); got != "*3" {
+		t.Fatalf("reply: got %q, want %s", got, "*3")
 	}
-	if got := sendCommand(t, n, "Q.ASK", "x", idB, "c=read"); got != "-SYNTAX" {
-		t.Fatal(got)
+	if got := sendCommand(t, b, "Q.ASK", "x", idB, "c=read"); got != "-SYNTAX" {
+		t.Fatalf("reply: got %q, want %s", got, "-SYNTAX")
 	}
-	if got := sendCommand(t, n, "INFO", "load"); got != "$5" {
-		t.Fatal(got)
+	if got := sendCommand(t, b, "INFO", "load"); got != "$5" {
+		t.Fatalf("reply: got %q, want %s", got, "$5")
 	}
 	recs := f.Records(0)
 	if len(recs) != 2 || fates(f) != "[busy ran]" || recs[1].ID != idB || recs[1].Units != 1 || recs[1].Instance != 1 {
 		t.Fatalf("%+v", recs)
 	}
-	if tr := n.Traffic(1); tr.Opened != 4 || tr.In == 0 || tr.Out == 0 {
+	if tr := b.Traffic(1); tr.Opened != 4 || tr.In == 0 || tr.Out == 0 {
 		t.Fatalf("%+v", tr)
 	}
 }
@@ -117,49 +134,51 @@
 		"cut": DroppedAfter, "repeat": Ran,
 	} {
 		f := newTestFleet(t)
-		n := addBackend(t, f, "one", 1, false)
+		b := addBackend(t, f, "one", 1)
 		r, err := fault.Parse(rule)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Fault(r)
+		b.Fault(r)
 		sent := f.clock()
-		sendCommand(t, n, askCommand("read", idA, "")...)
+		sendCommand(t, b, readCommand(idA, "")...)
 		f.Close()
 		rec := f.Records(0)
 		if len(rec) != 1 || rec[0].Fate != want || rec[0].ArrivedAt < sent || rec[0].EndedAt < rec[0].ArrivedAt {
-			t.Errorf("%s: %+v", rule, rec)
+			t.Errorf("%s: got records %+v, want one with fate %q", rule, rec, want)
 		}
 		if r.By > 0 && rec[0].EndedAt-rec[0].ArrivedAt < r.By {
-			t.Errorf("%s: it came %v before its end: the fault acted before the record", rule, rec[0].EndedAt-rec[0].ArrivedAt)
+			t.Errorf("%s: got %v from arrival to end, want %v: the fault acted before the record",
+				rule, rec[0].EndedAt-rec[0].ArrivedAt, r.By)
 		}
 	}
 }
 
-// A cut holds what comes from one instance, answers it nothing and resets it at its end; the others notice nothing.
+// A command that comes from an instance while it is cut off gets no reply, and its connection is reset at the end.
 func TestCut(t *testing.T) {
 	f := newTestFleet(t)
-	t.Cleanup(f.Close)
-	n := addBackend(t, f, "one", 1, false)
-	n.Cut(1, 100*time.Millisecond)
+	b := addBackend(t, f, "one", 1)
+	b.Cut(1, 100*time.Millisecond)
 	began := f.clock()
-	if got := sendCommand(t, n, askCommand("read", idA, "")...); got != "reset" && got != "" || f.clock()-began < 90*time.Millisecond {
-		t.Fatal(got, f.clock()-began)
+	got := sendCommand(t, b, readCommand(idA, "")...)
+	if took := f.clock() - began; got != "reset" && got != "" || took < 90*time.Millisecond {
+		t.Fatalf("reply while cut off: got %q after %v, want a reset after 100ms", got, took)
 	}
-	if got := sendCommand(t, n, askCommand("read", idB, "")...); got != "*3" {
-		t.Fatal(got)
+	if got := sendCommand(t, b, readCommand(idB, "")...); got != "*3" {
+		t.Fatalf("reply: got %q, want %s", got, "*3")
 	}
-	if got := fates(f); got != "[cut off ran]" {
-		t.Fatal(got)
+	if got, want := fates(f), "[cut off ran]"; got != want {
+		t.Fatalf("fates: got %s, want %s", got, want)
 	}
 }
 
-// model is a machine of one core of speed 1, and one second of work in it.
+// newModel returns a machine of one core of speed 1, and one second of work in it.
 func newModel(rules Rules, cold bool) (*machine, *job) {
 	m := &machine{Spec: Spec{Cores: 1, Speed: 1, QueueCapacity: 1000}, rules: &rules, cold: cold}
 	return m, m.add(time.Second)
 }
 
+// isDone reports whether a job is done.
 func isDone(j *job) bool {
 	select {
 	case <-j.done:
@@ -169,7 +188,7 @@
 	}
 }
 
-// runs plays a machine in steps of a millisecond until a job is done, with what happens at its times.
+// runUntilDone advances a machine in steps of a millisecond until a job is done, with events at their times.
 func runUntilDone(m *machine, j *job, events map[time.Duration]func()) time.Duration {
 	for now := time.Duration(0); now < time.Minute; now += time.Millisecond {
 		m.advance(now)
@@ -186,25 +205,34 @@
 // What slows a machine also slows what runs on it already.
 func TestMachineSlows(t *testing.T) {
 	const half = 500 * time.Millisecond
+	coldRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour}
+	warmedRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, SlowStartRequests: 10}
+	kneeRules := Rules{Knee: 10, LossBeyond: 0.1}
+	neighbourFor := func(on time.Duration) func(*machine) {
+		return func(m *machine) { m.neighbour = neighbour{0.5, on, time.Second, m.now, m.now + time.Minute} }
+	}
+	shortSlowdown := func(m *machine) { m.slowDown(5, time.Second) }
+	slowTwice := func(m *machine) {
+		m.slowDown(2, 10*time.Second)
+		m.slowDown(2, 10*time.Second)
+	}
 	for name, c := range map[string]struct {
 		rules Rules
 		cold  bool
 		event func(*machine)
 		want  time.Duration
 	}{
-		"undisturbed": {want: time.Second},
-		"slow spell":  {event: func(m *machine) { m.slowDown(4, 10*time.Second) }, want: half + 4*half},
-		"a short one": {event: func(m *machine) { m.slowDown(5, time.Second) }, want: half + half + 400*time.Millisecond},
-		"two at once": {event: func(m *machine) { m.slowDown(2, 10*time.Second); m.slowDown(2, 10*time.Second) }, want: half + 4*half},
-		"pause":       {event: func(m *machine) { m.pausedUntil = m.now + 2*time.Second }, want: 3 * time.Second},
-		"neighbour":   {event: func(m *machine) { m.neighbour = neighbour{0.5, time.Second, time.Second, m.now, m.now + time.Minute} }, want: half + time.Second},
-		"neighbour, off": {event: func(m *machine) {
-			m.neighbour = neighbour{0.5, 200 * time.Millisecond, time.Second, m.now, m.now + time.Minute}
-		}, want: half + 600*time.Millisecond},
-		"cold by time":      {rules: Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour}, cold: true, want: 4 * time.Second},
-		"warm by requests":  {rules: Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, SlowStartRequests: 10}, cold: true, event: func(m *machine) { m.served = 10 }, want: half + 875*time.Millisecond},
-		"many open on it":   {rules: Rules{Knee: 10, LossBeyond: 0.1}, event: func(m *machine) { m.inFlight = 20 }, want: half + time.Second},
-		"fewer than a knee": {rules: Rules{Knee: 10, LossBeyond: 0.1}, event: func(m *machine) { m.inFlight = 10 }, want: time.Second},
+		"undisturbed":       {want: time.Second},
+		"slowdown":          {event: func(m *machine) { m.slowDown(4, 10*time.Second) }, want: half + 4*half},
+		"a short one":       {event: shortSlowdown, want: 2*half + 400*time.Millisecond},
+		"two at once":       {event: slowTwice, want: half + 4*half},
+		"pause":             {event: func(m *machine) { m.pausedUntil = m.now + 2*time.Second }, want: 3 * time.Second},
+		"neighbour":         {event: neighbourFor(time.Second), want: half + time.Second},
+		"neighbour, off":    {event: neighbourFor(200 * time.Millisecond), want: half + 600*time.Millisecond},
+		"cold by time":      {rules: coldRules, cold: true, want: 4 * time.Second},
+		"warm by requests":  {warmedRules, true, func(m *machine) { m.served = 10 }, half + 875*time.Millisecond},
+		"many in flight":    {rules: kneeRules, event: func(m *machine) { m.inFlight = 20 }, want: half + time.Second},
+		"fewer than a knee": {rules: kneeRules, event: func(m *machine) { m.inFlight = 10 }, want: time.Second},
 	} {
 		m, j := newModel(c.rules, c.cold)
 		events := map[time.Duration]func(){}
@@ -212,14 +240,14 @@
 			events[half] = func() { c.event(m) }
 		}
 		if got := runUntilDone(m, j, events); got < c.want-8*time.Millisecond || got > c.want+8*time.Millisecond {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: got %v until done, want %v", name, got, c.want)
 		}
 	}
 }
 
-// A cold node that is sent more than it can bear falls over and says why, whoever sent it and even what it turned away; a
+// A cold backend that is sent more than the overload limit falls over and says why, also by work that it rejects; a
 // warm one does not.
-func TestPushedOver(t *testing.T) {
+func TestOverload(t *testing.T) {
 	rules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, OverloadMultiple: 4, OverloadSpan: time.Second}
 	for name, c := range map[string]struct {
 		cold  bool
@@ -245,28 +273,27 @@
 	}
 }
 
-// Whatever comes, a node either can read it or says so.
+// Whatever comes, a backend either can read it or says so.
 func FuzzParse(f *testing.F) {
 	f.Add("0000000000000001", idA, "c=read,t=p,d=1000,units=1,spread=1,first=0")
-	f.Fuzz(func(t *testing.T, customer, id, fields string) {
-		r, ok := parseCommand([][]byte{[]byte("Q.ASK"), []byte(customer), []byte(id), []byte(fields)})
+	f.Fuzz(func(t *testing.T, tenant, id, fields string) {
+		r, ok := parseCommand([][]byte{[]byte("Q.ASK"), []byte(tenant), []byte(id), []byte(fields)})
 		if ok && (r.Class == "" || r.Plan == "" || !(r.Units > 0) || len(r.ID) != 16) {
 			t.Fatalf("%q: %+v", fields, r)
 		}
 	})
 }
 
-// A second answer comes late and names its own request, while the connection goes on with further commands.
+// A second reply comes late and names its own request, while the connection goes on with further commands.
 func TestRepeatLate(t *testing.T) {
 	f := newTestFleet(t)
-	t.Cleanup(f.Close)
-	n := addBackend(t, f, "one", 1, false)
+	b := addBackend(t, f, "one", 1)
 	rule, err := fault.Parse("repeat-late 60ms times 1")
 	if err != nil || rule.By != 60*time.Millisecond {
 		t.Fatal(rule, err)
 	}
-	n.Fault(rule)
-	nc, err := net.Dial("tcp", n.Addr(0))
+	b.Fault(rule)
+	nc, err := net.Dial("tcp", b.Addr(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,35 +310,28 @@
 		}
 		return strings.TrimSpace(lines[2])
 	}
-	write := func(id string) {
-		words := askCommand("read", id, "")
-		fmt.Fprintf(nc, "*%d\r\n", len(words))
-		for _, w := range words {
-			fmt.Fprintf(nc, "$%d\r\n%s\r\n", len(w), w)
-		}
-	}
-	write(idA)
+	writeCommand(nc, readCommand(idA, ""))
 	first, began := value(), time.Now()
-	write(idB)
+	writeCommand(nc, readCommand(idB, ""))
 	second, third := value(), value()
 	if first != "value of "+idA || second != "value of "+idB || third != "value of "+idA {
-		t.Fatal(first, second, third)
+		t.Fatalf("values: got %q, %q, %q, want those of a, b and a", first, second, third)
 	}
 	if late := time.Since(began); late < 50*time.Millisecond {
-		t.Errorf("the second answer came after %v", late)
+		t.Errorf("second reply: got it after %v, want 60ms", late)
 	}
-	if got := fates(f); got != "[ran ran]" {
-		t.Fatal(got)
+	if got, want := fates(f), "[ran ran]"; got != want {
+		t.Fatalf("fates: got %s, want %s", got, want)
 	}
 }
 
-// A second answer that is still due does not hold up the node's end.
-func TestRepeatLateAtTheEnd(t *testing.T) {
+// A second reply that is still due does not delay the end of the fleet.
+func TestCloseDuringRepeatLate(t *testing.T) {
 	f := newTestFleet(t)
-	n := addBackend(t, f, "one", 1, false)
-	n.Fault(fault.Rule{Kind: fault.RepeatLate, By: time.Hour})
-	if got := sendCommand(t, n, askCommand("read", idA, "")...); got != "*3" {
-		t.Fatal(got)
+	b := addBackend(t, f, "one", 1)
+	b.Fault(fault.Rule{Kind: fault.RepeatLate, By: time.Hour})
+	if got := sendCommand(t, b, readCommand(idA, "")...); got != "*3" {
+		t.Fatalf("reply: got %q, want %s", got, "*3")
 	}
 	f.Close()
 }
