--- a/internal/standin/redis/clients_test.go
+++ b/internal/standin/redis/clients_test.go
@@ -413,7 +413,7 @@
 		t.Fatal(slot, want)
 	}
 	to := second
-	if slot >= slots/2 {
+	if slot >= slotCount/2 {
 		to = first
 	}
 	c.Migrate(slot, to)
--- a/internal/standin/redis/control.go
+++ b/internal/standin/redis/control.go
@@ -117,7 +117,7 @@
 		if err != nil {
 			return err
 		}
-		if !known[r.Kind] {
+		if !supportedKinds[r.Kind] {
 			return fmt.Errorf("fault %q: unknown word %q", line, words[0])
 		}
 		s.Fault(r)
@@ -126,7 +126,7 @@
 }
 
 // known are the fault kinds that commands can be hit with.
-var known = map[fault.Kind]bool{
+var supportedKinds = map[fault.Kind]bool{
 	fault.Delay: true, fault.Hold: true, fault.Stall: true, fault.Ignore: true, fault.Swallow: true, fault.Late: true,
 	fault.DropBefore: true, fault.DropAfter: true, fault.Repeat: true, fault.Swap: true, fault.Cut: true, fault.Fail: true,
 }
--- a/internal/standin/redis/db.go
+++ b/internal/standin/redis/db.go
@@ -20,22 +20,22 @@
 
 // call is one execution of a command: by a client, a script, a transaction or the replication.
 type call struct {
-	s      *Server
-	c      *client // nil: a script's or the replication's
-	db     int
-	now    time.Time
-	script bool
-	apply  bool // what a primary did: nothing is propagated or refused
+	server     *Server
+	client     *client // nil: a script's or the replication's
+	db         int
+	now        time.Time
+	inScript   bool
+	replicated bool // what a primary did: nothing is propagated or refused
 }
 
 const wrongType = "WRONGTYPE Operation against a key holding the wrong kind of value"
 
 // get returns a key that has not expired, or nil.
 func (x *call) get(key string) *entry {
-	db := x.s.dbs[x.db]
+	db := x.server.dbs[x.db]
 	e := db[key]
 	if e != nil && !e.expires.IsZero() && !x.now.Before(e.expires) {
-		if !x.s.isReplica() || x.apply {
+		if !x.server.isReplica() || x.replicated {
 			delete(db, key)
 		}
 		return nil
@@ -44,20 +44,20 @@
 }
 
 func (x *call) put(key string, e *entry) {
-	if x.s.dbs[x.db] == nil {
-		x.s.dbs[x.db] = database{}
+	if x.server.dbs[x.db] == nil {
+		x.server.dbs[x.db] = database{}
 	}
-	x.s.dbs[x.db][key] = e
+	x.server.dbs[x.db][key] = e
 }
 
 // wrote tells the replicas of an effect, in a form that does not depend on when it is played.
-func (x *call) wrote(args ...string) {
-	if !x.apply {
-		x.s.propagate(x.db, x.now, args)
+func (x *call) propagate(args ...string) {
+	if !x.replicated {
+		x.server.propagate(x.db, x.now, args)
 	}
 }
 
-func at(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
+func unixMilli(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
 
 // command is an entry of the table of commands.
 type command struct {
@@ -69,7 +69,7 @@
 }
 
 // table is all that a server knows, by upper-case name; it is made once and read only.
-func makeTable() map[string]command {
+func newCommandTable() map[string]command {
 	one := [3]int{1, 1, 1}
 	all := [3]int{1, -1, 1}
 	t := map[string]command{
@@ -89,13 +89,13 @@
 		"UNLINK":       {-2, true, false, all, cmdDel},
 		"EXISTS":       {-2, false, false, all, cmdExists},
 		"TYPE":         {2, false, false, one, cmdType},
-		"EXPIRE":       {-3, true, false, one, expire(time.Second, false)},
-		"PEXPIRE":      {-3, true, false, one, expire(time.Millisecond, false)},
-		"EXPIREAT":     {-3, true, false, one, expire(time.Second, true)},
-		"PEXPIREAT":    {-3, true, false, one, expire(time.Millisecond, true)},
+		"EXPIRE":       {-3, true, false, one, cmdExpire(time.Second, false)},
+		"PEXPIRE":      {-3, true, false, one, cmdExpire(time.Millisecond, false)},
+		"EXPIREAT":     {-3, true, false, one, cmdExpire(time.Second, true)},
+		"PEXPIREAT":    {-3, true, false, one, cmdExpire(time.Millisecond, true)},
 		"PERSIST":      {2, true, false, one, cmdPersist},
-		"TTL":          {2, false, false, one, ttl(time.Second)},
-		"PTTL":         {2, false, false, one, ttl(time.Millisecond)},
+		"TTL":          {2, false, false, one, cmdTTL(time.Second)},
+		"PTTL":         {2, false, false, one, cmdTTL(time.Millisecond)},
 		"HSET":         {-4, true, false, one, cmdHSet},
 		"HGET":         {3, false, false, one, cmdHGet},
 		"HMGET":        {-3, false, false, one, cmdHMGet},
@@ -156,7 +156,7 @@
 	return integer(int64(len(s)))
 }
 
-const badExpire = "invalid expire time in '%s' command"
+const invalidExpire = "invalid expire time in '%s' command"
 
 // cmdSet: SET key value [NX | XX] [GET] [EX s | PX ms | EXAT s | PXAT ms | KEEPTTL].
 func cmdSet(x *call, a []string) value {
@@ -187,7 +187,7 @@
 				unit = time.Second
 			}
 			if n <= 0 || n > math.MaxInt64/int64(unit)/2 {
-				return errorf(badExpire, "set")
+				return errorf(invalidExpire, "set")
 			}
 			if strings.HasSuffix(opt, "AT") {
 				e.expires = time.UnixMilli(n * int64(unit/time.Millisecond))
@@ -217,9 +217,9 @@
 	}
 	x.put(a[1], e)
 	if e.expires.IsZero() {
-		x.wrote("SET", a[1], a[2])
+		x.propagate("SET", a[1], a[2])
 	} else {
-		x.wrote("SET", a[1], a[2], "PXAT", at(e.expires))
+		x.propagate("SET", a[1], a[2], "PXAT", unixMilli(e.expires))
 	}
 	if get {
 		return before
@@ -235,10 +235,10 @@
 	return integer(1)
 }
 
-const notInt = "ERR value is not an integer or out of range"
+const notInteger = "ERR value is not an integer or out of range"
 
 // sum adds two integers; ok is false where the result has no room.
-func sum(a, b int64) (n int64, ok bool) {
+func addChecked(a, b int64) (n int64, ok bool) {
 	n = a + b
 	return n, (n > a) == (b > 0)
 }
@@ -246,7 +246,7 @@
 func incrBy(x *call, a []string, sign int64) value {
 	n, err := strconv.ParseInt(a[2], 10, 64)
 	if err != nil || n == math.MinInt64 {
-		return failure(notInt)
+		return failure(notInteger)
 	}
 	return incr(x, a[1], sign*n)
 }
@@ -260,14 +260,14 @@
 	if found {
 		var err error
 		if n, err = strconv.ParseInt(s, 10, 64); err != nil {
-			return failure(notInt)
+			return failure(notInteger)
 		}
 	}
-	if n, ok = sum(n, by); !ok {
+	if n, ok = addChecked(n, by); !ok {
 		return failure("ERR increment or decrement would overflow")
 	}
 	x.setText(key, strconv.FormatInt(n, 10))
-	x.wrote("INCRBY", key, strconv.FormatInt(by, 10))
+	x.propagate("INCRBY", key, strconv.FormatInt(by, 10))
 	return integer(n)
 }
 
@@ -286,15 +286,15 @@
 		return failure(wrongType)
 	}
 	text, fail := addFloat(s, found, a[2])
-	if fail.kind != kNone {
+	if fail.kind != kindNone {
 		return fail
 	}
 	x.setText(a[1], text)
 	e := x.get(a[1])
 	if e.expires.IsZero() {
-		x.wrote("SET", a[1], text)
+		x.propagate("SET", a[1], text)
 	} else {
-		x.wrote("SET", a[1], text, "PXAT", at(e.expires))
+		x.propagate("SET", a[1], text, "PXAT", unixMilli(e.expires))
 	}
 	return bulk(text)
 }
@@ -321,8 +321,8 @@
 	n := int64(0)
 	for _, k := range a[1:] {
 		if x.get(k) != nil {
-			delete(x.s.dbs[x.db], k)
-			x.wrote("DEL", k)
+			delete(x.server.dbs[x.db], k)
+			x.propagate("DEL", k)
 			n++
 		}
 	}
@@ -350,14 +350,14 @@
 }
 
 // expire: [P]EXPIRE[AT] key n [NX | XX | GT | LT].
-func expire(unit time.Duration, absolute bool) func(*call, []string) value {
+func cmdExpire(unit time.Duration, absolute bool) func(*call, []string) value {
 	return func(x *call, a []string) value {
 		n, err := strconv.ParseInt(a[2], 10, 64)
 		if err != nil {
-			return failure(notInt)
+			return failure(notInteger)
 		}
 		if n > math.MaxInt64/int64(unit)/2 || n < -math.MaxInt64/int64(unit)/2 {
-			return errorf(badExpire, strings.ToLower(a[0]))
+			return errorf(invalidExpire, strings.ToLower(a[0]))
 		}
 		when := x.now.Add(time.Duration(n) * unit)
 		if absolute {
@@ -386,12 +386,12 @@
 			}
 		}
 		if !when.After(x.now) {
-			delete(x.s.dbs[x.db], a[1])
-			x.wrote("DEL", a[1])
+			delete(x.server.dbs[x.db], a[1])
+			x.propagate("DEL", a[1])
 			return integer(1)
 		}
 		e.expires = when
-		x.wrote("PEXPIREAT", a[1], at(when))
+		x.propagate("PEXPIREAT", a[1], unixMilli(when))
 		return integer(1)
 	}
 }
@@ -402,11 +402,11 @@
 		return integer(0)
 	}
 	e.expires = time.Time{}
-	x.wrote("PERSIST", a[1])
+	x.propagate("PERSIST", a[1])
 	return integer(1)
 }
 
-func ttl(unit time.Duration) func(*call, []string) value {
+func cmdTTL(unit time.Duration) func(*call, []string) value {
 	return func(x *call, a []string) value {
 		e := x.get(a[1])
 		switch {
@@ -420,9 +420,9 @@
 }
 
 // hash returns the hash at key, a new one where make is set; ok is false where it holds something else.
-func (x *call) hash(key string, make_ bool) (h map[string]string, ok bool) {
+func (x *call) hash(key string, create bool) (h map[string]string, ok bool) {
 	e := x.get(key)
-	if e == nil && make_ {
+	if e == nil && create {
 		e = &entry{hash: map[string]string{}}
 		x.put(key, e)
 	}
@@ -447,7 +447,7 @@
 		}
 		h[a[i]] = a[i+1]
 	}
-	x.wrote(a...)
+	x.propagate(a...)
 	return integer(n)
 }
 
@@ -509,9 +509,9 @@
 	}
 	if n > 0 {
 		if len(h) == 0 {
-			delete(x.s.dbs[x.db], a[1])
+			delete(x.server.dbs[x.db], a[1])
 		}
-		x.wrote(a...)
+		x.propagate(a...)
 	}
 	return integer(n)
 }
@@ -527,7 +527,7 @@
 func cmdHIncrBy(x *call, a []string) value {
 	by, err := strconv.ParseInt(a[3], 10, 64)
 	if err != nil {
-		return failure(notInt)
+		return failure(notInteger)
 	}
 	h, ok := x.hash(a[1], true)
 	if !ok {
@@ -539,11 +539,11 @@
 			return failure("ERR hash value is not an integer")
 		}
 	}
-	if n, ok = sum(n, by); !ok && by != 0 {
+	if n, ok = addChecked(n, by); !ok && by != 0 {
 		return failure("ERR increment or decrement would overflow")
 	}
 	h[a[2]] = strconv.FormatInt(n, 10)
-	x.wrote(a...)
+	x.propagate(a...)
 	return integer(n)
 }
 
@@ -554,17 +554,17 @@
 	}
 	s, found := h[a[2]]
 	text, fail := addFloat(s, found, a[3])
-	if fail.kind != kNone {
+	if fail.kind != kindNone {
 		return fail
 	}
 	h[a[2]] = text
-	x.wrote("HSET", a[1], a[2], text)
+	x.propagate("HSET", a[1], a[2], text)
 	return bulk(text)
 }
 
 func cmdDBSize(x *call, _ []string) value {
 	n := int64(0)
-	for k := range x.s.dbs[x.db] {
+	for k := range x.server.dbs[x.db] {
 		if x.get(k) != nil {
 			n++
 		}
@@ -573,14 +573,14 @@
 }
 
 func cmdFlushAll(x *call, _ []string) value {
-	clear(x.s.dbs)
-	x.wrote("FLUSHALL")
+	clear(x.server.dbs)
+	x.propagate("FLUSHALL")
 	return okReply
 }
 
 func cmdFlushDB(x *call, _ []string) value {
-	delete(x.s.dbs, x.db)
-	x.wrote("FLUSHDB")
+	delete(x.server.dbs, x.db)
+	x.propagate("FLUSHDB")
 	return okReply
 }
 
@@ -588,7 +588,7 @@
 func cmdKeys(x *call, a []string) value {
 	prefix, star := strings.CutSuffix(a[1], "*")
 	var keys []string
-	for k := range x.s.dbs[x.db] {
+	for k := range x.server.dbs[x.db] {
 		if (k == a[1] || star && strings.HasPrefix(k, prefix)) && x.get(k) != nil {
 			keys = append(keys, k)
 		}
--- a/internal/standin/redis/new.go
+++ b/internal/standin/redis/new.go
@@ -14,7 +14,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	addr := ln.Addr().String()
 	return &Server{
-		opt: opt, group: g, table: makeTable(), faults: fault.New(opt.Seed), start: time.Now(), ctx: ctx, stop: stop,
-		ln: ln, addr: addr, clients: map[*client]bool{}, dbs: map[int]database{}, id: fmt.Sprintf("%040x", sha(addr)[:20]),
+		options: opt, group: g, commands: newCommandTable(), faults: fault.New(opt.Seed), start: time.Now(), ctx: ctx, stop: stop,
+		ln: ln, addr: addr, clients: map[*client]bool{}, dbs: map[int]database{}, id: fmt.Sprintf("%040x", sha1Hex(addr)[:20]),
 	}
 }
--- a/internal/standin/redis/proto.go
+++ b/internal/standin/redis/proto.go
@@ -12,10 +12,10 @@
 
 // Bounds on what a client may send. The real ones are far larger; nothing here needs them.
 const (
-	mostInline = 64 << 10
-	mostArgs   = 64 << 10
-	mostBulk   = 4 << 20
-	mostCmd    = 16 << 20
+	maxInlineLength  = 64 << 10
+	maxArgs          = 64 << 10
+	maxBulkLength    = 4 << 20
+	maxCommandLength = 16 << 20
 )
 
 // protoError is answered as -ERR Protocol error and ends the connection.
@@ -37,7 +37,7 @@
 		return splitInline(head)
 	}
 	n, err := strconv.Atoi(head[1:])
-	if err != nil || n > mostArgs {
+	if err != nil || n > maxArgs {
 		return nil, protoError("invalid multibulk length")
 	}
 	if n <= 0 {
@@ -53,10 +53,10 @@
 			return nil, protoError(fmt.Sprintf("expected '$', got '%.1s'", line+" "))
 		}
 		l, err := strconv.Atoi(line[1:])
-		if err != nil || l < 0 || l > mostBulk {
+		if err != nil || l < 0 || l > maxBulkLength {
 			return nil, protoError("invalid bulk length")
 		}
-		if size += l; size > mostCmd {
+		if size += l; size > maxCommandLength {
 			return nil, protoError("command too large")
 		}
 		b := make([]byte, l+2)
@@ -77,7 +77,7 @@
 	for {
 		part, err := in.ReadSlice('\n')
 		b = append(b, part...)
-		if len(b) > mostInline {
+		if len(b) > maxInlineLength {
 			return "", protoError("too big inline request")
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -154,18 +154,18 @@
 type kind byte
 
 const (
-	kStatus kind = '+'
-	kError  kind = '-'
-	kInt    kind = ':'
-	kBulk   kind = '$'
-	kNull   kind = '_'
-	kArray  kind = '*'
-	kNulls  kind = 'n' // the null array of RESP2
-	kMap    kind = '%' // list holds keys and values in turn
-	kDouble kind = ','
-	kPush   kind = '>'
-	kEach   kind = 'e' // each of list is an answer of its own
-	kNone   kind = 0   // no reply at all
+	kindStatus    kind = '+'
+	kindError     kind = '-'
+	kindInteger   kind = ':'
+	kindBulk      kind = '$'
+	kindNull      kind = '_'
+	kindArray     kind = '*'
+	kindNullArray kind = 'n' // the null array of RESP2
+	kindMap       kind = '%' // list holds keys and values in turn
+	kindDouble    kind = ','
+	kindPush      kind = '>'
+	kindEach      kind = 'e' // each of list is an answer of its own
+	kindNone      kind = 0   // no reply at all
 )
 
 // value is a reply.
@@ -178,16 +178,16 @@
 }
 
 var (
-	okReply = value{kind: kStatus, str: "OK"}
-	null    = value{kind: kNull}
+	okReply = value{kind: kindStatus, str: "OK"}
+	null    = value{kind: kindNull}
 )
 
-func status(s string) value       { return value{kind: kStatus, str: s} }
-func failure(s string) value      { return value{kind: kError, str: s} }
-func integer(n int64) value       { return value{kind: kInt, n: n} }
-func bulk(s string) value         { return value{kind: kBulk, str: s} }
-func array(list ...value) value   { return value{kind: kArray, list: list} }
-func mapping(list ...value) value { return value{kind: kMap, list: list} }
+func status(s string) value       { return value{kind: kindStatus, str: s} }
+func failure(s string) value      { return value{kind: kindError, str: s} }
+func integer(n int64) value       { return value{kind: kindInteger, n: n} }
+func bulk(s string) value         { return value{kind: kindBulk, str: s} }
+func array(list ...value) value   { return value{kind: kindArray, list: list} }
+func mapping(list ...value) value { return value{kind: kindMap, list: list} }
 
 func errorf(format string, args ...any) value { return failure(fmt.Sprintf("ERR "+format, args...)) }
 
@@ -195,40 +195,40 @@
 func (v value) append(b []byte, proto int) []byte {
 	head := func(c byte, n int) { b = append(strconv.AppendInt(append(b, c), int64(n), 10), '\r', '\n') }
 	switch v.kind {
-	case kNone:
-	case kStatus, kError:
+	case kindNone:
+	case kindStatus, kindError:
 		clean := strings.NewReplacer("\r", " ", "\n", " ").Replace(v.str)
 		b = append(append(append(b, byte(v.kind)), clean...), '\r', '\n')
-	case kInt:
+	case kindInteger:
 		head(':', int(v.n))
-	case kBulk:
+	case kindBulk:
 		head('$', len(v.str))
 		b = append(append(b, v.str...), '\r', '\n')
-	case kNull, kNulls:
+	case kindNull, kindNullArray:
 		switch {
 		case proto >= 3:
 			b = append(b, "_\r\n"...)
-		case v.kind == kNull:
+		case v.kind == kindNull:
 			b = append(b, "$-1\r\n"...)
 		default:
 			b = append(b, "*-1\r\n"...)
 		}
-	case kDouble:
+	case kindDouble:
 		text := formatFloat(v.f)
 		if proto >= 3 {
 			b = append(append(append(b, ','), text...), '\r', '\n')
 		} else {
 			b = bulk(text).append(b, proto)
 		}
-	case kEach:
+	case kindEach:
 		for _, e := range v.list {
 			b = e.append(b, proto)
 		}
-	case kArray, kMap, kPush:
+	case kindArray, kindMap, kindPush:
 		switch {
-		case v.kind == kMap && proto >= 3:
+		case v.kind == kindMap && proto >= 3:
 			head('%', len(v.list)/2)
-		case v.kind == kPush && proto >= 3:
+		case v.kind == kindPush && proto >= 3:
 			head('>', len(v.list))
 		default:
 			head('*', len(v.list))
--- a/internal/standin/redis/script.go
+++ b/internal/standin/redis/script.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	scriptTime   = 5 * time.Second // the real limit after which others are answered BUSY; here the script ends
-	mostScripts  = 1000
-	mostLuaDepth = 16
+	scriptTimeout = 5 * time.Second // the real limit after which others are answered BUSY; here the script ends
+	maxScripts    = 1000
+	maxLuaDepth   = 16
 )
 
 // scripts is a server's cache of compiled scripts and the interpreter that runs them, one at a time.
 type scripts struct {
-	protos map[string]*lua.FunctionProto
-	vm     *lua.LState
-	x      *call // the one that runs
+	compiled    map[string]*lua.FunctionProto
+	interpreter *lua.LState
+	current     *call // the one that runs
 }
 
-func sha(text string) string {
+func sha1Hex(text string) string {
 	sum := sha1.Sum([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
@@ -39,7 +39,7 @@
 			n, err := strconv.Atoi(a[2])
 			switch {
 			case err != nil:
-				return failure(notInt)
+				return failure(notInteger)
 			case n < 0:
 				return errorf("Number of keys can't be negative")
 			case n > len(a)-3:
@@ -47,11 +47,11 @@
 			}
 			id := strings.ToLower(a[1])
 			if byText {
-				if id, err = x.s.scripts.load(a[1]); err != nil {
+				if id, err = x.server.scripts.load(a[1]); err != nil {
 					return errorf("Error compiling script: %v", err)
 				}
 			}
-			return x.s.scripts.run(x, id, a[3:3+n], a[3+n:])
+			return x.server.scripts.run(x, id, a[3:3+n], a[3+n:])
 		}
 	}
 	t["EVAL"] = command{-3, false, true, [3]int{}, run(true)}
@@ -59,7 +59,7 @@
 	t["SCRIPT"] = command{-2, false, true, [3]int{}, func(x *call, a []string) value {
 		switch sub := strings.ToUpper(a[1]); {
 		case sub == "LOAD" && len(a) == 3:
-			id, err := x.s.scripts.load(a[2])
+			id, err := x.server.scripts.load(a[2])
 			if err != nil {
 				return errorf("Error compiling script: %v", err)
 			}
@@ -68,28 +68,28 @@
 			out := array()
 			for _, id := range a[2:] {
 				n := int64(0)
-				if x.s.scripts.protos[strings.ToLower(id)] != nil {
+				if x.server.scripts.compiled[strings.ToLower(id)] != nil {
 					n = 1
 				}
 				out.list = append(out.list, integer(n))
 			}
 			return out
 		case sub == "FLUSH":
-			x.s.scripts.flush()
+			x.server.scripts.flush()
 			return okReply
 		}
 		return errorf("unknown subcommand or wrong number of arguments for '%s'", a[1])
 	}}
 }
 
-func (s *scripts) flush() { s.protos = map[string]*lua.FunctionProto{} }
+func (s *scripts) flush() { s.compiled = map[string]*lua.FunctionProto{} }
 
 func (s *scripts) load(text string) (string, error) {
-	id := sha(text)
-	if s.protos[id] != nil {
+	id := sha1Hex(text)
+	if s.compiled[id] != nil {
 		return id, nil
 	}
-	if len(s.protos) >= mostScripts {
+	if len(s.compiled) >= maxScripts {
 		s.flush()
 	}
 	chunk, err := parse.Parse(strings.NewReader(text), "@user_script")
@@ -100,35 +100,35 @@
 	if err != nil {
 		return "", fmt.Errorf("user_script: %w", err)
 	}
-	if s.protos == nil {
+	if s.compiled == nil {
 		s.flush()
 	}
-	s.protos[id] = proto
+	s.compiled[id] = proto
 	return id, nil
 }
 
 // open makes the interpreter: no files, no processes, no globals of the script's own.
 func (s *scripts) open() {
-	s.vm = lua.NewState(lua.Options{SkipOpenLibs: true, RegistrySize: 1 << 12, RegistryMaxSize: 1 << 18})
+	s.interpreter = lua.NewState(lua.Options{SkipOpenLibs: true, RegistrySize: 1 << 12, RegistryMaxSize: 1 << 18})
 	for name, open := range map[string]lua.LGFunction{
 		lua.BaseLibName: lua.OpenBase, lua.TabLibName: lua.OpenTable,
 		lua.StringLibName: lua.OpenString, lua.MathLibName: lua.OpenMath,
 	} {
-		s.vm.Push(s.vm.NewFunction(open))
-		s.vm.Push(lua.LString(name))
-		s.vm.Call(1, 0)
+		s.interpreter.Push(s.interpreter.NewFunction(open))
+		s.interpreter.Push(lua.LString(name))
+		s.interpreter.Call(1, 0)
 	}
 	for _, name := range []string{"dofile", "loadfile", "print", "require", "module"} {
-		s.vm.SetGlobal(name, lua.LNil)
+		s.interpreter.SetGlobal(name, lua.LNil)
 	}
-	api := s.vm.NewTable()
-	s.vm.SetFuncs(api, map[string]lua.LGFunction{
+	api := s.interpreter.NewTable()
+	s.interpreter.SetFuncs(api, map[string]lua.LGFunction{
 		"call":         func(l *lua.LState) int { return s.call(l, true) },
 		"pcall":        func(l *lua.LState) int { return s.call(l, false) },
 		"error_reply":  func(l *lua.LState) int { return replyTable(l, "err") },
 		"status_reply": func(l *lua.LState) int { return replyTable(l, "ok") },
 		"sha1hex": func(l *lua.LState) int {
-			l.Push(lua.LString(sha(l.CheckString(1))))
+			l.Push(lua.LString(sha1Hex(l.CheckString(1))))
 			return 1
 		},
 		"log": func(*lua.LState) int { return 0 },
@@ -136,9 +136,9 @@
 	for i, name := range []string{"LOG_DEBUG", "LOG_VERBOSE", "LOG_NOTICE", "LOG_WARNING"} {
 		api.RawSetString(name, lua.LNumber(i))
 	}
-	s.vm.SetGlobal("redis", api)
-	meta := s.vm.NewTable()
-	s.vm.SetFuncs(meta, map[string]lua.LGFunction{
+	s.interpreter.SetGlobal("redis", api)
+	meta := s.interpreter.NewTable()
+	s.interpreter.SetFuncs(meta, map[string]lua.LGFunction{
 		"__newindex": func(l *lua.LState) int {
 			l.RaiseError("Attempt to modify a readonly table: global variable '%s'", l.CheckAny(2).String())
 			return 0
@@ -148,7 +148,7 @@
 			return 0
 		},
 	})
-	s.vm.SetMetatable(s.vm.Get(lua.GlobalsIndex), meta)
+	s.interpreter.SetMetatable(s.interpreter.Get(lua.GlobalsIndex), meta)
 }
 
 func replyTable(l *lua.LState, field string) int {
@@ -164,36 +164,36 @@
 
 // run runs a script; what it wrote before an error stays written.
 func (s *scripts) run(x *call, id string, keys, argv []string) value {
-	proto := s.protos[id]
+	proto := s.compiled[id]
 	if proto == nil {
 		return failure("NOSCRIPT No matching script. Please use EVAL.")
 	}
-	if s.vm == nil {
+	if s.interpreter == nil {
 		s.open()
 	}
 	list := func(from []string) *lua.LTable {
-		t := s.vm.CreateTable(len(from), 0)
+		t := s.interpreter.CreateTable(len(from), 0)
 		for _, v := range from {
 			t.Append(lua.LString(v))
 		}
 		return t
 	}
-	globals := s.vm.Get(lua.GlobalsIndex).(*lua.LTable)
+	globals := s.interpreter.Get(lua.GlobalsIndex).(*lua.LTable)
 	globals.RawSetString("KEYS", list(keys))
 	globals.RawSetString("ARGV", list(argv))
-	ctx, cancel := context.WithTimeout(context.Background(), scriptTime)
+	ctx, cancel := context.WithTimeout(context.Background(), scriptTimeout)
 	defer cancel()
-	s.vm.SetContext(ctx)
+	s.interpreter.SetContext(ctx)
 	inner := *x
-	inner.script = true
-	s.x = &inner
+	inner.inScript = true
+	s.current = &inner
 	defer func() {
-		s.x = nil
-		s.vm.SetTop(0)
-		s.vm.RemoveContext()
+		s.current = nil
+		s.interpreter.SetTop(0)
+		s.interpreter.RemoveContext()
 	}()
-	s.vm.Push(s.vm.NewFunctionFromProto(proto))
-	if err := s.vm.PCall(0, 1, nil); err != nil {
+	s.interpreter.Push(s.interpreter.NewFunctionFromProto(proto))
+	if err := s.interpreter.PCall(0, 1, nil); err != nil {
 		var api *lua.ApiError
 		text := err.Error()
 		if errors.As(err, &api) {
@@ -208,7 +208,7 @@
 		}
 		return errorf("Error running script: %s", text)
 	}
-	return fromLua(s.vm.Get(-1), 0)
+	return fromLua(s.interpreter.Get(-1), 0)
 }
 
 // call is redis.call and redis.pcall.
@@ -225,13 +225,13 @@
 			v = failure("ERR Lua redis lib command arguments must be strings or integers")
 		}
 	}
-	if len(args) == 0 && v.kind == kNone {
+	if len(args) == 0 && v.kind == kindNone {
 		v = failure("ERR Please specify at least one argument for this redis.call() call")
 	}
-	if v.kind == kNone {
-		v = s.x.s.execute(s.x, args)
+	if v.kind == kindNone {
+		v = s.current.server.execute(s.current, args)
 	}
-	if v.kind == kError && raise {
+	if v.kind == kindError && raise {
 		l.Error(toLua(l, v), 1)
 	}
 	l.Push(toLua(l, v))
@@ -253,17 +253,17 @@
 		return t
 	}
 	switch v.kind {
-	case kStatus:
+	case kindStatus:
 		return wrap("ok")
-	case kError:
+	case kindError:
 		return wrap("err")
-	case kInt:
+	case kindInteger:
 		return lua.LNumber(v.n)
-	case kBulk:
+	case kindBulk:
 		return lua.LString(v.str)
-	case kDouble:
+	case kindDouble:
 		return lua.LString(formatFloat(v.f))
-	case kArray, kMap:
+	case kindArray, kindMap:
 		t := l.NewTable()
 		for i, e := range v.list {
 			t.RawSetInt(i+1, toLua(l, e))
@@ -285,7 +285,7 @@
 			return integer(1)
 		}
 	case *lua.LTable:
-		if depth > mostLuaDepth {
+		if depth > maxLuaDepth {
 			return errorf("reached lua stack limit")
 		}
 		if e, ok := v.RawGetString("err").(lua.LString); ok {
--- a/internal/standin/redis/server.go
+++ b/internal/standin/redis/server.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	mostDBs       = 16
-	usualClients  = 10000
-	mostQueued    = 10000 // commands of one transaction
-	flushAt       = 64 << 10
-	writeTime     = 5 * time.Second
-	lingerTime    = 200 * time.Millisecond
-	pausedPoll    = time.Millisecond
-	mostRecorded  = 1 << 20
-	serverVersion = "7.2.0"
+	maxDatabases      = 16
+	defaultMaxClients = 10000
+	maxQueuedCommands = 10000 // commands of one transaction
+	flushThreshold    = 64 << 10
+	writeTimeout      = 5 * time.Second
+	lingerTimeout     = 200 * time.Millisecond
+	pollInterval      = time.Millisecond
+	maxRecords        = 1 << 20
+	serverVersion     = "7.2.0"
 )
 
 // Options are what a server is started with; the zero value listens on an ephemeral loopback port.
@@ -57,34 +57,34 @@
 
 // Server is one process of Redis: a primary, a replica, a Sentinel or a shard of a cluster.
 type Server struct {
-	opt    Options
-	group  *Group
-	table  map[string]command
-	faults *fault.Script
-	start  time.Time
-	ctx    context.Context
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
+	options  Options
+	group    *Group
+	commands map[string]command
+	faults   *fault.Script
+	start    time.Time
+	ctx      context.Context
+	stop     context.CancelFunc
+	wg       sync.WaitGroup
 
 	// Below, all under group.mu.
-	ln       net.Listener
-	addr     string
-	clients  map[*client]bool
-	lastConn int64
-	dbs      map[int]database
-	scripts  scripts
-	master   *Server // nil: a primary
-	applied  int     // of the group's log, where this is a replica
-	loading  time.Time
-	down     bool // accepts nothing
-	silent   bool // accepts and never answers
-	readonly bool
-	full     bool // OOM
-	take     func(net.Conn) bool
-	cluster  *Cluster
-	sentinel bool
-	id       string
-	record   []Record
+	ln           net.Listener
+	addr         string
+	clients      map[*client]bool
+	lastConnID   int64
+	dbs          map[int]database
+	scripts      scripts
+	master       *Server // nil: a primary
+	applied      int     // of the group's log, where this is a replica
+	loading      time.Time
+	down         bool // accepts nothing
+	silent       bool // accepts and never answers
+	readonly     bool
+	full         bool // OOM
+	acceptFilter func(net.Conn) bool
+	cluster      *Cluster
+	sentinel     bool
+	id           string
+	records      []Record
 }
 
 // Start starts a primary of a group of its own. Close ends it.
@@ -109,7 +109,7 @@
 func (s *Server) Records() []Record {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return slices.Clone(s.record)
+	return slices.Clone(s.records)
 }
 
 // Clients returns how many connections are open.
@@ -132,9 +132,9 @@
 	s.wg.Wait()
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if s.scripts.vm != nil {
-		s.scripts.vm.Close()
-		s.scripts.vm = nil
+	if s.scripts.interpreter != nil {
+		s.scripts.interpreter.Close()
+		s.scripts.interpreter = nil
 	}
 }
 
@@ -212,40 +212,40 @@
 }
 
 func (s *Server) serveOn(ln net.Listener) {
-	if s.opt.Wrap != nil {
-		ln = s.opt.Wrap(ln)
+	if s.options.Wrap != nil {
+		ln = s.options.Wrap(ln)
 	}
 	s.ln, s.down = ln, false
 	s.wg.Go(func() { s.accept(ln) })
 }
 
 // set changes a switch of the server.
-func (s *Server) set(change func()) {
+func (s *Server) update(change func()) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	change()
 }
 
 // Load answers LOADING for a while.
-func (s *Server) Load(d time.Duration) { s.set(func() { s.loading = time.Now().Add(d) }) }
+func (s *Server) Load(d time.Duration) { s.update(func() { s.loading = time.Now().Add(d) }) }
 
 // Silent makes the server accept and never answer, or ends that.
-func (s *Server) Silent(on bool) { s.set(func() { s.silent = on }) }
+func (s *Server) Silent(on bool) { s.update(func() { s.silent = on }) }
 
 // Full makes it answer writes with OOM, or ends that.
-func (s *Server) Full(on bool) { s.set(func() { s.full = on }) }
+func (s *Server) Full(on bool) { s.update(func() { s.full = on }) }
 
 // ReadOnly makes it answer writes with READONLY, or ends that.
-func (s *Server) ReadOnly(on bool) { s.set(func() { s.readonly = on }) }
+func (s *Server) ReadOnly(on bool) { s.update(func() { s.readonly = on }) }
 
 // MaxClients sets how many connections it holds; further ones are answered with an error and closed.
-func (s *Server) MaxClients(n int) { s.set(func() { s.opt.MaxClients = n }) }
+func (s *Server) MaxClients(n int) { s.update(func() { s.options.MaxClients = n }) }
 
 // ForgetScripts empties the cache of scripts.
-func (s *Server) ForgetScripts() { s.set(func() { s.scripts.flush() }) }
+func (s *Server) ForgetScripts() { s.update(func() { s.scripts.flush() }) }
 
 // Kick ends all connections.
-func (s *Server) Kick() { s.set(s.dropClients) }
+func (s *Server) Kick() { s.update(s.dropClients) }
 
 // sleep waits, and reports false where the server ended first.
 func (s *Server) sleep(d time.Duration) bool {
@@ -261,25 +261,25 @@
 
 // client is one connection.
 type client struct {
-	s      *Server
-	nc     net.Conn
-	id     int64
-	proto  int
-	db     int
-	name   string
-	authed bool
-	asking bool
-	out    []byte
-	held   []byte // an answer that comes after the next one
-
-	multi   bool
-	spoilt  bool // a command of the transaction was wrong
-	queue   [][]string
-	watched map[string]*entry // as they were
-	dirty   bool
-	push    chan []byte   // messages of channels that it listens to; nil: none
-	pushes  <-chan []byte // the same, until someone sends them
-	writing sync.Mutex
+	server  *Server
+	nc      net.Conn
+	id      int64
+	proto   int
+	db      int
+	name    string
+	authed  bool
+	asking  bool
+	out     []byte
+	swapped []byte // an answer that comes after the next one
+
+	inTransaction  bool
+	aborted        bool // a command of the transaction was wrong
+	queue          [][]string
+	watched        map[string]*entry // as they were
+	dirty          bool
+	messages       chan []byte   // messages of channels that it listens to; nil: none
+	unsentMessages <-chan []byte // the same, until someone sends them
+	writeMu        sync.Mutex
 }
 
 func (s *Server) accept(ln net.Listener) {
@@ -289,18 +289,18 @@
 			return
 		}
 		s.group.mu.Lock()
-		if s.down || s.ctx.Err() != nil || s.take != nil && !s.take(nc) {
+		if s.down || s.ctx.Err() != nil || s.acceptFilter != nil && !s.acceptFilter(nc) {
 			s.group.mu.Unlock()
 			reset(nc)
 			continue
 		}
-		if len(s.clients) >= s.opt.MaxClients {
+		if len(s.clients) >= s.options.MaxClients {
 			s.group.mu.Unlock()
-			s.wg.Go(func() { turnAway(nc) })
+			s.wg.Go(func() { rejectConn(nc) })
 			continue
 		}
-		s.lastConn++
-		c := &client{s: s, nc: nc, id: s.lastConn, proto: 2, authed: s.opt.Password == ""}
+		s.lastConnID++
+		c := &client{server: s, nc: nc, id: s.lastConnID, proto: 2, authed: s.options.Password == ""}
 		s.clients[c] = true
 		s.wg.Go(c.serve)
 		s.group.mu.Unlock()
@@ -309,30 +309,30 @@
 
 // turnAway says why, and waits a moment for the client to read it: a close with commands unread would reset the
 // connection and take the reason with it.
-func turnAway(nc net.Conn) {
+func rejectConn(nc net.Conn) {
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(lingerTime))
+	nc.SetDeadline(time.Now().Add(lingerTimeout))
 	io.WriteString(nc, "-ERR max number of clients reached\r\n")
 	if t, ok := nc.(interface{ CloseWrite() error }); ok {
 		t.CloseWrite()
 	}
-	io.CopyN(io.Discard, nc, mostInline)
+	io.CopyN(io.Discard, nc, maxInlineLength)
 }
 
 // serve reads commands and answers them in order until the connection ends.
 func (c *client) serve() {
 	defer func() {
 		c.nc.Close()
-		c.s.group.mu.Lock()
-		delete(c.s.clients, c)
-		if c.push != nil {
-			c.s.group.unsubscribe(c)
+		c.server.group.mu.Lock()
+		delete(c.server.clients, c)
+		if c.messages != nil {
+			c.server.group.unsubscribe(c)
 		}
-		c.s.group.mu.Unlock()
+		c.server.group.mu.Unlock()
 	}()
 	in := bufio.NewReaderSize(c.nc, 16<<10)
 	for {
-		if d := c.s.opt.Idle; d > 0 && c.push == nil {
+		if d := c.server.options.Idle; d > 0 && c.messages == nil {
 			c.nc.SetReadDeadline(time.Now().Add(d))
 		}
 		args, err := readCommand(in)
@@ -349,7 +349,7 @@
 			c.flush() // after QUIT
 			return
 		}
-		if in.Buffered() == 0 || len(c.out) > flushAt {
+		if in.Buffered() == 0 || len(c.out) > flushThreshold {
 			if !c.flush() {
 				return
 			}
@@ -361,28 +361,28 @@
 	if len(c.out) == 0 {
 		return true
 	}
-	err := c.send(c.out)
+	err := c.writeOut(c.out)
 	c.out = c.out[:0]
-	if c.pushes != nil {
-		messages := c.pushes
-		c.pushes = nil
-		c.s.wg.Go(func() { c.sendPushes(messages) })
+	if c.unsentMessages != nil {
+		messages := c.unsentMessages
+		c.unsentMessages = nil
+		c.server.wg.Go(func() { c.sendMessages(messages) })
 	}
 	return err == nil
 }
 
 // send writes answers or a message, never both at once.
-func (c *client) send(b []byte) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	c.nc.SetWriteDeadline(time.Now().Add(writeTime))
+func (c *client) writeOut(b []byte) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.nc.Write(b)
 	return err
 }
 
 // handle runs one command by the fault script; it reports whether the connection goes on.
 func (c *client) handle(args []string) bool {
-	s := c.s
+	s := c.server
 	name := strings.ToUpper(args[0])
 	for {
 		s.group.mu.Lock()
@@ -391,7 +391,7 @@
 		if !silent {
 			break
 		}
-		if !s.sleep(pausedPoll) {
+		if !s.sleep(pollInterval) {
 			return false
 		}
 	}
@@ -408,8 +408,8 @@
 	write := func(b []byte) {
 		rec.Reply = string(b)
 		c.out = append(c.out, b...)
-		c.out = append(c.out, c.held...)
-		c.held = nil
+		c.out = append(c.out, c.swapped...)
+		c.swapped = nil
 	}
 	ok := true
 	switch r.Kind {
@@ -434,12 +434,12 @@
 	case fault.Swallow:
 		run()
 	case fault.Late:
-		at := client{s: s, nc: c.nc, id: c.id, proto: c.proto, db: c.db, name: c.name, authed: c.authed} // it may be closed by then
+		at := client{server: s, nc: c.nc, id: c.id, proto: c.proto, db: c.db, name: c.name, authed: c.authed} // it may be closed by then
 		s.wg.Go(func() {
 			if s.sleep(r.By) {
 				at.run(name, args)
 				rec.Applied, rec.At = true, s.Since()
-				s.note(rec)
+				s.addRecord(rec)
 			}
 		})
 		return true
@@ -459,7 +459,7 @@
 	case fault.Swap:
 		b := run()
 		rec.Reply = string(b)
-		c.held = b
+		c.swapped = b
 	case fault.Cut:
 		b := run()
 		write(b[:len(b)/2])
@@ -470,27 +470,27 @@
 	default:
 		write(run())
 	}
-	s.note(rec)
+	s.addRecord(rec)
 	return ok && name != "QUIT"
 }
 
-func (s *Server) note(r Record) {
+func (s *Server) addRecord(r Record) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if len(s.record) < mostRecorded {
-		s.record = append(s.record, r)
+	if len(s.records) < maxRecords {
+		s.records = append(s.records, r)
 	}
 }
 
 // run executes a client's command, or queues it in its transaction.
 func (c *client) run(name string, args []string) value {
-	s := c.s
+	s := c.server
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	if v, done := c.transaction(name, args); done {
 		return v
 	}
-	x := &call{s: s, c: c, db: c.db, now: s.opt.Now()}
+	x := &call{server: s, client: c, db: c.db, now: s.options.Now()}
 	s.group.catchUp(x.now)
 	v := s.execute(x, args)
 	c.db = x.db
@@ -504,74 +504,76 @@
 func (c *client) transaction(name string, args []string) (v value, done bool) {
 	switch name {
 	case "MULTI":
-		if c.multi {
+		if c.inTransaction {
 			return errorf("MULTI calls can not be nested"), true
 		}
-		c.multi, c.spoilt, c.queue = true, false, nil
+		c.inTransaction, c.aborted, c.queue = true, false, nil
 		return okReply, true
 	case "DISCARD":
-		if !c.multi {
+		if !c.inTransaction {
 			return errorf("DISCARD without MULTI"), true
 		}
-		c.endMulti()
+		c.endTransaction()
 		return okReply, true
 	case "WATCH":
-		if c.multi {
+		if c.inTransaction {
 			return errorf("WATCH inside MULTI is not allowed"), true
 		}
-		x := &call{s: c.s, c: c, db: c.db, now: c.s.opt.Now()}
+		x := &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
 		if c.watched == nil {
 			c.watched = map[string]*entry{}
 		}
 		for _, k := range args[1:] {
-			c.watched[k] = copyOf(x.get(k))
+			c.watched[k] = cloneEntry(x.get(k))
 		}
 		return okReply, true
 	case "UNWATCH":
 		c.watched = nil
 		return okReply, true
 	case "EXEC":
-		if !c.multi {
+		if !c.inTransaction {
 			return errorf("EXEC without MULTI"), true
 		}
-		queue, spoilt, watched := c.queue, c.spoilt, c.watched
-		c.endMulti()
+		queue, spoilt, watched := c.queue, c.aborted, c.watched
+		c.endTransaction()
 		if spoilt {
 			return failure("EXECABORT Transaction discarded because of previous errors."), true
 		}
-		x := &call{s: c.s, c: c, db: c.db, now: c.s.opt.Now()}
-		c.s.group.catchUp(x.now)
+		x := &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
+		c.server.group.catchUp(x.now)
 		for k, was := range watched {
-			if !same(was, x.get(k)) {
-				return value{kind: kNulls}, true
+			if !equalEntries(was, x.get(k)) {
+				return value{kind: kindNullArray}, true
 			}
 		}
 		out := array()
 		for _, a := range queue {
-			out.list = append(out.list, c.s.execute(x, a))
+			out.list = append(out.list, c.server.execute(x, a))
 		}
 		c.db = x.db
 		return out, true
 	}
-	if !c.multi || name == "QUIT" || name == "RESET" {
+	if !c.inTransaction || name == "QUIT" || name == "RESET" {
 		return value{}, false
 	}
-	x := &call{s: c.s, c: c, db: c.db, now: c.s.opt.Now()}
-	if v := c.s.refuses(x, name, args); v.kind != kNone {
-		c.spoilt = true
+	x := &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
+	if v := c.server.check(x, name, args); v.kind != kindNone {
+		c.aborted = true
 		return v, true
 	}
-	if len(c.queue) >= mostQueued {
-		c.spoilt = true
+	if len(c.queue) >= maxQueuedCommands {
+		c.aborted = true
 		return errorf("too many commands in a transaction"), true
 	}
 	c.queue = append(c.queue, args)
 	return status("QUEUED"), true
 }
 
-func (c *client) endMulti() { c.multi, c.spoilt, c.queue, c.watched = false, false, nil, nil }
+func (c *client) endTransaction() {
+	c.inTransaction, c.aborted, c.queue, c.watched = false, false, nil, nil
+}
 
-func copyOf(e *entry) *entry {
+func cloneEntry(e *entry) *entry {
 	if e == nil {
 		return nil
 	}
@@ -585,7 +587,7 @@
 	return &out
 }
 
-func same(a, b *entry) bool {
+func equalEntries(a, b *entry) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -601,11 +603,11 @@
 }
 
 // whileLoading are the commands that are answered in every state.
-var whileLoading = []string{"HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "COMMAND", "QUIT", "RESET", "SELECT", "CONFIG"}
+var allowedWhileLoading = []string{"HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "COMMAND", "QUIT", "RESET", "SELECT", "CONFIG"}
 
 // refuses says why a command is not run, or nothing.
-func (s *Server) refuses(x *call, name string, args []string) value {
-	cmd, known := s.table[name]
+func (s *Server) check(x *call, name string, args []string) value {
+	cmd, known := s.commands[name]
 	switch {
 	case !known:
 		var list strings.Builder
@@ -615,15 +617,15 @@
 		return errorf("unknown command '%.128s', with args beginning with: %s", args[0], list.String())
 	case cmd.arity > 0 && len(args) != cmd.arity || len(args) < -cmd.arity:
 		return errorf("wrong number of arguments for '%s' command", strings.ToLower(name))
-	case x.script && cmd.noScript:
+	case x.inScript && cmd.noScript:
 		return errorf("This Redis command is not allowed from script")
-	case x.apply:
+	case x.replicated:
 		return value{}
-	case x.c != nil && !x.c.authed && name != "AUTH" && name != "HELLO" && name != "QUIT" && name != "RESET":
+	case x.client != nil && !x.client.authed && name != "AUTH" && name != "HELLO" && name != "QUIT" && name != "RESET":
 		return failure("NOAUTH Authentication required.")
-	case s.sentinel && !sentinelCommand(name):
+	case s.sentinel && !isSentinelCommand(name):
 		return errorf("unknown command '%.128s', with args beginning with: ", args[0])
-	case time.Now().Before(s.loading) && !slices.Contains(whileLoading, name):
+	case time.Now().Before(s.loading) && !slices.Contains(allowedWhileLoading, name):
 		return failure("LOADING Redis is loading the dataset in memory")
 	case cmd.write && s.full:
 		return failure("OOM command not allowed when used memory > 'maxmemory'.")
@@ -631,7 +633,7 @@
 		return failure("READONLY You can't write against a read only replica.")
 	}
 	if s.cluster != nil {
-		return s.cluster.refuses(s, x, name, cmd, args)
+		return s.cluster.check(s, x, name, cmd, args)
 	}
 	return value{}
 }
@@ -639,10 +641,10 @@
 // execute runs a command; the group is locked.
 func (s *Server) execute(x *call, args []string) value {
 	name := strings.ToUpper(args[0])
-	if v := s.refuses(x, name, args); v.kind != kNone {
+	if v := s.check(x, name, args); v.kind != kindNone {
 		return v
 	}
-	return s.table[name].run(x, args)
+	return s.commands[name].run(x, args)
 }
 
 // --- commands of the connection ---
@@ -653,7 +655,7 @@
 	}
 	add("PING", -1, func(x *call, a []string) value {
 		switch {
-		case x.c != nil && x.c.push != nil && x.c.proto < 3:
+		case x.client != nil && x.client.messages != nil && x.client.proto < 3:
 			return array(bulk("pong"), bulk(strings.Join(a[1:], "")))
 		case len(a) > 1:
 			return bulk(a[1])
@@ -663,18 +665,18 @@
 	add("ECHO", 2, func(_ *call, a []string) value { return bulk(a[1]) })
 	add("QUIT", -1, func(*call, []string) value { return okReply })
 	add("RESET", 1, func(x *call, _ []string) value {
-		x.c.endMulti()
-		x.c.name, x.c.proto, x.db, x.c.authed = "", 2, 0, x.s.opt.Password == ""
+		x.client.endTransaction()
+		x.client.name, x.client.proto, x.db, x.client.authed = "", 2, 0, x.server.options.Password == ""
 		return status("RESET")
 	})
 	add("SELECT", 2, func(x *call, a []string) value {
 		n, err := strconv.Atoi(a[1])
 		switch {
 		case err != nil:
-			return failure(notInt)
-		case n < 0 || n >= mostDBs:
+			return failure(notInteger)
+		case n < 0 || n >= maxDatabases:
 			return errorf("DB index is out of range")
-		case x.s.cluster != nil && n > 0:
+		case x.server.cluster != nil && n > 0:
 			return errorf("SELECT is not allowed in cluster mode")
 		}
 		x.db = n
@@ -689,19 +691,19 @@
 		}
 		return failure("ERR syntax error")
 	})
-	add("HELLO", -1, hello)
-	add("CLIENT", -2, clientCommand)
-	add("COMMAND", -1, commandCommand)
+	add("HELLO", -1, cmdHello)
+	add("CLIENT", -2, cmdClient)
+	add("COMMAND", -1, cmdCommand)
 	add("CONFIG", -2, func(x *call, a []string) value {
 		if strings.EqualFold(a[1], "GET") && len(a) == 3 && strings.EqualFold(a[2], "maxclients") {
-			return mapping(bulk("maxclients"), bulk(strconv.Itoa(x.s.opt.MaxClients)))
+			return mapping(bulk("maxclients"), bulk(strconv.Itoa(x.server.options.MaxClients)))
 		}
 		if strings.EqualFold(a[1], "GET") {
 			return mapping()
 		}
 		return errorf("unknown subcommand or wrong number of arguments for '%s'", a[1])
 	})
-	add("INFO", -1, info)
+	add("INFO", -1, cmdInfo)
 	for _, name := range []string{"MULTI", "EXEC", "DISCARD", "WATCH", "UNWATCH"} { // transaction answers them
 		arity := 1
 		if name == "WATCH" {
@@ -712,20 +714,20 @@
 }
 
 func (x *call) auth(user, password string) value {
-	want := x.s.opt
+	want := x.server.options
 	switch {
 	case want.Password == "":
 		return errorf("AUTH <password> called without any password configured for the default user. Are you sure your configuration is correct?")
 	case password != want.Password || user != want.User:
 		return failure("WRONGPASS invalid username-password pair or user is disabled.")
 	}
-	x.c.authed = true
+	x.client.authed = true
 	return okReply
 }
 
 // hello: HELLO [version [AUTH user password] [SETNAME name]].
-func hello(x *call, a []string) value {
-	proto := x.c.proto
+func cmdHello(x *call, a []string) value {
+	proto := x.client.proto
 	if len(a) > 1 {
 		n, err := strconv.Atoi(a[1])
 		switch {
@@ -736,11 +738,11 @@
 		}
 		proto = n
 	}
-	name := x.c.name
+	name := x.client.name
 	for i := 2; i < len(a); i++ {
 		switch opt := strings.ToUpper(a[i]); {
 		case opt == "AUTH" && i+2 < len(a):
-			if v := x.auth(a[i+1], a[i+2]); v.kind == kError {
+			if v := x.auth(a[i+1], a[i+2]); v.kind == kindError {
 				return v
 			}
 			i += 2
@@ -751,37 +753,37 @@
 			return errorf("Syntax error in HELLO option '%s'", a[i])
 		}
 	}
-	if !x.c.authed {
+	if !x.client.authed {
 		return failure("NOAUTH HELLO must be called with the client already authenticated, otherwise the " +
 			"HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP " +
 			"protocol version at the same time")
 	}
-	x.c.proto, x.c.name = proto, name
+	x.client.proto, x.client.name = proto, name
 	mode := "standalone"
 	switch {
-	case x.s.sentinel:
+	case x.server.sentinel:
 		mode = "sentinel"
-	case x.s.cluster != nil:
+	case x.server.cluster != nil:
 		mode = "cluster"
 	}
 	return mapping(bulk("server"), bulk("redis"), bulk("version"), bulk(serverVersion), bulk("proto"), integer(int64(proto)),
-		bulk("id"), integer(x.c.id), bulk("mode"), bulk(mode), bulk("role"), bulk(x.s.roleName()), bulk("modules"), array())
+		bulk("id"), integer(x.client.id), bulk("mode"), bulk(mode), bulk("role"), bulk(x.server.roleName()), bulk("modules"), array())
 }
 
-func clientCommand(x *call, a []string) value {
+func cmdClient(x *call, a []string) value {
 	switch sub := strings.ToUpper(a[1]); {
 	case sub == "ID" && len(a) == 2:
-		return integer(x.c.id)
+		return integer(x.client.id)
 	case sub == "GETNAME" && len(a) == 2:
-		if x.c.name == "" {
+		if x.client.name == "" {
 			return null
 		}
-		return bulk(x.c.name)
+		return bulk(x.client.name)
 	case sub == "SETNAME" && len(a) == 3:
 		if strings.ContainsAny(a[2], " \n\r") {
 			return errorf("Client names cannot contain spaces, newlines or special characters.")
 		}
-		x.c.name = a[2]
+		x.client.name = a[2]
 		return okReply
 	case sub == "SETINFO" && len(a) == 4:
 		if opt := strings.ToUpper(a[2]); opt != "LIB-NAME" && opt != "LIB-VER" {
@@ -789,18 +791,18 @@
 		}
 		return okReply
 	case sub == "INFO" || sub == "LIST":
-		return bulk(fmt.Sprintf("id=%d addr=%s name=%s db=%d resp=%d\n", x.c.id, x.c.nc.RemoteAddr(), x.c.name, x.db, x.c.proto))
+		return bulk(fmt.Sprintf("id=%d addr=%s name=%s db=%d resp=%d\n", x.client.id, x.client.nc.RemoteAddr(), x.client.name, x.db, x.client.proto))
 	case sub == "NO-EVICT" || sub == "NO-TOUCH":
 		return okReply
 	}
 	return errorf("unknown subcommand or wrong number of arguments for '%s'. Try CLIENT HELP.", a[1])
 }
 
-func commandCommand(x *call, a []string) value {
+func cmdCommand(x *call, a []string) value {
 	switch {
 	case len(a) == 1:
 		out := array()
-		for name, c := range x.s.table {
+		for name, c := range x.server.commands {
 			flag := "readonly"
 			if c.write {
 				flag = "write"
@@ -810,18 +812,18 @@
 		}
 		return out
 	case strings.EqualFold(a[1], "COUNT"):
-		return integer(int64(len(x.s.table)))
+		return integer(int64(len(x.server.commands)))
 	case strings.EqualFold(a[1], "DOCS"):
 		return mapping()
 	}
 	return errorf("unknown subcommand '%s'", a[1])
 }
 
-func info(x *call, _ []string) value {
-	s := x.s
+func cmdInfo(x *call, _ []string) value {
+	s := x.server
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Server\r\nredis_version:%s\r\ntcp_port:%s\r\n", serverVersion, s.addr[strings.LastIndexByte(s.addr, ':')+1:])
-	fmt.Fprintf(&b, "# Clients\r\nconnected_clients:%d\r\nmaxclients:%d\r\n", len(s.clients), s.opt.MaxClients)
+	fmt.Fprintf(&b, "# Clients\r\nconnected_clients:%d\r\nmaxclients:%d\r\n", len(s.clients), s.options.MaxClients)
 	fmt.Fprintf(&b, "# Persistence\r\nloading:%d\r\n", map[bool]int{true: 1}[time.Now().Before(s.loading)])
 	fmt.Fprintf(&b, "# Replication\r\nrole:%s\r\n", s.roleName())
 	if s.master != nil {
@@ -841,7 +843,7 @@
 func (s *Server) HashField(db int, key, field string) (string, bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	x := &call{s: s, db: db, now: s.opt.Now()}
+	x := &call{server: s, db: db, now: s.options.Now()}
 	e := x.get(key)
 	if e == nil || e.hash == nil {
 		return "", false
@@ -851,7 +853,9 @@
 }
 
 // Flush forgets all keys and keeps the connections, as a failover behind a proxy would.
-func (s *Server) Flush() { s.set(func() { clear(s.dbs) }) }
+func (s *Server) Flush() { s.update(func() { clear(s.dbs) }) }
 
 // NextConnections asks take of each new connection whether it is served; one that is not is reset. nil serves all.
-func (s *Server) NextConnections(take func(net.Conn) bool) { s.set(func() { s.take = take }) }
+func (s *Server) NextConnections(take func(net.Conn) bool) {
+	s.update(func() { s.acceptFilter = take })
+}
--- a/internal/standin/redis/topology.go
+++ b/internal/standin/redis/topology.go
@@ -20,18 +20,18 @@
 // Group is a primary and its replicas, in one process and under one lock. The log of effects reaches a replica after the
 // lag; what it has not reached at a failover is lost.
 type Group struct {
-	mu        sync.Mutex
-	servers   []*Server
-	primary   *Server
-	log       []effect
-	offset    int // of the log's first effect since the start
-	lag       time.Duration
-	listeners map[string][]*client // of channels
-	sentinels []*Server
-	name      string // by which Sentinels know it
+	mu          sync.Mutex
+	servers     []*Server
+	primary     *Server
+	log         []effect
+	offset      int // of the log's first effect since the start
+	lag         time.Duration
+	subscribers map[string][]*client // of channels
+	sentinels   []*Server
+	name        string // by which Sentinels know it
 }
 
-func newGroup() *Group { return &Group{listeners: map[string][]*client{}, name: "mymaster"} }
+func newGroup() *Group { return &Group{subscribers: map[string][]*client{}, name: "mymaster"} }
 
 // Group is the server's own.
 func (s *Server) Group() *Group { return s.group }
@@ -59,7 +59,7 @@
 		opt.Listen = "127.0.0.1:0"
 	}
 	if opt.MaxClients <= 0 {
-		opt.MaxClients = usualClients
+		opt.MaxClients = defaultMaxClients
 	}
 	if opt.User == "" {
 		opt.User = "default"
@@ -103,7 +103,7 @@
 	for n, db := range master.dbs {
 		s.dbs[n] = database{}
 		for k, e := range db {
-			s.dbs[n][k] = copyOf(e)
+			s.dbs[n][k] = cloneEntry(e)
 		}
 	}
 	s.applied = s.group.offset + len(s.group.log)
@@ -128,7 +128,7 @@
 			if now.Sub(e.at) < g.lag {
 				break
 			}
-			r.play(e, now)
+			r.applyEffect(e, now)
 		}
 		least = min(least, r.applied)
 	}
@@ -137,10 +137,10 @@
 	}
 }
 
-func (r *Server) play(e effect, now time.Time) {
-	x := &call{s: r, db: e.db, now: now, apply: true}
-	r.execute(x, e.args)
-	r.applied++
+func (s *Server) applyEffect(e effect, now time.Time) {
+	x := &call{server: s, db: e.db, now: now, replicated: true}
+	s.execute(x, e.args)
+	s.applied++
 }
 
 // Failover makes the replica the primary and returns how many effects were lost. The old primary, if it lives, goes on
@@ -148,7 +148,7 @@
 func (g *Group) Failover(to *Server, split bool) (lost int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := to.opt.Now()
+	now := to.options.Now()
 	g.catchUp(now)
 	lost = g.offset + len(g.log) - to.applied
 	old := g.primary
@@ -186,44 +186,44 @@
 // --- channels, as far as Sentinel's clients listen ---
 
 func (g *Group) publish(channel, text string) int {
-	for _, c := range g.listeners[channel] {
-		b := value{kind: kPush, list: []value{bulk("message"), bulk(channel), bulk(text)}}.append(nil, c.proto)
+	for _, c := range g.subscribers[channel] {
+		b := value{kind: kindPush, list: []value{bulk("message"), bulk(channel), bulk(text)}}.append(nil, c.proto)
 		select {
-		case c.push <- b:
+		case c.messages <- b:
 		default: // it does not read: it is as well closed
 			c.nc.Close()
 		}
 	}
-	return len(g.listeners[channel])
+	return len(g.subscribers[channel])
 }
 
 func (g *Group) unsubscribe(c *client) {
-	for ch, list := range g.listeners {
-		g.listeners[ch] = slices.DeleteFunc(list, func(o *client) bool { return o == c })
+	for ch, list := range g.subscribers {
+		g.subscribers[ch] = slices.DeleteFunc(list, func(o *client) bool { return o == c })
 	}
-	close(c.push)
-	c.push = nil
+	close(c.messages)
+	c.messages = nil
 }
 
 // subscribe answers with a confirmation for each channel, in its place among the other answers. Messages follow on a
 // goroutine of their own, which begins once the first confirmations are out.
-func subscribe(x *call, a []string) value {
-	c := x.c
-	if c.push == nil {
-		c.push = make(chan []byte, 64)
-		c.pushes = c.push
+func cmdSubscribe(x *call, a []string) value {
+	c := x.client
+	if c.messages == nil {
+		c.messages = make(chan []byte, 64)
+		c.unsentMessages = c.messages
 	}
-	out := value{kind: kEach}
+	out := value{kind: kindEach}
 	for i, ch := range a[1:] {
-		x.s.group.listeners[ch] = append(x.s.group.listeners[ch], c)
-		out.list = append(out.list, value{kind: kPush, list: []value{bulk(strings.ToLower(a[0])), bulk(ch), integer(int64(i + 1))}})
+		x.server.group.subscribers[ch] = append(x.server.group.subscribers[ch], c)
+		out.list = append(out.list, value{kind: kindPush, list: []value{bulk(strings.ToLower(a[0])), bulk(ch), integer(int64(i + 1))}})
 	}
 	return out
 }
 
-func (c *client) sendPushes(messages <-chan []byte) {
+func (c *client) sendMessages(messages <-chan []byte) {
 	for b := range messages {
-		if c.send(b) != nil {
+		if c.writeOut(b) != nil {
 			c.nc.Close()
 		}
 	}
@@ -235,22 +235,22 @@
 	add := func(name string, arity int, run func(*call, []string) value) {
 		t[name] = command{arity: arity, noScript: true, run: run}
 	}
-	add("ROLE", 1, role)
-	add("WAIT", 3, wait)
-	add("SUBSCRIBE", -2, subscribe)
-	add("PUBLISH", 3, func(x *call, a []string) value { return integer(int64(x.s.group.publish(a[1], a[2]))) })
-	add("SENTINEL", -2, sentinel)
+	add("ROLE", 1, cmdRole)
+	add("WAIT", 3, cmdWait)
+	add("SUBSCRIBE", -2, cmdSubscribe)
+	add("PUBLISH", 3, func(x *call, a []string) value { return integer(int64(x.server.group.publish(a[1], a[2]))) })
+	add("SENTINEL", -2, cmdSentinel)
 	add("ASKING", 1, func(x *call, _ []string) value {
-		x.c.asking = true
+		x.client.asking = true
 		return okReply
 	})
 	add("READONLY", 1, func(*call, []string) value { return okReply })
 	add("READWRITE", 1, func(*call, []string) value { return okReply })
-	add("CLUSTER", -2, clusterCommand)
+	add("CLUSTER", -2, cmdCluster)
 }
 
-func role(x *call, _ []string) value {
-	s, g := x.s, x.s.group
+func cmdRole(x *call, _ []string) value {
+	s, g := x.server, x.server.group
 	if s.sentinel {
 		return array(bulk("sentinel"), array(bulk(g.name)))
 	}
@@ -270,20 +270,20 @@
 }
 
 // wait: WAIT replicas ms. It holds the lock only to look.
-func wait(x *call, a []string) value {
+func cmdWait(x *call, a []string) value {
 	want, err1 := strconv.Atoi(a[1])
 	ms, err2 := strconv.Atoi(a[2])
 	if err1 != nil || err2 != nil || ms < 0 {
-		return failure(notInt)
+		return failure(notInteger)
 	}
-	s, g := x.s, x.s.group
+	s, g := x.server, x.server.group
 	if s.isReplica() {
 		return errorf("WAIT cannot be used with replica instances. Please also note that writes to replicas are just local.")
 	}
 	upTo := g.offset + len(g.log)
 	until := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for {
-		g.catchUp(s.opt.Now())
+		g.catchUp(s.options.Now())
 		n := 0
 		for _, r := range g.servers {
 			if r.master == s && r.applied >= upTo {
@@ -294,7 +294,7 @@
 			return integer(int64(n))
 		}
 		g.mu.Unlock()
-		time.Sleep(pausedPoll)
+		time.Sleep(pollInterval)
 		g.mu.Lock()
 	}
 }
@@ -312,16 +312,16 @@
 	return s, g.name, nil
 }
 
-func sentinelCommand(name string) bool {
+func isSentinelCommand(name string) bool {
 	return slices.Contains([]string{
 		"SENTINEL", "PING", "HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "SUBSCRIBE", "PUBLISH",
 		"COMMAND", "QUIT", "RESET",
 	}, name)
 }
 
-func sentinel(x *call, a []string) value {
-	g := x.s.group
-	if !x.s.sentinel {
+func cmdSentinel(x *call, a []string) value {
+	g := x.server.group
+	if !x.server.sentinel {
 		return errorf("unknown command 'SENTINEL', with args beginning with: ")
 	}
 	if len(a) < 3 {
@@ -335,7 +335,7 @@
 	sub := strings.ToUpper(a[1])
 	if a[2] != g.name {
 		if sub == "GET-MASTER-ADDR-BY-NAME" {
-			return value{kind: kNulls}
+			return value{kind: kindNullArray}
 		}
 		return errorf("No such master with that name")
 	}
@@ -355,7 +355,7 @@
 		return out
 	case "SENTINELS":
 		for _, o := range g.sentinels {
-			if o != x.s {
+			if o != x.server {
 				out.list = append(out.list, describe(o, "sentinel"))
 			}
 		}
@@ -366,30 +366,30 @@
 
 // --- cluster ---
 
-const slots = 16384
+const slotCount = 16384
 
 // Cluster is shards that hold the slots between them.
 type Cluster struct {
-	mu     sync.Mutex // of owners and asking
-	shards []*Server
-	owner  [slots]*Server
-	moving map[int]*Server // where a slot is on its way to: its owner answers ASK for keys that it lacks
+	mu        sync.Mutex // of owners and asking
+	shards    []*Server
+	owner     [slotCount]*Server
+	migrating map[int]*Server // where a slot is on its way to: its owner answers ASK for keys that it lacks
 }
 
 // StartCluster starts so many shards, each with an even part of the slots.
 func StartCluster(opt Options, shards int) (*Cluster, error) {
-	c := &Cluster{moving: map[int]*Server{}}
+	c := &Cluster{migrating: map[int]*Server{}}
 	for range shards {
 		s, err := Start(opt)
 		if err != nil {
 			c.Close()
 			return nil, err
 		}
-		s.set(func() { s.cluster = c })
+		s.update(func() { s.cluster = c })
 		c.shards = append(c.shards, s)
 	}
 	for i := range c.owner {
-		c.owner[i] = c.shards[i*shards/slots]
+		c.owner[i] = c.shards[i*shards/slotCount]
 	}
 	return c, nil
 }
@@ -409,14 +409,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.owner[slot] = to
-	delete(c.moving, slot)
+	delete(c.migrating, slot)
 }
 
 // Migrate begins to move a slot: for keys that its owner lacks it answers ASK.
 func (c *Cluster) Migrate(slot int, to *Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.moving[slot] = to
+	c.migrating[slot] = to
 }
 
 // Slot is the cluster's hash of a key: CRC16 of the part in the first braces, if any, else of all of it.
@@ -437,7 +437,7 @@
 			}
 		}
 	}
-	return int(crc) % slots
+	return int(crc) % slotCount
 }
 
 // keysOf lists the keys of a command.
@@ -463,9 +463,9 @@
 	return keys
 }
 
-func (c *Cluster) refuses(s *Server, x *call, name string, cmd command, args []string) value {
+func (c *Cluster) check(s *Server, x *call, name string, cmd command, args []string) value {
 	keys := keysOf(name, cmd, args)
-	if len(keys) == 0 || x.script {
+	if len(keys) == 0 || x.inScript {
 		return value{}
 	}
 	slot := Slot(keys[0])
@@ -476,20 +476,20 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	owner, next := c.owner[slot], c.moving[slot]
+	owner, next := c.owner[slot], c.migrating[slot]
 	switch {
 	case owner == nil:
 		return failure("CLUSTERDOWN Hash slot not served")
 	case owner == s && next != nil && next != s && x.get(keys[0]) == nil:
 		return failure(fmt.Sprintf("ASK %d %s", slot, next.addr))
-	case owner != s && !(next == s && x.c != nil && x.c.asking):
+	case owner != s && !(next == s && x.client != nil && x.client.asking):
 		return failure(fmt.Sprintf("MOVED %d %s", slot, owner.addr))
 	}
 	return value{}
 }
 
-func clusterCommand(x *call, a []string) value {
-	c := x.s.cluster
+func cmdCluster(x *call, a []string) value {
+	c := x.server.cluster
 	if c == nil {
 		return errorf("This instance has cluster support disabled")
 	}
@@ -499,10 +499,10 @@
 	case sub == "KEYSLOT" && len(a) == 3:
 		return integer(int64(Slot(a[2])))
 	case sub == "MYID":
-		return bulk(x.s.id)
+		return bulk(x.server.id)
 	case sub == "INFO":
 		return bulk(fmt.Sprintf("cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:%d\r\ncluster_known_nodes:%d\r\n",
-			slots, len(c.shards)))
+			slotCount, len(c.shards)))
 	case sub == "SLOTS":
 		out := array()
 		c.ranges(func(from, to int, s *Server) {
@@ -532,14 +532,14 @@
 	return errorf("unknown subcommand '%s'", a[1])
 }
 
-func (c *Cluster) ranges(tell func(from, to int, s *Server)) {
-	for from := 0; from < slots; {
+func (c *Cluster) ranges(report func(from, to int, s *Server)) {
+	for from := 0; from < slotCount; {
 		to := from
-		for to+1 < slots && c.owner[to+1] == c.owner[from] {
+		for to+1 < slotCount && c.owner[to+1] == c.owner[from] {
 			to++
 		}
 		if c.owner[from] != nil {
-			tell(from, to, c.owner[from])
+			report(from, to, c.owner[from])
 		}
 		from = to + 1
 	}
