--- /dev/null
+++ b/internal/standin/redis/accept.go
@@ -0,0 +1,131 @@
+package redis
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+)
+
+// client is one connection.
+type client struct {
+	server  *Server
+	nc      net.Conn
+	id      int64
+	proto   int
+	db      int
+	name    string
+	authed  bool
+	asking  bool
+	out     []byte
+	swapped []byte // an answer that comes after the next one
+
+	inTransaction  bool
+	aborted        bool // a command of the transaction was wrong
+	queue          [][]string
+	watched        map[string]*entry // as they were
+	dirty          bool
+	messages       chan []byte   // messages of channels that it listens to; nil: none
+	unsentMessages <-chan []byte // the same, until someone sends them
+	writeMu        sync.Mutex
+}
+
+func (s *Server) accept(ln net.Listener) {
+	for {
+		nc, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		s.group.mu.Lock()
+		if s.down || s.ctx.Err() != nil || s.acceptFilter != nil && !s.acceptFilter(nc) {
+			s.group.mu.Unlock()
+			reset(nc)
+			continue
+		}
+		if len(s.clients) >= s.options.MaxClients {
+			s.group.mu.Unlock()
+			s.wg.Go(func() { rejectConn(nc) })
+			continue
+		}
+		s.lastConnID++
+		c := &client{server: s, nc: nc, id: s.lastConnID, proto: 2, authed: s.options.Password == ""}
+		s.clients[c] = true
+		s.wg.Go(c.serve)
+		s.group.mu.Unlock()
+	}
+}
+
+// turnAway says why, and waits a moment for the client to read it: a close with commands unread would reset the
+// connection and take the reason with it.
+func rejectConn(nc net.Conn) {
+	defer nc.Close()
+	nc.SetDeadline(time.Now().Add(lingerTimeout))
+	io.WriteString(nc, "-ERR max number of clients reached\r\n")
+	if t, ok := nc.(interface{ CloseWrite() error }); ok {
+		t.CloseWrite()
+	}
+	io.CopyN(io.Discard, nc, maxInlineLength)
+}
+
+// serve reads commands and answers them in order until the connection ends.
+func (c *client) serve() {
+	defer func() {
+		c.nc.Close()
+		c.server.group.mu.Lock()
+		delete(c.server.clients, c)
+		if c.messages != nil {
+			c.server.group.unsubscribe(c)
+		}
+		c.server.group.mu.Unlock()
+	}()
+	in := bufio.NewReaderSize(c.nc, 16<<10)
+	for {
+		if d := c.server.options.Idle; d > 0 && c.messages == nil {
+			c.nc.SetReadDeadline(time.Now().Add(d))
+		}
+		args, err := readCommand(in)
+		var bad protoError
+		if errors.As(err, &bad) {
+			c.out = failure("ERR "+bad.Error()).append(c.out, c.proto)
+			c.flush()
+			return
+		}
+		if err != nil {
+			return
+		}
+		if len(args) > 0 && !c.handle(args) {
+			c.flush() // after QUIT
+			return
+		}
+		if in.Buffered() == 0 || len(c.out) > flushThreshold {
+			if !c.flush() {
+				return
+			}
+		}
+	}
+}
+
+func (c *client) flush() bool {
+	if len(c.out) == 0 {
+		return true
+	}
+	err := c.writeOut(c.out)
+	c.out = c.out[:0]
+	if c.unsentMessages != nil {
+		messages := c.unsentMessages
+		c.unsentMessages = nil
+		c.server.wg.Go(func() { c.sendMessages(messages) })
+	}
+	return err == nil
+}
+
+// send writes answers or a message, never both at once.
+func (c *client) writeOut(b []byte) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.nc.Write(b)
+	return err
+}
--- /dev/null
+++ b/internal/standin/redis/pubsub.go
@@ -0,0 +1,50 @@
+package redis
+
+import (
+	"slices"
+	"strings"
+)
+
+func (g *Group) publish(channel, text string) int {
+	for _, c := range g.subscribers[channel] {
+		b := value{kind: kindPush, list: []value{bulk("message"), bulk(channel), bulk(text)}}.append(nil, c.proto)
+		select {
+		case c.messages <- b:
+		default: // it does not read: it is as well closed
+			c.nc.Close()
+		}
+	}
+	return len(g.subscribers[channel])
+}
+
+func (g *Group) unsubscribe(c *client) {
+	for ch, list := range g.subscribers {
+		g.subscribers[ch] = slices.DeleteFunc(list, func(o *client) bool { return o == c })
+	}
+	close(c.messages)
+	c.messages = nil
+}
+
+// subscribe answers with a confirmation for each channel, in its place among the other answers. Messages follow on a
+// goroutine of their own, which begins once the first confirmations are out.
+func cmdSubscribe(x *call, a []string) value {
+	c := x.client
+	if c.messages == nil {
+		c.messages = make(chan []byte, 64)
+		c.unsentMessages = c.messages
+	}
+	out := value{kind: kindEach}
+	for i, ch := range a[1:] {
+		x.server.group.subscribers[ch] = append(x.server.group.subscribers[ch], c)
+		out.list = append(out.list, value{kind: kindPush, list: []value{bulk(strings.ToLower(a[0])), bulk(ch), integer(int64(i + 1))}})
+	}
+	return out
+}
+
+func (c *client) sendMessages(messages <-chan []byte) {
+	for b := range messages {
+		if c.writeOut(b) != nil {
+			c.nc.Close()
+		}
+	}
+}
--- /dev/null
+++ b/internal/standin/redis/reply.go
@@ -0,0 +1,113 @@
+package redis
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+)
+
+// kind is the type of a reply.
+type kind byte
+
+const (
+	kindStatus    kind = '+'
+	kindError     kind = '-'
+	kindInteger   kind = ':'
+	kindBulk      kind = '$'
+	kindNull      kind = '_'
+	kindArray     kind = '*'
+	kindNullArray kind = 'n' // the null array of RESP2
+	kindMap       kind = '%' // list holds keys and values in turn
+	kindDouble    kind = ','
+	kindPush      kind = '>'
+	kindEach      kind = 'e' // each of list is an answer of its own
+	kindNone      kind = 0   // no reply at all
+)
+
+// value is a reply.
+type value struct {
+	kind kind
+	str  string
+	n    int64
+	f    float64
+	list []value
+}
+
+var (
+	okReply = value{kind: kindStatus, str: "OK"}
+	null    = value{kind: kindNull}
+)
+
+func status(s string) value { return value{kind: kindStatus, str: s} }
+
+func failure(s string) value { return value{kind: kindError, str: s} }
+
+func integer(n int64) value { return value{kind: kindInteger, n: n} }
+
+func bulk(s string) value { return value{kind: kindBulk, str: s} }
+
+func array(list ...value) value { return value{kind: kindArray, list: list} }
+
+func mapping(list ...value) value { return value{kind: kindMap, list: list} }
+
+func errorf(format string, args ...any) value { return failure(fmt.Sprintf("ERR "+format, args...)) }
+
+// append writes a reply in the connection's version of the protocol.
+func (v value) append(b []byte, proto int) []byte {
+	head := func(c byte, n int) { b = append(strconv.AppendInt(append(b, c), int64(n), 10), '\r', '\n') }
+	switch v.kind {
+	case kindNone:
+	case kindStatus, kindError:
+		clean := strings.NewReplacer("\r", " ", "\n", " ").Replace(v.str)
+		b = append(append(append(b, byte(v.kind)), clean...), '\r', '\n')
+	case kindInteger:
+		head(':', int(v.n))
+	case kindBulk:
+		head('$', len(v.str))
+		b = append(append(b, v.str...), '\r', '\n')
+	case kindNull, kindNullArray:
+		switch {
+		case proto >= 3:
+			b = append(b, "_\r\n"...)
+		case v.kind == kindNull:
+			b = append(b, "$-1\r\n"...)
+		default:
+			b = append(b, "*-1\r\n"...)
+		}
+	case kindDouble:
+		text := formatFloat(v.f)
+		if proto >= 3 {
+			b = append(append(append(b, ','), text...), '\r', '\n')
+		} else {
+			b = bulk(text).append(b, proto)
+		}
+	case kindEach:
+		for _, e := range v.list {
+			b = e.append(b, proto)
+		}
+	case kindArray, kindMap, kindPush:
+		switch {
+		case v.kind == kindMap && proto >= 3:
+			head('%', len(v.list)/2)
+		case v.kind == kindPush && proto >= 3:
+			head('>', len(v.list))
+		default:
+			head('*', len(v.list))
+		}
+		for _, e := range v.list {
+			b = e.append(b, proto)
+		}
+	}
+	return b
+}
+
+// formatFloat writes a number as INCRBYFLOAT does: no exponent, no trailing noughts.
+func formatFloat(f float64) string {
+	if math.IsInf(f, 1) {
+		return "inf"
+	} else if math.IsInf(f, -1) {
+		return "-inf"
+	}
+	return strconv.FormatFloat(f, 'f', -1, 64)
+}
