--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -14,14 +14,14 @@
 	loopback = "127.0.0.1"
 	zone     = "hall-a"
 	// cores and room are far more than a backend needs, so that none of the time is spent in its queue.
-	cores = 64
-	room  = 10000
+	backendCores = 64
+	backendQueue = 10000
 )
 
 // backends is what stands behind an ingress: the backends, the list of them, and the shared counter.
 type backends struct {
 	fleet    *backend.Fleet
-	nodes    []*backend.Backend
+	backends []*backend.Backend
 	registry *discovery.Registry
 	agent    string
 	counter  *tally.Server
@@ -32,7 +32,7 @@
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	b = &backends{
-		fleet:    backend.NewFleet(backend.Rules{Work: map[string]backend.Work{class: {Min: c.Work, Max: c.Work}}}, seed, clock),
+		fleet:    backend.NewFleet(backend.Rules{Work: map[string]backend.Work{requestClass: {Min: c.Work, Max: c.Work}}}, seed, clock),
 		registry: discovery.New(seed, clock, 0, time.Millisecond),
 	}
 	defer func() {
@@ -52,24 +52,24 @@
 		}
 	}
 	if build.Name != Bare { // the bare proxy would answer all later requests of a connection with the ones before
-		b.answerTwice(c)
+		b.injectSecondAnswers(c)
 	}
 	return b, nil
 }
 
 func (b *backends) add(i int) error {
-	spec := backend.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: cores, Speed: 1, QueueCapacity: room}
+	spec := backend.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: backendCores, Speed: 1, QueueCapacity: backendQueue}
 	n, err := b.fleet.Add(spec, loopback, false, 1)
 	if err != nil {
 		return err
 	}
-	b.nodes = append(b.nodes, n)
+	b.backends = append(b.backends, n)
 	b.registry.Set(discovery.Target{UID: spec.ID, Endpoint: n.Addr(0), Zone: spec.Zone, Model: spec.Kind, Group: spec.Rack, State: "SERVING", Capacity: 1}, true)
 	return nil
 }
 
 // answerTwice has the backends answer a share of the requests a second time.
-func (b *backends) answerTwice(c *Config) {
+func (b *backends) injectSecondAnswers(c *Config) {
 	if c.SecondShare == 0 {
 		return
 	}
@@ -77,7 +77,7 @@
 	if c.SecondLate == 0 {
 		rule.Kind = fault.Repeat
 	}
-	for _, n := range b.nodes {
+	for _, n := range b.backends {
 		n.Fault(rule)
 	}
 }
@@ -91,16 +91,16 @@
 }
 
 // addrs are the backends' addresses.
-func (b *backends) addrs() (out []string) {
-	for _, n := range b.nodes {
+func (b *backends) addresses() (out []string) {
+	for _, n := range b.backends {
 		out = append(out, n.Addr(0))
 	}
 	return out
 }
 
 // opened is how many connections the backends have accepted so far: each is a handshake.
-func (b *backends) opened() (sum int) {
-	for _, n := range b.nodes {
+func (b *backends) acceptedConnections() (sum int) {
+	for _, n := range b.backends {
 		sum += n.Traffic(0).Opened
 	}
 	return sum
--- a/internal/lab/cost/config.go
+++ b/internal/lab/cost/config.go
@@ -16,10 +16,10 @@
 
 // Bounds of a run.
 const (
-	mostRate    = 20000
-	mostTime    = 5 * time.Minute
-	mostRepeats = 20
-	mostBuilds  = 12
+	maxRate     = 20000
+	maxDuration = 5 * time.Minute
+	maxRepeats  = 20
+	maxBuilds   = 12
 )
 
 // DefaultRates are requests a second: what one of 580 ingresses gets of 110,000, and a busy one.
@@ -69,8 +69,8 @@
 
 // Check returns an error that names the first field with a value that cannot be used.
 func (c *Config) Check() error {
-	if len(c.Builds) == 0 || len(c.Builds) > mostBuilds {
-		return fmt.Errorf("builds: %d is out of range, 1 to %d", len(c.Builds), mostBuilds)
+	if len(c.Builds) == 0 || len(c.Builds) > maxBuilds {
+		return fmt.Errorf("builds: %d is out of range, 1 to %d", len(c.Builds), maxBuilds)
 	}
 	seen := map[string]bool{}
 	for _, b := range c.Builds {
@@ -86,20 +86,20 @@
 		return fmt.Errorf("rate: none is named")
 	}
 	for i, r := range c.Rates {
-		if r < 1 || r > mostRate {
-			return fmt.Errorf("rate: %d is out of range, 1 to %d", r, mostRate)
+		if r < 1 || r > maxRate {
+			return fmt.Errorf("rate: %d is out of range, 1 to %d", r, maxRate)
 		}
 		if slices.Contains(c.Rates[:i], r) {
 			return fmt.Errorf("rate: %d is named twice", r)
 		}
 	}
 	switch {
-	case c.Length <= 0 || c.Length > mostTime:
-		return fmt.Errorf("seconds: %v is out of range, up to %v", c.Length, mostTime)
-	case c.Warm < 0 || c.Warm > mostTime:
-		return fmt.Errorf("warm: %v is out of range, up to %v", c.Warm, mostTime)
-	case c.Repeats < 1 || c.Repeats > mostRepeats:
-		return fmt.Errorf("repeats: %d is out of range, 1 to %d", c.Repeats, mostRepeats)
+	case c.Length <= 0 || c.Length > maxDuration:
+		return fmt.Errorf("seconds: %v is out of range, up to %v", c.Length, maxDuration)
+	case c.Warm < 0 || c.Warm > maxDuration:
+		return fmt.Errorf("warm: %v is out of range, up to %v", c.Warm, maxDuration)
+	case c.Repeats < 1 || c.Repeats > maxRepeats:
+		return fmt.Errorf("repeats: %d is out of range, 1 to %d", c.Repeats, maxRepeats)
 	case c.Backends < 1 || c.Backends > 300:
 		return fmt.Errorf("backends: %d is out of range, 1 to 300", c.Backends)
 	case c.Connections < 1 || c.Connections > 1000:
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -129,13 +129,13 @@
 }
 
 // canned is a measurement of a median, without refusals.
-func canned(build string, round int, p50 float64) Measurement {
+func testMeasurement(build string, round int, p50 float64) Measurement {
 	return Measurement{Build: build, Rate: ShortRate, Round: round, Sent: 100, Served: 100, P50: p50, P99: 2 * p50, CPU: 100 * p50, PeakMB: 10}
 }
 
 // The short check passes with its first good round, fails where all rounds are slow, and judges no void round.
-func TestShortVerdict(t *testing.T) {
-	void := canned("new", 0, 2.1)
+func TestShortPassesWithOneGoodRound(t *testing.T) {
+	void := testMeasurement("new", 0, 2.1)
 	void.Void = "1 refused"
 	type round = []Measurement
 	for name, x := range map[string]struct {
@@ -143,18 +143,18 @@
 		played int
 		want   error
 	}{
-		"good at once":         {[]round{{canned(Bare, 0, 2), canned("new", 0, 2.9)}}, 1, nil},
-		"at the limit":         {[]round{{canned(Bare, 0, 2), canned("new", 0, 3)}}, 1, nil},
-		"good at the third":    {[]round{{canned(Bare, 0, 2), canned("new", 0, 9)}, {canned(Bare, 1, 2), canned("new", 1, 3.1)}, {canned(Bare, 2, 2), canned("new", 2, 2.5)}}, 3, nil},
-		"slow in each":         {[]round{{canned(Bare, 0, 2), canned("new", 0, 9)}, {canned(Bare, 1, 2), canned("new", 1, 3.1)}, {canned(Bare, 2, 2), canned("new", 2, 12)}}, 3, ErrTooSlow},
-		"void, then good":      {[]round{{canned(Bare, 0, 2), void}, {canned(Bare, 1, 2), canned("new", 1, 2.1)}}, 2, nil},
-		"void in each":         {[]round{{canned(Bare, 0, 2), void}, {canned(Bare, 1, 2)}, {canned("new", 2, 2)}}, 3, ErrVoid},
-		"another round's bare": {[]round{{canned(Bare, 0, 8)}, {canned("new", 1, 8)}, {canned(Bare, 2, 2), canned("new", 2, 8)}}, 3, ErrTooSlow},
+		"good at once":         {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 2.9)}}, 1, nil},
+		"at the limit":         {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 3)}}, 1, nil},
+		"good at the third":    {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)}, {testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)}, {testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 2.5)}}, 3, nil},
+		"slow in each":         {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)}, {testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)}, {testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 12)}}, 3, ErrTooSlow},
+		"void, then good":      {[]round{{testMeasurement(Bare, 0, 2), void}, {testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 2.1)}}, 2, nil},
+		"void in each":         {[]round{{testMeasurement(Bare, 0, 2), void}, {testMeasurement(Bare, 1, 2)}, {testMeasurement("new", 2, 2)}}, 3, ErrVoid},
+		"another round's bare": {[]round{{testMeasurement(Bare, 0, 8)}, {testMeasurement("new", 1, 8)}, {testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 8)}}, 3, ErrTooSlow},
 	} {
 		c := testConfig()
 		c.Rates, c.Repeats = []int{ShortRate}, ShortRounds
 		played := 0
-		_, err := judgeRounds(c, io.Discard, func(i int) ([]Measurement, error) {
+		_, err := assessRounds(c, io.Discard, func(i int) ([]Measurement, error) {
 			played++
 			return x.rounds[i], nil
 		})
@@ -165,17 +165,17 @@
 }
 
 // One good build of two does not let the other pass.
-func TestShortJudgesEachBuild(t *testing.T) {
+func TestShortAssessesEachBuild(t *testing.T) {
 	c := testConfig()
 	c.Builds = append(c.Builds, Build{"slow", "bin/slow"})
 	c.Rates, c.Repeats = []int{ShortRate}, ShortRounds
 	var out bytes.Buffer
-	_, err := judgeRounds(c, &out, func(i int) ([]Measurement, error) {
-		good := canned("new", i, 2.5)
+	_, err := assessRounds(c, &out, func(i int) ([]Measurement, error) {
+		good := testMeasurement("new", i, 2.5)
 		if i == 0 {
 			good.Void = "2 failed"
 		}
-		return []Measurement{canned(Bare, i, 2), good, canned("slow", i, 11)}, nil
+		return []Measurement{testMeasurement(Bare, i, 2), good, testMeasurement("slow", i, 11)}, nil
 	})
 	if !errors.Is(err, ErrTooSlow) || !strings.Contains(err.Error(), "build slow") || !strings.Contains(err.Error(), "9.00 ms") {
 		t.Fatal(err)
@@ -192,9 +192,9 @@
 func TestRows(t *testing.T) {
 	r := &Report{Config: testConfig()}
 	r.Config.Rates = []int{ShortRate}
-	void := canned("new", 2, 50)
-	void.Refused, void.Void = 1, "1 refused"
-	r.Measurements = []Measurement{canned(Bare, 0, 2), canned("new", 0, 3), canned(Bare, 1, 4), canned("new", 1, 7), canned(Bare, 2, 2), void}
+	void := testMeasurement("new", 2, 50)
+	void.Rejected, void.Void = 1, "1 refused"
+	r.Measurements = []Measurement{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 3), testMeasurement(Bare, 1, 4), testMeasurement("new", 1, 7), testMeasurement(Bare, 2, 2), void}
 	rows := r.Rows()
 	if len(rows) != 2 || rows[0].Build != Bare || rows[1].Build != "new" {
 		t.Fatalf("%+v", rows)
@@ -203,8 +203,8 @@
 	if got.P50 != (Spread{5, 3, 7}) || got.AddedP50 != (Spread{2, 1, 3}) || got.AddedP99 != (Spread{4, 2, 6}) || got.CPURatio != (Spread{1.625, 1.5, 1.75}) {
 		t.Errorf("%+v", got)
 	}
-	if got.Rounds != 3 || got.Void != 1 || got.Refused != 1 {
-		t.Errorf("%d of %d void, %d refused", got.Void, got.Rounds, got.Refused)
+	if got.Rounds != 3 || got.Void != 1 || got.Rejected != 1 {
+		t.Errorf("%d of %d void, %d refused", got.Void, got.Rounds, got.Rejected)
 	}
 	text := r.Text()
 	for _, want := range []string{"2.00 (1.00 to 3.00)", "VOID: new at 190 a second, round 3: 1 refused of 100", "| 1 of 3"} {
--- a/internal/lab/cost/load.go
+++ b/internal/lab/cost/load.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	class     = "read"
-	plan      = "paced"
-	customers = 200
-	deadline  = time.Second
+	requestClass    = "read"
+	tenantPlan      = "paced"
+	tenants         = 200
+	requestDeadline = time.Second
 	// answerTime is how long answers are waited for after a phase's last request.
-	answerTime = deadline + 500*time.Millisecond
+	answerTime = requestDeadline + 500*time.Millisecond
 	// mostPending is the requests of one connection without an answer yet.
-	mostPending = 4096
-	mostAnswer  = 64 << 10
+	maxPending     = 4096
+	maxAnswerBytes = 64 << 10
 
 	ping = "*1\r\n$4\r\nPING\r\n"
 	pong = "+PONG\r\n"
@@ -80,32 +80,32 @@
 // outcomes is how the requests of a phase ended. Each latency counts from when its request was due, not from when it was
 // sent, so that a wait hides no request that should have started during it.
 type outcomes struct {
-	mu      sync.Mutex
-	sent    int
-	ended   int
-	served  int
-	refused int
-	failed  int // errors, broken connections, and those without an answer
-	foreign int // served with the answer of another request
-	waits   *measure.Latencies
-	late    *measure.Latencies // from when requests were due to when they were sent: the load's own fault
-	all     chan struct{}      // closed when count have ended
-	count   int
+	mu         sync.Mutex
+	sent       int
+	ended      int
+	served     int
+	rejected   int
+	failed     int // errors, broken connections, and those without an answer
+	foreign    int // served with the answer of another request
+	latencies  *measure.Latencies
+	sendDelays *measure.Latencies // from when requests were due to when they were sent: the load's own fault
+	done       chan struct{}      // closed when count have ended
+	count      int
 }
 
 func newOutcomes(count int) *outcomes {
-	t := &outcomes{waits: measure.NewLatencies(), late: measure.NewLatencies(), all: make(chan struct{}), count: count}
+	t := &outcomes{latencies: measure.NewLatencies(), sendDelays: measure.NewLatencies(), done: make(chan struct{}), count: count}
 	if count == 0 {
-		close(t.all)
+		close(t.done)
 	}
 	return t
 }
 
-func (t *outcomes) sending(due, now time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sent++
-	t.late.Add(now - due)
+func (o *outcomes) recordSend(due, now time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.sent++
+	o.sendDelays.Add(now - due)
 }
 
 // outcome is how one request ended.
@@ -114,44 +114,44 @@
 const (
 	served outcome = iota
 	servedForeign
-	refused
+	rejected
 	failed
 )
 
-func (t *outcomes) end(how outcome, due, now time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (o *outcomes) recordEnd(how outcome, due, now time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	switch how {
 	case served, servedForeign:
-		t.served++
-		t.waits.Add(now - due)
+		o.served++
+		o.latencies.Add(now - due)
 		if how == servedForeign {
-			t.foreign++
+			o.foreign++
 		}
-	case refused:
-		t.refused++
+	case rejected:
+		o.rejected++
 	case failed:
-		t.failed++
+		o.failed++
 	}
-	if t.ended++; t.ended == t.count {
-		close(t.all)
+	if o.ended++; o.ended == o.count {
+		close(o.done)
 	}
 }
 
 // pending is a request whose answer has not come.
 type pending struct {
-	id  string
-	due time.Duration
-	to  *outcomes
+	id       string
+	due      time.Duration
+	outcomes *outcomes
 }
 
 // client is one connection, on which requests are written when they are due and answers read as they come, in order.
 type client struct {
 	net.Conn
-	clock clock
-	mu    sync.Mutex
-	queue []pending
-	dead  bool
+	clock  clock
+	mu     sync.Mutex
+	queue  []pending
+	closed bool
 }
 
 // load is the clients of one target.
@@ -187,20 +187,20 @@
 }
 
 // play runs one phase and waits for its answers.
-func (l *load) play(ctx context.Context, s schedule) (*outcomes, error) {
+func (l *load) runPhase(ctx context.Context, s schedule) (*outcomes, error) {
 	t := newOutcomes(s.count)
 	pace(ctx, s, l.clock, func(i int, due time.Duration) {
 		id := fmt.Sprintf("%016x", l.lastID.Add(1))
-		customer := fmt.Sprintf("%016x", 1+i%customers)
-		l.clients[i%len(l.clients)].send(pending{id, due, t}, command(customer, id))
+		tenant := fmt.Sprintf("%016x", 1+i%tenants)
+		l.clients[i%len(l.clients)].send(pending{id, due, t}, command(tenant, id))
 	})
 	limit := time.NewTimer(answerTime)
 	defer limit.Stop()
 	select {
-	case <-t.all:
+	case <-t.done:
 	case <-limit.C:
 		for _, c := range l.clients {
-			c.giveUp()
+			c.abort()
 		}
 	case <-ctx.Done():
 	}
@@ -208,48 +208,48 @@
 }
 
 // command is a request's bytes.
-func command(customer, id string) string {
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", class, plan, deadline.Milliseconds())
+func command(tenant, id string) string {
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", requestClass, tenantPlan, requestDeadline.Milliseconds())
 	var b strings.Builder
 	b.WriteString("*4\r\n")
-	for _, word := range []string{"Q.ASK", customer, id, fields} {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(word), word)
+	for _, argument := range []string{"Q.ASK", tenant, id, fields} {
+		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(argument), argument)
 	}
 	return b.String()
 }
 
 func (c *client) send(p pending, text string) {
 	now := c.clock.Now()
-	p.to.sending(p.due, now)
+	p.outcomes.recordSend(p.due, now)
 	c.mu.Lock()
-	if c.dead || len(c.queue) >= mostPending {
+	if c.closed || len(c.queue) >= maxPending {
 		c.mu.Unlock()
-		p.to.end(failed, p.due, now)
+		p.outcomes.recordEnd(failed, p.due, now)
 		return
 	}
 	c.queue = append(c.queue, p)
 	c.mu.Unlock()
 	if _, err := io.WriteString(c, text); err != nil {
-		c.giveUp()
+		c.abort()
 	}
 }
 
 // giveUp ends the connection; what had no answer has failed.
-func (c *client) giveUp() {
+func (c *client) abort() {
 	c.Close()
 	c.mu.Lock()
-	c.dead = true
+	c.closed = true
 	left := c.queue
 	c.queue = nil
 	c.mu.Unlock()
 	for _, p := range left {
-		p.to.end(failed, p.due, c.clock.Now())
+		p.outcomes.recordEnd(failed, p.due, c.clock.Now())
 	}
 }
 
 // read takes answers until the connection ends.
 func (c *client) read() {
-	defer c.giveUp()
+	defer c.abort()
 	in := bufio.NewReader(c)
 	for {
 		how, value, err := readAnswer(in)
@@ -268,7 +268,7 @@
 		if how == served && value != "value of "+p.id {
 			how = servedForeign
 		}
-		p.to.end(how, p.due, now)
+		p.outcomes.recordEnd(how, p.due, now)
 	}
 }
 
@@ -285,7 +285,7 @@
 	case strings.HasPrefix(line, "*"):
 		return readArray(in, line)
 	case strings.HasPrefix(line, "-BUSY"):
-		return refused, "", nil
+		return rejected, "", nil
 	}
 	return failed, "", nil
 }
@@ -321,7 +321,7 @@
 		return "", nil
 	}
 	size, err := strconv.Atoi(strings.TrimPrefix(line, "$"))
-	if err != nil || size < 0 || size > mostAnswer {
+	if err != nil || size < 0 || size > maxAnswerBytes {
 		return "", fmt.Errorf("answer of length %q", line)
 	}
 	b := make([]byte, size+2)
--- a/internal/lab/cost/load_test.go
+++ b/internal/lab/cost/load_test.go
@@ -42,25 +42,25 @@
 	clock := &fakeClock{now: 5 * time.Second}
 	corrected, naive := newOutcomes(s.count), newOutcomes(s.count)
 	pace(t.Context(), s, clock, func(i int, due time.Duration) {
-		corrected.sending(due, clock.now)
+		corrected.recordSend(due, clock.now)
 		sent := clock.now
 		if i == stalled {
 			clock.now += stall
 		}
-		corrected.end(served, due, clock.now+answer)
-		naive.end(served, sent, clock.now+answer)
+		corrected.recordEnd(served, due, clock.now+answer)
+		naive.recordEnd(served, sent, clock.now+answer)
 	})
-	<-corrected.all
+	<-corrected.done
 	// 101 of 1000 requests waited, evenly from 1002 ms down to 2: the 95th percentile is the 50th worst of them.
 	for _, x := range []struct {
 		name            string
 		got, least, top float64
 	}{
-		{"p50", corrected.waits.QuantileMS(0.5), 1.9, 2.1},
-		{"p95", corrected.waits.QuantileMS(0.95), 480, 520},
-		{"p99.9", corrected.waits.QuantileMS(0.999), 980, 1010},
-		{"late p99", corrected.late.QuantileMS(0.99), 890, 920},
-		{"p95 from the sending", naive.waits.QuantileMS(0.95), 1.9, 2.1},
+		{"p50", corrected.latencies.QuantileMS(0.5), 1.9, 2.1},
+		{"p95", corrected.latencies.QuantileMS(0.95), 480, 520},
+		{"p99.9", corrected.latencies.QuantileMS(0.999), 980, 1010},
+		{"late p99", corrected.sendDelays.QuantileMS(0.99), 890, 920},
+		{"p95 from the sending", naive.latencies.QuantileMS(0.95), 1.9, 2.1},
 	} {
 		if x.got < x.least || x.got > x.top {
 			t.Errorf("%s: %.2f ms, want %v to %v", x.name, x.got, x.least, x.top)
@@ -155,12 +155,12 @@
 		t.Fatal(err)
 	}
 	defer l.close()
-	ended, err := l.play(t.Context(), schedule{rate: 1000, count: count})
+	ended, err := l.runPhase(t.Context(), schedule{rate: 1000, count: count})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var m Measurement
-	m.ended(ended)
+	m.recordOutcomes(ended)
 	return m
 }
 
@@ -204,7 +204,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := phase(t, server(t, x.answer), 10)
-			got := fmt.Sprintf("%d served, %d refused, %d failed, %d foreign, void: %s", m.Served, m.Refused, m.Failed, m.Foreign, m.Void)
+			got := fmt.Sprintf("%d served, %d refused, %d failed, %d foreign, void: %s", m.Served, m.Rejected, m.Failed, m.Foreign, m.Void)
 			if got != x.want || m.Sent != 10 {
 				t.Errorf("%s of %d, want %s", got, m.Sent, x.want)
 			}
@@ -215,7 +215,7 @@
 // Nothing sent says nothing.
 func TestVoidWithoutRequests(t *testing.T) {
 	var m Measurement
-	m.ended(newOutcomes(0))
+	m.recordOutcomes(newOutcomes(0))
 	if m.Void == "" {
 		t.Fatal("a measurement without a request counts")
 	}
@@ -233,11 +233,11 @@
 			if i >= 89 { // the 90th of 100 and all later ones
 				late = x.late
 			}
-			ended.sending(time.Second, time.Second+late)
-			ended.end(served, time.Second, time.Second+late+2*ms)
+			ended.recordSend(time.Second, time.Second+late)
+			ended.recordEnd(served, time.Second, time.Second+late+2*ms)
 		}
 		var m Measurement
-		if m.ended(ended); (m.Void != "") != x.void {
+		if m.recordOutcomes(ended); (m.Void != "") != x.void {
 			t.Errorf("a tenth %v late: void %q", x.late, m.Void)
 		}
 	}
--- a/internal/lab/cost/proxy.go
+++ b/internal/lab/cost/proxy.go
@@ -28,20 +28,22 @@
 type backendPool struct {
 	addr string
 	mu   sync.Mutex
-	idle []*framed
+	idle []*framedConn
 }
 
 // framed is a connection that is read a RESP value at a time.
-type framed struct {
+type framedConn struct {
 	net.Conn
 	buf        []byte
 	begin, end int // of what has come and was not taken
 }
 
-func newFramed(nc net.Conn) *framed { return &framed{Conn: nc, buf: make([]byte, proxyBuffer)} }
+func newFramedConn(nc net.Conn) *framedConn {
+	return &framedConn{Conn: nc, buf: make([]byte, proxyBuffer)}
+}
 
 // next returns the bytes of the next value; they hold until the next call.
-func (f *framed) next() ([]byte, error) {
+func (f *framedConn) next() ([]byte, error) {
 	for {
 		size, err := resp.Frame(f.buf[f.begin:f.end], 0)
 		if err != nil {
@@ -105,7 +107,7 @@
 		p.clients[nc] = true
 		p.mu.Unlock()
 		p.wg.Go(func() {
-			p.serve(newFramed(nc))
+			p.serve(newFramedConn(nc))
 			nc.Close()
 			p.mu.Lock()
 			delete(p.clients, nc)
@@ -123,7 +125,7 @@
 }
 
 // serve forwards a client's commands one by one, until either side's connection fails.
-func (p *proxy) serve(client *framed) {
+func (p *proxy) serve(client *framedConn) {
 	for {
 		command, err := client.next()
 		if err != nil {
@@ -141,7 +143,7 @@
 	}
 }
 
-func (p *proxy) forward(client *framed, command []byte) error {
+func (p *proxy) forward(client *framedConn, command []byte) error {
 	pool := p.backends[p.turn.Add(1)%uint64(len(p.backends))]
 	backend, err := pool.get()
 	if err != nil {
@@ -161,7 +163,7 @@
 	return err
 }
 
-func (b *backendPool) get() (*framed, error) {
+func (b *backendPool) get() (*framedConn, error) {
 	b.mu.Lock()
 	if n := len(b.idle); n > 0 {
 		c := b.idle[n-1]
@@ -174,10 +176,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return newFramed(nc), nil
+	return newFramedConn(nc), nil
 }
 
-func (b *backendPool) put(c *framed) {
+func (b *backendPool) put(c *framedConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.idle = append(b.idle, c)
--- a/internal/lab/cost/proxy_test.go
+++ b/internal/lab/cost/proxy_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer b.close()
-	m := phase(t, startProxy(t, b.addrs()...), 60)
+	m := phase(t, startProxy(t, b.addresses()...), 60)
 	if m.Served != 60 || m.Foreign != 0 || m.Void != "" {
 		t.Fatalf("%+v", m)
 	}
@@ -51,7 +51,7 @@
 	if len(records) != 60 || len(at) != c.Backends || at["backend-000"] != 20 {
 		t.Errorf("%d came: %v", len(records), at)
 	}
-	if n := b.opened(); n > 2*c.Backends { // two clients, one request each at a time
+	if n := b.acceptedConnections(); n > 2*c.Backends { // two clients, one request each at a time
 		t.Errorf("%d connections for 2 clients and %d backends", n, c.Backends)
 	}
 }
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Sent != 80 || m.Served != 80 || m.Refused != 0 || m.Failed != 0 { // void it may be: a busy machine makes the load late
+	if m.Sent != 80 || m.Served != 80 || m.Rejected != 0 || m.Failed != 0 { // void it may be: a busy machine makes the load late
 		t.Fatalf("%+v", m)
 	}
 	if m.P50 < 1 || m.P99 < m.P50 || m.CPU <= 0 || m.PeakMB <= 0 || m.Opened < c.Backends || m.Switches <= 0 {
@@ -143,7 +143,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc, err := net.Dial("tcp", b.addrs()[0])
+		nc, err := net.Dial("tcp", b.addresses()[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,20 +166,20 @@
 
 // The account of a process follows what it does.
 func TestAccount(t *testing.T) {
-	before, err := readAccount(os.Getpid())
+	before, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for began := time.Now(); time.Since(began) < 20*ms; {
 	}
-	after, err := readAccount(os.Getpid())
+	after, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if after.cpu <= before.cpu || after.peakKB < 1000 || after.switches < 0 {
 		t.Errorf("%+v, then %+v", before, after)
 	}
-	if _, err := readAccount(1 << 30); err == nil {
+	if _, err := readProcessUsage(1 << 30); err == nil {
 		t.Error("a process that isn't there has an account")
 	}
 	if _, err := statusField("VmHWM:\nx: 1\n", "VmHWM:"); err == nil {
--- a/internal/lab/cost/report.go
+++ b/internal/lab/cost/report.go
@@ -57,10 +57,10 @@
 	Switches   Spread `json:"voluntary_switches_a_request"`
 	LoadLate   Spread `json:"load_late_p99_ms"`
 
-	Sent    int `json:"sent"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Foreign int `json:"answers_of_another_request"`
+	Sent     int `json:"sent"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
+	Foreign  int `json:"answers_of_another_request"`
 }
 
 // Rows sums the report up: at each rate the bare proxy and then the builds, in their order.
@@ -93,7 +93,7 @@
 		}
 		row.Rounds++
 		row.Sent += m.Sent
-		row.Refused += m.Refused
+		row.Rejected += m.Rejected
 		row.Failed += m.Failed
 		row.Foreign += m.Foreign
 		if m.Void != "" {
@@ -162,7 +162,7 @@
 			return []string{x.CPU.text(0), x.CPURatio.text(2), x.PeakMB.text(1), x.PeakRatio.text(2), x.Opened.text(0), x.Handshakes.text(4), x.Switches.text(2)}
 		})
 	table(&b, []string{"rate", "build", "sent", "refused", "failed", "answers of another request", "void rounds", "load late p99"}, rows, func(x Row) []string {
-		return []string{fmt.Sprint(x.Sent), fmt.Sprint(x.Refused), fmt.Sprint(x.Failed), fmt.Sprint(x.Foreign), fmt.Sprintf("%d of %d", x.Void, x.Rounds), x.LoadLate.text(2)}
+		return []string{fmt.Sprint(x.Sent), fmt.Sprint(x.Rejected), fmt.Sprint(x.Failed), fmt.Sprint(x.Foreign), fmt.Sprintf("%d of %d", x.Void, x.Rounds), x.LoadLate.text(2)}
 	})
 	for _, line := range r.Voids() {
 		fmt.Fprintln(&b, line)
--- a/internal/lab/cost/run.go
+++ b/internal/lab/cost/run.go
@@ -12,7 +12,7 @@
 // A load that sends a tenth of its requests so late says more of a busy machine than of what it measures.
 const (
 	lateQuantile = 0.9
-	mostLateMS   = 5
+	maxLateMS    = 5
 )
 
 // Measurement is one build at one rate in one round. Times are milliseconds; those a request count the whole process.
@@ -21,11 +21,11 @@
 	Rate  int    `json:"rate"`
 	Round int    `json:"round"`
 
-	Sent    int `json:"sent"`
-	Served  int `json:"served"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Foreign int `json:"answers_of_another_request"`
+	Sent     int `json:"sent"`
+	Served   int `json:"served"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
+	Foreign  int `json:"answers_of_another_request"`
 
 	P50  float64 `json:"p50_ms"`
 	P90  float64 `json:"p90_ms"`
@@ -52,7 +52,7 @@
 	}
 	r := &Report{Config: c}
 	for round := range c.Repeats {
-		done, err := playRound(ctx, &c, round, each)
+		done, err := measureRound(ctx, &c, round, each)
 		r.Measurements = append(r.Measurements, done...)
 		if err != nil {
 			return r, err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func playRound(ctx context.Context, c *Config, round int, each func(Measurement)) (out []Measurement, err error) {
+func measureRound(ctx context.Context, c *Config, round int, each func(Measurement)) (out []Measurement, err error) {
 	for _, t := range c.turns(round) {
 		m, err := measureTurn(ctx, c, t)
 		if err != nil {
@@ -108,33 +108,33 @@
 		return m, err
 	}
 	defer l.close()
-	if _, err := l.play(ctx, newSchedule(t.rate, c.Warm)); err != nil {
+	if _, err := l.runPhase(ctx, newSchedule(t.rate, c.Warm)); err != nil {
 		return m, err
 	}
-	opened := b.opened()
-	before, err := readAccount(process.Pid())
+	opened := b.acceptedConnections()
+	before, err := readProcessUsage(process.Pid())
 	if err != nil {
 		return m, err
 	}
-	ended, err := l.play(ctx, newSchedule(t.rate, c.Length))
+	ended, err := l.runPhase(ctx, newSchedule(t.rate, c.Length))
 	if err != nil {
 		return m, err
 	}
-	after, err := readAccount(process.Pid())
+	after, err := readProcessUsage(process.Pid())
 	if err != nil {
 		return m, fmt.Errorf("build %s: %w: %s", t.build.Name, err, process.LastLine())
 	}
-	m.Opened = b.opened()
+	m.Opened = b.acceptedConnections()
 	m.Handshakes = perRequest(m.Opened-opened, ended.sent)
-	m.account(before, after, ended.sent)
-	m.ended(ended)
+	m.recordUsage(before, after, ended.sent)
+	m.recordOutcomes(ended)
 	return m, nil
 }
 
 func perRequest(sum, requests int) float64 { return float64(sum) / float64(max(1, requests)) }
 
 // account fills in what the process used between two readings.
-func (m *Measurement) account(before, after account, requests int) {
+func (m *Measurement) recordUsage(before, after processUsage, requests int) {
 	m.CPU = float64((after.cpu - before.cpu).Nanoseconds()) / 1000 / float64(max(1, requests))
 	m.Switches = perRequest(int(after.switches-before.switches), requests)
 	m.PeakMB = float64(after.peakKB) / 1024
@@ -142,23 +142,23 @@
 
 // ended fills in how the requests ended. One that was refused or failed took another way than the others, so that neither the
 // latencies nor the CPU are those of requests that were served.
-func (m *Measurement) ended(t *outcomes) {
+func (m *Measurement) recordOutcomes(t *outcomes) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m.Sent, m.Served, m.Refused, m.Failed, m.Foreign = t.sent, t.served, t.refused, t.failed, t.foreign
-	m.P50, m.P90, m.P99, m.P999 = t.waits.QuantileMS(0.5), t.waits.QuantileMS(0.9), t.waits.QuantileMS(0.99), t.waits.QuantileMS(0.999)
-	m.LoadLate = t.late.QuantileMS(0.99)
+	m.Sent, m.Served, m.Rejected, m.Failed, m.Foreign = t.sent, t.served, t.rejected, t.failed, t.foreign
+	m.P50, m.P90, m.P99, m.P999 = t.latencies.QuantileMS(0.5), t.latencies.QuantileMS(0.9), t.latencies.QuantileMS(0.99), t.latencies.QuantileMS(0.999)
+	m.LoadLate = t.sendDelays.QuantileMS(0.99)
 	var why []string
 	if m.Sent == 0 {
 		why = append(why, "nothing was sent")
 	}
-	if m.Refused > 0 {
-		why = append(why, fmt.Sprintf("%d refused", m.Refused))
+	if m.Rejected > 0 {
+		why = append(why, fmt.Sprintf("%d refused", m.Rejected))
 	}
 	if m.Failed > 0 {
 		why = append(why, fmt.Sprintf("%d failed", m.Failed))
 	}
-	if late := t.late.QuantileMS(lateQuantile); late > mostLateMS {
+	if late := t.sendDelays.QuantileMS(lateQuantile); late > maxLateMS {
 		why = append(why, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
 	}
 	m.Void = strings.Join(why, ", ")
--- a/internal/lab/cost/short.go
+++ b/internal/lab/cost/short.go
@@ -12,7 +12,7 @@
 	// ShortRate is the rate of the short check, a second.
 	ShortRate = 190
 	// MostAdded is what the short check lets a build add to the bare proxy's median, in milliseconds.
-	MaxAdded = 1.0
+	MaxAddedMS = 1.0
 	// ShortRounds is the short check's margin for a noisy machine: the best of so many rounds counts, and the first good
 	// one ends it. Noise only ever adds to a wait, while a wait that is built in is there in each round.
 	ShortRounds = 3
@@ -35,11 +35,11 @@
 	if err := c.findPrograms(); err != nil {
 		return nil, err
 	}
-	return judgeRounds(c, out, func(round int) ([]Measurement, error) { return playRound(ctx, &c, round, nil) })
+	return assessRounds(c, out, func(round int) ([]Measurement, error) { return measureRound(ctx, &c, round, nil) })
 }
 
 // judgeRounds plays rounds until each build has had a good one.
-func judgeRounds(c Config, out io.Writer, play func(round int) ([]Measurement, error)) (*Report, error) {
+func assessRounds(c Config, out io.Writer, play func(round int) ([]Measurement, error)) (*Report, error) {
 	r := &Report{Config: c}
 	best := map[string]float64{}
 	for round := range c.Repeats {
@@ -51,16 +51,16 @@
 		for _, line := range voids(done) {
 			fmt.Fprintln(out, line)
 		}
-		r.judgeRound(out, round, best)
-		if verdict(c, best) == nil {
+		r.assessRound(out, round, best)
+		if checkAdded(c, best) == nil {
 			return r, nil
 		}
 	}
-	return r, verdict(c, best)
+	return r, checkAdded(c, best)
 }
 
 // judgeRound prints a round and keeps the least that each build has added.
-func (r *Report) judgeRound(out io.Writer, round int, best map[string]float64) {
+func (r *Report) assessRound(out io.Writer, round int, best map[string]float64) {
 	for _, b := range r.Config.Builds {
 		m, ok := r.find(b.Name, ShortRate, round)
 		bare, bareOK := r.find(Bare, ShortRate, round)
@@ -76,14 +76,14 @@
 }
 
 // verdict is nil where each build has added little enough in some round.
-func verdict(c Config, best map[string]float64) error {
+func checkAdded(c Config, best map[string]float64) error {
 	for _, b := range c.Builds {
 		added, judged := best[b.Name]
 		if !judged {
 			return fmt.Errorf("build %s: %w", b.Name, ErrVoid)
 		}
-		if added > MaxAdded {
-			return fmt.Errorf("build %s: %w: %.2f ms at the best of the rounds, %.2f at most", b.Name, ErrTooSlow, added, MaxAdded)
+		if added > MaxAddedMS {
+			return fmt.Errorf("build %s: %w: %.2f ms at the best of the rounds, %.2f at most", b.Name, ErrTooSlow, added, MaxAddedMS)
 		}
 	}
 	return nil
--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	memoryMB = 64
-	sockets  = 8192
+	memoryMB   = 64
+	maxSockets = 8192
 	// quota is what each customer may use a second, and its burst: more than any load here.
-	quota = 1e5
+	tenantQuota = 1e5
 )
 
 // target is one program under measurement, a process of its own.
@@ -29,24 +29,24 @@
 
 // startTarget starts a build, or the bare proxy, before the backends and waits until it serves.
 func startTarget(ctx context.Context, c *Config, build Build, b *backends, dir string) (*target, error) {
-	held, err := proc.Hold(loopback)
+	address, err := proc.Hold(loopback)
 	if err != nil {
 		return nil, err
 	}
-	t := &target{addr: held}
-	t.Process = proc.Process{Name: build.Name, Serves: func() bool { return answersPing(held.Addr()) }}
+	t := &target{addr: address}
+	t.Process = proc.Process{Name: build.Name, Serves: func() bool { return answersPing(address.Addr()) }}
 	t.Env = append(os.Environ(), "GOMAXPROCS=1", "HITCHSPRING_OPTIONS=", "ROUTER_ADMIN_ADDR=", "ROUTER_SOCKET_FD=")
 	if build.Name == Bare {
 		t.Program = c.Proxy[0]
-		t.Args = append(append([]string{}, c.Proxy[1:]...), "--listen", held.Addr())
-		for _, addr := range b.addrs() {
+		t.Args = append(append([]string{}, c.Proxy[1:]...), "--listen", address.Addr())
+		for _, addr := range b.addresses() {
 			t.Args = append(t.Args, "--backend", addr)
 		}
 	} else {
 		t.Program = build.Program
-		file, err := writeConfig(dir, c, b, held.Addr())
+		file, err := writeConfig(dir, c, b, address.Addr())
 		if err != nil {
-			held.Release()
+			address.Release()
 			return nil, err
 		}
 		t.Env = append(t.Env, "ROUTER_CONFIG="+file)
@@ -81,7 +81,7 @@
 func writeConfig(dir string, c *Config, b *backends, listen string) (file string, err error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "cost", "listen": listen, "discovery": b.agent, "counter": b.counter.Addr(), "seed": "1",
-		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
+		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": maxSockets},
 		"known":    map[string]any{"rev": 0, "all": true, "targets": []any{}},
 		"settings": settings(),
 	})
@@ -98,10 +98,10 @@
 	return map[string]any{
 		"me": 0, "replicasOfMe": 1, "myZone": zone, "registryMode": "push",
 		"classes": []any{map[string]any{
-			"name": class, "value": 2, "objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(deadline),
+			"name": requestClass, "value": 2, "objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(requestDeadline),
 			"lateShare": 0.1, "effect": "read_like", "group": "all", "windowUs": us(3 * time.Second),
 		}},
-		"contracts":  []any{map[string]any{"name": plan, "price": 1, "refill": quota, "burst": quota, "excessCost": 1}},
+		"contracts":  []any{map[string]any{"name": tenantPlan, "price": 1, "refill": tenantQuota, "burst": tenantQuota, "excessCost": 1}},
 		"familyInfo": map[string]any{"counterTimeoutUs": us(80 * time.Millisecond), "maxUnits": 6, "sharedCounter": true},
 		"permissions": map[string]any{
 			"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(250 * time.Millisecond), "maxOpen": 20000,
--- a/internal/lab/cost/account.go
+++ b/internal/lab/cost/usage.go
@@ -12,27 +12,27 @@
 )
 
 // account is what the kernel says that a process has used so far.
-type account struct {
+type processUsage struct {
 	cpu      time.Duration // user and system, of all its threads
 	switches int64         // voluntary context switches of the threads that it has: how often one went to sleep
 	peakKB   int64         // most resident memory
 }
 
 // readAccount reads the account of a running process.
-func readAccount(pid int) (a account, err error) {
-	if a.cpu, err = processCPU(pid); err != nil {
-		return a, err
+func readProcessUsage(pid int) (usage processUsage, err error) {
+	if usage.cpu, err = processCPU(pid); err != nil {
+		return usage, err
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return a, fmt.Errorf("account of process %d: %w", pid, err)
+		return usage, fmt.Errorf("account of process %d: %w", pid, err)
 	}
-	if a.peakKB, err = statusField(string(status), "VmHWM:"); err != nil {
-		return a, fmt.Errorf("account of process %d: %w", pid, err)
+	if usage.peakKB, err = statusField(string(status), "VmHWM:"); err != nil {
+		return usage, fmt.Errorf("account of process %d: %w", pid, err)
 	}
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	if err != nil {
-		return a, err
+		return usage, err
 	}
 	for _, file := range threads {
 		text, err := os.ReadFile(file)
@@ -41,11 +41,11 @@
 		}
 		n, err := statusField(string(text), "voluntary_ctxt_switches:")
 		if err != nil {
-			return a, fmt.Errorf("account of process %d: %w", pid, err)
+			return usage, fmt.Errorf("account of process %d: %w", pid, err)
 		}
-		a.switches += n
+		usage.switches += n
 	}
-	return a, nil
+	return usage, nil
 }
 
 // cpuClock is the part of a clock's number that says "CPU time of a whole process" (clock_getcpuclockid(3)).
@@ -67,11 +67,11 @@
 		if !found {
 			continue
 		}
-		words := strings.Fields(rest)
-		if len(words) == 0 {
+		fields := strings.Fields(rest)
+		if len(fields) == 0 {
 			break
 		}
-		return strconv.ParseInt(words[0], 10, 64)
+		return strconv.ParseInt(fields[0], 10, 64)
 	}
 	return 0, fmt.Errorf("status has no %s", name)
 }
