--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -13,12 +13,12 @@
 const (
 	loopback = "127.0.0.1"
 	zone     = "hall-a"
-	// cores and room are far more than a backend needs, so that none of the time is spent in its queue.
+	// backendCores and backendQueue exceed any load here, so that no request waits in a backend's queue.
 	backendCores = 64
 	backendQueue = 10000
 )
 
-// backends is what stands behind an ingress: the backends, the list of them, and the shared counter.
+// backends holds the stand-ins that an ingress needs: backends, discovery and the shared counter.
 type backends struct {
 	fleet    *backend.Fleet
 	backends []*backend.Backend
@@ -31,8 +31,9 @@
 func startBackends(c *Config, build Build, seed uint64) (b *backends, err error) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
+	rules := backend.Rules{Work: map[string]backend.Work{requestClass: {Min: c.Work, Max: c.Work}}}
 	b = &backends{
-		fleet:    backend.NewFleet(backend.Rules{Work: map[string]backend.Work{requestClass: {Min: c.Work, Max: c.Work}}}, seed, clock),
+		fleet:    backend.NewFleet(rules, seed, clock),
 		registry: discovery.New(seed, clock, 0, time.Millisecond),
 	}
 	defer func() {
@@ -51,24 +52,41 @@
 			return nil, err
 		}
 	}
-	if build.Name != Bare { // the bare proxy would answer all later requests of a connection with the ones before
+	if build.Name != Bare { // the bare proxy would match each later answer with the wrong request
 		b.injectSecondAnswers(c)
 	}
 	return b, nil
 }
 
+// add starts the backend of that number and registers it with discovery.
 func (b *backends) add(i int) error {
-	spec := backend.Spec{ID: fmt.Sprintf("backend-%03d", i), Zone: zone, Kind: "std", Rack: i, Cores: backendCores, Speed: 1, QueueCapacity: backendQueue}
+	spec := backend.Spec{
+		ID:            fmt.Sprintf("backend-%03d", i),
+		Zone:          zone,
+		Kind:          "std",
+		Rack:          i,
+		Cores:         backendCores,
+		Speed:         1,
+		QueueCapacity: backendQueue,
+	}
 	n, err := b.fleet.Add(spec, loopback, false, 1)
 	if err != nil {
 		return err
 	}
 	b.backends = append(b.backends, n)
-	b.registry.Set(discovery.Target{UID: spec.ID, Endpoint: n.Addr(0), Zone: spec.Zone, Model: spec.Kind, Group: spec.Rack, State: "SERVING", Capacity: 1}, true)
+	b.registry.Set(discovery.Target{
+		UID:      spec.ID,
+		Endpoint: n.Addr(0),
+		Zone:     spec.Zone,
+		Model:    spec.Kind,
+		Group:    spec.Rack,
+		State:    "SERVING",
+		Capacity: 1,
+	}, true)
 	return nil
 }
 
-// answerTwice has the backends answer a share of the requests a second time.
+// injectSecondAnswers has the backends answer a fraction of the requests a second time.
 func (b *backends) injectSecondAnswers(c *Config) {
 	if c.SecondShare == 0 {
 		return
@@ -90,7 +108,7 @@
 	}
 }
 
-// addrs are the backends' addresses.
+// addresses returns the backends' addresses.
 func (b *backends) addresses() (out []string) {
 	for _, n := range b.backends {
 		out = append(out, n.Addr(0))
@@ -98,7 +116,7 @@
 	return out
 }
 
-// opened is how many connections the backends have accepted so far: each is a handshake.
+// acceptedConnections returns how many connections the backends have accepted so far: each is a handshake.
 func (b *backends) acceptedConnections() (sum int) {
 	for _, n := range b.backends {
 		sum += n.Traffic(0).Opened
--- a/internal/lab/cost/chart.go
+++ b/internal/lab/cost/chart.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// quantiles are those of the chart.
+// quantiles are the latency quantiles that the chart shows.
 var quantiles = []struct {
 	name   string
 	of     func(Row) Spread
@@ -22,8 +22,8 @@
 	{"p99", func(r Row) Spread { return r.P99 }, color.RGBA{0xd6, 0x27, 0x28, 0xff}},
 }
 
-// Chart writes an SVG: the median and the 99th percentile of each build at each rate, with a bar from the least to the most
-// of the rounds.
+// Chart writes an SVG with the median and the 99th percentile of each build at each rate, and a bar from the
+// minimum to the maximum of the rounds.
 func (r *Report) Chart(w io.Writer) error {
 	rows := r.Rows()
 	p := plot.New()
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -130,7 +130,17 @@
 
 // canned is a measurement of a median, without refusals.
 func testMeasurement(build string, round int, p50 float64) Measurement {
-	return Measurement{Build: build, Rate: ShortRate, Round: round, Sent: 100, Served: 100, P50: p50, P99: 2 * p50, CPU: 100 * p50, PeakMB: 10}
+	return Measurement{
+		Build:  build,
+		Rate:   ShortRate,
+		Round:  round,
+		Sent:   100,
+		Served: 100,
+		P50:    p50,
+		P99:    2 * p50,
+		CPU:    100 * p50,
+		PeakMB: 10,
+	}
 }
 
 // The short check passes with its first good round, fails where all rounds are slow, and judges no void round.
@@ -143,13 +153,42 @@
 		played int
 		want   error
 	}{
-		"good at once":         {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 2.9)}}, 1, nil},
-		"at the limit":         {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 3)}}, 1, nil},
-		"good at the third":    {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)}, {testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)}, {testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 2.5)}}, 3, nil},
-		"slow in each":         {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)}, {testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)}, {testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 12)}}, 3, ErrTooSlow},
-		"void, then good":      {[]round{{testMeasurement(Bare, 0, 2), void}, {testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 2.1)}}, 2, nil},
-		"void in each":         {[]round{{testMeasurement(Bare, 0, 2), void}, {testMeasurement(Bare, 1, 2)}, {testMeasurement("new", 2, 2)}}, 3, ErrVoid},
-		"another round's bare": {[]round{{testMeasurement(Bare, 0, 8)}, {testMeasurement("new", 1, 8)}, {testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 8)}}, 3, ErrTooSlow},
+		"good at once": {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 2.9)}}, 1, nil},
+		"at the limit": {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 3)}}, 1, nil},
+		"good at the third": {
+			[]round{
+				{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)},
+				{testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)},
+				{testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 2.5)},
+			}, 3, nil,
+		},
+		"slow in each": {
+			[]round{
+				{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)},
+				{testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)},
+				{testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 12)},
+			}, 3, ErrTooSlow,
+		},
+		"void, then good": {
+			[]round{
+				{testMeasurement(Bare, 0, 2), void},
+				{testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 2.1)},
+			}, 2, nil,
+		},
+		"void in each": {
+			[]round{
+				{testMeasurement(Bare, 0, 2), void},
+				{testMeasurement(Bare, 1, 2)},
+				{testMeasurement("new", 2, 2)},
+			}, 3, ErrVoid,
+		},
+		"another round's bare": {
+			[]round{
+				{testMeasurement(Bare, 0, 8)},
+				{testMeasurement("new", 1, 8)},
+				{testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 8)},
+			}, 3, ErrTooSlow,
+		},
 	} {
 		c := testConfig()
 		c.Rates, c.Repeats = []int{ShortRate}, ShortRounds
@@ -177,7 +216,8 @@
 		}
 		return []Measurement{testMeasurement(Bare, i, 2), good, testMeasurement("slow", i, 11)}, nil
 	})
-	if !errors.Is(err, ErrTooSlow) || !strings.Contains(err.Error(), "build slow") || !strings.Contains(err.Error(), "9.00 ms") {
+	if !errors.Is(err, ErrTooSlow) || !strings.Contains(err.Error(), "build slow") ||
+		!strings.Contains(err.Error(), "9.00 ms") {
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), "VOID: new at 190 a second, round 1: 2 failed of 100"); n != 1 {
@@ -188,26 +228,37 @@
 	}
 }
 
-// Added figures and ratios are each against the same round's bare proxy; void rounds count for nothing and are said.
+// Added latencies and ratios are each against the same round's bare proxy; void rounds count for nothing and are
+// said.
 func TestRows(t *testing.T) {
 	r := &Report{Config: testConfig()}
 	r.Config.Rates = []int{ShortRate}
 	void := testMeasurement("new", 2, 50)
 	void.Rejected, void.Void = 1, "1 refused"
-	r.Measurements = []Measurement{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 3), testMeasurement(Bare, 1, 4), testMeasurement("new", 1, 7), testMeasurement(Bare, 2, 2), void}
+	r.Measurements = []Measurement{
+		testMeasurement(Bare, 0, 2),
+		testMeasurement("new", 0, 3),
+		testMeasurement(Bare, 1, 4),
+		testMeasurement("new", 1, 7),
+		testMeasurement(Bare, 2, 2),
+		void,
+	}
 	rows := r.Rows()
 	if len(rows) != 2 || rows[0].Build != Bare || rows[1].Build != "new" {
 		t.Fatalf("%+v", rows)
 	}
 	got := rows[1]
-	if got.P50 != (Spread{5, 3, 7}) || got.AddedP50 != (Spread{2, 1, 3}) || got.AddedP99 != (Spread{4, 2, 6}) || got.CPURatio != (Spread{1.625, 1.5, 1.75}) {
+	if got.P50 != (Spread{5, 3, 7}) || got.AddedP50 != (Spread{2, 1, 3}) || got.AddedP99 != (Spread{4, 2, 6}) ||
+		got.CPURatio != (Spread{1.625, 1.5, 1.75}) {
 		t.Errorf("%+v", got)
 	}
 	if got.Rounds != 3 || got.Void != 1 || got.Rejected != 1 {
 		t.Errorf("%d of %d void, %d refused", got.Void, got.Rounds, got.Rejected)
 	}
 	text := r.Text()
-	for _, want := range []string{"2.00 (1.00 to 3.00)", "VOID: new at 190 a second, round 3: 1 refused of 100", "| 1 of 3"} {
+	for _, want := range []string{
+		"2.00 (1.00 to 3.00)", "VOID: new at 190 a second, round 3: 1 refused of 100", "| 1 of 3",
+	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the report has no %q:\n%s", want, text)
 		}
@@ -222,7 +273,12 @@
 	for _, x := range []struct {
 		values []float64
 		want   Spread
-	}{{nil, Spread{}}, {[]float64{3}, Spread{3, 3, 3}}, {[]float64{3, 1}, Spread{2, 1, 3}}, {[]float64{9, 1, 2}, Spread{2, 1, 9}}} {
+	}{
+		{nil, Spread{}},
+		{[]float64{3}, Spread{3, 3, 3}},
+		{[]float64{3, 1}, Spread{2, 1, 3}},
+		{[]float64{9, 1, 2}, Spread{2, 1, 9}},
+	} {
 		if got := spreadOf(x.values); got != x.want {
 			t.Errorf("%v: %v, want %v", x.values, got, x.want)
 		}
--- a/internal/lab/cost/load.go
+++ b/internal/lab/cost/load.go
@@ -22,9 +22,9 @@
 	tenantPlan      = "paced"
 	tenants         = 200
 	requestDeadline = time.Second
-	// answerTime is how long answers are waited for after a phase's last request.
+	// answerTime is how long a phase waits for answers after its last request.
 	answerTime = requestDeadline + 500*time.Millisecond
-	// mostPending is the requests of one connection without an answer yet.
+	// maxPending bounds the requests of one connection without an answer yet.
 	maxPending     = 4096
 	maxAnswerBytes = 64 << 10
 
@@ -53,7 +53,8 @@
 	SleepUntil(time.Duration)
 }
 
-// wallClock is the machine's. It sleeps in the kernel, since the runtime's timers can be a millisecond late in an idle program.
+// wallClock is the machine's clock. It sleeps in the kernel, because the runtime's timers can be a millisecond
+// late in an idle program.
 type wallClock struct{ began time.Time }
 
 // Now is the time since the clock's start.
@@ -63,11 +64,11 @@
 func (c wallClock) SleepUntil(at time.Duration) {
 	for left := at - c.Now(); left > 0; left = at - c.Now() {
 		ts := unix.NsecToTimespec(int64(left))
-		unix.Nanosleep(&ts, nil)
+		_ = unix.Nanosleep(&ts, nil) // the loop continues an interrupted sleep
 	}
 }
 
-// pace calls send for each request when it is due. A send that comes late, or a pacer that was held, moves no later request.
+// pace calls send for each request when it is due. A late send postpones no later request.
 func pace(ctx context.Context, s schedule, c clock, send func(i int, due time.Duration)) {
 	began := c.Now()
 	for i := 0; i < s.count && ctx.Err() == nil; i++ {
@@ -77,8 +78,9 @@
 	}
 }
 
-// outcomes is how the requests of a phase ended. Each latency counts from when its request was due, not from when it was
-// sent, so that a wait hides no request that should have started during it.
+// outcomes counts how the requests of a phase ended. Each latency counts from when its request was due, not
+// from when it was sent, so that a stall hides no request that should have started during it. mu guards all
+// other fields but done and count.
 type outcomes struct {
 	mu         sync.Mutex
 	sent       int
@@ -86,15 +88,20 @@
 	served     int
 	rejected   int
 	failed     int // errors, broken connections, and those without an answer
-	foreign    int // served with the answer of another request
+	foreign    int // served with the answer to another request
 	latencies  *measure.Latencies
-	sendDelays *measure.Latencies // from when requests were due to when they were sent: the load's own fault
-	done       chan struct{}      // closed when count have ended
+	sendDelays *measure.Latencies // from when requests were due to when they were sent
+	done       chan struct{}      // closed when count requests have ended
 	count      int
 }
 
 func newOutcomes(count int) *outcomes {
-	t := &outcomes{latencies: measure.NewLatencies(), sendDelays: measure.NewLatencies(), done: make(chan struct{}), count: count}
+	t := &outcomes{
+		latencies:  measure.NewLatencies(),
+		sendDelays: measure.NewLatencies(),
+		done:       make(chan struct{}),
+		count:      count,
+	}
 	if count == 0 {
 		close(t.done)
 	}
@@ -138,14 +145,15 @@
 	}
 }
 
-// pending is a request whose answer has not come.
+// pending is a request without an answer yet.
 type pending struct {
 	id       string
 	due      time.Duration
 	outcomes *outcomes
 }
 
-// client is one connection, on which requests are written when they are due and answers read as they come, in order.
+// client is one pipelined connection. Requests are written when they are due, and answers arrive in the same
+// order. mu guards queue and closed.
 type client struct {
 	net.Conn
 	clock  clock
@@ -154,7 +162,8 @@
 	closed bool
 }
 
-// load is the clients of one target.
+// load is the open-loop load on one target: its client connections, each with one reading goroutine that close
+// ends.
 type load struct {
 	clients []*client
 	clock   clock
@@ -186,7 +195,7 @@
 	l.wg.Wait()
 }
 
-// play runs one phase and waits for its answers.
+// runPhase sends one phase's requests and waits for their answers.
 func (l *load) runPhase(ctx context.Context, s schedule) (*outcomes, error) {
 	t := newOutcomes(s.count)
 	pace(ctx, s, l.clock, func(i int, due time.Duration) {
@@ -207,9 +216,10 @@
 	return t, ctx.Err()
 }
 
-// command is a request's bytes.
+// command returns the bytes of one request.
 func command(tenant, id string) string {
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", requestClass, tenantPlan, requestDeadline.Milliseconds())
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0",
+		requestClass, tenantPlan, requestDeadline.Milliseconds())
 	var b strings.Builder
 	b.WriteString("*4\r\n")
 	for _, argument := range []string{"Q.ASK", tenant, id, fields} {
@@ -234,7 +244,7 @@
 	}
 }
 
-// giveUp ends the connection; what had no answer has failed.
+// abort closes the connection. Its pending requests have failed.
 func (c *client) abort() {
 	c.Close()
 	c.mu.Lock()
@@ -258,7 +268,7 @@
 		}
 		now := c.clock.Now()
 		c.mu.Lock()
-		if len(c.queue) == 0 { // an answer that nobody asked for: from here on none is anybody's
+		if len(c.queue) == 0 { // an unsolicited answer: later ones can't be matched
 			c.mu.Unlock()
 			return
 		}
@@ -272,7 +282,7 @@
 	}
 }
 
-// readAnswer reads an ingress's answer, which is a value, or a backend's, which is an array that begins with one.
+// readAnswer reads one answer: a value from an ingress, or an array that begins with the value from a backend.
 func readAnswer(in *bufio.Reader) (how outcome, value string, err error) {
 	line, err := readLine(in)
 	if err != nil {
@@ -315,7 +325,7 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// readBulk reads the value whose first line is given; a null one is empty.
+// readBulk reads the bulk string whose first line is given. A null one is empty.
 func readBulk(in *bufio.Reader, line string) (string, error) {
 	if line == "$-1" {
 		return "", nil
--- a/internal/lab/cost/load_test.go
+++ b/internal/lab/cost/load_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// fakeClock moves where it is told to; a load that it paces is never late.
+// fakeClock moves only by its sleeps and by the test; a load that it paces is never late.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -34,8 +34,9 @@
 	c.now = max(c.now, at)
 }
 
-// A server that stands still for a second costs each request that was due meanwhile what was left of that second, though
-// the load itself could send none of them: counted from when they were sent, the wait would be one request's.
+// A server that stands still for a second costs each request that was due meanwhile what was left of that
+// second, though the load itself could send none of them: counted from when they were sent, the wait would be
+// one request's.
 func TestLatencyCountsFromWhenDue(t *testing.T) {
 	const stalled, stall, answer = 100, time.Second, 2 * ms
 	s := schedule{rate: 100, count: 1000}
@@ -53,8 +54,8 @@
 	<-corrected.done
 	// 101 of 1000 requests waited, evenly from 1002 ms down to 2: the 95th percentile is the 50th worst of them.
 	for _, x := range []struct {
-		name            string
-		got, least, top float64
+		name                 string
+		got, lowest, highest float64
 	}{
 		{"p50", corrected.latencies.QuantileMS(0.5), 1.9, 2.1},
 		{"p95", corrected.latencies.QuantileMS(0.95), 480, 520},
@@ -62,8 +63,8 @@
 		{"late p99", corrected.sendDelays.QuantileMS(0.99), 890, 920},
 		{"p95 from the sending", naive.latencies.QuantileMS(0.95), 1.9, 2.1},
 	} {
-		if x.got < x.least || x.got > x.top {
-			t.Errorf("%s: %.2f ms, want %v to %v", x.name, x.got, x.least, x.top)
+		if x.got < x.lowest || x.got > x.highest {
+			t.Errorf("%s: %.2f ms, want %v to %v", x.name, x.got, x.lowest, x.highest)
 		}
 	}
 }
@@ -85,7 +86,7 @@
 	}
 }
 
-// A load that is told to end sends nothing more.
+// A load whose context is canceled sends nothing more.
 func TestPaceEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	sent := 0
@@ -170,7 +171,9 @@
 		answer func(n int, id string) string
 		want   string
 	}{
-		"served": {func(_ int, id string) string { return valueOf(id) }, "10 served, 0 refused, 0 failed, 0 foreign, void: "},
+		"served": {func(_ int, id string) string {
+			return valueOf(id)
+		}, "10 served, 0 refused, 0 failed, 0 foreign, void: "},
 		"a backend's form": {
 			func(_ int, id string) string { return "*3\r\n" + valueOf(id) + "$-1\r\n$-1\r\n" },
 			"10 served, 0 refused, 0 failed, 0 foreign, void: ",
@@ -193,18 +196,29 @@
 			}
 			return valueOf(id)
 		}, "10 served, 0 refused, 0 failed, 1 foreign, void: "},
-		"all connections end": {func(int, string) string { return "close" }, "0 served, 0 refused, 10 failed, 0 foreign, void: 10 failed"},
+		"all connections end": {func(int, string) string {
+			return "close"
+		}, "0 served, 0 refused, 10 failed, 0 foreign, void: 10 failed"},
 		"silence": {func(n int, id string) string {
 			if n == 10 {
 				return ""
 			}
 			return valueOf(id)
 		}, "9 served, 0 refused, 1 failed, 0 foreign, void: 1 failed"},
-		"no RESP": {func(int, string) string { return "$x\r\n" }, "0 served, 0 refused, 10 failed, 0 foreign, void: 10 failed"},
+		"no RESP": {func(int, string) string {
+			return "$x\r\n"
+		}, "0 served, 0 refused, 10 failed, 0 foreign, void: 10 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := phase(t, server(t, x.answer), 10)
-			got := fmt.Sprintf("%d served, %d refused, %d failed, %d foreign, void: %s", m.Served, m.Rejected, m.Failed, m.Foreign, m.Void)
+			got := fmt.Sprintf(
+				"%d served, %d refused, %d failed, %d foreign, void: %s",
+				m.Served,
+				m.Rejected,
+				m.Failed,
+				m.Foreign,
+				m.Void,
+			)
 			if got != x.want || m.Sent != 10 {
 				t.Errorf("%s of %d, want %s", got, m.Sent, x.want)
 			}
@@ -245,7 +259,10 @@
 
 // Answers that are too long or cut are errors, and none is taken whole.
 func TestReadAnswerMistakes(t *testing.T) {
-	for _, text := range []string{"", "$5\r\nab", "$-2\r\n", "$99999999\r\n", "*0\r\n", "*99\r\n", "*2\r\n$1\r\na\r\n", "*1\r\n:4\r\n$x\r\n"} {
+	for _, text := range []string{
+		"", "$5\r\nab", "$-2\r\n", "$99999999\r\n",
+		"*0\r\n", "*99\r\n", "*2\r\n$1\r\na\r\n", "*1\r\n:4\r\n$x\r\n",
+	} {
 		if how, value, err := readAnswer(bufio.NewReader(strings.NewReader(text))); err == nil {
 			t.Errorf("%q: %v %q", text, how, value)
 		}
--- a/internal/lab/cost/proxy.go
+++ b/internal/lab/cost/proxy.go
@@ -14,12 +14,13 @@
 
 const proxyBuffer = 4 << 10
 
-// proxy forwards each command to the next backend over a pooled connection and passes the answer on. It decides, counts,
-// retries and times nothing: what it takes is the least that any ingress in its place takes.
+// proxy forwards each command to the next backend over a pooled connection and passes the answer on. It neither
+// decides, counts, retries nor times out, so its cost is a lower bound for any ingress in its place. Each
+// client connection has one goroutine, which ends with the connection.
 type proxy struct {
 	backends []*backendPool
 	turn     atomic.Uint64
-	mu       sync.Mutex // of clients
+	mu       sync.Mutex // guards clients
 	clients  map[net.Conn]bool
 	wg       sync.WaitGroup
 }
@@ -31,11 +32,11 @@
 	idle []*framedConn
 }
 
-// framed is a connection that is read a RESP value at a time.
+// framedConn is a connection that is read one RESP value at a time.
 type framedConn struct {
 	net.Conn
 	buf        []byte
-	begin, end int // of what has come and was not taken
+	begin, end int // bounds of the unread bytes in buf
 }
 
 func newFramedConn(nc net.Conn) *framedConn {
--- a/internal/lab/cost/proxy_test.go
+++ b/internal/lab/cost/proxy_test.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// The rig measures the bare proxy as a process: CPU, memory, connections, and a median just over the backends' work.
+// The rig measures the bare proxy as a process: CPU, memory, connections, and a median just over the backends'
+// work.
 func TestMeasureBare(t *testing.T) {
 	c := testConfig()
 	c.Warm, c.Length = 100*ms, 400*ms
@@ -118,7 +119,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Sent != 80 || m.Served != 80 || m.Rejected != 0 || m.Failed != 0 { // void it may be: a busy machine makes the load late
+	if m.Sent != 80 || m.Served != 80 || m.Rejected != 0 ||
+		m.Failed != 0 { // void it may be: a busy machine makes the load late
 		t.Fatalf("%+v", m)
 	}
 	if m.P50 < 1 || m.P99 < m.P50 || m.CPU <= 0 || m.PeakMB <= 0 || m.Opened < c.Backends || m.Switches <= 0 {
@@ -129,12 +131,17 @@
 // A program that does not start is one error that names it.
 func TestMeasureNoProgram(t *testing.T) {
 	c := testConfig()
-	if _, err := measureTurn(t.Context(), &c, turn{0, 200, Build{"new", "/no/such/program"}}); err == nil || !strings.Contains(err.Error(), "build new, program /no/such/program") {
+	if _, err := measureTurn(
+		t.Context(),
+		&c,
+		turn{0, 200, Build{"new", "/no/such/program"}},
+	); err == nil ||
+		!strings.Contains(err.Error(), "build new, program /no/such/program") {
 		t.Fatal(err)
 	}
 }
 
-// Second answers come to builds and not to the bare proxy, which could not tell them from the first.
+// Second answers come to builds and not to the bare proxy, which cannot distinguish them from the first.
 func TestSecondAnswers(t *testing.T) {
 	c := testConfig()
 	c.SecondLate, c.SecondShare = 0, 1
--- a/internal/lab/cost/report.go
+++ b/internal/lab/cost/report.go
@@ -13,7 +13,7 @@
 	Measurements []Measurement `json:"measurements"`
 }
 
-// Spread is a figure over the rounds: the median, and between what it lay.
+// Spread summarizes one value over the rounds.
 type Spread struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"least"`
@@ -33,8 +33,8 @@
 	return Spread{median, values[0], values[len(values)-1]}
 }
 
-// Row is one build at one rate over all rounds that are not void. Added figures and ratios are each against the bare proxy
-// in the same round.
+// Row is one build at one rate over all rounds that are not void. Added latencies and ratios are relative to
+// the bare proxy, or to the first build, in the same round.
 type Row struct {
 	Build  string `json:"build"`
 	Rate   int    `json:"rate"`
@@ -63,7 +63,7 @@
 	Foreign  int `json:"answers_of_another_request"`
 }
 
-// Rows sums the report up: at each rate the bare proxy and then the builds, in their order.
+// Rows summarizes the report: at each rate the bare proxy and then the builds, in their order.
 func (r *Report) Rows() (out []Row) {
 	for _, rate := range r.Config.Rates {
 		for _, b := range append([]Build{{Name: Bare}}, r.Config.Builds...) {
@@ -132,37 +132,52 @@
 	return row
 }
 
-// Voids are the measurements that say nothing, a line each.
+// Voids describes each void measurement in a line.
 func (r *Report) Voids() []string { return voids(r.Measurements) }
 
 func voids(all []Measurement) (out []string) {
 	for _, m := range all {
 		if m.Void != "" {
-			out = append(out, fmt.Sprintf("VOID: %s at %d a second, round %d: %s of %d", m.Build, m.Rate, m.Round+1, m.Void, m.Sent))
+			out = append(out, fmt.Sprintf("VOID: %s at %d a second, round %d: %s of %d",
+				m.Build, m.Rate, m.Round+1, m.Void, m.Sent))
 		}
 	}
 	return out
 }
 
-// Text is the report as tables in Markdown: the median of the rounds, and in brackets from the least to the most.
+// Text renders the report as Markdown tables: the median of the rounds, and in brackets the minimum and maximum.
 func (r *Report) Text() string {
 	rows := r.Rows()
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d rounds of %v, %d backends of %v, %d client connections, GOMAXPROCS=1; milliseconds from when a request was due\n\n",
+	fmt.Fprintf(&b, "%d rounds of %v, %d backends of %v, %d client connections, GOMAXPROCS=1; "+
+		"milliseconds from when a request was due\n\n",
 		r.Config.Repeats, r.Config.Length, r.Config.Backends, r.Config.Work, r.Config.Connections)
-	table(&b, []string{"rate", "build", "p50", "p90", "p99", "p99.9", "added p50", "added p99"}, rows, func(x Row) []string {
+	latencyHead := []string{"rate", "build", "p50", "p90", "p99", "p99.9", "added p50", "added p99"}
+	table(&b, latencyHead, rows, func(x Row) []string {
 		cells := []string{x.P50.text(2), x.P90.text(2), x.P99.text(2), x.P999.text(2), "", ""}
 		if x.Build != Bare {
 			cells[4], cells[5] = x.AddedP50.text(2), x.AddedP99.text(2)
 		}
 		return cells
 	})
-	table(&b, []string{"rate", "build", "CPU us a request", "times bare", "peak MB", "times " + r.Config.Builds[0].Name, "connections", "handshakes a request", "sleeps a request"},
-		rows, func(x Row) []string {
-			return []string{x.CPU.text(0), x.CPURatio.text(2), x.PeakMB.text(1), x.PeakRatio.text(2), x.Opened.text(0), x.Handshakes.text(4), x.Switches.text(2)}
-		})
-	table(&b, []string{"rate", "build", "sent", "refused", "failed", "answers of another request", "void rounds", "load late p99"}, rows, func(x Row) []string {
-		return []string{fmt.Sprint(x.Sent), fmt.Sprint(x.Rejected), fmt.Sprint(x.Failed), fmt.Sprint(x.Foreign), fmt.Sprintf("%d of %d", x.Void, x.Rounds), x.LoadLate.text(2)}
+	usageHead := []string{
+		"rate", "build", "CPU us a request", "times bare", "peak MB", "times " + r.Config.Builds[0].Name,
+		"connections", "handshakes a request", "sleeps a request",
+	}
+	table(&b, usageHead, rows, func(x Row) []string {
+		return []string{
+			x.CPU.text(0), x.CPURatio.text(2), x.PeakMB.text(1), x.PeakRatio.text(2),
+			x.Opened.text(0), x.Handshakes.text(4), x.Switches.text(2),
+		}
+	})
+	outcomeHead := []string{
+		"rate", "build", "sent", "refused", "failed", "answers of another request", "void rounds", "load late p99",
+	}
+	table(&b, outcomeHead, rows, func(x Row) []string {
+		return []string{
+			fmt.Sprint(x.Sent), fmt.Sprint(x.Rejected), fmt.Sprint(x.Failed), fmt.Sprint(x.Foreign),
+			fmt.Sprintf("%d of %d", x.Void, x.Rounds), x.LoadLate.text(2),
+		}
 	})
 	for _, line := range r.Voids() {
 		fmt.Fprintln(&b, line)
@@ -180,7 +195,7 @@
 // table writes the rows in Markdown; the first two cells are the rate and the build.
 func table(b *strings.Builder, head []string, rows []Row, cells func(Row) []string) {
 	w := tabwriter.NewWriter(b, 0, 0, 1, ' ', 0)
-	line := func(words []string) { fmt.Fprintln(w, "| "+strings.Join(words, "\t| ")+"\t|") }
+	line := func(cells []string) { fmt.Fprintln(w, "| "+strings.Join(cells, "\t| ")+"\t|") }
 	line(head)
 	line(slices.Repeat([]string{"---"}, len(head)))
 	for _, x := range rows {
--- a/internal/lab/cost/run.go
+++ b/internal/lab/cost/run.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// A load that sends a tenth of its requests so late says more of a busy machine than of what it measures.
+// A measurement is void if the load sent a tenth of its requests later than maxLateMS: the machine was too busy.
 const (
 	lateQuantile = 0.9
 	maxLateMS    = 5
 )
 
-// Measurement is one build at one rate in one round. Times are milliseconds; those a request count the whole process.
+// Measurement is one build at one rate in one round. Times are in milliseconds; CPU and context switches a
+// request are those of the whole process.
 type Measurement struct {
 	Build string `json:"build"`
 	Rate  int    `json:"rate"`
@@ -34,15 +35,16 @@
 
 	CPU        float64 `json:"cpu_us_a_request"`
 	Switches   float64 `json:"voluntary_switches_a_request"`
-	PeakMB     float64 `json:"peak_mb"` // since the process's start
+	PeakMB     float64 `json:"peak_mb"` // since the process started
 	Opened     int     `json:"connections_opened"`
 	Handshakes float64 `json:"handshakes_a_request"` // during the measurement, without the warm-up
-	LoadLate   float64 `json:"load_late_p99_ms"`     // how late the load itself sent
+	LoadLate   float64 `json:"load_late_p99_ms"`     // delay of the load's own sends
 
-	Void string `json:"void,omitempty"` // why the measurement says nothing; empty: it does
+	Void string `json:"void,omitempty"` // why the measurement can't be used; empty if it can
 }
 
-// Run measures everything, round by round. After each measurement it calls each, which may be nil.
+// Run measures all builds at all rates, round by round. It calls each, if not nil, after each measurement. If a
+// measurement fails, it returns the error with the report so far.
 func Run(ctx context.Context, c Config, each func(Measurement)) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -133,33 +135,36 @@
 
 func perRequest(sum, requests int) float64 { return float64(sum) / float64(max(1, requests)) }
 
-// account fills in what the process used between two readings.
+// recordUsage fills in what the process used between two readings.
 func (m *Measurement) recordUsage(before, after processUsage, requests int) {
 	m.CPU = float64((after.cpu - before.cpu).Nanoseconds()) / 1000 / float64(max(1, requests))
 	m.Switches = perRequest(int(after.switches-before.switches), requests)
 	m.PeakMB = float64(after.peakKB) / 1024
 }
 
-// ended fills in how the requests ended. One that was refused or failed took another way than the others, so that neither the
-// latencies nor the CPU are those of requests that were served.
+// recordOutcomes fills in how the requests ended. If any was rejected or failed, the measurement is void: latencies and
+// CPU would not be those of served requests.
 func (m *Measurement) recordOutcomes(t *outcomes) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m.Sent, m.Served, m.Rejected, m.Failed, m.Foreign = t.sent, t.served, t.rejected, t.failed, t.foreign
-	m.P50, m.P90, m.P99, m.P999 = t.latencies.QuantileMS(0.5), t.latencies.QuantileMS(0.9), t.latencies.QuantileMS(0.99), t.latencies.QuantileMS(0.999)
+	m.P50 = t.latencies.QuantileMS(0.5)
+	m.P90 = t.latencies.QuantileMS(0.9)
+	m.P99 = t.latencies.QuantileMS(0.99)
+	m.P999 = t.latencies.QuantileMS(0.999)
 	m.LoadLate = t.sendDelays.QuantileMS(0.99)
-	var why []string
+	var reasons []string
 	if m.Sent == 0 {
-		why = append(why, "nothing was sent")
+		reasons = append(reasons, "nothing was sent")
 	}
 	if m.Rejected > 0 {
-		why = append(why, fmt.Sprintf("%d refused", m.Rejected))
+		reasons = append(reasons, fmt.Sprintf("%d refused", m.Rejected))
 	}
 	if m.Failed > 0 {
-		why = append(why, fmt.Sprintf("%d failed", m.Failed))
+		reasons = append(reasons, fmt.Sprintf("%d failed", m.Failed))
 	}
 	if late := t.sendDelays.QuantileMS(lateQuantile); late > maxLateMS {
-		why = append(why, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
+		reasons = append(reasons, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
 	}
-	m.Void = strings.Join(why, ", ")
+	m.Void = strings.Join(reasons, ", ")
 }
--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -17,14 +17,14 @@
 const (
 	memoryMB   = 64
 	maxSockets = 8192
-	// quota is what each customer may use a second, and its burst: more than any load here.
+	// tenantQuota is the refill a second and the burst of each tenant, in units: more than any load here.
 	tenantQuota = 1e5
 )
 
-// target is one program under measurement, a process of its own.
+// target is the process under measurement: a build or the bare proxy.
 type target struct {
 	proc.Process
-	addr *proc.HeldAddress
+	addr *proc.HeldAddress // reserved for the process
 }
 
 // startTarget starts a build, or the bare proxy, before the backends and waits until it serves.
@@ -44,7 +44,7 @@
 		}
 	} else {
 		t.Program = build.Program
-		file, err := writeConfig(dir, c, b, address.Addr())
+		file, err := writeConfig(dir, b, address.Addr())
 		if err != nil {
 			address.Release()
 			return nil, err
@@ -71,14 +71,16 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(500 * time.Millisecond))
-	io.WriteString(nc, ping)
+	if _, err := io.WriteString(nc, ping); err != nil {
+		return false
+	}
 	answer := make([]byte, len(pong))
 	_, err = io.ReadFull(nc, answer)
 	return err == nil && string(answer) == pong
 }
 
 // writeConfig writes an ingress's ROUTER_CONFIG.
-func writeConfig(dir string, c *Config, b *backends, listen string) (file string, err error) {
+func writeConfig(dir string, b *backends, listen string) (file string, err error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "cost", "listen": listen, "discovery": b.agent, "counter": b.counter.Addr(), "seed": "1",
 		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": maxSockets},
@@ -92,20 +94,26 @@
 	return file, os.WriteFile(file, text, 0o600)
 }
 
-// settings is the platform's object of settings, with quotas that no load here meets.
+// settings returns the platform's settings object, with quotas that no load here reaches.
 func settings() map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	return map[string]any{
 		"me": 0, "replicasOfMe": 1, "myZone": zone, "registryMode": "push",
 		"classes": []any{map[string]any{
-			"name": requestClass, "value": 2, "objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(requestDeadline),
-			"lateShare": 0.1, "effect": "read_like", "group": "all", "windowUs": us(3 * time.Second),
+			"name": requestClass, "value": 2, "lateShare": 0.1, "effect": "read_like", "group": "all",
+			"objectiveUs": us(400 * time.Millisecond), "deadlineUs": us(requestDeadline),
+			"windowUs": us(3 * time.Second),
 		}},
-		"contracts":  []any{map[string]any{"name": tenantPlan, "price": 1, "refill": tenantQuota, "burst": tenantQuota, "excessCost": 1}},
-		"familyInfo": map[string]any{"counterTimeoutUs": us(80 * time.Millisecond), "maxUnits": 6, "sharedCounter": true},
+		"contracts": []any{map[string]any{
+			"name": tenantPlan, "price": 1, "refill": tenantQuota, "burst": tenantQuota, "excessCost": 1,
+		}},
+		"familyInfo": map[string]any{
+			"counterTimeoutUs": us(80 * time.Millisecond), "maxUnits": 6, "sharedCounter": true,
+		},
 		"permissions": map[string]any{
 			"connIdleUs": us(15 * time.Second), "connectTimeoutUs": us(250 * time.Millisecond), "maxOpen": 20000,
-			"maxAttempts": 6, "maxRetryAfterUs": us(500 * time.Millisecond), "mayCancel": true, "probing": true, "parallelTries": true, "retryAfter": true,
+			"maxAttempts": 6, "maxRetryAfterUs": us(500 * time.Millisecond), "mayCancel": true, "probing": true,
+			"parallelTries": true, "retryAfter": true,
 		},
 		"prices": map[string]any{"crossZone": 0.01},
 		"invariants": map[string]any{
--- a/internal/lab/cost/usage.go
+++ b/internal/lab/cost/usage.go
@@ -11,14 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// account is what the kernel says that a process has used so far.
+// processUsage is what the kernel has accounted to a process since its start.
 type processUsage struct {
 	cpu      time.Duration // user and system, of all its threads
-	switches int64         // voluntary context switches of the threads that it has: how often one went to sleep
-	peakKB   int64         // most resident memory
+	switches int64         // voluntary context switches of its living threads
+	peakKB   int64         // peak resident memory, KiB
 }
 
-// readAccount reads the account of a running process.
+// readProcessUsage reads the usage of a running process.
 func readProcessUsage(pid int) (usage processUsage, err error) {
 	if usage.cpu, err = processCPU(pid); err != nil {
 		return usage, err
@@ -48,7 +48,7 @@
 	return usage, nil
 }
 
-// cpuClock is the part of a clock's number that says "CPU time of a whole process" (clock_getcpuclockid(3)).
+// cpuClock marks a clock's number as the CPU time of a whole process (clock_getcpuclockid(3)).
 const cpuClock = 2
 
 // processCPU reads a process's own CPU clock, which counts nanoseconds; /proc/PID/stat has steps of 10 ms.
@@ -60,7 +60,7 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// statusField is the number after a name in a /proc/PID/status.
+// statusField returns the number that follows name in the text of a /proc/PID/status.
 func statusField(text, name string) (int64, error) {
 	for line := range strings.Lines(text) {
 		rest, found := strings.CutPrefix(line, name)
