--- a/internal/lab/trial/partitions.go
+++ b/internal/lab/trial/partitions.go
@@ -13,29 +13,29 @@
 
 // partitions is instances parted from one another, with the counter reachable and not: service beside that of the same load and cut
 // without peers, and how soon after the healing all hold the same.
-var partitions = &kind{
-	about:     "instances parted from one another: service in each part against the program without peers, and convergence",
-	cases:     cutCases,
-	instances: []int{6},
-	offToo:    true,
-	play:      playPartitions,
-	table:     tablePartitions,
+var partitions = &definition{
+	about:        "instances parted from one another: service in each part against the program without peers, and convergence",
+	cases:        partitionCases,
+	instances:    []int{6},
+	withBaseline: true,
+	run:          runPartitions,
+	table:        partitionsTable,
 }
 
-var cutCases = []string{"3|3", "1|5", "one-way", "ring", "flap", "3|3" + noCounter, "1|5" + noCounter, "one-way" + noCounter, "ring" + noCounter, "flap" + noCounter, "one hears nothing"}
+var partitionCases = []string{"3|3", "1|5", "one-way", "ring", "flap", "3|3" + withoutCounter, "1|5" + withoutCounter, "one-way" + withoutCounter, "ring" + withoutCounter, "flap" + withoutCounter, "one hears nothing"}
 
-const noCounter = ", no counter"
+const withoutCounter = ", no counter"
 
 const (
-	cutFrom  = 2 * time.Second
-	cutFor   = 5 * time.Second
-	healMost = 6 * time.Second // after the cut's end, in which all must agree again
+	partitionAt       = 2 * time.Second
+	partitionDuration = 5 * time.Second
+	maxConvergence    = 6 * time.Second // after the cut's end, in which all must agree again
 )
 
 // cuts are the link faults of a case.
-func cuts(name string) (out []string) {
-	at := fmt.Sprintf(" %v at %v", cutFor, cutFrom)
-	name, silent := strings.CutSuffix(name, noCounter)
+func partitionFaults(name string) (out []string) {
+	at := fmt.Sprintf(" %v at %v", partitionDuration, partitionAt)
+	name, silent := strings.CutSuffix(name, withoutCounter)
 	switch name {
 	case "3|3":
 		out = []string{"link/0,1,2|3,4,5:cut" + at}
@@ -58,26 +58,26 @@
 	return out
 }
 
-func playPartitions(ctx context.Context, c Cell, program string) (Result, error) {
+func runPartitions(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
-	faults := cuts(c.Case)
-	k := crawler(c.Seed)
-	faults = append(faults, fmt.Sprintf("node/%d:slow %d 3s at %v", k, crawlTimes, cutFrom+500*time.Millisecond)) // something to differ about
-	if !c.On {                                                                                                    // there are no links between them
+	faults := partitionFaults(c.Case)
+	k := slowBackendIndex(c.Seed)
+	faults = append(faults, fmt.Sprintf("node/%d:slow %d 3s at %v", k, slowdown, partitionAt+500*time.Millisecond)) // something to differ about
+	if !c.On {                                                                                                      // there are no links between them
 		faults = slices.DeleteFunc(faults, func(f string) bool {
 			return strings.HasPrefix(f, "link/") && !strings.Contains(f, "counter") && !strings.Contains(f, "discovery")
 		})
 	}
 	cfg := lab.Config{
-		Scenario: "calm", Seed: c.Seed, For: cutFrom + cutFor + healMost + time.Second, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance,
+		Scenario: "calm", Seed: c.Seed, For: partitionAt + partitionDuration + maxConvergence + time.Second, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance,
 		Linked: true, Peers: c.On, Faults: faults,
 	}
 	healed := -1.0
 	if c.On {
 		cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
-			end := cutFrom + cutFor
-			for at := end; at < end+healMost && w.WaitUntil(ctx, at); at += 50 * time.Millisecond {
-				if agree(ctx, w) {
+			end := partitionAt + partitionDuration
+			for at := end; at < end+maxConvergence && w.WaitUntil(ctx, at); at += 50 * time.Millisecond {
+				if membersAgree(ctx, w) {
 					if healed < 0 {
 						healed = (at - end).Seconds()
 					}
@@ -91,12 +91,14 @@
 	if err != nil {
 		return r, err
 	}
-	r.verdict(rep)
-	r.Violations = slices.DeleteFunc(r.Violations, func(b string) bool { return strings.HasPrefix(b, lab.Quotas) && strings.HasSuffix(c.Case, noCounter) }) // see trial budgets
+	r.addReport(rep)
+	r.Violations = slices.DeleteFunc(r.Violations, func(b string) bool {
+		return strings.HasPrefix(b, lab.Quotas) && strings.HasSuffix(c.Case, withoutCounter)
+	}) // see trial budgets
 	r.Metrics["service"] = rep.Service
 	if c.On {
 		if healed < 0 {
-			r.Violations = append(r.Violations, fmt.Sprintf("the members do not agree %v after the cut's end", healMost))
+			r.Violations = append(r.Violations, fmt.Sprintf("the members do not agree %v after the cut's end", maxConvergence))
 		}
 		r.Metrics["healed_s"] = healed
 	}
@@ -104,7 +106,7 @@
 }
 
 // agree says whether all instances hold all others to be there.
-func agree(ctx context.Context, w *lab.Testbed) bool {
+func membersAgree(ctx context.Context, w *lab.Testbed) bool {
 	for i := range w.Instances() {
 		s, err := w.Peers(ctx, i)
 		if err != nil || s.Alive != w.Instances()-1 {
@@ -119,13 +121,13 @@
 	return true
 }
 
-func tablePartitions(out io.Writer, all []Result) {
+func partitionsTable(out io.Writer, all []Result) {
 	fmt.Fprintf(out, "\n%-20s  %-12s  %-12s  %-6s  %-20s\n", "case", "service off", "service on", "ratio", "agreed after, s (worst)")
-	for _, name := range cutCases {
+	for _, name := range partitionCases {
 		is := func(on bool) func(Result) bool {
 			return func(r Result) bool { return r.Case == name && r.On == on }
 		}
-		off, on, healed := pick(all, "service", is(false)), pick(all, "service", is(true)), pick(all, "healed_s", is(true))
+		off, on, healed := metricValues(all, "service", is(false)), metricValues(all, "service", is(true)), metricValues(all, "healed_s", is(true))
 		ratio := 0.0
 		if mean(off) > 0 {
 			ratio = mean(on) / mean(off)
--- a/internal/lab/trial/judgements.go
+++ b/internal/lab/trial/slow_backend.go
@@ -19,41 +19,41 @@
 )
 
 // judgements is a node that crawls at an eighth of its speed, and an instance that is restarted beside it.
-var judgements = &kind{
-	about:     "a node crawls at an eighth: how many answers come too late before all have left it, and what a starter knows",
-	cases:     []string{"crawl"},
-	instances: []int{3, 6, 12},
-	offToo:    true,
-	play:      playJudgements,
-	table:     tableJudgements,
-	chart:     chartJudgements,
+var slowBackend = &definition{
+	about:        "a node crawls at an eighth: how many answers come too late before all have left it, and what a starter knows",
+	cases:        []string{"crawl"},
+	instances:    []int{3, 6, 12},
+	withBaseline: true,
+	run:          runSlowBackend,
+	table:        slowBackendTable,
+	chart:        slowBackendChart,
 }
 
 const (
-	crawlFrom  = 4 * time.Second
-	crawlFor   = 12 * time.Second
-	crawlSpan  = 7 * time.Second // after the crawl's begin, in which late answers are counted
-	restartAt  = 6 * time.Second // after the crawl's begin
-	restartFor = 300 * time.Millisecond
-	starterFor = 2 * time.Second
-	crawlTimes = 8
-	leftLoad   = 0.5
+	slowAt           = 4 * time.Second
+	slowDuration     = 12 * time.Second
+	lateAnswerWindow = 7 * time.Second // after the crawl's begin, in which late answers are counted
+	restartAfterSlow = 6 * time.Second // after the crawl's begin
+	restartDuration  = 300 * time.Millisecond
+	restartedWindow  = 2 * time.Second
+	slowdown         = 8
+	leftLoad         = 0.5
 )
 
 // crawler is the node that crawls: one of the usual kind, by the seed.
-func crawler(seed uint64) int { return int(seed*7) % 12 / 3 * 3 }
+func slowBackendIndex(seed uint64) int { return int(seed*7) % 12 / 3 * 3 }
 
-func playJudgements(ctx context.Context, c Cell, program string) (Result, error) {
-	k := crawler(c.Seed)
+func runSlowBackend(ctx context.Context, c Cell, program string) (Result, error) {
+	k := slowBackendIndex(c.Seed)
 	name := fmt.Sprintf("node-%02d", k)
 	r := Result{Metrics: map[string]float64{}}
 	var mu sync.Mutex
 	blamed := map[string]bool{} // healthy nodes that an instance leaves by others' word
 	cfg := lab.Config{
-		Scenario: "calm", Seed: c.Seed, For: crawlFrom + crawlFor + time.Second, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance,
+		Scenario: "calm", Seed: c.Seed, For: slowAt + slowDuration + time.Second, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance,
 		Linked: true, Peers: c.On, Faults: []string{
-			fmt.Sprintf("node/%d:slow %d %v at %v", k, crawlTimes, crawlFor, crawlFrom),
-			fmt.Sprintf("ingress/0:restart %v at %v", restartFor, crawlFrom+restartAt),
+			fmt.Sprintf("node/%d:slow %d %v at %v", k, slowdown, slowDuration, slowAt),
+			fmt.Sprintf("ingress/0:restart %v at %v", restartDuration, slowAt+restartAfterSlow),
 		},
 	}
 	if c.On {
@@ -79,23 +79,23 @@
 	if err != nil {
 		return r, err
 	}
-	r.verdict(rep)
+	r.addReport(rep)
 	for b := range blamed {
 		r.Violations = append(r.Violations, b)
 	}
 	began := time.Duration(rep.BeganS * float64(time.Second))
-	from := began + crawlFrom
+	from := began + slowAt
 	late, sends := 0, 0
 	starter, others, starterAll, othersAll := 0.0, 0.0, 0.0, 0.0
-	back := from + restartAt + restartFor
+	back := from + restartAfterSlow + restartDuration
 	for _, x := range rep.Commands {
-		if x.Backend == name && x.ArrivedAt >= from && x.ArrivedAt < from+crawlSpan {
+		if x.Backend == name && x.ArrivedAt >= from && x.ArrivedAt < from+lateAnswerWindow {
 			sends++
 			if x.Late {
 				late++
 			}
 		}
-		if x.ArrivedAt >= back && x.ArrivedAt < back+starterFor {
+		if x.ArrivedAt >= back && x.ArrivedAt < back+restartedWindow {
 			here := 0.0
 			if x.Backend == name {
 				here = 1
@@ -116,7 +116,7 @@
 	return r, nil
 }
 
-func tableJudgements(out io.Writer, all []Result) {
+func slowBackendTable(out io.Writer, all []Result) {
 	fmt.Fprintf(out, "\n%-9s  %-21s  %-21s  %-6s  %-17s  %-22s  %-22s\n", "instances", "late answers off (p90)", "on (p90)", "ratio", "service off, on", "starter's share off, on", "others' share off, on")
 	sizes := map[int]bool{}
 	for _, r := range all {
@@ -126,18 +126,18 @@
 		is := func(on bool) func(Result) bool {
 			return func(r Result) bool { return r.Instances == n && r.On == on }
 		}
-		off, on := pick(all, "late", is(false)), pick(all, "late", is(true))
+		off, on := metricValues(all, "late", is(false)), metricValues(all, "late", is(true))
 		ratio := 0.0
 		if mean(off) > 0 {
 			ratio = mean(on) / mean(off)
 		}
 		fmt.Fprintf(out, "%9d  %8.1f (%.0f)           %8.1f (%.0f)           %6.2f  %.3f, %.3f      %.4f, %.4f          %.4f, %.4f\n", n, mean(off), quantile(off, 0.9), mean(on), quantile(on, 0.9), ratio,
-			mean(pick(all, "service", is(false))), mean(pick(all, "service", is(true))), mean(pick(all, "starter_share", is(false))), mean(pick(all, "starter_share", is(true))),
-			mean(pick(all, "others_share", is(false))), mean(pick(all, "others_share", is(true))))
+			mean(metricValues(all, "service", is(false))), mean(metricValues(all, "service", is(true))), mean(metricValues(all, "starter_share", is(false))), mean(metricValues(all, "starter_share", is(true))),
+			mean(metricValues(all, "others_share", is(false))), mean(metricValues(all, "others_share", is(true))))
 	}
 }
 
-func chartJudgements(file string, all []Result) error {
+func slowBackendChart(file string, all []Result) error {
 	p := plot.New()
 	p.Title.Text = "Late answers of a node at an eighth of its speed, in 7 s"
 	p.X.Label.Text, p.Y.Label.Text = "instances", "late answers, all instances"
--- a/internal/lab/trial/custody.go
+++ b/internal/lab/trial/takeover_overhead.go
@@ -12,32 +12,32 @@
 )
 
 // custody is what work that survives its instance costs while nothing is lost, beside instances that know one another alone.
-var custody = &kind{
-	about:     "what keepers cost while nothing is lost: latency of keyed work, CPU, bytes between instances, memory; [peers] in both",
-	cases:     custodyCases,
-	instances: []int{3},
-	offToo:    true,
-	play:      playCustody,
-	table:     tableCustody,
+var takeoverOverhead = &definition{
+	about:        "what keepers cost while nothing is lost: latency of keyed work, CPU, bytes between instances, memory; [peers] in both",
+	cases:        takeoverOverheadCases,
+	instances:    []int{3},
+	withBaseline: true,
+	run:          runTakeoverOverhead,
+	table:        takeoverOverheadTable,
 }
 
-var custodyCases = []string{"usual", "heavy"}
+var takeoverOverheadCases = []string{"usual", "heavy"}
 
-func playCustody(ctx context.Context, c Cell, program string) (Result, error) {
+func runTakeoverOverhead(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
 	var mu sync.Mutex
 	cfg := lab.Config{
-		Scenario: "calm", Seed: c.Seed, For: costFor, Ingresses: c.Instances, Backends: costNodes[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
+		Scenario: "calm", Seed: c.Seed, For: overheadDuration, Ingresses: c.Instances, Backends: overheadBackends[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
 		Peers: true, Takeover: c.On,
 	}
 	cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
-		if !w.WaitUntil(ctx, costFor-500*time.Millisecond) {
+		if !w.WaitUntil(ctx, overheadDuration-500*time.Millisecond) {
 			return
 		}
 		for i := range w.Instances() {
 			if s, err := w.Peers(ctx, i); err == nil {
 				mu.Lock()
-				r.Metrics["bytes_s"] += float64(s.Counts.BytesOut) / costFor.Seconds() / float64(c.Instances)
+				r.Metrics["bytes_s"] += float64(s.Counts.BytesOut) / overheadDuration.Seconds() / float64(c.Instances)
 				mu.Unlock()
 			}
 		}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.verdict(rep)
+	r.addReport(rep)
 	var took []float64
 	for _, w := range rep.Keyed {
 		if w.Attempts == 1 && w.Served {
@@ -63,11 +63,11 @@
 	return r, nil
 }
 
-func tableCustody(out io.Writer, all []Result) {
+func takeoverOverheadTable(out io.Writer, all []Result) {
 	fmt.Fprintf(out, "\n%-6s  %-22s  %-22s  %-24s  %-6s  %-22s  %-16s  %-14s\n", "load", "keyed p50 ms off, on", "keyed p99 ms off, on", "CPU us a try off, on", "ratio", "bytes/s each off, on", "peak MB off, on", "service off, on")
-	for _, name := range custodyCases {
+	for _, name := range takeoverOverheadCases {
 		at := func(figure string, on bool) float64 {
-			return quantile(pick(all, figure, func(r Result) bool { return r.Case == name && r.On == on }), 0.5)
+			return quantile(metricValues(all, figure, func(r Result) bool { return r.Case == name && r.On == on }), 0.5)
 		}
 		ratio := 0.0
 		if off := at("cpu_us", false); off > 0 {
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -49,24 +49,24 @@
 }
 
 // trials are those that there are.
-var trials = map[string]*kind{
-	"judgements": judgements,
+var trials = map[string]*definition{
+	"judgements": slowBackend,
 	"partitions": partitions,
-	"cost":       cost,
+	"cost":       peeringOverhead,
 	"takeover":   takeover,
-	"custody":    custody,
-	"budgets":    budgets,
+	"custody":    takeoverOverhead,
+	"budgets":    quotaBounds,
 }
 
 // kind is one trial.
-type kind struct {
-	about     string
-	cases     []string
-	instances []int
-	offToo    bool
-	play      func(ctx context.Context, c Cell, program string) (Result, error)
-	table     func(out io.Writer, all []Result)
-	chart     func(file string, all []Result) error
+type definition struct {
+	about        string
+	cases        []string
+	instances    []int
+	withBaseline bool
+	run          func(ctx context.Context, c Cell, program string) (Result, error)
+	table        func(out io.Writer, all []Result)
+	chart        func(file string, all []Result) error
 }
 
 // Names are the trials, with what they are about.
@@ -118,7 +118,7 @@
 		}
 		for _, n := range cfg.Instances {
 			for s := range cfg.Seeds {
-				if k.offToo {
+				if k.withBaseline {
 					cells = append(cells, Cell{c, n, cfg.Seed + uint64(s), false})
 				}
 				cells = append(cells, Cell{c, n, cfg.Seed + uint64(s), true})
@@ -133,7 +133,7 @@
 	for range max(1, cfg.Jobs) {
 		wg.Go(func() {
 			for i := range next {
-				results[i], errs[i] = played(ctx, k, cells[i], cfg.Program)
+				results[i], errs[i] = runCell(ctx, k, cells[i], cfg.Program)
 				mu.Lock()
 				fmt.Fprintln(out, results[i].line(errs[i]))
 				mu.Unlock()
@@ -164,7 +164,7 @@
 	fmt.Fprintf(&table, "%d runs: %d in which something did not hold, %d that prove nothing\n", len(results), broken, doubtful)
 	out.Write(table.Bytes())
 	if cfg.Out != "" {
-		if err := keep(cfg.Out, k, results, table.Bytes()); err != nil {
+		if err := writeResults(cfg.Out, k, results, table.Bytes()); err != nil {
 			return results, err
 		}
 	}
@@ -175,11 +175,11 @@
 }
 
 // again is how often a run that proves nothing, for the lab was late or a fault met nothing, is played with another seed.
-const again = 2
+const maxReplays = 2
 
-func played(ctx context.Context, k *kind, c Cell, program string) (r Result, err error) {
-	for range 1 + again {
-		r, err = k.play(ctx, c, program)
+func runCell(ctx context.Context, k *definition, c Cell, program string) (r Result, err error) {
+	for range 1 + maxReplays {
+		r, err = k.run(ctx, c, program)
 		r.Cell = c
 		if err != nil || len(r.Doubts) == 0 || len(r.Violations) > 0 || ctx.Err() != nil {
 			return r, err
@@ -213,7 +213,7 @@
 }
 
 // keep writes what was found into a folder.
-func keep(dir string, k *kind, results []Result, table []byte) error {
+func writeResults(dir string, k *definition, results []Result, table []byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 }
 
 // verdict puts a report's breaks and doubts into a result.
-func (r *Result) verdict(rep *lab.Report) {
+func (r *Result) addReport(rep *lab.Report) {
 	for _, b := range rep.Violations {
 		if !b.Doubtful {
 			r.Violations = append(r.Violations, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Detail))
@@ -249,7 +249,7 @@
 }
 
 // pick are the figures of one name in all runs that fit.
-func pick(all []Result, name string, fits func(Result) bool) (out []float64) {
+func metricValues(all []Result, name string, fits func(Result) bool) (out []float64) {
 	for _, r := range all {
 		if v, has := r.Metrics[name]; has && fits(r) && len(r.Doubts) == 0 {
 			out = append(out, v)
