--- a/internal/lab/cost/load.go
+++ b/internal/lab/cost/load.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	class     = "read"
-	plan      = "paced"
-	customers = 200
-	deadline  = time.Second
-	// answerTime is how long answers are waited for after a phase's last request.
-	answerTime = deadline + 500*time.Millisecond
-	// mostPending is the requests of one connection without an answer yet.
-	mostPending = 4096
-	mostAnswer  = 64 << 10
+	requestClass    = "read"
+	tenantPlan      = "paced"
+	tenants         = 200
+	requestDeadline = time.Second
+	// answerTime is how long a phase waits for answers after its last request.
+	answerTime = requestDeadline + 500*time.Millisecond
+	// maxPending bounds the requests of one connection without an answer yet.
+	maxPending     = 4096
+	maxAnswerBytes = 64 << 10
 
 	ping = "*1\r\n$4\r\nPING\r\n"
 	pong = "+PONG\r\n"
@@ -53,7 +53,8 @@
 	SleepUntil(time.Duration)
 }
 
-// wallClock is the machine's. It sleeps in the kernel, since the runtime's timers can be a millisecond late in an idle program.
+// wallClock is the machine's clock. It sleeps in the kernel, because the runtime's timers can be a millisecond
+// late in an idle program.
 type wallClock struct{ began time.Time }
 
 // Now is the time since the clock's start.
@@ -63,11 +64,11 @@
 func (c wallClock) SleepUntil(at time.Duration) {
 	for left := at - c.Now(); left > 0; left = at - c.Now() {
 		ts := unix.NsecToTimespec(int64(left))
-		unix.Nanosleep(&ts, nil)
+		_ = unix.Nanosleep(&ts, nil) // the loop continues an interrupted sleep
 	}
 }
 
-// pace calls send for each request when it is due. A send that comes late, or a pacer that was held, moves no later request.
+// pace calls send for each request when it is due. A late send postpones no later request.
 func pace(ctx context.Context, s schedule, c clock, send func(i int, due time.Duration)) {
 	began := c.Now()
 	for i := 0; i < s.count && ctx.Err() == nil; i++ {
@@ -77,35 +78,41 @@
 	}
 }
 
-// outcomes is how the requests of a phase ended. Each latency counts from when its request was due, not from when it was
-// sent, so that a wait hides no request that should have started during it.
+// outcomes counts how the requests of a phase ended. Each latency counts from when its request was due, not
+// from when it was sent, so that a stall hides no request that should have started during it. mu guards all
+// other fields but done and count.
 type outcomes struct {
-	mu      sync.Mutex
-	sent    int
-	ended   int
-	served  int
-	refused int
-	failed  int // errors, broken connections, and those without an answer
-	foreign int // served with the answer of another request
-	waits   *measure.Latencies
-	late    *measure.Latencies // from when requests were due to when they were sent: the load's own fault
-	all     chan struct{}      // closed when count have ended
-	count   int
+	mu         sync.Mutex
+	sent       int
+	ended      int
+	served     int
+	rejected   int
+	failed     int // errors, broken connections, and those without an answer
+	foreign    int // served with the answer to another request
+	latencies  *measure.Latencies
+	sendDelays *measure.Latencies // from when requests were due to when they were sent
+	done       chan struct{}      // closed when count requests have ended
+	count      int
 }
 
 func newOutcomes(count int) *outcomes {
-	t := &outcomes{waits: measure.NewLatencies(), late: measure.NewLatencies(), all: make(chan struct{}), count: count}
+	t := &outcomes{
+		latencies:  measure.NewLatencies(),
+		sendDelays: measure.NewLatencies(),
+		done:       make(chan struct{}),
+		count:      count,
+	}
 	if count == 0 {
-		close(t.all)
+		close(t.done)
 	}
 	return t
 }
 
-func (t *outcomes) sending(due, now time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sent++
-	t.late.Add(now - due)
+func (o *outcomes) recordSend(due, now time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.sent++
+	o.sendDelays.Add(now - due)
 }
 
 // outcome is how one request ended.
@@ -114,47 +121,49 @@
 const (
 	served outcome = iota
 	servedForeign
-	refused
+	rejected
 	failed
 )
 
-func (t *outcomes) end(how outcome, due, now time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (o *outcomes) recordEnd(how outcome, due, now time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	switch how {
 	case served, servedForeign:
-		t.served++
-		t.waits.Add(now - due)
+		o.served++
+		o.latencies.Add(now - due)
 		if how == servedForeign {
-			t.foreign++
+			o.foreign++
 		}
-	case refused:
-		t.refused++
+	case rejected:
+		o.rejected++
 	case failed:
-		t.failed++
+		o.failed++
 	}
-	if t.ended++; t.ended == t.count {
-		close(t.all)
+	if o.ended++; o.ended == o.count {
+		close(o.done)
 	}
 }
 
-// pending is a request whose answer has not come.
+// pending is a request without an answer yet.
 type pending struct {
-	id  string
-	due time.Duration
-	to  *outcomes
+	id       string
+	due      time.Duration
+	outcomes *outcomes
 }
 
-// client is one connection, on which requests are written when they are due and answers read as they come, in order.
+// client is one pipelined connection. Requests are written when they are due, and answers arrive in the same
+// order. mu guards queue and closed.
 type client struct {
 	net.Conn
-	clock clock
-	mu    sync.Mutex
-	queue []pending
-	dead  bool
+	clock  clock
+	mu     sync.Mutex
+	queue  []pending
+	closed bool
 }
 
-// load is the clients of one target.
+// load is the open-loop load on one target: its client connections, each with one reading goroutine that close
+// ends.
 type load struct {
 	clients []*client
 	clock   clock
@@ -186,70 +195,71 @@
 	l.wg.Wait()
 }
 
-// play runs one phase and waits for its answers.
-func (l *load) play(ctx context.Context, s schedule) (*outcomes, error) {
+// runPhase sends one phase's requests and waits for their answers.
+func (l *load) runPhase(ctx context.Context, s schedule) (*outcomes, error) {
 	t := newOutcomes(s.count)
 	pace(ctx, s, l.clock, func(i int, due time.Duration) {
 		id := fmt.Sprintf("%016x", l.lastID.Add(1))
-		customer := fmt.Sprintf("%016x", 1+i%customers)
-		l.clients[i%len(l.clients)].send(pending{id, due, t}, command(customer, id))
+		tenant := fmt.Sprintf("%016x", 1+i%tenants)
+		l.clients[i%len(l.clients)].send(pending{id, due, t}, command(tenant, id))
 	})
 	limit := time.NewTimer(answerTime)
 	defer limit.Stop()
 	select {
-	case <-t.all:
+	case <-t.done:
 	case <-limit.C:
 		for _, c := range l.clients {
-			c.giveUp()
+			c.abort()
 		}
 	case <-ctx.Done():
 	}
 	return t, ctx.Err()
 }
 
-// command is a request's bytes.
-func command(customer, id string) string {
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0", class, plan, deadline.Milliseconds())
+// command returns the bytes of one request.
+func command(tenant, id string) string {
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0",
+		requestClass, tenantPlan, requestDeadline.Milliseconds())
 	var b strings.Builder
 	b.WriteString("*4\r\n")
-	for _, word := range []string{"Q.ASK", customer, id, fields} {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(word), word)
+	for _, argument := range []string{"Q.ASK", tenant, id, fields} {
+		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(argument), argument)
 	}
 	return b.String()
 }
 
 func (c *client) send(p pending, text string) {
 	now := c.clock.Now()
-	p.to.sending(p.due, now)
+	p.outcomes.recordSend(p.due, now)
 	c.mu.Lock()
-	if c.dead || len(c.queue) >= mostPending {
+	if c.closed || len(c.queue) >= maxPending {
 		c.mu.Unlock()
-		p.to.end(failed, p.due, now)
+		p.outcomes.recordEnd(failed, p.due, now)
 		return
 	}
 	c.queue = append(c.queue, p)
 	c.mu.Unlock()
 	if _, err := io.WriteString(c, text); err != nil {
-		c.giveUp()
+		c.abort()
 	}
 }
 
-// giveUp ends the connection; what had no answer has failed.
-func (c *client) giveUp() {
+// abort closes the connection. Its pending requests have failed.
+func (c *client) abort() {
 	c.Close()
 	c.mu.Lock()
-	c.dead = true
+	c.closed = true
 	left := c.queue
 	c.queue = nil
 	c.mu.Unlock()
 	for _, p := range left {
-		p.to.end(failed, p.due, c.clock.Now())
+		p.outcomes.recordEnd(failed, p.due, c.clock.Now())
 	}
 }
 
 // read takes answers until the connection ends.
 func (c *client) read() {
-	defer c.giveUp()
+	defer c.abort()
 	in := bufio.NewReader(c)
 	for {
 		how, value, err := readAnswer(in)
@@ -258,7 +268,7 @@
 		}
 		now := c.clock.Now()
 		c.mu.Lock()
-		if len(c.queue) == 0 { // an answer that nobody asked for: from here on none is anybody's
+		if len(c.queue) == 0 { // an unsolicited answer: later ones can't be matched
 			c.mu.Unlock()
 			return
 		}
@@ -268,11 +278,11 @@
 		if how == served && value != "value of "+p.id {
 			how = servedForeign
 		}
-		p.to.end(how, p.due, now)
+		p.outcomes.recordEnd(how, p.due, now)
 	}
 }
 
-// readAnswer reads an ingress's answer, which is a value, or a backend's, which is an array that begins with one.
+// readAnswer reads one answer: a value from an ingress, or an array that begins with the value from a backend.
 func readAnswer(in *bufio.Reader) (how outcome, value string, err error) {
 	line, err := readLine(in)
 	if err != nil {
@@ -285,7 +295,7 @@
 	case strings.HasPrefix(line, "*"):
 		return readArray(in, line)
 	case strings.HasPrefix(line, "-BUSY"):
-		return refused, "", nil
+		return rejected, "", nil
 	}
 	return failed, "", nil
 }
@@ -315,13 +325,13 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// readBulk reads the value whose first line is given; a null one is empty.
+// readBulk reads the bulk string whose first line is given. A null one is empty.
 func readBulk(in *bufio.Reader, line string) (string, error) {
 	if line == "$-1" {
 		return "", nil
 	}
 	size, err := strconv.Atoi(strings.TrimPrefix(line, "$"))
-	if err != nil || size < 0 || size > mostAnswer {
+	if err != nil || size < 0 || size > maxAnswerBytes {
 		return "", fmt.Errorf("answer of length %q", line)
 	}
 	b := make([]byte, size+2)
--- a/internal/lab/cost/proxy.go
+++ b/internal/lab/cost/proxy.go
@@ -14,12 +14,13 @@
 
 const proxyBuffer = 4 << 10
 
-// proxy forwards each command to the next backend over a pooled connection and passes the answer on. It decides, counts,
-// retries and times nothing: what it takes is the least that any ingress in its place takes.
+// proxy forwards each command to the next backend over a pooled connection and passes the answer on. It neither
+// decides, counts, retries nor times out, so its cost is a lower bound for any ingress in its place. Each
+// client connection has one goroutine, which ends with the connection.
 type proxy struct {
 	backends []*backendPool
 	turn     atomic.Uint64
-	mu       sync.Mutex // of clients
+	mu       sync.Mutex // guards clients
 	clients  map[net.Conn]bool
 	wg       sync.WaitGroup
 }
@@ -28,20 +29,22 @@
 type backendPool struct {
 	addr string
 	mu   sync.Mutex
-	idle []*framed
+	idle []*framedConn
 }
 
-// framed is a connection that is read a RESP value at a time.
-type framed struct {
+// framedConn is a connection that is read one RESP value at a time.
+type framedConn struct {
 	net.Conn
 	buf        []byte
-	begin, end int // of what has come and was not taken
+	begin, end int // bounds of the unread bytes in buf
 }
 
-func newFramed(nc net.Conn) *framed { return &framed{Conn: nc, buf: make([]byte, proxyBuffer)} }
+func newFramedConn(nc net.Conn) *framedConn {
+	return &framedConn{Conn: nc, buf: make([]byte, proxyBuffer)}
+}
 
 // next returns the bytes of the next value; they hold until the next call.
-func (f *framed) next() ([]byte, error) {
+func (f *framedConn) next() ([]byte, error) {
 	for {
 		size, err := resp.FrameLength(f.buf[f.begin:f.end], 0)
 		if err != nil {
@@ -105,7 +108,7 @@
 		p.clients[nc] = true
 		p.mu.Unlock()
 		p.wg.Go(func() {
-			p.serve(newFramed(nc))
+			p.serve(newFramedConn(nc))
 			nc.Close()
 			p.mu.Lock()
 			delete(p.clients, nc)
@@ -123,7 +126,7 @@
 }
 
 // serve forwards a client's commands one by one, until either side's connection fails.
-func (p *proxy) serve(client *framed) {
+func (p *proxy) serve(client *framedConn) {
 	for {
 		command, err := client.next()
 		if err != nil {
@@ -141,7 +144,7 @@
 	}
 }
 
-func (p *proxy) forward(client *framed, command []byte) error {
+func (p *proxy) forward(client *framedConn, command []byte) error {
 	pool := p.backends[p.turn.Add(1)%uint64(len(p.backends))]
 	backend, err := pool.get()
 	if err != nil {
@@ -161,7 +164,7 @@
 	return err
 }
 
-func (b *backendPool) get() (*framed, error) {
+func (b *backendPool) get() (*framedConn, error) {
 	b.mu.Lock()
 	if n := len(b.idle); n > 0 {
 		c := b.idle[n-1]
@@ -174,10 +177,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return newFramed(nc), nil
+	return newFramedConn(nc), nil
 }
 
-func (b *backendPool) put(c *framed) {
+func (b *backendPool) put(c *framedConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.idle = append(b.idle, c)
--- a/internal/lab/cost/proxy_test.go
+++ b/internal/lab/cost/proxy_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer b.close()
-	m := phase(t, startProxy(t, b.addrs()...), 60)
+	m := phase(t, startProxy(t, b.addresses()...), 60)
 	if m.Served != 60 || m.Foreign != 0 || m.Void != "" {
 		t.Fatalf("%+v", m)
 	}
@@ -51,7 +51,7 @@
 	if len(records) != 60 || len(at) != c.Backends || at["backend-000"] != 20 {
 		t.Errorf("%d came: %v", len(records), at)
 	}
-	if n := b.opened(); n > 2*c.Backends { // two clients, one request each at a time
+	if n := b.acceptedConnections(); n > 2*c.Backends { // two clients, one request each at a time
 		t.Errorf("%d connections for 2 clients and %d backends", n, c.Backends)
 	}
 }
@@ -110,7 +110,8 @@
 	}
 }
 
-// The rig measures the bare proxy as a process: CPU, memory, connections, and a median just over the backends' work.
+// The rig measures the bare proxy as a process: CPU, memory, connections, and a median just over the backends'
+// work.
 func TestMeasureBare(t *testing.T) {
 	c := testConfig()
 	c.Warm, c.Length = 100*ms, 400*ms
@@ -118,7 +119,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Sent != 80 || m.Served != 80 || m.Refused != 0 || m.Failed != 0 { // void it may be: a busy machine makes the load late
+	if m.Sent != 80 || m.Served != 80 || m.Rejected != 0 ||
+		m.Failed != 0 { // void it may be: a busy machine makes the load late
 		t.Fatalf("%+v", m)
 	}
 	if m.P50 < 1 || m.P99 < m.P50 || m.CPU <= 0 || m.PeakMB <= 0 || m.Opened < c.Backends || m.Switches <= 0 {
@@ -129,12 +131,17 @@
 // A program that does not start is one error that names it.
 func TestMeasureNoProgram(t *testing.T) {
 	c := testConfig()
-	if _, err := measureTurn(t.Context(), &c, turn{0, 200, Build{"new", "/no/such/program"}}); err == nil || !strings.Contains(err.Error(), "build new, program /no/such/program") {
+	if _, err := measureTurn(
+		t.Context(),
+		&c,
+		turn{0, 200, Build{"new", "/no/such/program"}},
+	); err == nil ||
+		!strings.Contains(err.Error(), "build new, program /no/such/program") {
 		t.Fatal(err)
 	}
 }
 
-// Second answers come to builds and not to the bare proxy, which could not tell them from the first.
+// Second answers come to builds and not to the bare proxy, which cannot distinguish them from the first.
 func TestSecondAnswers(t *testing.T) {
 	c := testConfig()
 	c.SecondLate, c.SecondShare = 0, 1
@@ -143,7 +150,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc, err := net.Dial("tcp", b.addrs()[0])
+		nc, err := net.Dial("tcp", b.addresses()[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,20 +173,20 @@
 
 // The account of a process follows what it does.
 func TestAccount(t *testing.T) {
-	before, err := readAccount(os.Getpid())
+	before, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for began := time.Now(); time.Since(began) < 20*ms; {
 	}
-	after, err := readAccount(os.Getpid())
+	after, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if after.cpu <= before.cpu || after.peakKB < 1000 || after.switches < 0 {
 		t.Errorf("%+v, then %+v", before, after)
 	}
-	if _, err := readAccount(1 << 30); err == nil {
+	if _, err := readProcessUsage(1 << 30); err == nil {
 		t.Error("a process that isn't there has an account")
 	}
 	if _, err := statusField("VmHWM:\nx: 1\n", "VmHWM:"); err == nil {
--- a/internal/lab/cost/run.go
+++ b/internal/lab/cost/run.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// A load that sends a tenth of its requests so late says more of a busy machine than of what it measures.
+// A measurement is void if the load sent a tenth of its requests later than maxLateMS: the machine was too busy.
 const (
 	lateQuantile = 0.9
-	mostLateMS   = 5
+	maxLateMS    = 5
 )
 
-// Measurement is one build at one rate in one round. Times are milliseconds; those a request count the whole process.
+// Measurement is one build at one rate in one round. Times are in milliseconds; CPU and context switches a
+// request are those of the whole process.
 type Measurement struct {
 	Build string `json:"build"`
 	Rate  int    `json:"rate"`
 	Round int    `json:"round"`
 
-	Sent    int `json:"sent"`
-	Served  int `json:"served"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Foreign int `json:"answers_of_another_request"`
+	Sent     int `json:"sent"`
+	Served   int `json:"served"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
+	Foreign  int `json:"answers_of_another_request"`
 
 	P50  float64 `json:"p50_ms"`
 	P90  float64 `json:"p90_ms"`
@@ -34,15 +35,16 @@
 
 	CPU        float64 `json:"cpu_us_a_request"`
 	Switches   float64 `json:"voluntary_switches_a_request"`
-	PeakMB     float64 `json:"peak_mb"` // since the process's start
+	PeakMB     float64 `json:"peak_mb"` // since the process started
 	Opened     int     `json:"connections_opened"`
 	Handshakes float64 `json:"handshakes_a_request"` // during the measurement, without the warm-up
-	LoadLate   float64 `json:"load_late_p99_ms"`     // how late the load itself sent
+	LoadLate   float64 `json:"load_late_p99_ms"`     // delay of the load's own sends
 
-	Void string `json:"void,omitempty"` // why the measurement says nothing; empty: it does
+	Void string `json:"void,omitempty"` // why the measurement can't be used; empty if it can
 }
 
-// Run measures everything, round by round. After each measurement it calls each, which may be nil.
+// Run measures all builds at all rates, round by round. It calls each, if not nil, after each measurement. If a
+// measurement fails, it returns the error with the report so far.
 func Run(ctx context.Context, c Config, each func(Measurement)) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -52,7 +54,7 @@
 	}
 	r := &Report{Config: c}
 	for round := range c.Repeats {
-		done, err := playRound(ctx, &c, round, each)
+		done, err := measureRound(ctx, &c, round, each)
 		r.Measurements = append(r.Measurements, done...)
 		if err != nil {
 			return r, err
@@ -71,7 +73,7 @@
 	return nil
 }
 
-func playRound(ctx context.Context, c *Config, round int, each func(Measurement)) (out []Measurement, err error) {
+func measureRound(ctx context.Context, c *Config, round int, each func(Measurement)) (out []Measurement, err error) {
 	for _, t := range c.turns(round) {
 		m, err := measureTurn(ctx, c, t)
 		if err != nil {
@@ -108,58 +110,61 @@
 		return m, err
 	}
 	defer l.close()
-	if _, err := l.play(ctx, newSchedule(t.rate, c.Warm)); err != nil {
+	if _, err := l.runPhase(ctx, newSchedule(t.rate, c.Warm)); err != nil {
 		return m, err
 	}
-	opened := b.opened()
-	before, err := readAccount(process.Pid())
+	opened := b.acceptedConnections()
+	before, err := readProcessUsage(process.Pid())
 	if err != nil {
 		return m, err
 	}
-	ended, err := l.play(ctx, newSchedule(t.rate, c.Length))
+	ended, err := l.runPhase(ctx, newSchedule(t.rate, c.Length))
 	if err != nil {
 		return m, err
 	}
-	after, err := readAccount(process.Pid())
+	after, err := readProcessUsage(process.Pid())
 	if err != nil {
 		return m, fmt.Errorf("build %s: %w: %s", t.build.Name, err, process.LastLine())
 	}
-	m.Opened = b.opened()
+	m.Opened = b.acceptedConnections()
 	m.Handshakes = perRequest(m.Opened-opened, ended.sent)
-	m.account(before, after, ended.sent)
-	m.ended(ended)
+	m.recordUsage(before, after, ended.sent)
+	m.recordOutcomes(ended)
 	return m, nil
 }
 
 func perRequest(sum, requests int) float64 { return float64(sum) / float64(max(1, requests)) }
 
-// account fills in what the process used between two readings.
-func (m *Measurement) account(before, after account, requests int) {
+// recordUsage fills in what the process used between two readings.
+func (m *Measurement) recordUsage(before, after processUsage, requests int) {
 	m.CPU = float64((after.cpu - before.cpu).Nanoseconds()) / 1000 / float64(max(1, requests))
 	m.Switches = perRequest(int(after.switches-before.switches), requests)
 	m.PeakMB = float64(after.peakKB) / 1024
 }
 
-// ended fills in how the requests ended. One that was refused or failed took another way than the others, so that neither the
-// latencies nor the CPU are those of requests that were served.
-func (m *Measurement) ended(t *outcomes) {
+// recordOutcomes fills in how the requests ended. If any was rejected or failed, the measurement is void: latencies and
+// CPU would not be those of served requests.
+func (m *Measurement) recordOutcomes(t *outcomes) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m.Sent, m.Served, m.Refused, m.Failed, m.Foreign = t.sent, t.served, t.refused, t.failed, t.foreign
-	m.P50, m.P90, m.P99, m.P999 = t.waits.QuantileMS(0.5), t.waits.QuantileMS(0.9), t.waits.QuantileMS(0.99), t.waits.QuantileMS(0.999)
-	m.LoadLate = t.late.QuantileMS(0.99)
-	var why []string
+	m.Sent, m.Served, m.Rejected, m.Failed, m.Foreign = t.sent, t.served, t.rejected, t.failed, t.foreign
+	m.P50 = t.latencies.QuantileMS(0.5)
+	m.P90 = t.latencies.QuantileMS(0.9)
+	m.P99 = t.latencies.QuantileMS(0.99)
+	m.P999 = t.latencies.QuantileMS(0.999)
+	m.LoadLate = t.sendDelays.QuantileMS(0.99)
+	var reasons []string
 	if m.Sent == 0 {
-		why = append(why, "nothing was sent")
+		reasons = append(reasons, "nothing was sent")
 	}
-	if m.Refused > 0 {
-		why = append(why, fmt.Sprintf("%d refused", m.Refused))
+	if m.Rejected > 0 {
+		reasons = append(reasons, fmt.Sprintf("%d refused", m.Rejected))
 	}
 	if m.Failed > 0 {
-		why = append(why, fmt.Sprintf("%d failed", m.Failed))
+		reasons = append(reasons, fmt.Sprintf("%d failed", m.Failed))
 	}
-	if late := t.late.QuantileMS(lateQuantile); late > mostLateMS {
-		why = append(why, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
+	if late := t.sendDelays.QuantileMS(lateQuantile); late > maxLateMS {
+		reasons = append(reasons, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
 	}
-	m.Void = strings.Join(why, ", ")
+	m.Void = strings.Join(reasons, ", ")
 }
--- a/internal/lab/cost/account.go
+++ b/internal/lab/cost/usage.go
@@ -11,28 +11,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// account is what the kernel says that a process has used so far.
-type account struct {
+// processUsage is what the kernel has accounted to a process since its start.
+type processUsage struct {
 	cpu      time.Duration // user and system, of all its threads
-	switches int64         // voluntary context switches of the threads that it has: how often one went to sleep
-	peakKB   int64         // most resident memory
+	switches int64         // voluntary context switches of its living threads
+	peakKB   int64         // peak resident memory, KiB
 }
 
-// readAccount reads the account of a running process.
-func readAccount(pid int) (a account, err error) {
-	if a.cpu, err = processCPU(pid); err != nil {
-		return a, err
+// readProcessUsage reads the usage of a running process.
+func readProcessUsage(pid int) (usage processUsage, err error) {
+	if usage.cpu, err = processCPU(pid); err != nil {
+		return usage, err
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return a, fmt.Errorf("account of process %d: %w", pid, err)
+		return usage, fmt.Errorf("account of process %d: %w", pid, err)
 	}
-	if a.peakKB, err = statusField(string(status), "VmHWM:"); err != nil {
-		return a, fmt.Errorf("account of process %d: %w", pid, err)
+	if usage.peakKB, err = statusField(string(status), "VmHWM:"); err != nil {
+		return usage, fmt.Errorf("account of process %d: %w", pid, err)
 	}
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	if err != nil {
-		return a, err
+		return usage, err
 	}
 	for _, file := range threads {
 		text, err := os.ReadFile(file)
@@ -41,14 +41,14 @@
 		}
 		n, err := statusField(string(text), "voluntary_ctxt_switches:")
 		if err != nil {
-			return a, fmt.Errorf("account of process %d: %w", pid, err)
+			return usage, fmt.Errorf("account of process %d: %w", pid, err)
 		}
-		a.switches += n
+		usage.switches += n
 	}
-	return a, nil
+	return usage, nil
 }
 
-// cpuClock is the part of a clock's number that says "CPU time of a whole process" (clock_getcpuclockid(3)).
+// cpuClock marks a clock's number as the CPU time of a whole process (clock_getcpuclockid(3)).
 const cpuClock = 2
 
 // processCPU reads a process's own CPU clock, which counts nanoseconds; /proc/PID/stat has steps of 10 ms.
@@ -60,18 +60,18 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// statusField is the number after a name in a /proc/PID/status.
+// statusField returns the number that follows name in the text of a /proc/PID/status.
 func statusField(text, name string) (int64, error) {
 	for line := range strings.Lines(text) {
 		rest, found := strings.CutPrefix(line, name)
 		if !found {
 			continue
 		}
-		words := strings.Fields(rest)
-		if len(words) == 0 {
+		fields := strings.Fields(rest)
+		if len(fields) == 0 {
 			break
 		}
-		return strconv.ParseInt(words[0], 10, 64)
+		return strconv.ParseInt(fields[0], 10, 64)
 	}
 	return 0, fmt.Errorf("status has no %s", name)
 }
