--- a/internal/lab/ask.go
+++ b/internal/lab/ask.go
@@ -41,12 +41,13 @@
 	return get[peers.Status](ctx, w.ingresses[i], "/peers")
 }
 
-// NodesBelieved is what an instance believes of nodes; it is for the run's watcher.
+// Backends returns what an instance says of backends, for the watcher of the run.
 func (w *Testbed) Backends(ctx context.Context, i int) (core.BackendsStatus, error) {
 	return get[core.BackendsStatus](ctx, w.ingresses[i], "/nodes")
 }
 
-// Budgets is what an instance states of quotas, should it hear nothing for so long; it is for the run's watcher.
+// QuotaBounds returns by how much an instance may overrun quotas if it hears nothing for
+// a span, for the watcher of the run.
 func (w *Testbed) QuotaBounds(ctx context.Context, i int, span time.Duration) ([]overrun.Bound, error) {
 	return get[[]overrun.Bound](ctx, w.ingresses[i], "/budgets?for="+span.String())
 }
@@ -57,7 +58,7 @@
 // Instances is how many there are.
 func (w *Testbed) Instances() int { return len(w.ingresses) }
 
-// At waits until a time of the load; false where the run ends before.
+// WaitUntil waits until a time of the load. It reports false if the run ends before.
 func (w *Testbed) WaitUntil(ctx context.Context, at time.Duration) bool {
 	t := time.NewTimer(w.load.began + at - w.clock())
 	defer t.Stop()
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -17,7 +17,7 @@
 	firstInstance = 221
 )
 
-// DefaultDay is the day of a run that names none.
+// DefaultScenario is the scenario of a run that names none.
 const DefaultScenario = "evening"
 
 // Config says what is run. Zero fields leave the day's figures as they are.
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// HallTrack is what came to a hall's nodes, and what they could do, for each span of hallSpan.
+// ZoneTrack is what arrived at a zone's backends and what they could do, for each span of the run.
 type ZoneTrack struct {
 	Zone     string    `json:"Hall"`
 	Sends    []float64 `json:"Sends"` // commands a second
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -53,7 +53,8 @@
 	DescribeOperation: func(in, _ any) string { return fmt.Sprintf("%+v", in) },
 }
 
-// Once judges, by what the nodes saw and the clients were told, whether each key's work happened once and has one answer.
+// CheckOnce checks, by what backends saw and clients were answered, that the work of each key happened once and has
+// one answer.
 func (r *Report) CheckOnce() (out []rulecheck.Violation) {
 	for _, w := range r.Keyed {
 		if w.Effects > 1 || w.Values > 1 {
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -162,7 +162,7 @@
 	return out
 }
 
-// Words is the lab's own rule for instances that tell one another of nodes: what one alone says makes no other leave a node.
+// Reports is the name of the testbed's own rule for gossip: no instance leaves a backend because one other reports it.
 const Reports = "no node left for one word"
 
 const (
@@ -171,8 +171,8 @@
 	wordsSends = 40              // commands to such a node, below which nothing can be said
 )
 
-// LeftForAWord judges, by what the nodes saw, whether the instances but one have left a node that serves them, while that one can't reach it by
-// the first fault of a link.
+// LeftOnReport checks, by what backends saw, whether all instances but one have left a backend that serves them while
+// only that one can't reach it, by the first fault of a link.
 func (r *Report) LeftOnReport(node string, but int) (out []rulecheck.Violation) {
 	from := time.Duration(0)
 	for _, l := range r.Links {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -302,7 +302,9 @@
 			if at := t.Answers[0].At; at-t.SentAt > wait { // one that was stopped answers when it wakes
 				t.Excused = g.wasDown(t.SentAt, at)
 			}
-			t.ForeignAnswer = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !(key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")) // the key's first try may have made it
+			// The first attempt of the same key may have made the value.
+			ofSameKey := key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")
+			t.ForeignAnswer = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !ofSameKey
 			if nc.more() {
 				t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: "failed"})
 				nc.Close()
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -54,7 +54,8 @@
 	Closest   float64 `json:"Closest"`   // most units beyond what the ceiling allowed, as a share of its store; below 0 it stayed under
 }
 
-// Share is what one front's clients asked for and got, of the channels under a ceiling that ask for more than their quota.
+// QuotaShare is what the clients of one front requested and got, of tenants with a ceiling that request more than their
+// quota.
 type QuotaShare struct {
 	Requested float64 `json:"Asked"`
 	Served    float64 `json:"Served"`
@@ -77,7 +78,8 @@
 	InTime   int `json:"InTime"`
 }
 
-// NodeTrack is how full a node was, sampled each quarter of a second: requests held for each core, -1 while it was down.
+// BackendTrack is the load of a backend, sampled each quarter of a second: requests in flight for each core, -1 while it
+// was down.
 type BackendTrack struct {
 	Backend  string    `json:"Node"`
 	Zone     string    `json:"Hall"`
@@ -101,7 +103,7 @@
 	Units     float64       `json:"Units"`
 }
 
-// Wish is a client's keyed wish with its tries.
+// ClientRequest is one effect that a client wants, with its idempotency key and all its attempts.
 type ClientRequest struct {
 	Key      string        `json:"Key"`
 	Class    string        `json:"Class"`
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,7 +1,8 @@
-// Package overlap is a soak of many real ingress processes in which troubles overlap: processes that are told to end, killed, held up
-// and given new configurations, backends, discovery and the counter that fail in many ways, and clients that misbehave, all drawn by a
-// seed. In: a program and a seed. Out: each break of a promise, judged by what clients, backends and discovery saw and by what the
-// program says of its own invariants. It must never ask an ingress how it decided.
+// Package soak runs many real processes of the ingress under faults that overlap: processes that are told to end, killed,
+// held up and given new configurations, backends, discovery and the counter that fail in many ways, and clients that
+// misbehave, all drawn by a seed. It takes a program and a seed, and returns each violation of a rule, by what clients,
+// backends and discovery saw and by what the program says of its own invariants. It never asks an instance how it decided.
+// The command is `lab overlap`.
 package soak
 
 import (
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -22,7 +22,7 @@
 	"hitchspring/internal/standin/gate"
 )
 
-// World is a run.
+// Testbed is one run: processes, stand-ins, links and clients.
 type Testbed struct {
 	cfg       Config
 	day       *scenario.Scenario
