--- a/internal/standin/redis/accept.go
+++ b/internal/standin/redis/accept.go
@@ -26,9 +26,8 @@
 	aborted        bool // a command of the transaction was wrong
 	queue          [][]string
 	watched        map[string]*entry // as they were
-	dirty          bool
-	messages       chan []byte   // messages of channels that it listens to; nil: none
-	unsentMessages <-chan []byte // the same, until someone sends them
+	messages       chan []byte       // messages of channels that it listens to; nil: none
+	unsentMessages <-chan []byte     // the same, until someone sends them
 	writeMu        sync.Mutex
 }
 
@@ -57,16 +56,16 @@
 	}
 }
 
-// turnAway says why, and waits a moment for the client to read it: a close with commands unread would reset the
-// connection and take the reason with it.
+// rejectConn tells the client why it is rejected, and waits a moment for the client to read it: a close with commands
+// unread would reset the connection and lose the reason. Errors do not matter, as the connection ends anyway.
 func rejectConn(nc net.Conn) {
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(lingerTimeout))
-	io.WriteString(nc, "-ERR max number of clients reached\r\n")
-	if t, ok := nc.(interface{ CloseWrite() error }); ok {
-		t.CloseWrite()
+	_, _ = io.WriteString(nc, "-ERR max number of clients reached\r\n")
+	if tcp, ok := nc.(interface{ CloseWrite() error }); ok {
+		_ = tcp.CloseWrite()
 	}
-	io.CopyN(io.Discard, nc, maxInlineLength)
+	_, _ = io.CopyN(io.Discard, nc, maxInlineLength)
 }
 
 // serve reads commands and answers them in order until the connection ends.
--- a/internal/standin/redis/cluster.go
+++ b/internal/standin/redis/cluster.go
@@ -125,7 +125,7 @@
 		return failure("CLUSTERDOWN Hash slot not served")
 	case owner == s && next != nil && next != s && x.get(keys[0]) == nil:
 		return failure(fmt.Sprintf("ASK %d %s", slot, next.addr))
-	case owner != s && !(next == s && x.client != nil && x.client.asking):
+	case owner != s && (next != s || x.client == nil || !x.client.asking):
 		return failure(fmt.Sprintf("MOVED %d %s", slot, owner.addr))
 	}
 	return value{}
--- a/internal/standin/redis/control.go
+++ b/internal/standin/redis/control.go
@@ -12,7 +12,7 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// Do carries out one line: a word of the server's own, or a fault rule for commands.
+// Do carries out one line: a command of the control port, or a fault rule for commands of clients.
 //
 //	stop DURATION         end all connections and refuse new ones
 //	restart [DURATION]    the same, and forget all keys and scripts
@@ -27,62 +27,22 @@
 //	lag DURATION          of the replicas
 //	failover [split]      make the first replica the primary; split: the old one goes on taking writes
 func (s *Server) Do(line string) error {
-	words := strings.Fields(line)
-	if len(words) == 0 {
+	args := strings.Fields(line)
+	if len(args) == 0 {
 		return fmt.Errorf("fault %q: nothing to do", line)
 	}
-	d := time.Duration(0)
-	wants := func() (err error) {
-		if len(words) != 2 {
-			return fmt.Errorf("fault %q: %s wants a duration", line, words[0])
-		}
-		if d, err = time.ParseDuration(words[1]); err != nil || d < 0 {
-			return fmt.Errorf("fault %q: %q is no duration", line, words[1])
-		}
-		return nil
-	}
-	later := func(undo func()) {
-		s.wg.Go(func() {
-			if s.sleep(d) {
-				undo()
-			}
-		})
-	}
-	switch words[0] {
-	case "stop":
-		if err := wants(); err != nil {
-			return err
-		}
-		s.Stop()
-		later(func() { s.Listen() })
+	switch args[0] {
+	case "stop", "silent", "full", "readonly", "load", "lag":
+		return s.doFor(line, args)
 	case "restart":
-		if len(words) > 1 {
-			if err := wants(); err != nil {
-				return err
-			}
-		}
-		s.Restart(d)
-	case "silent", "full", "readonly":
-		if err := wants(); err != nil {
-			return err
-		}
-		set := map[string]func(bool){"silent": s.Silent, "full": s.Full, "readonly": s.ReadOnly}[words[0]]
-		set(true)
-		later(func() { set(false) })
-	case "load":
-		if err := wants(); err != nil {
-			return err
-		}
-		s.Load(d)
-	case "lag":
-		if err := wants(); err != nil {
-			return err
+		if len(args) > 1 {
+			return s.doFor(line, args)
 		}
-		s.group.SetLag(d)
+		s.Restart(0)
 	case "maxclients":
 		n := 0
-		if len(words) == 2 {
-			n, _ = strconv.Atoi(words[1])
+		if len(args) == 2 {
+			n, _ = strconv.Atoi(args[1]) // 0 if it can't be read, which is rejected
 		}
 		if n < 1 {
 			return fmt.Errorf("fault %q: maxclients wants a number", line)
@@ -95,40 +55,96 @@
 	case "kick":
 		s.Kick()
 	case "failover":
-		s.group.mu.Lock()
-		var to *Server
-		for _, o := range s.group.servers {
-			if o.master != nil && to == nil {
-				to = o
-			}
-		}
-		old := s.group.primary
-		s.group.mu.Unlock()
-		if to == nil {
-			return fmt.Errorf("fault %q: there is no replica", line)
-		}
-		split := len(words) == 2 && words[1] == "split"
-		s.group.Failover(to, split)
-		if !split {
-			old.Kick()
-		}
+		return s.doFailover(line, len(args) == 2 && args[1] == "split")
 	default:
-		r, err := fault.Parse(line)
-		if err != nil {
-			return err
+		return s.doFault(line, args[0])
+	}
+	return nil
+}
+
+// doFor carries out a line with a duration.
+func (s *Server) doFor(line string, args []string) error {
+	if len(args) != 2 {
+		return fmt.Errorf("fault %q: %s wants a duration", line, args[0])
+	}
+	duration, err := time.ParseDuration(args[1])
+	if err != nil || duration < 0 {
+		return fmt.Errorf("fault %q: %q is no duration", line, args[1])
+	}
+	switch args[0] {
+	case "stop":
+		s.Stop()
+		s.after(duration, func() { _ = s.Listen() }) // clients see that no connection comes up
+	case "restart":
+		s.Restart(duration)
+	case "silent":
+		s.setFor(duration, s.Silent)
+	case "full":
+		s.setFor(duration, s.Full)
+	case "readonly":
+		s.setFor(duration, s.ReadOnly)
+	case "load":
+		s.Load(duration)
+	case "lag":
+		s.group.SetLag(duration)
+	}
+	return nil
+}
+
+// setFor turns a switch on for a while.
+func (s *Server) setFor(duration time.Duration, set func(bool)) {
+	set(true)
+	s.after(duration, func() { set(false) })
+}
+
+// after calls do after a while, unless the server is closed before.
+func (s *Server) after(duration time.Duration, do func()) {
+	s.wg.Go(func() {
+		if s.sleep(duration) {
+			do()
 		}
-		if !supportedKinds[r.Kind] {
-			return fmt.Errorf("fault %q: unknown word %q", line, words[0])
+	})
+}
+
+// doFailover makes the first replica the primary.
+func (s *Server) doFailover(line string, split bool) error {
+	s.group.mu.Lock()
+	var replica *Server
+	for _, other := range s.group.servers {
+		if other.master != nil && replica == nil {
+			replica = other
 		}
-		s.Fault(r)
 	}
+	old := s.group.primary
+	s.group.mu.Unlock()
+	if replica == nil {
+		return fmt.Errorf("fault %q: there is no replica", line)
+	}
+	s.group.Failover(replica, split)
+	if !split {
+		old.Kick()
+	}
+	return nil
+}
+
+// doFault puts the rule of a line in force.
+func (s *Server) doFault(line, kind string) error {
+	rule, err := fault.Parse(line)
+	if err != nil {
+		return err
+	}
+	if !supportedKinds[rule.Kind] {
+		return fmt.Errorf("fault %q: unknown word %q", line, kind)
+	}
+	s.Fault(rule)
 	return nil
 }
 
-// known are the fault kinds that commands can be hit with.
+// supportedKinds holds the kinds of fault that can hit a command.
 var supportedKinds = map[fault.Kind]bool{
 	fault.Delay: true, fault.Hold: true, fault.Stall: true, fault.Ignore: true, fault.Swallow: true, fault.Late: true,
-	fault.DropBefore: true, fault.DropAfter: true, fault.Repeat: true, fault.Swap: true, fault.Cut: true, fault.Fail: true,
+	fault.DropBefore: true, fault.DropAfter: true, fault.Repeat: true, fault.Swap: true, fault.Cut: true,
+	fault.Fail: true,
 }
 
 // Control serves the fault script and the record over HTTP: POST a line to /fault, DELETE /fault ends all rules, GET
@@ -152,7 +168,7 @@
 	})
 	mux.HandleFunc("GET /records", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(s.Records())
+		_ = json.NewEncoder(w).Encode(s.Records()) // fails only if the client has gone
 	})
 	return mux
 }
--- a/internal/standin/redis/expiry.go
+++ b/internal/standin/redis/expiry.go
@@ -25,21 +25,12 @@
 		if e == nil {
 			return integer(0)
 		}
-		for _, opt := range a[3:] {
-			no := false
-			switch strings.ToUpper(opt) {
-			case "NX":
-				no = !e.expires.IsZero()
-			case "XX":
-				no = e.expires.IsZero()
-			case "GT":
-				no = e.expires.IsZero() || !when.After(e.expires)
-			case "LT":
-				no = !e.expires.IsZero() && !when.Before(e.expires)
-			default:
-				return errorf("Unsupported option %s", opt)
+		for _, option := range a[3:] {
+			allowed, known := allowsExpiry(option, e.expires, when)
+			if !known {
+				return errorf("Unsupported option %s", option)
 			}
-			if no {
+			if !allowed {
 				return integer(0)
 			}
 		}
@@ -54,6 +45,23 @@
 	}
 }
 
+// allowsExpiry reports whether an option of EXPIRE allows an expiry to change, and whether there is such an option. A
+// zero current expiry is none.
+func allowsExpiry(option string, current, next time.Time) (allowed, known bool) {
+	switch strings.ToUpper(option) {
+	case "NX":
+		return current.IsZero(), true
+	case "XX":
+		return !current.IsZero(), true
+	case "GT":
+		return !current.IsZero() && next.After(current), true
+	case "LT":
+		return current.IsZero() || next.Before(current), true
+	default:
+		return false, false
+	}
+}
+
 func cmdPersist(x *call, a []string) value {
 	e := x.get(a[1])
 	if e == nil || e.expires.IsZero() {
--- a/internal/standin/redis/lifecycle.go
+++ b/internal/standin/redis/lifecycle.go
@@ -34,8 +34,8 @@
 
 // reset ends a connection as a killed process would.
 func reset(nc net.Conn) {
-	if t, ok := nc.(interface{ SetLinger(int) error }); ok {
-		t.SetLinger(0)
+	if tcp, ok := nc.(interface{ SetLinger(int) error }); ok {
+		_ = tcp.SetLinger(0) // fails only if the connection has ended
 	}
 	nc.Close()
 }
@@ -52,14 +52,10 @@
 	}
 	s.group.mu.Unlock()
 	if pause <= 0 {
-		s.Listen()
+		_ = s.Listen() // clients see that no connection comes up
 		return
 	}
-	s.wg.Go(func() {
-		if s.sleep(pause) {
-			s.Listen()
-		}
-	})
+	s.after(pause, func() { _ = s.Listen() })
 }
 
 // Stop ends all connections and refuses new ones until Listen. The keys stay.
--- a/internal/standin/redis/replication.go
+++ b/internal/standin/redis/replication.go
@@ -16,8 +16,8 @@
 	args []string
 }
 
-// Group is a primary and its replicas, in one process and under one lock. The log of effects reaches a replica after the
-// lag; what it has not reached at a failover is lost.
+// Group is a primary and its replicas, in one process and under one lock. The log of effects reaches a replica after
+// the lag; what it has not reached at a failover is lost.
 type Group struct {
 	mu          sync.Mutex
 	servers     []*Server
@@ -142,8 +142,9 @@
 	s.applied++
 }
 
-// Failover makes the replica the primary and returns how many effects were lost. The old primary, if it lives, goes on
-// as it was where split is set, taking writes that nobody will see; else it becomes a replica. Sentinels tell the news.
+// Failover makes the replica the primary and returns how many effects were lost. The old primary, if it lives, goes
+// on as it was where split is set, taking writes that nobody will see; else it becomes a replica. Sentinels tell the
+// news.
 func (g *Group) Failover(to *Server, split bool) (lost int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/redis/script.go
+++ b/internal/standin/redis/script.go
@@ -28,62 +28,85 @@
 	current     *call // the one that runs
 }
 
+// sha1Hex returns the name of a script by its text.
 func sha1Hex(text string) string {
 	sum := sha1.Sum([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
+// addScripts adds the commands that load and run scripts.
 func addScripts(t map[string]command) {
-	run := func(byText bool) func(*call, []string) value {
-		return func(x *call, a []string) value {
-			n, err := strconv.Atoi(a[2])
-			switch {
-			case err != nil:
-				return failure(notInteger)
-			case n < 0:
-				return errorf("Number of keys can't be negative")
-			case n > len(a)-3:
-				return errorf("Number of keys can't be greater than number of args")
-			}
-			id := strings.ToLower(a[1])
-			if byText {
-				if id, err = x.server.scripts.load(a[1]); err != nil {
-					return errorf("Error compiling script: %v", err)
-				}
-			}
-			return x.server.scripts.run(x, id, a[3:3+n], a[3+n:])
-		}
+	t["EVAL"] = command{-3, false, true, [3]int{}, cmdEval}
+	t["EVALSHA"] = command{-3, false, true, [3]int{}, cmdEvalSHA}
+	t["SCRIPT"] = command{-2, false, true, [3]int{}, cmdScript}
+}
+
+// cmdEval is EVAL script numkeys key... arg...
+func cmdEval(x *call, a []string) value {
+	n, bad := keyCount(a)
+	if bad.kind != kindNone {
+		return bad
 	}
-	t["EVAL"] = command{-3, false, true, [3]int{}, run(true)}
-	t["EVALSHA"] = command{-3, false, true, [3]int{}, run(false)}
-	t["SCRIPT"] = command{-2, false, true, [3]int{}, func(x *call, a []string) value {
-		switch sub := strings.ToUpper(a[1]); {
-		case sub == "LOAD" && len(a) == 3:
-			id, err := x.server.scripts.load(a[2])
-			if err != nil {
-				return errorf("Error compiling script: %v", err)
-			}
-			return bulk(id)
-		case sub == "EXISTS" && len(a) > 2:
-			out := array()
-			for _, id := range a[2:] {
-				n := int64(0)
-				if x.server.scripts.compiled[strings.ToLower(id)] != nil {
-					n = 1
-				}
-				out.list = append(out.list, integer(n))
+	id, err := x.server.scripts.load(a[1])
+	if err != nil {
+		return errorf("Error compiling script: %v", err)
+	}
+	return x.server.scripts.run(x, id, a[3:3+n], a[3+n:])
+}
+
+// cmdEvalSHA is EVALSHA sha1 numkeys key... arg...
+func cmdEvalSHA(x *call, a []string) value {
+	n, bad := keyCount(a)
+	if bad.kind != kindNone {
+		return bad
+	}
+	return x.server.scripts.run(x, strings.ToLower(a[1]), a[3:3+n], a[3+n:])
+}
+
+// keyCount reads the number of keys of EVAL and EVALSHA; bad is the reply if it is wrong.
+func keyCount(a []string) (n int, bad value) {
+	n, err := strconv.Atoi(a[2])
+	switch {
+	case err != nil:
+		return 0, failure(notInteger)
+	case n < 0:
+		return 0, errorf("Number of keys can't be negative")
+	case n > len(a)-3:
+		return 0, errorf("Number of keys can't be greater than number of args")
+	}
+	return n, value{}
+}
+
+// cmdScript is SCRIPT LOAD, EXISTS and FLUSH.
+func cmdScript(x *call, a []string) value {
+	switch sub := strings.ToUpper(a[1]); {
+	case sub == "LOAD" && len(a) == 3:
+		id, err := x.server.scripts.load(a[2])
+		if err != nil {
+			return errorf("Error compiling script: %v", err)
+		}
+		return bulk(id)
+	case sub == "EXISTS" && len(a) > 2:
+		out := array()
+		for _, id := range a[2:] {
+			n := int64(0)
+			if x.server.scripts.compiled[strings.ToLower(id)] != nil {
+				n = 1
 			}
-			return out
-		case sub == "FLUSH":
-			x.server.scripts.flush()
-			return okReply
+			out.list = append(out.list, integer(n))
 		}
-		return errorf("unknown subcommand or wrong number of arguments for '%s'", a[1])
-	}}
+		return out
+	case sub == "FLUSH":
+		x.server.scripts.flush()
+		return okReply
+	}
+	return errorf("unknown subcommand or wrong number of arguments for '%s'", a[1])
 }
 
+// flush forgets all scripts.
 func (s *scripts) flush() { s.compiled = map[string]*lua.FunctionProto{} }
 
+// load compiles a script, unless it is cached, and returns its name.
 func (s *scripts) load(text string) (string, error) {
 	id := sha1Hex(text)
 	if s.compiled[id] != nil {
@@ -246,6 +269,7 @@
 	return strconv.FormatFloat(f, 'g', 17, 64)
 }
 
+// toLua returns a reply as a script sees it.
 func toLua(l *lua.LState, v value) lua.LValue {
 	wrap := func(field string) lua.LValue {
 		t := l.NewTable()
@@ -269,11 +293,13 @@
 			t.RawSetInt(i+1, toLua(l, e))
 		}
 		return t
+	default: // null
+		return lua.LFalse
 	}
-	return lua.LFalse
 }
 
-// fromLua: numbers lose their fraction, true is 1, false and nil are null, a table ends at its first nil.
+// fromLua returns the result of a script as a reply: numbers lose their fraction, true is 1, false and nil are null,
+// a table ends at its first nil.
 func fromLua(v lua.LValue, depth int) value {
 	switch v := v.(type) {
 	case lua.LString:
--- a/internal/standin/redis/server.go
+++ b/internal/standin/redis/server.go
@@ -1,7 +1,7 @@
-// Package redis is a stand-in for Redis, written from its public protocol: RESP2 and RESP3 over real sockets, keys with
-// a life, transactions, Lua scripts, asynchronous replication with failover, Sentinel's queries and a cluster's slots.
-// It keeps what clients need to be proved against it and no more, in memory, in one process. A fault script says what
-// goes wrong; the observer records what came and when.
+// Package redis is a stand-in for Redis, written from its public protocol: RESP2 and RESP3 over real sockets, keys
+// with a life, transactions, Lua scripts, asynchronous replication with failover, Sentinel's queries and a cluster's
+// slots. It keeps what clients need to be proved against it and no more, in memory, in one process. A fault script
+// says what goes wrong; the observer records what came and when.
 package redis
 
 import (
--- a/internal/standin/redis/strings.go
+++ b/internal/standin/redis/strings.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// text returns the string at key; ok is false where it holds something else.
+// text returns the string at key; ok is false if it holds something else.
 func (x *call) text(key string) (s string, found, ok bool) {
 	e := x.get(key)
 	if e == nil {
@@ -49,75 +49,107 @@
 
 const invalidExpire = "invalid expire time in '%s' command"
 
-// cmdSet: SET key value [NX | XX] [GET] [EX s | PX ms | EXAT s | PXAT ms | KEEPTTL].
-func cmdSet(x *call, a []string) value {
-	e := &entry{str: a[2]}
-	var nx, xx, get, keep, timed bool
-	for i := 3; i < len(a); i++ {
-		switch opt := strings.ToUpper(a[i]); opt {
+// syntaxError is the reply to options that make no sense.
+var syntaxError = failure("ERR syntax error")
+
+// setOptions are the options of SET.
+type setOptions struct {
+	onlyNew   bool // NX
+	onlyOld   bool // XX
+	get       bool // GET: reply with the value before
+	keepTTL   bool // KEEPTTL
+	hasExpiry bool // EX, PX, EXAT or PXAT
+	expires   time.Time
+}
+
+// parseSetOptions reads the options of SET; bad is the reply if they are wrong.
+func parseSetOptions(now time.Time, args []string) (o setOptions, bad value) {
+	for i := 0; i < len(args); i++ {
+		switch option := strings.ToUpper(args[i]); option {
 		case "NX":
-			nx = true
+			o.onlyNew = true
 		case "XX":
-			xx = true
+			o.onlyOld = true
 		case "GET":
-			get = true
+			o.get = true
 		case "KEEPTTL":
-			keep = true
+			o.keepTTL = true
 		case "EX", "PX", "EXAT", "PXAT":
-			if timed || i+1 >= len(a) {
-				return failure("ERR syntax error")
+			if o.hasExpiry || i+1 >= len(args) {
+				return o, syntaxError
 			}
-			timed = true
+			o.hasExpiry = true
 			i++
-			n, err := strconv.ParseInt(a[i], 10, 64)
-			if err != nil {
-				return failure("ERR value is not an integer or out of range")
-			}
-			unit := time.Millisecond
-			if opt[0] == 'E' {
-				unit = time.Second
-			}
-			if n <= 0 || n > math.MaxInt64/int64(unit)/2 {
-				return errorf(invalidExpire, "set")
-			}
-			if strings.HasSuffix(opt, "AT") {
-				e.expires = time.UnixMilli(n * int64(unit/time.Millisecond))
-			} else {
-				e.expires = x.now.Add(time.Duration(n) * unit)
+			if o.expires, bad = parseSetExpiry(now, option, args[i]); bad.kind != kindNone {
+				return o, bad
 			}
 		default:
-			return failure("ERR syntax error")
+			return o, syntaxError
 		}
 	}
-	if nx && xx || keep && timed {
-		return failure("ERR syntax error")
+	if o.onlyNew && o.onlyOld || o.keepTTL && o.hasExpiry {
+		return o, syntaxError
+	}
+	return o, value{}
+}
+
+// parseSetExpiry reads the value of EX, PX, EXAT or PXAT; bad is the reply if it is wrong.
+func parseSetExpiry(now time.Time, option, text string) (expires time.Time, bad value) {
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		return time.Time{}, failure(notInteger)
+	}
+	unit := time.Millisecond
+	if option[0] == 'E' {
+		unit = time.Second
+	}
+	if n <= 0 || n > math.MaxInt64/int64(unit)/2 {
+		return time.Time{}, errorf(invalidExpire, "set")
+	}
+	if strings.HasSuffix(option, "AT") {
+		return time.UnixMilli(n * int64(unit/time.Millisecond)), value{}
+	}
+	return now.Add(time.Duration(n) * unit), value{}
+}
+
+// cmdSet is SET key value [NX | XX] [GET] [EX s | PX ms | EXAT s | PXAT ms | KEEPTTL].
+func cmdSet(x *call, a []string) value {
+	options, bad := parseSetOptions(x.now, a[3:])
+	if bad.kind != kindNone {
+		return bad
 	}
 	old := x.get(a[1])
 	before := null
-	if old != nil && get {
+	if old != nil && options.get {
 		if old.hash != nil {
 			return failure(wrongType)
 		}
 		before = bulk(old.str)
 	}
-	if nx && old != nil || xx && old == nil {
+	if options.onlyNew && old != nil || options.onlyOld && old == nil {
 		return before
 	}
-	if keep && old != nil {
+	e := &entry{str: a[2], expires: options.expires}
+	if options.keepTTL && old != nil {
 		e.expires = old.expires
 	}
 	x.put(a[1], e)
-	if e.expires.IsZero() {
-		x.propagate("SET", a[1], a[2])
-	} else {
-		x.propagate("SET", a[1], a[2], "PXAT", unixMilli(e.expires))
-	}
-	if get {
+	x.propagateString(a[1], e)
+	if options.get {
 		return before
 	}
 	return okReply
 }
 
+// propagateString tells the replicas of a string and its expiry.
+func (x *call) propagateString(key string, e *entry) {
+	if e.expires.IsZero() {
+		x.propagate("SET", key, e.str)
+	} else {
+		x.propagate("SET", key, e.str, "PXAT", unixMilli(e.expires))
+	}
+}
+
 func cmdSetNX(x *call, a []string) value {
 	if x.get(a[1]) != nil {
 		return integer(0)
@@ -128,7 +160,7 @@
 
 const notInteger = "ERR value is not an integer or out of range"
 
-// sum adds two integers; ok is false where the result has no room.
+// addChecked adds two integers; ok is false if the sum overflows.
 func addChecked(a, b int64) (n int64, ok bool) {
 	n = a + b
 	return n, (n > a) == (b > 0)
@@ -162,7 +194,7 @@
 	return integer(n)
 }
 
-// setText changes a string and leaves its life as it is.
+// setText changes a string and leaves its expiry as it is.
 func (x *call) setText(key, s string) {
 	if e := x.get(key); e != nil {
 		e.str = s
@@ -181,12 +213,7 @@
 		return fail
 	}
 	x.setText(a[1], text)
-	e := x.get(a[1])
-	if e.expires.IsZero() {
-		x.propagate("SET", a[1], text)
-	} else {
-		x.propagate("SET", a[1], text, "PXAT", unixMilli(e.expires))
-	}
+	x.propagateString(a[1], x.get(a[1]))
 	return bulk(text)
 }
 
--- a/internal/standin/redis/transaction.go
+++ b/internal/standin/redis/transaction.go
@@ -8,7 +8,7 @@
 	if v, done := c.transaction(name, args); done {
 		return v
 	}
-	x := &call{server: s, client: c, db: c.db, now: s.options.Now()}
+	x := c.newCall()
 	s.group.catchUp(x.now)
 	v := s.execute(x, args)
 	c.db = x.db
@@ -37,13 +37,7 @@
 		if c.inTransaction {
 			return errorf("WATCH inside MULTI is not allowed"), true
 		}
-		x := &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
-		if c.watched == nil {
-			c.watched = map[string]*entry{}
-		}
-		for _, k := range args[1:] {
-			c.watched[k] = cloneEntry(x.get(k))
-		}
+		c.watch(args[1:])
 		return okReply, true
 	case "UNWATCH":
 		c.watched = nil
@@ -52,45 +46,72 @@
 		if !c.inTransaction {
 			return errorf("EXEC without MULTI"), true
 		}
-		queue, spoilt, watched := c.queue, c.aborted, c.watched
-		c.endTransaction()
-		if spoilt {
-			return failure("EXECABORT Transaction discarded because of previous errors."), true
-		}
-		x := &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
-		c.server.group.catchUp(x.now)
-		for k, was := range watched {
-			if !equalEntries(was, x.get(k)) {
-				return value{kind: kindNullArray}, true
-			}
-		}
-		out := array()
-		for _, a := range queue {
-			out.list = append(out.list, c.server.execute(x, a))
-		}
-		c.db = x.db
-		return out, true
+		return c.exec(), true
 	}
 	if !c.inTransaction || name == "QUIT" || name == "RESET" {
 		return value{}, false
 	}
-	x := &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
-	if v := c.server.check(x, name, args); v.kind != kindNone {
+	return c.enqueue(name, args), true
+}
+
+// newCall returns an execution by the client, now.
+func (c *client) newCall() *call {
+	return &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
+}
+
+// watch remembers the values of keys, so that EXEC can tell whether they have changed.
+func (c *client) watch(keys []string) {
+	x := c.newCall()
+	if c.watched == nil {
+		c.watched = map[string]*entry{}
+	}
+	for _, key := range keys {
+		c.watched[key] = cloneEntry(x.get(key))
+	}
+}
+
+// exec ends the transaction, and runs its commands unless it was aborted or a watched key has changed.
+func (c *client) exec() value {
+	queue, aborted, watched := c.queue, c.aborted, c.watched
+	c.endTransaction()
+	if aborted {
+		return failure("EXECABORT Transaction discarded because of previous errors.")
+	}
+	x := c.newCall()
+	c.server.group.catchUp(x.now)
+	for key, before := range watched {
+		if !equalEntries(before, x.get(key)) {
+			return value{kind: kindNullArray}
+		}
+	}
+	replies := array()
+	for _, args := range queue {
+		replies.list = append(replies.list, c.server.execute(x, args))
+	}
+	c.db = x.db
+	return replies
+}
+
+// enqueue adds a command to the transaction, or aborts it if the command is wrong.
+func (c *client) enqueue(name string, args []string) value {
+	if v := c.server.check(c.newCall(), name, args); v.kind != kindNone {
 		c.aborted = true
-		return v, true
+		return v
 	}
 	if len(c.queue) >= maxQueuedCommands {
 		c.aborted = true
-		return errorf("too many commands in a transaction"), true
+		return errorf("too many commands in a transaction")
 	}
 	c.queue = append(c.queue, args)
-	return status("QUEUED"), true
+	return status("QUEUED")
 }
 
+// endTransaction forgets the transaction and the watched keys.
 func (c *client) endTransaction() {
 	c.inTransaction, c.aborted, c.queue, c.watched = false, false, nil, nil
 }
 
+// cloneEntry returns a copy of an entry that shares nothing with it.
 func cloneEntry(e *entry) *entry {
 	if e == nil {
 		return nil
@@ -105,6 +126,7 @@
 	return &out
 }
 
+// equalEntries reports whether two entries hold the same value, whatever their expiry.
 func equalEntries(a, b *entry) bool {
 	if a == nil || b == nil {
 		return a == b
