--- a/internal/standin/redis/cluster.go
+++ b/internal/standin/redis/cluster.go
@@ -9,14 +9,15 @@
 	"sync"
 )
 
+// slotCount is the number of slots of a cluster.
 const slotCount = 16384
 
-// Cluster is shards that hold the slots between them.
+// Cluster is a set of shards, each of which owns a part of the slots.
 type Cluster struct {
-	mu        sync.Mutex // of owners and asking
+	mu        sync.Mutex // guards owner and migrating
 	shards    []*Server
 	owner     [slotCount]*Server
-	migrating map[int]*Server // where a slot is on its way to: its owner answers ASK for keys that it lacks
+	migrating map[int]*Server // the target of a slot that moves: its owner answers ASK for keys that it lacks
 }
 
 // StartCluster starts so many shards, each with an even part of the slots.
@@ -106,6 +107,7 @@
 	return keys
 }
 
+// check returns the reply to a command that a shard may not run, or nothing.
 func (c *Cluster) check(s *Server, x *call, name string, cmd command, args []string) value {
 	keys := keysOf(name, cmd, args)
 	if len(keys) == 0 || x.inScript {
@@ -131,6 +133,7 @@
 	return value{}
 }
 
+// cmdCluster is CLUSTER KEYSLOT, MYID, INFO, SLOTS and SHARDS.
 func cmdCluster(x *call, a []string) value {
 	c := x.server.cluster
 	if c == nil {
@@ -144,8 +147,8 @@
 	case sub == "MYID":
 		return bulk(x.server.id)
 	case sub == "INFO":
-		return bulk(fmt.Sprintf("cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:%d\r\ncluster_known_nodes:%d\r\n",
-			slotCount, len(c.shards)))
+		return bulk(fmt.Sprintf("cluster_enabled:1\r\ncluster_state:ok\r\n"+
+			"cluster_slots_assigned:%d\r\ncluster_known_nodes:%d\r\n", slotCount, len(c.shards)))
 	case sub == "SLOTS":
 		out := array()
 		c.ranges(func(from, to int, s *Server) {
@@ -166,15 +169,17 @@
 					own.list = append(own.list, integer(int64(from)), integer(int64(to)))
 				}
 			})
-			out.list = append(out.list, mapping(bulk("slots"), own, bulk("nodes"), array(mapping(bulk("id"), bulk(s.id),
-				bulk("port"), integer(int64(n)), bulk("ip"), bulk(host), bulk("endpoint"), bulk(host), bulk("role"), bulk("master"),
-				bulk("replication-offset"), integer(0), bulk("health"), bulk("online")))))
+			node := mapping(bulk("id"), bulk(s.id), bulk("port"), integer(int64(n)), bulk("ip"), bulk(host),
+				bulk("endpoint"), bulk(host), bulk("role"), bulk("master"), bulk("replication-offset"), integer(0),
+				bulk("health"), bulk("online"))
+			out.list = append(out.list, mapping(bulk("slots"), own, bulk("nodes"), array(node)))
 		}
 		return out
 	}
 	return errorf("unknown subcommand '%s'", a[1])
 }
 
+// ranges reports each range of slots with one owner. The mutex is held.
 func (c *Cluster) ranges(report func(from, to int, s *Server)) {
 	for from := 0; from < slotCount; {
 		to := from
--- a/internal/standin/redis/connection.go
+++ b/internal/standin/redis/connection.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// addConnection adds the commands that concern the connection and the server.
 func addConnection(t map[string]command) {
 	add := func(name string, arity int, run func(*call, []string) value) {
 		t[name] = command{arity: arity, noScript: true, run: run}
@@ -72,11 +73,13 @@
 	}
 }
 
+// auth logs the client in.
 func (x *call) auth(user, password string) value {
 	want := x.server.options
 	switch {
 	case want.Password == "":
-		return errorf("AUTH <password> called without any password configured for the default user. Are you sure your configuration is correct?")
+		return errorf("AUTH <password> called without any password configured for the default user. " +
+			"Are you sure your configuration is correct?")
 	case password != want.Password || user != want.User:
 		return failure("WRONGPASS invalid username-password pair or user is disabled.")
 	}
@@ -84,7 +87,7 @@
 	return okReply
 }
 
-// hello: HELLO [version [AUTH user password] [SETNAME name]].
+// cmdHello is HELLO [version [AUTH user password] [SETNAME name]].
 func cmdHello(x *call, a []string) value {
 	proto := x.client.proto
 	if len(a) > 1 {
@@ -125,10 +128,12 @@
 	case x.server.cluster != nil:
 		mode = "cluster"
 	}
-	return mapping(bulk("server"), bulk("redis"), bulk("version"), bulk(serverVersion), bulk("proto"), integer(int64(proto)),
-		bulk("id"), integer(x.client.id), bulk("mode"), bulk(mode), bulk("role"), bulk(x.server.roleName()), bulk("modules"), array())
+	return mapping(bulk("server"), bulk("redis"), bulk("version"), bulk(serverVersion),
+		bulk("proto"), integer(int64(proto)), bulk("id"), integer(x.client.id), bulk("mode"), bulk(mode),
+		bulk("role"), bulk(x.server.roleName()), bulk("modules"), array())
 }
 
+// cmdClient is CLIENT, as far as clients use it when they connect.
 func cmdClient(x *call, a []string) value {
 	switch sub := strings.ToUpper(a[1]); {
 	case sub == "ID" && len(a) == 2:
@@ -150,13 +155,15 @@
 		}
 		return okReply
 	case sub == "INFO" || sub == "LIST":
-		return bulk(fmt.Sprintf("id=%d addr=%s name=%s db=%d resp=%d\n", x.client.id, x.client.nc.RemoteAddr(), x.client.name, x.db, x.client.proto))
+		c := x.client
+		return bulk(fmt.Sprintf("id=%d addr=%s name=%s db=%d resp=%d\n", c.id, c.nc.RemoteAddr(), c.name, x.db, c.proto))
 	case sub == "NO-EVICT" || sub == "NO-TOUCH":
 		return okReply
 	}
 	return errorf("unknown subcommand or wrong number of arguments for '%s'. Try CLIENT HELP.", a[1])
 }
 
+// cmdCommand is COMMAND, COMMAND COUNT and COMMAND DOCS.
 func cmdCommand(x *call, a []string) value {
 	switch {
 	case len(a) == 1:
@@ -178,10 +185,12 @@
 	return errorf("unknown subcommand '%s'", a[1])
 }
 
+// cmdInfo is INFO with all of its sections.
 func cmdInfo(x *call, _ []string) value {
 	s := x.server
 	var b strings.Builder
-	fmt.Fprintf(&b, "# Server\r\nredis_version:%s\r\ntcp_port:%s\r\n", serverVersion, s.addr[strings.LastIndexByte(s.addr, ':')+1:])
+	port := s.addr[strings.LastIndexByte(s.addr, ':')+1:]
+	fmt.Fprintf(&b, "# Server\r\nredis_version:%s\r\ntcp_port:%s\r\n", serverVersion, port)
 	fmt.Fprintf(&b, "# Clients\r\nconnected_clients:%d\r\nmaxclients:%d\r\n", len(s.clients), s.options.MaxClients)
 	fmt.Fprintf(&b, "# Persistence\r\nloading:%d\r\n", map[bool]int{true: 1}[time.Now().Before(s.loading)])
 	fmt.Fprintf(&b, "# Replication\r\nrole:%s\r\n", s.roleName())
--- a/internal/standin/redis/execute.go
+++ b/internal/standin/redis/execute.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// whileLoading are the commands that are answered in every state.
-var allowedWhileLoading = []string{"HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "COMMAND", "QUIT", "RESET", "SELECT", "CONFIG"}
+// allowedWhileLoading lists the commands that are answered in every state.
+var allowedWhileLoading = []string{
+	"HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "COMMAND", "QUIT", "RESET", "SELECT", "CONFIG",
+}
 
-// refuses says why a command is not run, or nothing.
+// check returns the reply to a command that may not run, or nothing.
 func (s *Server) check(x *call, name string, args []string) value {
 	cmd, known := s.commands[name]
 	switch {
@@ -56,40 +58,41 @@
 // call is one execution of a command: by a client, a script, a transaction or the replication.
 type call struct {
 	server     *Server
-	client     *client // nil: a script's or the replication's
+	client     *client // nil: not run by a client
 	db         int
 	now        time.Time
 	inScript   bool
-	replicated bool // what a primary did: nothing is propagated or refused
+	replicated bool // an effect of the primary: nothing is checked or propagated
 }
 
-// wrote tells the replicas of an effect, in a form that does not depend on when it is played.
+// propagate logs an effect for the replicas, in a form that does not depend on when they apply it.
 func (x *call) propagate(args ...string) {
 	if !x.replicated {
 		x.server.propagate(x.db, x.now, args)
 	}
 }
 
+// unixMilli returns a time as PXAT takes it.
 func unixMilli(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
 
 // command is an entry of the table of commands.
 type command struct {
-	arity    int // as COMMAND tells it: below 0 at least so many, the name counted
+	arity    int // as in the reply of COMMAND, with the name; negative: at least so many
 	write    bool
 	noScript bool
 	keys     [3]int // first, last, step; first 0: none
 	run      func(*call, []string) value
 }
 
-// table is all that a server knows, by upper-case name; it is made once and read only.
+// newCommandTable returns all commands, by their upper-case names. It is not changed afterwards.
 func newCommandTable() map[string]command {
 	one := [3]int{1, 1, 1}
 	all := [3]int{1, -1, 1}
 	t := map[string]command{
 		"GET":          {2, false, false, one, cmdGet},
 		"SET":          {-3, true, false, one, cmdSet},
-		"SETEX":        {4, true, false, one, func(x *call, a []string) value { return cmdSet(x, []string{"SET", a[1], a[3], "EX", a[2]}) }},
-		"PSETEX":       {4, true, false, one, func(x *call, a []string) value { return cmdSet(x, []string{"SET", a[1], a[3], "PX", a[2]}) }},
+		"SETEX":        {4, true, false, one, cmdSetEX("EX")},
+		"PSETEX":       {4, true, false, one, cmdSetEX("PX")},
 		"SETNX":        {3, true, false, one, cmdSetNX},
 		"MGET":         {-2, false, false, all, cmdMGet},
 		"INCR":         {2, true, false, one, func(x *call, a []string) value { return incr(x, a[1], 1) }},
--- a/internal/standin/redis/pubsub.go
+++ b/internal/standin/redis/pubsub.go
@@ -5,18 +5,20 @@
 	"strings"
 )
 
+// publish sends a message to a channel's subscribers and returns their number.
 func (g *Group) publish(channel, text string) int {
 	for _, c := range g.subscribers[channel] {
 		b := value{kind: kindPush, list: []value{bulk("message"), bulk(channel), bulk(text)}}.append(nil, c.proto)
 		select {
 		case c.messages <- b:
-		default: // it does not read: it is as well closed
+		default: // the client does not read
 			c.nc.Close()
 		}
 	}
 	return len(g.subscribers[channel])
 }
 
+// unsubscribe ends all subscriptions of a client.
 func (g *Group) unsubscribe(c *client) {
 	for ch, list := range g.subscribers {
 		g.subscribers[ch] = slices.DeleteFunc(list, func(o *client) bool { return o == c })
@@ -25,8 +27,8 @@
 	c.messages = nil
 }
 
-// subscribe answers with a confirmation for each channel, in its place among the other answers. Messages follow on a
-// goroutine of their own, which begins once the first confirmations are out.
+// cmdSubscribe replies with a confirmation for each channel, in its place among the other replies. Messages follow on
+// a goroutine of their own, which begins once the first confirmations are out.
 func cmdSubscribe(x *call, a []string) value {
 	c := x.client
 	if c.messages == nil {
@@ -36,11 +38,13 @@
 	out := value{kind: kindEach}
 	for i, ch := range a[1:] {
 		x.server.group.subscribers[ch] = append(x.server.group.subscribers[ch], c)
-		out.list = append(out.list, value{kind: kindPush, list: []value{bulk(strings.ToLower(a[0])), bulk(ch), integer(int64(i + 1))}})
+		confirmation := []value{bulk(strings.ToLower(a[0])), bulk(ch), integer(int64(i + 1))}
+		out.list = append(out.list, value{kind: kindPush, list: confirmation})
 	}
 	return out
 }
 
+// sendMessages writes the messages of channels until the client unsubscribes.
 func (c *client) sendMessages(messages <-chan []byte) {
 	for b := range messages {
 		if c.writeOut(b) != nil {
--- a/internal/standin/redis/replication.go
+++ b/internal/standin/redis/replication.go
@@ -9,7 +9,10 @@
 	"time"
 )
 
-// effect is a write of the primary, as the replicas will play it.
+// maxLogBehind is the number of effects known to all replicas at which the log is cut.
+const maxLogBehind = 1024
+
+// effect is a write of the primary, as the replicas apply it.
 type effect struct {
 	at   time.Time
 	db   int
@@ -32,7 +35,7 @@
 
 func newGroup() *Group { return &Group{subscribers: map[string][]*client{}, name: "mymaster"} }
 
-// Group is the server's own.
+// Group returns the group of the server.
 func (s *Server) Group() *Group { return s.group }
 
 func (g *Group) add(opt Options, master *Server) (*Server, error) {
@@ -89,7 +92,7 @@
 	g.lag = d
 }
 
-// Primary is the one that takes writes.
+// Primary returns the server that takes writes.
 func (g *Group) Primary() *Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,9 +118,9 @@
 	}
 }
 
-// catchUp plays on the replicas what has reached them by now.
+// catchUp applies to the replicas the effects that have reached them by now.
 func (g *Group) catchUp(now time.Time) {
-	least := g.offset + len(g.log)
+	minApplied := g.offset + len(g.log)
 	for _, r := range g.servers {
 		if r.master == nil || r.down {
 			continue
@@ -129,22 +132,22 @@
 			}
 			r.applyEffect(e, now)
 		}
-		least = min(least, r.applied)
+		minApplied = min(minApplied, r.applied)
 	}
-	if n := least - g.offset; n > 1024 {
-		g.log, g.offset = slices.Clone(g.log[n:]), least
+	if n := minApplied - g.offset; n > maxLogBehind {
+		g.log, g.offset = slices.Clone(g.log[n:]), minApplied
 	}
 }
 
+// applyEffect applies an effect of the primary to a replica.
 func (s *Server) applyEffect(e effect, now time.Time) {
 	x := &call{server: s, db: e.db, now: now, replicated: true}
 	s.execute(x, e.args)
 	s.applied++
 }
 
-// Failover makes the replica the primary and returns how many effects were lost. The old primary, if it lives, goes
-// on as it was where split is set, taking writes that nobody will see; else it becomes a replica. Sentinels tell the
-// news.
+// Failover makes the replica the primary and returns how many effects were lost. With split the
+// old primary goes on taking writes, which are lost; otherwise it becomes a replica. Sentinels publish the change.
 func (g *Group) Failover(to *Server, split bool) (lost int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -203,7 +206,7 @@
 	return array(bulk("master"), integer(int64(g.offset+len(g.log))), replicas)
 }
 
-// wait: WAIT replicas ms. It holds the lock only to look.
+// cmdWait is WAIT replicas ms. It releases the mutex between checks.
 func cmdWait(x *call, a []string) value {
 	want, err1 := strconv.Atoi(a[1])
 	ms, err2 := strconv.Atoi(a[2])
@@ -212,7 +215,8 @@
 	}
 	s, g := x.server, x.server.group
 	if s.isReplica() {
-		return errorf("WAIT cannot be used with replica instances. Please also note that writes to replicas are just local.")
+		return errorf("WAIT cannot be used with replica instances. " +
+			"Please also note that writes to replicas are just local.")
 	}
 	upTo := g.offset + len(g.log)
 	until := time.Now().Add(time.Duration(ms) * time.Millisecond)
--- a/internal/standin/redis/reply.go
+++ b/internal/standin/redis/reply.go
@@ -21,7 +21,7 @@
 	kindMap       kind = '%' // list holds keys and values in turn
 	kindDouble    kind = ','
 	kindPush      kind = '>'
-	kindEach      kind = 'e' // each of list is an answer of its own
+	kindEach      kind = 'e' // each of list is a reply of its own
 	kindNone      kind = 0   // no reply at all
 )
 
@@ -102,7 +102,7 @@
 	return b
 }
 
-// formatFloat writes a number as INCRBYFLOAT does: no exponent, no trailing noughts.
+// formatFloat writes a number as INCRBYFLOAT does: no exponent, no trailing zeros.
 func formatFloat(f float64) string {
 	if math.IsInf(f, 1) {
 		return "inf"
--- a/internal/standin/redis/script.go
+++ b/internal/standin/redis/script.go
@@ -261,7 +261,7 @@
 	return 1
 }
 
-// formatNumber writes a number as scripts hand it on: integers whole, others with 17 digits.
+// formatNumber writes a number as scripts pass it to commands: integers without a point, others with 17 digits.
 func formatNumber(f float64) string {
 	if f == math.Trunc(f) && math.Abs(f) < 1e17 {
 		return strconv.FormatInt(int64(f), 10)
--- a/internal/standin/redis/sentinel.go
+++ b/internal/standin/redis/sentinel.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// AddSentinel starts a Sentinel that tells the primary's address, by the name that is returned with it.
+// AddSentinel starts a Sentinel, and returns the name under which it monitors the primary.
 func (g *Group) AddSentinel(opt Options) (s *Server, name string, err error) {
 	if s, err = g.listen(opt); err != nil {
 		return nil, "", err
@@ -19,6 +19,7 @@
 	return s, g.name, nil
 }
 
+// isSentinelCommand reports whether a Sentinel has a command.
 func isSentinelCommand(name string) bool {
 	return slices.Contains([]string{
 		"SENTINEL", "PING", "HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "SUBSCRIBE", "PUBLISH",
@@ -26,6 +27,7 @@
 	}, name)
 }
 
+// cmdSentinel is SENTINEL, as far as clients use it.
 func cmdSentinel(x *call, a []string) value {
 	g := x.server.group
 	if !x.server.sentinel {
@@ -36,8 +38,8 @@
 	}
 	describe := func(o *Server, flags string) value {
 		host, port, _ := net.SplitHostPort(o.addr)
-		return mapping(bulk("name"), bulk(g.name), bulk("ip"), bulk(host), bulk("port"), bulk(port), bulk("runid"), bulk(o.id),
-			bulk("flags"), bulk(flags), bulk("link-refcount"), bulk("1"))
+		return mapping(bulk("name"), bulk(g.name), bulk("ip"), bulk(host), bulk("port"), bulk(port),
+			bulk("runid"), bulk(o.id), bulk("flags"), bulk(flags), bulk("link-refcount"), bulk("1"))
 	}
 	sub := strings.ToUpper(a[1])
 	if a[2] != g.name {
--- a/internal/standin/redis/server.go
+++ b/internal/standin/redis/server.go
@@ -1,7 +1,7 @@
 // Package redis is a stand-in for Redis, written from its public protocol: RESP2 and RESP3 over real sockets, keys
-// with a life, transactions, Lua scripts, asynchronous replication with failover, Sentinel's queries and a cluster's
-// slots. It keeps what clients need to be proved against it and no more, in memory, in one process. A fault script
-// says what goes wrong; the observer records what came and when.
+// with an expiry, transactions, Lua scripts, asynchronous replication with failover, Sentinel's queries and a
+// cluster's slots. It has what is needed to test clients against it and no more, in memory, in one process. Faults
+// come from a fault script and a control port. An observer records every command with its reply and its time.
 package redis
 
 import (
@@ -35,7 +35,7 @@
 	MaxClients int    // 0: 10,000
 	Idle       time.Duration
 	Seed       uint64                          // of the fault script's chances
-	Now        func() time.Time                // of keys' lives; nil: the system's clock
+	Now        func() time.Time                // for the expiry of keys; nil: the system's clock
 	Wrap       func(net.Listener) net.Listener // TLS, say; nil: none
 }
 
@@ -46,7 +46,7 @@
 	Caller  string // the name that the client gave its connection
 	Args    []string
 	Applied bool   // it ran
-	Reply   string // as written in RESP2; empty where none was
+	Reply   string // as written; empty if there was none
 	Fault   fault.Kind
 }
 
@@ -61,7 +61,7 @@
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
-	// Below, all under group.mu.
+	// group.mu guards all below.
 	ln           net.Listener
 	addr         string
 	clients      map[*client]bool
@@ -88,19 +88,19 @@
 	return g.add(opt, nil)
 }
 
-// Addr is where the server listens.
+// Addr returns the address where the server listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Since is the time on the server's own clock, that of its records.
+// Since returns the time since the server's start, the clock of its records.
 func (s *Server) Since() time.Duration { return time.Since(s.start) }
 
-// Faults is the script of what goes wrong with commands, by their names and the names that clients give themselves.
+// Faults returns the fault script. It knows commands by their names, and callers by the names of their clients.
 func (s *Server) Faults() *fault.Script { return s.faults }
 
 // Fault puts a rule in force from now on.
 func (s *Server) Fault(r fault.Rule) { s.faults.Add(s.Since(), r) }
 
-// Records returns what came so far.
+// Records returns the commands so far, in the order in which they ended.
 func (s *Server) Records() []Record {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -114,7 +114,7 @@
 	return len(s.clients)
 }
 
-// HashField returns a field of a hash, for an observer that asks no client.
+// HashField returns a field of a hash without a client. It reports false if there is none.
 func (s *Server) HashField(db int, key, field string) (string, bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -127,12 +127,22 @@
 	return v, ok
 }
 
-// newServer makes a server that holds ln and does not serve yet.
+// newServer returns a server that owns ln and does not serve yet.
 func newServer(g *Group, opt Options, ln net.Listener) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	addr := ln.Addr().String()
 	return &Server{
-		options: opt, group: g, commands: newCommandTable(), faults: fault.New(opt.Seed), start: time.Now(), ctx: ctx, stop: stop,
-		ln: ln, addr: addr, clients: map[*client]bool{}, dbs: map[int]database{}, id: fmt.Sprintf("%040x", sha1Hex(addr)[:20]),
+		options:  opt,
+		group:    g,
+		commands: newCommandTable(),
+		faults:   fault.New(opt.Seed),
+		start:    time.Now(),
+		ctx:      ctx,
+		stop:     stop,
+		ln:       ln,
+		addr:     addr,
+		clients:  map[*client]bool{},
+		dbs:      map[int]database{},
+		id:       fmt.Sprintf("%040x", sha1Hex(addr)[:20]),
 	}
 }
--- a/internal/standin/redis/strings.go
+++ b/internal/standin/redis/strings.go
@@ -141,7 +141,7 @@
 	return okReply
 }
 
-// propagateString tells the replicas of a string and its expiry.
+// propagateString logs a string and its expiry for the replicas.
 func (x *call) propagateString(key string, e *entry) {
 	if e.expires.IsZero() {
 		x.propagate("SET", key, e.str)
@@ -150,6 +150,11 @@
 	}
 }
 
+// cmdSetEX returns SETEX or PSETEX key n value, by the option of SET that they stand for.
+func cmdSetEX(option string) func(*call, []string) value {
+	return func(x *call, a []string) value { return cmdSet(x, []string{"SET", a[1], a[3], option, a[2]}) }
+}
+
 func cmdSetNX(x *call, a []string) value {
 	if x.get(a[1]) != nil {
 		return integer(0)
--- a/internal/standin/redis/switches.go
+++ b/internal/standin/redis/switches.go
@@ -36,7 +36,8 @@
 // Flush forgets all keys and keeps the connections, as a failover behind a proxy would.
 func (s *Server) Flush() { s.update(func() { clear(s.dbs) }) }
 
-// NextConnections asks take of each new connection whether it is served; one that is not is reset. nil serves all.
-func (s *Server) NextConnections(take func(net.Conn) bool) {
-	s.update(func() { s.acceptFilter = take })
+// NextConnections sets a filter that decides for each new connection whether it is served; others are reset. nil
+// serves all.
+func (s *Server) NextConnections(serves func(net.Conn) bool) {
+	s.update(func() { s.acceptFilter = serves })
 }
