--- a/internal/lab/trial/peering_overhead.go
+++ b/internal/lab/trial/peering_overhead.go
@@ -9,9 +9,11 @@
 	"hitchspring/internal/lab"
 )
 
-// cost is what instances that know one another take, at loads that differ, and nobody asks them anything.
+// peeringOverhead measures what instances with peers cost at several loads while nothing fails. The baseline are
+// instances without peers.
 var peeringOverhead = &definition{
-	about:        "CPU and memory of instances that know one another, against those that don't, in one run after the other",
+	about: "CPU and memory of instances that know one another, against those that don't, " +
+		"in one run after the other",
 	cases:        peeringOverheadCases,
 	instances:    []int{3},
 	withBaseline: true,
@@ -21,41 +23,53 @@
 
 var peeringOverheadCases = []string{"light", "usual", "heavy"}
 
-// costNodes is how many nodes a case has; the load is two thirds of what they can do.
+// overheadBackends is the number of backends of a case. The load follows from it.
 var overheadBackends = map[string]int{"light": 6, "usual": 24, "heavy": 60}
 
 const overheadDuration = 10 * time.Second
 
 func runPeeringOverhead(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
-	rep, err := lab.Run(ctx, lab.Config{
-		Scenario: "calm", Seed: c.Seed, For: overheadDuration, Ingresses: c.Instances, Backends: overheadBackends[c.Case], Rate: 1.3, Ingress: program, Tolerance: tolerance, Linked: true,
-		Peers: c.On,
+	report, err := lab.Run(ctx, lab.Config{
+		Scenario:  "calm",
+		Seed:      c.Seed,
+		For:       overheadDuration,
+		Ingresses: c.Instances,
+		Backends:  overheadBackends[c.Case],
+		Rate:      1.3,
+		Ingress:   program,
+		Tolerance: tolerance,
+		Linked:    true,
+		Peers:     c.On,
 	})
 	if err != nil {
 		return r, err
 	}
-	r.addReport(rep)
-	r.Metrics["cpu_us"], r.Metrics["service"] = rep.CPUPerRequestUS, rep.Service
-	r.Metrics["tries_s"] = float64(rep.Attempts) / rep.Seconds / float64(c.Instances)
-	for _, p := range rep.Processes {
-		r.Metrics["peak_mb"] = max(r.Metrics["peak_mb"], p.PeakMB)
-	}
+	r.addReport(report)
+	r.addResources(report)
+	r.Metrics["tries_s"] = float64(report.Attempts) / report.Seconds / float64(c.Instances)
 	return r, nil
 }
 
+// addResources records the CPU time, the peak memory and the service of a run.
+func (r *Result) addResources(report *lab.Report) {
+	r.Metrics["cpu_us"] = report.CPUPerRequestUS
+	r.Metrics["service"] = report.Service
+	for _, process := range report.Processes {
+		r.Metrics["peak_mb"] = max(r.Metrics["peak_mb"], process.PeakMB)
+	}
+}
+
 func peeringOverheadTable(out io.Writer, all []Result) {
-	fmt.Fprintf(out, "\n%-6s  %-22s  %-18s  %-6s  %-20s\n", "load", "tries a second each", "CPU us a try off, on", "ratio", "peak MB off, on")
+	fmt.Fprintf(out, "\n%-6s  %-22s  %-18s  %-6s  %-20s\n",
+		"load", "tries a second each", "CPU us a try off, on", "ratio", "peak MB off, on")
 	for _, name := range peeringOverheadCases {
-		is := func(on bool) func(Result) bool {
-			return func(r Result) bool { return r.Case == name && r.On == on }
-		}
-		off, on := quantile(metricValues(all, "cpu_us", is(false)), 0.5), quantile(metricValues(all, "cpu_us", is(true)), 0.5)
-		ratio := 0.0
-		if off > 0 {
-			ratio = on / off
+		median := func(metric string, on bool) float64 {
+			return quantile(metricValues(all, metric, ofCase(name, on)), 0.5)
 		}
-		fmt.Fprintf(out, "%-6s  %8.0f                %.0f, %.0f             %.3f   %.1f, %.1f\n", name, mean(metricValues(all, "tries_s", is(true))), off, on, ratio,
-			quantile(metricValues(all, "peak_mb", is(false)), 0.5), quantile(metricValues(all, "peak_mb", is(true)), 0.5))
+		off, on := median("cpu_us", false), median("cpu_us", true)
+		fmt.Fprintf(out, "%-6s  %8.0f                %.0f, %.0f             %.3f   %.1f, %.1f\n",
+			name, mean(metricValues(all, "tries_s", ofCase(name, true))), off, on, ratio(on, off),
+			median("peak_mb", false), median("peak_mb", true))
 	}
 }
--- a/internal/lab/trial/takeover.go
+++ b/internal/lab/trial/takeover.go
@@ -5,14 +5,17 @@
 	"fmt"
 	"io"
 	"slices"
+	"strings"
 	"time"
 
 	"hitchspring/internal/lab"
 )
 
-// takeover is instances that are lost with keyed work in hand: what became of it, by what clients and nodes saw.
+// takeover loses instances that have keyed work in flight, and counts what became of it, by what clients and
+// backends saw.
 var takeover = &definition{
-	about:        "instances lost with keyed work in hand: effects, answers and who asks again, with [takeover] off and on",
+	about: "instances lost with keyed work in hand: effects, answers and who asks again, " +
+		"with [takeover] off and on",
 	cases:        takeoverCases,
 	instances:    []int{6},
 	withBaseline: true,
@@ -24,11 +27,16 @@
 
 const (
 	lossAt           = 4 * time.Second
-	slowdownAtLoss   = 5 // the nodes' slowness around the loss, so that there is work in hand
 	takeoverDuration = 10 * time.Second
+	// slowdownAtLoss slows the backends around the loss, so that there is work in flight.
+	slowdownAtLoss = 5
+	// maxWorkAge is how long before the loss work may have begun that counts as in flight.
+	maxWorkAge = 2 * time.Second
+	// minTimeLeft is how long after the loss the client of such work must still wait.
+	minTimeLeft = 1500 * time.Millisecond
 )
 
-// losses are the faults of a case.
+// lossFaults returns the faults of a case.
 func lossFaults(name string) []string {
 	at := fmt.Sprintf(" at %v", lossAt)
 	switch name {
@@ -41,87 +49,150 @@
 	case "cut off":
 		return []string{"link/0|1,2,3,4,5:cut 3s" + at}
 	}
-	return []string{"ingress/0:kill" + at, "link/1,2,3,4,5>1,2,3,4,5:drop 0.1 4s at 3s", "link/1,2,3,4,5>1,2,3,4,5:repeat 0.2 4s at 3s", "link/1,2,3,4,5>1,2,3,4,5:jitter 20ms 4s at 3s"}
+	return []string{
+		"ingress/0:kill" + at,
+		"link/1,2,3,4,5>1,2,3,4,5:drop 0.1 4s at 3s",
+		"link/1,2,3,4,5>1,2,3,4,5:repeat 0.2 4s at 3s",
+		"link/1,2,3,4,5>1,2,3,4,5:jitter 20ms 4s at 3s",
+	}
 }
 
 func runTakeover(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
 	faults := append(lossFaults(c.Case), fmt.Sprintf("fleet:slow %d 2s at %v", slowdownAtLoss, lossAt-time.Second))
-	if !c.On {
-		faults = slices.DeleteFunc(faults, func(f string) bool { return f[:5] == "link/" }) // there are none between them
+	if !c.On { // instances without peers have no links between them
+		faults = slices.DeleteFunc(faults, func(f string) bool { return strings.HasPrefix(f, "link/") })
 	}
-	rep, err := lab.Run(ctx, lab.Config{
-		Scenario: "calm", Seed: c.Seed, For: takeoverDuration, Ingresses: c.Instances, Backends: 12, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
-		Peers: c.On, Takeover: c.On, Faults: faults,
+	report, err := lab.Run(ctx, lab.Config{
+		Scenario:  "calm",
+		Seed:      c.Seed,
+		For:       takeoverDuration,
+		Ingresses: c.Instances,
+		Backends:  12,
+		Ingress:   program,
+		Tolerance: tolerance,
+		Linked:    true,
+		SameKey:   true,
+		Peers:     c.On,
+		Takeover:  c.On,
+		Faults:    faults,
 	})
 	if err != nil {
 		return r, err
 	}
-	r.addReport(rep)
-	at := time.Duration(rep.BeganS*float64(time.Second)) + lossAt
-	inHand, done, again, answered := 0.0, 0.0, 0.0, 0.0
-	beside, besideDone := 0.0, 0.0 // the same at the others, who were not lost: what could be done in time
-	var took []float64
-	for _, w := range rep.Keyed {
-		if w.Effects > 1 {
+	r.addReport(report)
+	r.addKeyedWork(c, report)
+	if c.On {
+		r.Violations = append(r.Violations, lab.CheckHistory(report.History)...)
+	}
+	r.Metrics["service"] = report.Service
+	return r, nil
+}
+
+// takeoverCounts counts the keyed work that was in flight at the loss.
+type takeoverCounts struct {
+	inFlight            int // at lost instances
+	withEffect          int // of inFlight
+	retried             int // of inFlight: its client sent it again, to an instance that was there
+	answered            int // of retried
+	elsewhere           int // at the other instances, for comparison
+	elsewhereWithEffect int
+	// lastHelped is the longest time from the loss to the first attempt by another instance; 0 without one.
+	lastHelped time.Duration
+}
+
+// addKeyedWork records what became of all keyed work, and of that in flight at the loss.
+func (r *Result) addKeyedWork(c Cell, report *lab.Report) {
+	lostAt := time.Duration(report.BeganS*float64(time.Second)) + lossAt
+	var counts takeoverCounts
+	for i := range report.Keyed {
+		work := &report.Keyed[i]
+		if work.Effects > 1 {
 			r.Metrics["doubled"]++
 		}
-		if w.Values > 1 {
-			r.Violations = append(r.Violations, "two answers for key "+w.Key)
+		if work.Values > 1 {
+			r.violate("two answers for key %s", work.Key)
 		}
-		// in hand at the loss: its client waited then, and had time left
-		if w.First > at || w.First < at-2*time.Second || w.First+w.Patience < at+1500*time.Millisecond || w.Answered > 0 && w.Answered < at {
+		if !inFlightAt(work, lostAt) {
 			continue
 		}
-		if w.Instance != "n0" && (c.Case != "two killed" || w.Instance != "n1") {
-			if beside++; w.Effects > 0 {
-				besideDone++
-			}
-			continue
-		}
-		if !w.Lost { // one that was cut off or stopped has answered after all
-			continue
-		}
-		inHand++
-		if w.Effects > 0 {
-			done++
-		}
-		if w.Again > 0 { // it came to one that is there
-			again++
-			if w.Served {
-				answered++
-			}
-		}
-		if w.Helped > at {
-			took = append(took, (w.Helped - at).Seconds())
+		if isLostInstance(c.Case, work.Instance) {
+			counts.addLost(work, lostAt)
+		} else {
+			counts.addElsewhere(work)
 		}
 	}
-	if c.On {
-		r.Violations = append(r.Violations, lab.CheckHistory(rep.History)...)
+	r.Metrics["keyed"] = float64(len(report.Keyed))
+	r.Metrics["in_hand"] = float64(counts.inFlight)
+	r.Metrics["done"] = float64(counts.withEffect)
+	r.Metrics["again"] = float64(counts.retried)
+	r.Metrics["answered"] = float64(counts.answered)
+	r.Metrics["beside"] = float64(counts.elsewhere)
+	r.Metrics["beside_done"] = float64(counts.elsewhereWithEffect)
+	if counts.lastHelped > 0 {
+		r.Metrics["helped_s"] = counts.lastHelped.Seconds()
 	}
-	slices.Sort(took)
-	r.Metrics["keyed"], r.Metrics["in_hand"], r.Metrics["done"], r.Metrics["again"], r.Metrics["answered"] = float64(len(rep.Keyed)), inHand, done, again, answered
-	r.Metrics["beside"], r.Metrics["beside_done"] = beside, besideDone
-	r.Metrics["service"] = rep.Service
-	if len(took) > 0 {
-		r.Metrics["helped_s"] = took[len(took)-1]
+}
+
+// inFlightAt reports whether a client was waiting for the work at the loss and still had time left.
+func inFlightAt(work *lab.ClientRequest, lostAt time.Duration) bool {
+	if work.First > lostAt || work.First < lostAt-maxWorkAge {
+		return false
+	}
+	if work.First+work.Patience < lostAt+minTimeLeft {
+		return false
+	}
+	return work.Answered <= 0 || work.Answered >= lostAt
+}
+
+// isLostInstance reports whether a case loses the instance of that name.
+func isLostInstance(name, instance string) bool {
+	return instance == "n0" || name == "two killed" && instance == "n1"
+}
+
+func (t *takeoverCounts) addElsewhere(work *lab.ClientRequest) {
+	t.elsewhere++
+	if work.Effects > 0 {
+		t.elsewhereWithEffect++
+	}
+}
+
+func (t *takeoverCounts) addLost(work *lab.ClientRequest, lostAt time.Duration) {
+	if !work.Lost { // an instance that was cut off or stopped has answered after all
+		return
+	}
+	t.inFlight++
+	if work.Effects > 0 {
+		t.withEffect++
+	}
+	if work.Again > 0 {
+		t.retried++
+		if work.Served {
+			t.answered++
+		}
+	}
+	if work.Helped > lostAt {
+		t.lastHelped = max(t.lastHelped, work.Helped-lostAt)
 	}
-	return r, nil
 }
 
 func takeoverTable(out io.Writer, all []Result) {
-	fmt.Fprintf(out, "\n%-11s %-4s  %-7s  %-7s  %-8s  %-13s  %-18s  %-16s  %-24s  %-8s\n", "case", "on", "keyed", "doubled", "in hand", "with effect", "beside, with effect", "asked again", "answered of those", "helped after, s (worst)")
+	fmt.Fprintf(out, "\n%-11s %-4s  %-7s  %-7s  %-8s  %-13s  %-18s  %-16s  %-24s  %-8s\n",
+		"case", "on", "keyed", "doubled", "in hand", "with effect",
+		"beside, with effect", "asked again", "answered of those", "helped after, s (worst)")
 	for _, name := range takeoverCases {
 		for _, on := range []bool{false, true} {
-			sum := func(figure string) float64 {
-				n := 0.0
-				for _, v := range metricValues(all, figure, func(r Result) bool { return r.Case == name && r.On == on }) {
-					n += v
+			sum := func(metric string) (total float64) {
+				for _, v := range metricValues(all, metric, ofCase(name, on)) {
+					total += v
 				}
-				return n
+				return total
 			}
-			helped := metricValues(all, "helped_s", func(r Result) bool { return r.Case == name && r.On == on })
-			fmt.Fprintf(out, "%-11s %-5v %6.0f  %8.0f  %8.0f  %11.0f  %8.0f, %8.0f  %13.0f  %15.0f           %.2f (%.2f)\n", name, on, sum("keyed"), sum("doubled"), sum("in_hand"), sum("done"), sum("beside"), sum("beside_done"), sum("again"), sum("answered"),
+			helped := metricValues(all, "helped_s", ofCase(name, on))
+			fmt.Fprintf(out, "%-11s %-5v %6.0f  %8.0f  %8.0f  %11.0f  "+
+				"%8.0f, %8.0f  %13.0f  %15.0f           %.2f (%.2f)\n",
+				name, on, sum("keyed"), sum("doubled"), sum("in_hand"), sum("done"),
+				sum("beside"), sum("beside_done"), sum("again"), sum("answered"),
 				mean(helped), quantile(helped, 1))
 		}
 	}
--- a/internal/lab/trial/takeover_overhead.go
+++ b/internal/lab/trial/takeover_overhead.go
@@ -11,9 +11,11 @@
 	"hitchspring/internal/lab"
 )
 
-// custody is what work that survives its instance costs while nothing is lost, beside instances that know one another alone.
+// takeoverOverhead measures what replicating pending work costs while no instance is lost. The baseline are
+// instances with peers and without takeover.
 var takeoverOverhead = &definition{
-	about:        "what keepers cost while nothing is lost: latency of keyed work, CPU, bytes between instances, memory; [peers] in both",
+	about: "what keepers cost while nothing is lost: latency of keyed work, CPU, bytes between instances, memory; " +
+		"[peers] in both",
 	cases:        takeoverOverheadCases,
 	instances:    []int{3},
 	withBaseline: true,
@@ -25,56 +27,73 @@
 
 func runTakeoverOverhead(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
-	var mu sync.Mutex
+	var mu sync.Mutex // guards r.Metrics while the run lasts
 	cfg := lab.Config{
-		Scenario: "calm", Seed: c.Seed, For: overheadDuration, Ingresses: c.Instances, Backends: overheadBackends[c.Case], Rate: 1.1, Ingress: program, Tolerance: tolerance, Linked: true, SameKey: true,
-		Peers: true, Takeover: c.On,
+		Scenario:  "calm",
+		Seed:      c.Seed,
+		For:       overheadDuration,
+		Ingresses: c.Instances,
+		Backends:  overheadBackends[c.Case],
+		Rate:      1.1,
+		Ingress:   program,
+		Tolerance: tolerance,
+		Linked:    true,
+		SameKey:   true,
+		Peers:     true,
+		Takeover:  c.On,
 	}
-	cfg.Watch = func(ctx context.Context, w *lab.Testbed) {
-		if !w.WaitUntil(ctx, overheadDuration-500*time.Millisecond) {
+	cfg.Watch = func(ctx context.Context, testbed *lab.Testbed) {
+		if !testbed.WaitUntil(ctx, overheadDuration-500*time.Millisecond) {
 			return
 		}
-		for i := range w.Instances() {
-			if s, err := w.Peers(ctx, i); err == nil {
-				mu.Lock()
-				r.Metrics["bytes_s"] += float64(s.Counts.BytesOut) / overheadDuration.Seconds() / float64(c.Instances)
-				mu.Unlock()
+		for i := range testbed.Instances() {
+			status, err := testbed.Peers(ctx, i)
+			if err != nil {
+				continue
 			}
+			mu.Lock()
+			r.Metrics["bytes_s"] += float64(status.Counts.BytesOut) / overheadDuration.Seconds() / float64(c.Instances)
+			mu.Unlock()
 		}
 	}
-	rep, err := lab.Run(ctx, cfg)
+	report, err := lab.Run(ctx, cfg)
 	if err != nil {
 		return r, err
 	}
-	r.addReport(rep)
-	var took []float64
-	for _, w := range rep.Keyed {
-		if w.Attempts == 1 && w.Served {
-			took = append(took, float64((w.Answered-w.First).Microseconds())/1000)
+	r.addReport(report)
+	latencies := singleAttemptLatencies(report)
+	r.Metrics["keyed"] = float64(len(report.Keyed))
+	r.Metrics["tries"] = float64(report.Attempts)
+	r.Metrics["p50_ms"] = quantile(latencies, 0.5)
+	r.Metrics["p99_ms"] = quantile(latencies, 0.99)
+	r.addResources(report)
+	return r, nil
+}
+
+// singleAttemptLatencies returns the sorted latencies, in milliseconds, of keyed work served at the first attempt.
+func singleAttemptLatencies(report *lab.Report) (out []float64) {
+	for _, work := range report.Keyed {
+		if work.Attempts == 1 && work.Served {
+			out = append(out, float64((work.Answered-work.First).Microseconds())/1000)
 		}
 	}
-	slices.Sort(took)
-	r.Metrics["keyed"], r.Metrics["tries"] = float64(len(rep.Keyed)), float64(rep.Attempts)
-	r.Metrics["p50_ms"], r.Metrics["p99_ms"] = quantile(took, 0.5), quantile(took, 0.99)
-	r.Metrics["cpu_us"], r.Metrics["service"] = rep.CPUPerRequestUS, rep.Service
-	for _, p := range rep.Processes {
-		r.Metrics["peak_mb"] = max(r.Metrics["peak_mb"], p.PeakMB)
-	}
-	return r, nil
+	slices.Sort(out)
+	return out
 }
 
 func takeoverOverheadTable(out io.Writer, all []Result) {
-	fmt.Fprintf(out, "\n%-6s  %-22s  %-22s  %-24s  %-6s  %-22s  %-16s  %-14s\n", "load", "keyed p50 ms off, on", "keyed p99 ms off, on", "CPU us a try off, on", "ratio", "bytes/s each off, on", "peak MB off, on", "service off, on")
+	fmt.Fprintf(out, "\n%-6s  %-22s  %-22s  %-24s  %-6s  %-22s  %-16s  %-14s\n",
+		"load", "keyed p50 ms off, on", "keyed p99 ms off, on", "CPU us a try off, on", "ratio",
+		"bytes/s each off, on", "peak MB off, on", "service off, on")
 	for _, name := range takeoverOverheadCases {
-		at := func(figure string, on bool) float64 {
-			return quantile(metricValues(all, figure, func(r Result) bool { return r.Case == name && r.On == on }), 0.5)
-		}
-		ratio := 0.0
-		if off := at("cpu_us", false); off > 0 {
-			ratio = at("cpu_us", true) / off
+		median := func(metric string, on bool) float64 {
+			return quantile(metricValues(all, metric, ofCase(name, on)), 0.5)
 		}
-		fmt.Fprintf(out, "%-6s  %6.1f, %6.1f          %6.1f, %6.1f          %6.0f, %6.0f            %.3f   %8.0f, %8.0f      %.1f, %.1f        %.3f, %.3f\n", name, at("p50_ms", false), at("p50_ms", true),
-			at("p99_ms", false), at("p99_ms", true), at("cpu_us", false), at("cpu_us", true), ratio, at("bytes_s", false), at("bytes_s", true), at("peak_mb", false), at("peak_mb", true),
-			at("service", false), at("service", true))
+		fmt.Fprintf(out, "%-6s  %6.1f, %6.1f          %6.1f, %6.1f          %6.0f, %6.0f            %.3f   "+
+			"%8.0f, %8.0f      %.1f, %.1f        %.3f, %.3f\n",
+			name, median("p50_ms", false), median("p50_ms", true), median("p99_ms", false), median("p99_ms", true),
+			median("cpu_us", false), median("cpu_us", true), ratio(median("cpu_us", true), median("cpu_us", false)),
+			median("bytes_s", false), median("bytes_s", true), median("peak_mb", false), median("peak_mb", true),
+			median("service", false), median("service", true))
 	}
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -1,12 +1,12 @@
-// Package trial plays many real processes of the program under faults between them, with a part of it off and on, and sums up
-// what the observers at nodes, clients and links saw. In: which trial, seeds, sizes. Out: a line for each run as JSON, a table,
-// a chart, and whether what was stated beforehand held. It decides nothing about a run; package lab plays it.
+// Package trial runs many real processes of the ingress under faults between them, with one feature off and on,
+// and summarizes what the observers at backends, clients and links saw. A Config names the trial, the seeds and
+// the sizes. Run prints a line for each run and a table, writes the results as JSON and a chart to a directory,
+// and returns whether everything that the trial states was true. Package lab runs the processes and checks the
+// rules; this package decides nothing about a single run.
 package trial
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -20,35 +20,41 @@
 	"hitchspring/internal/lab"
 )
 
-// Config says how much of a trial is played.
+// Range of the number of instances in a trial.
+const (
+	minInstances = 2
+	maxInstances = 24
+)
+
+// Config says which runs of a trial are made.
 type Config struct {
 	Name      string
-	Program   string // empty: it is built from this source
-	Seed      uint64 // the first
-	Seeds     int
-	Instances []int
-	Cases     []string // of the trial's; empty: all
-	Jobs      int      // runs at once
-	Out       string   // folder for results.jsonl, table.txt and chart.svg; empty: none is written
+	Program   string   // path of the ingress; empty: it is built from this source
+	Seed      uint64   // the first seed
+	Seeds     int      // how many consecutive seeds
+	Instances []int    // instances of each run; empty: the trial's default
+	Cases     []string // names of the trial's cases; empty: all
+	Jobs      int      // concurrent runs
+	Out       string   // directory for results.jsonl, table.txt and chart.svg; empty: none is written
 }
 
-// Cell is one run to be played.
+// Cell is one run of a trial.
 type Cell struct {
-	Case      string `json:"Case"` // of the trial's cases
+	Case      string `json:"Case"` // one of the trial's cases
 	Instances int    `json:"Instances"`
 	Seed      uint64 `json:"Seed"`
-	On        bool   `json:"On"` // the part that is tried is on
+	On        bool   `json:"On"` // whether the feature under trial is on
 }
 
-// Result is what one run came to.
+// Result is the outcome of one run.
 type Result struct {
 	Cell
 	Metrics    map[string]float64 `json:"Figures"`
-	Violations []string           `json:"Breaks"` // of the rules, and of what the trial states
-	Doubts     []string           `json:"Doubts"` // why it proves nothing
+	Violations []string           `json:"Breaks"` // of the rules and of the trial's own statements
+	Doubts     []string           `json:"Doubts"` // why the run is inconclusive; empty if it is conclusive
 }
 
-// trials are those that there are.
+// trials are all trials by their name on the command line.
 var trials = map[string]*definition{
 	"judgements": slowBackend,
 	"partitions": partitions,
@@ -58,18 +64,18 @@
 	"budgets":    quotaBounds,
 }
 
-// kind is one trial.
+// definition describes one trial.
 type definition struct {
 	about        string
 	cases        []string
-	instances    []int
-	withBaseline bool
+	instances    []int // default sizes
+	withBaseline bool  // each cell also runs with the feature off
 	run          func(ctx context.Context, c Cell, program string) (Result, error)
 	table        func(out io.Writer, all []Result)
-	chart        func(file string, all []Result) error
+	chart        func(file string, all []Result) error // nil: the trial has no chart
 }
 
-// Names are the trials, with what they are about.
+// Names returns a line for each trial, with its name and what it is about.
 func Names() (out []string) {
 	for name, k := range trials {
 		out = append(out, fmt.Sprintf("%-12s %s", name, k.about))
@@ -78,21 +84,22 @@
 	return out
 }
 
-// ErrBroken is a run in which something did not hold.
+// ErrBroken says that in some run a rule or a statement of the trial did not hold.
 var ErrBroken = errors.New("something did not hold")
 
-// Run plays a trial, and prints a line for each run and the table.
+// Run runs a trial, and prints a line for each run and then the table. It returns ErrBroken with the results if
+// something did not hold in a run.
 func Run(ctx context.Context, cfg Config, out io.Writer) ([]Result, error) {
-	k := trials[cfg.Name]
-	if k == nil {
+	trial := trials[cfg.Name]
+	if trial == nil {
 		return nil, fmt.Errorf("trial %q: there is none of this name:\n%s", cfg.Name, strings.Join(Names(), "\n"))
 	}
 	if len(cfg.Instances) == 0 {
-		cfg.Instances = k.instances
+		cfg.Instances = trial.instances
 	}
 	for _, n := range cfg.Instances {
-		if n < 2 || n > 24 {
-			return nil, fmt.Errorf("instances: %d is out of range, 2 to 24", n)
+		if n < minInstances || n > maxInstances {
+			return nil, fmt.Errorf("instances: %d is out of range, %d to %d", n, minInstances, maxInstances)
 		}
 	}
 	if cfg.Program == "" {
@@ -106,34 +113,48 @@
 			return nil, err
 		}
 	}
-	for _, c := range cfg.Cases {
-		if !slices.Contains(k.cases, c) {
-			return nil, fmt.Errorf("cases: %s has no %q, but %q", cfg.Name, c, k.cases)
+	for _, name := range cfg.Cases {
+		if !slices.Contains(trial.cases, name) {
+			return nil, fmt.Errorf("cases: %s has no %q, but %q", cfg.Name, name, trial.cases)
 		}
 	}
-	var cells []Cell
-	for _, c := range k.cases {
-		if len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, c) {
+	results, err := runCells(ctx, trial, trial.cells(cfg), cfg, out)
+	if err != nil {
+		return results, err
+	}
+	return results, summarize(trial, cfg, results, out)
+}
+
+// cells returns the runs that cfg selects, the baseline before the run that it is compared with.
+func (d *definition) cells(cfg Config) (out []Cell) {
+	for _, name := range d.cases {
+		if len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, name) {
 			continue
 		}
-		for _, n := range cfg.Instances {
+		for _, instances := range cfg.Instances {
 			for s := range cfg.Seeds {
-				if k.withBaseline {
-					cells = append(cells, Cell{c, n, cfg.Seed + uint64(s), false})
+				seed := cfg.Seed + uint64(s)
+				if d.withBaseline {
+					out = append(out, Cell{Case: name, Instances: instances, Seed: seed})
 				}
-				cells = append(cells, Cell{c, n, cfg.Seed + uint64(s), true})
+				out = append(out, Cell{Case: name, Instances: instances, Seed: seed, On: true})
 			}
 		}
 	}
+	return out
+}
+
+// runCells runs all cells, cfg.Jobs at once. Its goroutines end before it returns.
+func runCells(ctx context.Context, trial *definition, cells []Cell, cfg Config, out io.Writer) ([]Result, error) {
 	results := make([]Result, len(cells))
 	errs := make([]error, len(cells))
 	next := make(chan int)
 	var wg sync.WaitGroup
-	var mu sync.Mutex // of out
+	var mu sync.Mutex // guards out
 	for range max(1, cfg.Jobs) {
 		wg.Go(func() {
 			for i := range next {
-				results[i], errs[i] = runCell(ctx, k, cells[i], cfg.Program)
+				results[i], errs[i] = runCell(ctx, trial, cells[i], cfg.Program)
 				mu.Lock()
 				fmt.Fprintln(out, results[i].line(errs[i]))
 				mu.Unlock()
@@ -148,135 +169,27 @@
 	}
 	close(next)
 	wg.Wait()
-	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
-		return results, err
-	}
-	var table bytes.Buffer
-	k.table(&table, results)
-	broken, doubtful := 0, 0
-	for _, r := range results {
-		if len(r.Violations) > 0 {
-			broken++
-		} else if len(r.Doubts) > 0 {
-			doubtful++
-		}
-	}
-	fmt.Fprintf(&table, "%d runs: %d in which something did not hold, %d that prove nothing\n", len(results), broken, doubtful)
-	out.Write(table.Bytes())
-	if cfg.Out != "" {
-		if err := writeResults(cfg.Out, k, results, table.Bytes()); err != nil {
-			return results, err
-		}
-	}
-	if broken > 0 {
-		return results, ErrBroken
-	}
-	return results, nil
+	return results, errors.Join(append(errs, ctx.Err())...)
 }
 
-// again is how often a run that proves nothing, for the lab was late or a fault met nothing, is played with another seed.
+// maxReplays is how often an inconclusive run is repeated with another seed.
 const maxReplays = 2
 
-func runCell(ctx context.Context, k *definition, c Cell, program string) (r Result, err error) {
+// replaySeedStep is added to the seed for a replay, so that it meets no seed of the same trial.
+const replaySeedStep = 1000
+
+// runCell runs one cell, and replays it while the run is inconclusive.
+func runCell(ctx context.Context, trial *definition, c Cell, program string) (r Result, err error) {
 	for range 1 + maxReplays {
-		r, err = k.run(ctx, c, program)
+		r, err = trial.run(ctx, c, program)
 		r.Cell = c
 		if err != nil || len(r.Doubts) == 0 || len(r.Violations) > 0 || ctx.Err() != nil {
 			return r, err
 		}
-		c.Seed += 1000
+		c.Seed += replaySeedStep
 	}
 	return r, err
 }
 
-func (r Result) line(err error) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%-24s %2d instances seed %4d on=%-5v", r.Case, r.Instances, r.Seed, r.On)
-	var names []string
-	for name := range r.Metrics {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		fmt.Fprintf(&b, "  %s %.4g", name, r.Metrics[name])
-	}
-	for _, x := range r.Violations {
-		fmt.Fprintf(&b, "\n    BROKEN: %s", x)
-	}
-	for _, x := range r.Doubts {
-		fmt.Fprintf(&b, "\n    proves nothing: %s", x)
-	}
-	if err != nil {
-		fmt.Fprintf(&b, "\n    not played: %v", err)
-	}
-	return b.String()
-}
-
-// keep writes what was found into a folder.
-func writeResults(dir string, k *definition, results []Result, table []byte) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	var lines bytes.Buffer
-	for _, r := range results {
-		b, err := json.Marshal(r)
-		if err != nil {
-			return err
-		}
-		lines.Write(append(b, '\n'))
-	}
-	if err := os.WriteFile(filepath.Join(dir, "results.jsonl"), lines.Bytes(), 0o644); err != nil {
-		return err
-	}
-	if err := os.WriteFile(filepath.Join(dir, "table.txt"), table, 0o644); err != nil {
-		return err
-	}
-	if k.chart == nil {
-		return nil
-	}
-	return k.chart(filepath.Join(dir, "chart.svg"), results)
-}
-
-// verdict puts a report's breaks and doubts into a result.
-func (r *Result) addReport(rep *lab.Report) {
-	for _, b := range rep.Violations {
-		if !b.Doubtful {
-			r.Violations = append(r.Violations, fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Detail))
-		}
-	}
-	r.Violations = append(r.Violations, rep.Crashed...)
-	r.Doubts = append(r.Doubts, rep.Doubts()...)
-}
-
-// pick are the figures of one name in all runs that fit.
-func metricValues(all []Result, name string, fits func(Result) bool) (out []float64) {
-	for _, r := range all {
-		if v, has := r.Metrics[name]; has && fits(r) && len(r.Doubts) == 0 {
-			out = append(out, v)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-func mean(v []float64) float64 {
-	if len(v) == 0 {
-		return 0
-	}
-	sum := 0.0
-	for _, x := range v {
-		sum += x
-	}
-	return sum / float64(len(v))
-}
-
-// quantile is of sorted figures.
-func quantile(v []float64, q float64) float64 {
-	if len(v) == 0 {
-		return 0
-	}
-	return v[min(len(v)-1, int(q*float64(len(v))))]
-}
-
-// tolerance is generous: many runs share the machine.
+// tolerance is how late the lab's own processes may be. It is generous, since many runs share the machine.
 const tolerance = 400 * time.Millisecond
