--- a/internal/standin/redis/accept.go
+++ b/internal/standin/redis/accept.go
@@ -9,28 +9,42 @@
 	"time"
 )
 
-// client is one connection.
+// transactionState is the phase of a connection's transaction.
+type transactionState uint8
+
+const (
+	noTransaction      transactionState = iota
+	queueing                            // after MULTI: commands are queued
+	abortedTransaction                  // after MULTI and a command that is wrong: EXEC discards the queue
+)
+
+// client is one connection. Its own goroutine uses it, apart from messages, which group.mu guards, and what writeMu
+// guards.
 type client struct {
-	server  *Server
-	nc      net.Conn
-	id      int64
-	proto   int
-	db      int
-	name    string
-	authed  bool
-	asking  bool
-	out     []byte
-	swapped []byte // an answer that comes after the next one
+	server *Server
+	nc     net.Conn
+	id     int64
+	proto  int // version of the protocol, 2 or 3
+	db     int
+	name   string // by CLIENT SETNAME or HELLO
+	authed bool
+	asking bool   // the command before was ASKING
+	out    []byte // replies that are not written yet
+	// swapped is a reply that a fault sends after the next one.
+	swapped []byte
+
+	transactionState transactionState
+	queue            [][]string        // commands until EXEC
+	watched          map[string]*entry // the values of watched keys when WATCH ran
 
-	inTransaction  bool
-	aborted        bool // a command of the transaction was wrong
-	queue          [][]string
-	watched        map[string]*entry // as they were
-	messages       chan []byte       // messages of channels that it listens to; nil: none
-	unsentMessages <-chan []byte     // the same, until someone sends them
-	writeMu        sync.Mutex
+	// messages receives the messages of the channels to which the client has subscribed; nil: none.
+	messages chan []byte
+	// unsentMessages is messages until a goroutine sends them.
+	unsentMessages <-chan []byte
+	writeMu        sync.Mutex // held while replies or a message are written
 }
 
+// accept serves the connections of a listener until it is closed.
 func (s *Server) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -68,7 +82,7 @@
 	_, _ = io.CopyN(io.Discard, nc, maxInlineLength)
 }
 
-// serve reads commands and answers them in order until the connection ends.
+// serve reads commands and replies to them in order until the connection ends.
 func (c *client) serve() {
 	defer func() {
 		c.nc.Close()
@@ -120,7 +134,7 @@
 	return err == nil
 }
 
-// send writes answers or a message, never both at once.
+// send writes replies or a message, never both at once.
 func (c *client) writeOut(b []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/standin/redis/connection.go
+++ b/internal/standin/redis/connection.go
@@ -156,7 +156,8 @@
 		return okReply
 	case sub == "INFO" || sub == "LIST":
 		c := x.client
-		return bulk(fmt.Sprintf("id=%d addr=%s name=%s db=%d resp=%d\n", c.id, c.nc.RemoteAddr(), c.name, x.db, c.proto))
+		return bulk(fmt.Sprintf("id=%d addr=%s name=%s db=%d resp=%d\n",
+			c.id, c.nc.RemoteAddr(), c.name, x.db, c.proto))
 	case sub == "NO-EVICT" || sub == "NO-TOUCH":
 		return okReply
 	}
--- a/internal/standin/redis/control_test.go
+++ b/internal/standin/redis/control_test.go
@@ -1,7 +1,6 @@
 package redis
 
 import (
-	"context"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -12,8 +11,28 @@
 	goredis "github.com/redis/go-redis/v9"
 )
 
-// The control port does what its lines say, and says what is wrong with a line.
-func TestControl(t *testing.T) {
+// sendRequest returns the status and the body of the answer to a request.
+func sendRequest(t *testing.T, method, url, body string) (status int, answer string) {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp.StatusCode, string(b)
+}
+
+// startWithReplica starts a primary with a replica.
+func startWithReplica(t *testing.T) *Server {
+	t.Helper()
 	s := startServer(t, Options{})
 	if _, err := s.Group().AddReplica(Options{}); err != nil {
 		t.Fatal(err)
@@ -23,32 +42,30 @@
 			o.Close()
 		}
 	})
+	return s
+}
+
+// The control port does what its lines say, and says what is wrong with a line.
+func TestControl(t *testing.T) {
+	s := startWithReplica(t)
 	web := httptest.NewServer(s.Control())
 	t.Cleanup(web.Close)
 	send := func(method, path, body string) (int, string) {
 		t.Helper()
-		req, _ := http.NewRequest(method, web.URL+path, strings.NewReader(body))
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer resp.Body.Close()
-		b, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(b)
+		return sendRequest(t, method, web.URL+path, body)
 	}
-	for _, line := range []string{"", "wobble", "stop", "stop soon", "stop -1s", "maxclients x", "load", "stall 1s at"} {
+	for _, line := range []string{
+		"", "wobble", "stop", "stop soon", "stop -1s", "maxclients x", "load", "stall 1s at",
+	} {
 		if code, text := send("POST", "/fault", line); code != 400 || !strings.Contains(text, "fault ") {
 			t.Errorf("%q: %d %s", line, code, text)
 		}
 	}
-	ctx := context.Background()
 	c := goredis.NewClient(&goredis.Options{Addr: s.Addr(), MaxRetries: -1})
 	defer c.Close()
-	fails := func(word string) {
+	fails := func(text string) {
 		t.Helper()
-		if err := c.Set(ctx, "k", "v", 0).Err(); word == "" && err != nil || word != "" && (err == nil || !strings.Contains(err.Error(), word)) {
-			t.Fatalf("%v, want %q", err, word)
-		}
+		checkSet(t, "control", c, text)
 	}
 	do := func(line string) {
 		t.Helper()
@@ -72,7 +89,7 @@
 	}
 	fails("")
 	do("flush")
-	if n := c.DBSize(ctx).Val(); n != 0 {
+	if n := c.DBSize(t.Context()).Val(); n != 0 {
 		t.Fatal(n)
 	}
 	do("lag 1h")
--- /dev/null
+++ b/internal/standin/redis/faults_test.go
@@ -0,0 +1,104 @@
+package redis
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	goredis "github.com/redis/go-redis/v9"
+
+	"hitchspring/internal/standin/fault"
+)
+
+// faultCase says what a fault does to a command: whether the client sees an error, and whether the command is
+// applied.
+type faultCase struct{ fails, applied bool }
+
+// Each fault does what it says to a client that no one here wrote.
+func TestFaults(t *testing.T) {
+	for kind, c := range map[fault.Kind]faultCase{
+		fault.Delay:      {false, true},
+		fault.Hold:       {false, true},
+		fault.Ignore:     {true, false},
+		fault.Swallow:    {true, true},
+		fault.Late:       {true, true},
+		fault.DropBefore: {true, false},
+		fault.DropAfter:  {true, true},
+		fault.Cut:        {true, true},
+		fault.Fail:       {true, false},
+		fault.Repeat:     {false, true},
+	} {
+		t.Run(string(kind), func(t *testing.T) { checkFault(t, kind, c) })
+	}
+}
+
+// checkFault checks what a fault does to one INCR.
+func checkFault(t *testing.T, kind fault.Kind, c faultCase) {
+	t.Helper()
+	s := startServer(t, Options{})
+	client := goredis.NewClient(&goredis.Options{
+		Addr: s.Addr(), MaxRetries: -1, ReadTimeout: 500 * time.Millisecond,
+	})
+	defer client.Close()
+	s.Fault(fault.Rule{Kind: kind, On: "INCR", Times: 1, By: 50 * time.Millisecond, Text: "ERR no"})
+	if err := client.Incr(t.Context(), "n").Err(); (err != nil) != c.fails {
+		t.Fatalf("INCR: got error %v, want one: %v", err, c.fails)
+	}
+	if rec := awaitFaultRecord(s); rec.Fault != kind || rec.Applied != c.applied {
+		t.Fatalf("record: got %+v, want applied %v", rec, c.applied)
+	}
+	if n, _ := client.Get(t.Context(), "n").Int(); (n == 1) != c.applied {
+		t.Fatalf("n: got %d, want it applied: %v", n, c.applied)
+	}
+}
+
+// awaitFaultRecord returns the last record with a fault, or a zero one if there is none for long.
+func awaitFaultRecord(s *Server) (found Record) {
+	for end := time.Now().Add(10 * time.Second); found.Fault == "" && time.Now().Before(end); {
+		for _, rec := range s.Records() {
+			if rec.Fault != "" {
+				found = rec
+			}
+		}
+	}
+	return found
+}
+
+// States of the whole server, as go-redis sees them.
+func TestStates(t *testing.T) {
+	ctx := t.Context()
+	s := startServer(t, Options{Idle: 300 * time.Millisecond})
+	c := goredis.NewClient(&goredis.Options{Addr: s.Addr(), MaxRetries: -1, PoolSize: 1})
+	defer c.Close()
+	checkSet(t, "at first", c, "")
+	s.Full(true)
+	checkSet(t, "full", c, "OOM")
+	s.Full(false)
+	s.ReadOnly(true)
+	checkSet(t, "read only", c, "READONLY")
+	s.ReadOnly(false)
+	s.Load(time.Hour)
+	checkSet(t, "loading", c, "LOADING")
+	s.Load(0)
+	checkSet(t, "again", c, "")
+	s.MaxClients(1)
+	nc, err := net.Dial("tcp", s.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	nc.SetDeadline(time.Now().Add(20 * time.Second))
+	if text, err := io.ReadAll(nc); string(text) != "-ERR max number of clients reached\r\n" {
+		t.Fatal(string(text), err)
+	}
+	for end := time.Now().Add(10 * time.Second); s.Clients() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("an idle connection is not closed")
+		}
+	}
+	s.Restart(0)
+	if n := goredis.NewClient(&goredis.Options{Addr: s.Addr()}).DBSize(ctx).Val(); n != 0 {
+		t.Fatalf("%d keys after a restart", n)
+	}
+}
--- a/internal/standin/redis/proto_test.go
+++ b/internal/standin/redis/proto_test.go
@@ -21,11 +21,12 @@
 		"*1\r\n$4\r\nPING\r\n*0\r\n*2\r\n$4\r\nECHO\r\n$2\r\nhi\r\n": "+PONG\r\n$2\r\nhi\r\n",
 		"HELLO 4\r\n": "-NOPROTO unsupported protocol version\r\n",
 		"GET nothing\r\nHELLO 3 SETNAME x\r\nGET nothing\r\nCLIENT GETNAME\r\n": "$-1\r\n%7\r\n",
-		"*2\r\n$3\r\nGET\r\n$-5\r\n":             "-ERR Protocol error: invalid bulk length\r\n",
-		"*99999999\r\n":                          "-ERR Protocol error: invalid multibulk length\r\n",
-		"*1\r\nPING\r\n":                         "-ERR Protocol error: expected '$', got 'P'\r\n",
-		"SET \"a\r\n":                            "-ERR Protocol error: unbalanced quotes in request\r\n",
-		"MULTI\r\nINCR\r\nEXEC\r\n":              "+OK\r\n-ERR wrong number of arguments for 'incr' command\r\n-EXECABORT Transaction discarded because of previous errors.\r\n",
+		"*2\r\n$3\r\nGET\r\n$-5\r\n": "-ERR Protocol error: invalid bulk length\r\n",
+		"*99999999\r\n":              "-ERR Protocol error: invalid multibulk length\r\n",
+		"*1\r\nPING\r\n":             "-ERR Protocol error: expected '$', got 'P'\r\n",
+		"SET \"a\r\n":                "-ERR Protocol error: unbalanced quotes in request\r\n",
+		"MULTI\r\nINCR\r\nEXEC\r\n": "+OK\r\n-ERR wrong number of arguments for 'incr' command\r\n" +
+			"-EXECABORT Transaction discarded because of previous errors.\r\n",
 		"MULTI\r\nSET q 1\r\nINCR q\r\nEXEC\r\n": "+OK\r\n+QUEUED\r\n+QUEUED\r\n*2\r\n+OK\r\n:2\r\n",
 		"QUIT\r\nPING\r\n":                       "+OK\r\n",
 	} {
@@ -39,7 +40,7 @@
 		got, _ := io.ReadAll(nc)
 		nc.Close()
 		if !strings.HasPrefix(string(got), want) || strings.HasPrefix(in, "QUIT") && string(got) != want {
-			t.Errorf("%q: %q, want %q", in, got, want)
+			t.Errorf("%q: got %q, want %q", in, got, want)
 		}
 	}
 }
@@ -53,14 +54,17 @@
 		`''`:             {""},
 	} {
 		if got, err := splitInline(in); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %q, %v", in, got, err)
+			t.Errorf("splitInline(%q): got %q, %v, want %q", in, got, err, want)
 		}
 	}
 }
 
-// Whatever comes, the parser ends, and what it takes for a command can be sent again as an array of the same words.
+// Whatever comes, the parser ends, and what it takes for a command can be sent again as an array of the same
+// arguments.
 func FuzzReadCommand(f *testing.F) {
-	for _, s := range []string{"PING\r\n", "*2\r\n$3\r\nGET\r\n$1\r\nk\r\n", "*-1\r\n", "*1\r\n$99999999999\r\n", "\"a\\x4", "'\r\n"} {
+	for _, s := range []string{
+		"PING\r\n", "*2\r\n$3\r\nGET\r\n$1\r\nk\r\n", "*-1\r\n", "*1\r\n$99999999999\r\n", "\"a\\x4", "'\r\n",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/standin/redis/replication.go
+++ b/internal/standin/redis/replication.go
@@ -19,10 +19,10 @@
 	args []string
 }
 
-// Group is a primary and its replicas, in one process and under one lock. The log of effects reaches a replica after
+// Group is a primary and its replicas, in one process and under one mutex. The log of effects reaches a replica after
 // the lag; what it has not reached at a failover is lost.
 type Group struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards all below, and the fields of the servers
 	servers     []*Server
 	primary     *Server
 	log         []effect
--- a/internal/standin/redis/server.go
+++ b/internal/standin/redis/server.go
@@ -50,7 +50,9 @@
 	Fault   fault.Kind
 }
 
-// Server is one process of Redis: a primary, a replica, a Sentinel or a shard of a cluster.
+// Server is one process of Redis: a primary, a replica, a Sentinel or a shard of a cluster. It runs a goroutine that
+// accepts connections, one for each connection and for its messages, and one for each pause of a fault or of the
+// control port; Close ends them all and waits for them.
 type Server struct {
 	options  Options
 	group    *Group
--- a/internal/standin/redis/transaction.go
+++ b/internal/standin/redis/transaction.go
@@ -22,19 +22,19 @@
 func (c *client) transaction(name string, args []string) (v value, done bool) {
 	switch name {
 	case "MULTI":
-		if c.inTransaction {
+		if c.transactionState != noTransaction {
 			return errorf("MULTI calls can not be nested"), true
 		}
-		c.inTransaction, c.aborted, c.queue = true, false, nil
+		c.transactionState, c.queue = queueing, nil
 		return okReply, true
 	case "DISCARD":
-		if !c.inTransaction {
+		if c.transactionState == noTransaction {
 			return errorf("DISCARD without MULTI"), true
 		}
 		c.endTransaction()
 		return okReply, true
 	case "WATCH":
-		if c.inTransaction {
+		if c.transactionState != noTransaction {
 			return errorf("WATCH inside MULTI is not allowed"), true
 		}
 		c.watch(args[1:])
@@ -43,12 +43,12 @@
 		c.watched = nil
 		return okReply, true
 	case "EXEC":
-		if !c.inTransaction {
+		if c.transactionState == noTransaction {
 			return errorf("EXEC without MULTI"), true
 		}
 		return c.exec(), true
 	}
-	if !c.inTransaction || name == "QUIT" || name == "RESET" {
+	if c.transactionState == noTransaction || name == "QUIT" || name == "RESET" {
 		return value{}, false
 	}
 	return c.enqueue(name, args), true
@@ -72,7 +72,7 @@
 
 // exec ends the transaction, and runs its commands unless it was aborted or a watched key has changed.
 func (c *client) exec() value {
-	queue, aborted, watched := c.queue, c.aborted, c.watched
+	queue, aborted, watched := c.queue, c.transactionState == abortedTransaction, c.watched
 	c.endTransaction()
 	if aborted {
 		return failure("EXECABORT Transaction discarded because of previous errors.")
@@ -95,11 +95,11 @@
 // enqueue adds a command to the transaction, or aborts it if the command is wrong.
 func (c *client) enqueue(name string, args []string) value {
 	if v := c.server.check(c.newCall(), name, args); v.kind != kindNone {
-		c.aborted = true
+		c.transactionState = abortedTransaction
 		return v
 	}
 	if len(c.queue) >= maxQueuedCommands {
-		c.aborted = true
+		c.transactionState = abortedTransaction
 		return errorf("too many commands in a transaction")
 	}
 	c.queue = append(c.queue, args)
@@ -108,7 +108,7 @@
 
 // endTransaction forgets the transaction and the watched keys.
 func (c *client) endTransaction() {
-	c.inTransaction, c.aborted, c.queue, c.watched = false, false, nil, nil
+	c.transactionState, c.queue, c.watched = noTransaction, nil, nil
 }
 
 // cloneEntry returns a copy of an entry that shares nothing with it.
