--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -123,10 +123,10 @@
 	rule, _, _ := g.faults.Next(time.Since(g.start), request.Class, "")
 	if rule.Kind == fault.DropBefore {
 		short, cancel := context.WithTimeout(ctx, hangUpTimeout)
-		g.ask(short, request, &result)
+		g.requestGrant(short, request, &result)
 		cancel()
 	}
-	granted, done := g.ask(ctx, request, &result)
+	granted, done := g.requestGrant(ctx, request, &result)
 	mayHaveRun := false // an earlier attempt
 	for !done {
 		switch rule.Kind {
@@ -165,7 +165,7 @@
 			granted = next
 			continue
 		}
-		granted, done = g.ask(ctx, request, &result) // the ingress may not have decided yet
+		granted, done = g.requestGrant(ctx, request, &result) // the ingress may not have decided yet
 	}
 	return result
 }
--- a/internal/standin/gate/ingress.go
+++ b/internal/standin/gate/ingress.go
@@ -37,8 +37,9 @@
 	return granted, granted.lease != "" && granted.addr != ""
 }
 
-// ask calls the ingress about a request. If done is false it has granted an attempt; otherwise result is final.
-func (g *Gate) ask(ctx context.Context, request Request, result *Result) (granted grant, done bool) {
+// requestGrant calls the ingress about a request. If done is false it has granted an attempt; otherwise result is
+// final.
+func (g *Gate) requestGrant(ctx context.Context, request Request, result *Result) (granted grant, done bool) {
 	result.Kind = failed
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.base+"/check", nil)
 	if err != nil {
--- a/internal/standin/redis/hash.go
+++ b/internal/standin/redis/hash.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// hash returns the hash at key, a new one where make is set; ok is false where it holds something else.
+// hash returns the hash at key, a new one if create is set; ok is false if it holds something else.
 func (x *call) hash(key string, create bool) (h map[string]string, ok bool) {
 	e := x.get(key)
 	if e == nil && create {
