--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"hitchspring/internal/lab"
 )
 
-func write(t *testing.T, text string) string {
+func writeSpec(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "try.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -22,7 +22,7 @@
 	return file
 }
 
-const good = `about = "x"
+const validSpec = `about = "x"
 days = ["calm", "evening"]
 seeds = 3
 paired = true
@@ -46,7 +46,7 @@
 		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"a\"":       "there twice",
 		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\ncommit = \"x\"\nprogram = \"y\"": "one at most",
 	} {
-		if _, err := Load(write(t, text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Load(writeSpec(t, text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
@@ -54,7 +54,7 @@
 
 // Variants are played next to one another, and who comes first changes with the seed.
 func TestCells(t *testing.T) {
-	s, err := Load(write(t, good))
+	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 }
 
 // fake plays at once, with figures by the program and the seed.
-func fake(calls *int, stop int) Runner {
+func fakeRunner(calls *int, stop int) Runner {
 	return func(ctx context.Context, cfg lab.Config) (*lab.Report, error) {
 		if *calls++; *calls == stop {
 			return nil, errors.New("the machine has gone")
@@ -88,19 +88,19 @@
 	}
 }
 
-func build(_ context.Context, v Variant, to string) error {
+func fakeBuild(_ context.Context, v Variant, to string) error {
 	return os.WriteFile(to, []byte(v.Name), 0o600)
 }
 
 // What was played before an interruption is not played again, a half-written line is; another program's results count for
 // nothing.
 func TestContinues(t *testing.T) {
-	s, err := Load(write(t, good))
+	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
 	results, calls := filepath.Join(t.TempDir(), "results.jsonl"), 0
-	cfg := Config{Results: results, Build: build, Play: fake(&calls, 7)}
+	cfg := Config{Results: results, Build: fakeBuild, Run: fakeRunner(&calls, 7)}
 	if lines, err := s.Run(t.Context(), cfg); err == nil || len(lines) != 6 {
 		t.Fatal(len(lines), err)
 	}
@@ -111,7 +111,7 @@
 	if err := os.WriteFile(results, text[:len(text)-20], 0o600); err != nil { // as a kill leaves it
 		t.Fatal(err)
 	}
-	calls, cfg.Play = 0, fake(&calls, 0)
+	calls, cfg.Run = 0, fakeRunner(&calls, 0)
 	lines, err := s.Run(t.Context(), cfg)
 	if err != nil || len(lines) != 18 || calls != 13 {
 		t.Fatal(len(lines), calls, err)
@@ -131,12 +131,12 @@
 // A build that is worse shows as worse, with an interval that leaves nought out; the page holds its pictures and nothing
 // from elsewhere.
 func TestComparesAndDraws(t *testing.T) {
-	s, err := Load(write(t, good))
+	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls := 0
-	lines, err := s.Run(t.Context(), Config{Results: filepath.Join(t.TempDir(), "r.jsonl"), Build: build, Play: fake(&calls, 0)})
+	lines, err := s.Run(t.Context(), Config{Results: filepath.Join(t.TempDir(), "r.jsonl"), Build: fakeBuild, Run: fakeRunner(&calls, 0)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -25,7 +25,7 @@
 )
 
 // colours of the variants, which show on light and on dark.
-var colours = []color.Color{
+var variantColours = []color.Color{
 	color.RGBA{0x2f, 0x7d, 0xd1, 0xff},
 	color.RGBA{0xe0, 0x6c, 0x2f, 0xff},
 	color.RGBA{0x3a, 0xa3, 0x5d, 0xff},
@@ -34,10 +34,10 @@
 	color.RGBA{0x5b, 0xa8, 0xb0, 0xff},
 }
 
-func colour(i int) color.Color { return colours[i%len(colours)] }
+func variantColour(i int) color.Color { return variantColours[i%len(variantColours)] }
 
 // picture is one plot with its words.
-type picture struct {
+type chart struct {
 	Title, Note string
 	SVG         template.HTML
 }
@@ -46,7 +46,7 @@
 type section struct {
 	Day, About string
 	Faults     []string
-	Pictures   []picture
+	Pictures   []chart
 	Rows       []Row
 	Breaks     []string
 }
@@ -57,12 +57,12 @@
 	data := struct {
 		Spec     *Spec
 		Runs     int
-		Overview picture
+		Overview chart
 		Sections []section
 		Pairs    []Pair
 	}{Spec: s, Runs: len(lines), Pairs: s.Pairs(lines)}
 	var err error
-	if data.Overview, err = s.differences(rows); err != nil {
+	if data.Overview, err = s.differenceChart(rows); err != nil {
 		return err
 	}
 	for _, d := range s.Scenarios {
@@ -72,7 +72,7 @@
 		}
 		data.Sections = append(data.Sections, sec)
 	}
-	return page.Execute(w, data)
+	return pageTemplate.Execute(w, data)
 }
 
 func (s *Spec) section(d string, lines []Line, rows []Row) (section, error) {
@@ -99,13 +99,13 @@
 			sec.Rows = append(sec.Rows, r)
 		}
 	}
-	add := func(p picture, err error) error {
+	add := func(p chart, err error) error {
 		if err == nil && p.SVG != "" {
 			sec.Pictures = append(sec.Pictures, p)
 		}
 		return err
 	}
-	if err := add(s.overTime(byVariant, "Answered in time, over time", "Share of the wishes that were due in a second; the mean over seeds. Dashed: a fault of the first seed's timeline.", "share in time", func(x lab.Second) float64 {
+	if err := add(s.timelineChart(byVariant, "Answered in time, over time", "Share of the wishes that were due in a second; the mean over seeds. Dashed: a fault of the first seed's timeline.", "share in time", func(x lab.Second) float64 {
 		if x.Requests == 0 {
 			return math.NaN()
 		}
@@ -113,18 +113,18 @@
 	}, 0, 1.2)); err != nil {
 		return sec, err
 	}
-	if err := add(s.overTime(byVariant, "99th percentile of answers, over time", "Milliseconds from when a wish was due; served tries of that second; the mean over seeds.", "ms", func(x lab.Second) float64 { return x.P99MS }, 0, math.NaN())); err != nil {
+	if err := add(s.timelineChart(byVariant, "99th percentile of answers, over time", "Milliseconds from when a wish was due; served tries of that second; the mean over seeds.", "ms", func(x lab.Second) float64 { return x.P99MS }, 0, math.NaN())); err != nil {
 		return sec, err
 	}
-	if err := add(s.parts(byVariant)); err != nil {
+	if err := add(s.inTimeChart(byVariant)); err != nil {
 		return sec, err
 	}
 	for _, v := range s.Variants {
 		if list := byVariant[v.Name]; len(list) > 0 {
-			if err := add(hallLoad(v.Name, list[0])); err != nil {
+			if err := add(zoneLoadChart(v.Name, list[0])); err != nil {
 				return sec, err
 			}
-			if err := add(heat(v.Name, list[0])); err != nil {
+			if err := add(backendLoadChart(v.Name, list[0])); err != nil {
 				return sec, err
 			}
 		}
@@ -133,7 +133,7 @@
 }
 
 // plain is a plot in the page's manner.
-func plain(title, x, y string) *plot.Plot {
+func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
 	p.BackgroundColor = color.Transparent
@@ -148,29 +148,29 @@
 }
 
 var (
-	size   = regexp.MustCompile(`<svg width="[^"]*" height="[^"]*"`)
-	prolog = regexp.MustCompile(`(?s)^.*?<svg `)
-	black  = regexp.MustCompile(`(fill|stroke):#000000`)
-	family = regexp.MustCompile(`font-family:[^;"]*`)
+	svgSize   = regexp.MustCompile(`<svg width="[^"]*" height="[^"]*"`)
+	svgProlog = regexp.MustCompile(`(?s)^.*?<svg `)
+	svgBlack  = regexp.MustCompile(`(fill|stroke):#000000`)
+	svgFontFamily = regexp.MustCompile(`font-family:[^;"]*`)
 )
 
 // svg draws a plot as part of a page: it takes the page's width, its text colour and its font.
-func svg(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
+func renderSVG(p *plot.Plot, w, h vg.Length) (template.HTML, error) {
 	c := vgsvg.New(w, h)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	text := prolog.ReplaceAllString(b.String(), "<svg ")
-	text = size.ReplaceAllString(text, `<svg width="100%"`)
-	text = black.ReplaceAllString(text, "$1:currentColor")
-	text = family.ReplaceAllString(text, "font-family:inherit")
+	text := svgProlog.ReplaceAllString(b.String(), "<svg ")
+	text = svgSize.ReplaceAllString(text, `<svg width="100%"`)
+	text = svgBlack.ReplaceAllString(text, "$1:currentColor")
+	text = svgFontFamily.ReplaceAllString(text, "font-family:inherit")
 	return template.HTML(text), nil
 }
 
 // mark draws a dashed line over the whole height for each thing that the timeline did.
-func mark(p *plot.Plot, marks []lab.Mark) error {
+func addMarks(p *plot.Plot, marks []lab.Mark) error {
 	for _, m := range marks {
 		line, err := plotter.NewLine(plotter.XYs{{X: m.AtS, Y: p.Y.Min}, {X: m.AtS, Y: p.Y.Max}})
 		if err != nil {
@@ -183,11 +183,11 @@
 }
 
 // overTime is a line for each variant.
-func (s *Spec) overTime(byVariant map[string][]Line, title, note, unit string, of func(lab.Second) float64, least, most float64) (picture, error) {
-	p := plain("", "seconds", unit)
-	p.Y.Min = least
-	any := false
-	top := 0.0
+func (s *Spec) timelineChart(byVariant map[string][]Line, title, note, unit string, of func(lab.Second) float64, minY, maxY float64) (chart, error) {
+	p := newPlot("", "seconds", unit)
+	p.Y.Min = minY
+	drawn := false
+	highest := 0.0
 	for i, v := range s.Variants {
 		sums, counts := []float64{}, []float64{}
 		for _, l := range byVariant[v.Name] {
@@ -205,39 +205,39 @@
 		for k := range sums {
 			if counts[k] > 0 {
 				xy = append(xy, plotter.XY{X: float64(k) + 0.5, Y: sums[k] / counts[k]})
-				top = max(top, sums[k]/counts[k])
+				highest = max(highest, sums[k]/counts[k])
 			}
 		}
 		if len(xy) == 0 {
 			continue
 		}
-		any = true
+		drawn = true
 		line, err := plotter.NewLine(xy)
 		if err != nil {
-			return picture{}, err
+			return chart{}, err
 		}
-		line.Color, line.Width = colour(i), vg.Points(1.8)
+		line.Color, line.Width = variantColour(i), vg.Points(1.8)
 		p.Add(line)
 		p.Legend.Add(v.Name, line)
 	}
-	if !any {
-		return picture{}, nil
+	if !drawn {
+		return chart{}, nil
 	}
-	if math.IsNaN(most) {
-		most = top * 1.15
+	if math.IsNaN(maxY) {
+		maxY = highest * 1.15
 	}
-	p.Y.Max = max(most, least+1e-6)
+	p.Y.Max = max(maxY, minY+1e-6)
 	if list := byVariant[s.Variants[0].Name]; len(list) > 0 {
-		if err := mark(p, list[0].Report.Marks); err != nil {
-			return picture{}, err
+		if err := addMarks(p, list[0].Report.Marks); err != nil {
+			return chart{}, err
 		}
 	}
-	out, err := svg(p, 24*vg.Centimeter, 7*vg.Centimeter)
-	return picture{title, note, out}, err
+	out, err := renderSVG(p, 24*vg.Centimeter, 7*vg.Centimeter)
+	return chart{title, note, out}, err
 }
 
 // parts is the share in time by plan and by class, a bar for each variant.
-func (s *Spec) parts(byVariant map[string][]Line) (picture, error) {
+func (s *Spec) inTimeChart(byVariant map[string][]Line) (chart, error) {
 	type sum struct{ wishes, inTime int }
 	names := map[string]bool{}
 	sums := map[string]map[string]*sum{}
@@ -257,14 +257,14 @@
 		}
 	}
 	if len(names) == 0 {
-		return picture{}, nil
+		return chart{}, nil
 	}
 	var order []string
 	for n := range names {
 		order = append(order, n)
 	}
 	sort.Strings(order)
-	p := plain("", "", "share in time")
+	p := newPlot("", "", "share in time")
 	p.Y.Min, p.Y.Max = 0, 1.2 // room for the legend
 	width := vg.Points(60 / float64(max(2, len(s.Variants))))
 	k := 0
@@ -283,78 +283,78 @@
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
-			return picture{}, err
+			return chart{}, err
 		}
-		bars.Color, bars.LineStyle.Width = colour(i), 0
+		bars.Color, bars.LineStyle.Width = variantColour(i), 0
 		bars.Offset = width * vg.Length(float64(k)-float64(len(byVariant)-1)/2)
 		p.Add(bars)
 		p.Legend.Add(v.Name, bars)
 		k++
 	}
 	p.NominalX(order...)
-	out, err := svg(p, 24*vg.Centimeter, 7*vg.Centimeter)
-	return picture{"By plan and class", "Wishes answered in time, of all that were asked for, also beyond quotas.", out}, err
+	out, err := renderSVG(p, 24*vg.Centimeter, 7*vg.Centimeter)
+	return chart{"By plan and class", "Wishes answered in time, of all that were asked for, also beyond quotas.", out}, err
 }
 
 // grid is the nodes' load, a row a node, ordered by hall.
-type grid struct {
+type loadGrid struct {
 	rows [][]float64
 	step float64
 }
 
 // Dims, Z, X and Y are for plotter.
-func (g grid) Dims() (c, r int)   { return len(g.rows[0]), len(g.rows) }
-func (g grid) Z(c, r int) float64 { return g.rows[r][c] }
-func (g grid) X(c int) float64    { return float64(c) * g.step }
-func (g grid) Y(r int) float64    { return float64(r) }
+func (g loadGrid) Dims() (c, r int)   { return len(g.rows[0]), len(g.rows) }
+func (g loadGrid) Z(c, r int) float64 { return g.rows[r][c] }
+func (g loadGrid) X(c int) float64    { return float64(c) * g.step }
+func (g loadGrid) Y(r int) float64    { return float64(r) }
 
-const fullest = 12 // requests a core, at the deep end of the colours
+const maxInFlightPerCore = 12 // requests a core, at the deep end of the colours
 
 // heat is how full each node was.
-func heat(variant string, l Line) (picture, error) {
+func backendLoadChart(variant string, l Line) (chart, error) {
 	nodes := slices.Clone(l.Report.Backends)
 	slices.SortStableFunc(nodes, func(a, b lab.BackendTrack) int {
 		return cmp.Or(cmp.Compare(b.Zone, a.Zone), cmp.Compare(b.Backend, a.Backend))
 	})
-	g := grid{step: 0.25}
+	g := loadGrid{step: 0.25}
 	var names []string
 	width := 0
 	for _, n := range nodes {
 		width = max(width, len(n.InFlight))
 	}
 	if len(nodes) < 2 || width < 2 {
-		return picture{}, nil
+		return chart{}, nil
 	}
 	for _, n := range nodes {
 		row := make([]float64, width)
 		for k := range row {
 			row[k] = math.NaN()
 			if k < len(n.InFlight) && n.InFlight[k] >= 0 {
-				row[k] = min(n.InFlight[k], fullest)
+				row[k] = min(n.InFlight[k], maxInFlightPerCore)
 			}
 		}
 		g.rows = append(g.rows, row)
 		names = append(names, n.Zone+" "+n.Backend)
 	}
-	cold := moreland.SmoothBlueRed()
-	cold.SetMin(0)
-	cold.SetMax(fullest)
-	h := plotter.NewHeatMap(g, cold.Palette(32))
-	h.Min, h.Max, h.NaN = 0, fullest, color.Gray{0x60}
-	p := plain("", "seconds", "")
+	colourMap := moreland.SmoothBlueRed()
+	colourMap.SetMin(0)
+	colourMap.SetMax(maxInFlightPerCore)
+	h := plotter.NewHeatMap(g, colourMap.Palette(32))
+	h.Min, h.Max, h.NaN = 0, maxInFlightPerCore, color.Gray{0x60}
+	p := newPlot("", "seconds", "")
 	p.Add(h)
 	ticks := make([]plot.Tick, len(names))
 	for i, n := range names {
 		ticks[i] = plot.Tick{Value: float64(i), Label: n}
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	out, err := svg(p, 24*vg.Centimeter, vg.Length(2.2+0.5*float64(len(names)))*vg.Centimeter)
-	return picture{"Nodes, " + variant, fmt.Sprintf("Requests held for each core, by hall; seed %d. Blue is none, red is %d or more, grey is down.", l.Seed, fullest), out}, err
+	out, err := renderSVG(p, 24*vg.Centimeter, vg.Length(2.2+0.5*float64(len(names)))*vg.Centimeter)
+	return chart{"Nodes, " + variant, fmt.Sprintf("Requests held for each core, by hall; seed %d. Blue is none, red is %d or more, grey is down.", l.Seed, maxInFlightPerCore), out}, err
 }
 
 // differences is the service of each variant against the first, with its interval.
-func (s *Spec) differences(rows []Row) (picture, error) {
-	p := plain("", "service against "+s.Variants[0].Name, "")
+func (s *Spec) differenceChart(rows []Row) (chart, error) {
+	p := newPlot("", "service against "+s.Variants[0].Name, "")
 	var names []string
 	for _, r := range rows {
 		if r.Variant == s.Variants[0].Name || math.IsNaN(r.Diff.Mean) {
@@ -368,23 +368,23 @@
 		}
 		bar, err := plotter.NewLine(plotter.XYs{{X: r.Diff.Mean - half, Y: y}, {X: r.Diff.Mean + half, Y: y}})
 		if err != nil {
-			return picture{}, err
+			return chart{}, err
 		}
-		bar.Color, bar.Width = colour(i), vg.Points(2)
+		bar.Color, bar.Width = variantColour(i), vg.Points(2)
 		dot, err := plotter.NewScatter(plotter.XYs{{X: r.Diff.Mean, Y: y}})
 		if err != nil {
-			return picture{}, err
+			return chart{}, err
 		}
-		dot.Color, dot.Radius, dot.Shape = colour(i), vg.Points(4), draw.CircleGlyph{}
+		dot.Color, dot.Radius, dot.Shape = variantColour(i), vg.Points(4), draw.CircleGlyph{}
 		p.Add(bar, dot)
 		names = append(names, r.Scenario+" "+r.Variant)
 	}
 	if len(names) == 0 {
-		return picture{}, nil
+		return chart{}, nil
 	}
 	zero, err := plotter.NewLine(plotter.XYs{{X: 0, Y: -0.5}, {X: 0, Y: float64(len(names)) - 0.5}})
 	if err != nil {
-		return picture{}, err
+		return chart{}, err
 	}
 	zero.Color, zero.Dashes = color.Gray{0x90}, []vg.Length{3, 3}
 	p.Add(zero)
@@ -394,11 +394,11 @@
 		ticks[i] = plot.Tick{Value: float64(i), Label: n}
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	out, err := svg(p, 24*vg.Centimeter, vg.Length(2.4+0.7*float64(len(names)))*vg.Centimeter)
-	return picture{"Differences", "Seed by seed against " + s.Variants[0].Name + "; the bar is the 95% interval of the mean, by Student's t. A bar over the dashed line says nothing either way.", out}, err
+	out, err := renderSVG(p, 24*vg.Centimeter, vg.Length(2.4+0.7*float64(len(names)))*vg.Centimeter)
+	return chart{"Differences", "Seed by seed against " + s.Variants[0].Name + "; the bar is the 95% interval of the mean, by Student's t. A bar over the dashed line says nothing either way.", out}, err
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"mean": func(v []float64) string { return fmt.Sprintf("%.3f", stat.Mean(v, nil)) },
 	"num":  func(v float64) string { return fmt.Sprintf("%.0f", v) },
 	"mb":   func(v float64) string { return fmt.Sprintf("%.1f", v) },
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -18,7 +18,7 @@
 )
 
 // mostLine bounds a kept result.
-const mostLine = 16 << 20
+const maxLineBytes = 16 << 20
 
 // Config says how an experiment is played.
 type Config struct {
@@ -26,7 +26,7 @@
 	Out     io.Writer // progress
 	Jobs    int       // runs at once, 1 at least: more than the machine has room for make the lab late
 	Build   Builder
-	Play    Runner
+	Run    Runner
 }
 
 // Run plays what the results do not hold yet, and returns all lines that belong to the experiment. A run that is
@@ -35,8 +35,8 @@
 	if cfg.Build == nil {
 		cfg.Build = Build
 	}
-	if cfg.Play == nil {
-		cfg.Play = lab.Run
+	if cfg.Run == nil {
+		cfg.Run = lab.Run
 	}
 	dir, err := os.MkdirTemp("", "lab-experiment-")
 	if err != nil {
@@ -49,11 +49,11 @@
 		if err := cfg.Build(ctx, v, programs[i]); err != nil {
 			return nil, err
 		}
-		if digests[i], err = digest(programs[i]); err != nil {
+		if digests[i], err = programDigest(programs[i]); err != nil {
 			return nil, err
 		}
 	}
-	kept, err := read(cfg.Results)
+	finished, err := readResults(cfg.Results)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer file.Close()
-	if err := endLine(cfg.Results, file); err != nil {
+	if err := terminateLastLine(cfg.Results, file); err != nil {
 		return nil, err
 	}
 	cells := s.Cells()
@@ -74,7 +74,7 @@
 	group.SetLimit(max(1, cfg.Jobs))
 	for i, c := range cells {
 		key := s.key(c, digests)
-		if l, has := kept[key]; has {
+		if l, has := finished[key]; has {
 			out[i] = &l
 			mu.Lock()
 			done++
@@ -86,7 +86,7 @@
 				return ctx.Err()
 			}
 			began := time.Now()
-			l, err := s.play(ctx, cfg, c, programs)
+			l, err := s.runCell(ctx, cfg, c, programs)
 			if err != nil {
 				return err
 			}
@@ -122,7 +122,7 @@
 	return lines, err
 }
 
-func (s *Spec) play(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
+func (s *Spec) runCell(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
 	run := lab.Config{
 		Scenario: c.Scenario, Seed: c.Seed, For: time.Duration(s.Length), Rate: s.Rate, Ingress: programs[c.Variants[0]], Store: s.Variants[c.Variants[0]].Store,
 		Zones: s.Variants[c.Variants[0]].Zones, ZoneLines: s.Variants[c.Variants[0]].Lines,
@@ -134,7 +134,7 @@
 	if len(c.Variants) == 2 {
 		run.Ingresses, run.Mixed = 4, []string{programs[c.Variants[0]], programs[c.Variants[1]]}
 	}
-	r, err := cfg.Play(ctx, run)
+	r, err := cfg.Run(ctx, run)
 	if err != nil {
 		return l, fmt.Errorf("day %s, seed %d, %v: %w", c.Scenario, c.Seed, l.Variants, err)
 	}
@@ -143,7 +143,7 @@
 }
 
 // endLine ends a line that the end of an earlier run has cut off, so that the next one stands alone.
-func endLine(name string, file *os.File) error {
+func terminateLastLine(name string, file *os.File) error {
 	b, err := os.ReadFile(name)
 	if err != nil || len(b) == 0 || b[len(b)-1] == '\n' {
 		return err
@@ -153,7 +153,7 @@
 }
 
 // read returns the kept results by their keys. A last line that was cut off by the end of its run is left aside.
-func read(file string) (map[string]Line, error) {
+func readResults(file string) (map[string]Line, error) {
 	out := map[string]Line{}
 	f, err := os.Open(file)
 	if errors.Is(err, os.ErrNotExist) {
@@ -164,7 +164,7 @@
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineBytes)
 	for n := 1; in.Scan(); n++ {
 		var l Line
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil || l.Report == nil {
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -46,7 +46,7 @@
 	Variants  []Variant         `toml:"variant"`
 }
 
-const mostRuns = 2000
+const maxRuns = 2000
 
 // Load reads an experiment's file; whatever cannot be played is one clear error.
 func Load(file string) (*Spec, error) {
@@ -84,8 +84,8 @@
 		return bad("variant: none is given")
 	case s.Paired && len(s.Variants) != 2:
 		return bad("paired: wants two variants, there are %d", len(s.Variants))
-	case len(s.Cells()) > mostRuns:
-		return bad("%d runs are too many, %d at most", len(s.Cells()), mostRuns)
+	case len(s.Cells()) > maxRuns:
+		return bad("%d runs are too many, %d at most", len(s.Cells()), maxRuns)
 	}
 	for _, d := range s.Scenarios {
 		if _, err := scenario.Load(d); err != nil {
@@ -203,7 +203,7 @@
 }
 
 // digest tells two builds apart, so that a later run does not continue with another program's results.
-func digest(file string) (string, error) {
+func programDigest(file string) (string, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return "", err
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -62,7 +62,7 @@
 	for _, d := range s.Scenarios {
 		for i, v := range s.Variants {
 			r := Row{Scenario: d, Variant: v.Name}
-			mine := map[uint64]float64{}
+			serviceBySeed := map[uint64]float64{}
 			for _, l := range find(d, v.Name) {
 				r.Runs++
 				switch l.Code {
@@ -72,7 +72,7 @@
 					r.Unjudged++
 				}
 				r.Service = append(r.Service, l.Report.Service)
-				mine[l.Seed] = l.Report.Service
+				serviceBySeed[l.Seed] = l.Report.Service
 				r.CPU += l.Report.CPUPerRequestUS
 				peak := 0.0
 				for _, p := range l.Report.Processes {
@@ -86,10 +86,10 @@
 			r.CPU /= float64(r.Runs)
 			r.Peak /= float64(r.Runs)
 			if i == 0 {
-				service[d] = mine
+				service[d] = serviceBySeed
 			} else {
 				var diffs []float64
-				for seed, x := range mine {
+				for seed, x := range serviceBySeed {
 					if base, has := service[d][seed]; has {
 						diffs = append(diffs, x-base)
 					}
@@ -117,8 +117,8 @@
 			if l.Scenario != d || len(l.Variants) != 2 {
 				continue
 			}
-			c0, p0 := side(l, s.Variants[0].Name)
-			c1, p1 := side(l, s.Variants[1].Name)
+			c0, p0 := variantUsage(l, s.Variants[0].Name)
+			c1, p1 := variantUsage(l, s.Variants[1].Name)
 			if c0 > 0 && p0 > 0 {
 				cpu, peak, more = append(cpu, c1/c0), append(peak, p1/p0), append(more, p1-p0)
 			}
@@ -131,14 +131,14 @@
 }
 
 // side sums up the processes of one variant: the first of the line has every second one, from the first on.
-func side(l Line, variant string) (cpuUS, peakMB float64) {
+func variantUsage(l Line, variant string) (cpuUS, peakMB float64) {
 	from := slices.Index(l.Variants, variant)
-	cpu, tries, n := 0.0, 0, 0
+	cpu, attempts, n := 0.0, 0, 0
 	for i := from; i < len(l.Report.Processes); i += 2 {
 		p := l.Report.Processes[i]
-		cpu, tries, peakMB, n = cpu+p.CPUS, tries+p.Attempts, peakMB+p.PeakMB, n+1
+		cpu, attempts, peakMB, n = cpu+p.CPUS, attempts+p.Attempts, peakMB+p.PeakMB, n+1
 	}
-	return cpu * 1e6 / float64(max(1, tries)), peakMB / float64(max(1, n))
+	return cpu * 1e6 / float64(max(1, attempts)), peakMB / float64(max(1, n))
 }
 
 // Text is the comparison for people.
--- a/internal/lab/experiment/halls.go
+++ b/internal/lab/experiment/zones.go
@@ -55,20 +55,20 @@
 				}
 				return fmt.Sprintf(format, stat.Mean(cols[i], nil))
 			}
-			most := func(i int, format string) string {
+			maximum := func(i int, format string) string {
 				if len(cols[i]) == 0 {
 					return "-"
 				}
 				return fmt.Sprintf(format, slices.Max(cols[i]))
 			}
-			least := func(i int, format string) string {
+			minimum := func(i int, format string) string {
 				if len(cols[i]) == 0 {
 					return "-"
 				}
 				return fmt.Sprintf(format, slices.Min(cols[i]))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", d, v.Name, runs, broken, mean(9, "%.3f"), mean(0, "%.3f"), least(0, "%.3f"), mean(1, "%.3f"), least(1, "%.3f"),
-				mean(2, "%.1f"), most(2, "%.1f"), mean(3, "%.2f"), most(3, "%.2f"), most(4, "%.1f"), most(5, "%.2f"), mean(6, "%.2f"), mean(7, "%.2f"), most(7, "%.2f"), mean(8, "%.3f"))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", d, v.Name, runs, broken, mean(9, "%.3f"), mean(0, "%.3f"), minimum(0, "%.3f"), mean(1, "%.3f"), minimum(1, "%.3f"),
+				mean(2, "%.1f"), maximum(2, "%.1f"), mean(3, "%.2f"), maximum(3, "%.2f"), maximum(4, "%.1f"), maximum(5, "%.2f"), mean(6, "%.2f"), mean(7, "%.2f"), maximum(7, "%.2f"), mean(8, "%.3f"))
 		}
 	}
 	w.Flush()
@@ -76,8 +76,8 @@
 }
 
 // hallLoad is what each hall was sent over time, beside what it could do, for one run.
-func hallLoad(variant string, l Line) (picture, error) {
-	p := plain("", "seconds", "commands a second")
+func zoneLoadChart(variant string, l Line) (chart, error) {
+	p := newPlot("", "seconds", "commands a second")
 	p.Y.Min = 0
 	top := 0.0
 	for i, h := range l.Report.Zones {
@@ -101,29 +101,29 @@
 		}
 		line, err := plotter.NewLine(sent)
 		if err != nil {
-			return picture{}, err
+			return chart{}, err
 		}
-		line.Color, line.Width = colour(i), vg.Points(1.6)
+		line.Color, line.Width = variantColour(i), vg.Points(1.6)
 		p.Add(line)
 		p.Legend.Add(h.Zone, line)
 		if len(able) > 0 {
 			dashed, err := plotter.NewLine(able)
 			if err != nil {
-				return picture{}, err
+				return chart{}, err
 			}
-			dashed.Color, dashed.Width, dashed.Dashes = colour(i), vg.Points(0.9), []vg.Length{4, 3}
+			dashed.Color, dashed.Width, dashed.Dashes = variantColour(i), vg.Points(0.9), []vg.Length{4, 3}
 			p.Add(dashed)
 		}
 	}
 	if top == 0 {
-		return picture{}, nil
+		return chart{}, nil
 	}
 	p.Y.Max = top * 1.2
-	if err := mark(p, l.Report.Marks); err != nil {
-		return picture{}, err
+	if err := addMarks(p, l.Report.Marks); err != nil {
+		return chart{}, err
 	}
-	out, err := svg(p, 24*vg.Centimeter, 7*vg.Centimeter)
-	return picture{
+	out, err := renderSVG(p, 24*vg.Centimeter, 7*vg.Centimeter)
+	return chart{
 		"Load of each hall, " + variant + ", seed " + fmt.Sprint(l.Seed),
 		"Commands that came to a hall's nodes. Dashed: what the hall could do, drawn to the scale of what it was sent over the whole run. Grey: what the timeline did.", out,
 	}, err
