--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -62,7 +62,8 @@
 	if len(cells) != 3*2*3 {
 		t.Fatal(len(cells))
 	}
-	if cells[0].Variants[0] != 0 || cells[6].Variants[0] != 1 || cells[6].Seed != 2 || len(cells[8].Variants) != 2 || cells[8].Variants[0] != 1 {
+	if cells[0].Variants[0] != 0 || cells[6].Variants[0] != 1 || cells[6].Seed != 2 || len(cells[8].Variants) != 2 ||
+		cells[8].Variants[0] != 1 {
 		t.Fatal(cells[:9])
 	}
 }
@@ -78,11 +79,23 @@
 			return nil, err
 		}
 		r := &lab.Report{
-			Scenario: cfg.Scenario, Seed: cfg.Seed, Service: 0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed), CPUPerRequestUS: 100,
-			Processes: []lab.Process{{Attempts: 100, CPUS: 0.01, PeakMB: 10}, {Attempts: 100, CPUS: 0.02, PeakMB: 12}},
-			Rows:      []lab.Row{{Class: "guide-read", Plan: "by", Requests: 10, InTime: 9}}, Marks: []lab.Mark{{AtS: 1, What: "node/1:drain"}},
+			Scenario:        cfg.Scenario,
+			Seed:            cfg.Seed,
+			Service:         0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed),
+			CPUPerRequestUS: 100,
+			Processes: []lab.Process{
+				{Attempts: 100, CPUS: 0.01, PeakMB: 10},
+				{Attempts: 100, CPUS: 0.02, PeakMB: 12},
+			},
+			Rows: []lab.Row{
+				{Class: "guide-read", Plan: "by", Requests: 10, InTime: 9},
+			},
+			Marks:    []lab.Mark{{AtS: 1, What: "node/1:drain"}},
 			Timeline: []lab.Second{{Requests: 10, InTime: 9, P99MS: 100}, {Requests: 10, InTime: 8, P99MS: 200}},
-			Backends: []lab.BackendTrack{{Backend: "node-00", Zone: "hall-a", InFlight: []float64{1, 2, -1}}, {Backend: "node-01", Zone: "hall-b", InFlight: []float64{1, 20, 3}}},
+			Backends: []lab.BackendTrack{
+				{Backend: "node-00", Zone: "hall-a", InFlight: []float64{1, 2, -1}},
+				{Backend: "node-01", Zone: "hall-b", InFlight: []float64{1, 20, 3}},
+			},
 		}
 		return r, nil
 	}
@@ -92,8 +105,8 @@
 	return os.WriteFile(to, []byte(v.Name), 0o600)
 }
 
-// What was played before an interruption is not played again, a half-written line is; another program's results count for
-// nothing.
+// What was played before an interruption is not played again, a half-written line is; another program's results
+// count for nothing.
 func TestContinues(t *testing.T) {
 	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
@@ -128,20 +141,25 @@
 	}
 }
 
-// A build that is worse shows as worse, with an interval that leaves nought out; the page holds its pictures and nothing
-// from elsewhere.
+// A build that is worse shows as worse, with an interval that leaves nought out; the page holds its pictures
+// and nothing from elsewhere.
 func TestComparesAndDraws(t *testing.T) {
 	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls := 0
-	lines, err := s.Run(t.Context(), Config{Results: filepath.Join(t.TempDir(), "r.jsonl"), Build: fakeBuild, Run: fakeRunner(&calls, 0)})
+	lines, err := s.Run(
+		t.Context(),
+		Config{Results: filepath.Join(t.TempDir(), "r.jsonl"), Build: fakeBuild, Run: fakeRunner(&calls, 0)},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows := s.Rows(lines)
-	if len(rows) != 4 || rows[1].Variant != "worse" || math.Abs(rows[1].Diff.Mean+0.1) > 1e-9 || rows[1].Diff.Half > 1e-6 || rows[1].Runs != 3 {
+	if len(rows) != 4 || rows[1].Variant != "worse" || math.Abs(rows[1].Diff.Mean+0.1) > 1e-9 ||
+		rows[1].Diff.Half > 1e-6 ||
+		rows[1].Runs != 3 {
 		t.Fatalf("%+v", rows)
 	}
 	// The first of a pair has the cheap process: by turns this and that, so the ratio is 2 or 1/2.
@@ -159,7 +177,14 @@
 		}
 	}
 	for _, never := range []string{"http://", "https://", "<script", "#000000"} {
-		if strings.Contains(strings.ReplaceAll(strings.ReplaceAll(text, "http://www.w3.org/2000/svg", ""), "http://www.w3.org/1999/xlink", ""), never) {
+		if strings.Contains(
+			strings.ReplaceAll(
+				strings.ReplaceAll(text, "http://www.w3.org/2000/svg", ""),
+				"http://www.w3.org/1999/xlink",
+				"",
+			),
+			never,
+		) {
 			t.Errorf("the page has %q", never)
 		}
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -26,7 +26,7 @@
 	Out     io.Writer // progress
 	Jobs    int       // runs at once, 1 at least: more than the machine has room for make the lab late
 	Build   Builder
-	Run    Runner
+	Run     Runner
 }
 
 // Run plays what the results do not hold yet, and returns all lines that belong to the experiment. A run that is
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -1,6 +1,6 @@
-// Package experiment crosses builds and settings with days and seeds, plays them in turn with places swapped, and keeps the
-// results as JSON lines that a later run continues. In: a TOML file. Out: lines, differences with intervals (stats.go) and a
-// page (page.go). How a run is played is the lab's matter.
+// Package experiment crosses builds and settings with days and seeds, plays them in turn with places swapped,
+// and keeps the results as JSON lines that a later run continues. In: a TOML file. Out: lines, differences with
+// intervals (stats.go) and a page (page.go). How a run is played is the lab's matter.
 package experiment
 
 import (
--- a/internal/lab/experiment/zones.go
+++ b/internal/lab/experiment/zone_table.go
@@ -7,11 +7,10 @@
 	"text/tabwriter"
 
 	"gonum.org/v1/gonum/stat"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/vg"
 )
 
-// HallText is the figures of lost halls, a line for each day and variant: means over seeds, and the worst.
+// ZoneText returns a table of the zone metrics, with a line for each scenario and variant: means over seeds,
+// and the worst.
 func (s *Spec) ZoneText(lines []Line) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -74,57 +73,3 @@
 	w.Flush()
 	return b.String()
 }
-
-// hallLoad is what each hall was sent over time, beside what it could do, for one run.
-func zoneLoadChart(variant string, l Line) (chart, error) {
-	p := newPlot("", "seconds", "commands a second")
-	p.Y.Min = 0
-	top := 0.0
-	for i, h := range l.Report.Zones {
-		var sent, able plotter.XYs
-		scale := 0.0 // commands for a second of work: what the run came to as a whole
-		work := 0.0
-		for k := range h.Sends {
-			scale += h.Sends[k]
-			work += h.Capacity[k]
-		}
-		for k := range h.Sends {
-			x := (float64(k) + 0.5) * 0.5
-			sent = append(sent, plotter.XY{X: x, Y: h.Sends[k]})
-			if work > 0 {
-				able = append(able, plotter.XY{X: x, Y: h.Capacity[k] * scale / work})
-			}
-			top = max(top, h.Sends[k])
-		}
-		if len(sent) == 0 {
-			continue
-		}
-		line, err := plotter.NewLine(sent)
-		if err != nil {
-			return chart{}, err
-		}
-		line.Color, line.Width = variantColour(i), vg.Points(1.6)
-		p.Add(line)
-		p.Legend.Add(h.Zone, line)
-		if len(able) > 0 {
-			dashed, err := plotter.NewLine(able)
-			if err != nil {
-				return chart{}, err
-			}
-			dashed.Color, dashed.Width, dashed.Dashes = variantColour(i), vg.Points(0.9), []vg.Length{4, 3}
-			p.Add(dashed)
-		}
-	}
-	if top == 0 {
-		return chart{}, nil
-	}
-	p.Y.Max = top * 1.2
-	if err := addMarks(p, l.Report.Marks); err != nil {
-		return chart{}, err
-	}
-	out, err := renderSVG(p, 24*vg.Centimeter, 7*vg.Centimeter)
-	return chart{
-		"Load of each hall, " + variant + ", seed " + fmt.Sprint(l.Seed),
-		"Commands that came to a hall's nodes. Dashed: what the hall could do, drawn to the scale of what it was sent over the whole run. Grey: what the timeline did.", out,
-	}, err
-}
