--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -16,7 +16,7 @@
 	"hitchspring/internal/lab"
 )
 
-// variantColours tell the variants apart on light and on dark backgrounds.
+// variantColours distinguish the variants in the light and in the dark colour scheme.
 var variantColours = []color.Color{
 	color.RGBA{0x2f, 0x7d, 0xd1, 0xff},
 	color.RGBA{0xe0, 0x6c, 0x2f, 0xff},
--- a/internal/lab/experiment/difference_chart.go
+++ b/internal/lab/experiment/difference_chart.go
@@ -54,6 +54,7 @@
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	out, err := renderSVG(p, vg.Length(2.4+0.7*float64(len(names)))*vg.Centimeter)
-	return chart{"Differences", "Seed by seed against " + s.Variants[0].Name + "; the bar is the 95% interval of the mean, " +
+	return chart{"Differences", "Seed by seed against " + s.Variants[0].Name +
+		"; the bar is the 95% interval of the mean, " +
 		"by Student's t. A bar over the dashed line says nothing either way.", out}, err
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// fake plays at once, with figures by the program and the seed.
+// fake plays at once, with results that follow from the program and the seed.
 func fakeRunner(calls *int, stop int) Runner {
 	return func(ctx context.Context, cfg lab.Config) (*lab.Report, error) {
 		if *calls++; *calls == stop {
@@ -171,7 +171,10 @@
 		t.Fatal(err)
 	}
 	text := b.String()
-	for _, want := range []string{"Answered in time", "99th percentile", "By plan and class", "Nodes, base", "Differences", "<svg ", "node/1:drain", "prefers-color-scheme"} {
+	for _, want := range []string{
+		"Answered in time", "99th percentile", "By plan and class", "Nodes, base", "Differences",
+		"<svg ", "node/1:drain", "prefers-color-scheme",
+	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the page lacks %q", want)
 		}
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -10,7 +10,7 @@
 	"hitchspring/internal/lab/trial"
 )
 
-// The lab's results are kept as files, and read by programs of other versions.
+// The lab's results are stored in files, which programs of other versions read.
 func TestGoldenResults(t *testing.T) {
 	for name, v := range map[string]any{
 		"line": &Line{}, "cost": &cost.Report{}, "mutation": &mutation.Result{}, "trial": &trial.Result{},
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,14 +17,14 @@
 	"hitchspring/internal/lab"
 )
 
-// mostLine bounds a kept result.
+// maxLineBytes bounds a stored result.
 const maxLineBytes = 16 << 20
 
 // Config says how an experiment is played.
 type Config struct {
 	Results string    // the file of JSON lines; what it holds already is not played again
 	Out     io.Writer // progress
-	Jobs    int       // runs at once, 1 at least: more than the machine has room for make the lab late
+	Jobs    int       // runs at once, 1 at least: too many for the machine make the lab late
 	Build   Builder
 	Run     Runner
 }
@@ -43,42 +43,29 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	programs, digests := make([]string, len(s.Variants)), make([]string, len(s.Variants))
-	for i, v := range s.Variants {
-		programs[i] = filepath.Join(dir, fmt.Sprint("variant-", i))
-		if err := cfg.Build(ctx, v, programs[i]); err != nil {
-			return nil, err
-		}
-		if digests[i], err = programDigest(programs[i]); err != nil {
-			return nil, err
-		}
+	programs, digests, err := s.buildVariants(ctx, cfg.Build, dir)
+	if err != nil {
+		return nil, err
 	}
 	finished, err := readResults(cfg.Results)
 	if err != nil {
 		return nil, err
 	}
-	file, err := os.OpenFile(cfg.Results, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	file, err := openResults(cfg.Results)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	if err := terminateLastLine(cfg.Results, file); err != nil {
-		return nil, err
-	}
 	cells := s.Cells()
 	out := make([]*Line, len(cells))
-	var mu sync.Mutex // of the file, the progress and what was spent
-	var spent time.Duration
-	played, done := 0, 0
+	progress := &recorder{file: file, out: cfg.Out, cells: len(cells), jobs: max(1, cfg.Jobs)}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, cfg.Jobs))
 	for i, c := range cells {
 		key := s.key(c, digests)
-		if l, has := finished[key]; has {
-			out[i] = &l
-			mu.Lock()
-			done++
-			mu.Unlock()
+		if line, found := finished[key]; found {
+			out[i] = &line
+			progress.skip()
 			continue
 		}
 		group.Go(func() error {
@@ -86,46 +73,103 @@
 				return ctx.Err()
 			}
 			began := time.Now()
-			l, err := s.runCell(ctx, cfg, c, programs)
+			line, err := s.runCell(ctx, cfg, c, programs)
 			if err != nil {
 				return err
 			}
-			l.Key = key
-			b, err := json.Marshal(l)
-			if err != nil {
+			line.Key = key
+			if err := progress.record(line, began); err != nil {
 				return err
 			}
-			mu.Lock()
-			defer mu.Unlock()
-			if _, err := file.Write(append(b, '\n')); err != nil {
-				return fmt.Errorf("keeping a result: %w", err)
-			}
-			out[i] = &l
-			played++
-			done++
-			spent += time.Since(began)
-			if cfg.Out != nil {
-				left := time.Duration(len(cells)-done) * spent / time.Duration(played*max(1, cfg.Jobs))
-				fmt.Fprintf(cfg.Out, "%3d of %d  %-16s seed %3d  %-24v service %.3f  CPU %4.0f us  code %d  (some %v to go)\n", done, len(cells), c.Scenario, c.Seed, l.Variants, l.Report.Service,
-					l.Report.CPUPerRequestUS, l.Code, left.Round(time.Second))
-			}
+			out[i] = &line
 			return nil
 		})
 	}
 	err = group.Wait()
-	var lines []Line
-	for _, l := range out {
-		if l != nil {
-			lines = append(lines, *l)
+	return present(out), err
+}
+
+// present returns the lines of the runs that have a result.
+func present(lines []*Line) (out []Line) {
+	for _, line := range lines {
+		if line != nil {
+			out = append(out, *line)
+		}
+	}
+	return out
+}
+
+// buildVariants builds the program of each variant in dir, and returns their paths and digests.
+func (s *Spec) buildVariants(ctx context.Context, build Builder, dir string) (programs, digests []string, err error) {
+	for i, v := range s.Variants {
+		program := filepath.Join(dir, fmt.Sprint("variant-", i))
+		if err := build(ctx, v, program); err != nil {
+			return nil, nil, err
 		}
+		sum, err := programDigest(program)
+		if err != nil {
+			return nil, nil, err
+		}
+		programs, digests = append(programs, program), append(digests, sum)
 	}
-	return lines, err
+	return programs, digests, nil
 }
 
+// recorder stores results and prints the progress of an experiment.
+type recorder struct {
+	cells, jobs int
+	out         io.Writer // for the progress; nil: none is printed
+
+	mu    sync.Mutex // guards the fields below and writes to out
+	file  *os.File
+	ran   int           // runs of this session
+	done  int           // ran, and those found in the results
+	spent time.Duration // sum of the times of the runs of this session
+}
+
+// skip counts a run that the results hold already.
+func (r *recorder) skip() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.done++
+}
+
+// record stores the result of a run that began at that time.
+func (r *recorder) record(line Line, began time.Time) error {
+	text, err := json.Marshal(line)
+	if err != nil {
+		return err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, err := r.file.Write(append(text, '\n')); err != nil {
+		return fmt.Errorf("keeping a result: %w", err)
+	}
+	r.ran++
+	r.done++
+	r.spent += time.Since(began)
+	if r.out == nil {
+		return nil
+	}
+	left := time.Duration(r.cells-r.done) * r.spent / time.Duration(r.ran*r.jobs)
+	fmt.Fprintf(r.out, "%3d of %d  %-16s seed %3d  %-24v service %.3f  CPU %4.0f us  code %d  (some %v to go)\n",
+		r.done, r.cells, line.Scenario, line.Seed, line.Variants, line.Report.Service,
+		line.Report.CPUPerRequestUS, line.Code, left.Round(time.Second))
+	return nil
+}
+
+// runCell runs one cell.
 func (s *Spec) runCell(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
+	first := s.Variants[c.Variants[0]]
 	run := lab.Config{
-		Scenario: c.Scenario, Seed: c.Seed, For: time.Duration(s.Length), Rate: s.Rate, Ingress: programs[c.Variants[0]], Store: s.Variants[c.Variants[0]].Store,
-		Zones: s.Variants[c.Variants[0]].Zones, ZoneLines: s.Variants[c.Variants[0]].Lines,
+		Scenario:  c.Scenario,
+		Seed:      c.Seed,
+		For:       time.Duration(s.Length),
+		Rate:      s.Rate,
+		Ingress:   programs[c.Variants[0]],
+		Store:     first.Store,
+		Zones:     first.Zones,
+		ZoneLines: first.Lines,
 	}
 	l := Line{Scenario: c.Scenario, Seed: c.Seed}
 	for _, v := range c.Variants {
@@ -142,7 +186,20 @@
 	return l, nil
 }
 
-// endLine ends a line that the end of an earlier run has cut off, so that the next one stands alone.
+// openResults opens the file of results for appending.
+func openResults(name string) (*os.File, error) {
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	if err != nil {
+		return nil, err
+	}
+	if err := terminateLastLine(name, file); err != nil {
+		return nil, errors.Join(err, file.Close())
+	}
+	return file, nil
+}
+
+// terminateLastLine ends a line that an interrupted run has left incomplete, so that the next result begins a
+// new one.
 func terminateLastLine(name string, file *os.File) error {
 	b, err := os.ReadFile(name)
 	if err != nil || len(b) == 0 || b[len(b)-1] == '\n' {
@@ -152,7 +209,8 @@
 	return err
 }
 
-// read returns the kept results by their keys. A last line that was cut off by the end of its run is left aside.
+// readResults returns the stored results by their keys. It skips a line that an interrupted run has left
+// incomplete.
 func readResults(file string) (map[string]Line, error) {
 	out := map[string]Line{}
 	f, err := os.Open(file)
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -1,6 +1,7 @@
-// Package experiment crosses builds and settings with days and seeds, plays them in turn with places swapped,
-// and keeps the results as JSON lines that a later run continues. In: a TOML file. Out: lines, differences with
-// intervals (stats.go) and a page (page.go). How a run is played is the lab's matter.
+// Package experiment runs several builds and settings of the ingress on the same scenarios and seeds, and
+// compares them. A TOML file describes the experiment. The runs of one seed follow one another, in an order
+// that changes with the seed. Results are stored as JSON lines, from which an interrupted experiment continues.
+// They are summarized as a text with confidence intervals and as an HTML page. Package lab makes each run.
 package experiment
 
 import (
@@ -29,7 +30,7 @@
 	Program string `toml:"program"`
 	Defect  string `toml:"defect"` // of lab prove: a build that is known to be worse
 	Store   string `toml:"store"`  // instead of the day's
-	Zones   bool   `toml:"halls"`  // [halls] is on
+	Zones   bool   `toml:"halls"`  // the zones section of the configuration is on
 	Lines   string `toml:"lines"`  // of that section, beside the usual
 }
 
@@ -42,7 +43,7 @@
 	First     uint64            `toml:"first"`
 	Length    scenario.Duration `toml:"length"` // 0: the day's
 	Rate      float64           `toml:"rate"`
-	Paired    bool              `toml:"paired"` // two variants also share each world, two ingresses each: for their CPU and memory
+	Paired    bool              `toml:"paired"` // two variants also share each testbed, two ingresses each
 	Variants  []Variant         `toml:"variant"`
 }
 
@@ -137,7 +138,7 @@
 	return out
 }
 
-// Line is one run's result, as it is kept.
+// Line is one run's result, as it is stored.
 type Line struct {
 	Key      string      `json:"Key"`
 	Scenario string      `json:"Day"`
@@ -147,11 +148,11 @@
 	Report   *lab.Report `json:"Report"`
 }
 
-// Builder turns a variant into a program; Runner plays a cell. Tests put their own in place.
-type (
-	Builder func(ctx context.Context, v Variant, to string) error
-	Runner  func(ctx context.Context, cfg lab.Config) (*lab.Report, error)
-)
+// Builder writes the program of a variant to a file.
+type Builder func(ctx context.Context, v Variant, to string) error
+
+// Runner runs one cell and returns its report.
+type Runner func(ctx context.Context, cfg lab.Config) (*lab.Report, error)
 
 // Build is the usual builder.
 func Build(ctx context.Context, v Variant, to string) (err error) {
@@ -186,7 +187,8 @@
 			return fmt.Errorf("variant %s: %w", v.Name, err)
 		}
 		defer func() {
-			err = errors.Join(err, command(context.WithoutCancel(ctx), "", "git", "worktree", "remove", "--force", tree))
+			cleanup := context.WithoutCancel(ctx)
+			err = errors.Join(err, command(cleanup, "", "git", "worktree", "remove", "--force", tree))
 		}()
 		return command(ctx, tree, "go", "build", "-o", to, "./cmd/hitchspring")
 	}
@@ -202,7 +204,7 @@
 	return nil
 }
 
-// digest tells two builds apart, so that a later run does not continue with another program's results.
+// programDigest identifies a build, so that a later run does not continue with another program's results.
 func programDigest(file string) (string, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -215,8 +217,13 @@
 // key names a run by all that it depends on.
 func (s *Spec) key(c Cell, digests []string) string {
 	parts := []string{c.Scenario, fmt.Sprint(c.Seed), time.Duration(s.Length).String(), fmt.Sprint(s.Rate)}
-	for _, v := range c.Variants {
-		parts = append(parts, s.Variants[v].Name+"@"+digests[v]+s.Variants[v].Store+map[bool]string{true: "+halls"}[s.Variants[v].Zones]+s.Variants[v].Lines)
+	for _, i := range c.Variants {
+		v := s.Variants[i]
+		zones := ""
+		if v.Zones {
+			zones = "+halls"
+		}
+		parts = append(parts, v.Name+"@"+digests[i]+v.Store+zones+v.Lines)
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -8,6 +8,8 @@
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
+
+	"hitchspring/internal/lab"
 )
 
 // Estimate is a mean with its 95% interval by Student's t; Half is infinite where there are fewer than two.
@@ -46,57 +48,75 @@
 	Diff              Estimate  // of service, against the first variant on the same seeds
 }
 
-// Rows compares the variants on each day, seed by seed.
+// Rows compares the variants on each scenario, seed by seed.
 func (s *Spec) Rows(lines []Line) (out []Row) {
-	service := map[string]map[uint64]float64{}
-	find := func(day, variant string) []Line {
-		var list []Line
-		for _, l := range lines {
-			if l.Scenario == day && len(l.Variants) == 1 && l.Variants[0] == variant {
-				list = append(list, l)
-			}
-		}
-		slices.SortFunc(list, func(a, b Line) int { return int(a.Seed) - int(b.Seed) })
-		return list
-	}
-	for _, d := range s.Scenarios {
+	for _, scenario := range s.Scenarios {
+		var baseline map[uint64]float64 // service of the first variant by seed
 		for i, v := range s.Variants {
-			r := Row{Scenario: d, Variant: v.Name}
-			serviceBySeed := map[uint64]float64{}
-			for _, l := range find(d, v.Name) {
-				r.Runs++
-				switch l.Code {
-				case 1:
-					r.Broken++
-				case 2:
-					r.Unjudged++
-				}
-				r.Service = append(r.Service, l.Report.Service)
-				serviceBySeed[l.Seed] = l.Report.Service
-				r.CPU += l.Report.CPUPerRequestUS
-				peak := 0.0
-				for _, p := range l.Report.Processes {
-					peak = max(peak, p.PeakMB)
-				}
-				r.Peak += peak
+			list := linesOf(lines, scenario, v.Name)
+			if i == 0 {
+				baseline = serviceBySeed(list)
 			}
-			if r.Runs == 0 {
+			if len(list) == 0 {
 				continue
 			}
-			r.CPU /= float64(r.Runs)
-			r.Peak /= float64(r.Runs)
-			if i == 0 {
-				service[d] = serviceBySeed
-			} else {
-				var diffs []float64
-				for seed, x := range serviceBySeed {
-					if base, has := service[d][seed]; has {
-						diffs = append(diffs, x-base)
-					}
-				}
-				r.Diff = estimate(diffs)
+			row := newRow(scenario, v.Name, list)
+			if i > 0 {
+				row.Diff = estimate(differences(serviceBySeed(list), baseline))
 			}
-			out = append(out, r)
+			out = append(out, row)
+		}
+	}
+	return out
+}
+
+// linesOf returns the unpaired runs of a variant on a scenario, ordered by seed.
+func linesOf(lines []Line, scenario, variant string) (out []Line) {
+	for _, l := range lines {
+		if l.Scenario == scenario && len(l.Variants) == 1 && l.Variants[0] == variant {
+			out = append(out, l)
+		}
+	}
+	slices.SortFunc(out, func(a, b Line) int { return int(a.Seed) - int(b.Seed) })
+	return out
+}
+
+// newRow summarizes the runs of one variant on one scenario, of which there must be one at least.
+func newRow(scenario, variant string, list []Line) Row {
+	row := Row{Scenario: scenario, Variant: variant, Runs: len(list)}
+	for _, l := range list {
+		switch l.Code {
+		case lab.Broken:
+			row.Broken++
+		case lab.Unjudged:
+			row.Unjudged++
+		}
+		row.Service = append(row.Service, l.Report.Service)
+		row.CPU += l.Report.CPUPerRequestUS
+		peak := 0.0
+		for _, process := range l.Report.Processes {
+			peak = max(peak, process.PeakMB)
+		}
+		row.Peak += peak
+	}
+	row.CPU /= float64(row.Runs)
+	row.Peak /= float64(row.Runs)
+	return row
+}
+
+func serviceBySeed(list []Line) map[uint64]float64 {
+	out := map[uint64]float64{}
+	for _, l := range list {
+		out[l.Seed] = l.Report.Service
+	}
+	return out
+}
+
+// differences returns values minus baseline for the seeds that both have.
+func differences(values, baseline map[uint64]float64) (out []float64) {
+	for seed, value := range values {
+		if base, found := baseline[seed]; found {
+			out = append(out, value-base)
 		}
 	}
 	return out
@@ -130,7 +150,7 @@
 	return out
 }
 
-// side sums up the processes of one variant: the first of the line has every second one, from the first on.
+// variantUsage sums the processes of one variant in a shared run, where the variants' processes alternate.
 func variantUsage(l Line, variant string) (cpuUS, peakMB float64) {
 	from := slices.Index(l.Variants, variant)
 	cpu, attempts, n := 0.0, 0, 0
@@ -144,16 +164,21 @@
 // Text is the comparison for people.
 func (s *Spec) Text(lines []Line) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "\n%-12s %-16s %5s %7s %10s %8s %9s %7s  %s\n", "day", "variant", "runs", "broken", "no verdict", "service", "CPU us", "MB", "service against "+s.Variants[0].Name+", 95% interval")
+	fmt.Fprintf(&b, "\n%-12s %-16s %5s %7s %10s %8s %9s %7s  %s\n",
+		"day", "variant", "runs", "broken", "no verdict", "service", "CPU us", "MB",
+		"service against "+s.Variants[0].Name+", 95% interval")
 	for _, r := range s.Rows(lines) {
 		diff := ""
 		if r.Variant != s.Variants[0].Name {
 			diff = r.Diff.String()
 		}
-		fmt.Fprintf(&b, "%-12s %-16s %5d %7d %10d %8.3f %9.0f %7.1f  %s\n", r.Scenario, r.Variant, r.Runs, r.Broken, r.Unjudged, stat.Mean(r.Service, nil), r.CPU, r.Peak, diff)
+		fmt.Fprintf(&b, "%-12s %-16s %5d %7d %10d %8.3f %9.0f %7.1f  %s\n",
+			r.Scenario, r.Variant, r.Runs, r.Broken, r.Unjudged, stat.Mean(r.Service, nil), r.CPU, r.Peak, diff)
 	}
 	for _, p := range s.Pairs(lines) {
-		fmt.Fprintf(&b, "%-12s %s against %s in one world: CPU a try %.3f ± %.3f of it, memory %+.1f ± %.1f MB, %d runs\n", p.Scenario, s.Variants[1].Name, s.Variants[0].Name,
+		fmt.Fprintf(&b, "%-12s %s against %s in one world: CPU a try %.3f ± %.3f of it, "+
+			"memory %+.1f ± %.1f MB, %d runs\n",
+			p.Scenario, s.Variants[1].Name, s.Variants[0].Name,
 			p.CPU.Mean, p.CPU.Half, p.More.Mean, p.More.Half, p.CPU.N)
 	}
 	return b.String()
--- a/internal/lab/experiment/zone_table.go
+++ b/internal/lab/experiment/zone_table.go
@@ -7,67 +7,111 @@
 	"text/tabwriter"
 
 	"gonum.org/v1/gonum/stat"
+
+	"hitchspring/internal/lab"
 )
 
+// unrecoveredS stands in the table for a run whose service never recovered, in seconds.
+const unrecoveredS = 99
+
+// zoneMetrics are the values of one variant on one scenario, a value for each run that has one.
+type zoneMetrics struct {
+	runs, broken int
+
+	serviceBefore, serviceDuring, serviceAfter []float64 // around the loss of a zone
+	recovery                                   []float64 // seconds until the service was near its best again
+	lastSent                                   []float64 // seconds until the last command to the lost zone
+	longestQueue                               []float64 // seconds
+	slowStartPush                              []float64
+	crossZone                                  []float64
+	swing                                      []float64
+	service                                    []float64
+}
+
+// zoneMetricsOf collects the metrics of all runs of a variant on a scenario.
+func zoneMetricsOf(lines []Line, scenario, variant string) (m zoneMetrics) {
+	for _, l := range lines {
+		if l.Scenario != scenario || l.Variants[0] != variant {
+			continue
+		}
+		m.runs++
+		m.broken += len(l.Report.Violations) + len(l.Report.Crashed)
+		m.addLoss(l.Report.Loss)
+		m.slowStartPush = append(m.slowStartPush, l.Report.Margins.SlowStartPush)
+		m.crossZone = append(m.crossZone, l.Report.Score.CrossShare)
+		m.swing = append(m.swing, l.Report.Swing)
+		m.service = append(m.service, l.Report.Service)
+	}
+	return m
+}
+
+// addLoss adds the metrics of a lost zone; nil: the run lost none.
+func (m *zoneMetrics) addLoss(loss *lab.Loss) {
+	if loss == nil {
+		return
+	}
+	m.serviceBefore = append(m.serviceBefore, loss.Before)
+	m.serviceDuring = append(m.serviceDuring, loss.During)
+	m.serviceAfter = append(m.serviceAfter, loss.After)
+	recovery := float64(unrecoveredS)
+	if loss.RecoverS >= 0 {
+		recovery = loss.RecoverS
+	}
+	m.recovery = append(m.recovery, recovery)
+	if loss.LastSentS >= 0 {
+		m.lastSent = append(m.lastSent, loss.LastSentS)
+	}
+	m.longestQueue = append(m.longestQueue, loss.LongestS)
+}
+
+// cells returns the table's cells after the names of scenario and variant.
+func (m *zoneMetrics) cells() []string {
+	return []string{
+		fmt.Sprint(m.runs),
+		fmt.Sprint(m.broken),
+		cell("%.3f", m.serviceBefore, meanOf),
+		cell("%.3f", m.serviceDuring, meanOf),
+		cell("%.3f", m.serviceDuring, slices.Min),
+		cell("%.3f", m.serviceAfter, meanOf),
+		cell("%.3f", m.serviceAfter, slices.Min),
+		cell("%.1f", m.recovery, meanOf),
+		cell("%.1f", m.recovery, slices.Max),
+		cell("%.2f", m.lastSent, meanOf),
+		cell("%.2f", m.lastSent, slices.Max),
+		cell("%.1f", m.longestQueue, slices.Max),
+		cell("%.2f", m.slowStartPush, slices.Max),
+		cell("%.2f", m.crossZone, meanOf),
+		cell("%.2f", m.swing, meanOf),
+		cell("%.2f", m.swing, slices.Max),
+		cell("%.3f", m.service, meanOf),
+	}
+}
+
+func meanOf(values []float64) float64 { return stat.Mean(values, nil) }
+
+// cell formats a summary of values, or a dash if there are none.
+func cell(format string, values []float64, summarize func([]float64) float64) string {
+	if len(values) == 0 {
+		return "-"
+	}
+	return fmt.Sprintf(format, summarize(values))
+}
+
 // ZoneText returns a table of the zone metrics, with a line for each scenario and variant: means over seeds,
 // and the worst.
 func (s *Spec) ZoneText(lines []Line) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "day\t[halls]\truns\tbroken\tbefore\tduring\tworst\tafter\tworst\tnear best s\tworst\tlast sent s\tworst\tqueue s\tcold push\tcross\tswing\tworst\tservice\t")
-	for _, d := range s.Scenarios {
+	fmt.Fprintln(w, "day\t[halls]\truns\tbroken\tbefore\tduring\tworst\tafter\tworst\tnear best s\tworst\t"+
+		"last sent s\tworst\tqueue s\tcold push\tcross\tswing\tworst\tservice\t")
+	for _, scenario := range s.Scenarios {
 		for _, v := range s.Variants {
-			cols := make([][]float64, 10)
-			runs, broken := 0, 0
-			for _, l := range lines {
-				if l.Scenario != d || l.Variants[0] != v.Name {
-					continue
-				}
-				runs++
-				broken += len(l.Report.Violations) + len(l.Report.Crashed)
-				add := func(i int, x float64) { cols[i] = append(cols[i], x) }
-				if x := l.Report.Loss; x != nil {
-					add(9, x.Before)
-					add(0, x.During)
-					add(1, x.After)
-					if x.RecoverS >= 0 {
-						add(2, x.RecoverS)
-					} else {
-						add(2, 99)
-					}
-					if x.LastSentS >= 0 {
-						add(3, x.LastSentS)
-					}
-					add(4, x.LongestS)
-				}
-				add(5, l.Report.Margins.SlowStartPush)
-				add(6, l.Report.Score.CrossShare)
-				add(7, l.Report.Swing)
-				add(8, l.Report.Service)
-			}
-			if runs == 0 {
+			m := zoneMetricsOf(lines, scenario, v.Name)
+			if m.runs == 0 {
 				continue
 			}
-			mean := func(i int, format string) string {
-				if len(cols[i]) == 0 {
-					return "-"
-				}
-				return fmt.Sprintf(format, stat.Mean(cols[i], nil))
-			}
-			maximum := func(i int, format string) string {
-				if len(cols[i]) == 0 {
-					return "-"
-				}
-				return fmt.Sprintf(format, slices.Max(cols[i]))
-			}
-			minimum := func(i int, format string) string {
-				if len(cols[i]) == 0 {
-					return "-"
-				}
-				return fmt.Sprintf(format, slices.Min(cols[i]))
-			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", d, v.Name, runs, broken, mean(9, "%.3f"), mean(0, "%.3f"), minimum(0, "%.3f"), mean(1, "%.3f"), minimum(1, "%.3f"),
-				mean(2, "%.1f"), maximum(2, "%.1f"), mean(3, "%.2f"), maximum(3, "%.2f"), maximum(4, "%.1f"), maximum(5, "%.2f"), mean(6, "%.2f"), mean(7, "%.2f"), maximum(7, "%.2f"), mean(8, "%.3f"))
+			cells := append([]string{scenario, v.Name}, m.cells()...)
+			fmt.Fprintln(w, strings.Join(cells, "\t")+"\t")
 		}
 	}
 	w.Flush()
