--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"hitchspring/internal/lab"
 )
 
-func write(t *testing.T, text string) string {
+func writeSpec(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "try.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -22,7 +22,7 @@
 	return file
 }
 
-const good = `about = "x"
+const validSpec = `about = "x"
 days = ["calm", "evening"]
 seeds = 3
 paired = true
@@ -46,7 +46,7 @@
 		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"a\"":       "there twice",
 		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\ncommit = \"x\"\nprogram = \"y\"": "one at most",
 	} {
-		if _, err := Load(write(t, text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Load(writeSpec(t, text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
@@ -54,7 +54,7 @@
 
 // Variants are played next to one another, and who comes first changes with the seed.
 func TestCells(t *testing.T) {
-	s, err := Load(write(t, good))
+	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,13 +62,14 @@
 	if len(cells) != 3*2*3 {
 		t.Fatal(len(cells))
 	}
-	if cells[0].Variants[0] != 0 || cells[6].Variants[0] != 1 || cells[6].Seed != 2 || len(cells[8].Variants) != 2 || cells[8].Variants[0] != 1 {
+	if cells[0].Variants[0] != 0 || cells[6].Variants[0] != 1 || cells[6].Seed != 2 || len(cells[8].Variants) != 2 ||
+		cells[8].Variants[0] != 1 {
 		t.Fatal(cells[:9])
 	}
 }
 
-// fake plays at once, with figures by the program and the seed.
-func fake(calls *int, stop int) Runner {
+// fake plays at once, with results that follow from the program and the seed.
+func fakeRunner(calls *int, stop int) Runner {
 	return func(ctx context.Context, cfg lab.Config) (*lab.Report, error) {
 		if *calls++; *calls == stop {
 			return nil, errors.New("the machine has gone")
@@ -78,29 +79,41 @@
 			return nil, err
 		}
 		r := &lab.Report{
-			Scenario: cfg.Scenario, Seed: cfg.Seed, Service: 0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed), CPUPerRequestUS: 100,
-			Processes: []lab.Process{{Attempts: 100, CPUS: 0.01, PeakMB: 10}, {Attempts: 100, CPUS: 0.02, PeakMB: 12}},
-			Rows:      []lab.Row{{Class: "guide-read", Plan: "by", Requests: 10, InTime: 9}}, Marks: []lab.Mark{{AtS: 1, What: "node/1:drain"}},
+			Scenario:        cfg.Scenario,
+			Seed:            cfg.Seed,
+			Service:         0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed),
+			CPUPerRequestUS: 100,
+			Processes: []lab.Process{
+				{Attempts: 100, CPUS: 0.01, PeakMB: 10},
+				{Attempts: 100, CPUS: 0.02, PeakMB: 12},
+			},
+			Rows: []lab.Row{
+				{Class: "guide-read", Plan: "by", Requests: 10, InTime: 9},
+			},
+			Marks:    []lab.Mark{{AtS: 1, What: "node/1:drain"}},
 			Timeline: []lab.Second{{Requests: 10, InTime: 9, P99MS: 100}, {Requests: 10, InTime: 8, P99MS: 200}},
-			Backends: []lab.BackendTrack{{Backend: "node-00", Zone: "hall-a", InFlight: []float64{1, 2, -1}}, {Backend: "node-01", Zone: "hall-b", InFlight: []float64{1, 20, 3}}},
+			Backends: []lab.BackendTrack{
+				{Backend: "node-00", Zone: "hall-a", InFlight: []float64{1, 2, -1}},
+				{Backend: "node-01", Zone: "hall-b", InFlight: []float64{1, 20, 3}},
+			},
 		}
 		return r, nil
 	}
 }
 
-func build(_ context.Context, v Variant, to string) error {
+func fakeBuild(_ context.Context, v Variant, to string) error {
 	return os.WriteFile(to, []byte(v.Name), 0o600)
 }
 
-// What was played before an interruption is not played again, a half-written line is; another program's results count for
-// nothing.
+// What was played before an interruption is not played again, a half-written line is; another program's results
+// count for nothing.
 func TestContinues(t *testing.T) {
-	s, err := Load(write(t, good))
+	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
 	results, calls := filepath.Join(t.TempDir(), "results.jsonl"), 0
-	cfg := Config{Results: results, Build: build, Play: fake(&calls, 7)}
+	cfg := Config{Results: results, Build: fakeBuild, Run: fakeRunner(&calls, 7)}
 	if lines, err := s.Run(t.Context(), cfg); err == nil || len(lines) != 6 {
 		t.Fatal(len(lines), err)
 	}
@@ -111,7 +124,7 @@
 	if err := os.WriteFile(results, text[:len(text)-20], 0o600); err != nil { // as a kill leaves it
 		t.Fatal(err)
 	}
-	calls, cfg.Play = 0, fake(&calls, 0)
+	calls, cfg.Run = 0, fakeRunner(&calls, 0)
 	lines, err := s.Run(t.Context(), cfg)
 	if err != nil || len(lines) != 18 || calls != 13 {
 		t.Fatal(len(lines), calls, err)
@@ -128,20 +141,25 @@
 	}
 }
 
-// A build that is worse shows as worse, with an interval that leaves nought out; the page holds its pictures and nothing
-// from elsewhere.
+// A build that is worse shows as worse, with an interval that leaves nought out; the page holds its pictures
+// and nothing from elsewhere.
 func TestComparesAndDraws(t *testing.T) {
-	s, err := Load(write(t, good))
+	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls := 0
-	lines, err := s.Run(t.Context(), Config{Results: filepath.Join(t.TempDir(), "r.jsonl"), Build: build, Play: fake(&calls, 0)})
+	lines, err := s.Run(
+		t.Context(),
+		Config{Results: filepath.Join(t.TempDir(), "r.jsonl"), Build: fakeBuild, Run: fakeRunner(&calls, 0)},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows := s.Rows(lines)
-	if len(rows) != 4 || rows[1].Variant != "worse" || math.Abs(rows[1].Diff.Mean+0.1) > 1e-9 || rows[1].Diff.Half > 1e-6 || rows[1].Runs != 3 {
+	if len(rows) != 4 || rows[1].Variant != "worse" || math.Abs(rows[1].Diff.Mean+0.1) > 1e-9 ||
+		rows[1].Diff.Half > 1e-6 ||
+		rows[1].Runs != 3 {
 		t.Fatalf("%+v", rows)
 	}
 	// The first of a pair has the cheap process: by turns this and that, so the ratio is 2 or 1/2.
@@ -153,13 +171,23 @@
 		t.Fatal(err)
 	}
 	text := b.String()
-	for _, want := range []string{"Answered in time", "99th percentile", "By plan and class", "Nodes, base", "Differences", "<svg ", "node/1:drain", "prefers-color-scheme"} {
+	for _, want := range []string{
+		"Answered in time", "99th percentile", "By plan and class", "Nodes, base", "Differences",
+		"<svg ", "node/1:drain", "prefers-color-scheme",
+	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the page lacks %q", want)
 		}
 	}
 	for _, never := range []string{"http://", "https://", "<script", "#000000"} {
-		if strings.Contains(strings.ReplaceAll(strings.ReplaceAll(text, "http://www.w3.org/2000/svg", ""), "http://www.w3.org/1999/xlink", ""), never) {
+		if strings.Contains(
+			strings.ReplaceAll(
+				strings.ReplaceAll(text, "http://www.w3.org/2000/svg", ""),
+				"http://www.w3.org/1999/xlink",
+				"",
+			),
+			never,
+		) {
 			t.Errorf("the page has %q", never)
 		}
 	}
