--- a/internal/ingress/partial_test.go
+++ b/internal/ingress/partial_test.go
@@ -216,7 +216,8 @@
 	if got := readLine(t, in); got != "+PONG" {
 		t.Fatalf("got %q behind the answer, want +PONG", got)
 	}
-	if open := backend.connections(); open > 1 {
-		t.Errorf("%d connections are open, the one with the part among them", open)
-	}
+	// The ingress closes it before it sends the second attempt; the backend sees that when its reader runs.
+	eventually(t, time.Second, "the connection with the part is closed", func() bool {
+		return backend.connections() <= 1
+	})
 }
