--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -122,9 +122,9 @@
 
 	mu    sync.Mutex // guards the fields below and writes to out
 	file  *os.File
-	ran   int           // runs of this session
+	ran   int           // runs since the start
 	done  int           // ran, and those found in the results
-	spent time.Duration // sum of the times of the runs of this session
+	spent time.Duration // sum of the times of these runs
 }
 
 // skip counts a run that the results hold already.
