--- a/cmd/hitchspring/process_test.go
+++ b/cmd/hitchspring/process_test.go
@@ -1,39 +1,19 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"net"
 	"os"
 	"os/exec"
-	"sync"
 	"testing"
-)
-
-// lockedBuffer holds what a process or a logger writes while a test reads it.
-type lockedBuffer struct {
-	mu     sync.Mutex // guards buffer
-	buffer bytes.Buffer
-}
 
-// Write is io.Writer's.
-func (b *lockedBuffer) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.buffer.Write(p)
-}
-
-// String returns what has been written so far.
-func (b *lockedBuffer) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.buffer.String()
-}
+	"hitchspring/internal/testlog"
+)
 
 // process is one run of the program as the platform runs it. Its goroutine ends with the process; kill ends both.
 type process struct {
 	cmd    *exec.Cmd
-	log    lockedBuffer
+	log    testlog.Buffer
 	ended  chan struct{} // closed when the process has been waited for
 	result error         // of the process; read it after ended
 }
--- a/cmd/hitchspring/serve_test.go
+++ b/cmd/hitchspring/serve_test.go
@@ -18,6 +18,7 @@
 
 	"hitchspring/internal/discovery"
 	"hitchspring/internal/standin/redis"
+	"hitchspring/internal/testlog"
 )
 
 // awaitTimeout bounds a wait for what a reload changes.
@@ -27,7 +28,7 @@
 type served struct {
 	configPath  string
 	optionsPath string
-	log         lockedBuffer
+	log         testlog.Buffer
 	ended       chan error // receives the result once
 }
 
--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -1,34 +1,22 @@
 package lab
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
 	"testing"
 	"time"
+
+	"hitchspring/internal/testlog"
 )
 
 // logged is what the instances have logged.
-type logged struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-// Write is io.Writer's.
-func (l *logged) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(b)
-}
+type logged struct{ testlog.Buffer }
 
 func (l *logged) count(texts ...string) (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for line := range strings.Lines(l.b.String()) {
+	for line := range strings.Lines(l.String()) {
 		all := true
 		for _, t := range texts {
 			all = all && strings.Contains(line, t)
--- a/internal/peers/boundreport_test.go
+++ b/internal/peers/boundreport_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	for text, n := range want {
 		if got := log.count(text); got != n {
-			t.Fatalf("%q: got %d lines, want %d; the log:\n%s", text, got, n, log.text())
+			t.Fatalf("%q: got %d lines, want %d; the log:\n%s", text, got, n, log.String())
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -8,35 +8,20 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
 	"go.uber.org/goleak"
+
+	"hitchspring/internal/testlog"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// logBuffer is a log that tests read.
-type logBuffer struct {
-	mu  sync.Mutex
-	buf bytes.Buffer
-}
-
-// Write implements io.Writer.
-func (l *logBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.Write(b)
-}
-
-func (l *logBuffer) text() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.String()
-}
+// logBuffer is a log whose texts tests count.
+type logBuffer struct{ testlog.Buffer }
 
-func (l *logBuffer) count(text string) int { return strings.Count(l.text(), text) }
+func (l *logBuffer) count(text string) int { return strings.Count(l.String(), text) }
 
 func writeFile(t *testing.T, file, text string) {
 	t.Helper()
