--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -6,7 +6,7 @@
 	"hitchspring/policy"
 )
 
-// performAction carries out one action of the engine.
+// performAction carries out one action that the engine has returned.
 func (c *Core) performAction(action policy.Action) {
 	switch a := action.(type) {
 	case policy.SendAttempt:
@@ -29,7 +29,7 @@
 		c.probeBackend(a.Backend)
 	case policy.CloseIdleConnections:
 		c.backends.CloseIdle(a.Backend)
-	case policy.WatchEndpoints, policy.FetchEndpoints: // discovery is always watched: the present list is the answer
+	case policy.WatchEndpoints, policy.FetchEndpoints: // the core always watches discovery: reply with its current list
 		c.notifyEngine(c.endpointSnapshot())
 	case policy.LogLine:
 		c.log.Info(a.Text)
@@ -38,8 +38,8 @@
 	}
 }
 
-// cancelAttempt aborts an attempt that the engine no longer wants. It can't abort those of a delegated request, which
-// the caller sends.
+// cancelAttempt aborts an attempt that the engine has cancelled. It does nothing for a delegated request, whose
+// attempts the caller sends itself.
 func (c *Core) cancelAttempt(action policy.CancelAttempt) {
 	r := c.requests[action.ID]
 	if r == nil || r.Delegated || action.Attempt >= len(r.attempts) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// recordRejection counts a rejection by the engine, and notes its reason for the request's log line.
+// recordRejection counts a rejection by the engine and stores its reason for the request's log line.
 func (c *Core) recordRejection(a policy.Reject) {
 	c.summary.addRejection(a.Reason)
 	c.metrics.Rejected(int(a.Reason))
@@ -59,7 +59,7 @@
 	}
 }
 
-// recordFailure counts a failure by the engine, and notes its reason for the request's log line.
+// recordFailure counts a failure by the engine and stores its reason for the request's log line.
 func (c *Core) recordFailure(a policy.Fail) {
 	c.summary.addFailure(a.Reason)
 	c.metrics.Failed(int(a.Reason))
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -7,7 +7,7 @@
 	"hitchspring/internal/lease"
 )
 
-// OverloadRetryAfter is how long a client should wait that was rejected because this instance is full.
+// OverloadRetryAfter is the Retry-After of a request that is rejected because this instance is at capacity.
 const OverloadRetryAfter = 250 * time.Millisecond
 
 // AnswerKind is the kind of a final answer.
@@ -15,16 +15,16 @@
 
 // The kinds of final answers.
 const (
-	Failed     AnswerKind = iota // nothing is known about the effect of the request
-	Served                       // with a backend's value
-	Rejected                     // a retry is harmless
-	Duplicate                    // a request with the same client id is open, and this one was not taken
-	Granted                      // the caller sends the attempt itself, under a lease
-	Concluded                    // of a leased request: its outcome is known and no further lease is granted
-	Mismatched                   // of a leased request: its id is in use with another fingerprint
+	Failed     AnswerKind = iota // the request may have run
+	Served                       // carries a backend's value
+	Rejected                     // the request never ran: a retry is safe
+	Duplicate                    // not admitted: another request with the same client id is open
+	Granted                      // carries a lease, under which the caller sends the attempt itself
+	Concluded                    // delegated request: the outcome is known and no further lease is granted
+	Mismatched                   // delegated request: its id is in use with another fingerprint
 )
 
-// answerKindNames are the kinds as logs have them.
+// answerKindNames are the names of the kinds in log lines.
 var answerKindNames = [...]string{
 	Failed:     "failed",
 	Served:     "served",
@@ -35,24 +35,24 @@
 	Mismatched: "other",
 }
 
-// String returns the kind as logs have it.
+// String returns the kind's name in log lines.
 func (k AnswerKind) String() string { return answerKindNames[k] }
 
-// Answer is the final answer to a request, which a front encodes in its protocol.
+// Answer is the final answer to a request. The front encodes it in its protocol.
 type Answer struct {
 	Kind       AnswerKind
-	Value      []byte
-	Stream     *backend.Stream // of Served, in place of Value: the front must read it to its end or close it
-	RetryAfter time.Duration   // of Rejected; 0: the client may decide
-	Grant      Grant           // of Granted
-	State      lease.State     // of Concluded
+	Value      []byte          // set if Served, unless Stream is
+	Stream     *backend.Stream // replaces Value if Served: the front must read it to its end or close it
+	RetryAfter time.Duration   // set if Rejected; 0: the client may decide
+	Grant      Grant           // set if Granted
+	State      lease.State     // set if Concluded
 }
 
-// ReplySink is where a front waits for the final answer to one request.
+// ReplySink receives the final answer to one request on behalf of a front.
 type ReplySink interface {
-	// Deliver hands over the final answer, once. It never blocks.
+	// Deliver passes the final answer to the front. It is called once and never blocks.
 	Deliver(Answer)
-	// Disconnected reports whether nobody waits for the answer any more, as far as can be known now. The front may not
-	// have been notified yet when a request is about to be sent, so it may make a system call. It never blocks.
+	// Disconnected reports whether the client is known to have disconnected. It may make a system call, since the
+	// front's reader may not have seen the end of the connection yet. It never blocks.
 	Disconnected() bool
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -11,8 +11,8 @@
 // probeTimeout bounds a health check, which has no request whose deadline could end it.
 const probeTimeout = 250 * time.Millisecond
 
-// sendAttempt creates the attempt that the engine has decided on. It goes out at once, is granted to a caller as a
-// lease, or waits until replicas know of it; if its request is over meanwhile, it ends unsent.
+// sendAttempt creates an attempt that the engine has decided on. The attempt is sent at once, granted to a caller as a
+// lease, or queued until enough replicas have recorded it. If it can't be sent any more, it ends as unsent.
 func (c *Core) sendAttempt(s policy.SendAttempt) {
 	r := c.requests[s.ID]
 	if r == nil {
@@ -46,27 +46,27 @@
 	c.startAttempt(r, attempt, s.Backend)
 }
 
-// retryDeadline returns when a retry of a request with an idempotency key must reach its backend at the latest: while
-// that backend, or those of its group, still know the first attempt that may have run. The engine stops a little
-// earlier, but doesn't know how long the attempt waits for a connection. It returns 0 if there is no such limit.
+// retryDeadline returns the latest time at which a retry of a request with an idempotency key may be written: after it,
+// the backends of its idempotency scope may have dropped the key of the first attempt that may have run. The engine
+// stops retrying a little earlier, but does not know how long an attempt waits for a connection. 0 means no limit.
 func (c *Core) retryDeadline(r *Request) time.Duration {
 	class := c.classes[r.Class]
 	if class.Effect != policy.Keyed {
 		return 0
 	}
-	remembered := class.RepeatWindow * 19 / 20
+	retryWindow := class.RepeatWindow * 19 / 20
 	if r.Prior != nil {
-		return r.Prior.SentAt + remembered
+		return r.Prior.SentAt + retryWindow
 	}
 	for _, attempt := range r.attempts {
 		if !attempt.NeverRan() {
-			return attempt.StartedAt + remembered
+			return attempt.StartedAt + retryWindow
 		}
 	}
 	return 0
 }
 
-// startAttempt hands an attempt to the pool of connections.
+// startAttempt passes an attempt to the connection pool, which sends it.
 func (c *Core) startAttempt(r *Request, attempt *backend.Attempt, to policy.BackendID) {
 	c.summary.addAttempt(attempt.Number, c.now-r.arrivedAt)
 	if c.escrow != nil && attempt.Number == 0 {
@@ -80,8 +80,8 @@
 	c.backends.Start(attempt, to)
 }
 
-// attemptEnded notifies the engine of the end of an attempt or a probe. The first attempt that succeeds answers the
-// client.
+// attemptEnded handles the end of an attempt or a health check and notifies the engine. The first attempt that succeeds
+// answers the client.
 func (c *Core) attemptEnded(attempt *backend.Attempt, outcome policy.Outcome, reply backend.Reply) {
 	if attempt.Ref == nil {
 		c.probeEnded(attempt, outcome, reply)
@@ -113,12 +113,12 @@
 	}
 }
 
-// streamStarted answers a request with a value whose first bytes have come. For the engine the attempt has succeeded:
-// its latency counts up to now, and the request's other attempts are withdrawn. It reports false if nobody wants the
-// value.
+// streamStarted answers a request with a streamed value whose first bytes have arrived. The engine counts the attempt
+// as succeeded, with the latency up to now, and the request's unsent attempts are withdrawn. It returns false if the
+// request already has its answer or its client has disconnected.
 func (c *Core) streamStarted(attempt *backend.Attempt, stream *backend.Stream) (wanted bool) {
 	r := attempt.Ref.(*Request)
-	if r.finished { // by another attempt or by the client, which is no fault of this backend
+	if r.finished { // not a failure of this backend
 		return false
 	}
 	r.streaming, r.finished = attempt, true
@@ -137,14 +137,14 @@
 	return true
 }
 
-// streamEnded counts the end of a value that was passed on.
+// streamEnded counts the end of a streamed value and releases its request.
 func (c *Core) streamEnded(r *Request, outcome policy.Outcome) {
 	c.metrics.RequestEnded(r.Class, requestEndOf(outcome))
 	r.inFlight--
 	c.releaseRequest(r)
 }
 
-// notifyAttemptEnded notifies the engine and the optional components of the end of a request's attempt.
+// notifyAttemptEnded notifies the engine and the optional components that an attempt has ended.
 func (c *Core) notifyAttemptEnded(r *Request, ev policy.AttemptEnded) {
 	if r.pending != nil {
 		r.pending.attemptEnded(ev)
@@ -159,7 +159,7 @@
 	c.releaseRequest(r)
 }
 
-// probeBackend starts a health check of a backend, unless it is not listed or suspended.
+// probeBackend starts a health check of a backend. It does nothing if the backend is not listed or is suspended.
 func (c *Core) probeBackend(id policy.BackendID) (sent bool) {
 	if !c.backends.Contains(id) || c.isSuspended(id) {
 		return false
@@ -170,7 +170,7 @@
 	return true
 }
 
-// probeEnded notifies the engine and the zones of the end of a health check.
+// probeEnded notifies the engine and the zone tracker that a health check has ended.
 func (c *Core) probeEnded(attempt *backend.Attempt, outcome policy.Outcome, reply backend.Reply) {
 	if c.zones != nil {
 		c.zones.ProbeEnded(c.now, attempt.BackendID(), outcome == policy.Succeeded)
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -6,16 +6,16 @@
 	"hitchspring/policy"
 )
 
-// answerMargin is how long before the client's deadline an answer goes out, to leave time for the way back.
+// answerMargin is how long before the client's deadline a request is given up, so that the answer arrives in time.
 const answerMargin = 20 * time.Millisecond
 
-// Clock is an error of a process's clock, for tests of what depends on clocks.
+// Clock is a simulated error of a process's clock, for tests of clock skew and drift.
 type Clock struct {
-	Offset time.Duration // of the true time, at the start
-	Rate   float64       // seconds that pass on it in each true second; 0: one
+	Offset time.Duration // difference from the true time when the process starts
+	Rate   float64       // seconds of this clock per true second; 0 means 1
 }
 
-// elapsed returns how much time passes on the clock while a span passes in truth.
+// elapsed returns how far the clock advances during a span of true time.
 func (k Clock) elapsed(span time.Duration) time.Duration {
 	if k.Rate == 0 {
 		return span
@@ -23,16 +23,18 @@
 	return time.Duration(float64(span) * k.Rate)
 }
 
-// clock converts a time to the clock that all instances share. Spans on it follow the monotonic clock.
+// clock converts a time to the shared clock of all instances, which is Unix time. Its progress follows this process's
+// monotonic clock, so that it never jumps.
 func (c *Core) clock(t time.Time) time.Duration {
 	return c.epoch + c.cfg.Clock.elapsed(t.Sub(c.startedAt))
 }
 
-// Now returns the time on the clock that all instances share, as this instance reads it.
+// Now returns this instance's reading of the shared clock.
 func (c *Core) Now() time.Duration { return c.clock(time.Now()) }
 
-// GiveUpAt returns the deadline of a request that was read at a time and whose client will wait for so long, of which
-// at most twice the class's deadline counts. The deadline lies a little before the client gives up.
+// GiveUpAt returns the deadline of a request, on the shared clock, from the time when it was read and how long its
+// client waits. The wait is capped at twice the deadline of the class. The result is a little earlier than the client's
+// own deadline, so that the answer arrives in time.
 func (c *Core) GiveUpAt(class policy.Class, at time.Time, wait time.Duration) time.Duration {
 	wait = min(wait, 2*class.Deadline)
 	return c.clock(at) + wait - min(answerMargin, wait/4)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -15,7 +15,7 @@
 
 const (
 	minSockets            = 128
-	memoryShares          = 8         // requests, front input, unread answers and backend replies have one of them each
+	memoryShares          = 8         // one share each: open requests, front input, unread answers, backend replies
 	defaultMemory         = 256 << 20 // bytes
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultMaxOpen        = 20000 // open requests
@@ -24,28 +24,28 @@
 
 // Config is the configuration of a core.
 type Config struct {
-	Discovery     string // address of the discovery service
-	Seed          uint64 // of all random draws
-	Sockets       int    // descriptors that the core and the fronts may use
-	Memory        int    // bytes that the core and the fronts may use; 0: a default
-	Known         discovery.List
+	Discovery     string         // address of the discovery service; empty: the endpoint list stays as it is
+	Seed          uint64         // of all random numbers
+	Sockets       int            // max file descriptors of the core and the fronts together
+	Memory        int            // max bytes of the core and the fronts together; 0: defaultMemory
+	Known         discovery.List // the endpoint list until discovery sends one
 	Settings      policy.Settings
-	Store         func(store.Sink) (store.Counter, error) // creates the shared counter; nil: the settings name none
+	Store         func(store.Sink) (store.Counter, error) // creates the shared counter; nil: there is none
 	Connections   settings.Connections
-	Leases        *LeaseConfig    // of attempts that callers send themselves; nil: none are granted
-	Zones         *zones.Config   // nil: another zone costs a fixed factor
-	Summary       time.Duration   // between two summary lines of the log; 0: no such lines
+	Leases        *LeaseConfig    // leases for callers who send attempts themselves; nil: none are granted
+	Zones         *zones.Config   // nil: zones are not tracked, and a backend of another zone costs a fixed factor
+	Summary       time.Duration   // interval between two summary lines of the log; 0: no summary lines
 	LogRequests   bool            // write a log line for the end of each request
-	Siblings      int             // other processes of this instance at the start; limits hold for all together
+	Siblings      int             // sibling processes of this instance at the start, which share its limits
 	CountBackends bool            // keep the metrics of the endpoint list up to date
-	Overrides     OverrideStore   // keeps operators' overrides; nil: they end with the process
-	Peers         Peers           // other instances, to share observations on backends with; nil: there are none
-	Clock         Clock           // an error of this process's clock, for tests
-	Escrow        Transport       // carries transfers of quota shares; nil: all shares are even
-	Takeover      *TakeoverConfig // nil: this instance's work ends with it
+	Overrides     OverrideStore   // persists operators' overrides; nil: they end with the process
+	Peers         Peers           // other instances, to share observations of backends with; nil: none are shared
+	Clock         Clock           // simulated clock error, for tests
+	Escrow        Transport       // carries transfers of quota shares; nil: all instances have equal shares
+	Takeover      *TakeoverConfig // nil: no other instance completes this one's work after its end
 }
 
-// validate reports the first field whose value cannot be used.
+// validate returns an error that names the first invalid field.
 func (cfg Config) validate() error {
 	if cfg.Sockets < minSockets {
 		return fmt.Errorf("%d sockets are too few: %d at least", cfg.Sockets, minSockets)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// withDefaults returns the configuration with each limit set.
+// withDefaults returns the configuration with defaults in place of limits that are not set.
 func (cfg Config) withDefaults() Config {
 	if cfg.Connections.ConnectTimeout <= 0 {
 		cfg.Connections.ConnectTimeout = defaultConnectTimeout
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,10 @@
-// Package core runs one instance: it owns the policy engine, its clock, its timers and the table of open requests.
+// Package core runs one instance: an event loop that owns the policy engine, the timers and the table of open requests.
 //
-// Fronts submit requests; discovery sends endpoint lists, the pool of backend connections sends the ends of attempts,
-// and the shared counter sends totals. The core hands each of them to the engine and carries out the actions that the
-// engine returns: it starts and aborts attempts, adds to the counter, and gives each request exactly one final answer.
-// It makes no decision of its own and never waits for a peer. It knows no protocol, socket or store by name.
+// Its events are requests from fronts, endpoint lists from discovery, outcomes of attempts from the backend connection
+// pool, and totals from the shared counter. The core passes each event to the engine and carries out the actions that
+// the engine returns: it starts and aborts attempts, adds to the counter, and gives each request exactly one final
+// answer. All decisions are the engine's. The loop never blocks on a peer, and the package depends on no client
+// protocol, socket API or kind of store.
 package core
 
 import (
@@ -25,17 +26,17 @@
 	"hitchspring/policy"
 )
 
-// endpointWatcher follows discovery's endpoint list, as package discovery does.
+// endpointWatcher follows the endpoint list of the discovery service; package discovery implements it.
 type endpointWatcher interface {
 	Run(ctx context.Context)
 	SetAddress(addr string)
 	Ready() <-chan struct{}
 }
 
-// Core is one instance. All fields belong to the goroutine that runs loop, except the first group, which New sets and
-// nothing changes, and what overrides guards with its own lock. The exported methods may be called by many goroutines.
+// Core is one instance. All fields are confined to the goroutine that runs loop, except the first group, which doesn't
+// change after Start, and overrides, which has its own lock. The exported methods are safe for concurrent use.
 //
-// Start starts the goroutines of the loop, the counter, the endpoint watch and the pool; End ends them and waits.
+// Start starts the goroutines of the loop, the counter, the endpoint watch and the pool. Stop ends them and waits.
 type Core struct {
 	cfg         Config
 	connections settings.Connections
@@ -47,21 +48,21 @@
 	events      chan event
 	stopped     chan struct{} // closed when the loop has ended
 	spawned     sync.WaitGroup
-	ctx         context.Context // of the goroutines in spawned
+	ctx         context.Context // done when the goroutines in spawned must end
 	stop        context.CancelFunc
 	startedAt   time.Time
-	epoch       time.Duration // startedAt on the clock that all instances share
+	epoch       time.Duration // startedAt on the shared clock
 	metrics     *metrics.Set
 	guard       *guard.Monitor
 
-	maxConnections  int     // to backends
+	maxConnections  int     // to backends, of all processes of this instance
 	maxRequestBytes int     // upper limit of requestBytes
-	maxUnits        float64 // of one request
+	maxUnits        float64 // upper limit of the units of one request
 
 	overrides operatorOverrides
 
 	engine       *policy.Engine
-	now          time.Duration // the time of the event that is being handled
+	now          time.Duration // time of the event being handled, on the shared clock
 	timers       timerHeap
 	requests     map[policy.RequestID]*Request
 	clientIDs    map[uint64]bool // of requests whose deadline has not passed, answered or not
@@ -70,21 +71,21 @@
 	backends     pool
 	endpoints    endpointSet
 	actions      []policy.Action // reused for each event
-	engineEvents []policy.Event  // queued by actions that ended at once
+	engineEvents []policy.Event  // queued for the engine until flushEvents
 	allAnswered  bool            // AnswerAll has run: later requests are rejected
 
 	// The optional components. Each is nil when the configuration turns it off.
 	leases   *leaseTable     // lets callers send attempts themselves
 	zones    *zoneTracker    // tracks capacity and failures by zone
-	outliers *outlierTracker // shares observations on backends with other instances
-	escrow   *escrowState    // moves quota shares between instances; nil: all shares are even
-	takeover *takeoverState  // lets other instances complete this one's work
-	summary  *summary        // writes a line of counts for each interval
+	outliers *outlierTracker // shares observations of backends with other instances
+	escrow   *escrowState    // moves quota shares between instances; nil: all instances have equal shares
+	takeover *takeoverState  // lets other instances complete this one's work after its end
+	summary  *summary        // writes a summary line of counts to the log in each interval
 
-	unreadable int // messages of other instances that could not be decoded
+	unreadableMessages int // messages from other instances that could not be decoded
 }
 
-// New checks the configuration and returns a core that Start will run.
+// New validates the configuration and returns a core, which Start then runs.
 func New(cfg Config, log *slog.Logger) (*Core, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -101,7 +102,8 @@
 	return c, nil
 }
 
-// newCore returns a core of a complete configuration, without its optional components and its peers.
+// newCore returns a core without its optional components, pool, counter and endpoint watch. The configuration must have
+// its defaults set.
 func newCore(cfg Config, engine *policy.Engine, log *slog.Logger) *Core {
 	startedAt := time.Now()
 	c := &Core{
@@ -157,7 +159,7 @@
 	}
 }
 
-// createPeers creates what reaches the outside: the pool of connections, the shared counter and the endpoint watch.
+// createPeers creates the components that use the network: the backend pool, the shared counter and the endpoint watch.
 func (c *Core) createPeers() (err error) {
 	cfg := c.cfg
 	c.backends = backend.New(poolOwner{c}, backend.Config{
@@ -173,7 +175,7 @@
 			return err
 		}
 	}
-	polling := 1 // a list that is pushed comes from an agent that serves this instance alone
+	polling := 1 // without polling, an agent that serves only this instance pushes the list
 	if cfg.Settings.PollEndpoints {
 		polling = cfg.Settings.Instances
 	}
@@ -183,7 +185,8 @@
 	return nil
 }
 
-// Start begins to handle requests with the known endpoint list and to follow discovery, until End.
+// Start begins to handle requests, with the endpoint list of the configuration, and to follow discovery. It runs until
+// Stop.
 func (c *Core) Start() {
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	c.loadKnownEndpoints()
@@ -194,14 +197,14 @@
 	c.spawn(c.discovery.Run)
 }
 
-// Stop ends all at once, whatever is open, and waits for all goroutines.
+// Stop ends the core immediately, even with requests open, and waits for all its goroutines.
 func (c *Core) Stop() {
 	c.stop()
 	c.spawned.Wait()
 	c.checkUnanswered()
 }
 
-// spawn starts a goroutine that must return when its context is done; End waits for it.
+// spawn starts a goroutine that must return when its context is done. Stop waits for it.
 func (c *Core) spawn(run func(context.Context)) {
 	c.spawned.Add(1)
 	go func() {
@@ -210,8 +213,8 @@
 	}()
 }
 
-// SetAddresses switches to discovery and a counter at other addresses. It waits for nothing and may be called at any
-// time; the last call wins. Clients, backends and what the engine has learned are left as they are.
+// SetAddresses changes the addresses of the discovery service and the shared counter. It doesn't block and may be
+// called at any time; the last call wins. Client and backend connections and the engine's state are not affected.
 func (c *Core) SetAddresses(discovery, counter string) {
 	c.discovery.SetAddress(discovery)
 	if c.counter != nil {
@@ -219,31 +222,31 @@
 	}
 }
 
-// DiscoveryReady returns a channel that is closed when discovery has sent a first list, or that has failed.
+// DiscoveryReady returns a channel that is closed when discovery has sent its first list or failed to.
 func (c *Core) DiscoveryReady() <-chan struct{} { return c.discovery.Ready() }
 
-// Guard returns the counts of violated invariants.
+// Guard returns the monitor that counts violated invariants.
 func (c *Core) Guard() *guard.Monitor { return c.guard }
 
-// Metrics returns the counts of what this process has done since its start.
+// Metrics returns the metrics of this process since its start.
 func (c *Core) Metrics() *metrics.Set { return c.metrics }
 
-// Class returns a class of the settings by its name.
+// Class returns the class with a name, and false if the settings have none.
 func (c *Core) Class(name string) (policy.Class, bool) {
 	class, ok := c.classes[name]
 	return class, ok
 }
 
-// Plan reports whether the settings know a plan.
+// Plan reports whether the settings have a plan with a name.
 func (c *Core) Plan(name string) bool { return c.plans[name] }
 
-// Instances returns how many instances there are.
+// Instances returns the number of instances in the settings.
 func (c *Core) Instances() int { return c.cfg.Settings.Instances }
 
-// MaxUnits returns the most units that one request may take.
+// MaxUnits returns the maximum units of one request.
 func (c *Core) MaxUnits() float64 { return c.maxUnits }
 
-// FrontLimits returns what fronts may use: sockets, and bytes of memory for each kind of buffer.
+// FrontLimits returns the limits of the fronts: their sockets, and the bytes of each kind of buffer.
 func (c *Core) FrontLimits() (sockets, memory int) {
 	return c.cfg.Sockets - c.maxConnections, c.cfg.Memory / memoryShares
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -13,14 +13,14 @@
 	"hitchspring/policy"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-// recordingSink records its answers.
+// recordingSink is a reply sink that records its answers.
 type recordingSink struct {
-	answer       Answer // the last
-	answers      int
-	disconnected bool // its client has left, and no front has reported it
-	polled       int  // calls of Disconnected
+	answer           Answer // the last one
+	answers          int    // number of answers
+	disconnected     bool   // the client has disconnected, and no front has reported it yet
+	disconnectChecks int    // number of calls to Disconnected
 }
 
 func (s *recordingSink) Deliver(a Answer) {
@@ -29,16 +29,16 @@
 }
 
 func (s *recordingSink) Disconnected() bool {
-	s.polled++
+	s.disconnectChecks++
 	return s.disconnected
 }
 
-// testCommand is a command that no test reads.
+// testCommand is a command whose encoded form no test examines.
 type testCommand struct{}
 
 func (testCommand) Encode(time.Duration) []byte { return []byte("*1\r\n$4\r\nNONE\r\n") }
 
-// endpointsAt returns a list of backends s0, s1 and so on at the addresses.
+// endpointsAt returns an endpoint list with backends s0, s1 and so on at the given addresses.
 func endpointsAt(addrs ...string) discovery.List {
 	list := discovery.List{Rev: 1, Complete: true}
 	for i, addr := range addrs {
@@ -70,10 +70,10 @@
 	}
 }
 
-// newIdleCore returns a core whose loop does not run: the test hands it the events itself.
+// newIdleCore returns a core whose loop does not run: the test passes the events to the handlers itself.
 func newIdleCore(t *testing.T, cfg Config) *Core {
 	t.Helper()
-	c := newTestCore(t, cfg, quiet)
+	c := newTestCore(t, cfg, discardLogger)
 	loadEndpoints(t, c)
 	return c
 }
@@ -88,7 +88,7 @@
 	return c
 }
 
-// loadEndpoints prepares a core for events by hand, and ends its goroutines after the test.
+// loadEndpoints prepares a core whose loop does not run for events, and ends its goroutines after the test.
 func loadEndpoints(t *testing.T, c *Core) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,7 +101,7 @@
 	c.loadKnownEndpoints()
 }
 
-// newBackends starts as many backends, and returns a list of them.
+// newBackends starts n backends and returns an endpoint list of them.
 func newBackends(t *testing.T, n int) discovery.List {
 	t.Helper()
 	var addrs []string
@@ -111,7 +111,7 @@
 	return endpointsAt(addrs...)
 }
 
-// newRequest returns a request that one unit is wanted for, with a minute left.
+// newRequest returns a request for one unit, with a deadline in a minute.
 func newRequest(c *Core, clientID uint64, sink ReplySink) *Request {
 	return &Request{
 		Request: policy.Request{
@@ -128,25 +128,26 @@
 	}
 }
 
-// arrive submits a request.
-func arrive(c *Core, clientID uint64, sink ReplySink) *Request {
+// submitRequest lets the core handle the arrival of a new request.
+func submitRequest(c *Core, clientID uint64, sink ReplySink) *Request {
 	r := newRequest(c, clientID, sink)
 	c.handle(requestArrived{r})
 	return r
 }
 
-// Requests that would fill the memory are rejected; one that ends makes room again.
+// A request that would exceed the limit on the bytes of open requests is rejected. The end of another request frees its
+// share.
 func TestMaxRequestBytes(t *testing.T) {
 	c := newIdleCore(t, testConfig(newBackends(t, 1)))
-	arriveLarge := func(clientID uint64, sink ReplySink) *Request {
+	submitLargeRequest := func(clientID uint64, sink ReplySink) *Request {
 		r := newRequest(c, clientID, sink)
 		r.Size = c.maxRequestBytes - 1000
 		c.handle(requestArrived{r})
 		return r
 	}
-	first := arriveLarge(1, &recordingSink{})
+	first := submitLargeRequest(1, &recordingSink{})
 	second := &recordingSink{}
-	arriveLarge(2, second)
+	submitLargeRequest(2, second)
 	if first.finished {
 		t.Fatal("got the first request finished, want it open")
 	}
@@ -155,7 +156,7 @@
 	}
 	c.handle(clientsDisconnected{[]*Request{first}})
 	third := &recordingSink{}
-	if r := arriveLarge(3, third); r.finished {
+	if r := submitLargeRequest(3, third); r.finished {
 		t.Fatalf("third request: got %+v after the first had ended, want it open", third.answer)
 	}
 }
--- a/internal/core/counter.go
+++ b/internal/core/counter.go
@@ -11,7 +11,8 @@
 	result store.Result
 }
 
-// addToCounter adds to the shared counter. The engine gets one reply, at the settings' timeout at the latest.
+// addToCounter adds to the shared counter. The engine gets exactly one reply; without one from the store, the call ends
+// at the counter timeout of the settings.
 func (c *Core) addToCounter(a policy.AddToCounter) {
 	call := &store.Call{Name: a.Name, Amount: a.Add, TTL: a.Keep, StartedAt: c.now}
 	if c.counter == nil {
@@ -21,7 +22,7 @@
 	c.counter.Add(call)
 	c.scheduleAfter(c.cfg.Settings.CounterTimeout, func() {
 		switch {
-		case call.Withdraw(): // never written, and never will be
+		case call.Withdraw(): // it will never be written
 			c.handleCounterReply(counterReplied{call, store.Result{Certainty: store.NotAdded}})
 		case call.Lapse():
 			c.handleCounterReply(counterReplied{call, store.Result{}})
@@ -29,13 +30,13 @@
 	})
 }
 
-// handleCounterReply notifies the engine of the first reply to a call; one after the timeout is dropped. If the store
-// has let a call neither be withdrawn nor lapse at the timeout, its reply is under way and counts.
+// handleCounterReply notifies the engine of the first reply to a call and drops later ones. A call that can neither be
+// withdrawn nor lapse at its timeout was rejected by the store, whose reply follows and counts.
 func (c *Core) handleCounterReply(ev counterReplied) {
 	if !ev.call.FirstAnswer() {
 		return
 	}
-	outcome := policy.TimedOut // may have been added
+	outcome := policy.TimedOut // the store may have added the amount
 	switch {
 	case ev.result.Certainty == store.NotAdded:
 		outcome = policy.NoConnect
--- a/internal/core/counter_test.go
+++ b/internal/core/counter_test.go
@@ -11,16 +11,16 @@
 	"hitchspring/policy"
 )
 
-// silentCounter records its calls and answers none.
+// silentCounter records its calls and never replies.
 type silentCounter struct{ calls []*store.Call }
 
 func (s *silentCounter) Add(call *store.Call)  { s.calls = append(s.calls, call) }
 func (*silentCounter) Run(ctx context.Context) { <-ctx.Done() }
 func (*silentCounter) SetAddress(string)       {}
 
-// The engine gets one reply to each call: one after the timeout is dropped.
-func TestCounterLateAnswerIsDropped(t *testing.T) {
-	c := newTestCore(t, testConfig(discovery.List{}), quiet)
+// The engine gets exactly one reply to each call. A reply that arrives after the timeout is dropped.
+func TestLateCounterReplyIsDropped(t *testing.T) {
+	c := newTestCore(t, testConfig(discovery.List{}), discardLogger)
 	call := &store.Call{Name: "a"}
 	c.handleCounterReply(counterReplied{call, store.Result{}})
 	c.handleCounterReply(counterReplied{call, store.Result{Certainty: store.Added, Seen: true, Total: 7}})
@@ -29,7 +29,7 @@
 	}
 }
 
-// What a store is sure of reaches the engine as just that.
+// Each degree of certainty that a store reports reaches the engine as the matching outcome.
 func TestCounterCertainty(t *testing.T) {
 	for want, result := range map[policy.Outcome]store.Result{
 		policy.Succeeded: {Certainty: store.Added, Seen: true, Total: 3},
@@ -48,7 +48,7 @@
 	}
 }
 
-// A counter that sends no reply times out; a call that was never written has added nothing.
+// A call without a reply times out, or counts as not added if the store never wrote it.
 func TestSilentCounterTimesOut(t *testing.T) {
 	for name, test := range map[string]struct {
 		claimed bool
@@ -76,7 +76,7 @@
 				t.Fatalf("got events %v, want a reply with outcome %v", c.engineEvents, test.want)
 			}
 			if call.Claim() {
-				t.Fatal("got a call that was answered and may still be written, want it withdrawn")
+				t.Fatal("the call has its reply and may still be written, want it withdrawn")
 			}
 		})
 	}
--- a/internal/core/disconnect.go
+++ b/internal/core/disconnect.go
@@ -5,13 +5,13 @@
 	"hitchspring/policy"
 )
 
-// Whether a request's client is still connected is checked in this file and nowhere else: when the request arrives,
-// when the engine has chosen a backend for an attempt, and when the pool is about to write an attempt. A front reports
-// a closed connection as soon as it reads the end of it (NotifyDisconnected), which may be later: the command and the
-// end of the connection can lie in the kernel together while the front's reader is delayed.
+// All checks that a request's client is still connected are in this file. They run when the request arrives, when the
+// engine has chosen a backend for an attempt, and when the pool is about to write an attempt. NotifyDisconnected alone
+// may come too late: a front calls it when it reads the end of the connection, but the command and the end of the
+// connection can both wait in the kernel's socket buffer while the front's reader is delayed.
 
-// isDisconnected reports whether nobody waits for a request's answer any more. The sink is called once for each event,
-// since it may make a system call.
+// isDisconnected reports whether a request's client has disconnected. It asks the sink at most once per request and
+// event, since the sink may make a system call.
 func (c *Core) isDisconnected(r *Request) bool {
 	if r.Sink == nil || r.disconnectCheckedAt == c.now && r.disconnectCheckedAt != 0 {
 		return false
@@ -20,7 +20,8 @@
 	return r.Sink.Disconnected()
 }
 
-// dropDisconnectedArrival drops a request whose client has disconnected before the engine hears of it.
+// dropDisconnectedArrival drops an arriving request whose client has already disconnected, before the engine is
+// notified. It reports whether it did.
 func (c *Core) dropDisconnectedArrival(r *Request) bool {
 	if !c.isDisconnected(r) {
 		return false
@@ -31,8 +32,8 @@
 	return true
 }
 
-// dropIfDisconnected abandons a request before an attempt is sent if its client has disconnected. A delegated request
-// that has been granted a lease before stays, since its earlier attempt may be reported on.
+// dropIfDisconnected abandons a request whose client has disconnected, before an attempt of it is sent. A delegated
+// request that had an earlier lease stays, since the caller may still report the outcome of that attempt.
 func (c *Core) dropIfDisconnected(r *Request) {
 	if r.finished || r.streaming != nil || r.Delegated && len(r.attempts) > 1 || !c.isDisconnected(r) {
 		return
@@ -41,7 +42,7 @@
 	c.abandonRequest(r)
 }
 
-// withdrawLeased removes a delegated request from the lease table.
+// withdrawLeased removes a delegated request from the lease table; for other requests it does nothing.
 func (r *Request) withdrawLeased() {
 	if l, ok := r.Sink.(*leasedRequest); ok {
 		l.forget()
@@ -61,7 +62,7 @@
 	c.releaseRequest(r)
 }
 
-// disconnectStage returns how far an unanswered request has come.
+// disconnectStage returns the stage that a request had reached when its client disconnected.
 func (r *Request) disconnectStage() metrics.DisconnectStage {
 	stage := metrics.BeforeAttempt
 	for _, attempt := range r.attempts {
--- a/internal/core/disconnect_test.go
+++ b/internal/core/disconnect_test.go
@@ -9,8 +9,8 @@
 	"hitchspring/policy"
 )
 
-// wantDisconnects checks how many clients were found disconnected, by stage, and that no request is open.
-func wantDisconnects(t *testing.T, c *Core, want map[metrics.DisconnectStage]int64) {
+// checkDisconnects checks the number of disconnected clients by stage, and that no request is open.
+func checkDisconnects(t *testing.T, c *Core, want map[metrics.DisconnectStage]int64) {
 	t.Helper()
 	for _, stage := range metrics.Stages() {
 		if got := c.metrics.Disconnects(stage); got != want[stage] {
@@ -22,20 +22,20 @@
 	}
 }
 
-// A request whose client has disconnected when it arrives never reaches the engine, and the front's later report
-// changes nothing.
+// A request whose client has already disconnected on arrival never reaches the engine. The front's later report has no
+// effect.
 func TestClientDisconnectedBeforeAdmission(t *testing.T) {
 	c := newIdleCore(t, testConfig(newBackends(t, 1)))
-	r := arrive(c, 1, &recordingSink{disconnected: true})
+	r := submitRequest(c, 1, &recordingSink{disconnected: true})
 	if len(c.requests) != 0 || len(r.attempts) != 0 || c.clientIDs[1] {
 		t.Fatalf("got %d requests and %d attempts, want none", len(c.requests), len(r.attempts))
 	}
 	c.handle(clientsDisconnected{[]*Request{r}})
-	wantDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
+	checkDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
 }
 
-// A client that disconnects while its request waits is found out when an attempt is about to be sent, though no front
-// has reported it: in the engine's queue, before a connection has come up, and before a retry.
+// A client that disconnects while its request waits is detected before an attempt is sent, even if no front has
+// reported it: while the attempt waits for a connection, and before a retry.
 func TestClientDisconnectedBeforeAttempt(t *testing.T) {
 	failFirstAttempt := func(t *testing.T, c *Core, r *Request) {
 		t.Helper()
@@ -52,9 +52,9 @@
 		cfg.Settings.MaxAttempts = 3
 		return newIdleCore(t, cfg)
 	}
-	t.Run("a client that stays has a retry", func(t *testing.T) {
+	t.Run("a connected client gets a retry", func(t *testing.T) {
 		c := newRetryingCore(t)
-		r := arrive(c, 1, &recordingSink{})
+		r := submitRequest(c, 1, &recordingSink{})
 		failFirstAttempt(t, c, r)
 		if len(r.attempts) != 2 {
 			t.Fatalf("got %d attempts, want two", len(r.attempts))
@@ -63,7 +63,7 @@
 	t.Run("before a retry", func(t *testing.T) {
 		c := newRetryingCore(t)
 		sink := &recordingSink{}
-		r := arrive(c, 1, sink)
+		r := submitRequest(c, 1, sink)
 		sink.disconnected = true
 		failFirstAttempt(t, c, r)
 		if !r.finished || len(c.requests) != 0 {
@@ -72,38 +72,38 @@
 		if n := c.backends.Dials(); n != 1 {
 			t.Errorf("got %d connections dialed, want one", n)
 		}
-		wantDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
+		checkDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
 	})
 	t.Run("waiting for a connection", func(t *testing.T) {
 		c := newRetryingCore(t)
 		sink := &recordingSink{}
-		r := arrive(c, 1, sink)
+		r := submitRequest(c, 1, sink)
 		attempt := r.attempts[0]
 		c.now += time.Millisecond
 		sink.disconnected = true
 		if (poolOwner{c}).AttemptWanted(attempt) {
-			t.Fatal("got an attempt that is wanted, want it dropped")
+			t.Fatal("the attempt would be sent, want it dropped")
 		}
 		c.flushEvents()
 		if !r.finished || !attempt.Ended() || !attempt.NeverRan() {
 			t.Errorf("got finished %v, ended %v, never ran %v, want all true",
 				r.finished, attempt.Ended(), attempt.NeverRan())
 		}
-		wantDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
+		checkDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAttempt: 1})
 	})
 }
 
-// The sink is called once for each event, and not for each attempt that the event brings.
+// The sink's Disconnected is called once per event, even if the event causes several checks.
 func TestDisconnectIsCheckedOncePerEvent(t *testing.T) {
 	c := newIdleCore(t, testConfig(newBackends(t, 1)))
 	sink := &recordingSink{}
-	arrive(c, 1, sink)
-	if sink.polled != 1 {
-		t.Errorf("got %d checks, want one", sink.polled)
+	submitRequest(c, 1, sink)
+	if sink.disconnectChecks != 1 {
+		t.Errorf("got %d checks, want one", sink.disconnectChecks)
 	}
 }
 
-// A caller that has disconnected is granted no lease, and its request's id can be used again.
+// A disconnected caller is granted no lease, and the id of its request can be used again.
 func TestNoLeaseForDisconnectedCallers(t *testing.T) {
 	cfg := testConfig(newBackends(t, 1))
 	cfg.Leases = &LeaseConfig{
@@ -118,17 +118,17 @@
 		r.Command = nil
 		c.handle(leaseRequested{r, "id", 7, sink})
 	}
-	left := &recordingSink{disconnected: true}
-	requestLease(left)
-	if left.answer.Kind == Granted || len(c.leases.byLease) != 0 || len(c.leases.byRequestID) != 0 {
+	disconnectedSink := &recordingSink{disconnected: true}
+	requestLease(disconnectedSink)
+	if disconnectedSink.answer.Kind == Granted || len(c.leases.byLease) != 0 || len(c.leases.byRequestID) != 0 {
 		t.Fatalf("got %v, %d leases and %d open requests, want no grant",
-			left.answer, len(c.leases.byLease), len(c.leases.byRequestID))
+			disconnectedSink.answer, len(c.leases.byLease), len(c.leases.byRequestID))
 	}
-	wantDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
+	checkDisconnects(t, c, map[metrics.DisconnectStage]int64{metrics.BeforeAdmission: 1})
 	c.now += time.Millisecond
-	stays := &recordingSink{}
-	requestLease(stays)
-	if stays.answer.Kind != Granted {
-		t.Errorf("next call: got %v, want a grant", stays.answer)
+	connectedSink := &recordingSink{}
+	requestLease(connectedSink)
+	if connectedSink.answer.Kind != Granted {
+		t.Errorf("next call: got %v, want a grant", connectedSink.answer)
 	}
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -11,14 +11,14 @@
 // backendCountInterval is the time between two updates of the metrics of the endpoint list.
 const backendCountInterval = 100 * time.Millisecond
 
-// endpointSet is discovery's endpoint list without the operators' overrides.
+// endpointSet is the endpoint list as discovery has sent it, before operators' overrides are applied.
 type endpointSet struct {
-	targets  map[policy.BackendID]discovery.Target // nil: no list has come
-	revision int64                                 // the newest
-	updates  int                                   // lists and changes that have come
+	targets  map[policy.BackendID]discovery.Target // nil: no list has arrived
+	revision int64                                 // highest so far
+	updates  int                                   // lists and changes that have arrived
 }
 
-// loadKnownEndpoints hands the engine the configuration's list, before anything else.
+// loadKnownEndpoints applies the endpoint list of the configuration. It runs before all other events.
 func (c *Core) loadKnownEndpoints() {
 	c.now = c.clock(time.Now())
 	list := c.cfg.Known.Usable(c.log)
@@ -26,14 +26,14 @@
 	c.handle(list)
 }
 
-// endpointSnapshot returns the present list as an event for the engine.
+// endpointSnapshot returns the current endpoint list as an event for the engine.
 func (c *Core) endpointSnapshot() policy.Event {
 	return policy.EndpointsChanged{Complete: true, Backends: c.backends.Backends()}
 }
 
-// updateEndpoints takes over a complete list or a change from discovery.
+// updateEndpoints applies an endpoint list from discovery, either complete or with changes only.
 func (c *Core) updateEndpoints(list discovery.List) {
-	c.summary.add(summaryLists, 1)
+	c.summary.add(summaryEndpointUpdates, 1)
 	set := &c.endpoints
 	set.updates++
 	set.revision = max(set.revision, list.Rev)
@@ -56,7 +56,7 @@
 	c.applyEndpoints(list)
 }
 
-// reapplyOverrides applies the present list again, after the overrides have changed.
+// reapplyOverrides applies the current endpoint list again after a change of the overrides.
 func (c *Core) reapplyOverrides() {
 	list := discovery.List{Targets: make([]discovery.Target, 0, len(c.endpoints.targets))}
 	for _, target := range c.endpoints.targets {
@@ -66,7 +66,8 @@
 	c.flushEvents()
 }
 
-// applyEndpoints notifies the engine, the pool and the optional components of a list under the operators' overrides.
+// applyEndpoints passes an endpoint list, with the operators' overrides applied, to the engine, the pool and the
+// optional components.
 func (c *Core) applyEndpoints(list discovery.List) {
 	ev := policy.EndpointsChanged{Complete: list.Complete, Backends: make([]policy.Backend, 0, len(list.Targets))}
 	entries := make([]backend.Endpoint, 0, len(list.Targets))
@@ -77,7 +78,7 @@
 		ev.Backends = append(ev.Backends, listed)
 	}
 	c.overrides.mu.Unlock()
-	// Before the attempts that the update ends: the engine would send them to the same backends again.
+	// The engine must know the list before the pool update ends attempts: otherwise it would retry on removed backends.
 	c.notifyEngine(ev)
 	c.backends.Update(entries, list.Complete)
 	if c.outliers != nil {
@@ -88,7 +89,8 @@
 	}
 }
 
-// updateBackendCounts brings the metrics of the endpoint list up to date.
+// updateBackendCounts updates the metrics of how many backends are listed, and how many of them are suspended or
+// avoided by the engine.
 func (c *Core) updateBackendCounts() {
 	avoided := 0
 	c.overrides.mu.Lock()
--- a/internal/core/escrow.go
+++ b/internal/core/escrow.go
@@ -12,37 +12,37 @@
 
 const (
 	escrowTickInterval      = 50 * time.Millisecond
-	pauseThreshold          = 4 * escrowTickInterval // a tick so late says that this process did not run
-	forwardRateTimeConstant = time.Second            // of the average of forwarded units
-	maxForwardRates         = 1024                   // accounts whose forwarded units are averaged
-	fullLogInterval         = 10 * time.Second       // between two log lines on accounts that found no capacity
-	escrowSeedStream        = 47                     // of the seed's random streams
+	pauseThreshold          = 4 * escrowTickInterval // a longer time between ticks means that the process was paused
+	forwardRateTimeConstant = time.Second            // of the moving average of forwarded units
+	maxForwardRates         = 1024                   // accounts that have a moving average of forwarded units
+	fullLogInterval         = 10 * time.Second       // between two log lines about accounts without capacity
+	escrowSeedStream        = 47                     // random stream of the seed for this component
 )
 
-// escrowState is this instance's shares of quotas, which it transfers to and from other instances. It belongs to the
-// loop, except published.
+// escrowState holds this instance's shares of quotas, which instances transfer to each other. It is confined to the
+// loop's goroutine, except published.
 type escrowState struct {
 	allocator      *escrow.Allocator
 	transport      Transport
 	tickedAt       time.Duration
 	members        []escrow.Member
 	forwardRates   map[string]*forwardRate // by account
-	conflictLogged bool                    // a line on two members with one index was written
+	conflictLogged bool                    // the log line about two members with the same index was written
 
-	fullLogged   int           // accounts without capacity, in log lines so far
-	fullLoggedAt time.Duration // of the last of these lines
+	loggedFull   int           // accounts without capacity that were logged so far
+	loggedFullAt time.Duration // when the last of these log lines was written
 
 	published atomic.Pointer[EscrowStatus] // nil: not yet
 	publishAt time.Duration
 }
 
-// forwardRate is an average of the units a second that this instance forwards for an account.
+// forwardRate is an exponential moving average of the units per second that this instance forwards for an account.
 type forwardRate struct {
-	rate float64 // at time at
+	rate float64 // at the time of at
 	at   time.Duration
 }
 
-// current returns the average as it has decayed until now.
+// current returns the average, decayed to now.
 func (f *forwardRate) current(now time.Duration) float64 {
 	return f.rate * math.Exp(-(now-f.at).Seconds()/forwardRateTimeConstant.Seconds())
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// recordForwarded counts a request's units when its first attempt starts.
+// recordForwarded adds a request's units to its account's average. It is called when the first attempt starts.
 func (e *escrowState) recordForwarded(now time.Duration, r *Request) {
 	account := r.Account()
 	f := e.forwardRates[account]
@@ -72,7 +72,7 @@
 	f.at = now
 }
 
-// updateMembers takes over who is there, and which incarnations have surely ended.
+// updateMembers sets the members and tells the allocator which incarnations are confirmed to have ended.
 func (e *escrowState) updateMembers(ev membersChanged) {
 	e.members = e.members[:0]
 	for _, member := range ev.members {
@@ -85,7 +85,7 @@
 	}
 }
 
-// tickEscrow requests shares that are needed here, and notifies the engine of what this instance holds.
+// tickEscrow requests the quota shares that this instance needs and notifies the engine of those that it holds.
 func (c *Core) tickEscrow() {
 	e := c.escrow
 	paused := c.now-e.tickedAt > pauseThreshold
@@ -103,7 +103,7 @@
 	}
 }
 
-// escrowNeeds returns what the engine needs of each account.
+// escrowNeeds returns the engine's need of each account, with the share that this instance has recently forwarded.
 func (c *Core) escrowNeeds() []escrow.Need {
 	var needs []escrow.Need
 	for _, quota := range c.engine.QuotaNeeds(c.now) {
@@ -124,19 +124,20 @@
 	return needs
 }
 
-// logAccountsFull logs that accounts found no capacity: at once, and then at most once in each fullLogInterval.
+// logAccountsFull logs that accounts were turned away because the account table is full: the first time at once, then
+// at most one line per fullLogInterval.
 func (c *Core) logAccountsFull() {
 	e := c.escrow
 	full := e.allocator.Counts().Full
-	if full == e.fullLogged || e.fullLogged > 0 && c.now-e.fullLoggedAt < fullLogInterval {
+	if full == e.loggedFull || e.loggedFull > 0 && c.now-e.loggedFullAt < fullLogInterval {
 		return
 	}
 	c.log.Warn("no capacity for further escrow accounts",
-		"rejected", full-e.fullLogged, "max_accounts", escrow.MaxAccounts)
-	e.fullLogged, e.fullLoggedAt = full, c.now
+		"rejected", full-e.loggedFull, "max_accounts", escrow.MaxAccounts)
+	e.loggedFull, e.loggedFullAt = full, c.now
 }
 
-// applyAllocations notifies the engine of what this instance holds now, and whether the process was paused.
+// applyAllocations passes the engine the quota shares that this instance holds now, and whether the process was paused.
 func (c *Core) applyAllocations(paused bool) {
 	allocations := policy.Allocations{
 		Default:   c.escrow.allocator.DefaultShare(c.now),
@@ -148,8 +149,8 @@
 	c.engine.SetAllocations(c.now, allocations, paused)
 }
 
-// receiveEscrow takes in a message of another instance's incarnation. What is transferred to this instance holds from
-// the next tick on at the latest; what this instance transfers away counts at once.
+// receiveEscrow handles a quota message from another instance. The engine is notified at once of a share that this
+// instance gives away, and by the next tick of one that it receives.
 func (c *Core) receiveEscrow(from string, incarnation uint64, m escrow.Message) {
 	replies := c.escrow.allocator.Receive(c.now, escrow.Member{Name: from, Incarnation: incarnation}, m)
 	if len(replies) > 0 || len(m.Grants) > 0 {
@@ -164,14 +165,14 @@
 	}
 }
 
-// EscrowStatus is what an instance holds of quotas, for people and tests.
+// EscrowStatus is the status of an instance's quota shares, for operators and tests.
 type EscrowStatus struct {
 	escrow.Counts
 	Accounts []escrow.Status `json:"Budgets"`
 }
 
-// EscrowStatus returns what this instance holds, at most statusInterval old. It reports false if all shares are even.
-// Any goroutine may call it.
+// EscrowStatus returns the status of this instance's quota shares, at most statusInterval old. It returns false if
+// escrow is off. It is safe for concurrent use.
 func (c *Core) EscrowStatus() (EscrowStatus, bool) {
 	if c.escrow == nil {
 		return EscrowStatus{}, false
--- a/internal/core/escrow_test.go
+++ b/internal/core/escrow_test.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/escrow"
 )
 
-// Accounts that find no capacity again and again are one log line at once, and one in each fullLogInterval after that.
+// Repeated rejections of accounts for lack of capacity are logged once at first, and then once per fullLogInterval.
 func TestFullAccountsAreLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	cfg := testConfig(endpointsAt())
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -17,7 +17,7 @@
 	"hitchspring/policy"
 )
 
-// Instances of different versions send each other these messages.
+// The encoding of messages is fixed, since instances of different versions exchange them.
 func TestGoldenMessages(t *testing.T) {
 	golden.RequireTags(t, "cbor", peerMessage{})
 	messages := map[string]peerMessage{}
@@ -51,13 +51,14 @@
 	}
 }
 
+// filled returns a value whose fields are all set.
 func filled[T any]() *T {
 	v := new(T)
 	golden.Fill(v)
 	return v
 }
 
-// What `hitchspring status` reads from a running instance, which may be of another version.
+// The encoding of the status is fixed, since `hitchspring status` may read it from an instance of another version.
 func TestGoldenStatus(t *testing.T) {
 	for name, v := range map[string]any{
 		"nodes":   filled[BackendsStatus](),
@@ -77,7 +78,7 @@
 	}
 }
 
-// The terms that logs, metrics and reports use for reasons, outcomes and states are searched for and counted by others.
+// The names of reasons, outcomes and states in logs, metrics and reports are fixed, since other programs parse them.
 func TestGoldenTerms(t *testing.T) {
 	var b strings.Builder
 	for r := range policy.ReasonCount {
--- a/internal/core/guards.go
+++ b/internal/core/guards.go
@@ -9,37 +9,38 @@
 	"hitchspring/policy"
 )
 
-// Each step that can break a promise has one function in this file through which every path goes: admitting a request
-// (checkAdmission), writing an attempt (maySend) and delivering the final answer (deliverAnswer). They check whether
-// the step is allowed, whatever the engine has decided and whatever has happened meanwhile. A violation is counted and
-// logged, and the step is not done.
+// This file has one function for each step that can break an invariant: admitting a request (checkAdmission), writing
+// an attempt (maySend) and delivering the final answer (deliverAnswer). Every code path uses them. They check the
+// invariants independently of the engine's decision, which may be out of date. A violation is counted and logged, and
+// the step is not carried out.
 
-// enforced has a step that would break an invariant withheld. The planted defects of the lab are built without, so
-// that its rule checker is seen to find them.
+// enforced makes the guards withhold a step that would break an invariant. The lab's mutation tests build with it off,
+// to show that the rule checker finds the planted defects by itself.
 const enforced = true
 
-// maxAnswerDelay is how long after its deadline an answer still reaches the client; later, the request counts as lost.
+// maxAnswerDelay is how long after the deadline an answer still reaches the client. A later answer is a violation,
+// since the client counts the request as lost.
 const maxAnswerDelay = 500 * time.Millisecond
 
-// checkAdmission reports whether a request is admitted, and the answer to one that is not.
+// checkAdmission reports whether a request is admitted and, if not, returns the answer to it.
 func (c *Core) checkAdmission(r *Request) (a Answer, admitted bool) {
 	switch {
-	case c.allAnswered, // nothing would answer it
-		r.GiveUpAt <= c.now, // it has waited too long behind others on its connection
+	case c.allAnswered, // the shutdown has given all final answers: nothing would answer this request
+		r.GiveUpAt <= c.now, // it has waited past its deadline behind others on its connection
 		!c.hasCapacity(r):
 		return Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter}, false
-	case c.clientIDs[r.ClientID]: // the earlier request of this id gets the answer
+	case c.clientIDs[r.ClientID]: // the earlier request with this id gets the final answer
 		return Answer{Kind: Duplicate}, false
 	}
 	return Answer{}, true
 }
 
-// hasCapacity reports whether the table of requests has capacity for one more, by number and by bytes.
+// hasCapacity reports whether one more request fits within the limits on the number and the bytes of open requests.
 func (c *Core) hasCapacity(r *Request) bool {
 	return len(c.requests) < c.connections.MaxOpen && c.requestBytes+r.Size <= c.maxRequestBytes
 }
 
-// maySend reports whether an attempt that is about to be written keeps all invariants.
+// maySend reports whether an attempt that is about to be written breaks no invariant.
 func (c *Core) maySend(r *Request, attempt *backend.Attempt) bool {
 	to, serves := attempt.Backend()
 	send := guard.Send{
@@ -56,7 +57,7 @@
 	if broken == guard.None {
 		return true
 	}
-	if broken == guard.SendAfterDeadline { // no violation: time has passed since the engine's decision
+	if broken == guard.SendAfterDeadline { // not a violation: the deadline has passed since the engine's decision
 		c.metrics.AttemptWithheld(metrics.DeadlinePassed)
 		return false
 	}
@@ -65,7 +66,7 @@
 	return !enforced
 }
 
-// classOf returns the class of a request. One that the settings don't know is not idempotent.
+// classOf returns the class of a request. A class that is not in the settings counts as not idempotent.
 func (c *Core) classOf(r *Request) policy.Class {
 	class, known := c.classes[r.Class]
 	if !known {
@@ -74,8 +75,8 @@
 	return class
 }
 
-// assignedAttempts returns the attempts of a request that have been assigned to a connection, except one that is about
-// to be written. The attempt of another instance, from which this one has taken the request over, is the first.
+// assignedAttempts returns the attempts of a request that were assigned to a connection, without the one given as
+// except. If the request was taken over from another instance, that instance's attempt comes first.
 func (r *Request) assignedAttempts(except *backend.Attempt) (assigned []guard.Attempt) {
 	if r.Prior != nil {
 		assigned = append(assigned, guard.Attempt{
@@ -101,8 +102,8 @@
 	return assigned
 }
 
-// deliverAnswer hands the final answer of a request to its front. A rejection says that a retry is harmless: if an
-// attempt may have run, the answer is a failure instead.
+// deliverAnswer delivers the final answer of a request to its front. A rejection tells the client that a retry is safe,
+// so it is turned into a failure if an attempt may have run.
 func (c *Core) deliverAnswer(r *Request, a Answer) {
 	if late := c.now - r.GiveUpAt; late > maxAnswerDelay && r.arrivedAt > 0 {
 		c.guard.Violated(guard.AnsweredLate, append(r.logAttrs(), "late", late, "attempts", len(r.attempts))...)
@@ -119,7 +120,7 @@
 	r.Sink.Deliver(a)
 }
 
-// checkUnanswered counts the requests that have no answer when the core has ended.
+// checkUnanswered counts the requests that were left without an answer when the core ended.
 func (c *Core) checkUnanswered() {
 	for _, r := range c.requests {
 		if !r.finished && !r.Delegated {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,19 +9,19 @@
 	"hitchspring/internal/handover"
 )
 
-// predecessorGrace is how long the attempts count that the previous process had in flight when it handed over: nearly
-// all have ended then.
+// predecessorGrace is how long after a handover the previous process's in-flight attempts count as still in flight.
+// Nearly all of them have ended by then.
 const predecessorGrace = 700 * time.Millisecond
 
-// The events of a replacement of this process.
+// The events of a handover between two processes of this instance.
 type (
 	handOverRequested struct{ reply chan<- handover.State }
 	handoverReceived  struct{ handover.State }
 	siblingsChanged   int
 )
 
-// HandOver splits what the engine has learned with the next process of this instance, and returns that one's part. It
-// is called once, when no more clients are accepted; the core goes on with the rest.
+// HandOver splits the engine's learned state between this process and the next one of this instance, and returns the
+// next one's part. It is called once, when this process accepts no more clients. The core continues with its own part.
 func (c *Core) HandOver(ctx context.Context) (handover.State, error) {
 	reply := make(chan handover.State, 1)
 	select {
@@ -35,15 +35,15 @@
 	case <-ctx.Done():
 		return handover.State{}, ctx.Err()
 	case <-c.stopped:
-		return handover.State{}, errors.New("the core has ended")
+		return handover.State{}, errors.New("the core has stopped")
 	}
 }
 
-// AcceptHandover continues from what the previous process has handed over. It is called before clients are accepted.
+// AcceptHandover imports the state that the previous process has handed over. It is called before clients are accepted.
 func (c *Core) AcceptHandover(state handover.State) { c.post(handoverReceived{state}) }
 
-// SetSiblings sets how many other processes of this instance run. While there are any, this one uses half of the
-// connections to backends; when there is none any more, what the previous process had in flight counts no longer.
+// SetSiblings sets the number of sibling processes. While there are any, this process uses half of the instance's
+// connections to backends. When there are none, the previous process's in-flight attempts no longer count.
 func (c *Core) SetSiblings(siblings int) { c.post(siblingsChanged(siblings)) }
 
 func (c *Core) setSiblings(siblings int) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// backendConnections returns how many connections to backends this process may have beside its siblings.
+// backendConnections returns the maximum connections to backends of this process, given its number of siblings.
 func (c *Core) backendConnections(siblings int) int {
 	if siblings > 0 {
 		return c.maxConnections / 2
@@ -61,7 +61,7 @@
 	return c.maxConnections
 }
 
-// handOver gives the next process its part, and retains the rest.
+// handOver replies with the state for the next process and retains the rest.
 func (c *Core) handOver(ev handOverRequested) {
 	retained, given := handover.Split(c.engine.ExportState())
 	c.engine.RetainUnits(retained)
@@ -74,7 +74,7 @@
 
 // acceptHandover imports the state of the previous process.
 func (c *Core) acceptHandover(state handover.State) {
-	// While discovery has sent nothing, the previous process's list may be newer than the configuration's.
+	// Before discovery's first update, the previous process's list may be newer than that of the configuration.
 	if c.endpoints.updates < 2 && state.List.Rev > c.endpoints.revision {
 		c.updateEndpoints(state.List.Usable(c.log))
 		c.flushEvents()
--- a/internal/core/known_faults_test.go
+++ b/internal/core/known_faults_test.go
@@ -8,18 +8,18 @@
 	"hitchspring/policy"
 )
 
-// Tests of faults that were listed in KNOWN-RED.txt until they were mended.
+// Regression tests for faults that KNOWN-RED.txt listed until they were fixed.
 
-// unreachableTransport delivers nothing.
+// unreachableTransport delivers no message.
 type unreachableTransport struct{}
 
 func (unreachableTransport) Send(string, []byte) {}
 
 func (unreachableTransport) ClockReading(string) time.Duration { return 0 }
 
-// A request whose awaited attempt never ran starts anew, and its client leaves
-// before it is replicated again: nothing of it is kept.
-func TestRestartedWorkIsForgotten(t *testing.T) {
+// Guards against a leak of a request that waits for another instance's attempt. The attempt never ran, so the request
+// is restarted, and its client disconnects before it is replicated again.
+func TestDisconnectReleasesRestartedWork(t *testing.T) {
 	cfg := testConfig(endpointsAt()) // no backend: the request is queued
 	cfg.Takeover = &TakeoverConfig{
 		Self:        takeover.Member{Name: "n0"},
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -10,50 +10,50 @@
 	"hitchspring/policy"
 )
 
-// maxLeaseWaiters bounds how many callers wait for the decision on one request.
+// maxLeaseWaiters is the maximum number of callers that wait for the decision on one request.
 const maxLeaseWaiters = 4
 
-// LeaseConfig is how attempts are granted to callers who send them themselves.
+// LeaseConfig configures the leases of callers who send attempts themselves.
 type LeaseConfig struct {
-	Timeout     time.Duration // an attempt that nobody reports on is in flight for so long, and may have run after that
-	StartWithin time.Duration // an attempt must be sent within so long of its grant; well below the grace of a drain
-	Retention   time.Duration // an answer is kept for so long after its request's deadline
-	MaxRequests int           // requests that are kept
+	Timeout     time.Duration // a lease without a report expires after this; its attempt may have run
+	StartWithin time.Duration // max time from grant to send; must be well below the drain grace of backends
+	Retention   time.Duration // how long after a request's deadline its answer is retained
+	MaxRequests int           // max requests that are retained
 }
 
-// Grant is the right to send one attempt to a backend.
+// Grant permits a caller to send one attempt to a backend.
 type Grant struct {
-	Lease       string // its name, by which the outcome is reported
-	Backend     string // its id
+	Lease       string // name of the lease, under which the outcome is reported
+	Backend     string // id of the backend
 	Addr        string
 	Attempt     int           // number of the attempt within its request, from 0
-	StartWithin time.Duration // from now
-	EndsWithin  time.Duration // from now; a report after that is late
+	StartWithin time.Duration // from now; the attempt must be sent by then
+	EndsWithin  time.Duration // from now; a later report is an error
 }
 
-// ReportResult is what became of a reported outcome, and where its request stands after it.
+// ReportResult is the result of reporting an outcome.
 type ReportResult struct {
-	Err   error // lease.ErrUnknown, lease.ErrLate or lease.ErrConflict
-	First bool  // the lease had not been reported on
-	State lease.State
-	Next  Answer // another grant, or the final answer
+	Err   error       // lease.ErrUnknown, lease.ErrLate or lease.ErrConflict; nil: the report is accepted
+	First bool        // this is the first report on the lease
+	State lease.State // of the request after the report
+	Next  Answer      // another grant, or the final answer
 }
 
-// leaseTable is the delegated requests, with their leases and the callers who wait.
+// leaseTable holds the delegated requests, their leases and the callers that wait for a decision.
 type leaseTable struct {
-	registry    *lease.Registry
-	byRequestID map[string]*leasedRequest // without a decision
-	byLease     map[string]*leasedRequest // with a lease that is out
-	nextTimer   time.Duration             // when the next timer for expiries is set; 0: none
+	registry        *lease.Registry
+	byRequestID     map[string]*leasedRequest // requests without a final answer
+	byLease         map[string]*leasedRequest // requests with an outstanding lease
+	nextExpiryTimer time.Duration             // when the earliest expiry timer fires; 0: none is set
 }
 
-// leasedRequest is a delegated request. It is the sink of the engine's final answer.
+// leasedRequest is a delegated request. It is the reply sink for the engine's final answer.
 type leasedRequest struct {
 	core    *Core
 	request *Request
 	entry   *lease.Request
 	waiters []ReplySink
-	attempt *backend.Attempt // of the entry's lease, while that is out
+	attempt *backend.Attempt // the attempt under the outstanding lease; nil: there is none
 }
 
 func newLeaseTable(cfg LeaseConfig) *leaseTable {
@@ -88,22 +88,22 @@
 	}
 )
 
-// RequestLease submits a request whose attempts its caller sends itself. Each call with the same id, within the
-// retention, gets the same answer, whoever calls; the fingerprint tells whether it is for the same request. The sink
-// gets one answer, unless CancelWait comes first.
+// RequestLease submits a delegated request, whose attempts the caller sends itself. All calls with the same id get the
+// same answer until the retention ends, from any caller; a call whose fingerprint differs is answered Mismatched. The
+// sink gets one answer, unless CancelWait is called first.
 func (c *Core) RequestLease(r *Request, id string, fingerprint uint64, sink ReplySink) {
 	c.post(leaseRequested{r, id, fingerprint, sink})
 }
 
-// CancelWait reports that a caller no longer waits for the answer of RequestLease.
+// CancelWait reports that a caller no longer waits for the answer to RequestLease.
 func (c *Core) CancelWait(id string, sink ReplySink) { c.post(waitCanceled{id, sink}) }
 
-// ReportOutcome reports the outcome of a lease's attempt. The loop calls notify once, which must not block.
+// ReportOutcome reports the outcome of the attempt under a lease. The loop calls notify once; it must not block.
 func (c *Core) ReportOutcome(name string, outcome lease.Outcome, notify func(ReportResult)) {
 	c.post(outcomeReported{name, outcome, notify})
 }
 
-// handleLeaseRequest answers a call for a request that is known, and hands the engine one that is not.
+// handleLeaseRequest answers a call for a known request, and submits an unknown one to the engine.
 func (c *Core) handleLeaseRequest(ev leaseRequested) {
 	table := c.leases
 	c.expireLeases()
@@ -132,7 +132,7 @@
 	c.handleArrival(ev.request)
 }
 
-// answerKnownRequest answers a further call for a request, or lets the caller wait for the decision.
+// answerKnownRequest answers another call for a known request, or adds the caller to those that wait for the decision.
 func (c *Core) answerKnownRequest(entry *lease.Request, sink ReplySink) {
 	if a, decided := c.leaseAnswer(entry); decided {
 		sink.Deliver(a)
@@ -141,7 +141,7 @@
 	l := c.leases.byRequestID[entry.ID]
 	full := l != nil && len(l.waiters) >= maxLeaseWaiters
 	switch {
-	case full && entry.Lease != nil: // an attempt was granted: a rejection would say that a retry is harmless
+	case full && entry.Lease != nil: // an attempt may have run, so a rejection, which promises a safe retry, is wrong
 		sink.Deliver(Answer{Kind: Failed})
 	case l == nil || full:
 		sink.Deliver(Answer{Kind: Rejected, RetryAfter: OverloadRetryAfter})
@@ -150,7 +150,7 @@
 	}
 }
 
-// leaseAnswer returns the answer of a delegated request as it stands, and false while the decision is open.
+// leaseAnswer returns the answer to a delegated request in its current state, and false while it waits for a decision.
 func (c *Core) leaseAnswer(entry *lease.Request) (a Answer, decided bool) {
 	switch entry.State {
 	case lease.Open:
@@ -174,7 +174,7 @@
 	}
 }
 
-// Deliver takes the engine's final answer to a delegated request, which is a rejection or a failure.
+// Deliver receives the engine's final answer to a delegated request, which is a rejection or a failure.
 func (l *leasedRequest) Deliver(a Answer) {
 	state := lease.Failed
 	if a.Kind == Rejected {
@@ -185,8 +185,8 @@
 	l.notifyWaiters(a)
 }
 
-// Disconnected reports whether all callers have disconnected. If none waits, the caller that reports an outcome or a
-// later call learns the decision.
+// Disconnected reports whether there are waiting callers and all of them have disconnected. Without waiting callers it
+// returns false, since the decision is then returned to a report of an outcome or to a later call.
 func (l *leasedRequest) Disconnected() bool {
 	for _, sink := range l.waiters {
 		if !sink.Disconnected() {
@@ -196,7 +196,7 @@
 	return len(l.waiters) > 0
 }
 
-// notifyWaiters answers all callers who wait.
+// notifyWaiters delivers an answer to all waiting callers.
 func (l *leasedRequest) notifyWaiters(a Answer) {
 	for _, sink := range l.waiters {
 		sink.Deliver(a)
@@ -204,16 +204,16 @@
 	l.waiters = nil
 }
 
-// stopWaiting takes the request out of those without a decision: later calls find it in the registry alone.
+// stopWaiting ends the wait for a decision: later calls are answered from the registry alone.
 func (l *leasedRequest) stopWaiting() { delete(l.core.leases.byRequestID, l.entry.ID) }
 
-// forget removes a request that nobody waits for and that was never granted a lease.
+// forget removes a request that was never granted a lease and has no waiting callers.
 func (l *leasedRequest) forget() {
 	l.stopWaiting()
 	l.core.leases.registry.Forget(l.entry)
 }
 
-// grantLease grants an attempt to the callers who wait. It reports false if nobody may send it.
+// grantLease grants a lease for an attempt to the waiting callers. It returns false if the attempt may not be sent.
 func (c *Core) grantLease(r *Request, attempt *backend.Attempt, id policy.BackendID) bool {
 	l, ok := r.Sink.(*leasedRequest)
 	addr, serves := c.backends.Addr(id)
@@ -235,7 +235,7 @@
 	return true
 }
 
-// cancelWait removes a caller who waited. A request that nobody waits for and that was granted no lease is abandoned.
+// cancelWait removes a waiting caller. A request without waiting callers that was never granted a lease is abandoned.
 func (c *Core) cancelWait(ev waitCanceled) {
 	l := c.leases.byRequestID[ev.id]
 	if l == nil {
@@ -254,8 +254,8 @@
 	}
 }
 
-// handleOutcomeReport ends a lease. A request that was served, or whose attempt was never sent, is over; after any
-// other outcome the engine decides on another attempt, and the result of the report says so if it has.
+// handleOutcomeReport ends a lease. An outcome of served or unsent concludes the request. After any other outcome the
+// engine may decide on another attempt, whose grant is part of the result of the report.
 func (c *Core) handleOutcomeReport(ev outcomeReported) {
 	c.expireLeases()
 	entry, reported, first, err := c.leases.registry.Report(c.now, ev.lease, ev.outcome)
@@ -282,7 +282,7 @@
 	ev.notify(result)
 }
 
-// concludeLease ends a lease and its request: no other attempt is granted, whatever the engine decides.
+// concludeLease ends a lease and its request: no further attempt is granted, even if the engine decides on one.
 func (c *Core) concludeLease(l *leasedRequest, outcome policy.Outcome, unsent bool) {
 	l.request.finished = true
 	c.metrics.RequestEnded(l.request.Class, requestEndOf(outcome))
@@ -291,7 +291,7 @@
 	c.endLease(l, outcome, unsent)
 }
 
-// endLease notifies the engine of the outcome of a lease's attempt.
+// endLease notifies the engine of the outcome of the attempt under a lease.
 func (c *Core) endLease(l *leasedRequest, outcome policy.Outcome, unsent bool) {
 	attempt, r := l.attempt, l.request
 	l.attempt = nil
@@ -307,7 +307,7 @@
 	})
 }
 
-// expireLeases ends the leases that have expired: their attempts may have run.
+// expireLeases ends the leases that have expired. Their attempts count as timed out, since they may have run.
 func (c *Core) expireLeases() {
 	for _, entry := range c.leases.registry.Expire(c.now) {
 		if l := c.leases.byLease[entry.Lease.Name]; l != nil {
@@ -317,17 +317,17 @@
 	}
 }
 
-// scheduleLeaseExpiry sets a timer for the next expiry, unless one as early is set.
+// scheduleLeaseExpiry sets a timer for the next expiry, unless one that fires as early is set.
 func (c *Core) scheduleLeaseExpiry() {
 	table := c.leases
 	next, pending := table.registry.NextExpiry()
-	if !pending || table.nextTimer > c.now && table.nextTimer <= next {
+	if !pending || table.nextExpiryTimer > c.now && table.nextExpiryTimer <= next {
 		return
 	}
-	table.nextTimer = next
+	table.nextExpiryTimer = next
 	c.scheduleAt(next, func() {
-		if table.nextTimer == next {
-			table.nextTimer = 0
+		if table.nextExpiryTimer == next {
+			table.nextExpiryTimer = 0
 		}
 		c.expireLeases()
 		c.scheduleLeaseExpiry()
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -11,15 +11,15 @@
 
 const (
 	eventQueueLength  = 256
-	maxEventBatch     = 256 // events that are handled before timers are looked at
+	maxEventBatch     = 256 // events handled in a row before due timers fire
 	idleCheckInterval = time.Second
-	statusInterval    = 250 * time.Millisecond // between two publications of a component's status
+	statusInterval    = 250 * time.Millisecond // between two updates of a component's published status
 )
 
-// event is what another goroutine posts to the loop. The type of an event is unexported and stands beside its handler.
+// event is a message that another goroutine posts to the loop. Most event types are defined beside their handlers.
 type event any
 
-// post hands an event to the loop, and drops it after the loop's end. It blocks while the queue is full.
+// post queues an event for the loop, and drops it after the loop's end. It blocks while the queue is full.
 func (c *Core) post(ev event) {
 	select {
 	case c.events <- ev:
@@ -27,7 +27,7 @@
 	}
 }
 
-// loop handles events and timers until ctx is done. Its goroutine owns the state of the core.
+// loop handles events and timers until ctx is done. The core's state is confined to its goroutine.
 func (c *Core) loop(ctx context.Context) {
 	defer close(c.stopped)
 	c.startPeriodicWork()
@@ -54,7 +54,7 @@
 	}
 }
 
-// startPeriodicWork schedules what the loop does at intervals. The order is that of timers that are due together.
+// startPeriodicWork schedules the periodic work of the loop. Timers that are due at the same time fire in this order.
 func (c *Core) startPeriodicWork() {
 	c.scheduleAfter(idleCheckInterval, c.retireIdle)
 	if c.zones != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// retireIdle closes connections that have been idle for long, again and again.
+// retireIdle closes connections that have been idle for too long, every idleCheckInterval.
 func (c *Core) retireIdle() {
 	c.backends.RetireIdle()
 	c.scheduleAfter(idleCheckInterval, c.retireIdle)
@@ -114,7 +114,7 @@
 	c.flushEvents()
 }
 
-// handleControl handles the events that concern the instance and not a request.
+// handleControl handles the events that concern the instance rather than a request.
 func (c *Core) handleControl(ev event) {
 	switch ev := ev.(type) {
 	case membersChanged:
@@ -138,12 +138,12 @@
 	}
 }
 
-// notifyEngine queues an event for the engine, which flushEvents hands over.
+// notifyEngine queues an event for the engine until flushEvents.
 func (c *Core) notifyEngine(ev policy.Event) { c.engineEvents = append(c.engineEvents, ev) }
 
-// flushEvents lets the engine handle what is queued and performs its actions, which may queue more.
+// flushEvents lets the engine handle the queued events and performs its actions, which may queue more events.
 func (c *Core) flushEvents() {
-	// After a pause of this process the allocations may have ended: the engine must know before it admits anything.
+	// Allocations may have expired while this process was paused: the engine must know before it admits a request.
 	if e := c.escrow; e != nil && c.now-e.tickedAt > 2*escrowTickInterval {
 		c.tickEscrow()
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -11,26 +11,26 @@
 
 // Transport carries messages between instances. None of its methods may wait for I/O.
 type Transport interface {
-	// Send sends bytes to a member; they may be lost.
+	// Send sends a message to a member, without a guarantee of delivery.
 	Send(to string, data []byte)
-	// ClockReading returns the newest reading of a member's clock that has come.
+	// ClockReading returns the latest reading of a member's clock that this instance has received.
 	ClockReading(name string) time.Duration
 }
 
-// Incarnation is one incarnation of a member: a member that restarts has a higher number.
+// Incarnation identifies one run of a member: after each restart the member has a higher number.
 type Incarnation struct {
 	Name   string
 	Number uint64
 }
 
-// peerMessage is what one instance sends another: about pending work or about quota shares. The keys of its fields are
-// fixed, since instances of different versions exchange it.
+// peerMessage is a message between instances, about pending work or quota shares. The integer keys of its fields must
+// not change, since instances of different versions exchange it.
 type peerMessage struct {
 	takeover.Message
 	Escrow *escrow.Message `cbor:"10,keyasint,omitempty"`
 }
 
-// The events of the group of instances.
+// The events from the other instances of the group.
 type (
 	messageReceived struct {
 		from        string
@@ -38,26 +38,26 @@
 		data        []byte
 	}
 	membersChanged struct {
-		members []takeover.Member // who is there, without this instance
+		members []takeover.Member // current members except this instance
 		changes []MemberChange    // in the order in which they happened
 	}
 )
 
-// MemberChange is news of one incarnation of a member: it is alive, or has ended as far as is known. A later change of
-// the same member takes back an earlier one.
+// MemberChange reports that one incarnation of a member is alive or has ended. A later change replaces an earlier one
+// of the same incarnation.
 type MemberChange struct {
 	Incarnation
-	Ended  bool // else it is alive
-	Surely bool // it is known to have ended, and not only suspected
+	Ended  bool // false: it is alive
+	Surely bool // the end is confirmed, and not only concluded from a suspicion
 }
 
-// ReceiveMessage takes in a message of another instance's incarnation.
+// ReceiveMessage handles a message from an incarnation of another instance.
 func (c *Core) ReceiveMessage(from string, incarnation uint64, data []byte) {
 	c.post(messageReceived{from, incarnation, data})
 }
 
-// UpdateMembers reports which other members are there now, and what has changed since the last call, in the order in
-// which it happened.
+// UpdateMembers sets the current members other than this instance, with the changes since the last call in the order in
+// which they happened.
 func (c *Core) UpdateMembers(members []takeover.Member, changes []MemberChange) {
 	c.post(membersChanged{members, changes})
 }
@@ -65,8 +65,8 @@
 func (c *Core) handleMessage(ev messageReceived) {
 	var m peerMessage
 	if err := cbor.Unmarshal(ev.data, &m); err != nil {
-		c.unreadable++
-		if c.unreadable == 1 {
+		c.unreadableMessages++
+		if c.unreadableMessages == 1 {
 			c.log.Warn("unreadable message from another instance", "from", ev.from, "err", err)
 		}
 		return
@@ -100,7 +100,7 @@
 	c.drainCoordinator()
 }
 
-// encodePeerMessage encodes a message, whose fields are all plain.
+// encodePeerMessage encodes a message. It panics on an error, which the plain field types of a message rule out.
 func encodePeerMessage(m peerMessage) []byte {
 	data, err := cbor.Marshal(m)
 	if err != nil {
--- a/internal/core/members_test.go
+++ b/internal/core/members_test.go
@@ -10,14 +10,14 @@
 // memberNamed returns a member without a zone.
 func memberNamed(name string) takeover.Member { return takeover.Member{Name: name} }
 
-// receiveIntent has a core record an intent of another instance's incarnation 1.
+// receiveIntent lets a core receive an intent from another instance, in its incarnation 1.
 func receiveIntent(c *Core, from string, intent takeover.Intent) {
 	c.handle(messageReceived{from, 1, encodePeerMessage(peerMessage{Message: takeover.Message{Intent: &intent}})})
 }
 
-// Guards against changes that are handled by kind and not in order: a member that returns and ends in one batch has
-// ended, and is no successor of others.
-func TestLaterMemberChangeCounts(t *testing.T) {
+// Guards against member changes that are handled grouped by kind instead of in order. A member that returns and then
+// ends in one batch has ended, and can't be the successor of another.
+func TestLatestMemberChangeWins(t *testing.T) {
 	returned := MemberChange{Incarnation: Incarnation{"n1", 1}}
 	ended := MemberChange{Incarnation: Incarnation{"n1", 1}, Ended: true}
 	tests := map[string]struct {
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	outlierTickInterval   = 50 * time.Millisecond
-	assessmentInterval    = 500 * time.Millisecond // without new facts, since observations age
-	backendStatusInterval = 250 * time.Millisecond
-	slownessLogThreshold  = 2.0 // times the usual latency
-	halfLifeObjectives    = 8   // half-life of an observation in latency objectives, as in the engine
-	statusMinBad          = 0.1 // evidence against a backend from which on the status names its cause
-	decaySeedStream       = 41  // of the seed's random streams
-	probationSeedStream   = 43
+	outlierTickInterval      = 50 * time.Millisecond
+	assessmentInterval       = 500 * time.Millisecond // max time between assessments, since observations age
+	backendStatusInterval    = 250 * time.Millisecond
+	slownessLogThreshold     = 2.0 // times the usual latency
+	halfLifeObjectives       = 8   // half-life of an observation, in latency objectives; the engine has the same
+	statusMinFailureEvidence = 0.1 // min evidence against a backend with which the status names its cause
+	decaySeedStream          = 41  // random streams of the seed for this component
+	probationSeedStream      = 43
 )
 
 // Peers is the group of instances that exchange facts by gossip. None of its methods may wait for I/O.
 type Peers interface {
-	// Publish states a fact of this instance's own, observed at a time of the shared clock.
+	// Publish publishes a fact of this instance, observed at a time on the shared clock.
 	Publish(kind, subject string, observedAt time.Duration, data []byte)
-	// Facts returns all facts of a kind, and the zones of their owners.
+	// Facts returns all facts of a kind, and the zones of their owners by name.
 	Facts(kind string) (facts []gossip.Fact, zones map[string]string)
-	// Version changes when the facts have changed.
+	// Version returns a number that changes whenever the facts change.
 	Version() uint64
-	// Name is this instance's name as an owner of facts.
+	// Name returns the name under which this instance owns facts.
 	Name() string
 }
 
-// outlierTracker is what this instance and others have observed of backends. It belongs to the loop, except published.
+// outlierTracker combines the observations of backends by this instance and by others. It is confined to the loop's
+// goroutine, except published.
 type outlierTracker struct {
 	peers     Peers
 	cfg       outlier.Config
@@ -44,35 +45,35 @@
 	probation *outlier.Probation
 
 	startTimes       map[policy.BackendID]time.Duration // of the listed backends
-	factsVersion     uint64                             // of the facts in peerObservations; 0: they must be read again
+	factsVersion     uint64                             // version of the facts in peerObservations; 0: read again
 	assessedAt       time.Duration
 	peerObservations map[policy.BackendID][]outlier.PeerObservation
-	peerSlowness     map[policy.BackendID]float64 // times the usual latency, as the engine has it
-	loggedSlow       map[policy.BackendID]bool    // as the last log line on a backend says
-	ejectionsLifted  bool                         // too many backends are ejected at once: none is
-	unreadable       int                          // facts that could not be decoded
+	peerSlowness     map[policy.BackendID]float64 // from others' observations, in multiples of the usual latency
+	loggedSlow       map[policy.BackendID]bool    // whether the last log line about a backend called it slow
+	ejectionsLifted  bool                         // too many backends would be ejected at once, so none is
+	unreadableFacts  int                          // facts that could not be decoded
 
 	published   atomic.Pointer[BackendsStatus] // nil: not yet
-	publishedAt time.Duration                  // when published was set last
+	publishedAt time.Duration                  // when published was last set
 }
 
-// BackendsStatus is what is believed of backends, for people and tests.
+// BackendsStatus is the assessment of all observed backends, for operators and tests.
 type BackendsStatus struct {
-	EjectionsLifted bool            `json:"Lifted"`  // too many backends are ejected at once: none is
+	EjectionsLifted bool            `json:"Lifted"`  // too many backends would be ejected at once, so none is
 	Unreadable      int             `json:"Strange"` // facts that could not be decoded
 	Backends        []BackendStatus `json:"Nodes"`
 }
 
-// BackendStatus is one backend that was observed here or elsewhere.
+// BackendStatus is the assessment of one backend that this or another instance has observed.
 type BackendStatus struct {
 	Backend      policy.BackendID `json:"Node"`
-	Good         float64          `json:"Good"` // this instance's own evidence
-	Bad          float64          `json:"Bad"`
-	OwnCause     string           `json:"Own"`  // of the own evidence against it
-	PeerSlowness float64          `json:"Told"` // times the usual latency, by others' observations; 1: they say nothing
+	Good         float64          `json:"Good"` // this instance's evidence of successes
+	Bad          float64          `json:"Bad"`  // this instance's evidence of failures
+	OwnCause     string           `json:"Own"`  // cause of this instance's evidence of failures
+	PeerSlowness float64          `json:"Told"` // multiple of the usual latency, by others' observations; 1: not slow
 	Cause        string           `json:"Cause"`
 	Reporters    []string         `json:"Accusers"`
-	Defenders    []string         `json:"Defence"` // "" is this instance
+	Defenders    []string         `json:"Defence"` // "" stands for this instance
 	Reason       string           `json:"Why"`
 	AgeMS        int64            `json:"AgeMS"`
 	Reports      []PeerReport     `json:"Words"`
@@ -110,10 +111,11 @@
 	}
 }
 
-// AssessBackends takes in what others have observed so far, before any request that is submitted later.
+// AssessBackends assesses backends by the observations that have arrived from others so far. Requests submitted after
+// the call are handled after the assessment.
 func (c *Core) AssessBackends() { c.post(assessmentRequested{}) }
 
-// updateOutlierBackends takes over which backends are listed, and when each has started.
+// updateOutlierBackends updates which backends are listed, and when each of them has started.
 func (c *Core) updateOutlierBackends() {
 	t := c.outliers
 	clear(t.startTimes)
@@ -125,10 +127,10 @@
 	}
 	c.overrides.mu.Unlock()
 	t.detector.SetBackends(t.startTimes)
-	t.factsVersion = 0 // facts that were ignored may be of a start that is listed now
+	t.factsVersion = 0 // facts that were ignored before may match the new list
 }
 
-// tickOutliers publishes this instance's own observations, and assesses backends with those of others.
+// tickOutliers publishes this instance's observations, and assesses backends by these and those of other instances.
 func (c *Core) tickOutliers() {
 	t := c.outliers
 	t.detector.Tick(c.now)
@@ -137,7 +139,7 @@
 		t.readFacts()
 		t.assessedAt = 0
 	}
-	// Most backends are fine and nobody reports on them: only the others are looked at.
+	// Most backends are healthy and nobody reports on them, so only the others are examined.
 	own := t.detector.Observations(c.now, func(id policy.BackendID) bool {
 		return len(t.peerObservations[id]) > 0 || t.publisher.HasPublished(id)
 	})
@@ -150,8 +152,8 @@
 	}
 }
 
-// contradicted returns the backends of which others report a fault while this instance has seen a success since its
-// onset, with the latest such onset.
+// contradicted returns the backends of which another instance reports a fault although this one has seen a success
+// after its onset. The value is the latest such onset.
 func (t *outlierTracker) contradicted(own []outlier.Observation) map[policy.BackendID]time.Duration {
 	onsets := map[policy.BackendID]time.Duration{}
 	for _, o := range own {
@@ -164,7 +166,8 @@
 	return onsets
 }
 
-// readFacts takes over the observations of other instances that are of the present start of a listed backend.
+// readFacts reads the observations of other instances. It ignores those of backends that are not listed, and those from
+// before a backend's last start.
 func (t *outlierTracker) readFacts() {
 	facts, zones := t.peers.Facts(outlier.FactKind)
 	t.peerObservations = map[policy.BackendID][]outlier.PeerObservation{}
@@ -174,7 +177,7 @@
 		}
 		o, err := outlier.Decode(f.Subject, f.ObservedAt, f.Data)
 		if err != nil {
-			t.unreadable++
+			t.unreadableFacts++
 			continue
 		}
 		started, listed := t.startTimes[o.Backend]
@@ -186,7 +189,7 @@
 	}
 }
 
-// assessBackends assesses each backend that others have observed, and notifies the engine of the slowness that results.
+// assessBackends assesses each backend that others have observed, and passes the resulting slowness to the engine.
 func (c *Core) assessBackends(own []outlier.Observation) {
 	t := c.outliers
 	assessments := t.assess(c.now, own)
@@ -212,7 +215,7 @@
 	}
 }
 
-// assess returns an assessment of each backend that others have observed.
+// assess returns an assessment of each backend that other instances have observed.
 func (t *outlierTracker) assess(now time.Duration, own []outlier.Observation) []outlier.Assessment {
 	ownByBackend := map[policy.BackendID]outlier.Observation{}
 	for _, o := range own {
@@ -227,7 +230,7 @@
 	return assessments
 }
 
-// logSlowBackends writes a line on each backend that others' observations have made slow, or no longer do.
+// logSlowBackends logs each backend that has become slow, or is no longer slow, by others' observations.
 func (c *Core) logSlowBackends(assessments []outlier.Assessment) {
 	t := c.outliers
 	for _, a := range assessments {
@@ -248,9 +251,9 @@
 	}
 }
 
-// publishStatus publishes what is believed of each backend.
+// publishStatus publishes the status of all observed backends.
 func (t *outlierTracker) publishStatus(now time.Duration, own []outlier.Observation, assessments []outlier.Assessment) {
-	s := &BackendsStatus{EjectionsLifted: t.ejectionsLifted, Unreadable: t.unreadable}
+	s := &BackendsStatus{EjectionsLifted: t.ejectionsLifted, Unreadable: t.unreadableFacts}
 	byBackend := map[policy.BackendID]outlier.Assessment{}
 	for _, a := range assessments {
 		byBackend[a.Backend] = a
@@ -265,7 +268,7 @@
 	t.published.Store(s)
 }
 
-// backendStatus returns what is believed of one backend.
+// backendStatus returns the status of one backend from this instance's observation and the assessment.
 func (t *outlierTracker) backendStatus(now time.Duration, o outlier.Observation, a outlier.Assessment) BackendStatus {
 	status := BackendStatus{
 		Backend:      o.Backend,
@@ -278,7 +281,7 @@
 		Reason:       a.Reason,
 		AgeMS:        a.Age.Milliseconds(),
 	}
-	if o.FailureEvidence > statusMinBad {
+	if o.FailureEvidence > statusMinFailureEvidence {
 		status.OwnCause = o.Cause.String()
 	}
 	for _, peer := range t.peerObservations[o.Backend] {
@@ -294,8 +297,8 @@
 	return status
 }
 
-// BackendsStatus returns what is believed of backends, as of a moment ago. It reports false if instances don't share
-// observations. Any goroutine may call it.
+// BackendsStatus returns the assessment of all observed backends, updated about every backendStatusInterval. It returns
+// false if instances don't share observations. It is safe for concurrent use.
 func (c *Core) BackendsStatus() (BackendsStatus, bool) {
 	if c.outliers == nil {
 		return BackendsStatus{}, false
--- a/internal/core/overrides.go
+++ b/internal/core/overrides.go
@@ -8,27 +8,27 @@
 	"hitchspring/policy"
 )
 
-// OverrideStore keeps the operators' overrides where the next process of this instance finds them. Its method may be
-// called by many goroutines, and may take the time of a disk.
+// OverrideStore persists the operators' overrides for the next process of this instance. It must be safe for concurrent
+// use, and may block on disk I/O.
 type OverrideStore interface {
-	// Save puts overrides into stable storage, beside those that another process has put there.
+	// Save writes overrides to stable storage and retains those that another process has written there.
 	Save([]override.Override) error
 }
 
-// operatorOverrides is what operators have set on backends, whatever discovery's list says of them.
+// operatorOverrides holds the operators' overrides, which take precedence over discovery's endpoint list.
 type operatorOverrides struct {
-	mu      sync.Mutex // guards active; never held while waiting
+	mu      sync.Mutex // guards active; not held during blocking calls
 	active  *override.Overrides
 	store   OverrideStore // nil: overrides end with the process
-	changed chan struct{} // has room for one: the loop must apply the overrides again
+	changed chan struct{} // buffered, of capacity 1; signals the loop to apply the overrides again
 }
 
-// Suspend takes a backend out of service until Resume: from now on the list has it as draining, whatever discovery
-// says. It returns override.ErrUnknown for a backend that was never listed, or the error of the store. It never waits
-// for the loop.
+// Suspend takes a backend out of service until Resume: it counts as draining, whatever state discovery reports. Suspend
+// returns override.ErrUnknown for a backend that was never listed, or the error of the store. It doesn't wait for the
+// loop.
 func (c *Core) Suspend(id policy.BackendID) error { return c.setSuspended(id, true) }
 
-// Resume puts a backend back into service, as one that has just started. It returns errors as Suspend does.
+// Resume puts a backend back into service, where it counts as just started. It returns the same errors as Suspend.
 func (c *Core) Resume(id policy.BackendID) error { return c.setSuspended(id, false) }
 
 func (c *Core) setSuspended(id policy.BackendID, suspended bool) error {
@@ -43,13 +43,13 @@
 	if changed {
 		o.signalChange()
 	}
-	if o.store != nil { // also if nothing has changed: an earlier call may have failed here
+	if o.store != nil { // even without a change, since an earlier call may have failed to save
 		return o.store.Save(all)
 	}
 	return nil
 }
 
-// MergeOverrides takes in overrides that another process of this instance has recorded. It may be called at any time.
+// MergeOverrides applies overrides that another process of this instance has saved. It may be called at any time.
 func (c *Core) MergeOverrides(overrides []override.Override) {
 	o := &c.overrides
 	o.mu.Lock()
@@ -61,14 +61,14 @@
 	}
 }
 
-// isSuspended reports whether operators have taken a backend out of service.
+// isSuspended reports whether an operator has suspended a backend.
 func (c *Core) isSuspended(id policy.BackendID) bool {
 	c.overrides.mu.Lock()
 	defer c.overrides.mu.Unlock()
 	return c.overrides.active.IsSuspended(id)
 }
 
-// signalChange has the loop apply the overrides again.
+// signalChange signals the loop to apply the overrides again. It doesn't block.
 func (o *operatorOverrides) signalChange() {
 	select {
 	case o.changed <- struct{}{}:
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -8,8 +8,8 @@
 	"hitchspring/policy"
 )
 
-// pool is the pool of connections to the backends, as package backend implements it. All methods are called by the
-// loop's goroutine.
+// pool is the pool of connections to the backends; package backend implements it. All methods are called on the loop's
+// goroutine.
 type pool interface {
 	Update(list []backend.Endpoint, complete bool)
 	Backends() []policy.Backend
@@ -26,37 +26,37 @@
 	Dials() int
 }
 
-// poolOwner is the core as the pool calls it back, on the loop's goroutine unless a method says otherwise.
+// poolOwner implements the pool's callbacks. They run on the loop's goroutine unless a method says otherwise.
 type poolOwner struct{ core *Core }
 
-// Now returns the time of the event that is being handled.
+// Now returns the time of the event being handled.
 func (o poolOwner) Now() time.Duration { return o.core.now }
 
-// After has the loop call a function when a span has passed.
+// After schedules a function to be called by the loop after a duration.
 func (o poolOwner) After(d time.Duration, fire func()) { o.core.scheduleAfter(d, fire) }
 
-// Post hands an event of a connection to the loop. Any goroutine may call it.
+// Post queues an event of a connection for the loop. It is safe for concurrent use.
 func (o poolOwner) Post(ev backend.Event) { o.core.post(ev) }
 
-// Spawn starts a goroutine that the core's End waits for.
+// Spawn starts a goroutine that Core.Stop waits for.
 func (o poolOwner) Spawn(run func(context.Context)) { o.core.spawn(run) }
 
-// AttemptEnded takes in the outcome of an attempt.
+// AttemptEnded handles the outcome of an attempt.
 func (o poolOwner) AttemptEnded(attempt *backend.Attempt, outcome policy.Outcome, reply backend.Reply) {
 	o.core.attemptEnded(attempt, outcome, reply)
 }
 
-// AttemptWanted reports whether an attempt that is about to be written may still go out.
+// AttemptWanted reports whether an attempt that is about to be written may still be sent.
 func (o poolOwner) AttemptWanted(attempt *backend.Attempt) bool {
 	r, ok := attempt.Ref.(*Request)
-	if !ok { // a probe
+	if !ok { // a health check
 		return true
 	}
 	o.core.dropIfDisconnected(r)
 	return !r.finished && o.core.maySend(r, attempt)
 }
 
-// AttemptBegan takes in a value that has begun to come, and reports whether it is wanted.
+// AttemptBegan handles a streamed value whose first bytes have arrived, and reports whether it is still wanted.
 func (o poolOwner) AttemptBegan(attempt *backend.Attempt, stream *backend.Stream) bool {
 	return o.core.streamStarted(attempt, stream)
 }
--- a/internal/core/quota_bounds.go
+++ b/internal/core/quota_bounds.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// MaxBoundsShown bounds the quotas that QuotaBounds states: those with the most demand.
+	// MaxBoundsShown is the maximum number of quotas that QuotaBounds returns: those with the highest demand.
 	MaxBoundsShown = 1024
 
 	defaultBoundSpan = time.Minute
@@ -17,12 +17,12 @@
 // quotaBoundsRequested is the event of QuotaBounds.
 type quotaBoundsRequested struct {
 	span  time.Duration
-	reply chan<- []overrun.Bound // has room for one
+	reply chan<- []overrun.Bound // must have a free buffer slot
 }
 
-// QuotaBounds states how the quotas with the most demand stand, and what this instance would forward within a span if
-// it heard nothing more from the counter; a span of 0 is a minute. It waits for the loop or for ctx's end, whose error
-// it returns. Any goroutine may call it.
+// QuotaBounds returns the state of the quotas with the highest demand, with the overrun bound of each: what this
+// instance would forward within a span without any further reply from the counter. A span of 0 means a minute. It waits
+// for the loop, or returns the error of ctx when that is done. It is safe for concurrent use.
 func (c *Core) QuotaBounds(ctx context.Context, span time.Duration) ([]overrun.Bound, error) {
 	reply := make(chan []overrun.Bound, 1)
 	c.post(quotaBoundsRequested{span, reply})
--- a/internal/core/quota_bounds_test.go
+++ b/internal/core/quota_bounds_test.go
@@ -9,13 +9,13 @@
 	"hitchspring/policy"
 )
 
-// The quotas of hundreds of tenants are all stated; beyond the bound, those with the most demand.
+// Up to MaxBoundsShown quotas, all are returned; of more, those with the highest demand.
 func TestQuotaBoundsOfManyTenants(t *testing.T) {
 	for tenants, want := range map[int]int{300: 300, MaxBoundsShown + 6: MaxBoundsShown} {
 		t.Run(fmt.Sprint(tenants), func(t *testing.T) {
 			cfg := testConfig(endpointsAt())
 			cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
-			c := newTestCore(t, cfg, quiet)
+			c := newTestCore(t, cfg, discardLogger)
 			name := func(i int) string { return fmt.Sprintf("c%05d", i) }
 			var learned policy.LearnedState
 			for i := range tenants {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -8,13 +8,13 @@
 	"hitchspring/policy"
 )
 
-// replicateQueuedAfter is how long a request waits in the engine's queue before replicas are to hold it.
+// replicateQueuedAfter is how long a request waits in the engine's queue before it is replicated.
 const replicateQueuedAfter = 30 * time.Millisecond
 
-// commandArgs is a command whose arguments another instance can rebuild the request from.
+// commandArgs is a command with arguments from which another instance can rebuild the request.
 type commandArgs interface{ Args() [][]byte }
 
-// canReplicate reports whether replicas can hold a request.
+// canReplicate reports whether a request can be replicated.
 func (c *Core) canReplicate(r *Request) bool {
 	if c.classes[r.Class].Effect != policy.Keyed || r.IdempotencyKey == "" || r.Size > takeover.MaxCommandBytes {
 		return false
@@ -23,10 +23,10 @@
 	return ok
 }
 
-// workKey returns the key of a request among all instances.
+// workKey returns the key that identifies a request to all instances.
 func workKey(r *Request) string { return r.Tenant + "/" + r.IdempotencyKey }
 
-// workOf returns a request as replicas hold it.
+// workOf returns the form of a request that is replicated.
 func (c *Core) workOf(r *Request) takeover.Work {
 	return takeover.Work{
 		Key:               workKey(r),
@@ -41,15 +41,15 @@
 	}
 }
 
-// replicateIfQueued lets replicas hold a request if it still waits in the engine's queue after replicateQueuedAfter.
+// replicateIfQueued replicates a request if it is still in the engine's queue after replicateQueuedAfter.
 func (c *Core) replicateIfQueued(r *Request) {
 	if c.takeover != nil && c.canReplicate(r) {
 		c.scheduleAfter(replicateQueuedAfter, func() { c.replicateQueued(r) })
 	}
 }
 
-// replicateQueued lets replicas hold a request that still waits in the engine's queue: if this instance ends, another
-// one sends it.
+// replicateQueued replicates a request that is still in the engine's queue, so that another instance sends it if this
+// one ends.
 func (c *Core) replicateQueued(r *Request) {
 	if r.finished || r.pending != nil || len(r.attempts) > 0 || c.requests[r.ID] != r {
 		return
@@ -62,7 +62,8 @@
 	c.drainCoordinator()
 }
 
-// awaitReplicas reports whether an attempt has to wait until enough replicas hold it, and sends it to them.
+// awaitReplicas reports whether an attempt has to wait until enough replicas have recorded it. If so, it sends the work
+// to the replicas.
 func (c *Core) awaitReplicas(r *Request, attempt *backend.Attempt, to policy.BackendID) bool {
 	if !c.canReplicate(r) {
 		return false
@@ -76,7 +77,7 @@
 	case r.pending.scope == scope:
 		r.pending.attemptSent(attempt)
 		return false
-	default: // what went out in the scope before surely never ran
+	default: // any attempt sent to the previous scope certainly never ran
 		r.pending.scope, r.pending.awaiting, r.pending.backend = scope, attempt, to
 		c.takeover.coordinator.MigrateAttempt(c.now, r.ClientID, scope)
 	}
@@ -84,7 +85,7 @@
 	return true
 }
 
-// scopeOf returns where a repeat of a request that is sent to a backend has no further effect.
+// scopeOf returns the idempotency scope of a request that is sent to a backend: where a repeat has no further effect.
 func (c *Core) scopeOf(class policy.Class, id policy.BackendID) takeover.Scope {
 	target := c.endpoints.targets[id]
 	switch class.Group {
@@ -97,9 +98,9 @@
 	}
 }
 
-// queryOutcome queries the replicas for the outcome of another attempt of a request that the engine rejects: a client
-// that retries an idempotency key while this instance is full is to have the answer that exists or is under way. It
-// reports false if the replicas can't be queried; otherwise performTakeoverAction answers the request.
+// queryOutcome queries the replicas for an earlier attempt of a request that the engine rejects. A client that retries
+// an idempotency key while this instance is at capacity then gets the answer of that attempt, if it exists or is
+// pending. It returns false if no query is sent; otherwise performTakeoverAction answers the request.
 func (c *Core) queryOutcome(r *Request, retryAfter time.Duration) bool {
 	if r == nil || r.finished || r.inFlight > 0 {
 		return false
@@ -117,15 +118,15 @@
 		r.pending = nil
 		return false
 	}
-	c.scheduleAt(r.GiveUpAt, func() { // the other attempt's outcome has not come
+	c.scheduleAt(r.GiveUpAt, func() { // reject the request if no outcome has arrived by then
 		c.answerRequest(r, Answer{Kind: Rejected, RetryAfter: retryAfter})
 	})
 	c.drainCoordinator()
 	return true
 }
 
-// confirmRejection queries the replicas that hold a request whether another instance has taken it over, before it is
-// rejected here.
+// confirmRejection queries the replicas of a request whether another instance has taken it over, before this instance
+// rejects it. It returns false if no query is sent, since an attempt may have run.
 func (c *Core) confirmRejection(r *Request, retryAfter time.Duration) bool {
 	w := r.pending
 	if !w.canReject() {
@@ -137,7 +138,7 @@
 	return true
 }
 
-// completeWork notifies the replicas of a request's end.
+// completeWork notifies the replicas that a request has its final answer.
 func (c *Core) completeWork(r *Request, a Answer) {
 	w := r.pending
 	if w == nil || w.phase == workCompleted {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,27 +10,27 @@
 	"hitchspring/policy"
 )
 
-// answerOverdueAfter is how long after its deadline a request is answered by the core, if the engine has not done so.
+// answerOverdueAfter is how long after its deadline the core answers a request that the engine has left open.
 const answerOverdueAfter = 8 * time.Millisecond
 
-// Request is a client's request as a front submits it. The front sets the exported fields before Submit and changes
-// none afterwards. The core sets the request's ID, and what the engine is to know of work that is taken over.
+// Request is a client's request. The front sets the exported fields before Submit and doesn't change them afterwards.
+// The core sets the ID and, for work that was taken over, the fields Prior and Charged.
 type Request struct {
 	policy.Request
-	ClientID       uint64 // the client's own id: of two open requests with one id, the later is answered Duplicate
+	ClientID       uint64 // chosen by the client; while a request is open, another with its id is answered Duplicate
 	Sink           ReplySink
 	Command        backend.Command
-	IdempotencyKey string // of a class whose requests have one
-	Size           int    // bytes that it holds
+	IdempotencyKey string // empty if the class has no idempotency keys
+	Size           int    // bytes of memory that the request occupies
 
 	attempts            []*backend.Attempt
 	arrivedAt           time.Duration
-	disconnectCheckedAt time.Duration    // when Sink.Disconnected was called last
-	streaming           *backend.Attempt // its value is being passed on to the client
-	inFlight            int              // attempts whose end the core has not seen
+	disconnectCheckedAt time.Duration    // when Sink.Disconnected was last called
+	streaming           *backend.Attempt // attempt whose value is being streamed to the client; nil: none
+	inFlight            int              // attempts that have not ended
 	finished            bool             // it has its final answer, or its client has disconnected
 	reason              policy.Reason    // of its rejection or failure
-	pending             *pendingWork     // what replicas know of it; nil: nothing
+	pending             *pendingWork     // state of its replication; nil: it is not replicated
 }
 
 // The events of a front that submits requests.
@@ -40,13 +40,14 @@
 	answerAllRequested  struct{ done chan<- struct{} } // done is closed when all requests are answered
 )
 
-// Submit hands in a request. Its Sink gets one answer, unless the client is reported as disconnected first.
+// Submit submits a request. Its Sink gets exactly one answer, unless the client disconnects first.
 func (c *Core) Submit(r *Request) { c.post(requestArrived{r}) }
 
-// NotifyDisconnected reports that the clients of requests have disconnected: nobody waits for their answers any more.
+// NotifyDisconnected reports that the clients of requests have disconnected and no longer wait for answers.
 func (c *Core) NotifyDisconnected(requests []*Request) { c.post(clientsDisconnected{requests}) }
 
-// AnswerAll gives a final answer to each open request. It returns when the fronts have them or the core has ended.
+// AnswerAll gives a final answer to each open request. It returns when all answers are delivered or the core has
+// stopped.
 func (c *Core) AnswerAll() {
 	done := make(chan struct{})
 	c.post(answerAllRequested{done})
@@ -56,7 +57,7 @@
 	}
 }
 
-// handleArrival admits a request and notifies the engine, or answers the request at once.
+// handleArrival admits a request and notifies the engine, or answers the request immediately.
 func (c *Core) handleArrival(r *Request) {
 	c.metrics.RequestAccepted()
 	if c.dropDisconnectedArrival(r) {
@@ -80,7 +81,7 @@
 	})
 }
 
-// answerRequest gives a request its final answer, unless it has one or is nil.
+// answerRequest gives a request its final answer and releases it. It does nothing if the request is nil or finished.
 func (c *Core) answerRequest(r *Request, a Answer) {
 	if r == nil || r.finished {
 		return
@@ -90,7 +91,7 @@
 	c.releaseRequest(r)
 }
 
-// finishRequest counts and delivers the one final answer of a request.
+// finishRequest counts and delivers the final answer of a request. A second answer is an invariant violation.
 func (c *Core) finishRequest(r *Request, a Answer) {
 	if r.finished && !r.Delegated {
 		c.guard.Violated(guard.AnsweredTwice, append(r.logAttrs(), "second", a.Kind.String())...)
@@ -110,16 +111,16 @@
 	c.deliverAnswer(r, a)
 }
 
-// withdrawUnsent cancels the attempts of a finished request that are not written yet. The engine may be configured not
-// to cancel, and an attempt that waits for a connection would then be sent for nobody.
+// withdrawUnsent cancels the attempts of a finished request that have not been written yet. The engine doesn't do this
+// if its settings forbid it to cancel, and an attempt that waits for a connection would then be sent needlessly.
 func (c *Core) withdrawUnsent(r *Request) {
 	for _, attempt := range r.attempts {
 		c.backends.Withdraw(attempt)
 	}
 }
 
-// answerOverdue answers a request that the engine has left open past its deadline. One that was surely never sent is
-// rejected, since a retry is harmless then.
+// answerOverdue answers a request that the engine has left open past its deadline. If no attempt can have been sent, by
+// this or another instance, it is rejected, since a retry is then safe; otherwise it has failed.
 func (c *Core) answerOverdue(r *Request) {
 	if r.finished {
 		return
@@ -134,12 +135,12 @@
 	c.notifyEngine(policy.Disconnected{ID: r.ID})
 }
 
-// releaseRequest removes a finished request from the table when none of its attempts is in flight.
+// releaseRequest removes a finished request from the table once none of its attempts is in flight.
 func (c *Core) releaseRequest(r *Request) {
 	if r.finished && r.inFlight == 0 && c.requests[r.ID] == r {
 		c.requestBytes -= r.Size
 		delete(c.requests, r.ID)
-		r.Command, r.Sink, r.attempts = nil, nil, nil // its timer may keep the request itself for seconds more
+		r.Command, r.Sink, r.attempts = nil, nil, nil // free their memory: a timer may reference r for seconds more
 	}
 }
 
@@ -148,7 +149,7 @@
 	return []any{"request", fmt.Sprintf("%016x", r.ClientID), "customer", r.Tenant, "class", r.Class}
 }
 
-// logRequestEnd writes the log line about the end of a request, with the outcome of each attempt.
+// logRequestEnd logs the end of a request with the outcome of each attempt.
 func (c *Core) logRequestEnd(r *Request, a Answer) {
 	attempts := make([]string, 0, len(r.attempts))
 	for _, attempt := range r.attempts {
@@ -163,7 +164,7 @@
 		"attempts", attempts)...)
 }
 
-// outcomeOf names the outcome of an attempt, or says that it is still out.
+// outcomeOf returns the name of an attempt's outcome, or "out" if the attempt is still in flight.
 func outcomeOf(attempt *backend.Attempt) string {
 	if outcome, ended := attempt.Outcome(); ended {
 		return outcomeNames[outcome]
@@ -171,7 +172,7 @@
 	return "out"
 }
 
-// requestEndOf returns how a request is counted that ended with the outcome of an attempt.
+// requestEndOf returns how the metrics count a request that ended with an attempt's outcome.
 func requestEndOf(outcome policy.Outcome) metrics.RequestEnd {
 	if outcome == policy.Succeeded {
 		return metrics.Answered
@@ -179,7 +180,7 @@
 	return metrics.Errored
 }
 
-// newMetrics returns metrics with the names of the classes, the engine's reasons and the outcomes of attempts.
+// newMetrics returns metrics labelled with the names of the classes, the engine's reasons and the attempt outcomes.
 func newMetrics(classes []policy.Class) *metrics.Set {
 	names := make([]string, len(classes))
 	for i, class := range classes {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -7,41 +7,41 @@
 	"hitchspring/policy"
 )
 
-// summaryField is one count of a summary line.
+// summaryField identifies a count in a summary line.
 type summaryField uint8
 
-// The counts, in the order of a line.
+// The counts, in the order in which a line has them.
 const (
 	summaryArrived summaryField = iota
 	summaryServed               // within the latency objective
-	summaryLate                 // served after it
-	summaryOverdue              // answered by the core, past their deadline
+	summaryLate                 // served after the latency objective
+	summaryOverdue              // past the deadline, answered by the core
 	summaryFirstAttempts
 	summaryRetries
-	summaryQueuedMillis // from arrival to the first attempt, summed
+	summaryQueuedMillis // sum of the times from arrival to first attempt
 	summaryDials
-	summaryLists
+	summaryEndpointUpdates // updates of the endpoint list
 	summaryCounterCalls
-	summaryCounterMillis // of the calls that were answered, summed
+	summaryCounterMillis // sum of the durations of successful counter calls
 	summaryFieldCount
 )
 
-// summaryFieldNames are the keys of the counts in a line, which programs read.
+// summaryFieldNames are the keys of the counts in a line. Other programs parse them.
 var summaryFieldNames = [summaryFieldCount]string{
-	summaryArrived:       "arrived",
-	summaryServed:        "served",
-	summaryLate:          "late",
-	summaryOverdue:       "cut",
-	summaryFirstAttempts: "first",
-	summaryRetries:       "further",
-	summaryQueuedMillis:  "hold_ms",
-	summaryDials:         "dials",
-	summaryLists:         "lists",
-	summaryCounterCalls:  "calls",
-	summaryCounterMillis: "call_ms",
+	summaryArrived:         "arrived",
+	summaryServed:          "served",
+	summaryLate:            "late",
+	summaryOverdue:         "cut",
+	summaryFirstAttempts:   "first",
+	summaryRetries:         "further",
+	summaryQueuedMillis:    "hold_ms",
+	summaryDials:           "dials",
+	summaryEndpointUpdates: "lists",
+	summaryCounterCalls:    "calls",
+	summaryCounterMillis:   "call_ms",
 }
 
-// outcomeNames are the outcomes of attempts as log lines and metrics have them.
+// outcomeNames are the names of attempt outcomes in log lines and metrics.
 var outcomeNames = [...]string{
 	policy.Failed:    "failed",
 	policy.Succeeded: "done",
@@ -53,10 +53,10 @@
 	policy.NotSent:   "moot",
 }
 
-// summary counts what happens and writes the counts as one log line in each interval, so that the logs of many
-// instances can be added up. A nil summary counts nothing. It belongs to the loop.
+// summary counts events and writes the counts as one log line per interval, so that the logs of many instances can be
+// added up. A nil summary counts nothing. It is confined to the loop's goroutine.
 type summary struct {
-	dialsBefore     int // up to the last line
+	dialsBefore     int // connections dialed up to the last line
 	counts          [summaryFieldCount]float64
 	rejections      [policy.ReasonCount]int
 	failures        [policy.ReasonCount]int
@@ -82,7 +82,7 @@
 	}
 }
 
-// addAttempt counts an attempt that starts, by its number within the request.
+// addAttempt counts the start of an attempt, as a first attempt if its number within the request is 0 or as a retry.
 func (s *summary) addAttempt(number int, queued time.Duration) {
 	if number > 0 {
 		s.add(summaryRetries, 1)
@@ -117,8 +117,8 @@
 	}
 }
 
-// startSummary starts the lines if the configuration has an interval. The lines of all instances fall on the same
-// multiples of it on the shared clock, so that they can be added up.
+// startSummary starts writing summary lines if the configuration has an interval for them. Lines are written at
+// multiples of the interval on the shared clock, so that those of all instances can be added up.
 func (c *Core) startSummary() {
 	interval := c.cfg.Summary
 	if interval <= 0 {
@@ -133,7 +133,7 @@
 	c.scheduleAt(c.now.Truncate(interval)+interval, writeLine)
 }
 
-// writeLine writes the line, without the counts that are 0, and starts again from nothing.
+// writeLine logs the counts that are not 0 and resets them all.
 func (s *summary) writeLine(c *Core) {
 	dialed := c.backends.Dials()
 	s.counts[summaryDials] = float64(dialed - s.dialsBefore)
--- a/internal/core/summary_test.go
+++ b/internal/core/summary_test.go
@@ -11,7 +11,7 @@
 	"hitchspring/policy"
 )
 
-// A line a second says what came, how it ended and why; the next one starts from nothing.
+// Each interval has one line, with the counts of requests, outcomes and reasons; the counts are reset after it.
 func TestSummary(t *testing.T) {
 	var out bytes.Buffer
 	cfg := testConfig(discovery.List{})
@@ -24,7 +24,7 @@
 	r.Spread, r.Size = 0, 0
 	r.GiveUpAt = c.now + 200*time.Millisecond
 	c.handle(requestArrived{r})
-	for range 220 { // the engine's sweeps are timers too
+	for range 220 { // 2.2 s in short steps, since the engine's sweeps are timers too
 		c.now += 10 * time.Millisecond
 		c.fireTimers()
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-// Without the option nothing is counted and nothing written.
+// Without an interval there is no summary, and all methods that count do nothing.
 func TestNoSummary(t *testing.T) {
 	c := newIdleCore(t, testConfig(endpointsAt("127.0.0.1:1")))
 	c.startSummary()
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -11,20 +11,20 @@
 
 const takeoverTickInterval = 10 * time.Millisecond
 
-// TakeoverConfig is what the core needs so that other instances can complete the work of this one after its end.
+// TakeoverConfig configures the takeover of this instance's work by other instances after its end, and of theirs by it.
 type TakeoverConfig struct {
 	Self        takeover.Member
 	Incarnation uint64
 	Transport   Transport
-	Rebuild     func(args [][]byte) (*Request, error) // of another instance's command; nil: no front can
+	Rebuild     func(args [][]byte) (*Request, error) // rebuilds a request from its command; nil: no front can do so
 }
 
-// takeoverState is the work that replicas know of, and the records that this instance stores for others. It belongs to
-// the loop, except published.
+// takeoverState holds this instance's replicated work, and the records that it stores as a replica for others. It is
+// confined to the loop's goroutine, except published.
 type takeoverState struct {
 	cfg         TakeoverConfig
 	coordinator *takeover.Coordinator
-	byAttempt   map[uint64]*Request        // by ClientID: the requests with pending work
+	byAttempt   map[uint64]*Request        // requests with pending work, by ClientID
 	published   atomic.Pointer[WorkStatus] // nil: not yet
 	publishAt   time.Duration
 }
@@ -33,51 +33,51 @@
 type workPhase uint8
 
 const (
-	workActive     workPhase = iota // it waits in the engine's queue or for replicas, or attempts have gone out
-	workJoined                      // the outcome of another instance's attempt decides
-	workQuerying                    // rejected by the engine, replicas are queried for another attempt's outcome
-	workConfirming                  // the same of a request that replicas hold: another instance may have taken it over
-	workCompleted                   // the replicas have its end
+	workActive     workPhase = iota // queued in the engine, waiting for replicas, or attempts have been sent
+	workJoined                      // waiting for the outcome of another instance's attempt
+	workQuerying                    // rejected by the engine; replicas are queried for another attempt's outcome
+	workConfirming                  // rejected by the engine; its replicas are queried whether it was taken over
+	workCompleted                   // the replicas are notified of the final answer
 )
 
-// pendingWork is what replicas know of a request.
+// pendingWork is the state of a request's replication.
 type pendingWork struct {
 	phase        workPhase
-	scope        takeover.Scope   // where a repeat has no further effect; ScopeNone: the engine has chosen no backend
-	awaiting     *backend.Attempt // goes out when enough replicas hold it; nil: none waits
-	backend      policy.BackendID // of awaiting
-	mayHaveRun   int              // attempts that may have run
-	sentAttempts uint64           // a bit for each attempt that has gone out, by its number
-	retryAfter   time.Duration    // of the rejection, in workQuerying and workConfirming
+	scope        takeover.Scope   // idempotency scope of its attempts; ScopeNone: the engine has chosen no backend
+	awaiting     *backend.Attempt // attempt to send once enough replicas have recorded it; nil: none waits
+	backend      policy.BackendID // backend of awaiting
+	mayHaveRun   int              // number of attempts that may have run
+	sentAttempts uint64           // bit set of the attempts that were sent, see attemptBit
+	retryAfter   time.Duration    // Retry-After of the rejection, in workQuerying and workConfirming
 }
 
-// isRejecting reports whether the engine has rejected the request and the replicas have not confirmed that yet.
+// isRejecting reports whether the engine has rejected the request but the replicas have not confirmed it yet.
 func (w *pendingWork) isRejecting() bool { return w.phase == workQuerying || w.phase == workConfirming }
 
-// canReject reports whether nothing of the request may run any more, as far as this instance knows, so that the
-// replicas can be queried before it is rejected.
+// canReject reports whether, as far as this instance knows, no attempt of the request has run or may still run. Only
+// then are the replicas queried, before it is rejected.
 func (w *pendingWork) canReject() bool {
 	return w.phase == workActive && w.awaiting == nil && w.mayHaveRun <= 0
 }
 
-// mayBeTakenOver reports whether replicas may hold the request, so that another instance may have sent it, for all that
-// this one knows without asking them.
+// mayBeTakenOver reports whether replicas may hold the request. Another instance may then have taken it over and sent
+// it without this one's knowledge.
 func (w *pendingWork) mayBeTakenOver() bool { return w != nil && w.phase != workQuerying }
 
-// takeAwaiting returns the attempt that waits for replicas, if any, and no longer holds it.
-func (w *pendingWork) takeAwaiting() *backend.Attempt {
+// removeAwaiting removes and returns the attempt that waits for replicas, or nil if there is none.
+func (w *pendingWork) removeAwaiting() *backend.Attempt {
 	attempt := w.awaiting
 	w.awaiting = nil
 	return attempt
 }
 
-// attemptSent counts an attempt that goes out: it may run.
+// attemptSent records that an attempt is sent and may run.
 func (w *pendingWork) attemptSent(attempt *backend.Attempt) {
 	w.mayHaveRun++
 	w.sentAttempts |= attemptBit(attempt.Number)
 }
 
-// attemptEnded no longer counts an attempt that surely never ran.
+// attemptEnded removes an attempt from the counts if its outcome shows that it never ran.
 func (w *pendingWork) attemptEnded(ev policy.AttemptEnded) {
 	if bit := attemptBit(ev.Attempt); ev.Outcome.NeverRan() && w.sentAttempts&bit != 0 {
 		w.mayHaveRun--
@@ -85,7 +85,7 @@
 	}
 }
 
-// attemptBit returns the bit of an attempt in sentAttempts. All from the 64th on have one bit.
+// attemptBit returns the bit of an attempt in sentAttempts. Attempts with number 63 or higher share the last bit.
 func attemptBit(number int) uint64 { return 1 << min(number, 63) }
 
 func newTakeoverState(cfg TakeoverConfig) *takeoverState {
@@ -96,30 +96,31 @@
 	}
 }
 
-// tickTakeover lets the coordinator send again what has no reply and give up what has waited long enough.
+// tickTakeover lets the coordinator resend messages that have no reply and end waits that have timed out, and updates
+// the published status.
 func (c *Core) tickTakeover() {
 	t := c.takeover
 	t.coordinator.Tick(c.now)
 	c.drainCoordinator()
 	if c.now >= t.publishAt {
 		t.publishAt = c.now + statusInterval
-		status := &WorkStatus{Counts: t.coordinator.Counts(), Unreadable: c.unreadable}
+		status := &WorkStatus{Counts: t.coordinator.Counts(), Unreadable: c.unreadableMessages}
 		status.Pending, status.Records, status.Bytes = t.coordinator.Pending()
 		t.published.Store(status)
 	}
 }
 
-// WorkStatus is the work that an instance coordinates and stores for others, for people and tests.
+// WorkStatus counts the work that an instance coordinates and the records that it stores, for operators and tests.
 type WorkStatus struct {
-	Pending    int `json:"InHand"`  // of this instance's clients, and taken over
-	Records    int `json:"Records"` // stored for all instances
-	Bytes      int `json:"Bytes"`   // of the records
+	Pending    int `json:"InHand"`  // pending work of this instance's clients and work that it has taken over
+	Records    int `json:"Records"` // records stored as a replica, for all instances
+	Bytes      int `json:"Bytes"`   // size of the records
 	Unreadable int `json:"Unread"`  // messages that could not be decoded
 	takeover.Counts
 }
 
-// WorkStatus returns the work that this instance coordinates and holds, at most statusInterval old. It reports false if
-// takeover is off. Any goroutine may call it.
+// WorkStatus returns the status of this instance's work and records, at most statusInterval old. It returns false if
+// takeover is off. It is safe for concurrent use.
 func (c *Core) WorkStatus() (WorkStatus, bool) {
 	if c.takeover == nil {
 		return WorkStatus{}, false
--- a/internal/core/takeover_actions.go
+++ b/internal/core/takeover_actions.go
@@ -8,7 +8,7 @@
 	"hitchspring/policy"
 )
 
-// drainCoordinator sends the coordinator's messages and performs its actions until it has neither.
+// drainCoordinator sends the coordinator's messages and performs its actions until none are left.
 func (c *Core) drainCoordinator() {
 	t := c.takeover
 	for {
@@ -29,7 +29,7 @@
 	}
 }
 
-// performTakeoverAction carries out what the coordinator has decided on one of this instance's requests.
+// performTakeoverAction carries out the coordinator's decision on one of this instance's requests.
 func (c *Core) performTakeoverAction(r *Request, action takeover.Action) {
 	if r.pending.isRejecting() {
 		c.endRejection(r, action)
@@ -48,7 +48,7 @@
 		} else {
 			c.answerRequest(r, Answer{Kind: Failed})
 		}
-	case takeover.ActionRestart: // the attempt whose outcome was awaited never ran
+	case takeover.ActionRestart: // the other instance's attempt never ran
 		delete(c.takeover.byAttempt, r.ClientID)
 		r.pending = nil
 		c.resubmit(r, nil)
@@ -58,32 +58,32 @@
 		r.pending.phase = workActive
 		r.pending.scope = action.Scope
 		c.resubmit(r, &policy.Prior{Zone: action.Scope.Zone, Cell: action.Scope.Rack, SentAt: action.StartedAt})
-	case takeover.ActionAbort: // its replicas did not answer, and one may have taken it over
+	case takeover.ActionAbort: // the replicas did not reply, and one of them may have taken the request over
 		c.withdrawFromEngine(r)
 		c.answerRequest(r, Answer{Kind: Failed})
-	case takeover.ActionUnknown, takeover.ActionTakeOver: // of requests being rejected, and of other instances' work
+	case takeover.ActionUnknown, takeover.ActionTakeOver: // handled by endRejection and drainCoordinator
 	}
 }
 
-// endRejection answers a request that is being rejected, of which nothing will be sent: with the outcome of another
-// attempt, or with the rejection.
+// endRejection answers a request that the engine has rejected: with the value of another attempt, with a failure if
+// another instance may have sent it, or else with the rejection.
 func (c *Core) endRejection(r *Request, action takeover.Action) {
 	restart := action.Kind == takeover.ActionSend || action.Kind == takeover.ActionRestart
 	switch {
-	case action.Kind == takeover.ActionJoin: // the outcome follows
+	case action.Kind == takeover.ActionJoin: // wait for the outcome, which is a later action
 	case action.Kind == takeover.ActionUseAnswer && action.Answer.Kind == takeover.AnswerServed:
 		c.answerRequest(r, Answer{Kind: Served, Value: action.Answer.Value})
-	case r.pending.phase == workConfirming && !restart: // another instance may have sent it
+	case r.pending.phase == workConfirming && !restart: // another instance may have taken it over and sent it
 		c.answerRequest(r, Answer{Kind: Failed})
 	default:
 		c.answerRequest(r, Answer{Kind: Rejected, RetryAfter: r.pending.retryAfter})
 	}
 }
 
-// sendAwaiting lets the attempt go out that has waited for the replicas.
+// sendAwaiting sends the attempt that has waited for the replicas, unless its deadline has passed.
 func (c *Core) sendAwaiting(r *Request) {
 	w := r.pending
-	attempt := w.takeAwaiting()
+	attempt := w.removeAwaiting()
 	if attempt == nil {
 		return
 	}
@@ -96,10 +96,10 @@
 	c.startAttempt(r, attempt, w.backend)
 }
 
-// withdrawFromEngine takes a request back from the engine that has not gone out; its units are given back.
+// withdrawFromEngine withdraws an unsent request from the engine, which returns its units to the quota.
 func (c *Core) withdrawFromEngine(r *Request) {
 	w := r.pending
-	attempt := w.takeAwaiting()
+	attempt := w.removeAwaiting()
 	if attempt == nil {
 		if w.scope == takeover.ScopeNone { // the request waits in the engine's queue
 			c.notifyEngine(policy.Disconnected{ID: r.ID})
@@ -117,14 +117,14 @@
 	})
 }
 
-// resubmit hands a request to the engine once more, with a new ID. prior is the attempt of another instance that may
-// have run; nil: none has.
+// resubmit submits a request to the engine again, under a new ID. prior is the attempt of another instance that may
+// have run, or nil if there is none.
 func (c *Core) resubmit(r *Request, prior *policy.Prior) {
 	delete(c.requests, r.ID)
 	c.lastID++
 	r.ID, r.attempts, r.Prior, r.Charged = c.lastID, nil, prior, prior != nil
 	if prior != nil {
-		r.attempts = []*backend.Attempt{{}} // stands for the other instance's
+		r.attempts = []*backend.Attempt{{}} // placeholder for the other instance's attempt
 		r.pending.mayHaveRun, r.pending.sentAttempts = 1, 0
 	}
 	c.requests[r.ID] = r
@@ -137,25 +137,25 @@
 	if w == nil || w.awaiting == nil || w.awaiting.Number != number {
 		return false
 	}
-	c.backends.CancelUnsent(w.takeAwaiting(), w.backend)
+	c.backends.CancelUnsent(w.removeAwaiting(), w.backend)
 	return true
 }
 
-// takenOverSink is the sink of work that this instance has taken over. A client that comes back for its answer asks for
-// it by its idempotency key, and has it from the replicas.
+// takenOverSink is the reply sink of work that this instance has taken over. The client gets the answer by retrying
+// with its idempotency key: the instance that it reaches queries the replicas.
 type takenOverSink struct{}
 
-// Deliver drops the answer, which the replicas have.
+// Deliver drops the answer, since the replicas have it.
 func (takenOverSink) Deliver(a Answer) {
 	if a.Stream != nil {
 		a.Stream.Close()
 	}
 }
 
-// Disconnected reports false: the client of another instance may come back.
+// Disconnected returns false, since the client may still retry.
 func (takenOverSink) Disconnected() bool { return false }
 
-// resumeWork continues a piece of work whose instance has ended.
+// resumeWork continues the work of an instance that has ended. Work that can't be continued is completed as failed.
 func (c *Core) resumeWork(work takeover.TakenWork) {
 	abandon := func(reason string, err error) {
 		c.log.Warn("taken over work abandoned", "from", work.Owner, "reason", reason, "err", err)
@@ -182,7 +182,7 @@
 	r.pending, r.Charged = &pendingWork{scope: work.Scope}, work.Charged || sent
 	if sent {
 		r.Prior = &policy.Prior{Zone: work.Scope.Zone, Cell: work.Scope.Rack, SentAt: work.StartedAt}
-		r.attempts = []*backend.Attempt{{}} // stands for its owner's
+		r.attempts = []*backend.Attempt{{}} // placeholder for the owner's attempt
 		r.pending.mayHaveRun = 1
 	}
 	c.takeover.byAttempt[work.Attempt] = r
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -8,12 +8,13 @@
 	"hitchspring/policy"
 )
 
-// keyedCommand is a command that another instance could rebuild a request from.
+// keyedCommand is a command from which another instance could rebuild the request.
 type keyedCommand struct{ testCommand }
 
 func (keyedCommand) Args() [][]byte { return [][]byte{[]byte("READ")} }
 
-// takeoverConfig returns a configuration with takeover whose class has idempotency keys; no other instance is reached.
+// takeoverConfig returns a configuration with takeover and a class with idempotency keys. No other instance is
+// reachable.
 func takeoverConfig(name string) Config {
 	cfg := testConfig(endpointsAt()) // no backend: requests are queued
 	cfg.Settings.Classes[0].Effect = policy.Keyed
@@ -26,8 +27,8 @@
 	return cfg
 }
 
-// arriveKeyed submits a request with an idempotency key.
-func arriveKeyed(c *Core, clientID uint64, key string) (*Request, *recordingSink) {
+// submitKeyedRequest lets the core handle the arrival of a new request with an idempotency key.
+func submitKeyedRequest(c *Core, clientID uint64, key string) (*Request, *recordingSink) {
 	sink := &recordingSink{}
 	r := newRequest(c, clientID, sink)
 	r.Tenant = "tenant"
@@ -37,7 +38,7 @@
 	return r, sink
 }
 
-// advanceTo lets the loop's timers fire up to a time, every takeoverTickInterval.
+// advanceTo advances the time in steps of takeoverTickInterval, and fires the loop's timers at each step.
 func (c *Core) advanceTo(end time.Duration) {
 	for c.now < end {
 		c.now += takeoverTickInterval
@@ -47,10 +48,10 @@
 	}
 }
 
-// Guards against a request that waits unrecorded after a restart, and ends with its instance.
+// Guards against a restarted request that waits without being replicated, and is lost if its instance ends.
 func TestRestartedWorkIsReplicatedAgain(t *testing.T) {
 	c := newIdleCore(t, takeoverConfig("n0"))
-	r, _ := arriveKeyed(c, 7, "key")
+	r, _ := submitKeyedRequest(c, 7, "key")
 	c.advanceTo(c.now + 2*replicateQueuedAfter)
 	if c.takeover.byAttempt[r.ClientID] != r {
 		t.Fatal("the queued request has no pending work, want it replicated")
@@ -62,11 +63,11 @@
 	}
 }
 
-// Guards against a rejection by a process that was stopped past its client's deadline: meanwhile another instance may
-// have taken the queued work over and sent it. What no replica holds is still rejected.
+// Guards against a wrong rejection by a process that was paused past a client's deadline: another instance may have
+// taken the queued work over and sent it in the meantime. Work that no replica holds is still rejected.
 func TestOverdueWorkIsRejectedOnlyIfNoReplicaHoldsIt(t *testing.T) {
 	tests := map[string]struct {
-		waits time.Duration // before the process is stopped
+		waits time.Duration // before the process is paused
 		want  AnswerKind
 	}{
 		"replicas may hold it": {2 * replicateQueuedAfter, Failed},
@@ -75,9 +76,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newIdleCore(t, takeoverConfig("n0"))
-			r, sink := arriveKeyed(c, 7, "key")
+			r, sink := submitKeyedRequest(c, 7, "key")
 			c.advanceTo(c.now + test.waits)
-			c.now = r.GiveUpAt + time.Second // the process was stopped
+			c.now = r.GiveUpAt + time.Second // the process was paused
 			c.answerOverdue(r)
 			if sink.answers != 1 || sink.answer.Kind != test.want {
 				t.Errorf("got %d answers, the last %v, want one %v", sink.answers, sink.answer.Kind, test.want)
@@ -86,10 +87,10 @@
 	}
 }
 
-// Guards against a rejection of work whose replicas did not answer in time: another instance may have taken it over.
+// Guards against a rejection of work whose replicas did not reply in time: another instance may have taken it over.
 func TestAbortedWorkHasFailed(t *testing.T) {
 	c := newIdleCore(t, takeoverConfig("n0"))
-	r, sink := arriveKeyed(c, 7, "key")
+	r, sink := submitKeyedRequest(c, 7, "key")
 	c.advanceTo(c.now + 2*replicateQueuedAfter)
 	c.performTakeoverAction(r, takeover.Action{Kind: takeover.ActionAbort, Attempt: r.ClientID})
 	if sink.answers != 1 || sink.answer.Kind != Failed {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timer is a function that the loop calls at a time.
+// timer is a function that the loop calls at a given time.
 type timer struct {
-	at   time.Duration
+	at   time.Duration // on the shared clock
 	fire func()
 }
 
-// timerHeap is a heap of timers with the earliest first; it implements heap.Interface.
+// timerHeap is a min-heap of timers by time; it implements heap.Interface.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -30,13 +30,13 @@
 	return last
 }
 
-// scheduleAt has the loop call a function at a time, at once if it has passed.
+// scheduleAt schedules a function to be called by the loop at a time, or as soon as possible if the time has passed.
 func (c *Core) scheduleAt(t time.Duration, fire func()) { heap.Push(&c.timers, timer{t, fire}) }
 
-// scheduleAfter has the loop call a function when a span has passed.
+// scheduleAfter schedules a function to be called by the loop after a duration.
 func (c *Core) scheduleAfter(d time.Duration, fire func()) { c.scheduleAt(c.now+d, fire) }
 
-// repeat calls a function now and then again in each interval, until the core ends.
+// repeat calls a function now and then once per interval, until the core stops.
 func (c *Core) repeat(interval time.Duration, run func()) {
 	var tick func()
 	tick = func() {
@@ -46,7 +46,7 @@
 	tick()
 }
 
-// fireTimers calls the timers that are due, with the engine's reaction to each before the next.
+// fireTimers fires the due timers. The engine handles the events of each before the next one fires.
 func (c *Core) fireTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		heap.Pop(&c.timers).(timer).fire()
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -11,18 +11,19 @@
 
 const (
 	zoneTickInterval  = 50 * time.Millisecond
-	spillLogThreshold = 0.1             // change of the spilled share that is logged
-	spillLogInterval  = 2 * time.Second // at least, between two such lines
+	spillLogThreshold = 0.1             // min change of the spilled share that is logged
+	spillLogInterval  = 2 * time.Second // min time between two log lines about spill
 )
 
-// zoneTracker is what is known of zones. It belongs to the loop, except published.
+// zoneTracker tracks the zones, with the published status and the state of the log lines about them. It is confined to
+// the loop's goroutine, except published.
 type zoneTracker struct {
 	*zones.Tracker
 	published    atomic.Pointer[zones.Status] // nil: not yet
 	publishAt    time.Duration
-	loggedSpill  float64 // in the last log line
+	loggedSpill  float64 // spilled share in the last log line
 	nextSpillLog time.Duration
-	panicking    bool // as logged last
+	loggedPanic  bool // panic mode as last logged
 }
 
 // zoneDrainsSet is the event of SetZoneDrains.
@@ -40,7 +41,7 @@
 	return &zoneTracker{Tracker: zones.New(cfg)}
 }
 
-// setEndpoints takes over a list, or a change of it.
+// setEndpoints updates the backends from an endpoint list, which is complete or has only changes.
 func (z *zoneTracker) setEndpoints(now time.Duration, ev policy.EndpointsChanged) {
 	list := make([]zones.Backend, len(ev.Backends))
 	for i, b := range ev.Backends {
@@ -49,8 +50,8 @@
 	z.UpdateBackends(now, list, ev.Complete)
 }
 
-// ZoneStatus returns what is known of the zones, at most statusInterval old. It reports false if zones are not tracked
-// or nothing has been published yet. Any goroutine may call it.
+// ZoneStatus returns the status of the zones, at most statusInterval old. It returns false if zones are not tracked or
+// no status has been published yet. It is safe for concurrent use.
 func (c *Core) ZoneStatus() (zones.Status, bool) {
 	if c.zones == nil {
 		return zones.Status{}, false
@@ -62,8 +63,8 @@
 	return *status, true
 }
 
-// SetZoneDrains sets which zones are drained, each until a time; a zone that is left out is in service again. It does
-// nothing if zones are not tracked.
+// SetZoneDrains sets the drained zones, each with the time when its drain ends. A zone that is not in the map is no
+// longer drained. It does nothing if zones are not tracked.
 func (c *Core) SetZoneDrains(until map[string]time.Time) {
 	if c.zones != nil {
 		c.post(zoneDrainsSet(until))
@@ -78,7 +79,7 @@
 	c.zones.SetDrains(c.now, until)
 }
 
-// tickZones updates what is known of zones, notifies the engine, and sends the health checks that are due.
+// tickZones updates the state of the zones, notifies the engine, and sends the health checks that are due.
 func (c *Core) tickZones() {
 	z := c.zones
 	c.notifyEngine(z.Tick(c.now))
@@ -96,14 +97,14 @@
 	}
 }
 
-// publishZones publishes the status of the zones, and logs what has changed in it.
+// publishZones publishes the status of the zones and logs changes of panic mode and spill.
 func (c *Core) publishZones() {
 	z := c.zones
 	z.publishAt = c.now + statusInterval
 	status := z.Status(c.now)
 	z.published.Store(&status)
-	if status.Panic != z.panicking {
-		z.panicking = status.Panic
+	if status.Panic != z.loggedPanic {
+		z.loggedPanic = status.Panic
 		c.log.Warn("zone panic mode changed",
 			"panic", status.Panic, "available_share", roundToCents(status.AvailableShare))
 	}
