--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Expire returns the requests whose leases have expired since the last call,
-// and forgets those whose retention is over.
+// Expire returns the requests whose leases have expired since the last call. It
+// removes the requests whose retention has ended.
 func (r *Registry) Expire(now time.Duration) []*Request {
 	var expired []*Request
 	for len(r.due) > 0 && r.due[0].dueAt <= now {
@@ -23,7 +23,7 @@
 	return expired
 }
 
-// expireLease ends a request by the expiry of its lease.
+// expireLease expires a request's lease, which ends the request.
 func (r *Registry) expireLease(now time.Duration, req *Request) {
 	req.State = Expired
 	req.Lease.expired = true
@@ -31,7 +31,7 @@
 	r.setDue(req, max(req.retainedUntil, now))
 }
 
-// remove forgets a request and its leases.
+// remove deletes a request and its leases from the registry.
 func (r *Registry) remove(req *Request) {
 	heap.Remove(&r.due, req.heapIndex)
 	delete(r.byID, req.ID)
@@ -40,8 +40,8 @@
 	}
 }
 
-// NextExpiry returns when Expire has something to do, and false if there are no
-// requests.
+// NextExpiry returns when the next lease expires or retention ends, and false if
+// there are no requests.
 func (r *Registry) NextExpiry() (time.Duration, bool) {
 	if len(r.due) == 0 {
 		return 0, false
@@ -49,13 +49,13 @@
 	return r.due[0].dueAt, true
 }
 
-// setDue sets when a request's lease expires or it is forgotten.
+// setDue sets when a request's lease expires or the request is removed.
 func (r *Registry) setDue(req *Request, dueAt time.Duration) {
 	req.dueAt = dueAt
 	heap.Fix(&r.due, req.heapIndex)
 }
 
-// expiryQueue is a heap of requests, the earliest due first.
+// expiryQueue is a min-heap of requests by dueAt.
 type expiryQueue []*Request
 
 // Len implements heap.Interface.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,9 +1,10 @@
-// Package lease records the attempts that callers send themselves: which
-// request was granted which backend, under which lease and until when, and what
-// was reported of it. It takes in requests, grants, decisions and reports, with
-// the time and the lease's name as arguments, and returns what to answer and
-// which leases have expired. It does no I/O, draws no random numbers, decides
-// neither on backends nor on quotas, and knows nothing of HTTP.
+// Package lease keeps a registry of the attempts that callers send themselves:
+// the backend that each request was granted, the lease and its expiry, and the
+// reported outcome. The caller of the package passes in requests, grants,
+// decisions and reports, each with the current time, and gets back the state of
+// a request and the leases that have expired. The package does no I/O, uses no
+// clock and no random numbers, chooses no backends, enforces no quotas, and is
+// independent of HTTP.
 package lease
 
 import (
@@ -14,36 +15,36 @@
 // State is the state of a request.
 type State uint8
 
-// The states. Open is followed by Granted or a final state, and Granted by a
-// final state, or by Open if its attempt has failed and a retry is allowed.
+// The states. Open is followed by Granted or a final state. Granted is followed
+// by a final state, or by Open again after a failed or rejected attempt.
 const (
-	Open     State = iota // there is no decision on its next attempt
+	Open     State = iota // the next attempt is not decided yet
 	Granted               // a lease is outstanding
-	Rejected              // final: a retry is harmless
-	Failed                // final: promises nothing
+	Rejected              // final: no attempt ran, so a retry is safe
+	Failed                // final: an attempt may have run
 	Served                // final: reported as served
 	Unsent                // final: reported as never sent
-	Expired               // final: its lease has expired; it may have run
+	Expired               // final: its lease expired without a report, and the attempt may have run
 )
 
-// stateNames are the names of the states in answers.
+// stateNames are the names of the states in replies to callers.
 var stateNames = [...]string{"open", "granted", "refused", "failed", "served", "unsent", "lapsed"}
 
-// String returns the state's name in answers.
+// String returns the state's name in replies to callers.
 func (s State) String() string { return stateNames[s] }
 
-// Final reports whether the state never changes again.
+// Final reports whether the state can't change any more.
 func (s State) Final() bool { return s >= Rejected }
 
-// Outcome is what is reported of an attempt.
+// Outcome is the reported outcome of an attempt.
 type Outcome uint8
 
 // The outcomes.
 const (
 	OutcomeServed   Outcome = iota + 1 // the backend has answered
-	OutcomeRejected                    // the backend has rejected it: it never ran
-	OutcomeFailed                      // anything else: it may have run
-	OutcomeUnsent                      // it was never sent
+	OutcomeRejected                    // the backend has rejected the attempt, which never ran
+	OutcomeFailed                      // any other result: the attempt may have run
+	OutcomeUnsent                      // the attempt was never sent
 )
 
 // String returns the outcome's name in reports.
@@ -61,8 +62,7 @@
 	return "unknown"
 }
 
-// ParseOutcome returns the outcome of a name in a report, and false if there is
-// none of that name.
+// ParseOutcome returns the outcome with a name, and false if there is none.
 func ParseOutcome(name string) (Outcome, bool) {
 	for _, outcome := range []Outcome{OutcomeServed, OutcomeRejected, OutcomeFailed, OutcomeUnsent} {
 		if outcome.String() == name {
@@ -72,7 +72,7 @@
 	return 0, false
 }
 
-// Errors of requests and reports. Their texts are sent to callers.
+// Errors of requests and reports. Callers receive their texts.
 var (
 	ErrFull     = errors.New("too many requests are open")
 	ErrMismatch = errors.New("a request of this id was asked with other particulars")
@@ -85,14 +85,14 @@
 type Lease struct {
 	// Name identifies the lease in reports. It can't be guessed.
 	Name string
-	// Node is the backend's id, Addr its host and port.
+	// Backend is the backend's id, Address its host and port.
 	Backend string
 	Address string
-	// Attempt is the number of the request's attempt.
+	// Attempt is the number of the attempt within the request.
 	Attempt int
-	// StartBy is when the attempt must have been sent at the latest.
+	// StartBy is the latest time at which the attempt may be sent.
 	StartBy time.Duration
-	// ExpiresAt is when the outcome must have been reported at the latest.
+	// ExpiresAt is the latest time at which the outcome may be reported.
 	ExpiresAt time.Duration
 	outcome   Outcome // 0: none was reported
 	expired   bool
@@ -101,23 +101,23 @@
 // Request is a request, with the leases that it was granted.
 type Request struct {
 	ID string
-	// Fingerprint identifies what was requested under the ID.
+	// Fingerprint identifies the content that was requested under the ID.
 	Fingerprint uint64
 	State       State
 	// Lease is the last lease; nil: none was granted.
 	Lease *Lease
-	// RetryAfter is set in Rejected.
+	// RetryAfter is set in state Rejected.
 	RetryAfter time.Duration
 	leases     []*Lease
-	// retainedUntil is when it is forgotten, unless a lease is outstanding.
+	// retainedUntil is when the request is removed, unless a lease is outstanding.
 	retainedUntil time.Duration
-	// dueAt is when its lease expires or it is forgotten, heapIndex its place
-	// in the registry's expiryQueue.
+	// dueAt is when the lease expires or the request is removed, and heapIndex
+	// the request's index in the registry's expiryQueue.
 	dueAt     time.Duration
 	heapIndex int
 }
 
-// leaseNamed returns the lease of a name.
+// leaseNamed returns the lease with a name, or nil if there is none.
 func (r *Request) leaseNamed(name string) *Lease {
 	for _, lease := range r.leases {
 		if lease.Name == name {
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// mayHaveRun reports whether an attempt has failed.
+// mayHaveRun reports whether an attempt was reported as failed and so may have
+// run.
 func (r *Request) mayHaveRun() bool {
 	for _, lease := range r.leases {
 		if lease.outcome == OutcomeFailed {
@@ -138,8 +139,7 @@
 }
 
 // applyOutcome sets the state that follows from the outcome of the last lease.
-// That an attempt was not sent makes a retry harmless only if no earlier one
-// may have run.
+// An unsent attempt makes a retry safe only if no earlier attempt may have run.
 func (r *Request) applyOutcome(outcome Outcome) {
 	switch {
 	case outcome == OutcomeServed:
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelLease is what a lease must be.
+// modelLease is the expected state of a lease.
 type modelLease struct {
 	requestID string
 	expiresAt time.Duration
@@ -19,7 +19,8 @@
 
 func (l *modelLease) outstanding() bool { return l.outcome == 0 && !l.expired }
 
-// registryModel plays a Registry against a plain list of leases.
+// registryModel runs random operations on a Registry and on a simple model, a
+// map of leases.
 type registryModel struct {
 	registry  *Registry
 	now       time.Duration
@@ -115,7 +116,7 @@
 	}
 }
 
-func (m *registryModel) passTime(t *rapid.T) {
+func (m *registryModel) advanceTime(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 	for _, req := range m.registry.Expire(m.now) {
 		if req.State != Expired {
@@ -134,8 +135,8 @@
 	}
 }
 
-// In whatever order requests, grants, reports and time come, a request has one
-// outstanding lease at the most, each lease ends once, and final states stay.
+// In any order of requests, grants, reports and expiries, a request has at most
+// one outstanding lease, each lease ends once, and final states don't change.
 func TestRegistryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &registryModel{
@@ -150,7 +151,7 @@
 			"grant":  m.grant,
 			"report": m.report,
 			"decide": m.decide,
-			"time":   m.passTime,
+			"time":   m.advanceTime,
 		})
 	})
 }
--- a/internal/lease/registry.go
+++ b/internal/lease/registry.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Config holds the bounds of a Registry.
+// Config holds the limits of a Registry.
 type Config struct {
-	// Timeout is how long after its grant a lease expires.
+	// Timeout is the time from the grant of a lease to its expiry.
 	Timeout time.Duration
-	// StartWithin is how long after its grant an attempt may be sent.
+	// StartWithin is the maximum time from a grant to the sending of the attempt.
 	StartWithin time.Duration
-	// Retention is how long after its client's deadline a request is retained.
+	// Retention is how long after the client's deadline a request is retained.
 	Retention time.Duration
-	// MaxRequests is the number of requests that are retained.
+	// MaxRequests is the maximum number of requests, open or retained.
 	MaxRequests int
 }
 
-// Registry holds the requests and their leases. It starts no goroutine and
-// takes no lock: one goroutine at a time may use it.
+// Registry holds the requests and their leases. It is not safe for concurrent
+// use.
 type Registry struct {
 	cfg     Config
 	byID    map[string]*Request
-	byLease map[string]*Request // by the name of any lease
+	byLease map[string]*Request // by the names of all their leases
 	due     expiryQueue
 	// outstanding is the number of leases without an outcome that have not expired.
 	outstanding int
@@ -39,8 +39,8 @@
 // Outstanding returns the number of leases without an outcome that have not expired.
 func (r *Registry) Outstanding() int { return r.outstanding }
 
-// Find returns the request of an ID, or nil if there is none. It returns
-// ErrMismatch if the request has another fingerprint.
+// Find returns the request with an ID, or nil if there is none. It returns
+// ErrMismatch if that request has another fingerprint.
 func (r *Registry) Find(id string, fingerprint uint64) (*Request, error) {
 	req := r.byID[id]
 	if req != nil && req.Fingerprint != fingerprint {
@@ -49,8 +49,8 @@
 	return req, nil
 }
 
-// Open adds a request that Find doesn't know. Its client gives up at deadline.
-// It returns ErrFull if there is no capacity.
+// Open adds a request whose ID is not in the registry. Its client waits until
+// deadline. It returns ErrFull if there are MaxRequests requests already.
 func (r *Registry) Open(id string, fingerprint uint64, deadline time.Duration) (*Request, error) {
 	if len(r.byID) >= r.cfg.MaxRequests {
 		return nil, ErrFull
@@ -62,7 +62,8 @@
 	return req, nil
 }
 
-// Forget removes a request that was never granted, since no client waits for it.
+// Forget removes a request that no client waits for. It does nothing if the
+// request was granted a lease.
 func (r *Registry) Forget(req *Request) {
 	if r.byID[req.ID] == req && len(req.leases) == 0 {
 		delete(r.byID, req.ID)
@@ -70,12 +71,13 @@
 	}
 }
 
-// Grant grants an open request a lease, under a name that can't be guessed. It
-// returns nil if the request isn't open. The lease expires at the client's
-// deadline at the latest. startBy, unless it is 0, bounds when the attempt may
-// be sent: a repeat is harmless only while its scope remembers the first.
+// Grant grants an open request a lease, whose name must not be guessable. It
+// returns nil if the request isn't open or startBy has passed. The lease expires
+// at the client's deadline at the latest. startBy, unless it is 0, is the latest
+// time at which the attempt may be sent: a retry is safe only while its
+// idempotency scope still has the key of the first attempt.
 func (r *Registry) Grant(
-	now time.Duration, req *Request, name, node, addr string, attempt int, deadline, startBy time.Duration,
+	now time.Duration, req *Request, name, backend, address string, attempt int, deadline, startBy time.Duration,
 ) *Lease {
 	if r.byID[req.ID] != req || req.State != Open || r.byLease[name] != nil {
 		return nil
@@ -85,8 +87,8 @@
 	}
 	lease := &Lease{
 		Name:      name,
-		Backend:   node,
-		Address:   addr,
+		Backend:   backend,
+		Address:   address,
 		Attempt:   attempt,
 		ExpiresAt: min(now+r.cfg.Timeout, deadline),
 	}
@@ -103,7 +105,7 @@
 	return lease
 }
 
-// Decide gives an open request its final state.
+// Decide sets the final state of an open request.
 func (r *Registry) Decide(req *Request, state State, retryAfter time.Duration) {
 	if r.byID[req.ID] != req || req.State != Open || !state.Final() {
 		return
@@ -113,10 +115,10 @@
 	r.setDue(req, req.retainedUntil)
 }
 
-// Report takes in the outcome of a lease's attempt. first is true if it is the
-// first report; the same report again is no error. It returns ErrUnknown if
-// there is no such lease, ErrConflict if another outcome was reported, and
-// ErrLate if the lease has expired.
+// Report records the outcome of the attempt under a lease. first is true for the
+// first report; repeating the same report is not an error. Report returns
+// ErrUnknown if there is no such lease, ErrConflict if another outcome was
+// reported before, and ErrLate if the lease has expired.
 func (r *Registry) Report(
 	now time.Duration, name string, outcome Outcome,
 ) (req *Request, lease *Lease, first bool, err error) {
--- a/internal/lease/registry_test.go
+++ b/internal/lease/registry_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// testDeadline is when the client of most tests gives up.
+	// testDeadline is the client's deadline in most tests.
 	testDeadline    = 5 * time.Second
 	testMaxRequests = 4
 )
 
-// testConfig returns the bounds of most tests.
+// testConfig returns the configuration of most tests.
 func testConfig(maxRequests int) Config {
 	return Config{
 		Timeout:     2 * time.Second,
@@ -35,7 +35,7 @@
 	return req
 }
 
-// grant grants a request a lease of a name.
+// grant grants a request a lease with a name, and fails the test if it gets none.
 func grant(t *testing.T, registry *Registry, now time.Duration, req *Request, name string) *Lease {
 	t.Helper()
 	lease := registry.Grant(now, req, name, "n1", "h:1", 0, testDeadline, 0)
@@ -45,7 +45,8 @@
 	return lease
 }
 
-// report reports the first outcome of a lease.
+// report reports the outcome of a lease, and fails the test unless it is the
+// first report.
 func report(t *testing.T, registry *Registry, now time.Duration, name string, outcome Outcome) {
 	t.Helper()
 	if _, _, first, err := registry.Report(now, name, outcome); !first || err != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// A lease ends by each outcome, and by its expiry.
+// A lease ends with each of the outcomes, and when it expires.
 func TestEndOfLease(t *testing.T) {
 	const grantedAt = time.Second
 	tests := map[string]struct {
@@ -101,7 +102,8 @@
 	}
 }
 
-// A report is idempotent; another outcome, a late one and an unknown lease differ.
+// A repeated report is accepted. A report of another outcome, a late report and
+// a report on an unknown lease are errors.
 func TestReports(t *testing.T) {
 	registry := newTestRegistry()
 	req := openRequest(t, registry, "a")
@@ -135,8 +137,8 @@
 	}
 }
 
-// That an attempt was not sent makes a retry harmless only if no other of its
-// request may have run.
+// A report of an unsent attempt makes a retry safe only if no other attempt of
+// the request may have run.
 func TestUnsentAfterEarlierAttempt(t *testing.T) {
 	for earlier, want := range map[Outcome]State{OutcomeFailed: Failed, OutcomeRejected: Unsent} {
 		t.Run(earlier.String(), func(t *testing.T) {
@@ -153,9 +155,9 @@
 	}
 }
 
-// A repeat must be sent while its scope remembers the first attempt: the grant
-// says until when, and there is none after that.
-func TestRepeatIsSentInTime(t *testing.T) {
+// A retry must be sent while its idempotency scope still has the key of the
+// first attempt. The grant has that time limit, and is refused after it.
+func TestRetryStartsWithinScopeWindow(t *testing.T) {
 	const now = 2 * time.Second
 	registry := newTestRegistry()
 	req := openRequest(t, registry, "a")
@@ -169,8 +171,8 @@
 	}
 }
 
-// The same ID within its time is the same request. With another fingerprint it
-// is an error. IDs that differ in case are different.
+// A retained ID finds its request, or an error if the fingerprint differs. IDs
+// are case-sensitive.
 func TestFind(t *testing.T) {
 	registry := newTestRegistry()
 	req := openRequest(t, registry, "Abc")
