--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,15 +1,15 @@
 package settings
 
-// document mirrors the platform's settings object under the platform's own names;
-// keys that are not here are skipped. Names that end in Us are in microseconds.
+// document is the platform's settings object; the JSON keys are the platform's.
+// Other keys are ignored. Fields whose names end in Us are in microseconds.
 type document struct {
-	Me           int             `json:"me"`
-	Replicas     int             `json:"replicasOfMe"`
-	MyZone       string          `json:"myZone"`
-	RegistryMode string          `json:"registryMode"`
-	Classes      []classDocument `json:"classes"`
-	Contracts    []planDocument  `json:"contracts"`
-	FamilyInfo   struct {
+	InstanceIndex int             `json:"me"`
+	InstanceCount int             `json:"replicasOfMe"`
+	InstanceZone  string          `json:"myZone"`
+	RegistryMode  string          `json:"registryMode"`
+	Classes       []classDocument `json:"classes"`
+	Contracts     []planDocument  `json:"contracts"`
+	FamilyInfo    struct {
 		CostAfter        bool    `json:"costAfter"`
 		CounterTimeoutUs float64 `json:"counterTimeoutUs"`
 		MaxUnits         float64 `json:"maxUnits"`
@@ -38,7 +38,7 @@
 	} `json:"invariants"`
 }
 
-// classDocument mirrors a class of requests.
+// classDocument is a request class in the settings object.
 type classDocument struct {
 	Name        string  `json:"name"`
 	Value       float64 `json:"value"`
@@ -50,7 +50,7 @@
 	WindowUs    float64 `json:"windowUs"`
 }
 
-// planDocument mirrors a contract.
+// planDocument is a plan, which the settings object calls a contract.
 type planDocument struct {
 	Name         string  `json:"name"`
 	Price        float64 `json:"price"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the platform's settings object as an instance is given
-// it. The object's JSON comes in; the settings of the decision module and those of
-// the connections to backends go out. It maps the platform's names to those of the
-// program and checks nothing but the JSON. It decides nothing and knows neither
-// sockets nor the simulator's protocol.
+// Package settings parses the JSON settings object that the platform gives to an
+// instance. It returns the settings of the policy engine and those of the backend
+// connections, and maps the platform's names to those of the program. It validates
+// only the JSON, not the values, and is independent of sockets and of the
+// simulator's protocol.
 package settings
 
 import (
@@ -13,16 +13,16 @@
 	"hitchspring/policy"
 )
 
-// Connections are the settings that matter only to a program with real
-// connections to backends.
+// Connections are the settings that the policy engine doesn't need: they concern
+// connections to backends and the number of open requests.
 type Connections struct {
-	Idle           time.Duration // a backend closes a connection that has been idle for so long
-	ConnectTimeout time.Duration // a connection that is not established by then has failed
-	MaxOpen        int           // requests open at once; further ones are rejected unseen
+	Idle           time.Duration // idle time after which a backend closes a connection
+	ConnectTimeout time.Duration // max time to establish a connection
+	MaxOpen        int           // max open requests; the engine never sees further ones, which are rejected
 }
 
-// Parse reads the settings object; keys that it does not know are skipped. It
-// returns an error if the text is not such an object.
+// Parse parses the settings object and ignores unknown keys. It returns an error
+// if the text is not valid JSON of that form.
 func Parse(text []byte) (*policy.Settings, Connections, error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -41,9 +41,9 @@
 
 func (d *document) policySettings() *policy.Settings {
 	s := &policy.Settings{
-		Index:            d.Me,
-		Instances:        d.Replicas,
-		Zone:             d.MyZone,
+		Index:            d.InstanceIndex,
+		Instances:        d.InstanceCount,
+		Zone:             d.InstanceZone,
 		MaxUnits:         d.FamilyInfo.MaxUnits,
 		MaxAttempts:      d.Permissions.MaxAttempts,
 		MayCancel:        d.Permissions.MayCancel,
@@ -103,7 +103,8 @@
 
 func microseconds(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// parseEffect returns the effect by its name; an unknown one is unsafe to repeat.
+// parseEffect returns the effect with a name. An unknown name counts as unsafe to
+// repeat.
 func parseEffect(name string) policy.Effect {
 	switch name {
 	case "read_like":
@@ -115,7 +116,8 @@
 	}
 }
 
-// parseGroup returns the group by its name; an unknown one is a cell.
+// parseGroup returns the group with a name. An unknown name counts as a cell, the
+// smallest group.
 func parseGroup(name string) policy.Group {
 	switch name {
 	case "all":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,18 +87,18 @@
 	}
 }
 
-// A Retry-After is given only where the platform allows it.
+// Without the platform's permission, there is no Retry-After.
 func TestParseWithoutRetryAfter(t *testing.T) {
 	got, _, err := Parse([]byte(strings.Replace(object, `"retryAfter": true`, `"retryAfter": false`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got.MaxRetryAfter != 0 {
-		t.Errorf("got Retry-After of %v at most, want none", got.MaxRetryAfter)
+		t.Errorf("got max Retry-After %v, want none", got.MaxRetryAfter)
 	}
 }
 
-// Unknown names are read as what promises least.
+// An unknown name is read as the effect or group with the fewest guarantees.
 func TestParseUnknownNames(t *testing.T) {
 	for name, want := range map[string]policy.Effect{
 		"read_like":       policy.Safe,
@@ -125,7 +125,7 @@
 func TestParseMalformed(t *testing.T) {
 	for _, text := range []string{"", "{", `{"me": "one"}`} {
 		if _, _, err := Parse([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), "settings: ") {
-			t.Errorf("%q: got error %v, want one of settings", text, err)
+			t.Errorf("%q: got error %v, want one with prefix \"settings: \"", text, err)
 		}
 	}
 }
