--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -24,7 +24,7 @@
 
 // Config is the configuration of a core.
 type Config struct {
-	Discovery     string         // address of the discovery service; empty: the endpoint list stays as it is
+	Discovery     string         // address of the discovery service
 	Seed          uint64         // of all random numbers
 	Sockets       int            // max file descriptors of the core and the fronts together
 	Memory        int            // max bytes of the core and the fronts together; 0: defaultMemory
