--- a/policy/allocations.go
+++ b/policy/allocations.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// minShare is the share of a plan that is as good as none.
+// minShare is the smallest share of a plan; it avoids a division by zero.
 const minShare = 1e-9
 
-// Allocations are the shares of what tenants may use that this instance has by
-// agreement with the others: of the rate, the burst, the ceiling and the cap
-// on attempts in flight. The shares of one tenant at all instances together are at
-// most 1, whatever is lost between them.
+// Allocations are the shares of tenants' plans that this instance has agreed on
+// with the other instances. A share applies to the rate, the burst, the ceiling and
+// the limit of attempts in flight. The shares of one tenant at all instances add up
+// to at most 1, even if messages between instances are lost.
 type Allocations struct {
-	Default   float64               // share of the even part, for tenants that are not named
+	Default   float64               // fraction of the equal share, for accounts not in ByAccount
 	ByAccount map[string]Allocation // by Request.Account
 }
 
-// Allocation is what has been agreed on for one tenant's plan.
+// Allocation is the agreement on one tenant's plan.
 type Allocation struct {
-	Share      float64 // of this instance, of 1
-	Unreported float64 // of those who spend it without reporting to the counter
+	Share      float64 // share of this instance, from 0 to 1
+	Unreported float64 // share of the plan spent by others without reporting to the counter
 }
 
-// SetAllocations takes over the shares that this instance has from now on. Units that were
-// leased before stay.
+// SetAllocations sets the shares that this instance has from now on. Units that are
+// already leased remain leased.
 //
-// After a time in which this process did not run (stopped), nothing has come to it
-// meanwhile: its shares of that time may have ended.
+// stopped means that this process was suspended until now. The time of the
+// suspension then adds no units, since the shares may have ended during it.
 func (e *Engine) SetAllocations(now time.Duration, allocations Allocations, stopped bool) {
 	e.now = max(now, e.now)
 	e.allocations = &allocations
@@ -37,8 +37,9 @@
 	}
 }
 
-// shareOf returns a tenant's share as one in so many, and the share that others
-// spend unreported. Without any agreement each instance has an even share.
+// shareOf returns the divisor of a tenant's share (the share is 1/divisor), and the
+// share that other instances spend without reporting it. Without allocations each
+// instance has an equal share.
 func (a *Allocations) shareOf(t *tenant) (divisor, unreported float64) {
 	divisor = float64(t.spread)
 	if a == nil {
@@ -50,8 +51,8 @@
 	return divisor / min(1, max(minShare, a.Default)), 0
 }
 
-// updateShare brings this instance's share of a tenant's plan up to date after
-// what it depends on has changed. What has come until now came by the old share.
+// updateShare recomputes this instance's share of a tenant's plan. Units added up
+// to now are credited at the old share.
 func (e *Engine) updateShare(t *tenant) {
 	divisor, unreported := e.allocations.shareOf(t)
 	if divisor == t.shareDivisor && unreported == t.unreportedShare {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// attempt is one sending of a request to a backend.
+// attempt is one transmission of a request to a backend.
 type attempt struct {
-	index      int // among the request's attempts
-	backend    *backend
-	zone       string // of the backend when it was sent: the endpoint list may move a backend
-	cell       int    // of the backend when it was sent
-	sentAt     time.Duration
-	ended      bool
-	writtenOff bool // overdue, or lost with its zone: it no longer fills the window
-	mayHaveRun bool // it is out, or its outcome does not prove that it never ran
+	index              int // among the request's attempts
+	backend            *backend
+	zone               string // of the backend at sentAt: the endpoint list may move a backend later
+	cell               int    // of the backend at sentAt
+	sentAt             time.Duration
+	ended              bool
+	releasedFromWindow bool // overdue, or its zone was lost: it no longer counts toward the window
+	mayHaveRun         bool // it is in flight, or its outcome does not rule out that it ran
 }
 
 // sendAttempt sends an attempt of the request to the backend.
 func (e *Engine) sendAttempt(r *request, b *backend) {
 	if !r.sent {
 		r.sent = true
-		e.earnRetries()
+		e.refillRetryBudget()
 		r.tenant.ceilingLevel -= r.Units
 	}
 	a := &attempt{
@@ -44,20 +44,20 @@
 	if e.capacityShare(b) < 1 {
 		e.slowStartTokens--
 	}
-	e.emit(SendAttempt{ID: r.ID, Backend: b.ID, StopAt: e.attemptStop(r.class)})
+	e.emit(SendAttempt{ID: r.ID, Backend: b.ID, StopAt: e.attemptStopTime(r.class)})
 }
 
-// attemptStop returns when an attempt is to be stopped in favor of another, where
-// hedging is not allowed; 0: never.
-func (e *Engine) attemptStop(c *class) time.Duration {
+// attemptStopTime returns when to stop an attempt so that another can be sent, if
+// hedging is not allowed; 0 means never.
+func (e *Engine) attemptStopTime(c *class) time.Duration {
 	if e.settings.Hedging || c.meanLatency <= 0 || c.Effect == Unsafe {
 		return 0
 	}
 	return e.now + max(c.expectedLatency(2*hedgeDeviations), c.LatencyObjective/3)
 }
 
-// handleAttemptEnded takes an attempt off all counts, learns from its outcome and
-// finishes the request, retries it or waits for its other attempts.
+// handleAttemptEnded records the end of an attempt, then finishes the request,
+// retries it or waits for its other attempts.
 func (e *Engine) handleAttemptEnded(event AttemptEnded) {
 	r := e.requests[event.ID]
 	if r == nil || event.Attempt >= len(r.attempts) || r.attempts[event.Attempt].ended {
@@ -71,11 +71,11 @@
 			r.tenant.leasedUnits -= event.SettledUnits - r.Units
 		}
 		e.finish(r)
-	case r.outstanding > 0 || r.phase == phaseQueued: // queued: since its zone was lost
+	case r.outstanding > 0 || r.phase == phaseQueued: // queued: already requeued when its zone was lost
 	case !e.mayRetry(r) || !e.hasTimeToRetry(r) || e.retryBudget < 1 && event.Outcome != NotSent:
 		r.reason = NoRetry
-		e.giveUp(r)
-	default: // an attempt that was never sent costs nothing of the budget
+		e.rejectOrFail(r)
+	default: // the retry of an attempt that was never sent is free
 		if event.Outcome != NotSent {
 			e.retryBudget--
 		}
@@ -83,27 +83,28 @@
 	}
 }
 
-// endAttempt takes an ended attempt off all counts and learns from its outcome.
+// endAttempt removes an ended attempt from all counts and updates the statistics
+// with its outcome.
 func (e *Engine) endAttempt(r *request, a *attempt, event AttemptEnded) {
 	a.ended = true
 	a.mayHaveRun = !event.Outcome.NeverRan()
 	a.backend.outstanding = slices.DeleteFunc(a.backend.outstanding, func(b *attempt) bool { return a == b })
 	r.outstanding--
 	r.tenant.inFlight--
-	if !a.writtenOff {
+	if !a.releasedFromWindow {
 		e.window.inFlight--
 		e.updateWindow(a, r.class, event.Outcome, event.Took)
 	}
 	e.recordOutcome(a, r.class, event.Outcome, event.Took)
-	if event.Unsent && len(r.attempts) == 1 { // no backend has seen it: it took nothing of the ceiling
+	if event.Unsent && len(r.attempts) == 1 { // no backend has received it: refund the ceiling
 		r.sent = false
 		r.tenant.ceilingLevel += r.Units
 	}
 }
 
-// giveUp gives a request its final answer: a rejection where the client may
-// surely try again without harm, else a failure.
-func (e *Engine) giveUp(r *request) {
+// rejectOrFail gives a request its final answer: a rejection if the client can
+// safely retry it, otherwise a failure.
+func (e *Engine) rejectOrFail(r *request) {
 	if !r.safeToReject() {
 		e.emit(Fail{ID: r.ID, Reason: r.reason})
 		e.finish(r)
@@ -112,15 +113,16 @@
 	e.reject(r, r.class.LatencyObjective)
 }
 
-// reject rejects a request, with a Retry-After within the bounds that hold now.
+// reject rejects a request. retryAfter is limited to the current bounds of
+// Retry-After.
 func (e *Engine) reject(r *request, retryAfter time.Duration) {
 	bounded := min(max(retryAfter, e.minZoneRetryAfter), e.settings.MaxRetryAfter)
 	e.emit(Reject{ID: r.ID, RetryAfter: e.spreadRetryAfter(bounded), Reason: r.reason})
 	e.finish(r)
 }
 
-// finish marks a request as answered for good, gives back what it has not used
-// and cancels its attempts that are still out.
+// finish marks a request as finished, returns its units if it was never sent, and
+// cancels its attempts in flight.
 func (e *Engine) finish(r *request) {
 	if r.phase == phaseQueued {
 		e.dequeue(r)
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// Rule 1: each request taken has exactly one final answer before its client gives
-// up.
+// Rule 1: each request gets exactly one final answer, before its client gives up.
 func TestEveryRequestHasOneFinalAnswer(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	finals := map[RequestID]int{}
 	for id := RequestID(1); id <= 40; id++ {
 		countFinal(finals, h.arrive(id, []string{"read", "book", "pay"}[id%3], "free"))
 	}
-	countFinal(finals, h.pass(1990*ms))
+	countFinal(finals, h.advance(1990*ms))
 	for id := RequestID(1); id <= 40; id++ {
 		r := h.engine.requests[id]
 		if r == nil || r.phase == phaseFinished {
@@ -34,7 +33,7 @@
 	}
 }
 
-// Rule 2: an unsafe request that may have run is neither sent again nor rejected.
+// Rule 2: an unsafe request that may have run is neither retried nor rejected.
 func TestUnsafeRequestThatMayHaveRunIsFailed(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, TimedOut, Reset, Canceled, Outcome(99)} {
 		h := newHarness(t, testSettings(), runningBackends("s", "u")...)
@@ -56,9 +55,9 @@
 	}
 }
 
-// An attempt that was never sent costs no backend anything: its retry needs nothing
-// of the retry budget, which may be spent where a backend begins to drain under
-// many requests that wait for a connection to it.
+// An attempt that was never sent puts no load on a backend, so its retry does not
+// need the retry budget. Otherwise the budget could run out when a backend starts to
+// drain while many requests wait for a connection to it.
 func TestNeverSentIsRetriedWithoutBudget(t *testing.T) {
 	for outcome, want := range map[Outcome]int{NotSent: 1, NoConnect: 0} {
 		h := newHarness(t, testSettings(), runningBackends("s", "u")...)
@@ -73,7 +72,7 @@
 }
 
 // Rule 2: a keyed request that may have run is retried only in the cell that drops
-// its repeats, and only while it does.
+// its repeats, and only within the repeat window.
 func TestKeyedRetryStaysInItsCellAndTime(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].Deadline = time.Minute
@@ -105,9 +104,9 @@
 	}
 }
 
-// The endpoint list moves a backend to another cell while a keyed request, which
-// may have run there, waits for a retry. The cell in which the first attempt ran
-// drops repeats, not the one that its backend is in now.
+// Guards against a retry in the wrong cell when the endpoint list moves a backend to
+// another cell while a keyed request is in flight there. Repeats are dropped in the
+// cell in which the first attempt was sent, not in the backend's new cell.
 func TestRetryStaysInTheCellOfTheFirstAttempt(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].Deadline = time.Minute
@@ -124,8 +123,7 @@
 	}
 }
 
-// A request that is queued for a retry waits no longer than its group remembers
-// the first attempt.
+// A request that is queued for a retry expires when its repeat window ends.
 func TestQueuedRetryEndsWithTheRepeatWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].Deadline = time.Minute
@@ -147,7 +145,7 @@
 	h.now += 450 * ms
 	h.engine.window.inFlight = 0
 	h.engine.window.size = 4
-	got = h.pass(200 * ms)
+	got = h.advance(200 * ms)
 	sends, rejects := actionsOf[SendAttempt](got), actionsOf[Reject](got)
 	if len(sends) > 0 || len(rejects) > 0 || len(actionsOf[Fail](got)) != 1 {
 		t.Fatalf("got actions %v, want one failure and nothing sent", got)
--- a/policy/backends.go
+++ b/policy/backends.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// BackendID names a backend; nothing but identity can be read from it.
+// BackendID identifies a backend. It is opaque.
 type BackendID string
 
-// Load is what a backend last reported of itself; absent values are not in it.
+// Load holds the load values that a backend last reported, by name. Values that it
+// did not report are absent.
 type Load map[string]float64
 
 // Backend is an entry of the endpoint list.
@@ -20,39 +21,40 @@
 	Cell    int
 	State   BackendState
 	Size    float64
-	Started time.Duration // clock time of its last start; 0: long ago
+	Started time.Duration // time of its last start on the instance's clock; 0: long ago
 }
 
-// BackendState is what the endpoint list says of a backend.
+// BackendState is the state of a backend in the endpoint list.
 type BackendState uint8
 
-// States; an unknown one counts as Draining.
+// Backend states. An unknown value is treated like Draining.
 const (
 	Draining BackendState = iota
 	Running
 	Gone
 )
 
-// backend is a Backend with what this instance has sent there and learned of it.
+// backend is a Backend with its attempts in flight and the statistics that this
+// instance has collected about it.
 type backend struct {
 	Backend
 
-	outstanding []*attempt // not ended, oldest first
+	outstanding []*attempt // attempts that have not ended, oldest first
 	lastSent    time.Duration
-	subsetHash  uint64 // of hashForSubset
-	unproven    bool   // of a zone that was lost, and not known to be back itself
+	subsetHash  uint64 // result of hashForSubset
+	unproven    bool   // its zone was lost, and the backend is not yet known to be back
 
-	slowness            float64       // latency relative to the mean, by this backend's answers
+	slowness            float64       // relative latency: this backend's latency divided by the mean
 	slownessAt          time.Duration // when slowness was last updated
-	peerSlowness        float64       // the same by what other instances say; 0: nothing
+	peerSlowness        float64       // slowness reported by other instances; 0: none
 	consecutiveFailures int
-	ejectedUntil        time.Duration // a last resort until then
-	untimelyRound       int           // last round of the window with an untimely end
+	ejectedUntil        time.Duration // used only as a last resort until then
+	lastUntimelyRound   int           // last round of the window with an untimely end here
 
-	sendPhase float64 // slow start: part of the space between two sends that the next one waits
+	sendPhase float64 // slow start: fraction of the interval between attempts to wait before the next one
 }
 
-// handleEndpointsChanged takes over the endpoint list or changes to it.
+// handleEndpointsChanged applies a new endpoint list or changes to the current one.
 func (e *Engine) handleEndpointsChanged(event EndpointsChanged) {
 	if event.Failed {
 		e.watchingEndpoints = false
@@ -70,8 +72,8 @@
 	for _, entry := range event.Backends {
 		e.updateBackend(entry)
 	}
-	e.answers.backends = e.countAnsweringBackends() // of the list before
-	e.answers.backendsAt = e.now
+	e.responses.backends = e.countRespondingBackends() // of the previous list
+	e.responses.backendsAt = e.now
 	e.rebuildRunning()
 	if first {
 		e.window.size = e.windowShare()
@@ -80,29 +82,30 @@
 	e.updateSubsetCount()
 }
 
-// updateBackend takes over one entry of the endpoint list.
+// updateBackend applies one entry of the endpoint list.
 func (e *Engine) updateBackend(entry Backend) {
 	b := e.backends[entry.ID]
 	if b == nil {
 		b = &backend{}
 		e.backends[entry.ID] = b
 	}
-	if b.slowness == 0 || b.Started != entry.Started { // new or restarted: only what is still out stays
+	if b.slowness == 0 || b.Started != entry.Started { // new or restarted: keep only the attempts in flight
 		*b = backend{
-			outstanding:   b.outstanding,
-			unproven:      b.unproven,
-			subsetHash:    e.hashForSubset(entry.ID),
-			slowness:      1,
-			slownessAt:    e.now,
-			untimelyRound: -1,
-			sendPhase:     e.rng.Float64(),
+			outstanding:       b.outstanding,
+			unproven:          b.unproven,
+			subsetHash:        e.hashForSubset(entry.ID),
+			slowness:          1,
+			slownessAt:        e.now,
+			lastUntimelyRound: -1,
+			sendPhase:         e.rng.Float64(),
 		}
 	}
 	b.Backend = entry
 }
 
-// rebuildRunning lists the backends that serve, and forgets those that are gone
-// with nothing out there: backends come under ever new IDs.
+// rebuildRunning rebuilds the list of running backends. It deletes removed backends
+// without attempts in flight: new backends get new IDs, so the map would otherwise
+// grow without bound.
 func (e *Engine) rebuildRunning() {
 	e.running = e.running[:0]
 	for id, b := range e.backends {
--- a/policy/backends_test.go
+++ b/policy/backends_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// A backend that restarts keeps what is still out there, and survives the end of
-// that.
+// A restarted backend keeps its attempts in flight, and these can end normally.
 func TestRestartedBackendKeepsItsOutstandingAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	h.arrive(1, "read", "free")
@@ -14,35 +13,35 @@
 	before := len(h.engine.backends["s"].outstanding)
 	h.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: Running, Started: h.now}}})
 	if now := len(h.engine.backends["s"].outstanding); now != before || before == 0 {
-		t.Fatalf("%d attempts out before the restart, %d after", before, now)
+		t.Fatalf("got %d attempts in flight before the restart, %d after; want the same number, above 0", before, now)
 	}
 	h.notify(AttemptEnded{ID: 1, Backend: "s", Outcome: Reset})
 	h.notify(AttemptEnded{ID: 2, Backend: "s", Outcome: Reset})
-	h.pass(time.Second)
+	h.advance(time.Second)
 	for _, a := range h.engine.backends["s"].outstanding {
 		if a == nil || a.ended {
-			t.Fatalf("got attempt %v among those that are out", a)
+			t.Fatalf("got attempt %v among the outstanding ones, want only attempts that have not ended", a)
 		}
 	}
 }
 
-// Backends come under ever new IDs: one that is gone is forgotten once nothing is
-// out there.
+// New backends get new IDs, so a removed backend must be deleted once it has no
+// attempts in flight; otherwise the map grows without bound.
 func TestRemovedBackendIsForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	h.arrive(1, "read", "free")
 	h.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
 	if len(h.engine.backends) != 2 {
-		t.Fatal("forgotten while an attempt is out")
+		t.Fatal("the removed backend was deleted while an attempt was in flight")
 	}
 	h.notify(succeeded(1, "s", ms))
 	h.notify(EndpointsChanged{Backends: runningBackends("v")})
 	if h.engine.backends["s"] != nil || len(h.engine.running) != 2 {
-		t.Fatalf("got backends %v, running %v; want s forgotten and two running", h.engine.backends, h.engine.running)
+		t.Fatalf("got backends %v, running %v; want s deleted and two running", h.engine.backends, h.engine.running)
 	}
 }
 
-// Rule 3: nothing new is sent to a backend that drains or is gone.
+// Rule 3: no new attempts are sent to a draining or removed backend.
 func TestNothingIsSentToADrainingBackend(t *testing.T) {
 	for _, state := range []BackendState{Draining, Gone, BackendState(9)} {
 		h := newHarness(t, testSettings(), runningBackends("s", "u")...)
@@ -50,7 +49,7 @@
 		for id := RequestID(1); id < 20; id++ {
 			for _, a := range actionsOf[SendAttempt](h.arrive(id, "read", "free")) {
 				if a.Backend == "s" {
-					t.Fatalf("state %v: got a send to it, want none", state)
+					t.Fatalf("state %v: got an attempt to the backend, want none", state)
 				}
 			}
 			h.notify(succeeded(id, "u", 5*ms))
@@ -59,13 +58,13 @@
 	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 	h.notify(EndpointsChanged{Complete: true, Backends: runningBackends("u")})
 	if len(h.engine.running) != 1 {
-		t.Fatalf("got %d backends running, want 1: one that is not in a complete list is gone", len(h.engine.running))
+		t.Fatalf("got %d backends running, want 1: one missing from a complete list is removed", len(h.engine.running))
 	}
 }
 
-// An endpoint list that is empty, holds an ID twice or has a start in the future
-// is decided with: with no backend everything is rejected, of two entries the last
-// holds, and a start that is to come counts as now.
+// Unusual endpoint lists are handled: with an empty list every request is rejected,
+// of two entries with the same ID the last one applies, and a start time in the
+// future counts as now.
 func TestUnusualEndpointListsAreDecided(t *testing.T) {
 	for _, n := range []int{1, 3, 80, 5000} {
 		settings := testSettings()
@@ -74,13 +73,13 @@
 		if got := h.arrive(1, "read", "free"); len(actionsOf[SendAttempt](got)) > 0 {
 			t.Errorf("%d instances: got %v with no backend listed, want no send", n, got)
 		}
-		if got := h.pass(3 * time.Second); len(actionsOf[Reject](got)) != 1 {
+		if got := h.advance(3 * time.Second); len(actionsOf[Reject](got)) != 1 {
 			t.Errorf("%d instances: got %v, want one rejection", n, got)
 		}
 		twice := []Backend{{ID: "s", State: Running}, {ID: "s", State: Draining}}
 		h.notify(EndpointsChanged{Complete: true, Backends: twice})
 		if len(h.engine.running) != 0 {
-			t.Errorf("%d instances: got a backend running, want none: the entry that drains came last", n)
+			t.Errorf("%d instances: got a backend running, want none: the draining entry is the last one", n)
 		}
 		future := []Backend{{ID: "u", State: Running, Started: h.now + time.Hour}}
 		h.notify(EndpointsChanged{Complete: true, Backends: future})
@@ -88,7 +87,7 @@
 			t.Errorf("%d instances: got capacity share %v before the start, want %v", n, got, settings.SlowStartShare)
 		}
 		h.arrive(2, "read", "free")
-		h.pass(time.Second)
+		h.advance(time.Second)
 		h.notify(EndpointsChanged{Complete: true})
 		if len(h.engine.running) != 0 {
 			t.Errorf("%d instances: got %d backends running after an empty list, want none", n, len(h.engine.running))
--- a/policy/ceiling.go
+++ b/policy/ceiling.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// ceilingAllows reports whether the tenant's ceiling lets the request's units
-// pass: the counter has granted them, or this instance's share of the ceiling
-// holds them. That starts empty, since nothing is known after a restart of what
-// was spent before.
+// ceilingAllows reports whether the tenant's ceiling admits the request: the counter
+// has granted its units, or this instance's share of the ceiling holds enough. The
+// share starts empty, since the units spent before a restart are not known.
 func (e *Engine) ceilingAllows(r *request) bool {
 	t := r.tenant
 	p := r.plan
@@ -14,14 +13,14 @@
 	}
 	t.ceilingLevel = min(p.CeilingBurst/t.shareDivisor, t.refilledCeiling(e.now))
 	t.ceilingAt = e.now
-	if t.sparse && e.counterCallShare >= lostCounterShare {
-		return false // the counter grants other requests theirs
+	if t.sparse && e.counterCallShare >= minUsableCallShare {
+		return false // the counter grants the ceiling's units to other requests
 	}
 	return t.ceilingLevel >= r.Units
 }
 
-// refilledCeiling returns this instance's share of the ceiling with what has come
-// to it since ceilingAt, not limited by its burst.
+// refilledCeiling returns the units in this instance's share of the ceiling,
+// including those added since ceilingAt. The result is not limited by the burst.
 func (t *tenant) refilledCeiling(now time.Duration) float64 {
 	return t.ceilingLevel + t.plan.CeilingRate/t.shareDivisor*(now-t.ceilingAt).Seconds()
 }
--- a/policy/counter_test.go
+++ b/policy/counter_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// timeOutCounter uses one tenant until a counter call is out, and lets that time
-// out.
+// timeOutCounter sends requests of one tenant until a counter call is in flight, and
+// lets that call time out.
 func (h *harness) timeOutCounter() *tenant {
 	for id := RequestID(1001); ; id++ {
 		h.arrive(id, "read", "small")
@@ -19,37 +19,37 @@
 	}
 }
 
-// After the counter has been silent for long, its tenants are not rejected for what
-// others took in the meantime.
-func TestCounterSilenceLeavesNoDebt(t *testing.T) {
+// After a long silence of the counter, a tenant is not rejected because of the units
+// that other instances used in the meantime.
+func TestCounterOutageLeavesNoDebt(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	small := h.timeOutCounter()
-	h.pass(20 * time.Second)
+	h.advance(20 * time.Second)
 	h.engine.requestBlock(small)
 	total := small.callUnits + small.total + 30
 	h.notify(CounterReply{Name: small.counterName(), Outcome: Succeeded, Total: total})
 	if got := h.engine.availableUnits(small) + small.leasedUnits; got < 1 {
-		t.Fatalf("got %v units after a silence in which others kept to their share, want 1 or more", got)
+		t.Fatalf("got %v units after a silence in which others used only their share, want 1 or more", got)
 	}
 }
 
-// What others took while the counter was silent may never be reported: their shares
-// of the rate are presumed spent, or each instance would begin again with a full
-// quota.
-func TestOthersUseIsPresumedWhileTheCounterIsSilent(t *testing.T) {
+// Units used by other instances while the counter is silent may never be reported.
+// Their shares of the rate must be assumed spent; otherwise each instance would start
+// again with a full quota.
+func TestOthersShareIsAssumedSpentWhileTheCounterIsSilent(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	small := h.timeOutCounter()
 	reply := func(outcome Outcome, total float64) {
 		h.notify(CounterReply{Name: small.counterName(), Outcome: outcome, Total: total})
 	}
-	h.pass(5 * time.Second)
+	h.advance(5 * time.Second)
 	h.engine.callCounter(small, 0)
 	reply(Succeeded, small.callUnits+20) // the quota is empty
-	h.pass(time.Second)
+	h.advance(time.Second)
 	h.engine.callCounter(small, 0)
 	reply(TimedOut, 0)
 	for range 20 {
-		h.pass(time.Second)
+		h.advance(time.Second)
 		h.engine.refreshTenant(small)
 		small.leasedUnits = 0 // its own share is spent
 	}
@@ -60,9 +60,9 @@
 	}
 }
 
-// A counter that has lost its numbers reports nothing new, and gives no second
-// burst.
-func TestCounterBackEmptyGivesNoSecondBurst(t *testing.T) {
+// If the counter has lost its totals, the lower total is not evidence of free units,
+// and no second burst is granted.
+func TestCounterThatLostItsTotalsGrantsNoSecondBurst(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	small := h.engine.tenantFor(&request{
 		Request: Request{Tenant: "c", Spread: 2},
@@ -75,14 +75,14 @@
 	h.engine.callCounter(small, 0)
 	h.notify(CounterReply{Name: small.counterName(), Outcome: Succeeded, Total: small.callUnits})
 	if got := h.engine.availableUnits(small); got > 1 {
-		t.Fatalf("got %v units after the counter lost its numbers, want 1 at most", got)
+		t.Fatalf("got %v units after the counter lost its totals, want 1 at most", got)
 	}
 }
 
-// A garbled reply of the counter is not silence: the amount was added. The block
-// that it was for comes with the next total, and nothing is counted twice or
-// forgotten.
-func TestGarbledTotalIsMadeUpFor(t *testing.T) {
+// After a garbled reply of the counter, its units have been added nevertheless. The
+// requested block is leased with the next total, and no units are counted twice or
+// lost.
+func TestGarbledReplyLosesAndDoublesNoUnits(t *testing.T) {
 	totals := map[string]float64{}
 	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 	garbled := true
@@ -116,9 +116,9 @@
 	}
 }
 
-// A burst that gives each instance less than one request is granted by the counter,
-// request by request: what all instances send stays within it, whatever each has
-// seen, and also after all have restarted.
+// A burst of less than one request per instance is granted by the counter, request by
+// request. All instances together stay within the burst, whatever each has seen and
+// even after all have restarted.
 func TestSmallBurstOverManyInstancesIsGrantedByTheCounter(t *testing.T) {
 	for _, n := range []int{4, 100, 340} {
 		settings := testSettings()
@@ -126,7 +126,7 @@
 		settings.Plans = append(settings.Plans, Plan{Name: "tiny", Price: 1, Rate: 0.5, Burst: 2, ExcessCost: 1})
 		totals := map[string]float64{}
 		sent := 0
-		for i := range 2 * n { // each instance twice, the second time as one that has just started
+		for i := range 2 * n { // each instance twice, the second time after a restart
 			settings.Index = i % n
 			h := newHarness(t, settings, runningBackends("s")...)
 			q := h.request(1, "read", "tiny")
@@ -146,8 +146,8 @@
 	}
 }
 
-// A request that waits for the counter has its answer before its client gives up,
-// whatever the counter does, and the counter's late answer sends nothing.
+// A request that waits for the counter gets its answer before its client gives up,
+// whatever the counter does. A late reply of the counter causes no attempt.
 func TestWaitingForTheCounterLosesNoRequest(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
@@ -161,13 +161,13 @@
 		if len(calls) != 1 || calls[0].Add != 1 {
 			t.Fatalf("got calls %v, want one for the request's unit", calls)
 		}
-		actions = append(actions, h.pass(left-left%(10*ms))...)
+		actions = append(actions, h.advance(left-left%(10*ms))...)
 		if len(actionsOf[Reject](actions)) != 1 {
 			t.Fatalf("%v left: got actions %v, want one rejection", left, actions)
 		}
 		late := h.notify(CounterReply{Name: calls[0].Name, Outcome: Succeeded, Total: 1})
 		if len(actionsOf[SendAttempt](late)) > 0 || len(actionsOf[Reject](late)) > 0 {
-			t.Fatalf("%v left: got actions %v by the late answer, want none", left, late)
+			t.Fatalf("%v left: got actions %v after the late reply, want none", left, late)
 		}
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// Event is something that has happened at an instance, for [Engine.Handle].
+// Event is an input of [Engine.Handle].
 type Event interface{ event() }
 
-// Arrival brings a request, to which the engine owes one final answer.
+// Arrival is a new request. The engine gives each request one final answer.
 type Arrival struct{ Request }
 
-// AttemptEnded comes once for each SendAttempt.
+// AttemptEnded reports the end of an attempt, once for each SendAttempt.
 type AttemptEnded struct {
 	ID           RequestID
 	Attempt      int
 	Backend      BackendID
 	Outcome      Outcome
 	Took         time.Duration
-	Finished     bool    // the request has had its final answer
-	SettledUnits float64 // the true units, where the plan has them come with the answer; 0: unknown
+	Finished     bool    // the client has received the final answer
+	SettledUnits float64 // units actually used, for plans with SettledByReply; 0: unknown
 	Load         Load
-	Unsent       bool // of a delegated request: its caller has not sent the attempt
+	Unsent       bool // delegated requests: the caller did not send the attempt
 }
 
-// StreamStarted says that the answer of an attempt has begun to go to the
-// client, so that no other attempt can answer.
+// StreamStarted reports that the response of an attempt is being streamed to the
+// client, so that the response of another attempt can no longer be used.
 type StreamStarted struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Disconnected says that the client has left.
+// Disconnected reports that the client has closed its connection or canceled the
+// request.
 type Disconnected struct{ ID RequestID }
 
-// EndpointsChanged brings the endpoint list or changes to it.
+// EndpointsChanged carries the complete endpoint list or changes to it.
 type EndpointsChanged struct {
-	Complete bool // Backends is the entire list, not changes alone
-	Failed   bool // the list could not be had; the old one holds
+	Complete bool // Backends is the complete list, not only the changes
+	Failed   bool // the list could not be fetched; the previous one stays in use
 	Backends []Backend
 }
 
-// TimerFired answers a SetTimer.
+// TimerFired is the response to a SetTimer.
 type TimerFired struct{}
 
-// ProbeEnded answers a ProbeBackend.
+// ProbeEnded is the result of a ProbeBackend.
 type ProbeEnded struct {
 	Backend BackendID
 	Outcome Outcome
@@ -49,25 +50,26 @@
 	Load    Load
 }
 
-// PeerMessage comes from another instance.
+// PeerMessage is a message from another instance.
 type PeerMessage struct {
 	From int
 	Body []byte
 }
 
-// ZonesChanged brings what is known of zones. Without it another zone costs a
-// fixed factor.
+// ZonesChanged updates the state of zones. For zones without such an update, a
+// fixed factor applies to backends outside the instance's own zone.
 type ZonesChanged struct {
 	Zones          []Zone
 	AvailableShare float64       // share of the capacity of all zones that is available
-	MinRetryAfter  time.Duration // least Retry-After of a rejected request, while a zone returns
+	MinRetryAfter  time.Duration // minimum Retry-After of rejected requests while a zone recovers
 }
 
-// CounterReply answers an AddToCounter. For one name replies come in order.
+// CounterReply is the result of an AddToCounter. Replies for one name arrive in the
+// order of the calls.
 type CounterReply struct {
 	Name    string
 	Outcome Outcome
-	Total   float64 // of the name, with what was added
+	Total   float64 // of the name, after the addition
 }
 
 func (Arrival) event()          {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -81,8 +81,8 @@
 	// Output: sent to another backend: true
 }
 
-// With no backend to send it to, a request is rejected in time, and the client is
-// told when to come back.
+// Without a backend, a request is rejected before its client gives up, and the client
+// is told when to retry.
 func ExampleEngine_Handle_reject() {
 	engine := newEngine()
 	now := time.Hour
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// fleet is many instances with the same backends and one counter.
+// fleet is a group of instances with the same backends and one shared counter.
 type fleet struct {
 	instances     []*harness
 	counterTotals map[string]float64
-	counterSilent bool // the counter answers nothing
+	counterSilent bool // all counter calls time out
 }
 
 func newFleet(t *testing.T, n int, settings Settings, backends ...Backend) *fleet {
@@ -23,8 +23,8 @@
 	return f
 }
 
-// notify gives one instance an event, answers its counter calls, and returns what
-// it sent.
+// notify passes an event to one instance, replies to its counter calls, and returns
+// the attempts sent.
 func (f *fleet) notify(h *harness, event Event) []SendAttempt {
 	actions := h.notify(event)
 	sends := actionsOf[SendAttempt](actions)
@@ -40,38 +40,38 @@
 	return sends
 }
 
-// arrive brings one safe request to an instance.
+// arrive delivers a safe request to an instance and returns the attempts sent.
 func (f *fleet) arrive(h *harness, id int, plan string) []SendAttempt {
 	q := h.request(RequestID(id), "read", plan)
 	q.Spread = len(f.instances)
 	return f.notify(h, Arrival{q})
 }
 
-// succeed ends the attempts that an instance has sent, in time.
+// succeed ends the given attempts of an instance as served in time.
 func (f *fleet) succeed(h *harness, sends []SendAttempt) {
 	for _, s := range sends {
 		f.notify(h, succeeded(s.ID, s.Backend, ms))
 	}
 }
 
-// What all instances send for a tenant within a window is its burst, however many
-// they are, and with the counter silent the shares of a few.
+// At one moment, all instances together send about a tenant's burst, whatever their
+// number. Without the counter, their shares of the burst have the same sum.
 func TestFirstBlocksOfAllInstancesSumToTheBurst(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
 		for _, silent := range []bool{false, true} {
 			if silent && n > maxSmallFleet {
-				continue // they estimate: TestEstimatesAddUpToTheRate
+				continue // a large fleet uses estimates: TestEstimatesOfAllInstancesAddUpToTheRate
 			}
 			f := newFleet(t, n, testSettings(), runningBackends("s", "u")...)
 			f.counterSilent = silent
 			sent := 0
-			for i := range 2 * max(n, 20) { // each twice at one moment, the few more often
+			for i := range 2 * max(n, 20) { // each instance twice at one moment; a small fleet more often
 				h := f.instances[i%n]
 				sends := f.arrive(h, i, "small")
 				sent += len(sends)
 				f.succeed(h, sends)
 			}
-			limit := 2 * 8 // the burst is 8; the random phases of the shares add some chance
+			limit := 2 * 8 // the burst is 8; the random phases of the shares may add to it
 			if sent < 3 || sent > limit {
 				t.Errorf("%d instances, counter silent %v: got %d sent at one moment, want 3 to %d",
 					n, silent, sent, limit)
@@ -80,19 +80,19 @@
 	}
 }
 
-// The ceiling holds in the sum, by the counter's grants, by the shares while it is
-// silent, and over a restart of all instances.
+// All instances together stay within the ceiling: with grants of the counter, with
+// shares while the counter is silent, and across a restart of all instances.
 func TestCeilingHoldsInTheSum(t *testing.T) {
-	for _, n := range []int{1, 3, 20} { // a tenant with a ceiling comes through no more instances than half its burst
+	for _, n := range []int{1, 3, 20} { // a tenant with a ceiling uses at most CeilingBurst/2 instances
 		for _, silent := range []bool{false, true} {
 			f := newFleet(t, n, testSettings(), runningBackends("s", "u")...)
 			f.counterSilent = silent
 			sent := 0
-			for step := range 300 { // 3 s, all restarted in the middle
+			for step := range 300 { // 3 s; all instances restart halfway
 				if step == 150 {
 					f = f.restarted(t)
 				}
-				sent += f.playCapped(step)
+				sent += f.runCappedStep(step)
 			}
 			if limit := 40 + 3*20 + 4; sent == 0 || sent > limit {
 				t.Errorf("%d instances, counter silent %v: got %d sent in 3 s, want 1 to %d", n, silent, sent, limit)
@@ -101,9 +101,9 @@
 	}
 }
 
-// playCapped plays 10 ms in which each instance gets requests under a ceiling, and
-// returns how many attempts were sent.
-func (f *fleet) playCapped(step int) int {
+// runCappedStep simulates 10 ms in which each instance receives requests under a
+// ceiling, and returns the number of attempts sent.
+func (f *fleet) runCappedStep(step int) int {
 	n := len(f.instances)
 	requests := max(1, 20/n) * n
 	sent := 0
@@ -121,7 +121,7 @@
 	return sent
 }
 
-// restarted returns new instances in place of all, with the same clocks and counter.
+// restarted returns a fleet of new instances with the same clocks and counter.
 func (f *fleet) restarted(t *testing.T) *fleet {
 	t.Helper()
 	fresh := newFleet(t, len(f.instances), testSettings(), runningBackends("s", "u")...)
@@ -133,13 +133,13 @@
 	return fresh
 }
 
-// A backend in slow start gets in the sum what it can take, also where it is the
-// only one and all instances have just started.
+// All instances together send a backend in slow start no more than it can handle,
+// even if it is the only backend and all instances have just started.
 func TestSlowStartHoldsInTheSum(t *testing.T) {
 	for _, n := range []int{1, 3, 100, 340} {
 		f := newFleet(t, n, testSettings())
 		sent, id := 0, 0
-		f.listStarted("s")
+		f.listStartingBackend("s")
 		for range 30 { // 3 s
 			for _, h := range f.instances {
 				id++
@@ -154,23 +154,24 @@
 				}
 			}
 		}
-		// A backend that does 20 a second at full capacity does 4 now; four times that for 3 s is 48.
+		// A backend with a full capacity of 20 requests per second handles 4 now. Allow four times that for 3 s.
 		if n >= 3 && sent == 0 || sent > 48 {
 			t.Errorf("%d instances: got %d sent to a backend in slow start in 3 s, want 48 at most", n, sent)
 		}
 	}
 }
 
-// listStarted has all instances see one backend alone, started now.
-func (f *fleet) listStarted(id BackendID) {
+// listStartingBackend gives all instances an endpoint list with a single backend that
+// starts now.
+func (f *fleet) listStartingBackend(id BackendID) {
 	for _, h := range f.instances {
 		list := []Backend{{ID: id, State: Running, Started: h.now}}
 		f.notify(h, EndpointsChanged{Complete: true, Backends: list})
 	}
 }
 
-// Where instances outnumber the attempts that a tenant may have out and going
-// beyond that costs, they take turns.
+// If there are more instances than a tenant's limit of attempts in flight, and the
+// plan charges for exceeding it, the instances take turns.
 func TestInFlightLimitHoldsInTheSum(t *testing.T) {
 	settings := testSettings()
 	limited := Plan{Name: "limited", Price: 1, Rate: 100, Burst: 400, MaxInFlight: 3, ExcessCost: 0.6}
@@ -199,7 +200,7 @@
 	}
 }
 
-// Unusual spreads and fleets are decided with, and cause no panic.
+// Unusual values of Spread and First are handled without a panic.
 func TestUnusualSpreadsAndFleetsAreDecided(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 100
@@ -213,8 +214,8 @@
 			h.notify(CounterReply{Name: call.Name, Outcome: Succeeded, Total: call.Add})
 		}
 		actions := h.notify(EndpointsChanged{Backends: numberedBackends(100)})
-		if got := actionsOf[SendAttempt](append(actions, h.pass(20*ms)...)); len(got) != 1 {
-			t.Errorf("spread %d, first %d: got sends %v, want one once there are backends", set.spread, set.first, got)
+		if got := actionsOf[SendAttempt](append(actions, h.advance(20*ms)...)); len(got) != 1 {
+			t.Errorf("spread %d, first %d: got sends %v, want one after the listing", set.spread, set.first, got)
 		}
 	}
 }
--- a/policy/handover_state.go
+++ b/policy/handover_state.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// LearnedState is what an engine knows, as facts with their times, for another
-// process of the same instance. It holds nothing of requests but how much is out
-// for them. Its JSON names are those of earlier versions.
+// LearnedState is the state that an engine hands over to another process of the same
+// instance: quotas and statistics with their times, and the number of attempts in
+// flight, but no requests. The JSON names are kept for compatibility with earlier
+// versions.
 type LearnedState struct {
 	Window           float64          `json:"Window"`
 	MeanLatency      float64          `json:"Lag"` // mean latency, seconds
 	AnswerRate       float64          `json:"Flow"`
 	AnswerRateAt     time.Duration    `json:"FlowAt"`
 	CounterCallShare float64          `json:"AskShare"`
-	InFlight         int              `json:"Busy"` // attempts that fill the window
+	InFlight         int              `json:"Busy"` // attempts that count toward the window
 	Classes          []LearnedClass   `json:"Classes"`
 	Backends         []LearnedBackend `json:"Servers"`
 	Tenants          []LearnedTenant  `json:"Customers"`
 }
 
-// LearnedClass is the latency of a class, in seconds.
+// LearnedClass holds the latency statistics of a class, in seconds.
 type LearnedClass struct {
 	Name      string  `json:"Name"`
 	Mean      float64 `json:"Mean"`
 	Deviation float64 `json:"Dev"`
 }
 
-// LearnedBackend is what is known of a backend since its start at a time.
+// LearnedBackend holds the statistics of a backend since its start at Started.
 type LearnedBackend struct {
 	ID                  BackendID     `json:"ID"`
 	Started             time.Duration `json:"Started"`
@@ -39,7 +40,7 @@
 	ConsecutiveFailures int           `json:"Fails"`
 }
 
-// LearnedTenant is the view of a tenant's quota, and what is leased of it.
+// LearnedTenant holds an instance's view of a tenant's quota, and its leased units.
 type LearnedTenant struct {
 	Account         string        `json:"ID"` // Request.Account
 	Plan            string        `json:"Plan"`
@@ -47,7 +48,7 @@
 	Spread          int           `json:"Spread"`
 	First           int           `json:"First"`
 	LeasedUnits     float64       `json:"Block"`
-	UnreportedUnits float64       `json:"Owed"` // leased, and not yet added to the counter
+	UnreportedUnits float64       `json:"Owed"` // leased units not yet added to the counter
 	Level           float64       `json:"Level"`
 	Demand          float64       `json:"Demand"`
 	OthersRate      float64       `json:"Others"`
@@ -65,17 +66,17 @@
 	CounterSilent   bool          `json:"Silent"`
 	CeilingLevel    float64       `json:"Ceiling"`
 	CeilingAt       time.Duration `json:"CeilingAt"`
-	InFlight        int           `json:"Open"` // attempts out
-	Share           float64       `json:"Part"` // of the plan, for this instance
+	InFlight        int           `json:"Open"` // attempts in flight
+	Share           float64       `json:"Part"` // this instance's share of the plan
 }
 
-// ExportState returns what is known now.
+// ExportState returns the current state for another process of this instance.
 func (e *Engine) ExportState() LearnedState {
 	state := LearnedState{
 		Window:           e.window.size,
 		MeanLatency:      e.meanLatency,
-		AnswerRate:       e.answers.rate,
-		AnswerRateAt:     e.answers.rateAt,
+		AnswerRate:       e.responses.rate,
+		AnswerRateAt:     e.responses.rateAt,
 		CounterCallShare: e.counterCallShare,
 		InFlight:         e.window.inFlight,
 	}
@@ -136,14 +137,14 @@
 	}
 }
 
-// firstInstance returns the index of the first instance that the tenant's requests
-// come through.
+// firstInstance returns the index of the first instance that receives the tenant's
+// requests.
 func (e *Engine) firstInstance(t *tenant) int {
 	return (e.settings.Index - t.position + e.settings.Instances) % e.settings.Instances
 }
 
-// ImportState takes over what another process knew. Its attempts that are out
-// count here until ReleasePredecessor.
+// ImportState applies the state exported by another process. The attempts in flight
+// of that process count in this engine until ReleasePredecessor is called.
 func (e *Engine) ImportState(now time.Duration, state LearnedState) {
 	e.now = max(now, e.now)
 	e.ReleasePredecessor()
@@ -151,8 +152,8 @@
 		e.window.size = max(state.Window, minWindow)
 		e.counterCallShare = min(1, max(state.CounterCallShare, minCounterCallShare))
 		e.meanLatency = state.MeanLatency
-		e.answers.rate = state.AnswerRate
-		e.answers.rateAt = state.AnswerRateAt
+		e.responses.rate = state.AnswerRate
+		e.responses.rateAt = state.AnswerRateAt
 	}
 	for _, learned := range state.Classes {
 		if c := e.classes[learned.Name]; c != nil {
@@ -162,7 +163,7 @@
 	}
 	for _, learned := range state.Backends {
 		if b := e.backends[learned.ID]; b != nil && b.Started == learned.Started {
-			b.slowness = max(learned.Slowness, 0.01) // 0 would count as never seen
+			b.slowness = max(learned.Slowness, 0.01) // 0 marks a backend without statistics
 			b.slownessAt = learned.SlownessAt
 			b.lastSent = learned.LastSent
 			b.consecutiveFailures = learned.ConsecutiveFailures
@@ -179,7 +180,7 @@
 }
 
 func (e *Engine) importTenant(p *Plan, learned LearnedTenant) {
-	if learned.Tenant == "" { // from a version whose accounts had the tenant's name alone
+	if learned.Tenant == "" { // from an earlier version, whose accounts consisted of the tenant's name
 		learned.Tenant, _, _ = strings.Cut(learned.Account, "/")
 		learned.Epoch = -1
 		learned.Total = 0
@@ -213,8 +214,8 @@
 	t.inFlight += learned.InFlight
 }
 
-// ReleasePredecessor ends what ImportState has counted for the other process:
-// nothing of it is out any more.
+// ReleasePredecessor stops counting the attempts in flight that ImportState added,
+// because the other process has none left. Further calls have no effect.
 func (e *Engine) ReleasePredecessor() {
 	e.window.inFlight -= e.window.predecessorInFlight
 	e.window.predecessorInFlight = 0
@@ -224,16 +225,16 @@
 	}
 }
 
-// RetainUnits sets what is left here of each tenant's units after the rest was
-// given to another process of this instance. From then on quotas and ceilings
-// fill there, and no longer here.
+// RetainUnits sets the units of each tenant that this engine keeps after it has given
+// the rest to another process of this instance. From then on quotas and ceilings are
+// refilled only in that process.
 func (e *Engine) RetainUnits(retained []LearnedTenant) {
 	for _, r := range retained {
 		if t := e.tenants[r.Account]; t != nil {
 			t.leasedUnits = r.LeasedUnits
 			t.unreportedUnits = r.UnreportedUnits
 			t.ceilingLevel = r.CeilingLevel
-			t.level = min(0, t.level) - t.plan.Burst/2 // what comes to the quota is leased there
+			t.level = min(0, t.level) - t.plan.Burst/2 // new units of the quota are leased by the other process
 		}
 	}
 	for _, p := range e.plans {
--- a/policy/handover_state_test.go
+++ b/policy/handover_state_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// What one process knows, the next one knows after it: quotas and backends as they
-// were, and what is out counts until it is released.
+// A process that imports the state of another has the same quotas and backend
+// statistics. The attempts in flight of the other process count until they are
+// released.
 func TestStateIsHandedOver(t *testing.T) {
 	backends := runningBackends("a", "b")
 	previous := newHarness(t, testSettings(), backends...)
 	for id := range RequestID(12) {
 		previous.arrive(id, "read", []string{"capped", "small", "free"}[id%3])
-		previous.pass(30 * ms)
+		previous.advance(30 * ms)
 		if id%4 < 2 {
 			previous.notify(succeeded(id, "a", 40*ms))
 		}
@@ -33,16 +34,16 @@
 		t.Fatalf("got %d in flight after the release, %d of a tenant; want none", got.InFlight, got.Tenants[0].InFlight)
 	}
 	if next.engine.ReleasePredecessor(); next.engine.window.inFlight != 0 {
-		t.Fatal("released twice")
+		t.Fatal("the second release changed the attempts in flight")
 	}
 }
 
-// The previous process spends what it has retained of a ceiling, and no more: the
-// ceiling fills at the next one.
+// The previous process may spend the units of a ceiling that it has retained, but no
+// more, since the ceiling is refilled in the next process.
 func TestRetainedCeilingDoesNotFill(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	h.arrive(1, "read", "capped")
-	h.pass(20 * time.Second)
+	h.advance(20 * time.Second)
 	tenant := h.engine.ExportState().Tenants[0]
 	tenant.CeilingLevel = 2
 	tenant.CeilingAt = h.now
@@ -53,7 +54,7 @@
 	for id := range RequestID(40) {
 		sent += len(actionsOf[SendAttempt](h.arrive(100+id, "read", "capped")))
 		h.notify(succeeded(100+id, "s", ms))
-		for _, s := range actionsOf[SendAttempt](h.pass(200 * ms)) {
+		for _, s := range actionsOf[SendAttempt](h.advance(200 * ms)) {
 			sent++
 			h.notify(succeeded(s.ID, "s", ms))
 		}
@@ -63,8 +64,8 @@
 	}
 }
 
-// What a process of the previous version exports is known under the tenants' names
-// alone: the units stay this instance's, the counter is called under the new name.
+// A process of the previous version exports accounts that consist of the tenant's
+// name only. The leased units are kept, and the counter is called under the new name.
 func TestImportsStateOfThePreviousVersion(t *testing.T) {
 	previous := newHarness(t, testSettings(), runningBackends("s")...)
 	for id := RequestID(1); id < 4; id++ {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// harness is one engine with its clock.
+// harness drives one engine with a simulated clock.
 type harness struct {
 	*testing.T
 
@@ -65,7 +65,7 @@
 	return h
 }
 
-// runningBackends returns backends that serve and have long been running.
+// runningBackends returns backends in state Running that are not in slow start.
 func runningBackends(ids ...BackendID) []Backend {
 	var backends []Backend
 	for _, id := range ids {
@@ -76,7 +76,7 @@
 
 func (h *harness) notify(event Event) []Action { return h.engine.Handle(h.now, event, nil) }
 
-// request returns a request of tenant c that gives up in 2 s.
+// request returns a request of tenant c whose client gives up after 2 s.
 func (h *harness) request(id RequestID, class, plan string) Request {
 	return Request{
 		ID:       id,
@@ -93,8 +93,8 @@
 	return h.notify(Arrival{h.request(id, class, plan)})
 }
 
-// pass lets time go by in sweeps.
-func (h *harness) pass(span time.Duration) []Action {
+// advance moves the clock forward in steps of 10 ms, with a sweep at each step.
+func (h *harness) advance(span time.Duration) []Action {
 	var actions []Action
 	for end := h.now + span; h.now < end; {
 		h.now += 10 * ms
@@ -103,7 +103,7 @@
 	return actions
 }
 
-// succeeded is the end of the first attempt of a request that was served.
+// succeeded returns the successful end of a request's first attempt.
 func succeeded(id RequestID, backend BackendID, took time.Duration) AttemptEnded {
 	return AttemptEnded{ID: id, Backend: backend, Outcome: Succeeded, Took: took, Finished: true}
 }
@@ -119,7 +119,7 @@
 	return found
 }
 
-// countFinal adds the final answers among the actions by request.
+// countFinal adds the number of final answers in actions to finals, by request.
 func countFinal(finals map[RequestID]int, actions []Action) {
 	for _, a := range actionsOf[Reject](actions) {
 		finals[a.ID]++
@@ -129,7 +129,7 @@
 	}
 }
 
-// tenant returns the tenant c under a plan.
+// tenant returns the state of tenant c under a plan.
 func (h *harness) tenant(plan string) *tenant {
 	return h.engine.tenants[(&Request{Tenant: "c", Plan: plan}).Account()]
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// latencyGain is the weight of one answer in the latency of its class.
+	// latencyGain is the weight of one response in the mean latency of its class.
 	latencyGain = 0.02
-	// meanLatencyGain is the weight of one answer in the latency of all.
+	// meanLatencyGain is the weight of one response in the mean latency of all classes.
 	meanLatencyGain = 0.05
-	// slownessGain is the weight of one answer in the slowness of its backend.
+	// slownessGain is the weight of one response in the slowness of its backend.
 	slownessGain = 0.15
-	// failurePenalty is what a failed attempt counts for, in mean latencies.
+	// failurePenalty is the relative latency that a failed attempt counts as.
 	failurePenalty = 8.0
-	// failuresToEject is the number of failures in a row that eject a backend.
+	// failuresToEject is the number of consecutive failures that eject a backend.
 	failuresToEject = 3
-	// slownessHalfLifeObjectives is the number of longest latency objectives after
-	// which half of a backend's slowness is forgotten.
+	// slownessHalfLifeObjectives is the half-life of a backend's slowness, as a
+	// multiple of the longest latency objective.
 	slownessHalfLifeObjectives = 8.0
 )
 
-// ProbationSlowness is the slowness, for SetPeerSlowness, of a backend that is to
-// be tried: it is chosen before one that is as fast as the mean.
+// ProbationSlowness is the slowness passed to SetPeerSlowness for a backend on
+// probation. It is below 1, so that the backend is preferred to one of mean latency
+// and receives requests that show whether it has recovered.
 const ProbationSlowness = 0.5
 
-// SetPeerSlowness takes over what other instances say of how slow backends are,
-// in mean latencies. For backends that are not named, only what this instance sees itself
-// counts. What was learned here of a backend at ProbationSlowness is
-// forgotten as well. Nothing of it is passed on as this instance's own.
+// SetPeerSlowness sets the slowness of backends as reported by other instances, as
+// a multiple of the mean latency. For backends that are not in the map, only the
+// observations of this instance count. For a backend at ProbationSlowness, the
+// observations of this instance are reset too. Reported values are never passed on
+// as observations of this instance.
 func (e *Engine) SetPeerSlowness(slowness map[BackendID]float64) {
 	for id, b := range e.backends {
 		b.peerSlowness = slowness[id]
@@ -41,14 +43,14 @@
 	}
 }
 
-// learnedSlowness returns the backend's relative latency as remembered, or as
-// other instances say.
+// learnedSlowness returns the backend's observed slowness, decayed over time, or the
+// slowness reported by other instances if that is higher.
 func (e *Engine) learnedSlowness(b *backend) float64 {
 	return max(1+(b.slowness-1)*e.slownessRetention(b), b.peerSlowness)
 }
 
-// currentSlowness returns the learned slowness, or more where the oldest attempt
-// that is out shows it.
+// currentSlowness returns the learned slowness, or a higher value if the oldest
+// attempt in flight has already taken longer.
 func (e *Engine) currentSlowness(b *backend) float64 {
 	slowness := e.learnedSlowness(b)
 	if len(b.outstanding) > 0 && e.meanLatency > 0 {
@@ -57,17 +59,17 @@
 	return slowness
 }
 
-// slownessRetention returns the part that is left of what was learned of a
-// backend. Half is forgotten in some latency objectives, or in the time between
-// two answers of a backend.
+// slownessRetention returns the factor by which a backend's slowness has decayed
+// since it was last updated. The half-life is several latency objectives, or the
+// mean time between two responses of a backend if that is longer.
 func (e *Engine) slownessRetention(b *backend) float64 {
 	halfLife := max(slownessHalfLifeObjectives*e.longestObjective.Seconds(),
-		float64(len(e.running))/max(e.answers.rate, 1e-3))
+		float64(len(e.running))/max(e.responses.rate, 1e-3))
 	return math.Exp2(-(e.now - b.slownessAt).Seconds() / halfLife)
 }
 
-// recordOutcome learns from the end of an attempt: the latency of its class, the
-// slowness of its backend, and whether backend or zone can be reached.
+// recordOutcome updates the statistics at the end of an attempt: the latency of its
+// class, the slowness of its backend, and whether backend and zone are reachable.
 func (e *Engine) recordOutcome(a *attempt, c *class, outcome Outcome, took time.Duration) {
 	if outcome == Canceled || outcome == NotSent {
 		return
@@ -79,8 +81,8 @@
 		b.consecutiveFailures = 0
 		b.ejectedUntil = 0
 		delete(e.unreachable, b.Zone)
-		e.answers.rate = 1 + e.answers.rate*math.Exp(-(e.now-e.answers.rateAt).Seconds())
-		e.answers.rateAt = e.now
+		e.responses.rate = 1 + e.responses.rate*math.Exp(-(e.now-e.responses.rateAt).Seconds())
+		e.responses.rateAt = e.now
 	} else {
 		e.recordFailure(b, outcome)
 	}
@@ -90,8 +92,8 @@
 	b.slownessAt = e.now
 }
 
-// recordLatency adds a latency to the means, in seconds, and returns it relative
-// to the mean of its class.
+// recordLatency adds a latency, in seconds, to the means and returns it divided by
+// the mean of its class, at most failurePenalty.
 func (e *Engine) recordLatency(c *class, latency float64) (relative float64) {
 	if c.meanLatency == 0 {
 		c.meanLatency = latency
@@ -106,8 +108,8 @@
 	return relative
 }
 
-// recordFailure counts a failure of a backend, and ejects it after several in a
-// row, for longer each time.
+// recordFailure counts a failure of a backend and ejects it after several
+// consecutive failures, with exponential backoff.
 func (e *Engine) recordFailure(b *backend, outcome Outcome) {
 	b.consecutiveFailures++
 	e.recordUnreachable(b, outcome)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A backend that has been seen to crawl gets one attempt at a time, also where the
-// others have no capacity: more would crawl with it.
-func TestOneAttemptAtATimeToACrawlingBackend(t *testing.T) {
+// A very slow backend gets one attempt at a time, even if the other backends have no
+// capacity: further attempts would be as slow.
+func TestVerySlowBackendGetsOneAttemptAtATime(t *testing.T) {
 	sends := func(slowness float64) int {
 		h := newHarness(t, testSettings(), runningBackends("a", "b")...)
 		for _, id := range []BackendID{"a", "b"} {
@@ -18,7 +18,7 @@
 		}
 		return n
 	}
-	if healthy, crawling := sends(1), sends(8); healthy != 8 || crawling != 2 {
-		t.Fatalf("got %d sends to two healthy backends, %d to two that crawl; want 8 and 2", healthy, crawling)
+	if healthy, slow := sends(1), sends(8); healthy != 8 || slow != 2 {
+		t.Fatalf("got %d attempts to two healthy backends, %d to two very slow ones; want 8 and 2", healthy, slow)
 	}
 }
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -1,15 +1,16 @@
 package policy
 
-// hedgeDeviations is how many mean deviations over the mean latency an attempt
-// may take before a hedged request is sent.
+// hedgeDeviations is the number of mean deviations above the mean latency after
+// which a hedged request is sent.
 const hedgeDeviations = 3.0
 
-// checkOverdue writes off attempts that have been out for longer than the latency
-// objective, and sends a hedged request where the answer is overdue.
+// checkOverdue removes attempts from the window that have been in flight for longer
+// than the latency objective, and sends a hedged request if the response takes
+// much longer than the mean latency.
 func (e *Engine) checkOverdue(r *request) {
 	for _, a := range r.attempts {
-		if !a.ended && !a.writtenOff && e.now-a.sentAt > r.class.LatencyObjective {
-			a.writtenOff = true
+		if !a.ended && !a.releasedFromWindow && e.now-a.sentAt > r.class.LatencyObjective {
+			a.releasedFromWindow = true
 			e.window.inFlight--
 			e.updateWindow(a, r.class, TimedOut, 0)
 		}
@@ -27,14 +28,14 @@
 	}
 }
 
-// mayHedge reports whether a hedged request is allowed: there is exactly one
-// attempt out, time and budget are left, and nobody inside a quota has to wait
-// for it.
+// mayHedge reports whether a hedged request is allowed: exactly one attempt is in
+// flight, time and retry budget are left, and no request within its quota would be
+// delayed.
 func (e *Engine) mayHedge(r *request) bool {
 	switch {
 	case !e.settings.Hedging, r.Delegated, r.phase == phaseQueued, r.outstanding != 1:
 		return false
-	case e.retryBudget < 1, r.excess:
+	case e.retryBudget < 1, r.overQuota:
 		return false
 	case e.now > r.arrivedAt+r.class.LatencyObjective:
 		return false
--- a/policy/in_flight_limit.go
+++ b/policy/in_flight_limit.go
@@ -1,13 +1,13 @@
 package policy
 
-// turnsPerObjective is the number of turns at a tenant's cap on attempts in the
-// shortest latency objective.
+// turnsPerObjective is the number of turns within the shortest latency objective,
+// if instances take turns in using a tenant's limit of attempts in flight.
 const turnsPerObjective = 8
 
-// inFlightLimit returns this instance's share of the attempts that a tenant may
-// have out at once, one at least. Where going beyond the cap costs, instances that
-// outnumber the attempts take turns instead, if each has a turn within the
-// shortest latency objective.
+// inFlightLimit returns this instance's share of a tenant's limit of attempts in
+// flight, at least 1. If the plan charges for exceeding the limit and there are more
+// instances than attempts, the instances take turns instead, and the result may be
+// 0. This applies only if each gets a turn within the shortest latency objective.
 func (e *Engine) inFlightLimit(t *tenant) int {
 	limit := t.plan.MaxInFlight
 	instances := t.spread
--- a/policy/large_fleet.go
+++ b/policy/large_fleet.go
@@ -2,25 +2,28 @@
 
 import "hash/fnv"
 
-// Where there are many instances, each sees little of a tenant, a backend or a
-// zone, and what each does is done as often as there are instances. Constants that
-// stand for the whole fleet are divided by their number when they are used.
+// In a large fleet each instance sees few of the requests of a tenant, a backend or
+// a zone, and whatever one instance does is multiplied by the number of instances.
+// Constants that apply to all instances together are divided by that number where
+// they are used.
 
 const (
-	// maxSmallFleet is the most instances with which each of them sees enough of each
-	// tenant and each backend to decide by that alone.
+	// maxSmallFleet is the maximum number of instances at which each one still sees
+	// enough of every tenant and backend to decide from its own observations.
 	maxSmallFleet = 20
-	// minSubset is how many backends one instance of a large fleet prefers at least.
+	// minSubset is the minimum number of backends that an instance of a large fleet
+	// prefers.
 	minSubset = 12
-	// maxSubsetCount is the most parts that the backends are divided into.
+	// maxSubsetCount is the maximum number of subsets that the backends are divided
+	// into.
 	maxSubsetCount = 4
 	// outsideSubsetFactor is the factor on the score of backends outside the subset.
 	outsideSubsetFactor = 1.5
 )
 
-// updateSubsetCount sets the number of parts that the backends are divided into.
-// It is a power of two, so that a fleet of backends that shrinks adds some to an
-// instance's subset and takes none away.
+// updateSubsetCount sets the number of subsets that the backends are divided into.
+// It is a power of two, so that when the number of backends shrinks, an instance's
+// subset gains backends but never loses one that remains.
 func (e *Engine) updateSubsetCount() {
 	e.subsetCount = 1
 	for e.largeFleet && e.subsetCount < maxSubsetCount && e.subsetCount*2*minSubset <= len(e.running) {
@@ -28,16 +31,17 @@
 	}
 }
 
-// hashForSubset returns the hash of a backend that decides which of four
-// instances prefer it; of each such four, every backend has the same number.
+// hashForSubset returns a hash of the backend that selects which instances prefer
+// it. Four instances with consecutive indexes use the same hash, so that each backend
+// is preferred by the same number of them.
 func (e *Engine) hashForSubset(id BackendID) uint64 {
 	four := []byte{byte(e.settings.Index >> 2), byte(e.settings.Index >> 10)}
 	return hash64(string(four)+string(id)) >> 7
 }
 
 // inSubset reports whether this instance prefers the backend. An instance of a
-// large fleet uses a few backends often rather than all of them seldom: it learns
-// from a few answers which are slow, and keeps their connections open.
+// large fleet sends to a few backends often rather than to all of them rarely, so
+// that it detects slow ones after a few responses and reuses open connections.
 func (e *Engine) inSubset(b *backend) bool {
 	return b.subsetHash%uint64(e.subsetCount) == uint64(e.settings.Index%e.subsetCount)
 }
--- a/policy/large_fleet_test.go
+++ b/policy/large_fleet_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// listBackends returns so many backends over three zones.
+// listBackends returns n running backends, spread over three zones.
 func listBackends(n int, started time.Duration) []Backend {
 	var backends []Backend
 	for i := range n {
@@ -21,20 +21,20 @@
 	return backends
 }
 
-// Sixty instances whose counter is silent estimate alike: of a tenant that demands
-// little most is admitted, of one that demands five times its rate a good part is
-// not, though each instance sees one of its requests in some seconds.
-func TestEstimatesAddUpToTheRate(t *testing.T) {
+// Without the counter, the estimates of sixty instances add up: most requests of a
+// tenant with little demand are admitted, and of a tenant that demands five times its
+// rate about the rate, although each instance sees only one request in several seconds.
+func TestEstimatesOfAllInstancesAddUpToTheRate(t *testing.T) {
 	const instances, rate, seconds = 60, 2.0, 60
 	for _, use := range []float64{0.4, 5} {
-		chance := rand.New(rand.NewPCG(1, uint64(use*10)))
+		rng := rand.New(rand.NewPCG(1, uint64(use*10)))
 		f := newFleet(t, instances, testSettings(), listBackends(6, 0)...)
 		f.counterSilent = true
 		requests, sent := 0, 0
 		for step := range seconds * 100 {
-			if chance.Float64() < use*rate/100 {
+			if rng.Float64() < use*rate/100 {
 				requests++
-				h := f.instances[chance.IntN(instances)]
+				h := f.instances[rng.IntN(instances)]
 				h.now = time.Minute + time.Duration(step)*10*ms
 				sends := f.arrive(h, requests, "small")
 				sent += len(sends)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A counter that cannot take all calls is called for a sample of the requests, and
-// the units that it counts stand for the rest.
+// A counter that cannot answer all calls is called for a sample of the requests. The
+// units added are scaled up to represent all requests.
 func TestCountedSampleStandsForTheRest(t *testing.T) {
 	const requests = 2000
 	settings := testSettings()
@@ -80,8 +80,8 @@
 	}
 }
 
-// Each backend is preferred by the same number of instances; each instance prefers
-// some, and goes on preferring them when others are removed.
+// Each backend is preferred by the same number of instances. Each instance prefers
+// some backends, and keeps preferring them when others are removed.
 func TestSubsetsAreSpreadEvenly(t *testing.T) {
 	const instances = 80
 	preferring := map[BackendID]int{}
@@ -106,7 +106,7 @@
 		after := subsetOf(engine)
 		for _, b := range engine.running {
 			if before[b.ID] && !after[b.ID] {
-				t.Errorf("instance %d: %s is no longer preferred, though it stayed", index, b.ID)
+				t.Errorf("instance %d: backend %s is no longer preferred, although it was not removed", index, b.ID)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		}
 	}
 	if len(preferring) != 60 {
-		t.Errorf("got %d backends that are preferred by any instance, want 60", len(preferring))
+		t.Errorf("got %d backends preferred by at least one instance, want 60", len(preferring))
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,17 +1,18 @@
-// Package policy decides for one instance of a metered ingress: which requests
-// it admits, in which order and to which backend their attempts go, which of
-// them are retried or hedged, and what is rejected.
+// Package policy makes the decisions of one ingress instance: which requests to
+// admit or reject, in which order and to which backend to send their attempts,
+// and which attempts to retry or hedge.
 //
-// A request spends units of a block that its tenant leases from the shared
-// counter, or, where blocks would be too small, of a grant that the counter
-// gives for it alone. It then joins the queue of its priority, which is the
-// priority weight of its class times the price of its plan, and leaves when the
-// AIMD window of attempts has capacity, highest priority first. The choice of a
-// backend, hedging, retries and slow start never change that order.
+// Each request spends units of its tenant's quota. The instance leases these
+// units from the shared counter in blocks; for tenants whose blocks would be too
+// small, the counter grants the units of each request separately. An admitted
+// request is queued by priority, which is the priority weight of its class times
+// the price of its plan. The highest priority is sent first, as soon as the AIMD
+// window of attempts has capacity. Backend selection, hedging, retries and slow
+// start never change that order.
 //
-// Events go in and actions come out; the package does no I/O, starts no
-// goroutine and reads no clock. Time comes with the events, chance from the
-// seed. An [Engine] must not be used by two goroutines at once.
+// An [Engine] receives events and returns actions. It does no I/O, starts no
+// goroutines and reads no clock: the time is passed with each event, and random
+// numbers are derived from the seed. An Engine is not safe for concurrent use.
 package policy
 
 import (
@@ -20,58 +21,57 @@
 	"time"
 )
 
-// sweepsPerObjective is the number of sweeps in the shortest latency objective,
-// so that queued requests overstay by 2% of it at most.
+// sweepsPerObjective is the number of sweeps within the shortest latency
+// objective. Queued requests expire at most 2% of that objective too late.
 const sweepsPerObjective = 50
 
-// Engine holds what one instance knows and decides for it; see the package
-// comment.
+// Engine holds the state of one instance and makes its decisions.
 type Engine struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // time of the event that is handled
-	actions  []Action      // what the event has led to so far
+	now      time.Duration // time of the event being handled
+	actions  []Action      // actions emitted for the current event so far
 
 	sweepInterval     time.Duration
-	longestObjective  time.Duration // longest latency objective of a class
-	timerRunning      bool          // a SetTimer is out
-	watchingEndpoints bool          // changes of the endpoint list come
-	largeFleet        bool          // so many instances that each sees little of a tenant or a backend
+	longestObjective  time.Duration // longest latency objective of all classes
+	timerRunning      bool          // a SetTimer has been emitted
+	watchingEndpoints bool          // a WatchEndpoints is active
+	largeFleet        bool          // more than maxSmallFleet instances
 
 	classes map[string]*class
 	plans   map[string]*Plan
 
 	requests     map[RequestID]*request
 	openRequests []*request // in order of arrival
-	queue        []*request // highest priority first, in order of arrival within one
-	retryBudget  float64    // further attempts that may be sent
+	queue        []*request // highest priority first; FIFO within one priority
+	retryBudget  float64    // retries and hedged requests that may be sent
 
 	tenants          map[string]*tenant // by Request.Account
-	tenantOrder      []*tenant          // in order of their first requests
-	idleCursor       int                // index in tenantOrder of the tenant checked last
-	allocations      *Allocations       // agreed shares of tenants' plans; nil: all are even
-	counterCallShare float64            // share of sparse tenants' requests for which the counter is called
-	counterFailures  int                // failed counter calls in a row
+	tenantOrder      []*tenant          // in order of their first requests; checkIdleTenant iterates over it
+	idleCursor       int                // index in tenantOrder of the tenant that was checked last
+	allocations      *Allocations       // agreed shares of tenants' plans; nil: equal shares
+	counterCallShare float64            // share of sparse tenants' requests that call the counter
+	counterFailures  int                // consecutive failed counter calls
 
 	window      attemptWindow
-	meanLatency float64 // of answers, in seconds
+	meanLatency float64 // of all responses, in seconds
 
 	backends    map[BackendID]*backend
-	running     []*backend // those that serve by the endpoint list, by ID
-	subsetCount int        // parts of the fleet, of which this instance prefers one
+	running     []*backend // backends in state Running, sorted by ID
+	subsetCount int        // number of backend subsets; this instance prefers one of them
 
-	answers           answerRate
-	slowStartTokens   float64 // large fleet: saved-up sends to backends in slow start
+	responses         responseRate
+	slowStartTokens   float64 // large fleet: token bucket of attempts to backends in slow start
 	slowStartTokensAt time.Duration
 
 	zones             map[string]*zoneState
-	unreachable       map[string]unreachableZone // by zone, since a backend there last answered
-	availableShare    float64                    // of the capacity of all zones
-	minZoneRetryAfter time.Duration              // least Retry-After while a zone returns
+	unreachable       map[string]unreachableZone // by zone name; removed when a backend of the zone responds
+	availableShare    float64                    // available share of the capacity of all zones
+	minZoneRetryAfter time.Duration              // minimum Retry-After while a zone recovers
 }
 
-// New returns the engine of an instance. It returns an error that names the
-// field if the settings cannot be decided with.
+// New returns an engine for one instance. If the settings are invalid, it returns
+// an error that describes the invalid value.
 func New(settings Settings, seed uint64) (*Engine, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -98,16 +98,16 @@
 		e.longestObjective = max(e.longestObjective, c.LatencyObjective)
 	}
 	for _, p := range settings.Plans {
-		p.Burst = max(p.Burst, settings.MaxUnits, 1) // a burst under one request would admit nothing
+		p.Burst = max(p.Burst, settings.MaxUnits, 1) // a burst below the units of one request would admit nothing
 		e.plans[p.Name] = &p
 	}
 	e.settings.CounterTimeout = max(settings.CounterTimeout, time.Millisecond)
 	return e, nil
 }
 
-// Handle takes one event at a time on the instance's clock and appends the
-// actions that it leads to, in the order in which they are to be done. A time
-// before that of the last event counts as that one.
+// Handle processes one event and appends the resulting actions, in the order in
+// which they must be executed. now is the instance's clock; a value before the
+// time of the previous event is replaced by that time.
 func (e *Engine) Handle(now time.Duration, event Event, actions []Action) []Action {
 	e.now = max(now, e.now)
 	e.actions = actions
@@ -143,8 +143,9 @@
 
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// sweep does what is due by time. It ends expired and overdue requests before
-// anything is sent, so that no free slot goes to a request that cannot use it.
+// sweep runs the periodic work. It ends expired and overdue requests before
+// anything is sent, so that no free slot of the window is used for a request that
+// cannot be answered in time.
 func (e *Engine) sweep() {
 	e.emit(SetTimer{After: e.sweepInterval})
 	if e.settings.PollEndpoints && !e.watchingEndpoints {
@@ -158,8 +159,8 @@
 	}
 }
 
-// sweepRequest looks after one request and reports whether nothing is left to
-// do for it; it has been forgotten then.
+// sweepRequest runs the periodic checks of one request. It reports whether the
+// request is done, in which case it has been deleted from e.requests.
 func (e *Engine) sweepRequest(r *request) (done bool) {
 	e.checkOverdue(r)
 	if r.phase == phaseQueued || !r.sent && r.phase != phaseFinished {
@@ -172,21 +173,22 @@
 	return true
 }
 
-// Stats returns, for people, the size of the window, the attempts that fill it,
-// the requests that are queued and the backends that serve by the endpoint list.
+// Stats returns the size of the window, the attempts in flight that count toward
+// it, the number of queued requests and the number of running backends. It is
+// meant for display, not for decisions.
 func (e *Engine) Stats() (window float64, inFlight, queued, backends int) {
 	return e.window.size, e.window.inFlight, len(e.queue), len(e.running)
 }
 
-// IsQueued reports whether a request waits in a queue, admitted by its tenant's
-// quota.
+// IsQueued reports whether a request is queued within its tenant's quota.
 func (e *Engine) IsQueued(id RequestID) bool {
 	r := e.requests[id]
-	return r != nil && r.phase == phaseQueued && !r.excess
+	return r != nil && r.phase == phaseQueued && !r.overQuota
 }
 
-// IsAvoided reports whether a backend that serves by the endpoint list is left
-// out by choice: ejected after failures in a row, or with its zone.
+// IsAvoided reports whether a running backend gets no attempts, or only as a last
+// resort: it is ejected after consecutive failures, its zone is unreachable, or it
+// is unproven after the loss of its zone.
 func (e *Engine) IsAvoided(id BackendID) bool {
 	b := e.backends[id]
 	return b != nil && b.State == Running &&
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,11 +5,11 @@
 	"sort"
 )
 
-// expiryDeviations is the number of mean deviations over the mean latency within
-// which nearly all answers come.
+// expiryDeviations is the number of mean deviations above the mean latency within
+// which nearly all responses arrive.
 const expiryDeviations = 2.0
 
-// enqueue puts a request at the end of the queue of its priority.
+// enqueue inserts a request behind the queued requests of the same priority.
 func (e *Engine) enqueue(r *request) {
 	r.queuedPriority = r.currentPriority()
 	r.reason = WindowFull
@@ -18,18 +18,18 @@
 	e.queue = slices.Insert(e.queue, i, r)
 }
 
-// dequeue takes a request out of the queue, to be sent, queued anew or finished.
+// dequeue removes a request from the queue, to be sent, queued again or finished.
 func (e *Engine) dequeue(r *request) {
 	i := slices.Index(e.queue, r)
 	e.queue = slices.Delete(e.queue, i, i+1)
 	r.phase = phaseInFlight
 }
 
-// sendQueued fills the window, highest priority first. A request that may not be
-// sent yet, by its tenant's cap or ceiling or for want of a backend of its group,
-// lets the next one pass. If there is no backend for a request that is bound to
-// no group, there is none for anybody: to go on would cost a look at each backend
-// for each queued request.
+// sendQueued sends queued requests while the window has capacity, highest priority
+// first. It skips a request that is blocked by its tenant's in-flight limit or
+// ceiling, or because no backend of its group is available. If no backend is
+// available for a request that may go to any of them, it stops: continuing would
+// check every backend again for every queued request.
 func (e *Engine) sendQueued() {
 	for i := 0; i < len(e.queue) && e.windowHasCapacity(); {
 		r := e.queue[i]
@@ -50,14 +50,14 @@
 	}
 }
 
-// maySend reports whether a request may be sent now as far as its tenant and its
-// earlier attempts are concerned, and notes the reason if it may not.
+// maySend reports whether the tenant's limits and the earlier attempts of a request
+// allow it to be sent now. If a limit prevents it, maySend sets the reason.
 func (e *Engine) maySend(r *request) bool {
 	if e.now >= r.GiveUpAt || r.plan.MaxInFlight > 0 && r.tenant.inFlight >= e.inFlightLimit(r.tenant) {
-		r.reason = CapFull
+		r.reason = InFlightLimitReached
 		return false
 	}
-	if r.sent { // queued for a retry, while its group may have begun to forget the first attempt
+	if r.sent { // a retry: its repeat window may have ended while it was queued
 		return e.mayRetry(r)
 	}
 	if !e.ceilingAllows(r) {
@@ -67,20 +67,21 @@
 	return true
 }
 
-// expire ends a request that cannot be answered in time, by the learned latency.
-// Where a late answer still earns something, it stays queued at that priority.
+// expire ends a request that cannot be answered in time, judging by the measured
+// latency of its class. If only the latency objective will be missed and a late
+// response still has value, the request is queued again with a lower priority.
 func (e *Engine) expire(r *request) {
 	need := min(r.class.expectedLatency(expiryDeviations), r.class.LatencyObjective)
 	latestSend := r.GiveUpAt - 2*e.sweepInterval
 	if r.sent && !e.mayRetry(r) || e.now+min(need, r.class.expectedLatency(0)) >= latestSend {
-		e.giveUp(r)
+		e.rejectOrFail(r)
 		return
 	}
 	switch {
-	case r.phase != phaseQueued, r.late: // not queued: it waits for the counter
+	case r.phase != phaseQueued, r.late: // not queued: waiting for the counter
 	case e.now+need < r.arrivedAt+r.class.LatencyObjective:
 	case r.class.LateShare <= 0:
-		e.giveUp(r)
+		e.rejectOrFail(r)
 	default:
 		e.dequeue(r)
 		r.late = true
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestQueuedWithLessTimeThanASweepIsRejectedAtOnce(t *testing.T) {
-	h := newHarness(t, testSettings()) // no backends: nothing can be sent
+	h := newHarness(t, testSettings()) // no backends, so nothing can be sent
 	q := h.request(1, "read", "free")
 	q.GiveUpAt = h.now + ms
 	if got := h.notify(Arrival{q}); len(actionsOf[Reject](got)) != 1 {
@@ -34,7 +34,8 @@
 	}
 }
 
-// After a stall, what has expired is ended before a free slot is given away.
+// After a stall of the instance, expired requests are ended before free slots of the
+// window are used, so that no expired request is sent.
 func TestStalledInstanceSweepsBeforeItSends(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	for id := RequestID(1); id <= 10; id++ {
@@ -46,8 +47,8 @@
 	}
 }
 
-// BenchmarkQueued is an event while nothing may be sent: its cost must not grow
-// with the queue.
+// BenchmarkQueued measures one event while no queued request may be sent. The cost
+// must not grow with the length of the queue.
 func BenchmarkQueued(b *testing.B) {
 	for _, queued := range []int{10, 1000, 5000} {
 		b.Run(fmt.Sprint(queued), func(b *testing.B) {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// blockDemandSeconds is the seconds of a tenant's demand that a block holds.
+// blockDemandSeconds is the size of a block, in seconds of the tenant's demand.
 const blockDemandSeconds = 0.6
 
-// decideQuota decides whether a request is inside its tenant's quota, and queues
-// or rejects it; a sparse tenant's waits for the counter's answer.
+// decideQuota decides whether a request is within its tenant's quota, and queues
+// or rejects it. A request of a sparse tenant may first wait for the counter's
+// reply.
 func (e *Engine) decideQuota(r *request) {
 	if r.tenant.sparse {
 		e.decideSparse(r)
@@ -18,11 +19,12 @@
 	}
 }
 
-// applyQuota queues a request that is inside its quota, or one beyond it that
-// earns more than it costs while nobody inside a quota waits; others are rejected.
+// applyQuota queues a request that is within its quota. A request over the quota is
+// queued only if it earns more than it costs and the instance is not overloaded;
+// otherwise it is rejected.
 func (e *Engine) applyQuota(r *request, inside bool) {
-	r.excess = !inside
-	if r.excess && (r.plan.ExcessWeight <= r.plan.ExcessCost || e.overloaded()) {
+	r.overQuota = !inside
+	if r.overQuota && (r.plan.ExcessWeight <= r.plan.ExcessCost || e.overloaded()) {
 		r.reason = cmp.Or(r.reason, Quota)
 		e.reject(r, e.quotaRetryAfter(r))
 		return
@@ -31,8 +33,9 @@
 	e.sendQueued()
 }
 
-// chargeLeased takes the request's units from the leased ones, or on credit from
-// what the last total showed, and reports whether there were enough.
+// chargeLeased deducts the request's units from the leased units and reports whether
+// there were enough. If too few are leased, it leases the rest in advance, provided
+// that the last total guarantees them.
 func (e *Engine) chargeLeased(r *request) bool {
 	t := r.tenant
 	if t.plan.Rate <= 0 {
@@ -40,7 +43,7 @@
 	}
 	e.refreshTenant(t)
 	t.demand += r.Units
-	if t.leasedUnits < r.Units && e.certainUnits(t) >= r.Units-t.leasedUnits {
+	if t.leasedUnits < r.Units && e.guaranteedUnits(t) >= r.Units-t.leasedUnits {
 		t.leaseUnits(r.Units - t.leasedUnits)
 	}
 	r.charged = t.leasedUnits >= r.Units-1e-9 // for rounding
@@ -51,9 +54,9 @@
 	return r.charged
 }
 
-// requestBlock requests the next block from the counter once half of this one is
-// spent. A block holds some demand ahead, one large request at least and a share
-// of the burst at most.
+// requestBlock requests the next block from the counter once half of the current
+// one is spent. A block covers blockDemandSeconds of demand; it is at least large
+// enough for one large request and at most an equal share of the burst.
 func (e *Engine) requestBlock(t *tenant) {
 	largest := t.plan.Burst / float64(t.spread)
 	size := min(max(t.demand*blockDemandSeconds, 2*max(1, e.settings.MaxUnits/2)), largest)
@@ -62,7 +65,7 @@
 	}
 }
 
-// quotaRetryAfter returns the time until the quota will hold the request's units.
+// quotaRetryAfter returns the time until the quota will cover the request's units.
 func (e *Engine) quotaRetryAfter(r *request) time.Duration {
 	t := r.tenant
 	if t.sparse && e.largeFleet {
--- a/policy/quota_report.go
+++ b/policy/quota_report.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// QuotaStanding is how a tenant's quota stands at an instance, beside what
-// ExportState returns.
+// QuotaStanding is the state of a tenant's quota at an instance, in addition to the
+// values that ExportState returns.
 type QuotaStanding struct {
-	QueuedUnits    float64 // leased units taken by requests that have not been sent
-	AvailableUnits float64 // the quota's level by now in this instance's view, less all known leases
-	Sparse         bool    // no blocks: the counter is called for each request
-	Escrowed       bool    // shares are agreed with others, who allow for what is spent here unheard
+	QueuedUnits    float64 // units charged for requests that have not been sent
+	AvailableUnits float64 // current level of the quota as seen by this instance, minus all known leases
+	Sparse         bool    // no blocks are leased: the counter grants units per request
+	Escrowed       bool    // shares are agreed with other instances, which reserve them for unreported use
 }
 
-// QuotaStandings returns those of all tenants by account.
+// QuotaStandings returns the quota state of all tenants by account.
 func (e *Engine) QuotaStandings() map[string]QuotaStanding {
 	standings := map[string]QuotaStanding{}
 	for _, t := range e.tenantOrder {
@@ -34,20 +34,21 @@
 	return standings
 }
 
-// QuotaNeed is a tenant's demand here beside this instance's share of its plan.
+// QuotaNeed is a tenant's demand at this instance, for negotiating its share of the
+// tenant's plan.
 type QuotaNeed struct {
 	Account     string  // Request.Account
-	Spread      int     // instances that the tenant's requests come through
-	First       int     // index of the first of them
-	Rate        float64 // of the plan, units a second
-	OthersRate  float64 // units a second that the counter's totals show of all others
-	MaxInFlight int     // cap on attempts, where it is shared out; else 0
-	WantedShare float64 // the share with which the demand here would be admitted
-	CounterLost bool    // no totals come from the counter
+	Spread      int     // number of instances that receive the tenant's requests
+	First       int     // index of the first of those instances
+	Rate        float64 // of the plan, units per second
+	OthersRate  float64 // units per second used by other instances, from the counter's totals
+	MaxInFlight int     // limit of attempts in flight if it is divided among the instances; else 0
+	WantedShare float64 // share with which all demand at this instance would be admitted
+	CounterLost bool    // the counter is disabled or does not answer
 }
 
-// QuotaNeeds returns those of the tenants whose requests come through several
-// instances and whose share matters, in order of their first requests.
+// QuotaNeeds returns the needs of all tenants that have a rate, are not sparse and
+// are served by several instances, in order of their first requests.
 func (e *Engine) QuotaNeeds(now time.Duration) []QuotaNeed {
 	var needs []QuotaNeed
 	for _, t := range e.tenantOrder {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -9,7 +9,7 @@
 func TestRejectedRequestsGiveNoUnitsBack(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 	sent := 0
-	for id := RequestID(1); id < 60; id++ { // the counter does not answer: this instance's share of the burst is 4
+	for id := RequestID(1); id < 60; id++ { // no counter replies: this instance has 4 units of the burst
 		sent += len(actionsOf[SendAttempt](h.arrive(id, "read", "small")))
 		h.notify(succeeded(id, "", ms))
 	}
@@ -18,8 +18,8 @@
 	}
 }
 
-// The next block is requested when half of the present one is spent, while requests
-// go on; one call is out at a time.
+// The next block is requested when half of the current one is spent, while requests
+// continue to be admitted. One call is in flight at a time.
 func TestNextBlockIsRequestedAtHalfSpent(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	var calls []AddToCounter
@@ -36,8 +36,8 @@
 	}
 }
 
-// A request that names a tenant with another plan than the first one did is decided
-// by its own plan, and leaves the quota of the other alone.
+// Requests of one tenant under different plans are decided by their own plan and do
+// not spend each other's quota.
 func TestPlansOfOneTenantAreCountedSeparately(t *testing.T) {
 	for _, first := range []string{"small", "large"} {
 		settings := testSettings()
@@ -57,7 +57,7 @@
 			}
 		}
 		arrive(first)
-		h.pass(3 * time.Second) // its quota is full again
+		h.advance(3 * time.Second) // its quota is full again
 		for range 30 {
 			arrive("small")
 			arrive("large")
@@ -72,9 +72,9 @@
 	}
 }
 
-// An account has one name at the counter, whatever each instance has seen before:
-// where a tenant came first with another plan or another set of instances, its
-// requests are still counted together with those elsewhere.
+// An account has the same counter name at every instance, even if an instance first
+// saw the tenant with another plan or another set of instances. Otherwise its
+// requests would not be counted together with those of other instances.
 func TestAccountHasOneName(t *testing.T) {
 	counterName := func(before func(h *harness)) string {
 		h := newHarness(t, testSettings(), runningBackends("s")...)
@@ -99,7 +99,7 @@
 		},
 	} {
 		if got := counterName(before); got != want {
-			t.Errorf("%s: got counter name %q, want %q as elsewhere", name, got, want)
+			t.Errorf("%s: got counter name %q, want %q as at other instances", name, got, want)
 		}
 	}
 	const long = "a-plan-with-a-name-that-is-longer-than-the-counter-would-take-it"
@@ -107,13 +107,13 @@
 		r := Request{Tenant: "00000000b4d65521", Plan: plan}
 		other := Request{Tenant: r.Tenant, Plan: plan + "2"}
 		if got := r.Account(); len(got) > 24 || strings.ContainsAny(got, " :\r\n") || got == other.Account() {
-			t.Errorf("plan %q: got account %q, want 24 bytes at most, plain and its own", plan, got)
+			t.Errorf("plan %q: got account %q, want at most 24 bytes, no separators, and unique to the plan", plan, got)
 		}
 	}
 }
 
-// Each request is decided by the set of instances that it names: one that says that
-// its tenant comes through this instance alone does not leave it the whole rate.
+// Each request is decided by its own Spread. A request with a Spread of 1 must not
+// leave this instance the whole rate for later requests with a Spread of 2.
 func TestRequestsAreDecidedByTheirOwnSpread(t *testing.T) {
 	settings := testSettings()
 	settings.Counter = false // this instance's share of the rate decides
@@ -130,23 +130,24 @@
 	}
 	arrive(1)
 	for range 80 {
-		h.pass(100 * ms)
+		h.advance(100 * ms)
 		arrive(2)
 	}
-	// The burst that the first request has leased, half of the rate for 8 s, and one.
+	// The burst leased by the first request, half of the rate for 8 s, and 1 for rounding.
 	if limit := 8 + 8*1 + 1; sent > limit {
 		t.Errorf("got %d sent, want %d at most", sent, limit)
 	}
 }
 
-// This instance stays within its share of the ceiling, and starts with none of it.
+// Without the counter, an instance stays within its share of the ceiling, which
+// starts empty.
 func TestCeilingHoldsWithoutTheCounter(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 	h.engine.plans["capped"].Rate = 0 // no quota but the ceiling
 	h.engine.window.size = 1000
 	sent := 0
 	for i := range 400 {
-		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.pass(10*ms)...)
+		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.advance(10*ms)...)
 		sent += len(actionsOf[SendAttempt](actions))
 	}
 	if limit := 4*20/2 + 1; sent == 0 || sent > limit { // 4 s of half the ceiling's rate
@@ -154,15 +155,15 @@
 	}
 }
 
-// The same while all attempts are answered, so that nothing but the ceiling limits
-// them.
+// As TestCeilingHoldsWithoutTheCounter, but with all attempts answered, so that only
+// the ceiling limits them.
 func TestCeilingHoldsWhileAttemptsAreAnswered(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 	h.engine.plans["capped"].Rate = 0 // no quota but the ceiling
 	h.engine.window.size = 1000
 	sent := 0
 	for i := range 400 {
-		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.pass(10*ms)...)
+		actions := append(h.arrive(RequestID(i+1), "read", "capped"), h.advance(10*ms)...)
 		for sends := actionsOf[SendAttempt](actions); len(sends) > 0; sends = sends[1:] {
 			sent++
 			answered := h.notify(succeeded(sends[0].ID, sends[0].Backend, 5*ms))
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// RequestID names one request; it is never used again.
+// RequestID identifies a request. IDs are never reused.
 type RequestID uint32
 
-// Request is a client's request as it comes to an instance.
+// Request is a client's request as it arrives at an instance.
 type Request struct {
 	ID        RequestID
 	Class     string
@@ -18,44 +18,45 @@
 	Tenant    string
 	GiveUpAt  time.Duration // when the client gives up
 	Units     float64
-	Spread    int    // number of instances that the tenant's requests come through
+	Spread    int    // number of instances that receive the tenant's requests
 	First     int    // index of the first of those instances
 	Delegated bool   // the caller sends the attempts itself, one at a time
-	Prior     *Prior // an attempt that another instance has begun; nil: none
-	Charged   bool   // another instance has taken its units; always true with Prior
+	Prior     *Prior // an attempt that another instance started; nil: none
+	Charged   bool   // another instance has already charged its units; always true with Prior
 }
 
-// Account names the quota that a request is counted in, here and at the shared
-// counter: that of its tenant under its plan. It depends on nothing but the
-// request, so that all instances use one name whatever each has seen before; a
-// request that names a tenant with another plan is counted separately.
+// Account returns the name of the quota that the request is counted in, at this
+// instance and at the shared counter. There is one quota for each tenant and plan,
+// so requests of one tenant under different plans are counted separately. The name
+// depends only on the request, so that all instances use the same one regardless
+// of the requests they have seen before.
 //
-// The tag of the plan differs between tenants, since a counter that is
-// partitioned by name answers fewer calls in time when many names share an
-// ending.
+// The suffix hashes the tenant along with the plan, so that it differs between
+// tenants: a counter that is partitioned by name answers fewer calls in time when
+// many names share a suffix.
 func (r *Request) Account() string {
 	return r.Tenant + "/" + strconv.FormatUint(hash64(r.Plan+"/"+r.Tenant)>>32, 36)
 }
 
-// Prior is an attempt that another instance has begun, that may have run and has
-// ended. It is attempt 0 of the request here.
+// Prior is an attempt that another instance started. It has ended and may have
+// run. It counts as attempt 0 of the request at this instance.
 type Prior struct {
 	Zone   string
 	Cell   int
-	SentAt time.Duration // when it was sent, at the earliest
+	SentAt time.Duration // earliest time at which it may have been sent
 }
 
-// requestPhase is how far a request has come.
+// requestPhase is the stage of a request in its life cycle.
 type requestPhase uint8
 
 const (
-	phaseAwaitingQuota requestPhase = iota // its tenant's quota has not been decided
+	phaseAwaitingQuota requestPhase = iota // waiting for the decision on its tenant's quota
 	phaseQueued                            // in the queue, for a first attempt or a retry
-	phaseInFlight                          // taken from the queue, to be sent or sent
-	phaseFinished                          // answered for good; attempts may still be out
+	phaseInFlight                          // taken from the queue; being sent or already sent
+	phaseFinished                          // final answer given; attempts may still be in flight
 )
 
-// request is a Request with what has become of it.
+// request is a Request with its current state.
 type request struct {
 	Request
 
@@ -64,27 +65,28 @@
 	tenant    *tenant
 	arrivedAt time.Duration
 	phase     requestPhase
-	reason    Reason // what keeps it from being sent
+	reason    Reason // why it has not been sent
 
-	queuedPriority    float64 // priority that it was queued with
-	insideProbability float64 // estimate that it is inside its quota; 0: that is known
-	excess            bool    // sent beyond the quota
-	charged           bool    // its units were taken from the leased ones
-	granted           bool    // its units were granted by the counter, within the ceiling
-	counterName       string  // name at the counter that its units were added to
-	counterUnits      float64 // how many were added
+	queuedPriority         float64 // its priority in the queue
+	withinQuotaProbability float64 // estimated probability that it is within its quota; 0: known exactly
+	overQuota              bool    // admitted beyond the quota
+	charged                bool    // its units were deducted from the leased units
+	granted                bool    // the counter granted its units, within the ceiling
+	counterName            string  // counter name to which its units were added
+	counterUnits           float64 // units added under counterName
 
 	attempts    []*attempt
-	outstanding int  // attempts that have not ended
+	outstanding int  // number of attempts that have not ended
 	sent        bool // the first attempt has been sent
 	late        bool // the latency objective can no longer be met
-	streaming   bool // the answer has begun
+	streaming   bool // the response is being streamed to the client
 }
 
-// handleArrival decides on the quota of a new request and queues or rejects it.
+// handleArrival checks a new request against its tenant's quota and queues or
+// rejects it. The decision on a sparse tenant's request may wait for the counter.
 func (e *Engine) handleArrival(q Request) {
 	r := &request{Request: q, class: e.classes[q.Class], plan: e.plans[q.Plan], arrivedAt: e.now}
-	if r.class == nil { // unknown: unsafe to repeat
+	if r.class == nil { // unknown class: treat as unsafe to repeat
 		objective := max(q.GiveUpAt-e.now, time.Millisecond)
 		r.class = &class{Class: Class{Name: q.Class, LatencyObjective: objective}}
 	}
@@ -104,12 +106,12 @@
 		e.decideQuota(r)
 	}
 	if !r.sent && r.phase != phaseFinished {
-		e.expire(r) // it may come with less time than a sweep takes
+		e.expire(r) // it may expire before the next sweep
 	}
 }
 
-// addPrior records the attempt that another instance has begun, so that the
-// request is bound to its group as a retry is.
+// addPrior records the attempt that another instance started, so that the request
+// is restricted to the idempotency scope of that attempt, like a retry.
 func (r *request) addPrior(p *Prior) {
 	first := &attempt{
 		backend:    &backend{Backend: Backend{Zone: p.Zone, Cell: p.Cell}},
@@ -123,15 +125,15 @@
 	r.sent = true
 }
 
-// currentPriority returns the priority weight of the class times the price of
-// the plan, times what the request can still earn of it.
+// currentPriority returns the priority weight of the class times the price of the
+// plan, reduced for requests that are late or over their quota.
 func (r *request) currentPriority() float64 {
 	priority := r.class.PriorityWeight * r.plan.Price
-	if r.excess {
+	if r.overQuota {
 		priority *= r.plan.ExcessWeight
 	}
-	if r.insideProbability > 0 { // the expected value, with the cost of being wrong
-		priority *= max(0.01, r.insideProbability*(1+r.plan.ExcessCost)-r.plan.ExcessCost)
+	if r.withinQuotaProbability > 0 { // expected value, including ExcessCost if it is over the quota
+		priority *= max(0.01, r.withinQuotaProbability*(1+r.plan.ExcessCost)-r.plan.ExcessCost)
 	}
 	if r.late {
 		priority *= r.class.LateShare
@@ -139,8 +141,9 @@
 	return priority
 }
 
-// bindingAttempt returns the first attempt that is out or may have run, which
-// decides where and until when the request may be sent again; nil if none.
+// bindingAttempt returns the first attempt that is in flight or may have run, or
+// nil if there is none. Its group of backends and its time limit where and until
+// when the request may be sent again.
 func (r *request) bindingAttempt() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun }); i >= 0 {
 		return r.attempts[i]
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// hasTried reports whether an attempt of the request was sent to the backend.
+// hasTried reports whether an attempt of the request has been sent to the backend.
 func (r *request) hasTried(b *backend) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.backend == b })
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// A request that another instance has begun takes no units here, is sent at once
-// in the cell of its first attempt alone, and fails where that cell has begun to
-// forget it.
+// A request with an attempt of another instance (Prior) is not charged here. It is sent
+// at once, only in the cell of that attempt, and fails if the repeat window is over.
 func TestPrior(t *testing.T) {
 	const ran = 9
 	for name, c := range map[string]struct {
@@ -19,7 +18,7 @@
 	}{
 		"in its cell":            {500 * ms, 2, true, false},
 		"no backend in its cell": {500 * ms, 7, false, false},
-		"its cell has forgotten": {5 * time.Second, 2, false, true},
+		"repeat window is over":  {5 * time.Second, 2, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine, now := newPriorEngine(t)
@@ -43,13 +42,13 @@
 				}
 			}
 			if len(rejects) > 0 {
-				t.Errorf("got rejections %v, as if it had not run", rejects)
+				t.Errorf("got rejections %v, want none: the request may have run", rejects)
 			}
 		})
 	}
 }
 
-// actionsFor returns the actions of one type that match.
+// actionsFor returns the actions of type A for which match returns true.
 func actionsFor[A Action](actions []Action, match func(A) bool) []A {
 	return slices.DeleteFunc(actionsOf[A](actions), func(a A) bool { return !match(a) })
 }
@@ -84,9 +83,8 @@
 	return Request{ID: id, Class: "publish", Plan: "p", Tenant: "c", GiveUpAt: now + time.Second, Units: 1}
 }
 
-// A request that another instance has accepted and not sent takes no units here:
-// its tenant's quota was charged there. It is sent as a new one is, anywhere, and
-// counts under the ceiling.
+// A request that another instance has charged but not sent is not charged here. Like
+// a new request, it may be sent to any backend and counts toward the ceiling.
 func TestCharged(t *testing.T) {
 	for _, charged := range []bool{false, true} {
 		engine, err := New(Settings{
@@ -111,7 +109,7 @@
 			return sent, engine.IsQueued(id)
 		}
 		arrive(1, false)
-		now += time.Second // this instance's share of the ceiling holds two units, the quota none yet
+		now += time.Second // the ceiling now holds two units; the quota is still spent
 		arrive(2, false)
 		arrive(3, false)
 		if sent, _ := arrive(9, charged); sent != charged {
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -1,15 +1,17 @@
 package policy
 
-// retryRatio is the number of further attempts that a first attempt earns.
+// retryRatio is what each first attempt adds to the retry budget.
 const retryRatio = 0.15
 
-// earnRetries adds to the retry budget what a first attempt earns.
-func (e *Engine) earnRetries() {
+// refillRetryBudget adds the share of one first attempt to the retry budget, up to
+// windowShare.
+func (e *Engine) refillRetryBudget() {
 	e.retryBudget = min(e.windowShare(), e.retryBudget+retryRatio)
 }
 
-// mayRetry reports whether another attempt of the request may be sent now
-// without an effect that happens twice, apart from the budget.
+// mayRetry reports whether another attempt of the request may be sent now without
+// the risk that the request takes effect twice. It does not check the retry
+// budget.
 func (e *Engine) mayRetry(r *request) bool {
 	if len(r.attempts) >= max(e.settings.MaxAttempts, 1) || r.streaming || r.phase == phaseFinished {
 		return false
@@ -21,21 +23,21 @@
 	switch r.class.Effect {
 	case Safe:
 		return true
-	case Keyed: // the margin is for the way to the backend
+	case Keyed: // the margin covers the transmission to the backend
 		return e.now-first.sentAt < r.class.RepeatWindow*9/10
 	default:
 		return false
 	}
 }
 
-// hasTimeToRetry reports whether an answer to another attempt can be expected
+// hasTimeToRetry reports whether another attempt is expected to get a response
 // before the client gives up.
 func (e *Engine) hasTimeToRetry(r *request) bool {
 	return r.GiveUpAt-e.now >= r.class.expectedLatency(0)+2*e.sweepInterval
 }
 
-// safeToReject reports whether the client may try again without harm: nothing
-// has run, or a repeat has no further effect wherever it runs.
+// safeToReject reports whether the client can safely retry the request: no attempt
+// has run, or a repeat has no additional effect at any backend.
 func (r *request) safeToReject() bool {
 	if r.bindingAttempt() == nil {
 		return true
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// Settings with little in them are decided with, and cause no panic.
+// An engine with minimal settings (no counter, no hedging, no cancellation, no slow
+// start) works without a panic.
 func TestSparseSettingsAreDecided(t *testing.T) {
 	settings := testSettings()
 	settings.Counter = false
@@ -37,19 +38,19 @@
 	sent := 0
 	for id := RequestID(1); id <= 20; id++ {
 		actions := append(h.arrive(id, "read", "small"), h.notify(succeeded(id, "s", ms))...)
-		actions = append(actions, h.pass(200*ms)...)
+		actions = append(actions, h.advance(200*ms)...)
 		sent += len(actionsOf[SendAttempt](actions))
 		if len(actionsOf[AddToCounter](actions)) > 0 {
 			t.Fatal("the counter was called, but there is none")
 		}
 	}
-	if sent < 3 || sent > 8 { // half of 2 units a second over 4 s, and its share of the burst
+	if sent < 3 || sent > 8 { // half of 2 units per second for 4 s, and the share of the burst
 		t.Fatalf("got %d sends, want 3 to 8", sent)
 	}
 }
 
-// Guards against a division by zero, and a window beyond what a time span holds,
-// where a plan's rate fills its burst in next to no time or hardly ever.
+// Guards against a division by zero and an overflow of time.Duration when a plan's
+// rate fills its burst in almost no time or takes extremely long.
 func TestExtremeRatesAreDecided(t *testing.T) {
 	for _, rate := range []float64{1e9, 1e-12} {
 		t.Run(fmt.Sprint("rate ", rate), func(t *testing.T) {
@@ -59,11 +60,11 @@
 			h := newHarness(t, settings, runningBackends("s")...)
 			for id := RequestID(1); id <= 20; id++ {
 				h.arrive(id, "read", "small")
-				h.pass(200 * ms)
+				h.advance(200 * ms)
 			}
 			for _, tenant := range h.engine.tenants {
 				if tenant.sparse && tenant.grantWindow <= 0 {
-					t.Errorf("got a window of %v, want a positive one", tenant.grantWindow)
+					t.Errorf("got grant window %v, want a positive one", tenant.grantWindow)
 				}
 			}
 		})
@@ -78,7 +79,7 @@
 }
 
 func TestEnginesShareNoState(t *testing.T) {
-	play := func(beside bool) string {
+	run := func(beside bool) string {
 		first := newHarness(t, testSettings(), runningBackends("s", "u")...)
 		second := newHarness(t, testSettings(), runningBackends("s")...)
 		log := ""
@@ -86,11 +87,11 @@
 			if beside {
 				second.arrive(id, "read", "small")
 			}
-			log += fmt.Sprint(first.arrive(id, "read", "small"), first.pass(30*ms))
+			log += fmt.Sprint(first.arrive(id, "read", "small"), first.advance(30*ms))
 		}
 		return log
 	}
-	if play(false) != play(true) {
-		t.Fatal("the actions of an engine differ when another one is used")
+	if run(false) != run(true) {
+		t.Fatal("the actions of an engine differ when another engine runs at the same time")
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,32 +6,34 @@
 )
 
 const (
-	// slowStartRateFactor is the rate of sends to a backend in slow start, in what a
-	// backend of that capacity answers.
+	// slowStartRateFactor is the rate of attempts to a backend in slow start, as a
+	// multiple of the response rate expected at its capacity share.
 	slowStartRateFactor = 1.5
-	// largeFleetRateFactor is the same where many instances send each a little.
+	// largeFleetRateFactor replaces slowStartRateFactor in a large fleet.
 	largeFleetRateFactor = 1.2
-	// slowStartExponent is the power of the capacity share that the rate follows in a
-	// large fleet: chance overloads a small backend sooner.
+	// slowStartExponent is the power to which the capacity share is raised in a large
+	// fleet. It is above 1 because random bursts overload a backend with a small
+	// capacity share more easily.
 	slowStartExponent = 1.4
-	// slowStartInterval is the least time between two sends of one instance of a
+	// slowStartInterval is the minimum time between two attempts of one instance of a
 	// large fleet to one backend in slow start.
 	slowStartInterval = time.Second
 )
 
-// answerRate is the rate of answers to this instance and what it came from.
-type answerRate struct {
-	rate       float64       // answers a second, decaying since rateAt
-	rateAt     time.Duration // when the last answer came
-	backends   float64       // backends that these came from, as of the endpoint list before
-	backendsAt time.Duration // when that list was replaced
+// responseRate is the rate of responses to this instance and the number of backends
+// that they came from.
+type responseRate struct {
+	rate       float64       // responses per second at rateAt, decaying since then
+	rateAt     time.Duration // time of the last response
+	backends   float64       // backends that these came from, at backendsAt
+	backendsAt time.Duration // time of the last change of the endpoint list
 
-	perBackend   float64 // cached result of answersPerBackend
+	perBackend   float64 // cached result of responsesPerBackend
 	perBackendAt time.Duration
 }
 
-// capacityShare returns the share of its capacity that a backend surely has: it
-// grows evenly over the slow start window.
+// capacityShare returns the share of its full capacity that a backend is assumed to
+// have. It grows linearly over the slow start window.
 func (e *Engine) capacityShare(b *backend) float64 {
 	age := e.now - b.Started
 	if b.Started == 0 || age >= e.settings.SlowStartWindow || e.settings.SlowStartWindow <= 0 {
@@ -41,10 +43,10 @@
 	return initial + (1-initial)*max(0, age.Seconds())/e.settings.SlowStartWindow.Seconds()
 }
 
-// slowStartAllows reports whether the backend may be sent another attempt as far
-// as its slow start is concerned. Sends are spaced by what other backends answer
-// here, scaled to the capacity share, so that the sum over all instances stays
-// within it; the first comes at a random part of the space.
+// slowStartAllows reports whether slow start allows another attempt to the backend.
+// The rate of attempts is the response rate of other backends at this instance,
+// scaled by the capacity share, so that the sum over all instances stays within the
+// backend's capacity. The first attempt is sent after a random part of the interval.
 func (e *Engine) slowStartAllows(b *backend) bool {
 	share := e.capacityShare(b)
 	if share >= 1 {
@@ -57,11 +59,11 @@
 	return (e.now - max(b.lastSent, b.Started)).Seconds() >= b.sendPhase/rate
 }
 
-// refillSlowStartTokens brings the sends that this instance of a large fleet may
-// make to all backends in slow start together up to now, and returns them. Each
-// backend adds sends at the rate at which all instances may send to it, divided by
-// their number. Spaced for each backend alone, the first send would often come
-// after the end of its slow start.
+// refillSlowStartTokens refills the token bucket of attempts that this instance of a
+// large fleet may send to all backends in slow start together, and returns the
+// tokens. Each such backend adds tokens at its allowed rate divided by the number of
+// instances. With a separate interval per backend, the first attempt would often be
+// due only after the end of the slow start.
 func (e *Engine) refillSlowStartTokens() float64 {
 	if e.slowStartTokensAt == e.now {
 		return e.slowStartTokens
@@ -74,7 +76,7 @@
 	}
 	if rate == 0 {
 		e.slowStartTokens = -1
-	} else if e.slowStartTokens < 0 { // the first after none: each instance begins with a part of its own
+	} else if e.slowStartTokens < 0 { // first backend in slow start: begin at a random phase, unlike other instances
 		e.slowStartTokens = e.rng.Float64()
 	}
 	rate *= largeFleetRateFactor * e.expectedBackendRate()
@@ -83,35 +85,38 @@
 	return e.slowStartTokens
 }
 
-// expectedBackendRate returns the answers a second to expect here of a backend at
-// full capacity, also before any have come.
+// expectedBackendRate returns the responses per second that this instance expects
+// from a backend at full capacity. It has a lower bound for the time before the
+// first responses.
 func (e *Engine) expectedBackendRate() float64 {
-	return max(e.answersPerBackend(), initialAttemptsPerBackend/float64(e.settings.Instances))
+	return max(e.responsesPerBackend(), initialAttemptsPerBackend/float64(e.settings.Instances))
 }
 
-// answersPerBackend returns the answers a second that a backend at full capacity
-// gives here. Where most of the fleet has just been removed, the few that are left
-// have not given these answers: the rate and the number of backends fade alike.
-func (e *Engine) answersPerBackend() float64 {
-	if e.answers.perBackendAt != e.now { // many backends are looked at in one moment
-		e.answers.perBackendAt = e.now
-		faded := e.answers.rate * math.Exp(-(e.now - e.answers.rateAt).Seconds())
-		e.answers.perBackend = faded / max(e.countAnsweringBackends(), 0.1)
+// responsesPerBackend returns the responses per second of a backend at full capacity
+// to this instance. If most backends have just been removed, the current rate
+// includes their responses; therefore the number of backends decays at the same pace
+// as the rate.
+func (e *Engine) responsesPerBackend() float64 {
+	if e.responses.perBackendAt != e.now { // it is needed for many backends at the same time
+		e.responses.perBackendAt = e.now
+		faded := e.responses.rate * math.Exp(-(e.now - e.responses.rateAt).Seconds())
+		e.responses.perBackend = faded / max(e.countRespondingBackends(), 0.1)
 	}
-	return e.answers.perBackend
+	return e.responses.perBackend
 }
 
-// countAnsweringBackends returns the backends at full capacity that answers came
-// from. One in slow start counts by its capacity share, or a fleet that is in slow
-// start as a whole would take its slowness for all that backends can do.
-func (e *Engine) countAnsweringBackends() float64 {
+// countRespondingBackends returns the number of backends that the responses came
+// from, in units of full capacity. A backend in slow start counts with its capacity
+// share; otherwise, if all backends are in slow start, their reduced rate would be
+// taken for their full capacity.
+func (e *Engine) countRespondingBackends() float64 {
 	n := 0.0
 	for _, b := range e.running {
 		share := e.capacityShare(b)
-		if !e.largeFleet { // a crawling backend answers little, which says nothing of the others
+		if !e.largeFleet { // the few responses of a very slow backend say nothing about the others
 			share = min(share, 1/max(1, e.currentSlowness(b)))
 		}
 		n += share
 	}
-	return n + max(0, e.answers.backends-n)*math.Exp(-(e.now-e.answers.backendsAt).Seconds())
+	return n + max(0, e.responses.backends-n)*math.Exp(-(e.now-e.responses.backendsAt).Seconds())
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Rule 4: a backend in slow start gets one attempt at a time at first, also from an
-// instance that knows nothing, and where all backends are in slow start.
+// Rule 4: attempts to a backend in slow start are limited, even from an instance that
+// has no statistics yet and while all backends are in slow start.
 func TestSlowStartIsNotOverloaded(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "s", State: Running, Started: h.now}}})
 	h.engine.window.size = 100
 	sent := 0
-	for i := range 300 { // three seconds of a hundred requests a second, each rejected by the backend at once
+	for i := range 300 { // 3 s at 100 requests per second, each rejected by the backend at once
 		h.arrive(RequestID(i+1), "read", "free")
 		for _, b := range h.engine.running {
 			for len(b.outstanding) > 0 {
@@ -23,16 +23,17 @@
 				h.notify(AttemptEnded{ID: id, Attempt: a.index, Backend: "s", Outcome: Rejected})
 			}
 		}
-		h.pass(10 * ms)
+		h.advance(10 * ms)
 	}
-	// A backend that does 20 a second at full capacity does 4 now; 4 times that for 3 s, halved for two
-	// instances, is 24.
+	// A backend with a full capacity of 20 requests per second handles 4 now. Allow four times that for
+	// 3 s, halved for two instances.
 	if sent == 0 || sent > 24 {
 		t.Fatalf("got %d sends to a backend in slow start in 3 s, want 1 to 24", sent)
 	}
 }
 
-// requestOf returns the request whose last attempt is a, or the newest request.
+// requestOf returns the ID of the request whose last attempt is a, or of the newest
+// request if there is none.
 func (h *harness) requestOf(a *attempt) RequestID {
 	open := h.engine.openRequests
 	id := open[len(open)-1].ID
@@ -44,8 +45,8 @@
 	return id
 }
 
-// The same where it is the first to come back after all others have gone: what the
-// whole fleet answered is no measure of it.
+// As TestSlowStartIsNotOverloaded, for the first backend that returns after all others
+// were removed: the response rate of the former fleet must not set its rate.
 func TestFirstBackendBackIsNotOverloaded(t *testing.T) {
 	const took = 60 * ms
 	settings := testSettings()
@@ -58,7 +59,7 @@
 	}
 	var pending []pendingEnd
 	id, toNew := RequestID(0), 0
-	play := func(span time.Duration) {
+	run := func(span time.Duration) {
 		for end := h.now + span; h.now < end; h.now += 5 * ms {
 			id++
 			actions := append(h.arrive(id, "read", "free"), h.notify(TimerFired{})...)
@@ -68,7 +69,7 @@
 				actions = append(actions, h.notify(event)...)
 			}
 			for _, s := range actionsOf[SendAttempt](actions) {
-				if s.Backend == "x" { // it answers none of them within the second
+				if s.Backend == "x" { // it does not respond within the second
 					toNew++
 					continue
 				}
@@ -78,66 +79,66 @@
 			}
 		}
 	}
-	play(3 * time.Second)
+	run(3 * time.Second)
 	pending = nil
 	h.notify(EndpointsChanged{Complete: true, Backends: []Backend{{ID: "x", State: Running, Started: h.now}}})
-	play(time.Second)
-	// Each of the others answered 200/20 = 10 a second; this one has a fifth of that, and may be sent four
-	// times as much.
+	run(time.Second)
+	// Each removed backend handled 200/20 = 10 requests per second. The new one has a fifth of that
+	// capacity; allow four times as much.
 	if toNew == 0 || toNew > 8 {
 		t.Fatalf("got %d sends to a backend in slow start within a second, want 1 to 8", toNew)
 	}
 }
 
-// At low load a backend that comes back is used before the end of its slow start.
-func TestSlowStartHasItsTurn(t *testing.T) {
+// At low load a restarted backend is used before the end of its slow start.
+func TestBackendInSlowStartIsUsedAtLowLoad(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("a", "b")...)
 	h.notify(EndpointsChanged{Backends: []Backend{{ID: "b", State: Running, Started: h.now}}})
 	used := false
-	for id := range RequestID(500) { // one at a time: the other backend is always free
+	for id := range RequestID(500) { // one request at a time, so the other backend is always idle
 		for _, s := range actionsOf[SendAttempt](h.arrive(id, "read", "free")) {
 			used = used || s.Backend == "b"
 			h.notify(succeeded(id, s.Backend, 5*ms))
 		}
-		h.pass(10 * ms)
+		h.advance(10 * ms)
 	}
 	if !used {
 		t.Fatal("got no send to a backend in slow start for 5 s")
 	}
 }
 
-// A backend that crawls answers little, and that says nothing of what the others
-// can do: it does not hold back one in slow start.
-func TestCrawlingBackendsDoNotHoldBackSlowStart(t *testing.T) {
+// The low response rate of very slow backends says nothing about the capacity of the
+// others, and must not reduce the rate for a backend in slow start.
+func TestVerySlowBackendsDoNotLimitSlowStart(t *testing.T) {
 	backends := append([]Backend{{ID: "new", State: Running, Started: time.Minute}},
 		runningBackends("a", "b", "c", "d")...)
 	h := newHarness(t, testSettings(), backends...)
-	h.now += 8 * time.Second // the start has faded
-	h.pass(10 * ms)
+	h.now += 8 * time.Second // the initial values have decayed
+	h.advance(10 * ms)
 	e := h.engine
-	answersPerBackend := func() float64 {
-		e.answers.perBackendAt = 0 // not the cached result
-		return e.answersPerBackend()
+	responsesPerBackend := func() float64 {
+		e.responses.perBackendAt = 0 // not the cached result
+		return e.responsesPerBackend()
 	}
-	e.answers.rate = 40
-	e.answers.rateAt = e.now
-	healthy := answersPerBackend()
+	e.responses.rate = 40
+	e.responses.rateAt = e.now
+	healthy := responsesPerBackend()
 	for _, id := range []BackendID{"a", "b", "c"} {
 		e.backends[id].slowness = 8
 		e.backends[id].slownessAt = e.now
 	}
-	e.answers.rate = 14 // of one healthy backend and three that crawl
-	if crawling := answersPerBackend(); crawling < 0.7*healthy {
-		t.Fatalf("got %.1f answers a second of a healthy backend while three of four crawl, want 0.7 of %.1f or more",
-			crawling, healthy)
+	e.responses.rate = 14 // from one healthy backend and three very slow ones
+	if slow := responsesPerBackend(); slow < 0.7*healthy {
+		t.Fatalf("got %.1f responses per second per healthy backend with three slow ones, want 0.7 of %.1f or more",
+			slow, healthy)
 	}
 }
 
-// Where a third of the fleet comes back in slow start, eighty instances together
-// use it and overload none: a backend is neither avoided nor preferred by all.
+// When a third of the backends return in slow start, eighty instances together use
+// them without overloading any: no backend is avoided or preferred by all instances.
 func TestSlowStartIsUsedByManyInstances(t *testing.T) {
 	const instances, took = 80, 300 * ms
-	chance := rand.New(rand.NewPCG(3, 4))
+	rng := rand.New(rand.NewPCG(3, 4))
 	returning := listBackends(60, time.Minute)[40:]
 	settings := testSettings()
 	settings.SlowStartShare = 0.25
@@ -164,7 +165,7 @@
 			pending = pending[1:]
 		}
 		for range 3 {
-			h := f.instances[chance.IntN(instances)]
+			h := f.instances[rng.IntN(instances)]
 			h.now = now
 			h.engine.window.size = 10
 			id++
@@ -178,14 +179,14 @@
 			}
 		}
 	}
-	// One at full capacity gets some 6 a second of what it can take, 8; four times a quarter of that is 8.
+	// A backend at full capacity can handle 8 a second and gets about 6. Allow four times a quarter of that 8.
 	if total < 8*20/4 || busiest > 8 {
 		t.Errorf("in slow start: got %d requests in 8 s, want 40 or more; got %d at one in a second, want 8 at most",
 			total, busiest)
 	}
 }
 
-// startBackends has all instances see the backends start now.
+// startBackends updates the endpoint list of all instances: the backends start now.
 func (f *fleet) startBackends(now time.Duration, backends []Backend) {
 	for _, h := range f.instances {
 		h.now = now
--- a/policy/sparse_quota.go
+++ b/policy/sparse_quota.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	// lostCounterShare is the share of requests for which the counter is called below
-	// which it is as good as silent.
-	lostCounterShare = 0.3
-	// minCounterCallShare is that share at least, to find a counter that is back.
+	// minUsableCallShare is the value of counterCallShare below which the counter is
+	// treated as silent.
+	minUsableCallShare = 0.3
+	// minCounterCallShare is the minimum of counterCallShare, so that a counter that has
+	// recovered is noticed.
 	minCounterCallShare = 0.05
-	// counterCallDecrease is the factor on that share after a call that the counter
-	// did not answer in time.
+	// counterCallDecrease is the factor on counterCallShare after a call that was not
+	// answered in time.
 	counterCallDecrease = 0.7
-	// counterCallIncrease is what that share grows by after an answer, divided by the
-	// share itself.
+	// counterCallIncrease, divided by counterCallShare, is added to counterCallShare
+	// after each successful call.
 	counterCallIncrease = 0.01
-	// largeFleetCallIncrease is the same in a large fleet.
+	// largeFleetCallIncrease replaces counterCallIncrease in a large fleet.
 	largeFleetCallIncrease = 0.003
-	// typicalUse is the share of its rate that a tenant uses, before anything is known
-	// of it.
-	typicalUse = 0.7
-	// useHalfLife is the time in which half of what is known of a tenant's use is
-	// forgotten.
-	useHalfLife = 20 * time.Second
-	// estimateTolerance is what a tenant may seem to use, as a multiple of its rate,
-	// with all its requests admitted.
+	// typicalUtilization is the share of its rate that a tenant is assumed to use before
+	// there are observations of it.
+	typicalUtilization = 0.7
+	// utilizationHalfLife is the half-life of the observations of a tenant's use.
+	utilizationHalfLife = 20 * time.Second
+	// estimateTolerance is the estimated utilization up to which all requests of a
+	// tenant are admitted.
 	estimateTolerance = 1.3
-	// totalFreshness is how long a total is good evidence of a tenant's use.
+	// totalFreshness is how long a total counts as recent evidence of a tenant's use.
 	totalFreshness = 30 * time.Second
 )
 
-// decideSparse decides on a request of a tenant that each instance sees too
-// seldom to know its quota: the counter grants the units of each request.
-// The counter's name stands for a window of burst over rate, which grants the
-// burst, so that units of rejected requests need not be given back. Where not all
-// calls get through, this instance's share of the rate decides, or in a large
-// fleet an estimate.
+// decideSparse decides on a request of a sparse tenant, of which each instance sees
+// too few requests to track the quota. The counter grants the units of each request.
+// Each counter name covers a window of burst/rate and grants at most one burst in it,
+// so that units of rejected requests need not be given back. For requests without a
+// counter call, this instance's share of the rate decides, or in a large fleet an
+// estimate of the tenant's utilization.
 func (e *Engine) decideSparse(r *request) {
 	t := r.tenant
 	if e.now < t.exhaustedUntil ||
 		t.plan.ExcessWeight > t.plan.ExcessCost && e.rng.Float64() > 2*e.counterCallShare-1 {
-		r.reason = QuotaKnown
+		r.reason = QuotaKnownSpent
 		e.applyQuota(r, false)
 		return
 	}
@@ -52,10 +52,10 @@
 		t.ageObservations(e.now)
 		t.observedUnits += r.Units
 	}
-	if t.plan.CeilingRate > 0 && e.counterCallShare >= lostCounterShare {
-		callShare = 1 // only the counter knows what is left of a ceiling
+	if t.plan.CeilingRate > 0 && e.counterCallShare >= minUsableCallShare {
+		callShare = 1 // only the counter knows how much of the ceiling is left
 	} else if e.largeFleet && t.totalAt > 0 && e.now-t.totalAt < totalFreshness {
-		callShare *= e.counterCallShare // the calls there are go to tenants of which less is known
+		callShare *= e.counterCallShare // save calls for tenants without a recent total
 	}
 	if e.rng.Float64() > callShare {
 		e.decideWithoutCounter(r)
@@ -75,7 +75,8 @@
 }
 
 // queryCounter requests a grant of a request's units from the counter. In a large
-// fleet they stand for those of all requests of which callShare are counted.
+// fleet only the share callShare of the requests is counted, and the units added for
+// each are scaled up to account for the others.
 func (e *Engine) queryCounter(r *request, callShare float64) {
 	t := r.tenant
 	if !e.largeFleet {
@@ -93,7 +94,8 @@
 	})
 }
 
-// handleGrantReply decides on the first request that waits for the reply's name.
+// handleGrantReply decides on the oldest request that waits for a reply with this
+// name.
 func (e *Engine) handleGrantReply(t *tenant, reply CounterReply) {
 	i := slices.IndexFunc(t.awaitingCounter, func(r *request) bool { return r.counterName == reply.Name })
 	if i < 0 {
@@ -105,8 +107,8 @@
 		return
 	}
 	if reply.Outcome != Succeeded {
-		r.reason = QuotaBlind
-		if reply.Outcome != Failed { // a call that the counter does not answer in time is load for nothing
+		r.reason = QuotaCounterFailed
+		if reply.Outcome != Failed { // unanswered calls only add load to the counter: make fewer of them
 			e.counterCallShare = max(minCounterCallShare, e.counterCallShare*counterCallDecrease)
 		}
 		e.decideWithoutCounter(r)
@@ -121,9 +123,9 @@
 	}
 	e.counterCallShare = min(1, e.counterCallShare+increase/e.counterCallShare)
 	if e.largeFleet {
-		e.learnFromTotal(t, r, reply.Total)
+		e.learnUtilization(t, r, reply.Total)
 	}
-	r.granted = inside && e.counterCallShare >= lostCounterShare
+	r.granted = inside && e.counterCallShare >= minUsableCallShare
 	if inside {
 		t.leasedUnits = max(0, t.leasedUnits-r.Units)
 	} else if r.counterName == t.counterName() && reply.Total > grant+r.Units {
@@ -132,45 +134,45 @@
 	e.applyQuota(r, inside)
 }
 
-// windowGrant returns the units that a counter name may grant in its window.
+// windowGrant returns the units that a counter name grants in its window.
 func (t *tenant) windowGrant() float64 {
-	if t.plan.CeilingRate > 0 { // the end of one window and the start of the next may be used at once
+	if t.plan.CeilingRate > 0 { // the grants of two successive windows may be used at the same time
 		return min(t.plan.Burst, t.plan.CeilingBurst/2)
 	}
 	return t.plan.Burst
 }
 
-// ageObservations lets what is known of a sparse tenant's use fade up to now, and
-// adds the time in which this instance has seen its share of the requests.
+// ageObservations decays the observations of a sparse tenant up to now, and adds the
+// elapsed time divided by the number of instances that receive its requests.
 func (t *tenant) ageObservations(now time.Duration) {
 	elapsed := (now - t.observedAt).Seconds()
-	retained := math.Exp2(-elapsed / useHalfLife.Seconds())
+	retained := math.Exp2(-elapsed / utilizationHalfLife.Seconds())
 	t.observedUnits *= retained
 	t.observedFor = t.observedFor*retained + elapsed/float64(t.spread)
 	t.observedAt = now
 }
 
-// estimateUse returns the units a second that a sparse tenant demands at all
-// instances, as a multiple of its rate. It weighs what has come here and what
-// totals have shown against what is typical.
-func (e *Engine) estimateUse(t *tenant) float64 {
+// estimateUtilization estimates the demand of a sparse tenant at all instances, as a
+// multiple of its rate. It combines the requests seen here and the totals of the
+// counter with typicalUtilization as the prior.
+func (e *Engine) estimateUtilization(t *tenant) float64 {
 	typicalUnits := max(1, e.settings.MaxUnits/2)
-	typicalSeconds := typicalUnits / (typicalUse * t.plan.Rate)
+	typicalSeconds := typicalUnits / (typicalUtilization * t.plan.Rate)
 	return (typicalUnits + t.observedUnits) / (typicalSeconds + t.observedFor) / t.plan.Rate
 }
 
-// admitByEstimate reports whether a request that the counter has not decided on is
-// admitted: of a tenant that demands more than its rate, so many that all
-// instances together send its rate.
+// admitByEstimate decides at random whether to admit a request without a grant of the
+// counter. The probability is chosen so that all instances together send about the
+// tenant's rate if the tenant demands more than that.
 func (e *Engine) admitByEstimate(r *request) bool {
-	use := e.estimateUse(r.tenant)
-	r.insideProbability = 1 / max(1, use)
+	use := e.estimateUtilization(r.tenant)
+	r.withinQuotaProbability = 1 / max(1, use)
 	return e.rng.Float64() < estimateTolerance/use
 }
 
-// learnFromTotal learns a sparse tenant's use from a total of its window. Only a
-// part of what was used was counted, and it stands for the rest.
-func (e *Engine) learnFromTotal(t *tenant, r *request, total float64) {
+// learnUtilization adds a total of the counter to the observations of a sparse
+// tenant. The weight accounts for the requests that were decided without the counter.
+func (e *Engine) learnUtilization(t *tenant, r *request, total float64) {
 	if r.counterName != t.counterName() {
 		return
 	}
--- a/policy/unreachable.go
+++ b/policy/unreachable.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// minUnreachableBackends is how many backends of one zone must have been
-	// unreachable, with no answer from there since, for the zone to count as
+	// minUnreachableBackends is the number of backends of one zone that must have been
+	// unreachable, without a response from the zone since, for the zone to count as
 	// unreachable.
 	minUnreachableBackends = 3
-	// unreachableBackoff is the time until an unreachable zone is tried again, at
-	// first; it doubles three times.
+	// unreachableBackoff is the initial time until an unreachable zone is tried again.
+	// It doubles up to three times.
 	unreachableBackoff = 2 * time.Second
 )
 
-// unreachableZone is what speaks against a zone since a backend there last
-// answered.
+// unreachableZone holds the connection failures of a zone since one of its backends
+// last responded.
 type unreachableZone struct {
-	backends   []*backend    // those that could not be connected to
-	until      time.Duration // the zone is a last resort until then
-	extensions int           // how often until was set
+	backends   []*backend    // backends to which no connection could be established
+	until      time.Duration // the zone is used only as a last resort until then
+	extensions int           // number of times that until was set
 }
 
-// recordUnreachable takes failures to connect to several backends of one zone for
-// a failure of the zone. To learn that from each backend would take as many
-// failures as it has backends, times the instances.
+// recordUnreachable records a connection failure. When several backends of one zone
+// cannot be connected to, the whole zone counts as unreachable: to detect this for
+// each backend separately would cost failures at every backend and every instance.
 func (e *Engine) recordUnreachable(b *backend, outcome Outcome) {
 	zone := e.unreachable[b.Zone]
 	if outcome != NoConnect || zone.until > e.now {
@@ -39,7 +39,7 @@
 		zone.until = e.now + time.Duration(float64(backoff)*(0.5+e.rng.Float64()))
 		zone.extensions++
 		if zone.extensions == 1 {
-			e.writeOffZone(b.Zone)
+			e.handleZoneLoss(b.Zone)
 		}
 	}
 	e.unreachable[b.Zone] = zone
--- a/policy/unreachable_test.go
+++ b/policy/unreachable_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Three backends of a zone that cannot be connected to make the zone unreachable,
-// long before each has failed by itself; one answer from there ends that.
+// Failed connections to three backends of a zone make the zone unreachable, before
+// each of its backends is ejected. One response from the zone ends this state.
 func TestUnreachableBackendsMakeTheirZoneUnreachable(t *testing.T) {
 	settings := testSettings()
 	settings.Instances = 80
@@ -35,13 +35,13 @@
 			sends = append(sends, actionsOf[SendAttempt](h.notify(event))...)
 		}
 	}
-	if lost < 3 || late > 4 { // one more each time that the zone is tried again
+	if lost < 3 || late > 4 { // one more for each time the zone is tried again
 		t.Errorf("got %d attempts to the lost zone, want 3 or more; got %d after three failed, want 4 at most",
 			lost, late)
 	}
 	i := slices.IndexFunc(h.engine.running, func(b *backend) bool { return b.Zone == "a" })
 	h.engine.recordOutcome(&attempt{backend: h.engine.running[i]}, h.engine.classes["read"], Succeeded, ms)
 	if len(h.engine.unreachable) != 0 {
-		t.Errorf("got %v unreachable after an answer from the zone, want none", h.engine.unreachable)
+		t.Errorf("got %v unreachable after a response from the zone, want none", h.engine.unreachable)
 	}
 }
--- a/policy/window.go
+++ b/policy/window.go
@@ -6,56 +6,59 @@
 )
 
 const (
-	// initialAttemptsPerBackend is the part of the first window that each backend
-	// gives all instances together.
+	// initialAttemptsPerBackend is the number of attempts that each backend adds to
+	// the sum of the initial windows of all instances.
 	initialAttemptsPerBackend = 4.0
-	// untimelyShareLimit is the share of untimely ends in a round above which the
-	// window is narrowed.
+	// untimelyShareLimit is the share of late, timed out or rejected attempts in a
+	// round above which the window is narrowed.
 	untimelyShareLimit = 0.1
-	// minAffectedShare is the share of backends that must have had untimely ends:
-	// with fewer it is their own fault, not that of the fleet.
+	// minAffectedShare is the minimum share of backends with untimely ends for the
+	// window to be narrowed. With fewer, these backends are at fault, not the load on
+	// the fleet.
 	minAffectedShare = 0.25
-	// maxWindowGrowth is the largest growth by one timely answer, as a share of the
-	// window.
+	// maxWindowGrowth is the maximum growth after one timely response, as a share of
+	// the window.
 	maxWindowGrowth = 0.05
-	// windowDecrease is the factor by which the window is narrowed each round trip.
+	// windowDecrease is the factor that narrows the window per round trip.
 	windowDecrease = 0.85
-	// minWindow lets an instance go on learning: an attempt each ten round trips.
+	// minWindow allows one attempt every ten round trips, so that an instance keeps
+	// observing the backends.
 	minWindow = 0.1
-	// maxRoundTrips is the most round trips that one round stands for: that halves
-	// the window.
+	// maxRoundTrips is the maximum number of round trips for which one round narrows
+	// the window; at this maximum the window is about halved.
 	maxRoundTrips = 4.0
-	// fullGrowthWindow is an instance's share of the first window with which it widens
-	// by a whole attempt each round trip after untimely ends; a smaller share widens
-	// by less.
+	// fullGrowthWindow is the windowShare from which an instance widens its window by
+	// one attempt per round trip after untimely ends. With a smaller share it widens
+	// proportionally less, so that many instances together grow no faster than a few.
 	fullGrowthWindow = 16.0
 )
 
-// attemptWindow bounds the attempts that are out at once (AIMD). It widens by
-// timely answers, and is narrowed at the end of a round of about a round trip in
-// which many were untimely.
+// attemptWindow limits the attempts in flight (AIMD). Timely responses widen it. A
+// round of about one round trip in which many attempts end untimely (late, timed
+// out or rejected) narrows it.
 type attemptWindow struct {
-	size                float64       // attempts that may be out at once
-	inFlight            int           // attempts that fill the window
-	predecessorInFlight int           // those of them that another process of this instance has out
+	size                float64       // maximum number of attempts in flight; may be fractional
+	inFlight            int           // attempts in flight that count toward the window
+	predecessorInFlight int           // those of them that belong to another process of this instance
 	lastSent            time.Duration // when the last attempt was sent
 
-	roundNumber       int           // of the present round
-	roundEnd          time.Duration // earliest end of the present round
-	timely            int           // timely ends in this round
-	untimely          int           // untimely ends in this round
-	untimelyBackends  int           // backends with an untimely end in this round
-	untimelyLastRound int           // untimely ends in the round before
+	roundNumber       int           // of the current round
+	roundEnd          time.Duration // earliest end of the current round
+	timely            int           // timely ends in the current round
+	untimely          int           // untimely ends in the current round
+	untimelyBackends  int           // backends with an untimely end in the current round
+	untimelyLastRound int           // untimely ends in the previous round
 }
 
-// windowShare returns this instance's share of a few attempts for each backend:
-// the first window, and the most retries that are saved up.
+// windowShare returns this instance's share of initialAttemptsPerBackend attempts
+// for each backend, at least 1. It is the initial window and the maximum of the
+// retry budget.
 func (e *Engine) windowShare() float64 {
 	return max(1, initialAttemptsPerBackend*float64(len(e.running))/float64(e.settings.Instances))
 }
 
-// windowHasCapacity reports whether the window lets another attempt out. A window
-// below one lets them out one by one, with pauses.
+// windowHasCapacity reports whether the window allows another attempt. A window
+// below 1 allows one attempt at a time, with a pause between two of them.
 func (e *Engine) windowHasCapacity() bool {
 	if float64(e.window.inFlight) >= e.window.size {
 		return false
@@ -63,20 +66,21 @@
 	return e.window.size >= 1 || (e.now-e.window.lastSent).Seconds() >= e.meanLatency/e.window.size
 }
 
-// overloaded reports whether requests inside their quotas wait or are about to.
+// overloaded reports whether requests are queued or the window is nearly full, so
+// that requests within their quotas have to wait or soon will.
 func (e *Engine) overloaded() bool {
 	return len(e.queue) > 0 || float64(e.window.inFlight) > max(1, 0.7*e.window.size)
 }
 
-// updateWindow counts the end of an attempt toward the window, and widens it
-// after a timely one while it is in full use.
+// updateWindow counts the end of an attempt as timely or untimely, and widens the
+// window after a timely one if the window is nearly full or requests are queued.
 func (e *Engine) updateWindow(a *attempt, c *class, outcome Outcome, took time.Duration) {
 	switch {
 	case outcome == Rejected, outcome == TimedOut, outcome == Succeeded && took > c.LatencyObjective/3:
 		e.window.untimely++
 		c.untimely++
-		if a.backend.untimelyRound != e.window.roundNumber {
-			a.backend.untimelyRound = e.window.roundNumber
+		if a.backend.lastUntimelyRound != e.window.roundNumber {
+			a.backend.lastUntimelyRound = e.window.roundNumber
 			e.window.untimelyBackends++
 		}
 	case outcome == Succeeded:
@@ -88,8 +92,8 @@
 	}
 }
 
-// widenWindow widens the window by one attempt each round trip, or by a part of
-// one after untimely ends.
+// widenWindow adds to the window for one response: in sum one attempt per round
+// trip, or a fraction of one after untimely ends.
 func (e *Engine) widenWindow() {
 	step := 1.0
 	if e.window.untimely > 0 || e.window.untimelyLastRound > 0 {
@@ -98,8 +102,8 @@
 	e.window.size += min(step/e.window.size, e.window.size*maxWindowGrowth)
 }
 
-// endWindowRound narrows the window, once each round trip at most, where many
-// backends answer late or reject.
+// endWindowRound ends the current round if it is due, at most once per round trip,
+// and narrows the window if attempts ended untimely at many backends.
 func (e *Engine) endWindowRound() {
 	ends := float64(e.window.timely + e.window.untimely)
 	if e.now < e.window.roundEnd || ends < 8 && e.window.untimely < 3 {
@@ -109,7 +113,7 @@
 	backends := float64(len(e.running))
 	minAffected := max(min(3, backends), minAffectedShare*min(ends, backends))
 	if untimelyShare > untimelyShareLimit && float64(e.window.untimelyBackends) >= minAffected {
-		// Scarce evidence fills a round slowly: it then stands for all the round trips since.
+		// At low traffic a round spans several round trips: narrow once for each of them.
 		trips := 1 + (e.now-e.window.roundEnd).Seconds()/max(e.meanLatency, e.sweepInterval.Seconds())
 		narrowed := e.window.size * math.Pow(windowDecrease, min(trips, maxRoundTrips))
 		e.window.size = max(narrowed, minWindow, backends/float64(e.settings.Instances))
@@ -122,9 +126,9 @@
 	e.window.roundEnd = e.now + max(time.Duration(e.meanLatency*float64(time.Second)), 2*e.sweepInterval)
 }
 
-// minUntimelyShare returns the share of untimely ends in the class that has the
-// least of them, and starts the classes' counts anew. Long calls of one class do
-// not mean that the backends are full.
+// minUntimelyShare returns the share of untimely ends in the class with the lowest
+// share, and resets the counts of the classes. Slow calls of a single class do not
+// mean that the backends are overloaded.
 func (e *Engine) minUntimelyShare(ends float64) float64 {
 	share := float64(e.window.untimely) / ends
 	for _, c := range e.classes {
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Zone is what is known of a zone.
+// Zone is the state of a zone and the limits on traffic to it.
 type Zone struct {
 	Name     string
-	Price    float64     // what a backend there counts for, against one with the same load elsewhere
-	Rate     float64     // attempts a second that may be sent there; 0: none; below 0: any
-	Lost     bool        // with Rate 0: what is out there will not be answered soon
-	Unproven []BackendID // backends that are not to be sent to yet
+	Price    float64     // factor on the score of the zone's backends; a higher one attracts less traffic
+	Rate     float64     // maximum attempts per second; 0: none; negative: unlimited
+	Lost     bool        // with Rate 0: attempts in flight there will not be answered soon
+	Unproven []BackendID // backends that must not receive attempts yet
 }
 
-// zoneState is a Zone with what is left of the rate that may be sent there. A nil
-// zoneState stands for a zone of which nothing is known.
+// zoneState is a Zone with the token bucket of its rate. A nil zoneState is valid and
+// represents a zone for which no update has been received.
 type zoneState struct {
 	Zone
 
-	credit   float64 // attempts that may be sent, as of creditAt
+	credit   float64 // attempts that may be sent at creditAt
 	creditAt time.Duration
 }
 
 const (
-	minZoneCredit      = 1.5  // attempts that may be sent at once to a zone with a rate, at least
-	zoneCreditSeconds  = 0.1  // the same as seconds of its rate
-	availableShareStep = 0.03 // a fall of the available share that the window follows at once
-	fullCapacityShare  = 0.95 // available share below which retries of clients are spread
+	minZoneCredit      = 1.5  // minimum size of the token bucket of a zone with a rate, in attempts
+	zoneCreditSeconds  = 0.1  // size of the bucket in seconds of the rate, if that is more
+	availableShareStep = 0.03 // decrease of the available share above which the window shrinks at once
+	fullCapacityShare  = 0.95 // available share below which Retry-After is randomized
 )
 
-// handleZonesChanged takes over what is known of zones. The window shrinks at
-// once with what is lost: to find out by itself would cost the work that it sends
-// in many round trips.
+// handleZonesChanged applies updates of zones. If capacity is lost, the window
+// shrinks at once: adapting through timeouts would take many round trips, and the
+// requests sent meanwhile would be lost.
 func (e *Engine) handleZonesChanged(event ZonesChanged) {
 	for _, b := range e.running {
 		b.unproven = false
@@ -46,7 +46,7 @@
 	e.minZoneRetryAfter = event.MinRetryAfter
 }
 
-// updateZone takes over what is known of one zone.
+// updateZone applies the update of one zone.
 func (e *Engine) updateZone(update Zone) {
 	z := e.zones[update.Name]
 	if z == nil {
@@ -65,11 +65,11 @@
 		}
 	}
 	if newlyLost {
-		e.writeOffZone(update.Name)
+		e.handleZoneLoss(update.Name)
 	}
 }
 
-// hasCredit reports whether the zone may be sent another attempt.
+// hasCredit reports whether the zone's rate allows another attempt.
 func (z *zoneState) hasCredit(now time.Duration) bool {
 	if z == nil || z.Rate < 0 {
 		return true
@@ -83,30 +83,31 @@
 	return z.credit >= 1
 }
 
-// spendCredit takes an attempt that is sent off the zone's rate.
+// spendCredit charges one attempt to the zone's token bucket.
 func (z *zoneState) spendCredit() {
 	if z != nil && z.Rate >= 0 {
 		z.credit--
 	}
 }
 
-// writeOffZone deals with what is out in a zone that has just been lost: it no
-// longer fills the window, and what may be repeated anywhere is queued again, at
-// no cost to the retry budget.
-func (e *Engine) writeOffZone(zone string) {
+// handleZoneLoss handles the attempts in flight in a zone that has just been lost.
+// They no longer count toward the window, and requests that may be repeated anywhere
+// are sent again without a charge to the retry budget.
+func (e *Engine) handleZoneLoss(zone string) {
 	for _, r := range e.openRequests {
 		for _, a := range r.attempts {
 			if !a.ended && a.backend.Zone == zone {
-				e.writeOffLost(r, a)
+				e.handleLostAttempt(r, a)
 			}
 		}
 	}
 }
 
-// writeOffLost writes off one attempt that is out in a lost zone.
-func (e *Engine) writeOffLost(r *request, a *attempt) {
-	if !a.writtenOff {
-		a.writtenOff = true
+// handleLostAttempt removes one attempt in a lost zone from the window, and queues its
+// request again or cancels the attempt to allow a retry.
+func (e *Engine) handleLostAttempt(r *request, a *attempt) {
+	if !a.releasedFromWindow {
+		a.releasedFromWindow = true
 		e.window.inFlight--
 	}
 	switch {
@@ -120,9 +121,8 @@
 	}
 }
 
-// spreadRetryAfter shortens a Retry-After by a random part while capacity is
-// missing, so that clients who were rejected together come back at different
-// times.
+// spreadRetryAfter shortens a Retry-After by up to half, at random, while capacity is
+// reduced, so that clients that were rejected together retry at different times.
 func (e *Engine) spreadRetryAfter(retryAfter time.Duration) time.Duration {
 	if e.availableShare >= fullCapacityShare || retryAfter <= 0 {
 		return retryAfter
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newZoneHarness returns an engine with two backends in each of two zones, each in
-// its own cell.
+// newZoneHarness returns a harness with two backends in each of two zones, each
+// backend in its own cell.
 func newZoneHarness(t *testing.T) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -17,7 +17,7 @@
 		Backend{ID: "b0", State: Running, Zone: "b", Cell: 2},
 		Backend{ID: "b1", State: Running, Zone: "b", Cell: 3},
 	)
-	h.pass(20 * ms)
+	h.advance(20 * ms)
 	return h
 }
 
@@ -25,9 +25,9 @@
 
 func zonesChanged(zones ...Zone) ZonesChanged { return ZonesChanged{Zones: zones, AvailableShare: 1} }
 
-// The price of a zone moves requests, a rate bounds them, a closed zone gets none,
-// and neither does a backend that is not proven.
-func TestZoneFacts(t *testing.T) {
+// The price of a zone shifts requests to other zones and its rate limits them. A
+// closed or lost zone and an unproven backend get none.
+func TestZoneSettingsDirectRequests(t *testing.T) {
 	allInB := func(byZone map[string]int, _ []SendAttempt) bool { return byZone["a"] == 0 && byZone["b"] == 6 }
 	for name, c := range map[string]struct {
 		a, b  Zone
@@ -68,14 +68,14 @@
 	}
 }
 
-// A rate is not exceeded over time, however many are queued.
+// The rate of a zone is not exceeded, however many requests are queued.
 func TestZoneRate(t *testing.T) {
 	h := newZoneHarness(t)
 	h.notify(zonesChanged(Zone{Name: "a", Price: 1, Rate: 10}, Zone{Name: "b", Price: 1, Rate: 0}))
 	sent, id := 0, RequestID(0)
 	for end := h.now + 2*time.Second; h.now < end; {
 		id++
-		sends := actionsOf[SendAttempt](append(h.arrive(id, "read", "free"), h.pass(10*ms)...))
+		sends := actionsOf[SendAttempt](append(h.arrive(id, "read", "free"), h.advance(10*ms)...))
 		sent += len(sends)
 		for _, s := range sends {
 			h.notify(succeeded(s.ID, s.Backend, ms))
@@ -86,27 +86,27 @@
 	}
 }
 
-// A zone that is closed gets nothing, also of what its rate had saved up.
+// A closed zone gets no attempts, even if tokens of its former rate are left.
 func TestClosedZoneGetsNothing(t *testing.T) {
 	h := newZoneHarness(t)
 	b := Zone{Name: "b", Price: 1, Rate: 0}
 	h.notify(zonesChanged(Zone{Name: "a", Price: 1, Rate: 30}, b))
-	h.pass(time.Second)
+	h.advance(time.Second)
 	if got := actionsOf[SendAttempt](h.arrive(1, "read", "free")); len(got) != 1 {
 		t.Fatalf("got sends %v, want one by the rate", got)
 	}
-	h.pass(time.Second)
+	h.advance(time.Second)
 	h.notify(zonesChanged(Zone{Name: "a", Price: 1, Rate: 0}, b))
-	got := actionsOf[SendAttempt](append(h.arrive(2, "read", "free"), h.pass(100*ms)...))
+	got := actionsOf[SendAttempt](append(h.arrive(2, "read", "free"), h.advance(100*ms)...))
 	if len(got) != 0 {
 		t.Fatalf("got sends %v to a closed zone, want none", got)
 	}
 }
 
-// What was out in a zone that is lost no longer fills the window. Safe requests are
-// sent again at once, at no cost to the retry budget; keyed and unsafe ones are not
-// sent to another cell; each request has one final answer.
-func TestLostZoneIsWrittenOff(t *testing.T) {
+// Attempts in flight in a lost zone no longer count toward the window. Safe requests
+// are sent again at once without a charge to the retry budget; keyed and unsafe ones
+// are not sent to another cell. Each request gets one final answer.
+func TestAttemptsInALostZoneLeaveTheWindow(t *testing.T) {
 	h := newZoneHarness(t)
 	h.notify(zonesChanged(Zone{Name: "a", Price: 1, Rate: -1}, Zone{Name: "b", Price: 99, Rate: -1}))
 	for i, class := range []string{"read", "book", "pay"} {
@@ -136,7 +136,7 @@
 	for id := RequestID(1); id <= 3; id++ {
 		h.timeOutAttempts(id, finals)
 	}
-	countFinal(finals, h.pass(3*time.Second))
+	countFinal(finals, h.advance(3*time.Second))
 	if finals[1] != 0 || finals[2] != 1 || finals[3] != 1 {
 		t.Fatalf("got final answers %v, want one each for 2 and 3", finals)
 	}
@@ -145,8 +145,8 @@
 	}
 }
 
-// timeOutAttempts times out what is still out for a request in zone a, and checks
-// that nothing is sent to another zone for it.
+// timeOutAttempts times out the attempts in flight of a request in zone a, and checks
+// that it causes no attempt in another zone.
 func (h *harness) timeOutAttempts(id RequestID, finals map[RequestID]int) {
 	h.Helper()
 	for index, a := range h.engine.requests[id].attempts {
@@ -162,8 +162,8 @@
 	}
 }
 
-// A loss narrows the window by what is lost, at once and only once; the return does
-// not widen it by itself.
+// A loss of capacity narrows the window proportionally, at once and only once. The
+// return of the capacity alone does not widen it.
 func TestAvailableShareNarrowsTheWindow(t *testing.T) {
 	h := newZoneHarness(t)
 	h.engine.window.size = 20
@@ -179,9 +179,8 @@
 	}
 }
 
-// While capacity is missing, clients that are rejected together get different
-// Retry-Afters: none longer than is allowed, and none shorter than half the least
-// one while a zone returns.
+// While capacity is reduced, clients that are rejected together get different
+// Retry-After values: none above MaxRetryAfter, and none below half of MinRetryAfter.
 func TestRetryAfterIsSpread(t *testing.T) {
 	h := newZoneHarness(t)
 	h.notify(ZonesChanged{
@@ -193,7 +192,7 @@
 		h.arrive(id+1, "read", "free")
 	}
 	times := map[time.Duration]bool{}
-	for _, a := range actionsOf[Reject](h.pass(3 * time.Second)) {
+	for _, a := range actionsOf[Reject](h.advance(3 * time.Second)) {
 		if a.RetryAfter > time.Second || a.RetryAfter < 400*ms {
 			t.Fatalf("got Retry-After %v, want 0.4 to 1 s", a.RetryAfter)
 		}
