--- a/internal/takeover/actions.go
+++ b/internal/takeover/actions.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// ActionKind is what the caller of a Coordinator may or must do.
+// ActionKind tells the caller of a Coordinator what it may or must do.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	ActionSend      ActionKind = iota + 1 // the attempt may go out
+	ActionSend      ActionKind = iota + 1 // the attempt may be sent
 	ActionJoin                            // wait: another attempt of the key decides the outcome
 	ActionUseAnswer                       // Action.Answer is the final answer
 	ActionAdopt                           // continue another attempt, which may have run, in Action.Scope
-	ActionRestart                         // the attempt that was waited for surely never ran: begin again
+	ActionRestart                         // the joined attempt never ran: start over with RequestSend
 	ActionTakeOver                        // complete Action.Taken, another instance's work
-	ActionAbort                           // the attempt may not go out; another instance may have sent it
-	ActionUnknown                         // to QueryOutcome: no other attempt of the key has an answer
+	ActionAbort                           // the attempt must not be sent; another instance may have sent it
+	ActionUnknown                         // result of QueryOutcome: no other attempt of the key has an answer
 )
 
 // String returns the kind's name.
@@ -46,14 +46,13 @@
 	Kind       ActionKind
 	Attempt    uint64
 	Relocation int
-	// Covered says that the replicas have acknowledged the intent, so that
-	// another instance can take the work over; set with ActionSend and
-	// ActionAdopt.
+	// Covered is set with ActionSend and ActionAdopt if the replicas have
+	// acknowledged the intent, so that another instance can take the work over.
 	Covered bool
 	// Answer is set with ActionUseAnswer.
 	Answer Answer
-	// Scope and StartedAt, the earliest time at which the key's first attempt
-	// can have been sent, are set with ActionAdopt.
+	// Scope and StartedAt are set with ActionAdopt. StartedAt is the earliest
+	// time at which the key's first attempt can have been sent.
 	Scope     Scope
 	StartedAt time.Duration
 	// Taken is set with ActionTakeOver.
@@ -67,12 +66,12 @@
 	Epoch   uint64
 	// Relocation counts the attempt's changes of scope.
 	Relocation int
-	// Scope is where it must be completed; ScopeNone leaves it open.
+	// Scope is the scope in which the work must be completed; ScopeNone allows any.
 	Scope Scope
-	// StartedAt is the earliest time at which its first attempt went out.
+	// StartedAt is the earliest time at which the first attempt can have been sent.
 	StartedAt time.Duration
-	// Deadline is when its client gives up.
+	// Deadline is when the client gives up.
 	Deadline time.Duration
-	// Owner is the instance that it was taken over from.
+	// Owner is the instance from which the work was taken over.
 	Owner string
 }
--- a/internal/takeover/completion.go
+++ b/internal/takeover/completion.go
@@ -7,15 +7,15 @@
 
 const (
 	completionResendInterval = 100 * time.Millisecond
-	// maxCompletionSends bounds how often a completion is sent in all.
+	// maxCompletionSends is how often a completion is sent, the first time included.
 	maxCompletionSends = 4
 	// completionGrace is how long after the client's deadline an owner may
-	// still report how its attempt ended.
+	// still report the outcome of its attempt.
 	completionGrace = time.Second
 )
 
-// Complete reports how an attempt ended here. The replicas are notified until they
-// have acknowledged it, maxCompletionSends times at the most.
+// Complete reports the outcome of an attempt of this instance. The completion is
+// sent to each replica until it acknowledges it, at most maxCompletionSends times.
 func (c *Coordinator) Complete(now time.Duration, attempt uint64, answer Answer) {
 	c.advance(now)
 	work := c.pending[attempt]
@@ -42,7 +42,7 @@
 }
 
 // sendCompletion sends the completion to the recipients that have not
-// acknowledged it, and forgets the work once there is nothing left to send.
+// acknowledged it, and removes the work after the last acknowledgement or send.
 func (c *Coordinator) sendCompletion(now time.Duration, work *pendingWork) {
 	work.completionSends++
 	work.completionSentAt = now
@@ -56,7 +56,7 @@
 	}
 }
 
-// receiveCompletionAck takes in a replica's acknowledgement of a completion.
+// receiveCompletionAck handles a replica's acknowledgement of a completion.
 func (c *Coordinator) receiveCompletionAck(from string, ack *Completion) {
 	work := c.pending[ack.Attempt]
 	if work == nil || work.state != stateCompleted {
--- a/internal/takeover/consent.go
+++ b/internal/takeover/consent.go
@@ -6,32 +6,36 @@
 	"time"
 )
 
-// Times of the wait for the replicas' consent.
+// Timing and fan-out of the requests for the replicas' consent.
 const (
 	intentResendInterval = 15 * time.Millisecond
-	// departedReplyTimeout is how long the reply of a replica is awaited that
-	// has left: its departure may be false.
+	// departedReplyTimeout is how long to wait for the reply of a replica that
+	// has been reported as departed: the report may be false.
 	departedReplyTimeout = 40 * time.Millisecond
-	// An intent waits for 1/replyTimeoutDivisor of its client's remaining time,
-	// within the bounds; then the attempt goes out uncovered.
+	// The replies to an intent are awaited for 1/replyTimeoutDivisor of the
+	// client's remaining time, clamped to these bounds. Then the attempt is sent
+	// uncovered.
 	replyTimeoutDivisor = 8
 	minReplyTimeout     = 60 * time.Millisecond
 	maxReplyTimeout     = 400 * time.Millisecond
-	// After half of the timeout the replicas that have replied decide alone.
+	// After 1/partialDecisionDivisor of the timeout, the replies received so far
+	// decide.
 	partialDecisionDivisor = 2
-	// departedReplicaSpan is how long after a departure the replicas from
-	// before it receive its intents too.
+	// departedReplicaSpan is how long after a departure intents are also sent to
+	// the replicas of the key as they were before it.
 	departedReplicaSpan = 8 * time.Second
-	// minRestartInterval is the least time between the request of an attempt and
-	// its restart. Two attempts that know of each other at different replicas
-	// would else restart each other without a pause.
+	// minRestartInterval is the minimum time between the request for an attempt
+	// and its restart. Without it, two attempts that are recorded at different
+	// replicas would restart each other in a tight loop.
 	minRestartInterval = 50 * time.Millisecond
-	// remoteReplicas is the number of a key's present replicas that receive its intents.
+	// remoteReplicas is the number of other instances among a key's current
+	// replicas that receive its intents.
 	remoteReplicas = 2
 )
 
-// requestConsent chooses the replicas of new work by the present members, has it
-// recorded here if this instance is one, and requests the consent of the others.
+// requestConsent chooses the replicas of new work among the current members,
+// records the work here if this instance is a replica, and requests the consent
+// of the others.
 func (c *Coordinator) requestConsent(now time.Duration, work *pendingWork) {
 	c.chooseReplicas(now, work)
 	refusal := c.recordLocally(now, work)
@@ -45,10 +49,10 @@
 	}
 }
 
-// replaceReplicas has the present replicas of work store it, since one has left.
-// A wait for consent goes on, and ends when it would have ended without that.
-// Work that waits unsent awaits the consent of the new replicas. An attempt that
-// may be on the wire waits for nothing, and is not withdrawn.
+// replaceReplicas chooses the replicas of work again after one of them has left,
+// and sends them the intent. A wait for consent continues with its original
+// timeout. Queued work awaits the consent of the new replicas. An attempt that
+// may be on the wire needs no further consent and is not withdrawn.
 func (c *Coordinator) replaceReplicas(now time.Duration, work *pendingWork) {
 	previous := work.replies
 	c.chooseReplicas(now, work)
@@ -79,8 +83,8 @@
 	}
 }
 
-// recordLocally has work recorded here if this instance is one of its replicas.
-// It returns the local replica's reply if that refuses the intent, else nil.
+// recordLocally records work in the local store if this instance is one of its
+// replicas. It returns the store's reply if it refuses the intent, else nil.
 func (c *Coordinator) recordLocally(now time.Duration, work *pendingWork) (refusal *Reply) {
 	if !slices.Contains(work.replicas, c.self.Name) {
 		return nil
@@ -96,7 +100,7 @@
 	return nil
 }
 
-// chooseReplicas sets the replicas of work by the present members.
+// chooseReplicas sets the replicas of work according to the current members.
 func (c *Coordinator) chooseReplicas(now time.Duration, work *pendingWork) {
 	work.replicas = Replicas(work.Key, c.members)
 	work.setRemotes(slices.DeleteFunc(
@@ -105,9 +109,9 @@
 	))
 }
 
-// remotesOf returns the other instances that receive the intents of a key: the first
-// two of its replicas, and the first two that it had before the recent
-// departures, since a departure may be false.
+// remotesOf returns the other instances that receive the intents of a key: the
+// first two of its replicas, and the first two that it had before the recent
+// departures, because a reported departure may be false.
 func (c *Coordinator) remotesOf(now time.Duration, replicas []string, key string) []string {
 	isSelf := func(name string) bool { return name == c.self.Name }
 	remotes := slices.DeleteFunc(slices.Clone(replicas), isSelf)
@@ -130,22 +134,23 @@
 	return remotes
 }
 
-// awaitConsent sends the intent in its present form to all remotes and begins
-// to wait for their consent.
+// awaitConsent sends the current intent to all remotes and starts the wait for
+// their consent.
 func (c *Coordinator) awaitConsent(now time.Duration, work *pendingWork, timeout time.Duration) {
 	work.timeout = timeout
 	work.awaitReplicas()
 	c.sendNewIntent(now, work)
 }
 
-// sendNewIntent sends the intent in its present form to all remotes.
+// sendNewIntent sends the current intent to all remotes and discards the replies
+// to earlier ones.
 func (c *Coordinator) sendNewIntent(now time.Duration, work *pendingWork) {
 	work.requestedAt = now
 	work.replies = map[string]*Reply{}
 	c.sendIntent(now, work)
 }
 
-// resendIntent sends the intent again if the last was sent long enough ago.
+// resendIntent sends the intent again if intentResendInterval has passed.
 func (c *Coordinator) resendIntent(now time.Duration, work *pendingWork) {
 	if now-work.lastSentAt >= intentResendInterval {
 		c.sendIntent(now, work)
@@ -162,7 +167,7 @@
 	}
 }
 
-// intentFor returns the intent of work as replica is to receive it.
+// intentFor returns the current intent of work, addressed to replica.
 func (c *Coordinator) intentFor(now time.Duration, work *pendingWork, replica string) *Intent {
 	if work.state == stateQuerying {
 		return &Intent{Work: work.Work, Attempt: work.attempt, QueryOnly: true}
@@ -185,7 +190,8 @@
 	return intent
 }
 
-// receiveReply takes in a replica's reply, unless it is to an earlier intent.
+// receiveReply handles a replica's reply. Replies to intents with another
+// relocation count are ignored.
 func (c *Coordinator) receiveReply(now time.Duration, from string, reply *Reply) {
 	work := c.pending[reply.Attempt]
 	if work == nil || work.Key != reply.Key || work.relocation != reply.Relocation {
@@ -204,7 +210,7 @@
 			c.send(from, Message{Intent: intent})
 		}
 	case c.prevailsOver(work, reply):
-		// The other one withdraws. Until then the replica is asked again.
+		// The other successor withdraws. Until then the intent is sent again.
 	default:
 		if reply.Kind == ReplyGranted {
 			work.epoch = max(work.epoch, reply.Epoch)
@@ -216,8 +222,8 @@
 	}
 }
 
-// prevailsOver reports whether a reply names another instance that takes the same
-// unsent work over in the same epoch and is outranked by this one.
+// prevailsOver reports whether a reply names another instance that has taken the
+// same unsent work over in the same epoch and that this instance outranks.
 func (c *Coordinator) prevailsOver(work *pendingWork, reply *Reply) bool {
 	return work.previousOwner != "" && reply.Kind == ReplyTakenOver && reply.Owner != "" &&
 		reply.Owner != c.self.Name && reply.Epoch == work.epoch && outranks(work.Key, c.self.Name, reply.Owner)
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Coordinator is one instance's side of takeover: the pending work of its own
-// clients, and the replica store that it keeps for all instances. It starts no
-// goroutine and takes no lock: one goroutine at a time may use it.
+// Coordinator runs the takeover protocol for one instance. It tracks the pending
+// work of the instance's own clients and contains the replica store in which the
+// instance holds records for all instances. It is not safe for concurrent use.
 type Coordinator struct {
 	self  Member
 	store *ReplicaStore
@@ -18,41 +18,41 @@
 	departed map[string]departedMember
 	// pending is this instance's pending work, by attempt.
 	pending map[uint64]*pendingWork
-	// replicaClock returns the newest reading of a member's clock that was heard.
+	// replicaClock returns the latest reading of a member's clock that was received.
 	replicaClock func(name string) time.Duration
-	// now is the latest time that a caller has passed.
+	// now is the latest time passed by a caller.
 	now     time.Duration
 	outbox  []Envelope
 	actions []Action
 	counts  Counts
-	// openQueries is the number of pending work in stateQuerying.
+	// openQueries is the number of entries of pending in stateQuerying.
 	openQueries int
 }
 
-// departedMember is a member that has left, and when that was heard.
+// departedMember is a member that was reported as departed.
 type departedMember struct {
 	Member
-	at time.Duration
+	at time.Duration // when the departure was reported
 }
 
-// Counts counts what became of this instance's attempts.
+// Counts counts the outcomes of this instance's attempts.
 type Counts struct {
 	Covered       int           `json:"Covered"`   // sent, acknowledged by all replicas
 	PartlyCovered int           `json:"Partly"`    // sent, acknowledged by some replicas
 	Uncovered     int           `json:"Uncovered"` // sent without any replica's consent
-	NoReplica     int           `json:"NoKeeper"`  // sent, as there was no other instance
-	Joined        int           `json:"Joined"`    // left to another attempt
+	NoReplica     int           `json:"NoKeeper"`  // sent without consent because there was no other instance
+	Joined        int           `json:"Joined"`    // waited for another attempt
 	Adopted       int           `json:"Bound"`     // continued another attempt in its scope
-	Answered      int           `json:"Answered"`  // given another attempt's answer
+	Answered      int           `json:"Answered"`  // answered with another attempt's answer
 	TookOver      int           `json:"TakenFrom"` // taken over from other instances
 	TakenOver     int           `json:"Over"`      // taken over by other instances
-	Aborted       int           `json:"Halted"`    // not sent, as a replica didn't consent to a change of scope
+	Aborted       int           `json:"Halted"`    // not sent because a replica didn't consent to a change of scope
 	Queried       int           `json:"Asked"`     // outcome queries
 	Replica       ReplicaCounts `json:"Keeper"`
 }
 
-// NewCoordinator returns a Coordinator that knows no other member. The clock
-// function returns the newest reading of a member's clock that was heard.
+// NewCoordinator returns a Coordinator with self as its only member. The clock
+// function returns the latest reading of a member's clock that was received.
 func NewCoordinator(
 	self Member, incarnation uint64, clock func(name string) time.Duration,
 ) *Coordinator {
@@ -66,28 +66,28 @@
 	}
 }
 
-// Drain returns the messages and actions that have come up since the last call.
+// Drain returns the messages and actions queued since the last call.
 func (c *Coordinator) Drain() ([]Envelope, []Action) {
 	outbox, actions := c.outbox, c.actions
 	c.outbox, c.actions = nil, nil
 	return outbox, actions
 }
 
-// Counts returns what has happened so far.
+// Counts returns the counts of this instance's attempts and of its replica store.
 func (c *Coordinator) Counts() Counts {
 	counts := c.counts
 	counts.Replica = c.store.counts
 	return counts
 }
 
-// Pending returns how many pieces of work of this instance are pending, and
-// how many records and bytes its replica store holds.
+// Pending returns the number of pending attempts of this instance, and the
+// number and size in bytes of the records in its replica store.
 func (c *Coordinator) Pending() (work, records, bytes int) {
 	return len(c.pending), len(c.store.records), c.store.bytes
 }
 
 // SetMembers sets the members of the fleet, this instance among them.
-// MemberLeft must be called first for those that have left.
+// MemberLeft must be called first for members that have left.
 func (c *Coordinator) SetMembers(members []Member) {
 	c.members = members
 	for _, m := range members {
@@ -111,21 +111,21 @@
 		work := c.pending[attempt]
 		movable := work.state != stateCompleted && work.state != stateJoined
 		if movable && work.covered && slices.Contains(work.remotes, name) {
-			c.replaceReplicas(now, work) // another replica stores it from now on
+			c.replaceReplicas(now, work)
 		}
 	}
 }
 
-// MemberReturned reports that an incarnation of a member is alive: a new one, or
-// one that has refuted its death.
+// MemberReturned reports that an incarnation of a member is alive: either a new
+// one, or one that has refuted a suspicion.
 func (c *Coordinator) MemberReturned(name string, incarnation uint64) {
 	c.store.memberReturned(name, incarnation)
 }
 
 // RequestSend requests consent to send the first attempt of work to scope. With
-// ScopeNone it has the work recorded as accepted and unsent. The action is
-// among what Drain returns: at once if there is no other replica, else when
-// the replicas have replied, after maxReplyTimeout at the latest.
+// ScopeNone it records the work as accepted but unsent. Drain returns the
+// resulting action: at once if there is no other replica, else after the
+// replicas have replied, or after maxReplyTimeout at the latest.
 func (c *Coordinator) RequestSend(
 	now time.Duration, work Work, attempt uint64, scope Scope, deadline time.Duration,
 ) {
@@ -135,8 +135,8 @@
 	c.requestConsent(now, pending)
 }
 
-// MigrateAttempt requests consent for a further attempt in another scope.
-// What went out before surely never ran.
+// MigrateAttempt requests consent for a further attempt in another scope. The
+// caller must know that no earlier attempt ran.
 func (c *Coordinator) MigrateAttempt(now time.Duration, attempt uint64, scope Scope) {
 	c.advance(now)
 	work := c.pending[attempt]
@@ -161,10 +161,11 @@
 	c.awaitConsent(now, work, work.consentTimeout(now))
 }
 
-// ConfirmRejection queries whether attempt, which is about to be rejected, has
-// not been taken over: a rejection says that nothing has run. The action is
-// ActionSend if no other instance has taken it over, ActionAbort if that can't
-// be known within outcomeQueryTimeout, else ActionJoin or ActionUseAnswer.
+// ConfirmRejection checks that an attempt that is about to be rejected was not
+// taken over, because a rejection tells the client that nothing has run. The
+// resulting action is ActionSend if no other instance has taken the work over,
+// ActionAbort if that is not known within outcomeQueryTimeout, and otherwise
+// ActionJoin or ActionUseAnswer.
 func (c *Coordinator) ConfirmRejection(now time.Duration, attempt uint64) {
 	c.advance(now)
 	work := c.pending[attempt]
@@ -173,7 +174,7 @@
 		return
 	}
 	work.relocation++
-	work.leavingScopeNone = work.ownsUnsent()
+	work.leavingScopeNone = work.acceptedAndUnsent()
 	work.covered = true
 	if len(work.remotes) == 0 {
 		c.emit(Action{Kind: ActionSend, Attempt: attempt, Relocation: work.relocation})
@@ -189,7 +190,7 @@
 	}
 }
 
-// Receive takes in a message that an incarnation of a member has sent.
+// Receive handles a message from an incarnation of a member.
 func (c *Coordinator) Receive(now time.Duration, from string, incarnation uint64, m Message) {
 	c.advance(now)
 	switch {
@@ -215,8 +216,8 @@
 	c.collectFromStore()
 }
 
-// Tick sends again what has no reply, decides on what has waited long enough,
-// and expires records. It must be called about every 10 ms.
+// Tick resends messages without a reply, decides on work whose wait has timed
+// out, and expires records. It must be called about every 10 ms.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.advance(now)
 	for _, attempt := range slices.Sorted(maps.Keys(c.pending)) {
@@ -226,7 +227,7 @@
 	c.collectFromStore()
 }
 
-// tickWork does what is due for one piece of pending work.
+// tickWork handles the timeouts of one piece of pending work.
 func (c *Coordinator) tickWork(now time.Duration, work *pendingWork) {
 	switch work.state {
 	case stateCompleted:
@@ -235,7 +236,7 @@
 		}
 	case stateQuerying:
 		if work.timedOut(now) {
-			c.endQueryUnknown(work)
+			c.endQueryWithoutOutcome(work)
 			return
 		}
 		c.resendIntent(now, work)
@@ -257,7 +258,7 @@
 	}
 }
 
-// advance moves the coordinator's time forward, never back.
+// advance sets the coordinator's time, which never goes back.
 func (c *Coordinator) advance(now time.Duration) { c.now = max(now, c.now) }
 
 // emit queues an action for Drain.
@@ -268,8 +269,8 @@
 	c.outbox = append(c.outbox, Envelope{To: to, Message: m})
 }
 
-// collectFromStore takes the messages and the taken-over work that the local
-// replica store has queued. Its notifications to this instance arrive here.
+// collectFromStore drains the messages and the taken-over work that the local
+// replica store has queued. It handles notifications to this instance directly.
 func (c *Coordinator) collectFromStore() {
 	outbox, taken := c.store.outbox, c.store.takenWork
 	c.store.outbox, c.store.takenWork = nil, nil
@@ -289,7 +290,7 @@
 	}
 }
 
-// takeOver makes another instance's work pending here.
+// takeOver adds work that was taken over from another instance to the pending work.
 func (c *Coordinator) takeOver(taken TakenWork) {
 	c.counts.TookOver++
 	work := &pendingWork{
--- a/internal/takeover/coordinator_test.go
+++ b/internal/takeover/coordinator_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An attempt is covered by two replicas. If its owner leaves, one instance and
-// no other takes it over, and a retry at any instance gets the answer.
+// If the owner of a covered attempt is lost, exactly one instance takes the work
+// over, and a retry at any instance gets the answer.
 func TestTakenOverOnce(t *testing.T) {
 	for i := range 60 {
 		t.Run(fmt.Sprint("key ", i), func(t *testing.T) {
@@ -27,10 +27,10 @@
 		t.Fatalf("the attempt is not covered: %+v", f.actions)
 	}
 	f.coordinators["n0"].AttemptSent(f.now, 1)
-	f.loseInstance("n0")
+	f.disconnect("n0")
 
 	f.now += 100 * ms
-	f.requestSend("n3", work, 2, ownScope("b"), f.now+3*time.Second) // before any instance has noticed
+	f.requestSend("n3", work, 2, ownScope("b"), f.now+3*time.Second) // before the loss is detected
 	f.tickAt("n3", 25)                                               // one of its replicas may be the lost instance
 	f.expectCount(t, "n3", ActionJoin, 1)
 	f.expectCount(t, "n3", ActionSend, 0)
@@ -54,13 +54,13 @@
 	f.expectCount(t, "n5", ActionUseAnswer, 1)
 }
 
-// Past its idempotency window work is not repeated, neither by a successor nor
-// by a retry: it fails.
+// After the idempotency window has ended, neither a successor nor a retry repeats
+// the attempt: the work fails.
 func TestNoRepeatPastIdempotencyWindow(t *testing.T) {
 	f := newTestFleet(4)
 	f.requestSend("n0", testWork(), 1, ownScope("a"), f.now+10*time.Second)
 	f.coordinators["n0"].AttemptSent(f.now, 1)
-	f.loseInstance("n0")
+	f.disconnect("n0")
 	f.now += 2800 * ms
 	f.reportLeft("n0")
 	if got := f.countEverywhere(ActionTakeOver); got != 0 {
@@ -78,7 +78,7 @@
 		f.isolate("n0")
 		f.requestSend("n0", testWork(), 1, ownScope("a"), f.now+800*ms)
 		f.tickAt("n0", 9)
-		f.expectCount(t, "n0", ActionSend, 0) // it waits for an eighth of its time
+		f.expectCount(t, "n0", ActionSend, 0) // it waits for 1/replyTimeoutDivisor of the remaining time
 		f.tickAt("n0", 1)
 		f.expectCount(t, "n0", ActionSend, 1)
 		if f.actions["n0"][0].Covered {
@@ -110,8 +110,8 @@
 	})
 }
 
-// A change of scope needs the consent of every replica. If one is silent the
-// attempt may not go out.
+// A change of scope needs the consent of every replica. If one doesn't reply, the
+// attempt is not sent.
 func TestMigrationNeedsEveryReplica(t *testing.T) {
 	f := newTestFleet(5)
 	c := f.coordinators["n0"]
@@ -120,7 +120,7 @@
 	f.deliverAll()
 	f.expectCount(t, "n0", ActionSend, 2)
 
-	f.loseInstance(c.pending[1].remotes[1])
+	f.disconnect(c.pending[1].remotes[1])
 	c.MigrateAttempt(f.now, 1, ownScope("c"))
 	f.deliverAll()
 	f.tickAt("n0", 40)
@@ -128,9 +128,9 @@
 	f.expectCount(t, "n0", ActionAbort, 1)
 }
 
-// Work that waits at its instance is rejected only if no instance has taken it
-// over: an owner that was falsely declared dead may be about to reject what
-// its successor has sent.
+// Queued work is rejected only if no other instance has taken it over. Otherwise an
+// owner that was falsely declared dead could reject work that its successor has
+// sent.
 func TestConfirmBeforeRejection(t *testing.T) {
 	tests := map[string]struct {
 		before func(t *testing.T, f *testFleet)
@@ -143,7 +143,7 @@
 		"it was taken over": {
 			before: func(t *testing.T, f *testFleet) {
 				t.Helper()
-				f.loseInstance("n0")
+				f.disconnect("n0")
 				for name, c := range f.coordinators {
 					if name != "n0" {
 						c.MemberLeft(f.now, "n0", 1)
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// replyTally sums up the replies to one intent.
+// replyTally summarizes the replies to one intent.
 type replyTally struct {
-	// first is the first reply by the order of the remotes; nil: there is none.
+	// first is the first reply in the order of the remotes, nil if there is none.
 	first *Reply
-	// other is the first reply that is neither a grant nor a lack of capacity:
-	// its replica knows of another attempt or owner. nil: there is none.
-	other *Reply
-	// missing says that a reply is still awaited, other than of a replica that
-	// has departed and had its time.
+	// conflicting is the first reply whose replica knows of another attempt or
+	// owner, that is, neither ReplyGranted nor ReplyFull. nil if there is none.
+	conflicting *Reply
+	// missing is set if a reply is still awaited. A departed replica is not
+	// waited for after departedReplyTimeout.
 	missing bool
-	// complete says that all remotes have replied.
+	// complete is set if all remotes have replied.
 	complete bool
 }
 
-// tallyReplies sums up the replies to the current intent of work. If the
-// primary consents, an attempt that has queried the same primary has lost there
-// and doesn't count, unless work was taken over.
+// tallyReplies summarizes the replies to the current intent of work. If the
+// primary consents, replies that name another attempt with the same primary are
+// ignored, since the primary has refused that attempt. This doesn't apply to
+// work that was taken over.
 func (c *Coordinator) tallyReplies(now time.Duration, work *pendingWork) replyTally {
 	tally := replyTally{complete: true}
 	primaryConsents := work.primaryConsents(c.self.Name)
@@ -39,28 +40,28 @@
 		if tally.first == nil {
 			tally.first = reply
 		}
-		if tally.other == nil && reply.Kind != ReplyGranted && reply.Kind != ReplyFull {
-			tally.other = reply
+		if tally.conflicting == nil && reply.Kind != ReplyGranted && reply.Kind != ReplyFull {
+			tally.conflicting = reply
 		}
 	}
 	return tally
 }
 
-// decide applies the replicas' decision once all have replied, or the others
-// have been silent for long enough. It reports whether it did.
+// decide applies the replicas' decision once all have replied, or part of the
+// timeout has passed. It reports whether a decision was made.
 func (c *Coordinator) decide(now time.Duration, work *pendingWork) bool {
 	tally := c.tallyReplies(now, work)
-	other := tally.other
-	patient := now-work.requestedAt < work.timeout/partialDecisionDivisor
+	conflicting := tally.conflicting
+	mayWait := now-work.requestedAt < work.timeout/partialDecisionDivisor
 	switch {
-	case other != nil && other.Answer != nil && other.Answer.Kind == AnswerServed:
-		c.applyDecision(now, work, *other, true) // no further reply can change it
-	case tally.missing && patient:
+	case conflicting != nil && conflicting.Answer != nil && conflicting.Answer.Kind == AnswerServed:
+		c.applyDecision(now, work, *conflicting, true) // further replies can't change it
+	case tally.missing && mayWait:
 		return false
-	case other != nil && tally.first.Kind == ReplyAdopt:
+	case conflicting != nil && tally.first.Kind == ReplyAdopt:
 		c.applyDecision(now, work, *tally.first, tally.complete)
-	case other != nil: // where views differ, the replica that knows of another attempt is right
-		c.applyDecision(now, work, *other, tally.complete)
+	case conflicting != nil: // if replicas disagree, the one that knows of another attempt is right
+		c.applyDecision(now, work, *conflicting, tally.complete)
 	case tally.first != nil:
 		c.applyDecision(now, work, *tally.first, tally.complete)
 	case !tally.missing && work.primaryConsents(c.self.Name):
@@ -71,8 +72,8 @@
 	return true
 }
 
-// applyDecision carries out what the replicas have decided on work. complete
-// says that all have replied.
+// applyDecision applies the replicas' decision on work. complete says whether
+// all of them have replied.
 func (c *Coordinator) applyDecision(now time.Duration, work *pendingWork, reply Reply, complete bool) {
 	work.settle()
 	switch reply.Kind {
@@ -86,7 +87,7 @@
 		switch {
 		case work.adopted:
 			c.adopt(work, complete)
-		case work.relocation > 0 && work.covered: // another replica may have it in another scope
+		case work.relocation > 0 && work.covered: // another replica may have recorded it in another scope
 			c.abort(work)
 		default:
 			c.sendUncovered(work)
@@ -96,13 +97,14 @@
 		c.joinOther(work, &reply)
 	case ReplyAdopt:
 		c.applyAdoption(now, work, &reply, complete)
-	case ReplyStaleClock, ReplyNone: // no decisions: one is sent again, the other answers a query
+	case ReplyStaleClock, ReplyNone: // not decisions: a resend is needed, or the reply is to a query
 	}
 }
 
-// applyGrant lets an attempt go out whose intent was granted. A change of scope
-// needs the consent of all replicas, one of which might still have the work in
-// its earlier scope; from ScopeNone that of the primary is enough.
+// applyGrant permits sending an attempt whose intent was granted. A change of
+// scope needs the consent of all replicas, because one of them might still have
+// the work recorded in its earlier scope. A change from ScopeNone needs only the
+// primary's.
 func (c *Coordinator) applyGrant(work *pendingWork, epoch uint64, complete bool) {
 	if work.relocation > 0 && !complete && !c.primarySuffices(work) {
 		c.abort(work)
@@ -124,7 +126,7 @@
 	work.covered = true
 	if covered {
 		c.counts.Covered++
-	} else { // a replica that might know of another attempt has not replied
+	} else { // a replica that may know of another attempt has not replied
 		c.counts.PartlyCovered++
 	}
 	c.emit(Action{
@@ -135,8 +137,9 @@
 	})
 }
 
-// joinIfYielded joins the instance that this one's record of work has yielded to,
-// if any: it takes the work over too, and prevails. It reports whether it did.
+// joinIfYielded joins the other successor if two instances have taken the same
+// work over and the local record was assigned to the other one. It reports
+// whether it joined.
 func (c *Coordinator) joinIfYielded(work *pendingWork) bool {
 	if !c.store.ownedByOther(work) {
 		return false
@@ -151,19 +154,20 @@
 	return true
 }
 
-// primarySuffices reports whether the primary's consent to the current intent
-// is enough, and was given.
+// primarySuffices reports whether the current intent needs only the primary's
+// consent, and the primary has recorded it.
 func (c *Coordinator) primarySuffices(work *pendingWork) bool {
 	return work.leavingScopeNone && work.primaryRecorded(c.self.Name)
 }
 
-// sendUncovered lets an attempt go out that no replica has recorded.
+// sendUncovered permits sending an attempt that no replica has recorded.
 func (c *Coordinator) sendUncovered(work *pendingWork) {
 	c.counts.Uncovered++
 	c.emit(Action{Kind: ActionSend, Attempt: work.attempt, Relocation: work.relocation})
 }
 
-// decideAlone lets an attempt go out whose key no other instance stores.
+// decideAlone permits sending an attempt for whose key no other instance is a
+// replica.
 func (c *Coordinator) decideAlone(work *pendingWork) {
 	work.settle()
 	if work.adopted {
@@ -174,8 +178,7 @@
 	c.emit(Action{Kind: ActionSend, Attempt: work.attempt, Relocation: work.relocation})
 }
 
-// decideWithoutReplicas ends the wait for replicas that have not decided in
-// time.
+// decideWithoutReplicas ends the wait for consent after its timeout.
 func (c *Coordinator) decideWithoutReplicas(work *pendingWork) {
 	work.settle()
 	switch {
@@ -188,8 +191,9 @@
 	}
 }
 
-// withdrawIntent reports to the recipients that have granted the intent, or may
-// still do so, that the attempt never ran: another attempt or owner decides.
+// withdrawIntent reports that the attempt never ran to all recipients that have
+// granted the intent or may still do so. Another attempt or owner decides the
+// outcome.
 func (c *Coordinator) withdrawIntent(now time.Duration, work *pendingWork) {
 	neverRan := Answer{Kind: AnswerNeverRan}
 	c.store.handleCompletion(now, c.self.Name, &Completion{work.Key, work.attempt, work.localEpoch, neverRan})
@@ -205,8 +209,8 @@
 	}
 }
 
-// joinOther leaves the outcome to another attempt or owner, whose answer may
-// be in the reply already.
+// joinOther leaves the outcome to another attempt or owner. The reply may already
+// carry the answer.
 func (c *Coordinator) joinOther(work *pendingWork, reply *Reply) {
 	if reply.Kind == ReplyTakenOver {
 		c.counts.TakenOver++
@@ -220,9 +224,9 @@
 	c.emit(Action{Kind: ActionJoin, Attempt: work.attempt})
 }
 
-// useJoinedAnswer ends an attempt that has joined another by that one's answer.
-// If that one never ran it begins again, no sooner than minRestartInterval after
-// its request.
+// useJoinedAnswer ends an attempt with the answer of the attempt that it joined.
+// If the joined attempt never ran, the attempt restarts, at the earliest
+// minRestartInterval after its request.
 func (c *Coordinator) useJoinedAnswer(work *pendingWork, answer Answer) {
 	if answer.Kind == AnswerNeverRan {
 		work.restartAt = work.requestedAt + minRestartInterval
@@ -234,8 +238,8 @@
 	c.emit(Action{Kind: ActionUseAnswer, Attempt: work.attempt, Answer: answer})
 }
 
-// restartIfDue lets an attempt begin again whose joined attempt never ran, if it is
-// time.
+// restartIfDue restarts an attempt whose joined attempt never ran once restartAt
+// is reached.
 func (c *Coordinator) restartIfDue(now time.Duration, work *pendingWork) {
 	if work.restartAt > 0 && now >= work.restartAt {
 		delete(c.pending, work.attempt)
@@ -243,8 +247,8 @@
 	}
 }
 
-// applyAdoption makes work continue another attempt. If that one's scope isn't
-// the chosen one, the replicas must record the change first.
+// applyAdoption makes work continue another attempt in that attempt's scope. If
+// it was requested for another scope, the replicas must record the change first.
 func (c *Coordinator) applyAdoption(now time.Duration, work *pendingWork, reply *Reply, complete bool) {
 	sameScope := work.scope == reply.Scope
 	work.adopted = true
@@ -260,7 +264,7 @@
 	c.awaitConsent(now, work, work.consentTimeout(now))
 }
 
-// adopt lets an attempt continue another in that one's scope.
+// adopt permits an attempt to continue another one in the scope of that one.
 func (c *Coordinator) adopt(work *pendingWork, covered bool) {
 	c.counts.Adopted++
 	work.covered = true
@@ -273,8 +277,8 @@
 	})
 }
 
-// abort ends an attempt that may not go out to another scope: a replica has not
-// heard that the attempt before never ran.
+// abort stops an attempt that may not be sent to another scope, because some
+// replica has not recorded that the previous attempt never ran.
 func (c *Coordinator) abort(work *pendingWork) {
 	c.counts.Aborted++
 	c.emit(Action{Kind: ActionAbort, Attempt: work.attempt})
--- a/internal/takeover/departure_test.go
+++ b/internal/takeover/departure_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// newWaitingWork returns an instance that is no replica of its work's key, and
-// has the consent of all remotes to the attempt 1 in ownScope("a").
+// newWaitingWork returns the coordinator of an instance that has the consent of
+// all remotes to attempt 1 in ownScope("a"). The instance itself is not a replica
+// of the key.
 func newWaitingWork(t *testing.T, now time.Duration) *Coordinator {
 	t.Helper()
 	members := numberedMembers(9)
@@ -25,7 +26,8 @@
 	return c
 }
 
-// actionsWithin ticks for a span and returns the actions with their times.
+// actionsWithin calls Tick every 10 ms for a span. It returns the actions and when
+// each was emitted, relative to start.
 func actionsWithin(c *Coordinator, start, span time.Duration) (actions []Action, at []time.Duration) {
 	for now := start; now <= start+span; now += 10 * ms {
 		c.Tick(now)
@@ -38,7 +40,7 @@
 }
 
 // Guards against a rejection that is never confirmed because a replica leaves
-// while the others are queried.
+// while the confirmation is awaited.
 func TestRejectionIsConfirmedWhenRemoteLeaves(t *testing.T) {
 	const now = time.Hour
 	c := newWaitingWork(t, now)
@@ -51,7 +53,7 @@
 	}
 }
 
-// Guards against a wait for consent that begins again with each departure.
+// Guards against a wait for consent that starts again with each departure.
 func TestDeparturesDoNotProlongTheWait(t *testing.T) {
 	now := time.Hour
 	c := newWaitingWork(t, now)
@@ -66,8 +68,9 @@
 	}
 }
 
-// Guards against an attempt on the wire being withdrawn as if it had never run,
-// because a replica leaves and the instance's own record names another owner.
+// Guards against the withdrawal of an attempt that may be on the wire. It was
+// reported as never having run when a replica left while the instance's own record
+// named another owner.
 func TestAttemptOnWireIsNotWithdrawn(t *testing.T) {
 	const now = time.Hour
 	members := numberedMembers(9)
@@ -98,7 +101,7 @@
 	}
 	for _, envelope := range outbox {
 		if completion := envelope.Message.Completion; completion != nil {
-			t.Errorf("%s is told %v of an attempt that is on the wire", envelope.To, completion.Answer.Kind)
+			t.Errorf("%s is notified of %v for an attempt that is on the wire", envelope.To, completion.Answer.Kind)
 		}
 	}
 }
--- a/internal/takeover/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// exploreVariable makes the explorations longer: they visit maxDeepStates
-// states, and as many random walks as it says.
-const exploreVariable = "HITCHSPRING_EXPLORE"
+// exploreEnv is an environment variable that makes the explorations longer: if it
+// is set, they visit up to maxDeepStates states. Its value is the number of random
+// walks.
+const exploreEnv = "HITCHSPRING_EXPLORE"
 
 const (
 	maxStates         = 4000
@@ -22,14 +23,14 @@
 	stepsPerWalk      = 40
 )
 
-// exploration is what a search through the states has found.
+// exploration is the result of a search through the states.
 type exploration struct {
 	states    int
-	violation string // the first, with the path to it; empty: there is none
-	complete  bool   // all states that can be reached were visited
+	violation string // the first violation with the path to it, or empty
+	complete  bool   // all reachable states were visited
 }
 
-// explore visits every state that can be reached, up to a number.
+// explore visits the states reachable from start, up to limit.
 func explore(start *modelState, limit int) exploration {
 	seen := map[uint64]bool{start.hash(): true}
 	stack := []*modelState{start}
@@ -54,8 +55,8 @@
 	return exploration{states: len(seen), complete: true}
 }
 
-// randomWalk takes one random path, as far as it goes, and returns its end and
-// the first violation.
+// randomWalk takes up to stepsPerWalk random steps and returns the last state and
+// the first violation, if any.
 func randomWalk(state *modelState, seed uint64) (*modelState, string) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for range stepsPerWalk {
@@ -71,14 +72,13 @@
 	return state, ""
 }
 
-// Three instances, an attempt at one and its client's retry at another, with
-// every order of messages, losses, repetitions, crashes, false departures, and
-// time that passes until who waits goes on without consent: attempts have
-// effects in two racks only if one was sent uncovered, and there are never two
-// answers.
+// Explores three instances with an attempt at one and its client's retry at
+// another, in every order of messages, losses, duplicates, crashes, false
+// departures and timeouts. Attempts may have effects in two racks only if one was
+// sent uncovered, and there must never be two different answers.
 func TestExploreStates(t *testing.T) {
 	limit := maxStates
-	if os.Getenv(exploreVariable) != "" { // the figures of docs/design/takeover.md; takes minutes
+	if os.Getenv(exploreEnv) != "" { // for the figures in docs/design/takeover.md; takes minutes
 		limit = maxDeepStates
 	}
 	for _, faults := range []faultBudget{
@@ -104,7 +104,7 @@
 	}
 }
 
-// Planted defects are found.
+// Random walks must find each planted defect.
 func TestExploreFindsDefects(t *testing.T) {
 	tests := []struct {
 		planted     defect
@@ -112,9 +112,9 @@
 		acceptFirst bool
 		prepare     func(s *modelState)
 	}{
-		{planted: defectSendsUnasked, faults: faultBudget{retries: 1}},
+		{planted: defectSendsWithoutConsent, faults: faultBudget{retries: 1}},
 		{
-			planted: defectAdoptsElsewhere,
+			planted: defectAdoptsInOtherScope,
 			faults:  faultBudget{crashes: 1, retries: 1},
 			prepare: func(s *modelState) { // the walks begin with a first attempt that has failed
 				s.deliverAll()
@@ -123,8 +123,8 @@
 				s.performActions("a")
 			},
 		},
-		{planted: defectSendsFromNone, faults: faultBudget{crashes: 1}, acceptFirst: true},
-		{planted: defectTakesOverUnasked, faults: faultBudget{falseDeaths: 3}, acceptFirst: true},
+		{planted: defectSendsFromScopeNone, faults: faultBudget{crashes: 1}, acceptFirst: true},
+		{planted: defectTakesOverWithoutConsent, faults: faultBudget{falseDeaths: 3}, acceptFirst: true},
 	}
 	for _, test := range tests {
 		t.Run(string(test.planted), func(t *testing.T) {
@@ -143,10 +143,11 @@
 	}
 }
 
-// Longer paths than can be explored completely, at random, with all faults.
+// Random walks with all faults check paths that are too long for a complete
+// exploration.
 func TestRandomWalks(t *testing.T) {
 	walks := uint64(defaultWalks)
-	if n, _ := strconv.ParseUint(os.Getenv(exploreVariable), 10, 64); n > 0 { // 20000 for docs/design/takeover.md
+	if n, _ := strconv.ParseUint(os.Getenv(exploreEnv), 10, 64); n > 0 { // 20000 for docs/design/takeover.md
 		walks = n
 	}
 	faults := faultBudget{lost: 1, duplicated: 1, crashes: 1, falseDeaths: 1, ticks: 2, retries: 1}
@@ -168,7 +169,7 @@
 	}
 	for what, n := range total {
 		if n == 0 {
-			t.Errorf("no walk came to %q", what)
+			t.Errorf("no random walk counted %q", what)
 		}
 	}
 	t.Log(total)
--- a/internal/takeover/false_death_test.go
+++ b/internal/takeover/false_death_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// reportFalseDeath reports to all others that an instance, which is alive, has
-// ended.
+// reportFalseDeath reports to all other instances that an instance has ended,
+// although it is alive.
 func (f *testFleet) reportFalseDeath(name string) {
 	for other, c := range f.coordinators {
 		if other != name {
@@ -18,8 +18,8 @@
 	f.deliverAll()
 }
 
-// reportRefutationAt reports to one instance that the incarnation of another
-// that was believed to have ended is alive.
+// reportRefutationAt reports to instance at that name, which was believed to have
+// ended, is alive.
 func (f *testFleet) reportRefutationAt(at, name string) {
 	c := f.coordinators[at]
 	present := slices.DeleteFunc(numberedMembers(len(f.coordinators)), func(m Member) bool {
@@ -30,7 +30,7 @@
 	c.SetMembers(present)
 }
 
-// reportRefutation reports it to all others.
+// reportRefutation reports to all other instances that name is alive.
 func (f *testFleet) reportRefutation(name string) {
 	for other := range f.coordinators {
 		if other != name {
@@ -40,9 +40,9 @@
 	f.deliverAll()
 }
 
-// Guards against a false death that is never forgotten: a retry at the instance
-// that was wrongly suspected has the answer, before and after the refutation,
-// whether the answer is stored already or follows.
+// Guards against an instance being treated as dead after its death was refuted. A
+// retry at a wrongly suspected instance must get the answer before and after the
+// refutation, whether the answer is stored already or arrives later.
 func TestRetryAtInstanceOnceBelievedDead(t *testing.T) {
 	for i := range 40 {
 		for _, refuted := range []bool{true, false} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Guards against two successors where a replica was once wrongly suspected.
+// Guards against two successors if a replica was wrongly suspected earlier.
 func TestOneSuccessorAfterRefutedDeaths(t *testing.T) {
 	for i := range 60 {
 		for falseDeaths := range 3 {
@@ -100,7 +100,7 @@
 				}
 				f.requestSend("n0", work, 1, ownScope("a"), f.now+4*time.Second)
 				f.coordinators["n0"].AttemptSent(f.now, 1)
-				f.loseInstance("n0")
+				f.disconnect("n0")
 				f.reportLeft("n0")
 				if taken := f.takeOvers(); len(taken) != 1 {
 					t.Errorf("got %d successors, want 1: %v", len(taken), taken)
@@ -110,8 +110,8 @@
 	}
 }
 
-// Guards against a record that stays orphaned, and is handed on with the next
-// departure, though its owner has refuted its death.
+// Guards against a record that stays orphaned after its owner has refuted its
+// death, and is then taken over at the next departure.
 func TestRecordOfRefutedOwnerIsNotTakenOver(t *testing.T) {
 	for i := range 40 {
 		t.Run(fmt.Sprint("key ", i), func(t *testing.T) {
@@ -125,7 +125,7 @@
 			second.MemberLeft(f.now, "n0", 1)
 			f.reportRefutationAt(remotes[1], "n0")
 			f.deliverAll()
-			f.loseInstance(remotes[0])
+			f.disconnect(remotes[0])
 			f.reportLeft(remotes[0])
 			if got := f.countEverywhere(ActionTakeOver); got != 0 {
 				t.Errorf("got %d takeovers of a live owner's work, want none", got)
@@ -134,8 +134,8 @@
 	}
 }
 
-// sendTaken has all instances that have taken unsent work over request the
-// consent to send it, as the core does, until a time is over.
+// sendTaken makes all instances that have taken unsent work over request consent
+// to send it, as the core does, and advances the time by span.
 func (f *testFleet) sendTaken(span time.Duration) {
 	requested := map[string]bool{}
 	for end := f.now + span; f.now < end; {
@@ -150,8 +150,9 @@
 	}
 }
 
-// Guards against two successors of queued work that wait for each other, or
-// both send it: a replica believes the other one dead when the owner ends.
+// Guards against two successors of queued work that wait for each other or both
+// send it. There are two if one replica believes the other dead when the owner
+// ends.
 func TestOneSuccessorSendsQueuedWork(t *testing.T) {
 	for i := range 60 {
 		t.Run(fmt.Sprint("key ", i), func(t *testing.T) {
@@ -162,7 +163,7 @@
 			remotes := f.coordinators["n0"].pending[1].remotes
 			f.coordinators[remotes[1]].MemberLeft(f.now, remotes[0], 1) // it is alive
 			f.deliverAll()
-			f.loseInstance("n0")
+			f.disconnect("n0")
 			f.reportLeft("n0")
 			sent := f.countEverywhere(ActionSend)
 			if got := len(f.takeOvers()); got != 2 {
--- a/internal/takeover/fleet_test.go
+++ b/internal/takeover/fleet_test.go
@@ -8,16 +8,16 @@
 
 const ms = time.Millisecond
 
-// zoneOf is the zone of each instance of the model.
+// zoneOf maps each instance of the model to its zone.
 var zoneOf = map[string]string{"a": "x", "b": "y", "c": "z"}
 
-// ownScope is where an instance would send a new attempt: each to a rack of its
-// own, which is the worst case.
+// ownScope returns the scope to which an instance sends a new attempt. Each has
+// its own rack, which is the worst case.
 func ownScope(name string) Scope { return Scope{Rack: int(name[0]), Zone: zoneOf[name]} }
 
 const testKey = "customer/key"
 
-// testWork returns the work that most tests send.
+// testWork returns the work that most tests use.
 func testWork() Work {
 	return Work{
 		Key:               testKey,
@@ -39,12 +39,12 @@
 	return members
 }
 
-// testFleet is coordinators whose messages arrive at once.
+// testFleet is a fleet of coordinators whose messages are delivered without delay.
 type testFleet struct {
 	now          time.Duration
 	coordinators map[string]*Coordinator
-	actions      map[string][]Action // all that were drained, by instance
-	unreachable  map[string]bool     // instances whose messages are lost both ways
+	actions      map[string][]Action // all drained actions, by instance
+	unreachable  map[string]bool     // instances from and to which all messages are lost
 }
 
 func newTestFleet(n int) *testFleet {
@@ -62,7 +62,7 @@
 	return f
 }
 
-// deliverAll delivers messages until none is on its way.
+// deliverAll delivers messages until none is in transit.
 func (f *testFleet) deliverAll() {
 	for again := true; again; {
 		again = false
@@ -79,16 +79,17 @@
 	}
 }
 
-// requestSend has an instance request consent for an attempt, and delivers all.
+// requestSend makes an instance request consent for an attempt, and delivers all
+// messages.
 func (f *testFleet) requestSend(name string, work Work, attempt uint64, scope Scope, deadline time.Duration) {
 	f.coordinators[name].RequestSend(f.now, work, attempt, scope, deadline)
 	f.deliverAll()
 }
 
-// loseInstance cuts an instance off.
-func (f *testFleet) loseInstance(name string) { f.unreachable[name] = true }
+// disconnect makes an instance unreachable.
+func (f *testFleet) disconnect(name string) { f.unreachable[name] = true }
 
-// reportLeft reports to all others that an instance has left.
+// reportLeft reports to all other instances that an instance has left.
 func (f *testFleet) reportLeft(left string) {
 	for name, c := range f.coordinators {
 		if name != left {
@@ -98,14 +99,14 @@
 	f.deliverAll()
 }
 
-// isolate cuts all instances off but one.
+// isolate makes all instances but one unreachable.
 func (f *testFleet) isolate(name string) {
 	for other := range f.coordinators {
 		f.unreachable[other] = other != name
 	}
 }
 
-// tickAt advances the time by 10 ms a tick, at one instance.
+// tickAt advances the time in steps of 10 ms and calls Tick at one instance.
 func (f *testFleet) tickAt(name string, ticks int) {
 	for range ticks {
 		f.now += 10 * ms
@@ -114,7 +115,8 @@
 	}
 }
 
-// tickReachable advances the time by 10 ms a tick, at all reachable instances.
+// tickReachable advances the time in steps of 10 ms and calls Tick at all
+// reachable instances.
 func (f *testFleet) tickReachable(ticks int) {
 	for range ticks {
 		f.now += 10 * ms
@@ -127,7 +129,7 @@
 	}
 }
 
-// countAt returns how many actions of a kind an instance has drained.
+// countAt returns how many actions of a kind one instance has emitted.
 func (f *testFleet) countAt(name string, kind ActionKind) int {
 	n := 0
 	for _, action := range f.actions[name] {
@@ -138,7 +140,7 @@
 	return n
 }
 
-// countEverywhere returns how many actions of a kind all instances have drained.
+// countEverywhere returns how many actions of a kind all instances have emitted.
 func (f *testFleet) countEverywhere(kind ActionKind) int {
 	n := 0
 	for name := range f.actions {
@@ -147,8 +149,7 @@
 	return n
 }
 
-// expectCount fails the test if an instance has drained another number of
-// actions of a kind.
+// expectCount fails the test unless an instance has emitted want actions of a kind.
 func (f *testFleet) expectCount(t *testing.T, name string, kind ActionKind, want int) {
 	t.Helper()
 	if got := f.countAt(name, kind); got != want {
@@ -156,7 +157,7 @@
 	}
 }
 
-// takeOvers returns all actions that take work over, by instance.
+// takeOvers returns the last ActionTakeOver of each instance that has emitted one.
 func (f *testFleet) takeOvers() map[string]Action {
 	taken := map[string]Action{}
 	for name, actions := range f.actions {
--- a/internal/takeover/known_faults_test.go
+++ b/internal/takeover/known_faults_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Tests of faults that were listed in KNOWN-RED.txt until they were mended.
+// Tests of faults that were listed in KNOWN-RED.txt until they were fixed.
 
-// replyFromAll lets all remotes of a pending attempt send one reply.
+// replyFromAll delivers the same reply from all remotes of a pending attempt.
 func replyFromAll(c *Coordinator, now time.Duration, attempt uint64, reply Reply) {
 	work := c.pending[attempt]
 	reply.Key, reply.Attempt, reply.Relocation, reply.Clock = work.Key, attempt, work.relocation, now
@@ -18,9 +18,9 @@
 	}
 }
 
-// Accepted work waits with four remotes, because two of its replicas have left.
-// They return, another instance takes the work over, and a remote leaves: the
-// intent is withdrawn, whatever the remotes were when it was sent.
+// Guards against a panic when an intent is withdrawn after its remotes have
+// changed. Accepted work has four remotes because two of its replicas have left.
+// These return, another instance takes the work over, and a remote leaves.
 func TestIntentIsWithdrawnAfterReplicasChanged(t *testing.T) {
 	const now = time.Hour
 	members := numberedMembers(12)
@@ -65,8 +65,8 @@
 	c.MemberLeft(now, remotes[0], 1)
 }
 
-// An attempt that goes on with another's work awaits the consent to that one's
-// scope while a remote leaves: it still is told to go on.
+// An attempt that adopts another awaits the consent to the other's scope. It must
+// still get ActionAdopt if a remote leaves meanwhile.
 func TestAdoptionGoesOnWhenRemoteLeaves(t *testing.T) {
 	members := numberedMembers(6)
 	work := testWork()
--- a/internal/takeover/messages.go
+++ b/internal/takeover/messages.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds on what a valid intent holds.
+// Limits on the fields of a valid intent.
 const (
 	maxKeyBytes  = 512
 	maxNameBytes = 128 // of a class, plan or tenant
@@ -17,41 +17,41 @@
 	Intent     *Intent     `cbor:"1,keyasint,omitempty"`
 	Reply      *Reply      `cbor:"2,keyasint,omitempty"`
 	Completion *Completion `cbor:"3,keyasint,omitempty"`
-	// CompletionAck acknowledges a Completion; its key and attempt are set.
+	// CompletionAck acknowledges a Completion; only its key and attempt are set.
 	CompletionAck *Completion   `cbor:"4,keyasint,omitempty"`
 	Notification  *Notification `cbor:"5,keyasint,omitempty"`
 }
 
-// Envelope is a message and the member that it goes to.
+// Envelope is a message with its receiver.
 type Envelope struct {
 	To      string
 	Message Message
 }
 
-// Intent requests that a replica record that an attempt is about to go out.
+// Intent asks a replica to record an attempt before it is sent.
 type Intent struct {
 	Work
-	// Attempt is the client's number of the attempt.
+	// Attempt is the number that the client gave the attempt; a retry has another.
 	Attempt uint64 `cbor:"20,keyasint"`
-	// Epoch is the record's epoch as the sender knows it; a takeover raises it.
+	// Epoch is the record's epoch as known to the sender; each takeover increases it.
 	Epoch uint64 `cbor:"21,keyasint"`
 	// Relocation counts the attempt's changes of scope.
 	Relocation int   `cbor:"22,keyasint,omitempty"`
 	Scope      Scope `cbor:"23,keyasint"`
-	// Remaining is the time until the client gives up, when it was sent.
+	// Remaining is the time from the sending of the intent until the client gives up.
 	Remaining time.Duration `cbor:"24,keyasint"`
-	// Age is the time since the first attempt went out, when it was sent.
+	// Age is the time from the first attempt to the sending of the intent.
 	Age time.Duration `cbor:"25,keyasint,omitempty"`
-	// Clock is the newest reading of the receiver's clock that the sender has heard.
+	// Clock is the latest reading of the receiver's clock that the sender has received.
 	Clock time.Duration `cbor:"26,keyasint,omitempty"`
-	// Replicas are the key's replicas as the sender sees them, the primary first.
+	// Replicas are the key's replicas in the sender's view, the primary first.
 	Replicas []string `cbor:"27,keyasint"`
-	// QueryOnly says that nothing is to be sent: the sender only queries whether
-	// another attempt of the key has an answer or will have one.
+	// QueryOnly is set if no attempt is to be sent: the sender only queries
+	// whether another attempt of the key has an answer or will have one.
 	QueryOnly bool `cbor:"28,keyasint,omitempty"`
 }
 
-// valid reports whether an intent from the network is within all bounds.
+// valid reports whether an intent from the network is within all limits.
 func (i *Intent) valid() bool {
 	size := 0
 	for _, argument := range i.Command {
@@ -72,11 +72,11 @@
 const (
 	ReplyGranted      ReplyKind = iota + 1 // the intent is recorded
 	ReplyStaleClock                        // the intent must be sent again with a newer clock reading
-	ReplyOtherAttempt                      // another attempt decides: its answer is here, or follows
+	ReplyOtherAttempt                      // another attempt decides: Answer is set, or a notification follows
 	ReplyAdopt                             // another attempt may have run: continue it in its scope
 	ReplyTakenOver                         // another instance has taken the work over
 	ReplyFull                              // the replica has no capacity
-	ReplyNone                              // to a query: there is no answer to wait for
+	ReplyNone                              // reply to a query: there is no answer to wait for
 )
 
 // String returns the decision's name.
@@ -107,28 +107,28 @@
 	Relocation int       `cbor:"3,keyasint,omitempty"`
 	Kind       ReplyKind `cbor:"4,keyasint"`
 	Epoch      uint64    `cbor:"5,keyasint,omitempty"`
-	// Scope is where an adopted attempt continues.
+	// Scope is the scope in which an adopted attempt continues.
 	Scope Scope `cbor:"6,keyasint"`
-	// Age is the upper bound of the time since the adopted first attempt.
+	// Age is an upper bound of the time since the first attempt of adopted work.
 	Age    time.Duration `cbor:"7,keyasint,omitempty"`
 	Answer *Answer       `cbor:"8,keyasint,omitempty"`
-	// Clock is the replica's clock.
+	// Clock is the current reading of the replica's clock.
 	Clock time.Duration `cbor:"9,keyasint"`
-	// Primary is the key's primary as the other attempt's owner saw it; it
+	// Primary is the key's primary in the view of the other attempt's owner. It
 	// is set with ReplyOtherAttempt and ReplyTakenOver.
 	Primary string `cbor:"10,keyasint,omitempty"`
-	// Owner is the instance that has taken the work over, in Epoch; it is set
+	// Owner is the instance that took the work over, in epoch Epoch. It is set
 	// with ReplyTakenOver.
 	Owner string `cbor:"11,keyasint,omitempty"`
 }
 
-// namesOther reports whether the reply says that another attempt or another
-// owner decides the outcome.
+// namesOther reports whether another attempt or another owner decides the
+// outcome, according to the reply.
 func (r *Reply) namesOther() bool {
 	return r.Kind == ReplyOtherAttempt || r.Kind == ReplyTakenOver
 }
 
-// Completion reports to a replica how an attempt ended.
+// Completion reports the outcome of an attempt to a replica.
 type Completion struct {
 	Key     string `cbor:"1,keyasint"`
 	Attempt uint64 `cbor:"2,keyasint"`
@@ -136,11 +136,11 @@
 	Answer  Answer `cbor:"4,keyasint"`
 }
 
-// Notification brings the answer to an instance that waits for it.
-// AnswerNeverRan means that the key is free.
+// Notification carries the answer to an instance that waits for it.
+// AnswerNeverRan means that the key is free again.
 type Notification struct {
 	Key string `cbor:"1,keyasint"`
-	// Attempt is the attempt that waits.
+	// Attempt is the waiting attempt.
 	Attempt uint64 `cbor:"2,keyasint"`
 	Answer  Answer `cbor:"3,keyasint"`
 }
--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// defect is a fault that a model can have, to show that it would be found.
+// defect is a planted defect of the model, which the exploration must find.
 type defect string
 
 const (
-	defectNone             defect = ""
-	defectSendsUnasked     defect = "sends without the replicas' consent"
-	defectAdoptsElsewhere  defect = "adopts an attempt in another scope"
-	defectSendsFromNone    defect = "sends accepted work without a change of scope"
-	defectTakesOverUnasked defect = "sends taken work without the replicas' consent"
+	defectNone                    defect = ""
+	defectSendsWithoutConsent     defect = "sends without the replicas' consent"
+	defectAdoptsInOtherScope      defect = "adopts an attempt in another scope"
+	defectSendsFromScopeNone      defect = "sends accepted work without a change of scope"
+	defectTakesOverWithoutConsent defect = "sends taken work without the replicas' consent"
 )
 
 // The attempts of the model's client.
@@ -28,17 +28,17 @@
 )
 
 const (
-	modelTick       = 130 * ms
-	modelClientTime = 2 * time.Second
-	maxActionRounds = 8 // of actions that follow from each other
+	modelTick             = 130 * ms
+	modelClientTimeout    = 2 * time.Second
+	maxConsecutiveActions = 8 // rounds of actions that result from each other
 )
 
-// Entries of modelState.outcomes: what a client has, and suffixes of keys.
+// Values and key suffixes of modelState.outcomes.
 const (
 	outcomeOpen    = "waits"
 	outcomeAborted = "aborted"
-	takenSuffix    = " taken" // of work that was taken over
-	endedSuffix    = " ended" // of an attempt that has ended, with endedMark
+	takenSuffix    = " taken" // key suffix of work that was taken over
+	endedSuffix    = " ended" // key suffix of an attempt that has ended, with the value endedMark
 	endedMark      = "yes"
 )
 
@@ -47,10 +47,10 @@
 	modelMembers = []Member{{"a", "x"}, {"b", "y"}, {"c", "z"}}
 )
 
-// faultBudget is what may still go wrong on a path.
+// faultBudget is the number of faults of each kind that may still occur on a path.
 type faultBudget struct{ lost, duplicated, crashes, falseDeaths, ticks, retries int }
 
-// packet is a message on its way.
+// packet is a message in transit.
 type packet struct {
 	from, to string
 	message  Message
@@ -58,32 +58,33 @@
 
 func (p packet) String() string { return p.from + p.to + describeMessage(p.message) }
 
-// modelState is three instances, what is on its way between them, and what
-// backends have seen.
+// modelState is the state of three instances, the messages in transit between them
+// and the effects at the backends.
 type modelState struct {
 	now          time.Duration
 	coordinators map[string]*Coordinator
 	network      []packet
-	// sent holds the scopes of attempts that were sent, by instance and attempt.
+	// sent holds the scopes of attempts that were sent, by attemptID.
 	sent map[string]Scope
-	// outcomes holds what a client knows of its attempt, by instance and
-	// attempt, and marks the attempts that have ended.
+	// outcomes holds the outcomes of attempts that their clients know, by
+	// attemptID. It also marks the attempts that have ended.
 	outcomes map[string]string
 	// effects counts the attempts that ran, by rack.
 	effects map[int]int
-	// sentUncovered says that an attempt went out uncovered: nothing is promised.
+	// sentUncovered is set once an attempt was sent uncovered: from then on
+	// effects in several racks are allowed.
 	sentUncovered bool
 	crashed       map[string]bool
 	faults        faultBudget
 	defect        defect
-	// acceptFirst says that the first attempt waits at its instance before it
-	// is sent.
+	// acceptFirst is set if the first attempt is recorded with ScopeNone before
+	// it is sent.
 	acceptFirst bool
-	// path is the steps that led here.
+	// path lists the steps that led to this state.
 	path []string
 }
 
-// newModel returns three instances, the first of which has a client's request.
+// newModel returns a model in which instance a has received a client's request.
 func newModel(planted defect, faults faultBudget, acceptFirst bool) *modelState {
 	s := &modelState{
 		now:          time.Hour,
@@ -105,10 +106,10 @@
 	return s
 }
 
-// attemptID names an attempt of an instance.
+// attemptID identifies an attempt of an instance.
 func attemptID(name string, attempt uint64) string { return fmt.Sprint(name, attempt) }
 
-// clone copies all that a step may change.
+// clone copies everything that a step may change.
 func (s *modelState) clone() *modelState {
 	c := *s
 	c.coordinators = map[string]*Coordinator{}
@@ -124,7 +125,7 @@
 	return &c
 }
 
-// useClock makes all coordinators read the clock of this state.
+// useClock makes all coordinators read this state's clock.
 func (s *modelState) useClock() {
 	for _, c := range s.coordinators {
 		c.replicaClock = func(string) time.Duration { return s.now }
@@ -167,7 +168,7 @@
 	return &clone
 }
 
-// stateHasher collects all in which two states differ.
+// stateHasher collects the parts of a state that distinguish it from others.
 type stateHasher struct{ buffer []byte }
 
 func (h *stateHasher) ints(values ...int64) {
@@ -194,7 +195,7 @@
 	return sum.Sum64()
 }
 
-// hash is equal for states that go on alike.
+// hash returns the same value for states that have the same future behavior.
 func (s *modelState) hash() uint64 {
 	h := &stateHasher{buffer: make([]byte, 0, 2048)}
 	f := s.faults
@@ -231,7 +232,7 @@
 	for _, attempt := range slices.Sorted(maps.Keys(c.pending)) {
 		h.pendingWork(c.pending[attempt])
 	}
-	for _, rec := range c.store.records { // there is one key
+	for _, rec := range c.store.records { // at most one, since there is one key
 		h.record(rec)
 	}
 }
@@ -261,7 +262,7 @@
 	}
 }
 
-// describeMessage names all in which two messages differ.
+// describeMessage returns a text that differs for messages with different effects.
 func describeMessage(m Message) string {
 	switch {
 	case m.Intent != nil:
@@ -282,7 +283,7 @@
 	return fmt.Sprint("notification ", m.Notification.Attempt, m.Notification.Answer.Kind)
 }
 
-// startAttempt begins a client's attempt at an instance.
+// startAttempt starts a client's attempt at an instance.
 func (s *modelState) startAttempt(name string, attempt uint64) {
 	c := s.coordinators[name]
 	s.useClock()
@@ -291,25 +292,24 @@
 	if s.acceptFirst && attempt == firstAttempt {
 		scope = ScopeNone
 	}
-	c.RequestSend(s.now, testWork(), attempt, scope, s.now+modelClientTime)
-	if s.defect == defectSendsUnasked {
+	c.RequestSend(s.now, testWork(), attempt, scope, s.now+modelClientTimeout)
+	if s.defect == defectSendsWithoutConsent {
 		s.sendAttempt(name, attempt, ownScope(name), true)
 	}
 	s.performActions(name)
 }
 
-// sendAttempt sends an attempt, which runs at its backend at some moment: at
-// once is the worst.
+// sendAttempt sends an attempt. It runs at its backend at once, which is the worst
+// case.
 func (s *modelState) sendAttempt(name string, attempt uint64, scope Scope, covered bool) {
 	s.sentUncovered = s.sentUncovered || !covered
 	s.sent[attemptID(name, attempt)] = scope
 	s.effects[scope.Rack]++
 }
 
-// performActions does what a coordinator permits, and puts its messages on
-// their way.
+// performActions performs a coordinator's actions and sends its messages.
 func (s *modelState) performActions(name string) {
-	for range maxActionRounds {
+	for range maxConsecutiveActions {
 		outbox, actions := s.coordinators[name].Drain()
 		for _, envelope := range outbox {
 			if envelope.To == name {
@@ -333,7 +333,7 @@
 		s.performSend(name, action)
 	case ActionAdopt:
 		scope := action.Scope
-		if s.defect == defectAdoptsElsewhere {
+		if s.defect == defectAdoptsInOtherScope {
 			scope = ownScope(name)
 		}
 		s.sendAttempt(name, action.Attempt, scope, action.Covered)
@@ -342,7 +342,7 @@
 		switch {
 		case action.Taken.Scope != ScopeNone:
 			s.sendAttempt(name, action.Attempt, action.Taken.Scope, true)
-		case s.defect == defectTakesOverUnasked:
+		case s.defect == defectTakesOverWithoutConsent:
 			s.sendAttempt(name, action.Attempt, ownScope(name), true)
 		default:
 			s.coordinators[name].MigrateAttempt(s.now, action.Attempt, ownScope(name))
@@ -350,19 +350,19 @@
 	case ActionUseAnswer:
 		s.recordAnswer(id, action.Answer)
 	case ActionRestart:
-		s.coordinators[name].RequestSend(s.now, testWork(), action.Attempt, ownScope(name), s.now+modelClientTime)
+		s.coordinators[name].RequestSend(s.now, testWork(), action.Attempt, ownScope(name), s.now+modelClientTimeout)
 	case ActionAbort:
 		s.outcomes[id] = outcomeAborted
-	case ActionJoin, ActionUnknown: // the client waits on
+	case ActionJoin, ActionUnknown: // the client continues to wait
 	}
 }
 
-// performSend sends an attempt, or moves accepted work to a scope first.
+// performSend sends an attempt. Accepted work must first be moved to a scope.
 func (s *modelState) performSend(name string, action Action) {
 	c := s.coordinators[name]
 	work := c.pending[action.Attempt]
 	accepted := work != nil && work.scope == ScopeNone
-	if accepted && work.covered && s.defect != defectSendsFromNone { // else no replica has it
+	if accepted && work.covered && s.defect != defectSendsFromScopeNone { // if not covered, no replica has it
 		c.MigrateAttempt(s.now, action.Attempt, ownScope(name))
 		return
 	}
@@ -376,7 +376,7 @@
 	s.outcomes[id] = fmt.Sprint(answer.Kind, string(answer.Value))
 }
 
-// violation names what must never be, or returns an empty string.
+// violation describes a violated invariant, or returns an empty string.
 func (s *modelState) violation() string {
 	if len(s.effects) > 1 && !s.sentUncovered {
 		return fmt.Sprintf("effects in racks %v", slices.Sorted(maps.Keys(s.effects)))
@@ -393,7 +393,7 @@
 	return ""
 }
 
-// deliverAll delivers all that is on its way, in order.
+// deliverAll delivers all messages in order until none is in transit.
 func (s *modelState) deliverAll() {
 	for len(s.network) > 0 {
 		p := s.network[0]
--- a/internal/takeover/pending.go
+++ b/internal/takeover/pending.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// workState is the phase of one piece of pending work.
+// workState is the state of one piece of pending work.
 type workState uint8
 
 const (
 	// stateSettled: no reply is awaited. An attempt may be on the wire, or the
-	// caller may not send any.
+	// caller was told not to send one.
 	stateSettled workState = iota
-	// stateAwaitingReplicas: the intent was sent, and nothing may go out
-	// before the replicas have decided or the wait has timed out.
+	// stateAwaitingReplicas: the intent was sent. No attempt may be sent until
+	// the replicas have decided or the wait has timed out.
 	stateAwaitingReplicas
-	// stateQuerying: nothing will be sent; the replicas are queried whether
+	// stateQuerying: no attempt will be sent. The replicas are asked whether
 	// another attempt has an outcome.
 	stateQuerying
-	// stateJoined: another attempt decides the outcome, and a notification of
-	// it is awaited.
+	// stateJoined: another attempt decides the outcome, and the notification of
+	// its answer is awaited.
 	stateJoined
-	// stateCompleted: the attempt has ended, and the replicas are being notified.
+	// stateCompleted: the attempt has ended, and its completion is being sent to
+	// the replicas.
 	stateCompleted
 )
 
@@ -48,61 +49,65 @@
 	Work
 	attempt uint64
 	state   workState
-	// epoch is the newest epoch that a replica has granted; 0: none has.
+	// epoch is the latest epoch granted by a replica, 0 if none has granted one.
 	epoch uint64
-	// localEpoch is the epoch of this instance's own record; 0: it has none.
+	// localEpoch is the epoch of the record in this instance's own store, 0 if
+	// there is none.
 	localEpoch uint64
-	// relocation counts the changes of scope; replies to earlier ones are dropped.
+	// relocation counts the changes of scope; replies for an earlier count are dropped.
 	relocation int
 	scope      Scope
-	// startedAt is when its first attempt went out; 0: none has.
+	// startedAt is when the first attempt was sent, 0 if none was.
 	startedAt time.Duration
-	// deadline is when its client gives up.
+	// deadline is when the client gives up.
 	deadline time.Duration
 
-	// replicas are the key's replicas, this instance among them if it is one.
+	// replicas are the key's replicas, which may include this instance.
 	replicas []string
 	// remotes are the other instances that receive the intent: the first two of
-	// replicas, and those from before a recent departure.
+	// replicas, and those of before a recent departure.
 	remotes []string
-	// recipients are all instances that have been remotes. They may hold a
-	// record of the attempt, so they are notified of how it ends.
+	// recipients are all instances that have ever been remotes. They may hold a
+	// record of the attempt, so they receive its completion.
 	recipients []string
 	// replies holds the latest reply to the current intent, by replica.
 	replies map[string]*Reply
-	// requestedAt is when the current intent was first sent, lastSentAt when last.
+	// requestedAt is when the current intent was first sent, lastSentAt when it
+	// was last sent.
 	requestedAt time.Duration
 	lastSentAt  time.Duration
-	// timeout is how long after requestedAt the replicas are waited for.
+	// timeout is how long after requestedAt to wait for the replicas.
 	timeout time.Duration
 
-	// covered says that a replica has granted the intent, or that the work may
+	// covered is set if a replica has granted the intent, or if the work may
 	// change its scope only with a replica's consent.
 	covered bool
-	// adopted says that it continues another attempt in that one's scope.
+	// adopted is set if the work continues another attempt in that attempt's scope.
 	adopted bool
-	// leavingScopeNone says that the current intent moves it from ScopeNone.
-	// The primary's consent is enough then, since a successor needs that of all.
+	// leavingScopeNone is set if the current intent moves the work from ScopeNone
+	// to a scope. Only the primary's consent is needed then, since a successor
+	// needs the consent of all replicas.
 	leavingScopeNone bool
-	// unsentEverywhere says that all replicas had recorded it with ScopeNone.
+	// unsentEverywhere is set if all replicas had recorded the work with ScopeNone.
 	unsentEverywhere bool
-	// previousOwner is the instance that it was taken over from with
-	// ScopeNone. Its consent isn't needed: it sends nothing without this one's.
+	// previousOwner is the instance from which the work was taken over with
+	// ScopeNone. Its consent isn't needed, because it can't send an attempt
+	// without the consent of this instance.
 	previousOwner string
 
-	// restartAt is when it begins again in stateJoined, since the joined attempt
-	// never ran; 0: it doesn't.
+	// restartAt is when the work restarts in stateJoined because the joined
+	// attempt never ran, 0 if it doesn't.
 	restartAt time.Duration
 
-	// completion is what the recipients are sent in stateCompleted, and
-	// acknowledged which of them have confirmed it.
+	// completion is sent to the recipients in stateCompleted; acknowledged holds
+	// those that have acknowledged it.
 	completion       *Completion
 	acknowledged     map[string]bool
 	completionSends  int
 	completionSentAt time.Duration
 }
 
-// setRemotes replaces the instances that receive the intent.
+// setRemotes replaces the remotes and adds them to the recipients.
 func (w *pendingWork) setRemotes(remotes []string) {
 	w.remotes = remotes
 	for _, remote := range remotes {
@@ -112,50 +117,50 @@
 	}
 }
 
-// awaitReplicas begins the wait for the replies to a new intent. Work that has
-// joined another attempt, is queried for or has completed awaits no consent.
+// awaitReplicas starts the wait for the replies to a new intent. It has no effect
+// on work that is querying, has joined another attempt or has completed.
 func (w *pendingWork) awaitReplicas() {
 	if w.state == stateSettled {
 		w.state = stateAwaitingReplicas
 	}
 }
 
-// settle ends the wait for the replicas: they have decided or have timed out, or
-// the attempt needs no consent.
+// settle ends the wait for the replicas' decision.
 func (w *pendingWork) settle() {
 	if w.state == stateAwaitingReplicas {
 		w.state = stateSettled
 	}
 }
 
-// join makes another attempt decide the outcome. It is legal while nothing of
-// this attempt was sent, or after a takeover.
+// join leaves the outcome to another attempt. It is allowed only if this attempt
+// was not sent, or after a takeover.
 func (w *pendingWork) join() { w.state = stateJoined }
 
-// complete records how the attempt ended.
+// complete records the outcome of the attempt.
 func (w *pendingWork) complete(completion *Completion) {
 	w.state = stateCompleted
 	w.completion = completion
 	w.acknowledged = map[string]bool{}
 }
 
-// sendsNothing reports whether another attempt's owner completes the key.
+// sendsNothing reports whether the work sends no attempt of its own because it
+// waits for another attempt's outcome.
 func (w *pendingWork) sendsNothing() bool {
 	return w.state == stateJoined || w.state == stateQuerying
 }
 
-// consentTimeout returns how long the consent to a new intent is awaited.
+// consentTimeout returns how long to wait for the consent to a new intent.
 func (w *pendingWork) consentTimeout(now time.Duration) time.Duration {
 	return min(maxReplyTimeout, max(minReplyTimeout, (w.deadline-now)/replyTimeoutDivisor))
 }
 
-// mayBeOnWire reports whether an attempt was sent, here or by the instance that
-// the work was taken over from, and nothing is awaited before a further one.
+// mayBeOnWire reports whether an attempt was sent, by this instance or by the
+// previous owner, and no consent to a further attempt is awaited.
 func (w *pendingWork) mayBeOnWire() bool {
 	return w.state == stateSettled && w.startedAt > 0
 }
 
-// timedOut reports whether the replicas were waited for long enough.
+// timedOut reports whether the wait for the replicas has timed out.
 func (w *pendingWork) timedOut(now time.Duration) bool {
 	return now-w.requestedAt >= w.timeout
 }
@@ -175,15 +180,14 @@
 	return reply != nil && reply.Kind == ReplyGranted
 }
 
-// primaryConsents reports whether the key's primary has not objected to the
-// current intent. This instance, if it is the primary, had no objection when
-// the intent was sent.
+// primaryConsents reports whether the key's primary has consented to the current
+// intent. If this instance is the primary, it did so before the intent was sent.
 func (w *pendingWork) primaryConsents(self string) bool {
 	return w.isPrimary(self) || w.remotePrimaryGranted()
 }
 
-// primaryRecorded reports whether the key's primary has a record of the
-// current intent; this instance may have had no capacity for one.
+// primaryRecorded reports whether the key's primary has recorded the current
+// intent. If this instance is the primary, its store may have been full.
 func (w *pendingWork) primaryRecorded(self string) bool {
 	if w.isPrimary(self) {
 		return w.localEpoch > 0
@@ -191,20 +195,20 @@
 	return w.remotePrimaryGranted()
 }
 
-// relocate moves the work to a further scope. What went out before surely
-// never ran.
+// relocate moves the work to another scope. The caller knows that no earlier
+// attempt ran.
 func (w *pendingWork) relocate(scope Scope) {
 	w.relocation++
-	w.leavingScopeNone = w.ownsUnsent()
+	w.leavingScopeNone = w.acceptedAndUnsent()
 	if w.scope == ScopeNone {
-		w.covered = true // it goes with a replica's consent, or not at all
+		w.covered = true // from now on it is sent only with a replica's consent
 	}
 	w.scope = scope
 	w.startedAt = 0
 }
 
-// ownsUnsent reports whether this instance accepted the work and nothing of it
-// was sent.
-func (w *pendingWork) ownsUnsent() bool {
+// acceptedAndUnsent reports whether this instance accepted the work and no attempt
+// of it was sent.
+func (w *pendingWork) acceptedAndUnsent() bool {
 	return w.scope == ScopeNone && w.previousOwner == ""
 }
--- a/internal/takeover/placement.go
+++ b/internal/takeover/placement.go
@@ -12,10 +12,11 @@
 	rank uint64
 }
 
-// Replicas returns the members that store a key's record, the primary first:
-// the two members of the highest rank, the second of another zone than the
-// first if there is one, and one more, since an owner isn't the only replica
-// of its own work. Instances with the same members return the same list.
+// Replicas returns the up to three members that store a key's record, the
+// primary first. These are the highest-ranked member, the highest-ranked of
+// another zone if there is one, and the highest-ranked of the rest. The third
+// ensures two replicas besides the owner if the owner is itself a replica.
+// The result depends only on the set of members.
 func Replicas(key string, members []Member) []string {
 	candidates := rankMembers(key, members)
 	if len(candidates) == 0 {
@@ -56,15 +57,15 @@
 	return ranked
 }
 
-// outranks reports whether an instance precedes another among those that take
-// the same work over in the same epoch. It doesn't depend on anybody's view of
-// the members.
+// outranks reports whether name has priority over other if both take the same
+// work over in the same epoch. The result doesn't depend on either instance's
+// view of the members.
 func outranks(key, name, other string) bool {
 	return rankMembers(key, []Member{{Name: name}, {Name: other}})[0].Name == name
 }
 
-// mixBits is the finalizer of MurmurHash3. FNV alone ranks names alike that
-// differ only in their last letter.
+// mixBits is the finalizer of MurmurHash3. With FNV alone, names that differ only
+// in their last letter get similar ranks.
 func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/internal/takeover/placement_test.go
+++ b/internal/takeover/placement_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// All instances name the same replicas of a key, in two zones, and the keys are
-// spread evenly.
+// The replicas of a key don't depend on the order of the members and are in two
+// zones, and the primaries are distributed evenly.
 func TestReplicasAreAgreedAndSpread(t *testing.T) {
 	members := numberedMembers(9)
 	primaries := map[string]int{}
@@ -17,7 +17,7 @@
 		reversed := slices.Clone(members)
 		slices.Reverse(reversed)
 		if got := Replicas(key, reversed); !slices.Equal(got, replicas) || len(got) != 3 {
-			t.Fatalf("replicas by another order of members: got %v, want %v, three of them", got, replicas)
+			t.Fatalf("replicas with the members in another order: got %v, want %v, three of them", got, replicas)
 		}
 		if replicas[0][1]%3 == replicas[1][1]%3 {
 			t.Fatalf("%v are in one zone", replicas[:2])
--- a/internal/takeover/query.go
+++ b/internal/takeover/query.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// outcomeQueryTimeout is the longest that a client waits for a rejection
-	// while the replicas are queried.
+	// outcomeQueryTimeout is the maximum time by which querying the replicas
+	// delays a rejection.
 	outcomeQueryTimeout = 25 * time.Millisecond
-	// maxOpenQueries is the number of outcome queries at a time; further
-	// attempts are rejected at once.
+	// maxOpenQueries limits the concurrent outcome queries; beyond it attempts
+	// are rejected without a query.
 	maxOpenQueries = 64
 )
 
-// QueryOutcome queries the replicas of an idempotency key whether another attempt
-// has completed or is still running. The caller is about to reject attempt and
-// must not do so if one has.
+// QueryOutcome asks the replicas of an idempotency key whether another attempt
+// has completed or is still running. It is called before attempt is rejected,
+// because a key that has run or may run must not be rejected.
 //
-// It reports false if no replica can be reached. Otherwise the next calls of
-// Drain return one ActionJoin, ActionUseAnswer or ActionUnknown for attempt,
-// within outcomeQueryTimeout.
+// It returns false if no query was started: there is no other replica, too many
+// queries are open, the deadline is too close or the attempt is already pending.
+// Otherwise Drain returns one ActionJoin, ActionUseAnswer or ActionUnknown for
+// attempt within outcomeQueryTimeout.
 func (c *Coordinator) QueryOutcome(
 	now time.Duration, key string, attempt uint64, deadline time.Duration,
 ) bool {
@@ -50,7 +51,7 @@
 		query := c.intentFor(now, work, c.self.Name)
 		reply := c.store.handleIntent(now, c.self.Name, c.store.incarnation, query)
 		if reply.Kind == ReplyOtherAttempt {
-			c.endQueryKnown(work, &reply)
+			c.endQueryWithOutcome(work, &reply)
 			return true
 		}
 	}
@@ -58,23 +59,22 @@
 	return true
 }
 
-// receiveQueryReply takes in a replica's reply to an outcome query. The first
-// that knows of another attempt decides; the outcome is unknown once all have
-// replied that they know of none.
+// receiveQueryReply handles a replica's reply to an outcome query. The first reply
+// that names another attempt decides. If no reply does, the outcome is unknown.
 func (c *Coordinator) receiveQueryReply(work *pendingWork, from string, reply *Reply) {
 	work.replies[from] = reply
 	if reply.Kind == ReplyOtherAttempt {
-		c.endQueryKnown(work, reply)
+		c.endQueryWithOutcome(work, reply)
 		return
 	}
 	if work.allReplied() {
-		c.endQueryUnknown(work)
+		c.endQueryWithoutOutcome(work)
 	}
 }
 
-// endQueryKnown ends an outcome query: another attempt has an answer, or will
-// have one.
-func (c *Coordinator) endQueryKnown(work *pendingWork, reply *Reply) {
+// endQueryWithOutcome ends an outcome query because another attempt has an answer
+// or will have one.
+func (c *Coordinator) endQueryWithOutcome(work *pendingWork, reply *Reply) {
 	c.openQueries--
 	work.join()
 	if reply.Answer != nil {
@@ -85,8 +85,8 @@
 	c.emit(Action{Kind: ActionJoin, Attempt: work.attempt})
 }
 
-// endQueryUnknown ends an outcome query: no other attempt is known.
-func (c *Coordinator) endQueryUnknown(work *pendingWork) {
+// endQueryWithoutOutcome ends an outcome query that found no other attempt.
+func (c *Coordinator) endQueryWithoutOutcome(work *pendingWork) {
 	c.openQueries--
 	delete(c.pending, work.attempt)
 	c.emit(Action{Kind: ActionUnknown, Attempt: work.attempt})
--- a/internal/takeover/query_test.go
+++ b/internal/takeover/query_test.go
@@ -8,8 +8,8 @@
 
 const queryDeadline = time.Hour + 3*time.Second
 
-// newQueryFleet returns a fleet whose first instance has sent attempt 1 of
-// work, keyed by a number.
+// newQueryFleet returns a fleet whose first instance has sent attempt 1 of the
+// returned work. The number selects the key.
 func newQueryFleet(number int) (*testFleet, Work) {
 	f := newTestFleet(6)
 	work := testWork()
@@ -19,7 +19,7 @@
 	return f, work
 }
 
-// query has an instance query the outcome of a key, and delivers all.
+// query makes an instance query the outcome of a key, and delivers all messages.
 func (f *testFleet) query(t *testing.T, name string, attempt uint64, key string) {
 	t.Helper()
 	if !f.coordinators[name].QueryOutcome(f.now, key, attempt, queryDeadline) {
@@ -28,9 +28,9 @@
 	f.deliverAll()
 }
 
-// An attempt that is about to be rejected waits for another that is running,
-// also if that one's owner is lost and a successor completes it, and is given
-// an answer that is stored. Nothing is sent for it.
+// An attempt that is about to be rejected waits for a running attempt of the same
+// key, even if its owner is lost and a successor completes it. If the answer is
+// already stored, the attempt gets it. No further attempt is sent.
 func TestOutcomeQueryBeforeRejection(t *testing.T) {
 	served := Answer{Kind: AnswerServed, Value: []byte("v")}
 	for i := range 40 {
@@ -42,7 +42,7 @@
 			f.expectCount(t, "n3", ActionJoin, 1)
 			f.expectCount(t, "n4", ActionUnknown, 1)
 			if ownerIsLost {
-				f.loseInstance("n0")
+				f.disconnect("n0")
 				f.reportLeft("n0")
 				for name := range f.takeOvers() {
 					f.coordinators[name].Complete(f.now, 1, served)
@@ -84,7 +84,7 @@
 		}
 	}
 	if c.QueryOutcome(f.now, work.Key, 1000, queryDeadline) {
-		t.Error("more queries are open at a time than may be")
+		t.Error("a query beyond maxOpenQueries was started")
 	}
 	f.tickReachable(2)
 	if got := f.countAt("n3", ActionUnknown); got != 0 {
@@ -98,15 +98,15 @@
 		t.Errorf("pending work after 30 ms: got %d, want 0", got)
 	}
 	if !c.QueryOutcome(f.now, work.Key, 2000, queryDeadline) {
-		t.Error("no further query is possible")
+		t.Error("no query can be started after the earlier ones have ended")
 	}
 	if c.QueryOutcome(f.now, work.Key, 2001, f.now+outcomeQueryTimeout) {
-		t.Error("a query has too little time, and is sent")
+		t.Error("a query was started although the deadline is too close")
 	}
 }
 
-// If more attempts wait for one answer than a replica notifies, the others'
-// outcome is unknown.
+// If more than maxWaiters attempts wait for one answer, the outcome is unknown to
+// the excess ones.
 func TestOutcomeQueryBeyondMaxWaiters(t *testing.T) {
 	f, work := newQueryFleet(1)
 	for i := range uint64(2 * maxWaiters) {
--- a/internal/takeover/random_fleet_test.go
+++ b/internal/takeover/random_fleet_test.go
@@ -11,17 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// Bounds of a random fleet.
+// Parameters of a random fleet.
 const (
-	randomKeys       = 3
-	randomClientTime = 3 * time.Second
-	randomTick       = 10 * ms
-	maxRandomPackets = 400
-	// tickSlack is how long after its time-out a wait may end, by the tick.
+	randomKeys          = 3
+	randomClientTimeout = 3 * time.Second
+	randomTick          = 10 * ms
+	maxRandomPackets    = 400
+	// tickSlack is how long after its timeout a wait may end, since timeouts are
+	// checked at ticks.
 	tickSlack = randomTick
 )
 
-// randomPacket is a message on its way, from an incarnation of its sender.
+// randomPacket is a message in transit, with the incarnation of its sender.
 type randomPacket struct {
 	from        string
 	incarnation uint64
@@ -29,29 +30,29 @@
 	message     Message
 }
 
-// randomAttempt is what the test, in place of the core, knows of an attempt.
+// randomAttempt is the state of an attempt that the core would track.
 type randomAttempt struct {
 	work     Work
 	scope    Scope // of the last request
 	deadline time.Duration
-	// actionDueAt is when the coordinator must have emitted an action; 0: none is
-	// awaited.
+	// actionDueAt is when the coordinator must have emitted an action, 0 if none
+	// is awaited.
 	actionDueAt time.Duration
 	joined      bool
-	out         bool // it may be on the wire
+	inFlight    bool // it may be on the wire
 }
 
-// randomInstance is one instance with its own view of the others.
+// randomInstance is an instance with its own view of the others.
 type randomInstance struct {
 	coordinator *Coordinator
 	incarnation uint64
-	view        map[string]uint64 // the incarnations that it believes to be there
+	view        map[string]uint64 // the incarnations that it believes to be alive, by member
 	attempts    map[uint64]*randomAttempt
 }
 
-// randomFleet is instances whose members come and go, in each one's own view,
-// under pending work, with messages that are lost, late, duplicated and out of
-// order. It stands in for the cores.
+// randomFleet is a fleet whose members join and leave in each instance's own view
+// while work is pending. Messages are lost, delayed, duplicated and reordered. It
+// stands in for the cores of the instances.
 type randomFleet struct {
 	t           *rapid.T
 	now         time.Duration
@@ -59,20 +60,20 @@
 	instances   map[string]*randomInstance
 	network     []randomPacket
 	lastAttempt uint64
-	// racks are those in which an attempt of a key was sent, by key.
-	racks map[string]map[int]bool
-	// loose are the keys of which an attempt went out without all consents.
-	loose map[string]bool
+	// racksSentTo holds the racks to which attempts of a key were sent, by key.
+	racksSentTo map[string]map[int]bool
+	// sentUncovered holds the keys of which an attempt was sent uncovered.
+	sentUncovered map[string]bool
 }
 
 func newRandomFleet(t *rapid.T) *randomFleet {
 	f := &randomFleet{
-		t:         t,
-		now:       time.Hour,
-		members:   numberedMembers(rapid.IntRange(3, 10).Draw(t, "instances")),
-		instances: map[string]*randomInstance{},
-		racks:     map[string]map[int]bool{},
-		loose:     map[string]bool{},
+		t:             t,
+		now:           time.Hour,
+		members:       numberedMembers(rapid.IntRange(3, 10).Draw(t, "instances")),
+		instances:     map[string]*randomInstance{},
+		racksSentTo:   map[string]map[int]bool{},
+		sentUncovered: map[string]bool{},
 	}
 	for _, m := range f.members {
 		f.start(m, 1)
@@ -80,7 +81,7 @@
 	return f
 }
 
-// start starts an incarnation of an instance, which sees all that run.
+// start starts an incarnation of an instance, whose view contains all running ones.
 func (f *randomFleet) start(m Member, incarnation uint64) {
 	instance := &randomInstance{
 		coordinator: NewCoordinator(m, incarnation, func(string) time.Duration { return f.now }),
@@ -107,12 +108,13 @@
 	instance.coordinator.SetMembers(present)
 }
 
-// drawName draws an instance.
+// drawName draws the name of an instance.
 func (f *randomFleet) drawName(label string) string {
 	return f.members[rapid.IntRange(0, len(f.members)-1).Draw(f.t, label)].Name
 }
 
-// drawAttempt draws an attempt of an instance that matches; nil: there is none.
+// drawAttempt draws a matching attempt of an instance. It returns nil if there is
+// none.
 func (f *randomFleet) drawAttempt(name string, matches func(*randomAttempt) bool) (uint64, *randomAttempt) {
 	attempts := f.instances[name].attempts
 	var candidates []uint64
@@ -135,7 +137,7 @@
 	return work
 }
 
-// request has an instance request the consent to a new attempt.
+// request makes an instance request consent to a new attempt.
 func (f *randomFleet) request() {
 	name := f.drawName("owner")
 	scope := ownScope(name[1:])
@@ -143,22 +145,23 @@
 		scope = ScopeNone
 	}
 	f.lastAttempt++
-	attempt := &randomAttempt{work: f.randomWork(), scope: scope, deadline: f.now + randomClientTime}
+	attempt := &randomAttempt{work: f.randomWork(), scope: scope, deadline: f.now + randomClientTimeout}
 	f.instances[name].attempts[f.lastAttempt] = attempt
-	f.await(attempt, maxReplyTimeout)
+	f.expectAction(attempt, maxReplyTimeout)
 	f.instances[name].coordinator.RequestSend(f.now, attempt.work, f.lastAttempt, scope, attempt.deadline)
 	f.drain(name)
 }
 
-// await notes that an action is due.
-func (f *randomFleet) await(attempt *randomAttempt, timeout time.Duration) {
+// expectAction records that an action is due after timeout.
+func (f *randomFleet) expectAction(attempt *randomAttempt, timeout time.Duration) {
 	attempt.actionDueAt = f.now + timeout + tickSlack
 }
 
-// isIdle reports whether nothing of an attempt is out, awaited or left to another.
-func isIdle(a *randomAttempt) bool { return a.actionDueAt == 0 && !a.joined && !a.out }
+// isIdle reports whether an attempt is not in flight, awaits no action and has not
+// joined another.
+func isIdle(a *randomAttempt) bool { return a.actionDueAt == 0 && !a.joined && !a.inFlight }
 
-// migrate moves an attempt of which surely nothing has run.
+// migrate moves an attempt that has not run to another scope.
 func (f *randomFleet) migrate() {
 	name := f.drawName("owner")
 	number, attempt := f.drawAttempt(name, isIdle)
@@ -166,41 +169,42 @@
 		return
 	}
 	attempt.scope = ownScope(name[1:])
-	f.await(attempt, maxReplyTimeout)
+	f.expectAction(attempt, maxReplyTimeout)
 	f.instances[name].coordinator.MigrateAttempt(f.now, number, attempt.scope)
 	f.drain(name)
 }
 
-// confirmRejection rejects an attempt of which surely nothing has run.
+// confirmRejection requests the confirmation that an attempt that has not run may
+// be rejected.
 func (f *randomFleet) confirmRejection() {
 	name := f.drawName("owner")
 	number, attempt := f.drawAttempt(name, isIdle)
 	if attempt == nil {
 		return
 	}
-	f.await(attempt, outcomeQueryTimeout)
+	f.expectAction(attempt, outcomeQueryTimeout)
 	f.instances[name].coordinator.ConfirmRejection(f.now, number)
 	f.drain(name)
 	if attempt := f.instances[name].attempts[number]; attempt != nil {
-		attempt.scope = ScopeNone // a consent rejects it
+		attempt.scope = ScopeNone // if the replicas consent, it is rejected and not sent
 	}
 }
 
-// query has an instance query the outcome of a key.
+// query makes an instance query the outcome of a key.
 func (f *randomFleet) query() {
 	name := f.drawName("owner")
 	f.lastAttempt++
-	attempt := &randomAttempt{work: f.randomWork(), scope: ScopeNone, deadline: f.now + randomClientTime}
+	attempt := &randomAttempt{work: f.randomWork(), scope: ScopeNone, deadline: f.now + randomClientTimeout}
 	c := f.instances[name].coordinator
 	if !c.QueryOutcome(f.now, attempt.work.Key, f.lastAttempt, attempt.deadline) {
 		return
 	}
 	f.instances[name].attempts[f.lastAttempt] = attempt
-	f.await(attempt, outcomeQueryTimeout)
+	f.expectAction(attempt, outcomeQueryTimeout)
 	f.drain(name)
 }
 
-// complete ends an attempt.
+// complete ends an attempt with a random answer.
 func (f *randomFleet) complete() {
 	name := f.drawName("owner")
 	number, attempt := f.drawAttempt(name, func(a *randomAttempt) bool { return a.actionDueAt == 0 })
@@ -208,7 +212,7 @@
 		return
 	}
 	answer := Answer{Kind: AnswerNeverRan}
-	if attempt.out {
+	if attempt.inFlight {
 		answer = Answer{Kind: AnswerFailed}
 		if rapid.Bool().Draw(f.t, "is served") {
 			answer = Answer{Kind: AnswerServed, Value: []byte(attempt.work.Key)}
@@ -217,15 +221,15 @@
 	f.end(name, number, answer)
 }
 
-// end ends an attempt and forgets it.
+// end reports the outcome of an attempt and removes it.
 func (f *randomFleet) end(name string, number uint64, answer Answer) {
 	delete(f.instances[name].attempts, number)
 	f.instances[name].coordinator.Complete(f.now, number, answer)
 	f.drain(name)
 }
 
-// leave has an instance believe another dead.
-func (f *randomFleet) leave() {
+// reportDeparture reports to an instance that another, which may be alive, has left.
+func (f *randomFleet) reportDeparture() {
 	name, other := f.drawName("observer"), f.drawName("member")
 	if name == other || f.instances[name].view[other] == 0 {
 		return
@@ -237,10 +241,10 @@
 	f.drain(name)
 }
 
-// hear has an instance hear of the present incarnation of another.
-func (f *randomFleet) hear() { f.hearOf(f.drawName("observer"), f.drawName("member")) }
+// learnMember reports to an instance that the current incarnation of another is alive.
+func (f *randomFleet) learnMember() { f.learnIncarnation(f.drawName("observer"), f.drawName("member")) }
 
-func (f *randomFleet) hearOf(name, other string) {
+func (f *randomFleet) learnIncarnation(name, other string) {
 	observer, present := f.instances[name], f.instances[other].incarnation
 	if name == other || observer.view[other] == present {
 		return
@@ -261,7 +265,7 @@
 	f.start(f.members[i], f.instances[name].incarnation+1)
 }
 
-// deliver delivers a message that is on its way, or loses or duplicates it.
+// deliver delivers, loses or duplicates a message in transit.
 func (f *randomFleet) deliver() {
 	if len(f.network) == 0 {
 		return
@@ -269,7 +273,7 @@
 	i := rapid.IntRange(0, min(8, len(f.network)-1)).Draw(f.t, "message")
 	p := f.network[i]
 	fate := rapid.IntRange(0, 9).Draw(f.t, "fate")
-	if fate != 0 { // else it is duplicated
+	if fate != 0 { // if 0, the message is duplicated
 		f.network = slices.Delete(f.network, i, i+1)
 	}
 	if fate == 1 {
@@ -283,12 +287,12 @@
 	f.drain(p.to)
 }
 
-// deliverAll delivers all that is on its way, in order.
+// deliverAll delivers all messages in order until none is in transit.
 func (f *randomFleet) deliverAll() {
 	for n := 0; len(f.network) > 0; n++ {
 		p := f.network[0]
 		if n > maxRandomPackets*20 {
-			f.t.Fatalf("%d messages follow from each other, the last of them %s>%s %s",
+			f.t.Fatalf("more than %d messages trigger each other, the last of them %s>%s %s",
 				n, p.from, p.to, describeMessage(p.message))
 		}
 		f.network = f.network[1:]
@@ -296,7 +300,7 @@
 	}
 }
 
-// tick advances the time, and has all instances do what is due.
+// tick advances the time and calls Tick at all instances.
 func (f *randomFleet) tick() {
 	f.now += randomTick
 	for _, m := range f.members {
@@ -305,15 +309,14 @@
 	}
 }
 
-// drain takes an instance's messages and does what its actions permit, as the
-// core does.
+// drain sends an instance's messages and performs its actions, as the core does.
 func (f *randomFleet) drain(name string) {
 	instance := f.instances[name]
 	for {
 		outbox, actions := instance.coordinator.Drain()
 		for _, envelope := range outbox {
 			if f.instances[envelope.To] == nil || envelope.To == name {
-				f.t.Fatalf("%s sends a message to %q, which is no other member", name, envelope.To)
+				f.t.Fatalf("%s sends a message to %q, which is not another member", name, envelope.To)
 			}
 			if len(f.network) < maxRandomPackets {
 				f.network = append(f.network, randomPacket{name, instance.incarnation, envelope.To, envelope.Message})
@@ -328,7 +331,7 @@
 	}
 }
 
-// perform does what an action permits.
+// perform performs an action.
 func (f *randomFleet) perform(name string, action Action) {
 	instance := f.instances[name]
 	if action.Kind == ActionTakeOver {
@@ -343,7 +346,7 @@
 	attempt.actionDueAt = 0
 	switch action.Kind {
 	case ActionSend:
-		if awaited && attempt.scope != ScopeNone && !attempt.out {
+		if awaited && attempt.scope != ScopeNone && !attempt.inFlight {
 			instance.coordinator.AttemptSent(f.now, action.Attempt)
 			f.send(attempt, attempt.scope, action.Covered)
 		}
@@ -354,13 +357,13 @@
 	case ActionRestart:
 		attempt.joined = false
 		attempt.scope = ownScope(name[1:])
-		f.await(attempt, maxReplyTimeout)
+		f.expectAction(attempt, maxReplyTimeout)
 		instance.coordinator.RequestSend(f.now, attempt.work, action.Attempt, attempt.scope, attempt.deadline)
 	case ActionUseAnswer, ActionUnknown:
 		delete(instance.attempts, action.Attempt)
 	case ActionAbort:
 		f.end(name, action.Attempt, Answer{Kind: AnswerNeverRan})
-	case ActionTakeOver: // above
+	case ActionTakeOver: // handled above
 	}
 }
 
@@ -378,22 +381,22 @@
 		return
 	}
 	attempt.scope = ownScope(name[1:])
-	f.await(attempt, maxReplyTimeout)
+	f.expectAction(attempt, maxReplyTimeout)
 	instance.coordinator.MigrateAttempt(f.now, taken.Attempt, attempt.scope)
 }
 
-// send notes that an attempt goes out.
+// send records that an attempt was sent.
 func (f *randomFleet) send(attempt *randomAttempt, scope Scope, covered bool) {
-	attempt.out = true
+	attempt.inFlight = true
 	key := attempt.work.Key
-	if f.racks[key] == nil {
-		f.racks[key] = map[int]bool{}
+	if f.racksSentTo[key] == nil {
+		f.racksSentTo[key] = map[int]bool{}
 	}
-	f.racks[key][scope.Rack] = true
-	f.loose[key] = f.loose[key] || !covered
+	f.racksSentTo[key][scope.Rack] = true
+	f.sentUncovered[key] = f.sentUncovered[key] || !covered
 }
 
-// checkActionsInTime fails if a wait has lasted for too long.
+// checkActionsInTime fails the test if an action is overdue.
 func (f *randomFleet) checkActionsInTime() {
 	for _, m := range f.members {
 		attempts := f.instances[m.Name].attempts
@@ -403,22 +406,23 @@
 				if work := f.instances[m.Name].coordinator.pending[number]; work != nil {
 					state = work.state.String()
 				}
-				f.t.Fatalf("%s has had no action for attempt %d of %s: %+v, %s",
+				f.t.Fatalf("%s has emitted no action for attempt %d of %s: %+v, %s",
 					m.Name, number, attempt.work.Key, *attempt, state)
 			}
 		}
 	}
 }
 
-// settle heals all views, ends what is open, and lets all times pass.
+// settle makes all views correct, ends all open attempts, and advances the time
+// until every record has expired.
 func (f *randomFleet) settle() {
 	for _, m := range f.members {
 		for _, other := range f.members {
-			f.hearOf(m.Name, other.Name)
+			f.learnIncarnation(m.Name, other.Name)
 		}
 	}
 	window := testWork().IdempotencyWindow
-	end := f.now + randomClientTime + completionGrace + max(answerRetention, window) + time.Second
+	end := f.now + randomClientTimeout + completionGrace + max(answerRetention, window) + time.Second
 	for f.now < end {
 		f.deliverAll()
 		f.tick()
@@ -435,7 +439,7 @@
 		for _, number := range slices.Sorted(maps.Keys(attempts)) {
 			if attempt := attempts[number]; attempt != nil && f.now > attempt.deadline {
 				kind := AnswerNeverRan
-				if attempt.out {
+				if attempt.inFlight {
 					kind = AnswerFailed
 				}
 				f.end(m.Name, number, Answer{Kind: kind})
@@ -444,28 +448,29 @@
 	}
 }
 
-// checkNothingLeft fails if an instance keeps anything after all have settled.
+// checkNothingLeft fails the test if an instance retains any state after settle.
 func (f *randomFleet) checkNothingLeft() {
 	for _, m := range f.members {
 		c := f.instances[m.Name].coordinator
 		work, records, bytes := c.Pending()
 		if left := cmp.Or(work, records, bytes, c.openQueries, len(f.instances[m.Name].attempts)); left != 0 {
-			f.t.Fatalf("%s keeps %d pieces of work, %d records of %d bytes, %d queries and %d attempts",
+			f.t.Fatalf("%s retains %d pieces of work, %d records of %d bytes, %d queries and %d attempts",
 				m.Name, work, records, bytes, c.openQueries, len(f.instances[m.Name].attempts))
 		}
 	}
 }
 
-// Fleets whose members come and go under pending work, in each instance's own
-// view, with messages that are lost, late, duplicated and out of order: nobody
-// panics, sends to nobody, waits for an action for too long or keeps anything.
+// In random fleets no coordinator panics, sends to an unknown member, emits an
+// action too late or retains state at the end. Members join and leave in each
+// instance's own view while work is pending, and messages are lost, delayed,
+// duplicated and reordered.
 // A longer search: go test -run TestRandomFleets -rapid.checks=10000.
 func TestRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newRandomFleet(t)
 		steps := []func(){
 			f.request, f.request, f.migrate, f.confirmRejection, f.query, f.complete, f.complete,
-			f.leave, f.hear, f.hear, f.restart,
+			f.reportDeparture, f.learnMember, f.learnMember, f.restart,
 			f.tick, f.tick, f.tick, f.deliver, f.deliver, f.deliver, f.deliver, f.deliver, f.deliver,
 		}
 		for range rapid.IntRange(20, 300).Draw(t, "steps") {
--- a/internal/takeover/replica_failover.go
+++ b/internal/takeover/replica_failover.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// memberLeft takes in that an incarnation of a member has ended, as far as is
-// known, and takes over the orphaned records whose successor is this instance.
-// Safety doesn't depend on the report: a successor acts where the owner's
-// attempts have no further effect.
+// memberLeft records that an incarnation of a member is believed to have ended,
+// and takes over the orphaned records whose successor is this instance. A false
+// report is safe: the successor's attempts go to the scope of the owner's, where
+// a repeat has no further effect.
 func (r *ReplicaStore) memberLeft(now time.Duration, name string, incarnation uint64) {
 	r.endedIncarnations[name] = max(r.endedIncarnations[name], incarnation)
 	for _, key := range slices.Sorted(maps.Keys(r.records)) {
@@ -21,12 +21,12 @@
 	}
 }
 
-// memberReturned takes in that an incarnation of a member is alive. If it was
-// believed to have ended it has refuted that, and its records that no successor
-// has taken over here are its own again.
+// memberReturned records that an incarnation of a member is alive. If it was
+// believed to have ended, it owns again those of its records that no successor
+// has taken over here.
 func (r *ReplicaStore) memberReturned(name string, incarnation uint64) {
 	if incarnation < r.endedIncarnations[name] {
-		return // an earlier incarnation, which has ended
+		return // this incarnation has ended, and so has a later one
 	}
 	delete(r.endedIncarnations, name)
 	for _, rec := range r.records {
@@ -36,8 +36,8 @@
 	}
 }
 
-// takeOverOrphan takes over an orphaned record if this instance is its
-// successor. If it is too late for a repeat the record fails.
+// takeOverOrphan takes over an orphaned record if this instance is its successor.
+// If it is too late to repeat the attempt, the record fails.
 func (r *ReplicaStore) takeOverOrphan(now time.Duration, rec *record) {
 	if rec.state != recordOrphaned || r.successor(rec) != r.self {
 		return
--- a/internal/takeover/replica_intent.go
+++ b/internal/takeover/replica_intent.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// handleIntent decides on an intent of an incarnation of a member.
+// handleIntent decides on an intent from an incarnation of a member.
 func (r *ReplicaStore) handleIntent(now time.Duration, from string, incarnation uint64, intent *Intent) Reply {
 	reply := Reply{Key: intent.Key, Attempt: intent.Attempt, Relocation: intent.Relocation, Clock: now}
 	if intent.QueryOnly {
@@ -18,7 +18,7 @@
 		rec = nil
 	}
 	if r.incarnationEnded(from, incarnation) && rec != nil && rec.owner != from {
-		r.turnAway(from, intent, rec, &reply)
+		r.refuseEndedSender(from, intent, rec, &reply)
 		return reply
 	}
 	sentAt := now
@@ -28,7 +28,7 @@
 			reply.Kind = ReplyStaleClock
 			return reply
 		}
-		sentAt = intent.Clock // no earlier
+		sentAt = intent.Clock // the intent was sent at this time or later
 	}
 	switch {
 	case rec == nil:
@@ -37,7 +37,7 @@
 		r.handleOtherAttempt(now, from, incarnation, intent, rec, &reply)
 	case rec.owner == from:
 		rec.handleOwnerIntent(incarnation, intent, sentAt, &reply)
-	case rec.yieldsTo(from, intent): // another replica takes it over before anything went out
+	case rec.yieldsTo(from, intent): // another replica takes the work over before an attempt was sent
 		rec.assign(from, incarnation)
 		rec.epoch = intent.Epoch
 		rec.relocate(intent, sentAt)
@@ -49,9 +49,9 @@
 	return reply
 }
 
-// yieldsTo reports whether a replica that takes the record's work over becomes
-// its owner: nothing of it was sent, and that one's epoch is later, or the same
-// and it outranks the owner, which has taken the work over too.
+// yieldsTo reports whether a successor that takes the record's work over becomes
+// its owner. No attempt may have been sent. The intent's epoch must be later, or
+// equal if the present owner is a successor too and the sender outranks it.
 func (r *record) yieldsTo(from string, intent *Intent) bool {
 	if r.scope != ScopeNone || r.state == recordCompleted {
 		return false
@@ -62,8 +62,8 @@
 	return intent.Epoch > r.epoch
 }
 
-// incarnationEnded reports whether an incarnation of another member is believed to
-// have ended.
+// incarnationEnded reports whether an incarnation of another member is believed
+// to have ended.
 func (r *ReplicaStore) incarnationEnded(name string, incarnation uint64) bool {
 	ended, known := r.endedIncarnations[name]
 	return known && incarnation <= ended && name != r.self
@@ -109,7 +109,7 @@
 	case r.epoch > max(1, intent.Epoch):
 		reply.Kind = ReplyTakenOver
 	default:
-		if intent.Relocation > r.relocation { // the attempt before surely never ran
+		if intent.Relocation > r.relocation { // the owner knows that the previous attempt never ran
 			r.relocate(intent, sentAt)
 		}
 		r.incarnation = max(r.incarnation, incarnation)
@@ -117,24 +117,24 @@
 	}
 }
 
-// turnAway decides on an intent of an incarnation that is believed to have ended,
-// for a key that another instance owns. It isn't given the record, which nobody
-// would take over from it any more. It may be alive after all, so it gets the
-// answer.
-func (r *ReplicaStore) turnAway(from string, intent *Intent, rec *record, reply *Reply) {
+// refuseEndedSender refuses an intent of an incarnation that is believed to have
+// ended, for a key that another instance owns. The sender doesn't become the
+// owner, since no successor would take the record over from it again. It gets the
+// answer, because it may be alive after all.
+func (r *ReplicaStore) refuseEndedSender(from string, intent *Intent, rec *record, reply *Reply) {
 	r.counts.TurnedAway++
 	r.leaveToOwner(from, intent, rec, reply)
 }
 
-// refuseFormerOwner decides on an intent of an instance whose attempt was
-// taken over. It is notified of the answer.
+// refuseFormerOwner refuses an intent of an instance whose attempt was taken over.
+// The instance is notified of the answer.
 func (r *ReplicaStore) refuseFormerOwner(from string, intent *Intent, rec *record, reply *Reply) {
 	r.counts.RefusedOwners++
 	r.leaveToOwner(from, intent, rec, reply)
 }
 
-// leaveToOwner replies that the record's owner completes the key, and has the
-// sender notified of the answer if the reply can't carry it.
+// leaveToOwner replies that the record's owner decides the outcome. If the answer
+// isn't known yet, the sender is notified of it later.
 func (r *ReplicaStore) leaveToOwner(from string, intent *Intent, rec *record, reply *Reply) {
 	reply.Kind, reply.Primary = ReplyTakenOver, rec.primary()
 	reply.Owner, reply.Epoch = rec.owner, rec.epoch
@@ -144,8 +144,8 @@
 	}
 }
 
-// handleOtherAttempt decides on an intent of a further attempt of a key, at
-// whatever instance.
+// handleOtherAttempt decides on an intent for another attempt of a recorded key,
+// from any instance.
 func (r *ReplicaStore) handleOtherAttempt(
 	now time.Duration, from string, incarnation uint64, intent *Intent, rec *record, reply *Reply,
 ) {
@@ -157,25 +157,25 @@
 		r.counts.Joined++
 		reply.Kind, reply.Primary = ReplyOtherAttempt, rec.primary()
 		r.addWaiter(rec, from, intent.Attempt)
-	case rec.scope == ScopeNone && rec.state == recordOrphaned: // nothing of it went out
+	case rec.scope == ScopeNone && rec.state == recordOrphaned: // no attempt was sent
 		r.counts.Granted++
 		rec.continueBy(now, from, incarnation, intent)
 		rec.relocate(intent, now)
 		rec.replicas = intent.Replicas
 		reply.Kind, reply.Epoch = ReplyGranted, rec.epoch
 	case rec.scope != ScopeNone && now < rec.reliableUntil():
-		// It was orphaned or has no reusable answer, and a repeat has no effect.
+		// The record is orphaned or has no reusable answer, and a repeat in its scope has no effect.
 		r.counts.Adopted++
 		rec.continueBy(now, from, incarnation, intent)
 		reply.Kind, reply.Epoch = ReplyAdopt, rec.epoch
 		reply.Scope, reply.Age = rec.scope, now-rec.startedAt
-	default: // it may have run, and nobody can find out any more
+	default: // it may have run, which can't be determined after the idempotency window
 		r.counts.Joined++
 		reply.Kind, reply.Answer = ReplyOtherAttempt, &Answer{Kind: AnswerFailed}
 	}
 }
 
-// continueBy makes the sender of a further attempt the owner.
+// continueBy makes the sender of another attempt the owner.
 func (r *record) continueBy(now time.Duration, from string, incarnation uint64, intent *Intent) {
 	r.assign(from, incarnation)
 	r.attempt = intent.Attempt
@@ -183,8 +183,8 @@
 	r.deadline = max(r.deadline, now+intent.Remaining)
 }
 
-// answerQuery replies whether another attempt of a key has an answer or will
-// have one, and lets the sender wait for it. It changes nothing else.
+// answerQuery replies whether another attempt of a key has an answer or will have
+// one, and registers the sender as a waiter for it. It changes nothing else.
 func (r *ReplicaStore) answerQuery(from string, intent *Intent, reply *Reply) {
 	rec := r.records[intent.Key]
 	reply.Kind = ReplyNone
@@ -201,8 +201,8 @@
 	}
 }
 
-// addWaiter has an attempt notified of a record's answer. It reports false if
-// the record has its answer already, or too many wait for it.
+// addWaiter registers an attempt for the notification of a record's answer. It
+// returns false if the record is completed or has maxWaiters waiters.
 func (r *ReplicaStore) addWaiter(rec *record, instance string, attempt uint64) bool {
 	w := waiter{instance, attempt}
 	switch {
--- a/internal/takeover/replica_test.go
+++ b/internal/takeover/replica_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// An intent beyond the bounds of a message gets no reply.
+// An intent with invalid fields gets no reply.
 func TestInvalidIntentIsIgnored(t *testing.T) {
 	tests := map[string]Intent{
-		"empty":                     {},
-		"command too large":         {Work: Work{Key: "k", Command: [][]byte{make([]byte, MaxCommandBytes+1)}}},
-		"negative remaining time":   {Work: Work{Key: "k"}, Remaining: -1},
-		"remaining time too long":   {Work: Work{Key: "k"}, Remaining: time.Hour},
-		"negative window of repeat": {Work: Work{Key: "k", IdempotencyWindow: -1}},
+		"empty":                       {},
+		"command too large":           {Work: Work{Key: "k", Command: [][]byte{make([]byte, MaxCommandBytes+1)}}},
+		"negative remaining time":     {Work: Work{Key: "k"}, Remaining: -1},
+		"remaining time too long":     {Work: Work{Key: "k"}, Remaining: time.Hour},
+		"negative idempotency window": {Work: Work{Key: "k", IdempotencyWindow: -1}},
 	}
 	for name, intent := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// A store holds no more than its bounds, and forgets all of it in time.
+// A store doesn't exceed its limits, and removes all records after their expiry.
 func TestStoreBounds(t *testing.T) {
 	f := newTestFleet(3)
 	c := f.coordinators["n1"]
@@ -49,7 +49,7 @@
 		t.Fatalf("got %d records of %d bytes, want %d of %d at the most", records, bytes, maxRecords, maxRecordBytes)
 	}
 	if got := c.Counts().Replica.Full; got != excess {
-		t.Fatalf("intents without capacity: got %d, want %d", got, excess)
+		t.Fatalf("intents refused for lack of capacity: got %d, want %d", got, excess)
 	}
 	f.now += 3 * time.Second
 	c.Tick(f.now)
@@ -68,8 +68,8 @@
 	return stats.HeapAlloc
 }
 
-// The bytes that a store counts, on which it has a bound, are about what its
-// records take.
+// The bytes that a store counts towards its limit are close to the memory that its
+// records use.
 func TestRecordMemoryEstimate(t *testing.T) {
 	const count = 1000
 	before := heapInUse()
--- a/internal/takeover/restart_test.go
+++ b/internal/takeover/restart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// deliverRound delivers what all instances have sent, before any of them reacts
-// to it. It reports whether there was anything.
+// deliverRound delivers all messages that the instances have sent, before any of
+// them reacts. It reports whether there were messages or actions.
 func (f *testFleet) deliverRound() bool {
 	var round []packet
 	acted := false
@@ -24,8 +24,8 @@
 	return acted || len(round) > 0
 }
 
-// Guards against two retries of one key that restart each other without a pause,
-// as long as the first attempt is open at a replica that both know.
+// Guards against two retries of one key that restart each other in a tight loop
+// while the first attempt is open at a replica of both.
 func TestRetriesDoNotRestartEachOther(t *testing.T) {
 	const (
 		span        = 500 * ms
@@ -37,7 +37,7 @@
 		work.Key += "x"
 	}
 	f.isolate("n1")
-	f.requestSend("n1", work, 1, ownScope("a"), f.now+4*time.Second) // no other instance has its record
+	f.requestSend("n1", work, 1, ownScope("a"), f.now+4*time.Second) // only n1 has its record
 	f.tickAt("n1", 45)
 	f.expectCount(t, "n1", ActionSend, 1)
 	clear(f.unreachable)
--- a/internal/takeover/steps_test.go
+++ b/internal/takeover/steps_test.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// stepList collects the states that may come next.
+// stepList collects the possible next states.
 type stepList struct {
 	from *modelState
 	next []*modelState
 }
 
-// add adds the state that a step leads to.
+// add adds the state that results from a step.
 func (l *stepList) add(name string, step func(s *modelState)) {
 	s := l.from.clone()
 	s.path = append(slices.Clone(l.from.path), name)
@@ -19,7 +19,7 @@
 	l.next = append(l.next, s)
 }
 
-// successors returns all states that may come next.
+// successors returns all possible next states.
 func (s *modelState) successors() []*modelState {
 	steps := &stepList{from: s}
 	steps.addMessages()
@@ -31,7 +31,7 @@
 	return steps.next
 }
 
-// addMessages adds the delivery, the loss and the repetition of each message.
+// addMessages adds the delivery, the loss and the duplication of each message.
 func (l *stepList) addMessages() {
 	s := l.from
 	seen := map[string]bool{}
@@ -59,7 +59,7 @@
 	}
 }
 
-// deliver hands a message to its receiver, if that is up.
+// deliver delivers a message unless its receiver has crashed.
 func (s *modelState) deliver(p packet) {
 	if s.crashed[p.to] {
 		return
@@ -83,8 +83,8 @@
 	}
 }
 
-// addDepartures adds that one instance learns of another's departure, which is
-// false if that one is up.
+// addDepartures adds the report of each departure to each instance. The report is
+// false if the reported instance is up.
 func (l *stepList) addDepartures() {
 	for _, observer := range modelNames {
 		for _, subject := range modelNames {
@@ -117,7 +117,8 @@
 	})
 }
 
-// addCompletions adds that each attempt that was sent is served or fails.
+// addCompletions adds both outcomes, served and failed, of each attempt that was
+// sent.
 func (l *stepList) addCompletions() {
 	s := l.from
 	for _, id := range slices.Sorted(maps.Keys(s.sent)) {
--- a/internal/takeover/withdrawal_test.go
+++ b/internal/takeover/withdrawal_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// acceptedAttempt is the attempt of newAcceptedWork.
+// acceptedAttempt is the attempt number that newAcceptedWork uses.
 const acceptedAttempt = 2
 
-// workStoredBy returns work of whose key an instance is a replica.
+// workStoredBy returns work with a key of which the named instance is a replica.
 func workStoredBy(name string, members []Member, keyPrefix string) Work {
 	work := testWork()
 	for n := 0; !slices.Contains(Replicas(work.Key, members), name); n++ {
@@ -19,8 +19,8 @@
 	return work
 }
 
-// completionsOf drains a coordinator and returns the kinds of answers that its
-// completions of an attempt carry, by receiver.
+// completionsOf drains a coordinator and returns the answer kinds of the
+// completions of an attempt, by receiver.
 func completionsOf(c *Coordinator, attempt uint64) map[string]AnswerKind {
 	sent := map[string]AnswerKind{}
 	outbox, _ := c.Drain()
@@ -32,9 +32,9 @@
 	return sent
 }
 
-// newAcceptedWork returns an instance that waits with accepted work, granted by
-// all its remotes, after two of its replicas have left and returned. It returns
-// the names of the remotes as well.
+// newAcceptedWork returns a coordinator with accepted work that all its remotes
+// have granted, and the names of the remotes. Two of the replicas left before the
+// request and have returned since.
 func newAcceptedWork(t *testing.T, now time.Duration, members []Member, work Work) (*Coordinator, []string) {
 	t.Helper()
 	self := members[0]
@@ -56,8 +56,9 @@
 	return c, remotes
 }
 
-// Guards against a withdrawal that goes to positions in a list of remotes that
-// has changed since: to no name, or past a replica that has granted the intent.
+// Guards against a withdrawal that is addressed by positions in a list of remotes
+// that has changed since. It was sent to an empty name, or not sent to a replica
+// that had granted the intent.
 func TestWithdrawalReachesWhoeverGranted(t *testing.T) {
 	for i := range 60 {
 		members := numberedMembers(4 + i%9)
@@ -90,19 +91,19 @@
 	withdrawn := completionsOf(c, acceptedAttempt)
 	for name := range withdrawn {
 		if !slices.ContainsFunc(members, func(m Member) bool { return m.Name == name }) {
-			t.Errorf("a withdrawal goes to %q, which is no member", name)
+			t.Errorf("a withdrawal is sent to %q, which is not a member", name)
 		}
 	}
 	for _, name := range remotes {
 		if got := withdrawn[name]; got != AnswerNeverRan {
-			t.Errorf("%s has granted the intent and is told %v, want %v", name, got, AnswerNeverRan)
+			t.Errorf("%s has granted the intent and is notified of %v, want %v", name, got, AnswerNeverRan)
 		}
 	}
 }
 
-// Guards against an answer that is not reported to a replica that has granted
-// the intent and is none of the key's replicas any more: whoever waits there
-// would be told of a failure.
+// Guards against an answer that is not reported to a replica that has granted the
+// intent but is no longer a replica of the key. Attempts that wait there would get
+// a failure.
 func TestCompletionReachesFormerReplicas(t *testing.T) {
 	const now = time.Hour
 	members := numberedMembers(9)
@@ -117,7 +118,7 @@
 	reported := completionsOf(c, acceptedAttempt)
 	for _, name := range remotes {
 		if reported[name] != AnswerServed {
-			t.Errorf("%s has granted the intent and is told %v, want %v", name, reported[name], AnswerServed)
+			t.Errorf("%s has granted the intent and is notified of %v, want %v", name, reported[name], AnswerServed)
 		}
 	}
 }
