--- a/internal/escrow/allocator.go
+++ b/internal/escrow/allocator.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// Allocator divides the accounts for one instance. It starts no goroutine and
-// takes no lock: one goroutine at a time may use it.
+// Allocator manages one instance's shares of all accounts. It is not safe for
+// concurrent use.
 type Allocator struct {
-	// number is this instance's number among instances.
+	// number is this instance's number, from 0 to instances-1.
 	number    int
 	instances int
 	rng       *rand.Rand
-	// now is the latest time that a caller has passed, startedAt that of New.
+	// now is the latest time passed by a caller, startedAt the time passed to New.
 	now       time.Duration
 	startedAt time.Duration
 	// nonce identifies this incarnation to its peers.
 	nonce    uint64
 	accounts map[string]*account
 	peers    map[int]*peer // by number
-	// peerNumbers are the numbers of the peers, by name.
+	// peerNumbers holds the numbers of the peers, by name.
 	peerNumbers map[string]int
-	// nextHelloAt is when a member whose number isn't known is sent a hello
-	// again, by name.
+	// nextHelloAt is when to send the next hello to a member whose number isn't
+	// known, by name.
 	nextHelloAt map[string]time.Duration
-	// lastTransfer is the number of the last transfer that was requested. The
-	// first is drawn, so no grant to an earlier incarnation fits.
+	// lastTransfer is the number of the last requested transfer. The initial
+	// value is random, so that grants to an earlier incarnation don't match.
 	lastTransfer uint64
 	counts       Counts
 }
 
-// account is what this instance knows of one account.
+// account is this instance's state of one account.
 type account struct {
 	key         string
-	spread      int // instances that its requests come through
+	spread      int // number of instances that receive its requests
 	first       int // number of the first of them
 	maxInFlight int // 0: no limit
-	// need is the latest need here, of neededAt.
+	// need is the latest need of this instance, recorded at neededAt.
 	need     Need
 	neededAt time.Duration
-	// transferredOut are the transfers that this instance has made, received
+	// transferredOut holds the transfers that this instance has made, received
 	// those that it has received or requested.
 	transferredOut []transfer
 	received       []transfer
-	// nextRequestAt is when further transfers may be requested.
+	// nextRequestAt is when new transfers may be requested.
 	nextRequestAt time.Duration
 }
 
-// New returns the Allocator of an incarnation that starts now. It knows nothing
-// of the transfers that an earlier one has made. number is the instance's own
-// among instances.
+// New returns the Allocator of an incarnation that starts at now. It has no
+// knowledge of transfers made by an earlier incarnation. number is the instance's
+// own number, from 0 to instances-1.
 func New(number, instances int, now time.Duration, rng *rand.Rand) *Allocator {
 	return &Allocator{
 		number:       number,
@@ -68,25 +68,25 @@
 	}
 }
 
-// Counts returns what has happened so far.
+// Counts returns the current counts.
 func (a *Allocator) Counts() Counts { return a.counts }
 
-// Tick takes in what is needed here and who is a member, and returns what is to
-// be sent. It must be called about every 50 ms. If there are more needs than
-// MaxAccounts, the largest must come first.
+// Tick records this instance's needs and the current members, and returns the
+// messages to send. It must be called about every 50 ms. If there are more than
+// MaxAccounts needs, the largest must come first.
 func (a *Allocator) Tick(now time.Duration, needs []Need, members []Member) []Envelope {
 	a.advance(now)
-	a.forgetAbsentMembers(members)
+	a.forgetHellosToAbsent(members)
 	for _, need := range needs {
 		a.recordNeed(need)
 	}
 	requests := a.collectRequests()
 	envelopes := a.reportToPeers(requests)
-	return append(envelopes, a.greetMembers(members)...)
+	return append(envelopes, a.sendHellos(members)...)
 }
 
-// DefaultShare returns the part of its home share that this instance holds of
-// an account that isn't known yet.
+// DefaultShare returns the fraction of its home share that this instance may spend
+// of an account that it has no state of.
 func (a *Allocator) DefaultShare(now time.Duration) float64 {
 	a.advance(now)
 	if !a.earlierTransfersEnded() {
@@ -95,7 +95,7 @@
 	return 1
 }
 
-// Allocations returns what this instance holds now, by the accounts' keys.
+// Allocations returns this instance's current allocations, by account key.
 func (a *Allocator) Allocations(now time.Duration) map[string]Allocation {
 	a.advance(now)
 	allocations := make(map[string]Allocation, len(a.accounts))
@@ -105,11 +105,11 @@
 	return allocations
 }
 
-// advance moves the allocator's time forward, never back.
+// advance sets the allocator's time, which never goes back.
 func (a *Allocator) advance(now time.Duration) { a.now = max(a.now, now) }
 
-// openAccount returns the account of a key, which it adds if there is capacity;
-// nil if there is none, or the arguments are those of no account.
+// openAccount returns the account of a key, which it adds if needed. It returns nil
+// if there is no capacity or the arguments are invalid.
 func (a *Allocator) openAccount(key string, spread, first, maxInFlight int) *account {
 	if acc := a.accounts[key]; acc != nil {
 		return acc
@@ -126,8 +126,8 @@
 	return acc
 }
 
-// recordNeed takes in a need. An account's spread changes only while no share
-// of it is transferred.
+// recordNeed records a need. An account's spread changes only while it has no
+// transfers.
 func (a *Allocator) recordNeed(need Need) {
 	acc := a.openAccount(need.Key, need.Spread, need.First, need.MaxInFlight)
 	if acc == nil {
@@ -141,8 +141,8 @@
 	acc.maxInFlight = need.MaxInFlight
 }
 
-// collectRequests expires transfers and accounts, and returns the transfers
-// that this instance requests, by the number of the peer.
+// collectRequests expires transfers and accounts, and returns this instance's
+// requests for transfers, by peer number.
 func (a *Allocator) collectRequests() map[int][]TransferRequest {
 	requests := map[int][]TransferRequest{}
 	for _, key := range slices.Sorted(maps.Keys(a.accounts)) {
@@ -152,27 +152,30 @@
 			delete(a.accounts, key)
 			continue
 		}
-		if a.needed(acc) {
+		if a.recentlyNeeded(acc) {
 			a.requestTransfers(acc, requests)
 		}
 	}
 	return requests
 }
 
-// needed reports whether an account was needed here lately.
-func (a *Allocator) needed(acc *account) bool { return a.now-acc.neededAt <= maxSilence }
+// recentlyNeeded reports whether this instance has had a need of an account within
+// maxSilence.
+func (a *Allocator) recentlyNeeded(acc *account) bool { return a.now-acc.neededAt <= maxSilence }
 
-// sameSpread reports whether the account has these instances.
+// sameSpread reports whether the account has this spread.
 func (acc *account) sameSpread(spread, first int) bool {
 	return acc.spread == spread && acc.first == first
 }
 
-// hasTransfers reports whether a share is transferred, or requested.
+// hasTransfers reports whether the account has transfers in either direction,
+// including requested ones.
 func (acc *account) hasTransfers() bool {
 	return len(acc.transferredOut)+len(acc.received) > 0
 }
 
-// homeShare returns this instance's own share of an account.
+// homeShare returns this instance's home share of an account, 0 if it isn't in the
+// account's spread.
 func (a *Allocator) homeShare(acc *account) float64 {
 	if !inSpread(a.number, acc.spread, acc.first, a.instances) {
 		return 0
@@ -185,7 +188,7 @@
 	return 1 / float64(min(acc.spread, a.instances))
 }
 
-// retainedShare returns what is left of the home share.
+// retainedShare returns the part of the home share that is not transferred.
 func (a *Allocator) retainedShare(acc *account) float64 {
 	share := a.homeShare(acc)
 	if !a.earlierTransfersEnded() { // an earlier incarnation may have transferred the rest
@@ -199,7 +202,8 @@
 	return max(0, share)
 }
 
-// currentShare returns what this instance may spend of an account now.
+// currentShare returns the share that this instance may spend now: what it retains
+// and what it has received.
 func (a *Allocator) currentShare(acc *account) float64 {
 	share := a.retainedShare(acc)
 	for _, t := range acc.received {
@@ -210,10 +214,11 @@
 	return min(1, share)
 }
 
-// unreportedShare returns what peers spend of an account without the counter's
-// knowledge. A peer that reports that the counter is lost to it spends what it
-// holds and wants. A silent peer may do so too, less what the counter's totals
-// show that no reporting peer accounts for.
+// unreportedShare estimates how much peers spend of an account without reporting
+// it to the counter. A peer that has reported the loss of the counter spends up to
+// the smaller of its share and its wanted share. A silent peer may do the same;
+// usage in the counter's totals that no reporting peer explains is subtracted,
+// since it must come from the silent ones.
 func (a *Allocator) unreportedShare(acc *account) float64 {
 	var reported, silent, accounted float64
 	for number, p := range a.peers {
--- a/internal/escrow/allocator_test.go
+++ b/internal/escrow/allocator_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Accounts beyond MaxAccounts are counted and stay equally divided, those within
-// it are kept, and further ones find capacity when others have expired.
+// Accounts beyond MaxAccounts are counted and stay equally divided. Other accounts
+// can be added after the existing ones have expired.
 func TestMaxAccounts(t *testing.T) {
 	const excess = 44
 	now := time.Hour
@@ -24,7 +24,7 @@
 			t.Fatalf("accounts: got %d, want %d", got, accounts)
 		}
 		if got := a.Counts().Full; got != full {
-			t.Fatalf("accounts without capacity: got %d, want %d", got, full)
+			t.Fatalf("accounts beyond the limit: got %d, want %d", got, full)
 		}
 	}
 	a.Tick(now, needs[:MaxAccounts], nil)
@@ -37,8 +37,8 @@
 	expect(excess, excess)
 }
 
-// A peer that reports that the counter is lost to it spends as much as it
-// reports; a silent one what it wanted, less what the totals show.
+// A peer that reports the loss of the counter is assumed to spend the share that it
+// reports, and a silent peer what it wanted, less what the counter's totals show.
 func TestUnreportedShare(t *testing.T) {
 	tests := map[string]struct {
 		counterLost bool
@@ -81,9 +81,9 @@
 	}
 }
 
-// A late message of a peer that has really ended clears the mark of its end.
-// That never lets this instance spend more: the peer counts as one that may
-// spend until its retention is over.
+// A late message from a peer that has ended marks the peer as running again. This
+// must not let this instance spend more: the peer counts as one that may spend,
+// until the retention time is over.
 func TestLateMessageOfEndedPeerFreesNothing(t *testing.T) {
 	peer := Member{"b", 1}
 	a := New(0, instances, time.Hour, rand.New(rand.NewPCG(1, 1)))
@@ -109,16 +109,16 @@
 	}
 	now += retention + 2*time.Second
 	if forgotten := allocation(); forgotten.Unreported != 0 {
-		t.Errorf("after %v: got %+v, want nothing left to the peer", retention, forgotten)
+		t.Errorf("after %v: got %+v, want no unreported share", retention, forgotten)
 	}
 }
 
-// requestMessage returns a message of instance 1 with a request for a transfer.
+// requestMessage returns a message from instance 1 with a request for a transfer.
 func requestMessage(request TransferRequest) Message {
 	return Message{Sender: 1, Instances: instances, Requests: []TransferRequest{request}}
 }
 
-// Messages that no instance of this fleet can mean change nothing.
+// Invalid messages don't change the allocations.
 func TestInvalidMessagesAreIgnored(t *testing.T) {
 	request := func(change func(r *TransferRequest)) Message {
 		r := TransferRequest{Key: testAccount, Spread: instances, Transfer: 1, Sequence: 1, Share: 0.1}
@@ -165,7 +165,7 @@
 			expectUnchanged(t)
 		})
 	}
-	t.Run("number of a peer that is heard", func(t *testing.T) {
+	t.Run("number of a reachable peer", func(t *testing.T) {
 		a.Receive(now, Member{"z", 1}, Message{Sender: 1, Instances: instances})
 		if got := a.Counts().Conflicts; got != 1 {
 			t.Errorf("conflicts: got %d, want 1", got)
--- a/internal/escrow/cluster_test.go
+++ b/internal/escrow/cluster_test.go
@@ -13,36 +13,37 @@
 	instances = 3
 	// tickInterval is the time between two calls of Tick.
 	tickInterval = 50 * ms
-	// tolerance is that of sums of shares.
+	// tolerance is the rounding error allowed in sums of shares.
 	tolerance = 1e-9
 	// testAccount is the key of the account that the instances share.
 	testAccount = "k"
-	// maxDeliveries bounds the messages that follow from each other.
+	// maxDeliveries limits the messages of one call of deliverAll.
 	maxDeliveries = 1000
 )
 
-// packet is a message on its way.
+// packet is a message in transit.
 type packet struct {
 	from    Member
 	to      string
 	message Message
 }
 
-// cluster is instances with clocks of their own, and messages on their way.
+// cluster is a set of instances, each with its own clock, and the messages in
+// transit between them.
 type cluster struct {
 	now          time.Duration
-	rates        []float64    // of the instances' clocks
+	clockRates   []float64    // relative to now, by instance
 	allocators   []*Allocator // nil: the instance is down
 	incarnations []uint64
 	wanted       []float64 // the share that each instance wants
 	network      []packet
 }
 
-// newCluster returns instances whose clocks run at the rates.
-func newCluster(rates ...float64) *cluster {
+// newCluster returns a cluster whose instances have clocks of the given rates.
+func newCluster(clockRates ...float64) *cluster {
 	c := &cluster{
 		now:          time.Hour,
-		rates:        rates,
+		clockRates:   clockRates,
 		wanted:       make([]float64, instances),
 		allocators:   make([]*Allocator, instances),
 		incarnations: make([]uint64, instances),
@@ -53,9 +54,10 @@
 	return c
 }
 
-// clock returns an instance's own time: hours apart, at a rate of its own.
+// clock returns the reading of an instance's clock. The clocks are hours apart and
+// run at different rates.
 func (c *cluster) clock(i int) time.Duration {
-	return time.Duration(i)*time.Hour + time.Duration(float64(c.now)*c.rates[i])
+	return time.Duration(i)*time.Hour + time.Duration(float64(c.now)*c.clockRates[i])
 }
 
 // start starts a new incarnation of an instance.
@@ -71,7 +73,7 @@
 // member returns an instance as its peers know it.
 func (c *cluster) member(i int) Member { return Member{c.name(i), c.incarnations[i]} }
 
-// tick has an instance do what is due.
+// tick calls Tick at an instance unless it is down, and sends its messages.
 func (c *cluster) tick(i int) {
 	if c.allocators[i] == nil {
 		return
@@ -86,23 +88,23 @@
 	c.send(i, c.allocators[i].Tick(c.clock(i), needs, members))
 }
 
-// send puts an instance's messages on their way.
+// send adds an instance's messages to the network.
 func (c *cluster) send(from int, envelopes []Envelope) {
 	for _, envelope := range envelopes {
 		c.network = append(c.network, packet{c.member(from), envelope.To, envelope.Message})
 	}
 }
 
-// lose removes a message.
-func (c *cluster) lose(n int) {
+// dropMessage removes message n from the network.
+func (c *cluster) dropMessage(n int) {
 	c.network = append(c.network[:n:n], c.network[n+1:]...)
 }
 
-// deliver delivers a message, which stays on its way if it is duplicated.
+// deliver delivers message n, which stays in the network if it is duplicated.
 func (c *cluster) deliver(n int, duplicated bool) {
 	p := c.network[n]
 	if !duplicated {
-		c.lose(n)
+		c.dropMessage(n)
 	}
 	to := int(p.to[0] - 'a')
 	if c.allocators[to] == nil {
@@ -111,14 +113,14 @@
 	c.send(to, c.allocators[to].Receive(c.clock(to), p.from, p.message))
 }
 
-// deliverAll delivers messages until none is on its way.
+// deliverAll delivers messages until none is in transit.
 func (c *cluster) deliverAll() {
 	for n := 0; len(c.network) > 0 && n < maxDeliveries; n++ {
 		c.deliver(0, false)
 	}
 }
 
-// run lets time pass, without faults.
+// run advances the time by span without faults.
 func (c *cluster) run(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += tickInterval {
 		for i := range c.allocators {
@@ -128,7 +130,7 @@
 	}
 }
 
-// pause stops an instance for a time.
+// pause stops an instance for a span, and resumes it with its old state.
 func (c *cluster) pause(i int, span time.Duration) {
 	allocator := c.allocators[i]
 	c.allocators[i] = nil
@@ -136,12 +138,12 @@
 	c.allocators[i] = allocator
 }
 
-// share returns what an instance holds.
+// share returns the share that an instance may spend.
 func (c *cluster) share(i int) float64 {
 	return c.allocators[i].Allocations(c.clock(i))[testAccount].Share
 }
 
-// totalShare returns what all instances hold together.
+// totalShare returns the sum of the shares of all running instances.
 func (c *cluster) totalShare() float64 {
 	total := 0.0
 	for i, allocator := range c.allocators {
@@ -162,7 +164,7 @@
 	return slices.ContainsFunc(c.allocators, func(a *Allocator) bool { return a.Counts().Received > 0 })
 }
 
-// clone returns a copy that goes on independently.
+// clone returns an independent copy.
 func (c *cluster) clone() *cluster {
 	clone := *c
 	clone.allocators = slices.Clone(c.allocators)
--- a/internal/escrow/messages.go
+++ b/internal/escrow/messages.go
@@ -8,17 +8,17 @@
 	Requests  []TransferRequest `cbor:"3,keyasint,omitempty"`
 	Grants    []TransferGrant   `cbor:"4,keyasint,omitempty"`
 	Usages    []Usage           `cbor:"5,keyasint,omitempty"`
-	// SenderNonce is drawn by the sender's incarnation.
+	// SenderNonce is a random number that identifies the sender's incarnation.
 	SenderNonce uint64 `cbor:"6,keyasint"`
-	// ReceiverNonce is the receiver's nonce as the sender last heard it; 0
-	// means that it was not heard.
+	// ReceiverNonce is the latest nonce that the sender has received from the
+	// receiver, 0 if it has received none.
 	ReceiverNonce uint64 `cbor:"7,keyasint,omitempty"`
-	// HoldsTransfers says that the sender holds transfers of the receiver's,
-	// or has requested some.
+	// HoldsTransfers is set if the sender holds transfers from the receiver, or
+	// has requested some.
 	HoldsTransfers bool `cbor:"8,keyasint,omitempty"`
 }
 
-// Envelope is a message and the member that it goes to.
+// Envelope is a message with its receiver.
 type Envelope struct {
 	To      string
 	Message Message
@@ -29,7 +29,7 @@
 	Key    string `cbor:"1,keyasint"`
 	Spread int    `cbor:"2,keyasint"`
 	First  int    `cbor:"3,keyasint,omitempty"`
-	// Transfer is the requesting incarnation's number of the transfer.
+	// Transfer is the number that the requesting incarnation gave the transfer.
 	Transfer uint64 `cbor:"4,keyasint"`
 	// Sequence counts the requests for this transfer.
 	Sequence    uint64  `cbor:"5,keyasint"`
@@ -37,15 +37,16 @@
 	MaxInFlight int     `cbor:"7,keyasint,omitempty"`
 }
 
-// valid reports whether an instance of this fleet with the sender's number can
-// have meant the request.
+// valid reports whether the request is valid in this fleet, and its sender is in
+// the account's spread.
 func (r *TransferRequest) valid(sender, instances int) bool {
 	return validRatio(r.Share) && r.Share > 0 && r.Share <= 1 &&
 		r.Spread >= 2 && r.First >= 0 && r.MaxInFlight >= 0 &&
 		inSpread(sender, r.Spread, r.First, instances)
 }
 
-// TransferGrant grants a TransferRequest, from the time that it was sent.
+// TransferGrant grants a TransferRequest. The receiver measures the transfer's term
+// from when it sent the request.
 type TransferGrant struct {
 	Key      string  `cbor:"1,keyasint"`
 	Transfer uint64  `cbor:"2,keyasint"`
@@ -53,7 +54,7 @@
 	Share    float64 `cbor:"4,keyasint"`
 }
 
-// Usage is what an instance holds, wants and forwards of an account.
+// Usage reports how much of an account an instance holds, wants and forwards.
 type Usage struct {
 	Key            string  `cbor:"1,keyasint"`
 	Share          float64 `cbor:"2,keyasint"`
@@ -62,7 +63,7 @@
 	CounterLost    bool    `cbor:"5,keyasint,omitempty"`
 }
 
-// valid reports whether an instance can have meant the usage.
+// valid reports whether all fields are within their limits.
 func (u *Usage) valid() bool {
 	return validRatio(u.Share) && u.Share <= 1 &&
 		validRatio(u.WantedShare) && validRatio(u.ForwardedShare) &&
--- a/internal/escrow/peers.go
+++ b/internal/escrow/peers.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// usageInterval is the shortest time between two usage messages to a peer;
-	// up to half as much is added at random.
+	// usageInterval is the minimum time between two usage messages to a peer; a
+	// random jitter of up to half as much is added.
 	usageInterval = 200 * time.Millisecond
-	// helloInterval is the same for a member whose number isn't known, and for
-	// a peer to which there is nothing to report.
+	// helloInterval is the interval of hellos to a member whose number isn't
+	// known, and of messages to a peer to which there is nothing to report.
 	helloInterval = 2 * time.Second
-	// maxHellosPerTick bounds the messages to members whose number isn't known.
+	// maxHellosPerTick limits the hellos to members whose number isn't known.
 	maxHellosPerTick = 8
-	// maxUsages bounds the accounts in one message.
+	// maxUsages limits the accounts in one message.
 	maxUsages = 24
 )
 
@@ -25,28 +25,29 @@
 	Member
 	heardAt     time.Duration
 	nextUsageAt time.Duration
-	usages      map[string]Usage // what it has last reported, by the accounts' keys
+	usages      map[string]Usage // its latest report, by account key
 	// nonce identifies its incarnation.
 	nonce uint64
-	// confirmedNone says that it has confirmed to this incarnation that it has no
-	// transfers of an earlier one.
+	// confirmedNone is set if it has confirmed to this incarnation that it holds
+	// no transfers from an earlier one.
 	confirmedNone bool
-	// ended says that it has surely ended, or has left.
+	// ended is set by PeerEnded.
 	ended bool
 }
 
-// newPeer returns a peer of which nothing was heard.
+// newPeer returns a peer without any reports.
 func newPeer(member Member) *peer {
 	return &peer{Member: member, usages: map[string]Usage{}}
 }
 
-// reachable reports whether a peer was heard lately.
+// reachable reports whether a message from a peer arrived within maxSilence, and
+// it has not ended.
 func (a *Allocator) reachable(p *peer) bool {
 	return !p.ended && a.now-p.heardAt <= maxSilence
 }
 
-// earlierTransfersEnded reports whether no instance can hold a transfer that an
-// earlier incarnation of this one has made.
+// earlierTransfersEnded reports whether all transfers made by earlier incarnations
+// of this instance have certainly ended.
 func (a *Allocator) earlierTransfersEnded() bool {
 	if a.now >= a.startedAt+TransferTerm {
 		return true
@@ -60,8 +61,8 @@
 	return confirmed == a.instances-1
 }
 
-// PeerEnded reports that an incarnation of a member has surely ended, or has
-// left: it spends nothing.
+// PeerEnded reports that an incarnation of a member has certainly ended or has
+// left, so that it spends nothing any more.
 func (a *Allocator) PeerEnded(name string, incarnation uint64) {
 	number, known := a.peerNumbers[name]
 	if !known {
@@ -72,10 +73,10 @@
 	}
 }
 
-// forgetAbsentMembers forgets when members were greeted that have left. A peer
-// that isn't a member any more has not ended for that reason: PeerEnded
-// reports it.
-func (a *Allocator) forgetAbsentMembers(members []Member) {
+// forgetHellosToAbsent removes the hello times of members that have left. It
+// doesn't mark peers as ended: a peer that is no longer a member may still be
+// running, and only PeerEnded reports that it isn't.
+func (a *Allocator) forgetHellosToAbsent(members []Member) {
 	present := map[string]bool{}
 	for _, m := range members {
 		present[m.Name] = true
@@ -83,7 +84,7 @@
 	maps.DeleteFunc(a.nextHelloAt, func(name string, _ time.Duration) bool { return !present[name] })
 }
 
-// reportToPeers returns the messages with the requests and usages that are due.
+// reportToPeers returns the messages with requests and usages that are due.
 func (a *Allocator) reportToPeers(requests map[int][]TransferRequest) []Envelope {
 	var envelopes []Envelope
 	for _, number := range slices.Sorted(maps.Keys(a.peers)) {
@@ -102,8 +103,8 @@
 	return envelopes
 }
 
-// greetMembers returns messages to members whose numbers aren't known.
-func (a *Allocator) greetMembers(members []Member) []Envelope {
+// sendHellos returns the hellos that are due to members whose numbers aren't known.
+func (a *Allocator) sendHellos(members []Member) []Envelope {
 	var envelopes []Envelope
 	for _, m := range members {
 		if len(envelopes) >= maxHellosPerTick {
@@ -132,13 +133,13 @@
 	return Envelope{To: p.Name, Message: m}
 }
 
-// usagesFor returns the usages that a peer is sent: of the accounts in whose
-// spread it is, those with the largest wanted shares.
+// usagesFor returns the usages to report to a peer: up to maxUsages accounts that
+// have the peer in their spread, preferring the largest wanted shares.
 func (a *Allocator) usagesFor(number int) []Usage {
 	var usages []Usage
 	for _, key := range slices.Sorted(maps.Keys(a.accounts)) {
 		acc := a.accounts[key]
-		if !a.needed(acc) || !inSpread(number, acc.spread, acc.first, a.instances) {
+		if !a.recentlyNeeded(acc) || !inSpread(number, acc.spread, acc.first, a.instances) {
 			continue
 		}
 		usages = append(usages, Usage{
@@ -156,8 +157,8 @@
 	return usages
 }
 
-// Receive takes in a message that an incarnation of a member has sent, and
-// returns what is to be answered.
+// Receive handles a message from an incarnation of a member, and returns the
+// messages to send in reply.
 func (a *Allocator) Receive(now time.Duration, from Member, m Message) []Envelope {
 	a.advance(now)
 	if !a.validSender(from, m) {
@@ -190,16 +191,15 @@
 	return []Envelope{a.envelopeTo(p, Message{Grants: grants, Usages: a.usagesFor(m.Sender)})}
 }
 
-// validSender reports whether another instance of this fleet can have sent the
-// message.
+// validSender reports whether the message is from another instance of this fleet.
 func (a *Allocator) validSender(from Member, m Message) bool {
 	return m.Instances == a.instances && m.Sender >= 0 && m.Sender < a.instances &&
 		m.Sender != a.number && from.Name != ""
 }
 
-// identifyPeer returns the peer that has sent a message, and whether its
-// incarnation is new. It returns nil for an ended incarnation, and for a
-// member with the number of a peer that is heard: that one is believed.
+// identifyPeer returns the peer that sent a message, and whether its incarnation
+// is new. It returns nil if a later incarnation of the sender is known, or if the
+// sender uses the number of another peer that is reachable.
 func (a *Allocator) identifyPeer(from Member, m Message) (p *peer, fresh bool) {
 	p = a.peers[m.Sender]
 	fresh = p == nil || p.nonce != m.SenderNonce
@@ -216,14 +216,14 @@
 		delete(a.peerNumbers, p.Name)
 		*p = *newPeer(from)
 	}
-	if fresh { // the transfers of its earlier incarnation are no more, and none is accepted
+	if fresh { // a confirmation by the peer's earlier incarnation doesn't count for the new one
 		p.nonce = m.SenderNonce
 		p.confirmedNone = false
 	}
 	return p, fresh
 }
 
-// recordUsages replaces what a peer has reported.
+// recordUsages replaces the usages reported by a peer.
 func (a *Allocator) recordUsages(p *peer, usages []Usage) {
 	if len(usages) == 0 && len(p.usages) == 0 {
 		return
--- a/internal/escrow/status.go
+++ b/internal/escrow/status.go
@@ -10,15 +10,15 @@
 type Status struct {
 	Key         string   `json:"Key"`
 	Home        float64  `json:"Home"`     // this instance's home share
-	Share       float64  `json:"Share"`    // that it may spend now
-	Transferred float64  `json:"Lent"`     // to the instances in To
-	Received    float64  `json:"Borrowed"` // from the instances in From
-	Unreported  float64  `json:"Away"`     // that others may spend without the counter's knowledge
+	Share       float64  `json:"Share"`    // may be spent by this instance now
+	Transferred float64  `json:"Lent"`     // transferred to the instances in To
+	Received    float64  `json:"Borrowed"` // received from the instances in From
+	Unreported  float64  `json:"Away"`     // may be spent by others without reporting it to the counter
 	To          []string `json:"To"`
 	From        []string `json:"From"`
 }
 
-// Status returns the status of each account, in the order of their keys.
+// Status returns the status of each account, ordered by key.
 func (a *Allocator) Status(now time.Duration) []Status {
 	a.advance(now)
 	var statuses []Status
--- a/internal/escrow/transfer.go
+++ b/internal/escrow/transfer.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	renewInterval   = 250 * time.Millisecond // between two requests for one transfer
-	requestInterval = 200 * time.Millisecond // between two rounds of requests for further ones, and up to twice that
-	requestTimeout  = 350 * time.Millisecond // after which a transfer that isn't granted is given up
+	renewInterval   = 250 * time.Millisecond // between two requests for the same transfer
+	requestInterval = 200 * time.Millisecond // between two rounds of requests for new transfers, plus up to 100% jitter
+	requestTimeout  = 350 * time.Millisecond // after which a transfer that wasn't granted is dropped
 )
 
 // transfer is a share that one instance has transferred to another, or that was
 // requested.
 type transfer struct {
-	// id is the receiving incarnation's number of the transfer.
+	// id is the number that the receiving incarnation gave the transfer.
 	id uint64
-	// peer is the other instance, incarnation the receiver's.
+	// peer is the name of the other instance. incarnation is the receiver's; it is
+	// set only at the giver.
 	peer        string
 	incarnation uint64
 	share       float64
-	// expiresAt is its end, by this instance's clock.
+	// expiresAt is the end of the transfer, by this instance's clock.
 	expiresAt time.Duration
 
-	// The following are set at the receiver. sequence counts the requests, of
-	// which requestedAt is the latest.
+	// The following are set only at the receiver. sequence counts the requests;
+	// requestedAt is the time of the latest.
 	firstRequestedAt time.Duration
 	requestedAt      time.Duration
 	sequence         uint64
@@ -34,7 +35,7 @@
 // expired reports whether a granted transfer has ended.
 func (t *transfer) expired(now time.Duration) bool { return t.expiresAt <= now }
 
-// expireTransfers forgets the transfers that have ended or were not granted.
+// expireTransfers removes the transfers that have ended or were not granted in time.
 func (acc *account) expireTransfers(now time.Duration) {
 	acc.transferredOut = slices.DeleteFunc(acc.transferredOut, func(t transfer) bool { return t.expired(now) })
 	acc.received = slices.DeleteFunc(acc.received, func(t transfer) bool {
@@ -45,8 +46,9 @@
 	})
 }
 
-// requestTransfers adds the requests for what an account lacks here, and for
-// the renewal of what it uses, to those by the peers' numbers.
+// requestTransfers adds the requests that this instance makes for an account to
+// requests, by peer number: renewals of the transfers that it uses, and new
+// transfers for the share that it lacks.
 func (a *Allocator) requestTransfers(acc *account, requests map[int][]TransferRequest) {
 	wanted := min(1, headroomFactor*acc.need.WantedShare)
 	current := a.retainedShare(acc)
@@ -57,12 +59,12 @@
 		if !t.granted {
 			pending += t.share
 			if due {
-				a.requestTransfer(acc, t, requests)
+				a.sendTransferRequest(acc, t, requests)
 			}
 			continue
 		}
 		if due && current < wanted {
-			a.requestTransfer(acc, t, requests)
+			a.sendTransferRequest(acc, t, requests)
 		}
 		current += t.share
 	}
@@ -71,12 +73,12 @@
 		return
 	}
 	acc.nextRequestAt = a.now + requestInterval + time.Duration(a.rng.Int64N(int64(requestInterval)))
-	a.requestFurther(acc, lacking, requests)
+	a.requestNewTransfers(acc, lacking, requests)
 }
 
-// requestFurther requests equal parts of what an account lacks of all peers
-// that have none of it to answer already.
-func (a *Allocator) requestFurther(acc *account, lacking float64, requests map[int][]TransferRequest) {
+// requestNewTransfers requests equal parts of the lacking share from all peers
+// that have no open request for the account.
+func (a *Allocator) requestNewTransfers(acc *account, lacking float64, requests map[int][]TransferRequest) {
 	givers := a.possibleGivers(acc)
 	for _, number := range givers {
 		if len(acc.received) >= maxTransfers {
@@ -89,12 +91,12 @@
 			share:            max(minTransferShare, lacking/float64(len(givers))),
 			firstRequestedAt: a.now,
 		})
-		a.requestTransfer(acc, &acc.received[len(acc.received)-1], requests)
+		a.sendTransferRequest(acc, &acc.received[len(acc.received)-1], requests)
 	}
 }
 
-// possibleGivers returns the numbers of the peers that may transfer a share of
-// an account.
+// possibleGivers returns the numbers of the reachable peers in an account's spread
+// to which no request for it is open.
 func (a *Allocator) possibleGivers(acc *account) []int {
 	var numbers []int
 	for number, p := range a.peers {
@@ -110,8 +112,9 @@
 	return numbers
 }
 
-// requestTransfer adds a request for a transfer, if the peer can be reached.
-func (a *Allocator) requestTransfer(acc *account, t *transfer, requests map[int][]TransferRequest) {
+// sendTransferRequest adds a request for a transfer to requests if the peer is
+// reachable.
+func (a *Allocator) sendTransferRequest(acc *account, t *transfer, requests map[int][]TransferRequest) {
 	number, known := a.peerNumbers[t.peer]
 	if !known || !a.reachable(a.peers[number]) {
 		return
@@ -129,8 +132,9 @@
 	})
 }
 
-// handleGrant takes in a transfer that was requested. A grant of an earlier
-// request doesn't count, since it isn't known any more when that was sent.
+// handleGrant records the grant of a requested transfer. A grant of any but the
+// latest request is ignored, because the time at which an earlier one was sent is
+// no longer known.
 func (a *Allocator) handleGrant(from Member, grant TransferGrant) {
 	acc := a.accounts[grant.Key]
 	if acc == nil {
@@ -141,7 +145,7 @@
 		return
 	}
 	t := &acc.received[i]
-	if t.granted && t.expired(a.now) { // what is granted now is another transfer
+	if t.granted && t.expired(a.now) { // an ended transfer can't be renewed
 		return
 	}
 	validShare := grant.Share > 0 && grant.Share <= t.share+roundingTolerance
@@ -156,9 +160,9 @@
 	t.expiresAt = max(t.expiresAt, t.requestedAt+time.Duration(receiverTermFraction*float64(TransferTerm)))
 }
 
-// handleRequest decides on a request for a transfer: a share is transferred,
-// and renewed, for as long as it isn't needed here. It reports false if it
-// doesn't grant it.
+// handleRequest decides on a request for a transfer. Transfers are granted and
+// renewed as long as this instance doesn't need the share. It returns false if the
+// request isn't granted.
 func (a *Allocator) handleRequest(from Member, number int, request TransferRequest) (TransferGrant, bool) {
 	if !request.valid(number, a.instances) {
 		a.counts.Invalid++
@@ -178,17 +182,18 @@
 	return a.transferOut(acc, from, request, reserve)
 }
 
-// reservedShare returns what this instance doesn't transfer of an account.
+// reservedShare returns the part of the home share that this instance doesn't
+// transfer now.
 func (a *Allocator) reservedShare(acc *account, maxInFlight int) float64 {
 	home := a.homeShare(acc)
 	reserve := minRetainedShare(home, max(acc.maxInFlight, maxInFlight))
-	if a.needed(acc) {
+	if a.recentlyNeeded(acc) {
 		reserve = max(reserve, min(home, headroomFactor*acc.need.WantedShare))
 	}
 	return reserve
 }
 
-// renew extends a transfer that has not ended, unless its share is needed here.
+// renew extends a transfer that has not ended, unless this instance needs the share.
 func (a *Allocator) renew(
 	acc *account, t *transfer, request TransferRequest, reserve float64,
 ) (TransferGrant, bool) {
@@ -203,7 +208,7 @@
 	return request.grant(t.share), true
 }
 
-// transferOut makes a transfer of what isn't needed here.
+// transferOut transfers the requested share, as far as it isn't reserved.
 func (a *Allocator) transferOut(
 	acc *account, to Member, request TransferRequest, reserve float64,
 ) (TransferGrant, bool) {
@@ -219,7 +224,7 @@
 		share:       share,
 		expiresAt:   a.now + TransferTerm,
 	})
-	if a.now-acc.neededAt > retention { // without a need here it is retained as long as its transfers
+	if a.now-acc.neededAt > retention { // without a need, the account is retained as long as its transfers
 		acc.neededAt = a.now - retention
 	}
 	a.counts.Transferred++
--- a/internal/escrow/transfer_test.go
+++ b/internal/escrow/transfer_test.go
@@ -12,8 +12,8 @@
 
 const homeShare = 1.0 / instances
 
-// A wanted share arrives within a second, and returns when the others need it;
-// an instance that wakes up has a minimum at once.
+// An instance receives a wanted share within a second, and the share returns when
+// the others need it. An idle instance retains a minimum.
 func TestSharesFollowNeed(t *testing.T) {
 	c := newCluster(1, 1, 1)
 	c.run(1500 * ms)
@@ -45,8 +45,8 @@
 	}
 }
 
-// Instances that start together, or one beside others that hold none of its
-// share, need not wait for transfers that were not made.
+// An instance that starts doesn't wait for TransferTerm if the other instances
+// confirm that they hold none of its share.
 func TestStartWithoutEarlierTransfers(t *testing.T) {
 	c := newCluster(1, 1, 1)
 	c.run(200 * ms)
@@ -72,9 +72,9 @@
 	}
 }
 
-// An instance that holds most of the shares fails, pauses or restarts, or one
-// that has transferred its share does: nothing is held twice, and each home
-// share is back within the term of a transfer.
+// The receiver or the giver of a transfer fails, pauses or restarts. No share may
+// be held twice, and each running instance must have its home share again after
+// three seconds.
 func TestHolderIsLost(t *testing.T) {
 	const receiver, giver = 0, 1
 	tests := map[string]func(c *cluster){
@@ -109,9 +109,9 @@
 	}
 }
 
-// Whatever is lost, late, duplicated or out of order, and whoever fails, pauses
-// or restarts, with clocks that are hours apart and run wrong by up to a tenth:
-// all instances hold no more than the budget.
+// The shares of all instances never exceed the quota, even if messages are lost,
+// delayed, duplicated or reordered, instances restart, and clocks are hours apart
+// with rates that are off by up to a tenth.
 func TestSharesNeverExceedBudget(t *testing.T) {
 	runsWithTransfer := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// randomStep does one thing that can happen.
+// randomStep performs one random step.
 func (c *cluster) randomStep(t *rapid.T) {
 	i := rapid.IntRange(0, instances-1).Draw(t, "instance")
 	switch step := rapid.IntRange(0, 11).Draw(t, "step"); {
@@ -145,7 +145,7 @@
 		n := rapid.IntRange(0, len(c.network)-1).Draw(t, "message")
 		c.deliver(n, rapid.IntRange(0, 4).Draw(t, "duplicated if 0") == 0)
 	case step == 7 && len(c.network) > 0:
-		c.lose(rapid.IntRange(0, len(c.network)-1).Draw(t, "lost message"))
+		c.dropMessage(rapid.IntRange(0, len(c.network)-1).Draw(t, "lost message"))
 	case step == 8:
 		c.wanted[i] = []float64{0, 0.1, 0.5, 1}[rapid.IntRange(0, 3).Draw(t, "wanted share")]
 	case step == 9 && rapid.IntRange(0, 3).Draw(t, "restarts if 0") == 0:
@@ -156,16 +156,16 @@
 }
 
 const (
-	// exploreVariable sets the depth of TestExploreOrders.
-	exploreVariable = "HITCHSPRING_EXPLORE"
+	// exploreEnv sets the depth of TestExploreOrders.
+	exploreEnv      = "HITCHSPRING_EXPLORE"
 	minExploreDepth = 5
 	maxExploreDepth = 8
-	// maxExploreNetwork is the number of messages on their way; the oldest of
-	// more are lost.
+	// maxExploreNetwork is the maximum number of messages in transit; the oldest
+	// messages beyond it are lost.
 	maxExploreNetwork = 3
 )
 
-// orderExplorer visits every order of steps up to a depth.
+// orderExplorer visits all sequences of steps up to a depth.
 type orderExplorer struct {
 	t            *testing.T
 	depth        int
@@ -197,8 +197,8 @@
 // fixedSteps is the number of steps that are always possible.
 const fixedSteps = 6
 
-// step does the step of a number: the fixed ones, then the delivery of each
-// message, then its duplication.
+// step performs a step by its number. The fixed steps come first, then the delivery
+// of each message, then the duplication of each message.
 func (c *cluster) step(number int) {
 	const receiver, giver = 0, 2
 	switch number {
@@ -218,10 +218,11 @@
 	}
 }
 
-// Two instances want the account and one gives its share: every order of ticks,
-// of messages that are delivered, duplicated or lost, of time and of restarts.
+// Two instances want the account and the third transfers its share. Explores every
+// order of ticks, restarts, advances of the time, and messages that are delivered,
+// duplicated or lost.
 func TestExploreOrders(t *testing.T) {
-	depth, _ := strconv.Atoi(os.Getenv(exploreVariable))
+	depth, _ := strconv.Atoi(os.Getenv(exploreEnv))
 	e := &orderExplorer{t: t, depth: min(max(depth, minExploreDepth), maxExploreDepth)}
 	c := newCluster(1, 1.09, 0.91)
 	c.run(1100 * ms)
