--- a/internal/overrun/bound_test.go
+++ b/internal/overrun/bound_test.go
@@ -15,7 +15,7 @@
 const (
 	// engineStep is the time between two calls of the policy engine.
 	engineStep = 5 * ms
-	// slackUnits is what may be forwarded above a bound: one request.
+	// slackUnits is the units by which forwarding may exceed a bound: one request.
 	slackUnits = 1.0
 )
 
@@ -39,17 +39,17 @@
 	}
 }
 
-// disconnection is a case in which an instance loses the counter.
+// disconnection is a test case in which an instance loses the counter.
 type disconnection struct {
-	rate, burst float64
-	instances   int
-	after       time.Duration // from the start
-	span        time.Duration // for which the bound is stated
-	load        float64       // of requests here, as a multiple of the instance's share of the rate
-	othersLoad  float64       // of the other instances
-	slow        bool          // requests take long
-	failsAtOnce bool          // counter calls do, else they time out
-	seed        uint64
+	rate, burst     float64
+	instances       int
+	disconnectAfter time.Duration // time from the start
+	span            time.Duration // to which the bound applies
+	load            float64       // requests at this instance, as a multiple of its share of the rate
+	othersLoad      float64       // use by the other instances
+	slow            bool          // requests have a long service time
+	failsAtOnce     bool          // counter calls fail at once instead of timing out
+	seed            uint64
 }
 
 func drawDisconnection(t *rapid.T) disconnection {
@@ -57,8 +57,8 @@
 	d.rate = rapid.SampledFrom([]float64{2, 10, 26, 60}).Draw(t, "rate")
 	d.instances = rapid.IntRange(1, 6).Draw(t, "instances")
 	d.burst = d.rate * rapid.Float64Range(0.3, 6).Draw(t, "burst in seconds")
-	after := rapid.SampledFrom([]int{20, 300, 1500, 4000}).Draw(t, "after, ms")
-	d.after = time.Duration(after+rapid.IntRange(0, 200).Draw(t, "further ms")) * ms
+	disconnectAfter := rapid.SampledFrom([]int{20, 300, 1500, 4000}).Draw(t, "after, ms")
+	d.disconnectAfter = time.Duration(disconnectAfter+rapid.IntRange(0, 200).Draw(t, "further ms")) * ms
 	d.span = time.Duration(rapid.SampledFrom([]int{100, 1000, 5000}).Draw(t, "span, ms")) * ms
 	d.load = rapid.SampledFrom([]float64{0.3, 1, 2, 5}).Draw(t, "load")
 	d.othersLoad = rapid.SampledFrom([]float64{0, 0.3, 1, 3}).Draw(t, "others' load")
@@ -68,8 +68,8 @@
 	return d
 }
 
-// laterEvent is an event that a policy engine is to be given at a time.
-type laterEvent struct {
+// scheduledEvent is an event for the policy engine with its time.
+type scheduledEvent struct {
 	at    time.Duration
 	event policy.Event
 }
@@ -77,17 +77,17 @@
 // engineRun drives one instance's policy engine.
 type engineRun struct {
 	disconnection
-	settings  policy.Settings
-	engine    *policy.Engine
-	now       time.Duration
-	took      time.Duration // by a request
-	queue     []laterEvent
-	totals    map[string]float64 // of the counter
-	units     map[policy.RequestID]float64
-	lastID    policy.RequestID
-	nextDue   time.Duration // of the next request
-	cut       bool          // the counter is lost
-	forwarded float64       // units since then
+	settings      policy.Settings
+	engine        *policy.Engine
+	now           time.Duration
+	serviceTime   time.Duration // of a request
+	scheduled     []scheduledEvent
+	totals        map[string]float64 // of the counter
+	units         map[policy.RequestID]float64
+	lastID        policy.RequestID
+	nextRequestAt time.Duration
+	counterLost   bool
+	forwarded     float64 // units since the counter was lost
 }
 
 func newEngineRun(t *rapid.T, d disconnection) *engineRun {
@@ -101,14 +101,14 @@
 		settings:      settings,
 		engine:        engine,
 		now:           time.Minute,
-		took:          5 * ms,
+		serviceTime:   5 * ms,
 		totals:        map[string]float64{},
 		units:         map[policy.RequestID]float64{},
 	}
 	if d.slow {
-		r.took = 150 * ms
+		r.serviceTime = 150 * ms
 	}
-	r.nextDue = r.now
+	r.nextRequestAt = r.now
 	r.handle(policy.EndpointsChanged{
 		Complete: true,
 		Backends: []policy.Backend{{ID: "s", State: policy.Running}, {ID: "u", State: policy.Running}},
@@ -116,43 +116,43 @@
 	return r
 }
 
-// later has the engine handle an event after a delay.
-func (r *engineRun) later(delay time.Duration, event policy.Event) {
-	r.queue = append(r.queue, laterEvent{r.now + delay, event})
+// schedule schedules an event for the engine after a delay.
+func (r *engineRun) schedule(delay time.Duration, event policy.Event) {
+	r.scheduled = append(r.scheduled, scheduledEvent{r.now + delay, event})
 }
 
-// handle has the engine handle an event, and does what it decides.
+// handle passes an event to the engine and performs the resulting actions.
 func (r *engineRun) handle(event policy.Event) {
 	for _, action := range r.engine.Handle(r.now, event, nil) {
 		switch action := action.(type) {
 		case policy.SendAttempt:
-			if r.cut {
+			if r.counterLost {
 				r.forwarded += r.units[action.ID]
 			}
-			ended := policy.AttemptEnded{ID: action.ID, Outcome: policy.Succeeded, Took: r.took, Finished: true}
-			r.later(r.took, ended)
+			ended := policy.AttemptEnded{ID: action.ID, Outcome: policy.Succeeded, Took: r.serviceTime, Finished: true}
+			r.schedule(r.serviceTime, ended)
 		case policy.AddToCounter:
 			r.addToCounter(action)
 		}
 	}
 }
 
-// addToCounter answers a counter call, or has it fail.
+// addToCounter schedules the reply to a counter call, or its failure.
 func (r *engineRun) addToCounter(call policy.AddToCounter) {
 	switch {
-	case r.cut && r.failsAtOnce:
-		r.later(ms, policy.CounterReply{Name: call.Name, Outcome: policy.NoConnect})
-	case r.cut:
-		r.later(r.settings.CounterTimeout, policy.CounterReply{Name: call.Name, Outcome: policy.TimedOut})
+	case r.counterLost && r.failsAtOnce:
+		r.schedule(ms, policy.CounterReply{Name: call.Name, Outcome: policy.NoConnect})
+	case r.counterLost:
+		r.schedule(r.settings.CounterTimeout, policy.CounterReply{Name: call.Name, Outcome: policy.TimedOut})
 	default:
 		r.totals[call.Name] += call.Add + r.othersLoad*r.rate*0.01
 		total := r.totals[call.Name]
-		r.later(2*ms, policy.CounterReply{Name: call.Name, Outcome: policy.Succeeded, Total: total})
+		r.schedule(2*ms, policy.CounterReply{Name: call.Name, Outcome: policy.Succeeded, Total: total})
 	}
 }
 
-// loseCounter states the bound and loses the counter, with the replies that are
-// on their way. It reports false if nothing was requested yet.
+// loseCounter returns the present bound and makes the counter unreachable; replies
+// in transit are lost. It returns false if no request has arrived yet.
 func (r *engineRun) loseCounter() (Bound, bool) {
 	var bound Bound
 	for _, quota := range QuotaStates(r.engine.ExportState(), r.engine.QuotaStandings(), r.settings) {
@@ -161,28 +161,28 @@
 	if bound.Tenant == "" {
 		return bound, false
 	}
-	r.cut = true
-	for i := range r.queue {
-		if reply, is := r.queue[i].event.(policy.CounterReply); is {
+	r.counterLost = true
+	for i := range r.scheduled {
+		if reply, is := r.scheduled[i].event.(policy.CounterReply); is {
 			reply.Outcome = policy.TimedOut
-			r.queue[i] = laterEvent{r.now + r.settings.CounterTimeout, reply}
+			r.scheduled[i] = scheduledEvent{r.now + r.settings.CounterTimeout, reply}
 		}
 	}
 	return bound, true
 }
 
-// step does all that is due, and lets time pass.
+// step handles all events and requests that are due, and advances the time.
 func (r *engineRun) step() {
-	for i := 0; i < len(r.queue); i++ {
-		if r.queue[i].at <= r.now {
-			event := r.queue[i].event
-			r.queue = append(r.queue[:i], r.queue[i+1:]...)
+	for i := 0; i < len(r.scheduled); i++ {
+		if r.scheduled[i].at <= r.now {
+			event := r.scheduled[i].event
+			r.scheduled = append(r.scheduled[:i], r.scheduled[i+1:]...)
 			i--
 			r.handle(event)
 		}
 	}
 	interval := time.Duration(float64(time.Second) / (r.load * r.rate / float64(r.instances)))
-	for ; r.nextDue <= r.now; r.nextDue += interval {
+	for ; r.nextRequestAt <= r.now; r.nextRequestAt += interval {
 		r.lastID++
 		r.units[r.lastID] = 1
 		r.handle(policy.Arrival{Request: policy.Request{
@@ -199,13 +199,13 @@
 	r.now += engineStep
 }
 
-// What an instance forwards after the last that it hears of the counter is
-// within the bound that was stated then, whatever its load, its share, the
-// others' use and the moment.
+// The units that an instance forwards after it has lost the counter are within the
+// bound stated at that moment, for any load, share, use by others and time of the
+// loss.
 func TestBoundHoldsWhenCounterIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newEngineRun(t, drawDisconnection(t))
-		cutAt := r.now + r.after
+		cutAt := r.now + r.disconnectAfter
 		for r.now < cutAt {
 			r.step()
 		}
@@ -217,7 +217,7 @@
 			r.step()
 		}
 		if r.forwarded > bound.MaxSpend+slackUnits {
-			t.Fatalf("forwarded in %v: got %.1f units, want %.1f at the most: %+v",
+			t.Fatalf("forwarded in %v: got %.1f units, want at most %.1f: %+v",
 				r.span, r.forwarded, bound.MaxSpend, bound)
 		}
 	})
@@ -225,7 +225,7 @@
 
 const testNow = time.Hour
 
-// modeTest is a change of a quota that is in order, and what is then stated.
+// modeTest is a change to a quota in Normal mode, with the expected mode and bound.
 type modeTest struct {
 	change        func(*QuotaState)
 	mode          Mode
--- a/internal/overrun/json_test.go
+++ b/internal/overrun/json_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// expectSameAfterJSON fails the test if a bound isn't the same after it was
-// encoded and decoded.
+// expectSameAfterJSON fails the test if encoding a bound as JSON and decoding it
+// changes it.
 func expectSameAfterJSON(t *testing.T, bound Bound) {
 	t.Helper()
 	text, err := json.Marshal(bound)
--- a/internal/overrun/mode.go
+++ b/internal/overrun/mode.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Mode is how a quota is coordinated at the moment.
+// Mode is the way in which a quota is currently coordinated.
 type Mode uint8
 
 // The modes.
 const (
 	Normal       Mode = iota // the counter answers
-	Late                     // a call has failed, or no total came for lateAfter though there is demand
-	Disconnected             // calls fail and no total came for disconnectedAfter: only the own share is spent
+	Late                     // a call has failed, or no total arrived for lateAfter although there is demand
+	Disconnected             // calls fail and no total arrived for disconnectedAfter: only the own share is spent
 	NeverHeard               // the counter has never answered for this tenant
-	PerRequest               // units aren't leased: the counter is called for each request
+	PerRequest               // units are not leased: the counter is called for each request
 )
 
-// modeNames are the names by which operators know the modes.
+// modeNames holds the names shown to operators.
 var modeNames = [...]string{"normal", "late", "alone", "unheard", "asked"}
 
 // String returns the mode's name.
@@ -31,25 +31,25 @@
 // MarshalText implements encoding.TextMarshaler.
 func (m Mode) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. An unknown name is read
-// as Normal.
+// UnmarshalText implements encoding.TextUnmarshaler. Unknown names decode to Normal.
 func (m *Mode) UnmarshalText(text []byte) error {
 	*m = Mode(max(0, slices.Index(modeNames[:], string(text))))
 	return nil
 }
 
 const (
-	// disconnectedAfter is the age of the last total from which on failing
-	// calls are more than one that was lost.
+	// disconnectedAfter is the age of the last total above which failing calls
+	// mean a disconnection and not just a single lost call.
 	disconnectedAfter = 500 * time.Millisecond
-	// lateAfter is the age of the last total from which on a quota with demand
-	// is late.
+	// lateAfter is the age of the last total above which a quota with demand is
+	// Late.
 	lateAfter = time.Second
-	// minDemand is the demand in units per second below which a total isn't missed.
+	// minDemand is the demand in units per second up to which an old total is
+	// expected.
 	minDemand = 0.5
 )
 
-// mode returns how the quota is coordinated, where the last total is of an age.
+// mode returns the quota's mode, given the age of the counter's last total.
 func (q *QuotaState) mode(totalAge time.Duration) Mode {
 	switch {
 	case q.Sparse:
--- a/internal/overrun/overrun.go
+++ b/internal/overrun/overrun.go
@@ -1,34 +1,34 @@
-// Package overrun states how much of a shared quota this instance holds, in
+// Package overrun computes how much of a shared quota this instance holds, in
 // which mode the quota is coordinated, and how much the instance may forward
-// within a span should it hear nothing more from the shared counter. It takes
-// in the policy engine's state of a tenant's quota and the time, and returns a
-// Bound.
-// It does no I/O, changes nothing and never decides whether a request is
-// forwarded: the bounds hold because of how the policy engine spends (see its
-// admission, quota refresh and failed counter calls).
+// within a span if the shared counter doesn't answer any more. Its input is the
+// policy engine's state of a tenant's quota and the time; its output is a Bound.
+//
+// It does no I/O, modifies no state and never decides whether a request is
+// forwarded. The bounds describe how the policy engine spends quota; see its
+// admission, quota refresh and handling of failed counter calls.
 package overrun
 
 import "hitchspring/policy"
 
-// Plan is what a tenant may use.
+// Plan holds the limits of a tenant's plan.
 type Plan struct {
 	Rate     float64 // units per second
 	Burst    float64 // units
-	MaxUnits float64 // of one request
+	MaxUnits float64 // units of one request
 }
 
-// QuotaState is what this instance knows of one tenant's quota.
+// QuotaState is this instance's state of one tenant's quota.
 type QuotaState struct {
 	policy.LearnedTenant
 	policy.QuotaStanding
 	Plan Plan
 }
 
-// instances returns the number of instances that the tenant's requests come through.
+// instances returns the number of instances that receive the tenant's requests.
 func (q *QuotaState) instances() int { return max(1, q.Spread) }
 
-// QuotaStates returns the quota states of all tenants with a limited rate that
-// a policy engine knows.
+// QuotaStates returns the quota states of all tenants of a policy engine that have
+// a limited rate.
 func QuotaStates(
 	learned policy.LearnedState, standings map[string]policy.QuotaStanding, settings policy.Settings,
 ) []QuotaState {
