--- a/internal/escrow/escrow.go
+++ b/internal/escrow/escrow.go
@@ -63,9 +63,9 @@
 	maxTransfers = 16
 	// maxKeyBytes limits the length of an account's key.
 	maxKeyBytes = 128
-	// maxSilence is how long after its last message a peer, or after its last
-	// report a need, counts as current. A peer that is silent for longer may be
-	// spending without reporting to the counter.
+	// maxSilence is how long a peer counts as reachable after its last message,
+	// and a need as current after it was recorded. A peer that is silent for
+	// longer may be spending without reporting to the counter.
 	maxSilence = time.Second
 	// retention is how long an account without a need is retained, and how long
 	// a silent peer's possible spending is accounted for.
--- a/internal/escrow/peers.go
+++ b/internal/escrow/peers.go
@@ -11,8 +11,8 @@
 	// usageInterval is the minimum time between two usage messages to a peer; a
 	// random jitter of up to half as much is added.
 	usageInterval = 200 * time.Millisecond
-	// helloInterval is the interval of hellos to a member whose number isn't
-	// known, and of messages to a peer to which there is nothing to report.
+	// helloInterval is the mean interval of hellos to a member whose number isn't
+	// known, and the interval of messages to a peer without anything to report.
 	helloInterval = 2 * time.Second
 	// maxHellosPerTick limits the hellos to members whose number isn't known.
 	maxHellosPerTick = 8
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -12,7 +12,7 @@
 type Coordinator struct {
 	self  Member
 	store *ReplicaStore
-	// members are the members of the fleet, this instance among them.
+	// members are the current members of the fleet, including this instance.
 	members []Member
 	// departed are the members that have left and not returned, by name.
 	departed map[string]departedMember
@@ -86,7 +86,7 @@
 	return len(c.pending), len(c.store.records), c.store.bytes
 }
 
-// SetMembers sets the members of the fleet, this instance among them.
+// SetMembers sets the current members of the fleet, including this instance.
 // MemberLeft must be called first for members that have left.
 func (c *Coordinator) SetMembers(members []Member) {
 	c.members = members
--- a/internal/takeover/coordinator_test.go
+++ b/internal/takeover/coordinator_test.go
@@ -112,7 +112,7 @@
 
 // A change of scope needs the consent of every replica. If one doesn't reply, the
 // attempt is not sent.
-func TestMigrationNeedsEveryReplica(t *testing.T) {
+func TestRelocationNeedsEveryReplica(t *testing.T) {
 	f := newTestFleet(5)
 	c := f.coordinators["n0"]
 	f.requestSend("n0", testWork(), 1, ownScope("a"), f.now+2*time.Second)
--- a/internal/takeover/decision.go
+++ b/internal/takeover/decision.go
@@ -264,7 +264,7 @@
 	c.awaitConsent(now, work, work.consentTimeout(now))
 }
 
-// adopt permits an attempt to continue another one in the scope of that one.
+// adopt permits work to continue another attempt in that attempt's scope.
 func (c *Coordinator) adopt(work *pendingWork, covered bool) {
 	c.counts.Adopted++
 	work.covered = true
--- a/internal/takeover/explore_test.go
+++ b/internal/takeover/explore_test.go
@@ -116,7 +116,7 @@
 		{
 			planted: defectAdoptsInOtherScope,
 			faults:  faultBudget{crashes: 1, retries: 1},
-			prepare: func(s *modelState) { // the walks begin with a first attempt that has failed
+			prepare: func(s *modelState) { // each walk starts after the failure of the first attempt
 				s.deliverAll()
 				s.coordinators["a"].Complete(s.now, firstAttempt, Answer{Kind: AnswerFailed})
 				s.outcomes[attemptID("a", firstAttempt)+endedSuffix] = endedMark
--- a/internal/takeover/false_death_test.go
+++ b/internal/takeover/false_death_test.go
@@ -161,7 +161,7 @@
 			work.Key = fmt.Sprint("customer/", i)
 			f.requestSend("n0", work, 1, ScopeNone, f.now+4*time.Second)
 			remotes := f.coordinators["n0"].pending[1].remotes
-			f.coordinators[remotes[1]].MemberLeft(f.now, remotes[0], 1) // it is alive
+			f.coordinators[remotes[1]].MemberLeft(f.now, remotes[0], 1) // a false report
 			f.deliverAll()
 			f.disconnect("n0")
 			f.reportLeft("n0")
--- a/internal/takeover/pending.go
+++ b/internal/takeover/pending.go
@@ -43,8 +43,8 @@
 	return "unknown"
 }
 
-// pendingWork is one attempt of this instance that replicas have recorded, or
-// are queried about.
+// pendingWork is an attempt of this instance whose replicas have been sent an
+// intent or an outcome query.
 type pendingWork struct {
 	Work
 	attempt uint64
--- a/internal/takeover/random_fleet_test.go
+++ b/internal/takeover/random_fleet_test.go
@@ -161,8 +161,8 @@
 // joined another.
 func isIdle(a *randomAttempt) bool { return a.actionDueAt == 0 && !a.joined && !a.inFlight }
 
-// migrate moves an attempt that has not run to another scope.
-func (f *randomFleet) migrate() {
+// relocate moves an attempt that has not run to another scope.
+func (f *randomFleet) relocate() {
 	name := f.drawName("owner")
 	number, attempt := f.drawAttempt(name, isIdle)
 	if attempt == nil {
@@ -469,7 +469,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newRandomFleet(t)
 		steps := []func(){
-			f.request, f.request, f.migrate, f.confirmRejection, f.query, f.complete, f.complete,
+			f.request, f.request, f.relocate, f.confirmRejection, f.query, f.complete, f.complete,
 			f.reportDeparture, f.learnMember, f.learnMember, f.restart,
 			f.tick, f.tick, f.tick, f.deliver, f.deliver, f.deliver, f.deliver, f.deliver, f.deliver,
 		}
