--- a/internal/zones/capacity.go
+++ b/internal/zones/capacity.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	nominalMaxAge     = time.Minute // for which the capacity that a zone once had counts as its nominal capacity
-	unitRateHalfLife  = 30.0        // seconds in which half of the highest rate of answers is forgotten
-	returnHeadroom    = 1.2         // of a returning zone's rate over what proven backends elsewhere answer
-	initialUnitRate   = 2.0         // answers a second and backend, where nobody has answered yet
-	minReturnRate     = 0.5         // attempts a second of a returning zone
-	unprobedPause     = time.Second // where backends may not be probed, after which a lost zone gets requests
-	unprobedRateLimit = 1.0         // of these requests, a second
+	nominalMaxAge          = time.Minute // how long a zone's highest running capacity remains its nominal capacity
+	unitAnswerRateHalfLife = 30.0        // seconds in which the peak answer rate decays to one half
+	returnHeadroom         = 1.2         // factor of a returning zone's rate limit over the answer rate of other zones
+	initialUnitAnswerRate  = 2.0         // answers a second per unit of capacity, before any rate was measured
+	minReturnRate          = 0.5         // minimum rate limit of a returning zone, in attempts a second
+	unprobedRetryDelay     = time.Second // without probes, the delay until a lost zone gets requests again
+	unprobedRateLimit      = 1.0         // rate limit of these requests, per second
 )
 
-// measureCapacity updates what each zone can take, and how much of it it may have. elapsed is the time since the last
-// call, in seconds.
-func (t *Tracker) measureCapacity(now time.Duration, elapsed float64) {
-	answers, units := 0.0, 0.0 // answers a second, and warm capacity, of the zones that are up
-	for _, z := range t.sorted {
-		t.measureZone(now, z)
+// updateCapacity updates the capacity, the ramp share and the rate limit of each zone, and whether panic mode is on.
+// elapsed is the time since the last call, in seconds.
+func (t *Tracker) updateCapacity(now time.Duration, elapsed float64) {
+	answers, units := 0.0, 0.0 // answers a second and base capacity of the zones that are up
+	for _, z := range t.sortedZones {
+		t.updateZoneCapacity(now, z)
 		z.rampShare = t.currentRampShare(now, z)
 		if z.state == Up {
 			answers += z.answered.get(now)
-			units += z.warmCapacity
+			units += z.baseCapacity
 		}
 	}
-	// What a backend can do doesn't fall when it is sent less, so the highest rate counts, and is forgotten slowly.
-	t.unitRate *= math.Exp2(-elapsed / unitRateHalfLife)
+	// A lower rate may only mean that fewer attempts are sent, so the peak rate counts and decays slowly.
+	t.unitAnswerRate *= math.Exp2(-elapsed / unitAnswerRateHalfLife)
 	if units >= 1 {
-		t.unitRate = max(t.unitRate, answers/units)
+		t.unitAnswerRate = max(t.unitAnswerRate, answers/units)
 	}
-	t.deepenRamps()
+	t.raiseRampShares()
 	lost := 0
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		if z.state == Lost {
 			lost++
 		}
 	}
-	t.availableShare = t.measureAvailableShare()
-	t.panicking = len(t.sorted) > 0 && (t.availableShare < t.cfg.Panic || lost == len(t.sorted))
-	for _, z := range t.sorted {
-		z.rateLimit = t.currentRateLimit(now, z, lost == len(t.sorted))
+	t.availableShare = t.computeAvailableShare()
+	t.panicking = len(t.sortedZones) > 0 && (t.availableShare < t.cfg.Panic || lost == len(t.sortedZones))
+	for _, z := range t.sortedZones {
+		z.rateLimit = t.currentRateLimit(now, z, lost == len(t.sortedZones))
 	}
 }
 
-// measureZone updates a zone's present and nominal capacity.
-func (t *Tracker) measureZone(now time.Duration, z *zone) {
+// updateZoneCapacity updates a zone's present, base and nominal capacity.
+func (t *Tracker) updateZoneCapacity(now time.Duration, z *zone) {
 	running := 0.0
 	z.capacity = 0
-	z.warmCapacity = 0
+	z.baseCapacity = 0
 	for _, b := range z.backends {
 		if b.State == policy.Running {
 			running += b.Size
 		}
 		z.capacity += t.capacity(now, b)
 		if b.State == policy.Running && !b.unproven {
-			z.warmCapacity += b.Size * t.capacityShare(now, b)
+			z.baseCapacity += b.Size * t.capacityShare(now, b)
 		}
 	}
 	if running >= z.nominal || now-z.nominalAt > nominalMaxAge {
@@ -68,25 +68,27 @@
 	}
 }
 
-// currentRampShare returns the share of its rate that a zone may have by its state and the age of its ramp.
+// currentRampShare returns the share of its full rate that a zone may get, by its state and the progress of its
+// recovery ramp.
 func (t *Tracker) currentRampShare(now time.Duration, z *zone) float64 {
 	switch z.state {
 	case Lost, Drained:
 		return 0
 	case Returning:
-		start := t.startShare(z)
-		return start + (1-start)*min(1, max(0, (now-z.rampAt).Seconds()/z.ramp.Seconds()))
+		start := t.rampStartShare(z)
+		return start + (1-start)*min(1, max(0, (now-z.rampStartedAt).Seconds()/z.rampDuration.Seconds()))
 	case Up:
 		return 1
 	}
 	return 1
 }
 
-// deepenRamps lets the returning zones have at least what the zones that are up can't carry. Where none is up, only the
-// slow start of their backends bounds them.
-func (t *Tracker) deepenRamps() {
+// raiseRampShares gives the returning zones at least the share of the load that the zones that are up can't serve,
+// reduced by their caution factor. Where no zone is up and there is no caution, only the slow start of their backends
+// limits them.
+func (t *Tracker) raiseRampShares() {
 	nominal, up := 0.0, 0.0
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		nominal += z.nominal
 		if z.state == Up {
 			up += z.nominal
@@ -95,18 +97,18 @@
 	if nominal <= 0 {
 		return
 	}
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		if z.state == Returning {
 			z.rampShare = max(z.rampShare, (1-up/nominal)/z.cautionFactor())
 		}
 	}
 }
 
-// measureAvailableShare returns the share of the nominal capacity of all zones that runs and is proven. A zone on its
-// ramp counts in full, as the ramp has a rate limit of its own.
-func (t *Tracker) measureAvailableShare() float64 {
+// computeAvailableShare returns the share of the nominal capacity of all zones whose backends are running and proven. A
+// returning zone counts in full, since its ramp has its own rate limit.
+func (t *Tracker) computeAvailableShare() float64 {
 	available, nominal := 0.0, 0.0
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		nominal += z.nominal
 		if z.rampShare <= 0 {
 			continue
@@ -123,8 +125,8 @@
 	return min(1, available/nominal)
 }
 
-// currentRateLimit returns the attempts a second that a zone may have. Where all zones are lost, none is closed: there
-// is nothing to protect.
+// currentRateLimit returns the attempts a second that a zone may get. If all zones are lost, none is closed, since no
+// healthy zone is left to protect.
 func (t *Tracker) currentRateLimit(now time.Duration, z *zone, allLost bool) float64 {
 	switch z.state {
 	case Up:
@@ -133,7 +135,7 @@
 		switch {
 		case allLost:
 			return unlimited
-		case !t.cfg.Probe && now-z.since > unprobedPause:
+		case !t.cfg.Probe && now-z.stateSince > unprobedRetryDelay:
 			return unprobedRateLimit
 		}
 		return 0
@@ -143,11 +145,11 @@
 		}
 		return 0
 	case Returning:
-		unitRate := t.unitRate
-		if unitRate == 0 {
-			unitRate = initialUnitRate
+		unitAnswerRate := t.unitAnswerRate
+		if unitAnswerRate == 0 {
+			unitAnswerRate = initialUnitAnswerRate
 		}
-		return max(z.rampShare*returnHeadroom*unitRate*z.warmCapacity, minReturnRate)
+		return max(z.rampShare*returnHeadroom*unitAnswerRate*z.baseCapacity, minReturnRate)
 	}
 	return unlimited
 }
--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -13,18 +13,18 @@
 
 // testFleet is a tracker with three zones, "a" to "c", of four backends each, and a simulation of those backends.
 type testFleet struct {
-	t        testing.TB
-	tracker  *Tracker
-	now      time.Duration
-	list     []Backend
-	refusing map[string]bool    // zones that refuse connections
-	silent   map[string]bool    // zones that answer nothing
-	slowness map[string]float64 // by zone, in usual latencies
-	inFlight []testAttempt
-	facts    policy.ZonesChanged // of the last tick
-	credit   map[string]float64  // attempts that a zone with a rate limit may have now
-	turn     int                 // counts up through list
-	changes  []Change
+	t             testing.TB
+	tracker       *Tracker
+	now           time.Duration
+	list          []Backend
+	refusing      map[string]bool    // zones that refuse connections
+	silent        map[string]bool    // zones that answer nothing
+	latencyFactor map[string]float64 // multiple of the latency, by zone
+	inFlight      []testAttempt
+	event         policy.ZonesChanged // result of the last tick
+	credit        map[string]float64  // attempts that a zone with a rate limit may get now
+	nextIndex     int                 // counts up; the next backend is list[nextIndex % len(list)]
+	changes       []Change
 }
 
 type testAttempt struct {
@@ -45,13 +45,13 @@
 	cfg.SlowStartShare = 0.25
 	cfg.LatencyObjectives = map[string]time.Duration{"read": 400 * ms}
 	f := &testFleet{
-		t:        t,
-		tracker:  New(cfg),
-		now:      100 * time.Second,
-		refusing: map[string]bool{},
-		silent:   map[string]bool{},
-		slowness: map[string]float64{},
-		credit:   map[string]float64{},
+		t:             t,
+		tracker:       New(cfg),
+		now:           100 * time.Second,
+		refusing:      map[string]bool{},
+		silent:        map[string]bool{},
+		latencyFactor: map[string]float64{},
+		credit:        map[string]float64{},
 	}
 	for i := range 12 {
 		zone := string(rune('a' + i%3))
@@ -62,15 +62,15 @@
 	return f
 }
 
-// fact returns what the policy module got to know of a zone at the last tick.
-func (f *testFleet) fact(zone string) policy.Zone {
+// entry returns a zone's entry in the result of the last tick.
+func (f *testFleet) entry(zone string) policy.Zone {
 	f.t.Helper()
-	for _, z := range f.facts.Zones {
+	for _, z := range f.event.Zones {
 		if z.Name == zone {
 			return z
 		}
 	}
-	f.t.Fatalf("no fact of zone %s", zone)
+	f.t.Fatalf("no entry for zone %s", zone)
 	return policy.Zone{}
 }
 
@@ -87,13 +87,14 @@
 	return ZoneStatus{}
 }
 
-// ownIs returns a condition for run: the own zone is in a state.
-func (f *testFleet) ownIs(state State) func() bool {
+// ownZoneIs returns a condition for run that is true while the own zone is in a state.
+func (f *testFleet) ownZoneIs(state State) func() bool {
 	return func() bool { return f.zoneStatus("a").State == state.String() }
 }
 
-// run lets time pass: with an attempt each 5 ms to the backends in turn, as far as the facts allow it, and a tick each
-// 50 ms. It ends after a time, or at the first tick at which until holds, and returns the time that has passed.
+// run advances the time. It sends an attempt every 5 ms to the backends in turn, as far as the last tick allows it, and
+// ticks every 50 ms. It ends after duration, or at the first tick at which until returns true, and returns the elapsed
+// time.
 func (f *testFleet) run(duration time.Duration, until func() bool) time.Duration {
 	f.t.Helper()
 	began := f.now
@@ -124,8 +125,8 @@
 }
 
 func (f *testFleet) tick() {
-	f.facts = f.tracker.Tick(f.now)
-	for _, z := range f.facts.Zones {
+	f.event = f.tracker.Tick(f.now)
+	for _, z := range f.event.Zones {
 		if z.Rate > 0 {
 			f.credit[z.Name] = min(f.credit[z.Name]+z.Rate*0.05, 2)
 		}
@@ -137,15 +138,15 @@
 	f.changes = append(f.changes, f.tracker.TakeChanges()...)
 }
 
-// sendAttempt sends an attempt to the next backend that the facts allow, if any.
+// sendAttempt sends an attempt to the next backend that the last tick allows, if any.
 func (f *testFleet) sendAttempt() {
 	for range f.list {
-		f.turn++
-		b := f.list[f.turn%len(f.list)]
+		f.nextIndex++
+		b := f.list[f.nextIndex%len(f.list)]
 		if !f.takeCredit(b) {
 			continue
 		}
-		latency := time.Duration(60 * max(1, f.slowness[b.Zone]) * float64(ms))
+		latency := time.Duration(60 * max(1, f.latencyFactor[b.Zone]) * float64(ms))
 		attempt := testAttempt{backend: b.ID, sentAt: f.now, endsAt: f.now + latency, outcome: policy.Succeeded}
 		switch {
 		case f.refusing[b.Zone]:
@@ -160,16 +161,16 @@
 	}
 }
 
-// takeCredit reports whether the facts allow an attempt to a backend, and counts it against its zone's rate limit.
+// takeCredit reports whether the last tick allows an attempt at a backend, and counts it against the zone's rate limit.
 func (f *testFleet) takeCredit(b Backend) bool {
 	if b.State != policy.Running {
 		return false
 	}
-	i := slices.IndexFunc(f.facts.Zones, func(z policy.Zone) bool { return z.Name == b.Zone })
+	i := slices.IndexFunc(f.event.Zones, func(z policy.Zone) bool { return z.Name == b.Zone })
 	if i < 0 { // before the first tick
 		return true
 	}
-	z := f.facts.Zones[i]
+	z := f.event.Zones[i]
 	if z.Rate == 0 || slices.Contains(z.Unproven, b.ID) {
 		return false
 	}
--- a/internal/zones/health.go
+++ b/internal/zones/health.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	lostShare       = 0.66                   // of a zone's running backends that are unhealthy: the zone is lost
-	staleAnswerAge  = 500 * time.Millisecond // an answer older than that doesn't prove that a backend answers now
-	reasonPrecision = 10 * time.Millisecond  // to which the reasons of a state give a time
+	lostThreshold   = 0.66                   // share of unhealthy running backends from which a zone is lost
+	staleAnswerAge  = 500 * time.Millisecond // an older answer doesn't prove that a backend answers now
+	reasonPrecision = 10 * time.Millisecond  // rounding of the durations in state reasons
 )
 
-// zoneHealth sums up the health of a zone's running backends.
+// zoneHealth counts the running and unhealthy backends of a zone.
 type zoneHealth struct {
 	running    int
 	unhealthy  int
-	silent     int           // unhealthy ones without failures in a row
-	faultSince time.Duration // when the oldest fault of an unhealthy one began; 0: none is
+	silent     int           // unhealthy because they are silent, not because they failed
+	faultSince time.Duration // start of the oldest fault of an unhealthy backend; 0: none
 }
 
 // health returns the health of a zone's running backends.
@@ -35,7 +35,7 @@
 		}
 		health.unhealthy++
 		since := b.failingSince
-		if b.failures < failuresUnhealthy {
+		if b.consecutiveFailures < unhealthyThreshold {
 			health.silent++
 			since = b.silentSince()
 		}
@@ -46,25 +46,26 @@
 	return health
 }
 
-// detectLoss reports whether a zone's backends, taken together, show that the zone is lost, and why.
+// detectLoss reports whether enough of a zone's backends are unhealthy or not running for the zone to be lost, and the
+// reason.
 func (t *Tracker) detectLoss(now time.Duration, z *zone) (lost bool, reason string) {
 	health := t.health(now, z)
-	z.lostByList = health.running == 0
-	z.suspect = health.unhealthy > 0 && 2*health.unhealthy >= health.running
-	if z.lostByList {
+	z.noneRunning = health.running == 0
+	z.halfUnhealthy = health.unhealthy > 0 && 2*health.unhealthy >= health.running
+	if z.noneRunning {
 		if len(z.backends) > 0 {
 			return true, fmt.Sprintf("all %d nodes are draining", len(z.backends))
 		}
 		return z.nominal > 0, "the list has no node of it"
 	}
-	threshold := max(min(2, health.running), int(math.Ceil(lostShare*float64(health.running))))
+	threshold := max(min(2, health.running), int(math.Ceil(lostThreshold*float64(health.running))))
 	if health.unhealthy < threshold || t.hasAnsweredSince(now, z, health.faultSince) {
 		return false, ""
 	}
 	return true, health.describe(now)
 }
 
-// hasAnsweredSince reports whether a healthy backend of a zone has answered since a fault began, and not long ago.
+// hasAnsweredSince reports whether a healthy backend of a zone has answered after faultSince and within staleAnswerAge.
 func (t *Tracker) hasAnsweredSince(now time.Duration, z *zone, faultSince time.Duration) bool {
 	for _, b := range z.backends {
 		if b.State != policy.Running || t.isUnhealthy(now, b) {
@@ -77,7 +78,7 @@
 	return false
 }
 
-// describe returns the reason of a loss, for operators.
+// describe returns the reason for a loss, as shown to operators.
 func (h zoneHealth) describe(now time.Duration) string {
 	what := "failed"
 	switch {
--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -102,39 +102,39 @@
 	m.both(func(tr *Tracker) { tr.SetDrains(m.now, until) })
 }
 
-// check ticks, and checks the facts and the status.
+// check calls Tick, and checks its result and the status.
 func (m *trackerModel) check(t *rapid.T) {
-	facts := m.tracker.Tick(m.now)
-	if other := m.twin.Tick(m.now); fmt.Sprint(facts) != fmt.Sprint(other) {
-		t.Fatalf("got facts %v of one tracker and %v of its twin", facts, other)
+	event := m.tracker.Tick(m.now)
+	if other := m.twin.Tick(m.now); fmt.Sprint(event) != fmt.Sprint(other) {
+		t.Fatalf("got event %v of one tracker and %v of its twin", event, other)
 	}
 	open := false
-	for i, fact := range facts.Zones {
-		m.checkFact(t, fact, m.tracker.sorted[i].state)
-		open = open || fact.Rate != 0
+	for i, got := range event.Zones {
+		m.checkZone(t, got, m.tracker.sortedZones[i].state)
+		open = open || got.Rate != 0
 	}
 	isOut := func(z *zone) bool { return z.state == Lost || z.state == Drained }
-	if !open && m.tracker.availableShare > 0 && !slices.ContainsFunc(m.tracker.sorted, isOut) {
-		t.Fatalf("got %+v, want a zone that is open", facts)
+	if !open && m.tracker.availableShare > 0 && !slices.ContainsFunc(m.tracker.sortedZones, isOut) {
+		t.Fatalf("got %+v, want a zone that is open", event)
 	}
-	if !(facts.AvailableShare >= 0 && facts.AvailableShare <= 1) {
-		t.Fatalf("got %+v, want an available share from 0 to 1", facts)
+	if !(event.AvailableShare >= 0 && event.AvailableShare <= 1) {
+		t.Fatalf("got %+v, want an available share from 0 to 1", event)
 	}
-	if facts.MinRetryAfter < 0 || facts.MinRetryAfter > maxRetryAfterHint {
-		t.Fatalf("got %+v, want a retry-after up to %v", facts, maxRetryAfterHint)
+	if event.MinRetryAfter < 0 || event.MinRetryAfter > maxRetryAfterHint {
+		t.Fatalf("got %+v, want a retry-after up to %v", event, maxRetryAfterHint)
 	}
 	m.checkStatus(t, m.tracker.Status(m.now))
 }
 
-func (m *trackerModel) checkFact(t *rapid.T, fact policy.Zone, state State) {
-	if !(fact.Price >= 1 && fact.Price <= DefaultFarPrice) || !(fact.Rate >= -1 && fact.Rate < 1e6) {
-		t.Fatalf("got %+v, want a price and a rate within their ranges", fact)
+func (m *trackerModel) checkZone(t *rapid.T, got policy.Zone, state State) {
+	if !(got.Price >= 1 && got.Price <= DefaultFarPrice) || !(got.Rate >= -1 && got.Rate < 1e6) {
+		t.Fatalf("got %+v, want a price and a rate within their ranges", got)
 	}
-	if state == Lost && m.cfg.Probe && !m.tracker.panicking && fact.Rate != 0 {
-		t.Fatalf("got %+v, want a lost zone closed", fact)
+	if state == Lost && m.cfg.Probe && !m.tracker.panicking && got.Rate != 0 {
+		t.Fatalf("got %+v, want a lost zone closed", got)
 	}
-	if fact.Lost && state != Lost {
-		t.Fatalf("got %+v, want it not lost: the zone is %v", fact, state)
+	if got.Lost && state != Lost {
+		t.Fatalf("got %+v, want it not lost: the zone is %v", got, state)
 	}
 }
 
@@ -144,8 +144,9 @@
 	}
 }
 
-// Whatever happens: some zone can always be sent to while a backend runs, rates and prices are sane, a lost zone gets
-// no request, every probe is of a backend that runs, and the same calls give the same facts.
+// Invariants for any sequence of calls: while capacity is available and no zone is lost or drained, a zone is open;
+// rates and prices are within their ranges; a lost zone gets no requests; only running backends are probed; the same
+// calls give the same results.
 func TestTrackerModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTrackerModel(rapid.Bool().Draw(t, "probe"))
--- a/internal/zones/probing.go
+++ b/internal/zones/probing.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	probeInterval = 200 * time.Millisecond // of the unproven backends of a zone
-	maxProbes     = 16                     // at a time
+	probeInterval = 200 * time.Millisecond // between probes of the backends of one zone
+	maxProbes     = 16                     // returned by one call of DueProbes
 )
 
-// DueProbes returns the backends to probe now: the unproven ones of zones that are lost or returning, and all of a zone
-// of which half look unhealthy, so that it doesn't take requests to find out about the rest. ProbeEnded is to be called
-// at the end of each probe.
+// DueProbes returns the backends to probe now: the unproven ones of lost and returning zones, and all backends of a
+// zone that is up with at least half of them unhealthy, so that no requests are needed to test the rest. The caller
+// must call ProbeEnded at the end of each probe.
 func (t *Tracker) DueProbes(now time.Duration) []policy.BackendID {
 	if !t.cfg.Probe {
 		return nil
 	}
 	var due []policy.BackendID
-	for _, z := range t.sorted {
-		if !z.isProbed() || now-z.probedAt < probeInterval {
+	for _, z := range t.sortedZones {
+		if !z.needsProbes() || now-z.lastProbedAt < probeInterval {
 			continue
 		}
-		z.probedAt = now
+		z.lastProbedAt = now
 		for _, b := range z.backends {
-			wanted := b.unproven || z.suspect && z.state == Up
+			wanted := b.unproven || z.halfUnhealthy && z.state == Up
 			if b.State == policy.Running && wanted && !b.probing && len(due) < maxProbes {
 				b.probing = true
 				due = append(due, b.ID)
@@ -35,20 +35,20 @@
 	return due
 }
 
-// isProbed reports whether a zone's state calls for probes.
-func (z *zone) isProbed() bool {
+// needsProbes reports whether a zone's state calls for probes.
+func (z *zone) needsProbes() bool {
 	switch z.state {
 	case Lost, Returning:
 		return true
 	case Up:
-		return z.suspect
+		return z.halfUnhealthy
 	case Drained:
 		return false
 	}
 	return false
 }
 
-// ProbeEnded notes whether a backend that was probed has answered.
+// ProbeEnded records whether a probed backend has answered.
 func (t *Tracker) ProbeEnded(now time.Duration, id policy.BackendID, ok bool) {
 	b := t.backends[id]
 	if b == nil || !b.probing {
@@ -62,8 +62,8 @@
 	}
 }
 
-// unprovenBackends returns the backends of a zone that the policy module must not use. Without probes only requests can
-// prove a backend, so there are none.
+// unprovenBackends returns the backends of a zone that the policy module must not use yet. There are none if probes are
+// disabled, since then only requests can prove a backend.
 func (t *Tracker) unprovenBackends(z *zone) []policy.BackendID {
 	if !z.requireProof || !t.cfg.Probe || z.state != Returning && z.rateLimit != 0 {
 		return nil
--- a/internal/zones/rate.go
+++ b/internal/zones/rate.go
@@ -11,7 +11,7 @@
 // decayingRate is an exponentially decaying average of events a second.
 type decayingRate struct {
 	value float64
-	at    time.Duration // the time to which value is decayed; 0: there was no event
+	at    time.Duration // time of the last event, to which value is decayed; 0: no event yet
 }
 
 // add counts one event.
--- a/internal/zones/recovery.go
+++ b/internal/zones/recovery.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	minRamp        = time.Second // also after a loss that was shorter
-	maxCaution     = 4           // doublings of the ramp
-	answersToProve = 2           // answers in a row that prove a backend, and one more for each step of caution
+	minRampDuration = time.Second // also after a shorter loss
+	maxCaution      = 4           // maximum number of caution steps, each of which doubles the ramp
+	answersToProve  = 2           // consecutive answers that prove a backend; each caution step requires one more
 )
 
-// setState moves a zone into a state, for a reason that operators see.
+// setState changes a zone's state and records the change, with a reason for operators.
 func (t *Tracker) setState(now time.Duration, z *zone, to State, reason string) {
 	if z.state == to {
 		return
 	}
 	t.changes = append(t.changes, Change{Zone: z.name, From: z.state, To: to, Reason: reason, Caution: z.caution})
 	z.state = to
-	z.since = now
+	z.stateSince = now
 	z.reason = reason
 }
 
-// advance moves a zone's state on.
-func (t *Tracker) advance(now time.Duration, z *zone) {
+// advanceState updates a zone's state from the health of its backends and from zone drains.
+func (t *Tracker) advanceState(now time.Duration, z *zone) {
 	lost, reason := t.detectLoss(now, z)
 	if z.state == Drained || z.drainedUntil > now {
 		t.advanceDrain(now, z, lost, reason)
@@ -35,87 +35,87 @@
 	switch z.state {
 	case Up:
 		if lost {
-			t.beginLoss(now, z, reason)
-		} else if z.caution > 0 && now-z.calmSince > t.cfg.Forget {
+			t.markLost(now, z, reason)
+		} else if z.caution > 0 && now-z.stableSince > t.cfg.Forget {
 			z.caution--
-			z.calmSince = now
+			z.stableSince = now
 		}
 	case Lost:
 		if proven, running := t.proveBackends(now, z); proven > 0 {
 			lostFor := (now - z.lostAt).Round(reasonPrecision)
 			reason := fmt.Sprintf("%d of %d nodes answer again after %v", proven, running, lostFor)
-			t.beginReturn(now, z, now, reason)
+			t.startRamp(now, z, now, reason)
 		}
 	case Returning:
 		if lost {
-			t.beginLoss(now, z, reason)
+			t.markLost(now, z, reason)
 			return
 		}
 		proven, running := t.proveBackends(now, z)
-		if now-z.rampAt >= z.ramp && proven == running {
-			z.calmSince = now
+		if now-z.rampStartedAt >= z.rampDuration && proven == running {
+			z.stableSince = now
 			z.requireProof = false
-			t.setState(now, z, Up, fmt.Sprintf("back for %v", z.ramp))
+			t.setState(now, z, Up, fmt.Sprintf("back for %v", z.rampDuration))
 		}
-	case Drained: // see advanceDrain
+	case Drained: // handled by advanceDrain above
 	}
 }
 
-// advanceDrain keeps a zone out that operators have drained, and lets it in again as one that was lost.
+// advanceDrain keeps a zone drained until its drain ends, then starts its recovery as after a loss.
 func (t *Tracker) advanceDrain(now time.Duration, z *zone, lost bool, reason string) {
 	if z.drainedUntil > now {
 		remaining := (z.drainedUntil - now).Round(time.Second)
 		t.setState(now, z, Drained, fmt.Sprintf("taken out on purpose for %v more", remaining))
 		return
 	}
-	z.lostAt = z.since
+	z.lostAt = z.stateSince
 	if lost {
-		t.beginLoss(now, z, reason)
+		t.markLost(now, z, reason)
 		return
 	}
-	t.beginReturn(now, z, now, "the drill is over")
+	t.startRamp(now, z, now, "the drill is over")
 }
 
-// beginLoss takes a zone out: none of its backends is used until it has answered again. A loss during a return, or not
-// long after, makes the next return more cautious.
-func (t *Tracker) beginLoss(now time.Duration, z *zone, reason string) {
-	if z.rampAt > 0 && (z.state == Returning || now-z.calmSince < t.cfg.Forget) {
+// markLost takes a zone out of service: each of its backends is used again only once it is proven. A loss during a
+// recovery or soon after it adds a caution step to the next recovery.
+func (t *Tracker) markLost(now time.Duration, z *zone, reason string) {
+	if z.rampStartedAt > 0 && (z.state == Returning || now-z.stableSince < t.cfg.Forget) {
 		z.caution = min(z.caution+1, maxCaution)
 	}
 	z.lostAt = now
 	z.requireProof = true
 	for _, b := range z.backends {
 		b.unproven = true
-		b.answersInRow = 0
+		b.consecutiveAnswers = 0
 	}
 	t.setState(now, z, Lost, reason)
 }
 
-// beginReturn begins a zone's recovery ramp as of rampAt. The ramp is as long as the zone was out, within bounds, and
-// has its full length where backends are in slow start; each step of caution doubles it.
-func (t *Tracker) beginReturn(now time.Duration, z *zone, rampAt time.Duration, reason string) {
-	z.rampAt = rampAt
-	z.ramp = min(t.cfg.Ramp, max(minRamp, now-z.lostAt))
+// startRamp starts a zone's recovery ramp as of rampStartedAt. The ramp is as long as the zone was out of service,
+// within bounds, but has its full length if a backend is in slow start. Each caution step doubles it.
+func (t *Tracker) startRamp(now time.Duration, z *zone, rampStartedAt time.Duration, reason string) {
+	z.rampStartedAt = rampStartedAt
+	z.rampDuration = min(t.cfg.Ramp, max(minRampDuration, now-z.lostAt))
 	if slices.ContainsFunc(z.backends, func(b *backend) bool {
 		return b.Started > 0 && now-b.Started < t.cfg.SlowStartWindow
 	}) {
-		z.ramp = t.cfg.Ramp
+		z.rampDuration = t.cfg.Ramp
 	}
-	z.ramp <<= z.caution
+	z.rampDuration <<= z.caution
 	t.setState(now, z, Returning, reason)
 }
 
-// proveBackends accepts the backends of a zone that have answered often enough since the loss. It returns how many are
-// accepted, of how many that run.
+// proveBackends marks as proven the backends of a zone that have answered often enough since the loss. It returns the
+// numbers of proven and of running backends.
 func (t *Tracker) proveBackends(now time.Duration, z *zone) (proven, running int) {
 	for _, b := range z.backends {
 		if b.State != policy.Running {
 			continue
 		}
 		running++
-		if b.unproven && b.answersInRow >= answersToProve+z.caution && now-b.answeredAt < staleAnswerAge {
+		if b.unproven && b.consecutiveAnswers >= answersToProve+z.caution && now-b.answeredAt < staleAnswerAge {
 			b.unproven = false
-			b.failures = 0
+			b.consecutiveFailures = 0
 		}
 		if !b.unproven {
 			proven++
@@ -124,14 +124,14 @@
 	return proven, running
 }
 
-// detectRestart begins a zone's recovery ramp if the endpoint list says that most of its backends have just started,
-// whether or not this instance has seen the loss: so an instance that has just started itself is as cautious as the
-// others, from the same time. A lost zone returns by its answers instead.
+// detectRestart starts a zone's recovery ramp if, by the endpoint list, more than half of its backends have just
+// started. It does so even if this instance has not seen the loss, so that an instance that has just started itself
+// applies the same ramp as the others, from the same time. A lost zone returns once its backends answer instead.
 func (t *Tracker) detectRestart(now time.Duration, z *zone) {
 	if z.state != Up || len(z.backends) < 2 {
 		return
 	}
-	var starts []time.Duration // of the backends that have just started
+	var starts []time.Duration // start times of the backends that have just started
 	for _, b := range z.backends {
 		if b.Started > 0 && now-b.Started < t.cfg.Ramp {
 			starts = append(starts, b.Started)
@@ -142,16 +142,16 @@
 	}
 	slices.Sort(starts)
 	median := starts[len(starts)/2]
-	if median <= z.rampAt { // noted already
+	if median <= z.rampStartedAt { // this restart is handled already
 		return
 	}
 	z.lostAt = median
 	reason := fmt.Sprintf("%d of %d nodes have started within %v", len(starts), len(z.backends), t.cfg.Ramp)
-	t.beginReturn(now, z, median, reason)
+	t.startRamp(now, z, median, reason)
 }
 
-// startShare returns the share of its rate with which a zone's ramp begins.
-func (t *Tracker) startShare(z *zone) float64 { return t.cfg.RampFrom / z.cautionFactor() }
+// rampStartShare returns the share of its full rate with which a zone's ramp starts.
+func (t *Tracker) rampStartShare(z *zone) float64 { return t.cfg.RampFrom / z.cautionFactor() }
 
-// cautionFactor returns by how much the steps of caution lengthen a zone's ramp.
+// cautionFactor returns the factor by which the caution steps lengthen a zone's ramp and lower its start.
 func (z *zone) cautionFactor() float64 { return float64(int(1) << z.caution) }
--- a/internal/zones/recovery_test.go
+++ b/internal/zones/recovery_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// loseAndReturn lets zone "a" be lost and return, and returns the share with which its ramp begins, and its length.
+// loseAndReturn makes zone "a" fail and recover. It returns the share with which the recovery ramp starts, and its
+// length.
 func (f *testFleet) loseAndReturn() (firstShare float64, took time.Duration) {
 	f.t.Helper()
 	f.refusing["a"] = true
-	f.run(5*time.Second, f.ownIs(Lost))
-	f.run(5*time.Second, nil) // a loss that is shorter than the ramp shortens it
+	f.run(5*time.Second, f.ownZoneIs(Lost))
+	f.run(5*time.Second, nil) // a loss shorter than the ramp would shorten the ramp
 	f.refusing["a"] = false
-	if f.run(3*time.Second, f.ownIs(Returning)) > 1500*ms {
-		f.t.Fatal("the zone answers, and is not found returning within 1.5s")
+	if f.run(3*time.Second, f.ownZoneIs(Returning)) > 1500*ms {
+		f.t.Fatal("the zone answers but is not returning within 1.5s")
 	}
 	firstShare = f.zoneStatus("a").Ramp
-	if rate := f.fact("a").Rate; rate <= 0 {
+	if rate := f.entry("a").Rate; rate <= 0 {
 		f.t.Fatalf("got rate %v of a returning zone, want it above 0", rate)
 	}
 	last := 0.0
@@ -32,9 +33,9 @@
 	return firstShare, took
 }
 
-// A return begins low, grows, and ends; a failure within it begins the next one lower and makes it longer, and calm
-// forgets that.
-func TestReturnAndAgain(t *testing.T) {
+// A recovery ramp starts low, grows and ends. A loss soon after it makes the next ramp start lower and last longer,
+// until the zone has been up for a while.
+func TestFailureDuringRecoveryLengthensNextRamp(t *testing.T) {
 	f := newTestFleet(t, Config{Forget: 5 * time.Second})
 	f.run(3*time.Second, nil)
 	share, took := f.loseAndReturn()
@@ -49,16 +50,16 @@
 	}
 	f.run(12*time.Second, nil)
 	if caution := f.zoneStatus("a").Caution; caution != 0 {
-		t.Fatalf("got caution %d after calm, want 0", caution)
+		t.Fatalf("got caution %d after a stable period, want 0", caution)
 	}
 }
 
-// Where the list says that a zone's backends have just started, its ramp runs from that time, at each instance alike,
-// and whether or not it saw the loss.
-func TestRampByList(t *testing.T) {
+// If the endpoint list says that a zone's backends have just started, the ramp runs from that time at every instance,
+// even at one that has not seen the loss.
+func TestRampStartsAtRestartInEndpointList(t *testing.T) {
 	const started = 100*time.Second - 500*ms
 	var shares []float64
-	for _, delay := range []time.Duration{0, 700 * ms} { // the second instance starts, or gets the list, later
+	for _, delay := range []time.Duration{0, 700 * ms} { // the second instance starts or receives the list later
 		f := newTestFleet(t, Config{})
 		f.now += delay
 		for i := range f.list {
@@ -69,7 +70,7 @@
 		f.tracker.UpdateBackends(f.now, f.list, true)
 		for f.now < 102*time.Second {
 			f.now += 50 * ms
-			f.facts = f.tracker.Tick(f.now)
+			f.event = f.tracker.Tick(f.now)
 		}
 		s := f.zoneStatus("b")
 		if s.State != "returning" {
@@ -82,39 +83,39 @@
 	}
 }
 
-// A backend that has not answered since the loss gets no request, though its zone is returning.
-func TestProofByBackend(t *testing.T) {
+// In a returning zone, a backend that has not answered since the loss gets no requests.
+func TestUnprovenBackendGetsNoRequest(t *testing.T) {
 	f := newTestFleet(t, Config{})
 	f.run(2*time.Second, nil)
 	f.refusing["a"] = true
-	f.run(2*time.Second, f.ownIs(Lost))
+	f.run(2*time.Second, f.ownZoneIs(Lost))
 	for range 3 {
 		for _, id := range f.tracker.DueProbes(f.now) {
 			f.tracker.ProbeEnded(f.now, id, id == "a2")
 		}
 		f.now += 200 * ms
-		f.facts = f.tracker.Tick(f.now)
+		f.event = f.tracker.Tick(f.now)
 	}
 	if s := f.zoneStatus("a"); s.State != "returning" {
 		t.Fatalf("got %+v, want it returning", s)
 	}
-	if fact := f.fact("a"); slices.Contains(fact.Unproven, "a2") || len(fact.Unproven) != 3 {
-		t.Fatalf("got unproven %v, want all but a2", fact.Unproven)
+	if entry := f.entry("a"); slices.Contains(entry.Unproven, "a2") || len(entry.Unproven) != 3 {
+		t.Fatalf("got unproven %v, want all but a2", entry.Unproven)
 	}
 }
 
-// A drain takes a zone out, ends by itself, and is not honored where it would leave too little.
+// A zone drain takes a zone out of service and ends by itself. It is ignored while too little capacity would be left.
 func TestDrain(t *testing.T) {
 	f := newTestFleet(t, Config{})
 	f.run(2*time.Second, nil)
 	f.tracker.SetDrains(f.now, map[string]time.Duration{"a": f.now + 3*time.Second})
 	f.run(100*ms, nil)
-	if fact := f.fact("a"); fact.Rate != 0 || fact.Lost || f.zoneStatus("a").State != "drained" {
-		t.Fatalf("got fact %+v in state %s, want it drained", fact, f.zoneStatus("a").State)
+	if entry := f.entry("a"); entry.Rate != 0 || entry.Lost || f.zoneStatus("a").State != "drained" {
+		t.Fatalf("got zone %+v in state %s, want it drained", entry, f.zoneStatus("a").State)
 	}
 	f.refusing["b"], f.refusing["c"] = true, true
 	f.run(2*time.Second, nil)
-	if fact := f.fact("a"); fact.Rate >= 0 {
+	if entry := f.entry("a"); entry.Rate >= 0 {
 		t.Fatalf("got %+v, want the drain lifted where all other zones are lost", f.status())
 	}
 	f.refusing = map[string]bool{}
--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -14,10 +14,10 @@
 type Status struct {
 	Own            string       `json:"own"`     // this instance's zone
 	AvailableShare float64      `json:"reach"`   // share of the nominal capacity of all zones that is available
-	Panic          bool         `json:"panic"`   // no zone is preferred
-	PlannedSpill   float64      `json:"planned"` // share of this instance's work that is to leave its zone, at least
-	Spilled        float64      `json:"spilled"` // share that has left it, over the last second or so
-	Reason         string       `json:"why"`     // of the spill
+	Panic          bool         `json:"panic"`   // panic mode: no zone is preferred
+	PlannedSpill   float64      `json:"planned"` // minimum share of this instance's load to send to other zones
+	Spilled        float64      `json:"spilled"` // share that was sent to other zones, over about the last second
+	Reason         string       `json:"why"`     // reason for the spill
 	Zones          []ZoneStatus `json:"halls"`   // by name
 }
 
@@ -26,21 +26,21 @@
 	Name        string        `json:"name"`
 	Priority    int           `json:"tier"`          // locality priority; 0: own, 1: near, 2: any other
 	State       string        `json:"state"`         // a State's name
-	Since       time.Duration `json:"since_ns"`      // for how long it is in that state
-	Reason      string        `json:"why,omitempty"` // of the state
-	GrayFailure bool          `json:"grey"`          // it answers, and can take less than half of what it should
-	Backends    int           `json:"nodes"`         // running, by the endpoint list
-	Proven      int           `json:"proven"`        // of them, those that are neither unhealthy nor unproven
-	Nominal     float64       `json:"nominal"`       // capacity that it has had recently, in usual warm backends
-	Capacity    float64       `json:"capacity"`      // capacity now, in the same unit
+	Since       time.Duration `json:"since_ns"`      // time spent in that state
+	Reason      string        `json:"why,omitempty"` // reason for the state
+	GrayFailure bool          `json:"grey"`          // up, with less than half of its nominal capacity
+	Backends    int           `json:"nodes"`         // running backends, by the endpoint list
+	Proven      int           `json:"proven"`        // running backends that are neither unhealthy nor unproven
+	Nominal     float64       `json:"nominal"`       // highest recent capacity, in average backends after slow start
+	Capacity    float64       `json:"capacity"`      // present capacity, in the same unit
 	Offered     float64       `json:"offered"`       // attempts a second that this instance sends there
 	Answered    float64       `json:"answered"`      // answers a second
 	Late        float64       `json:"late"`          // share of attempts that ended late or with a failure
 	Share       float64       `json:"share"`         // of this instance's attempts
-	Ramp        float64       `json:"ramp"`          // share of its rate that it may have
+	Ramp        float64       `json:"ramp"`          // share of its full rate that the recovery ramp allows
 	Rate        float64       `json:"rate"`          // limit of attempts a second; unlimited if below 0
-	Price       float64       `json:"price"`         // against a backend of the own zone with the same load
-	Caution     int           `json:"caution"`       // losses that are not forgotten; each doubles the recovery ramp
+	Price       float64       `json:"price"`         // relative to a backend of the own zone with the same load
+	Caution     int           `json:"caution"`       // caution steps, each of which doubles the recovery ramp
 }
 
 // Status returns the state as of now.
@@ -53,11 +53,11 @@
 		Reason:         t.spillReason(),
 	}
 	total := 0.0 // attempts a second
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		total += z.sent.get(now)
 	}
-	spilled := 0.0 // of those
-	for _, z := range t.sorted {
+	spilled := 0.0 // of these, to other zones
+	for _, z := range t.sortedZones {
 		zoneStatus := t.zoneStatus(now, z)
 		if total > 0 {
 			zoneStatus.Share = zoneStatus.Offered / total
@@ -73,13 +73,13 @@
 	return status
 }
 
-// zoneStatus returns the state of one zone, without its share of the attempts.
+// zoneStatus returns the status of one zone, without its share of the attempts.
 func (t *Tracker) zoneStatus(now time.Duration, z *zone) ZoneStatus {
 	status := ZoneStatus{
 		Name:        z.name,
 		Priority:    int(z.priority),
 		State:       z.state.String(),
-		Since:       now - z.since,
+		Since:       now - z.stateSince,
 		Reason:      z.reason,
 		GrayFailure: z.state == Up && z.nominal > 0 && z.capacity < grayFailureShare*z.nominal,
 		Nominal:     z.nominal,
@@ -103,7 +103,7 @@
 	return status
 }
 
-// spillReason returns what makes work leave the own zone, as operators see it.
+// spillReason returns why load is sent to other zones, as shown to operators.
 func (t *Tracker) spillReason() string {
 	own := t.zones[t.cfg.Own]
 	switch {
@@ -116,9 +116,9 @@
 		return fmt.Sprintf("the own hall is %v: %s", own.state, own.reason)
 	case t.retainedShare(own) < 1:
 		return fmt.Sprintf("the own hall can take %.1f of %.1f usual nodes", own.capacity, own.nominal)
-	case t.relief > 0:
+	case t.preferenceReduction > 0:
 		return fmt.Sprintf("the own hall answers later than the others: %.0f%% of the preference is given up",
-			100*t.relief)
+			100*t.preferenceReduction)
 	}
 	return "a node elsewhere has less to do by more than its hall's price"
 }
--- a/internal/zones/tracker.go
+++ b/internal/zones/tracker.go
@@ -8,69 +8,69 @@
 	"hitchspring/policy"
 )
 
-// Tracker is what one instance knows of the zones. It is used by one goroutine at a time.
+// Tracker tracks the state of all zones as one instance sees them. It is not safe for concurrent use.
 type Tracker struct {
-	cfg            Config
-	zones          map[string]*zone
-	sorted         []*zone // all zones, by name
-	backends       map[policy.BackendID]*backend
-	usualLatency   map[string]float64 // seconds that an answer takes, by request class
-	unitRate       float64            // answers a second that this instance gets of one usual warm backend
-	relief         float64            // share of the preference for the own zone that is given up, as it answers late
-	plannedSpill   float64            // share of this instance's work that is to leave the own zone, at least
-	availableShare float64            // share of the nominal capacity of all zones that is available
-	panicking      bool               // too little is available: no zone is preferred
-	tickedAt       time.Duration
-	changes        []Change // not taken yet
+	cfg                 Config
+	zones               map[string]*zone
+	sortedZones         []*zone // all zones, sorted by name
+	backends            map[policy.BackendID]*backend
+	meanLatency         map[string]float64 // of successful attempts, in seconds, by request class
+	unitAnswerRate      float64            // peak rate of answers a second to this instance, per unit of base capacity
+	preferenceReduction float64            // share by which the preference for the own zone is reduced for late answers
+	plannedSpill        float64            // minimum share of this instance's load to send to other zones
+	availableShare      float64            // share of the nominal capacity of all zones that is available
+	panicking           bool               // panic mode: too little capacity is available, so no zone is preferred
+	lastTickAt          time.Duration
+	changes             []Change // not yet returned by TakeChanges
 }
 
 // zone is the state of one zone.
 type zone struct {
 	name     string
 	priority priority
-	backends []*backend // that the endpoint list has, by id
-
-	state        State
-	since        time.Duration // when the state began
-	reason       string        // of the state
-	drainedUntil time.Duration // end of a drain by operators; past or 0: none
-	suspect      bool          // half of its backends are unhealthy: the others are probed too
-	lostByList   bool          // the endpoint list has no running backend of it
-	requireProof bool          // each of its backends is used only after it has answered since lostAt
-	probedAt     time.Duration
-
-	lostAt    time.Duration
-	rampAt    time.Duration // start of the last recovery ramp; 0: there was none
-	ramp      time.Duration // its length
-	caution   int           // losses during a recovery or soon after that are not forgotten; each doubles the ramp
-	calmSince time.Duration // since when the zone is up and no step of caution was taken back
-
-	nominal      float64 // capacity that it has had recently, in usual warm backends
+	backends []*backend // in the endpoint list, sorted by id
+
+	state         State
+	stateSince    time.Duration // when the state began
+	reason        string        // reason for the state
+	drainedUntil  time.Duration // end of the zone drain; 0 or past: not drained
+	halfUnhealthy bool          // at least half of its backends are unhealthy: all are probed
+	noneRunning   bool          // the endpoint list has no running backend in the zone
+	requireProof  bool          // a backend is used only after it has answered since lostAt
+	lastProbedAt  time.Duration
+
+	lostAt        time.Duration
+	rampStartedAt time.Duration // start of the last recovery ramp; 0: none yet
+	rampDuration  time.Duration // length of the last recovery ramp
+	caution       int           // caution steps: recent losses during or soon after a recovery; each doubles the ramp
+	stableSince   time.Duration // when the zone came up, or when a caution step was last taken back
+
+	nominal      float64 // highest recent capacity, in average backends after slow start
 	nominalAt    time.Duration
-	capacity     float64 // what it can take now, in usual warm backends
-	warmCapacity float64 // the same if no backend were slow: one that is busy looks slow, but can take no less
-	rampShare    float64 // share of its rate that it may have: below 1 while it returns, 0 while it is out
+	capacity     float64 // present capacity, in average backends after slow start
+	baseCapacity float64 // of running and proven backends, ignoring latency: a busy backend is slow at full capacity
+	rampShare    float64 // share of its full rate that it may get: below 1 while returning, 0 while lost or drained
 	rateLimit    float64 // attempts a second; unlimited if below 0
 	price        float64
 
 	sent, answered, ended, late decayingRate // attempts
 }
 
-// unlimited is the rate limit of a zone that has none.
+// unlimited is the rate limit of a zone without a limit.
 const unlimited = -1
 
-// New returns a tracker that knows no backend yet.
+// New returns a tracker without backends.
 func New(cfg Config) *Tracker {
 	return &Tracker{
 		cfg:            cfg.withDefaults(),
 		zones:          map[string]*zone{},
 		backends:       map[policy.BackendID]*backend{},
-		usualLatency:   map[string]float64{},
+		meanLatency:    map[string]float64{},
 		availableShare: 1,
 	}
 }
 
-// UpdateBackends takes over the endpoint list if complete, else changes to it.
+// UpdateBackends applies a complete endpoint list if complete is true, else changes to the list.
 func (t *Tracker) UpdateBackends(now time.Duration, list []Backend, complete bool) {
 	if complete {
 		for _, b := range t.backends {
@@ -81,13 +81,13 @@
 		t.updateBackend(now, entry)
 	}
 	t.assignBackends(now)
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		slices.SortFunc(z.backends, func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
 		t.detectRestart(now, z)
 	}
 }
 
-// updateBackend takes over one entry of the endpoint list.
+// updateBackend applies one entry of the endpoint list.
 func (t *Tracker) updateBackend(now time.Duration, entry Backend) {
 	if entry.Size <= 0 {
 		entry.Size = 1
@@ -103,9 +103,9 @@
 	b.Backend = entry
 }
 
-// assignBackends sorts the backends into their zones, and forgets those that have left and owe no answer.
+// assignBackends assigns the backends to their zones, and deletes removed backends without attempts in flight.
 func (t *Tracker) assignBackends(now time.Duration) {
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		z.backends = z.backends[:0]
 	}
 	for id, b := range t.backends {
@@ -123,30 +123,30 @@
 	}
 }
 
-// zone returns a zone, and adds it where it is new.
+// zone returns the zone with a name, and adds it if it is new.
 func (t *Tracker) zone(now time.Duration, name string) *zone {
 	if z := t.zones[name]; z != nil {
 		return z
 	}
 	z := &zone{
-		name:      name,
-		priority:  t.cfg.priorityOf(name),
-		since:     now,
-		calmSince: now,
-		price:     1,
-		rampShare: 1,
-		rateLimit: unlimited,
+		name:        name,
+		priority:    t.cfg.priorityOf(name),
+		stateSince:  now,
+		stableSince: now,
+		price:       1,
+		rampShare:   1,
+		rateLimit:   unlimited,
 	}
 	t.zones[name] = z
-	t.sorted = append(t.sorted, z)
-	slices.SortFunc(t.sorted, func(a, b *zone) int { return cmp.Compare(a.name, b.name) })
+	t.sortedZones = append(t.sortedZones, z)
+	slices.SortFunc(t.sortedZones, func(a, b *zone) int { return cmp.Compare(a.name, b.name) })
 	return z
 }
 
-// SetDrains sets the drains in force: the zones that operators have taken out, each with the time at which that ends. A
-// zone that is not among them is not drained.
+// SetDrains replaces the active zone drains. until holds the end of each drain by zone; a zone that is missing is not
+// drained.
 func (t *Tracker) SetDrains(now time.Duration, until map[string]time.Duration) {
-	for _, z := range t.sorted {
+	for _, z := range t.sortedZones {
 		z.drainedUntil = until[z.name]
 	}
 	for name, end := range until {
@@ -154,23 +154,23 @@
 	}
 }
 
-// Tick advances all states to now and returns the facts as they stand. It is to be called at least some ten times a
-// second.
+// Tick updates the state of all zones and returns it for the policy module. It must be called about ten times a second
+// or more.
 func (t *Tracker) Tick(now time.Duration) policy.ZonesChanged {
 	elapsed := 0.0 // seconds
-	if t.tickedAt != 0 {
-		elapsed = max(0, (now - t.tickedAt).Seconds())
+	if t.lastTickAt != 0 {
+		elapsed = max(0, (now - t.lastTickAt).Seconds())
 	}
-	t.tickedAt = now
-	for _, z := range t.sorted {
-		t.advance(now, z)
+	t.lastTickAt = now
+	for _, z := range t.sortedZones {
+		t.advanceState(now, z)
 	}
-	t.measureCapacity(now, elapsed)
+	t.updateCapacity(now, elapsed)
 	t.updateSpill(now, elapsed)
-	return t.facts()
+	return t.zonesChanged()
 }
 
-// TakeChanges returns the changes of state since the last call.
+// TakeChanges returns the state changes since the last call.
 func (t *Tracker) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,9 +1,9 @@
-// Package zones tracks what each zone can take at the moment, how much of this instance's work has to leave its own
-// zone and why, and how a lost zone is let in again. In come the endpoint list, attempts and probes with their ends,
-// and zone drains, each with its time. Out go facts for the policy module (price, rate limit and state of each zone,
-// and the backends that have not proven themselves again), probes to send, and a status for operators and metrics. The
-// package chooses no backend, rejects no request, does no I/O, reads no clock and draws nothing at random: the same
-// calls give the same facts.
+// Package zones tracks the health and the capacity of each zone, how much of this instance's load must spill to other
+// zones and why, and the recovery of lost zones. Its inputs are the endpoint list, the start and end of attempts and
+// probes, and zone drains, each with its time. Its outputs are events for the policy module (price, rate limit and
+// state of each zone, and the backends that are not yet proven after a loss), the probes to send, and a status for
+// operators and metrics. The package chooses no backend, rejects no request, does no I/O, reads no clock and uses no
+// random numbers: the same calls give the same results.
 package zones
 
 import (
@@ -17,38 +17,38 @@
 
 // The states of a zone.
 const (
-	Up        State = iota // takes what the policy module sends it
-	Lost                   // nobody there answers this instance: gets probes, and no request
-	Returning              // answers again, and gets a rate that grows over the recovery ramp
+	Up        State = iota // in service, without a rate limit
+	Lost                   // does not answer this instance: gets probes but no requests
+	Returning              // answers again: its rate limit grows over the recovery ramp
 	Drained                // taken out of service by operators
 )
 
 var stateNames = [...]string{"up", "lost", "returning", "drained"}
 
-// String returns the state's name, as operators and metrics see it.
+// String returns the state's name, as shown to operators and in metrics.
 func (s State) String() string { return stateNames[s] }
 
 // States returns the names of all states.
 func States() []string { return slices.Clone(stateNames[:]) }
 
-// Config holds the operators' settings. The zero value of a field that has a default stands for the default.
+// Config holds the operators' settings. A zero field takes its default, if it has one.
 type Config struct {
 	Own               string                   // this instance's zone
-	Near              []string                 // zones of the second locality priority; all others have the third
-	NearPrice         float64                  // of a backend in a near zone; one at home with the same load has 1
-	FarPrice          float64                  // of a backend in any other zone
-	Overprovision     float64                  // a zone keeps all its work down to 1/Overprovision of its capacity
-	Panic             float64                  // share of all capacity below which no zone is preferred or drained
-	Ramp              time.Duration            // length of a recovery ramp, at most, without caution
-	RampFrom          float64                  // share of the rate with which a ramp begins
-	Forget            time.Duration            // for which a zone is up until one step of caution is taken back
-	SlowStartWindow   time.Duration            // of a backend that has just started; 0: none
-	SlowStartShare    float64                  // of its capacity that such a backend has at first
+	Near              []string                 // zones of the second locality priority; other zones have the third
+	NearPrice         float64                  // price of a backend in a near zone; the own zone's is 1
+	FarPrice          float64                  // price of a backend in any other zone
+	Overprovision     float64                  // a zone retains all its load down to 1/Overprovision of its capacity
+	Panic             float64                  // available share of all capacity below which panic mode is on
+	Ramp              time.Duration            // maximum length of a recovery ramp without caution steps
+	RampFrom          float64                  // share of the full rate with which a ramp starts
+	Forget            time.Duration            // time that a zone is up before one caution step is taken back
+	SlowStartWindow   time.Duration            // length of a backend's slow start; 0: no slow start
+	SlowStartShare    float64                  // share of its capacity with which a backend starts
 	Probe             bool                     // backends may be probed
 	LatencyObjectives map[string]time.Duration // by request class
 }
 
-// The defaults of Config, which the options file has too.
+// The defaults of Config. The options file has the same defaults.
 const (
 	DefaultNearPrice     = 2.0
 	DefaultFarPrice      = 3.0
@@ -91,15 +91,15 @@
 	return farZone
 }
 
-// price returns the price of a backend in a zone of a priority, while the own zone is fully preferred.
+// price returns the price of a backend in a zone of priority p, while the preference for the own zone is not reduced.
 func (c Config) price(p priority) float64 {
 	return [...]float64{ownZone: 1, nearZone: c.NearPrice, farZone: c.FarPrice}[p]
 }
 
-// Change is a change of a zone's state that operators should see.
+// Change is a state change of a zone that operators should see.
 type Change struct {
 	Zone     string
 	From, To State
 	Reason   string
-	Caution  int // steps of caution with which the next return begins
+	Caution  int // caution steps of the next recovery
 }
