--- a/internal/outlier/assessment_test.go
+++ b/internal/outlier/assessment_test.go
@@ -16,15 +16,15 @@
 
 var testConfig = Config{Zone: "a", HalfLife: 12 * time.Second}
 
-// against returns an adverse report with so much failure evidence, of a fault that began onsetAge ago.
-func against(owner, zone string, bad float64, onsetAge time.Duration) PeerObservation {
+// adverseReport returns an adverse report with failure evidence bad, of a fault that began onsetAge ago.
+func adverseReport(owner, zone string, bad float64, onsetAge time.Duration) PeerObservation {
 	return PeerObservation{owner, zone, Observation{
 		Backend: "n", FailureEvidence: bad, Onset: now - onsetAge, LastFailure: now - onsetAge/4, Cause: Slow,
 	}}
 }
 
-// inFavor returns a favorable report with so much success evidence, of a success age ago.
-func inFavor(owner, zone string, good float64, age time.Duration) PeerObservation {
+// favorableReport returns a favorable report with success evidence good, of a success that was age ago.
+func favorableReport(owner, zone string, good float64, age time.Duration) PeerObservation {
 	return PeerObservation{owner, zone, Observation{Backend: "n", SuccessEvidence: good, LastSuccess: now - age}}
 }
 
@@ -48,79 +48,79 @@
 	ejected = slownessRange{6, 8}
 )
 
-// nothingSeen is the observation of an instance that has sent nothing to the backend.
-var nothingSeen = Observation{Backend: "n"}
+// noObservation is the observation of an instance that has sent nothing to the backend.
+var noObservation = Observation{Backend: "n"}
 
-func weakReport(owner string) PeerObservation { return against(owner, "a", 1, time.Second) }
+func weakReport(owner string) PeerObservation { return adverseReport(owner, "a", 1, time.Second) }
 
 var assessCases = map[string]struct {
 	own     Observation
 	reports []PeerObservation
 	want    slownessRange
 }{
-	"no report": {nothingSeen, nil, healthy},
-	"one report, however strong": {nothingSeen, []PeerObservation{
-		against("x", "a", 8, time.Second),
+	"no report": {noObservation, nil, healthy},
+	"one report, however strong": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 8, time.Second),
 	}, healthy},
-	"two of this zone": {nothingSeen, []PeerObservation{
-		against("x", "a", 3, time.Second),
-		against("y", "a", 3, time.Second),
+	"two reports from this zone": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 3, time.Second),
+		adverseReport("y", "a", 3, time.Second),
 	}, ejected},
 	"one report and own evidence": {ownObservation(0, 3, 0, 200*ms), []PeerObservation{
-		against("x", "a", 3, time.Second),
+		adverseReport("x", "a", 3, time.Second),
 	}, ejected},
-	"two of another zone": {nothingSeen, []PeerObservation{
-		against("x", "b", 3, time.Second),
-		against("y", "b", 3, time.Second),
+	"two reports from another zone": {noObservation, []PeerObservation{
+		adverseReport("x", "b", 3, time.Second),
+		adverseReport("y", "b", 3, time.Second),
 	}, healthy},
-	"one each of two other zones": {nothingSeen, []PeerObservation{
-		against("x", "b", 3, time.Second),
-		against("y", "c", 3, time.Second),
+	"one report from each of two other zones": {noObservation, []PeerObservation{
+		adverseReport("x", "b", 3, time.Second),
+		adverseReport("y", "c", 3, time.Second),
 	}, ejected},
-	"a complete zone, and it serves this instance": {ownObservation(4, 0, 100*ms, 0), []PeerObservation{
-		against("x", "b", 8, time.Second),
-		against("y", "b", 8, time.Second),
-		against("z", "c", 8, time.Second),
+	"reports from two zones, but it serves this instance": {ownObservation(4, 0, 100*ms, 0), []PeerObservation{
+		adverseReport("x", "b", 8, time.Second),
+		adverseReport("y", "b", 8, time.Second),
+		adverseReport("z", "c", 8, time.Second),
 	}, healthy},
-	"it served this instance before the fault": {ownObservation(4, 0, 2*time.Second, 0), []PeerObservation{
-		against("x", "a", 3, time.Second),
-		against("y", "a", 3, time.Second),
+	"it served this instance only before the fault": {ownObservation(4, 0, 2*time.Second, 0), []PeerObservation{
+		adverseReport("x", "a", 3, time.Second),
+		adverseReport("y", "a", 3, time.Second),
 	}, ejected},
-	"two reports, and two instances that it serves": {nothingSeen, []PeerObservation{
-		against("x", "a", 3, time.Second),
-		against("y", "a", 3, time.Second),
-		inFavor("v", "a", 4, 100*ms),
-		inFavor("w", "a", 4, 100*ms),
+	"two reports, but it serves two other instances": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 3, time.Second),
+		adverseReport("y", "a", 3, time.Second),
+		favorableReport("v", "a", 4, 100*ms),
+		favorableReport("w", "a", 4, 100*ms),
 	}, healthy},
-	"two reports, and one instance that it served before": {nothingSeen, []PeerObservation{
-		against("x", "a", 3, time.Second),
-		against("y", "a", 3, time.Second),
-		inFavor("v", "a", 4, 2*time.Second),
+	"two reports, and it served another instance before the fault": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 3, time.Second),
+		adverseReport("y", "a", 3, time.Second),
+		favorableReport("v", "a", 4, 2*time.Second),
 	}, ejected},
-	"a queue after which one instance was served": {nothingSeen, []PeerObservation{
-		against("x", "a", 3, time.Second),
-		against("y", "a", 3, 300*ms),
-		inFavor("v", "a", 8, 500*ms),
+	"a momentary queue, after which it served another instance": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 3, time.Second),
+		adverseReport("y", "a", 3, 300*ms),
+		favorableReport("v", "a", 8, 500*ms),
 	}, healthy},
-	"a fault that began just now": {nothingSeen, []PeerObservation{
-		against("x", "a", 3, 100*ms),
-		against("y", "a", 3, 100*ms),
+	"a fault that began just now": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 3, 100*ms),
+		adverseReport("y", "a", 3, 100*ms),
 	}, healthy},
-	"two weak reports": {nothingSeen, []PeerObservation{weakReport("x"), weakReport("y")}, healthy},
-	"six weak reports": {nothingSeen, []PeerObservation{
+	"two weak reports": {noObservation, []PeerObservation{weakReport("x"), weakReport("y")}, healthy},
+	"six weak reports": {noObservation, []PeerObservation{
 		weakReport("1"), weakReport("2"), weakReport("3"), weakReport("4"), weakReport("5"), weakReport("6"),
 	}, ejected},
-	"old reports": {nothingSeen, []PeerObservation{
-		against("x", "a", 3, 4*20*time.Second),
-		against("y", "a", 3, 4*20*time.Second),
+	"old reports": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 3, 4*20*time.Second),
+		adverseReport("y", "a", 3, 4*20*time.Second),
 	}, slownessRange{1.5, 4}},
-	"reports beyond the horizon": {nothingSeen, []PeerObservation{
-		against("x", "a", 8, 4*31*time.Second),
-		against("y", "a", 8, 4*31*time.Second),
+	"reports beyond the horizon": {noObservation, []PeerObservation{
+		adverseReport("x", "a", 8, 4*31*time.Second),
+		adverseReport("y", "a", 8, 4*31*time.Second),
 	}, healthy},
 }
 
-// Whose report counts, and for how much.
+// Which reports count, and with what weight.
 func TestAssess(t *testing.T) {
 	for name, c := range assessCases {
 		t.Run(name, func(t *testing.T) {
@@ -136,14 +136,14 @@
 func drawReports(t *rapid.T) []PeerObservation {
 	t.Helper()
 	report := rapid.Custom(func(t *rapid.T) PeerObservation {
-		r := against(
+		r := adverseReport(
 			rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "owner"),
 			rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
 			rapid.Float64Range(0, 8).Draw(t, "bad"),
 			time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "onset age")),
 		)
 		if rapid.Bool().Draw(t, "favorable") {
-			return inFavor(r.Owner, r.Zone, r.FailureEvidence, time.Second)
+			return favorableReport(r.Owner, r.Zone, r.FailureEvidence, time.Second)
 		}
 		return r
 	})
@@ -161,13 +161,13 @@
 	return adverse
 }
 
-// Whatever one owner reports, in whatever strength, and whatever the order of reports: alone it never makes a backend
-// slow, and it never counts for more than one.
+// The report of a single owner never makes a backend slow, however strong it is, and never counts for more than one.
+// The order of the reports does not matter.
 func TestSingleReportNeverEjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := drawReports(t)
-		got := Assess(now, testConfig, nothingSeen, reports)
-		permuted := Assess(now, testConfig, nothingSeen, rapid.Permutation(reports).Draw(t, "order"))
+		got := Assess(now, testConfig, noObservation, reports)
+		permuted := Assess(now, testConfig, noObservation, rapid.Permutation(reports).Draw(t, "order"))
 		if math.Abs(got.Slowness-permuted.Slowness) > 1e-9 {
 			t.Fatalf("got slowness %v in another order, want %v", permuted.Slowness, got.Slowness)
 		}
@@ -183,13 +183,13 @@
 				strengthened[i].FailureEvidence *= 1000
 			}
 		}
-		if strong := Assess(now, testConfig, nothingSeen, strengthened); strong.Slowness > got.Slowness+1e-9 {
+		if strong := Assess(now, testConfig, noObservation, strengthened); strong.Slowness > got.Slowness+1e-9 {
 			t.Fatalf("got slowness %v from reports with more than full weight, want %v", strong.Slowness, got.Slowness)
 		}
 	})
 }
 
-// No backend is ejected where too many would be.
+// If a quorum reports against too many backends, none is ejected.
 func TestLimitEjections(t *testing.T) {
 	for suspected, want := range map[int]bool{0: false, 1: false, 3: false, 4: true, 12: true} {
 		assessments := make([]Assessment, 12)
--- a/internal/outlier/backend_stats.go
+++ b/internal/outlier/backend_stats.go
@@ -10,25 +10,25 @@
 	evidenceHalfLife            = 6 * time.Second
 	successRetainedAfterFailure = 0.25                  // fraction of the success evidence
 	failureRetainedAfterSuccess = 0.4                   // fraction of the failure evidence
-	negligibleFailureEvidence   = adverseThreshold / 16 // counts as none
+	negligibleFailureEvidence   = adverseThreshold / 16 // less counts as none
 )
 
-// backendStats is what this instance has seen of one start of a backend.
+// backendStats is this instance's evidence on one start of a backend.
 type backendStats struct {
 	Observation
-	evidenceAt   time.Duration // the time to which Good and Bad are decayed
+	evidenceAt   time.Duration // the time to which the evidence is decayed
 	inFlight     []*attempt    // in the order in which they were sent
 	latencyRatio float64       // latency of the last completed attempt, relative to the mean of its class
 	latencyAt    time.Duration // when that attempt ended; 0: never
 	lastSent     time.Duration // when an attempt was last sent; 0: never
 }
 
-// attempt is one attempt that has not ended.
+// attempt is an attempt in flight.
 type attempt struct {
 	id          AttemptID
 	class       string
 	sentAt      time.Duration
-	countedSlow bool // it has counted as a failure already, for its latency
+	countedSlow bool // it already counted as a failure because of its latency
 }
 
 // takeInFlight removes an attempt from those in flight and returns it.
@@ -39,7 +39,7 @@
 	return ended
 }
 
-// decay brings the evidence up to now.
+// decay decays the evidence to now.
 func (s *backendStats) decay(now time.Duration) {
 	retained := math.Exp2(-(now - s.evidenceAt).Seconds() / evidenceHalfLife.Seconds())
 	s.SuccessEvidence *= retained
--- a/internal/outlier/decay.go
+++ b/internal/outlier/decay.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	minDecayTime       = 500 * time.Millisecond  // time constant of a decay, at least
-	decayTimeSpread    = 1500 * time.Millisecond // what chance adds to it, at most
+	minTimeConstant    = 500 * time.Millisecond  // minimum time constant of a decay
+	timeConstantJitter = 1500 * time.Millisecond // maximum random addition to it
 	negligibleSlowness = 1.05                    // below it a backend counts as healthy
 )
 
-// Decay lets the slowness of a backend wear off once its assessment improves, with a time constant that each instance
-// draws by itself, so that the instances which left a backend together don't return together. It is used by one
-// goroutine at a time.
+// Decay gradually reduces the slowness of a backend once its assessment improves. Each instance draws its own time
+// constant, so that instances that left a backend at the same time don't all return to it at the same time. It is not
+// safe for concurrent use.
 type Decay struct {
 	rng       *rand.Rand
-	appliedAt time.Duration // of the last Apply
-	slow      map[policy.BackendID]decayingSlowness
+	appliedAt time.Duration // time of the last call of Apply
+	byBackend map[policy.BackendID]decayingSlowness
 }
 
 type decayingSlowness struct {
@@ -29,13 +29,14 @@
 	timeConstant time.Duration // in which the slowness falls to 1/e
 }
 
-// NewDecay returns a decay under which no backend is slow.
+// NewDecay returns a Decay without slow backends.
 func NewDecay(rng *rand.Rand) *Decay {
-	return &Decay{rng: rng, slow: map[policy.BackendID]decayingSlowness{}}
+	return &Decay{rng: rng, byBackend: map[policy.BackendID]decayingSlowness{}}
 }
 
-// Apply takes the assessments as of now and returns the slowness in force of each backend that has any. A slowness that
-// rises is in force at once. One that falls decays, or ends at once if the backend has served this instance.
+// Apply updates the slowness of the backends from the assessments as of now, and returns the effective slowness of each
+// slow backend. An increase takes effect at once. A decrease is gradual, or immediate if the backend has served this
+// instance.
 func (d *Decay) Apply(now time.Duration, assessments []Assessment) map[policy.BackendID]float64 {
 	elapsed := (now - d.appliedAt).Seconds()
 	d.appliedAt = now
@@ -44,35 +45,35 @@
 		latest[a.Backend] = a
 		d.raise(a)
 	}
-	inForce := map[policy.BackendID]float64{}
-	for id, s := range d.slow {
+	effective := map[policy.BackendID]float64{}
+	for id, s := range d.byBackend {
 		assessment := latest[id]
 		if slices.Contains(assessment.Defenders, "") {
-			delete(d.slow, id)
+			delete(d.byBackend, id)
 			continue
 		}
 		if target := max(1, assessment.Slowness); s.slowness > target {
 			s.slowness = target + (s.slowness-target)*math.Exp(-elapsed/s.timeConstant.Seconds())
 		}
 		if s.slowness < negligibleSlowness {
-			delete(d.slow, id)
+			delete(d.byBackend, id)
 			continue
 		}
-		d.slow[id] = s
-		inForce[id] = s.slowness
+		d.byBackend[id] = s
+		effective[id] = s.slowness
 	}
-	return inForce
+	return effective
 }
 
-// raise takes over a slowness that is not below the one in force.
+// raise applies an assessed slowness that is not below the effective one.
 func (d *Decay) raise(a Assessment) {
-	s, decaying := d.slow[a.Backend]
+	s, decaying := d.byBackend[a.Backend]
 	if a.Slowness <= 1 || a.Slowness < s.slowness {
 		return
 	}
 	if !decaying {
-		s.timeConstant = minDecayTime + time.Duration(d.rng.Int64N(int64(decayTimeSpread)))
+		s.timeConstant = minTimeConstant + time.Duration(d.rng.Int64N(int64(timeConstantJitter)))
 	}
 	s.slowness = a.Slowness
-	d.slow[a.Backend] = s
+	d.byBackend[a.Backend] = s
 }
--- a/internal/outlier/decay_test.go
+++ b/internal/outlier/decay_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// returnTime returns when an ejected backend that is healthy again falls below a slowness of 2, under the chance of a
-// seed. The slowness must fall without a step.
+// returnTime returns how long the slowness of an ejected backend that is healthy again takes to fall below 2, with the
+// random numbers of a seed. It fails the test if the slowness falls in a large step.
 func returnTime(t *testing.T, seed uint64) time.Duration {
 	t.Helper()
 	decay := NewDecay(rand.New(rand.NewPCG(seed, 1)))
@@ -26,8 +26,8 @@
 	}
 }
 
-// A slowness wears off at times that differ between instances, and without a step; where the backend serves this
-// instance it ends at once.
+// The slowness of a backend decays without large steps, and at a different rate at each instance. If the backend serves
+// this instance, the slowness ends at once.
 func TestDecay(t *testing.T) {
 	var returns []time.Duration
 	for seed := range uint64(40) {
--- a/internal/outlier/latency.go
+++ b/internal/outlier/latency.go
@@ -8,20 +8,20 @@
 
 const (
 	slowFactor        = 6.0                   // an attempt is slow beyond this multiple of its class's mean latency
-	minSlowLatency    = 20 * time.Millisecond // no attempt counts as slow before
-	latencyMeanGain   = 0.04                  // weight of one latency in the mean of its class
-	minLatencySamples = 8                     // latencies before the mean of a class is used
-	fleetSampleMaxAge = 2 * time.Second       // of an ended attempt that counts in the fleet latency
-	minFleetBackends  = 3                     // other backends with a latency, else the fleet latency is 1
+	minSlowLatency    = 20 * time.Millisecond // a shorter latency never counts as slow
+	latencyMeanGain   = 0.04                  // weight of one sample in the mean latency of its class
+	minLatencySamples = 8                     // samples required before the mean of a class is used
+	maxFleetSampleAge = 2 * time.Second       // of an ended attempt that counts towards the fleet latency
+	minFleetBackends  = 3                     // of other backends with a latency; with fewer, the fleet latency is 1
 )
 
-// classLatency is the latency of the attempts of one request class, over all backends.
+// classLatency is the mean latency of the attempts of one request class, over all backends.
 type classLatency struct {
 	mean    float64 // seconds
 	samples int
 }
 
-// isKnown reports whether there were enough attempts for the mean to be used.
+// isKnown reports whether there are enough samples to use the mean.
 func (c *classLatency) isKnown() bool { return c.samples >= minLatencySamples }
 
 // slowLimit returns the latency, in seconds, beyond which an attempt counts against its backend.
@@ -32,7 +32,7 @@
 	return max(slowFactor*c.mean, minSlowLatency.Seconds())
 }
 
-// add moves the mean towards a latency in seconds.
+// add adds a sample, in seconds, to the mean.
 func (c *classLatency) add(latency float64) {
 	gain := max(latencyMeanGain, 1/float64(c.samples+1))
 	if c.isKnown() {
@@ -42,7 +42,7 @@
 	c.samples++
 }
 
-// class returns the latency of a request class, and adds the class where it is new.
+// class returns the latency of a request class, and adds the class if it is new.
 func (d *LocalDetector) class(name string) *classLatency {
 	c := d.classes[name]
 	if c == nil {
@@ -53,8 +53,8 @@
 }
 
 // fleetLatency returns the present latency of the backends other than except: the median of their last completed
-// attempts and of those in flight, relative to the mean of each class. It is at least 1, and 1 where fewer than
-// minFleetBackends have one. A backend is compared with the others, so that none is blamed while all are slow.
+// attempts and of those in flight, relative to the mean of each class. It is at least 1, and exactly 1 if fewer than
+// minFleetBackends have a latency. Comparing a backend with the others keeps it from being ejected while all are slow.
 func (d *LocalDetector) fleetLatency(now time.Duration, except *backendStats) float64 {
 	ratios := make([]float64, 0, len(d.backends))
 	for _, stats := range d.backends {
@@ -73,10 +73,10 @@
 }
 
 // currentLatencyRatio returns the latency of a backend relative to the mean of its class: of the last completed attempt
-// if that was recent, or of an attempt in flight that is older than the mean. It returns 0 if neither says anything.
+// if that was recent, or of an attempt in flight that is older than the mean. It returns 0 if there is neither.
 func (d *LocalDetector) currentLatencyRatio(now time.Duration, stats *backendStats) float64 {
 	ratio := 0.0
-	if stats.latencyAt > 0 && now-stats.latencyAt <= fleetSampleMaxAge {
+	if stats.latencyAt > 0 && now-stats.latencyAt <= maxFleetSampleAge {
 		ratio = stats.latencyRatio
 	}
 	for _, a := range stats.inFlight {
@@ -85,7 +85,8 @@
 			continue
 		}
 		elapsed := (now - a.sentAt).Seconds() / latency.mean
-		// An attempt in flight is a lower bound of its latency: below the mean it only fills in for a missing sample.
+		// The age of an attempt in flight is a lower bound of its latency. Below the mean it is used only if there is
+		// no sample.
 		if elapsed > 1 || ratio == 0 && elapsed > 0.5 {
 			ratio = max(ratio, elapsed)
 		}
--- a/internal/outlier/local_detector.go
+++ b/internal/outlier/local_detector.go
@@ -8,25 +8,24 @@
 	"hitchspring/policy"
 )
 
-// supersededFactor is the multiple of the class's mean latency below which an attempt that lost against a later one
-// was not slow.
+// supersededFactor is the multiple of the class's mean latency below which a superseded attempt does not count as slow.
 const supersededFactor = 1.5
 
 // AttemptID identifies one attempt of a request.
 type AttemptID struct {
 	Request policy.RequestID
-	Number  int // counts up from the request's first attempt
+	Number  int // counts up from the first attempt of the request
 }
 
-// LocalDetector collects what this instance itself sees of the backends. It is used by one goroutine at a time.
+// LocalDetector collects this instance's own evidence on the backends. It is not safe for concurrent use.
 type LocalDetector struct {
 	backends   map[policy.BackendID]*backendStats
 	classes    map[string]*classLatency    // by request class
-	attempts   map[AttemptID]*backendStats // of the attempts in flight
+	attempts   map[AttemptID]*backendStats // stats of the backend of each attempt in flight
 	lastServed AttemptID                   // the last attempt that succeeded
 }
 
-// NewLocalDetector returns a detector that knows no backend.
+// NewLocalDetector returns a detector without backends.
 func NewLocalDetector() *LocalDetector {
 	return &LocalDetector{
 		backends: map[policy.BackendID]*backendStats{},
@@ -35,7 +34,7 @@
 	}
 }
 
-// SetBackends sets the backends with their start times. What was seen of others, or of earlier starts, is dropped.
+// SetBackends sets the backends with their start times. Evidence on other backends and on earlier starts is dropped.
 func (d *LocalDetector) SetBackends(starts map[policy.BackendID]time.Duration) {
 	for id, stats := range d.backends {
 		started, listed := starts[id]
@@ -54,7 +53,7 @@
 	}
 }
 
-// AttemptSent notes that an attempt of a request class was sent to a backend.
+// AttemptSent records that an attempt of a request class was sent to a backend.
 func (d *LocalDetector) AttemptSent(now time.Duration, backend policy.BackendID, id AttemptID, class string) {
 	stats := d.backends[backend]
 	if stats == nil {
@@ -73,7 +72,7 @@
 	return 0
 }
 
-// AttemptEnded notes how an attempt ended. An attempt at an earlier start of its backend is ignored.
+// AttemptEnded records the outcome of an attempt. An attempt at an earlier start of its backend is ignored.
 func (d *LocalDetector) AttemptEnded(now time.Duration, id AttemptID, outcome policy.Outcome) {
 	stats := d.attempts[id]
 	if stats == nil {
@@ -106,8 +105,8 @@
 	}
 }
 
-// isLatencySample reports whether the latency of an ended attempt says how fast its backend is. One that was cut short
-// does so only beyond the mean, as a lower bound.
+// isLatencySample reports whether the latency of an ended attempt is a usable sample for its backend. For a cancelled
+// or timed-out attempt it is only a lower bound, and so is usable only beyond the mean.
 func isLatencySample(outcome policy.Outcome, latency, mean float64) bool {
 	switch outcome {
 	case policy.Succeeded:
@@ -119,7 +118,7 @@
 	}
 }
 
-// attemptSucceeded notes a success, which counts as a failure if it took too long.
+// attemptSucceeded records a success, which counts as a failure if it took too long.
 func (d *LocalDetector) attemptSucceeded(now time.Duration, stats *backendStats, ended *attempt, latency float64) {
 	d.lastServed = ended.id
 	slow := d.isSlow(now, stats, ended, latency)
@@ -132,15 +131,15 @@
 	}
 }
 
-// isSlow reports whether a latency in seconds exceeds the limit of the attempt's class, also when that is scaled by
-// the present fleet latency.
+// isSlow reports whether a latency in seconds exceeds the limit of the attempt's class, both unscaled and scaled by the
+// present fleet latency.
 func (d *LocalDetector) isSlow(now time.Duration, stats *backendStats, a *attempt, latency float64) bool {
 	limit := d.class(a.class).slowLimit()
 	return latency > limit && latency > limit*d.fleetLatency(now, stats)
 }
 
-// isSuperseded reports whether a cancelled attempt counts against its backend: a later attempt of the same request was
-// served first. That is the usual end of an attempt at a slow backend, since its request is hedged.
+// isSuperseded reports whether a cancelled attempt counts against its backend because a later attempt of the same
+// request was served first. Attempts at a slow backend usually end this way, since their requests are hedged.
 func (d *LocalDetector) isSuperseded(now time.Duration, stats *backendStats, ended *attempt, latency float64) bool {
 	later := d.lastServed.Request == ended.id.Request && d.lastServed.Number > ended.id.Number
 	if !later || ended.countedSlow {
@@ -149,8 +148,8 @@
 	return latency > supersededFactor*d.class(ended.class).mean*d.fleetLatency(now, stats)
 }
 
-// isTimeoutAdverse reports whether a timed-out attempt counts against its backend. While the fleet is slow as a whole,
-// it does so only beyond the fleet's limit.
+// isTimeoutAdverse reports whether a timed-out attempt counts against its backend. While the whole fleet is slow, it
+// does so only beyond the limit scaled by the fleet latency.
 func (d *LocalDetector) isTimeoutAdverse(now time.Duration, stats *backendStats, ended *attempt, latency float64) bool {
 	if ended.countedSlow {
 		return false
@@ -159,7 +158,7 @@
 	return fleet < supersededFactor || latency > d.class(ended.class).slowLimit()*fleet
 }
 
-// Tick counts the attempts in flight that take too long against their backends, before they end.
+// Tick counts attempts in flight that take too long as failures of their backends, before they end.
 func (d *LocalDetector) Tick(now time.Duration) {
 	for _, stats := range d.backends {
 		for _, a := range stats.inFlight {
@@ -174,7 +173,7 @@
 	}
 }
 
-// Observation returns what has been seen of a backend, and whether the backend is known.
+// Observation returns the evidence on a backend, and whether the backend is known.
 func (d *LocalDetector) Observation(now time.Duration, backend policy.BackendID) (Observation, bool) {
 	stats := d.backends[backend]
 	if stats == nil {
@@ -184,8 +183,8 @@
 	return stats.Observation, true
 }
 
-// Observations returns the observations of all backends of which something was seen, by id. A backend with negligible
-// failure evidence is left out unless wanted reports true for it; a nil wanted wants all.
+// Observations returns the observations of all backends with a success or a failure, sorted by id. A backend with
+// negligible failure evidence is omitted unless wanted returns true for it. If wanted is nil, none is omitted.
 func (d *LocalDetector) Observations(now time.Duration, wanted func(policy.BackendID) bool) []Observation {
 	var observations []Observation
 	for id, stats := range d.backends {
--- a/internal/outlier/local_detector_test.go
+++ b/internal/outlier/local_detector_test.go
@@ -8,9 +8,9 @@
 	"hitchspring/policy"
 )
 
-// newWarmDetector returns a detector of two backends, "n" and "m", that both have answered in 100 ms for a while, and
-// the present time.
-func newWarmDetector() (*LocalDetector, time.Duration) {
+// newDetectorWithSamples returns a detector with two backends, "n" and "m", that have each answered 20 attempts in 100
+// ms, and the present time.
+func newDetectorWithSamples() (*LocalDetector, time.Duration) {
 	d := NewLocalDetector()
 	d.SetBackends(map[policy.BackendID]time.Duration{"n": 1, "m": 1})
 	now := time.Minute
@@ -25,7 +25,7 @@
 	return d, now
 }
 
-// detectorStep gets a detector and the present time, and returns the time after the step.
+// detectorStep applies a step to a detector at the present time, and returns the time after the step.
 type detectorStep func(d *LocalDetector, now time.Duration) time.Duration
 
 func send(backend policy.BackendID, id AttemptID) detectorStep {
@@ -51,14 +51,14 @@
 	return now
 }
 
-// restart sets a later start time of backend "n".
+// restart sets a later start time for backend "n".
 func restart(d *LocalDetector, now time.Duration) time.Duration {
 	d.SetBackends(map[policy.BackendID]time.Duration{"n": 2, "m": 1})
 	return now
 }
 
-// What counts as evidence: an attempt that takes long before it ends, one that was superseded, failures; not one that
-// was cancelled early or never sent. One failure makes an observation adverse, the next success ends that.
+// Attempts that take too long, superseded attempts and failures are adverse evidence; attempts that were cancelled
+// early or never sent are not. One failure makes an observation adverse, and the next success ends that.
 func TestLocalDetector(t *testing.T) {
 	first, second, next := AttemptID{900, 0}, AttemptID{900, 1}, AttemptID{901, 0}
 	for name, c := range map[string]struct {
@@ -80,7 +80,7 @@
 			send("m", first), wait(200 * ms), send("n", second), wait(100 * ms),
 			end(first, policy.Succeeded), end(second, policy.Canceled),
 		}, NoCause},
-		"cancelled, for its client has disconnected": {[]detectorStep{
+		"cancelled because its client has disconnected": {[]detectorStep{
 			send("n", first), wait(300 * ms), end(first, policy.Canceled),
 		}, NoCause},
 		"unreachable": {[]detectorStep{
@@ -93,12 +93,12 @@
 			send("n", first), wait(ms), end(first, policy.Reset),
 			send("n", next), wait(99 * ms), end(next, policy.Succeeded),
 		}, NoCause},
-		"another start": {[]detectorStep{
+		"backend has restarted meanwhile": {[]detectorStep{
 			send("n", first), restart, wait(ms), end(first, policy.Reset),
 		}, NoCause},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, now := newWarmDetector()
+			d, now := newDetectorWithSamples()
 			for _, step := range c.steps {
 				now = step(d, now)
 			}
@@ -117,8 +117,8 @@
 	}
 }
 
-// usualLatency is the latency of all backends of a fleet in usual times.
-const usualLatency = 50 * ms
+// normalLatency is the latency of healthy backends in a testFleet.
+const normalLatency = 50 * ms
 
 // testFleet is a detector with twelve backends and one request class.
 type testFleet struct {
@@ -131,7 +131,7 @@
 
 func fleetBackend(number int) policy.BackendID { return policy.BackendID(string(rune('a' + number))) }
 
-// newTestFleet returns a fleet that has answered for a while in the usual latency.
+// newTestFleet returns a fleet that has answered for a while with the normal latency.
 func newTestFleet() *testFleet {
 	f := &testFleet{LocalDetector: NewLocalDetector(), now: time.Hour}
 	starts := map[policy.BackendID]time.Duration{}
@@ -144,17 +144,18 @@
 			id, endsAt := f.send(number, 1)
 			f.AttemptEnded(endsAt, id, policy.Succeeded)
 		}
-		f.now += usualLatency
+		f.now += normalLatency
 	}
 	return f
 }
 
-// send sends an attempt to a backend and returns when it ends, at a multiple of the usual latency.
+// send sends an attempt to a backend. It returns the id of the attempt and when it ends: after slowness times the
+// normal latency.
 func (f *testFleet) send(number int, slowness float64) (AttemptID, time.Duration) {
 	f.requests++
 	id := AttemptID{f.requests, 0}
 	f.AttemptSent(f.now, fleetBackend(number), id, "c")
-	return id, f.now + time.Duration(slowness*float64(usualLatency))
+	return id, f.now + time.Duration(slowness*float64(normalLatency))
 }
 
 // end ticks until endsAt and ends an attempt.
@@ -163,14 +164,14 @@
 		f.Tick(f.now)
 	}
 	if outcome == policy.Canceled { // a later attempt was served first
-		f.AttemptSent(endsAt-usualLatency, "z", AttemptID{id.Request, 1}, "c")
+		f.AttemptSent(endsAt-normalLatency, "z", AttemptID{id.Request, 1}, "c")
 		f.lastServed = AttemptID{id.Request, 1}
 	}
 	f.AttemptEnded(endsAt, id, outcome)
 }
 
-// sendToAll sends an attempt to each backend and ends them in the order of their times. Those that take more than three
-// times the usual latency end with slowOutcome, the others succeed.
+// sendToAll sends an attempt to each backend and ends the attempts in the order of their end times. Those that take
+// more than three times the normal latency end with slowOutcome, the others succeed.
 func (f *testFleet) sendToAll(slowness func(number int) float64, slowOutcome policy.Outcome) {
 	type attemptEnd struct {
 		id      AttemptID
@@ -202,8 +203,9 @@
 	return adverse
 }
 
-// A backend is compared with the others: where all are slow at once none is adverse, whether they answer late, time
-// out, are superseded or have not answered yet; one that is slow beside others that are a little slow is.
+// A backend is compared with the others: if all are slow at once, none is adverse, whether they answer late, time out,
+// are superseded or have not answered yet. One that is much slower than the others is adverse, even if those are a
+// little slow.
 func TestFleetLatency(t *testing.T) {
 	all := func(slowness float64) func(int) float64 { return func(int) float64 { return slowness } }
 	oneBeside := func(slowness, others float64) func(int) float64 {
@@ -218,10 +220,10 @@
 	uneven := func(number int) float64 { return 8 + float64(number%3) }
 	for name, c := range map[string]struct {
 		slowness    func(number int) float64
-		slowOutcome policy.Outcome // of attempts that are slow
+		slowOutcome policy.Outcome // of slow attempts
 		wantAdverse int            // backends
 	}{
-		"all are fine":                {all(1), policy.Succeeded, 0},
+		"all are healthy":             {all(1), policy.Succeeded, 0},
 		"one is slow":                 {oneBeside(10, 1), policy.Succeeded, 1},
 		"one is unreachable":          {oneBeside(20, 1), policy.TimedOut, 1},
 		"one is superseded":           {oneBeside(5, 1), policy.Canceled, 1},
--- a/internal/outlier/message.go
+++ b/internal/outlier/message.go
@@ -10,18 +10,18 @@
 	"hitchspring/policy"
 )
 
-// FactKind is the kind of an observation among the facts that instances gossip; the fact's subject is the backend's id.
+// FactKind is the kind of the gossip facts that carry observations. The subject of such a fact is the backend's id.
 const FactKind = "node"
 
-// maxOnsetAge bounds how long before its last failure a fault can have begun.
+// maxOnsetAge is the maximum time from the onset of a fault to its last failure.
 const maxOnsetAge = time.Hour
 
-// message is an observation as peers receive it, in CBOR. It holds no time of a clock that the peers would have to
-// share: the fact that carries it has an age, and the onset is relative to that.
+// message is an observation as it is sent to peers, in CBOR. Its times don't depend on the clock of the sender: the
+// fact that carries it has an age, and the onset is relative to that.
 type message struct {
-	Started int64   `cbor:"1,keyasint,omitempty"` // start of the backend as the endpoint list has it, milliseconds
-	Good    float32 `cbor:"2,keyasint,omitempty"`
-	Bad     float32 `cbor:"3,keyasint,omitempty"`
+	Started int64   `cbor:"1,keyasint,omitempty"` // start of the backend by the endpoint list, in milliseconds
+	Success float32 `cbor:"2,keyasint,omitempty"`
+	Failure float32 `cbor:"3,keyasint,omitempty"`
 	Adverse bool    `cbor:"4,keyasint,omitempty"`
 	OnsetMS int64   `cbor:"5,keyasint,omitempty"` // from the onset to the last failure, if Adverse
 	Cause   Cause   `cbor:"6,keyasint,omitempty"`
@@ -31,8 +31,8 @@
 func (o Observation) Encode() []byte {
 	m := message{
 		Started: o.Started.Milliseconds(),
-		Good:    float32(o.SuccessEvidence),
-		Bad:     float32(o.FailureEvidence),
+		Success: float32(o.SuccessEvidence),
+		Failure: float32(o.FailureEvidence),
 		Adverse: o.IsAdverse(),
 		Cause:   o.Cause,
 	}
@@ -40,14 +40,14 @@
 		m.OnsetMS = (o.LastFailure - o.Onset).Milliseconds()
 	}
 	data, err := cbor.Marshal(m)
-	if err != nil { // can't happen: a struct of numbers
+	if err != nil { // can't happen: the struct holds only numbers and a bool
 		panic(err)
 	}
 	return data
 }
 
-// Decode reads a peer's message on a backend, observed at observedAt on this instance's clock. A message that no
-// instance can have meant is an error.
+// Decode decodes a peer's message on a backend. observedAt is the time of the observation on this instance's clock. A
+// message with values that no instance sends is an error.
 func Decode(backend string, observedAt time.Duration, data []byte) (Observation, error) {
 	var m message
 	if err := cbor.Unmarshal(data, &m); err != nil {
@@ -59,8 +59,8 @@
 	o := Observation{
 		Backend:         policy.BackendID(backend),
 		Started:         time.Duration(m.Started) * time.Millisecond,
-		SuccessEvidence: min(float64(m.Good), maxEvidence),
-		FailureEvidence: min(float64(m.Bad), maxEvidence),
+		SuccessEvidence: min(float64(m.Success), maxEvidence),
+		FailureEvidence: min(float64(m.Failure), maxEvidence),
 		Cause:           m.Cause,
 	}
 	if !m.Adverse {
@@ -70,7 +70,7 @@
 	o.LastFailure = observedAt
 	o.Onset = observedAt - time.Duration(m.OnsetMS)*time.Millisecond
 	if !o.IsAdverse() {
-		return Observation{}, fmt.Errorf("observation of %q: adverse with bad %v", backend, m.Bad)
+		return Observation{}, fmt.Errorf("observation of %q: adverse with failure evidence %v", backend, m.Failure)
 	}
 	return o, nil
 }
@@ -78,17 +78,17 @@
 // check returns an error for a field out of its range.
 func (m message) check() error {
 	switch {
-	case !isEvidence(m.Good):
-		return fmt.Errorf("good is %v", m.Good)
-	case !isEvidence(m.Bad):
-		return fmt.Errorf("bad is %v", m.Bad)
+	case !isValidEvidence(m.Success):
+		return fmt.Errorf("success evidence %v is out of range", m.Success)
+	case !isValidEvidence(m.Failure):
+		return fmt.Errorf("failure evidence %v is out of range", m.Failure)
 	case m.OnsetMS < 0 || m.OnsetMS > maxOnsetAge.Milliseconds():
-		return fmt.Errorf("onset is %d ms before", m.OnsetMS)
+		return fmt.Errorf("onset %d ms before the last failure is out of range", m.OnsetMS)
 	case m.Started < 0 || m.Started > math.MaxInt64/int64(time.Millisecond):
-		return fmt.Errorf("start is %d ms", m.Started)
+		return fmt.Errorf("start at %d ms is out of range", m.Started)
 	}
 	return nil
 }
 
-// isEvidence reports whether f is a finite number of at least 0.
-func isEvidence(f float32) bool { return f >= 0 && !math.IsInf(float64(f), 1) }
+// isValidEvidence reports whether f is a finite number of at least 0.
+func isValidEvidence(f float32) bool { return f >= 0 && !math.IsInf(float64(f), 1) }
--- a/internal/outlier/message_test.go
+++ b/internal/outlier/message_test.go
@@ -23,7 +23,7 @@
 	return o
 }
 
-// A peer decodes what was encoded, whatever was seen.
+// Decode restores the times and the start of any encoded observation.
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawObservation(t)
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,9 +1,9 @@
-// Package outlier decides which backends are outliers, from the ends of this instance's own attempts and from the
-// observations of its peers. LocalDetector collects the own evidence, Publisher picks what peers need of it, Assess
-// pools both kinds into an Assessment of each backend, Decay lets an ejection wear off, and Probation reopens ejected
-// backends for single attempts. The result is a slowness per backend, a multiple of the usual latency; no single
-// instance's report changes it. The package does no I/O, reads no clock, and knows no connection and no request
-// content. None of its types is safe for concurrent use.
+// Package outlier detects outliers among the backends, from the outcomes of this instance's own attempts and from the
+// observations of its peers. LocalDetector collects the local evidence, Publisher selects the part that peers need,
+// Assess combines local and peer evidence into an assessment of each backend, Decay ends an ejection gradually, and
+// Probation reopens ejected backends for single attempts. The result is a slowness per backend, a multiple of the usual
+// latency. The report of a single instance never changes it. The package does no I/O, reads no clock, and handles no
+// connections and no request content. None of its types is safe for concurrent use.
 package outlier
 
 import (
@@ -16,22 +16,22 @@
 	// Horizon is the age beyond which evidence has no weight.
 	Horizon = 30 * time.Second
 
-	// adverseThreshold is the failure evidence from which an observation can be adverse: a single failure, until it
-	// is two half-lives old.
+	// adverseThreshold is the minimum failure evidence of an adverse observation: that of a single failure after two
+	// half-lives.
 	adverseThreshold = 0.25
 	// maxEvidence bounds the success and the failure evidence on one backend.
 	maxEvidence = 8.0
-	// fullWeight is the evidence with which an instance's report has its full weight, which is 1.
+	// fullWeight is the evidence from which an instance's report has its full weight of 1.
 	fullWeight = 2.5
 )
 
-// Cause is what an observation holds against a backend, the gravest first.
+// Cause is the kind of failure that an observation reports.
 type Cause uint8
 
-// The causes. Their numbers are sent to peers.
+// The causes, from the most severe to the least. Their numbers are sent to peers.
 const (
 	NoCause     Cause = iota
-	Unreachable       // no connection
+	Unreachable       // no connection could be made
 	Failing           // errors and dropped connections
 	Slow              // answers late or not at all
 )
@@ -50,23 +50,22 @@
 // instance that holds the value.
 type Observation struct {
 	Backend         policy.BackendID
-	Started         time.Duration // the start of the backend that it speaks of, as the endpoint list has it
-	SuccessEvidence float64       // success evidence, decayed; at most maxEvidence
-	FailureEvidence float64       // failure evidence, decayed; at most maxEvidence
+	Started         time.Duration // start of the observed backend, by the endpoint list
+	SuccessEvidence float64       // decayed; at most maxEvidence
+	FailureEvidence float64       // decayed; at most maxEvidence
 	LastSuccess     time.Duration // the last success; 0: never
 	LastFailure     time.Duration // the last failure; 0: never
 	Onset           time.Duration // the first failure since the last success; 0: none
 	Cause           Cause         // of the last failure
 }
 
-// IsAdverse reports whether the observation speaks against the backend: its last event was a failure, not long ago. A
-// success in earlier times doesn't excuse a backend that fails now.
+// IsAdverse reports whether the observation counts against the backend: its last event was a failure, and the failure
+// evidence has not decayed yet. Earlier successes don't make up for the failure.
 func (o Observation) IsAdverse() bool {
 	return o.FailureEvidence >= adverseThreshold && o.LastFailure > o.LastSuccess
 }
 
-// ObservedAt returns the time of the event that the observation rests on: the last failure if it is adverse, else the
-// last success.
+// ObservedAt returns the time of the observation: that of the last failure if it is adverse, else of the last success.
 func (o Observation) ObservedAt() time.Duration {
 	if o.IsAdverse() {
 		return o.LastFailure
--- a/internal/outlier/probation.go
+++ b/internal/outlier/probation.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	probationInterval     = 400 * time.Millisecond  // from one opening to the next by all instances, at first
-	slowProbationInterval = 1200 * time.Millisecond // the same for a slow backend: each opening costs a late answer
+	probationInterval     = 400 * time.Millisecond  // mean time between openings by any instance, at first
+	slowProbationInterval = 1200 * time.Millisecond // the same for a slow backend, as each opening costs a late answer
 	maxProbationInterval  = 5 * time.Second
-	faultAgeDivisor       = 4           // the interval grows to this part of the fault's age
-	probationDuration     = time.Second // for which a backend stays open if no attempt goes there
-	probationSlowness     = 2.0         // from which on the policy module as good as avoids a backend
-	maxProbationWait      = 4.0         // of one wait, in mean waits
-	maxProbationInstances = 32          // beyond which the wait grows no further
+	faultAgeDivisor       = 4           // the interval grows to 1/faultAgeDivisor of the fault's age
+	probationDuration     = time.Second // how long a backend stays open without an attempt
+	minProbationSlowness  = 2.0         // from this slowness the policy module almost always avoids a backend
+	maxProbationWait      = 4.0         // maximum wait, as a multiple of the mean wait
+	maxProbationInstances = 32          // the wait doesn't grow with further instances
 )
 
-// Probation opens ejected backends for single attempts. Where all instances have left a backend, nobody would see that
-// it has recovered: each instance opens it now and then, at times of its own chance, so that all together do so at a
-// bounded rate. Whoever is served publishes it, which ends the ejection. It is used by one goroutine at a time.
+// Probation opens ejected backends for single attempts. While all instances avoid a backend, none would notice its
+// recovery. So each instance opens it from time to time, at random, such that all instances together do so at a bounded
+// rate. An instance that the backend serves publishes the success, which ends the ejection. It is not safe for
+// concurrent use.
 type Probation struct {
 	rng       *rand.Rand
-	instances int // that share the openings
+	instances int // number of instances that share the openings
 	backends  map[policy.BackendID]*probationState
 }
 
@@ -33,7 +34,7 @@
 	openedAt    time.Duration // 0: closed
 }
 
-// NewProbation returns the probation of one of so many instances, with no backend in it.
+// NewProbation returns a Probation without backends. instances is the number of instances that share the openings.
 func NewProbation(rng *rand.Rand, instances int) *Probation {
 	return &Probation{
 		rng:       rng,
@@ -42,9 +43,9 @@
 	}
 }
 
-// Open returns the backends that are open at the moment, whose slowness is not to be applied: each until this instance
-// has sent an attempt there, or for probationDuration. slowness is what Decay has in force, and lastSent returns when
-// this instance last sent an attempt to a backend.
+// Open returns the backends that are open now, whose slowness must not be applied. A backend stays open until this
+// instance has sent an attempt to it, but at most for probationDuration. slowness is the result of Decay.Apply, and
+// lastSent returns when this instance last sent an attempt to a backend.
 func (p *Probation) Open(
 	now time.Duration,
 	slowness map[policy.BackendID]float64,
@@ -52,13 +53,13 @@
 	lastSent func(policy.BackendID) time.Duration,
 ) []policy.BackendID {
 	for id := range p.backends {
-		if slowness[id] < probationSlowness {
+		if slowness[id] < minProbationSlowness {
 			delete(p.backends, id)
 		}
 	}
 	var open []policy.BackendID
 	for _, a := range assessments {
-		if slowness[a.Backend] < probationSlowness {
+		if slowness[a.Backend] < minProbationSlowness {
 			continue
 		}
 		state := p.backends[a.Backend]
@@ -79,8 +80,8 @@
 	return open
 }
 
-// drawWait returns the time to this instance's next opening. It is exponentially distributed, so that the openings of
-// all instances come at an even rate from the first moment on, however many they are.
+// drawWait returns a random time until this instance's next opening. It is exponentially distributed, so that the
+// openings of all instances together have a constant rate from the start, whatever the number of instances.
 func (p *Probation) drawWait(now time.Duration, a Assessment) time.Duration {
 	interval := probationInterval
 	if a.Cause == Slow {
--- a/internal/outlier/probation_test.go
+++ b/internal/outlier/probation_test.go
@@ -41,7 +41,7 @@
 	return openings, first
 }
 
-// countOpeningsOfAll returns the openings of so many instances, and the time of the first.
+// countOpeningsOfAll returns the number of openings by all instances, and the time of the first.
 func countOpeningsOfAll(t *testing.T, seed uint64, instances int, cause Cause) (openings int, first time.Duration) {
 	t.Helper()
 	for i := range instances {
@@ -55,8 +55,8 @@
 	return openings, first
 }
 
-// A backend that all instances have left is tried again: by all together often enough that it is back soon, seldom
-// enough that one that still fails gets little.
+// A backend that all instances avoid still gets single attempts: often enough that its recovery is noticed soon, but
+// seldom enough that few attempts fail while it has not recovered.
 func TestProbation(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause     Cause
--- a/internal/outlier/publisher.go
+++ b/internal/outlier/publisher.go
@@ -7,34 +7,35 @@
 	"hitchspring/policy"
 )
 
-// minPublishInterval is the shortest time between two publications of the same opinion on a backend.
+// minPublishInterval is the minimum time between two publications on a backend unless the second one is urgent.
 const minPublishInterval = 50 * time.Millisecond
 
-// Publisher decides which of this instance's observations its peers need. It is used by one goroutine at a time.
+// Publisher decides which of this instance's observations its peers need. It is not safe for concurrent use.
 type Publisher struct {
-	published map[policy.BackendID]publication // the last of each backend
+	published map[policy.BackendID]publication // last publication on each backend
 }
 
-// publication describes the observation that was last published of a backend.
+// publication describes the last published observation of a backend.
 type publication struct {
 	publishedAt time.Duration
 	observedAt  time.Duration
 	adverse     bool
-	fullWeight  bool // it had its owner's full weight
+	fullWeight  bool // the observation had its full weight
 }
 
 // NewPublisher returns a publisher that has published nothing.
 func NewPublisher() *Publisher { return &Publisher{published: map[policy.BackendID]publication{}} }
 
-// HasPublished reports whether an observation of a backend was published, and so must be updated.
+// HasPublished reports whether an observation of a backend was published, so that its later changes must be published
+// too.
 func (p *Publisher) HasPublished(backend policy.BackendID) bool {
 	_, published := p.published[backend]
 	return published
 }
 
-// Select returns the observations to publish now, and notes them as published: the adverse ones, and the favorable ones
-// that answer an adverse one of a peer or of this instance. reportedOnsets has, by backend, the time after which a
-// success of this instance answers the reports of its peers. Backends that are not in own are forgotten.
+// Select returns the observations to publish now, and records them as published: the adverse ones, and the favorable
+// ones that contradict an adverse one of a peer or of this instance. reportedOnsets holds, by backend, the time after
+// which a success of this instance contradicts the reports of its peers. Backends that are not in own are dropped.
 func (p *Publisher) Select(
 	now time.Duration, own []Observation, reportedOnsets map[policy.BackendID]time.Duration,
 ) []Observation {
@@ -52,8 +53,8 @@
 	return selected
 }
 
-// next returns the publication of an observation, and whether it is due. If reported, peers report against the backend
-// a fault that began at onset.
+// next returns the publication of an observation, and whether it is due. If reported is true, peers report a fault of
+// the backend that began at onset.
 func (p *Publisher) next(now time.Duration, o Observation, onset time.Duration, reported bool) (publication, bool) {
 	last, published := p.published[o.Backend]
 	next := publication{
@@ -68,9 +69,9 @@
 		return next, true
 	}
 	switch {
-	case next.observedAt <= last.observedAt: // nothing was seen since
+	case next.observedAt <= last.observedAt: // no new event since the last publication
 		return next, false
-	case !next.adverse && (!defends || last.observedAt > onset): // nobody needs a further defence
+	case !next.adverse && (!defends || last.observedAt > onset): // no peer needs another favorable observation
 		return next, false
 	case published && now-last.publishedAt < minPublishInterval:
 		return next, false
--- a/internal/outlier/publisher_test.go
+++ b/internal/outlier/publisher_test.go
@@ -7,9 +7,9 @@
 	"hitchspring/policy"
 )
 
-// Only what peers need is published, and not repeatedly.
+// Only observations that peers need are published, and none repeatedly.
 func TestPublisher(t *testing.T) {
-	d, now := newWarmDetector()
+	d, now := newDetectorWithSamples()
 	p := NewPublisher()
 	type onsets = map[policy.BackendID]time.Duration
 	noReports := onsets{}
