--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,10 +1,10 @@
-// Package slowstart checks what a backend that has just started gets from all instances together against the budget
-// that the platform's settings give it during its slow start. In come the settings, the backend's capacity and start,
-// and the attempts that arrived at it; out goes the window in which the backend came nearest to its limit. The package
-// does no I/O and reads no clock, so that the simulator, the lab and tests share it.
+// Package slowstart checks the load that a backend in slow start gets from all instances together against the budget of
+// the platform's settings. Its inputs are the settings, the backend's capacity and start, and the attempts that arrived
+// at it. Its output is the window in which the backend came closest to its limit. The package does no I/O and reads no
+// clock, so that the simulator, the lab and tests can share it.
 //
-// The rule: a backend in slow start is overloaded when it gets more than N + 2 * sqrt(N) + 2 requests of mean work
-// within a span that the settings name, where N is what they allow it at that moment.
+// The rule: a backend in slow start is overloaded if more than N + 2 * sqrt(N) + 2 requests of mean work arrive within
+// the span of the settings, where N is its budget at the end of that span.
 package slowstart
 
 import (
@@ -15,35 +15,35 @@
 	"time"
 )
 
-// minNotifiedShare is the share of an overload that has to come from instances that knew of the start, for the rule to
-// be violated by them.
+// minNotifiedShare is a threshold: an overload violates the rule only if a larger share of its arrivals came from
+// instances that knew of the start.
 const minNotifiedShare = 2.0 / 3
 
-// Rule holds the platform's settings of the slow start.
+// Rule holds the platform's settings for the slow start.
 type Rule struct {
 	InitialShare     float64       // share of its capacity with which a backend starts (coldFrom)
-	Window           time.Duration // age from which it has all of it (warmAfterUs)
-	OverloadMultiple float64       // of its present capacity, that it bears (fallMultiple)
-	Span             time.Duration // over which arrivals are added up (fallUs)
+	Window           time.Duration // age at which it has its full capacity (warmAfterUs)
+	OverloadMultiple float64       // multiple of its present capacity that it can bear (fallMultiple)
+	Span             time.Duration // length of the window over which arrivals are summed (fallUs)
 }
 
-// Check returns an error that names a setting which no budget can be computed from.
+// Check returns an error that names the first setting from which no budget can be computed.
 func (r Rule) Check() error {
 	switch {
 	case !(r.InitialShare > 0 && r.InitialShare <= 1):
-		return fmt.Errorf("slowstart: cold share %v is not above 0 and up to 1", r.InitialShare)
+		return fmt.Errorf("slowstart: initial share %v is not above 0 and at most 1", r.InitialShare)
 	case r.Window < 0:
-		return fmt.Errorf("slowstart: warm after %v is before the start", r.Window)
+		return fmt.Errorf("slowstart: window %v is negative", r.Window)
 	case !(r.OverloadMultiple > 0):
-		return fmt.Errorf("slowstart: multiple %v is not above 0", r.OverloadMultiple)
+		return fmt.Errorf("slowstart: overload multiple %v is not above 0", r.OverloadMultiple)
 	case r.Span <= 0:
 		return fmt.Errorf("slowstart: span %v is not above 0", r.Span)
 	}
 	return nil
 }
 
-// CapacityShare returns the share of its capacity that a backend has at an age. The platform names both ends and not
-// what lies between: the share is assumed to grow linearly, as the policy module assumes it.
+// CapacityShare returns the share of its full capacity that a backend has at an age. The platform specifies only the
+// initial share and the window; the share is assumed to grow linearly in between, as in the policy module.
 func (r Rule) CapacityShare(age time.Duration) float64 {
 	if age >= r.Window {
 		return 1
@@ -51,57 +51,58 @@
 	return r.InitialShare + (1-r.InitialShare)*max(0, age.Seconds())/r.Window.Seconds()
 }
 
-// Backend is one start of a backend. Starts of one machine are backends of their own.
+// Backend is one start of a backend. Each start on the same machine is a separate Backend.
 type Backend struct {
 	Started  time.Duration // on the clock of the arrivals
-	Capacity float64       // seconds of work a second, once it is warm
-	MeanWork float64       // seconds of work of a request, on average over all requests
+	Capacity float64       // seconds of work per second, after slow start
+	MeanWork float64       // mean work per request in seconds, over all requests
 }
 
-// Check returns an error that names the values which no budget can be computed from.
+// Check returns an error that names the values if no budget can be computed from them.
 func (b Backend) Check() error {
 	if !(b.Capacity > 0) || !(b.MeanWork > 0) {
-		return fmt.Errorf("slowstart: capacity %v and mean work %v have to be above 0", b.Capacity, b.MeanWork)
+		return fmt.Errorf("slowstart: capacity %v and mean work %v must be above 0", b.Capacity, b.MeanWork)
 	}
 	return nil
 }
 
-// Budget returns N: the requests of mean work that a backend bears within a span at a time.
+// Budget returns N: the number of requests of mean work that a backend can bear within one span, given its capacity at
+// the time at.
 func (r Rule) Budget(b Backend, at time.Duration) float64 {
 	return r.OverloadMultiple * b.Capacity * r.CapacityShare(at-b.Started) * r.Span.Seconds() / b.MeanWork
 }
 
-// Limit returns the requests of mean work that are within a budget, at most. It allows for chance.
+// Limit returns the maximum number of requests of mean work for a budget, with an allowance for random variation.
 func Limit(budget float64) float64 { return budget + 2*math.Sqrt(budget) + 2 }
 
-// Arrival is one attempt that arrived at a backend, however it ended.
+// Arrival is one attempt that arrived at a backend, whatever its outcome.
 type Arrival struct {
 	At       time.Duration
 	Work     float64 // seconds
-	Instance int     // that sent it
-	Notified bool    // the instance knew of this start
+	Instance int     // sender of the attempt
+	Notified bool    // the sender knew of this start of the backend
 }
 
-// Peak is the window in which a backend came nearest to its limit. The zero Peak says that nothing arrived during its
+// Peak is the window in which a backend came closest to its limit. The zero Peak means that nothing arrived during its
 // slow start.
 type Peak struct {
 	At        time.Duration // end of the window
-	Arrivals  float64       // requests of mean work within it
-	Notified  float64       // of these, from instances that knew of the start
-	Instances int           // that sent them
+	Arrivals  float64       // in the window, in requests of mean work
+	Notified  float64       // the part of Arrivals from instances that knew of the start
+	Instances int           // number of instances that sent the arrivals
 	Budget    float64       // N, at the end of the window
 }
 
-// Limit returns what may have arrived, at most.
+// Limit returns the maximum of Arrivals without an overload.
 func (p Peak) Limit() float64 { return Limit(p.Budget) }
 
-// Ratio returns what arrived, relative to the limit. Above 1 the backend is overloaded.
+// Ratio returns the arrivals relative to the limit. Above 1 the backend is overloaded.
 func (p Peak) Ratio() float64 { return p.Arrivals / p.Limit() }
 
 // IsOverload reports whether more arrived than the limit.
 func (p Peak) IsOverload() bool { return p.Arrivals > p.Limit() }
 
-// IsViolation reports whether the backend was overloaded by instances that knew of its start.
+// IsViolation reports whether the backend was overloaded mainly by instances that knew of its start.
 func (p Peak) IsViolation() bool { return p.IsOverload() && p.Notified > minNotifiedShare*p.Arrivals }
 
 // String returns the peak as text for reports.
@@ -110,8 +111,8 @@
 		p.Arrivals, p.Limit(), p.Budget, p.Ratio(), p.Instances)
 }
 
-// Peak slides a window of the rule's span over the arrivals, which may be in any order, from the backend's start until
-// it is warm. It returns an error if the rule or the backend fails its check.
+// Peak slides a window of the rule's span over the arrivals during the backend's slow start. The arrivals may be in any
+// order. It returns an error if the rule or the backend fails its check.
 func (r Rule) Peak(b Backend, arrivals []Arrival) (Peak, error) {
 	if err := cmp.Or(r.Check(), b.Check()); err != nil {
 		return Peak{}, err
@@ -145,8 +146,8 @@
 // windowSum sums up the arrivals within a window.
 type windowSum struct {
 	work         float64     // seconds
-	notifiedWork float64     // of it, from instances that knew of the start
-	byInstance   map[int]int // arrivals of each instance that has any
+	notifiedWork float64     // the part of work from instances that knew of the start
+	byInstance   map[int]int // number of arrivals by instance, without zeros
 }
 
 func (s *windowSum) add(a Arrival) {
