--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,8 +1,8 @@
-// Package override keeps the operators' overrides of backends, which take precedence over the endpoint list. A backend
-// that was suspended is draining until it is resumed, whatever the list says of it. One that was resumed counts as
-// started at that time, unless discovery has reported a restart since it was suspended. In come the ids of the endpoint
-// list and the operators' calls with their times; out go entries of the list as the policy module is to see them. The
-// package does no I/O, and Overrides is not safe for concurrent use.
+// Package override manages the operators' overrides of backends, which take precedence over the endpoint list. A
+// suspended backend that the list has as running is draining until it is resumed. A resumed backend counts as started
+// at the time of the resume call, unless discovery has reported a restart since the suspension. The inputs are the ids
+// of the endpoint list, and the operators' calls with their times. The outputs are the entries of the list for the
+// policy module. The package does no I/O, and Overrides is not safe for concurrent use.
 package override
 
 import (
@@ -14,28 +14,29 @@
 	"hitchspring/policy"
 )
 
-// maxKnown is the number of ids that are remembered: more than twice the 7,700 backends of the largest fleet that is
-// designed for, since a change to the list names only what changed, and so an id that is listed may not have been named
-// for long. Beyond it those go first that were named longest ago and are not suspended.
-const maxKnown = 16384
+// maxEntries is the maximum number of ids that are retained. It is more than twice the 7,700 backends of the largest
+// fleet of the design: a change to the endpoint list names only the changed backends, so a listed id may not have been
+// named for a long time. Beyond the maximum, the ids that were named longest ago and are not suspended are evicted
+// first.
+const maxEntries = 16384
 
 // ErrUnknown is returned for an id that was never listed.
 var ErrUnknown = errors.New("no such node was ever listed")
 
-// Override is the last call of operators for one backend.
+// Override is the last suspend or resume call of operators for one backend.
 type Override struct {
 	ID        policy.BackendID `json:"id"`
-	Suspended bool             `json:"out"` // else it was resumed
+	Suspended bool             `json:"out"` // false: it was resumed
 	At        time.Duration    `json:"at"`  // the time of the call, on the clock that all instances share
-	// SuspendedAt is when a backend that was resumed had been suspended.
+	// SuspendedAt is when a resumed backend had been suspended.
 	SuspendedAt time.Duration `json:"since,omitempty"`
 }
 
-// entry is what is known of an id.
+// entry is the state of one backend id.
 type entry struct {
 	override   Override
-	overridden bool   // override is set
-	listed     uint64 // number of the last list that had the id
+	overridden bool   // whether override is set
+	lastListed uint64 // number of the last update that named the id
 }
 
 // isSuspended reports whether the last override suspends the backend.
@@ -49,22 +50,22 @@
 // Overrides holds the overrides of all backends.
 type Overrides struct {
 	entries map[policy.BackendID]*entry
-	lists   uint64 // number of lists, or changes to it, so far
+	updates uint64 // number of endpoint lists and changes to the list so far
 }
 
-// New returns overrides that know no id.
+// New returns Overrides without any ids.
 func New() *Overrides { return &Overrides{entries: map[policy.BackendID]*entry{}} }
 
-// NoteListed remembers the ids of an endpoint list or of a change to it.
+// NoteListed records the ids of an endpoint list or of a change to it.
 func (o *Overrides) NoteListed(ids []policy.BackendID) {
-	o.lists++
+	o.updates++
 	for _, id := range ids {
-		o.entry(id).listed = o.lists
+		o.entry(id).lastListed = o.updates
 	}
 	o.evict()
 }
 
-// entry returns the entry of an id, and adds it where it is new.
+// entry returns the entry of an id, and adds it if it is new.
 func (o *Overrides) entry(id policy.BackendID) *entry {
 	e := o.entries[id]
 	if e == nil {
@@ -74,33 +75,33 @@
 	return e
 }
 
-// evict forgets, once there are more than maxKnown, the ids that were listed longest ago, a quarter of all at a time.
-// Ids that are suspended or in the last list stay.
+// evict deletes the ids that were listed longest ago once there are more than maxEntries, about a quarter of all ids at
+// a time. Suspended ids and those named by the last update are retained.
 func (o *Overrides) evict() {
-	if len(o.entries) <= maxKnown {
+	if len(o.entries) <= maxEntries {
 		return
 	}
 	type listedID struct {
-		id     policy.BackendID
-		listed uint64
+		id         policy.BackendID
+		lastListed uint64
 	}
 	var candidates []listedID
 	for id, e := range o.entries {
-		if !e.isSuspended() && e.listed < o.lists {
-			candidates = append(candidates, listedID{id, e.listed})
+		if !e.isSuspended() && e.lastListed < o.updates {
+			candidates = append(candidates, listedID{id, e.lastListed})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b listedID) int {
-		return cmp.Or(cmp.Compare(a.listed, b.listed), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), cmp.Compare(a.id, b.id))
 	})
-	excess := len(o.entries) - maxKnown*3/4
+	excess := len(o.entries) - maxEntries*3/4
 	for _, c := range candidates[:min(len(candidates), excess)] {
 		delete(o.entries, c.id)
 	}
 }
 
-// Set records an operator's call: to suspend a backend, or to resume it. It reports whether that changes anything; a
-// repeat doesn't. It returns ErrUnknown for an id that was never listed.
+// Set records an operator's call to suspend or to resume a backend. It reports whether the call changes anything; a
+// repeated call doesn't. It returns ErrUnknown for an id that was never listed.
 func (o *Overrides) Set(id policy.BackendID, suspended bool, now time.Duration) (changed bool, err error) {
 	e := o.entries[id]
 	if e == nil {
@@ -117,8 +118,8 @@
 	return true, nil
 }
 
-// Merge takes in overrides that were recorded elsewhere; of two for one backend the later counts. It returns the ids of
-// those that changed.
+// Merge adds overrides that were recorded elsewhere. Of two overrides of one backend the later wins. It returns the ids
+// of the backends whose override changed.
 func (o *Overrides) Merge(others []Override) (changed []policy.BackendID) {
 	for _, other := range others {
 		if other.ID == "" {
@@ -137,7 +138,7 @@
 	return changed
 }
 
-// All returns the last override of each backend that has one, in the order of ids.
+// All returns the last override of each backend that has one, sorted by id.
 func (o *Overrides) All() []Override {
 	var all []Override
 	for _, e := range o.entries {
@@ -155,7 +156,7 @@
 	return e != nil && e.isSuspended()
 }
 
-// Apply returns an entry of the endpoint list as it holds under the overrides.
+// Apply returns an entry of the endpoint list with the override of its backend applied.
 func (o *Overrides) Apply(listed policy.Backend) policy.Backend {
 	e := o.entries[listed.ID]
 	if e == nil || !e.overridden {
@@ -167,7 +168,7 @@
 			listed.State = policy.Draining
 		}
 	case listed.Started <= e.override.SuspendedAt:
-		// Its restart isn't in the list yet: at the latest it was when the backend was resumed.
+		// The restart isn't in the list yet. It happened at the latest when the backend was resumed.
 		listed.Started = e.override.At
 	}
 	return listed
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -11,7 +11,7 @@
 	"hitchspring/policy"
 )
 
-// overridesModel is what is expected of overrides after random calls.
+// overridesModel is the expected state of overrides after random calls.
 type overridesModel struct {
 	overrides *Overrides
 	ids       []policy.BackendID
@@ -53,7 +53,7 @@
 	m.suspended[id] = suspended
 }
 
-// merge goes on with overrides that have merged the earlier ones.
+// merge replaces the overrides with new ones into which the earlier ones were merged.
 func (m *overridesModel) merge(t *rapid.T) {
 	other := New()
 	other.Merge(m.overrides.All())
@@ -81,8 +81,8 @@
 	}
 }
 
-// Whatever is listed and called in whatever order: a backend is draining exactly while it is suspended, its start is
-// never before it was resumed, and overrides that merge another's say the same.
+// For any sequence of lists and calls: a running backend is draining exactly while it is suspended, its start is never
+// before it was resumed, and overrides that were merged into others give the same results.
 func TestOverrides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newOverridesModel()
@@ -114,8 +114,9 @@
 	}
 }
 
-// A restart that discovery has reported since the backend was suspended is the true one: it has been warming up since.
-func TestReportedRestartCounts(t *testing.T) {
+// A restart that discovery has reported since the suspension takes precedence over the resume call: the backend has
+// been warming up since that restart.
+func TestListedRestartAfterSuspensionTakesPrecedence(t *testing.T) {
 	for _, c := range []struct{ listed, want time.Duration }{{0, 20}, {9, 20}, {10, 20}, {12, 12}, {25, 25}} {
 		o := New()
 		o.NoteListed([]policy.BackendID{"a"})
@@ -129,24 +130,25 @@
 	}
 }
 
-// Ids are ever new: what is remembered stays bounded, and no suspended backend is forgotten.
-func TestBounded(t *testing.T) {
+// If new ids keep arriving, the number of entries stays bounded and no suspended backend is evicted.
+func TestNumberOfEntriesIsBounded(t *testing.T) {
 	o := New()
 	o.NoteListed([]policy.BackendID{"suspended"})
 	set(t, o, "suspended", true, 1)
-	for i := range 3 * maxKnown {
+	for i := range 3 * maxEntries {
 		o.NoteListed([]policy.BackendID{policy.BackendID(fmt.Sprint("s", i))})
 	}
-	if len(o.entries) > maxKnown {
-		t.Fatalf("got %d ids, want at most %d", len(o.entries), maxKnown)
+	if len(o.entries) > maxEntries {
+		t.Fatalf("got %d ids, want at most %d", len(o.entries), maxEntries)
 	}
 	if !o.IsSuspended("suspended") {
-		t.Fatal("got a suspended backend forgotten, want it suspended")
+		t.Fatal("got a suspended backend evicted, want it suspended")
 	}
-	set(t, o, policy.BackendID(fmt.Sprint("s", 3*maxKnown-1)), true, 2)
+	set(t, o, policy.BackendID(fmt.Sprint("s", 3*maxEntries-1)), true, 2)
 }
 
-// After a change that names few backends of a large list, operators can still suspend each of the list.
+// After a change that names few backends of a large endpoint list, operators can still suspend every backend in the
+// list.
 func TestLargeList(t *testing.T) {
 	o := New()
 	var ids []policy.BackendID
@@ -160,8 +162,8 @@
 	}
 }
 
-// Of two overrides of one backend the later counts, in whichever order they are merged.
-func TestLaterOverrideCounts(t *testing.T) {
+// Of two overrides of one backend the later wins, in whichever order they are merged.
+func TestLaterOverrideWins(t *testing.T) {
 	suspended := []Override{{ID: "a", Suspended: true, At: 1}}
 	resumed := []Override{{ID: "a", Suspended: false, At: 2}}
 	for name, order := range map[string][][]Override{
