--- a/internal/guard/golden_test.go
+++ b/internal/guard/golden_test.go
@@ -7,7 +7,7 @@
 	"hitchspring/internal/golden"
 )
 
-// Metrics, logs and alerts know the invariants by these names.
+// Metrics, logs and alerts use these names for the invariants.
 func TestGoldenNames(t *testing.T) {
 	var names []string
 	for _, i := range Invariants() {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
-// Package guard holds the invariants of an ingress: what must never happen, whatever order of events arises. Monitor
-// counts and logs their violations while the program runs, and Send.Check is the last check before an attempt is
-// written: from what is known of the request and its attempts it returns the invariant that the attempt would violate,
-// or None. The package decides nothing that the policy module decides; it only prevents what no decision may do.
+// Package guard defines the invariants of an ingress, which must hold for any order of events. Monitor counts and logs
+// their violations while the program runs. Send.Check is the last check before an attempt is written: from the state of
+// the request and its attempts it returns the invariant that the attempt would violate, or None. The package makes no
+// policy decisions; it only prevents what no policy decision may cause.
 package guard
 
 import (
@@ -9,24 +9,25 @@
 	"sync/atomic"
 )
 
-// Invariant names something that must never happen.
+// Invariant identifies an event that must never happen.
 type Invariant uint8
 
-// The invariants. Those up to TwoAttemptsOut are checked before an attempt is written; one that violates them is not.
+// The invariants. Those up to TwoAttemptsInFlight are checked before an attempt is written. An attempt that would
+// violate one of them is not written.
 const (
-	None                Invariant = iota // no violation
-	SendAfterEnd                         // an attempt of a request that has its final answer
-	SendAfterDeadline                    // an attempt of a request whose deadline has passed
-	SendToDrained                        // an attempt at a backend that is not running by the endpoint list
-	RepeatOfUnsafe                       // a retry of a non-idempotent request, after an attempt that may have run
-	RepeatElsewhere                      // a retry with an idempotency key outside the group that drops duplicates
-	RepeatAfterWindow                    // a retry with an idempotency key that its group may have forgotten
-	TwoAttemptsInFlight                  // a second attempt in flight of a request that may have one
-	AnsweredTwice                        // a second final answer
-	AnsweredLate                         // a final answer later than half a second after the request's deadline
-	RejectedThoughRun                    // a rejection, which calls a retry harmless, though an attempt may have run
-	ClosedUnanswered                     // this process closed a client's connection on a request without an answer
-	OpenAtExit                           // a request without an answer when the process has ended its work
+	None                  Invariant = iota // no violation
+	SendAfterAnswer                        // an attempt of a request that already has its final answer
+	SendAfterDeadline                      // an attempt of a request whose deadline has passed
+	SendToNonRunning                       // an attempt at a backend that is not running, by the endpoint list
+	RepeatOfUnsafe                         // a retry of a non-idempotent request, after an attempt that may have run
+	RetryOutsideScope                      // a retry with an idempotency key outside the scope that drops duplicates
+	RetryAfterScopeExpiry                  // a retry with an idempotency key that its scope may have dropped
+	TwoAttemptsInFlight                    // a second attempt in flight of a request that may have only one
+	AnsweredTwice                          // a second final answer
+	AnsweredLate                           // a final answer later than half a second after the request's deadline
+	RejectedThoughRun                      // a rejection, which declares a retry safe, although an attempt may have run
+	ClosedUnanswered                       // this process closed a client's connection before answering its request
+	OpenAtExit                             // a request that is still unanswered when the process exits
 	invariantCount
 )
 
@@ -58,7 +59,7 @@
 // String returns the invariant's name, the same in logs, metrics and tests.
 func (i Invariant) String() string { return invariantNames[min(i, invariantCount-1)] }
 
-// maxLogged is how many violations of one invariant are logged; all are counted.
+// maxLogged is the maximum number of logged violations of one invariant; all are counted.
 const maxLogged = 20
 
 // Monitor counts violations and logs the first ones of each invariant. It is safe for concurrent use, and a nil Monitor
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// All violations are counted, the first of each are logged, under the name that metrics have.
+// All violations are counted, and the first ones of each invariant are logged under the same name as in metrics.
 func TestMonitor(t *testing.T) {
 	var text bytes.Buffer
 	m := NewMonitor(slog.New(slog.NewTextHandler(&text, nil)))
--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -6,19 +6,19 @@
 	"hitchspring/policy"
 )
 
-// Attempt is what is known of an attempt that was handed to a connection.
+// Attempt is the state of an attempt that was passed to a connection.
 type Attempt struct {
 	Zone     string
 	Cell     int
-	At       time.Duration // when it was decided
+	At       time.Duration // when the policy module decided to send it
 	Ended    bool
-	NeverRan bool // by its outcome it surely did not run
+	NeverRan bool // its outcome proves that it did not run
 }
 
-// mayHaveRun reports whether the attempt may have run, or may yet.
+// mayHaveRun reports whether the attempt may have run or may still run.
 func (a Attempt) mayHaveRun() bool { return !a.Ended || !a.NeverRan }
 
-// Send is an attempt that is about to be written, and what is known of its request.
+// Send is an attempt that is about to be written, with the state of its request.
 type Send struct {
 	Class          policy.Class
 	Parallel       bool          // the settings allow two attempts in flight
@@ -27,24 +27,24 @@
 	BackendRunning bool          // the backend is running, by the endpoint list
 	Zone           string        // of the backend
 	Cell           int           // of the backend
-	Earlier        []Attempt     // of the request, in the order in which they were sent
+	Earlier        []Attempt     // earlier attempts of the request, in the order in which they were sent
 }
 
 // Check returns the invariant that the attempt would violate if it were written now, or None.
 func (s *Send) Check(now time.Duration) Invariant {
 	switch {
 	case s.Answered:
-		return SendAfterEnd
+		return SendAfterAnswer
 	case now >= s.GiveUpAt:
 		return SendAfterDeadline
 	case !s.BackendRunning:
-		return SendToDrained
+		return SendToNonRunning
 	case !s.Parallel && s.hasInFlight():
 		return TwoAttemptsInFlight
 	}
 	for _, earlier := range s.Earlier {
-		if earlier.mayHaveRun() { // the group and the time of the first such attempt bind all that follow
-			return s.checkRepeat(earlier, now)
+		if earlier.mayHaveRun() { // the scope and time of the first one apply to all retries
+			return s.checkRetry(earlier, now)
 		}
 	}
 	return None
@@ -60,23 +60,23 @@
 	return false
 }
 
-// checkRepeat checks an attempt whose request may have run already, in the attempt first.
-func (s *Send) checkRepeat(first Attempt, now time.Duration) Invariant {
+// checkRetry checks an attempt of a request that may have run already. first is the earliest attempt that may have run.
+func (s *Send) checkRetry(first Attempt, now time.Duration) Invariant {
 	switch {
 	case s.Class.Effect == policy.Safe:
 		return None
 	case s.Class.Effect != policy.Keyed:
 		return RepeatOfUnsafe
-	case !s.isInGroupOf(first):
-		return RepeatElsewhere
+	case !s.isInScopeOf(first):
+		return RetryOutsideScope
 	case now-first.At > s.Class.RepeatWindow:
-		return RepeatAfterWindow
+		return RetryAfterScopeExpiry
 	}
 	return None
 }
 
-// isInGroupOf reports whether the attempt goes to the group that drops duplicates of an earlier one.
-func (s *Send) isInGroupOf(earlier Attempt) bool {
+// isInScopeOf reports whether the attempt goes to the idempotency scope of an earlier one, which drops its duplicates.
+func (s *Send) isInScopeOf(earlier Attempt) bool {
 	switch s.Class.Group {
 	case policy.GroupZone:
 		return s.Zone == earlier.Zone
@@ -87,7 +87,7 @@
 	}
 }
 
-// MayReject reports whether a request may be rejected, which lets its client take a retry for harmless.
+// MayReject reports whether a request may be rejected, which tells its client that a retry is safe.
 func MayReject(class policy.Class, attempts []Attempt) bool {
 	if class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Group == policy.GroupAll {
 		return true
--- a/internal/guard/send_test.go
+++ b/internal/guard/send_test.go
@@ -11,7 +11,7 @@
 
 const now = 10 * time.Second
 
-// allowedSend returns a first attempt of a request of a class, which violates nothing.
+// allowedSend returns the first attempt of a request, which violates no invariant.
 func allowedSend(effect policy.Effect) Send {
 	return Send{
 		Class:          policy.Class{Effect: effect, RepeatWindow: 3 * time.Second},
@@ -43,30 +43,32 @@
 		want    Invariant
 	}{
 		"first":           {policy.Unsafe, unchanged, nil, None},
-		"answered":        {policy.Safe, func(s *Send) { s.Answered = true }, nil, SendAfterEnd},
+		"answered":        {policy.Safe, func(s *Send) { s.Answered = true }, nil, SendAfterAnswer},
 		"at its deadline": {policy.Safe, func(s *Send) { s.GiveUpAt = now }, nil, SendAfterDeadline},
 		"to a drained backend": {
-			policy.Safe, func(s *Send) { s.BackendRunning = false }, nil, SendToDrained,
+			policy.Safe, func(s *Send) { s.BackendRunning = false }, nil, SendToNonRunning,
 		},
-		"unsafe after one that never ran": {policy.Unsafe, unchanged, []Attempt{neverRan}, None},
-		"unsafe after one that may have":  {policy.Unsafe, unchanged, []Attempt{neverRan, ran}, RepeatOfUnsafe},
-		"unsafe beside another":           {policy.Unsafe, unchanged, []Attempt{inFlight}, RepeatOfUnsafe},
-		"unknown effect":                  {policy.Effect(9), unchanged, []Attempt{ran}, RepeatOfUnsafe},
-		"safe beside another":             {policy.Safe, unchanged, []Attempt{inFlight}, None},
-		"safe beside another, not allowed": {
+		"unsafe after one that never ran":    {policy.Unsafe, unchanged, []Attempt{neverRan}, None},
+		"unsafe after one that may have run": {policy.Unsafe, unchanged, []Attempt{neverRan, ran}, RepeatOfUnsafe},
+		"unsafe while another is in flight":  {policy.Unsafe, unchanged, []Attempt{inFlight}, RepeatOfUnsafe},
+		"unknown effect":                     {policy.Effect(9), unchanged, []Attempt{ran}, RepeatOfUnsafe},
+		"safe while another is in flight":    {policy.Safe, unchanged, []Attempt{inFlight}, None},
+		"safe while another is in flight, not parallel": {
 			policy.Safe, notParallel, []Attempt{inFlight}, TwoAttemptsInFlight,
 		},
-		"safe after another, no two allowed": {policy.Safe, notParallel, []Attempt{ran}, None},
-		"keyed in its cell":                  {policy.Keyed, unchanged, []Attempt{ran}, None},
-		"keyed in another cell":              {policy.Keyed, otherCell, []Attempt{ran}, RepeatElsewhere},
-		"keyed in its zone":                  {policy.Keyed, groupZone, []Attempt{ran}, None},
-		"keyed in another zone":              {policy.Keyed, otherZone, []Attempt{ran}, RepeatElsewhere},
-		"keyed anywhere":                     {policy.Keyed, groupAll, []Attempt{ran}, None},
+		"safe after another has ended, not parallel": {policy.Safe, notParallel, []Attempt{ran}, None},
+		"keyed in its cell":                          {policy.Keyed, unchanged, []Attempt{ran}, None},
+		"keyed in another cell":                      {policy.Keyed, otherCell, []Attempt{ran}, RetryOutsideScope},
+		"keyed in its zone":                          {policy.Keyed, groupZone, []Attempt{ran}, None},
+		"keyed in another zone":                      {policy.Keyed, otherZone, []Attempt{ran}, RetryOutsideScope},
+		"keyed anywhere":                             {policy.Keyed, groupAll, []Attempt{ran}, None},
 		"keyed after its window": {
-			policy.Keyed, func(s *Send) { s.Class.RepeatWindow = time.Second - 1 }, []Attempt{ran}, RepeatAfterWindow,
+			policy.Keyed, func(s *Send) { s.Class.RepeatWindow = time.Second - 1 },
+			[]Attempt{ran},
+			RetryAfterScopeExpiry,
 		},
-		"keyed, the first binds": {
-			policy.Keyed, otherCell, []Attempt{neverRan, ran, ranInOtherCell}, RepeatElsewhere,
+		"keyed, outside the cell of the first that may have run": {
+			policy.Keyed, otherCell, []Attempt{neverRan, ran, ranInOtherCell}, RetryOutsideScope,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -80,9 +82,9 @@
 	}
 }
 
-// Whatever has been before, a request that is not idempotent is not sent after an attempt that may have run, nor
-// rejected.
-func TestUnsafeIsNeverRepeated(t *testing.T) {
+// Whatever its earlier attempts, a non-idempotent request is neither sent again nor rejected after an attempt that may
+// have run.
+func TestNonIdempotentRequestIsNeverRetried(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		send := allowedSend(policy.Unsafe)
 		send.Parallel = rapid.Bool().Draw(t, "parallel")
