--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -113,8 +113,8 @@
 		m.checkZone(t, got, m.tracker.sortedZones[i].state)
 		open = open || got.Rate != 0
 	}
-	isOut := func(z *zone) bool { return z.state == Lost || z.state == Drained }
-	if !open && m.tracker.availableShare > 0 && !slices.ContainsFunc(m.tracker.sortedZones, isOut) {
+	isOutOfService := func(z *zone) bool { return z.state == Lost || z.state == Drained }
+	if !open && m.tracker.availableShare > 0 && !slices.ContainsFunc(m.tracker.sortedZones, isOutOfService) {
 		t.Fatalf("got %+v, want a zone that is open", event)
 	}
 	if !(event.AvailableShare >= 0 && event.AvailableShare <= 1) {
--- a/internal/zones/probing.go
+++ b/internal/zones/probing.go
@@ -8,7 +8,7 @@
 
 const (
 	probeInterval = 200 * time.Millisecond // between probes of the backends of one zone
-	maxProbes     = 16                     // returned by one call of DueProbes
+	maxProbes     = 16                     // maximum number of backends that DueProbes returns at once
 )
 
 // DueProbes returns the backends to probe now: the unproven ones of lost and returning zones, and all backends of a
--- a/internal/zones/tracker.go
+++ b/internal/zones/tracker.go
@@ -53,7 +53,7 @@
 	rateLimit    float64 // attempts a second; unlimited if below 0
 	price        float64
 
-	sent, answered, ended, late decayingRate // attempts
+	sent, answered, ended, late decayingRate // of attempts
 }
 
 // unlimited is the rate limit of a zone without a limit.
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -35,10 +35,10 @@
 type Config struct {
 	Own               string                   // this instance's zone
 	Near              []string                 // zones of the second locality priority; other zones have the third
-	NearPrice         float64                  // price of a backend in a near zone; the own zone's is 1
+	NearPrice         float64                  // price of a backend in a near zone; 1 in the own zone at the same load
 	FarPrice          float64                  // price of a backend in any other zone
 	Overprovision     float64                  // a zone retains all its load down to 1/Overprovision of its capacity
-	Panic             float64                  // available share of all capacity below which panic mode is on
+	Panic             float64                  // below this share of available capacity no zone is preferred or drained
 	Ramp              time.Duration            // maximum length of a recovery ramp without caution steps
 	RampFrom          float64                  // share of the full rate with which a ramp starts
 	Forget            time.Duration            // time that a zone is up before one caution step is taken back
