--- a/internal/outlier/latency.go
+++ b/internal/outlier/latency.go
@@ -12,7 +12,7 @@
 	latencyMeanGain   = 0.04                  // weight of one sample in the mean latency of its class
 	minLatencySamples = 8                     // samples required before the mean of a class is used
 	maxFleetSampleAge = 2 * time.Second       // of an ended attempt that counts towards the fleet latency
-	minFleetBackends  = 3                     // of other backends with a latency; with fewer, the fleet latency is 1
+	minFleetBackends  = 3                     // minimum of other backends with a latency; else the fleet latency is 1
 )
 
 // classLatency is the mean latency of the attempts of one request class, over all backends.
