--- a/internal/peers/boundreport.go
+++ b/internal/peers/boundreport.go
@@ -7,15 +7,15 @@
 	"hitchspring/internal/swim"
 )
 
-// boundReport decides when a line is due on a bound that was met: at once, and
-// then once in summaryInterval while it goes on.
+// boundReport decides when to log that a bound was reached: immediately the first
+// time, then at most once per summaryInterval while it continues.
 type boundReport struct {
-	reported   int // of the count, in lines so far
+	reported   int // part of the count that was logged
 	reportedAt time.Duration
 }
 
-// due returns how often the bound was met since the last line, and whether a
-// line is to be logged now. Count is how often it was met since the start.
+// due returns how often the bound was reached since the last log line, and whether
+// a line should be logged now. count is how often it was reached since the start.
 func (r *boundReport) due(now time.Duration, count int) (int, bool) {
 	unreported := count - r.reported
 	if unreported <= 0 || r.reported > 0 && now-r.reportedAt < summaryInterval {
@@ -26,8 +26,8 @@
 	return unreported, true
 }
 
-// boundReports holds a report for each bound of a running instance. Only one
-// goroutine may use it.
+// boundReports holds a report for each bound of a running instance. It is not
+// safe for concurrent use.
 type boundReports struct {
 	facts     boundReport
 	members   boundReport
@@ -36,7 +36,7 @@
 	logLines  boundReport
 }
 
-// reportBounds logs which bounds were met since it was last called.
+// reportBounds logs which bounds were reached since the previous call.
 func (p *Peers) reportBounds(now time.Duration) {
 	p.mu.Lock()
 	facts, members := p.engine.facts.Counts().Full, p.engine.membership.Counts().Full
@@ -51,7 +51,7 @@
 	if n, due := reports.members.due(now, members); due {
 		p.log.Warn("members rejected, member list is full", "rejected", n, "max_members", swim.MaxMembers)
 	}
-	if n, due := reports.sendQueue.due(now, int(p.unqueued.Load())); due {
+	if n, due := reports.sendQueue.due(now, int(p.droppedSends.Load())); due {
 		p.log.Warn("outgoing messages dropped, send queue is full", "dropped", n, "max_queued", maxQueuedSends)
 	}
 	if n, due := reports.oversized.due(now, oversized); due {
--- a/internal/peers/boundreport_test.go
+++ b/internal/peers/boundreport_test.go
@@ -10,21 +10,21 @@
 	"hitchspring/internal/swim"
 )
 
-// 350 instances find one another, and the facts of two of them about hundreds of
-// backends reach all.
+// 350 instances join one group, and the facts of two of them about 600 backends
+// each reach all instances.
 func TestManyInstances(t *testing.T) {
 	const instances, backends = 350, 600
 	n := newNetwork(t, 21)
 	n.startMany(instances)
 	joined, ok := n.runUntil(2*time.Minute, func() bool { return n.allSee(instances - 1) })
 	if !ok {
-		t.Fatal("the instances have not found one another")
+		t.Fatal("the instances have not joined one group")
 	}
 	for _, owner := range n.addrs[:2] {
 		for i := range backends {
 			subject := fmt.Sprintf("backend-%05d", i)
 			if !n.engines[owner].Publish("node", subject, n.now, make([]byte, 32)) {
-				t.Fatalf("%s: no capacity for fact %d", owner, i)
+				t.Fatalf("%s: fact %d rejected as full", owner, i)
 			}
 		}
 	}
@@ -43,12 +43,12 @@
 	for _, addr := range n.addrs {
 		facts, members := n.engines[addr].Store().Counts(), n.engines[addr].Membership().Counts()
 		if facts.Full > 0 || members.Full > 0 {
-			t.Fatalf("%s: got %+v and %+v, want nothing without capacity", addr, facts, members)
+			t.Fatalf("%s: got %+v and %+v, want nothing rejected as full", addr, facts, members)
 		}
 	}
 }
 
-// newUnstarted returns an instance without a socket, on a clock of the test's.
+// newUnstarted returns an instance without a socket that reads its clock from now.
 func newUnstarted(t *testing.T, log *logBuffer, now *time.Duration) *Peers {
 	t.Helper()
 	n := newNetwork(t, 1)
@@ -60,20 +60,20 @@
 	}
 }
 
-// requireCounts checks how often each of some texts was logged.
+// requireCounts checks how often each text was logged.
 func requireCounts(t *testing.T, log *logBuffer, want map[string]int) {
 	t.Helper()
 	for text, n := range want {
 		if got := log.count(text); got != n {
-			t.Fatalf("%q: got %d lines, want %d; the log:\n%s", text, got, n, log.String())
+			t.Fatalf("%q: got %d lines, want %d; log:\n%s", text, got, n, log.String())
 		}
 	}
 }
 
-// A bound that is met again and again is logged at once, and once in
-// summaryInterval after that, with how often. One that is met no more is not
-// logged.
-func TestFullStoreIsOneLine(t *testing.T) {
+// A bound that is reached repeatedly is logged immediately, then once per
+// summaryInterval with the number of times. When it is no longer reached, nothing
+// more is logged.
+func TestFullStoreLogsOneLine(t *testing.T) {
 	const line = "facts rejected, store is full"
 	log, now := &logBuffer{}, time.Hour
 	p := newUnstarted(t, log, &now)
@@ -98,9 +98,9 @@
 	}
 }
 
-// The queue holds a message to each of 1,024 members. Further ones are counted,
-// and logged in one line.
-func TestFullSendQueueIsOneLine(t *testing.T) {
+// The send queue has capacity for one message to each of 1,024 members. Further
+// messages are dropped, counted and logged in one line.
+func TestFullSendQueueLogsOneLine(t *testing.T) {
 	const line = "outgoing messages dropped, send queue is full"
 	log, now := &logBuffer{}, time.Hour
 	p := newUnstarted(t, log, &now)
@@ -115,13 +115,13 @@
 	p.reportBounds(now)
 	p.reportBounds(now)
 	requireCounts(t, log, map[string]int{line: 1, "dropped=30 ": 1})
-	if len(p.sendQueue) != 1024 || p.unqueued.Load() != 30 {
-		t.Fatalf("got %d queued and %d dropped, want 1024 and 30", len(p.sendQueue), p.unqueued.Load())
+	if len(p.sendQueue) != 1024 || p.droppedSends.Load() != 30 {
+		t.Fatalf("got %d queued and %d dropped, want 1024 and 30", len(p.sendQueue), p.droppedSends.Load())
 	}
 }
 
-// A message that is too large for a datagram is counted, and logged in one line.
-func TestOversizedMessageIsOneLine(t *testing.T) {
+// A message that is too large for a datagram is counted and logged in one line.
+func TestOversizedMessageLogsOneLine(t *testing.T) {
 	log, now := &logBuffer{}, 3*time.Second
 	n := newNetwork(t, 5)
 	n.startMany(2)
@@ -139,12 +139,12 @@
 	requireCounts(t, log, map[string]int{"outgoing messages dropped, too large": 1, "dropped=1 ": 1})
 }
 
-// Hundreds of members that join at once are a few lines, and one that says how
-// many lines were omitted.
+// When hundreds of members join at the same time, only maxLinesPerSecond lines are
+// logged, and further lines say how many were omitted.
 func TestOmittedLinesAreCounted(t *testing.T) {
 	log, now := &logBuffer{}, time.Hour
 	p := newUnstarted(t, log, &now)
-	p.logLimit.since = time.Now().Add(time.Hour) // a second that does not end
+	p.logLimit.since = time.Now().Add(time.Hour) // keeps the limiter in the same second
 	for i := range 350 {
 		p.reportChanges([]swim.Change{{Update: swim.Update{Name: fmt.Sprint("member", i)}, New: true}})
 		p.reportBounds(now)
--- a/internal/peers/change_order_test.go
+++ b/internal/peers/change_order_test.go
@@ -9,8 +9,9 @@
 	"hitchspring/internal/swim"
 )
 
-// hear has an instance receive what a member says of itself, or others of it.
-func hear(p *Peers, update swim.Update) {
+// receiveUpdate delivers an update to an instance: from the member itself if it is
+// alive, otherwise from another member.
+func receiveUpdate(p *Peers, update swim.Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	message := &swim.Message{Self: update}
@@ -20,15 +21,15 @@
 	p.engine.membership.Receive(p.cfg.Clock(), message)
 }
 
-// Guards against a refutation that is passed on before the death that it
-// refutes: while one change is being passed on, later ones that other goroutines
-// find wait, in their order, and these goroutines don't.
-func TestChangesArePassedOnOneAtATime(t *testing.T) {
+// Guards against a refutation that is reported before the death that it refutes.
+// While one goroutine is in OnChange, changes found by other goroutines are queued
+// in order, and those goroutines do not block.
+func TestChangesAreReportedOneAtATime(t *testing.T) {
 	now := time.Hour
 	p := newUnstarted(t, &logBuffer{}, &now)
 	entered, resume := make(chan struct{}), make(chan struct{})
 	var atOnce, maxAtOnce atomic.Int32
-	var states []swim.State // of b; written by one call at a time, if all is well
+	var states []swim.State // of b; not locked, since calls of OnChange must not overlap
 	p.cfg.OnChange = func(changes []swim.Change) {
 		maxAtOnce.Store(max(maxAtOnce.Load(), atOnce.Add(1)))
 		defer atOnce.Add(-1)
@@ -43,7 +44,7 @@
 		}
 	}
 	b := swim.Update{Name: "b", Addr: "127.0.0.1:1", Incarnation: 1}
-	hear(p, b)
+	receiveUpdate(p, b)
 	passedOn := make(chan struct{})
 	go func() {
 		defer close(passedOn)
@@ -53,7 +54,7 @@
 	dead, refuted := b, b
 	dead.State, dead.SuspectedBy, refuted.Refutation = swim.Dead, "other", 1
 	for _, update := range []swim.Update{dead, refuted} {
-		hear(p, update)
+		receiveUpdate(p, update)
 		found := make(chan struct{})
 		go func() {
 			defer close(found)
@@ -62,12 +63,12 @@
 		select {
 		case <-found:
 		case <-time.After(10 * time.Second):
-			t.Error("a goroutine that finds a change waits for another that passes one on")
+			t.Error("a goroutine that found a change is blocked by another one in OnChange")
 		}
 	}
 	close(resume)
 	<-passedOn
 	if want := []swim.State{swim.Alive, swim.Dead, swim.Alive}; !slices.Equal(states, want) || maxAtOnce.Load() != 1 {
-		t.Errorf("got %v with %d calls at once, want %v one after another", states, maxAtOnce.Load(), want)
+		t.Errorf("got %v with up to %d concurrent calls, want %v one after another", states, maxAtOnce.Load(), want)
 	}
 }
--- a/internal/peers/datagram.go
+++ b/internal/peers/datagram.go
@@ -10,8 +10,8 @@
 	"hitchspring/internal/swim"
 )
 
-// Versions of the datagrams. Each datagram says of which version it is, and
-// which version can read it at least; new fields alone do not raise the latter.
+// Versions of the datagram format. Each datagram carries its own version and the
+// lowest version that can read it. Adding fields does not raise the latter.
 const (
 	Version          = 1
 	minReaderVersion = 1
@@ -20,23 +20,22 @@
 const (
 	maxDatagramBytes = 16 << 10 // larger ones are rejected
 
-	// MaxMessage bounds the bytes that one instance sends another in one message.
+	// MaxMessage is the largest size of one message between instances, in bytes.
 	MaxMessage = 12 << 10
 )
 
-// Errors of datagrams that are rejected.
+// Reasons for which a datagram is rejected.
 var (
-	// ErrKey says that no key opens a datagram: it was sealed with another key,
-	// damaged, or not sent by a peer at all.
-	ErrKey = errors.New("no key opens it")
+	// ErrKey is returned if no key opens a datagram: it was sealed with another
+	// key, damaged, or not sent by a peer at all.
+	ErrKey = errors.New("no configured key decrypts the datagram")
 
-	errTooLarge = fmt.Errorf("larger than %d bytes", maxDatagramBytes)
-	errNewer    = errors.New("only a later version can read it")
-	errNoSender = errors.New("it names no sender")
+	errTooLarge     = fmt.Errorf("datagram is larger than %d bytes", maxDatagramBytes)
+	errNewerVersion = errors.New("datagram requires a later version to be read")
+	errNoSender     = errors.New("datagram names no sender")
 )
 
-// Packet is a sealed datagram and the advertised address that it is to be sent
-// to.
+// Packet is a sealed datagram with the advertised address of its receiver.
 type Packet struct {
 	Addr string
 	Data []byte
@@ -45,21 +44,21 @@
 // payload is the content of a datagram. Unknown fields are ignored.
 type payload struct {
 	Version    int `cbor:"1,keyasint"`
-	MinVersion int `cbor:"2,keyasint"` // that can read it
-	// Swim names the sender and is a message of the membership protocol.
+	MinVersion int `cbor:"2,keyasint"` // lowest version that can read it
+	// Swim is a message of the membership protocol. It names the sender.
 	Swim     *swim.Message `cbor:"3,keyasint,omitempty"`
 	Request  *factRequest  `cbor:"4,keyasint,omitempty"`
 	Response *factResponse `cbor:"5,keyasint,omitempty"`
-	// Announcement says of which owners the sender has new facts, for the
-	// receiver to request them.
+	// Announcement lists the owners of whom the sender has new facts, so that the
+	// receiver can request them.
 	Announcement []gossip.Watermark `cbor:"6,keyasint,omitempty"`
-	// Message is bytes of another part of the sender, opaque to this package.
+	// Message is data from another component of the sender, opaque to this package.
 	Message []byte `cbor:"7,keyasint,omitempty"`
 	// Clock is the sender's monotonic clock, in microseconds.
 	Clock int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// factRequest requests the facts that the sender lacks.
+// factRequest requests facts that the sender does not have.
 type factRequest struct {
 	Nonce  uint64        `cbor:"1,keyasint"`
 	Digest gossip.Digest `cbor:"2,keyasint"`
@@ -69,23 +68,23 @@
 type factResponse struct {
 	Nonce  uint64         `cbor:"1,keyasint"`
 	Deltas []gossip.Delta `cbor:"2,keyasint,omitempty"`
-	More   bool           `cbor:"3,keyasint,omitempty"` // not all facts fitted
+	More   bool           `cbor:"3,keyasint,omitempty"` // the response does not hold all requested facts
 }
 
-// Message is bytes that an incarnation of another instance has sent to this one.
+// Message is opaque data received from an incarnation of another instance.
 type Message struct {
 	From        string
 	Incarnation uint64
 	Data        []byte
 }
 
-// send seals a payload and adds the datagram to those of the present call.
+// send seals a payload and adds the datagram to the outbox.
 func (e *Engine) send(addr string, p *payload) {
 	p.Version = Version
 	p.MinVersion = minReaderVersion
 	p.Clock = e.now.Microseconds()
 	plain, err := cbor.Marshal(p)
-	if err != nil { // impossible: all fields are plain
+	if err != nil { // unreachable: all fields are of types that CBOR can encode
 		panic(err)
 	}
 	data := e.sealer.Seal(plain)
@@ -94,7 +93,7 @@
 	e.outbox = append(e.outbox, Packet{addr, data})
 }
 
-// open reads a datagram, and counts it if it is rejected.
+// open decrypts and decodes a datagram, and counts it if it is rejected.
 func (e *Engine) open(data []byte) (*payload, error) {
 	if len(data) > maxDatagramBytes {
 		e.counts.Malformed++
@@ -113,7 +112,7 @@
 	switch {
 	case p.MinVersion > Version:
 		e.counts.Newer++
-		return nil, errNewer
+		return nil, errNewerVersion
 	case p.Swim == nil:
 		e.counts.Malformed++
 		return nil, errNoSender
--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	factHorizon         = 60 * time.Second // older facts are dropped
+	factRetention       = 60 * time.Second // older facts are dropped
 	sweepInterval       = time.Second
-	maxReceivedMessages = 1024 // that wait for TakeMessages; more are dropped
+	maxReceivedMessages = 1024 // received messages waiting for TakeMessages; further ones are dropped
 )
 
-// Counts says how many datagrams were sent and received since the start, and why
-// some were rejected.
+// Counts holds counters of the datagrams sent, received and rejected since the
+// start.
 type Counts struct {
 	In          int `json:"In"`
 	Out         int `json:"Out"`
 	BytesIn     int `json:"BytesIn"`
 	BytesOut    int `json:"BytesOut"`
-	WrongKey    int `json:"WrongKey"`  // datagrams that no key opens
+	WrongKey    int `json:"WrongKey"`  // datagrams that no configured key decrypts
 	Malformed   int `json:"Malformed"` // datagrams that cannot be decoded
 	Newer       int `json:"Newer"`     // datagrams that only a later version can read
-	Unsolicited int `json:"Strange"`   // responses to no pending request
-	Oversized   int `json:"Oversized"` // messages above MaxMessage, which were not sent
+	Unsolicited int `json:"Strange"`   // responses without a pending request
+	Oversized   int `json:"Oversized"` // messages larger than MaxMessage, which were not sent
 }
 
 // clockReading is the latest known reading of another instance's clock.
@@ -34,21 +34,21 @@
 	at          time.Duration
 }
 
-// Engine is the membership and the facts of one instance, without I/O. It yields
-// packets to be sent and takes in the datagrams that arrive. Only one goroutine
-// may use it at a time.
+// Engine implements the membership and the fact exchange of one instance without
+// I/O: it is given the datagrams that arrive and returns the packets to send. It
+// is not safe for concurrent use.
 type Engine struct {
 	rng    *rand.Rand // shared with membership
 	sealer *Sealer
 	now    time.Duration // of the latest call
-	outbox []Packet      // of the present call
+	outbox []Packet      // packets to send, collected during the current call
 	counts Counts
 
 	membership *swim.Machine
 	facts      *gossip.Store
 	nextSweep  time.Duration
 	clocks     map[string]clockReading // of known members, by name
-	received   []Message               // since TakeMessages was last called
+	received   []Message               // since the last call of TakeMessages
 
 	// Requests for facts.
 	pending       map[uint64]pendingRequest // by nonce
@@ -56,21 +56,21 @@
 	continuations int           // since the last periodic request
 	changedAt     time.Duration // when a fact last changed here, or a change was announced
 	joined        bool          // the first requests were sent
-	synced        bool          // a response was complete
+	synced        bool          // a complete response was received
 
-	// Announcements of new facts. They end by themselves: a member that already
-	// knows what is announced does not pass it on.
+	// Announcements of new facts. They die out, because a member that already has
+	// the announced facts does not announce them again.
 	announcementsLeft int
 	nextAnnouncement  time.Duration
 }
 
-// NewEngine returns an instance that knows no other.
+// NewEngine returns the engine of an instance that knows no other instances yet.
 func NewEngine(cfg swim.Config, sealer *Sealer, now time.Duration, rng *rand.Rand) *Engine {
 	return &Engine{
 		rng:         rng,
 		sealer:      sealer,
 		membership:  swim.New(cfg, now, rng),
-		facts:       gossip.New(cfg.Name, cfg.Incarnation, factHorizon),
+		facts:       gossip.New(cfg.Name, cfg.Incarnation, factRetention),
 		nextSweep:   now + sweepInterval,
 		clocks:      map[string]clockReading{},
 		pending:     map[uint64]pendingRequest{},
@@ -78,24 +78,24 @@
 	}
 }
 
-// Membership returns the view of the members. Callers may only read it.
+// Membership returns the membership state. Callers must not modify it.
 func (e *Engine) Membership() *swim.Machine { return e.membership }
 
-// Store returns the store of the facts. Callers may only read it.
+// Store returns the fact store. Callers must not modify it.
 func (e *Engine) Store() *gossip.Store { return e.facts }
 
-// Counts returns how many datagrams were sent, received and rejected.
+// Counts returns the counters of datagrams sent, received and rejected.
 func (e *Engine) Counts() Counts { return e.counts }
 
-// Synced reports whether a response was complete: this instance knows what
-// another one does.
+// Synced reports whether this instance has received a complete response, so that
+// it has all facts that another instance had.
 func (e *Engine) Synced() bool { return e.synced }
 
-// ClockReading returns the latest known reading of a member's clock; 0 if there
-// is none.
+// ClockReading returns the latest known reading of a member's monotonic clock, or
+// 0 if there is none.
 func (e *Engine) ClockReading(name string) time.Duration { return e.clocks[name].at }
 
-// NextTick returns when Tick has something to do.
+// NextTick returns the time at which Tick should be called next.
 func (e *Engine) NextTick() time.Duration {
 	next := min(e.membership.NextTick(), e.nextRequest, e.nextSweep)
 	if e.announcementsLeft > 0 {
@@ -104,7 +104,7 @@
 	return next
 }
 
-// Tick does what is due and returns the packets to be sent.
+// Tick runs all protocol steps that are due and returns the packets to send.
 func (e *Engine) Tick(now time.Duration) []Packet {
 	e.beginCall(now)
 	e.sendEnvelopes(e.membership.Tick(now))
@@ -121,7 +121,7 @@
 	return e.outbox
 }
 
-// sweep drops what is too old, and what belongs to members that were forgotten.
+// sweep drops expired facts and requests, and data of members that were removed.
 func (e *Engine) sweep() {
 	e.nextSweep = e.now + sweepInterval
 	isMember := func(name string) bool {
@@ -137,8 +137,8 @@
 	e.expireRequests()
 }
 
-// Publish states a fact of this instance, as gossip.Store.Put does, and announces
-// it at once.
+// Publish stores a fact of this instance, as gossip.Store.Put does, and schedules
+// its announcement. It reports whether the fact was stored.
 func (e *Engine) Publish(kind, subject string, observedAt time.Duration, data []byte) bool {
 	stored := e.facts.Put(kind, subject, observedAt, data)
 	if stored {
@@ -149,7 +149,8 @@
 }
 
 // SendMessage returns the packet that carries a message to a member. It returns
-// none if the member is unknown or the message has more than MaxMessage bytes.
+// none if the member is unknown, the message is larger than MaxMessage, or this
+// instance has given up its name.
 func (e *Engine) SendMessage(now time.Duration, to string, data []byte) []Packet {
 	e.beginCall(now)
 	m, known := e.membership.Member(to)
@@ -160,35 +161,35 @@
 		e.counts.Oversized++
 		return nil
 	}
-	e.send(m.Addr, &payload{Swim: e.greeting(), Message: data})
+	e.send(m.Addr, &payload{Swim: e.identityMessage(), Message: data})
 	return e.outbox
 }
 
-// TakeMessages returns the messages that have arrived since it was last called.
+// TakeMessages returns the messages received since the previous call.
 func (e *Engine) TakeMessages() []Message {
 	messages := e.received
 	e.received = nil
 	return messages
 }
 
-// Leave returns the packets that announce to the others that this instance leaves.
+// Leave returns the packets that notify other members that this instance leaves.
 func (e *Engine) Leave(now time.Duration) []Packet {
 	e.beginCall(now)
 	e.sendEnvelopes(e.membership.Leave(now))
 	return e.outbox
 }
 
-// HandleRefusal notes that the host of an advertised address refused a datagram,
-// and returns the packets to be sent.
+// HandleRefusal handles a report that the host of an advertised address refused a
+// datagram, and returns the packets to send.
 func (e *Engine) HandleRefusal(now time.Duration, addr string) []Packet {
 	e.beginCall(now)
 	e.sendEnvelopes(e.membership.HandleRefusal(now, addr))
 	return e.outbox
 }
 
-// Receive takes in a datagram, whoever has sent it, and returns the packets to
-// be sent in response. A datagram that cannot be opened or decoded is counted
-// and changes nothing; the error says why.
+// Receive handles a datagram from any sender and returns the packets to send. A
+// datagram that cannot be decrypted or decoded is counted and changes nothing;
+// the error gives the reason.
 func (e *Engine) Receive(now time.Duration, data []byte) ([]Packet, error) {
 	e.beginCall(now)
 	e.counts.In++
@@ -197,32 +198,32 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.isStray(p.Swim) {
+	if e.isMisaddressed(p.Swim) {
 		e.membership.Receive(now, p.Swim) // counts it
 		return nil, nil
 	}
 	e.sendEnvelopes(e.membership.Receive(now, p.Swim))
-	if !e.joined { // an instance that has just started sends requests to the first one that it meets
+	if !e.joined { // a new instance requests facts as soon as it knows a member
 		e.requestFromRandom(0)
 	}
 	sender, known := e.membership.Member(p.Swim.Self.Name)
 	if !known || sender.Incarnation != p.Swim.Self.Incarnation || sender.State == swim.Left ||
 		e.membership.LeftReason() != "" {
-		return e.outbox, nil // of an ended incarnation, or of a member that left
+		return e.outbox, nil // sent by an ended incarnation or a member that left, or this instance left
 	}
 	e.handle(sender, p)
 	return e.outbox, nil
 }
 
-// isStray reports whether a message came from this instance itself or is meant
-// for another one. Nothing that comes with it counts.
-func (e *Engine) isStray(msg *swim.Message) bool {
+// isMisaddressed reports whether a message came from this instance itself or is
+// addressed to another one. The rest of such a datagram is ignored.
+func (e *Engine) isMisaddressed(msg *swim.Message) bool {
 	self := e.membership.Self()
 	ownMessage := msg.Self.Name == self.Name && msg.Self.Incarnation == self.Incarnation
 	return ownMessage || msg.To != "" && msg.To != self.Name
 }
 
-// handle takes in what a member has sent besides the membership protocol.
+// handle processes the parts of a payload other than the membership message.
 func (e *Engine) handle(sender swim.Member, p *payload) {
 	e.recordClock(sender, time.Duration(p.Clock)*time.Microsecond)
 	if len(p.Message) > 0 && len(e.received) < maxReceivedMessages {
@@ -237,8 +238,8 @@
 	}
 }
 
-// recordClock keeps the reading of a sender's clock if it is the latest: within
-// one incarnation clocks only advance.
+// recordClock stores the reading of a sender's clock if it is the latest one.
+// Within one incarnation the clock only advances.
 func (e *Engine) recordClock(sender swim.Member, at time.Duration) {
 	latest := e.clocks[sender.Name]
 	newIncarnation := sender.Incarnation > latest.incarnation
@@ -252,8 +253,8 @@
 	e.now = now
 }
 
-// greeting returns a message that says who sends, and nothing else.
-func (e *Engine) greeting() *swim.Message {
+// identityMessage returns a membership message that only identifies the sender.
+func (e *Engine) identityMessage() *swim.Message {
 	return &swim.Message{Self: e.membership.Self()}
 }
 
--- a/internal/peers/engine_test.go
+++ b/internal/peers/engine_test.go
@@ -35,8 +35,9 @@
 	return encoded
 }
 
-// A fact of one instance reaches all within moments, and an instance that starts
-// has it as soon as it has joined. A partition that heals leaves no difference.
+// A fact of one instance reaches all others within 300 ms, and an instance that
+// starts later has it within 30 ms. After a partition heals, all instances have
+// the same facts.
 func TestFactsSpread(t *testing.T) {
 	n := newNetwork(t, 1)
 	n.startMany(6)
@@ -49,18 +50,18 @@
 		return n.converged() && n.engines["at-i0000"].Store().Len() == 1
 	})
 	if !ok || took > 300*time.Millisecond {
-		t.Errorf("a fact at all instances: got %v, want 300ms at most", took)
+		t.Errorf("fact at all instances after %v, want 300ms at most", took)
 	}
 	late := n.startInstance("i0006", 200)
 	took, ok = n.runUntil(2*time.Second, func() bool { return late.Store().Len() == 1 && late.Synced() })
 	if !ok || took > 30*time.Millisecond {
-		t.Errorf("a new instance in sync: got %v, want 30ms at most, since clients connect soon", took)
+		t.Errorf("new instance synced after %v, want 30ms at most, since clients connect soon", took)
 	}
 	west := func(addr string) bool { return addr < "at-i0003" }
 	n.partitioned = func(from, to string) bool { return west(from) != west(to) }
 	n.run(n.now + 5*time.Second)
 	for i := range 7 {
-		publish(i, fmt.Sprint("during the cut ", i))
+		publish(i, fmt.Sprint("during the partition ", i))
 	}
 	n.run(n.now + time.Second)
 	if n.converged() {
@@ -75,8 +76,8 @@
 	}
 }
 
-// corruptor returns a function that truncates, damages, repeats, replays or
-// precedes datagrams with far too large ones.
+// corruptor returns a function that randomly truncates or damages a datagram,
+// repeats it and replays an earlier one, or delivers an oversized one before it.
 func corruptor(n *network) func(data []byte) [][]byte {
 	var replayable [][]byte
 	return func(data []byte) [][]byte {
@@ -99,8 +100,8 @@
 	}
 }
 
-// Corrupted datagrams and those of a later version are counted and have no
-// effect, and the instances go on.
+// Corrupted datagrams and those of an incompatible later version are counted and
+// have no effect on the state, and the instances continue to work.
 func TestCorruptedDatagrams(t *testing.T) {
 	n := newNetwork(t, 2)
 	n.corrupt = corruptor(n)
@@ -139,8 +140,7 @@
 	}
 }
 
-// Facts in a response to no request, or from another instance than the requested
-// one, are not merged.
+// Facts in a response without a pending request are not merged.
 func TestUnsolicitedResponses(t *testing.T) {
 	n := newNetwork(t, 3)
 	a, b := n.startInstance("i0000", 1), n.startInstance("i0001", 2)
@@ -164,8 +164,8 @@
 	}
 }
 
-// Of a datagram of the next version, with unknown fields, the known ones are
-// read.
+// The known fields of a datagram of the next version are read, and its unknown
+// fields are ignored.
 func TestNextVersion(t *testing.T) {
 	n := newNetwork(t, 4)
 	a, b := n.startInstance("i0000", 1), n.startInstance("i0001", 2)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Keys are rotated without a moment at which two instances cannot read each
-// other. An instance with another key finds no member.
+// During a key rotation all instances can always read each other's datagrams. An
+// instance with a different key finds no members.
 func TestKeyRotation(t *testing.T) {
 	n := newNetwork(t, 5)
 	n.startMany(3)
@@ -196,7 +196,7 @@
 	next := "the key that comes next"
 	for _, keys := range [][]string{{testKey, next}, {next, testKey}, {next}} {
 		for _, addr := range n.addrs[:3] {
-			n.run(n.now + 300*time.Millisecond) // one after the other
+			n.run(n.now + 300*time.Millisecond) // the instances change their keys one after another
 			if err := n.engines[addr].sealer.Set(keys); err != nil {
 				t.Fatal(err)
 			}
@@ -204,7 +204,7 @@
 		n.run(n.now + 4*time.Second)
 		for _, addr := range n.addrs[:3] {
 			for _, m := range n.engines[addr].Membership().Members() {
-				if m.State != swim.Alive || n.now-m.HeardAt > 3*time.Second {
+				if m.State != swim.Alive || n.now-m.LastMessageAt > 3*time.Second {
 					t.Errorf("keys %q, %s at %s: got %v, want alive", keys, m.Name, addr, m.State)
 				}
 			}
@@ -213,13 +213,13 @@
 	requireKeyErrors(t)
 }
 
-// requireKeyErrors checks the errors of key files that cannot be used.
+// requireKeyErrors checks the errors for invalid key files.
 func requireKeyErrors(t *testing.T) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "keys")
 	for text, want := range map[string]string{
 		"":                              "0 keys",
-		"short\n":                       "key 1 has 5 letters",
+		"short\n":                       "key 1 has 5 bytes",
 		strings.Repeat(testKey+"\n", 3): "3 keys",
 		"# old\n" + testKey + "\n":      "",
 	} {
@@ -237,7 +237,7 @@
 }
 
 // The facts of an ended incarnation are dropped, and an instance that restarts
-// empty receives what the others know.
+// without facts receives those of the others.
 func TestRestartedEmpty(t *testing.T) {
 	n := newNetwork(t, 6)
 	n.startMany(4)
@@ -250,12 +250,12 @@
 	n.run(7 * time.Second)
 	other := n.engines["at-i0000"]
 	if restarted.Store().Len() != 3 || other.Store().Len() != 3 || !n.converged() {
-		t.Fatalf("got %d facts at it and %d at another, want 3 and 3", restarted.Store().Len(), other.Store().Len())
+		t.Fatalf("got %d facts after restart, %d elsewhere, want 3, 3", restarted.Store().Len(), other.Store().Len())
 	}
 }
 
-// Half of thirty instances are killed in a second and restart within ten: the
-// rest stay a group, and all facts reach all.
+// Half of 30 instances are killed within one second and restart during the
+// following 10 s: the others remain one group, and all facts reach all instances.
 func TestHalfKilled(t *testing.T) {
 	n := newNetwork(t, 7)
 	n.startMany(30)
@@ -278,15 +278,16 @@
 		return n.allSee(29) && n.converged() && n.engines["at-i0028"].Store().Len() == 1
 	})
 	if !ok || took > 3*time.Second {
-		t.Fatalf("all together again: got %v, want 3s at most", took)
+		t.Fatalf("group complete again after %v, want 3s at most", took)
 	}
 }
 
-// What an instance sends hardly grows with the group. With HITCHSPRING_SCALE it
-// plays up to so many instances, for the table of docs/design/peers.md.
+// The traffic that an instance sends hardly grows with the group size. The variable
+// HITCHSPRING_SCALE sets the maximum group size, for the table in
+// docs/design/peers.md.
 func TestScale(t *testing.T) {
 	sizes := []int{3, 30}
-	if maxSize, _ := strconv.Atoi(os.Getenv("HITCHSPRING_SCALE")); maxSize > 0 { // minutes for 3,000
+	if maxSize, _ := strconv.Atoi(os.Getenv("HITCHSPRING_SCALE")); maxSize > 0 { // 3,000 instances take minutes
 		sizes = slices.DeleteFunc([]int{3, 30, 300, 3000}, func(n int) bool { return n > maxSize })
 	}
 	var bytesPerSecond []float64
@@ -294,13 +295,13 @@
 		bytesPerSecond = append(bytesPerSecond, measureScale(t, size))
 	}
 	if bytesPerSecond[1] > 2*bytesPerSecond[0] {
-		t.Errorf("got %.0f bytes a second of each of %d instances, want twice the %.0f of %d at most",
+		t.Errorf("got %.0f bytes/s sent by each of %d instances, want at most twice the %.0f of %d",
 			bytesPerSecond[1], sizes[1], bytesPerSecond[0], sizes[0])
 	}
 }
 
-// measureScale plays a group of a size, logs how it behaves, and returns the
-// bytes a second that each instance sends.
+// measureScale simulates a group of the given size, logs its join and propagation
+// times, and returns the bytes per second that each instance sends.
 func measureScale(t *testing.T, size int) float64 {
 	t.Helper()
 	n := newNetwork(t, 8)
@@ -308,9 +309,9 @@
 	n.startMany(size)
 	joined, ok := n.runUntil(10*time.Minute, func() bool { return n.allSee(size - 1) })
 	if !ok {
-		t.Fatalf("%d instances have not found one another", size)
+		t.Fatalf("%d instances have not joined one group", size)
 	}
-	// Until the rumors of the start have ended.
+	// Wait until the rumors from the start are no longer sent.
 	n.run(n.now + 5*time.Second + min(time.Duration(size)*100*time.Millisecond, time.Minute))
 	for _, engine := range n.engines {
 		engine.counts = Counts{}
@@ -332,8 +333,8 @@
 	n.engines["at-i0002"] = nil
 	dead, _ := n.runUntil(60*time.Second, func() bool { return n.allSee(size - 2) })
 	perSecond := float64(bytes) / 3 / float64(size)
-	t.Logf("%4d instances: joined after %v, %.0f bytes a second sent by each, a fact at all after %v, "+
-		"a death at all after %v (%v of real time)",
+	t.Logf("%4d instances: joined after %v, %.0f bytes/s sent by each, fact at all instances after %v, "+
+		"death known to all after %v (%v of real time)",
 		size, joined, perSecond, spread, dead, time.Since(began).Round(time.Second))
 	return perSecond
 }
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	requestInterval     = 150 * time.Millisecond // between two requests for facts, while facts change
-	idleRequestInterval = time.Second            // the same while none has changed for activeTime
+	requestInterval     = 150 * time.Millisecond // between two fact requests while facts change
+	idleRequestInterval = time.Second            // between two fact requests after activeTime without a change
 	activeTime          = 2 * time.Second
 
-	maxResponseBytes   = 1000 // of the facts in one response
+	maxResponseBytes   = 1000 // approximate size of the facts in one response
 	maxPendingRequests = 16
-	joinRequests       = 3  // members that get a request at once when the first one is found
-	maxContinuations   = 64 // requests in a row that continue a full response
+	joinRequests       = 3  // members that are sent a request when the first member is found
+	maxContinuations   = 64 // consecutive requests that continue an incomplete response
 
-	announcementInterval           = 50 * time.Millisecond // between two announcements, in a group of few members
-	membersPerAnnouncementInterval = 100                   // each so many members lengthen it by once its length
-	announcementFanout             = 2                     // members that receive one announcement
+	announcementInterval           = 50 * time.Millisecond // between two announcements in a small group
+	membersPerAnnouncementInterval = 100                   // every 100 members add another announcementInterval
+	announcementFanout             = 2                     // members that are sent each announcement
 )
 
 // pendingRequest is a request for facts that was sent.
@@ -29,7 +29,7 @@
 	digest gossip.Digest
 }
 
-// requestPeriodically sends the request that is due.
+// requestPeriodically sends a request to one random member and schedules the next one.
 func (e *Engine) requestPeriodically() {
 	interval := requestInterval
 	if e.now-e.changedAt > activeTime {
@@ -40,8 +40,8 @@
 	e.requestFromRandom(1)
 }
 
-// requestFromRandom requests facts of n members that are drawn by chance, or of
-// joinRequests the first time that any is present.
+// requestFromRandom requests facts from n randomly chosen members. The first time
+// that any member is present, it requests them from joinRequests members instead.
 func (e *Engine) requestFromRandom(n int) {
 	if !e.joined && e.membership.AliveCount() > 0 {
 		e.joined = true
@@ -52,25 +52,25 @@
 	}
 }
 
-// request sends a request for facts, unless too many are unanswered.
+// request sends a request for facts, unless maxPendingRequests are unanswered.
 func (e *Engine) request(addr string, digest gossip.Digest) {
 	if len(e.pending) >= maxPendingRequests {
 		return
 	}
 	nonce := e.rng.Uint64()
 	e.pending[nonce] = pendingRequest{sentAt: e.now, addr: addr, digest: digest}
-	e.send(addr, &payload{Swim: e.greeting(), Request: &factRequest{nonce, digest}})
+	e.send(addr, &payload{Swim: e.identityMessage(), Request: &factRequest{nonce, digest}})
 }
 
 // respond answers a request for facts.
 func (e *Engine) respond(addr string, request *factRequest) {
 	deltas := e.facts.DeltasFor(e.now, request.Digest, maxResponseBytes)
 	more := e.facts.HasMore(request.Digest, deltas)
-	e.send(addr, &payload{Swim: e.greeting(), Response: &factResponse{request.Nonce, deltas, more}})
+	e.send(addr, &payload{Swim: e.identityMessage(), Response: &factResponse{request.Nonce, deltas, more}})
 }
 
-// handleResponse merges the response to a pending request, and requests the rest
-// of it if there is more.
+// handleResponse merges the response to a pending request. If the response was
+// incomplete, it requests the remaining facts.
 func (e *Engine) handleResponse(from string, response *factResponse) {
 	request, pending := e.pending[response.Nonce]
 	if !pending || request.addr != from {
@@ -93,7 +93,7 @@
 	e.synced = true
 }
 
-// expireRequests forgets requests whose response would come too late.
+// expireRequests drops pending requests whose response would be too late to merge.
 func (e *Engine) expireRequests() {
 	for nonce, request := range e.pending {
 		if e.now-request.sentAt > gossip.MaxRoundTrip {
@@ -102,8 +102,7 @@
 	}
 }
 
-// handleAnnouncement requests what an announcement offers and this instance
-// lacks.
+// handleAnnouncement requests the announced facts that this instance does not have.
 func (e *Engine) handleAnnouncement(from string, watermarks []gossip.Watermark) {
 	digest, missing := e.facts.DigestFor(watermarks)
 	if !missing {
@@ -113,18 +112,18 @@
 	e.request(from, digest)
 }
 
-// announce notifies a few members of which owners there are new facts.
+// announce notifies a few members of the owners that have new facts.
 func (e *Engine) announce() {
 	e.announcementsLeft--
 	stretch := time.Duration(1 + e.membership.AliveCount()/membersPerAnnouncementInterval)
 	e.nextAnnouncement = e.now + announcementInterval*stretch
 	for _, m := range e.membership.RandomMembers(announcementFanout) {
-		e.send(m.Addr, &payload{Announcement: e.facts.RecentWatermarks(), Swim: e.greeting()})
+		e.send(m.Addr, &payload{Announcement: e.facts.RecentWatermarks(), Swim: e.identityMessage()})
 	}
 }
 
 // announcementRounds returns how often a change is announced. It grows with the
-// logarithm of the group, so that chance leaves out hardly anybody.
+// logarithm of the group size, so that random selection misses few members.
 func (e *Engine) announcementRounds() int {
 	return 1 + bits.Len(uint(e.membership.AliveCount()))/2
 }
--- a/internal/peers/files.go
+++ b/internal/peers/files.go
@@ -18,15 +18,15 @@
 	maxKeyFileBytes   = 4 << 10
 )
 
-// ReadKeys reads the keys of a file, one on a line. The first one seals. Empty
-// lines and those that begin with # are ignored.
+// ReadKeys reads keys from a file, one per line. The first one encrypts, all of
+// them decrypt. Empty lines and lines that begin with # are ignored.
 func ReadKeys(file string) ([]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	if len(text) > maxKeyFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), maxKeyFileBytes)
+		return nil, fmt.Errorf("%s: file has %d bytes, the limit is %d", file, len(text), maxKeyFileBytes)
 	}
 	var keys []string
 	for scanner := bufio.NewScanner(bytes.NewReader(text)); scanner.Scan(); {
@@ -40,7 +40,7 @@
 	return keys, nil
 }
 
-// ReadSeeds reads addresses from a file, one on a line. Empty lines and those
+// ReadSeeds reads seed addresses from a file, one per line. Empty lines and lines
 // that begin with # are ignored.
 func ReadSeeds(file string) ([]string, error) {
 	text, err := os.ReadFile(file)
@@ -54,30 +54,30 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(line); err != nil {
-			return nil, fmt.Errorf("%s: %q is no address and port", file, line)
+			return nil, fmt.Errorf("%s: %q is not an IP address with a port", file, line)
 		}
 		seeds = append(seeds, line)
 	}
 	return seeds, nil
 }
 
-// checkSeeds returns an error unless the seeds of a configuration have the
-// address of another instance.
+// checkSeeds returns an error unless the configured seeds include the address of
+// another instance.
 func checkSeeds(cfg Config, log *slog.Logger) error {
 	if len(cfg.Seeds) == 0 {
-		return errors.New("peers.seeds: there are none: an instance without seeds would find nobody")
+		return errors.New("peers.seeds: empty; an instance without seeds cannot find other instances")
 	}
 	if i := slices.Index(cfg.Seeds, cfg.Advertise); i >= 0 {
 		if len(cfg.Seeds) == 1 {
-			return fmt.Errorf("peers.seeds %q: that is this instance itself, and there is no other", cfg.Seeds)
+			return fmt.Errorf("peers.seeds %q: the only seed is this instance itself", cfg.Seeds)
 		}
 		log.Info("own address among the peer seeds ignored", "seed", cfg.Seeds[i])
 	}
 	return nil
 }
 
-// reloadFiles puts the keys and the seeds of the files in force. A file that
-// cannot be used changes nothing.
+// reloadFiles reloads the keys and the seeds from their files. An invalid file is
+// logged and the previous content stays in effect.
 func (p *Peers) reloadFiles() {
 	p.reloadKeys()
 	if p.cfg.SeedsFile != "" {
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// A datagram that an earlier version sealed is opened: the nonce is drawn anew each time, so the bytes differ.
+// A datagram sealed by an earlier version can be opened. Sealed bytes are not compared as a whole because each seal
+// uses a new random nonce.
 func TestGoldenSeal(t *testing.T) {
 	s, err := NewSealer([]string{"a key of sixteen letters"})
 	if err != nil {
--- a/internal/peers/loglimit.go
+++ b/internal/peers/loglimit.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const maxLinesPerSecond = 20 // log lines of one kind
+const maxLinesPerSecond = 20 // per kind of log line
 
-// lineKind groups log lines that share a limit.
+// lineKind identifies a group of log lines that share a rate limit.
 type lineKind uint8
 
 const (
@@ -15,8 +15,8 @@
 	keyFileLines
 	seedsFileLines
 	leftLines   // this instance has left the group
-	listenLines // its address can't be used
-	readLines   // its socket can't be read
+	listenLines // the socket could not be opened
+	readLines   // the socket could not be read
 	lineKindCount
 )
 
@@ -39,17 +39,17 @@
 	}
 }
 
-// logLimiter limits the log lines of each kind. It is safe for concurrent use.
+// logLimiter limits the rate of log lines of each kind. It is safe for concurrent use.
 type logLimiter struct {
 	mu      sync.Mutex // guards all fields
-	since   time.Time  // when the present second began
+	since   time.Time  // start of the current one-second window
 	counts  [lineKindCount]int
-	omitted [lineKindCount]int // lines that were not allowed, since the start
-	logged  [lineKindCount]bool
+	omitted [lineKindCount]int  // lines that were suppressed since the start
+	logged  [lineKindCount]bool // for which once was called
 }
 
-// allow reports whether another line of a kind may be logged in this second. It
-// counts those that may not.
+// allow reports whether another line of a kind may be logged in the current
+// second. Lines that may not are counted.
 func (l *logLimiter) allow(kind lineKind) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,14 +65,14 @@
 	return true
 }
 
-// omittedCount returns how many lines of a kind were not allowed.
+// omittedCount returns how many lines of a kind were suppressed since the start.
 func (l *logLimiter) omittedCount(kind lineKind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.omitted[kind]
 }
 
-// once reports whether it is called for a kind for the first time.
+// once reports whether this is the first call for a kind.
 func (l *logLimiter) once(kind lineKind) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peers/network_test.go
+++ b/internal/peers/network_test.go
@@ -13,28 +13,28 @@
 
 const testKey = "a key that all of them have"
 
-// network is instances on a network in virtual time.
+// network simulates instances and their network in virtual time.
 type network struct {
 	t           testing.TB
 	rng         *rand.Rand
 	now         time.Duration
-	engines     map[string]*Engine // by address; nil: ended
+	engines     map[string]*Engine // by address; nil: terminated
 	addrs       []string           // in the order of their first start
 	queue       map[int64][]inFlight
 	partitioned func(from, to string) bool
-	corrupt     func(data []byte) [][]byte // nil, or what is delivered in place of a datagram
+	corrupt     func(data []byte) [][]byte // if not nil, returns the datagrams to deliver instead of the given one
 	errorCount  int                        // datagrams that were rejected
 }
 
-// inFlight is a datagram on its way. The network's queue orders them by the
-// millisecond of their arrival.
+// inFlight is a datagram that has been sent but not delivered. The network's queue
+// groups them by the millisecond of their arrival.
 type inFlight struct {
 	to   string
 	data []byte
 }
 
-// turn is what one instance does in a millisecond.
-type turn struct {
+// step holds the input and output of one instance in one millisecond.
+type step struct {
 	inbox      [][]byte
 	outbox     []Packet
 	errorCount int
@@ -51,7 +51,7 @@
 	}
 }
 
-// startInstance starts an instance, with testKey unless keys are given.
+// startInstance starts an instance that uses the given keys, or testKey if there are none.
 func (n *network) startInstance(name string, incarnation uint64, keys ...string) *Engine {
 	n.t.Helper()
 	if len(keys) == 0 {
@@ -77,7 +77,7 @@
 	return engine
 }
 
-// startMany starts instances i0000, i0001 and so on.
+// startMany starts count instances, named i0000, i0001 and so on.
 func (n *network) startMany(count int) {
 	n.t.Helper()
 	for i := range count {
@@ -101,11 +101,11 @@
 	}
 }
 
-// run plays until a time, a millisecond at a time. What the instances do in one
-// millisecond is played in parallel and delivered in their order, so that the
-// same seed gives the same run.
+// run advances the simulation to the given time in steps of one millisecond. The
+// instances run in parallel within a step, but their packets are delivered in a
+// fixed order, so that the same seed gives the same run.
 func (n *network) run(until time.Duration) {
-	turns := make([]turn, len(n.addrs))
+	steps := make([]step, len(n.addrs))
 	index := map[string]int{}
 	for i, addr := range n.addrs {
 		index[addr] = i
@@ -114,55 +114,56 @@
 		millisecond := n.now.Milliseconds()
 		for _, datagram := range n.queue[millisecond] {
 			if i, known := index[datagram.to]; known && n.engines[datagram.to] != nil {
-				turns[i].inbox = append(turns[i].inbox, datagram.data)
+				steps[i].inbox = append(steps[i].inbox, datagram.data)
 			}
 		}
 		delete(n.queue, millisecond)
-		n.playInParallel(turns)
+		n.runStepsInParallel(steps)
 		for i, addr := range n.addrs {
-			n.errorCount += turns[i].errorCount
-			n.deliver(addr, turns[i].outbox)
-			turns[i].inbox = turns[i].inbox[:0]
+			n.errorCount += steps[i].errorCount
+			n.deliver(addr, steps[i].outbox)
+			steps[i].inbox = steps[i].inbox[:0]
 		}
 	}
 }
 
-func (n *network) playInParallel(turns []turn) {
+func (n *network) runStepsInParallel(steps []step) {
 	workers := min(runtime.GOMAXPROCS(0), 1+len(n.addrs)/50)
 	if workers == 1 {
-		n.play(turns, 0, len(turns))
+		n.runSteps(steps, 0, len(steps))
 		return
 	}
 	var wg sync.WaitGroup
 	for worker := range workers {
-		wg.Go(func() { n.play(turns, worker*len(turns)/workers, (worker+1)*len(turns)/workers) })
+		wg.Go(func() { n.runSteps(steps, worker*len(steps)/workers, (worker+1)*len(steps)/workers) })
 	}
 	wg.Wait()
 }
 
-// play has some instances receive what has arrived, and tick if that is due.
-func (n *network) play(turns []turn, from, to int) {
+// runSteps runs one step of the instances in [from, to): each receives its inbox,
+// and ticks if that is due.
+func (n *network) runSteps(steps []step, from, to int) {
 	for i := from; i < to; i++ {
-		engine, turn := n.engines[n.addrs[i]], &turns[i]
-		turn.outbox, turn.errorCount = turn.outbox[:0], 0
+		engine, step := n.engines[n.addrs[i]], &steps[i]
+		step.outbox, step.errorCount = step.outbox[:0], 0
 		if engine == nil {
 			continue
 		}
-		for _, data := range turn.inbox {
+		for _, data := range step.inbox {
 			packets, err := engine.Receive(n.now, data)
-			turn.outbox = append(turn.outbox, packets...)
+			step.outbox = append(step.outbox, packets...)
 			if err != nil {
-				turn.errorCount++
+				step.errorCount++
 			}
 		}
 		if engine.NextTick() <= n.now {
-			turn.outbox = append(turn.outbox, engine.Tick(n.now)...)
+			step.outbox = append(step.outbox, engine.Tick(n.now)...)
 		}
 	}
 }
 
-// runUntil plays until a condition holds, for limit at most. It returns how long
-// that took and whether the condition holds.
+// runUntil runs the simulation until the condition holds or limit has passed. It
+// returns the elapsed time and whether the condition holds.
 func (n *network) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	start := n.now
 	for n.now < start+limit {
@@ -194,7 +195,7 @@
 	return true
 }
 
-// allSee reports whether all running instances see so many others.
+// allSee reports whether all running instances see the given number of others.
 func (n *network) allSee(others int) bool {
 	for _, addr := range n.addrs {
 		if engine := n.engines[addr]; engine != nil && engine.Membership().AliveCount() != others {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,11 +1,12 @@
-// Package peers connects one instance with the others. Over datagrams that only
-// holders of a shared key can make or read, it carries the membership protocol
+// Package peers connects an instance with its peers over UDP. Its datagrams are
+// encrypted and authenticated with shared keys. They carry the membership protocol
 // (package swim), the exchange of facts (package gossip) and messages of other
-// parts of an instance. It takes in datagrams, an instance's own facts and its
-// messages, and yields the members, the facts of all and the messages of others.
-// Engine decides without I/O and has time and chance as arguments, so that
-// thousands of instances run in virtual time; Peers adds the socket, the files
-// and the log. The package knows neither requests, nor backends, nor policy.
+// components of an instance.
+//
+// Engine implements the protocol without I/O and is given the time and a random
+// source, so that tests can run thousands of instances in virtual time. Peers adds
+// the socket, the files and the log. The package is independent of requests,
+// backends and policy.
 package peers
 
 import (
@@ -30,89 +31,89 @@
 	Name string
 	Zone string
 
-	// Incarnation is that of this process: later ones have higher ones.
+	// Incarnation identifies this process; a process started later must have a
+	// higher one.
 	Incarnation uint64
 
 	Listen    string // host:port, UDP
-	Advertise string // host:port at which others reach this instance; empty: Listen
+	Advertise string // host:port at which other instances reach this one; empty: Listen
 
-	// WaitForAddress says that another process of this instance may still hold
-	// Listen. The instance then joins as soon as that has ended.
+	// WaitForAddress says that another process of this instance may still use the
+	// address Listen. This process then joins as soon as the other one has ended.
 	WaitForAddress bool
 
 	Seeds     []string // advertised addresses of other instances
 	SeedsFile string   // file with such addresses, in place of Seeds; reloaded when it changes
 	KeyFile   string   // file with the shared keys; reloaded when it changes
 
-	// Dial maps advertised addresses to those that are dialed, where they differ.
+	// Dial maps advertised addresses to the addresses to send to, where they differ.
 	Dial map[string]string
 
-	// Clock returns the time of a monotonic clock.
+	// Clock reads a monotonic clock.
 	Clock func() time.Duration
 
-	// OnMessages is called with messages that others have sent, by one goroutine
-	// at a time. It may block. Nil: they are dropped.
+	// OnMessages is called with messages from other instances, by one goroutine at
+	// a time. It may block. If it is nil, messages are dropped.
 	OnMessages func([]Message)
 
 	// OnChange is called with changes of the membership in the order in which
-	// they happened, by one goroutine at a time. It may block. Nil: nobody
-	// needs them.
+	// they happened, by one goroutine at a time. It may block. It may be nil.
 	OnChange func([]swim.Change)
 
-	// Seed is that of the random numbers.
+	// Seed is the seed of the random numbers.
 	Seed uint64
 }
 
-// maxQueuedSends bounds the messages that wait to be sent: one to each member of
+// maxQueuedSends is the capacity of the send queue: one message to each member of
 // a fleet of 1,024.
 const maxQueuedSends = 1024
 
-// Peers is a running instance among its peers. Its methods are safe for
-// concurrent use and wait for no I/O, except Close.
+// Peers is this instance's connection to its peers. Its methods are safe for
+// concurrent use. None of them waits for I/O, except Close.
 //
-// Start starts the goroutine run, which ticks the engine, and which starts read
-// for the datagrams that arrive and sendQueued for the messages to be sent.
-// Close ends them all.
+// Start starts a goroutine for run, which ticks the engine and starts further
+// goroutines for read (incoming datagrams) and sendQueued (queued messages).
+// Close stops all of them.
 type Peers struct {
 	cfg    Config
 	log    *slog.Logger
 	sealer *Sealer
-	conn   *net.UDPConn // nil until the address is free; then constant
+	conn   *net.UDPConn // nil until the socket is open, constant afterwards
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// openSocket is net.ListenUDP, but in tests.
+	// openSocket is net.ListenUDP, except in tests.
 	openSocket func(network string, addr *net.UDPAddr) (*net.UDPConn, error)
 
-	wake      chan struct{}        // capacity 1: the next tick may have come closer
-	sendQueue chan outgoingMessage // those that find it full are dropped
-	synced    chan struct{}        // closed by read when another instance has sent all that it knows
+	wake      chan struct{}        // capacity 1; signals that NextTick may have moved to an earlier time
+	sendQueue chan outgoingMessage // messages are dropped while it is full
+	synced    chan struct{}        // closed by read once a complete response was received
 
 	logLimit     logLimiter
-	boundReports boundReports // used by run alone
-	unqueued     atomic.Int64 // messages that found sendQueue full
-	readErrors   atomic.Int64 // reads that failed
+	boundReports boundReports // used only by run
+	droppedSends atomic.Int64 // messages dropped because sendQueue was full
+	readErrors   atomic.Int64 // failed reads of the socket
 
 	// mu guards the fields below. It is not locked during I/O.
-	mu         sync.Mutex
-	engine     *Engine
-	dialAddrs  map[string]netip.AddrPort // what is dialed, by advertised address; an invalid one is not dialed
-	advertised map[netip.AddrPort]string // the inverse of dialAddrs
-	rejected   rejectedDatagrams
-	unsent     int           // datagrams that could not be written
-	unreported []swim.Change // what the goroutine that is reporting will report next
-	reporting  bool          // a goroutine is in reportNewChanges
+	mu           sync.Mutex
+	engine       *Engine
+	dialAddrs    map[string]netip.AddrPort // address to send to, by advertised address; invalid ones are skipped
+	advertised   map[netip.AddrPort]string // the inverse of dialAddrs
+	rejected     rejectedDatagrams
+	failedWrites int           // datagrams that could not be written
+	unreported   []swim.Change // changes still to be reported by the goroutine that is reporting
+	reporting    bool          // a goroutine is reporting changes in reportNewChanges
 }
 
-// outgoingMessage is a message that waits to be sent.
+// outgoingMessage is a message in the send queue.
 type outgoingMessage struct {
 	to   string // name of the member
 	data []byte
 }
 
-// Start checks the configuration, opens the socket and takes part until Close.
-// If another process holds the address and WaitForAddress is set, it joins as
-// soon as that one has ended.
+// Start checks the configuration, opens the socket and joins the group until Close
+// is called. If the address is in use and WaitForAddress is set, it joins as soon
+// as the address is free.
 func Start(cfg Config, log *slog.Logger) (*Peers, error) {
 	if cfg.Advertise == "" {
 		cfg.Advertise = cfg.Listen
@@ -172,7 +173,7 @@
 	}, nil
 }
 
-// Close leaves the group and waits for all goroutines.
+// Close leaves the group and waits until all goroutines have ended.
 func (p *Peers) Close() {
 	p.cancel()
 	p.wg.Wait()
@@ -181,18 +182,19 @@
 // Name returns the name of this instance.
 func (p *Peers) Name() string { return p.cfg.Name }
 
-// Send sends a message to a member, as reliably as the network is. A message
-// that finds the queue full is counted and dropped.
+// Send queues a message to a member without blocking. Delivery is not guaranteed:
+// the network may lose the message, and it is dropped and counted if the send
+// queue is full.
 func (p *Peers) Send(to string, data []byte) {
 	select {
 	case p.sendQueue <- outgoingMessage{to, data}:
 	default:
-		p.unqueued.Add(1)
+		p.droppedSends.Add(1)
 	}
 }
 
-// Publish states a fact of this instance, observed at a time of its clock, in
-// place of an earlier one of the same kind and subject.
+// Publish stores and announces a fact of this instance. observedAt is a time of
+// its clock. The fact replaces an earlier one of the same kind and subject.
 func (p *Peers) Publish(kind, subject string, observedAt time.Duration, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,8 +203,8 @@
 	}
 }
 
-// Facts returns all known facts of a kind, those of this instance among them,
-// and the zones of their owners by name.
+// Facts returns all known facts of a kind, including this instance's own, and the
+// zones of their owners, by owner name.
 func (p *Peers) Facts(kind string) ([]gossip.Fact, map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,19 +218,19 @@
 	return facts, zones
 }
 
-// Version returns a number that changes whenever the facts do.
+// Version returns a number that is incremented whenever the facts change.
 func (p *Peers) Version() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.engine.facts.Version()
 }
 
-// Synced returns a channel that is closed when another instance has sent all
-// facts that it knows.
+// Synced returns a channel that is closed once this instance has received all
+// facts that another instance had.
 func (p *Peers) Synced() <-chan struct{} { return p.synced }
 
-// ClockReading returns the latest known reading of a member's clock; 0 if there
-// is none.
+// ClockReading returns the latest known reading of a member's monotonic clock, or
+// 0 if there is none.
 func (p *Peers) ClockReading(name string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// logBuffer is a log whose texts tests count.
+// logBuffer is a log buffer that counts occurrences of a text.
 type logBuffer struct{ testlog.Buffer }
 
 func (l *logBuffer) count(text string) int { return strings.Count(l.String(), text) }
@@ -37,7 +37,7 @@
 	return file
 }
 
-// freeAddrs returns loopback addresses at which nobody listens.
+// freeAddrs returns loopback addresses whose ports are free.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	var addrs []string
@@ -79,13 +79,13 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: ", what)
+			t.Fatal("condition not reached within 10s: ", what)
 		}
 	}
 }
 
-// memberState returns the state of a member by an instance's view; "" if it is
-// unknown.
+// memberState returns the state of a member in the view of an instance, or "" if
+// the member is unknown.
 func memberState(p *Peers, name string) string {
 	for _, m := range p.Status().Members {
 		if m.Name == name {
@@ -95,7 +95,7 @@
 	return ""
 }
 
-// allAlive reports whether each instance sees so many others.
+// allAlive reports whether each instance sees the given number of others.
 func allAlive(all []*Peers, others int) bool {
 	for _, p := range all {
 		if p.Status().Alive != others {
@@ -105,9 +105,9 @@
 	return true
 }
 
-// Over real sockets instances find one another, exchange facts and leave. One
-// with another key finds nobody, which both sides log in a line now and then, and
-// garbage has no effect.
+// Instances with real sockets join one group, exchange facts and leave. An instance
+// with a different key joins nobody; both sides log rejected datagrams at a
+// limited rate. Garbage datagrams have no effect.
 func TestOverSockets(t *testing.T) {
 	addrs := freeAddrs(t, 4)
 	key := keyFile(t, "the key that all of them have")
@@ -120,13 +120,13 @@
 	outsider := startPeers(t, testConfig("n3", addrs[3], keyFile(t, "some other key, as long"), addrs[0]), logger)
 	eventually(t, "the instances find one another", func() bool { return allAlive(all, 2) })
 	all[2].Publish("node", "x", time.Hour, []byte("slow"))
-	eventually(t, "the fact reaches all", func() bool {
+	eventually(t, "the fact reaches all instances", func() bool {
 		a, zones := all[0].Facts("node")
 		b, _ := all[1].Facts("node")
 		return len(a) == 1 && len(b) == 1 && string(a[0].Data) == "slow" && a[0].Owner == "n2" && zones["n2"] == ""
 	})
 	if all[0].Version() == 0 {
-		t.Fatal("got the version 0 of a store with a fact")
+		t.Fatal("got version 0 of a store with a fact, want a higher one")
 	}
 	conn, err := net.Dial("udp4", addrs[0])
 	if err != nil {
@@ -138,15 +138,15 @@
 	}
 	eventually(t, "garbage is counted", func() bool { return all[0].Status().Counts.WrongKey >= 200 })
 	rejected := log.count("datagram rejected")
-	if outsider.Status().Alive != 0 || log.count("no key opens it") == 0 || rejected > 8 {
+	if outsider.Status().Alive != 0 || log.count("no configured key decrypts the datagram") == 0 || rejected > 8 {
 		t.Fatalf("got %d members with another key and %d log lines", outsider.Status().Alive, rejected)
 	}
 	all[2].Close()
 	eventually(t, "n2 has left", func() bool { return memberState(all[0], "n2") == "left" })
 }
 
-// An instance that waits for another process of its own joins when that has
-// ended. Without waiting, an address that is in use is an error.
+// With WaitForAddress, a process joins once the previous process of the instance
+// has ended. Without it, an address that is in use is an error.
 func TestAddressInUse(t *testing.T) {
 	addrs := freeAddrs(t, 2)
 	key := keyFile(t, "the key that all of them have")
@@ -176,14 +176,13 @@
 	})
 }
 
-// A configuration that cannot work is an error of one line that names the field
-// and the value.
+// An invalid configuration results in a one-line error that names the setting.
 func TestInvalidConfig(t *testing.T) {
 	key := keyFile(t, "the key that all of them have")
 	addr := freeAddrs(t, 1)[0]
 	for want, change := range map[string]func(*Config){
 		"peers.key_file":       func(c *Config) { c.KeyFile = keyFile(t, "short") },
-		"peers.seeds: there":   func(c *Config) { c.Seeds = nil },
+		"peers.seeds: empty":   func(c *Config) { c.Seeds = nil },
 		"is this instance":     func(c *Config) { c.Seeds = []string{addr} },
 		"peers.seeds_file":     func(c *Config) { c.SeedsFile = c.KeyFile },
 		"peers.listen \"192.0": func(c *Config) { c.Listen = "192.0.2.1:7946" },
@@ -202,8 +201,7 @@
 	}
 }
 
-// Keys and seeds are reloaded when their files change. A file that cannot be
-// used changes nothing.
+// Keys and seeds are reloaded when their files change. An invalid file is ignored.
 func TestFilesReloaded(t *testing.T) {
 	addrs := freeAddrs(t, 2)
 	previous, next := "the key that is there now", "the key that comes next"
@@ -222,11 +220,11 @@
 	eventually(t, "the instances find one another", func() bool { return allAlive([]*Peers{a, b}, 1) })
 }
 
-// Two instances end at one moment without leaving. The host of one refuses
-// datagrams, that of the other is silent. The first is declared dead while the
-// other is still waited for, and nobody else is.
+// Two instances stop at the same time without leaving. One host refuses datagrams,
+// the other is silent. The refusing one is declared dead first, while the silent
+// one is still suspected, and no other instance is declared dead.
 func TestRefusedDatagrams(t *testing.T) {
-	const minRefusals = 2 // members that must be refused
+	const minRefusals = 2 // members that must report a refusal
 	addrs := freeAddrs(t, 6)
 	key := keyFile(t, "the key that all of them have")
 	var all []*Peers
--- a/internal/peers/refusals.go
+++ b/internal/peers/refusals.go
@@ -8,22 +8,22 @@
 	"syscall"
 )
 
-// A host on which no process listens at a port answers a datagram with ICMP's
-// "port unreachable" (RFC 1122, 4.1.3.1). Linux queues these errors for a socket
-// that requests them, with the address that the datagram was sent to (ip(7),
-// IP_RECVERR).
+// A host answers a datagram to a port without a listener with the ICMP error "port
+// unreachable" (RFC 1122, 4.1.3.1), called a refusal here. With the socket option
+// IP_RECVERR, Linux queues these errors for the socket together with the
+// destination address of the datagram (ip(7)).
 const (
 	msgErrQueue        = 0x2000 // MSG_ERRQUEUE
 	originICMP         = 2      // SO_EE_ORIGIN_ICMP
 	maxRefusalsPerRead = 64
 
-	// The beginning of struct sock_extended_err: ee_errno, 4 bytes in native
-	// order, and ee_origin, 1 byte.
+	// Layout of struct sock_extended_err: ee_errno, 4 bytes in native byte order,
+	// then ee_origin, 1 byte.
 	extendedErrOrigin = 4
 	extendedErrBytes  = 5
 )
 
-// enableRefusals has the kernel queue refusals for a socket.
+// enableRefusals makes the kernel queue refusals for a socket.
 func enableRefusals(conn *net.UDPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -39,15 +39,16 @@
 	return setErr
 }
 
-// readRefusals returns the addresses from which datagrams were refused since it
-// was last called. It does not block.
+// readRefusals returns the addresses that refused datagrams since the previous
+// call. It does not block.
 func readRefusals(conn *net.UDPConn) []netip.AddrPort {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil
 	}
 	var refused []netip.AddrPort
-	_ = raw.Control(func(fd uintptr) { refused = drainErrorQueue(int(fd)) }) // fails on a closed socket, which has none
+	// Control fails only on a closed socket, which has no error queue.
+	_ = raw.Control(func(fd uintptr) { refused = drainErrorQueue(int(fd)) })
 	return refused
 }
 
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -8,14 +8,14 @@
 	"hitchspring/internal/swim"
 )
 
-// summaryInterval is the least time between two log lines on the same cause,
-// each of which says how often it occurred.
+// summaryInterval is the minimum time between two log lines about the same cause.
+// Each line says how often it occurred.
 const summaryInterval = 10 * time.Second
 
-// reportNewChanges reports the changes of the membership since it was last
-// called, and whether there were any. Several goroutines find changes; one at a
-// time reports those of all, so that a death doesn't overtake its refutation,
-// and the others don't wait for it.
+// reportNewChanges logs the membership changes since the previous call, passes them
+// to OnChange, and returns whether there were any. Several goroutines call it, but
+// only one at a time reports the changes found by all, so that a refutation is not
+// reported before the death that it refutes. The others return without waiting.
 func (p *Peers) reportNewChanges() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	return len(changes) > 0
 }
 
-// reportChanges logs changes of the membership and passes them on.
+// reportChanges logs membership changes and passes them to OnChange.
 func (p *Peers) reportChanges(changes []swim.Change) {
 	if len(changes) == 0 {
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-// rejectedDatagrams are those that were rejected since the last log line.
+// rejectedDatagrams summarizes the datagrams rejected since the last log line.
 type rejectedDatagrams struct {
 	count    int
 	lastErr  error
@@ -89,7 +89,7 @@
 	r.lastFrom = from
 }
 
-// take returns what is to be logged now, and begins anew. It reports false if no
+// take returns the summary to log and resets the count. It reports false if no log
 // line is due.
 func (r *rejectedDatagrams) take(now time.Duration) (rejectedDatagrams, bool) {
 	if r.count == 0 || r.loggedAt > 0 && now-r.loggedAt < summaryInterval {
@@ -101,7 +101,7 @@
 	return taken, true
 }
 
-// reportRejected logs that datagrams were rejected, one line for several.
+// reportRejected logs one line about all datagrams rejected since the previous one.
 func (p *Peers) reportRejected(now time.Duration) {
 	p.mu.Lock()
 	rejected, due := p.rejected.take(now)
@@ -111,7 +111,7 @@
 	}
 	hint := ""
 	if errors.Is(rejected.lastErr, ErrKey) {
-		hint = "the key in its peers.key_file is another, or it is no peer"
+		hint = "the sender uses a different key in its peers.key_file, or is not a peer"
 	}
 	p.log.Warn("datagram rejected", "count", rejected.count, "last", rejected.lastErr,
 		"from", rejected.lastFrom.String(), "hint", hint)
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -12,17 +12,17 @@
 
 const (
 	minKeyBytes = 16
-	maxKeys     = 2 // the one that seals, and the one before or after it while keys change
+	maxKeys     = 2 // during a key rotation: the current key and the previous or next one
 )
 
-// magic begins each datagram and names the form of the seal: AES-256-GCM with a
-// random nonce.
+// magic is the prefix of each datagram and identifies the encryption: AES-256-GCM
+// with a random nonce.
 var magic = []byte{'h', 's', 'p', 1}
 
-// Sealer encrypts and authenticates datagrams. It seals with its first key and
-// opens with any. It is safe for concurrent use.
+// Sealer encrypts and authenticates datagrams. It encrypts with its first key and
+// decrypts with any of them. It is safe for concurrent use.
 type Sealer struct {
-	ciphers atomic.Pointer[[]cipher.AEAD] // one for each key, in their order
+	ciphers atomic.Pointer[[]cipher.AEAD] // one for each key, in the same order
 }
 
 // NewSealer returns a sealer with one or two keys.
@@ -31,15 +31,15 @@
 	return s, s.Set(keys)
 }
 
-// Set replaces the keys. If it returns an error the previous ones stay.
+// Set replaces the keys. If it returns an error, the previous keys stay in use.
 func (s *Sealer) Set(keys []string) error {
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return fmt.Errorf("%d keys, 1 or %d are wanted", len(keys), maxKeys)
+		return fmt.Errorf("%d keys, want 1 to %d", len(keys), maxKeys)
 	}
 	var ciphers []cipher.AEAD
 	for i, key := range keys {
 		if len(key) < minKeyBytes {
-			return fmt.Errorf("key %d has %d letters, %d at least are wanted", i+1, len(key), minKeyBytes)
+			return fmt.Errorf("key %d has %d bytes, want at least %d", i+1, len(key), minKeyBytes)
 		}
 		aead, err := newCipher(key)
 		if err != nil {
@@ -60,18 +60,18 @@
 	return cipher.NewGCM(block)
 }
 
-// Seal returns the datagram that holds some bytes.
+// Seal returns the datagram that contains plain in encrypted form.
 func (s *Sealer) Seal(plain []byte) []byte {
 	aead := (*s.ciphers.Load())[0]
 	headerBytes := len(magic) + aead.NonceSize()
 	datagram := make([]byte, headerBytes, headerBytes+len(plain)+aead.Overhead())
 	copy(datagram, magic)
 	nonce := datagram[len(magic):]
-	_, _ = rand.Read(nonce) // never fails
+	_, _ = rand.Read(nonce) // documented never to return an error
 	return aead.Seal(datagram, nonce, plain, magic)
 }
 
-// Open returns what a datagram holds, or ErrKey.
+// Open returns the decrypted content of a datagram, or ErrKey.
 func (s *Sealer) Open(datagram []byte) ([]byte, error) {
 	if !bytes.HasPrefix(datagram, magic) {
 		return nil, ErrKey
--- a/internal/peers/socket.go
+++ b/internal/peers/socket.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	listenRetryInterval = 100 * time.Millisecond // while another process holds the address
+	listenRetryInterval = 100 * time.Millisecond // between attempts to open the socket
 	maxTickInterval     = time.Second
-	leaveGrace          = 60 * time.Millisecond // from the last datagram to the end of the socket
+	leaveGrace          = 60 * time.Millisecond // between the last datagram and closing the socket
 
-	readBufferBytes   = 64 << 10 // the largest datagram that there is
+	readBufferBytes   = 64 << 10 // the largest possible UDP datagram
 	socketBufferBytes = 1 << 20
-	maxDialAddrs      = 8192 // that are cached
+	maxDialAddrs      = 8192 // cached advertised addresses
 
-	maxErrorsWithoutPause = 64 // failed reads in a row
+	maxErrorsWithoutPause = 64 // consecutive failed reads
 	readErrorPause        = 10 * time.Millisecond
 )
 
-// listen opens the socket.
+// listen opens the socket and enables refusals on it.
 func (p *Peers) listen() error {
 	addr, err := netip.ParseAddrPort(p.cfg.Listen)
 	if err != nil {
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	_ = conn.SetReadBuffer(socketBufferBytes) // a smaller buffer only loses more datagrams
+	_ = conn.SetReadBuffer(socketBufferBytes) // on failure the default buffer stays, which only loses more datagrams
 	if err := enableRefusals(conn); err != nil {
 		p.log.Info("peer refusals unavailable, detecting deaths by silence alone", "err", err)
 	}
@@ -46,7 +46,7 @@
 	return fmt.Errorf("peers.listen %q: %w", p.cfg.Listen, err)
 }
 
-// run takes part until ctx ends, then leaves and closes the socket.
+// run takes part in the group until ctx is done, then leaves and closes the socket.
 func (p *Peers) run(ctx context.Context) {
 	if !p.waitForAddress(ctx) {
 		return
@@ -62,9 +62,9 @@
 	workers.Wait()
 }
 
-// waitForAddress opens the socket if Start could not, once the address is free.
-// Other errors of the system may pass as well, so only the first of them is
-// logged. It reports false if ctx ends before.
+// waitForAddress opens the socket if Start could not, retrying until the address is
+// free. Other system errors may be temporary too, so they are also retried and only
+// the first one is logged. It reports false if ctx is done first.
 func (p *Peers) waitForAddress(ctx context.Context) bool {
 	for p.conn == nil {
 		select {
@@ -80,7 +80,7 @@
 	return true
 }
 
-// tickUntil ticks the engine and reloads the files until ctx ends.
+// tickUntil ticks the engine and reloads the files until ctx is done.
 func (p *Peers) tickUntil(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -108,7 +108,7 @@
 	}
 }
 
-// wakeRun has run tick the engine now.
+// wakeRun makes run tick the engine immediately.
 func (p *Peers) wakeRun() {
 	select {
 	case p.wake <- struct{}{}:
@@ -121,10 +121,10 @@
 	packets := p.engine.Leave(p.cfg.Clock())
 	p.mu.Unlock()
 	p.send(packets)
-	time.Sleep(leaveGrace) // for the kernel to send what was written
+	time.Sleep(leaveGrace) // lets the kernel send the written datagrams
 }
 
-// sendQueued sends the queued messages until ctx ends.
+// sendQueued sends the queued messages until ctx is done.
 func (p *Peers) sendQueued(ctx context.Context) {
 	for {
 		select {
@@ -139,7 +139,7 @@
 	}
 }
 
-// read takes in datagrams until the socket is closed.
+// read handles incoming datagrams until the socket is closed.
 func (p *Peers) read() {
 	buffer := make([]byte, readBufferBytes)
 	notifiedSynced := false
@@ -149,7 +149,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // mostly, a host has refused an earlier datagram
+		if err != nil { // usually a host's refusal of an earlier datagram
 			p.handleRefusals()
 			errorsInRow++
 			p.pauseAfterError(errorsInRow, err)
@@ -181,8 +181,8 @@
 	}
 }
 
-// pauseAfterError waits for a moment if reads have failed too often in a row for
-// refusals, each of which fails one read.
+// pauseAfterError sleeps for readErrorPause if more consecutive reads have failed
+// than refusals explain: each refusal fails only one read.
 func (p *Peers) pauseAfterError(errorsInRow int, err error) {
 	p.readErrors.Add(1)
 	if errorsInRow <= maxErrorsWithoutPause {
@@ -194,8 +194,7 @@
 	time.Sleep(readErrorPause)
 }
 
-// handleRefusals takes in which datagrams were refused by the hosts of their
-// receivers.
+// handleRefusals reads the refusals from the socket and passes them to the engine.
 func (p *Peers) handleRefusals() {
 	for _, to := range readRefusals(p.conn) {
 		p.mu.Lock()
@@ -211,8 +210,8 @@
 	}
 }
 
-// send writes datagrams. One that cannot be written is counted, and is as good
-// as lost on the way.
+// send writes datagrams to the socket. A failed write is counted and otherwise
+// treated like a datagram lost in the network.
 func (p *Peers) send(packets []Packet) {
 	for _, packet := range packets {
 		to, valid := p.dialAddr(packet.Addr)
@@ -220,21 +219,21 @@
 			continue
 		}
 		p.mu.Lock()
-		p.unsent++
+		p.failedWrites++
 		p.mu.Unlock()
 	}
 }
 
 func (p *Peers) write(data []byte, to netip.AddrPort) error {
 	_, err := p.conn.WriteToUDPAddrPort(data, to)
-	if errors.Is(err, syscall.ECONNREFUSED) { // reports an earlier datagram, and this one was not written
+	if errors.Is(err, syscall.ECONNREFUSED) { // the error is about an earlier datagram, and this one was not written
 		_, err = p.conn.WriteToUDPAddrPort(data, to)
 	}
 	return err
 }
 
-// dialAddr returns where an advertised address is reached, and whether that is a
-// valid address.
+// dialAddr returns the address to send to for an advertised address, and whether
+// it is valid.
 func (p *Peers) dialAddr(advertised string) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -12,15 +12,15 @@
 	Zone        string         `json:"Hall"`
 	Incarnation uint64         `json:"Life"`
 	Refutation  uint32         `json:"Inc"`
-	LeftReason  string         `json:"Over,omitempty"` // why the instance takes part no longer
-	Version     uint64         `json:"Version"`        // of the view of the members
+	LeftReason  string         `json:"Over,omitempty"` // why the instance gave up its name; empty if it did not
+	Version     uint64         `json:"Version"`        // of the membership view
 	Alive       int            `json:"Alive"`          // other members that are alive or suspected
 	Members     []MemberStatus `json:"Members"`
 	Facts       int            `json:"Facts"`
-	Bytes       int            `json:"Bytes"`    // that the facts take
-	FactsSum    uint64         `json:"FactsSum"` // checksum of the facts; equal for two instances with the same ones
+	Bytes       int            `json:"Bytes"`    // estimated memory of the facts
+	FactsSum    uint64         `json:"FactsSum"` // checksum of the facts; equal for instances with equal facts
 	Counts      Counts         `json:"Counts"`
-	Unsent      int            `json:"Unsent"`   // datagrams that could not be written
+	Unsent      int            `json:"Unsent"`   // datagrams whose write to the socket failed
 	Unqueued    int            `json:"Unqueued"` // messages that were dropped because the send queue was full
 	Swim        swim.Counts    `json:"Swim"`
 	Gossip      gossip.Counts  `json:"Shared"`
@@ -36,7 +36,7 @@
 	Incarnation uint64 `json:"Life"`
 	Refutation  uint32 `json:"Inc"`
 	SinceMS     int64  `json:"SinceMS"` // milliseconds since its state began
-	HeardMS     int64  `json:"HeardMS"` // milliseconds since its latest message; -1: there was none
+	HeardMS     int64  `json:"HeardMS"` // milliseconds since its latest message; -1 if there was none
 }
 
 // Status returns a snapshot of the instance and its peers.
@@ -59,15 +59,15 @@
 		Bytes:       facts.Bytes(),
 		FactsSum:    facts.Checksum(now),
 		Counts:      p.engine.counts,
-		Unsent:      p.unsent,
-		Unqueued:    int(p.unqueued.Load()),
+		Unsent:      p.failedWrites,
+		Unqueued:    int(p.droppedSends.Load()),
 		Swim:        membership.Counts(),
 		Gossip:      facts.Counts(),
 	}
 	for _, m := range membership.Members() {
 		heardMS := int64(-1)
-		if m.HeardAt > 0 {
-			heardMS = (now - m.HeardAt).Milliseconds()
+		if m.LastMessageAt > 0 {
+			heardMS = (now - m.LastMessageAt).Milliseconds()
 		}
 		status.Members = append(status.Members, MemberStatus{
 			Name:        m.Name,
@@ -77,7 +77,7 @@
 			SuspectedBy: m.SuspectedBy,
 			Incarnation: m.Incarnation,
 			Refutation:  m.Refutation,
-			SinceMS:     (now - m.Since).Milliseconds(),
+			SinceMS:     (now - m.StateSince).Milliseconds(),
 			HeardMS:     heardMS,
 		})
 	}
--- a/internal/peers/system_errors_test.go
+++ b/internal/peers/system_errors_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// newWaitingPeers returns an instance without a socket, and its log.
+// newWaitingPeers returns an instance that has not opened its socket, and its log.
 func newWaitingPeers(t *testing.T) (*Peers, *logBuffer) {
 	t.Helper()
 	addrs := freeAddrs(t, 2)
@@ -23,9 +23,9 @@
 	return p, log
 }
 
-// Guards against an instance that gives up its part among its peers for good,
-// because the system had no descriptor for a moment while it waited for its address.
-func TestWaitForAddressOutlivesSystemErrors(t *testing.T) {
+// Guards against an instance that stops waiting for its address and never joins the
+// group because of a temporary system error, such as a lack of file descriptors.
+func TestWaitForAddressSurvivesSystemErrors(t *testing.T) {
 	p, log := newWaitingPeers(t)
 	failures := []error{syscall.EADDRINUSE, syscall.ENFILE, syscall.ENOBUFS}
 	p.openSocket = func(network string, addr *net.UDPAddr) (*net.UDPConn, error) {
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if !p.waitForAddress(ctx) {
-		t.Fatalf("it gave up, want a socket; log:\n%s", log.String())
+		t.Fatalf("waitForAddress gave up, want an open socket; log:\n%s", log.String())
 	}
 	defer p.conn.Close()
 	got, named := log.count("peer group not joined yet"), strings.Contains(log.String(), syscall.ENFILE.Error())
@@ -48,9 +48,10 @@
 	}
 }
 
-// Guards against a reader that takes a whole core while reads fail, and is blind
-// after that: it pauses, says so once, and reads again once it can.
-func TestReadErrorsThatLastArePaused(t *testing.T) {
+// Guards against a reader that uses a full core while reads keep failing, or stops
+// reading afterwards. It must pause between failures, log the error once, and
+// receive again when reads succeed.
+func TestPersistentReadErrorsPauseReader(t *testing.T) {
 	const (
 		failing  = 300 * time.Millisecond
 		maxReads = maxErrorsWithoutPause + int(2*failing/readErrorPause)
@@ -62,7 +63,7 @@
 	a.conn.SetReadDeadline(time.Unix(1, 0)) // each read fails at once
 	time.Sleep(failing)
 	if got := a.readErrors.Load(); got > int64(maxReads) {
-		t.Errorf("got %d failed reads in %v, want %d at the most", got, failing, maxReads)
+		t.Errorf("got %d failed reads in %v, want at most %d", got, failing, maxReads)
 	}
 	if got := log.count("peer datagrams can't be read"); got != 1 {
 		t.Errorf("got %d lines, want one:\n%s", got, log.String())
--- a/internal/swim/bounds_test.go
+++ b/internal/swim/bounds_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// receiveFrom has a machine receive a message of the i-th other member.
+// receiveFrom delivers a message from the i-th other member to m.
 func receiveFrom(m *Machine, now time.Duration, i int, state State) {
 	name := fmt.Sprintf("m%04d", i)
 	m.Receive(now, &Message{Self: Update{Name: name, Addr: "at-" + name, Incarnation: 1, State: state}})
 }
 
-// A member knows as many others as the bound says. One more is counted and
-// changes nothing, and is taken when another one has been forgotten.
+// The member list holds at most MaxMembers. An update about a further member is
+// counted and ignored until another member has been removed from the list.
 func TestMaxMembers(t *testing.T) {
 	now := time.Second
 	m := New(Config{Name: "self", Addr: "at-self", Incarnation: 1}, now, rand.New(rand.NewPCG(1, 2)))
@@ -23,11 +23,11 @@
 	}
 	before := m.viewHash
 	if m.AliveCount() != MaxMembers || m.Counts().Full != 0 {
-		t.Fatalf("got %d members, %d without capacity, want %d and none", m.AliveCount(), m.Counts().Full, MaxMembers)
+		t.Fatalf("got %d members, %d rejected as full, want %d and none", m.AliveCount(), m.Counts().Full, MaxMembers)
 	}
 	receiveFrom(m, now, MaxMembers, Alive)
 	if m.AliveCount() != MaxMembers || m.Counts().Full != 1 || m.viewHash != before {
-		t.Fatalf("got %d members, %d without capacity, want %d and 1", m.AliveCount(), m.Counts().Full, MaxMembers)
+		t.Fatalf("got %d members, %d rejected as full, want %d and 1", m.AliveCount(), m.Counts().Full, MaxMembers)
 	}
 	receiveFrom(m, now, 0, Left)
 	now += leftRetention + time.Second
@@ -35,6 +35,6 @@
 	m.reapMembers()
 	receiveFrom(m, now, MaxMembers, Alive)
 	if _, known := m.Member(fmt.Sprintf("m%04d", MaxMembers)); !known || m.AliveCount() != MaxMembers {
-		t.Fatalf("got %d members, the last known: %v", m.AliveCount(), known)
+		t.Fatalf("got %d members, last one known: %v, want it known", m.AliveCount(), known)
 	}
 }
--- a/internal/swim/cluster_test.go
+++ b/internal/swim/cluster_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// cluster is members on a network in virtual time. Messages are delayed, and may
-// be lost, duplicated and reordered.
+// cluster simulates members and their network in virtual time. Messages are
+// delayed, and may be lost, duplicated and reordered.
 type cluster struct {
 	rng         *rand.Rand
 	now         time.Duration
 	members     map[string]*Machine // by address
 	queue       []inFlight
 	loss        float64       // probability that a message is lost
-	duplication float64       // probability that one is delivered twice
-	maxDelay    time.Duration // besides a fixed one
+	duplication float64       // probability that a message is delivered twice
+	maxDelay    time.Duration // of the random delay that is added to a fixed one
 	partitioned func(from, to string) bool
 	sentCount   int
-	refusals    []refusedMessage // that were not reported to their senders yet
+	refusals    []refusedMessage // not yet reported to their senders
 }
 
-// inFlight is a message on its way.
+// inFlight is a message that has been sent but not delivered.
 type inFlight struct {
 	at       time.Duration
-	sequence int // orders messages that arrive at one moment
+	sequence int // orders messages that arrive at the same time
 	to       string
 	msg      Message
 }
 
-// refusedMessage is one whose receiver's host refused it.
+// refusedMessage is a message that the receiver's host refused.
 type refusedMessage struct{ from, to string }
 
 func newCluster(seed uint64) *cluster {
@@ -43,7 +43,7 @@
 	}
 }
 
-// startCluster returns a cluster of n members that have yet to find one another.
+// startCluster returns a cluster of n members that have not joined each other yet.
 func startCluster(seed uint64, n int) *cluster {
 	c := newCluster(seed)
 	for i, name := range memberNames(n) {
@@ -74,7 +74,7 @@
 	c.members["at-"+name] = New(cfg, c.now, rng)
 }
 
-// deliver puts messages on their way.
+// deliver sends messages over the simulated network.
 func (c *cluster) deliver(from string, envelopes []Envelope) {
 	for _, envelope := range envelopes {
 		c.sentCount++
@@ -94,7 +94,7 @@
 	}
 }
 
-// run plays until a time.
+// run advances the simulation to the given time.
 func (c *cluster) run(until time.Duration) {
 	for {
 		nextMessage, at := c.nextArrival(until)
@@ -121,8 +121,8 @@
 	}
 }
 
-// nextArrival returns the index of the message that arrives first, and when; -1
-// if none does before the given time.
+// nextArrival returns the index and the arrival time of the queued message that
+// arrives first. The index is -1 if no message arrives before the given time.
 func (c *cluster) nextArrival(until time.Duration) (int, time.Duration) {
 	next, at := -1, until
 	for i, f := range c.queue {
@@ -141,8 +141,8 @@
 	}
 }
 
-// refuse has hosts refuse what is sent to a member that has ended. The sender is
-// notified at once.
+// refuse makes the hosts of terminated members refuse messages from the given
+// senders. The sender is notified immediately.
 func (c *cluster) refuse(refuses func(from, to string) bool) {
 	partitioned := c.partitioned
 	c.partitioned = func(from, to string) bool {
@@ -162,7 +162,7 @@
 	return addrs
 }
 
-// view lists the other members that are present by one's view.
+// view returns the names of the members that the given member believes to be present.
 func (c *cluster) view(addr string) string {
 	var names []string
 	for _, m := range c.members[addr].Members() {
@@ -173,8 +173,8 @@
 	return strings.Join(names, " ")
 }
 
-// agreeOn returns an error unless each of some members has exactly the others of
-// them in its view.
+// agreeOn returns an error unless the view of each named member consists of
+// exactly the other named members.
 func (c *cluster) agreeOn(names ...string) error {
 	for _, name := range names {
 		others := without(names, name)
@@ -186,8 +186,9 @@
 	return nil
 }
 
-// runUntilAgreed plays in steps until some members agree on one another, for
-// limit at most. It returns how long that took, and the error if they don't.
+// runUntilAgreed runs the simulation in steps until agreeOn succeeds for the
+// named members or limit has passed. It returns the elapsed time and the error
+// of agreeOn.
 func (c *cluster) runUntilAgreed(limit, step time.Duration, names ...string) (time.Duration, error) {
 	start := c.now
 	for c.now < start+limit && c.agreeOn(names...) != nil {
--- a/internal/swim/conflict.go
+++ b/internal/swim/conflict.go
@@ -1,13 +1,14 @@
 package swim
 
-// maxNameTakeovers bounds how often this member takes its name back from a
-// process with a higher incarnation. One that is seen more often is running.
+// maxNameTakeovers bounds how often this member reclaims its name from a process
+// with a higher incarnation. A process that is seen more often is still running.
 const maxNameTakeovers = 3
 
-// resolveNameConflict deals with another process under this member's name. An
-// earlier incarnation is ignored. A later one is superseded, since it may be an
-// earlier process whose clock was ahead; if that happens again and again the
-// other process is running, and this member gives up the name.
+// resolveNameConflict handles an update about another process with this member's
+// name. An earlier incarnation is ignored. A later incarnation may belong to a
+// previous process whose clock was ahead, so this member supersedes it with a
+// higher one. After maxNameTakeovers the other process is assumed to be running,
+// and this member gives up the name.
 func (m *Machine) resolveNameConflict(other Update) {
 	if other.Incarnation <= m.self.Incarnation {
 		m.counts.EndedIncarnation++
@@ -19,5 +20,5 @@
 		m.version++
 		return
 	}
-	m.renewSelf(other.Incarnation+1, 0)
+	m.updateSelf(other.Incarnation+1, 0)
 }
--- a/internal/swim/dissemination.go
+++ b/internal/swim/dissemination.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	updatesPerMessage = 6    // that are piggybacked
-	retransmitFactor  = 3.0  // times log2 of the members: how often an update is sent
-	maxRumors         = 1024 // the oldest is dropped
+	updatesPerMessage = 6    // queued updates that are piggybacked on one message
+	retransmitFactor  = 3.0  // an update is sent retransmitFactor * log2(members) times
+	maxRumors         = 1024 // beyond this the oldest is dropped
 )
 
 // rumor is an update that is being disseminated.
 type rumor struct {
 	update    Update
-	transmits int // how often it was sent
+	transmits int // number of messages that carried it
 }
 
-// broadcast queues an update to be piggybacked on messages, in place of earlier
-// ones of the same member. Suspicions by different members stand side by side,
-// since each confirms the other.
-func (m *Machine) broadcast(update Update) {
+// queueBroadcast queues an update to be piggybacked on messages. It replaces
+// queued updates about the same member, except suspicions by other members: these
+// stay queued because each one confirms the others.
+func (m *Machine) queueBroadcast(update Update) {
 	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool {
 		otherSuspicion := r.update.SuspectedBy != update.SuspectedBy && r.update.State == update.State
 		return r.update.Name == update.Name && !otherSuspicion
@@ -32,8 +32,9 @@
 	m.rumors = append(m.rumors, &rumor{update: update})
 }
 
-// send completes a message with the updates that were sent least, and with what
-// is believed of a member (nil: none) who should hear of it or who it is about.
+// send piggybacks the least often sent updates on a message and puts it into the
+// outbox. If about is not nil and not alive, the message also carries what this
+// member believes about it, so that a suspected receiver can refute the suspicion.
 func (m *Machine) send(addr string, msg *Message, about *member) {
 	if about != nil && about.State != Alive {
 		msg.Updates = append(msg.Updates, about.Update)
@@ -45,16 +46,17 @@
 	}
 	limit := m.retransmitLimit()
 	m.rumors = slices.DeleteFunc(m.rumors, func(r *rumor) bool { return r.transmits >= limit })
-	m.outbox = append(m.outbox, Envelope{addr, m.fromSelf(msg)})
+	m.outbox = append(m.outbox, Envelope{addr, m.withSender(msg)})
 }
 
-// retransmitLimit returns how often an update is sent, by the size of the group.
+// retransmitLimit returns how often an update is sent. It grows with the
+// logarithm of the group size.
 func (m *Machine) retransmitLimit() int {
 	return int(math.Ceil(retransmitFactor * math.Log2(float64(len(m.names)+2))))
 }
 
-// fromSelf enters the sender and its view into a message.
-func (m *Machine) fromSelf(msg *Message) *Message {
+// withSender sets this member as the sender of a message and adds the hash of its view.
+func (m *Machine) withSender(msg *Message) *Message {
 	msg.Self = m.self
 	msg.ViewHash = m.viewHash
 	return msg
--- a/internal/swim/join.go
+++ b/internal/swim/join.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	reconnectInterval   = time.Second            // between two attempts, whomever they go to
-	joinInterval        = 100 * time.Millisecond // the first such interval while no member is known
-	maxJoinBackoffShift = 3                      // how often joinInterval is doubled
-	reconnectsPerSeed   = 3                      // of the attempts, one in so many goes to a seed
+	reconnectInterval   = time.Second            // between two reconnect attempts to any address
+	joinInterval        = 100 * time.Millisecond // initial reconnect interval while no other member is present
+	maxJoinBackoffShift = 3                      // joinInterval is doubled up to this many times
+	reconnectsPerSeed   = 3                      // every n-th attempt goes to a seed, the others to dead members
 )
 
-// reconnect pings a dead member or a seed that no present member has as its
-// address. By this a group that was partitioned joins again, from whichever side
-// is heard first.
+// reconnect pings a dead member, or a seed whose address belongs to no present
+// member. This lets the sides of a healed partition join again: the first ping
+// that arrives in either direction suffices.
 func (m *Machine) reconnect() {
 	interval := reconnectInterval
 	if m.aliveCount == 0 {
@@ -36,7 +36,7 @@
 }
 
 // unconnectedSeeds returns the seeds that are neither this member's own address
-// nor that of a present member.
+// nor the address of a present member.
 func (m *Machine) unconnectedSeeds() []string {
 	var seeds []string
 	for _, seed := range m.cfg.Seeds {
--- a/internal/swim/members.go
+++ b/internal/swim/members.go
@@ -6,47 +6,47 @@
 )
 
 const (
-	deadRetention = 10 * time.Minute // for which a dead member is known, and contacted now and then
-	leftRetention = time.Minute      // for which a member that left is known
+	deadRetention = 10 * time.Minute // how long a dead member is retained; it is pinged occasionally
+	leftRetention = time.Minute      // how long a member that left is retained
 	reapInterval  = time.Second
 )
 
-// member is what is known of another member.
+// member is this member's record of another member.
 type member struct {
 	Update
-	stateSince time.Duration
-	heardAt    time.Duration // of the latest message from the member itself; 0: none
+	stateSince    time.Duration
+	lastMessageAt time.Duration // when the latest message from the member itself arrived; 0: none
 
-	// The present suspicion, if the state is Suspect.
+	// The current suspicion, if the state is Suspect.
 	suspicionStart time.Duration
 	suspicionEnd   time.Duration
 	suspectedBy    []string // the members that suspect it
-	refusedBy      []string // those of them whose messages its host refused
+	refusedBy      []string // the members that reported a refusal by its host
 
-	refusalProbedAt   time.Duration // when this machine last pinged the member to confirm a refusal; 0: never
-	hintsIgnoredUntil time.Duration // refusals are ignored until then
+	refusalProbedAt      time.Duration // when this machine last pinged the member to confirm a refusal; 0: never
+	refusalsIgnoredUntil time.Duration // refusals by its host are ignored until then
 }
 
-// Member is a member as others see it.
+// Member is a snapshot of what is known about another member.
 type Member struct {
 	Update
-	Since   time.Duration // when its state began
-	HeardAt time.Duration // when the latest message from the member itself arrived; 0: none did
+	StateSince    time.Duration // when its state began
+	LastMessageAt time.Duration // when the latest message from the member itself arrived; 0: none did
 }
 
-// Change is one change of the view.
+// Change is one change in the view of the group.
 type Change struct {
 	Update
 	Previous  State
-	New       bool // the member or this incarnation of it was not known
-	Forgotten bool // the member is known no longer
-	// Confirmed says of a death that hosts refused the messages of several
-	// members: it does not rest on mere silence.
+	New       bool // the member, or this incarnation of it, was unknown before
+	Forgotten bool // the member was removed from the member list
+	// Confirmed is set on a death if the member's host refused messages from
+	// several members, so that the death is not inferred from silence alone.
 	Confirmed bool
 }
 
 func (x *member) snapshot() Member {
-	return Member{Update: x.Update, Since: x.stateSince, HeardAt: x.heardAt}
+	return Member{Update: x.Update, StateSince: x.stateSince, LastMessageAt: x.lastMessageAt}
 }
 
 // AliveCount returns the number of other members that are alive or suspected.
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Member returns what is known of another member, and whether it is known.
+// Member returns a snapshot of another member, and whether that member is known.
 func (m *Machine) Member(name string) (Member, bool) {
 	x := m.members[name]
 	if x == nil {
@@ -70,7 +70,7 @@
 	return x.snapshot(), true
 }
 
-// Changes returns what has changed since it was last called.
+// Changes returns the changes of the view since the previous call.
 func (m *Machine) Changes() []Change {
 	changes := m.changes
 	m.changes = nil
@@ -81,8 +81,8 @@
 func isPresent(x *member) bool { return x.State.present() }
 func isDead(x *member) bool    { return x.State == Dead }
 
-// RandomMembers returns up to n members that are alive or suspected, drawn by
-// chance.
+// RandomMembers returns up to n randomly chosen members that are alive or
+// suspected.
 func (m *Machine) RandomMembers(n int) []Update {
 	var drawn []Update
 	for _, x := range m.sampleMembers(n, isPresent) {
@@ -91,7 +91,7 @@
 	return drawn
 }
 
-// sampleMembers draws up to n members that match.
+// sampleMembers returns up to n randomly chosen members that match.
 func (m *Machine) sampleMembers(n int, matches func(*member) bool) []*member {
 	if len(m.names) == 0 {
 		return nil
@@ -107,8 +107,8 @@
 	return drawn
 }
 
-// sampleStride returns a stride through the members that visits each of them:
-// a prime that does not divide their number.
+// sampleStride returns a step size that visits every member once when taken
+// modulo their number: a prime that does not divide it.
 func (m *Machine) sampleStride() int {
 	for _, prime := range []int{7, 11, 13, 17, 19} {
 		if len(m.names)%prime != 0 {
@@ -118,8 +118,8 @@
 	return 1
 }
 
-// apply takes over an update if it overrides what is believed, or counts it as
-// the confirmation of a suspicion.
+// apply stores an update that overrides the current state of the member.
+// Otherwise the update may count as a confirmation of the current suspicion.
 func (m *Machine) apply(update Update) {
 	if !validUpdate(update) {
 		m.counts.Stray++
@@ -134,7 +134,7 @@
 		m.addMember(update)
 		return
 	}
-	if update.Refused && m.now < x.hintsIgnoredUntil {
+	if update.Refused && m.now < x.refusalsIgnoredUntil {
 		update.Refused = false
 	}
 	if update.overrides(x.Update) {
@@ -146,8 +146,8 @@
 	m.confirmSuspicion(x, update)
 }
 
-// addMember adds a member that was unknown. One that is dead or has left is not
-// added: a member that was forgotten must not come back by an old update.
+// addMember adds an unknown member. A member that is dead or has left is not
+// added, since an old update must not bring back a member that was removed.
 func (m *Machine) addMember(update Update) {
 	if !update.State.present() {
 		return
@@ -164,9 +164,9 @@
 	m.setMember(x, update, true)
 }
 
-// setMember gives a member the state of an update. It alone maintains what is
-// derived from the members: the view's hash, the count of present members and
-// the list of suspects.
+// setMember sets a member's state from an update. All state changes go through
+// it because it also maintains the data derived from the members: the hash of the
+// view, the count of present members and the list of suspects.
 func (m *Machine) setMember(x *member, update Update, added bool) {
 	previous := x.Update
 	sameIncarnation := update.Incarnation == previous.Incarnation
@@ -174,10 +174,10 @@
 		m.removeFromIndexes(previous)
 	}
 	switch {
-	case x.refusedBy != nil && update.State == Alive && sameIncarnation: // it was alive in spite of the refusals
-		x.hintsIgnoredUntil = m.now + refusalDistrustTime
+	case x.refusedBy != nil && update.State == Alive && sameIncarnation: // it refuted the refusals
+		x.refusalsIgnoredUntil = m.now + refusalIgnoreTime
 	case !sameIncarnation:
-		x.hintsIgnoredUntil = 0
+		x.refusalsIgnoredUntil = 0
 	}
 	if !added && sameIncarnation && previous.State == Dead && update.State.present() {
 		m.counts.RefutedDeaths++
@@ -202,7 +202,7 @@
 		m.startSuspicion(x)
 	}
 	m.version++
-	m.broadcast(update)
+	m.queueBroadcast(update)
 }
 
 func (m *Machine) removeFromIndexes(update Update) {
@@ -227,7 +227,8 @@
 	}
 }
 
-// reapMembers forgets members that are dead or have left for long enough.
+// reapMembers removes members that have been dead for longer than deadRetention, or
+// that left longer than leftRetention ago.
 func (m *Machine) reapMembers() {
 	if m.now-m.lastReap < reapInterval {
 		return
--- a/internal/swim/messages.go
+++ b/internal/swim/messages.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// State is what is believed of a member.
+// State is the state of a member in the view of another one.
 type State uint8
 
 // The states, in the order in which they override one another within one
@@ -23,20 +23,21 @@
 	return "unknown"
 }
 
-// present reports whether a member in this state takes part in the protocol. A
-// suspected one does until the suspicion ends.
+// present reports whether a member in this state counts as part of the group. A
+// suspected member does until it is declared dead.
 func (s State) present() bool { return s == Alive || s == Suspect }
 
-// Update is what is believed of a member, as it travels. Updates of one member
-// are ordered by incarnation, refutation and state. The highest one wins,
-// however often and in whatever order they arrive.
+// Update is a statement about the state of a member, as sent between members.
+// Updates about one member are ordered by incarnation, refutation and state. The
+// highest one wins, regardless of the order in which updates arrive and of
+// duplicates.
 type Update struct {
 	Name string `cbor:"1,keyasint"`
 	// Addr is the host:port that the member advertises.
 	Addr string `cbor:"2,keyasint,omitempty"`
 	Zone string `cbor:"3,keyasint,omitempty"`
-	// Incarnation is that of the process: a later start under the same name has
-	// a higher one.
+	// Incarnation identifies the process: a process started later under the same
+	// name has a higher incarnation.
 	Incarnation uint64 `cbor:"4,keyasint"`
 	// Refutation counts the suspicions that the process has refuted. It is what
 	// the SWIM paper calls the incarnation number.
@@ -44,12 +45,12 @@
 	State      State  `cbor:"6,keyasint,omitempty"`
 	// SuspectedBy is the member that suspects this one or declared it dead.
 	SuspectedBy string `cbor:"7,keyasint,omitempty"`
-	// Refused says that the suspicion rests on a refusal: the host of the member
+	// Refused says that the suspicion is based on a refusal: the member's host
 	// reported that no process listens at its address.
 	Refused bool `cbor:"8,keyasint,omitempty"`
 }
 
-// overrides reports whether u wins over v.
+// overrides reports whether u takes precedence over v.
 func (u Update) overrides(v Update) bool {
 	return cmp.Or(
 		cmp.Compare(u.Incarnation, v.Incarnation),
@@ -58,7 +59,8 @@
 	) > 0
 }
 
-// validUpdate reports whether the fields of an update are within their bounds.
+// validUpdate reports whether an update has its required fields and no field
+// exceeds its bound.
 func validUpdate(u Update) bool {
 	return u.Name != "" && len(u.Name) <= maxStringBytes &&
 		u.Addr != "" && len(u.Addr) <= maxStringBytes &&
@@ -66,7 +68,7 @@
 		u.State <= Left
 }
 
-// Kind says what a message requests.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages. A message of an unknown kind is neither forwarded nor
@@ -75,9 +77,9 @@
 	Gossip        Kind = iota // carries updates only
 	Ping                      // requests an Ack
 	Ack                       // answers the Ping with the same nonce
-	PingReq                   // requests to ping Target and to forward its Ack
+	PingReq                   // requests that the receiver ping Target and forward its Ack
 	RosterRequest             // requests a Roster
-	Roster                    // holds one page of the members that the sender knows, ordered by name
+	Roster                    // carries one page of the members that the sender knows, ordered by name
 )
 
 var kindNames = [...]string{"gossip", "ping", "ack", "ping-req", "roster-request", "roster"}
@@ -94,13 +96,13 @@
 	Kind Kind `cbor:"1,keyasint,omitempty"`
 	// Self describes the sender.
 	Self Update `cbor:"2,keyasint"`
-	// To names the receiver; empty: whoever listens at the address.
+	// To names the receiver; empty: any process that listens at the address.
 	To    string `cbor:"3,keyasint,omitempty"`
 	Nonce uint64 `cbor:"4,keyasint,omitempty"`
-	// Target is the member that a PingReq is about.
+	// Target names the member that a PingReq asks the receiver to ping.
 	Target  string   `cbor:"5,keyasint,omitempty"`
 	Updates []Update `cbor:"6,keyasint,omitempty"`
-	// ViewHash covers all that the sender believes of present members.
+	// ViewHash is a hash of the sender's view of all present members.
 	ViewHash uint64 `cbor:"7,keyasint,omitempty"`
 	// After is the name that precedes the page of a RosterRequest or a Roster.
 	After string `cbor:"8,keyasint,omitempty"`
@@ -108,7 +110,7 @@
 	More bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Envelope is a message and the advertised address that it is to be sent to.
+// Envelope is an outgoing message with the advertised address of its receiver.
 type Envelope struct {
 	Addr    string
 	Message *Message
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	indirectProbes = 3 // members that are requested to ping a target in this one's place
+	indirectProbes = 3 // members that are requested to ping a target that did not answer directly
 	maxRelays      = 4 * indirectProbes
 )
 
@@ -16,20 +16,20 @@
 const (
 	probeIdle     probePhase = iota // no probe is running
 	probeDirect                     // the target was pinged
-	probeIndirect                   // others were requested to ping it, too
-	probeAcked                      // the target has answered, directly or by another
+	probeIndirect                   // other members were requested to ping it too
+	probeAcked                      // the target has answered, directly or through another member
 )
 
-// probe is the check whether one member answers. At most one runs at a time.
+// probe checks whether one member responds. At most one probe runs at a time.
 type probe struct {
 	phase      probePhase
 	target     string
-	nonce      uint64        // of the ping; also in the ack, whichever way it comes
-	indirectAt time.Duration // when others are requested, unless the target has answered
+	nonce      uint64        // of the ping; the ack carries it too, whether direct or relayed
+	indirectAt time.Duration // when indirect pings are requested, unless the target has answered
 	endsAt     time.Duration // when the target is suspected, unless it has answered
 }
 
-// nextDeadline returns when the probe needs attention, and whether one is
+// nextDeadline returns when advanceProbe is next due, and whether a probe is
 // running.
 func (p *probe) nextDeadline() (time.Duration, bool) {
 	switch p.phase {
@@ -42,15 +42,15 @@
 	}
 }
 
-// relay is an indirect probe that this member runs for another.
+// relay is an indirect probe that this member runs on behalf of another member.
 type relay struct {
 	nonce       uint64 // of the ping to the target
-	originNonce uint64 // of the other member's probe
+	originNonce uint64 // of the requesting member's probe
 	originAddr  string
 	expiresAt   time.Duration
 }
 
-// startProbe pings the next member of the round.
+// startProbe pings the next member of the probe round.
 func (m *Machine) startProbe() {
 	target := m.nextProbeTarget()
 	m.nextProbe = m.now + m.scaleByHealth(m.cfg.ProbeInterval)
@@ -68,8 +68,8 @@
 	m.send(x.Addr, &Message{Kind: Ping, To: target, Nonce: m.probe.nonce}, x)
 }
 
-// nextProbeTarget goes round all present members, in an order that is drawn anew
-// each round. It returns "" if there is none.
+// nextProbeTarget returns the next present member of the round. Each round visits
+// all members in a new random order. It returns "" if no member is present.
 func (m *Machine) nextProbeTarget() string {
 	for range 2 {
 		for len(m.probeRound) > 0 {
@@ -88,8 +88,9 @@
 	return ""
 }
 
-// advanceProbe requests other members to ping a target that has not answered, and
-// suspects it if it answers none of them.
+// advanceProbe moves the running probe to its next phase when that is due: it
+// requests indirect pings of a target that has not answered, and later suspects
+// the target if it has answered neither the direct nor the indirect pings.
 func (m *Machine) advanceProbe() {
 	if m.probe.phase == probeIdle {
 		return
@@ -128,7 +129,8 @@
 	}
 }
 
-// handleAck ends the probe or the relay that an ack belongs to.
+// handleAck marks the probe with the given nonce as answered, or forwards the ack
+// of a relay to the member that requested it.
 func (m *Machine) handleAck(nonce uint64) {
 	if m.probe.phase != probeIdle && nonce == m.probe.nonce {
 		m.probe.phase = probeAcked
@@ -142,8 +144,8 @@
 	}
 }
 
-// handlePingReq pings a target for another member, unless too many such pings
-// are unanswered.
+// handlePingReq pings a target on behalf of another member, unless maxRelays such
+// pings are already unanswered.
 func (m *Machine) handlePingReq(msg *Message) {
 	target := m.members[msg.Target]
 	if target == nil || len(m.relays) >= maxRelays {
--- a/internal/swim/refusal.go
+++ b/internal/swim/refusal.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	refusalQuorum           = 2                      // members that must be refused to shorten a suspicion
-	refusalSuspicionTimeout = 60 * time.Millisecond  // for a refutation, once the quorum is reached
-	refusalProbeInterval    = 100 * time.Millisecond // between two pings to confirm refusals by one member
-	refusalDistrustTime     = 10 * time.Second       // for which refusals are ignored after one was refuted
-	refusalFanout           = 8                      // members that are notified at once
+	refusalQuorum           = 2                      // members that must report a refusal to shorten a suspicion
+	refusalSuspicionTimeout = 60 * time.Millisecond  // time left to refute once the quorum is reached
+	refusalProbeInterval    = 100 * time.Millisecond // min time between pings to one member to confirm refusals
+	refusalIgnoreTime       = 10 * time.Second       // how long refusals are ignored after the member refuted one
+	refusalFanout           = 8                      // members that are notified immediately
 )
 
-// HandleRefusal notes that the host of an address refused a message, because no
-// process listens there. That may be forged, or be true on one network path
-// only, but it arrives within moments of a death. The others are therefore
-// notified at once and ping the member themselves. If a quorum was refused and
-// the member does not refute it, it is declared dead without the patience that
-// mere silence needs.
+// HandleRefusal handles a report that the host at an address refused a message
+// because no process listens there (ICMP port unreachable). A refusal arrives
+// within moments of a death, but it may be forged or apply to one network path
+// only. Other members are therefore notified immediately and ping the member
+// themselves. If refusalQuorum members were refused and the member does not
+// refute the suspicion, it is declared dead much sooner than after silence alone.
 func (m *Machine) HandleRefusal(now time.Duration, addr string) []Envelope {
 	m.beginCall(now)
 	if m.stopped() {
@@ -29,20 +29,21 @@
 		if x.Addr != addr || !x.State.present() {
 			continue
 		}
-		if m.now < x.hintsIgnoredUntil || slices.Contains(x.refusedBy, m.self.Name) {
+		if m.now < x.refusalsIgnoredUntil || slices.Contains(x.refusedBy, m.self.Name) {
 			continue
 		}
 		m.counts.Refusals++
 		suspicion := m.stateUpdate(x, Suspect)
 		suspicion.Refused = true
 		m.apply(suspicion)
-		m.notifyAtOnce(suspicion)
+		m.notifyImmediately(suspicion)
 	}
 	return m.outbox
 }
 
-// confirmRefusal counts a member that was refused by the suspected x, and pings x
-// unless this member was refused itself.
+// confirmRefusal records which member reported a refusal by the host of x, and
+// shortens the suspicion once refusalQuorum members did. It pings x for
+// confirmation unless this member itself was refused.
 func (m *Machine) confirmRefusal(x *member, update Update) {
 	if !update.Refused || !sameSuspicion(x, update) || slices.Contains(x.refusedBy, update.SuspectedBy) {
 		return
@@ -63,11 +64,11 @@
 	}
 }
 
-// notifyAtOnce sends an update to a few members, without waiting for a message
-// that could carry it.
-func (m *Machine) notifyAtOnce(update Update) {
+// notifyImmediately sends an update to a few members in messages of its own instead
+// of piggybacking it on the next messages.
+func (m *Machine) notifyImmediately(update Update) {
 	for _, receiver := range m.sampleMembers(refusalFanout, isAlive) {
 		msg := &Message{To: receiver.Name, Updates: []Update{update}}
-		m.outbox = append(m.outbox, Envelope{receiver.Addr, m.fromSelf(msg)})
+		m.outbox = append(m.outbox, Envelope{receiver.Addr, m.withSender(msg)})
 	}
 }
--- a/internal/swim/refusal_test.go
+++ b/internal/swim/refusal_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A host that refuses messages reveals the end of a process long before its
-// silence does: a quorum of refused members declares it dead within moments. One
-// alone does not, and a member that is alive is not declared dead.
+// When a host refuses messages for a terminated process, a quorum of refused
+// members declares it dead long before silence would. Refusals seen by a single
+// member do not suffice, and a member that is alive is not declared dead.
 func TestRefusals(t *testing.T) {
 	for _, n := range []int{3, 6, 30} {
 		c := startCluster(uint64(n), n)
@@ -16,7 +16,7 @@
 		c.run(8 * time.Second)
 		delete(c.members, "at-m001")
 		took, err := c.runUntilAgreed(3*time.Second, 5*time.Millisecond, without(memberNames(n), "m001")...)
-		if err != nil || took > 600*time.Millisecond { // until somebody sends something there, and a moment
+		if err != nil || took > 600*time.Millisecond { // until a member sends it a message, plus the refutation time
 			t.Errorf("%d members: got %v after %v, want agreement in 0.6s", n, err, took)
 		}
 		c.startMember("m001", 5000, "at-m000")
@@ -32,14 +32,14 @@
 		delete(c.members, "at-m001")
 		took, _ := c.runUntilAgreed(5*time.Second, 5*time.Millisecond, without(memberNames(6), "m001")...)
 		if took < 400*time.Millisecond {
-			t.Errorf("got a death after %v by the refusal of one member, want 0.4s at least", took)
+			t.Errorf("declared dead after %v by refusals of one member, want 0.4s at least", took)
 		}
 	})
 	t.Run("refuted", func(t *testing.T) {
 		c := startCluster(8, 6)
 		c.run(8 * time.Second)
 		refused := c.members["at-m004"]
-		for _, addr := range []string{"at-m000", "at-m001", "at-m002"} { // forged, or of one moment
+		for _, addr := range []string{"at-m000", "at-m001", "at-m002"} { // forged or transient refusals
 			c.deliver(addr, c.members[addr].HandleRefusal(c.now, "at-m004"))
 		}
 		dead := false
--- a/internal/swim/roster.go
+++ b/internal/swim/roster.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	syncInterval           = time.Second // between two reads of a whole roster, for a group of few members
-	membersPerSyncInterval = 40          // each so many members lengthen it by once its length
+	syncInterval           = time.Second // min time between two full roster syncs in a small group
+	membersPerSyncInterval = 40          // every 40 members add another syncInterval
 	rosterPageSize         = 12          // members
 )
 
-// syncIfDifferent requests the sender's whole roster if its view differs from
-// this one, but not too often. Rumors end after some messages, and may have
-// reached not everybody; this does not end before the views are equal.
+// syncIfDifferent requests the sender's complete roster if its view differs from
+// this member's, at a limited rate. Rumors are sent a limited number of times and
+// may miss some members; syncing is repeated until the views are equal.
 func (m *Machine) syncIfDifferent(msg *Message) {
 	if m.syncWith != "" && m.now-m.syncProgressAt > syncInterval {
-		m.syncWith = "" // the other side went silent
+		m.syncWith = "" // the other member stopped responding
 	}
 	if msg.ViewHash == m.viewHash || m.now < m.nextSync || m.syncWith != "" || !msg.Self.State.present() {
 		return
@@ -33,8 +33,8 @@
 	m.send(from.Addr, &Message{Kind: RosterRequest, To: from.Name, After: after}, nil)
 }
 
-// handleRoster requests the page that follows, if there is one. The updates of
-// the page were applied already, as those of any message.
+// handleRoster requests the next page, if there is one. Receive has already
+// applied the updates of this page, as for any message.
 func (m *Machine) handleRoster(msg *Message) {
 	if m.syncWith != msg.Self.Name {
 		return
@@ -57,12 +57,12 @@
 		msg.Updates = append(msg.Updates, m.members[m.names[i]].Update)
 	}
 	msg.More = i < len(m.names)
-	m.outbox = append(m.outbox, Envelope{to.Addr, m.fromSelf(msg)})
+	m.outbox = append(m.outbox, Envelope{to.Addr, m.withSender(msg)})
 }
 
-// updateHash returns the contribution of one member to the hash of a view. Who
-// suspects it is not part of that. Dead members and those that left contribute
-// nothing, because each member forgets them at another time.
+// updateHash returns the contribution of one member to the hash of a view. It
+// excludes which member suspects it. Dead members and those that left contribute
+// nothing, because the members of the group remove them at different times.
 func updateHash(update Update) uint64 {
 	if !update.State.present() {
 		return 0
--- a/internal/swim/suspicion.go
+++ b/internal/swim/suspicion.go
@@ -11,7 +11,7 @@
 	suspicionMaxFactor    = 3   // longest suspicion, as a multiple of the shortest
 )
 
-// stateUpdate returns the update by which this member claims that another is
+// stateUpdate returns an update in which this member declares another one
 // suspected or dead.
 func (m *Machine) stateUpdate(x *member, state State) Update {
 	update := x.Update
@@ -21,21 +21,21 @@
 	return update
 }
 
-// startSuspicion begins the suspicion of a member that has just become Suspect.
+// startSuspicion starts the suspicion timer of a member that has just become Suspect.
 func (m *Machine) startSuspicion(x *member) {
 	x.suspectedBy = []string{x.SuspectedBy}
 	x.suspicionStart = m.now
 	x.suspicionEnd = m.now + m.suspicionTimeout(0)
 }
 
-// sameSuspicion reports whether an update claims the suspicion that x is under.
+// sameSuspicion reports whether an update states the suspicion that x is already under.
 func sameSuspicion(x *member, update Update) bool {
 	return update.State == Suspect && x.State == Suspect && update.SuspectedBy != "" &&
 		update.Incarnation == x.Incarnation && update.Refutation == x.Refutation
 }
 
-// confirmSuspicion counts a further member that suspects x, which shortens the
-// suspicion.
+// confirmSuspicion records another member that suspects x and shortens the
+// suspicion timeout.
 func (m *Machine) confirmSuspicion(x *member, update Update) {
 	if !sameSuspicion(x, update) || slices.Contains(x.suspectedBy, update.SuspectedBy) {
 		return
@@ -45,17 +45,17 @@
 	}
 	x.suspectedBy = append(x.suspectedBy, update.SuspectedBy)
 	x.suspicionEnd = min(x.suspicionEnd, x.suspicionStart+m.suspicionTimeout(len(x.suspectedBy)-1))
-	m.broadcast(update)
+	m.queueBroadcast(update)
 }
 
-// suspicionTimeout returns the length of a suspicion with a number of confirmations
-// by other members: Lifeguard's logarithmic decrease from the longest to the
-// shortest one.
+// suspicionTimeout returns how long a suspicion lasts after the given number of
+// confirmations by other members. As in Lifeguard, it decreases logarithmically
+// from the longest to the shortest timeout.
 func (m *Machine) suspicionTimeout(confirmations int) time.Duration {
 	groupSize := float64(m.aliveCount + 1)
 	shortest := minSuspicionIntervals * float64(m.cfg.ProbeInterval) * max(1, math.Log10(groupSize))
 	longest := shortest * suspicionMaxFactor
-	possible := min(indirectProbes, m.aliveCount-2) // confirmations; neither the suspect nor its accuser gives one
+	possible := min(indirectProbes, m.aliveCount-2) // confirmations, since the suspect and its first accuser give none
 	if possible < 1 {
 		return time.Duration(shortest)
 	}
@@ -63,8 +63,8 @@
 	return time.Duration(max(shortest, longest-(longest-shortest)*fraction))
 }
 
-// expireSuspicions declares those suspects dead that have not refuted the
-// suspicion in time.
+// expireSuspicions declares suspects dead that have not refuted the suspicion in
+// time.
 func (m *Machine) expireSuspicions() {
 	for i := 0; i < len(m.suspects); {
 		x := m.members[m.suspects[i]]
@@ -75,13 +75,14 @@
 		dead := m.stateUpdate(x, Dead)
 		refused := len(x.refusedBy) >= refusalQuorum
 		m.apply(dead) // removes x from the suspects
-		if refused {  // the others suspect it since a moment only, and would wait for long
-			m.notifyAtOnce(dead)
+		if refused {  // others began to suspect it only moments ago and would wait much longer
+			m.notifyImmediately(dead)
 		}
 	}
 }
 
-// applyToSelf refutes what is wrongly believed of this member.
+// applyToSelf handles an update about this member's name. It refutes a claim that
+// this member is suspected, dead or has left.
 func (m *Machine) applyToSelf(update Update) {
 	if update.Incarnation > m.self.Incarnation {
 		m.resolveNameConflict(update)
@@ -92,19 +93,19 @@
 	}
 	m.counts.Refuted++
 	m.degradeHealth()
-	m.renewSelf(m.self.Incarnation, update.Refutation+1)
-	if update.Refused { // a refusal leaves a moment only before the member is declared dead
-		m.notifyAtOnce(m.self)
+	m.updateSelf(m.self.Incarnation, update.Refutation+1)
+	if update.Refused { // only refusalSuspicionTimeout is left before this member is declared dead
+		m.notifyImmediately(m.self)
 	}
 }
 
-// renewSelf gives this member another incarnation and refutation, and notifies the
-// others.
-func (m *Machine) renewSelf(incarnation uint64, refutation uint32) {
+// updateSelf changes this member's incarnation and refutation, and queues the
+// update for the others.
+func (m *Machine) updateSelf(incarnation uint64, refutation uint32) {
 	m.viewHash ^= updateHash(m.self)
 	m.self.Incarnation = incarnation
 	m.self.Refutation = refutation
 	m.viewHash ^= updateHash(m.self)
 	m.version++
-	m.broadcast(m.self)
+	m.queueBroadcast(m.self)
 }
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -1,11 +1,13 @@
-// Package swim maintains the membership of a group by SWIM (Das, Gupta,
-// Motivala 2002) with three of Lifeguard's extensions (Dadgar, Phillips, Currey
+// Package swim implements group membership with the SWIM protocol (Das, Gupta,
+// Motivala 2002) and three of Lifeguard's extensions (Dadgar, Phillips, Currey
 // 2018): local health, suspicion timeouts that shrink with each confirmation,
-// and telling a suspected member of the suspicion. A Machine takes in the time,
-// messages and a source of chance, and yields messages and a view of the members.
-// It does no I/O, starts no goroutine, and does not know what else travels with
-// its messages. A member that is called dead is one that has not refuted a
-// suspicion in time: the view never proves that a process has ended.
+// and notifying a suspected member of the suspicion.
+//
+// A Machine receives the time, messages and a random source, and returns the
+// messages to send and a view of the members. It performs no I/O, starts no
+// goroutines, and is independent of other data sent along with its messages. A
+// member is dead if it has not refuted a suspicion in time; that does not prove
+// that its process has ended.
 package swim
 
 import (
@@ -14,8 +16,8 @@
 	"time"
 )
 
-// MaxMembers bounds the other members that are known, dead and left ones
-// included. Memory is taken by need.
+// MaxMembers bounds the number of other members in the member list, including
+// dead ones and those that left. Memory is allocated as needed.
 const MaxMembers = 4096
 
 // Defaults of Config. ProbeTimeout is at most two fifths of ProbeInterval.
@@ -25,86 +27,87 @@
 )
 
 const (
-	maxStringBytes = 64 // of a name, an address and a zone
-	maxUpdatesRead = 64 // of one message
+	maxStringBytes = 64 // of a name, an address or a zone
+	maxUpdatesRead = 64 // updates in one message beyond this are ignored
 	leaveFanout    = 8  // members that are notified directly when this one leaves
 )
 
-// Config describes one member. Durations that are zero have their default.
+// Config describes one member. Zero durations are replaced by their defaults.
 type Config struct {
 	Name        string
 	Addr        string // host:port, as advertised to the others
 	Zone        string
-	Incarnation uint64 // of the process: later ones have higher ones
+	Incarnation uint64 // of the process; must be higher for a process started later
 
-	// Seeds are addresses that are contacted while no present member has them.
+	// Seeds are addresses that are pinged while no present member has them.
 	Seeds []string
 
 	ProbeInterval time.Duration // between two probes
 	ProbeTimeout  time.Duration // of a direct ping, before indirect ones are requested
 }
 
-// Counts says how often something unusual happened since the start.
+// Counts holds counters of unusual events since the start.
 type Counts struct {
-	// Stalls counts the times at which this process was not scheduled for long.
+	// Stalls counts how often this process was not scheduled for a long time.
 	Stalls int `json:"Stalls"`
-	// Refuted counts the suspicions of this member that it has refuted.
+	// Refuted counts the suspicions and deaths of this member that it has refuted.
 	Refuted int `json:"Refuted"`
 	// EndedIncarnation counts messages from a superseded incarnation.
 	EndedIncarnation int `json:"EndedLife"`
-	// Refusals counts the members that were suspected because their host refused
+	// Refusals counts suspicions that this member raised because a host refused
 	// a message.
 	Refusals int `json:"Refusals"`
-	// Stray counts messages from this member or meant for another one, and
-	// updates that are malformed.
+	// Stray counts rejected messages and updates: messages sent by this member
+	// itself or addressed to another one, and malformed updates.
 	Stray int `json:"Stray"`
-	// Full counts updates about members for which there was no capacity.
+	// Full counts updates about unknown members that were ignored because the
+	// member list was full.
 	Full int `json:"Full"`
-	// RefutedDeaths counts the deaths of others that these have refuted.
+	// RefutedDeaths counts other members that were declared dead and refuted it.
 	RefutedDeaths int `json:"RefutedDeaths"`
 }
 
-// Machine is the protocol and the view of one member. Only one goroutine may use
-// it at a time.
+// Machine is the protocol state machine of one member and its view of the group.
+// It is not safe for concurrent use.
 type Machine struct {
 	cfg      Config
 	rng      *rand.Rand
 	now      time.Duration // of the latest call
 	lastTick time.Duration
-	outbox   []Envelope // messages of the present call
+	outbox   []Envelope // messages to send, collected during the current call
 	counts   Counts
 
 	self          Update // as announced to the others
-	nameTakeovers int    // how often a higher incarnation of this name was superseded
+	nameTakeovers int    // how often this member superseded a higher incarnation of its name
 	left          bool   // Leave was called
-	leftReason    string // why this member gave up its name; empty: it did not
+	leftReason    string // why this member gave up its name; empty if it did not
 
 	members    map[string]*member
 	names      []string // of all members, sorted
 	suspects   []string // names of the suspected members, sorted
 	aliveCount int      // members that are alive or suspected
 	viewHash   uint64   // XOR of updateHash over self and all members
-	version    uint64   // rises with each change of the view
-	changes    []Change // since Changes was last called
+	version    uint64   // incremented with each change of the view
+	changes    []Change // since the last call of Changes
 	lastReap   time.Duration
 
 	healthScore int // 0: healthy; at most maxHealthScore
 	nextProbe   time.Duration
-	probeRound  []string // names of members that are still to be probed in this round, the next one last
+	probeRound  []string // names of the members still to be probed in this round, in reverse order
 	probe       probe
 	relays      []relay // indirect probes on behalf of others
 
 	nextReconnect     time.Duration
 	reconnectAttempts int
 
-	nextSync       time.Duration // no roster is requested before
-	syncWith       string        // member whose roster is being read; empty: none
+	nextSync       time.Duration // no roster sync starts before this time
+	syncWith       string        // member whose roster is being requested page by page; empty: none
 	syncProgressAt time.Duration // when the last page was requested or received
 
 	rumors []*rumor
 }
 
-// New returns a member that knows no other.
+// New returns a member that knows no other members yet.
 func New(cfg Config, now time.Duration, rng *rand.Rand) *Machine {
 	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, DefaultProbeInterval)
 	cfg.ProbeTimeout = cmp.Or(cfg.ProbeTimeout, min(DefaultProbeTimeout, cfg.ProbeInterval*2/5))
@@ -122,26 +125,27 @@
 	return m
 }
 
-// SetSeeds replaces the addresses that are contacted to join the group.
+// SetSeeds replaces the addresses that are pinged to join the group.
 func (m *Machine) SetSeeds(seeds []string) { m.cfg.Seeds = seeds }
 
 // Self returns this member as announced to the others.
 func (m *Machine) Self() Update { return m.self }
 
-// Version returns a number that changes whenever the view does.
+// Version returns a number that is incremented whenever the view changes.
 func (m *Machine) Version() uint64 { return m.version }
 
-// Counts returns how often something unusual happened since the start.
+// Counts returns the counters of unusual events since the start.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// LeftReason says why this member takes part no longer, without Leave having
-// been called. It is empty while the member takes part.
+// LeftReason returns why this member gave up its name and left the group on its
+// own. It is empty while the member takes part, and after Leave.
 func (m *Machine) LeftReason() string { return m.leftReason }
 
-// stopped reports whether this member takes part no longer, for either reason.
+// stopped reports whether this member has left the group, by Leave or because it
+// gave up its name.
 func (m *Machine) stopped() bool { return m.left || m.leftReason != "" }
 
-// NextTick returns when Tick has something to do.
+// NextTick returns the time at which Tick should be called next.
 func (m *Machine) NextTick() time.Duration {
 	next := min(m.nextProbe, m.nextReconnect)
 	if deadline, running := m.probe.nextDeadline(); running {
@@ -153,7 +157,7 @@
 	return next
 }
 
-// Tick does what is due and returns the messages to be sent.
+// Tick runs all protocol steps that are due and returns the messages to send.
 func (m *Machine) Tick(now time.Duration) []Envelope {
 	m.beginCall(now)
 	if m.stopped() {
@@ -177,13 +181,13 @@
 	return m.outbox
 }
 
-// Receive takes in a message and returns the messages to be sent in response.
+// Receive handles an incoming message and returns the messages to send.
 func (m *Machine) Receive(now time.Duration, msg *Message) []Envelope {
 	m.beginCall(now)
 	if m.stopped() {
 		return nil
 	}
-	if !m.meantForSelf(msg) || !validUpdate(msg.Self) {
+	if !m.addressedToSelf(msg) || !validUpdate(msg.Self) {
 		m.counts.Stray++
 		return nil
 	}
@@ -200,27 +204,27 @@
 		m.apply(update)
 	}
 	sender := m.members[msg.Self.Name]
-	if sender == nil { // no capacity for a further member
+	if sender == nil { // the member list is full
 		return m.outbox
 	}
-	sender.heardAt = m.now
+	sender.lastMessageAt = m.now
 	m.handle(msg, sender)
 	m.expireRelays()
 	m.syncIfDifferent(msg)
 	return m.outbox
 }
 
-// meantForSelf reports whether a message came from another member, or another
-// incarnation of this one, and is addressed to this member or to nobody.
-func (m *Machine) meantForSelf(msg *Message) bool {
+// addressedToSelf reports whether a message is addressed to this member, or to no
+// particular one, and was not sent by this incarnation of the member itself.
+func (m *Machine) addressedToSelf(msg *Message) bool {
 	if msg.Self.Name == m.self.Name && msg.Self.Incarnation == m.self.Incarnation {
 		return false
 	}
 	return msg.To == "" || msg.To == m.self.Name
 }
 
-// rejectEndedIncarnation answers a process whose name another one has taken over
-// since, so that it learns of that.
+// rejectEndedIncarnation replies to a process whose name now belongs to a later
+// incarnation. The reply carries that incarnation, so that the sender learns of it.
 func (m *Machine) rejectEndedIncarnation(sender Update, known *member) {
 	m.counts.EndedIncarnation++
 	if sender.State.present() {
@@ -244,7 +248,8 @@
 	}
 }
 
-// Leave notifies a few members that this one leaves. It takes part no longer.
+// Leave returns messages that notify a few members that this one leaves. The
+// member takes no further part in the protocol.
 func (m *Machine) Leave(now time.Duration) []Envelope {
 	m.beginCall(now)
 	if m.stopped() {
@@ -263,11 +268,11 @@
 	m.outbox = nil
 }
 
-// jitter draws a duration between half of d and one and a half, so that members
-// do not act in step.
+// jitter returns a random duration between 0.5*d and 1.5*d, so that members do not
+// act in lockstep.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(m.rng.Int64N(int64(d)+1))
 }
 
-// newNonce draws a nonce. It is never 0.
+// newNonce returns a random nonce, which is never 0.
 func (m *Machine) newNonce() uint64 { return m.rng.Uint64() | 1 }
--- a/internal/swim/swim_test.go
+++ b/internal/swim/swim_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// All find one another through one seed. One that stops is dead by the view of
-// all within a bound, no sooner than a suspicion lasts, and nobody else is.
+// All members join through one seed. A member that stops is declared dead by all
+// others within 3 s, but not before its suspicion times out, and no other member
+// is declared dead.
 func TestJoinAndDeath(t *testing.T) {
 	for _, n := range []int{2, 3, 6, 30} {
 		t.Run(fmt.Sprintf("%d members", n), func(t *testing.T) {
@@ -30,8 +31,8 @@
 	}
 }
 
-// A fifth of all messages is lost, a third is duplicated, all are delayed and
-// reordered: nobody stays dead for long, and all agree when the fault ends.
+// With 20% of the messages lost, 30% duplicated and all delayed and reordered, no
+// member stays declared dead, and all views agree once the fault has ended.
 func TestLossyNetwork(t *testing.T) {
 	c := startCluster(5, 8)
 	c.run(4 * time.Second)
@@ -51,8 +52,8 @@
 	}
 }
 
-// Two partitions take each other for dead, for however long. When the partition
-// heals they join again by themselves.
+// The two sides of a partition declare each other dead. When the partition heals,
+// after a short or a long time, they join again without intervention.
 func TestPartitionHeals(t *testing.T) {
 	for _, duration := range []time.Duration{3 * time.Second, 3 * time.Minute} {
 		c := startCluster(9, 6)
@@ -74,9 +75,9 @@
 	}
 }
 
-// A member that receives from another but is not received by it stays in the
-// group by way of the rest, and a ring in which each reaches only its neighbors
-// stays together too.
+// A member whose messages to one other member are lost stays in the group through
+// the remaining members. A ring in which each member reaches only its two
+// neighbors stays together too.
 func TestOneWayLinkAndRing(t *testing.T) {
 	c := startCluster(11, 5)
 	c.run(3 * time.Second)
@@ -95,8 +96,8 @@
 	}
 }
 
-// A process that is stopped for 3 s is declared dead. When it continues it
-// declares nobody dead for what it did not receive, and joins again.
+// A process that is stopped for 3 s is declared dead. When it resumes, it does not
+// declare others dead because of messages it missed, and it rejoins.
 func TestStalledProcess(t *testing.T) {
 	c := startCluster(13, 5)
 	c.run(3 * time.Second)
@@ -123,15 +124,15 @@
 	}
 }
 
-// A restart under the same name is a new incarnation, even if its clock is
-// behind, and messages of the ended one that arrive late have no effect. Of two
-// processes that run under one name one gives up.
+// A process restarted under the same name becomes a new incarnation even if its
+// clock is behind, and late messages from the ended incarnation have no effect.
+// Of two processes that run under the same name, one gives up the name.
 func TestIncarnations(t *testing.T) {
 	c := startCluster(17, 4)
 	c.run(3 * time.Second)
 	falseDeath := Update{Name: "m003", Addr: "at-m003", Incarnation: 1003, Refutation: 7, State: Dead}
 	late := Message{Kind: Ping, Self: c.members["at-m002"].Self(), Updates: []Update{falseDeath}}
-	c.startMember("m002", 20, "at-m000") // its clock is far behind
+	c.startMember("m002", 20, "at-m000") // an incarnation far below the previous one, as from a clock that is behind
 	c.run(6 * time.Second)
 	if err := c.agreeOn(memberNames(4)...); err != nil {
 		t.Fatal(err)
@@ -144,7 +145,7 @@
 	before := observer.Counts().EndedIncarnation
 	c.deliver("at-m002", observer.Receive(c.now, &late))
 	if m, _ := observer.Member("m003"); m.State != Alive || observer.Counts().EndedIncarnation != before+1 {
-		t.Fatalf("got %+v by a message of an ended incarnation, want it ignored and counted", m)
+		t.Fatalf("got %+v after a message from an ended incarnation, want it ignored and counted", m)
 	}
 	twinConfig := Config{Name: "m002", Addr: "at-twin", Incarnation: 5000, Seeds: []string{"at-m000"}}
 	twin := New(twinConfig, c.now, rand.New(rand.NewPCG(1, 1)))
@@ -152,12 +153,12 @@
 	c.run(30 * time.Second)
 	twinLeft, otherLeft := twin.LeftReason() != "", c.members["at-m002"].LeftReason() != ""
 	if twinLeft == otherLeft {
-		t.Fatalf("gave up the name: got %v and %v, want one of the two", twinLeft, otherLeft)
+		t.Fatalf("gave up the name: got %v and %v, want exactly one of the two", twinLeft, otherLeft)
 	}
 }
 
-// A member that leaves is known to have left, not to be dead, and is not brought
-// back by a rumor.
+// A member that leaves is in state left, not dead, and old rumors do not bring it
+// back after it has been removed.
 func TestLeave(t *testing.T) {
 	c := startCluster(19, 6)
 	c.run(3 * time.Second)
@@ -172,12 +173,12 @@
 	c.run(3 * time.Minute)
 	for _, addr := range c.addrs() {
 		if m, known := c.members[addr].Member("m004"); known {
-			t.Errorf("m004 in the view of %s: got %v, want it forgotten", addr, m.State)
+			t.Errorf("m004 in the view of %s: got %v, want it removed", addr, m.State)
 		}
 	}
 }
 
-// Updates of one member in any order and number result in the same view.
+// Updates about a member result in the same view in any order and with duplicates.
 func TestUpdateOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyUpdate := rapid.Custom(func(t *rapid.T) Update {
@@ -204,7 +205,7 @@
 	})
 }
 
-// machineWith returns a machine that knows two members, with updates applied.
+// machineWith returns a machine that knows two members and has applied updates.
 func machineWith(updates []Update) *Machine {
 	m := New(Config{Name: "self", Addr: "y", Incarnation: 1}, 0, rand.New(rand.NewPCG(1, 1)))
 	known := []Update{{Name: "a", Addr: "x", Incarnation: 1}, {Name: "b", Addr: "x", Incarnation: 1}}
@@ -214,7 +215,8 @@
 	return m
 }
 
-// What a member sends does not grow with the group, but for the rosters.
+// The number of messages that a member sends does not grow with the group, apart
+// from roster pages.
 func TestTrafficPerMember(t *testing.T) {
 	perSecond := func(n int) float64 {
 		c := startCluster(uint64(n), n)
@@ -224,12 +226,12 @@
 		return float64(c.sentCount) / float64(n) / 10
 	}
 	if small, large := perSecond(4), perSecond(40); large > 1.5*small {
-		t.Fatalf("got %.1f messages a second of each of 40 members, want 1.5 times the %.1f of 4 at most", large, small)
+		t.Fatalf("got %.1f messages/s per member in a group of 40, want at most 1.5 times the %.1f of 4", large, small)
 	}
 }
 
-// Malformed and stray messages change nothing and are not answered.
-func TestStrayMessages(t *testing.T) {
+// Malformed and misaddressed messages change nothing and are not answered.
+func TestInvalidMessages(t *testing.T) {
 	c := startCluster(23, 3)
 	c.run(2 * time.Second)
 	m := c.members["at-m000"]
@@ -243,7 +245,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if out := m.Receive(c.now, &msg); len(out) > 0 || m.viewHash != before {
-				t.Errorf("got %v, want no answer and no change", out)
+				t.Errorf("got %v, want no response and no change", out)
 			}
 		})
 	}
