--- a/internal/gossip/delta.go
+++ b/internal/gossip/delta.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// DeltasFor returns what the sender of a digest lacks, in about maxBytes at
-// most; the facts of each owner come oldest first. A new incarnation is
-// reported even while it has no facts, since it invalidates those of the ended
-// one.
+// DeltasFor returns what the sender of a digest does not have, limited to about
+// maxBytes. The facts of each owner are ordered by ascending sequence. A new
+// incarnation is included even if it has no facts yet, since it invalidates the
+// facts of the previous one.
 func (s *Store) DeltasFor(now time.Duration, d Digest, maxBytes int) []Delta {
 	var deltas []Delta
 	watermarks := d.byOwner()
 	start := 0
-	if n := len(s.byHash); n > 0 { // another owner first each time, so that a full response starves none
+	if n := len(s.byHash); n > 0 { // start at a different owner each time, so that full responses starve no owner
 		start = int(uint64(now/time.Millisecond) % uint64(n))
 	}
 	for i := range s.byHash {
@@ -39,8 +39,9 @@
 	return deltas
 }
 
-// deltaSince returns the owner's facts above a watermark, as many as fit into
-// maxBytes, and the bytes that are left: negative if not all of them fitted.
+// deltaSince returns as many of the owner's facts above a watermark as fit into
+// maxBytes. It also returns the remaining bytes, which are negative if not all
+// facts fit.
 func (o *ownerRecord) deltaSince(now time.Duration, w Watermark, maxBytes int) (Delta, int) {
 	delta := Delta{Owner: o.name, Incarnation: o.incarnation, To: o.completeThrough}
 	if w.Incarnation == o.incarnation {
@@ -65,8 +66,8 @@
 	return delta, maxBytes
 }
 
-// HasMore reports whether the sender of a digest lacks more than the deltas
-// that are sent in response.
+// HasMore reports whether the sender of a digest will still lack facts after it has
+// merged the deltas that are sent in response.
 func (s *Store) HasMore(d Digest, sent []Delta) bool {
 	watermarks := d.byOwner()
 	for _, delta := range sent {
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// NextDigest returns the next periodic request: the watermarks of as many
-// owners as one message holds. Successive digests go round all owners.
+// NextDigest returns the digest for the next periodic request, with the watermarks
+// of as many owners as fit into one message. Successive digests cycle through all
+// owners.
 func (s *Store) NextDigest() Digest {
 	if len(s.byHash) <= maxDigestWatermarks {
 		s.nextDigestLow = 0
@@ -16,9 +17,9 @@
 	return d
 }
 
-// ContinueDigest returns the request that follows one whose response was
-// incomplete: for the same owners or the same range of hashes, with the
-// watermarks as they are now.
+// ContinueDigest returns the digest that follows an incomplete response to
+// previous. It covers the same owners or the same range of hashes, with current
+// watermarks.
 func (s *Store) ContinueDigest(previous Digest) Digest {
 	if !previous.NamedOnly {
 		return s.rangeDigest(previous.Lo, previous.Hi)
@@ -34,9 +35,9 @@
 	return d
 }
 
-// rangeDigest returns the watermarks of the owners whose hash is in [low, high),
-// or of as many of them as one message holds. Owners with equal hashes are never
-// split between two digests.
+// rangeDigest returns a digest of the owners whose hash is in [low, high). If they
+// do not fit into one message, it covers a shorter range that starts at low. Owners
+// with equal hashes are never split between two digests.
 func (s *Store) rangeDigest(low, high uint64) Digest {
 	d := Digest{Lo: low, Hi: high}
 	for _, owner := range s.byHash {
@@ -55,9 +56,9 @@
 	return d
 }
 
-// RecentWatermarks returns the watermarks of the owners whose facts changed
-// here last, the latest first. Sent unsolicited, they let others request what
-// is new; see DigestFor.
+// RecentWatermarks returns the watermarks of the owners whose facts changed most
+// recently in this store, latest first. Sent as an announcement, they let other
+// instances request the new facts; see DigestFor.
 func (s *Store) RecentWatermarks() []Watermark {
 	changed := slices.DeleteFunc(slices.Clone(s.byHash), func(o *ownerRecord) bool { return o.changedAt == 0 })
 	slices.SortFunc(changed, func(a, b *ownerRecord) int { return cmp.Compare(b.changedAt, a.changedAt) })
@@ -68,8 +69,9 @@
 	return recent
 }
 
-// DigestFor returns the request for what another store's recent watermarks say
-// that it has and this one lacks. It reports false if this store lacks nothing.
+// DigestFor returns the digest that requests the facts which another store has,
+// according to its recent watermarks, and this one lacks. It reports false if this
+// store lacks none.
 func (s *Store) DigestFor(recent []Watermark) (Digest, bool) {
 	d := Digest{Hi: hashSpace, NamedOnly: true}
 	for _, w := range recent[:min(len(recent), maxRecentWatermarks)] {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,22 +1,23 @@
-// Package gossip replicates facts among instances by anti-entropy. It takes in
-// an instance's own facts and deltas of others', and yields the facts that are
-// known, a lower bound of the time at which each was observed, and the deltas
-// that another instance lacks. Only its owner writes a fact; all others merge.
-// A fact is identified by its owner, the owner's incarnation, its kind and its
-// subject, and the highest sequence wins, so that merging is commutative,
-// associative and idempotent. The package does no I/O and knows neither the
-// meaning of a kind, nor the state of a member, nor how messages travel.
+// Package gossip replicates facts among instances by anti-entropy. A Store holds
+// an instance's own facts and those received from others, each with a lower bound
+// of the time at which it was observed, and computes the deltas that another
+// instance lacks.
+//
+// Only its owner writes a fact; all other instances merge it. A fact is identified
+// by its owner, the owner's incarnation, its kind and its subject. The highest
+// sequence wins, so that merging is commutative, associative and idempotent. The
+// package performs no I/O and does not depend on the meaning of a kind, the
+// membership or the transport of messages.
 //
 // # Ages
 //
-// Instances need no common clock. A response repeats when its request was sent
-// by the requester's own monotonic clock, and carries the age of each fact at
-// the moment of the response. A fact of age a in the response to a request that
-// was sent at t was therefore observed no earlier than t-a. The requester takes
-// that time, by which a fact seems older than it is by at most one round trip
-// for each hop, and never younger. A response that took longer than
-// MaxRoundTrip is dropped. A clock that runs fast or slow by some fraction
-// distorts ages by the same fraction.
+// Instances need no common clock. The requester remembers when, by its own
+// monotonic clock, it sent a request, and the response carries the age of each
+// fact at the time of the response. A fact of age a in the response to a request
+// sent at t was therefore observed no earlier than t-a. The requester stores that
+// time. A fact thus appears older than it is by at most one round trip per hop,
+// and never younger. A response that takes longer than MaxRoundTrip is dropped. A
+// clock that runs fast or slow by some fraction distorts ages by the same fraction.
 package gossip
 
 import (
@@ -27,44 +28,45 @@
 	"time"
 )
 
-// Fact is one fact of a store.
+// Fact is a piece of data that its owner has observed about a subject.
 type Fact struct {
 	Owner       string
 	Kind        string
 	Subject     string
 	Incarnation uint64        // of the owner
 	Seq         uint64        // order among the facts of the owner's incarnation
-	ObservedAt  time.Duration // lower bound, by this instance's monotonic clock
-	Data        []byte        // as the kind defines it; must not be modified
+	ObservedAt  time.Duration // lower bound, on this instance's monotonic clock
+	Data        []byte        // format depends on the kind; must not be modified
 }
 
-// Store holds what one instance knows. Only one goroutine may use it at a time.
+// Store holds the facts known to one instance. It is not safe for concurrent use.
 type Store struct {
 	self          *ownerRecord // the record of this instance; also in owners
 	owners        map[string]*ownerRecord
 	byHash        []*ownerRecord // all owners, ordered by compareOwners
-	horizon       time.Duration  // facts that are older are dropped
+	retention     time.Duration  // older facts are dropped
 	usedBytes     int            // sum of factSize over all facts
 	nextDigestLow uint64         // lowest hash of the next periodic digest
-	version       uint64         // rises with each change of the facts or the own incarnation
+	version       uint64         // incremented with each change of the facts or of this instance's incarnation
 	counts        Counts
 }
 
-// New returns the store of an instance's incarnation. It drops facts that are
-// older than the horizon, which is one second at least.
-func New(name string, incarnation uint64, horizon time.Duration) *Store {
-	s := &Store{owners: map[string]*ownerRecord{}, horizon: max(horizon, minHorizon)}
+// New returns an empty store for an instance. Facts older than the retention time
+// are dropped. A retention of less than one second is raised to one second.
+func New(name string, incarnation uint64, retention time.Duration) *Store {
+	s := &Store{owners: map[string]*ownerRecord{}, retention: max(retention, minRetention)}
 	s.self = s.findOrAddOwner(name, incarnation)
 	return s
 }
 
-// Version returns a number that changes whenever the content of the store does.
+// Version returns a number that is incremented whenever the content of the store
+// changes.
 func (s *Store) Version() uint64 { return s.version }
 
-// Counts returns how much was not taken over since the start, by cause.
+// Counts returns the counters of what was rejected since the start.
 func (s *Store) Counts() Counts { return s.counts }
 
-// Bytes estimates the memory that the facts take.
+// Bytes returns the estimated memory of all facts.
 func (s *Store) Bytes() int { return s.usedBytes }
 
 // Len returns the number of facts.
@@ -76,8 +78,8 @@
 	return n
 }
 
-// SetIncarnation begins another incarnation of this instance, which takes over
-// the facts of the one before.
+// SetIncarnation changes the incarnation of this instance. Its own facts are
+// retained and assigned to the new incarnation.
 func (s *Store) SetIncarnation(incarnation uint64) {
 	if incarnation == s.self.incarnation {
 		return
@@ -89,9 +91,9 @@
 	s.version++
 }
 
-// Put states a fact of this instance, observed at a time of its clock. The fact
-// replaces an earlier one of the same kind and subject. It reports false if
-// there is no capacity, or a string or the data is too long.
+// Put stores a fact of this instance, observed at the given time of its clock. The
+// fact replaces an earlier one of the same kind and subject. Put reports false if
+// there is no capacity, the kind is empty, or a string or the data is too long.
 func (s *Store) Put(kind, subject string, observedAt time.Duration, data []byte) bool {
 	if !validSizes(kind, subject, data) {
 		return false
@@ -115,8 +117,8 @@
 	return true
 }
 
-// Sweep drops facts that are older than the horizon, and owners without facts
-// unless retain reports that they are still needed.
+// Sweep drops facts that are older than the retention time. It also removes owners
+// without facts, unless retain reports that they are still needed.
 func (s *Store) Sweep(now time.Duration, retain func(owner string) bool) {
 	s.byHash = slices.DeleteFunc(s.byHash, func(owner *ownerRecord) bool {
 		for key, fact := range owner.facts {
@@ -133,11 +135,11 @@
 }
 
 func (s *Store) expired(now time.Duration, fact *Fact) bool {
-	return now-fact.ObservedAt > s.horizon
+	return now-fact.ObservedAt > s.retention
 }
 
-// Facts returns all facts of a kind, those of this instance among them, ordered
-// by owner and subject. None is older than the horizon.
+// Facts returns all facts of a kind that are not older than the retention time,
+// including this instance's own, ordered by owner and subject.
 func (s *Store) Facts(now time.Duration, kind string) []Fact {
 	var facts []Fact
 	for _, owner := range s.byHash {
@@ -153,9 +155,8 @@
 	return facts
 }
 
-// Checksum returns a number that is equal for two stores with the same facts.
-// The times of observation, which each store estimates for itself, are not part
-// of it.
+// Checksum returns a checksum that is equal for two stores with the same facts. It
+// excludes the times of observation, since each store has its own lower bounds.
 func (s *Store) Checksum(now time.Duration) uint64 {
 	var sum uint64
 	for _, owner := range s.byHash {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-const horizon = 60 * time.Second
+const retention = 60 * time.Second
 
-// content is all that a store holds, without ages.
+// content returns all facts of a store as text, without their times of observation.
 func content(s *Store) string {
 	var lines []string
 	for _, owner := range s.byHash {
@@ -26,17 +26,17 @@
 	return strings.Join(lines, "\n")
 }
 
-// pull is one request and its response, on a network with a round trip time.
+// pull simulates one request and its response with the given round trip time.
 func pull(now time.Duration, requester, responder *Store, roundTrip time.Duration) {
 	digest := requester.NextDigest()
 	deltas := responder.DeltasFor(now+roundTrip/2, digest, 1<<20)
 	requester.Merge(now+roundTrip, now, deltas)
 }
 
-// Facts reach all instances by way of others and are stored once. Their age is
-// overestimated by at most the round trips, and never underestimated.
+// A fact that reaches an instance over several paths is stored once. Its age is
+// overestimated by at most one round trip per hop, and never underestimated.
 func TestAgesAcrossHops(t *testing.T) {
-	a, b, c := New("a", 1, horizon), New("b", 1, horizon), New("c", 1, horizon)
+	a, b, c := New("a", 1, retention), New("b", 1, retention), New("c", 1, retention)
 	a.Put("node", "x", 3*time.Second, []byte("bad"))
 	now := 10 * time.Second
 	roundTrip := 20 * time.Millisecond
@@ -52,24 +52,24 @@
 			t.Errorf("got an age that is %v too high, want 0 to %v", tooOld, roundTrip)
 		}
 	}
-	// The clocks of two instances have nothing in common.
-	d := New("d", 1, horizon)
+	// The clocks of two instances are independent of each other.
+	d := New("d", 1, retention)
 	requestedAt := 5000 * time.Hour
 	d.Merge(requestedAt+roundTrip, requestedAt, a.DeltasFor(now, d.NextDigest(), 1<<20))
 	facts := d.Facts(requestedAt+roundTrip, "node")
 	if len(facts) != 1 || requestedAt-facts[0].ObservedAt != 7*time.Second {
-		t.Fatalf("got %+v, want one fact of 7s", facts)
+		t.Fatalf("got %+v, want one fact with an age of 7s", facts)
 	}
 	// A response that took too long is dropped.
-	e := New("e", 1, horizon)
+	e := New("e", 1, retention)
 	e.Merge(now+time.Second, now, a.DeltasFor(now, e.NextDigest(), 1<<20))
 	if facts := e.Facts(now, "node"); len(facts) != 0 || e.Counts().Late != 1 {
 		t.Fatalf("got %+v and %+v from a late response, want nothing", facts, e.Counts())
 	}
 }
 
-// mergeHistory plays random steps of three owners and records the responses
-// that were on the wire.
+// mergeHistory runs random steps of three owners and records the responses that
+// they send.
 type mergeHistory struct {
 	now          time.Duration
 	owners       []*Store
@@ -80,27 +80,27 @@
 func newMergeHistory() *mergeHistory {
 	h := &mergeHistory{now: time.Second}
 	for i := range 3 {
-		h.owners = append(h.owners, New(fmt.Sprint("o", i), 1, horizon))
+		h.owners = append(h.owners, New(fmt.Sprint("o", i), 1, retention))
 		h.incarnations = append(h.incarnations, 1)
 	}
 	return h
 }
 
-// step draws and plays one step.
+// step runs one random step.
 func (h *mergeHistory) step(t *rapid.T) {
 	i := rapid.IntRange(0, 2).Draw(t, "owner")
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0, 1:
 		subject := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "subject")
 		h.owners[i].Put("k", subject, h.now, []byte{byte(rapid.IntRange(0, 9).Draw(t, "value"))})
-	case 2: // it answers a request of a store that has a part of its facts
+	case 2: // it responds to a store that has some of its facts
 		known := uint64(rapid.IntRange(0, 3).Draw(t, "have"))
 		digest := Digest{Hi: hashSpace, Watermarks: []Watermark{{h.owners[i].self.name, h.incarnations[i], known}}}
 		maxBytes := rapid.SampledFrom([]int{1 << 20, 120, 180}).Draw(t, "bytes")
 		h.responses = append(h.responses, h.owners[i].DeltasFor(h.now, digest, maxBytes))
-	case 3: // it restarts empty
+	case 3: // it restarts without facts
 		h.incarnations[i]++
-		h.owners[i] = New(fmt.Sprint("o", i), h.incarnations[i], horizon)
+		h.owners[i] = New(fmt.Sprint("o", i), h.incarnations[i], retention)
 	case 4: // it pulls from another
 		j := rapid.IntRange(0, 2).Draw(t, "from")
 		pull(h.now, h.owners[i], h.owners[j], time.Millisecond)
@@ -108,20 +108,20 @@
 	h.now += 10 * time.Millisecond
 }
 
-// listenerOf returns a store that has merged responses in their order.
-func (h *mergeHistory) listenerOf(responses [][]Delta) *Store {
-	s := New("listener", 1, horizon)
+// replicaOf returns a store that has merged the responses in the given order.
+func (h *mergeHistory) replicaOf(responses [][]Delta) *Store {
+	s := New("listener", 1, retention)
 	for _, deltas := range responses {
 		s.Merge(h.now, h.now, deltas)
 	}
 	return s
 }
 
-// exchange has the listeners and the owners pull from every owner.
-func (h *mergeHistory) exchange(listeners ...*Store) {
+// exchange makes the replicas and the owners pull from every owner.
+func (h *mergeHistory) exchange(replicas ...*Store) {
 	for _, owner := range h.owners {
-		for _, listener := range listeners {
-			pull(h.now, listener, owner, 0)
+		for _, replica := range replicas {
+			pull(h.now, replica, owner, 0)
 		}
 		for _, other := range h.owners {
 			pull(h.now, owner, other, 0)
@@ -129,9 +129,9 @@
 	}
 }
 
-// Merging is commutative, associative and idempotent: whatever responses of
-// whichever incarnations arrive in whatever order and number, and whatever is
-// lost on the way, a few rounds of requests make all stores equal.
+// Merging is commutative, associative and idempotent: after responses of several
+// incarnations have been reordered, repeated or lost, a few rounds of requests
+// make all stores equal.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := newMergeHistory()
@@ -139,10 +139,10 @@
 			history.step(t)
 		}
 		responses := history.responses
-		a := history.listenerOf(responses)
+		a := history.replicaOf(responses)
 		shuffled := rapid.Permutation(responses).Draw(t, "order")
 		repeated := responses[:rapid.IntRange(0, len(responses)).Draw(t, "again")]
-		b := history.listenerOf(slices.Concat(shuffled, repeated))
+		b := history.replicaOf(slices.Concat(shuffled, repeated))
 		for range 3 {
 			history.exchange(a, b)
 		}
@@ -157,14 +157,15 @@
 	})
 }
 
-// Exhaustive: three owners with one fact each, stated twice, and every subset
-// and order of the six responses in between, each merged once or twice. The
-// result is the newest of what arrived, and the same for every order.
+// Three owners put one fact each, then replace it, and send one response after
+// each put. Merging any subset of the six responses, in any order, each once or
+// twice, results in the newest fact received of each owner. The test covers all
+// subsets and orders.
 func TestMergeEveryOrder(t *testing.T) {
 	now := time.Second
 	var responses [][]Delta
 	for i := range 3 {
-		owner := New(fmt.Sprint("o", i), 7, horizon)
+		owner := New(fmt.Sprint("o", i), 7, retention)
 		owner.Put("k", "x", now, []byte("old"))
 		responses = append(responses, owner.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 		owner.Put("k", "x", now, []byte("new"))
@@ -200,7 +201,7 @@
 
 // mergeInOrder returns a store that has merged some of the responses.
 func mergeInOrder(now time.Duration, responses [][]Delta, order []int, times int) *Store {
-	s := New("s", 1, horizon)
+	s := New("s", 1, retention)
 	for _, i := range order {
 		for range times {
 			s.Merge(now, now, responses[i])
@@ -209,8 +210,8 @@
 	return s
 }
 
-// requireNewest checks that of each owner whose second response was merged the
-// second fact is stored, alone.
+// requireNewest checks that for each owner whose second response was merged, only
+// the second fact is stored.
 func requireNewest(t *testing.T, s *Store, order []int) {
 	t.Helper()
 	for i := range 3 {
@@ -240,11 +241,11 @@
 	step(0)
 }
 
-// The facts of an ended incarnation do not come back, and others' claims on an
-// owner's facts do not count at the owner.
+// Late deltas do not bring back the facts of an ended incarnation, and an owner
+// ignores deltas from others about its own facts.
 func TestIncarnations(t *testing.T) {
 	now := time.Second
-	first, second, s := New("o", 1, horizon), New("o", 2, horizon), New("s", 1, horizon)
+	first, second, s := New("o", 1, retention), New("o", 2, retention), New("s", 1, retention)
 	first.Put("k", "x", now, []byte("first"))
 	second.Put("k", "y", now, []byte("second"))
 	old := first.DeltasFor(now, s.NextDigest(), 1<<20)
@@ -262,10 +263,10 @@
 	}
 }
 
-// Facts beyond the horizon are dropped everywhere, do not come back, and release
-// their memory.
-func TestHorizon(t *testing.T) {
-	a, b := New("a", 1, horizon), New("b", 1, horizon)
+// Facts older than the retention time are dropped in all stores, do not come back,
+// and their memory is no longer counted.
+func TestRetention(t *testing.T) {
+	a, b := New("a", 1, retention), New("b", 1, retention)
 	now := time.Second
 	for i := range 100 {
 		a.Put("k", fmt.Sprint(i), now, bytes.Repeat([]byte("x"), 100))
@@ -274,10 +275,10 @@
 	if b.Len() != 100 || b.Bytes() < 10000 {
 		t.Fatalf("got %d facts in %d bytes, want 100 in 10000 or more", b.Len(), b.Bytes())
 	}
-	late := now + horizon + time.Second
+	late := now + retention + time.Second
 	b.Sweep(late, func(string) bool { return false })
 	if b.Len() != 0 || b.Bytes() != 0 || len(b.owners) != 1 {
-		t.Fatalf("got %d facts, %d bytes, %d owners, want only the own record", b.Len(), b.Bytes(), len(b.owners))
+		t.Fatalf("got %d facts, %d bytes, %d owners, want only its own owner record", b.Len(), b.Bytes(), len(b.owners))
 	}
 	pull(late, b, a, 0)
 	if b.Len() != 0 || len(a.Facts(late, "k")) != 0 {
@@ -285,19 +286,19 @@
 	}
 }
 
-// Responses keep to their size and lose nothing: repeated requests yield all
+// Responses stay within their size limit, and repeated requests still return all
 // facts of many owners.
 func TestPagedResponses(t *testing.T) {
-	hub := New("hub", 1, horizon)
+	hub := New("hub", 1, retention)
 	now := time.Second
 	for i := range 200 {
-		owner := New(fmt.Sprintf("owner-%03d", i), 1, horizon)
+		owner := New(fmt.Sprintf("owner-%03d", i), 1, retention)
 		for fact := range 3 {
 			owner.Put("k", fmt.Sprint(fact), now, []byte("data"))
 		}
 		hub.Merge(now, now, owner.DeltasFor(now, Digest{Hi: hashSpace}, 1<<20))
 	}
-	late, requests := New("late", 1, horizon), 0
+	late, requests := New("late", 1, retention), 0
 	for late.Len() < hub.Len() && requests < 400 {
 		requests++
 		now += time.Millisecond
@@ -313,10 +314,10 @@
 	}
 }
 
-// Malformed deltas and facts are counted and change nothing, and the bounds hold
-// whatever arrives.
+// Malformed deltas and facts are counted and ignored, and a flood of facts does not
+// exceed the bounds of the store.
 func TestMalformedDeltas(t *testing.T) {
-	s := New("s", 1, horizon)
+	s := New("s", 1, retention)
 	now := time.Second
 	long := strings.Repeat("x", 1000)
 	s.Merge(now, now, []Delta{
@@ -337,7 +338,7 @@
 	}
 	tooLarge := make([]byte, maxDataBytes+1)
 	if s.Put("", "x", now, nil) || s.Put("k", long, now, nil) || s.Put("k", "x", now, tooLarge) {
-		t.Fatal("a malformed fact of the instance's own was stored")
+		t.Fatal("Put stored a malformed fact")
 	}
 	for i := range 50 {
 		delta := Delta{Owner: fmt.Sprint("flood", i), Incarnation: 1, To: 1000}
--- a/internal/gossip/merge.go
+++ b/internal/gossip/merge.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// maxAgeMicroseconds keeps the conversion of an age to nanoseconds from
-// overflowing.
+// maxAgeMicroseconds is the largest accepted age. It prevents an overflow in the
+// conversion to nanoseconds.
 const maxAgeMicroseconds = (1 << 62) / int64(time.Microsecond)
 
-// Merge takes over the deltas of a response. RequestedAt is when this instance
-// sent the request, by its own clock; ages count from then on.
+// Merge stores the facts in the deltas of a response. requestedAt is when this
+// instance sent the request, by its own clock; ages are subtracted from it.
 func (s *Store) Merge(now, requestedAt time.Duration, deltas []Delta) {
 	if now-requestedAt > MaxRoundTrip || requestedAt > now {
 		s.counts.Late++
@@ -19,7 +19,7 @@
 }
 
 func (s *Store) mergeDelta(requestedAt time.Duration, delta Delta) {
-	if delta.Owner == s.self.name { // only this instance states its own facts
+	if delta.Owner == s.self.name { // only this instance writes its own facts
 		s.counts.Own++
 		return
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// beginIncarnation drops the facts of an owner's ended incarnation: the next
-// one states again what still holds.
+// beginIncarnation switches an owner to a new incarnation and drops the facts of
+// the previous one: the new incarnation publishes again what still applies.
 func (s *Store) beginIncarnation(owner *ownerRecord, incarnation uint64) {
 	for key := range owner.facts {
 		s.remove(owner, key)
@@ -58,8 +58,9 @@
 	owner.incarnation, owner.completeThrough = incarnation, 0
 }
 
-// mergeFact takes over one fact of a delta. It reports false if the fact has to
-// be requested again, because it was malformed or there was no capacity.
+// mergeFact stores one fact of a delta unless the stored one is as new. It reports
+// false if the fact has to be requested again, because it was malformed or there
+// was no capacity.
 func (s *Store) mergeFact(requestedAt time.Duration, owner *ownerRecord, delta Delta, received DeltaFact) bool {
 	if !validFact(delta, received) {
 		s.counts.Malformed++
@@ -72,14 +73,14 @@
 	case stored != nil && stored.Seq > received.Seq:
 		return true
 	case stored != nil && stored.Seq == received.Seq:
-		// The same fact by another way. Both times are lower bounds; the
-		// higher one is closer.
+		// The same fact over another path. Both times are lower bounds, so the
+		// higher one is more accurate.
 		if observedAt > stored.ObservedAt {
 			stored.ObservedAt = observedAt
 			s.version++
 		}
 		return true
-	case requestedAt-observedAt > s.horizon: // every store drops it soon
+	case requestedAt-observedAt > s.retention: // expired in all stores, so it is not requested again
 		return true
 	}
 	next := &Fact{
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -1,7 +1,7 @@
 package gossip
 
-// Delta carries facts of one owner: all those that the sender stores whose
-// sequence is above From and at most To.
+// Delta carries the facts of one owner in the sender's store whose sequence is in
+// (From, To].
 type Delta struct {
 	Owner       string      `cbor:"1,keyasint"`
 	Incarnation uint64      `cbor:"2,keyasint"` // of the owner
@@ -15,20 +15,20 @@
 	Kind    string `cbor:"1,keyasint"`
 	Subject string `cbor:"2,keyasint"`
 	Seq     uint64 `cbor:"3,keyasint"`
-	AgeUS   int64  `cbor:"4,keyasint,omitempty"` // when the response was made, in microseconds
+	AgeUS   int64  `cbor:"4,keyasint,omitempty"` // age at the time of the response, in microseconds
 	Data    []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// Watermark says that all facts of an owner's incarnation up to a sequence are
-// known.
+// Watermark states that all facts of an owner's incarnation up to the sequence Seq
+// are known.
 type Watermark struct {
 	Owner       string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Seq         uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Digest requests what its sender lacks. It holds the watermarks of the owners
-// whose hash is in [Lo, Hi); an owner of that range without a watermark is
+// Digest requests the facts that its sender lacks. It holds the watermarks of the
+// owners whose hash is in [Lo, Hi). An owner in that range without a watermark is
 // unknown to the sender.
 type Digest struct {
 	Lo         uint64      `cbor:"1,keyasint,omitempty"`
@@ -37,7 +37,7 @@
 	NamedOnly  bool        `cbor:"4,keyasint,omitempty"` // requests only owners that have a watermark here
 }
 
-// byOwner returns the watermarks of the digest by the names of their owners.
+// byOwner returns the watermarks of the digest by owner name.
 func (d Digest) byOwner() map[string]Watermark {
 	watermarks := map[string]Watermark{}
 	for _, w := range d.Watermarks {
@@ -46,8 +46,8 @@
 	return watermarks
 }
 
-// requests reports whether the digest is about an owner. Named says whether the
-// owner has a watermark in it.
+// requests reports whether the digest requests facts of an owner. named says
+// whether the digest has a watermark of that owner.
 func (d Digest) requests(owner *ownerRecord, named bool) bool {
 	return (named || !d.NamedOnly) && owner.hash >= d.Lo && owner.hash < d.Hi
 }
--- a/internal/gossip/owner.go
+++ b/internal/gossip/owner.go
@@ -12,29 +12,29 @@
 // factKey identifies a fact among those of its owner.
 type factKey struct{ kind, subject string }
 
-// ownerRecord holds what a store knows of one owner.
+// ownerRecord holds the facts of one owner and how far they are complete.
 type ownerRecord struct {
 	name            string
 	hash            uint64 // of the name, below hashSpace
 	incarnation     uint64
-	completeThrough uint64 // every fact up to this sequence was seen, though later ones may have replaced it
+	completeThrough uint64 // every fact up to this sequence was received; some may have been replaced since
 	facts           map[factKey]*Fact
 	changedAt       uint64 // the store's version when a fact was last inserted; 0: never
 }
 
-// watermark says how far the owner's facts are known.
+// watermark returns up to which sequence the owner's facts are known.
 func (o *ownerRecord) watermark() Watermark {
 	return Watermark{o.name, o.incarnation, o.completeThrough}
 }
 
-// aheadOf reports whether this record has something that a store with the
-// given watermark lacks.
+// aheadOf reports whether this record is newer than a store with the given
+// watermark.
 func (o *ownerRecord) aheadOf(w Watermark) bool {
 	return w.Incarnation < o.incarnation || w.Incarnation == o.incarnation && w.Seq < o.completeThrough
 }
 
-// behind reports whether a store with the given watermark has something that
-// this record lacks.
+// behind reports whether a store with the given watermark is newer than this
+// record.
 func (o *ownerRecord) behind(w Watermark) bool {
 	return o.incarnation < w.Incarnation || o.incarnation == w.Incarnation && o.completeThrough < w.Seq
 }
@@ -50,9 +50,8 @@
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 }
 
-// findOrAddOwner returns the record of an owner, a new one with the given
-// incarnation if the owner was unknown. It returns nil if there is no capacity
-// for a further owner.
+// findOrAddOwner returns the record of an owner. For an unknown owner it adds one
+// with the given incarnation, or returns nil if there are already maxOwners.
 func (s *Store) findOrAddOwner(name string, incarnation uint64) *ownerRecord {
 	if owner := s.owners[name]; owner != nil {
 		return owner
@@ -67,7 +66,7 @@
 	return owner
 }
 
-// insert stores next in the place of previous (nil: nothing was there).
+// insert stores next in place of previous, which is nil if there is none.
 func (s *Store) insert(owner *ownerRecord, key factKey, previous, next *Fact) {
 	if previous != nil {
 		s.usedBytes -= factSize(previous)
@@ -78,7 +77,7 @@
 	owner.changedAt = s.version
 }
 
-// remove drops a fact that is stored.
+// remove drops a stored fact.
 func (s *Store) remove(owner *ownerRecord, key factKey) {
 	s.usedBytes -= factSize(owner.facts[key])
 	delete(owner.facts, key)
