--- a/internal/handover/dir.go
+++ b/internal/handover/dir.go
@@ -15,39 +15,42 @@
 )
 
 const (
-	maxProcesses   = 4                      // of one instance at one time: old ones that end, and the next
-	watchInterval  = 100 * time.Millisecond // between two looks for other processes and for new overrides
-	slotAttempts   = 20                     // another process that looks at a slot holds its lock for a moment
+	maxProcesses   = 4                      // of one instance at a time: old ones that are ending, and the new one
+	watchInterval  = 100 * time.Millisecond // between checks for sibling processes and for changed overrides
+	slotAttempts   = 20                     // repeated, since other processes lock free slots briefly to count siblings
 	slotRetryPause = 5 * time.Millisecond
 	lockRetryPause = 4 * time.Millisecond
 )
 
-// The suffixes of the files' names. Processes of different versions find each other by them.
+// Suffixes of the file names. They must stay the same in all versions, since processes of different versions find each
+// other by them.
 const (
-	slotSuffix      = ".slot"  // and a number: locked by one process as long as it runs
-	lockSuffix      = ".baton" // locked by the process that hands over or takes over
+	slotSuffix      = ".slot"  // followed by a number; locked by one process while it runs
+	lockSuffix      = ".baton" // locked by the process that is handing over or taking over
 	stateSuffix     = ".state"
 	overridesSuffix = ".words"
 )
 
-// Dir is the directory that the processes of one instance share, as one of them uses it. Its methods may be called by
-// many goroutines, except Watch, which one goroutine runs. Close releases its locks, as the end of the process does.
+// Dir gives one process access to the directory that the processes of an instance share. Its methods are safe for
+// concurrent use, except Watch, which only one goroutine may run. Its locks are released by Close, or by the kernel
+// when the process ends.
 type Dir struct {
-	base       string // path of the files, without their suffixes
-	listen     string // address of the instance
+	base       string // path of the files without the suffix
+	listen     string // listen address of the instance
 	log        *slog.Logger
-	slot       *os.File // locked
+	slot       *os.File // locked slot file of this process
 	slotNumber int
-	// syncDirectory is the function of that name, but in tests.
+	// syncDirectory is the package's function syncDirectory, except in tests.
 	syncDirectory func(path string) error
 
-	mu   sync.Mutex // guards lock, and the override file within this process
-	lock *os.File   // of Lock; nil: not held
+	mu   sync.Mutex // guards lock, and writes of the override file by this process
+	lock *os.File   // lock file locked by Lock; nil if not held
 
-	watchedVersion string // of the override file that Watch has reported last
+	reportedVersion string // version of the override file that Watch reported last
 }
 
-// Open takes a slot among the processes of the instance at an address. It returns an error if all slots are taken.
+// Open locks a free slot for this process of the instance at the given listen address. It returns an error if all slots
+// are locked by other processes.
 func Open(dir, listen string, log *slog.Logger) (*Dir, error) {
 	d := &Dir{
 		base:          filepath.Join(dir, "hitchspring-"+fileName(listen)),
@@ -69,10 +72,10 @@
 		}
 		time.Sleep(slotRetryPause)
 	}
-	return nil, fmt.Errorf("handover: %d processes of the ingress at %s are there already", maxProcesses, listen)
+	return nil, fmt.Errorf("handover: %d processes of the ingress at %s are already running", maxProcesses, listen)
 }
 
-// fileName returns an address with each character replaced that a file's name should not have.
+// fileName returns an address with all characters replaced that are unsuitable in a file name.
 func fileName(listen string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r == '.' {
@@ -84,14 +87,14 @@
 
 func (d *Dir) slotPath(number int) string { return fmt.Sprintf("%s%s%d", d.base, slotSuffix, number) }
 
-// Close releases the slot, and the lock if it is held.
+// Close releases the slot, and the handover lock if it is held.
 func (d *Dir) Close() {
 	d.Unlock()
 	d.slot.Close()
 }
 
-// SiblingCount returns how many other processes of this instance run. It goes by their locks, which the kernel releases
-// when a process ends.
+// SiblingCount returns the number of other running processes of this instance. It counts their slot locks, which the
+// kernel releases when a process ends.
 func (d *Dir) SiblingCount() (n int) {
 	for number := range maxProcesses {
 		if number == d.slotNumber {
@@ -109,7 +112,7 @@
 	return n
 }
 
-// Lock waits for the lock that one process holds at a time, or for ctx's end, whose error it returns.
+// Lock acquires the handover lock, which one process at a time can hold. It returns ctx's error if ctx is done first.
 func (d *Dir) Lock(ctx context.Context) error {
 	lock, err := os.OpenFile(d.base+lockSuffix, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -129,7 +132,7 @@
 	return nil
 }
 
-// Unlock releases the lock, if it is held.
+// Unlock releases the handover lock if it is held.
 func (d *Dir) Unlock() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,8 +142,8 @@
 	}
 }
 
-// Watch calls siblings with the number of other processes and overrides with those on file, at first and whenever they
-// have changed, until ctx ends.
+// Watch calls siblings with the number of sibling processes and overrides with the stored overrides, initially and
+// whenever they have changed, until ctx is done. Without an override file, overrides is not called initially.
 func (d *Dir) Watch(ctx context.Context, siblings func(int), overrides func([]override.Override)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -150,8 +153,8 @@
 			lastCount = n
 			siblings(n)
 		}
-		if version := d.overridesVersion(); version != d.watchedVersion {
-			d.watchedVersion = version
+		if version := d.overridesVersion(); version != d.reportedVersion {
+			d.reportedVersion = version
 			overrides(d.Overrides())
 		}
 		select {
--- a/internal/handover/dir_test.go
+++ b/internal/handover/dir_test.go
@@ -13,7 +13,7 @@
 
 func open(t *testing.T, dir, listen string) *Dir {
 	t.Helper()
-	d, err := Open(dir, listen, quiet)
+	d, err := Open(dir, listen, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,15 +28,15 @@
 	}
 }
 
-// The lock has one holder, and the next process gets it when that one releases it or dies. Processes see their siblings
-// by locks alone.
+// Only one process holds the handover lock, and the next one acquires it when the holder releases it or dies. Processes
+// of the same instance are counted as siblings by their locks, those of another instance are not.
 func TestLockAndSiblings(t *testing.T) {
 	dir := t.TempDir()
 	first, second := open(t, dir, testListen), open(t, dir, testListen)
-	stranger := open(t, dir, "127.0.0.1:2")
+	otherInstance := open(t, dir, "127.0.0.1:2")
 	wantSiblings(t, "first", first, 1)
 	wantSiblings(t, "second", second, 1)
-	wantSiblings(t, "stranger", stranger, 0)
+	wantSiblings(t, "stranger", otherInstance, 0)
 	if err := first.Lock(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -44,17 +44,17 @@
 	go func() { locked <- second.Lock(t.Context()) }()
 	select {
 	case err := <-locked:
-		t.Fatal("got the lock while another process holds it: ", err)
+		t.Fatal("Lock returned while another process holds the lock: ", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	first.Close() // as the kernel does when a process is killed
+	first.Close() // releases the lock, as the kernel does when a process is killed
 	if err := <-locked; err != nil {
 		t.Fatal(err)
 	}
-	wantSiblings(t, "second, after the first's end", second, 0)
+	wantSiblings(t, "second, after the first has ended", second, 0)
 }
 
-// Each process saves its overrides beside the other's.
+// wantSharedOverrides checks that overrides saved by two processes are merged.
 func wantSharedOverrides(t *testing.T, first, second *Dir) {
 	t.Helper()
 	for d, o := range map[*Dir]override.Override{
@@ -70,7 +70,7 @@
 	}
 }
 
-// Overrides are on file before Save returns, beside those of the other process, and a state is read once.
+// Save merges overrides with those of the other process, and a state can be read only once. Torn files are ignored.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	first, second := open(t, dir, testListen), open(t, dir, testListen)
@@ -88,7 +88,7 @@
 	if s, ok := second.ReadState(now); ok {
 		t.Fatalf("got state %+v a second time, want none", s)
 	}
-	// Neither file can stop a start, and a torn one does not stop overrides from being saved.
+	// Torn files must not prevent a start, and a torn override file must not prevent saving overrides.
 	for _, suffix := range []string{stateSuffix, overridesSuffix} {
 		path := filepath.Join(dir, "hitchspring-127.0.0.1_1"+suffix)
 		if err := os.WriteFile(path, []byte("{torn"), 0o600); err != nil {
@@ -96,10 +96,10 @@
 		}
 	}
 	if s, ok := second.ReadState(now); ok {
-		t.Fatalf("got state %+v of a torn file, want none", s)
+		t.Fatalf("got state %+v from a torn file, want none", s)
 	}
 	if got := second.Overrides(); len(got) > 0 {
-		t.Fatalf("got overrides %v of a torn file, want none", got)
+		t.Fatalf("got overrides %v from a torn file, want none", got)
 	}
 	if err := second.Save([]override.Override{{ID: "s3", Suspended: true, At: 3}}); err != nil {
 		t.Fatal(err)
@@ -109,7 +109,8 @@
 	}
 }
 
-// Guards against overrides that are said to be kept though the folder was not synced.
+// Guards against a Save that reports success although the directory was not synced, so that a crash could lose the
+// overrides.
 func TestSaveReportsUnsyncedDirectory(t *testing.T) {
 	d := open(t, t.TempDir(), "127.0.0.1:1")
 	d.syncDirectory = func(string) error { return syscall.EIO }
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// write puts a complete file into the directory and syncs both, or returns an error. The previous file is left unless
-// the error is that of syncing the directory: then the new one is in its place, and may be gone after a crash.
+// write atomically replaces a file and syncs both the file and the directory. After an error the previous file is
+// unchanged, unless syncing the directory failed: then the new file is in place, but may be lost in a crash.
 func (d *Dir) write(suffix string, data []byte) error {
 	temporary := fmt.Sprintf("%s%s.%d", d.base, suffix, d.slotNumber)
 	f, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
@@ -27,13 +27,13 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	if err := d.syncDirectory(filepath.Dir(d.base)); err != nil {
-		return fmt.Errorf("handover: file not surely on the disk: %w", err)
+		return fmt.Errorf("handover: directory not synced, file may be lost in a crash: %w", err)
 	}
 	return nil
 }
 
-// syncDirectory has the directory's entries on the disk. File systems that can't sync a directory keep them in their
-// own way.
+// syncDirectory flushes the directory's entries to disk. It ignores the errors of file systems that do not support
+// syncing a directory.
 func syncDirectory(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return err
 }
 
-// readFile reads a file, up to one byte more than it may have.
+// readFile reads a file, up to one byte beyond maxFileBytes so that callers can detect a file that is too large.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 }
 
-// flock locks a file, also when signals interrupt the call.
+// flock locks a file. It retries when a signal interrupts the call.
 func flock(f *os.File, how int) error {
 	for {
 		err := syscall.Flock(int(f.Fd()), how)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,7 +14,7 @@
 	"hitchspring/policy"
 )
 
-// filledState has a value in every field that Decode accepts.
+// filledState returns a state with a valid value in every field.
 func filledState() State {
 	var s State
 	golden.Fill(&s)
@@ -60,7 +60,7 @@
 	}
 }
 
-// The processes of one instance may be of different versions: they find each other by these names.
+// The file names must not change, since processes of different versions of one instance find each other by them.
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, testListen)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,10 @@
-// Package handover is how one process of an instance hands over to the next.
+// Package handover transfers state from one process of an instance to the next.
 //
-// The old process writes what it has learned into a state file, which the next one reads once. Both share the
-// operators' overrides in another file, and find each other by file locks in a common directory. Split divides the
-// learned quota units between the two without doubling or losing any. A file that is torn, of another address, of
-// another version or out of range is rejected as a whole. The package knows neither clients nor backends, and decides
-// nothing about requests.
+// The old process writes its learned state to a file, which the new process reads once. Both processes share the
+// operators' overrides in a second file and detect each other by file locks in a common directory. Split divides the
+// learned quota units between the two processes without duplicating or losing any. A file that is torn, was written for
+// another address or version, or holds a value that is out of range is rejected as a whole. The package is independent
+// of clients and backends, and makes no decisions about requests.
 package handover
 
 import (
@@ -14,26 +14,26 @@
 	"hitchspring/policy"
 )
 
-// Version is the version of the files' format. A file of another version is not read.
+// Version is the version of the file format. Files of other versions are rejected.
 const Version = 1
 
 const (
-	retainedDemand = 300 * time.Millisecond // of a tenant's demand, for the last requests of the old process
-	retainedShare  = 0.25                   // of a tenant's units, at most
+	retainedDemand = 300 * time.Millisecond // time span of a tenant's demand that the old process retains units for
+	retainedShare  = 0.25                   // maximum share of a tenant's units that the old process retains
 )
 
-// State is what the old process hands over.
+// State is the state that the old process hands over.
 type State struct {
 	Version int                 `json:"version"`
-	Listen  string              `json:"listen"` // address of the instance
-	At      time.Duration       `json:"at"`     // when it was made, on the clock that all instances share
-	List    discovery.List      `json:"list"`   // the last endpoint list, without the operators' overrides
+	Listen  string              `json:"listen"` // listen address of the instance
+	At      time.Duration       `json:"at"`     // when it was created, on the clock that all instances share
+	List    discovery.List      `json:"list"`   // the latest endpoint list, without the operators' overrides
 	Learned policy.LearnedState `json:"learned"`
 }
 
-// Split divides what an instance has learned between its old process, which retains a little for its last requests, and
-// its new one, which is given the rest. The sums of units stay as they were. Only the new process reports units to the
-// counter.
+// Split divides an instance's learned state between its old process, which retains a few units for its last requests,
+// and its new process, which is given the rest. The sums of units do not change. Only the new process reports units to
+// the counter.
 func Split(learned policy.LearnedState) (retained []policy.LearnedTenant, given policy.LearnedState) {
 	given = learned
 	given.Tenants = make([]policy.LearnedTenant, len(learned.Tenants))
@@ -49,7 +49,7 @@
 	return retained, given
 }
 
-// splitUnits retains what is needed, up to retainedShare. A debt is given whole.
+// splitUnits retains the needed units, limited to retainedShare of them. A negative amount is given away completely.
 func splitUnits(units, need float64) (retained, given float64) {
 	retained = max(0, min(need, units*retainedShare))
 	return retained, units - retained
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-// No unit is doubled or lost in a split, and only one of the two processes reports units to the counter.
+// A split neither duplicates nor loses units, and only the new process reports units to the counter.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var learned policy.LearnedState
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -6,9 +6,8 @@
 	"os"
 )
 
-// InheritedListener returns the listener that the platform keeps open over all processes, by the number of its
-// descriptor. Closing it ends the use by this process alone. It returns an error if the descriptor is no listening TCP
-// socket.
+// InheritedListener returns the listener with the given file descriptor, which the platform keeps open across
+// processes. Closing it affects only this process. It returns an error if the descriptor is not a listening TCP socket.
 func InheritedListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
--- a/internal/handover/overrides.go
+++ b/internal/handover/overrides.go
@@ -11,24 +11,25 @@
 	"hitchspring/internal/override"
 )
 
-// overridesFile is the format of the file of the operators' overrides.
+// overridesFile is the JSON format of the override file.
 type overridesFile struct {
 	Version   int                 `json:"version"`
 	Listen    string              `json:"listen"`
 	Overrides []override.Override `json:"words"`
 }
 
-// Save merges overrides into the file that all processes of the instance share. It returns when they are on the disk.
+// Save merges overrides into the override file that all processes of the instance share. When it returns nil, they have
+// been synced to disk.
 func (d *Dir) Save(overrides []override.Override) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	lock, err := os.OpenFile(d.base+overridesSuffix+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return fmt.Errorf("words: %w", err)
+		return fmt.Errorf("override file: %w", err)
 	}
 	defer lock.Close()
 	if err := flock(lock, syscall.LOCK_EX); err != nil {
-		return fmt.Errorf("words: %w", err)
+		return fmt.Errorf("override file: %w", err)
 	}
 	merged := override.New()
 	saved, err := d.readOverrides()
@@ -44,7 +45,7 @@
 	return d.write(overridesSuffix, data)
 }
 
-// Overrides returns the overrides on file; none if there is no file, or none that can be used.
+// Overrides returns the stored overrides. It returns none if there is no override file or it is invalid.
 func (d *Dir) Overrides() []override.Override {
 	overrides, err := d.readOverrides()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -61,7 +62,7 @@
 	return decodeOverrides(data, d.listen)
 }
 
-// overridesVersion identifies the present file of overrides, which each write replaces. It returns "" if there is none.
+// overridesVersion returns a string that changes whenever the override file is replaced, or "" if there is no file.
 func (d *Dir) overridesVersion() string {
 	info, err := os.Stat(d.base + overridesSuffix)
 	if err != nil {
@@ -77,26 +78,26 @@
 func encodeOverrides(file overridesFile) ([]byte, error) {
 	data, err := json.Marshal(file)
 	if err != nil {
-		return nil, fmt.Errorf("words: %w", err)
+		return nil, fmt.Errorf("override file: %w", err)
 	}
 	return data, nil
 }
 
-// decodeOverrides decodes and checks the overrides that were written for an address.
+// decodeOverrides decodes and validates an override file that was written for the given listen address.
 func decodeOverrides(data []byte, listen string) ([]override.Override, error) {
 	var file overridesFile
 	if err := decodeStrict(data, &file); err != nil {
-		return nil, fmt.Errorf("words: %w", err)
+		return nil, fmt.Errorf("override file: %w", err)
 	}
 	if file.Version != Version {
-		return nil, fmt.Errorf("words: version %d, this program reads %d", file.Version, Version)
+		return nil, fmt.Errorf("override file: version is %d, want %d", file.Version, Version)
 	}
 	if file.Listen != listen {
-		return nil, fmt.Errorf("words: of the ingress at %q, this one is at %q", file.Listen, listen)
+		return nil, fmt.Errorf("override file: written by the ingress at %q, this one is at %q", file.Listen, listen)
 	}
 	for _, o := range file.Overrides {
 		if o.ID == "" || o.At < 0 {
-			return nil, fmt.Errorf("words: on %q at %v", o.ID, o.At)
+			return nil, fmt.Errorf("override file: invalid override of backend %q at time %v", o.ID, o.At)
 		}
 	}
 	return file.Overrides, nil
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxFileBytes   = 4 << 20              // a larger file is not read, and none is written
-	maxStateAge    = 10 * time.Second     // an older state says little about the present load
-	maxClockError  = time.Second          // by which a state may seem to be of the future
-	maxInFlight    = 1 << 20              // larger counts are out of range
-	maxNumber      = 1e12                 // larger numbers are out of range
-	maxTimeInState = 365 * 24 * time.Hour // after now; later times are out of range
+	maxFileBytes  = 4 << 20              // larger files are neither read nor written
+	maxStateAge   = 10 * time.Second     // an older state does not reflect the current load
+	maxClockError = time.Second          // how far a state's time may be in the future
+	maxInFlight   = 1 << 20              // larger counts are out of range
+	maxNumber     = 1e12                 // larger numbers are out of range
+	maxFutureTime = 365 * 24 * time.Hour // times further in the future are out of range
 )
 
-// WriteState writes what the next process is to read.
+// WriteState writes the state file for the next process.
 func (d *Dir) WriteState(s State) error {
 	s.Listen = d.listen
 	data, err := Encode(s)
@@ -33,8 +33,8 @@
 	return d.write(stateSuffix, data)
 }
 
-// ReadState reads and removes what the previous process has written. It reports false if there is nothing, or nothing
-// that can be used.
+// ReadState reads and removes the state file of the previous process. It reports false if there is no file or it is
+// invalid.
 func (d *Dir) ReadState(now time.Duration) (State, bool) {
 	path := d.base + stateSuffix
 	data, err := readFile(path)
@@ -53,7 +53,7 @@
 	return s, true
 }
 
-// Encode encodes a state for a file. It returns an error if the state is too large.
+// Encode encodes a state as the content of a state file. It returns an error if the result is too large.
 func Encode(s State) ([]byte, error) {
 	s.Version = Version
 	data, err := json.Marshal(s)
@@ -61,13 +61,13 @@
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	if len(data) > maxFileBytes {
-		return nil, fmt.Errorf("state: %d bytes, %d at most", len(data), maxFileBytes)
+		return nil, fmt.Errorf("state: size is %d bytes, at most %d are allowed", len(data), maxFileBytes)
 	}
 	return data, nil
 }
 
-// Decode decodes a state that was written for an address, and checks all of it. The error of a file that is torn, of
-// another address or version, too old or out of range names the field, and nothing of the file is used.
+// Decode decodes and validates a state that was written for the given listen address. If any part of it is invalid, it
+// returns an error that names the cause, and no part of the state.
 func Decode(data []byte, listen string, now time.Duration) (State, error) {
 	var s State
 	if err := decodeStrict(data, &s); err != nil {
@@ -79,21 +79,21 @@
 	return s, nil
 }
 
-// check returns an error for the first field that cannot be of this instance's previous process.
+// check returns an error for the first field that cannot come from this instance's previous process.
 func (s State) check(listen string, now time.Duration) error {
 	switch {
 	case s.Version != Version:
-		return fmt.Errorf("version %d, this program reads %d", s.Version, Version)
+		return fmt.Errorf("version is %d, want %d", s.Version, Version)
 	case s.Listen != listen:
-		return fmt.Errorf("of the ingress at %q, this one is at %q", s.Listen, listen)
+		return fmt.Errorf("written by the ingress at %q, this one is at %q", s.Listen, listen)
 	case s.At > now+maxClockError || now-s.At > maxStateAge:
-		return fmt.Errorf("%v old, %v at most", (now - s.At).Round(time.Millisecond), maxStateAge)
+		return fmt.Errorf("%v old, at most %v is allowed", (now - s.At).Round(time.Millisecond), maxStateAge)
 	case s.Learned.InFlight < 0 || s.Learned.InFlight > maxInFlight:
-		return fmt.Errorf("busy is %d", s.Learned.InFlight)
+		return fmt.Errorf("busy is %d, which is out of range", s.Learned.InFlight)
 	}
 	for _, tenant := range s.Learned.Tenants {
 		if !isPlausible(tenant) {
-			return fmt.Errorf("customer %q: open %d, spread %d, first %d",
+			return fmt.Errorf("customer %q: a count is out of range: open %d, spread %d, first %d",
 				tenant.Account, tenant.InFlight, tenant.Spread, tenant.First)
 		}
 	}
@@ -103,12 +103,13 @@
 	return nil
 }
 
-// isPlausible reports whether a tenant's counts can be those of an instance.
+// isPlausible reports whether a tenant's counts are within the valid range.
 func isPlausible(tenant policy.LearnedTenant) bool {
 	return tenant.InFlight >= 0 && tenant.InFlight <= maxInFlight && tenant.Spread >= 1 && tenant.First >= 0
 }
 
-// findOutOfRange returns the name of the first number or time in a value that no instance can have had, or "".
+// findOutOfRange returns the JSON path of the first number or time in a value that is out of range, or "" if there is
+// none.
 func findOutOfRange(value reflect.Value, name string, now time.Duration) string {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -130,7 +131,7 @@
 		}
 	case reflect.Int64:
 		isTime := value.Type() == reflect.TypeFor[time.Duration]()
-		if isTime && (value.Int() < 0 || value.Int() > int64(now+maxTimeInState)) {
+		if isTime && (value.Int() < 0 || value.Int() > int64(now+maxFutureTime)) {
 			return name
 		}
 	default:
@@ -138,10 +139,10 @@
 	return ""
 }
 
-// decodeStrict decodes one JSON value with known fields and nothing after it.
+// decodeStrict decodes a single JSON value. It rejects unknown fields and trailing data.
 func decodeStrict(data []byte, into any) error {
 	if len(data) > maxFileBytes {
-		return fmt.Errorf("%d bytes, %d at most", len(data), maxFileBytes)
+		return fmt.Errorf("size is %d bytes, at most %d are allowed", len(data), maxFileBytes)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -149,7 +150,7 @@
 		return err
 	}
 	if decoder.More() {
-		return errors.New("something stands behind its end")
+		return errors.New("trailing data after the JSON value")
 	}
 	return nil
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// What cannot be the file of this instance's previous process is rejected as a whole.
+// A state that cannot come from this instance's previous process is rejected as a whole.
 func TestDecode(t *testing.T) {
 	const now = 100 * time.Hour
 	valid, err := Encode(exampleState(now))
@@ -55,11 +55,11 @@
 	}{
 		"empty":         {nil, "EOF"},
 		"torn":          {valid[:len(valid)/2], "unexpected EOF"},
-		"two values":    {append(bytes.Clone(valid), valid...), "behind its end"},
+		"two values":    {append(bytes.Clone(valid), valid...), "trailing data after the JSON value"},
 		"newer":         {changed(func(s *State) { s.Version = Version + 1 }), "version"},
 		"other address": {changed(func(s *State) { s.Listen = "127.0.0.1:2" }), "127.0.0.1:2"},
 		"old":           {changed(func(s *State) { s.At = now - time.Hour }), "old"},
-		"of the future": {changed(func(s *State) { s.At = now + time.Hour }), "old"},
+		"in the future": {changed(func(s *State) { s.At = now + time.Hour }), "old"},
 		"in flight":     {changed(func(s *State) { s.Learned.InFlight = 1 << 40 }), "busy"},
 		"tenant":        {changed(func(s *State) { s.Learned.Tenants[0].InFlight = -1 }), "open -1"},
 		"number":        {changed(func(s *State) { s.Learned.Tenants[0].Level = 1e300 }), "Level"},
@@ -84,7 +84,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Decode(data, testListen, time.Hour)
 		if err == nil && (s.Version != Version || s.Listen != testListen) {
-			t.Fatalf("got %+v accepted, want it rejected", s)
+			t.Fatalf("got %+v accepted, want an error", s)
 		}
 		if _, err := decodeOverrides(data, testListen); err != nil {
 			return
