--- a/internal/peers/engine.go
+++ b/internal/peers/engine.go
@@ -53,7 +53,7 @@
 	// Requests for facts.
 	pending       map[uint64]pendingRequest // by nonce
 	nextRequest   time.Duration
-	continuations int           // since the last periodic request
+	continuations int           // requests that continued a response, since the last periodic request
 	changedAt     time.Duration // when a fact last changed here, or a change was announced
 	joined        bool          // the first requests were sent
 	synced        bool          // a complete response was received
@@ -199,7 +199,7 @@
 		return nil, err
 	}
 	if e.isMisaddressed(p.Swim) {
-		e.membership.Receive(now, p.Swim) // counts it
+		e.membership.Receive(now, p.Swim) // counts the message as rejected
 		return nil, nil
 	}
 	e.sendEnvelopes(e.membership.Receive(now, p.Swim))
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -111,7 +111,7 @@
 	}
 	hint := ""
 	if errors.Is(rejected.lastErr, ErrKey) {
-		hint = "the sender uses a different key in its peers.key_file, or is not a peer"
+		hint = "the key in its peers.key_file is another, or it is no peer"
 	}
 	p.log.Warn("datagram rejected", "count", rejected.count, "last", rejected.lastErr,
 		"from", rejected.lastFrom.String(), "hint", hint)
--- a/internal/swim/members.go
+++ b/internal/swim/members.go
@@ -129,21 +129,21 @@
 		m.applyToSelf(update)
 		return
 	}
-	x := m.members[update.Name]
-	if x == nil {
+	target := m.members[update.Name]
+	if target == nil {
 		m.addMember(update)
 		return
 	}
-	if update.Refused && m.now < x.refusalsIgnoredUntil {
+	if update.Refused && m.now < target.refusalsIgnoredUntil {
 		update.Refused = false
 	}
-	if update.overrides(x.Update) {
-		m.setMember(x, update, false)
-		m.confirmRefusal(x, update)
+	if update.overrides(target.Update) {
+		m.setMember(target, update, false)
+		m.confirmRefusal(target, update)
 		return
 	}
-	m.confirmRefusal(x, update)
-	m.confirmSuspicion(x, update)
+	m.confirmRefusal(target, update)
+	m.confirmSuspicion(target, update)
 }
 
 // addMember adds an unknown member. A member that is dead or has left is not
@@ -156,41 +156,41 @@
 		m.counts.Full++
 		return
 	}
-	x := &member{}
-	m.members[update.Name] = x
+	target := &member{}
+	m.members[update.Name] = target
 	i, _ := slices.BinarySearch(m.names, update.Name)
 	m.names = slices.Insert(m.names, i, update.Name)
 	m.probeRound = append(m.probeRound, update.Name)
-	m.setMember(x, update, true)
+	m.setMember(target, update, true)
 }
 
 // setMember sets a member's state from an update. All state changes go through
 // it because it also maintains the data derived from the members: the hash of the
 // view, the count of present members and the list of suspects.
-func (m *Machine) setMember(x *member, update Update, added bool) {
-	previous := x.Update
+func (m *Machine) setMember(target *member, update Update, added bool) {
+	previous := target.Update
 	sameIncarnation := update.Incarnation == previous.Incarnation
 	if !added {
 		m.removeFromIndexes(previous)
 	}
 	switch {
-	case x.refusedBy != nil && update.State == Alive && sameIncarnation: // it refuted the refusals
-		x.refusalsIgnoredUntil = m.now + refusalIgnoreTime
+	case target.refusedBy != nil && update.State == Alive && sameIncarnation: // it refuted the refusals
+		target.refusalsIgnoredUntil = m.now + refusalIgnoreTime
 	case !sameIncarnation:
-		x.refusalsIgnoredUntil = 0
+		target.refusalsIgnoredUntil = 0
 	}
 	if !added && sameIncarnation && previous.State == Dead && update.State.present() {
 		m.counts.RefutedDeaths++
 	}
-	confirmed := update.State == Dead && len(x.refusedBy) >= refusalQuorum
-	x.refusedBy, x.suspectedBy = nil, nil
+	confirmed := update.State == Dead && len(target.refusedBy) >= refusalQuorum
+	target.refusedBy, target.suspectedBy = nil, nil
 	if update.Zone == "" && sameIncarnation {
 		update.Zone = previous.Zone
 	}
-	x.Update = update
+	target.Update = update
 	m.addToIndexes(update)
 	if update.State != previous.State || !sameIncarnation || added {
-		x.stateSince = m.now
+		target.stateSince = m.now
 		m.changes = append(m.changes, Change{
 			Update:    update,
 			Previous:  previous.State,
@@ -199,7 +199,7 @@
 		})
 	}
 	if update.State == Suspect {
-		m.startSuspicion(x)
+		m.startSuspicion(target)
 	}
 	m.version++
 	m.queueBroadcast(update)
--- a/internal/swim/messages.go
+++ b/internal/swim/messages.go
@@ -104,7 +104,7 @@
 	Updates []Update `cbor:"6,keyasint,omitempty"`
 	// ViewHash is a hash of the sender's view of all present members.
 	ViewHash uint64 `cbor:"7,keyasint,omitempty"`
-	// After is the name that precedes the page of a RosterRequest or a Roster.
+	// After says that the page of a RosterRequest or a Roster starts after this name.
 	After string `cbor:"8,keyasint,omitempty"`
 	// More says that another page follows this Roster.
 	More bool `cbor:"9,keyasint,omitempty"`
--- a/internal/swim/refusal.go
+++ b/internal/swim/refusal.go
@@ -25,15 +25,15 @@
 		return nil
 	}
 	for _, name := range m.names {
-		x := m.members[name]
-		if x.Addr != addr || !x.State.present() {
+		target := m.members[name]
+		if target.Addr != addr || !target.State.present() {
 			continue
 		}
-		if m.now < x.refusalsIgnoredUntil || slices.Contains(x.refusedBy, m.self.Name) {
+		if m.now < target.refusalsIgnoredUntil || slices.Contains(target.refusedBy, m.self.Name) {
 			continue
 		}
 		m.counts.Refusals++
-		suspicion := m.stateUpdate(x, Suspect)
+		suspicion := m.stateUpdate(target, Suspect)
 		suspicion.Refused = true
 		m.apply(suspicion)
 		m.notifyImmediately(suspicion)
@@ -41,26 +41,26 @@
 	return m.outbox
 }
 
-// confirmRefusal records which member reported a refusal by the host of x, and
-// shortens the suspicion once refusalQuorum members did. It pings x for
+// confirmRefusal records which member reported a refusal by the host of target, and
+// shortens the suspicion once refusalQuorum members did. It pings target for
 // confirmation unless this member itself was refused.
-func (m *Machine) confirmRefusal(x *member, update Update) {
-	if !update.Refused || !sameSuspicion(x, update) || slices.Contains(x.refusedBy, update.SuspectedBy) {
+func (m *Machine) confirmRefusal(target *member, update Update) {
+	if !update.Refused || !sameSuspicion(target, update) || slices.Contains(target.refusedBy, update.SuspectedBy) {
 		return
 	}
-	if len(x.refusedBy) > refusalFanout {
+	if len(target.refusedBy) > refusalFanout {
 		return
 	}
-	x.refusedBy = append(x.refusedBy, update.SuspectedBy)
-	if len(x.refusedBy) >= refusalQuorum {
-		x.suspicionEnd = min(x.suspicionEnd, m.now+refusalSuspicionTimeout)
+	target.refusedBy = append(target.refusedBy, update.SuspectedBy)
+	if len(target.refusedBy) >= refusalQuorum {
+		target.suspicionEnd = min(target.suspicionEnd, m.now+refusalSuspicionTimeout)
 	}
-	if slices.Contains(x.refusedBy, m.self.Name) {
+	if slices.Contains(target.refusedBy, m.self.Name) {
 		return
 	}
-	if x.refusalProbedAt == 0 || m.now-x.refusalProbedAt >= refusalProbeInterval {
-		x.refusalProbedAt = m.now
-		m.send(x.Addr, &Message{Kind: Ping, To: x.Name, Nonce: m.newNonce()}, x)
+	if target.refusalProbedAt == 0 || m.now-target.refusalProbedAt >= refusalProbeInterval {
+		target.refusalProbedAt = m.now
+		m.send(target.Addr, &Message{Kind: Ping, To: target.Name, Nonce: m.newNonce()}, target)
 	}
 }
 
--- a/internal/swim/roster.go
+++ b/internal/swim/roster.go
@@ -9,7 +9,7 @@
 const (
 	syncInterval           = time.Second // min time between two full roster syncs in a small group
 	membersPerSyncInterval = 40          // every 40 members add another syncInterval
-	rosterPageSize         = 12          // members
+	rosterPageSize         = 12          // members per page
 )
 
 // syncIfDifferent requests the sender's complete roster if its view differs from
--- a/internal/swim/suspicion.go
+++ b/internal/swim/suspicion.go
@@ -13,8 +13,8 @@
 
 // stateUpdate returns an update in which this member declares another one
 // suspected or dead.
-func (m *Machine) stateUpdate(x *member, state State) Update {
-	update := x.Update
+func (m *Machine) stateUpdate(target *member, state State) Update {
+	update := target.Update
 	update.State = state
 	update.SuspectedBy = m.self.Name
 	update.Refused = false
@@ -22,29 +22,29 @@
 }
 
 // startSuspicion starts the suspicion timer of a member that has just become Suspect.
-func (m *Machine) startSuspicion(x *member) {
-	x.suspectedBy = []string{x.SuspectedBy}
-	x.suspicionStart = m.now
-	x.suspicionEnd = m.now + m.suspicionTimeout(0)
+func (m *Machine) startSuspicion(target *member) {
+	target.suspectedBy = []string{target.SuspectedBy}
+	target.suspicionStart = m.now
+	target.suspicionEnd = m.now + m.suspicionTimeout(0)
 }
 
-// sameSuspicion reports whether an update states the suspicion that x is already under.
-func sameSuspicion(x *member, update Update) bool {
-	return update.State == Suspect && x.State == Suspect && update.SuspectedBy != "" &&
-		update.Incarnation == x.Incarnation && update.Refutation == x.Refutation
+// sameSuspicion reports whether an update states the suspicion that target is already under.
+func sameSuspicion(target *member, update Update) bool {
+	return update.State == Suspect && target.State == Suspect && update.SuspectedBy != "" &&
+		update.Incarnation == target.Incarnation && update.Refutation == target.Refutation
 }
 
-// confirmSuspicion records another member that suspects x and shortens the
+// confirmSuspicion records another member that suspects target and shortens the
 // suspicion timeout.
-func (m *Machine) confirmSuspicion(x *member, update Update) {
-	if !sameSuspicion(x, update) || slices.Contains(x.suspectedBy, update.SuspectedBy) {
+func (m *Machine) confirmSuspicion(target *member, update Update) {
+	if !sameSuspicion(target, update) || slices.Contains(target.suspectedBy, update.SuspectedBy) {
 		return
 	}
-	if len(x.suspectedBy) > indirectProbes {
+	if len(target.suspectedBy) > indirectProbes {
 		return
 	}
-	x.suspectedBy = append(x.suspectedBy, update.SuspectedBy)
-	x.suspicionEnd = min(x.suspicionEnd, x.suspicionStart+m.suspicionTimeout(len(x.suspectedBy)-1))
+	target.suspectedBy = append(target.suspectedBy, update.SuspectedBy)
+	target.suspicionEnd = min(target.suspicionEnd, target.suspicionStart+m.suspicionTimeout(len(target.suspectedBy)-1))
 	m.queueBroadcast(update)
 }
 
@@ -67,14 +67,14 @@
 // time.
 func (m *Machine) expireSuspicions() {
 	for i := 0; i < len(m.suspects); {
-		x := m.members[m.suspects[i]]
-		if m.now < x.suspicionEnd {
+		target := m.members[m.suspects[i]]
+		if m.now < target.suspicionEnd {
 			i++
 			continue
 		}
-		dead := m.stateUpdate(x, Dead)
-		refused := len(x.refusedBy) >= refusalQuorum
-		m.apply(dead) // removes x from the suspects
+		dead := m.stateUpdate(target, Dead)
+		refused := len(target.refusedBy) >= refusalQuorum
+		m.apply(dead) // removes target from m.suspects, so i stays
 		if refused {  // others began to suspect it only moments ago and would wait much longer
 			m.notifyImmediately(dead)
 		}
