--- a/internal/backend/assign.go
+++ b/internal/backend/assign.go
@@ -10,8 +10,7 @@
 // writeTimeout bounds how long the write of one command may take.
 const writeTimeout = 5 * time.Second
 
-// assign gives an attempt an idle connection that may be used, or lets it wait for the first that may be: an idle
-// one or a new one.
+// assign gives an attempt an idle connection, or queues it until an idle or a newly dialed connection is available.
 func (p *Pool) assign(attempt *Attempt) {
 	backend := attempt.backend
 	wait := p.cfg.ConnectTimeout
@@ -27,9 +26,9 @@
 	if attempt.conn != nil || attempt.ended {
 		return
 	}
-	// An attempt waits no longer than a dial may take, be it for a dial or for one of the connections that are all
-	// busy: the policy relies on an attempt being written about when it decided on it. An attempt with an earlier
-	// limit of its own says nothing of the backend when that is reached.
+	// An attempt waits at most ConnectTimeout, for a dial as well as for a busy connection: the policy relies on an
+	// attempt being written soon after the decision to make it. If WriteBy ends the wait earlier, that is no sign of
+	// a fault of the backend, so the outcome is NotSent instead of NoConnect.
 	p.owner.After(wait, func() {
 		if !p.removeWaiting(attempt) {
 			return
@@ -42,7 +41,7 @@
 	})
 }
 
-// removeWaiting removes an attempt from those that wait for a connection, and reports whether it was among them.
+// removeWaiting removes an attempt from the queue for a connection, and reports whether it was queued.
 func (p *Pool) removeWaiting(attempt *Attempt) bool {
 	i := slices.Index(attempt.backend.waiting, attempt)
 	if i >= 0 {
@@ -51,8 +50,8 @@
 	return i >= 0
 }
 
-// serveWaiting gives connections to the attempts that wait, first come, first served. For those that are left it dials,
-// and it is called again when the next idle connection may be reused, whichever is first.
+// serveWaiting assigns idle connections to the queued attempts in FIFO order. For the attempts that are left it dials
+// connections, and schedules another call for when the next idle connection becomes reusable.
 func (p *Pool) serveWaiting(backend *backendPool) {
 	for len(backend.waiting) > 0 {
 		attempt := backend.waiting[0]
@@ -72,9 +71,9 @@
 	p.scheduleWake(backend)
 }
 
-// sendable is the one guard before an attempt is given to a connection. Since the attempt began to wait, the
-// backend may have begun to drain, the attempt's time may have run out while the process was stopped, and its
-// client may have left.
+// sendable reports whether a queued attempt may still be sent. It is the only check right before an attempt is
+// assigned to a connection. While the attempt waited, its backend may have begun to drain, its deadline may have
+// passed (for instance while the process was suspended), and its client may have disconnected.
 func (p *Pool) sendable(attempt *Attempt) bool {
 	now := p.owner.Now()
 	if now >= attempt.Deadline || attempt.WriteBy > 0 && now >= attempt.WriteBy {
@@ -83,13 +82,13 @@
 	return attempt.Command == nil || attempt.backend.State == policy.Running && p.owner.AttemptWanted(attempt)
 }
 
-// takeIdle removes and returns an idle connection that may carry a command now, or nil. One whose reuse delay is
-// not over is taken only if the backend is trusted to send no duplicate replies and no more connections can be
-// opened.
+// takeIdle removes and returns an idle connection that may carry a command now, or nil. A connection that is still
+// within its reuse delay is taken only if the backend is trusted to send no duplicate replies and no extra connection
+// may be dialed.
 func (p *Pool) takeIdle(backend *backendPool) *conn {
 	now := p.owner.Now()
 	for {
-		i := backend.chooseIdle(now, !p.mayGrow(backend, now) && backend.duplicates.unlikely(now))
+		i := backend.chooseIdle(now, !p.mayDialExtra(backend, now) && backend.duplicates.trusted(now))
 		if i < 0 {
 			backend.minSpare = 0
 			return nil
@@ -112,13 +111,13 @@
 	}
 }
 
-// send gives an attempt to a free connection, whose goroutine writes it.
+// send assigns an attempt to a free connection, whose writer goroutine writes the command.
 func (p *Pool) send(c *conn, attempt *Attempt) {
 	attempt.conn = c
 	attempt.assignedAt = p.owner.Now()
 	c.current = attempt
 	c.used = true
-	left := min(writeTimeout, attempt.Deadline-attempt.assignedAt) // the process may be stopped before it writes
+	left := min(writeTimeout, attempt.Deadline-attempt.assignedAt) // the process may be suspended before the write
 	if attempt.WriteBy > 0 {
 		left = min(left, attempt.WriteBy-attempt.assignedAt)
 	}
@@ -131,12 +130,14 @@
 	}
 	select {
 	case c.writes <- pending:
-	default: // the backend has answered what was not written yet: the order is lost, and this goroutine must not block
+	default:
+		// The backend replied before the previous command was written. Replies can't be matched to commands any more,
+		// and the owner's goroutine must not block.
 		p.closeConn(c)
 	}
 }
 
-// scheduleWake serves the attempts that wait once the next idle connection may be reused.
+// scheduleWake starts a timer that calls serveWaiting when the next idle connection becomes reusable.
 func (p *Pool) scheduleWake(backend *backendPool) {
 	if backend.wakeScheduled || len(backend.waiting) == 0 || len(backend.idle) == 0 {
 		return
@@ -148,7 +149,7 @@
 	})
 }
 
-// release takes back a connection that carries no attempt any more: it serves those that wait, or becomes idle.
+// release takes back a connection without an attempt. It is assigned to a queued attempt or becomes idle.
 func (p *Pool) release(c *conn) {
 	backend := c.backend
 	if c.disconnected || c.closed || c.addr != backend.addr || backend.State != policy.Running {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -20,7 +20,7 @@
 
 func (noCommand) Encode(time.Duration) []byte { return []byte("*1\r\n$4\r\nNONE\r\n") }
 
-// testOwner is an owner whose goroutine is the test, which handles events and moves the clock itself.
+// testOwner is an owner whose goroutine is that of the test, which handles events and advances the clock itself.
 type testOwner struct {
 	pool    *Pool
 	now     time.Duration
@@ -30,7 +30,7 @@
 	timers  []testTimer
 	ends    []attemptEnd
 	streams []*Stream
-	// unwanted makes AttemptBegan say that no value is waited for.
+	// unwanted makes AttemptBegan report that the value is not wanted.
 	unwanted bool
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-// entries returns an endpoint list of backends that serve, s0 and so on.
+// entries returns an endpoint list of serving backends s0, s1 and so on, with these addresses.
 func entries(addrs ...string) (list []Endpoint) {
 	for i, addr := range addrs {
 		id := policy.BackendID("s" + string(rune('0'+i)))
@@ -111,37 +111,37 @@
 	return owner
 }
 
-// A drain counts from the update on: what waits for a connection then is never written.
+// A drain takes effect with the update: an attempt that waits for a connection then is never written.
 func TestDrainCancelsWaitingAttempt(t *testing.T) {
 	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	owner := newOwner(t, server.Addr)
 	attempt := waitingAttempt(owner, "s0")
 	owner.pool.assign(attempt)
-	up := (<-owner.events).(connectionOpened)
-	f := entries(server.Addr)
-	f[0].State = policy.Draining
-	owner.pool.Update(f, false)
-	owner.pool.handleConnectionOpened(up)
-	if ev := owner.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil {
+	opened := (<-owner.events).(connectionOpened)
+	list := entries(server.Addr)
+	list[0].State = policy.Draining
+	owner.pool.Update(list, false)
+	owner.pool.handleConnectionOpened(opened)
+	if ev := owner.ends[0]; ev.outcome != policy.NotSent || opened.conn.current != nil {
 		t.Fatalf("got outcome %v, want %v and nothing on the connection", ev.outcome, policy.NotSent)
 	}
 }
 
-// An attempt that is aborted while it waits for its connection ends as not sent, and is not written later.
+// An attempt that is aborted while it waits for a connection ends as NotSent and is never written.
 func TestAbortWhileWaiting(t *testing.T) {
 	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	owner := newOwner(t, server.Addr)
 	attempt := waitingAttempt(owner, "s0")
 	owner.pool.assign(attempt)
 	owner.pool.Abort(attempt, policy.Canceled)
-	up := (<-owner.events).(connectionOpened)
-	owner.pool.handleConnectionOpened(up)
-	if ev := owner.ends[0]; ev.outcome != policy.NotSent || up.conn.current != nil || len(owner.ends) != 1 {
-		t.Fatalf("told %v, want one end as not sent", owner.ends)
+	opened := (<-owner.events).(connectionOpened)
+	owner.pool.handleConnectionOpened(opened)
+	if ev := owner.ends[0]; ev.outcome != policy.NotSent || opened.conn.current != nil || len(owner.ends) != 1 {
+		t.Fatalf("owner notified of ends %v, want one end as NotSent", owner.ends)
 	}
 }
 
-// An idle connection is closed before the backend would close it: a command that crosses that is reset.
+// An idle connection is closed before the backend closes it: a command sent during the backend's close is reset.
 func TestIdleConnectionIsRetired(t *testing.T) {
 	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	owner := newOwner(t, server.Addr)
@@ -152,29 +152,31 @@
 	owner.pool.handleConnectionOpened((<-owner.events).(connectionOpened))
 	owner.pool.RetireIdle()
 	if len(b.idle) != 1 {
-		t.Fatal("a fresh connection was retired")
+		t.Fatal("a new connection was closed")
 	}
 	owner.now += owner.pool.cfg.IdleTimeout - time.Second
 	owner.pool.RetireIdle()
-	if down := (<-owner.events).(connectionClosed); len(b.idle) != 0 || !down.wasOpen {
-		t.Fatal("an old connection was kept")
+	if closed := (<-owner.events).(connectionClosed); len(b.idle) != 0 || !closed.wasOpen {
+		t.Fatal("a connection that was idle for too long was not closed")
 	}
 }
 
-// A reply that arrives before its command was written belongs to another attempt: this one never ran.
+// A reply that arrives before an attempt's command was written belongs to another attempt; this one never ran.
 func TestReplyBeforeCommandIsWritten(t *testing.T) {
 	owner := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	attempt := waitingAttempt(owner, "s0")
 	owner.pool.assign(attempt)
-	up := (<-owner.events).(connectionOpened)
-	up.conn.current = attempt
-	owner.pool.Handle(replyReceived{up.conn, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), reusable: true}})
+	opened := (<-owner.events).(connectionOpened)
+	opened.conn.current = attempt
+	owner.pool.Handle(replyReceived{
+		opened.conn, nil, Reply{outcome: policy.Succeeded, Value: []byte("x"), reusable: true},
+	})
 	if attempt.ended {
-		t.Fatal("served with another's answer")
+		t.Fatal("the attempt was served with the reply to another command")
 	}
 	owner.pool.Handle(<-owner.events)
 	if !attempt.ended || len(owner.ends) != 1 {
-		t.Fatal("not ended with its connection")
+		t.Fatal("the attempt did not end once when its connection closed")
 	}
 }
 
@@ -206,18 +208,18 @@
 	}
 }
 
-// If all connections that may be open are busy at other backends, the next one that is free is closed for the attempt
-// that waits.
+// If all connections within the limit are in use by other backends, the next one that becomes idle is closed to make
+// room for the waiting attempt.
 func TestWaitingForConnectionLimit(t *testing.T) {
 	a, b := scripted.NewBackend(t, nil), scripted.NewBackend(t, nil)
 	owner := newOwner(t, a.Addr, b.Addr)
 	owner.pool.cfg.MaxConnections = 1
 	first, second := waitingAttempt(owner, "s0"), waitingAttempt(owner, "s1")
 	owner.pool.assign(first)
-	up := (<-owner.events).(connectionOpened)
-	owner.pool.Handle(up)
+	opened := (<-owner.events).(connectionOpened)
+	owner.pool.Handle(opened)
 	owner.pool.assign(second)
-	owner.pool.Handle(replyReceived{up.conn, first, Reply{outcome: policy.Succeeded, reusable: true}})
+	owner.pool.Handle(replyReceived{opened.conn, first, Reply{outcome: policy.Succeeded, reusable: true}})
 	owner.now += reuseDelay
 	owner.fireTimers()
 	for second.conn == nil {
@@ -225,7 +227,7 @@
 	}
 }
 
-// A backend that replies to what was not yet written to it must not block the owner's goroutine.
+// A backend that replies before the command was written must not block the owner's goroutine.
 func TestFullConnectionDoesNotBlock(t *testing.T) {
 	owner := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	near, far := net.Pipe()
@@ -234,11 +236,11 @@
 	owner.pool.send(c, waitingAttempt(owner, "s0"))
 	owner.pool.send(c, waitingAttempt(owner, "s0"))
 	if _, err := near.Write(nil); err == nil {
-		t.Fatal("the connection was kept")
+		t.Fatal("the connection was not closed")
 	}
 }
 
-// A command that was cut off before its last byte never ran; one that was written completely may have.
+// A command that was written only in part never ran; one that was written completely may have run.
 func TestOnlyCompleteCommandsMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		read     int
@@ -274,8 +276,9 @@
 	return &Attempt{Ref: owner, Command: noCommand{}, backend: owner.pool.backends[id], Deadline: time.Hour}
 }
 
-// A request with an idempotency key may be sent again only while its group remembers the key, and the policy leaves a
-// tenth of that time for the way. An attempt that waits for a connection for longer must not be written any more.
+// An attempt that has waited for a connection for ConnectTimeout ends and is not written later. A request with an
+// idempotency key may be retried only while its group remembers the key, and the policy allows a tenth of that time
+// between the decision and the write.
 func TestWaitForConnectionEnds(t *testing.T) {
 	owner := newOwner(t, scripted.NewBackend(t, nil).Addr)
 	owner.pool.cfg.MaxConnections = 0
@@ -284,12 +287,12 @@
 	owner.now += owner.pool.cfg.ConnectTimeout
 	owner.fireTimers()
 	if !attempt.ended || len(attempt.backend.waiting) != 0 {
-		t.Fatal("the attempt still waits for attempt connection")
+		t.Fatal("the attempt still waits for a connection")
 	}
 }
 
-// An attempt that is known to be written ends when it is aborted, without waiting for the event of its connection's
-// end.
+// An attempt whose command is known to be written ends as soon as it is aborted, without waiting for its connection's
+// connectionClosed event.
 func TestWrittenAttemptEndsAtOnce(t *testing.T) {
 	server := scripted.NewBackend(t, nil)
 	owner := newOwner(t, server.Addr)
@@ -301,26 +304,26 @@
 	}
 	owner.pool.Abort(attempt, policy.TimedOut)
 	if !attempt.ended || owner.ends[0].outcome != policy.TimedOut {
-		t.Fatalf("ended: %v, told %v", attempt.ended, owner.ends)
+		t.Fatalf("attempt ended: %v, owner notified of ends %v", attempt.ended, owner.ends)
 	}
 }
 
-// Backends come under ever new ids: one that is gone is forgotten with its last connection, though another may have
-// taken its address by then.
-func TestGoneBackendIsForgotten(t *testing.T) {
+// A removed backend is deleted from the pool when its last connection closes, even if a backend with another id has the
+// same address by then. Otherwise the pool would grow, since new backends have new ids.
+func TestRemovedBackendIsDeleted(t *testing.T) {
 	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	owner := newOwner(t, server.Addr)
 	attempt := waitingAttempt(owner, "s0")
 	owner.pool.assign(attempt)
-	up := (<-owner.events).(connectionOpened)
-	owner.pool.Handle(up)
-	f := entries(server.Addr, server.Addr)
-	f[0].State = policy.Gone
-	owner.pool.Update(f, false)
+	opened := (<-owner.events).(connectionOpened)
+	owner.pool.Handle(opened)
+	list := entries(server.Addr, server.Addr)
+	list[0].State = policy.Gone
+	owner.pool.Update(list, false)
 	if len(owner.pool.backends) != 2 {
 		t.Fatalf("%d backends while an attempt is in flight, want 2", len(owner.pool.backends))
 	}
-	owner.pool.Handle(<-owner.events) // the answer
+	owner.pool.Handle(<-owner.events) // the reply
 	owner.now += reuseDelay
 	owner.fireTimers()
 	owner.pool.Handle(<-owner.events) // the connection's end
@@ -329,14 +332,14 @@
 	}
 }
 
-// drainStream reads a stream to its end, and reports how it ended.
+// drainStream reads a stream to its end, and sends its final error to ended.
 func drainStream(stream *Stream, ended chan<- error) {
 	_, err := io.Copy(io.Discard, stream)
 	ended <- err
 }
 
-// A large value that nobody waits for any more is no fault of its backend: the attempt ends as cancelled.
-// A value that is wanted and breaks off is a reset, whatever had arrived.
+// A large value that the owner doesn't want is no fault of its backend: the attempt ends as Canceled. A wanted value
+// whose connection closes within it ends as Reset, however much has arrived.
 func TestLargeValueUnwantedOrBroken(t *testing.T) {
 	t.Run("unwanted", func(t *testing.T) {
 		owner := startLargeValue(t, false)
@@ -362,13 +365,13 @@
 			t.Fatalf("ended as %v, want %v", owner.ends, policy.Reset)
 		}
 		if err := <-ended; err == nil {
-			t.Fatal("a value that broke off was read to an end")
+			t.Fatal("an incomplete value was read without an error")
 		}
 	})
 }
 
-// startLargeValue starts an attempt at a backend that sends the head of a large value and a few bytes of it, and
-// breaks off there or sends no more.
+// startLargeValue starts an attempt at a backend that sends the header of a large value and a few of its bytes, and
+// then closes the connection or sends nothing more.
 func startLargeValue(t *testing.T, breaksOff bool) *testOwner {
 	t.Helper()
 	server := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
@@ -383,8 +386,8 @@
 	return owner
 }
 
-// Attempts don't wait for a backend that stops serving, and a backend that is gone is forgotten with the last
-// attempt that waited for it or the last connection that was begun for one.
+// Attempts don't wait for a backend that stops serving. A removed backend is deleted from the pool after its last
+// waiting attempt and its last connection, which may still be dialing.
 func TestWaitingEndsWhenBackendStopsServing(t *testing.T) {
 	draining := policy.Backend{ID: "s0", Zone: "a", State: policy.Draining}
 	for name, list := range map[string][]Endpoint{"gone": nil, "drains": {{draining, ""}}} {
@@ -400,36 +403,36 @@
 			owner.pool.Handle(<-owner.events)
 		}
 		owner.pool.assign(second)
-		if second.ended || second.conn != nil { // its own is only begun
+		if second.ended || second.conn != nil { // its connection is still dialing
 			t.Fatalf("%s: the second attempt does not wait", name)
 		}
 		owner.pool.Update(list, true)
 		if !second.ended || owner.ends[1].outcome != policy.NotSent {
 			t.Errorf("%s: the second attempt waits for a backend that does not serve", name)
 		}
-		for owner.pool.connections > 0 { // the end of what was begun for the second attempt
+		for owner.pool.connections > 0 { // closes the connection dialed for the second attempt
 			owner.pool.Handle(<-owner.events)
 		}
 		owner.now += reuseDelay
 		owner.fireTimers()
 		if _, known := owner.pool.backends["s0"]; known != (name == "drains") {
-			t.Errorf("%s: the backend is known: %v", name, known)
+			t.Errorf("%s: the backend is in the pool: %v", name, known)
 		}
 	}
 }
 
-// A connection comes up when an attempt's deadline has passed and the owner has not aborted the attempt yet, as after a
-// moment in which the process was stopped. The command is not written: its client waits no longer.
+// A command is not written after its attempt's deadline. This can happen when the process was suspended: the connection
+// opens after the deadline, before the owner has aborted the attempt.
 func TestNothingIsWrittenAfterDeadline(t *testing.T) {
 	server := scripted.NewBackend(t, func(int, []string, net.Conn) string { return served })
 	owner := newOwner(t, server.Addr)
 	attempt := waitingAttempt(owner, "s0")
 	attempt.Deadline = owner.now + time.Second
 	owner.pool.assign(attempt)
-	up := (<-owner.events).(connectionOpened)
+	opened := (<-owner.events).(connectionOpened)
 	owner.now = attempt.Deadline
-	owner.pool.handleConnectionOpened(up)
-	if len(owner.ends) != 1 || owner.ends[0].outcome != policy.NotSent || up.conn.current != nil {
-		t.Fatalf("told %v, want one end as not sent and nothing on the connection", owner.ends)
+	owner.pool.handleConnectionOpened(opened)
+	if len(owner.ends) != 1 || owner.ends[0].outcome != policy.NotSent || opened.conn.current != nil {
+		t.Fatalf("owner notified of ends %v, want one end as NotSent and nothing on the connection", owner.ends)
 	}
 }
--- a/internal/backend/backendpool.go
+++ b/internal/backend/backendpool.go
@@ -9,43 +9,44 @@
 
 const (
 	maxConnectionsPerBackend = 48
-	// minDialGain is the shortest wait for an idle connection that is worth a dial.
+	// minDialGain is the shortest wait for an idle connection that justifies dialing an extra one.
 	minDialGain = 2 * time.Millisecond
-	// dialGainDivisor gives the same as a part of the backend's usual reply time: a handshake costs the backend work.
+	// dialGainDivisor sets the same minimum as a fraction of the backend's average reply time, since a handshake costs
+	// the backend work.
 	dialGainDivisor = 4
-	// replyTimeWeight is that of one reply in the usual reply time.
+	// replyTimeWeight is the weight of one reply in the moving average of reply times.
 	replyTimeWeight = 0.125
-	// growthPause is for how long no connection beyond need is dialed after a dial that failed or took longer than
-	// reuseDelay.
-	growthPause = time.Second
+	// extraDialPause is how long no extra connections are dialed after a dial failed or took reuseDelay or longer, or
+	// the backend closed a connection before any reply.
+	extraDialPause = time.Second
 )
 
-// noneTaken is the minSpare of a backend of which no idle connection was taken.
-const noneTaken = maxConnectionsPerBackend + 1
+// minSpareUnset is the value of minSpare while no idle connection has been taken since the last trim.
+const minSpareUnset = maxConnectionsPerBackend + 1
 
 // backendPool holds the connections to one backend and the attempts that wait for one. A connection carries one
 // attempt at a time, so that aborting one disturbs no other.
 type backendPool struct {
 	policy.Backend
 	addr          string
-	idle          []*conn       // reusable or not yet; the one that has been idle longest is first
-	waiting       []*Attempt    // for a connection, first come first
+	idle          []*conn       // longest idle first; includes those within their reuse delay
+	waiting       []*Attempt    // FIFO queue for a connection
 	dialing       int           // connections being dialed
 	connections   int           // dialing, idle and busy
-	lastHeardAt   time.Duration // when it last replied or accepted a connection
+	lastHeardAt   time.Duration // last reply or accepted connection
 	wakeScheduled bool          // a timer calls serveWaiting once an idle connection is reusable
 
-	connectTime   time.Duration // of the last dial; 0: unknown
-	replyTime     time.Duration // moving average; 0: unknown
-	noGrowthUntil time.Duration // no connection beyond need is dialed before
-	duplicates    duplicateReplies
+	connectTime       time.Duration // of the last dial; 0: unknown
+	replyTime         time.Duration // moving average; 0: unknown
+	noExtraDialsUntil time.Duration // no extra connection is dialed before then
+	duplicates        duplicateReplies
 
-	minSpare int           // the fewest reusable ones left when one was taken since the last trim, or noneTaken
-	trimAt   time.Duration // when minSpare is next acted on; 0: not set yet
+	minSpare int           // fewest reusable connections left by takeIdle since the last trim, or minSpareUnset
+	trimAt   time.Duration // time of the next trim; 0: not set yet
 }
 
-// chooseIdle returns the index of the idle connection for the next attempt: the one that has been reusable longest. If
-// none is reusable and early is set, it is the one that has been idle longest. -1 means none.
+// chooseIdle returns the index of the idle connection for the next attempt: the reusable one that has been idle
+// longest. If none is reusable and early is set, it returns the one that has been idle longest; otherwise -1.
 func (b *backendPool) chooseIdle(now time.Duration, early bool) int {
 	if i := slices.IndexFunc(b.idle, func(c *conn) bool { return c.reusable(now) }); i >= 0 {
 		return i
@@ -63,7 +64,7 @@
 	}
 }
 
-// countReusable is how many idle connections are reusable.
+// countReusable returns the number of reusable idle connections.
 func (b *backendPool) countReusable(now time.Duration) (count int) {
 	for _, c := range b.idle {
 		if c.reusable(now) {
@@ -73,8 +74,8 @@
 	return count
 }
 
-// countReusableSoon is how many idle connections will be reusable before another could be dialed, or so soon that a
-// dial is not worth its cost.
+// countReusableSoon returns the number of idle connections that become reusable before a dial could complete, or so
+// soon that a dial is not worth its cost.
 func (b *backendPool) countReusableSoon(now time.Duration) int {
 	if b.replyTime == 0 {
 		return len(b.idle)
@@ -82,7 +83,7 @@
 	return b.countReusable(now + max(minDialGain, b.connectTime, b.replyTime/dialGainDivisor))
 }
 
-// recordReplyTime records how long a reply took.
+// recordReplyTime adds a reply to the moving average of reply times.
 func (b *backendPool) recordReplyTime(took time.Duration) {
 	if b.replyTime == 0 {
 		b.replyTime = took
@@ -91,14 +92,15 @@
 	b.replyTime += time.Duration(replyTimeWeight * float64(took-b.replyTime))
 }
 
-// recordConnectTime records how long a dial took. If that is longer than reuseDelay, dialing saves nothing.
+// recordConnectTime records how long a dial took. A dial that takes reuseDelay or longer saves no time, so that extra
+// dials are paused.
 func (b *backendPool) recordConnectTime(now, took time.Duration) {
 	b.connectTime = took
 	if took >= reuseDelay {
 		b.connectTime = 0
-		b.pauseGrowth(now)
+		b.pauseExtraDials(now)
 	}
 }
 
-// pauseGrowth records that a dial has failed, or that the backend closed a connection before any reply.
-func (b *backendPool) pauseGrowth(now time.Duration) { b.noGrowthUntil = now + growthPause }
+// pauseExtraDials stops the dialing of extra connections for extraDialPause.
+func (b *backendPool) pauseExtraDials(now time.Duration) { b.noExtraDialsUntil = now + extraDialPause }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -12,13 +12,13 @@
 	"hitchspring/internal/resp"
 )
 
-// partialReplyTimeout is for the rest of a reply that has begun to arrive.
+// partialReplyTimeout bounds the wait for the rest of a reply that has begun to arrive.
 const partialReplyTimeout = 200 * time.Millisecond
 
-// conn is a connection to a backend. Its goroutine run dials and reads, and starts a second one that writes; both
-// end when nc is closed, by the pool, by an error or by the end of the owner's context. They notify the pool by
-// events only. The fields of the first block are set before the goroutine that uses them starts, those of the last
-// belong to the pool.
+// conn is a connection to a backend. Its goroutine run dials and reads, and starts a second goroutine that writes.
+// Both end when nc is closed: by the pool, after an error, or when the owner's context ends. They notify the pool only
+// by events. The fields of the first block are set before the goroutine that uses them starts. Those of the second
+// block are shared, and those of the third belong to the pool.
 type conn struct {
 	backend     *backendPool
 	addr        string
@@ -29,25 +29,25 @@
 	writes      chan pendingWrite
 	readerDone  chan struct{}
 
-	writeMu        sync.Mutex              // held from before a command's first byte until lastWritten has it
-	lastWritten    atomic.Pointer[Attempt] // the last one that was written to its last byte: it may have run
+	writeMu        sync.Mutex              // held while a command is written, until lastWritten is set
+	lastWritten    atomic.Pointer[Attempt] // the last one whose command was written completely: it may have run
 	currentStream  atomic.Pointer[Stream]  // the value being streamed
-	clientDeadline atomic.Int64            // when the client of that value gives up, Unix time in ns; 0: never
+	clientDeadline atomic.Int64            // of the client of the last attempt, Unix time in ns; 0: none
 
 	dialedAt     time.Duration // when the dial began
-	current      *Attempt      // the attempt that it carries
+	current      *Attempt      // the attempt in flight on it; nil: none
 	idleSince    time.Duration
-	used         bool // it was given a command
-	hasReplied   bool // it has brought a reply to one
-	closed       bool // by the pool
-	disconnected bool // its last event has been handled
+	used         bool // a command was assigned to it
+	hasReplied   bool // a reply to a command has arrived
+	closed       bool // the pool has closed it
+	disconnected bool // connectionClosed has been handled
 }
 
-// pendingWrite is a command that a connection's writer is to write.
+// pendingWrite is a command that waits for a connection's writer goroutine.
 type pendingWrite struct {
 	attempt  *Attempt
 	command  []byte
-	deadline time.Time // when the owner gives the attempt up
+	deadline time.Time // the attempt's deadline
 	writeBy  time.Time // when the last byte must be written
 }
 
@@ -83,13 +83,13 @@
 	post(connectionClosed{conn: c, wasOpen: true})
 }
 
-// read posts replies until the connection ends or must not be used any more.
+// read posts replies until the connection ends or must not be reused.
 func (c *conn) read(ctx context.Context, post func(Event)) {
 	in := resp.Inbox{Budget: c.frameBudget}
 	defer in.Close()
 	deadlineSet := false
 	for {
-		head, size, err := resp.LargeValue(in.Buffered())
+		head, size, err := resp.ParseLargeValueHeader(in.Buffered())
 		if size > 0 {
 			in.Discard(head)
 			if !c.readLargeReply(ctx, &in, size, post) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// readReply posts a reply that came as one frame, and reports whether the connection may be used further. It may not if
-// bytes follow the reply: they may be a duplicate of it, which must never be taken for the reply to the next command.
+// readReply posts a reply that arrived as one frame, and reports whether the connection may be reused. It may not if
+// more bytes follow the reply: they may be a duplicate, which must never be taken for the reply to the next command.
 func (c *conn) readReply(frame []byte, trailing bool, post func(Event)) bool {
 	reply := parseReply(frame)
 	reply.trailing = trailing
@@ -136,8 +136,8 @@
 	return reply.reusable
 }
 
-// readLargeReply streams a value of size bytes whose head has been read, and posts the reply after its end. It reports
-// whether the connection may be used further.
+// readLargeReply streams a value of size bytes whose header has been read, and posts the reply after its end. It
+// reports whether the connection may be reused.
 func (c *conn) readLargeReply(ctx context.Context, in *resp.Inbox, size int, post func(Event)) bool {
 	reply, err := c.streamValue(ctx, in, size, post)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return reply.reusable
 }
 
-// socketState is what a socket shows without being read.
+// socketState is the state of a socket, determined without consuming data.
 type socketState int
 
 const (
@@ -158,7 +158,7 @@
 	socketClosed                      // the connection has ended
 )
 
-// String names the state.
+// String implements fmt.Stringer.
 func (s socketState) String() string {
 	switch s {
 	case socketQuiet:
@@ -171,7 +171,7 @@
 	return "unknown"
 }
 
-// peek looks at the socket and takes nothing from it.
+// peek returns the state of the socket without consuming data.
 func (c *conn) peek() socketState {
 	if c.rawConn == nil {
 		return socketQuiet
@@ -200,7 +200,7 @@
 		case <-c.readerDone:
 			return
 		case pending := <-c.writes:
-			c.nc.SetWriteDeadline(pending.writeBy) // also where that has passed: nothing is written then
+			c.nc.SetWriteDeadline(pending.writeBy) // if that has passed, the write fails at once
 			if !pending.deadline.IsZero() {
 				c.clientDeadline.Store(pending.deadline.UnixNano())
 			}
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// mayGrow reports whether a backend may have a further connection that is not needed, but saves the wait until an
-// idle one may be reused.
-func (p *Pool) mayGrow(backend *backendPool, now time.Duration) bool {
+// mayDialExtra reports whether an extra connection to a backend may be dialed: one that is not strictly needed, but
+// saves the wait until an idle connection becomes reusable.
+func (p *Pool) mayDialExtra(backend *backendPool, now time.Duration) bool {
 	return backend.connections < maxConnectionsPerBackend &&
 		p.connections < p.cfg.MaxConnections &&
-		now >= backend.noGrowthUntil
+		now >= backend.noExtraDialsUntil
 }
 
-// dialForWaiting opens connections for the attempts that wait, within the limits: one for each that has none idle
-// or being dialed, and one for each that would wait longer for an idle connection to become reusable than a dial
-// takes.
+// dialForWaiting dials connections for the queued attempts, within the limits: one for each attempt in excess of the
+// idle and dialing connections, and an extra one for each attempt that would wait longer for an idle connection to
+// become reusable than for a dial.
 func (p *Pool) dialForWaiting(backend *backendPool) {
 	for backend.dialing+len(backend.idle) < len(backend.waiting) && backend.connections < maxConnectionsPerBackend {
 		if p.connections >= p.cfg.MaxConnections && !p.evictIdle(backend) {
@@ -22,12 +22,12 @@
 		p.openConn(backend)
 	}
 	now := p.owner.Now()
-	for backend.dialing+backend.countReusableSoon(now) < len(backend.waiting) && p.mayGrow(backend, now) {
+	for backend.dialing+backend.countReusableSoon(now) < len(backend.waiting) && p.mayDialExtra(backend, now) {
 		p.openConn(backend)
 	}
 }
 
-// openConn begins to open a connection; a connectionOpened or connectionClosed event follows.
+// openConn starts to dial a connection; a connectionOpened or connectionClosed event follows.
 func (p *Pool) openConn(backend *backendPool) {
 	c := &conn{
 		backend:     backend,
@@ -45,8 +45,8 @@
 	p.startConn(c)
 }
 
-// dialAfterLimit dials for attempts that found the limit on all connections reached. Without it they would wait until
-// their time is over.
+// dialAfterLimit dials for attempts that were queued while MaxConnections was reached. Without it they would wait until
+// they time out.
 func (p *Pool) dialAfterLimit() {
 	if !p.limitReached {
 		return
--- a/internal/backend/duplicates.go
+++ b/internal/backend/duplicates.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// reuseDelay is how long a connection that has brought a reply is left idle, so that a duplicate of the reply
-	// arrives while no other command is out on it.
+	// reuseDelay is how long a connection stays idle after a reply, so that a duplicate of the reply arrives while no
+	// other command is in flight on it.
 	reuseDelay = 15 * time.Millisecond
-	// cleanReusesToTrust is after how many delays without a duplicate a backend is trusted to send none. Of
-	// backends that duplicate one reply in 100, 1 in 23,000 is trusted by mistake.
+	// cleanReusesToTrust is the number of reuse delays without a duplicate after which a backend is trusted to send
+	// none. Of the backends that duplicate 1 reply in 100, 1 in 23,000 is trusted by mistake.
 	cleanReusesToTrust = 1000
-	// duplicateMemory is for how long a backend that has sent a duplicate is not trusted.
-	duplicateMemory = 5 * time.Minute
+	// distrustPeriod is how long a backend is not trusted after it has sent a duplicate.
+	distrustPeriod = 5 * time.Minute
 )
 
-// reusable reports whether a duplicate of any earlier reply would have arrived on the connection by now.
+// reusable reports whether the reuse delay is over: a duplicate of an earlier reply would have arrived by now.
 func (c *conn) reusable(now time.Duration) bool { return !c.used || now-c.idleSince >= reuseDelay }
 
-// duplicateReplies is what is known of whether a backend answers commands twice.
+// duplicateReplies tracks whether a backend sends duplicate replies.
 type duplicateReplies struct {
 	seen        bool
 	lastSeenAt  time.Duration // when a duplicate was last seen
@@ -33,7 +33,7 @@
 	d.cleanReuses = min(d.cleanReuses+1, cleanReusesToTrust)
 }
 
-// unlikely reports whether the backend is trusted to send no duplicates. A backend that is not known well is not.
-func (d *duplicateReplies) unlikely(now time.Duration) bool {
-	return d.cleanReuses >= cleanReusesToTrust && (!d.seen || now-d.lastSeenAt >= duplicateMemory)
+// trusted reports whether the backend is trusted to send no duplicates. A backend with too few clean reuses is not.
+func (d *duplicateReplies) trusted(now time.Duration) bool {
+	return d.cleanReuses >= cleanReusesToTrust && (!d.seen || now-d.lastSeenAt >= distrustPeriod)
 }
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -2,7 +2,7 @@
 
 import "hitchspring/policy"
 
-// connectionOpened says that a dial has succeeded.
+// connectionOpened reports that a dial has succeeded.
 type connectionOpened struct{ conn *conn }
 
 // connectionClosed is the last event of a connection.
@@ -11,14 +11,14 @@
 	wasOpen bool // false if the dial failed
 }
 
-// replyReceived brings a reply that has arrived to its end.
+// replyReceived reports a reply that has arrived completely.
 type replyReceived struct {
 	conn    *conn
-	attempt *Attempt // the last one that had been written when the reply arrived; nil: none
+	attempt *Attempt // the last one written when the reply arrived; nil: none
 	Reply
 }
 
-// streamStarted brings the head of a large value.
+// streamStarted reports that the header of a large value has arrived.
 type streamStarted struct {
 	conn    *conn
 	attempt *Attempt // as in replyReceived
@@ -33,7 +33,7 @@
 
 func (streamStarted) event() {}
 
-// Handle takes in an event of a connection.
+// Handle processes an event of a connection.
 func (p *Pool) Handle(ev Event) {
 	switch ev := ev.(type) {
 	case connectionOpened:
@@ -56,7 +56,8 @@
 	p.release(ev.conn)
 }
 
-// handleStreamStarted hands a large value to the owner. If nobody waits for the value, its connection is closed.
+// handleStreamStarted passes the stream of a large value to the owner. If no attempt waits for the value, its
+// connection is closed.
 func (p *Pool) handleStreamStarted(ev streamStarted) {
 	c := ev.conn
 	attempt := c.current
@@ -79,12 +80,14 @@
 	}
 }
 
-// handleReply ends the attempt that a reply belongs to, and closes the connection if its order is in doubt.
+// handleReply ends the attempt that a reply belongs to. It closes the connection if the reply belongs to no command in
+// flight, or if the connection must not be reused.
 func (p *Pool) handleReply(ev replyReceived) {
 	c := ev.conn
 	attempt := c.current
 	c.backend.lastHeardAt = p.owner.Now()
-	if attempt == nil || ev.attempt != attempt { // no command was out, or not yet: the order is lost
+	if attempt == nil || ev.attempt != attempt {
+		// No command was in flight or it was not written yet. Replies can't be matched to commands any more.
 		p.recordUnsolicited(c)
 		p.closeConn(c)
 		return
@@ -94,11 +97,11 @@
 	if attempt.Command != nil {
 		c.backend.recordReplyTime(p.owner.Now() - attempt.assignedAt)
 	}
-	fits := attempt.fits(ev.Reply)
-	if ev.trailing || !fits {
+	matches := attempt.matches(ev.Reply)
+	if ev.trailing || !matches {
 		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	}
-	if !fits { // it is another command's
+	if !matches { // it is the reply to another command
 		ev.Reply = Reply{outcome: policy.Failed}
 	}
 	switch {
@@ -111,15 +114,15 @@
 	p.finish(attempt, ev.outcome, ev.Reply)
 }
 
-// recordUnsolicited records that something arrived on a connection on which no command was out. Where there had
-// been one, it is a duplicate reply; otherwise the backend doesn't accept the connection.
+// recordUnsolicited records that data arrived on a connection without a command in flight. If the connection was used
+// before, the data is a duplicate reply; otherwise the backend doesn't accept the connection.
 func (p *Pool) recordUnsolicited(c *conn) {
 	switch {
-	case c.closed: // a reply that was not waited for any more
+	case c.closed: // a late reply, after the pool has closed the connection
 	case c.used:
 		c.backend.duplicates.recordDuplicate(p.owner.Now())
 	default:
-		c.backend.pauseGrowth(p.owner.Now())
+		c.backend.pauseExtraDials(p.owner.Now())
 	}
 }
 
@@ -131,7 +134,7 @@
 	p.connections--
 	backend.removeIdle(c)
 	if !ev.wasOpen || !c.hasReplied && !c.closed {
-		backend.pauseGrowth(p.owner.Now())
+		backend.pauseExtraDials(p.owner.Now())
 	}
 	if !ev.wasOpen {
 		backend.dialing--
@@ -141,10 +144,10 @@
 	}
 	p.serveWaiting(backend)
 	p.dialAfterLimit()
-	p.forgetIfGone(backend)
+	p.deleteIfRemoved(backend)
 }
 
-// failOneWaiting ends the first attempt that waits, unless other connections are idle or being dialed for all of them.
+// failOneWaiting fails the first queued attempt, unless there are enough idle and dialing connections for all of them.
 func (p *Pool) failOneWaiting(backend *backendPool) {
 	if len(backend.waiting) > backend.dialing+len(backend.idle) {
 		attempt := backend.waiting[0]
@@ -153,7 +156,7 @@
 	}
 }
 
-// attemptOutcome is how the attempt that a connection carries ends with the connection.
+// attemptOutcome returns the outcome of the attempt in flight on a connection that has closed.
 func (c *conn) attemptOutcome() policy.Outcome {
 	attempt := c.current
 	written := c.lastWritten.Load() == attempt
--- a/internal/backend/exploration_test.go
+++ b/internal/backend/exploration_test.go
@@ -11,15 +11,15 @@
 	"hitchspring/policy"
 )
 
-// The mutations are defects of the simulated side, planted to show that the exploration finds them.
+// The mutations are defects planted in the simulation, to show that the exploration finds them.
 const (
-	mutationUnreportedWrite = "a connection does not report that it wrote a whole command"
-	mutationEndsTwice       = "a connection reports its end twice"
-	mutationTrustedEarly    = "an unknown backend is trusted to send no duplicates, and has one connection"
-	mutationOwnerNotAsked   = "the owner is not asked whether an attempt is still wanted"
+	mutationUnreportedWrite  = "a connection does not report that it wrote a complete command"
+	mutationEndsTwice        = "a connection reports its close twice"
+	mutationTrustedEarly     = "an unobserved backend is trusted to send no duplicates, and has one connection"
+	mutationWantedNotChecked = "the owner is not called to check whether an attempt is still wanted"
 
-	// trustedAndScarce is no defect, but a setting in which connections are used again at once.
-	trustedAndScarce = "a backend is trusted to send no duplicates, and has one connection"
+	// trustedSingleConnection is no defect but a setup in which connections are reused within their reuse delay.
+	trustedSingleConnection = "a backend is trusted to send no duplicates, and has one connection"
 )
 
 const (
@@ -27,12 +27,12 @@
 	movedAddr = "127.0.0.1:2"
 )
 
-// simulatedConn plays the goroutines of a connection and its peer.
+// simulatedConn simulates the goroutines of a connection and its peer.
 type simulatedConn struct {
 	conn         *conn
-	up           bool     // it has come up
-	ended        bool     // its last event was posted
-	events       []Event  // posted and not yet handled by the pool
+	opened       bool     // the dial has succeeded
+	ended        bool     // connectionClosed was posted
+	events       []Event  // posted, not yet handled by the pool
 	duplicates   int      // further replies to the same command
 	repliedTo    *Attempt // the attempt of the last reply
 	socket       closableConn
@@ -43,11 +43,11 @@
 // end posts the connection's last event.
 func (s *simulatedConn) end(mutation string) {
 	s.ended = true
-	if s.up {
+	if s.opened {
 		close(s.conn.readerDone)
 	}
-	s.events = append(s.events, connectionClosed{conn: s.conn, wasOpen: s.up})
-	if s.up && mutation == mutationEndsTwice {
+	s.events = append(s.events, connectionClosed{conn: s.conn, wasOpen: s.opened})
+	if s.opened && mutation == mutationEndsTwice {
 		s.events = append(s.events, connectionClosed{conn: s.conn, wasOpen: true})
 	}
 }
@@ -59,7 +59,7 @@
 	return event
 }
 
-// closableConn is a socket of which only matters whether the pool has closed it.
+// closableConn is a socket that only records whether the pool has closed it.
 type closableConn struct {
 	net.Conn
 	closed bool
@@ -70,18 +70,18 @@
 	return nil
 }
 
-// exploration is one order of steps, as far as it has been played; it is the pool's owner. Its attempts go to one
-// backend.
+// exploration is the state after a sequence of steps. It is the pool's owner. All its attempts are sent to one backend.
 type exploration struct {
 	pool      *Pool
 	now       time.Duration
 	timers    []testTimer
 	attempts  []*Attempt
 	ends      map[*Attempt]policy.Outcome
-	written   map[*Attempt]bool // the backend has the whole command
+	written   map[*Attempt]bool // the backend has received the complete command
 	conns     []*simulatedConn
 	violation string // the first one found
-	// unassignedAtDisconnect is nil until the client of all attempts has left, then has those without a connection.
+	// unassignedAtDisconnect is nil until the client of all attempts has disconnected. Then it says of each attempt
+	// whether it had no connection at that moment.
 	unassignedAtDisconnect map[*Attempt]bool
 	mutation               string
 }
@@ -111,9 +111,10 @@
 func (e *exploration) Spawn(func(context.Context))         {}
 func (e *exploration) AttemptBegan(*Attempt, *Stream) bool { return false }
 
-// AttemptWanted withdraws the other attempts too, as the core does when it finds that a request's client has left.
+// AttemptWanted withdraws the other attempts too, as the core does when it finds that a request's client has
+// disconnected.
 func (e *exploration) AttemptWanted(*Attempt) bool {
-	if e.unassignedAtDisconnect == nil || e.mutation == mutationOwnerNotAsked {
+	if e.unassignedAtDisconnect == nil || e.mutation == mutationWantedNotChecked {
 		return true
 	}
 	for _, attempt := range e.attempts {
@@ -128,10 +129,10 @@
 	}
 	e.ends[attempt] = outcome
 	if outcome.NeverRan() && outcome != policy.Rejected && e.written[attempt] {
-		e.violate("attempt %d has come to the backend, and ended as one that never ran", attempt.Number)
+		e.violate("attempt %d was received by the backend, and ended as one that never ran", attempt.Number)
 	}
 	if outcome == policy.Succeeded && !e.written[attempt] {
-		e.violate("attempt %d was never sent, and is served", attempt.Number)
+		e.violate("attempt %d was never sent, and ended as served", attempt.Number)
 	}
 }
 
@@ -141,8 +142,8 @@
 	}
 }
 
-// step is something that can happen now. Its format takes the number of an attempt or a connection, unless that is
-// negative.
+// step is an event that is possible in the current state. Its format takes the number of an attempt or a connection,
+// unless number is negative.
 type step struct {
 	format string
 	number int
@@ -156,17 +157,17 @@
 	return fmt.Sprintf(s.format, s.number)
 }
 
-// exploredReplies are what a backend may reply to a command. Only the first comes as a duplicate.
+// exploredReplies are the replies that a backend may send to a command. Only the first is also sent as a duplicate.
 var exploredReplies = []struct {
 	reply  Reply
 	format string
 }{
-	{Reply{Value: []byte("v"), outcome: policy.Succeeded, reusable: true}, "conn %d brings an answer"},
-	{Reply{outcome: policy.Failed}, "conn %d brings nonsense"},
-	{Reply{outcome: policy.Rejected, reusable: true}, "conn %d brings that it is full"},
+	{Reply{Value: []byte("v"), outcome: policy.Succeeded, reusable: true}, "conn %d receives a value"},
+	{Reply{outcome: policy.Failed}, "conn %d receives an invalid reply"},
+	{Reply{outcome: policy.Rejected, reusable: true}, "conn %d receives a rejection"},
 }
 
-// possibleSteps returns all that can happen now, always in the same order.
+// possibleSteps returns all steps that are possible now, in a deterministic order.
 func (e *exploration) possibleSteps() (steps []step) {
 	for i := range e.attempts {
 		steps = append(steps, e.attemptSteps(i)...)
@@ -179,7 +180,7 @@
 		steps = append(steps, step{"time passes", -1, e.fireNextTimer})
 	}
 	if e.unassignedAtDisconnect == nil {
-		steps = append(steps, step{"the client leaves", -1, e.disconnectClient})
+		steps = append(steps, step{"the client disconnects", -1, e.disconnectClient})
 	}
 	return steps
 }
@@ -191,7 +192,7 @@
 		return nil
 	}
 	if attempt.backend == nil {
-		if i == 0 || e.attempts[i-1].backend != nil { // they are alike, so that one order of starts will do
+		if i == 0 || e.attempts[i-1].backend != nil { // the attempts are alike, so one order of starts is enough
 			steps = append(steps, step{"start %d", i, func() { e.pool.Start(attempt, "s0") }})
 		}
 		return steps
@@ -205,32 +206,32 @@
 	return steps
 }
 
-// connSteps returns what can happen on a connection.
+// connSteps returns the events that are possible on a connection.
 func (e *exploration) connSteps(i int) (steps []step) {
 	s := e.conns[i]
 	if len(s.events) > 0 {
-		steps = append(steps, step{"conn %d is heard", i, func() { e.handleEvent(s) }})
+		steps = append(steps, step{"the pool handles an event of conn %d", i, func() { e.handleEvent(s) }})
 	}
 	if s.ended {
 		return steps
 	}
 	end := func() { s.end(e.mutation) }
-	if !s.up {
+	if !s.opened {
 		return append(steps,
-			step{"conn %d comes up", i, func() {
-				s.up = true
+			step{"conn %d opens", i, func() {
+				s.opened = true
 				s.conn.nc = &s.socket
 				s.events = append(s.events, connectionOpened{s.conn})
 			}},
-			step{"conn %d never comes up", i, end},
+			step{"conn %d fails to open", i, end},
 		)
 	}
-	steps = append(steps, step{"conn %d ends", i, end})
+	steps = append(steps, step{"conn %d closes", i, end})
 	if len(s.conn.writes) > 0 {
 		if !s.socket.closed {
 			steps = append(steps, step{"conn %d writes", i, func() { e.write(s) }})
 		}
-		steps = append(steps, step{"conn %d breaks off while it writes", i, func() {
+		steps = append(steps, step{"conn %d closes during a write", i, func() {
 			<-s.conn.writes
 			end()
 		}})
@@ -238,7 +239,7 @@
 	return append(steps, e.replySteps(i)...)
 }
 
-// handleEvent gives the pool the next event of a connection.
+// handleEvent passes the next event of a connection to the pool.
 func (e *exploration) handleEvent(s *simulatedConn) {
 	event := s.takeEvent()
 	if _, isReply := event.(replyReceived); isReply {
@@ -266,7 +267,7 @@
 			}
 			s.repliedTo = attempt
 			s.events = append(s.events, replyReceived{s.conn, attempt, explored.reply})
-			if !explored.reply.reusable { // its reader ends here
+			if !explored.reply.reusable { // its reader closes the connection
 				s.end(e.mutation)
 			}
 		}})
@@ -284,15 +285,15 @@
 	list[0].State = policy.Draining
 	steps = append(steps,
 		step{"the backend drains", -1, func() { e.pool.Update(list, false) }},
-		step{"the backend is gone", -1, func() { e.pool.Update(nil, true) }},
+		step{"the backend is removed", -1, func() { e.pool.Update(nil, true) }},
 	)
 	if backend.addr == firstAddr {
-		steps = append(steps, step{"the backend moves", -1, func() { e.pool.Update(entries(movedAddr), true) }})
+		steps = append(steps, step{"the address changes", -1, func() { e.pool.Update(entries(movedAddr), true) }})
 	}
 	return steps
 }
 
-// disconnectClient is the client's leaving, of which nobody has notified the pool's owner.
+// disconnectClient disconnects the client. The pool's owner notices it only in AttemptWanted.
 func (e *exploration) disconnectClient() {
 	e.unassignedAtDisconnect = map[*Attempt]bool{}
 	for _, attempt := range e.attempts {
@@ -300,12 +301,12 @@
 	}
 }
 
-// write plays the writer of a connection: the backend receives the whole command.
+// write simulates the writer of a connection: the backend receives the complete command.
 func (e *exploration) write(s *simulatedConn) {
 	pending := <-s.conn.writes
 	attempt := pending.attempt
 	if outcome, ended := e.ends[attempt]; ended {
-		e.violate("attempt %d ended with %d, and is sent", attempt.Number, outcome)
+		e.violate("attempt %d is sent after it ended with %d", attempt.Number, outcome)
 	}
 	if e.written[attempt] {
 		e.violate("attempt %d is sent twice", attempt.Number)
@@ -316,7 +317,7 @@
 	}
 }
 
-// fireNextTimer lets time pass up to the next timer.
+// fireNextTimer advances the clock to the next timer and calls it.
 func (e *exploration) fireNextTimer() {
 	next := slices.MinFunc(e.timers, func(a, b testTimer) int { return int(a.at - b.at) })
 	e.now = next.at
@@ -324,18 +325,18 @@
 	next.do()
 }
 
-// checkInvariants looks for what must not be at any moment.
+// checkInvariants checks what must hold in every state.
 func (e *exploration) checkInvariants() {
 	for i := range e.conns {
 		e.checkConn(i)
 	}
 	for _, attempt := range e.attempts {
 		if e.unassignedAtDisconnect[attempt] && attempt.conn != nil {
-			e.violate("attempt %d was handed to a connection after its client had gone", attempt.Number)
+			e.violate("attempt %d was assigned to a connection after its client had disconnected", attempt.Number)
 		}
 	}
 	open := 0
-	closing := map[*backendPool]int{} // closed by the pool, which serves again when it hears of the end
+	closing := map[*backendPool]int{} // closed by the pool, which serves the queue again at connectionClosed
 	for _, s := range e.conns {
 		if s.conn.disconnected {
 			continue
@@ -346,7 +347,7 @@
 		}
 	}
 	if open != e.pool.connections {
-		e.violate("%d connections are there, the pool counts %d", open, e.pool.connections)
+		e.violate("%d connections exist, the pool counts %d", open, e.pool.connections)
 	}
 	for _, backend := range e.pool.backends {
 		e.checkWaiting(backend, closing[backend])
@@ -357,31 +358,31 @@
 func (e *exploration) checkConn(i int) {
 	s := e.conns[i]
 	if len(s.conn.writes) > 0 && !s.socket.closed && s.conn.current == nil && !s.conn.disconnected {
-		e.violate("conn %d is to write, and the pool knows of nothing on it", i)
+		e.violate("conn %d has a command to write, and the pool has no attempt in flight on it", i)
 	}
 	attempt := s.conn.current
-	if attempt == nil || !s.replyHandled || e.mutation == trustedAndScarce {
+	if attempt == nil || !s.replyHandled || e.mutation == trustedSingleConnection {
 		return
 	}
 	if attempt.assignedAt-s.repliedAt < reuseDelay {
-		e.violate("conn %d is given attempt %d before its reuse delay is over", i, attempt.Number)
+		e.violate("conn %d is assigned attempt %d within its reuse delay", i, attempt.Number)
 	}
 }
 
-// checkWaiting looks at the attempts that wait for a backend; closing is how many connections will end and be replaced.
+// checkWaiting checks the queue of a backend; closing is the number of connections that will close and be replaced.
 func (e *exploration) checkWaiting(backend *backendPool, closing int) {
 	for _, attempt := range backend.waiting {
 		if _, ended := e.ends[attempt]; ended {
-			e.violate("attempt %d has ended and waits", attempt.Number)
+			e.violate("attempt %d has ended and is still queued", attempt.Number)
 		}
 	}
 	waiting := len(backend.waiting)
 	if waiting > 0 && len(backend.idle) > 0 && !backend.wakeScheduled {
-		e.violate("%d attempts wait for idle connections, and nothing will serve them", waiting)
+		e.violate("%d attempts wait for idle connections, and no wake-up is scheduled", waiting)
 	}
 	belowLimits := backend.connections < maxConnectionsPerBackend && e.pool.connections < e.pool.cfg.MaxConnections
 	if waiting > backend.dialing+len(backend.idle)+closing && belowLimits {
-		e.violate("%d attempts wait, with %d connections begun and %d idle",
+		e.violate("%d attempts wait, with %d connections dialing and %d idle",
 			waiting, backend.dialing, len(backend.idle))
 	}
 }
@@ -389,16 +390,16 @@
 func (e *exploration) checkIdle(backend *backendPool) {
 	for _, c := range backend.idle {
 		if c.current != nil {
-			e.violate("a connection is idle with attempt %d on it", c.current.Number)
+			e.violate("a connection is idle with attempt %d in flight on it", c.current.Number)
 		}
 		if backend.State != policy.Running && len(c.writes) > 0 {
-			e.violate("a backend that drains is to be sent something on an idle connection")
+			e.violate("an idle connection to a draining backend has a command to write")
 		}
 	}
 }
 
-// settleAll ends what is open as the owner would: all events are handled, each attempt is aborted at its time,
-// connections that the pool has closed end, time passes. Nothing may be left then.
+// settleAll ends everything that is in progress: it aborts all attempts, closes all connections, handles all events and
+// fires all timers. Then it checks that nothing is left.
 func (e *exploration) settleAll() {
 	const maxRounds = 100
 	for round := 0; round < maxRounds && e.isOpen(); round++ {
@@ -422,7 +423,7 @@
 	e.checkSettled()
 }
 
-// isOpen reports whether anything can still happen.
+// isOpen reports whether a connection, an event or a timer is pending.
 func (e *exploration) isOpen() bool {
 	unfinished := func(s *simulatedConn) bool { return !s.ended || len(s.events) > 0 }
 	return len(e.timers) > 0 || slices.ContainsFunc(e.conns, unfinished)
@@ -435,15 +436,15 @@
 		}
 	}
 	if e.pool.connections != 0 {
-		e.violate("the pool counts %d connections where there are none", e.pool.connections)
+		e.violate("the pool counts %d connections, want none", e.pool.connections)
 	}
 	for id, b := range e.pool.backends {
 		if b.connections != 0 || b.dialing != 0 || b.wakeScheduled || len(b.waiting) != 0 || len(b.idle) != 0 {
-			e.violate("%s: %d connections, %d begun, wake scheduled %v, %d wait, %d idle, and all is over",
+			e.violate("%s after all was settled: %d connections, %d dialing, wake scheduled %v, %d waiting, %d idle",
 				id, b.connections, b.dialing, b.wakeScheduled, len(b.waiting), len(b.idle))
 		}
 		if b.State == policy.Gone {
-			e.violate("%s is gone and is not forgotten", id)
+			e.violate("%s was removed and is still in the pool", id)
 		}
 	}
 }
--- a/internal/backend/explore_test.go
+++ b/internal/backend/explore_test.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// The exploration of the pool: two attempts to one backend, and everything that can end one of them, a connection
-// or the backend, in every order. The pool is the real one; the connections' goroutines and the network are
-// simulated.
+// This file explores the pool exhaustively: two attempts to one backend, and every order of the events that can end an
+// attempt, a connection or the backend. The pool is real; the connections' goroutines and the network are simulated.
 
 const (
-	maxSteps         = 8  // of one order
-	maxTrialSteps    = 11 // the same with HITCHSPRING_TRIALS=1
-	maxConnections   = 3  // that are begun in one order
+	maxSteps         = 8  // in one order
+	maxTrialSteps    = 11 // maxSteps with HITCHSPRING_TRIALS=1
+	maxConnections   = 3  // dialed in one order
 	exploreTime      = 20 * time.Second
 	trialExploreTime = 5 * time.Minute
-	minSettled       = 2000 // states; with fewer the exploration doesn't cover what it should
+	minSettled       = 2000 // states; fewer show that the exploration has lost coverage
 )
 
-// playSteps plays an order from the beginning; each entry is the index of a possible step.
+// playSteps runs an order of steps from the initial state; each entry is an index into possibleSteps.
 func playSteps(mutation string, order []uint8) (*exploration, []step) {
 	e := newExploration()
 	e.mutation = mutation
-	if mutation == trustedAndScarce || mutation == mutationTrustedEarly {
+	if mutation == trustedSingleConnection || mutation == mutationTrustedEarly {
 		e.pool.cfg.MaxConnections = 1
 		e.pool.backends["s0"].duplicates.cleanReuses = cleanReusesToTrust
 	}
@@ -41,24 +40,24 @@
 	return e, played
 }
 
-// explorationResult is what an exploration came to.
+// explorationResult is the result of an exploration.
 type explorationResult struct {
 	states    int
-	settled   int  // states whose end was checked
+	settled   int  // states that were settled and checked
 	deepest   int  // steps
-	complete  bool // no order was left out for want of time
+	complete  bool // every order was run before the deadline
 	violation string
 	steps     []step // that lead to the violation
 }
 
-// explorer walks through orders of steps, each state once.
+// explorer runs orders of steps breadth-first, and continues from each state once.
 type explorer struct {
 	explorationResult
 	mutation string
 	known    map[string]bool
 }
 
-// explore plays all orders of so many steps, the short ones first, until the first violation or until deadline.
+// explore runs all orders of up to so many steps, the short ones first, until the first violation or the deadline.
 func explore(mutation string, steps int, deadline time.Time) explorationResult {
 	x := explorer{mutation: mutation, known: map[string]bool{}}
 	level := [][]uint8{nil}
@@ -80,8 +79,8 @@
 	return x.explorationResult
 }
 
-// visit plays one order and settles it. It returns the orders that are longer by a step, unless the order is one of the
-// last or its state is known.
+// visit runs one order and settles it. It returns the orders that continue it by one step, or none if last is set or
+// the state was visited before.
 func (x *explorer) visit(order []uint8, last bool) (longer [][]uint8) {
 	e, played := playSteps(x.mutation, order)
 	x.steps = played
@@ -98,7 +97,7 @@
 	possible := len(e.possibleSteps())
 	e.settleAll()
 	if e.violation != "" {
-		x.violation = e.violation + ", once all is over"
+		x.violation = e.violation + ", after all was settled"
 		return nil
 	}
 	x.settled++
@@ -111,39 +110,39 @@
 	return longer
 }
 
-// Every order of what can happen to two attempts, their connections and their backend: each attempt ends once, with
-// an outcome that is true; nothing is sent for one that has ended; and once all is settled no connection is
-// counted, no attempt waits and no backend that has gone is remembered.
+// In every order of events at two attempts, their connections and their backend, each attempt ends once, with a correct
+// outcome, and no command is sent for an ended attempt. Once all is settled, the pool counts no connection, no attempt
+// waits, and no removed backend is left.
 func TestPoolInEveryOrder(t *testing.T) {
 	steps, within := maxSteps, exploreTime
 	if os.Getenv("HITCHSPRING_TRIALS") != "" {
 		steps, within = maxTrialSteps, trialExploreTime
 	}
 	found := explore("", steps, time.Now().Add(within))
-	t.Logf("%d states, %d settled, %d steps deep, complete: %v (not more than %d steps and %d connections)",
+	t.Logf("%d states, %d settled, %d steps deep, complete: %v (at most %d steps and %d connections)",
 		found.states, found.settled, found.deepest-1, found.complete, steps, maxConnections)
 	if found.violation != "" {
 		t.Fatalf("%s, after:\n%v", found.violation, found.steps)
 	}
 	if found.settled < minSettled {
-		t.Errorf("%d states were settled, %d at least are wanted", found.settled, minSettled)
+		t.Errorf("%d states were settled, want at least %d", found.settled, minSettled)
 	}
-	found = explore(trustedAndScarce, steps, time.Now().Add(within))
+	found = explore(trustedSingleConnection, steps, time.Now().Add(within))
 	if found.violation != "" {
-		t.Fatalf("%s: %s, after:\n%v", trustedAndScarce, found.violation, found.steps)
+		t.Fatalf("%s: %s, after:\n%v", trustedSingleConnection, found.violation, found.steps)
 	}
-	t.Logf("%s: %d states, complete: %v", trustedAndScarce, found.states, found.complete)
+	t.Logf("%s: %d states, complete: %v", trustedSingleConnection, found.states, found.complete)
 	mutations := []string{
 		mutationUnreportedWrite,
 		mutationEndsTwice,
 		mutationTrustedEarly,
-		mutationOwnerNotAsked,
+		mutationWantedNotChecked,
 	}
 	for _, mutation := range mutations {
 		found := explore(mutation, steps, time.Now().Add(within))
 		if found.violation == "" {
-			t.Errorf("planted, and not found in %d states: %s", found.states, mutation)
+			t.Errorf("planted defect not found in %d states: %s", found.states, mutation)
 		}
-		t.Logf("planted: %s. Found after %d states: %s", mutation, found.states, found.violation)
+		t.Logf("planted defect: %s. Found after %d states: %s", mutation, found.states, found.violation)
 	}
 }
--- a/internal/backend/fingerprint_test.go
+++ b/internal/backend/fingerprint_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fingerprint holds all that what can still happen depends on.
+// fingerprint returns the part of the state that determines the further behavior.
 func (e *exploration) fingerprint() string {
 	var f fingerprint
 	for _, attempt := range e.attempts {
@@ -25,7 +25,7 @@
 	return string(f)
 }
 
-// fingerprint is a state as bytes; each value is cut to one.
+// fingerprint is a state as bytes, one for each value, which is truncated to it.
 type fingerprint []byte
 
 func (f *fingerprint) add(values ...int) {
@@ -65,7 +65,7 @@
 func (e *exploration) addConn(f *fingerprint, s *simulatedConn) {
 	c := s.conn
 	f.addBools(c.used, c.hasReplied, c.closed, c.reusable(e.now), s.replyHandled && e.now-s.repliedAt < reuseDelay)
-	f.addBools(s.up, s.ended, s.socket.closed, c.disconnected, e.now-c.idleSince > e.pool.retireAfter())
+	f.addBools(s.opened, s.ended, s.socket.closed, c.disconnected, e.now-c.idleSince > e.pool.retireAfter())
 	f.add(s.duplicates, e.attemptIndex(s.repliedTo), len(c.writes))
 	f.add(e.attemptIndex(c.lastWritten.Load()), e.attemptIndex(c.current), int(c.addr[len(c.addr)-1]), len(s.events))
 	for _, event := range s.events {
@@ -84,7 +84,7 @@
 
 func (e *exploration) addBackend(f *fingerprint, b *backendPool) {
 	f.add(int(b.State), int(b.addr[len(b.addr)-1]), b.dialing, b.connections, len(b.waiting), len(b.idle))
-	f.addBools(b.wakeScheduled, b.duplicates.unlikely(e.now), b.duplicates.seen, e.now < b.noGrowthUntil,
+	f.addBools(b.wakeScheduled, b.duplicates.trusted(e.now), b.duplicates.seen, e.now < b.noExtraDialsUntil,
 		b.connectTime > minDialGain)
 	f.add(int(b.replyTime / time.Millisecond))
 	for _, attempt := range b.waiting {
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -15,14 +15,14 @@
 // Reply is a backend's answer to a command.
 type Reply struct {
 	Value    []byte
-	Load     policy.Load // the load report that came with it; nil if there is none that can be read
+	Load     policy.Load // the load report in the reply; nil if missing or invalid
 	outcome  policy.Outcome
-	reusable bool // it has a known form and nothing follows it: the connection may carry another command
-	trailing bool // bytes follow it
+	reusable bool // it is well-formed and nothing follows it: the connection may be reused
+	trailing bool // more bytes follow it
 }
 
-// parseReply reads a complete frame. A reply of no known form has failed and may have run, and the connection that
-// brought it is not used further.
+// parseReply parses a complete frame. A reply of unknown form is a failure whose command may have run, and its
+// connection is not reused.
 func parseReply(frame []byte) Reply {
 	_, value := redcon.ReadNextRESP(frame)
 	reply := Reply{outcome: policy.Failed}
@@ -46,7 +46,7 @@
 	return reply
 }
 
-// parseError reads an error line: its code, and a load report as its last word.
+// parseError parses an error reply: its code, and a load report as its last word.
 func parseError(reply *Reply, line string) {
 	code, rest, _ := strings.Cut(line, " ")
 	reply.reusable = code == "ERR" || code == "BUSY"
@@ -59,7 +59,7 @@
 	reply.Load = parseLoad(rest)
 }
 
-// parseValue reads the reply to a request: the value, the usage, and the load report, which may be unreadable.
+// parseValue parses the reply to a request: the value, the usage and the load report, which may be invalid.
 func parseValue(reply *Reply, array redcon.RESP) {
 	if array.Count != 3 {
 		return
@@ -79,8 +79,8 @@
 	})
 }
 
-// parseLoad reads a load report such as inflight=7,queue=2; it returns nil if it is none. One unreadable value
-// makes the whole report unreadable: the policy averages what is reported, and a NaN would stay in its average.
+// parseLoad parses a load report such as inflight=7,queue=2; it returns nil if s is none. One invalid value makes the
+// complete report invalid: the policy averages the reported values, and a NaN would stay in the average.
 func parseLoad(s string) policy.Load {
 	load := policy.Load{}
 	for pair := range strings.SplitSeq(s, ",") {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	streamChunkSize    = 8 << 10 // bytes of a value that are read at a time
-	minStreamChunkSize = 1 << 10 // where the memory budget is spent
-	// streamStallTimeout is how long a backend may send nothing in the middle of a value.
+	streamChunkSize    = 8 << 10 // bytes of a value that are read at once
+	minStreamChunkSize = 1 << 10 // if the memory budget is exhausted
+	// streamStallTimeout is how long a backend may send nothing within a value.
 	streamStallTimeout = 5 * time.Second
-	// overdueStallTimeout is the same once the client's deadline has passed: the client is owed an end, if it still
-	// reads.
+	// overdueStallTimeout is the same after the client's deadline: a client that still reads must soon see the end of
+	// the value or an error.
 	overdueStallTimeout = 250 * time.Millisecond
-	// trailerFrames are the frames behind a value: the usage and the load report.
+	// trailerFrames is the number of frames after a value: the usage and the load report.
 	trailerFrames = 2
 )
 
 var (
-	// ErrUnwanted is the error of a stream that was closed before its end.
-	ErrUnwanted = errors.New("the value is not wanted any more")
+	// ErrStreamClosed is the error of a stream whose reader closed it before its end.
+	ErrStreamClosed = errors.New("stream closed by its reader")
 
-	errBrokenOff = errors.New("the backend broke off within the value")
+	errTruncatedValue = errors.New("backend connection ended within the value")
 )
 
-// Stream is a large value on its way from a backend. One goroutine reads it to its end or closes it. The connection
-// holds one chunk at a time, and reads on only when that has been taken.
+// Stream is a large value that arrives from a backend. One goroutine reads it to its end or closes it. The connection
+// buffers one chunk at a time, and receives the next only when that has been read.
 type Stream struct {
 	Size   int // of the value, in bytes
 	reader *io.PipeReader
@@ -46,13 +46,13 @@
 	return s
 }
 
-// Read implements io.Reader: io.EOF after Size bytes, another error if the backend has failed before.
+// Read implements io.Reader. It returns io.EOF after Size bytes, or another error if the backend fails before.
 func (s *Stream) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
-// Close ends the attempt that brings the value, if it has not ended. It may be called at any time, more than once.
-func (s *Stream) Close() { s.reader.CloseWithError(ErrUnwanted) }
+// Close ends the attempt whose value is streamed, if it has not ended. It may be called at any time, more than once.
+func (s *Stream) Close() { s.reader.CloseWithError(ErrStreamClosed) }
 
-// streamDeadline is until when a backend may send nothing in the middle of a value.
+// streamDeadline returns the read deadline for the next bytes of a streamed value.
 func (c *conn) streamDeadline(now time.Time) time.Time {
 	usual := now.Add(streamStallTimeout)
 	overdue := now.Add(overdueStallTimeout)
@@ -69,19 +69,19 @@
 	return usual
 }
 
-// streamValue passes a large value on, whose head has just been read, and reads the rest of the reply.
+// streamValue streams a large value whose header has just been read, then reads the rest of the reply.
 func (c *conn) streamValue(ctx context.Context, in *resp.Inbox, size int, post func(Event)) (Reply, error) {
 	stream := newStream(size)
 	c.currentStream.Store(stream)
 	defer c.currentStream.Store(nil)
-	if ctx.Err() != nil { // from here on the end of ctx closes the stream
+	if ctx.Err() != nil { // if ctx ends later, run closes the stream
 		return Reply{}, ctx.Err()
 	}
 	c.writeMu.Lock()
 	attempt := c.lastWritten.Load()
 	c.writeMu.Unlock()
 	post(streamStarted{c, attempt, stream})
-	defer stream.writer.CloseWithError(errBrokenOff) // no effect after the end
+	defer stream.writer.CloseWithError(errTruncatedValue) // no effect after writer.Close
 	chunkSize := streamChunkSize
 	if c.frameBudget.Reserve(chunkSize) {
 		defer c.frameBudget.Release(chunkSize)
@@ -106,14 +106,14 @@
 			err = forward(buf[:n])
 		}
 		if err != nil {
-			return Reply{}, fmt.Errorf("%d of %d bytes of the value have not come: %w", left, size, err)
+			return Reply{}, fmt.Errorf("%d of %d bytes of the value are missing: %w", left, size, err)
 		}
 	}
 	stream.writer.Close()
 	return c.readStreamTail(in)
 }
 
-// readStreamTail reads what follows a streamed value: the end of its line, the usage and the load report.
+// readStreamTail reads what follows a streamed value: its line end, the usage and the load report.
 func (c *conn) readStreamTail(in *resp.Inbox) (Reply, error) {
 	c.nc.SetReadDeadline(c.streamDeadline(time.Now()))
 	for in.BufferedBytes() < 2 {
--- a/internal/backend/traffic_test.go
+++ b/internal/backend/traffic_test.go
@@ -16,45 +16,45 @@
 	"hitchspring/policy"
 )
 
-// Traffic through the real pool in simulated time: requests arrive, backends and their connections are simulated here.
-// What is measured needs no machine of its own, and 100,000 requests take a second or two.
+// This file runs traffic through the real pool in simulated time; requests, backends and connections are simulated. The
+// results don't depend on the load of the machine, and 100,000 requests take a second or two.
 
 const (
 	ms               = time.Millisecond
-	closeNoticeDelay = 50 * time.Microsecond // from when the pool closes a connection until it hears of its end
-	sweepEvery       = time.Second           // of RetireIdle, as the core calls it
+	closeNoticeDelay = 50 * time.Microsecond // from when the pool closes a connection until its connectionClosed event
+	sweepEvery       = time.Second           // interval of RetireIdle calls, as in the core
 )
 
-// scenario says what requests arrive and what the backends do.
+// scenario describes the requests that arrive and the behavior of the backends.
 type scenario struct {
-	name              string
-	rate              float64 // requests a second, to all backends
-	backends          int
-	requests          int
-	prefers           bool          // the router prefers some backends as long as they have nothing in flight
-	burst             int           // requests that arrive at one moment; 0: one
-	serviceTime       time.Duration // of a command
-	connectTime       time.Duration // for a connection to come up
-	slowConnect       time.Duration // for those that are begun after the first tenth of the requests; 0: as connectTime
-	maxConnections    int           // connections that a backend takes; further ones are refused. 0: any number
-	closesAfterReply  bool          // a backend closes a connection right after its reply
-	duplicateShare    float64       // of the replies that come twice
-	duplicateDelay    time.Duration // from a reply to its duplicate
-	maxDuplicateDelay time.Duration // if above duplicateDelay: uniform between them
-	seed              uint64
-	idleFor           time.Duration // without requests, after the first half of them
-	connectTimeout    time.Duration // ConnectTimeout of the pool; 0: 250 ms
+	name               string
+	rate               float64 // requests a second, to all backends
+	backends           int
+	requests           int
+	prefersLeastLoaded bool          // the router picks the first of the backends with the fewest attempts in flight
+	burst              int           // requests that arrive at once; 0: one
+	serviceTime        time.Duration // of a command
+	connectTime        time.Duration // until a connection is open
+	slowConnect        time.Duration // connectTime after the first tenth of the requests; 0: unchanged
+	maxConnections     int           // connections that a backend accepts; further ones are refused. 0: unlimited
+	closesAfterReply   bool          // a backend closes a connection right after its reply
+	duplicateShare     float64       // share of the replies that are sent twice
+	duplicateDelay     time.Duration // from a reply to its duplicate
+	maxDuplicateDelay  time.Duration // if above duplicateDelay: the delay is uniform between them
+	seed               uint64
+	idleFor            time.Duration // pause without requests, after the first half of them
+	connectTimeout     time.Duration // ConnectTimeout of the pool; 0: 250 ms
 }
 
-// measurement is what came of a scenario.
+// measurement is the result of a scenario.
 type measurement struct {
-	waits           []time.Duration // from an attempt's start until a connection had it
+	waits           []time.Duration // from an attempt's start until it was assigned to a connection
 	took            []time.Duration // from its start to its reply
-	misattributed   int             // attempts that were served with another's reply
+	misattributed   int             // attempts that were served with the reply to another command
 	ends            map[policy.Outcome]int
 	dials           int
-	maxOpen         int // connections that were open at once
-	duplicates      int // that were sent
+	maxOpen         int // max connections open at the same time
+	duplicates      int // duplicate replies that were sent
 	requestsStarted int
 }
 
@@ -67,7 +67,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// countLonger is how many durations are above a bound.
+// countLonger returns the number of durations above a bound.
 func countLonger(durations []time.Duration, bound time.Duration) (count int) {
 	for _, duration := range durations {
 		if duration > bound {
@@ -79,12 +79,12 @@
 
 func (m measurement) String() string {
 	return fmt.Sprintf("wait p50 %v p99 %v max %v, %d over 1 ms; took p50 %v p99 %v; "+
-		"%d dials, at most %d open; %d duplicates, %d taken for another's; ends %v",
+		"%d dials, at most %d open; %d duplicates, %d misattributed; ends %v",
 		quantile(m.waits, 0.5), quantile(m.waits, 0.99), quantile(m.waits, 1), countLonger(m.waits, ms),
 		quantile(m.took, 0.5), quantile(m.took, 0.99), m.dials, m.maxOpen, m.duplicates, m.misattributed, m.ends)
 }
 
-// scheduledEvent is something that happens at a time of the simulation.
+// scheduledEvent is an event at a point of simulated time.
 type scheduledEvent struct {
 	at  time.Duration
 	seq int
@@ -106,7 +106,7 @@
 	return last
 }
 
-// traffic is a scenario being played; it is the pool's owner.
+// traffic is a running scenario; it is the pool's owner.
 type traffic struct {
 	scenario
 	pool     *Pool
@@ -117,7 +117,7 @@
 	conns    map[*conn]*socket
 	open     map[policy.BackendID]int
 	inFlight []int // attempts at each backend that have not ended
-	started  int   // requests
+	started  int   // requests so far
 	measurement
 }
 
@@ -162,7 +162,7 @@
 	heap.Push(&t.queue, scheduledEvent{t.now + max(d, 0), t.seq, do})
 }
 
-// play plays a scenario to its end.
+// play runs a scenario to its end.
 func (s scenario) play() measurement {
 	t := &traffic{
 		scenario: s,
@@ -203,7 +203,7 @@
 
 func backendID(i int) policy.BackendID { return policy.BackendID("s" + strconv.Itoa(i)) }
 
-// arrive starts the next requests and schedules those after them.
+// arrive starts the next burst of requests and schedules the one after it.
 func (t *traffic) arrive() {
 	burst := max(t.burst, 1)
 	for range burst {
@@ -224,10 +224,9 @@
 	}
 }
 
-// choose routes a request: evenly, or as a router does that prefers some backends as long as they have nothing in
-// flight.
+// choose routes a request to a random backend, or to the first of those with the fewest attempts in flight.
 func (t *traffic) choose() int {
-	if t.prefers {
+	if t.prefersLeastLoaded {
 		return slices.Index(t.inFlight, slices.Min(t.inFlight))
 	}
 	return t.rng.IntN(t.backends)
@@ -267,7 +266,7 @@
 	t.pool.Handle(connectionClosed{conn: s.conn, wasOpen: true})
 }
 
-// deliverWrites brings the backends the commands that the pool has given to connections.
+// deliverWrites delivers the commands that wait on connections to their backends.
 func (t *traffic) deliverWrites() {
 	for c, s := range t.conns {
 		if s.closed || len(c.writes) == 0 {
@@ -279,7 +278,7 @@
 	}
 }
 
-// reply brings the reply to an attempt, and schedules its duplicate.
+// reply delivers the reply to an attempt, and schedules its duplicate if there is one.
 func (t *traffic) reply(s *socket, attempt *Attempt) {
 	duplicated := t.rng.Float64() < t.duplicateShare
 	delay := t.duplicateDelay
@@ -304,8 +303,8 @@
 	}
 }
 
-// usualScenario is ordinary traffic: 12 backends of 2 ms, connections that come up in 0.3 ms. It has a tenth of the
-// requests, and all with HITCHSPRING_TRIALS=1.
+// usualScenario returns ordinary traffic: 12 backends with a service time of 2 ms, and connections that open in 0.3 ms.
+// It has a tenth of the requests, or all of them with HITCHSPRING_TRIALS=1.
 func usualScenario(name string, rate float64, requests int) scenario {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" {
 		requests /= 10
@@ -320,11 +319,11 @@
 	}
 }
 
-// maxAddedDelay bounds what the pool may add to a request at the 99th percentile.
+// maxAddedDelay bounds the delay that the pool may add to a request at the 99th percentile.
 const maxAddedDelay = 3600 * time.Microsecond
 
-// Requests don't wait for the reuse delay of connections, also with a router that prefers idle backends and would
-// use one connection of each again and again.
+// Requests don't wait for the reuse delay of connections, even with a router that prefers idle backends and thus would
+// use the same connection of each again and again.
 func TestRequestsDoNotWaitForReuseDelay(t *testing.T) {
 	t.Parallel()
 	with := func(s scenario, name string, change func(*scenario)) scenario {
@@ -335,8 +334,8 @@
 	few, many := usualScenario("190/s", 190, 40000), usualScenario("3,000/s", 3000, 100000)
 	for _, s := range []scenario{
 		few, many,
-		with(few, "190/s, some preferred", func(s *scenario) { s.prefers = true }),
-		with(many, "3,000/s, some preferred", func(s *scenario) { s.prefers = true }),
+		with(few, "190/s, some preferred", func(s *scenario) { s.prefersLeastLoaded = true }),
+		with(many, "3,000/s, some preferred", func(s *scenario) { s.prefersLeastLoaded = true }),
 		with(few, "3 backends", func(s *scenario) { s.backends = 3 }),
 		with(few, "300 backends", func(s *scenario) { s.backends = 300 }),
 		with(few, "bursts after idleness", func(s *scenario) { s.burst, s.idleFor = 64, 30*time.Second }),
@@ -346,15 +345,15 @@
 		}),
 		with(few, "one connection a backend", func(s *scenario) {
 			s.maxConnections = 1
-			s.prefers = true
-			s.requests = 40000 // until each backend is trusted
+			s.prefersLeastLoaded = true
+			s.requests = 40000 // enough for each backend to become trusted
 		}),
 		with(many, "connections cost 3 ms", func(s *scenario) { s.connectTime = 3 * ms }),
 	} {
 		m := s.play()
 		t.Logf("%s: %v", s.name, m)
 		bound := maxAddedDelay
-		if s.maxConnections > 0 { // the reuse delay of the only connection, until the backend is trusted
+		if s.maxConnections > 0 { // requests wait for the only connection until the backend is trusted
 			bound = reuseDelay
 		}
 		if p50, p99 := quantile(m.waits, 0.5), quantile(m.waits, 0.99); p50 > ms/2 || p99 > bound {
@@ -362,27 +361,27 @@
 				s.name, p50, p99, ms/2, bound)
 		}
 		if lost := max(s.requests, m.requestsStarted) - m.ends[policy.Succeeded]; lost > s.requests/1000+s.burst/64 {
-			t.Errorf("%s: %d of %d were not served: %v", s.name, lost, s.requests, m.ends)
+			t.Errorf("%s: %d of %d requests were not served: %v", s.name, lost, s.requests, m.ends)
 		}
 	}
 }
 
-// safeDuplicateDelay is how late a duplicate may arrive and is never taken for another command's reply, whatever
+// safeDuplicateDelay is the delay below which a duplicate must never be taken for another command's reply, whatever
 // reuseDelay is.
 const safeDuplicateDelay = 15 * ms
 
-// Duplicates, of 1 reply in 100, are never taken for another command's reply up to safeDuplicateDelay. Beyond it,
-// how many are is logged.
+// With 1 duplicate in 100 replies, a duplicate that arrives within safeDuplicateDelay is never taken for another
+// command's reply. For later ones the number is only logged.
 func TestDuplicatesAreNotTakenForOthers(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{190, 3000} {
 		for _, late := range []time.Duration{0, 5 * ms, 10 * ms, 15*ms - time.Microsecond, 20 * ms, 30 * ms, 50 * ms} {
 			s := usualScenario("", rate, 100000)
-			s.prefers, s.duplicateShare, s.duplicateDelay, s.seed = true, 0.01, late, uint64(rate)
+			s.prefersLeastLoaded, s.duplicateShare, s.duplicateDelay, s.seed = true, 0.01, late, uint64(rate)
 			m := s.play()
 			t.Logf("%v/s, %v late: %v", rate, late, m)
 			if m.duplicates < s.requests/200 {
-				t.Errorf("%v/s, %v late: only %d duplicates came", rate, late, m.duplicates)
+				t.Errorf("%v/s, %v late: only %d duplicates were sent", rate, late, m.duplicates)
 			}
 			if late < safeDuplicateDelay && m.misattributed > 0 {
 				t.Errorf("%v/s: %d of %d duplicates %v late were taken for another command's",
@@ -392,12 +391,13 @@
 	}
 }
 
-// The same where connections are scarce, with one a backend, so that one may be used before its reuse delay is over.
+// Duplicates are not misattributed either if each backend accepts one connection only, which may then be reused before
+// its reuse delay is over.
 func TestDuplicatesWhereConnectionsAreScarce(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{ms, 8 * ms, 15*ms - time.Microsecond} {
 		s := usualScenario("", 190, 100000)
-		s.prefers, s.maxConnections, s.duplicateShare, s.duplicateDelay = true, 1, 0.01, late
+		s.prefersLeastLoaded, s.maxConnections, s.duplicateShare, s.duplicateDelay = true, 1, 0.01, late
 		m := s.play()
 		t.Logf("%v late: %v", late, m)
 		if m.misattributed > 0 {
@@ -407,8 +407,8 @@
 	}
 }
 
-// Every backend replies to each command twice, 8.5 ms late, under load; no duplicate is taken for another command's
-// reply, and requests don't wait for longer than it takes to open another connection.
+// If all backends send each reply twice under load, with the duplicate 8.5 ms late, no duplicate is taken for another
+// command's reply, and requests wait no longer than it takes to open another connection.
 func TestEveryBackendRepliesTwice(t *testing.T) {
 	t.Parallel()
 	s := usualScenario("", 1000, 30000)
@@ -419,11 +419,11 @@
 		t.Errorf("%d duplicates were taken for another command's", m.misattributed)
 	}
 	if p99 := quantile(m.waits, 0.99); p99 > maxAddedDelay {
-		t.Errorf("requests wait %v at the 99th percentile, %v at most is wanted", p99, maxAddedDelay)
+		t.Errorf("requests wait %v at the 99th percentile, want at most %v", p99, maxAddedDelay)
 	}
 }
 
-// A backend that closes each connection right after its reply is dialed for each command, and serves them.
+// A backend that closes each connection right after a reply is dialed for each command, and all commands are served.
 func TestBackendClosesAfterReply(t *testing.T) {
 	t.Parallel()
 	s := usualScenario("", 190, 10000)
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -116,11 +116,11 @@
 	return size, lengthBound{}, nil
 }
 
-// LargeValue reports whether b begins with an array of three whose first element is a
+// ParseLargeValueHeader reports whether b begins with an array of three whose first element is a
 // string above MaxValue, which is forwarded as it arrives. It returns the bytes
 // of b before the string, and the length of the string; both are 0 if b begins
 // otherwise. A string above MaxLarge is ErrTooLong.
-func LargeValue(b []byte) (head, value int, err error) {
+func ParseLargeValueHeader(b []byte) (head, value int, err error) {
 	const start = "*3\r\n$"
 	if len(b) <= len(start) || string(b[:len(start)]) != start {
 		return 0, 0, nil
--- a/internal/resp/large_fuzz_test.go
+++ b/internal/resp/large_fuzz_test.go
@@ -20,7 +20,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		head, size, err := LargeValue(b)
+		head, size, err := ParseLargeValueHeader(b)
 		switch {
 		case err != nil && (head != 0 || size != 0):
 			t.Fatalf("got %d and %d with the error %v, want zeros", head, size, err)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -12,7 +12,7 @@
 const (
 	MaxValue      = 64 << 10 // of one string
 	MaxLargeValue = 4 << 20  // of a string that is forwarded as it arrives, or of a request's body
-	MaxFrame      = MaxValue + frameOverheadBytes
+	MaxFrameBytes = MaxValue + frameOverheadBytes
 
 	// SmallBuffer is the buffer that a connection retains between frames.
 	SmallBufferBytes = 2 << 10
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -49,7 +49,7 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n, err := FrameLength(b, 0)
-		if n < 0 || n > len(b) || n > MaxFrame+MaxValue || err != nil && n != 0 {
+		if n < 0 || n > len(b) || n > MaxFrameBytes+MaxValue || err != nil && n != 0 {
 			t.Fatalf("got %d of %d bytes, %v", n, len(b), err)
 		}
 		if n > 0 {
