--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// The errors of a watch that this instance has ended.
+// Errors of a watch that this instance has ended by a timeout.
 var (
-	errWatchSilent = errors.New("watch: silent")
-	errUnanswered  = errors.New("watch: not answered")
+	errWatchSilent = errors.New("watch: no data before the silence timeout")
+	errNoResponse  = errors.New("watch: no response before the timeout")
 )
 
-// statusError is an answer with a status other than 200.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	status     string
-	retryAfter time.Duration // 0: none was named
+	retryAfter time.Duration // from the Retry-After header; 0: none
 }
 
 // Error implements error.
-func (e *statusError) Error() string { return "discovery answers " + e.status }
+func (e *statusError) Error() string { return "discovery responded with status " + e.status }
 
-// fetchList requests the complete list once.
+// fetchList requests the complete list and accepts it.
 func (w *Watcher) fetchList(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, w.answerTimeout())
+	ctx, cancel := context.WithTimeout(ctx, w.responseTimeout())
 	defer cancel()
 	body, err := w.get(ctx, w.url)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return w.decodeList(text)
 }
 
-// decodeList decodes and accepts the answer to a request for the list.
+// decodeList decodes and accepts the response to a request for the list.
 func (w *Watcher) decodeList(text []byte) error {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -52,37 +52,38 @@
 	return nil
 }
 
-// watch follows the changes. It always ends with an error, and reports whether it received anything. It ends as well if
-// the peer accepts the call and doesn't answer it, or falls silent, between two changes or within one.
+// watch opens a watch and accepts the changes that arrive on it. It always returns an error, and reports whether it
+// received anything readable. It gives up if no response arrives in time, or if the open watch brings no bytes for the
+// silence timeout, between two changes or within one.
 func (w *Watcher) watch(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer func() {
-		if cause := context.Cause(ctx); errors.Is(cause, errWatchSilent) || errors.Is(cause, errUnanswered) {
+		if cause := context.Cause(ctx); errors.Is(cause, errWatchSilent) || errors.Is(cause, errNoResponse) {
 			err = cause
 		}
 	}()
-	unanswered := time.AfterFunc(w.answerTimeout(), func() { cancel(errUnanswered) })
-	defer unanswered.Stop()
+	responseTimer := time.AfterFunc(w.responseTimeout(), func() { cancel(errNoResponse) })
+	defer responseTimer.Stop()
 	body, err := w.get(ctx, fmt.Sprintf("%s?follow=1&since=%d", w.url, w.rev))
 	if err != nil {
 		return false, err
 	}
 	defer body.Close()
-	unanswered.Stop()
-	timeout := w.drawSilenceTimeout()
-	silence := time.AfterFunc(timeout, func() { cancel(errWatchSilent) })
-	defer silence.Stop()
+	responseTimer.Stop()
+	timeout := w.pickSilenceTimeout()
+	silenceTimer := time.AfterFunc(timeout, func() { cancel(errWatchSilent) })
+	defer silenceTimer.Stop()
 	stream := &boundedReader{Reader: body, onData: func() {
 		received = true
-		silence.Reset(timeout)
+		silenceTimer.Reset(timeout)
 	}}
 	err = w.decodeStream(stream)
 	return received && !isUnreadable(err), fmt.Errorf("watch: %w", err)
 }
 
-// decodeStream accepts the lists of a watch as they arrive, until one can't be read. A list may be on one line or
-// indented over many.
+// decodeStream accepts the lists of a watch as they arrive, until one can't be decoded. A list may be on one line or
+// indented over several.
 func (w *Watcher) decodeStream(stream *boundedReader) error {
 	decoder := json.NewDecoder(stream)
 	for {
@@ -95,7 +96,7 @@
 	}
 }
 
-// get returns the body of an answer with status 200; any other one is a statusError.
+// get returns the body of a response with status 200; any other status is a statusError.
 func (w *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -112,8 +113,8 @@
 	return resp.Body, nil
 }
 
-// retryAfter returns the header's delay; 0 if there is none. The header's other form, a date, is ignored, since it
-// needs two clocks that agree.
+// retryAfter returns the delay of the Retry-After header, or 0 if there is none. A date instead of a delay is ignored,
+// since it requires synchronized clocks.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(header.Get("Retry-After"), 10, 16)
 	if err != nil {
--- a/internal/discovery/sockets_test.go
+++ b/internal/discovery/sockets_test.go
@@ -10,8 +10,8 @@
 	standin "hitchspring/internal/standin/discovery"
 )
 
-// startNamedWatchers runs so many watchers of an agent. The channel gets one value for each when a backend named "new"
-// has reached it.
+// startNamedWatchers runs n watchers of an agent. Each watcher's index is sent on the channel when the watcher has
+// received a backend named "new".
 func startNamedWatchers(ctx context.Context, wg *sync.WaitGroup, addr string, n int) <-chan int {
 	updated := make(chan int, n)
 	for i := range n {
@@ -29,8 +29,8 @@
 	return updated
 }
 
-// awaitUpdates waits for so many updates and returns how long after a moment the last one came. It fails if that takes
-// 2 s more than updateBound: to see how late they are.
+// awaitUpdates waits for n updates and returns the time from since to the last one. It waits 2 s longer than
+// updateBound, so that late updates are reported with their delay.
 func awaitUpdates(t *testing.T, updated <-chan int, n int, since time.Time) time.Duration {
 	t.Helper()
 	const deadline = updateBound + 2*time.Second
@@ -47,8 +47,8 @@
 	return last
 }
 
-// A change reaches 24 callers on real sockets, whose discovery takes a call of each in 2 s, within 6 s of the moment it
-// can be reached again, however it failed. In real time, about 14 s, the three cases in parallel.
+// On real sockets, a change reaches 24 callers within 6 s after discovery is reachable again, however it failed, if
+// discovery serves one call of each caller in 2 s. In real time, about 14 s, the three cases in parallel.
 func TestChangeArrivesSoonAfterOutageOnSockets(t *testing.T) {
 	const n, callAll = 24, 2 * time.Second
 	for name, failure := range map[string]standin.Failure{
