--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,7 +1,7 @@
-// Package socket queries the kernel about a connection without reading from it. It
-// takes a net.Conn, and reports whether bytes or the peer's end have arrived, how
-// long ago, and how many written bytes the peer has not acknowledged. It knows no
-// protocol, and none of its calls blocks.
+// Package socket queries the kernel for the state of a connection without reading
+// from it: whether data has arrived and when, whether the peer has closed the
+// connection, and how many written bytes the peer has not acknowledged. It is
+// independent of the protocol, and none of its functions blocks.
 package socket
 
 import (
@@ -14,12 +14,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unknown is what Unsent returns if the kernel does not know.
+// Unknown is returned by Unsent if the kernel does not provide the number.
 const Unknown = -1
 
 // Peek reports whether unread bytes have arrived on a connection, and whether its
-// peer has ended it. An end behind unread bytes is not seen; see HungUp. Both are
-// false for a connection without a file descriptor.
+// peer has closed it. A close that follows unread bytes is not detected; see
+// HungUp. Both are false for a connection without a file descriptor.
 func Peek(conn net.Conn) (arrived, ended bool) {
 	var b [1]byte
 	control(conn, func(fd int) {
@@ -34,9 +34,9 @@
 	return arrived, ended
 }
 
-// HungUp reports whether the peer has ended a connection, even behind unread
-// bytes, or this process has closed it. It is false for a connection without a
-// file descriptor.
+// HungUp reports whether the peer has closed a connection, even if unread bytes
+// precede the close, or this process has closed it. It is false for a connection
+// without a file descriptor.
 func HungUp(conn net.Conn) bool {
 	ended := false
 	state := control(conn, func(fd int) {
@@ -47,8 +47,8 @@
 	return ended || state == closed
 }
 
-// Unsent returns how many bytes that were written to a connection its peer has
-// not acknowledged, or Unknown.
+// Unsent returns the number of bytes that were written to a connection and not
+// yet acknowledged by its peer, or Unknown.
 func Unsent(conn net.Conn) int {
 	unsent := Unknown
 	control(conn, func(fd int) {
@@ -62,28 +62,28 @@
 	return unsent
 }
 
-// SinceReceived returns the time since the last bytes arrived on a connection, read
-// or not. It is 0 if the kernel does not know.
+// SinceReceived returns the time since data last arrived on a connection, whether
+// or not it was read. It is 0 if the kernel does not provide it.
 func SinceReceived(conn net.Conn) time.Duration {
 	info := tcpInfo(conn)
 	return time.Duration(info.Last_data_recv) * time.Millisecond
 }
 
-// SinceFirstReceived returns an upper bound of the time since the first bytes
-// arrived on an accepted connection that nothing was sent on yet. If they came in
-// one segment it is exact; else they may have come as soon as the connection was
-// established. It is 0 if the kernel does not know.
+// SinceFirstReceived returns an upper bound on the time since the first bytes
+// arrived on an accepted connection on which nothing was sent yet. The bound is
+// exact if all data arrived in one segment; otherwise it is the time since the
+// connection was established. It is 0 if the kernel does not provide it.
 func SinceFirstReceived(conn net.Conn) time.Duration {
 	info := tcpInfo(conn)
 	since := info.Last_data_recv
 	if info.Data_segs_in > 1 {
-		since = max(since, info.Last_data_sent) // counts from when it was established
+		since = max(since, info.Last_data_sent) // nothing was sent: counts from the establishment
 	}
 	return time.Duration(since) * time.Millisecond
 }
 
-// tcpInfo returns what the kernel knows of a connection; all is 0 if it knows
-// nothing.
+// tcpInfo returns the kernel's TCP_INFO of a connection, or the zero value if it
+// is not available.
 func tcpInfo(conn net.Conn) unix.TCPInfo {
 	var known unix.TCPInfo
 	control(conn, func(fd int) {
@@ -94,25 +94,23 @@
 	return known
 }
 
-// CloseWrite ends the sending side of a connection, if connections of its kind
-// can do that.
+// CloseWrite closes the sending side of a connection, if its type supports that.
 func CloseWrite(conn net.Conn) {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // fails only on a connection that has ended
+		_ = half.CloseWrite() // fails only on a connection that is closed
 	}
 }
 
-// descriptorState says what became of an attempt to use a connection's file
-// descriptor.
+// descriptorState is the result of a call on a connection's file descriptor.
 type descriptorState uint8
 
 const (
-	absent descriptorState = iota // the connection has none
+	absent descriptorState = iota // the connection has no file descriptor
 	used
 	closed // this process has closed the connection
 )
 
-// control calls do with the file descriptor of a connection.
+// control calls do with the file descriptor of a connection, if it has an open one.
 func control(conn net.Conn, do func(fd int)) descriptorState {
 	sys, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -27,8 +27,8 @@
 	return client, server
 }
 
-// What a client reads shows at the other end although nothing more can be
-// written: such a connection is not dead.
+// When a client reads, the number of unacknowledged bytes falls, although no more
+// can be written to the full connection. This shows that the client is alive.
 func TestUnsent(t *testing.T) {
 	reader, writer := connect(t)
 	if err := reader.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
@@ -57,12 +57,12 @@
 	defer a.Close()
 	defer z.Close()
 	if got := Unsent(a); got != Unknown {
-		t.Fatalf("got %d of a pipe, want Unknown", got)
+		t.Fatalf("got %d unsent bytes for a pipe, want Unknown", got)
 	}
 }
 
-// The end of a connection shows behind unread bytes, by a close and by a reset,
-// and if this process has closed it.
+// A hang-up is detected despite unread bytes, after a close or reset by the peer
+// and after a close by this process.
 func TestHungUp(t *testing.T) {
 	for name, end := range map[string]func(far, near net.Conn){
 		"close": func(far, _ net.Conn) { far.Close() },
@@ -78,12 +78,12 @@
 				t.Fatal(err)
 			}
 			if HungUp(near) {
-				t.Error("got an end before there was one")
+				t.Error("got a hang-up before the connection was closed")
 			}
 			end(far, near)
 			for deadline := time.Now().Add(5 * time.Second); !HungUp(near); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatal("the end was not seen")
+					t.Fatal("the hang-up was not detected")
 				}
 			}
 		})
@@ -92,6 +92,6 @@
 	defer z.Close()
 	a.Close()
 	if HungUp(a) {
-		t.Error("got an end of a pipe, which has no descriptor")
+		t.Error("got a hang-up for a pipe, which has no file descriptor")
 	}
 }
