--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -89,9 +89,9 @@
 	defer in.Close()
 	deadlineSet := false
 	for {
-		head, size, err := resp.ParseLargeValueHeader(in.Buffered())
+		headerBytes, size, err := resp.ParseLargeValueHeader(in.Buffered())
 		if size > 0 {
-			in.Discard(head)
+			in.Discard(headerBytes)
 			if !c.readLargeReply(ctx, &in, size, post) {
 				return
 			}
--- a/internal/resp/budget.go
+++ b/internal/resp/budget.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Budget bounds the memory that many connections use together. It is safe for
+// Budget bounds the total memory of many connections. It is safe for
 // concurrent use. A nil Budget is unlimited.
 type Budget struct {
-	available atomic.Int64 // bytes; below 0 only while Take is running
+	available atomic.Int64 // bytes; below 0 only during a call of Reserve
 }
 
-// NewBudget returns a budget of a number of bytes.
+// NewBudget returns a budget of so many bytes.
 func NewBudget(bytes int) *Budget {
 	b := &Budget{}
 	b.available.Store(int64(bytes))
@@ -25,7 +25,7 @@
 	return false
 }
 
-// Release releases n bytes.
+// Release returns n reserved bytes to the budget.
 func (b *Budget) Release(n int) {
 	if b != nil {
 		b.available.Add(int64(n))
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -5,23 +5,23 @@
 	"strconv"
 )
 
-// lengthBound is what is known of the length of an incomplete value.
+// lengthBound is the information on the length of an incomplete value.
 type lengthBound struct {
-	bytes int  // lower bound; 0: nothing is known
-	exact bool // the value has exactly so many bytes
+	bytes int  // lower bound; 0: unknown
+	exact bool // bytes is the exact length
 }
 
-// FrameLength returns the length of the RESP value that b begins with, or 0 if the
-// value is incomplete. Depth is that of the value among nested arrays. The
-// function guards the parser, which trusts lengths: a huge or negative one makes
-// it panic.
+// FrameLength returns the length of the RESP value at the start of b, or 0 if the
+// value is incomplete. depth is the number of arrays that enclose the value. The
+// parser trusts lengths and panics if one is huge or negative, so input must pass
+// this function first.
 func FrameLength(b []byte, depth int) (int, error) {
 	size, _, err := scanFrame(b, depth, MaxValue)
 	return size, err
 }
 
-// scanFrame does what Frame does with another bound on the length of a string.
-// Of an incomplete value it returns what is known of its length.
+// scanFrame is FrameLength with a configurable bound on the length of a string. For
+// an incomplete value it also returns a bound on the value's length.
 func scanFrame(b []byte, depth, maxValue int) (int, lengthBound, error) {
 	headerBytes, err := scanHeader(b, depth)
 	if headerBytes == 0 || err != nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// scanHeader returns the length of the line that a value begins with, its line
-// end included, or 0 if the line is incomplete.
+// scanHeader returns the length of the first line of a value, including its line
+// end, or 0 if the line is incomplete.
 func scanHeader(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -66,7 +66,7 @@
 	return end + 1, nil
 }
 
-// isKind reports whether a byte is that of a RESP2 type.
+// isKind reports whether b is the type byte of a RESP2 value.
 func isKind(b byte) bool {
 	switch b {
 	case '+', '-', ':', '$', '*':
@@ -81,7 +81,7 @@
 	return n, err == nil
 }
 
-// scanString returns the length of a bulk string of n bytes and its header.
+// scanString returns the length of a bulk string of n bytes, including its header.
 func scanString(b []byte, headerBytes, n int) (int, lengthBound, error) {
 	size := headerBytes + n + len("\r\n")
 	if len(b) < size {
@@ -93,7 +93,7 @@
 	return size, lengthBound{}, nil
 }
 
-// scanElements returns the length of an array of n elements and its header.
+// scanElements returns the length of an array of n elements, including its header.
 func scanElements(b []byte, headerBytes, n, depth, maxValue int) (int, lengthBound, error) {
 	size := headerBytes
 	for i := range n {
@@ -116,11 +116,12 @@
 	return size, lengthBound{}, nil
 }
 
-// ParseLargeValueHeader reports whether b begins with an array of three whose first element is a
-// string above MaxValue, which is forwarded as it arrives. It returns the bytes
-// of b before the string, and the length of the string; both are 0 if b begins
-// otherwise. A string above MaxLarge is ErrTooLong.
-func ParseLargeValueHeader(b []byte) (head, value int, err error) {
+// ParseLargeValueHeader checks whether b begins with an array of three elements
+// whose first is a string longer than MaxValue, which is forwarded as it arrives.
+// It returns the number of bytes before the content of the string and the length
+// of the string, or 0 for both if b begins otherwise. A string longer than
+// MaxLargeValue is ErrTooLong.
+func ParseLargeValueHeader(b []byte) (headerBytes, valueBytes int, err error) {
 	const start = "*3\r\n$"
 	if len(b) <= len(start) || string(b[:len(start)]) != start {
 		return 0, 0, nil
@@ -132,7 +133,7 @@
 	}
 	n, valid := parseLength(rest[:end-1])
 	switch {
-	case !valid || n <= MaxValue: // Frame decides
+	case !valid || n <= MaxValue: // FrameLength handles these
 		return 0, 0, nil
 	case n > MaxLargeValue:
 		return 0, 0, ErrTooLong
--- a/internal/resp/inbox.go
+++ b/internal/resp/inbox.go
@@ -1,22 +1,22 @@
 package resp
 
-// Inbox gathers the bytes of a connection until a frame is complete. The zero
-// value is ready to use; Close must be called in the end. Only one goroutine may
-// use it at a time.
+// Inbox buffers the bytes of a connection until a frame is complete. The zero
+// value is ready to use; Close must be called after use. It is not safe for
+// concurrent use.
 type Inbox struct {
-	// Budget provides the memory that is needed beyond SmallBuffer; nil: unlimited.
+	// Budget provides the memory beyond SmallBufferBytes; nil: unlimited.
 	Budget *Budget
 	// Max bounds the bytes of one string; 0: MaxValue.
 	Max int
 
-	buf      []byte
-	start    int         // of the unconsumed bytes in buf
-	end      int         // of the bytes that were read into buf
-	reserved int         // bytes of Budget
-	pending  lengthBound // of the frame that has begun, by the latest Next
+	buf           []byte
+	start         int         // start of the unconsumed bytes in buf
+	end           int         // end of the bytes that were read into buf
+	reserved      int         // bytes reserved from Budget
+	pendingLength lengthBound // length of the incomplete frame, as of the last call of Next
 }
 
-// Close releases what was reserved of the budget.
+// Close releases the memory that was reserved from the budget.
 func (in *Inbox) Close() {
 	in.Budget.Release(in.reserved)
 	in.reserved = 0
@@ -33,7 +33,7 @@
 // The frame is valid until Fill is called.
 func (in *Inbox) Next() ([]byte, error) {
 	size, bound, err := scanFrame(in.buf[in.start:in.end], 0, in.maxValue())
-	in.pending = bound
+	in.pendingLength = bound
 	if size == 0 || err != nil {
 		return nil, err
 	}
@@ -42,10 +42,11 @@
 	return frame, nil
 }
 
-// Partial reports whether a frame has begun that is not complete.
+// Partial reports whether there are unconsumed bytes, of a frame that Next has not
+// returned.
 func (in *Inbox) Partial() bool { return in.end > in.start }
 
-// BufferedBytes returns how many unconsumed bytes there are.
+// BufferedBytes returns the number of unconsumed bytes.
 func (in *Inbox) BufferedBytes() int { return in.end - in.start }
 
 // Buffered returns the unconsumed bytes. They are valid until Fill is called.
@@ -54,9 +55,9 @@
 // Discard consumes n bytes.
 func (in *Inbox) Discard(n int) { in.start += n }
 
-// Fill calls read once, and grows the buffer before if it is full, to one frame
-// at most. It returns ErrTooLong if the frame does not fit, ErrMemory if the
-// budget is exhausted, and the error of read unless that has read something.
+// Fill calls read once. If the buffer is full, it grows it first, up to the size of
+// one frame. It returns ErrTooLong if the frame does not fit, ErrMemory if the
+// budget is exhausted, and the error of read if no bytes were read.
 func (in *Inbox) Fill(read func([]byte) (int, error)) error {
 	if in.start > 0 {
 		in.end = copy(in.buf, in.buf[in.start:in.end])
@@ -79,17 +80,17 @@
 	return err
 }
 
-// grow doubles the buffer, but not beyond the largest frame. If the end of the
-// pending frame is known it grows no further than that end and a small buffer for
-// what may follow.
+// grow doubles the buffer, up to the size of the largest frame. If the length of
+// the pending frame is known, it grows the buffer at most to that length plus a
+// small buffer for the bytes that may follow.
 func (in *Inbox) grow() error {
 	maxBytes := in.maxValue() + frameOverheadBytes + maxHeaderBytes
 	if in.end >= maxBytes {
 		return ErrTooLong
 	}
 	growth := min(len(in.buf), maxBytes-in.end)
-	if in.pending.exact && in.pending.bytes > in.end {
-		growth = min(growth, in.pending.bytes-in.end+SmallBufferBytes)
+	if in.pendingLength.exact && in.pendingLength.bytes > in.end {
+		growth = min(growth, in.pendingLength.bytes-in.end+SmallBufferBytes)
 	}
 	if !in.Budget.Reserve(growth) {
 		return ErrMemory
@@ -99,14 +100,14 @@
 	return nil
 }
 
-// SkipFrame reads and discards the rest of the pending frame, so that the next one can
-// be read. It reports false if the end of the frame is unknown or could not be
-// read.
+// SkipFrame reads and discards the rest of the pending frame, so that the next one
+// can be read. It reports false if the length of the frame is unknown, or if read
+// failed before its end.
 func (in *Inbox) SkipFrame(read func([]byte) (int, error)) (bool, error) {
-	if !in.pending.exact {
+	if !in.pendingLength.exact {
 		return false, nil
 	}
-	remaining := in.pending.bytes - in.BufferedBytes()
+	remaining := in.pendingLength.bytes - in.BufferedBytes()
 	in.buf, in.start, in.end = make([]byte, SmallBufferBytes), 0, 0
 	in.Close()
 	for remaining > 0 {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// The memory of incomplete commands is bounded over all connections.
+// The total memory for incomplete frames of all connections is bounded.
 func TestBudget(t *testing.T) {
 	budget := NewBudget(SmallBufferBytes + 10)
 	fill := func(in *Inbox) error {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Frame neither panics nor returns more than it was given, whatever that is, and
-// a complete frame has the same length with more bytes behind it.
+// For any input, FrameLength neither panics nor returns more than the length of the
+// input, and the length of a complete frame does not depend on the bytes after it.
 func FuzzFrame(f *testing.F) {
 	for _, seed := range []string{
 		"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n",
@@ -54,7 +54,7 @@
 		}
 		if n > 0 {
 			if m, err := FrameLength(append(b[:n:n], "+OK\r\n"...), 0); m != n || err != nil {
-				t.Fatalf("got %d bytes, %v with more behind, want %d", m, err, n)
+				t.Fatalf("got %d bytes, %v with more bytes after the frame, want %d", m, err, n)
 			}
 		}
 	})
@@ -71,7 +71,7 @@
 	return frame
 }
 
-// readAll returns the frames of a stream that arrives in pieces of any size.
+// readAll returns the frames of a stream that is read in segments of random size.
 func readAll(t *rapid.T, in *Inbox, stream string) []string {
 	var frames []string
 	read := func(p []byte) (int, error) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// The frames of a stream do not depend on the pieces in which it arrives.
+// The frames of a stream do not depend on the segments in which it arrives.
 func TestAnySegmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []string
@@ -112,8 +112,9 @@
 	})
 }
 
-// A frame for which there is no memory is skipped exactly if its end is known.
-func TestSkip(t *testing.T) {
+// A frame that exceeds the memory budget is skipped exactly to its end if its
+// length is known.
+func TestSkipFrame(t *testing.T) {
 	in := Inbox{Max: 1 << 20, Budget: NewBudget(100)}
 	stream := "*2\r\n$1\r\nx\r\n$50000\r\n" + strings.Repeat("y", 50000) + "\r\n" + "+OK\r\n"
 	read := func(p []byte) (int, error) {
@@ -140,6 +141,6 @@
 		t.Fatal(err)
 	}
 	if frame, err := in.Next(); string(frame) != "+OK\r\n" || err != nil {
-		t.Fatalf("got %q, %v behind it, want +OK", frame, err)
+		t.Fatalf("got %q, %v after it, want +OK", frame, err)
 	}
 }
