--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -30,10 +30,11 @@
 
 const (
 	standinEnv = "STORE_BENCH_STANDIN"
-	slowEnv    = "STORE_BENCH_SLOW" // each answer takes 1 ms more
+	slowEnv    = "STORE_BENCH_SLOW" // adds 1 ms to each reply of the stand-in
 )
 
-// TestMain runs a stand-in if the process was started as one: its CPU must not count as the store's.
+// TestMain runs a stand-in if the process was started as one by a benchmark. Stand-ins run in a process of their own
+// so that their CPU time is not counted as the store's.
 func TestMain(m *testing.M) {
 	var addr string
 	slow := os.Getenv(slowEnv) != ""
@@ -60,10 +61,10 @@
 		}
 	}
 	fmt.Println(addr)
-	_, _ = os.Stdin.Read(make([]byte, 1)) // until the benchmark ends
+	_, _ = os.Stdin.Read(make([]byte, 1)) // blocks until the benchmark closes stdin
 }
 
-// standIn starts a stand-in as a process of its own.
+// standIn starts a stand-in in a separate process and returns its address.
 func standIn(b *testing.B, kind string, slow bool) (addr string) {
 	b.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -94,7 +95,7 @@
 	return addr
 }
 
-// cpuTime is what this process has used so far.
+// cpuTime returns the user and system CPU time that this process has used so far.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -104,7 +105,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// newCounter returns a client of a kind of stand-in.
+// newCounter returns a client for a stand-in of the given kind.
 func newCounter(kind, addr string, sink store.Sink) (store.Counter, error) {
 	if kind == "redis" {
 		options := redis.Options{Address: addr, Prefix: "bench", Timeout: time.Second}
@@ -113,16 +114,16 @@
 	return tally.New(addr, time.Second, sink), nil
 }
 
-// BenchmarkAdds keeps a number of adds in flight. It reports adds a second, and CPU of this process and allocations for
-// each add.
+// BenchmarkAdds keeps a fixed number of adds in flight. It reports adds per second, and this process's CPU time and
+// allocations per add.
 func BenchmarkAdds(b *testing.B) {
 	for _, c := range []struct {
-		flying int
-		slow   bool // both stand-ins answer after a millisecond, so that both wait for the same
+		inFlight int
+		slow     bool // both stand-ins reply after 1 ms, so that both clients wait equally long
 	}{{1, false}, {1, true}, {64, false}, {512, false}} {
 		for _, kind := range []string{"tally", "redis"} {
-			b.Run(fmt.Sprintf("%s/flying=%d/slow=%v", kind, c.flying, c.slow), func(b *testing.B) {
-				benchmarkAdds(b, kind, standIn(b, kind, c.slow), c.flying)
+			b.Run(fmt.Sprintf("%s/flying=%d/slow=%v", kind, c.inFlight, c.slow), func(b *testing.B) {
+				benchmarkAdds(b, kind, standIn(b, kind, c.slow), c.inFlight)
 			})
 		}
 	}
@@ -173,15 +174,15 @@
 	}
 }
 
-// BenchmarkRequest runs a whole ingress in this process between a client and a backend that allocate nothing, with the
-// store's stand-in as a process of its own: what is allocated for a request is the ingress's.
+// BenchmarkRequest runs a complete ingress in this process between a client and a backend that do not allocate, with
+// the store's stand-in in a separate process. All allocations per request are therefore those of the ingress.
 func BenchmarkRequest(b *testing.B) {
 	for _, kind := range []string{"tally", "redis"} {
 		b.Run(kind, func(b *testing.B) { benchmarkRequest(b, kind, standIn(b, kind, false)) })
 	}
 }
 
-// requestConfig is that of an ingress with one backend and a shared counter at addr.
+// requestConfig returns the configuration of an ingress with one backend and a shared counter at addr.
 func requestConfig(b *testing.B, kind, addr string) ingress.Config {
 	b.Helper()
 	backend, agent := silentPeers(b)
@@ -263,7 +264,7 @@
 	}
 }
 
-// silentPeers are a backend that replies to whatever comes with one value, and a discovery agent that never replies.
+// silentPeers starts a backend that sends the same reply to every request, and a discovery agent that never replies.
 func silentPeers(b *testing.B) (backend, agent string) {
 	b.Helper()
 	backend = scripted.Listen(b, func(nc net.Conn) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the seam between the core and the shared counter: named numbers to which all instances add and
-// whose totals they read back. It defines what an add may be answered and who may still take the add back. What
-// stands behind a counter (tally, Redis) is known to the implementations alone.
+// Package store defines the interface between the core and the shared counter, a set of named totals that all
+// instances add to and read back. It defines the possible results of an add, and until when the caller or the store
+// may cancel it. The implementations are in the packages tally and redis.
 package store
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Certainty says how sure it is that an add took effect.
+// Certainty tells whether an add took effect, as far as the store knows.
 type Certainty uint8
 
-// The certainties. The zero value is the one that promises least.
+// The values of Certainty. The zero value is the one that guarantees nothing.
 const (
-	Maybe    Certainty = iota // it may have been added, or may yet be: it counts as spent
-	Added                     // it was added, once
-	NotAdded                  // it was not, and never will be
+	Maybe    Certainty = iota // may have been added or may still be added; the caller counts the amount as spent
+	Added                     // was added exactly once
+	NotAdded                  // was not added and never will be
 )
 
 // String names the certainty for logs and test failures.
@@ -31,83 +31,84 @@
 	return "maybe"
 }
 
-// Result is the answer to an add.
+// Result is the result of an add.
 type Result struct {
 	Certainty Certainty
-	Seen      bool    // Total was read; an add may take effect with a reply that could not be read
-	Total     float64 // units, with this add in it: never less than what this instance knows to be spent
+	Seen      bool    // Total is valid; false if the add took effect but its reply could not be parsed
+	Total     float64 // in units, including this add; never less than what this instance knows to be spent
 }
 
-// The states of a call. From queued it becomes claimed or withdrawn, from claimed it becomes lapsed or rejected,
-// and may stay claimed.
+// The states of a call. A queued call becomes claimed or withdrawn; a claimed call stays claimed, or becomes
+// assumedAdded or rejected.
 const (
-	queued    int32 = iota // nobody has decided on it
-	claimed                // the store may send it
-	withdrawn              // the caller took it back: it is not sent
-	lapsed                 // the caller counts it as added
-	rejected               // the store reports that it is not added
+	queued       int32 = iota // neither claimed nor withdrawn
+	claimed                   // the store may send it
+	withdrawn                 // cancelled by the caller: must not be sent
+	assumedAdded              // the caller no longer waits and counts it as added
+	rejected                  // the store reports it as not added
 )
 
-// Call is one add. Its exported fields are set before it is handed to a store and not changed after. The caller and
-// the store decide between them, in any order and from any goroutine, what becomes of it: a call that its caller
-// has counted as added is never taken out of the total again.
+// Call is one add. Its exported fields must not change once it was passed to a Counter. The caller and the store
+// change its state concurrently, from any goroutine. Once the caller has counted a call as added, the store never
+// removes its amount from the total.
 type Call struct {
 	Name      string        // 1 to 64 bytes, no spaces
-	Amount    float64       // units; negative gives back
-	TTL       time.Duration // time to live of a new name, from its first add on
-	StartedAt time.Duration // on the caller's clock, for the caller's own use
+	Amount    float64       // in units; a negative amount returns units
+	TTL       time.Duration // time to live of the name, counted from the name's first add
+	StartedAt time.Duration // on the caller's clock; not used by the store
 	state     atomic.Int32
-	answered  bool // the caller's
+	answered  bool // used by the caller's goroutine only
 }
 
-// Claim is for the store, before anything of the call leaves the process. It reports false for a call that was
-// withdrawn, which must not be sent.
+// Claim is called by the store before it sends the call. It reports false if the call was withdrawn and must not be
+// sent.
 func (c *Call) Claim() bool { return c.state.CompareAndSwap(queued, claimed) }
 
-// Withdraw is for the caller. It reports whether the call was taken back before the store claimed it, so that it is
-// surely not added.
+// Withdraw is called by the caller to cancel the call. It reports whether that happened before the store claimed
+// the call, which guarantees that it is never added.
 func (c *Call) Withdraw() bool { return c.state.CompareAndSwap(queued, withdrawn) }
 
-// Lapse is for the caller, for a call that it could not withdraw and does not wait for any longer: the call counts
-// as added from then on. It reports false if the store has rejected the call, whose answer comes presently.
-func (c *Call) Lapse() bool { return c.state.CompareAndSwap(claimed, lapsed) }
+// Lapse is called by the caller at its timeout, if the call can no longer be withdrawn. From then on the call counts
+// as added. It reports false if the store has already rejected the call; its result follows shortly.
+func (c *Call) Lapse() bool { return c.state.CompareAndSwap(claimed, assumedAdded) }
 
-// Reject is for the store, before it takes the amount of the call out of the total. It reports false if the caller has
-// counted the call as added: then it must stay added.
+// Reject is called by the store before it removes the amount of the call from the total. It reports false if the
+// caller has counted the call as added; the amount must then stay in the total.
 func (c *Call) Reject() bool { return c.state.CompareAndSwap(claimed, rejected) }
 
-// IsQueued reports whether the call was neither claimed nor withdrawn.
+// IsQueued reports whether the call has been neither claimed nor withdrawn.
 func (c *Call) IsQueued() bool { return c.state.Load() == queued }
 
-// FirstAnswer is for the caller, on one goroutine. It reports whether it is called for the first time, that is for the
-// call's first answer.
+// FirstAnswer is called by the caller, from one goroutine, for each result of the call. It marks the call as answered
+// and reports whether this was its first result.
 func (c *Call) FirstAnswer() bool {
 	first := !c.answered
 	c.answered = true
 	return first
 }
 
-// Sink receives the answer to a call, at most once, from a goroutine of the store. A caller that does not wait any
-// longer withdraws the call or counts it as Maybe, and drops a later answer.
+// Sink receives the result of a call, at most once, on a goroutine of the store. A caller that stops waiting
+// withdraws the call or counts it as Maybe, and ignores a later result.
 type Sink func(*Call, Result)
 
-// Counter is a shared counter. Answers to the calls of one name come in the order in which the calls were added.
+// Counter is a shared counter. The results of calls for the same name arrive in the order of the calls.
 type Counter interface {
-	// Add queues a call and never blocks. If the queue is full, the call stays unanswered and may be withdrawn.
+	// Add queues a call and never blocks. If the queue is full, the call is dropped: it gets no result and can still
+	// be withdrawn.
 	Add(*Call)
-	// Run serves the calls until ctx ends, and leaves no goroutine behind.
+	// Run serves calls until ctx is done, and returns after all goroutines of the counter have ended.
 	Run(ctx context.Context)
-	// SetAddress changes to another address. It does not block and may be called at any time; the last address counts.
+	// SetAddress switches to another address without blocking. It may be called at any time; the latest address wins.
 	SetAddress(addr string)
 }
 
-// Latest is a channel for one value; a value that is set replaces one that was not received.
+// Latest is a channel that holds at most one value; a new value replaces one that was not received yet.
 type Latest[T any] chan T
 
 // NewLatest returns an empty channel.
 func NewLatest[T any]() Latest[T] { return make(Latest[T], 1) }
 
-// Set never blocks; it is for one goroutine at a time.
+// Set stores a value without blocking. It must not be called concurrently.
 func (l Latest[T]) Set(v T) {
 	for {
 		select {
