--- a/internal/store/ledger/ledger.go
+++ b/internal/store/ledger/ledger.go
@@ -1,15 +1,15 @@
-// Package ledger is the record of what one instance has added to a shared store, so that an add may be sent any
-// number of times and counts once. It takes in adds and the store's replies, and yields the writes to send, or to
-// send again. It does no I/O, starts no goroutine and takes the time as an argument.
+// Package ledger records what one instance has added to a shared store, so that adds are idempotent: an add can be
+// sent any number of times and counts once. It receives adds and the store's replies, and returns the writes to send
+// or to resend. It does no I/O, starts no goroutine and takes the time as an argument.
 //
-// A name's total in the store is the sum of one number for each instance: the sum of all that the instance has
-// added. An add raises the instance's own sum and writes the new sum under a new sequence number; the store takes a
-// sum only if its sequence number is higher than the one that it holds. So a write that is repeated, overtaken or
-// late changes nothing, a write that was lost is made good by the next one, and a store that has lost what it had
-// confirmed shows that by the sequence number that it still holds. An add that was rejected is taken out of the
-// sum, and the next write makes that true wherever a copy of the rejected one may arrive.
+// A name's total in the store is the total of one sum per instance, which covers all adds of that instance. An add
+// changes the instance's sum and writes the new sum with a new sequence number; the store accepts a sum only if its
+// sequence number is higher than the stored one. So a write that is repeated, reordered or late changes nothing, a
+// lost write is corrected by the next one, and a store that has lost confirmed data is detected by the lower sequence
+// number in its reply. A rejected add is subtracted from the sum; the next write corrects the store even if a copy of
+// the rejected write still arrives.
 //
-// Sums are integers of a millionth of a unit, exact up to 2^53 of them: nine thousand million units.
+// Sums are integers in millionths of a unit, exact up to 2^53, which is about nine billion units.
 package ledger
 
 import (
@@ -18,88 +18,91 @@
 	"time"
 )
 
-// reportGrace is the time in which the other instances find a store that has changed and write their sums again.
-const reportGrace = 3 * time.Second
+// resyncTimeout is how long the other instances may take to detect that the store was replaced or has lost data, and
+// to rewrite their sums.
+const resyncTimeout = 3 * time.Second
 
-// expiryMarginDivisor gives the part of a name's time to live by which the ledger forgets it before the store does.
+// expiryMarginDivisor defines how early the ledger drops a name: by its time to live divided by this number before the
+// store does.
 const expiryMarginDivisor = 20
 
-// MicrosPerUnit is how many of the ledger's integers make a unit.
+// MicrosPerUnit is the factor between units and the ledger's integers, which are millionths of a unit.
 const MicrosPerUnit = 1e6
 
-// MaxSum bounds an instance's sum for a name, in millionths of a unit: what a double holds exactly.
+// MaxSum is the highest absolute sum of an instance for a name, in millionths of a unit: the largest range of integers
+// that a float64 represents exactly.
 const MaxSum = int64(1) << 53
 
-// The errors of Ledger.Add.
+// Errors returned by Ledger.Add.
 var (
 	ErrTooManyNames = errors.New("ledger: too many names")
-	ErrAmountRange  = errors.New("ledger: the amount is out of range")
+	ErrAmountRange  = errors.New("ledger: amount out of range")
 )
 
-// Write is an instance's sum for a name on its way to the store. The same Write may be sent again as it is.
+// Write sets an instance's sum for a name in the store. It is idempotent: the same Write may be sent several times.
 type Write struct {
 	Name     string
-	FirstSeq uint64        // Seq of the name's first write: it tells a name from an earlier one of the same text
-	Seq      uint64        // sequence number, higher than that of every earlier write of the ledger
-	Sum      int64         // of this instance, in millionths of a unit
-	TTL      time.Duration // time to live that is left, for a store that does not know the name
+	FirstSeq uint64        // Seq of the name's first write; distinguishes a name from an expired one with the same text
+	Seq      uint64        // sequence number, higher than those of all earlier writes of the ledger
+	Sum      int64         // sum of this instance, in millionths of a unit
+	TTL      time.Duration // remaining time to live; used if the name is new to the store
 }
 
-// Reply is what a store replies to a write. Sums are in millionths of a unit.
+// Reply is the store's reply to a write. Sums are in millionths of a unit.
 type Reply struct {
-	PreviousSeq uint64        // the highest sequence number that it had from this instance before; 0: none
-	Own         int64         // the sum that it now has from this instance
-	Total       int64         // the sum over all instances, with Own
-	TTL         time.Duration // time to live that is left of the name; 0: not known
+	PreviousSeq uint64        // sequence number stored for this instance before the write; 0: none
+	Own         int64         // sum now stored for this instance
+	Total       int64         // sum over all instances, including Own
+	TTL         time.Duration // remaining time to live of the name; 0: unknown
 }
 
-// Confirmation is what follows from the reply to a write.
+// Confirmation is what the ledger concludes from the reply to a write.
 type Confirmation struct {
-	Total          float64 // in units, with the write's sum; of the other instances never less than was known
-	AlreadyApplied bool    // the write, or a later one, had been applied before this copy of it arrived
-	Lost           bool    // the store has lost what it had confirmed
+	Total          float64 // in units, including the write's sum and no less than the known sum of the other instances
+	AlreadyApplied bool    // this write or a later one had been applied before this copy arrived
+	Lost           bool    // the store has lost confirmed writes
 }
 
-// account is what the ledger knows of one name.
+// account is the ledger's state of one name.
 type account struct {
 	firstSeq     uint64
-	sum          int64 // of this instance
+	sum          int64 // sum of this instance
 	expiresAt    time.Duration
-	confirmedSeq uint64 // highest sequence number that the store has confirmed; 0: none
-	confirmedSum int64  // what it then had of this instance
-	others       int64  // what it then had of the other instances
-	unconfirmed  bool   // the store may not hold confirmedSum any more
-	queued       bool   // in Ledger.pending
+	confirmedSeq uint64 // highest sequence number confirmed by the store; 0: none
+	confirmedSum int64  // this instance's sum in the last reply
+	others       int64  // sum of the other instances in the last reply
+	unconfirmed  bool   // the store may no longer hold confirmedSum
+	isPending    bool   // the name is in Ledger.pending
 
-	// After the store may have lost data, othersFloor counts instead of a lower others, until the other instances have
-	// written theirs again.
+	// While floorActive is set, othersFloor is used in place of a lower value of others: the store may have lost data
+	// that the other instances have not rewritten yet.
 	floorActive bool
 	othersFloor int64
-	floorUntil  time.Duration // when it ends at the latest; 0: with the name, as the store has surely lost data
+	floorUntil  time.Duration // latest end of the floor; 0: at the name's expiry, since a loss of data was detected
 }
 
 // Ledger holds the sums of all names that have not expired. It is not safe for concurrent use.
 type Ledger struct {
 	maxNames int
-	seq      uint64 // of the last write
+	seq      uint64 // sequence number of the last write
 	accounts map[string]*account
-	pending  []string // names whose sum the store may not hold, oldest first; some may be forgotten
+	pending  []string // names whose sum the store may not hold, oldest first; may include removed names
 }
 
 // New returns an empty ledger for up to maxNames names.
 func New(maxNames int) *Ledger { return &Ledger{maxNames: maxNames, accounts: map[string]*account{}} }
 
-// Len is the number of names that it holds.
+// Len returns the number of names in the ledger.
 func (l *Ledger) Len() int { return len(l.accounts) }
 
 // ToMicros converts units to millionths of a unit. It reports false for an amount beyond MaxSum.
 func ToMicros(units float64) (micros int64, ok bool) {
 	rounded := math.Round(units * MicrosPerUnit)
-	return int64(rounded), math.Abs(rounded) <= float64(MaxSum) // false for a NaN too
+	return int64(rounded), math.Abs(rounded) <= float64(MaxSum) // also false for NaN
 }
 
-// Add adds an amount of units to a name that expires ttl after its first add, and returns what is to be written. It
-// returns ErrAmountRange or ErrTooManyNames, and changes nothing then.
+// Add adds an amount in units to a name that expires ttl after its first add, and returns the write to send. It fails
+// with ErrAmountRange or ErrTooManyNames, in which case the sum stays as it was.
 func (l *Ledger) Add(now time.Duration, name string, units float64, ttl time.Duration) (Write, error) {
 	micros, ok := ToMicros(units)
 	if !ok {
@@ -130,8 +133,8 @@
 	return Write{Name: name, FirstSeq: a.firstSeq, Seq: l.seq, Sum: a.sum, TTL: ttl}
 }
 
-// accountOf is the account that a write belongs to, or nil if that has expired.
-func (l *Ledger) accountOf(write Write) *account {
+// accountFor returns the account that a write belongs to, or nil if the account has expired.
+func (l *Ledger) accountFor(write Write) *account {
 	if a := l.accounts[write.Name]; a != nil && a.firstSeq == write.FirstSeq {
 		return a
 	}
@@ -142,20 +145,21 @@
 func (l *Ledger) Confirm(now time.Duration, write Write, reply Reply) Confirmation {
 	result := Confirmation{AlreadyApplied: reply.PreviousSeq >= write.Seq}
 	others := reply.Total - reply.Own
-	a := l.accountOf(write)
+	a := l.accountFor(write)
 	if a == nil {
 		result.Total = float64(others+write.Sum) / MicrosPerUnit
 		return result
 	}
-	if reply.PreviousSeq < a.confirmedSeq { // it had a later write once: it is another store, or was rolled back
+	if reply.PreviousSeq < a.confirmedSeq { // the store once confirmed a later write, so it was replaced or rolled back
 		result.Lost = true
-		a.keepFloor(0)
+		a.raiseFloor(0)
 	}
 	if a.floorActive && (others >= a.othersFloor || a.floorUntil > 0 && now >= a.floorUntil) {
 		a.floorActive = false
 	}
 	a.others = others
-	if reply.TTL > 0 { // ends a little early: a sum written after the store's name has expired would start a new one
+	// Expires a little before the store's name does: a sum written after that would create the name anew.
+	if reply.TTL > 0 {
 		a.expiresAt = now + reply.TTL - reply.TTL/expiryMarginDivisor
 	}
 	a.confirmedSeq = max(write.Seq, reply.PreviousSeq)
@@ -171,8 +175,8 @@
 	return result
 }
 
-// keepFloor keeps what the other instances are known to have added; until is as in floorUntil.
-func (a *account) keepFloor(until time.Duration) {
+// raiseFloor activates the floor and raises it to the known sum of the other instances; until becomes floorUntil.
+func (a *account) raiseFloor(until time.Duration) {
 	if !a.floorActive || a.others > a.othersFloor {
 		a.othersFloor = a.others
 	}
@@ -182,10 +186,10 @@
 	a.floorActive = true
 }
 
-// Reject takes out of its name an amount of units that the store has rejected. If anything of the write was sent,
-// the sum is written again, so that the rejection becomes true wherever a copy arrives.
+// Reject subtracts an amount in units that the store has rejected. If the write may have been sent, the sum is written
+// again, so that the store ends up without the amount even if a copy of the write is applied later.
 func (l *Ledger) Reject(write Write, units float64, sent bool) {
-	a := l.accountOf(write)
+	a := l.accountFor(write)
 	if a == nil {
 		return
 	}
@@ -197,17 +201,17 @@
 	}
 }
 
-// MarkUnconfirmed records that a write may or may not have been applied: its sum is written again.
+// MarkUnconfirmed records that a write may or may not have been applied, so that its sum is written again.
 func (l *Ledger) MarkUnconfirmed(write Write) {
-	if a := l.accountOf(write); a != nil {
+	if a := l.accountFor(write); a != nil {
 		a.unconfirmed = true
 		l.markPending(write.Name, a)
 	}
 }
 
-// MarkAllUnconfirmed records that the store may have lost anything, or may be another one: all sums are written
-// again. Until the other instances have written theirs again, within reportGrace, totals include what they are
-// known to have had.
+// MarkAllUnconfirmed records that the store may have lost data or been replaced, so that all sums are written again.
+// Until the other instances have rewritten their sums, for resyncTimeout at most, totals include at least what these
+// instances are known to have added.
 func (l *Ledger) MarkAllUnconfirmed(now time.Duration) {
 	for name, a := range l.accounts {
 		if now >= a.expiresAt {
@@ -215,7 +219,7 @@
 			continue
 		}
 		if a.confirmedSeq != 0 {
-			a.keepFloor(now + reportGrace)
+			a.raiseFloor(now + resyncTimeout)
 		}
 		if a.sum != 0 || a.confirmedSeq != 0 {
 			a.unconfirmed = true
@@ -225,31 +229,31 @@
 }
 
 func (l *Ledger) markPending(name string, a *account) {
-	if !a.queued {
-		a.queued = true
+	if !a.isPending {
+		a.isPending = true
 		l.pending = append(l.pending, name)
 	}
 }
 
 func (l *Ledger) forget(name string, a *account) {
-	a.queued = false
+	a.isPending = false
 	delete(l.accounts, name)
 }
 
-// HasPending reports whether there may be something to write again.
+// HasPending reports whether there may be sums to write again.
 func (l *Ledger) HasPending() bool { return len(l.pending) > 0 }
 
-// TakePending returns up to limit writes of sums that the store may not hold.
+// TakePending removes up to limit pending names and returns the writes of their sums.
 func (l *Ledger) TakePending(now time.Duration, limit int) []Write {
 	var writes []Write
 	for len(l.pending) > 0 && len(writes) < limit {
 		name := l.pending[0]
 		l.pending = l.pending[1:]
 		a := l.accounts[name]
-		if a == nil || !a.queued {
+		if a == nil || !a.isPending {
 			continue
 		}
-		a.queued = false
+		a.isPending = false
 		if now >= a.expiresAt {
 			delete(l.accounts, name)
 			continue
@@ -261,7 +265,7 @@
 	return writes
 }
 
-// Expire forgets the names that have expired.
+// Expire removes the names that have expired.
 func (l *Ledger) Expire(now time.Duration) {
 	for name, a := range l.accounts {
 		if now >= a.expiresAt {
--- a/internal/store/ledger/ledger_test.go
+++ b/internal/store/ledger/ledger_test.go
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// field is what a store holds of one instance for a name, from its first add to its expiry.
-type field struct {
+// storedSum is one instance's sum for a name, as the store holds it from the name's first add to its expiry.
+type storedSum struct {
 	seq uint64
 	sum int64
 }
 
-// modelStore is the store as the package comment describes it, with a field for each FirstSeq.
-type modelStore map[uint64]field
+// modelStore models the store that the package comment describes. The key is Write.FirstSeq.
+type modelStore map[uint64]storedSum
 
 func (m modelStore) total() (total int64) {
 	for _, f := range m {
@@ -30,7 +30,7 @@
 	f := m[write.FirstSeq]
 	reply := Reply{PreviousSeq: f.seq}
 	if write.Seq > f.seq {
-		f = field{write.Seq, write.Sum}
+		f = storedSum{write.Seq, write.Sum}
 		m[write.FirstSeq] = f
 	}
 	reply.Own = f.sum
@@ -38,24 +38,24 @@
 	return reply
 }
 
-// otherInstance is the field of another instance.
-const otherInstance = math.MaxUint64
+// otherInstanceKey is the modelStore key for the sum of all other instances.
+const otherInstanceKey = math.MaxUint64
 
-// unansweredAdd is an add whose write has not been answered.
+// unansweredAdd is an add whose write has not been replied to.
 type unansweredAdd struct {
 	write Write
 	units float64
 }
 
-// ledgerModel is a ledger and its store, with what may have happened between them.
+// ledgerModel is a ledger and its store, with the writes that are between them.
 type ledgerModel struct {
 	ledger      *Ledger
 	store       modelStore
-	backup      modelStore // what a rollback restores
+	backup      modelStore // restored by rollBack
 	unanswered  []unansweredAdd
-	inFlight    []Write // sent on a connection that broke: may be applied at any time, any number of times
-	spent       int64   // by this instance: all that was not rejected
-	knownOthers int64   // the highest sum of the others that any reply has shown
+	inFlight    []Write // sent on a broken connection: may be applied at any time, any number of times
+	spent       int64   // total of this instance's adds that were not rejected
+	knownOthers int64   // highest sum of the other instances in any reply
 }
 
 func (m *ledgerModel) confirm(t *rapid.T, write Write, reply Reply) {
@@ -101,7 +101,7 @@
 		return
 	}
 	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "i")
-	m.store.apply(m.inFlight[i]) // it stays in flight: it may be applied once more
+	m.store.apply(m.inFlight[i]) // stays in inFlight, since it may be applied again
 }
 
 func (m *ledgerModel) reject(t *rapid.T) {
@@ -113,7 +113,7 @@
 	m.unanswered = m.unanswered[:last]
 	sent := rapid.Bool().Draw(t, "sent")
 	if sent && rapid.Bool().Draw(t, "applied") {
-		m.store.apply(add.write) // the rejection was another's, or that of a copy
+		m.store.apply(add.write) // the rejection belonged to another write or to a copy of this one
 	}
 	m.ledger.Reject(add.write, add.units, sent)
 	micros, _ := ToMicros(add.units)
@@ -121,32 +121,32 @@
 }
 
 func (m *ledgerModel) othersAdd(t *rapid.T) {
-	f := m.store[otherInstance]
+	f := m.store[otherInstanceKey]
 	f.sum += int64(rapid.IntRange(0, 5e6).Draw(t, "n"))
-	m.store[otherInstance] = f
+	m.store[otherInstanceKey] = f
 }
 
-// rollBack restores the backup; the other instances write theirs again sooner or later.
+// rollBack restores the backup. The other instances may rewrite their sums at any later step.
 func (m *ledgerModel) rollBack(*rapid.T) {
 	m.store = maps.Clone(m.backup)
 	m.ledger.MarkAllUnconfirmed(0)
 }
 
-func (m *ledgerModel) empty(*rapid.T) {
+func (m *ledgerModel) clearStore(*rapid.T) {
 	m.store = modelStore{}
 	m.ledger.MarkAllUnconfirmed(0)
 }
 
-func (m *ledgerModel) writeAgain(t *rapid.T, limit int) {
+func (m *ledgerModel) resendPending(t *rapid.T, limit int) {
 	for _, write := range m.ledger.TakePending(0, limit) {
 		m.confirm(t, write, m.store.apply(write))
 	}
 }
 
-// Whatever is repeated, lost, late, rejected or rolled back: once all has been written again, the store holds
-// exactly what was added and not rejected, and no confirmation ever shows less than this instance's own sum and
-// what it knew of others.
-func TestOnceWhateverHappens(t *testing.T) {
+// Guards against adds that count twice or not at all when writes are repeated, lost, late or rejected, or when the
+// store is rolled back. Once all pending sums are rewritten, the store must hold exactly what was added and not
+// rejected. No confirmed total may be below this instance's sum plus the known sum of the others.
+func TestEachAddCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{ledger: New(10), store: modelStore{}, backup: modelStore{}}
 		t.Repeat(map[string]func(*rapid.T){
@@ -158,26 +158,26 @@
 			"others add":       m.othersAdd,
 			"backup":           func(*rapid.T) { m.backup = maps.Clone(m.store) },
 			"roll back":        m.rollBack,
-			"empty":            m.empty,
-			"write again":      func(t *rapid.T) { m.writeAgain(t, 3) },
+			"empty":            m.clearStore,
+			"write again":      func(t *rapid.T) { m.resendPending(t, 3) },
 			"":                 func(*rapid.T) {},
 		})
 		for len(m.unanswered) > 0 {
 			m.applyAndReply(t)
 		}
 		for m.ledger.HasPending() {
-			m.writeAgain(t, 10)
+			m.resendPending(t, 10)
 		}
-		for _, write := range m.inFlight { // whatever is applied now is old
+		for _, write := range m.inFlight { // outdated writes must change nothing
 			m.store.apply(write)
 		}
-		if got := m.store.total() - m.store[otherInstance].sum; got != m.spent {
+		if got := m.store.total() - m.store[otherInstanceKey].sum; got != m.spent {
 			t.Fatalf("the store holds %d of this instance, want %d", got, m.spent)
 		}
 	})
 }
 
-// A confirmation shows that a write had been applied before, and that a store has lost what it had confirmed.
+// A confirmation reports a write that had been applied before, and a store that has lost confirmed writes.
 func TestConfirmations(t *testing.T) {
 	l := New(2)
 	store := modelStore{7: {9, 40 * MicrosPerUnit}}
@@ -201,7 +201,7 @@
 	}
 }
 
-// A name expires; what is added after that is a new name, and a reply to a write of the old one changes nothing.
+// An add after a name's expiry creates a new name, and a reply to a write of the expired name changes nothing.
 func TestExpiry(t *testing.T) {
 	l := New(2)
 	first, _ := l.Add(0, "a", 1, time.Second)
