--- a/internal/store/redis/conn.go
+++ b/internal/store/redis/conn.go
@@ -10,36 +10,36 @@
 	"hitchspring/internal/resp"
 )
 
-// conn is a connection that is up: logged in, at a primary. The shard's goroutine writes and a second one reads; the
-// latter ends when nc is closed.
+// conn is a connection to Redis or to a Sentinel. On a connection to a primary, the shard's goroutine writes and a
+// second one reads; the reader ends when nc is closed.
 type conn struct {
 	nc            net.Conn
-	in            resp.Inbox        // the reader's
-	pending       chan pendingWrite // written, in the order in which their replies come
+	inbox         resp.Inbox        // used only by the reader
+	pending       chan pendingWrite // sent writes without a reply, in the order of their replies
 	readerDone    chan struct{}
-	wakeWriter    chan struct{}              // the reader has something for the writer
-	leaveReason   atomic.Pointer[redisError] // the error that says that this is not the server to ask
-	confirmedAny  atomic.Bool                // an add was confirmed
+	wakeWriter    chan struct{}              // signals that the writer must check closeReason and the retry queue
+	closeReason   atomic.Pointer[redisError] // error reply by which the server is currently unusable
+	confirmedAny  atomic.Bool                // at least one add was confirmed
 	readDeadline  atomic.Int64               // Unix time in ns
-	writeDeadline time.Time                  // the writer's
+	writeDeadline time.Time                  // used only by the writer
 
-	// The reader's until readerDone is closed.
-	readErr    error          // why it ended
+	// Used only by the reader until readerDone is closed.
+	readErr    error          // why the reader ended
 	unreadable []pendingWrite // the write whose reply could not be read
 }
 
-// redisError is an error reply of Redis.
+// redisError is the text of an error reply of Redis.
 type redisError string
 
 func (e redisError) Error() string { return string(e) }
 
-// code is the first word of the reply.
+// code returns the first word of the reply, such as MOVED.
 func (e redisError) code() string {
 	code, _, _ := strings.Cut(string(e), " ")
 	return code
 }
 
-// unavailable reports whether the server is not the one to ask, or not now: the connection is given up.
+// unavailable reports whether the server cannot be used, permanently or for now, so that the connection is closed.
 func (e redisError) unavailable() bool {
 	switch e.code() {
 	case "LOADING", "MASTERDOWN", "CLUSTERDOWN", "READONLY", "MOVED", "NOAUTH", "NOPERM", "WRONGPASS", "UNBLOCKED":
@@ -49,27 +49,27 @@
 }
 
 var (
-	errUnexpectedReply = errors.New("an answer that belongs to no call, or to another one")
+	errUnexpectedReply = errors.New("reply does not match the pending call")
 	errNoReply         = errors.New("no answer in time")
-	errClosed          = errors.New("closed by the server")
-	errNotPrimary      = errors.New("not a primary")
+	errClosed          = errors.New("connection closed by the server")
+	errNotPrimary      = errors.New("server is not a primary")
 	errPrimaryUnknown  = errors.New("no Sentinel knows the primary")
 )
 
 // frame reads one complete reply.
 func (c *conn) frame() ([]byte, error) {
 	for {
-		frame, err := c.in.Next()
+		frame, err := c.inbox.Next()
 		if frame != nil || err != nil {
 			return frame, err
 		}
-		if err := c.in.Fill(c.nc.Read); err != nil {
+		if err := c.inbox.Fill(c.nc.Read); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// takePending takes the write whose reply is next.
+// takePending removes the write that the next reply belongs to.
 func (c *conn) takePending() (pendingWrite, bool) {
 	select {
 	case pending := <-c.pending:
@@ -79,8 +79,8 @@
 	}
 }
 
-// extendReadDeadline gives the reader about d more. Setting a deadline costs as much as reading a short reply does,
-// so one that is near enough stays: it is up to a quarter of d too early or too late.
+// extendReadDeadline sets the read deadline to about d after now. Setting a deadline costs as much as reading a short
+// reply, so the current deadline is left in place if it is at most a quarter of d earlier or later.
 func (c *conn) extendReadDeadline(now time.Time, d time.Duration) {
 	want := now.Add(d).UnixNano()
 	tolerance := int64(d) / 4
@@ -90,7 +90,7 @@
 	}
 }
 
-// wake makes the writer look at what the reader has for it.
+// wake makes the writer check closeReason and the shard's retry queue.
 func (c *conn) wake() {
 	select {
 	case c.wakeWriter <- struct{}{}:
--- a/internal/store/redis/connect.go
+++ b/internal/store/redis/connect.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// connect dials, logs in and makes sure that the server is a primary.
+// connect dials, logs in and verifies that the server is a primary.
 func (s *shard) connect(ctx context.Context) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ConnectTimeout)
 	defer cancel()
@@ -26,7 +26,7 @@
 	}
 	c, err := s.dial(ctx, s.addr)
 	if err != nil {
-		s.addr = s.options.Address // a server that another one named may be gone
+		s.addr = s.options.Address // an address learned from a MOVED reply may be outdated
 		return nil, err
 	}
 	if err := s.handshake(c); err != nil {
@@ -36,7 +36,7 @@
 	return c, nil
 }
 
-// dial connects, with TLS if that is set. The connection's deadline is that of ctx.
+// dial connects, with TLS if configured. The deadline of ctx becomes the connection's deadline.
 func (s *shard) dial(ctx context.Context, addr string) (*conn, error) {
 	nc, err := s.options.Dial(ctx, addr)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}, nil
 }
 
-// startTLS does the TLS handshake on a connection, and closes it if that fails.
+// startTLS performs the TLS handshake on a connection, and closes the connection if it fails.
 func (s *shard) startTLS(ctx context.Context, nc net.Conn, addr string) (net.Conn, error) {
 	cfg, err := s.options.TLS()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return client, nil
 }
 
-// The steps of a handshake, as errors name them.
+// Names of the handshake steps, used in errors.
 const (
 	stepLogin    = "log-in"
 	stepDatabase = "database"
@@ -86,7 +86,7 @@
 	stepScript   = "script"
 )
 
-// handshake logs in, names the connection, checks the server's role and loads the script, in one round trip.
+// handshake logs in, sets the connection's name, checks the server's role and loads the script, in one round trip.
 func (s *shard) handshake(c *conn) error {
 	commands, steps, err := s.handshakeCommands()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// handshakeCommands returns the commands of a handshake, and the step that each is for.
+// handshakeCommands returns the encoded commands of a handshake and the step name of each command.
 func (s *shard) handshakeCommands() (commands []byte, steps []string, err error) {
 	add := func(step string, args ...string) {
 		commands = appendCommand(commands, args...)
@@ -134,7 +134,7 @@
 	return commands, steps, nil
 }
 
-// appendCommand appends a command in RESP2.
+// appendCommand appends a command encoded in RESP2.
 func appendCommand(b []byte, args ...string) []byte {
 	b = redcon.AppendArray(b, len(args))
 	for _, arg := range args {
@@ -143,8 +143,8 @@
 	return b
 }
 
-// checkHandshakeReply returns an error if the server may not be used. Other error replies are ignored: adds work
-// without a name, a known role or a loaded script, or their own replies say what is wrong.
+// checkHandshakeReply returns an error if the server cannot be used. Other error replies are ignored: adds work without
+// a connection name, a known role or a loaded script, or else their own replies report the error.
 func checkHandshakeReply(step string, frame []byte) error {
 	if frame[0] != '-' {
 		if step == stepRole && !bytes.HasPrefix(frame, []byte("*3\r\n$6\r\nmaster\r\n")) {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// querySentinels asks one Sentinel after the other for the primary's address.
+// querySentinels queries the Sentinels one after the other until one returns the primary's address.
 func (s *shard) querySentinels(ctx context.Context) (string, error) {
 	lastErr := errPrimaryUnknown
 	timeout := s.options.ConnectTimeout / time.Duration(len(s.options.Sentinels)+1)
@@ -171,7 +171,7 @@
 		if err == nil {
 			return addr, nil
 		}
-		lastErr = fmt.Errorf("asking Sentinel %s: %w", sentinel, err)
+		lastErr = fmt.Errorf("querying Sentinel %s: %w", sentinel, err)
 	}
 	return "", lastErr
 }
--- a/internal/store/redis/failover_test.go
+++ b/internal/store/redis/failover_test.go
@@ -11,8 +11,9 @@
 	"hitchspring/internal/store/storetest"
 )
 
-// In each of these states adds are rejected or unanswered for a while, and then all is as if it had not been.
-func TestStates(t *testing.T) {
+// Guards against lost or doubled adds when the server rejects adds or does not reply for a while. After the server has
+// recovered, the total must include every add that was not rejected.
+func TestServerStates(t *testing.T) {
 	failFor := func(text string) func(testing.TB, *standin.Server) {
 		return func(_ testing.TB, s *standin.Server) {
 			s.Fault(fault.Rule{Kind: fault.Fail, On: "EVALSHA", For: 300 * time.Millisecond, Text: text})
@@ -22,7 +23,7 @@
 	on := func(do func(*standin.Server)) change { return func(_ testing.TB, s *standin.Server) { do(s) } }
 	for name, c := range map[string]struct {
 		begin change
-		end   change // nil: it ends by itself
+		end   change // nil: the state ends by itself
 	}{
 		"loading": {on(func(s *standin.Server) { s.Load(400 * time.Millisecond) }), nil},
 		"out of memory": {
@@ -44,7 +45,7 @@
 			on(func(s *standin.Server) { s.Silent(true) }),
 			on(func(s *standin.Server) { s.Silent(false) }),
 		},
-		"stopped":      {on(func(s *standin.Server) { s.Stop() }), listen},
+		"stopped":      {on(func(s *standin.Server) { s.Stop() }), resumeListening},
 		"empty":        {on(func(s *standin.Server) { s.Restart(200 * time.Millisecond) }), nil},
 		"no scripts":   {on(func(s *standin.Server) { s.ForgetScripts() }), nil},
 		"busy":         {failFor("BUSY Redis is busy running a script."), nil},
@@ -57,10 +58,10 @@
 func testState(t *testing.T, begin, end func(testing.TB, *standin.Server)) {
 	t.Helper()
 	s := startServer(t, standin.Options{})
-	opt := options(s.Addr())
+	opt := testOptions(s.Addr())
 	opt.Timeout = 50 * time.Millisecond
 	opt.ConnectTimeout = 200 * time.Millisecond
-	x, y := start(t, opt), start(t, opt)
+	x, y := startCounter(t, opt), startCounter(t, opt)
 	x.AddAndWait(t, "a", 5)
 	y.AddAndWait(t, "a", 7)
 	x.AddAndWait(t, "a", 0)
@@ -70,18 +71,18 @@
 		if r := x.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
 			spent++
 			if r.Seen && r.Total < spent-1e-9 {
-				t.Fatalf("total %v, %v are known to be spent", r.Total, spent)
+				t.Fatalf("total %v is below the known %v", r.Total, spent)
 			}
 		}
 	}
 	if end != nil {
 		end(t, s)
 	}
-	storetest.Eventually(t, "the end of the state", func() bool {
-		return addKnowing(t, x, 0, spent).Certainty == store.Added
+	storetest.Eventually(t, "the server to recover", func() bool {
+		return addAndCheckTotal(t, x, 0, spent).Certainty == store.Added
 	})
-	// y adds nothing further, but writes its sum again.
-	storetest.Eventually(t, "all in the total", func() bool {
+	// y adds nothing more, but must rewrite its sum.
+	storetest.Eventually(t, "the total to include all adds", func() bool {
 		return storetest.ApproxEqual(total(t, s, "a"), spent)
 	})
 	if r := x.AddAndWait(t, "a", 0); !storetest.ApproxEqual(r.Total, spent) {
@@ -89,18 +90,18 @@
 	}
 }
 
-// addKnowing adds to the name a; the total must not show less than is known to be spent.
-func addKnowing(t *testing.T, instance *storetest.Instance, amount, spent float64) store.Result {
+// addAndCheckTotal adds to the name a. It fails the test if the total is less than what is known to be spent.
+func addAndCheckTotal(t *testing.T, instance *storetest.Instance, amount, spent float64) store.Result {
 	t.Helper()
 	result := instance.AddAndWait(t, "a", amount)
 	if result.Seen && result.Total < spent-1e-9 {
-		t.Fatalf("total %v, %v are known to be spent", result.Total, spent)
+		t.Fatalf("total %v is below the known %v", result.Total, spent)
 	}
 	return result
 }
 
-// A failover loses the writes of the last half second. Both instances write theirs again, and until then no total shows
-// less than was known.
+// A failover loses the writes of the last half second. Both instances must rewrite their sums, and until then no total
+// may be less than what is known to be spent.
 func TestFailoverLosesWrites(t *testing.T) {
 	for _, split := range []bool{false, true} {
 		for _, by := range []string{"sentinel", "move"} {
@@ -119,7 +120,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(replica.Close)
-	opt := options(primary.Addr())
+	opt := testOptions(primary.Addr())
 	opt.Timeout = 100 * time.Millisecond
 	if bySentinel {
 		sentinel, name, err := group.AddSentinel(standin.Options{})
@@ -131,7 +132,7 @@
 		opt.Sentinels = []string{"127.0.0.1:1", sentinel.Addr()}
 		opt.Master = name
 	}
-	x, y := start(t, opt), start(t, opt)
+	x, y := startCounter(t, opt), startCounter(t, opt)
 	x.AddAndWait(t, "a", 1)
 	y.AddAndWait(t, "a", 2)
 	group.SetLag(500 * time.Millisecond)
@@ -139,7 +140,7 @@
 	y.AddAndWait(t, "a", 20)
 	requireTotal(t, x, 0, spent)
 	if lost := group.Failover(replica, split); lost == 0 {
-		t.Fatal("nothing was lost")
+		t.Fatal("the failover lost no writes")
 	}
 	if bySentinel {
 		primary.Kick()
@@ -147,20 +148,20 @@
 		x.SetAddress(replica.Addr())
 		y.SetAddress(replica.Addr())
 	}
-	storetest.Eventually(t, "the new primary", func() bool {
+	storetest.Eventually(t, "an add on the new primary", func() bool {
 		result := x.AddAndWait(t, "a", 0)
 		if result.Seen && result.Total < spent {
-			t.Fatalf("total %v, %v are known to be spent", result.Total, spent)
+			t.Fatalf("total %v is below the known %v", result.Total, spent)
 		}
 		return result.Seen && total(t, replica, "a") > 0
 	})
-	storetest.Eventually(t, "all on the new primary", func() bool { return total(t, replica, "a") == spent })
+	storetest.Eventually(t, "the new primary to hold all adds", func() bool { return total(t, replica, "a") == spent })
 }
 
-// A failover behind a proxy breaks no connection: the lost writes show in the next reply.
+// A failover behind a proxy closes no connection. The lost writes must be detected by the next reply.
 func TestSilentRollback(t *testing.T) {
 	s := startServer(t, standin.Options{})
-	x, y := start(t, options(s.Addr())), start(t, options(s.Addr()))
+	x, y := startCounter(t, testOptions(s.Addr())), startCounter(t, testOptions(s.Addr()))
 	x.AddAndWait(t, "a", 1)
 	y.AddAndWait(t, "a", 20)
 	if r := x.AddAndWait(t, "a", 1); r.Total != 22 {
@@ -168,7 +169,7 @@
 	}
 	s.Flush()
 	if r := x.AddAndWait(t, "a", 1); r.Total != 23 {
-		t.Fatalf("total %v, want 23: the others' 20 are known", r.Total)
+		t.Fatalf("total %v, want 23 with the known 20 of the other instance", r.Total)
 	}
 	if st := stats(x); st.Lost != 1 {
 		t.Fatalf("%+v", st)
@@ -179,7 +180,7 @@
 	}
 }
 
-// A server of a cluster that does not hold a shard's slot names the one that does.
+// A cluster node that does not own a shard's slot redirects to the owner by a MOVED error, which the shard must follow.
 func TestCluster(t *testing.T) {
 	const (
 		shards = 8
@@ -191,12 +192,12 @@
 	}
 	t.Cleanup(cluster.Close)
 	servers := cluster.Shards()
-	opt := options(servers[0].Addr())
+	opt := testOptions(servers[0].Addr())
 	opt.Shards = shards
-	instance := start(t, opt)
-	held := func() (sum float64) {
+	instance := startCounter(t, opt)
+	stored := func() (sum float64) {
 		for field := range shards * names {
-			key := fmt.Sprintf("%s:{%d}:n%d", prefix, field/names, field%names)
+			key := fmt.Sprintf("%s:{%d}:n%d", keyNamespace, field/names, field%names)
 			for _, s := range servers {
 				text, _ := s.HashField(0, key, "t")
 				sum += units(t, text)
@@ -216,8 +217,8 @@
 		}
 	}
 	add()
-	storetest.Eventually(t, "both servers", func() bool {
+	storetest.Eventually(t, "both nodes to hold all adds", func() bool {
 		add()
-		return held() == want && adds(servers[0]) > 0 && adds(servers[1]) > 0
+		return stored() == want && appliedAdds(servers[0]) > 0 && appliedAdds(servers[1]) > 0
 	})
 }
--- a/internal/store/redis/faults_test.go
+++ b/internal/store/redis/faults_test.go
@@ -14,47 +14,47 @@
 	"hitchspring/internal/store/storetest"
 )
 
-// outOfMemory is the reply of a Redis that has reached its limit of memory.
+// outOfMemory is the error reply of a Redis server that has reached maxmemory.
 const outOfMemory = "OOM command not allowed when used memory > 'maxmemory'."
 
-// once is a fault of the next add.
-func once(kind fault.Kind) fault.Rule {
+// faultOnce returns a rule that applies a fault to the next add only.
+func faultOnce(kind fault.Kind) fault.Rule {
 	return fault.Rule{Kind: kind, On: "EVALSHA", Times: 1}
 }
 
-// An add whose reply does not come is sent again; whether it had been applied, had not, or is applied after the
-// retry, it counts once.
+// An add without a reply is resent. It must count once, whether the first copy was applied, was not applied or is
+// applied only after the retry.
 func TestTimedOutAddCountsOnce(t *testing.T) {
-	late := once(fault.Late)
+	late := faultOnce(fault.Late)
 	late.By = 600 * time.Millisecond
 	for name, c := range map[string]struct {
 		rule           fault.Rule
 		alreadyApplied bool
 	}{
-		"applied":       {once(fault.Swallow), true},
-		"not applied":   {once(fault.Ignore), false},
+		"applied":       {faultOnce(fault.Swallow), true},
+		"not applied":   {faultOnce(fault.Ignore), false},
 		"applied later": {late, false},
-		"reset after":   {once(fault.DropAfter), true},
-		"reset before":  {once(fault.DropBefore), false},
+		"reset after":   {faultOnce(fault.DropAfter), true},
+		"reset before":  {faultOnce(fault.DropBefore), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, standin.Options{})
-			opt := options(s.Addr())
+			opt := testOptions(s.Addr())
 			opt.Timeout = 50 * time.Millisecond
-			instance := start(t, opt)
+			instance := startCounter(t, opt)
 			instance.AddAndWait(t, "a", 10)
 			s.Fault(c.rule)
 			call := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 			instance.Add(call)
-			got := instance.NextAnswer(t) // sent again on a new connection, it is found
+			got := instance.NextAnswer(t) // resent on a new connection
 			if got.Call != call || got.Result != (store.Result{Certainty: store.Added, Seen: true, Total: 11}) {
 				t.Fatalf("%+v", got.Result)
 			}
 			if got := stats(instance).AlreadyApplied == 1; got != c.alreadyApplied {
-				t.Errorf("found to be applied: got %v, want %v", got, c.alreadyApplied)
+				t.Errorf("reported as already applied: got %v, want %v", got, c.alreadyApplied)
 			}
 			requireTotal(t, instance, 5, 16)
-			if c.rule.Kind == fault.Late { // behind a newer sum, which it must not undo
+			if c.rule.Kind == fault.Late { // applied after a newer sum, which it must not overwrite
 				awaitLateAdd(t, s)
 			}
 			if got := total(t, s, "a"); got != 16 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// requireTotal adds to the name a and compares the total.
+// requireTotal adds to the name a, and fails the test unless the total is as wanted.
 func requireTotal(t *testing.T, instance *storetest.Instance, amount, want float64) {
 	t.Helper()
 	if got := instance.AddAndWait(t, "a", amount); got.Total != want {
@@ -73,48 +73,50 @@
 	}
 }
 
-// awaitLateAdd waits until the server has applied an add that it held back.
+// awaitLateAdd waits until the server has applied an add that it had delayed.
 func awaitLateAdd(t *testing.T, s *standin.Server) {
 	t.Helper()
 	isLate := func(r standin.Record) bool { return r.Fault == fault.Late && r.Applied }
 	storetest.Eventually(t, "the late add", func() bool { return slices.ContainsFunc(s.Records(), isLate) })
 }
 
-// delayNext makes the server delay the next add, and sends it, so that further calls are pending behind it.
-func delayNext(s *standin.Server, instance *storetest.Instance, name string) {
-	delay := once(fault.Delay)
+// addDelayed sends an add whose reply the server delays, so that further calls become pending behind it.
+func addDelayed(s *standin.Server, instance *storetest.Instance, name string) {
+	delay := faultOnce(fault.Delay)
 	delay.By = 100 * time.Millisecond
 	s.Fault(delay)
 	instance.Add(&store.Call{Name: name, TTL: time.Minute})
 }
 
-// The same if nobody waits for the answer any more: the unit is in the total in the end, once, without another add.
-func TestLapsedAddIsSentAgain(t *testing.T) {
+// An add that its caller has stopped waiting for counts as added. It must be resent without a further add, even after
+// an error reply, and count once.
+func TestAssumedAddIsSentAgain(t *testing.T) {
 	for _, kind := range []fault.Kind{fault.Ignore, fault.Swallow, fault.Fail} {
 		s := startServer(t, standin.Options{})
-		opt := options(s.Addr())
+		opt := testOptions(s.Addr())
 		opt.Timeout = 50 * time.Millisecond
-		instance := start(t, opt)
+		instance := startCounter(t, opt)
 		instance.AddAndWait(t, "a", 10)
-		delayNext(s, instance, "a")
-		rule := once(kind)
+		addDelayed(s, instance, "a")
+		rule := faultOnce(kind)
 		rule.Text = outOfMemory
 		s.Fault(rule)
 		call := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 		instance.Add(call)
 		storetest.Eventually(t, "the call to be claimed", func() bool { return !call.IsQueued() })
 		if !call.Lapse() {
-			t.Fatal("the store has rejected it already")
+			t.Fatal("the store has already rejected the call")
 		}
-		storetest.Eventually(t, string(kind)+": the unit in the total", func() bool { return total(t, s, "a") == 11 })
+		storetest.Eventually(t, string(kind)+": unit in the total", func() bool { return total(t, s, "a") == 11 })
 		if r := instance.AddAndSkipEarlier(t, "a", 0); r.Total != 11 {
 			t.Fatalf("%s: total %v", kind, r.Total)
 		}
 	}
 }
 
-// The connection drops in a pipeline of 100 after the 37th was applied. If the server is back, all are added, and
-// 37 are found to be. If it is not, the answered ones are added, the others maybe, and later ones surely not.
+// The server closes the connection after it has applied 37 of 100 pipelined adds. If a new connection can be opened,
+// all adds must be added once. Otherwise the adds with a reply are reported as added, those that may have been applied
+// as maybe, and the remaining ones as not added.
 func TestDropInPipeline(t *testing.T) {
 	const (
 		adds    = 100
@@ -124,7 +126,7 @@
 	for j := range names {
 		names[j] = fmt.Sprint("n", j)
 	}
-	held := func(s *standin.Server) (sum float64) {
+	stored := func(s *standin.Server) (sum float64) {
 		for _, name := range names {
 			sum += total(t, s, name)
 		}
@@ -133,8 +135,8 @@
 	run := func(t *testing.T, s *standin.Server, instance *storetest.Instance) map[store.Certainty]int {
 		t.Helper()
 		instance.AddAndWait(t, "z", 0)
-		delayNext(s, instance, "z")
-		rule := once(fault.DropAfter)
+		addDelayed(s, instance, "z")
+		rule := faultOnce(fault.DropAfter)
 		rule.After = applied - 1
 		s.Fault(rule)
 		for j := range adds {
@@ -151,15 +153,15 @@
 	}
 	t.Run("back", func(t *testing.T) {
 		s := startServer(t, standin.Options{})
-		instance := start(t, options(s.Addr()))
+		instance := startCounter(t, testOptions(s.Addr()))
 		count := run(t, s, instance)
-		if held := held(s); count[store.Added] != adds || held != adds || stats(instance).AlreadyApplied == 0 {
-			t.Fatalf("%v; the server holds %v, %d found to be applied", count, held, stats(instance).AlreadyApplied)
+		if stored := stored(s); count[store.Added] != adds || stored != adds || stats(instance).AlreadyApplied == 0 {
+			t.Fatalf("%v; the server holds %v, %d were already applied", count, stored, stats(instance).AlreadyApplied)
 		}
 	})
 	t.Run("not back", func(t *testing.T) {
 		s := startServer(t, standin.Options{})
-		instance := start(t, options(s.Addr()))
+		instance := startCounter(t, testOptions(s.Addr()))
 		instance.AddAndWait(t, "z", 0) // connects
 		s.NextConnections(func(net.Conn) bool { return false })
 		count := run(t, s, instance)
@@ -167,32 +169,32 @@
 		if added > applied || added+maybe+count[store.NotAdded] != adds || maybe == 0 {
 			t.Fatalf("%v", count)
 		}
-		if held := held(s); held < float64(added) || held > float64(added+maybe) || held != applied {
-			t.Fatalf("%v, yet the server holds %v", count, held)
+		if stored := stored(s); stored < float64(added) || stored > float64(added+maybe) || stored != applied {
+			t.Fatalf("%v, but the server holds %v", count, stored)
 		}
 		s.NextConnections(nil)
-		storetest.Eventually(t, "what may have been added to be", func() bool {
-			return held(s) == float64(added+maybe)
+		storetest.Eventually(t, "the adds reported as maybe to be added", func() bool {
+			return stored(s) == float64(added+maybe)
 		})
 	})
 }
 
-// Replies that are not those of their calls: the connection is given up, and in the end each call counts once.
+// Replies that do not match their calls must close the connection, and each call must count once in the end.
 func TestUnreadableReplies(t *testing.T) {
 	for name, rule := range map[string]fault.Rule{
-		"repeated": once(fault.Repeat),
-		"swapped":  once(fault.Swap),
-		"cut":      once(fault.Cut),
+		"repeated": faultOnce(fault.Repeat),
+		"swapped":  faultOnce(fault.Swap),
+		"cut":      faultOnce(fault.Cut),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, standin.Options{})
-			opt := options(s.Addr())
+			opt := testOptions(s.Addr())
 			opt.Timeout = 50 * time.Millisecond
-			instance := start(t, opt)
+			instance := startCounter(t, opt)
 			instance.AddAndWait(t, "a", 0)
-			hold := once(fault.Delay)
-			hold.By = 100 * time.Millisecond
-			s.Fault(hold)
+			delay := faultOnce(fault.Delay)
+			delay.By = 100 * time.Millisecond
+			s.Fault(delay)
 			s.Fault(rule)
 			for range 11 {
 				instance.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
@@ -206,31 +208,32 @@
 				t.Fatalf("total %v, the server holds %v", r.Total, total(t, s, "a"))
 			}
 			if st := stats(instance); st.Connects < 2 {
-				t.Errorf("%+v: the connection was kept", st)
+				t.Errorf("%+v: the connection was not replaced", st)
 			}
-			instance.NoAnswer(t)
+			instance.RequireNoAnswer(t)
 		})
 	}
 }
 
-// A repeated error makes the next add look rejected: what was reported as not added is taken out again.
-func TestRepeatedErrorIsMadeTrue(t *testing.T) {
+// The server repeats an error reply, so that the reply appears to reject the next add as well. The amount of an add
+// that was reported as not added must be removed from the total again.
+func TestRepeatedErrorReplyIsCorrected(t *testing.T) {
 	s := startServer(t, standin.Options{})
-	opt := options(s.Addr())
+	opt := testOptions(s.Addr())
 	opt.Timeout = 50 * time.Millisecond
-	instance := start(t, opt)
+	instance := startCounter(t, opt)
 	instance.AddAndWait(t, "a", 0)
-	hold := once(fault.Delay)
-	hold.By = 100 * time.Millisecond
-	s.Fault(hold)
-	rule := once(fault.Repeat)
+	delay := faultOnce(fault.Delay)
+	delay.By = 100 * time.Millisecond
+	s.Fault(delay)
+	rule := faultOnce(fault.Repeat)
 	s.Full(true)
 	instance.Add(&store.Call{Name: "z", TTL: time.Minute})
 	s.Fault(rule)
 	for range 5 {
 		instance.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 	}
-	storetest.Eventually(t, "the repeated error", func() bool { return adds(s) >= 3 })
+	storetest.Eventually(t, "the add with the repeated error", func() bool { return appliedAdds(s) >= 3 })
 	s.Full(false)
 	want := 0.0
 	for range 6 {
@@ -238,21 +241,21 @@
 			want += a.Call.Amount
 		}
 	}
-	storetest.Eventually(t, "just what was not rejected", func() bool {
+	storetest.Eventually(t, "the total to equal the adds that were not rejected", func() bool {
 		return total(t, s, "a") == want && !hasPending(instance)
 	})
 }
 
 func hasPending(instance *storetest.Instance) bool {
-	for _, l := range instance.Counter.(*Counter).shards {
-		if l.hasPending() {
+	for _, s := range instance.Counter.(*Counter).shards {
+		if s.hasPending() {
 			return true
 		}
 	}
 	return false
 }
 
-// Whatever the server does, by a seeded script of faults: in the end it holds what was not rejected, each once.
+// Injects random faults by seed. In the end the server must hold each add that was not rejected exactly once.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -267,24 +270,24 @@
 	const rounds = 25
 	rng := rand.New(rand.NewPCG(seed, 3))
 	s := startServer(t, standin.Options{Seed: seed})
-	opt := options(s.Addr())
+	opt := testOptions(s.Addr())
 	opt.Timeout = 20 * time.Millisecond
 	opt.ConnectTimeout = 100 * time.Millisecond
-	x, y := start(t, opt), start(t, opt)
+	x, y := startCounter(t, opt), startCounter(t, opt)
 	want := map[string]float64{}
 	for range rounds {
 		randomFault(rng, s)
 		randomAdds(t, rng, want, x, y)
 	}
 	s.Faults().Clear()
-	s.Kick() // as a restart would
+	s.Kick() // closes all connections, as a restart would
 	for name := range want {
-		storetest.Eventually(t, "the connections", func() bool {
+		storetest.Eventually(t, "both instances to reconnect", func() bool {
 			return x.AddAndWait(t, name, 0).Certainty == store.Added &&
 				y.AddAndWait(t, name, 0).Certainty == store.Added
 		})
 	}
-	storetest.Eventually(t, "just what was not rejected", func() bool {
+	storetest.Eventually(t, "the total to equal the adds that were not rejected", func() bool {
 		for name, sum := range want {
 			if !storetest.ApproxEqual(total(t, s, name), sum) {
 				return false
@@ -292,11 +295,12 @@
 		}
 		return true
 	})
-	x.NoAnswer(t)
-	y.NoAnswer(t)
+	x.RequireNoAnswer(t)
+	y.RequireNoAnswer(t)
 }
 
-// randomFault makes the server go wrong on some add, and sometimes at once.
+// randomFault schedules a random fault for one of the next 20 adds. One time in three it also closes the connections,
+// drops data or scripts, or restarts the server at once.
 func randomFault(rng *rand.Rand, s *standin.Server) {
 	kinds := []fault.Kind{
 		fault.Ignore, fault.Swallow, fault.DropBefore, fault.DropAfter, fault.Repeat, fault.Swap, fault.Cut,
@@ -322,7 +326,7 @@
 	}
 }
 
-// randomAdds adds at each instance, and counts in want what was not rejected.
+// randomAdds sends random adds from each instance, and adds the amounts that were not rejected to want.
 func randomAdds(t *testing.T, rng *rand.Rand, want map[string]float64, instances ...*storetest.Instance) {
 	t.Helper()
 	const each = 10
--- a/internal/store/redis/golden_test.go
+++ b/internal/store/redis/golden_test.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/store/ledger"
 )
 
-// Instances of different versions share one Redis: its keys, its fields and the script are the same for all of them.
+// Instances of different versions share one Redis, so the keys, the hash fields and the script must not change.
 func TestGoldenCommands(t *testing.T) {
 	opt := Options{Address: "127.0.0.1:1", Prefix: "hitchspring", Shards: 3}
 	c, err := New(opt, slog.New(slog.DiscardHandler), func(*store.Call, store.Result) {})
--- a/internal/store/redis/helpers_test.go
+++ b/internal/store/redis/helpers_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// testCertificate makes a certificate for 127.0.0.1, with the pool that trusts it.
+// testCertificate creates a self-signed certificate for 127.0.0.1 and a pool that trusts it.
 func testCertificate(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -47,6 +47,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool
 }
 
+// lockedWriter makes a strings.Builder safe for concurrent writes.
 type lockedWriter struct {
 	mu sync.Mutex
 	b  *strings.Builder
@@ -58,6 +59,6 @@
 	return w.b.Write(p)
 }
 
-func logTo(b *strings.Builder) *slog.Logger {
+func newLogger(b *strings.Builder) *slog.Logger {
 	return slog.New(slog.NewTextHandler(&lockedWriter{b: b}, nil))
 }
--- a/internal/store/redis/outage.go
+++ b/internal/store/redis/outage.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// logInterval is between two logged causes of one outage.
+// logInterval is the minimum time between two logged causes of the same outage.
 const logInterval = 30 * time.Second
 
-// markConnected records a new connection, and logs the first one and the end of an outage.
+// markConnected records a new connection, and logs if it is the first one or ends an outage.
 func (s *shard) markConnected() {
 	s.mu.Lock()
 	s.stats.Connected = true
@@ -35,7 +35,8 @@
 	s.loggedAt = time.Time{}
 }
 
-// markDisconnected records that there is no connection, and logs the beginning of an outage and each new cause of it.
+// markDisconnected records that the connection was lost or could not be opened. It logs the first cause of an outage,
+// and later ones if they differ and logInterval has passed.
 func (s *shard) markDisconnected(err error) {
 	s.mu.Lock()
 	s.stats.Connected = false
@@ -52,7 +53,7 @@
 	}
 }
 
-// errorCause is the text of an error without the ports and times that differ from one to the next.
+// errorCause returns the text of an error. It omits the addresses of network errors, whose ports change each time.
 func errorCause(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -61,7 +62,7 @@
 	return err.Error()
 }
 
-// logRejection logs an error reply to an add, once until one of another code comes or the connection is a new one.
+// logRejection logs an error reply to an add, unless the last one logged on this connection had the same code.
 func (s *shard) logRejection(e redisError) {
 	s.mu.Lock()
 	known := s.loggedRejection == e.code()
--- a/internal/store/redis/outcome.go
+++ b/internal/store/redis/outcome.go
@@ -6,10 +6,10 @@
 	"hitchspring/internal/store"
 )
 
-// resendPause is how long no sum is sent again without an add after Redis has rejected one.
+// resendPause is how long pending sums are not resent after Redis has rejected a resent one.
 const resendPause = 250 * time.Millisecond
 
-// rejectUnsent answers a call of which nothing was written.
+// rejectUnsent reports a call that was never written as not added.
 func (s *shard) rejectUnsent(call *store.Call) {
 	if call.Claim() {
 		s.mu.Lock()
@@ -19,10 +19,11 @@
 	}
 }
 
-// answerUnconfirmed answers the writes that were to be sent again and cannot be. Those that may have been applied
-// stay in the ledger, which writes their sums later.
+// answerUnconfirmed reports the results of the writes in resendQueue when no connection can be opened. Writes that were
+// never sent are rejected; those that may have been applied are reported as store.Maybe, and the ledger rewrites their
+// sums later.
 func (s *shard) answerUnconfirmed() {
-	for _, pending := range s.resend {
+	for _, pending := range s.resendQueue {
 		if !pending.maybeSent {
 			s.reject(pending, false)
 			continue
@@ -37,10 +38,10 @@
 			s.sink(pending.call, store.Result{})
 		}
 	}
-	s.resend = s.resend[:0]
+	s.resendQueue = s.resendQueue[:0]
 }
 
-// reject settles a write that Redis has rejected, or, if replied is false, one that was never sent.
+// reject handles a write that Redis has rejected or, if replied is false, one that was never sent.
 func (s *shard) reject(pending pendingWrite, replied bool) {
 	pending.maybeSent = pending.maybeSent || replied
 	rejected := pending.call != nil && pending.call.Reject()
@@ -48,7 +49,7 @@
 	if rejected {
 		s.ledger.Reject(pending.write, pending.call.Amount, pending.maybeSent)
 		s.stats.Rejected++
-	} else { // its caller has counted it as added, so it is written until it is
+	} else { // the caller has counted it as added, or it is a resent sum: write the sum again
 		s.ledger.MarkUnconfirmed(pending.write)
 	}
 	if pending.call == nil {
--- a/internal/store/redis/read.go
+++ b/internal/store/redis/read.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// partialReplyTimeout is for the rest of a reply that has begun to arrive.
+	// partialReplyTimeout limits the wait for the rest of a partially received reply.
 	partialReplyTimeout = 100 * time.Millisecond
-	// idleReadTimeout is between two looks at a connection on which nothing is pending.
+	// idleReadTimeout is the read timeout of a connection without pending writes; it does not close the connection.
 	idleReadTimeout = 15 * time.Second
 )
 
@@ -24,9 +24,9 @@
 	total float64
 }
 
-// read hands replies to the writes in their order until the connection ends or its order is lost.
+// read matches replies to the pending writes in order, until the connection ends or a reply does not match.
 func (s *shard) read(c *conn) error {
-	defer c.in.Close()
+	defer c.inbox.Close()
 	confirmed := make([]confirmedAdd, 0, maxBatch)
 	for {
 		var errorReply []byte
@@ -50,14 +50,14 @@
 	}
 }
 
-// readConfirmations records the replies that have arrived, up to an error reply, which it returns, or as many as
-// confirmed has capacity for. It appends the adds that they confirm to confirmed.
+// readConfirmations records the replies received so far in the ledger and appends the confirmed adds to confirmed. It
+// stops at an error reply, which it returns, or when confirmed has reached its capacity.
 func (s *shard) readConfirmations(c *conn, confirmed []confirmedAdd) (_ []confirmedAdd, errorReply []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lostName := ""
 	for len(confirmed) < cap(confirmed) {
-		frame, err := c.in.Next()
+		frame, err := c.inbox.Next()
 		if err != nil {
 			return confirmed, nil, err
 		}
@@ -70,7 +70,7 @@
 			return confirmed, nil, errUnexpectedReply
 		}
 		seq, reply, ok := parseAdd(frame)
-		if !ok || seq != pending.write.Seq { // whether the write was applied is open
+		if !ok || seq != pending.write.Seq { // the write may or may not have been applied
 			pending.maybeSent = true
 			c.unreadable = append(c.unreadable, pending)
 			return confirmed, nil, errUnexpectedReply
@@ -96,7 +96,7 @@
 	return confirmed, errorReply, nil
 }
 
-// countAdded counts a confirmed add; mu is held.
+// countAdded counts a confirmed add. The caller holds s.mu.
 func (s *shard) countAdded(confirmation ledger.Confirmation) {
 	s.stats.Added++
 	if confirmation.AlreadyApplied {
@@ -104,7 +104,8 @@
 	}
 }
 
-// logLoss logs once for each connection that Redis has lost what it had confirmed; mu is held. No name means no loss.
+// logLoss logs, once per connection, that Redis has lost confirmed adds. An empty name means that there was no loss.
+// The caller holds s.mu.
 func (s *shard) logLoss(name string) {
 	if name != "" && !s.lossLogged {
 		s.lossLogged = true
@@ -118,32 +119,32 @@
 	s.stats.Unreadable++
 }
 
-// fill reads once. A connection may be silent for silentTimeouts while something is pending on it, and the rest of
-// a reply that has begun must arrive at once.
+// fill performs one read. With writes pending, the connection may be silent for maxSilentTimeouts call timeouts; the
+// rest of a partially received reply must arrive within partialReplyTimeout.
 func (s *shard) fill(c *conn) error {
-	silence := silentTimeouts * s.options.Timeout
+	silence := maxSilentTimeouts * s.options.Timeout
 	switch now := time.Now(); {
-	case c.in.Partial():
+	case c.inbox.Partial():
 		c.extendReadDeadline(now, partialReplyTimeout)
 	case len(c.pending) > 0:
 		c.extendReadDeadline(now, silence)
-	case c.readDeadline.Load() <= now.UnixNano(): // otherwise the last deadline stands, and passes without effect
+	case c.readDeadline.Load() <= now.UnixNano(): // else keep the deadline; on an idle connection it only ends a read
 		c.extendReadDeadline(now, idleReadTimeout)
-		if len(c.pending) > 0 { // the writer has begun since
+		if len(c.pending) > 0 { // the writer has sent a write in the meantime
 			c.extendReadDeadline(now, silence)
 		}
 	}
-	err := c.in.Fill(c.nc.Read)
+	err := c.inbox.Fill(c.nc.Read)
 	if err == nil {
 		return nil
 	}
-	idle := len(c.pending) == 0 && !c.in.Partial()
+	idle := len(c.pending) == 0 && !c.inbox.Partial()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && idle:
 		return nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return errNoReply
-	case errors.Is(err, net.ErrClosed): // by this side
+	case errors.Is(err, net.ErrClosed): // closed by this process
 		return errClosed
 	case idle:
 		return errClosed
@@ -151,7 +152,7 @@
 	return err
 }
 
-// handleErrorReply settles the write that an error reply belongs to.
+// handleErrorReply rejects the write that an error reply belongs to, or queues it for a retry after NOSCRIPT.
 func (s *shard) handleErrorReply(c *conn, frame []byte) error {
 	pending, ok := c.takePending()
 	if !ok {
@@ -163,12 +164,12 @@
 		pending.maybeSent = true
 		s.mu.Lock()
 		s.sendScript = true
-		s.retry = append(s.retry, pending)
+		s.retryQueue = append(s.retryQueue, pending)
 		s.mu.Unlock()
 		c.wake()
 		return nil
 	case reply.unavailable():
-		c.leaveReason.CompareAndSwap(nil, &reply)
+		c.closeReason.CompareAndSwap(nil, &reply)
 		c.wake()
 	default:
 		s.logRejection(reply)
--- a/internal/store/redis/redis.go
+++ b/internal/store/redis/redis.go
@@ -1,10 +1,10 @@
-// Package redis is the shared counter on Redis. Each add is one atomic script, recorded in a ledger, so that an add
-// whose reply was lost can be sent again and counts once. The package pipelines its commands itself, on RESP2
-// frames of bounded size, and so knows of each add whether it was never written or may have been applied. It takes
-// in calls and answers each through a store.Sink; what the totals mean is not known here.
+// Package redis implements the shared counter on Redis. Each add runs one atomic script and is recorded in a ledger,
+// so that an add whose reply was lost can be resent and counts once. The package pipelines its commands itself, in
+// RESP2 frames of bounded size, so that it knows for each add whether it was never written or may have been applied.
+// It passes the result of each call to a store.Sink and does not interpret the totals.
 //
-// Names are dealt to shards. A shard has a goroutine that connects and writes, and while it is connected one that
-// reads. All of them end with the context of Counter.Run.
+// Names are distributed over shards by hash. Each shard has one goroutine that connects and writes, and a second one
+// that reads while the shard is connected. All goroutines end with the context of Counter.Run.
 package redis
 
 import (
@@ -30,41 +30,41 @@
 	maxShards             = 64
 )
 
-// Options say where Redis is and how names are stored there. All instances that share a store need the same Prefix and
-// Shards.
+// Options configure the connection to Redis and the keys used there. All instances that share a store must have the
+// same Prefix and Shards.
 type Options struct {
-	Address   string   // host:port of the primary, of a proxy before it, or of any server of a cluster
-	Sentinels []string // host:port; if set, they are asked for the primary's address in place of Address
-	Master    string   // the primary's name at the Sentinels
+	Address   string   // host:port of the primary, of a proxy in front of it, or of any node of a cluster
+	Sentinels []string // host:port; if set, they provide the primary's address and Address is not used
+	Master    string   // name of the primary in the Sentinels' configuration
 	Username  string
-	Password  func() (string, error) // read anew for each connection; nil: none
+	Password  func() (string, error) // called for each connection; nil: no password
 	Database  int
-	Prefix    string // of all keys
-	Shards    int    // parts that names are dealt to, each with a hash tag and a connection of its own; 0: 1
+	Prefix    string // prefix of all keys
+	Shards    int    // number of shards, each with its own hash tag and connection; 0: 1
 
-	// ConnectTimeout is for the dial, TLS and the log-in together; 0: 250 ms.
+	// ConnectTimeout covers the dial, the TLS handshake and the login together; 0: 250 ms.
 	ConnectTimeout time.Duration
-	// Timeout is that of a call, as the core has it: a connection silent for four of them is dead; 0: 80 ms.
+	// Timeout is the core's timeout of a call; 0: 80 ms. A connection that is silent for four timeouts is closed.
 	Timeout time.Duration
-	// TLS is read anew for each connection; nil: no TLS.
+	// TLS is called for each connection; nil: no TLS.
 	TLS func() (*tls.Config, error)
 	// Dial opens a connection; nil: TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Counter is a store.Counter on Redis. Its methods are safe for concurrent use, but for SetAddress, which is for one
-// goroutine at a time.
+// Counter is a store.Counter on Redis. Its methods are safe for concurrent use, except that SetAddress must not be
+// called concurrently with itself.
 type Counter struct {
 	shards []*shard
 }
 
-// Check returns an error that names the field that is wrong, as the options file has it.
+// Check returns an error that starts with the name of the invalid field in the options file.
 func (o Options) Check() error {
 	switch {
 	case o.Address == "" && len(o.Sentinels) == 0:
-		return errors.New("address: missing, and no sentinels")
+		return errors.New("address: required unless sentinels are set")
 	case len(o.Sentinels) > 0 && o.Master == "":
-		return errors.New("master: missing, the Sentinels want a name")
+		return errors.New("master: required when sentinels are set")
 	case o.Shards < 0 || o.Shards > maxShards:
 		return fmt.Errorf("lanes: %d is out of range, 1 to 64", o.Shards)
 	case o.Database < 0:
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// New returns a counter that does not run yet.
+// New returns a counter that starts to serve calls when Run is called.
 func New(opt Options, log *slog.Logger, sink store.Sink) (*Counter, error) {
 	if err := opt.Check(); err != nil {
 		return nil, fmt.Errorf("redis store: %w", err)
@@ -94,8 +94,9 @@
 		}
 	}
 	var id [8]byte
-	if _, err := rand.Read(id[:]); err != nil { // two instances of one id would overwrite each other's sums
-		return nil, fmt.Errorf("redis store: an id for this instance: %w", err)
+	// The id must be unique: instances with the same id would overwrite each other's sums.
+	if _, err := rand.Read(id[:]); err != nil {
+		return nil, fmt.Errorf("redis store: generating the instance id: %w", err)
 	}
 	instanceID := hex.EncodeToString(id[:])
 	c := &Counter{}
@@ -106,7 +107,7 @@
 	return c, nil
 }
 
-// Run serves calls until ctx ends, and leaves no goroutine behind.
+// Run serves calls until ctx is done, and returns after all goroutines of the counter have ended.
 func (c *Counter) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, s := range c.shards {
@@ -115,14 +116,15 @@
 	wg.Wait()
 }
 
-// SetAddress changes to Redis at another address; all sums are written there again.
+// SetAddress switches to Redis at another address and rewrites all sums there.
 func (c *Counter) SetAddress(addr string) {
 	for _, s := range c.shards {
 		s.addressChanges.Set(addr)
 	}
 }
 
-// Add queues a call. If the queue is full, the call stays unanswered and may be withdrawn.
+// Add queues a call without blocking. If the queue is full, the call is dropped: it gets no result and can still be
+// withdrawn.
 func (c *Counter) Add(call *store.Call) {
 	hash := fnv.New32a()
 	hash.Write([]byte(call.Name))
--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -17,7 +17,7 @@
 	"hitchspring/internal/store/storetest"
 )
 
-const prefix = "t" // of the keys
+const keyNamespace = "t" // prefix of all keys
 
 func startServer(t testing.TB, opt standin.Options) *standin.Server {
 	t.Helper()
@@ -29,11 +29,11 @@
 	return s
 }
 
-func options(addr string) Options {
-	return Options{Address: addr, Prefix: prefix, ConnectTimeout: 2 * time.Second, Timeout: 2 * time.Second}
+func testOptions(addr string) Options {
+	return Options{Address: addr, Prefix: keyNamespace, ConnectTimeout: 2 * time.Second, Timeout: 2 * time.Second}
 }
 
-func maker(t testing.TB, opt Options) func(store.Sink) store.Counter {
+func counterFactory(t testing.TB, opt Options) func(store.Sink) store.Counter {
 	return func(sink store.Sink) store.Counter {
 		c, err := New(opt, storetest.DiscardLogger, sink)
 		if err != nil {
@@ -43,11 +43,13 @@
 	}
 }
 
-func start(t testing.TB, opt Options) *storetest.Instance { return storetest.Start(t, maker(t, opt)) }
+func startCounter(t testing.TB, opt Options) *storetest.Instance {
+	return storetest.Start(t, counterFactory(t, opt))
+}
 
 func stats(instance *storetest.Instance) Stats { return instance.Counter.(*Counter).Stats() }
 
-// units reads a sum that the server holds, in units; "" is 0.
+// units converts a sum stored on the server to units; "" is 0.
 func units(t testing.TB, sum string) float64 {
 	t.Helper()
 	if sum == "" {
@@ -60,15 +62,15 @@
 	return micros / ledger.MicrosPerUnit
 }
 
-// total is what the server holds for a name of shard 0, in units.
+// total returns the server's total for a name of shard 0, in units.
 func total(t testing.TB, s *standin.Server, name string) float64 {
 	t.Helper()
-	sum, _ := s.HashField(0, prefix+":{0}:"+name, "t")
+	sum, _ := s.HashField(0, keyNamespace+":{0}:"+name, "t")
 	return units(t, sum)
 }
 
-// listen makes a server that was stopped accept connections again.
-func listen(t testing.TB, s *standin.Server) {
+// resumeListening makes a stopped server accept connections again.
+func resumeListening(t testing.TB, s *standin.Server) {
 	t.Helper()
 	if err := s.Listen(); err != nil {
 		t.Fatal(err)
@@ -83,13 +85,13 @@
 			Total:  func(name string) float64 { return total(t, s, name) },
 			Stop:   s.Stop,
 			Listen: s.Listen,
-			New:    maker(t, options(s.Addr())),
+			New:    counterFactory(t, testOptions(s.Addr())),
 		}
 	})
 }
 
-// adds is how often the server has run the script, by its own record.
-func adds(s *standin.Server) (n int) {
+// appliedAdds returns how many times the server has run the script.
+func appliedAdds(s *standin.Server) (n int) {
 	for _, r := range s.Records() {
 		if r.Applied && strings.HasPrefix(r.Args[0], "EVAL") {
 			n++
@@ -98,7 +100,7 @@
 	return n
 }
 
-// Redis wants a password and TLS; both are read anew for each connection, and neither is ever logged.
+// With TLS and a password required, both options must be read for each connection, and no password may be logged.
 func TestSecrets(t *testing.T) {
 	cert, pool := testCertificate(t)
 	s := startServer(t, standin.Options{
@@ -108,25 +110,25 @@
 		},
 	})
 	var log strings.Builder
-	opt := options(s.Addr())
+	opt := testOptions(s.Addr())
 	opt.Username = "ingress"
 	password := "wrong-one"
 	opt.Password = func() (string, error) { return password, nil }
 	opt.TLS = func() (*tls.Config, error) { return &tls.Config{RootCAs: pool}, nil }
 	instance := storetest.Start(t, func(sink store.Sink) store.Counter {
-		c, err := New(opt, logTo(&log), sink)
+		c, err := New(opt, newLogger(&log), sink)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	})
 	if r := instance.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
-		t.Fatalf("with a wrong password: %+v", r)
+		t.Fatalf("with a wrong password: got %+v, want it not added", r)
 	}
 	password = "s3cret"
 	storetest.Eventually(
 		t,
-		"the right password",
+		"the connection with the correct password",
 		func() bool { return instance.AddAndWait(t, "a", 1).Certainty == store.Added },
 	)
 	if text := log.String(); !strings.Contains(text, "WRONGPASS") || strings.Contains(text, "s3cret") ||
@@ -135,17 +137,17 @@
 	}
 }
 
-// A certificate of an unknown authority is rejected.
+// A server certificate from an unknown authority must be rejected.
 func TestWrongCertificate(t *testing.T) {
 	cert, _ := testCertificate(t)
 	_, other := testCertificate(t)
 	s := startServer(t, standin.Options{Wrap: func(ln net.Listener) net.Listener {
 		return tls.NewListener(ln, &tls.Config{Certificates: []tls.Certificate{cert}})
 	}})
-	opt := options(s.Addr())
+	opt := testOptions(s.Addr())
 	opt.TLS = func() (*tls.Config, error) { return &tls.Config{RootCAs: other}, nil }
-	instance := start(t, opt)
-	if r := instance.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded || adds(s) != 0 {
+	instance := startCounter(t, opt)
+	if r := instance.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded || appliedAdds(s) != 0 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -163,11 +165,11 @@
 	}
 }
 
-// The counter ends at once, whatever is pending.
-func TestEndsAtOnce(t *testing.T) {
+// Run must return at once when its context ends, even with calls pending.
+func TestRunReturnsAtOnce(t *testing.T) {
 	s := startServer(t, standin.Options{})
 	s.Silent(true)
-	c, err := New(options(s.Addr()), storetest.DiscardLogger, func(*store.Call, store.Result) {})
+	c, err := New(testOptions(s.Addr()), storetest.DiscardLogger, func(*store.Call, store.Result) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +185,7 @@
 	select {
 	case <-done:
 	case <-time.After(storetest.Timeout):
-		t.Fatal("it does not end")
+		t.Fatal("Run did not return")
 	}
 }
 
@@ -199,44 +201,44 @@
 		if !strings.HasPrefix(strings.ReplaceAll(string(b), ":-0\r", ":0\r"), text) &&
 			!strings.Contains(string(b), ":0") &&
 			!strings.Contains(string(b), ":-0") {
-			t.Fatalf("%q was read as %q", b, text)
+			t.Fatalf("%q was parsed as %q", b, text)
 		}
 	})
 }
 
-// A reply that was written before another instance's add does not include it: the next one shows both, and no total
-// ever shows less than this instance has spent itself.
+// A delayed reply does not include an add that another instance made in the meantime. The next reply must include both,
+// and no total may be less than what this instance has spent itself.
 func TestOutdatedTotal(t *testing.T) {
 	s := startServer(t, standin.Options{})
-	x, y := start(t, options(s.Addr())), start(t, options(s.Addr()))
+	x, y := startCounter(t, testOptions(s.Addr())), startCounter(t, testOptions(s.Addr()))
 	x.AddAndWait(t, "a", 1)
 	y.AddAndWait(t, "a", 1)
-	hold := once(fault.Hold)
-	hold.By = 200 * time.Millisecond
-	s.Fault(hold)
+	holdReply := faultOnce(fault.Hold)
+	holdReply.By = 200 * time.Millisecond
+	s.Fault(holdReply)
 	call := &store.Call{Name: "a", Amount: 10, TTL: time.Minute}
 	x.Add(call)
 	storetest.Eventually(t, "the add to be applied", func() bool { return total(t, s, "a") == 12 })
 	if r := y.AddAndWait(t, "a", 100); r.Total != 112 {
-		t.Fatalf("the later add: %+v", r)
+		t.Fatalf("add during the delay: got %+v, want total 112", r)
 	}
 	if a := x.NextAnswer(t); a.Call != call || a.Result.Total != 12 {
-		t.Fatalf("the delayed answer: %+v", a.Result)
+		t.Fatalf("delayed add: got %+v, want total 12", a.Result)
 	}
 	if r := x.AddAndWait(t, "a", 0); r.Total != 112 {
-		t.Fatalf("the next: %+v", r)
+		t.Fatalf("add after the delay: got %+v, want total 112", r)
 	}
 }
 
-// An outage is two lines of the log, however many calls and attempts to connect there were: what holds, and that it
-// is over.
+// An outage must log one line at its beginning and one at its end, however many calls and connection attempts fail
+// meanwhile.
 func TestOutageIsLoggedOnce(t *testing.T) {
 	s := startServer(t, standin.Options{})
 	var text strings.Builder
-	opt := options(s.Addr())
+	opt := testOptions(s.Addr())
 	opt.Timeout = 50 * time.Millisecond
 	instance := storetest.Start(t, func(sink store.Sink) store.Counter {
-		c, err := New(opt, logTo(&text), sink)
+		c, err := New(opt, newLogger(&text), sink)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -248,7 +250,7 @@
 		instance.AddAndWait(t, "a", 1)
 		time.Sleep(5 * time.Millisecond)
 	}
-	listen(t, s)
+	resumeListening(t, s)
 	storetest.Eventually(t, "the end of the outage", func() bool {
 		return instance.AddAndWait(t, "a", 1).Certainty == store.Added
 	})
@@ -258,7 +260,7 @@
 		"store reachable again, sharing quotas",
 	} {
 		if got := strings.Count(text.String(), message); got != 1 {
-			t.Errorf("%q is logged %d times, want 1:\n%s", message, got, text.String())
+			t.Errorf("%q was logged %d times, want 1:\n%s", message, got, text.String())
 		}
 	}
 }
--- a/internal/store/redis/script.go
+++ b/internal/store/redis/script.go
@@ -11,12 +11,12 @@
 	"hitchspring/internal/store/ledger"
 )
 
-// addScript takes an instance's sum for a name if its sequence number is higher than the one stored. It returns the
-// sequence number that came, the total of all instances, the sequence number stored before, the sum stored now, and
-// what is left of the name's time to live if the instance was new to it. All that it writes goes in one HSET, so
-// that no half of it can be lost.
+// addScript stores an instance's sum for a name if its sequence number is higher than the stored one. It returns the
+// sequence number of the request, the total of all instances, the previously stored sequence number, the sum now
+// stored, and the name's remaining time to live if the name had no sum of this instance before. The total and the sum
+// are written with a single HSET, so that one cannot be lost without the other.
 //
-//	KEYS[1]  the name's hash: t is the total, each other field an instance's "number:sum"
+//	KEYS[1]  the name's hash; field t is the total, each other field is "sequence number:sum" of one instance
 //	ARGV     field, sequence number, sum, time to live of a new name in ms
 const addScript = `local v=redis.call('HMGET',KEYS[1],'t',ARGV[1])
 local t,had,mine,left=0,0,0,0
@@ -34,13 +34,13 @@
 if had==0 then left=redis.call('PTTL',KEYS[1]) end
 return {tonumber(ARGV[2]),t,had,mine,left}`
 
-// addSHA is the name by which Redis knows the loaded script.
+// addSHA is the SHA-1 digest by which EVALSHA refers to addScript.
 var addSHA = func() string {
 	sum := sha1.Sum([]byte(addScript))
 	return hex.EncodeToString(sum[:])
 }()
 
-// appendAdd appends the command of a write; with the script's text if the server may not have it.
+// appendAdd appends the command of a write: EVAL with the script's text if sendScript is set, otherwise EVALSHA.
 func appendAdd(b []byte, keyPrefix, instanceID string, write ledger.Write, sendScript bool) []byte {
 	const args = 8
 	b = redcon.AppendArray(b, args)
@@ -50,7 +50,7 @@
 		b = redcon.AppendBulkString(redcon.AppendBulkString(b, "EVALSHA"), addSHA)
 	}
 	b = redcon.AppendBulkString(b, "1")
-	var text [96]byte // spares the allocations
+	var text [96]byte // avoids allocations
 	b = redcon.AppendBulk(b, append(append(text[:0], keyPrefix...), write.Name...))
 	b = redcon.AppendBulk(b, strconv.AppendUint(append(append(text[:0], instanceID...), '.'), write.FirstSeq, 36))
 	b = redcon.AppendBulk(b, strconv.AppendUint(text[:0], write.Seq, 10))
@@ -58,10 +58,10 @@
 	return redcon.AppendBulk(b, strconv.AppendInt(text[:0], max(1, write.TTL.Milliseconds()), 10))
 }
 
-// parseAdd reads the script's reply; ok is false for anything else. It allocates nothing.
+// parseAdd parses the reply of addScript without allocating; ok is false if frame is anything else.
 func parseAdd(frame []byte) (seq uint64, reply ledger.Reply, ok bool) {
 	var numbers [5]int64
-	rest, ok := cutArrayHead(frame, '5')
+	rest, ok := cutArrayHeader(frame, '5')
 	for i := 0; ok && i < len(numbers); i++ {
 		numbers[i], rest, ok = cutInt(rest)
 	}
@@ -76,18 +76,18 @@
 	}, true
 }
 
-// cutArrayHead removes the head of an array of so many elements, a digit.
-func cutArrayHead(frame []byte, count byte) (rest []byte, ok bool) {
+// cutArrayHeader removes the RESP header of an array whose length is the digit count.
+func cutArrayHeader(frame []byte, count byte) (rest []byte, ok bool) {
 	if len(frame) < 4 || frame[0] != '*' || frame[1] != count || frame[2] != '\r' || frame[3] != '\n' {
 		return nil, false
 	}
 	return frame[4:], true
 }
 
-// maxDigits is how many digits of an integer are read: fewer than would overflow.
+// maxDigits is the maximum number of digits of an integer; more could overflow an int64.
 const maxDigits = 18
 
-// cutInt removes an integer, ":123\r\n", and returns it.
+// cutInt removes a RESP integer such as ":123\r\n" and returns its value.
 func cutInt(frame []byte) (n int64, rest []byte, ok bool) {
 	if len(frame) < 4 || frame[0] != ':' {
 		return 0, nil, false
--- a/internal/store/redis/shard.go
+++ b/internal/store/redis/shard.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	shardQueueSize = 512     // calls that wait for the connection, and as many on it for a reply
-	maxShardNames  = 1 << 14 // in a ledger
+	shardQueueSize = 512     // queued calls; also the maximum number of writes that await a reply
+	maxShardNames  = 1 << 14 // maximum number of names in a shard's ledger
 	minBackoff     = 20 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	expiryInterval = 5 * time.Second // of the ledger's names
+	expiryInterval = 5 * time.Second // interval at which expired names are removed from the ledger
 )
 
-// shard serves the names that hash to it, in order, over one connection at a time. Its goroutine run connects and
-// writes; while a connection is up a second one reads. Both end with run's context.
+// shard serves the calls of the names that hash to it, in order, over one connection at a time. The goroutine that
+// executes run connects and writes; a second one reads while a connection is up. Both end with run's context.
 type shard struct {
 	options        Options
 	index          int
-	keyPrefix      string // of each name
+	keyPrefix      string // prefix of the key of each name
 	instanceID     string
 	log            *slog.Logger
 	sink           store.Sink
@@ -32,29 +32,29 @@
 	addressChanges store.Latest[string]
 	startedAt      time.Time
 
-	// Of run's goroutine alone.
-	addr           string         // of the primary, as far as is known
-	resend         []pendingWrite // unanswered on the last connection, to be sent first on the next one
-	failures       int            // attempts to connect in a row that came to nothing
-	disconnectedAt time.Time      // zero while connected, and before the first attempt to connect
-	loggedCause    string         // of the outage, as last logged
+	// Used only by the goroutine of run.
+	addr           string         // last known address of the primary
+	resendQueue    []pendingWrite // writes without a reply on the last connection, sent first on the next one
+	failures       int            // consecutive connections that failed or confirmed no add
+	disconnectedAt time.Time      // zero while connected and before the first attempt to connect
+	loggedCause    string         // last logged cause of the current outage
 	loggedAt       time.Time
 
-	mu                sync.Mutex // guards all below
+	mu                sync.Mutex // guards the fields below
 	ledger            *ledger.Ledger
 	stats             Stats
-	retry             []pendingWrite // that the reader hands back, in order
-	sendScript        bool           // the server does not have the script
-	lossLogged        bool           // on this connection
-	loggedRejection   string         // the error code that was last logged on this connection
-	resendPausedUntil time.Time      // no sum is sent again without an add before
+	retryQueue        []pendingWrite // writes that the reader returns to be sent again, in order
+	sendScript        bool           // the server has not loaded the script
+	lossLogged        bool           // a loss of data was logged on this connection
+	loggedRejection   string         // error code last logged on this connection
+	resendPausedUntil time.Time      // until then, pending sums are not resent
 }
 
-// pendingWrite is a write on its way.
+// pendingWrite is a write that is queued, or sent and not yet confirmed.
 type pendingWrite struct {
 	write     ledger.Write
-	call      *store.Call // nil: a sum that is sent again without an add
-	maybeSent bool        // it may have been written completely, on this connection or one before
+	call      *store.Call // nil: a sum that is resent without a new add
+	maybeSent bool        // may have been written completely, on this or an earlier connection
 }
 
 func newShard(opt Options, index int, keyPrefix, instanceID string, log *slog.Logger, sink store.Sink) *shard {
@@ -73,20 +73,20 @@
 	}
 }
 
-// now is the ledger's clock.
+// now returns the time on the ledger's clock.
 func (s *shard) now() time.Duration { return time.Since(s.startedAt) }
 
-// run connects when there is something to write, until ctx ends.
+// run connects and serves calls whenever there is something to write, until ctx is done.
 func (s *shard) run(ctx context.Context) {
 	expiry := time.NewTicker(expiryInterval)
 	defer expiry.Stop()
 	var first *store.Call
 	for ctx.Err() == nil {
-		if first == nil && len(s.resend) == 0 && !s.hasPending() {
+		if first == nil && len(s.resendQueue) == 0 && !s.hasPending() {
 			first = s.awaitCall(ctx, expiry.C)
 			continue
 		}
-		if first != nil && !first.IsQueued() { // its caller has withdrawn it: no connection for its sake
+		if first != nil && !first.IsQueued() { // withdrawn by its caller: not worth a connection
 			first = nil
 			continue
 		}
@@ -95,7 +95,7 @@
 	}
 }
 
-// awaitCall waits for something to happen while there is nothing to write, and returns a call if it was one.
+// awaitCall waits for one event while there is nothing to write. It returns the call if the event was one, else nil.
 func (s *shard) awaitCall(ctx context.Context, expiry <-chan time.Time) *store.Call {
 	select {
 	case <-ctx.Done():
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// connectAndServe serves one connection, from the first call on if there is one, and backs off if it came to nothing.
+// connectAndServe connects and serves calls, starting with first unless it is nil. If the connection failed or
+// confirmed no add, it backs off.
 func (s *shard) connectAndServe(ctx context.Context, first *store.Call, expiry <-chan time.Time) {
 	c, err := s.connect(ctx)
 	if err != nil {
@@ -129,17 +130,17 @@
 	switch {
 	case c.confirmedAny.Load():
 		s.failures = 0
-	case s.failures > 0: // a server that accepts connections and confirms nothing: the first retry comes at once
+	case s.failures > 0: // the server accepts connections but confirms no add; only the first retry is immediate
 		s.backOff(ctx, expiry)
 	default:
 		s.failures++
 	}
 }
 
-// backOff waits before the next attempt to connect. Calls that come meanwhile are surely not added, and are
-// answered so at once.
+// backOff waits before the next attempt to connect, with exponential backoff and jitter. Calls that arrive meanwhile
+// are reported as not added at once.
 func (s *shard) backOff(ctx context.Context, expiry <-chan time.Time) {
-	const maxDoublings = 10 // enough to reach maxBackoff
+	const maxDoublings = 10 // enough to reach maxBackoff, without overflow
 	wait := min(maxBackoff, minBackoff<<min(s.failures, maxDoublings))
 	s.failures++
 	timer := time.NewTimer(wait/2 + rand.N(wait))
@@ -172,7 +173,7 @@
 	s.markAllUnconfirmed()
 }
 
-// markAllUnconfirmed makes the ledger write all sums again, to whatever server is connected next.
+// markAllUnconfirmed makes the ledger rewrite all sums on the next connection.
 func (s *shard) markAllUnconfirmed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/redis/stats.go
+++ b/internal/store/redis/stats.go
@@ -1,21 +1,21 @@
 package redis
 
-// Stats count what a counter did since its start.
+// Stats are a counter's metrics since its start, summed over all shards.
 type Stats struct {
-	Connected      bool  // all shards are
-	Added          int64 // adds that were confirmed
-	AlreadyApplied int64 // of them, those that had been applied before the copy that was confirmed
-	Rejected       int64 // adds that Redis rejected, or that were never written
-	Unconfirmed    int64 // adds answered as store.Maybe
-	Resent         int64 // sums sent again without an add
-	Lost           int64 // replies that showed that Redis had lost what it had confirmed
-	Unreadable     int64 // replies that could not be read or belonged to another call
-	Connects       int64 // connections that came up
-	Disconnects    int64 // connections that broke or fell silent, and attempts to connect that failed
-	Names          int   // in the ledgers
+	Connected      bool  // all shards are connected
+	Added          int64 // confirmed adds
+	AlreadyApplied int64 // confirmed adds that had been applied by an earlier copy of the write
+	Rejected       int64 // adds that Redis rejected or that were never written
+	Unconfirmed    int64 // adds reported as store.Maybe
+	Resent         int64 // sums resent without a new add
+	Lost           int64 // replies that showed that Redis had lost confirmed adds
+	Unreadable     int64 // connections closed because of an invalid or unexpected reply
+	Connects       int64 // established connections
+	Disconnects    int64 // failed or timed-out connections, and failed attempts to connect
+	Names          int   // names in the ledgers
 }
 
-// Stats returns the counts so far, over all shards.
+// Stats returns the current metrics.
 func (c *Counter) Stats() Stats {
 	total := Stats{Connected: true}
 	for _, s := range c.shards {
--- a/internal/store/redis/write.go
+++ b/internal/store/redis/write.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	maxBatch       = 256                   // commands of one write
-	fullRetry      = time.Millisecond      // between two looks at a connection on which no more may be pending
-	resendInterval = 10 * time.Millisecond // between two batches of sums that are sent again
-	resendBatch    = 32
-	// silentTimeouts is after how many time-outs of a call a connection without a reply is dead.
-	silentTimeouts = 4
+	maxBatch         = 256                   // maximum number of commands in one write call
+	fullPollInterval = time.Millisecond      // interval at which a full pipeline is checked for capacity
+	resendInterval   = 10 * time.Millisecond // interval between batches of resent sums
+	resendBatch      = 32
+	// maxSilentTimeouts is the number of call timeouts without a reply after which a connection is closed.
+	maxSilentTimeouts = 4
 )
 
-// writer is the writing side of a connection, on the shard's goroutine.
+// writer is the writing side of a connection. It runs on the shard's goroutine.
 type writer struct {
 	shard       *shard
 	conn        *conn
-	batch       []pendingWrite // to be written next
-	buf         []byte         // of commands, reused
-	ends        []int          // of each command in buf, reused
-	unwritten   int            // writes that did not go out completely: the last of conn.pending
-	resendTimer *time.Timer    // for what the ledger has pending
-	resendArmed bool           // resendTimer runs
+	batch       []pendingWrite // next to be written
+	buf         []byte         // encoded commands, reused
+	commandEnds []int          // end offset of each command in buf, reused
+	unwritten   int            // number of writes at the end of conn.pending that were not sent completely
+	resendTimer *time.Timer    // for the ledger's pending sums
+	resendArmed bool           // resendTimer is running
 }
 
-// serve writes calls, and what is to be sent again, until the connection breaks or falls silent, the store's address
-// changes or ctx ends. It returns nil if nothing is wrong.
+// serve writes new calls and resends pending writes until the connection fails or times out, the store's address
+// changes or ctx is done. It returns nil unless there was a failure.
 func (s *shard) serve(ctx context.Context, c *conn, first *store.Call) error {
 	go func() {
 		defer close(c.readerDone)
@@ -42,36 +42,36 @@
 	w := &writer{
 		shard:       s,
 		conn:        c,
-		batch:       append([]pendingWrite(nil), s.resend...),
+		batch:       append([]pendingWrite(nil), s.resendQueue...),
 		resendTimer: time.NewTimer(0),
 		resendArmed: true,
 	}
 	defer w.resendTimer.Stop()
-	s.resend = s.resend[:0]
+	s.resendQueue = s.resendQueue[:0]
 	if first != nil {
 		w.batch = s.claim(w.batch, first)
 	}
 	err := w.run()
-	leaveReason := c.leaveReason.Load()
-	if err == nil || leaveReason != nil { // what is pending has its time for a reply
+	closeReason := c.closeReason.Load()
+	if err == nil || closeReason != nil { // no write failed, so pending writes may still get replies
 		s.awaitReplies(ctx, c)
 	}
 	c.nc.Close()
 	<-c.readerDone
 	s.collectUnanswered(c, w.unwritten, w.batch)
-	s.followRedirect(c.leaveReason.Load())
+	s.followRedirect(c.closeReason.Load())
 	if err == nil {
 		err = c.readErr
 	}
-	if errors.Is(err, errClosed) && ctx.Err() == nil { // idle; the next server may not hold what this one did
+	if errors.Is(err, errClosed) && ctx.Err() == nil { // closed while idle; the next server may not have the same data
 		s.markAllUnconfirmed()
 		err = nil
 	}
 	return err
 }
 
-// run writes until the connection is to be left. It returns the error of a write, or the reply that says that this
-// is not the server to ask.
+// run writes until the connection is to be closed. It returns the error of a write, or the error reply by which the
+// server is unusable.
 func (w *writer) run() error {
 	expiry := time.NewTicker(expiryInterval)
 	defer expiry.Stop()
@@ -86,24 +86,24 @@
 	}
 }
 
-// await waits for something to do, and reports whether the connection is used further.
+// await waits for and handles one event. It reports whether the connection stays in use.
 func (w *writer) await(expiry <-chan time.Time) (open bool, err error) {
 	var calls chan *store.Call
 	var full <-chan time.Time
 	if len(w.batch) == 0 {
 		calls = w.shard.calls
-	} else { // as many writes are pending as may be
-		full = time.After(fullRetry)
+	} else { // the pipeline is full
+		full = time.After(fullPollInterval)
 	}
 	select {
 	case call := <-calls:
 		w.batch = w.shard.claim(w.batch, call)
 	case <-full:
 	case <-w.conn.wakeWriter:
-		if reason := w.conn.leaveReason.Load(); reason != nil {
+		if reason := w.conn.closeReason.Load(); reason != nil {
 			return false, *reason
 		}
-		w.takeFromReader()
+		w.takeRetries()
 	case <-w.resendTimer.C:
 		w.batch = w.shard.appendPending(w.conn, w.batch)
 		w.resendArmed = w.shard.hasPending()
@@ -121,19 +121,19 @@
 	return true, nil
 }
 
-// takeFromReader takes what the reader has handed back, and arms the timer for what the ledger has pending.
-func (w *writer) takeFromReader() {
+// takeRetries moves the shard's retry queue to the batch, and starts the resend timer if the ledger has pending sums.
+func (w *writer) takeRetries() {
 	w.shard.mu.Lock()
 	defer w.shard.mu.Unlock()
-	w.batch = append(w.batch, w.shard.retry...)
-	w.shard.retry = w.shard.retry[:0]
+	w.batch = append(w.batch, w.shard.retryQueue...)
+	w.shard.retryQueue = w.shard.retryQueue[:0]
 	if !w.resendArmed && w.shard.ledger.HasPending() {
 		w.resendArmed = true
 		w.resendTimer.Reset(resendInterval)
 	}
 }
 
-// writeBatch writes as much of the batch as may be pending.
+// writeBatch writes as much of the batch as the pipeline has capacity for.
 func (w *writer) writeBatch() error {
 	count := min(len(w.batch), cap(w.conn.pending)-len(w.conn.pending), maxBatch)
 	if count == 0 {
@@ -147,24 +147,24 @@
 	return err
 }
 
-// writeCommands writes a command for each write, and returns how many went out to their last byte.
+// writeCommands sends a command for each write, and returns how many were written to their last byte.
 func (w *writer) writeCommands(batch []pendingWrite) (complete int, err error) {
 	s, c := w.shard, w.conn
 	s.mu.Lock()
 	sendScript := s.sendScript
 	s.mu.Unlock()
 	w.buf = w.buf[:0]
-	w.ends = w.ends[:0]
+	w.commandEnds = w.commandEnds[:0]
 	for i, pending := range batch {
 		w.buf = appendAdd(w.buf, s.keyPrefix, s.instanceID, pending.write, sendScript && i == 0)
-		w.ends = append(w.ends, len(w.buf))
+		w.commandEnds = append(w.commandEnds, len(w.buf))
 	}
 	idle := len(c.pending) == 0
 	for _, pending := range batch {
 		c.pending <- pending
 	}
 	now := time.Now()
-	silence := silentTimeouts * s.options.Timeout
+	silence := maxSilentTimeouts * s.options.Timeout
 	if idle {
 		c.extendReadDeadline(now, silence)
 	}
@@ -173,13 +173,13 @@
 		c.nc.SetWriteDeadline(c.writeDeadline)
 	}
 	n, err := c.nc.Write(w.buf)
-	for complete < len(w.ends) && w.ends[complete] <= n {
+	for complete < len(w.commandEnds) && w.commandEnds[complete] <= n {
 		complete++
 	}
 	return complete, err
 }
 
-// awaitReplies waits until no write is pending, for at most the time-out of a call.
+// awaitReplies waits until no write is pending, for at most the timeout of a call.
 func (s *shard) awaitReplies(ctx context.Context, c *conn) {
 	timeout := time.NewTimer(s.options.Timeout)
 	defer timeout.Stop()
@@ -198,23 +198,23 @@
 	}
 }
 
-// collectUnanswered gathers what was pending on a connection that is over, and its batch, to be sent in that order
-// on the next one: whether it was applied the reply there will say. The last unwritten of those pending were not
-// sent completely.
+// collectUnanswered queues the writes without a reply on a closed connection, followed by its batch, to be resent in
+// this order on the next one; the replies there show whether a write had been applied before. The last writes in
+// c.pending, as many as unwritten, were not sent completely.
 func (s *shard) collectUnanswered(c *conn, unwritten int, batch []pendingWrite) {
 	s.mu.Lock()
-	s.resend = append(append(s.resend, s.retry...), c.unreadable...)
-	s.retry = s.retry[:0]
+	s.resendQueue = append(append(s.resendQueue, s.retryQueue...), c.unreadable...)
+	s.retryQueue = s.retryQueue[:0]
 	s.mu.Unlock()
 	for len(c.pending) > 0 {
 		pending := <-c.pending
 		pending.maybeSent = pending.maybeSent || len(c.pending) >= unwritten
-		s.resend = append(s.resend, pending)
+		s.resendQueue = append(s.resendQueue, pending)
 	}
-	s.resend = append(s.resend, batch...)
+	s.resendQueue = append(s.resendQueue, batch...)
 }
 
-// followRedirect takes over the address that a MOVED error names.
+// followRedirect sets the primary's address to the one in a MOVED error.
 func (s *shard) followRedirect(reason *redisError) {
 	if reason == nil || reason.code() != "MOVED" {
 		return
@@ -224,8 +224,8 @@
 	}
 }
 
-// claim takes a call, and those that wait behind it, into the ledger and the batch. Calls that the ledger can't
-// hold are answered as not added.
+// claim adds a call, and further queued calls, to the ledger and to the batch. Calls that the ledger does not accept
+// are reported as not added.
 func (s *shard) claim(batch []pendingWrite, call *store.Call) []pendingWrite {
 	var rejected []*store.Call
 	s.mu.Lock()
@@ -254,7 +254,8 @@
 	return batch
 }
 
-// appendPending appends sums that the server may not hold, if the connection is not busy.
+// appendPending appends writes of the ledger's pending sums to the batch, unless more than half of the pipeline is in
+// use or resending is paused.
 func (s *shard) appendPending(c *conn, batch []pendingWrite) []pendingWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/storetest/storetest.go
+++ b/internal/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is the suite that every shared counter must pass against its stand-in, with the harness that
-// its tests use. A stand-in's owner gives hooks that cause what may go wrong on the way.
+// Package storetest provides the conformance suite that every store.Counter must pass against its stand-in, and helpers
+// for the counters' own tests. The caller provides a stand-in server with hooks to stop and restart it.
 package storetest
 
 import (
@@ -16,16 +16,16 @@
 // DiscardLogger is a logger that writes nothing.
 var DiscardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// Timeout is how long a test waits for what must come; no test passes by waiting.
+// Timeout is how long a test waits for an expected event before it fails. No test passes because it has elapsed.
 const Timeout = 20 * time.Second
 
-// Server is a stand-in as the suite needs it.
+// Server is a stand-in with the hooks that the suite needs.
 type Server struct {
 	Addr   string
-	New    func(store.Sink) store.Counter // a further instance's client; its time-out is a second or more
-	Total  func(name string) float64      // what the stand-in holds, 0 for a name that it does not know
-	Stop   func()                         // makes the stand-in refuse connections and end those that it has
-	Listen func() error                   // makes it accept them again
+	New    func(store.Sink) store.Counter // returns the client of a further instance, with a timeout of at least 1 s
+	Total  func(name string) float64      // total on the stand-in; 0 for an unknown name
+	Stop   func()                         // makes the stand-in close all connections and refuse new ones
+	Listen func() error                   // makes the stand-in accept connections again
 }
 
 // listen makes the stand-in accept connections again.
@@ -36,20 +36,20 @@
 	}
 }
 
-// Answer is what a sink received.
+// Answer is a call, its result, and the time at which the sink received it.
 type Answer struct {
 	Call   *store.Call
 	Result store.Result
 	At     time.Time
 }
 
-// Instance is a counter that runs, with the answers to its calls.
+// Instance is a running counter with a queue of the results of its calls.
 type Instance struct {
 	store.Counter
 	answers chan Answer
 }
 
-// Start runs a counter until the test ends, and fails the test if it does not end then.
+// Start runs a counter until the test ends, and fails the test if Run does not return then.
 func Start(t testing.TB, newCounter func(store.Sink) store.Counter) *Instance {
 	t.Helper()
 	i := &Instance{answers: make(chan Answer, 1<<16)}
@@ -67,47 +67,47 @@
 		select {
 		case <-done:
 		case <-time.After(Timeout):
-			t.Error("the counter does not end")
+			t.Error("Run did not return")
 		}
 	})
 	return i
 }
 
-// NextAnswer waits for an answer.
+// NextAnswer waits for the next result and fails the test if there is none within Timeout.
 func (i *Instance) NextAnswer(t testing.TB) Answer {
 	t.Helper()
 	select {
 	case answer := <-i.answers:
 		return answer
 	case <-time.After(Timeout):
-		t.Fatal("no answer")
+		t.Fatal("no result within the timeout")
 		return Answer{}
 	}
 }
 
-// NoAnswer fails the test if there is an answer.
-func (i *Instance) NoAnswer(t testing.TB) {
+// RequireNoAnswer fails the test if a result is queued.
+func (i *Instance) RequireNoAnswer(t testing.TB) {
 	t.Helper()
 	select {
 	case answer := <-i.answers:
-		t.Fatalf("an answer that no call waits for: %s %+v", answer.Call.Name, answer.Result)
+		t.Fatalf("unexpected result of %s: %+v", answer.Call.Name, answer.Result)
 	default:
 	}
 }
 
-// AddAndWait adds and waits for the answer, which must be the next one.
+// AddAndWait adds and returns the result. It fails the test if the result of another call arrives first.
 func (i *Instance) AddAndWait(t testing.TB, name string, amount float64) store.Result {
 	t.Helper()
 	call := &store.Call{Name: name, Amount: amount, TTL: time.Minute}
 	i.Add(call)
 	answer := i.NextAnswer(t)
 	if answer.Call != call {
-		t.Fatalf("the answer is to %s %v", answer.Call.Name, answer.Call.Amount)
+		t.Fatalf("got the result of another call: name %s, amount %v", answer.Call.Name, answer.Call.Amount)
 	}
 	return answer.Result
 }
 
-// AddAndSkipEarlier adds and waits for the answer; earlier calls may be answered before.
+// AddAndSkipEarlier adds and returns the result. It discards the results of other calls that arrive first.
 func (i *Instance) AddAndSkipEarlier(t testing.TB, name string, amount float64) store.Result {
 	t.Helper()
 	call := &store.Call{Name: name, Amount: amount, TTL: time.Minute}
@@ -119,15 +119,15 @@
 	}
 }
 
-// Eventually waits until ok returns true; what names that for the failure.
-func Eventually(t testing.TB, what string, ok func() bool) {
+// Eventually waits until ok returns true, and fails the test with a description of the condition after Timeout.
+func Eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
+			t.Fatal("timed out waiting for ", condition)
 		}
 	}
 }
 
-// ApproxEqual compares totals to six digits.
+// ApproxEqual reports whether two totals differ by at most 1e-6, relative to the larger one if that exceeds 1.
 func ApproxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
--- a/internal/store/storetest/suite.go
+++ b/internal/store/storetest/suite.go
@@ -10,7 +10,7 @@
 	"hitchspring/internal/store"
 )
 
-// Run runs the suite; open starts a stand-in for one test.
+// Run runs the conformance suite. open starts a new stand-in for a test.
 func Run(t *testing.T, open func(*testing.T) Server) {
 	run := func(name string, check func(*testing.T, Server)) {
 		t.Run(name, func(t *testing.T) {
@@ -25,8 +25,8 @@
 	run("many names at once", checkManyNames)
 	run("expiry", checkExpiry)
 	run("withdrawn", checkWithdrawn)
-	run("nobody listens", checkUnreachable)
-	run("comes and goes", checkRestarts)
+	run("server unreachable", checkUnreachable)
+	run("server restarts", checkRestarts)
 	run("full queue", checkFullQueue)
 	run("change of address", func(t *testing.T, s Server) { checkAddressChange(t, s, open(t)) })
 }
@@ -69,7 +69,7 @@
 	}
 	for n, call := range calls {
 		if got := instance.NextAnswer(t); got.Call != call || !ApproxEqual(got.Result.Total, float64(n+1)) {
-			t.Fatalf("answer %d: total %v", n, got.Result.Total)
+			t.Fatalf("result %d: got total %v", n, got.Result.Total)
 		}
 	}
 }
@@ -101,13 +101,13 @@
 	const ttl = 200 * time.Millisecond
 	instance := Start(t, s.New)
 	instance.Add(&store.Call{Name: "a", Amount: 5, TTL: ttl})
-	began := instance.NextAnswer(t).At
-	Eventually(t, "the name's expiry", func() bool { return s.Total("a") == 0 })
-	if lived := time.Since(began); lived < ttl/2 {
-		t.Fatalf("it lived %v of %v", lived, ttl)
+	addedAt := instance.NextAnswer(t).At
+	Eventually(t, "the name to expire", func() bool { return s.Total("a") == 0 })
+	if lifetime := time.Since(addedAt); lifetime < ttl/2 {
+		t.Fatalf("expired after %v, time to live is %v", lifetime, ttl)
 	}
 	if got := instance.AddAndWait(t, "a", 2); !ApproxEqual(got.Total, 2) {
-		t.Fatalf("after its expiry: got %+v, want 2", got)
+		t.Fatalf("after the expiry: got %+v, want 2", got)
 	}
 }
 
@@ -115,13 +115,13 @@
 	instance := Start(t, s.New)
 	call := &store.Call{Name: "a", Amount: 7, TTL: time.Minute}
 	if !call.Withdraw() {
-		t.Fatal("a call that was not added can't be withdrawn")
+		t.Fatal("a call that was never queued cannot be withdrawn")
 	}
 	instance.Add(call)
 	if got := instance.AddAndWait(t, "a", 1); !ApproxEqual(got.Total, 1) {
 		t.Fatalf("got %+v, want 1", got)
 	}
-	instance.NoAnswer(t)
+	instance.RequireNoAnswer(t)
 }
 
 func checkUnreachable(t *testing.T, s Server) {
@@ -133,11 +133,11 @@
 		}
 	}
 	s.listen(t)
-	Eventually(t, "the stand-in's return", func() bool {
+	Eventually(t, "the stand-in to serve adds again", func() bool {
 		return instance.AddAndWait(t, "a", 1).Certainty == store.Added
 	})
 	if got := s.Total("a"); !ApproxEqual(got, 1) {
-		t.Fatalf("the stand-in holds %v, want the one that was added", got)
+		t.Fatalf("the stand-in holds %v, want 1", got)
 	}
 }
 
@@ -161,12 +161,12 @@
 			case store.NotAdded:
 			}
 		}
-		Eventually(t, "the stand-in's return", func() bool {
+		Eventually(t, "the stand-in to serve adds again", func() bool {
 			return instance.AddAndWait(t, "b", 0).Certainty == store.Added
 		})
 	}
 	if got := s.Total("a"); got < minAdded-1e-6 || got > maxAdded+1e-6 {
-		t.Fatalf("the stand-in holds %v; %v were added and %v may have been", got, minAdded, maxAdded)
+		t.Fatalf("the stand-in holds %v, want between %v and %v", got, minAdded, maxAdded)
 	}
 }
 
@@ -195,7 +195,7 @@
 	instance := Start(t, s.New)
 	instance.AddAndWait(t, "a", 1)
 	instance.SetAddress(next.Addr)
-	Eventually(t, "the change of address", func() bool {
+	Eventually(t, "an add at the new address", func() bool {
 		instance.AddAndWait(t, "a", 1)
 		return next.Total("a") > 0
 	})
