--- a/internal/store/tally/conn.go
+++ b/internal/store/tally/conn.go
@@ -8,42 +8,42 @@
 	"hitchspring/internal/store"
 )
 
-// conn is a connection to the service. The shard's goroutine writes, and another one, read, reads until nc is closed.
+// conn is a connection to the service. The shard's goroutine writes; a second one executes read until nc is closed.
 type conn struct {
 	shard      *shard
 	nc         net.Conn
-	pending    chan *pendingCall // in the order in which their replies come
+	pending    chan *pendingCall // written calls without a reply, in the order of their replies
 	readerDone chan struct{}
-	idle       chan struct{} // the reader has emptied pending
+	idle       chan struct{} // signals that the reader has emptied pending
 
-	// Of the writer.
-	batch   []*store.Call // to be written next
-	buf     []byte        // reused
-	ends    []int         // of each call in buf, reused
-	written []*pendingCall
+	// Used only by the writer.
+	batch    []*store.Call // next to be written
+	buf      []byte        // encoded calls, reused
+	callEnds []int         // end offset of each call in buf, reused
+	written  []*pendingCall
 }
 
-// pendingCall is a call that is on its way.
+// pendingCall is a claimed call without a reply.
 type pendingCall struct {
 	*store.Call
-	incomplete bool // its last byte was never written
+	incomplete bool // not written to its last byte, so the service cannot have added it
 }
 
-// writeBatch writes the batch and what waits behind it, and reports whether the connection is still in order.
+// writeBatch writes the batch and further queued calls, and reports whether the connection is still usable.
 func (c *conn) writeBatch() bool {
 	c.fillBatch()
 	if len(c.pending) == 0 {
 		c.setReadDeadline(true)
 	}
 	c.buf = c.buf[:0]
-	c.ends = c.ends[:0]
+	c.callEnds = c.callEnds[:0]
 	c.written = c.written[:0]
 	for _, call := range c.batch {
 		if len(c.pending) == cap(c.pending) || !call.Claim() {
-			continue // it is not written, and its caller withdraws it or has done so
+			continue // not written: its caller has withdrawn it or will do so
 		}
 		c.buf = appendCall(c.buf, call)
-		c.ends = append(c.ends, len(c.buf))
+		c.callEnds = append(c.callEnds, len(c.buf))
 		pending := &pendingCall{Call: call}
 		c.written = append(c.written, pending)
 		c.pending <- pending
@@ -51,13 +51,13 @@
 	c.nc.SetWriteDeadline(time.Now().Add(c.shard.timeout))
 	n, err := c.nc.Write(c.buf)
 	for i, pending := range c.written {
-		pending.incomplete = c.ends[i] > n
+		pending.incomplete = c.callEnds[i] > n
 	}
 	c.batch = c.batch[:0]
 	return err == nil
 }
 
-// fillBatch takes the calls that wait.
+// fillBatch moves queued calls to the batch, up to maxBatch.
 func (c *conn) fillBatch() {
 	for len(c.batch) < maxBatch {
 		select {
@@ -69,7 +69,7 @@
 	}
 }
 
-// await waits for a further call, and reports whether the connection is used further.
+// await waits for the next call, and reports whether the connection stays in use.
 func (c *conn) await() bool {
 	select {
 	case call := <-c.shard.calls:
@@ -82,8 +82,8 @@
 	return false
 }
 
-// awaitReplies gives the calls that are pending their time for a reply before later ones go to another address: answers
-// for one name come in the order of its calls.
+// awaitReplies waits for replies to the pending calls, up to the call timeout, before later calls go to another
+// address. This keeps the results for each name in the order of its calls.
 func (c *conn) awaitReplies() {
 	timeout := time.After(c.shard.timeout)
 	for len(c.pending) > 0 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// answerUnanswered answers what is left on a connection that is over.
-func (c *conn) answerUnanswered() {
+// resolvePending reports the results of the calls that are left on a closed connection.
+func (c *conn) resolvePending() {
 	for len(c.pending) > 0 {
 		pending := <-c.pending
 		var result store.Result
@@ -112,8 +112,8 @@
 	}
 }
 
-// read hands replies to the calls in their order. It ends with the connection, or at a reply that cannot be read:
-// that call was added, and nothing behind it can be trusted.
+// read matches replies to the pending calls in order. It ends with the connection, or at a reply that cannot be parsed:
+// the call of that reply counts as added, and later replies cannot be trusted.
 func (c *conn) read() {
 	in := bufio.NewReaderSize(c.nc, 1<<10)
 	for {
@@ -138,17 +138,17 @@
 		case c.idle <- struct{}{}:
 		default:
 		}
-		if in.Buffered() > 0 { // a reply to no call
+		if in.Buffered() > 0 { // a reply without a pending call
 			return
 		}
 	}
 }
 
-// setReadDeadline sets how long the service may be silent.
+// setReadDeadline sets the read deadline, depending on whether a reply is awaited or the connection is idle.
 func (c *conn) setReadDeadline(awaitsReply bool) {
 	silence := idleTimeout
 	if awaitsReply {
-		silence = silentTimeouts * c.shard.timeout
+		silence = maxSilentTimeouts * c.shard.timeout
 	}
 	c.nc.SetReadDeadline(time.Now().Add(silence))
 }
--- a/internal/store/tally/protocol.go
+++ b/internal/store/tally/protocol.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// partialReplyTimeout is for the rest of a reply that has begun to arrive: a few bytes.
+	// partialReplyTimeout limits the wait for the rest of a partially received reply, which is a few bytes.
 	partialReplyTimeout = 20 * time.Millisecond
-	// maxTotal is the highest total that a reply may hold.
+	// maxTotal is the highest absolute total accepted in a reply.
 	maxTotal = 1e12
 )
 
-// unreadable is the result of a reply that cannot be read: the amount was added.
+// unreadable is the result for a reply that cannot be parsed: the amount counts as added, without a known total.
 var unreadable = store.Result{Certainty: store.Added}
 
-// readLine waits for a reply. Once one has begun its end must come too, or the calls behind it would wait for nothing.
+// readLine reads one reply. The rest of a partially received reply must arrive within partialReplyTimeout; otherwise
+// the calls behind it would wait in vain.
 func readLine(nc net.Conn, in *bufio.Reader) ([]byte, error) {
 	if _, err := in.Peek(1); err != nil {
 		return nil, err
@@ -33,10 +34,10 @@
 	return in.ReadSlice('\n')
 }
 
-// parseReply reads one line of the service.
+// parseReply parses one reply line.
 func parseReply(line string) store.Result {
 	line = strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")
-	if line == "busy" || line == "error" { // overloaded, or not understood
+	if line == "busy" || line == "error" { // the service is overloaded or rejected the syntax
 		return store.Result{Certainty: store.NotAdded}
 	}
 	if text, ok := strings.CutPrefix(line, "ok "); ok {
@@ -47,7 +48,7 @@
 	return unreadable
 }
 
-// appendCall appends the line of a call: name, amount, and the time to live of a new name in milliseconds.
+// appendCall appends the request line of a call: name, amount, and the time to live of a new name in milliseconds.
 func appendCall(b []byte, call *store.Call) []byte {
 	b = append(append(b, "tally "...), call.Name...)
 	b = strconv.AppendFloat(append(b, ' '), call.Amount, 'f', -1, 64)
--- a/internal/store/tally/shard.go
+++ b/internal/store/tally/shard.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	shardQueueSize = 512 // calls that wait for a connection, and as many on it for a reply
+	shardQueueSize = 512 // queued calls; also the maximum number of calls that await a reply
 	maxBatch       = shardQueueSize / 2
-	// idleTimeout is after how long a connection without a call is closed, before the service does that.
+	// idleTimeout is the time after which an idle connection is closed, before the service would close it.
 	idleTimeout = 3 * time.Second
-	// silentTimeouts is after how many time-outs a connection without a reply is dead.
-	silentTimeouts = 4
+	// maxSilentTimeouts is the number of call timeouts without a reply after which a connection is closed.
+	maxSilentTimeouts = 4
 )
 
-// shard serves the names that hash to it, in order, over one connection at a time, which is opened when there is a
-// call.
+// shard serves the calls of the names that hash to it, in order, over one connection at a time. The connection is
+// opened when there is a call.
 type shard struct {
-	addr           string // of run's goroutine
+	addr           string // used only by the goroutine of run
 	timeout        time.Duration
 	calls          chan *store.Call
 	addressChanges store.Latest[string]
@@ -37,7 +37,7 @@
 	}
 }
 
-// run serves calls until ctx ends.
+// run serves calls until ctx is done.
 func (s *shard) run(ctx context.Context) {
 	for {
 		select {
@@ -49,15 +49,15 @@
 			case s.addr = <-s.addressChanges:
 			default:
 			}
-			if call.IsQueued() { // otherwise its caller has withdrawn it: no connection for its sake
+			if call.IsQueued() { // a withdrawn call is not worth a connection
 				s.serve(ctx, call)
 			}
 		}
 	}
 }
 
-// serve opens a connection for the first call and writes calls to it until it breaks, falls silent or the address
-// changes.
+// serve opens a connection for the first call and writes calls to it until the connection fails or times out, the
+// address changes or ctx is done.
 func (s *shard) serve(ctx context.Context, first *store.Call) {
 	dialer := net.Dialer{Timeout: s.timeout}
 	nc, err := dialer.DialContext(ctx, "tcp", s.addr)
@@ -83,5 +83,5 @@
 	}
 	nc.Close()
 	<-c.readerDone
-	c.answerUnanswered()
+	c.resolvePending()
 }
--- a/internal/store/tally/tally.go
+++ b/internal/store/tally/tally.go
@@ -1,9 +1,9 @@
-// Package tally is the client of the platform's shared counter service, which speaks lines of text over TCP and
-// replies in order. It takes in calls and answers each through a store.Sink: added, surely not added, or maybe
-// added. It sends no call again, and what the totals mean is not known here.
+// Package tally is the client of the platform's shared counter service, which uses a line-based text protocol over TCP
+// and replies in order. It passes the result of each call to a store.Sink: added, not added, or maybe added. It never
+// resends a call and does not interpret the totals.
 //
-// Names are dealt to shards. A shard has a goroutine that connects and writes, and while it is connected one that
-// reads. All of them end with the context of Counter.Run.
+// Names are distributed over shards by hash. Each shard has one goroutine that connects and writes, and a second one
+// that reads while the shard is connected. All goroutines end with the context of Counter.Run.
 package tally
 
 import (
@@ -15,17 +15,18 @@
 	"hitchspring/internal/store"
 )
 
-// shardCount is how many connections there are at most; calls of one name share one, so that they stay in order.
+// shardCount is the maximum number of connections. Calls of the same name use the same connection, which preserves
+// their order.
 const shardCount = 4
 
-// Counter is a store.Counter at the shared counter service. Its methods are safe for concurrent use, but for
-// SetAddress, which is for one goroutine at a time.
+// Counter is a store.Counter on the shared counter service. Its methods are safe for concurrent use, except that
+// SetAddress must not be called concurrently with itself.
 type Counter struct {
 	shards [shardCount]*shard
 }
 
-// New returns a counter at addr that does not run yet. A connection that is not up after timeout has failed, and one on
-// which calls wait four times as long for a reply is dead.
+// New returns a counter on the service at addr that starts to serve calls when Run is called. Connecting fails after
+// timeout; a connection on which calls get no reply for four timeouts is closed.
 func New(addr string, timeout time.Duration, sink store.Sink) *Counter {
 	c := &Counter{}
 	for i := range c.shards {
@@ -34,7 +35,7 @@
 	return c
 }
 
-// Run serves calls until ctx ends, and leaves no goroutine behind.
+// Run serves calls until ctx is done, and returns after all goroutines of the counter have ended.
 func (c *Counter) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, s := range c.shards {
@@ -43,14 +44,15 @@
 	wg.Wait()
 }
 
-// SetAddress changes to a counter at another address.
+// SetAddress switches to a service at another address.
 func (c *Counter) SetAddress(addr string) {
 	for _, s := range c.shards {
 		s.addressChanges.Set(addr)
 	}
 }
 
-// Add queues a call. If the queue is full, the call stays unanswered and may be withdrawn.
+// Add queues a call without blocking. If the queue is full, the call is dropped: it gets no result and can still be
+// withdrawn.
 func (c *Counter) Add(call *store.Call) {
 	hash := fnv.New32a()
 	hash.Write([]byte(call.Name))
--- a/internal/store/tally/tally_test.go
+++ b/internal/store/tally/tally_test.go
@@ -14,20 +14,20 @@
 	"hitchspring/internal/store"
 )
 
-// answer is what the sink received.
+// answer is a call and the result that the sink received for it.
 type answer struct {
 	call   *store.Call
 	result store.Result
 }
 
-// testShard returns a shard at addr, with the answers to its calls.
+// testShard returns a shard for addr that is not running, and a channel with the results of its calls.
 func testShard(addr string) (*shard, <-chan answer) {
 	answers := make(chan answer, 64)
 	sink := func(call *store.Call, result store.Result) { answers <- answer{call, result} }
 	return newShard(addr, 5*time.Second, sink), answers
 }
 
-// startShard runs a shard at a counter that serve plays until the test ends.
+// startShard runs a shard until the test ends. serve implements the counter service for each connection.
 func startShard(t *testing.T, serve func(nc net.Conn, lines *bufio.Reader)) (*shard, <-chan answer) {
 	t.Helper()
 	addr := scripted.Listen(t, func(nc net.Conn) { serve(nc, bufio.NewReader(nc)) })
@@ -45,7 +45,7 @@
 	return s, answers
 }
 
-// Each form of reply means what the protocol says, in the order of the calls.
+// Each form of reply must give the result that the protocol defines, in the order of the calls.
 func TestCounterReplies(t *testing.T) {
 	s, answers := startShard(t, func(nc net.Conn, in *bufio.Reader) {
 		for _, reply := range []string{"ok 3.5\r\n", "busy\r\n", "error\r\n", ""} {
@@ -53,7 +53,7 @@
 				return
 			}
 			if reply == "" {
-				return // the last call was written completely: it may have been added
+				return // the last call was received completely: the service may have added it
 			}
 			io.WriteString(nc, reply)
 		}
@@ -73,13 +73,14 @@
 	}
 }
 
-// After a reply that cannot be read its connection is given up: the call was added, the one behind it may have
-// been, and the next is written on a new connection at once.
+// A reply that cannot be parsed must close its connection. Its call counts as added, the call behind it as maybe added,
+// and the next call must be written on a new connection without delay.
 func TestCounterUnreadableReply(t *testing.T) {
-	began := time.Now()
+	startedAt := time.Now()
 	defer func() {
-		if took := time.Since(began); took > 10*time.Second { // half of the silence that ends a connection here
-			t.Fatalf("took %v", took)
+		// The limit is half of the time after which a silent connection is closed here.
+		if took := time.Since(startedAt); took > 10*time.Second {
+			t.Fatalf("took %v, want less than 10 s", took)
 		}
 	}()
 	for _, reply := range []string{
@@ -102,7 +103,7 @@
 			}
 			if connection > 1 {
 				io.WriteString(nc, "ok 4\r\n")
-			} else if strings.HasPrefix(line, "tally b") { // both have been written
+			} else if strings.HasPrefix(line, "tally b") { // both calls have been written
 				io.WriteString(nc, reply)
 			}
 		}
@@ -117,7 +118,7 @@
 	}
 	s.calls <- &store.Call{Name: "c"}
 	if got := <-answers; !got.result.Seen || got.result.Total != 4 {
-		t.Fatalf("%.9q: then got %v, want total 4", reply, got.result)
+		t.Fatalf("%.9q: next call: got %v, want total 4", reply, got.result)
 	}
 }
 
@@ -128,7 +129,7 @@
 	}
 }
 
-// A call that was withdrawn before it was written is never written.
+// A call that is withdrawn before it is written must never be written.
 func TestCounterWithdrawnCallIsNotWritten(t *testing.T) {
 	seen := make(chan string, 16)
 	s, answers := startShard(t, func(nc net.Conn, in *bufio.Reader) {
@@ -149,11 +150,11 @@
 	<-answers
 	<-answers
 	if x, y := <-seen, <-seen; x != "a" || y != "c" {
-		t.Fatalf("written: %s, %s; want a, c", x, y)
+		t.Fatalf("calls written: %s, %s; want a, c", x, y)
 	}
 }
 
-// A counter that nobody listens at has added nothing.
+// If the service refuses the connection, the call must be reported as not added.
 func TestCounterRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,8 +169,8 @@
 	}
 }
 
-// A change of address leaves nothing behind: the pending call has its answer from the old counter, and only then
-// does the next one of its name go to the new one.
+// After a change of address, a pending call must still get its result from the old service before the next call of its
+// name is sent to the new one.
 func TestCounterChangesAddress(t *testing.T) {
 	received, proceed := make(chan struct{}), make(chan struct{})
 	s, answers := startShard(t, func(nc net.Conn, in *bufio.Reader) {
@@ -179,7 +180,7 @@
 		close(received)
 		<-proceed
 		io.WriteString(nc, "ok 1\r\n")
-		_, _ = in.ReadString('\n') // until it is closed
+		_, _ = in.ReadString('\n') // until the connection is closed
 	})
 	next := scripted.Listen(t, func(nc net.Conn) {
 		if _, err := bufio.NewReader(nc).ReadString('\n'); err == nil {
@@ -189,7 +190,7 @@
 	s.calls <- &store.Call{Name: "a"}
 	<-received
 	s.addressChanges.Set(next)
-	for len(s.addressChanges) > 0 { // until it is received
+	for len(s.addressChanges) > 0 { // until the shard has received the address
 		time.Sleep(time.Millisecond)
 	}
 	s.calls <- &store.Call{Name: "a"}
