--- a/internal/ingress/admin.go
+++ b/internal/ingress/admin.go
@@ -12,11 +12,11 @@
 	"hitchspring/policy"
 )
 
-// errNotServing answers a drain or its end while there is no front: before the
-// first client and during a shutdown.
+// errNotServing is returned for a drain or activate call while the instance does
+// not accept clients yet, or shuts down.
 var errNotServing = errors.New("this process does not serve: it starts, or shuts down")
 
-// adminService is an instance as its operators control it.
+// adminService implements the operators' calls on an instance.
 type adminService struct{ instance *Instance }
 
 // Ready implements admin.Service.
@@ -42,13 +42,14 @@
 func (s adminService) Resume(id string) error { return s.instance.core.Resume(policy.BackendID(id)) }
 
 // Drain implements admin.Service.
-func (s adminService) Drain() error { return s.whileServing((*resp.Front).StartDrain) }
+func (s adminService) Drain() error { return s.callFront((*resp.Front).StartDrain) }
 
 // Activate implements admin.Service.
-func (s adminService) Activate() error { return s.whileServing((*resp.Front).StopDrain) }
+func (s adminService) Activate() error { return s.callFront((*resp.Front).StopDrain) }
 
-// whileServing calls a method of the clients' front, if there is one in use.
-func (s adminService) whileServing(call func(*resp.Front)) error {
+// callFront calls a method of the front for clients. It returns errNotServing if
+// the front has not started or is shutting down.
+func (s adminService) callFront(call func(*resp.Front)) error {
 	front := s.instance.front.Load()
 	if front == nil || s.instance.shuttingDown.Load() {
 		return errNotServing
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// serveAdmin serves operators' calls until end is called, if the configuration has
-// an address for them.
+// serveAdmin runs the admin server until end is called, if the configuration has
+// an address for it.
 func (i *Instance) serveAdmin() (end func(), err error) {
 	if i.config.Admin == "" {
 		return func() {}, nil
@@ -71,7 +72,7 @@
 	return admin.Serve(listener, adminService{i}, i.log).Close, nil
 }
 
-// AdminAddr is the address of the admin server; nil while it is not open.
+// AdminAddr returns the address of the admin server, or nil until it listens.
 func (i *Instance) AdminAddr() net.Addr {
 	if addr := i.admin.Load(); addr != nil {
 		return addr
--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -21,12 +21,13 @@
 	"hitchspring/policy"
 )
 
-// adminCall makes one call of the admin server, within the second that
-// operators wait.
+// adminCall makes one call to the admin server. It fails after 1 s, since operators
+// wait no longer.
 func adminCall(t testing.TB, instance *Instance, method, path string) (status int, body string) {
 	t.Helper()
-	// The caller sends its call this soon after connecting: a crowded admin server
-	// waits for 50 ms.
+	// An admin server without free connections waits 50 ms for a new connection to
+	// send its request. If a busy machine delays the request for longer than this,
+	// the call is repeated.
 	const maxWriteDelay = 25 * time.Millisecond
 	var began, wroteAt time.Time
 	trace := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
@@ -39,7 +40,7 @@
 		t.Fatal(err)
 	}
 	resp, err := client.Do(req)
-	for late := 0; err != nil && wroteAt.Sub(began) > maxWriteDelay && late < 10; late++ { // a busy machine
+	for late := 0; err != nil && wroteAt.Sub(began) > maxWriteDelay && late < 10; late++ {
 		resp, err = client.Do(req)
 	}
 	if err != nil {
@@ -58,7 +59,8 @@
 	}
 }
 
-// metricValue reads one metric of the admin server; -1 if it is not there.
+// metricValue reads a metric from the admin server. It returns -1 if there is none
+// of this name.
 func metricValue(t testing.TB, instance *Instance, name string) int {
 	t.Helper()
 	_, body := adminCall(t, instance, "GET", "/v1/metrics")
@@ -71,7 +73,7 @@
 	return -1
 }
 
-// requireMetric fails the test unless a metric of the admin server has a value.
+// requireMetric fails the test unless the admin server's metric has the value want.
 func requireMetric(t testing.TB, instance *Instance, name string, want int) {
 	t.Helper()
 	if got := metricValue(t, instance, name); got != want {
@@ -94,8 +96,8 @@
 	return cfg
 }
 
-// stallingCounter is a counter whose Add stalls its caller, which is the event
-// loop, once.
+// stallingCounter is a shared counter whose first Add blocks the event loop for
+// stallTime.
 type stallingCounter struct {
 	stallTime time.Duration
 	stalled   chan struct{}
@@ -111,11 +113,11 @@
 func (s *stallingCounter) SetAddress(string)       {}
 func (s *stallingCounter) Run(ctx context.Context) { <-ctx.Done() }
 
-// A hundred callers that send nothing, a byte or a megabyte of headers keep no
-// other caller out, and neither does an event loop that stands still.
-func TestAdminAnswersWhileCrowdedAndStalled(t *testing.T) {
+// The admin server answers while 100 connections send nothing, one byte or 1 MiB of
+// headers, and while the event loop is blocked.
+func TestAdminAnswersUnderFloodAndStalledEventLoop(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.Counter, cfg.Settings.CounterTimeout = true, 50*time.Millisecond
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 1, Burst: 4}}
@@ -132,10 +134,10 @@
 	defer wg.Wait()
 	defer close(stop)
 	for i := range 100 {
-		wg.Go(func() { crowdAdmin(instance.AdminAddr().String(), payloads[i%len(payloads)], stop) })
+		wg.Go(func() { floodAdmin(instance.AdminAddr().String(), payloads[i%len(payloads)], stop) })
 	}
 	nc, _ := dial(t, instance.Addr().String())
-	for id := range 20 { // the block is spent, and the counter is used
+	for id := range 20 { // these spend the leased units, so that the counter is called
 		io.WriteString(nc, encodeRead(id, readFields))
 	}
 	eventually(t, 5*time.Second, "the event loop is stalled", func() bool { return len(stall.stalled) == 1 })
@@ -145,9 +147,9 @@
 	}
 }
 
-// crowdAdmin keeps connecting to the admin server until stop closes, and never
+// floodAdmin keeps connecting to the admin server until stop is closed, and never
 // completes a call.
-func crowdAdmin(addr, payload string, stop <-chan struct{}) {
+func floodAdmin(addr, payload string, stop <-chan struct{}) {
 	for {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -180,10 +182,10 @@
 	}
 }
 
-// Each call that cannot succeed has its status, and an admin address that
-// cannot be opened is an error that names it.
+// Each invalid call gets its HTTP status. An admin address that is in use or invalid
+// is an error that names the address.
 func TestAdminErrors(t *testing.T) {
-	list := fleetOf(scripted.NewBackend(t, nil).Addr)
+	list := endpointList(scripted.NewBackend(t, nil).Addr)
 	instance, _ := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
 	for _, c := range []struct {
 		verb, path string
@@ -199,7 +201,7 @@
 		{"PUT", "/v1/backends/never/resume", 404},
 		{"PUT", "/v1/backends/a%2Fb/suspend", 400},
 		{"PUT", "/v1/backends/" + strings.Repeat("x", 200) + "/suspend", 400},
-		{"PUT", "/v1/backends/s0/resume", 200}, // listed, and nobody took it out
+		{"PUT", "/v1/backends/s0/resume", 200}, // listed, and not suspended
 	} {
 		requireAdminCall(t, instance, c.verb, c.path, c.status)
 	}
@@ -211,7 +213,7 @@
 	}
 	err = second.Run(t.Context())
 	if err == nil || !strings.Contains(err.Error(), "admin_addr") || !strings.Contains(err.Error(), cfg.Admin) {
-		t.Fatalf("a taken address: %v", err)
+		t.Fatalf("an address in use: %v", err)
 	}
 	cfg.Admin = "nonsense"
 	if _, err := New(cfg, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "nonsense") {
@@ -219,8 +221,8 @@
 	}
 }
 
-// A suspended backend gets no attempts, whatever the endpoint list says of it.
-// One call resumes it, and it is used again.
+// A suspended backend gets no attempts, whatever state the endpoint list has for it.
+// After one resume call it gets attempts again.
 func TestSuspensionOutlivesEndpointList(t *testing.T) {
 	var sent [2]atomic.Int64
 	var addrs [2]string
@@ -230,7 +232,7 @@
 			return servedReply
 		}).Addr
 	}
-	list := fleetOf(addrs[:]...)
+	list := endpointList(addrs[:]...)
 	changes := make(chan discovery.List)
 	cfg := adminConfig(scripted.Registry(t, list, changes), list)
 	cfg.Settings.SlowStartWindow, cfg.Settings.SlowStartShare = 10*time.Second, 0.25
@@ -274,14 +276,14 @@
 		load()
 		return sent[0].Load() > before
 	})
-	eventually(t, time.Second, "nobody is avoided", func() bool {
+	eventually(t, time.Second, "no backend is avoided", func() bool {
 		return metricValue(t, instance, "cluster_unhealthy") == 0
 	})
 	requireMetric(t, instance, "cluster_size", 2)
 }
 
-// The metrics are what clients were answered and backends were sent, with
-// errors, resets and retries among them.
+// The metrics match the answers that clients got and the commands that backends
+// received, including errors, connection resets and retries.
 func TestMetricsMatchTraffic(t *testing.T) {
 	var seen atomic.Int64
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
@@ -299,7 +301,7 @@
 		}
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts = 3
 	cfg.Metrics = freeAddr(t)
@@ -333,7 +335,7 @@
 	requireMetric(t, instance, "transactions.write.answered", 0) // a class without a request
 }
 
-// requirePrometheusLines checks that the status server's metrics have some lines.
+// requirePrometheusLines checks that the status server's metrics contain the lines.
 func requirePrometheusLines(t *testing.T, addr string, lines ...string) {
 	t.Helper()
 	resp, err := http.Get("http://" + addr + "/metrics")
@@ -349,33 +351,33 @@
 	}
 }
 
-// Backends are suspended while requests are out there: retries and hedged
-// requests go elsewhere, attempts that are out may end. With all backends
-// suspended nothing is sent and every request has its answer in time; one call
-// brings the work back.
+// Backends are suspended while requests are in flight: their attempts may end, and
+// retries and hedged requests go to other backends. While all backends are
+// suspended, nothing is sent and every request is still answered in time. After one
+// backend is resumed, requests are served again.
 func TestSuspendDuringRetries(t *testing.T) {
 	var mu sync.Mutex
-	after := map[int]int{}
-	var out atomic.Int64 // suspended backends, as bits, from the answer on
+	sentWhileSuspended := map[int]int{} // commands by backend
+	var suspended atomic.Int64          // bit mask of the suspended backends, set some time after the call's answer
 	var addrs [3]string
 	for i := range addrs {
 		addrs[i] = scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
-			if out.Load()&(1<<i) != 0 && strings.HasPrefix(args[0], "Q.") {
+			if suspended.Load()&(1<<i) != 0 && strings.HasPrefix(args[0], "Q.") {
 				mu.Lock()
-				after[i]++
+				sentWhileSuspended[i]++
 				mu.Unlock()
 			}
 			switch n % 5 {
 			case 2:
-				nc.Close() // repeated elsewhere
+				nc.Close() // the ingress retries at another backend
 				return ""
 			case 4:
-				time.Sleep(150 * time.Millisecond) // a second copy
+				time.Sleep(150 * time.Millisecond) // the ingress sends a hedged request
 			}
 			return servedReply
 		}).Addr
 	}
-	list := fleetOf(addrs[:]...)
+	list := endpointList(addrs[:]...)
 	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts, cfg.Settings.Hedging, cfg.Settings.MaxRetryAfter = 4, true, 100*time.Millisecond
 	for i := range cfg.Settings.Classes {
@@ -383,26 +385,27 @@
 		cfg.Settings.Classes[i].Group, cfg.Settings.Classes[i].RepeatWindow = policy.GroupAll, 5*time.Second
 	}
 	instance, _ := runIngress(t, cfg)
-	c := clientCrowd{pause: time.Millisecond, fields: "c=read,t=p,d=1000,units=1,spread=1,first=0"}
+	c := loadGenerator{pause: time.Millisecond, fields: "c=read,t=p,d=1000,units=1,spread=1,first=0"}
 	c.run(instance.Addr().String(), 8)
 	time.Sleep(300 * time.Millisecond)
 	for i := range addrs {
 		requireAdminCall(t, instance, "PUT", fmt.Sprintf("/v1/backends/s%d/suspend", i), 200)
-		time.Sleep(300 * time.Millisecond) // far inside the grace
-		out.Store(out.Load() | 1<<i)
+		time.Sleep(300 * time.Millisecond) // attempts in flight at the call may still arrive
+		suspended.Store(suspended.Load() | 1<<i)
 	}
-	had := c.answered.Load() + c.unexpected.Load()
+	before := c.answered.Load() + c.unexpected.Load()
 	time.Sleep(1200 * time.Millisecond)
-	if c.answered.Load()+c.unexpected.Load() == had {
-		t.Error("with all addrs out nobody is answered")
+	if c.answered.Load()+c.unexpected.Load() == before {
+		t.Error("no request is answered while all backends are suspended")
 	}
-	out.Store(0)
-	had = c.answered.Load()
+	suspended.Store(0)
+	before = c.answered.Load()
 	requireAdminCall(t, instance, "PUT", "/v1/backends/s1/resume", 200)
-	eventually(t, 5*time.Second, "work comes back", func() bool { return c.answered.Load() > had+20 })
+	eventually(t, 5*time.Second, "requests are served again", func() bool { return c.answered.Load() > before+20 })
 	c.end()
-	if len(after) > 0 || c.unanswered.Load() > 0 {
-		t.Errorf("sends to addrs that were out: %v; %d requests without an answer", after, c.unanswered.Load())
+	if len(sentWhileSuspended) > 0 || c.unanswered.Load() > 0 {
+		t.Errorf("commands at suspended backends: %v; %d requests without an answer",
+			sentWhileSuspended, c.unanswered.Load())
 	}
 }
 
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -18,18 +18,18 @@
 	args       []string
 }
 
-// observedBackend is a backend that answers as a test says, and records when
-// commands arrived and how many connections are open.
+// observedBackend is a backend with scripted answers. It records the commands with
+// their arrival times, and the number of open connections.
 type observedBackend struct {
 	addr            string
-	answer          func(n int) string // to the nth command, from 1; "" is silence
+	answer          func(n int) string // returns the answer to the nth command, from 1; "" sends none
 	mu              sync.Mutex
 	received        []receivedCommand
 	openConnections int
 }
 
-// newObservedBackend starts a backend; a nil answer answers each command with a
-// value.
+// newObservedBackend starts a backend. If answer is nil, it answers each command
+// with servedReply.
 func newObservedBackend(t testing.TB, answer func(backend int) string) *observedBackend {
 	t.Helper()
 	if answer == nil {
@@ -66,14 +66,14 @@
 	b.openConnections += by
 }
 
-// connections is the number of connections that are open now.
+// connections returns the number of open connections.
 func (b *observedBackend) connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.openConnections
 }
 
-// commands is the number of commands so far, and when the last one arrived.
+// commands returns the number of commands so far and when the last one arrived.
 func (b *observedBackend) commands() (number int, last time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -16,11 +16,10 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// BenchmarkFronts compares the two fronts in one process and one run: a request
-// over RESP2, which the ingress sends to a backend itself, and a call over HTTP
-// with its report, where the caller would send it. Both results include the
-// client's own cost; cpu-us is user and system time of the entire process for
-// one request.
+// BenchmarkFronts compares the two fronts in one process: a request over RESP2,
+// which the ingress forwards to a backend, and a call over HTTP with its report,
+// where the caller forwards the request. Both results include the cost of the
+// client. cpu-us is the user and system time of the process per request.
 func BenchmarkFronts(b *testing.B) {
 	cfg := authConfig(b, 8, func(c *Config) {
 		for i := range c.Known.Targets {
@@ -42,7 +41,7 @@
 	b.Run("http, bare", func(b *testing.B) { benchmarkBareHTTP(b, client, baseURL) })
 }
 
-// benchmarkID numbers the requests of all runs over RESP2.
+// benchmarkID is the last request ID used over RESP2, by all runs.
 var benchmarkID atomic.Int64
 
 func cpuTime(b *testing.B) time.Duration {
@@ -54,7 +53,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// runMeasured runs a benchmark in parallel and reports its CPU time.
+// runMeasured runs body in parallel and reports the CPU time per operation.
 func runMeasured(b *testing.B, body func(*testing.PB)) {
 	b.Helper()
 	before := cpuTime(b)
@@ -87,8 +86,8 @@
 	})
 }
 
-// benchmarkAuth makes calls with their reports. The quantiles are of the calls
-// alone.
+// benchmarkAuth makes calls and reports their attempts. The quantiles cover the
+// calls only, not the reports.
 func benchmarkAuth(b *testing.B, client *http.Client, baseURL string) {
 	var mu sync.Mutex
 	var durations []time.Duration
@@ -114,8 +113,8 @@
 	}
 }
 
-// callAndReport makes a call, and reports its attempt as served if one is granted.
-// It returns the time of the call.
+// callAndReport makes a call and, if it grants an attempt, reports the attempt as
+// served. It returns the duration of the call.
 func callAndReport(client *http.Client, baseURL string) (time.Duration, error) {
 	req, err := http.NewRequest("GET", baseURL+"/x", nil)
 	if err != nil {
@@ -146,7 +145,7 @@
 	return duration, nil
 }
 
-// benchmarkBareHTTP is what net/http and its client cost by themselves.
+// benchmarkBareHTTP measures the cost of net/http and its client alone.
 func benchmarkBareHTTP(b *testing.B, client *http.Client, baseURL string) {
 	runMeasured(b, func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -25,33 +25,33 @@
 )
 
 const (
-	descriptorLimit    = 128                   // the descriptors' limit of the ingress; 48 of them are for clients
-	idleClientInterval = 15 * time.Millisecond // between two idle clients that come
-	partialOfTen       = 1                     // of ten idle clients: send a partial command
-	silentOfTen        = 4                     // of ten idle clients: send nothing; the rest send one request
-	persistentClients  = 4                     // that send requests on persistent connections
-	newcomerInterval   = 50 * time.Millisecond // between two clients that send one request and leave
-	backendAnswerTime  = 20 * time.Millisecond // for an answer
-	maxAnswerTime      = time.Second           // from the first send, or from dialling; the deadline is twice that
-	outageTime         = 1500 * time.Millisecond
-	quotaRate          = 800.0           // units a second; half of it suffices while the counter is down
-	maxListDelay       = 4 * time.Second // from discovery's return to the first command at a new backend
+	descriptorLimit      = 128                   // limit on file descriptors of the ingress; 48 of them are for clients
+	idleClientInterval   = 15 * time.Millisecond // between two idle clients that connect
+	partialClientsPerTen = 1                     // of ten idle clients, these send a partial command
+	silentClientsPerTen  = 4                     // of ten idle clients, these send nothing; the rest send one request
+	persistentClients    = 4                     // clients that send requests on persistent connections
+	oneShotInterval      = 50 * time.Millisecond // between two clients that send one request and disconnect
+	backendLatency       = 20 * time.Millisecond // of each backend answer
+	maxAnswerTime        = time.Second           // from dialing or the first write; half of the request's deadline
+	outageDuration       = 1500 * time.Millisecond
+	quotaRate            = 800.0           // units per second; half of it suffices while the counter is down
+	maxListDelay         = 4 * time.Second // from the end of discovery's outage to the first command at a new backend
 )
 
-// outageRegistry is a discovery agent with an outage: its watches are cut, and
-// calls are reset or get no answer until it ends.
-type outageRegistry struct {
+// outageDiscovery is a discovery agent with one outage. When it begins, all watches
+// are reset; until it ends, requests are reset or get no answer.
+type outageDiscovery struct {
 	addr   string
-	silent bool // during the outage calls get no answer; else they are reset
+	silent bool // during the outage, requests get no answer instead of a reset
 	mu     sync.Mutex
 	list   discovery.List
 	down   bool
 	outage chan struct{} // closed when the outage begins
-	calls  atomic.Int32  // during the outage
+	calls  atomic.Int32  // requests during the outage
 }
 
-func newOutageRegistry(t *testing.T, silent bool, list discovery.List) *outageRegistry {
-	r := &outageRegistry{silent: silent, list: list, outage: make(chan struct{})}
+func newOutageDiscovery(t *testing.T, silent bool, list discovery.List) *outageDiscovery {
+	r := &outageDiscovery{silent: silent, list: list, outage: make(chan struct{})}
 	s := httptest.NewServer(r)
 	r.addr = strings.TrimPrefix(s.URL, "http://")
 	t.Cleanup(s.Close)
@@ -60,7 +60,7 @@
 
 // ServeHTTP answers with the list. A watch stays open until the outage begins
 // or its caller disconnects.
-func (r *outageRegistry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *outageDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	down, list := r.down, r.list
 	r.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// watch keeps a watch alive by empty lines.
-func (r *outageRegistry) watch(w http.ResponseWriter, req *http.Request) {
+// watch sends empty lines as keepalives until the outage begins.
+func (r *outageDiscovery) watch(w http.ResponseWriter, req *http.Request) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -89,7 +89,7 @@
 		case <-req.Context().Done():
 			return
 		case <-r.outage:
-			if !r.isDown() { // it was over before this watch began
+			if !r.isDown() { // this watch began after the outage
 				<-req.Context().Done()
 				return
 			}
@@ -101,26 +101,26 @@
 	}
 }
 
-func (r *outageRegistry) isDown() bool {
+func (r *outageDiscovery) isDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.down
 }
 
-func (r *outageRegistry) fail() {
+func (r *outageDiscovery) fail() {
 	r.mu.Lock()
 	r.down = true
 	r.mu.Unlock()
 	close(r.outage)
 }
 
-func (r *outageRegistry) recover(list discovery.List) {
+func (r *outageDiscovery) recover(list discovery.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down, r.list = false, list
 }
 
-// reset ends a call's connection by a reset.
+// reset closes the connection of an HTTP request with a TCP reset.
 func reset(w http.ResponseWriter) {
 	nc, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -130,14 +130,14 @@
 	nc.Close()
 }
 
-// idleClients are clients that keep coming, and stay without a request until
-// the ingress closes them.
+// idleClients are clients that connect one after another and stay idle until the
+// ingress closes their connections.
 type idleClients struct {
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// run has one client come in each idleClientInterval until stop closes.
+// run connects one client per idleClientInterval until stop is closed.
 func (c *idleClients) run(addr string, stop <-chan struct{}) {
 	tick := time.NewTicker(idleClientInterval)
 	defer tick.Stop()
@@ -155,9 +155,9 @@
 		c.conns = append(c.conns, nc)
 		c.mu.Unlock()
 		switch kind := i % 10; {
-		case kind < partialOfTen:
+		case kind < partialClientsPerTen:
 			io.WriteString(nc, "*4\r\n$5\r\nQ.A")
-		case kind < partialOfTen+silentOfTen:
+		case kind < partialClientsPerTen+silentClientsPerTen:
 		default:
 			io.WriteString(nc, encodeRead(1_000_000+i, sharedQuotaFields))
 		}
@@ -178,11 +178,11 @@
 	}
 }
 
-// sharedQuotaFields are those of a request whose quota is shared with another
-// instance, so that the counter is used.
+// sharedQuotaFields are the fields of a request whose quota is shared with another
+// instance, so that the shared counter is used.
 const sharedQuotaFields = "c=read,t=p,d=2000,units=1,spread=2,first=0"
 
-// requestTimings records how long requests took, and how they failed.
+// requestTimings records the durations and failures of requests.
 type requestTimings struct {
 	mu        sync.Mutex
 	durations []time.Duration
@@ -218,8 +218,8 @@
 	}
 }
 
-// persistentClient sends one request after the other, and again on a new
-// connection if the ingress has closed the one that it kept.
+// persistentClient sends one request after another on one connection. If the ingress
+// closes the connection, the client repeats the request on a new one.
 type persistentClient struct {
 	addr string
 	conn net.Conn
@@ -270,11 +270,11 @@
 	c.conn = nil
 }
 
-// countSockets counts this process's open TCP connections in the kernel's
-// table: those at a listener's own address, and those to other addresses. Connections
-// in the listen queue have no descriptor and are not counted. The table changes
-// while it is read, and may then have a connection more than once: each counts
-// once, by the inode of its descriptor.
+// countSockets counts the open TCP connections in table, the text of /proc/net/tcp,
+// that have the local address local or one of the remote addresses. Connections in
+// the listen queue have no descriptor and are not counted. The kernel may list a
+// connection twice if the table changes while it is read; duplicates are recognized
+// by the inode of the socket.
 func countSockets(table, local string, remote []string) (open int) {
 	counted := map[string]bool{}
 	for text := range strings.Lines(table) {
@@ -291,9 +291,9 @@
 	return open
 }
 
-// tableAddr is an address as the kernel's table has it: the IPv4 address in the
-// byte order of the machine, and the port.
-func tableAddr(t *testing.T, addr string) string {
+// procNetTCPAddr returns an address in the format of /proc/net/tcp: the IPv4 address
+// in the byte order of the machine, and the port, in hexadecimal.
+func procNetTCPAddr(t *testing.T, addr string) string {
 	t.Helper()
 	a, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
@@ -302,8 +302,8 @@
 	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(a.IP.To4()), a.Port)
 }
 
-// The table is that of the whole machine: connections of other processes at the
-// same port of another loopback address don't count.
+// /proc/net/tcp lists the connections of all processes. Those at the same port of
+// another loopback address are not counted.
 func TestSocketsAtOtherAddressesAreNotCounted(t *testing.T) {
 	accept := func(addr string) net.Listener {
 		ln, err := net.Listen("tcp4", addr)
@@ -330,17 +330,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := countSockets(string(table), tableAddr(t, own.Addr().String()), nil); got != 1 {
+	if got := countSockets(string(table), procNetTCPAddr(t, own.Addr().String()), nil); got != 1 {
 		t.Errorf("got %d connections, want the one at the listener's own address", got)
 	}
 }
 
-// The limit on descriptors is reached by idle clients that keep coming while
-// discovery is down and the counter's connections are cut. Requests of
-// persistent clients and of newcomers are answered in time; the counter goes on
-// being used; the list that discovery has after its outage is applied, and a
-// backend that is new in it is connected to. The test measures times and loads
-// the machine, so it doesn't run beside others.
+// Idle clients take all client connections while discovery is down and the counter's
+// connections are closed. Requests of persistent and of one-shot clients must still
+// be answered in time, the counter must be used again, and after the outage the new
+// endpoint list must be applied and its new backend connected to. The test measures
+// latencies under load, so it does not run in parallel with other tests.
 func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("discovery silent %v", silent), func(t *testing.T) {
@@ -350,21 +349,21 @@
 	}
 }
 
-// outageFixture is an instance with few descriptors, whose discovery and counter a
-// test can cut off.
+// outageFixture is an instance with a low descriptor limit, with a discovery agent
+// and a shared counter that a test can make fail.
 type outageFixture struct {
-	first    *scripted.Backend // the only one in the list before the outage
-	second   *scripted.Backend // new in the list after it
-	counter  *tally.Server
-	registry *outageRegistry
-	addr     string // for clients
-	front    *resp.Front
+	first     *scripted.Backend // the only listed backend before the outage
+	second    *scripted.Backend // listed as well after the outage
+	counter   *tally.Server
+	discovery *outageDiscovery
+	addr      string // for clients
+	front     *resp.Front
 }
 
 func newOutageFixture(t *testing.T, silent bool) *outageFixture {
 	t.Helper()
 	answer := func(int, []string, net.Conn) string {
-		time.Sleep(backendAnswerTime)
+		time.Sleep(backendLatency)
 		return scripted.Served
 	}
 	f := &outageFixture{first: scripted.NewBackend(t, answer), second: scripted.NewBackend(t, answer)}
@@ -373,9 +372,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.counter.Close)
-	list := fleetOf(f.first.Addr)
-	f.registry = newOutageRegistry(t, silent, list)
-	cfg := testConfig(f.registry.addr, list)
+	list := endpointList(f.first.Addr)
+	f.discovery = newOutageDiscovery(t, silent, list)
+	cfg := testConfig(f.discovery.addr, list)
 	cfg.Sockets = descriptorLimit
 	cfg.Settings.Instances = 2 // the other instance doesn't use the counter
 	cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = f.counter.Addr(), true, 50*time.Millisecond
@@ -385,44 +384,44 @@
 	return f
 }
 
-// allSlotsTaken reports whether clients have all connections that they may have.
+// allSlotsTaken reports whether all connection slots for clients are in use.
 func (f *outageFixture) allSlotsTaken() bool {
 	return f.front.OpenConnections() == f.front.MaxConnections()
 }
 
-// remoteAddrs are those that the instance itself connects to.
+// remoteAddrs returns the addresses to which the instance connects.
 func (f *outageFixture) remoteAddrs(t *testing.T) (addrs []string) {
 	t.Helper()
-	for _, addr := range []string{f.first.Addr, f.second.Addr, f.counter.Addr(), f.registry.addr} {
-		addrs = append(addrs, tableAddr(t, addr))
+	for _, addr := range []string{f.first.Addr, f.second.Addr, f.counter.Addr(), f.discovery.addr} {
+		addrs = append(addrs, procNetTCPAddr(t, addr))
 	}
 	return addrs
 }
 
-// runOutage has discovery fail and the counter's connections cut, and checks that
-// both are used again.
+// runOutage lets discovery fail for outageDuration, closes the counter's connections
+// meanwhile, and checks that both are used again.
 func (f *outageFixture) runOutage(t *testing.T) {
 	t.Helper()
-	f.registry.fail()
-	time.Sleep(outageTime / 2)
+	f.discovery.fail()
+	time.Sleep(outageDuration / 2)
 	f.counter.Stop()
 	if err := f.counter.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	counted := len(f.counter.Records())
 	t.Logf("the counter was used %d times before its connections were cut", counted)
-	time.Sleep(outageTime / 2)
-	if f.registry.calls.Load() == 0 {
+	time.Sleep(outageDuration / 2)
+	if f.discovery.calls.Load() == 0 {
 		t.Error("discovery was not polled during its outage")
 	}
-	both := fleetOf(f.first.Addr, f.second.Addr)
+	both := endpointList(f.first.Addr, f.second.Addr)
 	both.Rev = 2
-	f.registry.recover(both)
+	f.discovery.recover(both)
 	returnedAt := time.Now()
-	eventually(t, maxListDelay, "the backend that is new in the list is sent commands", func() bool {
+	eventually(t, maxListDelay, "the new backend gets commands", func() bool {
 		return len(f.second.Seen()) > 0
 	})
-	t.Logf("the new backend had its first command %v after discovery's return",
+	t.Logf("the new backend got its first command %v after the end of discovery's outage",
 		time.Since(returnedAt).Round(time.Millisecond))
 	time.Sleep(500 * time.Millisecond)
 	eventually(t, time.Second, "all slots are taken at the end", f.allSlotsTaken)
@@ -436,7 +435,7 @@
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	var idle idleClients
-	var persistent, newcomers requestTimings
+	var persistent, oneShot requestTimings
 	end := sync.OnceFunc(func() {
 		close(stop)
 		running.Wait()
@@ -448,22 +447,22 @@
 	for i := range persistentClients {
 		running.Go(func() { sendUntilStopped(f.addr, i*100_000, 0, &persistent, stop) })
 	}
-	running.Go(func() { sendUntilStopped(f.addr, 500_000, newcomerInterval, &newcomers, stop) })
-	peak, local, remote := 0, tableAddr(t, f.addr), f.remoteAddrs(t)
+	running.Go(func() { sendUntilStopped(f.addr, 500_000, oneShotInterval, &oneShot, stop) })
+	peak, local, remote := 0, procNetTCPAddr(t, f.addr), f.remoteAddrs(t)
 	running.Go(func() { peak = peakSockets(stop, local, remote) })
 	f.runOutage(t)
 	end()
-	t.Logf("%d idle clients came for %d slots; the ingress held up to %d of %d descriptors",
+	t.Logf("%d idle clients connected, with %d slots; the ingress used up to %d of %d descriptors",
 		idle.count(), f.front.MaxConnections(), peak, descriptorLimit)
 	if peak < f.front.MaxConnections() || peak > descriptorLimit {
-		t.Errorf("the ingress held %d connections, its limit is %d", peak, descriptorLimit)
+		t.Errorf("the ingress had up to %d connections, with a limit of %d", peak, descriptorLimit)
 	}
-	persistent.check(t, "usual clients", 50)
-	newcomers.check(t, "newcomers", 5)
+	persistent.check(t, "persistent clients", 50)
+	oneShot.check(t, "newcomers", 5)
 }
 
-// sendUntilStopped sends requests until stop closes, on one connection without
-// a pause, or else on a new one after each pause.
+// sendUntilStopped sends requests until stop is closed. Without a pause it uses one
+// connection, otherwise a new one for each request.
 func sendUntilStopped(addr string, id int, pause time.Duration, results *requestTimings, stop <-chan struct{}) {
 	client := &persistentClient{addr: addr}
 	defer client.close()
@@ -483,8 +482,8 @@
 	}
 }
 
-// peakSockets samples the connections of an ingress until stop closes; 0 if the
-// kernel's table can't be read.
+// peakSockets samples the number of connections of an ingress until stop is closed,
+// and returns the maximum, or 0 if /proc/self/net/tcp cannot be read.
 func peakSockets(stop <-chan struct{}, local string, remote []string) (peak int) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -12,24 +12,24 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// sendGrace is how long after a client has closed its connection an attempt for
-// it may still begin.
+// sendGrace is how long after a client has disconnected the ingress may still send
+// an attempt for it.
 const sendGrace = 100 * time.Millisecond
 
-// disconnectLog records when clients closed their connections, and which
-// attempts began for them afterwards.
+// disconnectLog records when clients disconnected, and the attempts for their
+// requests that a backend received too late after that.
 type disconnectLog struct {
 	mu       sync.Mutex
 	closed   map[string]time.Time // by request id
-	late     []string
-	attempts map[string]int
+	late     []string             // attempts received later than sendGrace after the disconnect
+	attempts map[string]int       // number received, by request id
 }
 
 func newDisconnectLog() *disconnectLog {
 	return &disconnectLog{closed: map[string]time.Time{}, attempts: map[string]int{}}
 }
 
-// noteAttempt notes a command whose last byte has reached the backend.
+// noteAttempt records an attempt that a backend has received completely.
 func (d *disconnectLog) noteAttempt(args []string) {
 	now := time.Now()
 	d.mu.Lock()
@@ -41,7 +41,8 @@
 	}
 }
 
-// close closes the connection of the client of some requests; hard resets it.
+// close closes the connection of the client that sent the requests ids, with a
+// TCP reset if hard is set.
 func (d *disconnectLog) close(nc net.Conn, hard bool, ids ...int) {
 	if hard {
 		nc.(*net.TCPConn).SetLinger(0)
@@ -69,8 +70,8 @@
 	return d.attempts[fmt.Sprintf("%016x", id)]
 }
 
-// occupySlots takes all connection slots with clients whose command is partial,
-// which are not evicted.
+// occupySlots takes all connection slots. Its clients send a partial command, since
+// the ingress evicts only idle clients for new ones.
 func occupySlots(t *testing.T, addr string, slots int) (release func()) {
 	t.Helper()
 	var conns []net.Conn
@@ -86,9 +87,9 @@
 	}
 }
 
-// Clients that wait for a slot write their command and disconnect before they
-// are accepted: command and end lie in the kernel together. Their requests are
-// not forwarded when they are accepted later.
+// Clients in the listen queue send a command and disconnect before the ingress
+// accepts their connections, so that it reads the command and the disconnect
+// together. It must not forward their requests.
 func TestNothingIsSentForClientsDisconnectedInListenQueue(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -98,12 +99,12 @@
 	}{{"one", 1, false}, {"a thousand", 1000, false}, {"a thousand that reset", 1000, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			left := newDisconnectLog()
+			disconnects := newDisconnectLog()
 			backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
-				left.noteAttempt(args)
+				disconnects.noteAttempt(args)
 				return scripted.Served
 			})
-			list := fleetOf(backend.Addr)
+			list := endpointList(backend.Addr)
 			addr, instance := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
 			slots := instance.front.Load().MaxConnections()
 			release := occupySlots(t, addr, slots)
@@ -113,34 +114,34 @@
 			for i := range c.clients {
 				nc, _ := dial(t, addr)
 				io.WriteString(nc, encodeRead(100+i, readFields))
-				left.close(nc, c.reset, 100+i)
+				disconnects.close(nc, c.reset, 100+i)
 			}
 			time.Sleep(sendGrace + 50*time.Millisecond)
 			release()
-			stays, in := dial(t, addr) // behind them in the queue
-			io.WriteString(stays, encodeRead(99, readFields))
+			remaining, in := dial(t, addr) // behind the others in the listen queue
+			io.WriteString(remaining, encodeRead(99, readFields))
 			requireValue(t, in)
 			eventually(t, 10*time.Second, "nothing is open", func() bool {
 				return instance.core.Metrics().OpenRequests() == 0
 			})
-			left.check(t)
-			if left.count(99) != 1 {
-				t.Errorf("the client that stayed was forwarded %d times", left.count(99))
+			disconnects.check(t)
+			if disconnects.count(99) != 1 {
+				t.Errorf("the request of the client that stayed was forwarded %d times", disconnects.count(99))
 			}
 		})
 	}
 }
 
-// The same while the process shuts down, when connections are accepted for some
-// tenths of a second.
+// As TestNothingIsSentForClientsDisconnectedInListenQueue, during a shutdown: the
+// ingress still accepts connections for listenerGrace after SIGTERM.
 func TestNothingIsSentForClientsDisconnectedAtShutdown(t *testing.T) {
 	t.Parallel()
-	left := newDisconnectLog()
+	disconnects := newDisconnectLog()
 	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
-		left.noteAttempt(args)
+		disconnects.noteAttempt(args)
 		return scripted.Served
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	instance, stop := runIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	addr, slots := instance.Addr().String(), instance.front.Load().MaxConnections()
 	release := occupySlots(t, addr, slots)
@@ -150,21 +151,21 @@
 	for i := range 200 {
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, encodeRead(100+i, readFields))
-		left.close(nc, i%2 == 1, 100+i)
+		disconnects.close(nc, i%2 == 1, 100+i)
 	}
 	time.Sleep(sendGrace)
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	eventually(t, 10*time.Second, "it shuts down", func() bool { return instance.front.Load().Draining() })
+	eventually(t, 10*time.Second, "the shutdown has begun", func() bool { return instance.front.Load().Draining() })
 	release()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	left.check(t)
+	disconnects.check(t)
 }
 
-// A client disconnects while its attempt waits for a connection that comes up
-// late, or between a failed attempt and the next.
+// A client disconnects between a failed attempt and the retry, or while its attempt
+// waits for a slow backend connection. No further attempt is sent for it.
 func TestNothingIsSentForClientsDisconnectedBeforeAttempt(t *testing.T) {
 	t.Parallel()
 	const clients = 20
@@ -181,21 +182,21 @@
 }
 
 func testDisconnectBeforeRetry(t *testing.T, clients int, reset bool) {
-	left := newDisconnectLog()
+	disconnects := newDisconnectLog()
 	var mu sync.Mutex
 	conns := map[string]net.Conn{}
 	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
-		left.noteAttempt(args)
+		disconnects.noteAttempt(args)
 		mu.Lock()
 		defer mu.Unlock()
-		if nc := conns[args[2]]; nc != nil { // its client disconnects, then the attempt fails
-			left.close(nc, reset, requestID(args))
+		if nc := conns[args[2]]; nc != nil { // the client disconnects before the attempt fails
+			disconnects.close(nc, reset, requestID(args))
 			delete(conns, args[2])
 			time.Sleep(sendGrace + 20*time.Millisecond)
 		}
 		return "-ERR failed\r\n"
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts = 4
 	addr, instance := startInstance(t, cfg)
@@ -206,36 +207,36 @@
 		mu.Unlock()
 		io.WriteString(nc, encodeRead(100+i, readFields))
 	}
-	eventually(t, 20*time.Second, "all have ended", func() bool {
+	eventually(t, 20*time.Second, "all requests have ended", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(conns) == 0 && instance.core.Metrics().OpenRequests() == 0
 	})
-	left.check(t)
+	disconnects.check(t)
 }
 
 func testDisconnectBeforeConnection(t *testing.T, clients int, reset bool) {
-	left := newDisconnectLog()
+	disconnects := newDisconnectLog()
 	backend := scripted.NewLate(t, func(_ int, args []string, _ net.Conn) string {
-		left.noteAttempt(args)
+		disconnects.noteAttempt(args)
 		return scripted.Served
 	})
 	backend.Hold()
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	addr, instance := startInstance(t, cfg)
 	for i := range clients {
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, encodeRead(100+i, readFields))
-		eventually(t, 10*time.Second, "it is taken", func() bool {
+		eventually(t, 10*time.Second, "the request is accepted", func() bool {
 			return instance.core.Metrics().OpenRequests() >= int64(min(i+1, 1))
 		})
-		left.close(nc, reset, 100+i)
+		disconnects.close(nc, reset, 100+i)
 	}
-	stays, in := dial(t, addr)
-	io.WriteString(stays, encodeRead(99, strings.Replace(readFields, "d=50000", "d=20000", 1)))
+	remaining, in := dial(t, addr)
+	io.WriteString(remaining, encodeRead(99, strings.Replace(readFields, "d=50000", "d=20000", 1)))
 	time.Sleep(sendGrace)
 	backend.Open()
 	requireValue(t, in)
-	left.check(t)
+	disconnects.check(t)
 }
--- a/internal/ingress/drain_test.go
+++ b/internal/ingress/drain_test.go
@@ -14,13 +14,13 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// busyClient is a client that never pauses: some of its commands are always ahead
-// of the answers.
+// busyClient is a client that pipelines commands without a pause, so that its
+// connection is never idle.
 type busyClient struct {
 	conn     net.Conn
 	written  atomic.Int64
-	answered atomic.Int64 // below 0 when reading has ended
-	ended    chan error   // why reading has ended
+	answered atomic.Int64 // negative once reading has ended
+	ended    chan error   // receives the error that ended reading
 }
 
 func startBusyClient(t *testing.T, addr string) *busyClient {
@@ -72,12 +72,12 @@
 	}
 }
 
-// While the ingress drains, it isn't ready, late connections are served, and
-// every connection is closed between two requests without a loss, also one that
-// never pauses. Activate makes it ready again, also at once.
+// A draining ingress reports that it is not ready, still serves new connections, and
+// closes each connection between two requests without losing one, even if the client
+// never pauses. Activate makes it ready again, even right after the drain call.
 func TestDrainAndActivate(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	instance, _ := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
 	addr := instance.Addr().String()
 	ping := func() string {
@@ -86,7 +86,7 @@
 		io.WriteString(nc, encodeCommand("PING"))
 		return readLine(t, in)
 	}
-	// Drained and back within 50 ms.
+	// Activate follows the drain within 50 ms.
 	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	if s := ping(); s == "+PONG" {
--- a/internal/ingress/ending_test.go
+++ b/internal/ingress/ending_test.go
@@ -14,17 +14,17 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// disconnectGrace is how long after a client has disconnected something may
-// still be sent for it.
+// disconnectGrace is how long after a client has disconnected the ingress may still
+// send attempts for it.
 const disconnectGrace = 100 * time.Millisecond
 
-// A client disconnects while its requests are queued: they are not sent when
-// there is capacity again. Delayed answers fill the backend's window; what was
-// sent is the backend's record of commands. The last request, of a client that
-// stays, passes the same queue behind them.
+// A client disconnects while its requests are queued, since the backend's window is
+// full of unanswered attempts. Its requests must not be sent once the window has
+// capacity again. A client that stays connected queues a request behind them; when
+// it is answered, the whole queue has been processed.
 func TestNothingIsSentForDisconnectedClients(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]leavingClients{
+	for name, leave := range map[string]disconnectingClients{
 		"one client": func(t *testing.T, addr string, id func() int) func() {
 			nc, _ := dial(t, addr)
 			io.WriteString(nc, encodeRead(id(), readFields))
@@ -50,7 +50,7 @@
 			}
 			return func() { nc.Close() }
 		},
-		"nonsense and away": func(t *testing.T, addr string, id func() int) func() {
+		"invalid input, then disconnect": func(t *testing.T, addr string, id func() int) func() {
 			nc, _ := dial(t, addr)
 			io.WriteString(nc, encodeRead(id(), readFields)+encodeRead(id(), readFields))
 			io.WriteString(nc, strings.Repeat("nonsense\r\n", 2000))
@@ -64,11 +64,11 @@
 	}
 }
 
-// leavingClients sends requests with ids from id, and returns what disconnects
-// their clients.
-type leavingClients func(t *testing.T, addr string, id func() int) (disconnect func())
+// disconnectingClients sends requests with ids from id, and returns a function that
+// disconnects their clients.
+type disconnectingClients func(t *testing.T, addr string, id func() int) (disconnect func())
 
-func testNothingIsSentAfterDisconnect(t *testing.T, leave leavingClients) {
+func testNothingIsSentAfterDisconnect(t *testing.T, leave disconnectingClients) {
 	answering := make(chan struct{})
 	release := sync.OnceFunc(func() { close(answering) })
 	defer release()
@@ -78,7 +78,7 @@
 		<-answering
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, instance := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
 	first, firstIn := dial(t, addr)
 	const window = 4 // of one backend at one instance
@@ -97,14 +97,14 @@
 		return n
 	})
 	queued := min(len(disconnected), 64)
-	eventually(t, 10*time.Second, "they wait", func() bool {
+	eventually(t, 10*time.Second, "the requests are queued", func() bool {
 		return instance.core.Metrics().OpenRequests() >= int64(window+queued)
 	})
-	stays, in := dial(t, addr)
+	remaining, in := dial(t, addr)
 	disconnect()
 	<-time.After(disconnectGrace)
-	io.WriteString(stays, encodeRead(99, readFields))
-	eventually(t, 10*time.Second, "one more waits", func() bool {
+	io.WriteString(remaining, encodeRead(99, readFields))
+	eventually(t, 10*time.Second, "only the last request is queued", func() bool {
 		return instance.core.Metrics().OpenRequests() == window+1
 	})
 	release()
@@ -119,16 +119,15 @@
 	}
 }
 
-// At a restart with short deadlines the platform kills what has not ended 0.7 s
-// and the longest deadline after SIGTERM. By then each request that was taken
-// has its answer: queued ones that never ran are rejected, unsafe ones that may
-// have run have failed, and what clients go on sending on connections that are
-// still open is rejected.
+// With short deadlines, the platform sends SIGKILL 0.7 s plus the longest deadline
+// after SIGTERM. By then each accepted request has been answered: queued requests
+// that never ran are rejected, unsafe ones that may have run have failed, and late
+// commands on connections that are still open are rejected.
 func TestShutdownWithinShortDeadlines(t *testing.T) {
 	t.Parallel()
 	const deadline = 900 * time.Millisecond
-	backend := scripted.NewBackend(t, nil) // takes everything, says nothing
-	list := fleetOf(backend.Addr)
+	backend := scripted.NewBackend(t, nil) // reads commands and never answers
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxRetryAfter = 500 * time.Millisecond
 	for i := range cfg.Settings.Classes {
@@ -153,10 +152,10 @@
 	began := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
-	<-time.After(listenerGrace - 150*time.Millisecond) // as late as clients still come
+	<-time.After(listenerGrace - 150*time.Millisecond) // shortly before the listener closes
 	send(6, false, func(id int) string { return encodeRead(id, fields) })
 	<-time.After(time.Until(began.Add(commandGrace + 60*time.Millisecond)))
-	for i, client := range clients[4:] { // they have no answer yet: their connections are open
+	for i, client := range clients[4:] { // they have no answer yet, so their connections are still open
 		client.sentLate = true
 		io.WriteString(client.conn, encodeRead(500+i, fields))
 	}
@@ -172,16 +171,16 @@
 		}
 	}
 	if n := len(backend.Seen()); n > 4+6 {
-		t.Errorf("the node was sent %d commands", n)
+		t.Errorf("the backend was sent %d commands", n)
 	}
 }
 
 // shutdownClient is a client whose requests are open at a shutdown.
 type shutdownClient struct {
 	conn     net.Conn
-	answers  chan string // closed at the connection's end
-	isSent   bool        // its request was sent to a backend, and may have run
-	sentLate bool        // it has sent another request late in the shutdown
+	answers  chan string // closed when the connection ends
+	isSent   bool        // its request was sent to a backend and may have run
+	sentLate bool        // it sent a second request late in the shutdown
 }
 
 func startShutdownClient(t *testing.T, addr string, isSent bool) *shutdownClient {
@@ -201,8 +200,8 @@
 	return c
 }
 
-// check returns an error unless each request has its answer: a failure if it may
-// have run, else a rejection.
+// check returns an error unless each request was answered: with a failure if it may
+// have run, else with a rejection.
 func (c *shutdownClient) check() error {
 	wantCount := 1
 	if c.sentLate {
@@ -225,21 +224,21 @@
 	return nil
 }
 
-// A duplicate of an answer may come some milliseconds late. It must not be
-// taken for the answer to the next command on that connection.
+// A backend's answer may be duplicated some milliseconds later. The duplicate must
+// not be taken for the answer to the next command on that connection.
 func TestLateDuplicateAnswer(t *testing.T) {
 	t.Parallel()
 	value := func(args []string) string { return "*3\r\n$1\r\n" + args[2][15:] + "\r\n$-1\r\n$-1\r\n" }
 	backend := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
 		go func() {
-			<-time.After(8500 * time.Microsecond) // the latest that was seen
+			<-time.After(8500 * time.Microsecond) // duplicates arrive at most this late
 			io.WriteString(nc, value(args))
 		}()
 		io.WriteString(nc, value(args))
-		<-time.After(12 * time.Millisecond) // a command that has followed is answered behind the copy
+		<-time.After(12 * time.Millisecond) // so that a next command is answered after the duplicate
 		return ""
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	for id := 1; id <= 9; id++ {
@@ -250,14 +249,14 @@
 	}
 }
 
-// A large value whose backend falls silent in the middle is cut when its
-// client's time is over, so that the client sees that it is not complete.
+// A backend stops sending in the middle of a large value. At the request's deadline
+// the client's connection is closed, which shows that the value is incomplete.
 func TestLargeValueIsCutAtDeadline(t *testing.T) {
 	t.Parallel()
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
-		return encodeValue(pattern(1, 200<<10))[:100<<10] // and no more
+		return encodeValue(randomValue(1, 200<<10))[:100<<10] // and no more
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	const wait = time.Second
@@ -269,9 +268,9 @@
 	}
 }
 
-// A keyed request is retried only while backends still know the first attempt's
-// key. The retry's connection comes up when they may have forgotten it: it is
-// not written any more.
+// A keyed request is retried only while backends remember the idempotency key of the
+// first attempt. Here the connection for the retry is established only after that
+// window, so the retry must not be sent.
 func TestRetryIsNotSentAfterRepeatWindow(t *testing.T) {
 	t.Parallel()
 	var backend *scripted.Late
@@ -280,16 +279,16 @@
 		if n > 1 {
 			return servedReply
 		}
-		backend.Hold() // before the repeat can look for another connection
+		backend.Hold() // before the retry needs a connection
 		close(reset)
 		nc.Close()
 		return ""
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Settings.MaxAttempts = 3
 	for i := range cfg.Settings.Classes {
-		// A connection that is begun now comes up after a second.
+		// A connection that is begun now is established after a second.
 		cfg.Settings.Classes[i].RepeatWindow = 700 * time.Millisecond
 	}
 	addr, _ := startIngress(t, cfg)
@@ -297,39 +296,39 @@
 	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
 		"c=keyed,t=p,d=50000,k=1,units=1,spread=1,first=0"))
 	<-reset
-	eventually(t, 10*time.Second, "the repeat's connection is begun", backend.Begun)
+	eventually(t, 10*time.Second, "the retry's connection is begun", backend.Begun)
 	backend.Open()
-	if got := readLine(t, in); !strings.HasPrefix(got, "-ERR") { // it may have run
-		t.Errorf("answered %q, want that it has failed", got)
+	if got := readLine(t, in); !strings.HasPrefix(got, "-ERR") { // the first attempt may have run
+		t.Errorf("answered %q, want a failure", got)
 	}
-	io.WriteString(nc, encodeRead(7, readFields)) // waits for the same connection, or takes it
+	io.WriteString(nc, encodeRead(7, readFields)) // uses the connection that the retry waited for
 	requireValue(t, in)
 	for _, args := range backend.Seen()[1:] {
 		if args[0] == "Q.DO" {
-			t.Errorf("repeated after its window: %q", args)
+			t.Errorf("retried after the repeat window: %q", args)
 		}
 	}
 }
 
-// An attempt that waits for a connection is not written if its request has been
-// concluded when the connection comes up, also if the settings allow no
-// cancellation.
+// An attempt that waits for a connection is not sent if its request has ended by the
+// time the connection is established, even if the settings do not allow attempts to
+// be cancelled.
 func TestNothingIsSentForConcludedRequests(t *testing.T) {
 	t.Parallel()
 	later := encodeRead(9, readFields)
-	t.Run("its client has left", func(t *testing.T) {
+	t.Run("its client has disconnected", func(t *testing.T) {
 		t.Parallel()
 		backend := scripted.NewLate(t, func(int, []string, net.Conn) string { return servedReply })
 		backend.Hold()
-		list := fleetOf(backend.Addr)
+		list := endpointList(backend.Addr)
 		cfg := testConfig(scripted.Registry(t, list, nil), list)
 		cfg.Settings.MayCancel = false
 		addr, instance := startInstance(t, cfg)
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, encodeRead(1, readFields))
-		eventually(t, 10*time.Second, "a connection to the node is begun", backend.Begun)
+		eventually(t, 10*time.Second, "a connection to the backend is begun", backend.Begun)
 		nc.Close()
-		eventually(t, 10*time.Second, "its leaving is known", func() bool {
+		eventually(t, 10*time.Second, "the ingress has noticed the disconnect", func() bool {
 			return instance.core.Metrics().OpenRequests() == 0
 		})
 		backend.Open()
@@ -337,28 +336,28 @@
 		io.WriteString(nc, later)
 		requireValue(t, in)
 		if seen := backend.Seen(); len(seen) != 1 {
-			t.Errorf("the node was sent %q", seen)
+			t.Errorf("the backend was sent %q", seen)
 		}
 	})
-	t.Run("another copy was served", func(t *testing.T) {
+	t.Run("another attempt was served", func(t *testing.T) {
 		t.Parallel()
 		late := scripted.NewLate(t, func(int, []string, net.Conn) string { return servedReply })
 		late.Hold()
 		backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
-			for n == 2 && !late.Begun() { // it holds its answer until the other copy waits for a connection
+			for n == 2 && !late.Begun() { // answers only when the hedged request waits for a connection
 				runtime.Gosched()
 			}
 			return servedReply
 		})
 		changes := make(chan discovery.List)
-		list := fleetOf(backend.Addr)
+		list := endpointList(backend.Addr)
 		cfg := testConfig(scripted.Registry(t, list, changes), list)
 		cfg.Settings.MayCancel, cfg.Settings.Hedging, cfg.Settings.MaxAttempts = false, true, 2
 		addr, _ := startIngress(t, cfg)
 		nc, in := dial(t, addr)
-		io.WriteString(nc, encodeRead(1, readFields)) // from now on it is known how long an answer takes
+		io.WriteString(nc, encodeRead(1, readFields)) // gives the ingress a latency, which hedging needs
 		requireValue(t, in)
-		both := fleetOf(backend.Addr, late.Addr)
+		both := endpointList(backend.Addr, late.Addr)
 		both.Rev = 2
 		changes <- both
 		io.WriteString(nc, encodeRead(2, readFields))
@@ -366,28 +365,28 @@
 		both.Rev, both.Targets[0].State = 3, "DRAINING"
 		changes <- both
 		late.Open()
-		eventually(t, 10*time.Second, "the connection is up", func() bool { return late.Conns.Load() == 3 })
+		eventually(t, 10*time.Second, "the connection is established", func() bool { return late.Conns.Load() == 3 })
 		io.WriteString(nc, later)
 		requireValue(t, in)
 		if seen := late.Seen(); len(seen) != 1 || seen[0][2] != "0000000000000009" {
-			t.Errorf("the node was sent %q", seen)
+			t.Errorf("the backend was sent %q", seen)
 		}
 	})
 }
 
-// A backend is drained by an entry that says no more than that: nothing is sent
-// to it afterwards.
+// A discovery entry that drains a backend may omit its address. Nothing is sent to
+// the backend afterwards.
 func TestDrainWithoutAddress(t *testing.T) {
 	t.Parallel()
 	first := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	second := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	changes := make(chan discovery.List)
-	list := fleetOf(first.Addr, second.Addr)
+	list := endpointList(first.Addr, second.Addr)
 	cfg := testConfig(scripted.Registry(t, list, changes), list)
-	cfg.Settings.MaxAttempts = 3 // an attempt that waits for a connection when its backend is taken out is not written
+	cfg.Settings.MaxAttempts = 3 // an attempt that waits for a connection when the drain arrives is not sent
 	instance, _ := runIngress(t, cfg)
 	changes <- discovery.List{Rev: 2, Targets: []discovery.Target{{UID: "s0", Zone: "a", State: "DRAINING"}}}
-	changes <- discovery.List{Rev: 3} // is sent when the one before was received
+	changes <- discovery.List{Rev: 3} // blocks until the previous change was received
 	nc, in := dial(t, instance.Addr().String())
 	id := 0
 	request := func() {
@@ -395,9 +394,9 @@
 		io.WriteString(nc, encodeRead(id, readFields))
 		requireValue(t, in)
 	}
-	eventually(t, 10*time.Second, "the drain is known", func() bool {
+	eventually(t, 10*time.Second, "the drain is applied", func() bool {
 		n := len(first.Seen())
-		for range 8 { // all to the other, by chance, once in 256 times
+		for range 8 { // without a drain all go to the other backend with probability 1/256
 			request()
 		}
 		return len(first.Seen()) == n
@@ -407,6 +406,6 @@
 		request()
 	}
 	if got := len(first.Seen()); got > n {
-		t.Errorf("%d more were sent to the node that drains", got-n)
+		t.Errorf("%d more were sent to the draining backend", got-n)
 	}
 }
--- a/internal/ingress/forwardauth_test.go
+++ b/internal/ingress/forwardauth_test.go
@@ -19,8 +19,8 @@
 	"hitchspring/policy"
 )
 
-// authConfig is of an instance with a front for reverse proxies, and backends
-// that only the proxies send to.
+// authConfig returns the configuration of an instance with a front for reverse
+// proxies. Its backends have unused addresses, since only proxies connect to them.
 func authConfig(t testing.TB, backends int, change func(*Config)) Config {
 	t.Helper()
 	var list discovery.List
@@ -65,8 +65,8 @@
 	return cfg
 }
 
-// A grant names a backend of the list. The same id has the same answer until
-// its outcome is reported, and then it is concluded.
+// A grant names a listed backend. Calls with the same id get the same lease until
+// the outcome is reported; afterwards they get 409.
 func TestAuthGrantsAndReports(t *testing.T) {
 	instance, _ := runIngress(t, authConfig(t, 2, nil))
 	c := newProxyClient(t, instance)
@@ -86,20 +86,20 @@
 		t.Fatalf("%+v", r)
 	}
 	if r := c.report(a.lease, "served"); r.Status != 200 {
-		t.Fatalf("a report again: %+v", r)
+		t.Fatalf("the same report again: %+v", r)
 	}
 	if r := c.report(a.lease, "failed"); r.Status != 409 {
-		t.Fatalf("another report: %+v", r)
+		t.Fatalf("a report of another outcome: %+v", r)
 	}
 	if r := c.report("nonsense", "served"); r.Status != 404 {
-		t.Fatalf("a report on nothing: %+v", r)
+		t.Fatalf("a report for an unknown lease: %+v", r)
 	}
 	c.requireStatus("one", 409)
 }
 
-// A quota's units are spent once for each id, however often it is called for,
-// also if its first caller disconnected before the answer. Units of an attempt
-// that is reported as unsent are given back, and one quota serves both fronts.
+// Each id spends its quota units once, however many calls have that id, even if the
+// first caller disconnected before its answer. Units of an attempt that is reported
+// as unsent are returned. Both fronts share the quota.
 func TestAuthUnitsAreCountedOnce(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	cfg := authConfig(t, 4, nil)
@@ -115,7 +115,7 @@
 	}
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: x\r\nX-Hitch-Class: read\r\nX-Hitch-Plan: four\r\n"+
 		"X-Hitch-Channel: 3e9\r\nX-Hitch-Id: a\r\nX-Hitch-Key: k\r\n\r\n")
-	nc.Close() // without a look at the answer
+	nc.Close() // without reading the answer
 	four := []string{"Plan", "four"}
 	first := c.requireStatus("a", 200, four...)
 	for range 3 {
@@ -125,7 +125,7 @@
 	}
 	c.requireStatus("b", 200, four...)
 	last := c.requireStatus("c", 200, four...)
-	// The fourth unit goes to a client of RESP2, on the same channel.
+	// A RESP2 client of the same channel spends the fourth unit.
 	conn, in := dial(t, instance.Addr().String())
 	io.WriteString(conn, encodeCommand("Q.ASK", "00000000000003e9", "00000000000000aa",
 		"c=read,t=four,d=3000,units=1,spread=1,first=0"))
@@ -140,9 +140,9 @@
 	c.requireStatus("f", 429, four...)
 }
 
-// After a failed attempt the class decides: a safe request goes elsewhere, at
-// once or at the proxy's next call. An unsafe one that may have run goes
-// nowhere, and one that was rejected may.
+// The class decides whether a failed attempt is retried. A safe request gets another
+// backend, in the answer to the report and to the proxy's next call. An unsafe one
+// gets one only if the backend rejected it; if it may have run, it has failed.
 func TestAuthAttemptsAfterFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		class, outcome, state string
@@ -163,17 +163,17 @@
 		}
 		if c.again {
 			if r.Next["X-Hitch-Node-Id"] == a.backend || r.Next["X-Hitch-Lease"] == a.lease {
-				t.Errorf("%s: the same again: %+v", name, r)
+				t.Errorf("%s: the same backend or lease again: %+v", name, r)
 			}
 			if b := x.requireStatus("one", 200, "Class", c.class); b.lease != r.Next["X-Hitch-Lease"] {
-				t.Errorf("%s: asking again gives another lease", name)
+				t.Errorf("%s: the next call gives another lease", name)
 			}
 		}
 	}
 }
 
-// A proxy dies with 200 grants open: they count for the window and the
-// channel's limit until they expire, and no longer.
+// A proxy dies with 200 open leases. They count against the window and the tenant's
+// limit of attempts in flight until they expire.
 func TestAuthProxyDiesWithOpenGrants(t *testing.T) {
 	instance, _ := runIngress(t, authConfig(t, 60, func(c *Config) {
 		c.Leases.Timeout = time.Second
@@ -191,7 +191,7 @@
 	}
 	c.requireStatus("waits", 200, capped...)
 	if took := time.Since(began); took < 900*time.Millisecond {
-		t.Fatalf("one beyond the cap was granted after %v", took)
+		t.Fatalf("an attempt beyond the limit was granted after %v", took)
 	}
 	for i := range 150 {
 		c.requireStatus(fmt.Sprint("later", i), 200, capped...)
@@ -202,9 +202,9 @@
 	c.requireStatus("dead0", 409, capped...)
 }
 
-// Nothing is granted at a backend that drains, and what was granted before must
-// be sent within half a second: nothing new reaches it later than 2 s after the
-// list had the drain.
+// No attempt is granted at a draining backend, and one granted earlier must be sent
+// within 0.5 s. So the backend gets nothing new later than 2 s after discovery has
+// the drain.
 func TestAuthAndBackendDrain(t *testing.T) {
 	changes := make(chan discovery.List, 1)
 	cfg := authConfig(t, 2, nil)
@@ -226,11 +226,12 @@
 		c.report(a.lease, "served")
 	}
 	if lastUse.Sub(changedAt) > 1500*time.Millisecond {
-		t.Fatalf("a grant at a draining node is good until %v after it was changedAt", lastUse.Sub(changedAt))
+		t.Fatalf("an attempt at the draining backend may be sent until %v after the drain", lastUse.Sub(changedAt))
 	}
 }
 
-// A deadline that is over is a rejection at once; one of an hour is bounded.
+// A call with a very short deadline is answered without delay. The lease of a call
+// with a deadline of an hour is still limited.
 func TestAuthDeadlines(t *testing.T) {
 	instance, _ := runIngress(t, authConfig(t, 1, func(c *Config) { c.Leases.Timeout = 59 * time.Minute }))
 	c := newProxyClient(t, instance)
@@ -244,10 +245,10 @@
 	}
 }
 
-// At SIGTERM with 300 calls waiting, each has one answer, and the program ends
-// in its time.
+// At a shutdown with 300 waiting calls, each call is answered and the instance stops
+// in time.
 func TestAuthShutdown(t *testing.T) {
-	instance, stop := runIngress(t, authConfig(t, 1, nil)) // one backend: a window of four
+	instance, stop := runIngress(t, authConfig(t, 1, nil)) // one backend has a window of 4 attempts
 	c := newProxyClient(t, instance)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -269,7 +270,7 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Fatalf("it took %v", took)
+		t.Fatalf("the shutdown took %v", took)
 	}
 	wg.Wait()
 	if statuses[200] < 4 || statuses[200]+statuses[429]+statuses[503] != 300 {
@@ -277,7 +278,7 @@
 	}
 }
 
-// The rules change under load: each call is answered by one table or the other.
+// The rules change under load. Each call is answered according to one of the tables.
 func TestAuthRulesChange(t *testing.T) {
 	cfg := authConfig(t, 40, nil)
 	yes, err := forwardauth.NewTable([]forwardauth.Rule{{Path: "/channels/{channel}/guide", Class: "read", Plan: "p"}})
@@ -322,10 +323,10 @@
 	}
 }
 
-// Priority holds across the fronts. Proxies send calls of low priority until
-// the window is full and a hundred wait; a request of higher priority over
-// RESP2 is sent first when the window is free again.
-func TestAuthFloodAndPriority(t *testing.T) {
+// Priorities hold across both fronts. Proxies make low-priority calls until the
+// window is full and about a hundred are queued. A RESP2 request of higher priority
+// is the first to be sent when the window has capacity again.
+func TestPriorityHoldsAcrossFronts(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	cfg := authConfig(t, 1, nil)
 	cfg.Known.Targets[0].Endpoint = backend.Addr
@@ -342,29 +343,29 @@
 			}
 		})
 	}
-	var out []proxyAnswer
+	var inFlight []proxyAnswer
 	for range 4 { // the window of one backend
-		out = append(out, <-granted)
+		inFlight = append(inFlight, <-granted)
 	}
 	conn, in := dial(t, instance.Addr().String())
 	io.WriteString(conn, encodeCommand("Q.DO", "00000000000003e9", "00000000000000aa",
 		"c=keyed,t=p,d=20000,k=x,units=1,spread=1,first=0"))
-	time.Sleep(100 * time.Millisecond) // it is queued: the window is full
+	time.Sleep(100 * time.Millisecond) // the request is queued, since the window is full
 	if n := len(backend.Seen()); n > 0 || len(granted) > 0 {
 		t.Fatalf("%d sent and %d granted beyond the window", n, len(granted))
 	}
-	c.report(out[0].lease, "served")
+	c.report(inFlight[0].lease, "served")
 	requireValue(t, in)
 	if n := len(backend.Seen()); n != 1 {
-		t.Fatalf("the node has seen %d", n)
+		t.Fatalf("the backend got %d commands, want 1", n)
 	}
 	requireStop(t, stop)
 	wg.Wait()
 }
 
-// A further call for an id for which too many wait is answered at once; after
-// an attempt was granted that is no rejection, which would say that nothing has
-// run.
+// If too many calls wait for the same id, a further one is answered at once. Once an
+// attempt has been granted for the id, that answer is 503 and not a rejection, since
+// a rejection would mean that nothing has run.
 func TestAuthTooManyWaitingCalls(t *testing.T) {
 	cfg := authConfig(t, 1, func(c *Config) { c.Settings.Classes[2].RepeatWindow = time.Minute })
 	instance, stop := runIngress(t, cfg)
@@ -379,7 +380,7 @@
 		})
 	}
 	first := c.requireStatus("a", 200, "Class", "keyed")
-	for i := range 20 { // they take the rest of the window, and what the first one frees
+	for i := range 20 { // they fill the window, and also take the slot that the first attempt frees
 		authorize(fmt.Sprint("other", i))
 	}
 	for range 3 {
@@ -391,12 +392,12 @@
 	if r := c.report(first.lease, "failed"); r.State != "open" {
 		t.Fatalf("%+v", r)
 	}
-	<-statuses // the call that got what the first one freed
+	<-statuses // of the call that got the slot of the first attempt
 	for range 5 {
 		authorize("a", "Class", "keyed")
 	}
 	if s := <-statuses; s != 503 {
-		t.Fatalf("the fifth was answered %d", s)
+		t.Fatalf("the fifth call was answered %d", s)
 	}
 	requireStop(t, stop)
 	wg.Wait()
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -14,14 +14,14 @@
 	"hitchspring/internal/zones"
 )
 
-// Dashboards and alerts know the metrics by these names and labels.
+// Dashboards and alerts depend on these metric names and labels.
 func TestGoldenPrometheusNames(t *testing.T) {
-	var h zones.Status
+	var z zones.Status
 	var p peers.Status
-	golden.Fill(&h)
+	golden.Fill(&z)
 	golden.Fill(&p)
 	reg := prometheus.NewPedanticRegistry()
-	reg.MustRegister(newZoneCollector(func() (zones.Status, bool) { return h, true }),
+	reg.MustRegister(newZoneCollector(func() (zones.Status, bool) { return z, true }),
 		newPeerCollector(func() (peers.Status, bool) { return p, true }),
 		newRequestCollector(metrics.New([]string{"class"}, []string{"reason"}, []string{"outcome"}), &guard.Monitor{}))
 	families, err := reg.Gather()
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -13,16 +13,17 @@
 	"hitchspring/internal/override"
 )
 
-// handoverTimeout is for writing the state for the next process, which starts
-// without it afterwards.
+// handoverTimeout limits writing the state for the next process, which starts
+// without that state if the time is exceeded.
 const handoverTimeout = 300 * time.Millisecond
 
-// errStopped says that the instance was stopped before it could accept clients.
-var errStopped = errors.New("stopped before it served")
+// errStoppedBeforeServing means that Run's context ended before the instance
+// accepted clients.
+var errStoppedBeforeServing = errors.New("stopped before accepting clients")
 
-// openStateDir opens the directory that the processes of this ingress share, and
-// follows what the others write there until end is called. If that fails, the
-// instance serves without it.
+// openStateDir opens the state directory and watches what sibling processes write
+// there until end is called. If the directory cannot be opened, the instance serves
+// without it.
 func (i *Instance) openStateDir() (end func()) {
 	if i.config.StateDir == "" {
 		return func() {}
@@ -50,13 +51,13 @@
 func (i *Instance) setSiblingCount(count int) {
 	i.siblingCount.Store(int64(count))
 	i.core.SetSiblings(count)
-	i.shareConnections()
+	i.updateConnectionLimit()
 }
 
-// shareConnections leaves half of the clients' connections to another process of
-// this ingress while there is one. The descriptors that are not for clients each
-// process has for itself.
-func (i *Instance) shareConnections() {
+// updateConnectionLimit halves the limit on client connections while there is a
+// sibling process, which uses the other half. Each process also sets aside
+// descriptors for its own other uses.
+func (i *Instance) updateConnectionLimit() {
 	front := i.front.Load()
 	if front == nil {
 		return
@@ -68,9 +69,10 @@
 	front.SetMaxConnections(limit)
 }
 
-// listen opens the clients' socket. If the platform holds it, this process is
-// prepared to serve from here on, but accepts clients only when the process before
-// it no longer does. It returns errStopped if ctx ends before.
+// listen returns the listener for clients. If the listening socket is inherited,
+// this process reports itself as ready at once, but waits for the handover lock
+// until the previous process has stopped accepting clients. It returns
+// errStoppedBeforeServing if ctx ends during that wait.
 func (i *Instance) listen(ctx context.Context) (net.Listener, error) {
 	if i.config.Listener == nil {
 		listener, err := net.Listen("tcp", i.config.Listen)
@@ -88,7 +90,7 @@
 	if err := dir.Lock(ctx); err != nil {
 		if ctx.Err() != nil {
 			i.config.Listener.Close()
-			return nil, errStopped
+			return nil, errStoppedBeforeServing
 		}
 		i.log.Warn("handover lock unavailable, accepting clients beside any other process", "err", err)
 		return i.config.Listener, nil
@@ -100,8 +102,8 @@
 	return i.config.Listener, nil
 }
 
-// handOver writes the core's state for the next process, if there is one, and lets
-// it accept the clients.
+// handOver writes the core's state for the next process, if there is one, and
+// releases the handover lock, so that the next process accepts clients.
 func (i *Instance) handOver() {
 	dir := i.overrides.dir.Load()
 	if dir == nil {
@@ -122,11 +124,11 @@
 	}
 }
 
-// overrideStore stores operators' overrides in the state directory, if there is one
-// that can be used.
+// overrideStore stores operators' overrides in the state directory. It drops them
+// while dir is nil: there is no state directory, or it is not usable.
 type overrideStore struct{ dir atomic.Pointer[handover.Dir] }
 
-// Save implements the store that the core writes overrides to.
+// Save implements the override store of core.Config.
 func (s *overrideStore) Save(overrides []override.Override) error {
 	if dir := s.dir.Load(); dir != nil {
 		return dir.Save(overrides)
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -19,8 +19,8 @@
 	"hitchspring/policy"
 )
 
-// sharedListener is a listening socket that the platform holds, and the state
-// directory that the processes on it share.
+// sharedListener is a listening socket that several processes of one ingress inherit,
+// and their common state directory.
 type sharedListener struct {
 	*net.TCPListener
 	dir string
@@ -36,8 +36,8 @@
 	return sharedListener{l.(*net.TCPListener), t.TempDir()}
 }
 
-// start runs a process on its own copy of the socket and waits for its admin
-// server only: another process may still have the clients.
+// start runs an instance, in place of a process, on a duplicate of the socket. It
+// waits only for its admin server, since another instance may still accept clients.
 func (l sharedListener) start(t *testing.T, cfg Config) (*Instance, func() error) {
 	t.Helper()
 	f, err := l.File()
@@ -49,9 +49,9 @@
 		t.Fatal(err)
 	}
 	cfg.Listen, cfg.StateDir = l.Addr().String(), l.dir
-	g, stop := startWithoutWaiting(t, cfg)
-	eventually(t, 5*time.Second, "the door opens", func() bool { return g.AdminAddr() != nil })
-	return g, stop
+	instance, stop := startWithoutWaiting(t, cfg)
+	eventually(t, 5*time.Second, "the admin server listens", func() bool { return instance.AdminAddr() != nil })
+	return instance, stop
 }
 
 // requireReady waits for a process to become ready.
@@ -63,17 +63,17 @@
 	})
 }
 
-// clientCrowd is a number of clients that send one request after another, each
-// on a persistent connection, and open a new one when theirs is closed.
-type clientCrowd struct {
-	answered, unexpected, unanswered atomic.Int64 // turned: closed with a request on it that has no answer
+// loadGenerator runs clients that send one request after another on a persistent
+// connection, and reconnect when it is closed.
+type loadGenerator struct {
+	answered, unexpected, unanswered atomic.Int64 // unanswered: the connection closed before the answer
 	wg                               sync.WaitGroup
 	stop                             chan struct{}
 	pause                            time.Duration
-	fields                           string // of each request; empty: readFields
+	fields                           string // of each request; readFields if empty
 }
 
-func (c *clientCrowd) run(addr string, n int) {
+func (c *loadGenerator) run(addr string, n int) {
 	c.stop = make(chan struct{})
 	var id atomic.Int64
 	for range n {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (c *clientCrowd) sendRequests(nc net.Conn, id *atomic.Int64) {
+func (c *loadGenerator) sendRequests(nc net.Conn, id *atomic.Int64) {
 	in := bufio.NewReader(nc)
 	for {
 		select {
@@ -104,7 +104,7 @@
 			return
 		case <-time.After(c.pause):
 		}
-		// As clients do: a connection that was closed meanwhile is not used.
+		// As real clients do, check whether the connection was closed during the pause.
 		nc.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 		if _, err := in.Peek(1); err == io.EOF {
 			return
@@ -131,13 +131,13 @@
 	}
 }
 
-func (c *clientCrowd) end() {
+func (c *loadGenerator) end() {
 	close(c.stop)
 	c.wg.Wait()
 }
 
-// At full load one process replaces another, twice in a row: no request is lost
-// or fails, and what operators said to the first holds at the last.
+// Under load one process replaces another, twice in a row. No request is lost or
+// fails, and the operators' suspensions at the first process hold at the last one.
 func TestReplacementUnderLoad(t *testing.T) {
 	var sent [3]atomic.Int64
 	var addrs []string
@@ -148,17 +148,17 @@
 			return servedReply
 		}).Addr)
 	}
-	list := fleetOf(addrs...)
+	list := endpointList(addrs...)
 	registry := scripted.Registry(t, list, nil)
 	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
 		cfg := adminConfig(registry, list)
-		cfg.Settings.MaxAttempts = 3 // an attempt that waits to be written when its backend is suspended is not
+		cfg.Settings.MaxAttempts = 3 // an attempt that is not yet sent when its backend is suspended is ended
 		return ln.start(t, cfg)
 	}
 	old, stop := start()
 	requireReady(t, old)
-	c := clientCrowd{pause: 2 * time.Millisecond}
+	c := loadGenerator{pause: 2 * time.Millisecond}
 	c.run(ln.Addr().String(), 20)
 	time.Sleep(300 * time.Millisecond)
 	requireAdminCall(t, old, "PUT", "/v1/backends/s2/suspend", 200)
@@ -167,17 +167,17 @@
 	for round := range 2 {
 		next, stopNext := start()
 		requireReady(t, next)
-		if round == 1 { // said to one process while there are two
+		if round == 1 { // suspend at one process while there are two
 			requireAdminCall(t, old, "PUT", "/v1/backends/s1/suspend", 200)
 			time.Sleep(500 * time.Millisecond)
 			before[1] = sent[1].Load()
 		}
-		had := c.answered.Load()
+		answeredBefore := c.answered.Load()
 		if err := stop(); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, 5*time.Second, "the next process answers", func() bool {
-			return c.answered.Load() > had+100
+			return c.answered.Load() > answeredBefore+100
 		})
 		old, stop = next, stopNext
 	}
@@ -188,49 +188,50 @@
 	}
 	for i := 1; i <= 2; i++ {
 		if n := sent[i].Load() - before[i]; n > 0 {
-			t.Errorf("%d sends to s%d, which is suspended", n, i)
+			t.Errorf("%d commands were sent to s%d, which is suspended", n, i)
 		}
 	}
-	t.Logf("%d answered, %d turned back", c.answered.Load(), c.unanswered.Load())
+	t.Logf("%d answered, %d without an answer", c.answered.Load(), c.unanswered.Load())
 }
 
-// A process that is killed right after a suspension leaves it to the next; one
-// that ends before it is ready leaves the first in place; discovery and a
-// counter that answer nothing keep no process from being ready.
+// Replacing a process with faults: a suspension just before the first process ends
+// holds at the next one; a process that ends before it is ready does not disturb the
+// first one; and a process becomes ready even if discovery and the shared counter
+// never answer.
 func TestReplacementDuringFaults(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
-	mute := scripted.Listen(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
+	list := endpointList(backend.Addr)
+	silentAddr := scripted.Listen(t, func(nc net.Conn) { io.Copy(io.Discard, nc) })
 	ln := newSharedListener(t)
 	start := func(known discovery.List) (*Instance, func() error) {
-		cfg := adminConfig(mute, known)
-		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = mute, true, 50*time.Millisecond
+		cfg := adminConfig(silentAddr, known)
+		cfg.Counter, cfg.Settings.Counter, cfg.Settings.CounterTimeout = silentAddr, true, 50*time.Millisecond
 		cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 100, Burst: 100, ExcessCost: 0.5}}
 		return ln.start(t, cfg)
 	}
 	first, stopFirst := start(list)
 	requireReady(t, first)
 	_, stopEarly := start(list)
-	requireStop(t, stopEarly) // before it is ready, or after: it never had the lock
+	requireStop(t, stopEarly) // whether or not it is ready, it has never held the handover lock
 	nc, in := dial(t, ln.Addr().String())
 	io.WriteString(nc, encodeRead(1, readFields))
 	requireValue(t, in)
 	requireAdminCall(t, first, "PUT", "/v1/backends/s0/suspend", 200)
 
-	// The next one's own list is older than the first one's: the handover state has
-	// the backend.
+	// The second process starts with an empty list. It gets the backend from the
+	// handover state.
 	second, _ := start(discovery.List{Complete: true})
 	requireReady(t, second)
 	requireStop(t, stopFirst)
-	eventually(t, 5*time.Second, "the list goes over", func() bool {
+	eventually(t, 5*time.Second, "the endpoint list is handed over", func() bool {
 		return metricValue(t, second, "cluster_size") == 1
 	})
 	if n := metricValue(t, second, "cluster_unhealthy"); n != 1 {
-		t.Fatalf("after the replacement %d addrs are avoided, the suspended one is wanted", n)
+		t.Fatalf("after the replacement %d backends are avoided, want the suspended one", n)
 	}
 	requireAdminCall(t, second, "PUT", "/v1/backends/s0/resume", 200)
 	nc, in = dial(t, ln.Addr().String())
-	eventually(t, 5*time.Second, "the node that was put back serves", func() bool {
+	eventually(t, 5*time.Second, "the resumed backend serves", func() bool {
 		io.WriteString(nc, encodeRead(int(time.Now().UnixNano()%1e9), readFields))
 		l := readLine(t, in)
 		if strings.HasPrefix(l, "$") {
@@ -241,11 +242,12 @@
 	})
 }
 
-// While there is another process, this one leaves it half of the connections,
-// idle ones first, and has all slots again when the other has ended.
+// While there is a sibling process, an instance uses only half of the client
+// connections and closes idle ones beyond that. It uses all of them again when the
+// sibling has ended.
 func TestConnectionsAreSharedWithSibling(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	registry := scripted.Registry(t, list, nil)
 	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
@@ -264,7 +266,7 @@
 			requireValue(t, in)
 		}
 	}
-	fillsAllSlots := func() bool { // than a half of the slots can be taken
+	fillsAllSlots := func() bool { // reports whether more than half of the slots can be taken
 		open(maxConnections * 3 / 4)
 		return first.front.Load().OpenConnections() > maxConnections/2
 	}
@@ -274,19 +276,19 @@
 	eventually(t, time.Second, "half of the slots are left", func() bool {
 		return first.front.Load().OpenConnections() <= half
 	})
-	open(maxConnections) // each takes the place of one that is idle
+	open(maxConnections) // each new connection evicts an idle one
 	if n := first.front.Load().OpenConnections(); n > half+1 {
-		t.Fatalf("%d of %d slots are taken while another process is there", n, maxConnections)
+		t.Fatalf("%d of %d slots are taken while there is a sibling process", n, maxConnections)
 	}
 	requireStop(t, stopSecond)
 	eventually(t, 2*time.Second, "all slots are back", fillsAllSlots)
 }
 
-// A channel sends five times its quota while one process replaces another:
-// neither its ceiling nor its quota is spent twice, as the backend sees it, and
-// the excess goes on being rejected.
-func TestCeilingHoldsOverReplacement(t *testing.T) {
-	const rate, burst, slack = 30.0, 30.0, 4.0 // the ceiling's
+// A tenant sends five times its quota while one process replaces another. Its ceiling
+// and its quota must not be spent twice, as measured at the backend, and the excess
+// must still be rejected.
+func TestCeilingHoldsAcrossReplacement(t *testing.T) {
+	const rate, burst, slack = 30.0, 30.0, 4.0 // of the ceiling
 	const quotaRate, quotaBurst = 20.0, 20.0
 	counter, err := standtally.Start("127.0.0.1:0", 1)
 	if err != nil {
@@ -303,7 +305,7 @@
 		}
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	registry := scripted.Registry(t, list, nil)
 	ln := newSharedListener(t)
 	start := func() (*Instance, func() error) {
@@ -318,7 +320,7 @@
 	}
 	old, stop := start()
 	requireReady(t, old)
-	c := clientCrowd{pause: 40 * time.Millisecond, fields: "c=read,t=p,d=2000,units=1,spread=1,first=0"}
+	c := loadGenerator{pause: 40 * time.Millisecond, fields: "c=read,t=p,d=2000,units=1,spread=1,first=0"}
 	c.run(ln.Addr().String(), 6)
 	time.Sleep(3 * time.Second)
 	for range 3 {
@@ -337,18 +339,18 @@
 	if ceiling < -slack-0.15*rate {
 		t.Errorf("%d attempts: the ceiling's level went to %.1f", len(sends), ceiling)
 	}
-	if quota < -0.45*quotaBurst { // -6 without a replacement, -14 where each process takes a fresh block
+	if quota < -0.45*quotaBurst { // -6 without a replacement, -14 if each process leases new units
 		t.Errorf("%d attempts: the quota's level went to %.1f", len(sends), quota)
 	}
 	if n := c.answered.Load() + c.unexpected.Load(); float64(len(sends)) > 0.5*float64(n) || len(sends) < 50 {
-		t.Errorf("%d of %d requests were forwarded: the channel does not exceed its quota by far", len(sends), n)
+		t.Errorf("%d of %d requests were forwarded: the load does not exceed the quota by enough", len(sends), n)
 	}
 	t.Logf("%d attempts of %d requests; the ceiling's level went to %.1f, the quota's to %.1f",
 		len(sends), c.answered.Load()+c.unexpected.Load(), ceiling, quota)
 }
 
-// lowestLevel is the lowest level of a token bucket that each send takes one unit
-// from.
+// lowestLevel returns the lowest level of a token bucket from which each send takes
+// one unit.
 func lowestLevel(sends []time.Time, rate, burst float64) float64 {
 	level, lowest := burst, burst
 	for i, at := range sends {
@@ -361,18 +363,18 @@
 	return lowest
 }
 
-// A drained ingress that gets SIGTERM ends as it would otherwise, and a
-// repeated drain changes nothing.
+// A drained ingress shuts down like any other, and a repeated drain call has no
+// effect.
 func TestShutdownWhileDrained(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
 		time.Sleep(700 * time.Millisecond)
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	instance, stop := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, instance.Addr().String())
 	io.WriteString(nc, encodeRead(1, readFields))
-	eventually(t, time.Second, "the request is out", func() bool { return len(backend.Seen()) == 1 })
+	eventually(t, time.Second, "the request is in flight", func() bool { return len(backend.Seen()) == 1 })
 	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	ended := make(chan error, 1)
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -19,7 +19,8 @@
 	"hitchspring/policy"
 )
 
-func fleetOf(addrs ...string) discovery.List {
+// endpointList returns a complete list of serving backends s0, s1, ... at addrs.
+func endpointList(addrs ...string) discovery.List {
 	list := discovery.List{Rev: 1, Complete: true}
 	for i, addr := range addrs {
 		target := discovery.Target{UID: fmt.Sprint("s", i), Endpoint: addr, Zone: "a", State: "SERVING"}
@@ -56,8 +57,8 @@
 	}}
 }
 
-// startIngress runs an instance and returns its address, and what stops it and
-// returns Run's result.
+// startIngress runs an instance. It returns its address for clients, and a function
+// that stops it and returns the result of Run.
 func startIngress(t *testing.T, cfg Config) (addr string, stop func() error) {
 	t.Helper()
 	instance, stop := runIngress(t, cfg)
@@ -89,7 +90,7 @@
 	}
 }
 
-// startWithoutWaiting runs an instance and doesn't wait until it serves.
+// startWithoutWaiting runs an instance without waiting until it accepts clients.
 func startWithoutWaiting(t testing.TB, cfg Config) (instance *Instance, stop func() error) {
 	t.Helper()
 	instance, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -103,12 +104,11 @@
 		cancel()
 		return <-done
 	})
-	t.Cleanup(func() { _ = stop() }) // tests of the end check its result
+	t.Cleanup(func() { _ = stop() }) // tests of the shutdown check its result themselves
 	return instance, stop
 }
 
-// dial opens a client's connection; every read of it ends the test after a
-// minute.
+// dial opens a client connection, whose reads fail a minute after it was opened.
 func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,9 +1,9 @@
-// Package ingress assembles one instance of the ingress: the core, the front for
-// the platform's clients, the front for reverse proxies, the admin server, the
-// status server and the link to other instances. Run serves until its context ends
-// and then shuts down gracefully. Processes of one ingress that follow one another
-// share a state directory and the listening socket. The package makes no decisions
-// about requests.
+// Package ingress assembles one instance of the ingress: the core, the RESP front
+// for clients, the HTTP front for reverse proxies, the admin server, the status
+// server and the link to other instances. Run serves until its context ends and
+// then shuts down gracefully. During a restart the old and the new process share a
+// state directory and the listening socket. Decisions about requests are made in
+// package core, not here.
 package ingress
 
 import (
@@ -29,41 +29,41 @@
 )
 
 const (
-	discoveryWait     = 300 * time.Millisecond // for discovery, before the known list is served
-	zoneDrainInterval = 500 * time.Millisecond // between two reads of the zone drain file
+	initialDiscoveryTimeout = 300 * time.Millisecond // then the instance starts with the last known list
+	zoneDrainInterval       = 500 * time.Millisecond // between reads of the zone drain file
 
-	reservedDescriptors  = 32 // for the counter, discovery, the listener and the runtime
+	reservedDescriptors  = 32 // for the shared counter, discovery, the listener and the Go runtime
 	minClientConnections = 32
 )
 
 // Config is the configuration of an instance.
 type Config struct {
-	// Listen is the address for clients.
+	// Listen is the address at which clients connect.
 	Listen string
-	// Counter is the address of the shared counter, used if Store is nil.
+	// Counter is the address of the shared counter; it is used only if Store is nil.
 	Counter string
-	// Auth configures the front for reverse proxies; nil: there is none.
+	// Auth configures the front for reverse proxies; nil disables it.
 	Auth *ForwardAuth
-	// Metrics is the host:port of the status server; empty: there is none.
+	// Metrics is the host:port of the status server; empty disables it.
 	Metrics string
-	// Admin is the host:port of the admin server; empty: there is none.
+	// Admin is the host:port of the admin server; empty disables it.
 	Admin string
-	// Listener is the clients' listening socket if the platform holds it and
-	// every process inherits it; nil: Listen is opened.
+	// Listener is the listening socket for clients if every process inherits it
+	// from the platform; if nil, the instance listens at Listen.
 	Listener net.Listener
-	// StateDir is the directory that all processes of this ingress share, for
-	// the operators' overrides and what one process hands over to the next;
-	// empty: nothing is stored.
+	// StateDir is the directory that all processes of this ingress share. It
+	// holds the operators' overrides and the state that one process hands over
+	// to the next. If it is empty, nothing is stored.
 	StateDir string
-	// ZoneDrains is the file of the zones that are drained; empty: there is none.
+	// ZoneDrains is the file that lists the drained zones; empty if there is none.
 	ZoneDrains string
-	// Peers configures the link to other instances; nil: there are none.
+	// Peers configures the link to other instances; nil disables it.
 	Peers *peers.Config
-	// EnableTakeover is whether keyed requests survive this instance, and this
-	// one takes over those of others; it needs Peers.
+	// EnableTakeover lets other instances take over the keyed requests of this
+	// one if it fails, and this one theirs. It requires Peers.
 	EnableTakeover bool
-	// EnableEscrow is whether allocations of quotas move between this instance
-	// and others; it needs Peers.
+	// EnableEscrow lets this instance transfer quota allocations to and from
+	// other instances. It requires Peers.
 	EnableEscrow bool
 	core.Config
 }
@@ -75,40 +75,40 @@
 	Table  *forwardauth.Table
 }
 
-// Instance is one instance of the ingress. Run starts and ends all its goroutines;
-// the other methods may be called from any goroutine.
+// Instance is one instance of the ingress. Run starts all its goroutines and waits
+// for them to end; the other methods are safe for concurrent use.
 type Instance struct {
 	config   Config
 	core     *core.Core
 	log      *slog.Logger
 	registry *prometheus.Registry
-	auth     *forwardauth.Front // nil: there is none
-	peers    *peerLink          // nil: there are no peers
+	auth     *forwardauth.Front // nil without a front for reverse proxies
+	peers    *peerLink          // nil without peers
 
-	ready    chan struct{} // closed when clients are accepted
-	addr     net.Addr      // of the clients' listener; set before ready closes
-	authAddr net.Addr      // of auth; set before ready closes
+	ready    chan struct{} // closed when the instance accepts clients
+	addr     net.Addr      // of the listener for clients; set before ready is closed
+	authAddr net.Addr      // of the front for reverse proxies; set before ready is closed
 
-	admin        atomic.Pointer[net.TCPAddr] // address of the admin server; nil: not open
-	front        atomic.Pointer[resp.Front]  // nil until clients are accepted
-	prepared     atomic.Bool                 // ready to serve, even if another process still does
+	admin        atomic.Pointer[net.TCPAddr] // address of the admin server; nil until it listens
+	front        atomic.Pointer[resp.Front]  // nil until the instance accepts clients
+	prepared     atomic.Bool                 // ready to accept clients, even if a sibling process still does
 	shuttingDown atomic.Bool
 	overrides    *overrideStore
-	siblingCount atomic.Int64 // other processes of this ingress
+	siblingCount atomic.Int64 // number of sibling processes
 }
 
-// New checks the configuration and returns an instance that does not run yet.
+// New validates the configuration and returns an instance; Run starts it.
 func New(cfg Config, log *slog.Logger) (*Instance, error) {
 	if err := checkAddresses(cfg); err != nil {
 		return nil, err
 	}
 	cfg.CountBackends = cfg.Admin != "" || cfg.Metrics != ""
-	if cfg.Listener != nil { // until the state directory shows their number
+	if cfg.Listener != nil { // assume one sibling process until the state directory gives the number
 		cfg.Siblings = 1
 	}
 	if cfg.Store == nil {
 		if cfg.Settings.Counter && cfg.Counter == "" {
-			return nil, errors.New("the settings name a shared counter, the configuration has no address of it")
+			return nil, errors.New("the settings enable a shared counter, but the configuration has no address for it")
 		}
 		cfg.Store = func(sink store.Sink) (store.Counter, error) {
 			return tally.New(cfg.Counter, cfg.Settings.CounterTimeout, sink), nil
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// configurePeers gives the core what it needs of other instances.
+// configurePeers sets the core's configuration for peers, takeover and escrow.
 func (i *Instance) configurePeers(cfg *Config) {
 	cfg.Takeover, cfg.Escrow = nil, nil
 	if cfg.Peers == nil {
@@ -169,38 +169,38 @@
 	}
 }
 
-// SetRules puts another table of rules in force at the front for reverse proxies.
-// It does nothing if there is none.
+// SetRules replaces the rules of the front for reverse proxies. It does nothing if
+// the instance has no such front.
 func (i *Instance) SetRules(t *forwardauth.Table) {
 	if i.auth != nil {
 		i.auth.SetTable(t)
 	}
 }
 
-// AuthAddr is the address of the front for reverse proxies, once Ready has closed;
-// nil if there is none.
+// AuthAddr returns the address of the front for reverse proxies, or nil without
+// such a front. It is valid once Ready is closed.
 func (i *Instance) AuthAddr() net.Addr { return i.authAddr }
 
-// Ready closes when clients are accepted.
+// Ready returns a channel that is closed when the instance accepts clients.
 func (i *Instance) Ready() <-chan struct{} { return i.ready }
 
-// Addr is the address for clients, once Ready has closed.
+// Addr returns the address for clients. It is valid once Ready is closed.
 func (i *Instance) Addr() net.Addr { return i.addr }
 
-// SetAddresses migrates to discovery and a counter at other addresses; see
-// core.Core.
+// SetAddresses changes the addresses of discovery and the shared counter; see
+// core.Core.SetAddresses.
 func (i *Instance) SetAddresses(discovery, counter string) { i.core.SetAddresses(discovery, counter) }
 
-// Run serves until ctx ends, then answers what it has taken and returns.
+// Run serves until ctx ends, then answers the requests it has accepted and returns.
 func (i *Instance) Run(ctx context.Context) error {
 	closeStateDir := i.openStateDir()
 	defer closeStateDir()
-	closeAdmin, err := i.serveAdmin() // first, so that a slow start can be seen
+	closeAdmin, err := i.serveAdmin() // early, so that operators can observe a slow start
 	if err != nil {
 		return err
 	}
 	defer closeAdmin()
-	leavePeers, err := i.joinPeers() // before anything is served, so that it is known what the others know
+	leavePeers, err := i.joinPeers() // before the first request, to have the peers' observations of backends
 	if err != nil {
 		return err
 	}
@@ -211,13 +211,13 @@
 	defer endWatch()
 	select {
 	case <-i.core.DiscoveryReady():
-	case <-time.After(discoveryWait):
+	case <-time.After(initialDiscoveryTimeout):
 	case <-ctx.Done():
 		return nil
 	}
 	i.awaitPeerSync(ctx)
 	listener, err := i.listen(ctx)
-	if errors.Is(err, errStopped) {
+	if errors.Is(err, errStoppedBeforeServing) {
 		return nil
 	}
 	if err != nil {
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// watchZoneDrains follows the zone drain file until end is called.
+// watchZoneDrains polls the zone drain file until end is called.
 func (i *Instance) watchZoneDrains() (end func()) {
 	if i.config.ZoneDrains == "" {
 		return func() {}
@@ -252,15 +252,15 @@
 	}
 }
 
-// clientLimits is the number of client connections that the limit on descriptors
-// leaves, and the bytes for them.
+// clientLimits returns how many client connections the limit on file descriptors
+// allows after those set aside for other uses, and the memory for them in bytes.
 func (i *Instance) clientLimits() (connections, memory int, err error) {
 	connections, memory = i.core.FrontLimits()
 	if i.auth != nil {
 		connections -= i.config.Auth.Config.MaxConnections
 	}
 	if i.config.Metrics != "" {
-		connections -= maxMetricsCalls
+		connections -= maxMetricsRequests
 	}
 	if i.config.Admin != "" {
 		connections -= admin.MaxConnections
@@ -268,7 +268,7 @@
 	connections -= reservedDescriptors
 	if connections < minClientConnections {
 		return 0, 0, fmt.Errorf(
-			"the limit on sockets leaves %d for clients, %d at least are wanted: fewer forward_auth.connections",
+			"the limit on sockets leaves %d for clients, at least %d are required: lower forward_auth.connections",
 			connections, minClientConnections)
 	}
 	return connections, memory, nil
@@ -288,7 +288,7 @@
 		authListener, err := net.Listen("tcp", i.config.Auth.Listen)
 		if err != nil {
 			listener.Close()
-			return nil, nil, fmt.Errorf("listening for gates: %w", err)
+			return nil, nil, fmt.Errorf("listening for reverse proxies: %w", err)
 		}
 		i.authAddr = authListener.Addr()
 		i.auth.Start(authListener)
@@ -304,7 +304,7 @@
 	front = resp.New(listener, i.core, connections, memory)
 	front.Observe(i.core.Metrics(), i.core.Guard())
 	i.front.Store(front)
-	i.shareConnections()
+	i.updateConnectionLimit()
 	front.Start()
 	i.addr = listener.Addr()
 	i.prepared.Store(true)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -13,15 +13,15 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// reuseDelay is longer than a connection to a backend is left alone after its
-// answer.
+// reuseDelay is longer than the time for which a connection to a backend is not
+// reused after an answer.
 const reuseDelay = 50 * time.Millisecond
 
-// An answered attempt frees its connection. Requests that follow sooner than
-// reuseDelay may have others.
+// A connection is reused after its answer. A request that follows sooner than
+// reuseDelay may get another connection.
 func TestConnectionIsReused(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	for i := range 5 {
@@ -30,12 +30,12 @@
 		time.Sleep(reuseDelay)
 	}
 	if n := backend.Conns.Load(); n != 1 {
-		t.Fatalf("%d connections for requests one after another, want 1", n)
+		t.Fatalf("%d connections for sequential requests, want 1", n)
 	}
 }
 
-// A silent backend's attempt ends at the request's deadline, before the client
-// gives up; its connection is closed.
+// An attempt at a silent backend ends shortly before the request's deadline, and its
+// connection is closed.
 func TestSilentBackendIsTimedOut(t *testing.T) {
 	backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		if n == 1 {
@@ -43,29 +43,29 @@
 		}
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	began := time.Now()
 	io.WriteString(nc, encodeRead(1, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
 	if got := readLine(t, in); !strings.HasPrefix(got, "-BUSY") {
-		t.Fatalf("answer %q, want the module's refusal of a read that timed out", got)
+		t.Fatalf("answer %q, want the rejection of a read that timed out", got)
 	}
 	if took := time.Since(began); took < 900*time.Millisecond {
-		t.Fatalf("given up after %v of 1 s", took)
+		t.Fatalf("answered after %v, want at least 900 ms of the deadline of 1 s", took)
 	}
 	io.WriteString(nc, encodeRead(2, readFields))
 	requireValue(t, in)
 	if n := backend.Conns.Load(); n != 2 {
-		t.Fatalf("%d connections, want a new one after the given-up one", n)
+		t.Fatalf("%d connections, want a second one after the timeout", n)
 	}
 }
 
-// Command, tenant, id, key and body are forwarded as they came; d becomes the
-// time that is left.
+// Command, tenant, id, key and body are forwarded unchanged; d is replaced by the
+// remaining time.
 func TestCommandIsForwarded(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
@@ -77,7 +77,7 @@
 		t.Fatalf("fields %q: %v", got[3], err)
 	}
 	if left < 1 || left > 9000 {
-		t.Fatalf("d=%d, want what is left of 9000", left)
+		t.Fatalf("d=%d, want the remaining part of 9000", left)
 	}
 	got[3] = ""
 	if fmt.Sprint(got) != fmt.Sprint([]string{"Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41", "", "BODY\r\n"}) {
@@ -85,10 +85,10 @@
 	}
 }
 
-// badInput is text that a client may not send.
+// badInput is invalid input from a client.
 type badInput struct {
 	in     string
-	closed bool // the connection ends
+	closed bool // the ingress closes the connection
 }
 
 func badInputs() map[string]badInput {
@@ -129,12 +129,12 @@
 	}
 }
 
-// Bad input gets one error line and reaches no backend. The connection goes on
-// if the framing holds.
+// Invalid input is answered with one error line and not forwarded. The connection
+// stays open if the framing is still valid.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	for name, c := range badInputs() {
 		t.Run(name, func(t *testing.T) {
@@ -160,18 +160,18 @@
 	}
 }
 
-// What happened to an attempt decides the answer to an unsafe request: it may
-// be retried only if the command never ran.
+// The outcome of the attempt decides the answer to an unsafe request: a rejection,
+// which lets the client retry, only if the command has not run.
 func TestUnsafeOutcomes(t *testing.T) {
 	t.Parallel()
-	dead, err := net.Listen("tcp", "127.93.81.7:0") // an address where nobody else takes the port that is free again
+	dead, err := net.Listen("tcp", "127.93.81.7:0") // on this address no other test reuses the freed port
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.Close()
 	for name, c := range map[string]struct {
-		say  func(int, []string, net.Conn) string
-		want string
+		answer func(int, []string, net.Conn) string
+		want   string
 	}{
 		"refused":     {nil, "-BUSY"},
 		"turned away": {func(int, []string, net.Conn) string { return "-BUSY\r\n" }, "-BUSY"},
@@ -189,10 +189,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend := &scripted.Backend{Addr: dead.Addr().String()}
-			if c.say != nil {
-				backend = scripted.NewBackend(t, c.say)
+			if c.answer != nil {
+				backend = scripted.NewBackend(t, c.answer)
 			}
-			list := fleetOf(backend.Addr)
+			list := endpointList(backend.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 			nc, in := dial(t, addr)
 			io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
@@ -207,19 +207,19 @@
 	}
 }
 
-// Answers leave in the order of the commands, whatever the order of the
-// backends' answers.
+// Pipelined commands are answered in their order, whatever the order of the backends'
+// answers.
 func TestPipelinedAnswersInOrder(t *testing.T) {
 	second := make(chan struct{})
 	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		if strings.HasSuffix(args[2], "1") {
-			<-second // the first is answered last
+			<-second // answer the first command after the second
 		} else {
 			close(second)
 		}
 		return "*3\r\n$1\r\n" + args[2][15:] + "\r\n$-1\r\n$-1\r\n"
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	io.WriteString(nc, encodeRead(1, readFields)+encodeRead(2, readFields)+encodeCommand("PING"))
@@ -230,8 +230,8 @@
 	}
 }
 
-// A shutdown answers the commands that were taken, and those that still come on
-// an open connection, before the connection ends.
+// A shutdown answers the accepted commands, and those that still arrive on an open
+// connection, before it closes the connection.
 func TestShutdownAnswersTakenCommands(t *testing.T) {
 	taken, release := make(chan struct{}, 2), make(chan struct{})
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string {
@@ -239,7 +239,7 @@
 		<-release
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, stop := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	io.WriteString(nc, encodeRead(1, readFields))
@@ -259,14 +259,14 @@
 	}
 }
 
-// After a change of discovery's address the list is polled there at once, the
-// watch goes on there, and no client or backend notices.
+// When discovery's address changes, the endpoint list is polled at the new address at
+// once and watched there, without any effect on clients and backends.
 func TestSetDiscoveryAddress(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	list.Rev = 2
-	from, to := scripted.Registry(t, fleetOf(), nil), scripted.Registry(t, list, nil)
-	addr, instance := startInstance(t, testConfig(from, fleetOf()))
+	from, to := scripted.Registry(t, endpointList(), nil), scripted.Registry(t, list, nil)
+	addr, instance := startInstance(t, testConfig(from, endpointList()))
 	nc, in := dial(t, addr)
 	instance.SetAddresses("127.0.0.1:1", "")
 	instance.SetAddresses(to, "")
@@ -274,13 +274,13 @@
 	requireValue(t, in)
 }
 
-// Each command gets its own answer or none: bytes behind an answer, or of no
-// known form, end the backend's connection.
+// Extra bytes after a backend's answer, whether a duplicate or garbage, end the
+// backend's connection, so that they are not taken for the answer to another command.
 func TestOneAnswerForEachCommand(t *testing.T) {
 	value := func(args []string) string {
 		return "*3\r\n$16\r\n" + args[2] + "\r\n$-1\r\n$4\r\nqps=\r\n"
 	}
-	sent := make(chan struct{}, 1) // what stands behind the answer is on its way too
+	sent := make(chan struct{}, 1) // the separately written duplicate has been sent
 	for name, answer := range map[string]func(n int, args []string, nc net.Conn) string{
 		"second copy":  func(_ int, args []string, _ net.Conn) string { return value(args) + value(args) },
 		"noise behind": func(_ int, args []string, _ net.Conn) string { return value(args) + "\x00\xff" },
@@ -293,7 +293,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend := scripted.NewBackend(t, answer)
-			list := fleetOf(backend.Addr)
+			list := endpointList(backend.Addr)
 			addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 			nc, in := dial(t, addr)
 			for i := range 20 {
@@ -312,15 +312,15 @@
 	}
 }
 
-// A machine that has vanished answers nothing and resets nothing. Once an
-// attempt shows that, its other idle connections are not used for further
-// requests: a new one shows within the connect timeout whether it is there.
+// A machine that has failed neither answers nor resets its connections. After an
+// attempt there gets no answer, its other idle connections are not used any more: a
+// new connection shows within the connect timeout whether the backend is reachable.
 func TestIdleConnectionsOfSilentBackendAreDropped(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
 	backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
 		switch {
-		case n <= 3: // all three are out at once, each on its own connection
+		case n <= 3: // the three are in flight together, each on its own connection
 			together.Done()
 			together.Wait()
 		case n == 4:
@@ -328,16 +328,16 @@
 		}
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
-	cfg.Connections.ConnectTimeout = 500 * time.Millisecond // less than the silent request's time
+	cfg.Connections.ConnectTimeout = 500 * time.Millisecond // shorter than the deadline of the unanswered request
 	addr, _ := startIngress(t, cfg)
 	nc, in := dial(t, addr)
 	io.WriteString(nc, encodeRead(1, readFields)+encodeRead(2, readFields)+encodeRead(3, readFields))
 	for range 3 {
 		requireValue(t, in)
 	}
-	time.Sleep(reuseDelay) // the fourth goes out on one of the three
+	time.Sleep(reuseDelay) // so that the fourth uses one of the three connections
 	io.WriteString(nc, encodeRead(4, "c=read,t=p,d=1000,units=1,spread=1,first=0"))
 	if got := readLine(t, in); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("answer %q", got)
@@ -345,17 +345,17 @@
 	io.WriteString(nc, encodeRead(5, readFields))
 	requireValue(t, in)
 	if n := backend.Conns.Load(); n != 4 {
-		t.Fatalf("%d connections, want a new one after the silence", n)
+		t.Fatalf("%d connections, want a new one after the timeout", n)
 	}
 }
 
-// With all descriptors for clients in use, an idle connection is closed for a
-// new one.
+// When all descriptors for clients are in use, an idle connection is closed to admit
+// a new one.
 func TestIdleClientIsEvicted(t *testing.T) {
 	backend := scripted.NewBackend(t, nil)
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
-	cfg.Sockets = 128 // 16 for clients
+	cfg.Sockets = 128 // 48 for clients
 	addr, _ := startIngress(t, cfg)
 	for range 22 {
 		nc, in := dial(t, addr)
@@ -366,11 +366,11 @@
 	}
 }
 
-// Beyond the open requests that the settings allow, or the memory for them, a
-// request is rejected unseen.
+// A request beyond the maximum number of open requests, or the memory for them, is
+// rejected without being queued.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return "" })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Connections.MaxOpen = 2
 	addr, _ := startIngress(t, cfg)
@@ -386,18 +386,18 @@
 	}
 }
 
-// A client that disconnects ends its request: the attempt is canceled.
+// A client's disconnect ends its request: the attempt is canceled.
 func TestClientDisconnectEndsRequest(t *testing.T) {
 	canceled := make(chan struct{})
 	backend := scripted.NewBackend(t, func(_ int, _ []string, nc net.Conn) string {
 		go func() {
-			_, _ = nc.Read(make([]byte, 1)) // ends when the attempt is canceled
+			_, _ = nc.Read(make([]byte, 1)) // returns when the ingress cancels the attempt
 			close(canceled)
 		}()
 		<-canceled
 		return ""
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, _ := dial(t, addr)
 	io.WriteString(nc, encodeRead(1, readFields))
@@ -408,13 +408,13 @@
 	<-canceled
 }
 
-// Clients that send nothing, or a partial command, are closed within 3 s, those
-// that send one request and stay after 2 s. While hundreds of them are
-// connected, other clients still get in.
+// Connections of clients that send nothing or a partial command are closed within
+// 3 s, and those that stay idle after a request after 2 s. While hundreds of them are
+// connected, other clients are still served.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets = 128 // 48 for clients
 	addr, _ := startIngress(t, cfg)
@@ -449,11 +449,11 @@
 	}
 }
 
-// Repeated protocol errors are answered ever more slowly, and end the
-// connection.
+// Repeated protocol errors are answered with increasing delays, and at last the
+// connection is closed.
 func TestRepeatedProtocolErrors(t *testing.T) {
 	t.Parallel()
-	addr, _ := startIngress(t, testConfig(scripted.Registry(t, fleetOf(), nil), fleetOf()))
+	addr, _ := startIngress(t, testConfig(scripted.Registry(t, endpointList(), nil), endpointList()))
 	nc, in := dial(t, addr)
 	io.WriteString(nc, strings.Repeat(encodeCommand("HELLO"), 500))
 	rest, err := io.ReadAll(in)
@@ -462,11 +462,11 @@
 	}
 }
 
-// A request's id is in use until its deadline, also once it has been answered:
-// a copy of it is not served.
+// A request's id is reserved until its deadline, even after the answer: a second
+// request with the same id is not served.
 func TestDuplicateRequestID(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	io.WriteString(nc, encodeRead(1, readFields))
--- a/internal/ingress/large_values_test.go
+++ b/internal/ingress/large_values_test.go
@@ -19,8 +19,9 @@
 	"hitchspring/internal/standin/scripted"
 )
 
-// pattern is a value in which a missing, doubled or foreign piece shows.
-func pattern(seed, size int) []byte {
+// randomValue returns a reproducible pseudorandom value, in which a missing,
+// duplicated or foreign piece is detected.
+func randomValue(seed, size int) []byte {
 	b := make([]byte, size)
 	r := rand.New(rand.NewPCG(uint64(seed), 1))
 	for i := 0; i+8 <= size; i += 8 {
@@ -32,7 +33,7 @@
 	return b
 }
 
-// requestID is the number that encodeRead has put into a command.
+// requestID returns the id that encodeRead has put into a command.
 func requestID(args []string) int {
 	n, _ := strconv.ParseInt(args[2], 16, 32)
 	return int(n)
@@ -42,7 +43,7 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// readValue reads one answer of a value.
+// readValue reads one answer that is a bulk string.
 func readValue(in *bufio.Reader) ([]byte, error) {
 	head, err := in.ReadString('\n')
 	if err != nil {
@@ -59,13 +60,13 @@
 	return b[:n], nil
 }
 
-// Values of all sizes arrive complete and in order on one connection, cut
-// anywhere on the way, also with a stop of 2 s in the middle.
+// Values of all sizes arrive complete and in order on one connection, although the
+// backend sends them in pieces of random size, one with a pause of 2 s.
 func TestLargeValuesInPieces(t *testing.T) {
 	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLargeValue, 3}
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		id := requestID(args)
-		b := []byte(encodeValue(pattern(id, sizes[id])))
+		b := []byte(encodeValue(randomValue(id, sizes[id])))
 		r := rand.New(rand.NewPCG(uint64(id), 2))
 		for len(b) > 0 {
 			k := min(len(b), 1+r.IntN(1+len(b)/3))
@@ -83,7 +84,7 @@
 		}
 		return ""
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, addr)
 	var all string
@@ -93,20 +94,21 @@
 	io.WriteString(nc, all)
 	for id, size := range sizes {
 		v, err := readValue(in)
-		if err != nil || !bytes.Equal(v, pattern(id, size)) {
-			t.Fatalf("value %d of %d bytes: %d bytes came, %v; not what the node sent", id, size, len(v), err)
+		if err != nil || !bytes.Equal(v, randomValue(id, size)) {
+			t.Fatalf("value %d of %d bytes: got %d bytes, %v; not what the backend sent", id, size, len(v), err)
 		}
 	}
 }
 
-// A value that breaks off is visibly cut, a length beyond the bound is no
-// value, and a client that disconnects ends the attempt.
+// If a backend's value ends early, the client's connection is closed before the value
+// is complete. A value with an invalid length is a failure. A client that disconnects
+// within a value ends the attempt.
 func TestTruncatedLargeValue(t *testing.T) {
 	ended := make(chan struct{}, 9)
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		switch requestID(args) {
 		case 1:
-			io.WriteString(nc, encodeValue(pattern(1, 1<<20))[:500000])
+			io.WriteString(nc, encodeValue(randomValue(1, 1<<20))[:500000])
 			nc.Close()
 		case 2:
 			return fmt.Sprintf("*3\r\n$%d\r\nxxx", resp.MaxLargeValue+1)
@@ -115,7 +117,7 @@
 		case 4:
 			go func() {
 				for {
-					if _, err := nc.Write(pattern(4, 64<<10)); err != nil {
+					if _, err := nc.Write(randomValue(4, 64<<10)); err != nil {
 						ended <- struct{}{}
 						return
 					}
@@ -125,19 +127,19 @@
 		}
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := adminConfig(scripted.Registry(t, list, nil), list)
 	instance, _ := runIngress(t, cfg)
 	nc, in := dial(t, instance.Addr().String())
 	io.WriteString(nc, encodeRead(1, readFields))
 	if v, err := readValue(in); err == nil {
-		t.Fatalf("a value that broke off came as %d bytes", len(v))
+		t.Fatalf("a truncated value was answered as a complete one of %d bytes", len(v))
 	}
 	nc, in = dial(t, instance.Addr().String())
 	for id := 2; id <= 3; id++ {
 		io.WriteString(nc, encodeRead(id, readFields))
 		if l := readLine(t, in); l[0] != '-' {
-			t.Fatalf("a length that lies was answered %q", l)
+			t.Fatalf("a value with an invalid length was answered %q", l)
 		}
 	}
 	io.WriteString(nc, encodeRead(4, readFields))
@@ -148,23 +150,24 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the attempt goes on though its client has left")
+		t.Fatal("the attempt goes on after its client has disconnected")
 	}
-	eventually(t, 5*time.Second, "nothing is open", func() bool {
+	eventually(t, 5*time.Second, "no request is open", func() bool {
 		return metricValue(t, instance, "current") == 0
 	})
 	answered := metricValue(t, instance, "transactions.read.answered")
 	errored := metricValue(t, instance, "transactions.read.errored")
 	if answered != 0 || errored == 0 {
-		t.Errorf("answered %d, errored %d: no value was complete", answered, errored)
+		t.Errorf("answered %d, errored %d: want only errors, since no value was complete", answered, errored)
 	}
 }
 
-// Many slow readers of large values cost little memory each, and no other
-// client waits for them.
+// Many clients that read large values slowly need little memory each, and do not
+// delay other clients.
 func TestSlowReadersOfLargeValues(t *testing.T) {
 	const readers, size, other = 200, resp.MaxLargeValue, 1000
-	value := []byte(encodeValue(pattern(0, size))) // one for all: a string is copied for each write
+	// All readers share one byte slice, since a string would be copied for each write.
+	value := []byte(encodeValue(randomValue(0, size)))
 	backend := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
 		if requestID(args) == other {
 			return servedReply
@@ -172,10 +175,10 @@
 		go nc.Write(value)
 		return ""
 	})
-	// A backend has 48 connections, and the engine counts a value that is on its way
-	// as done: it may send a 49th reader there, which is rejected after 5 s and
-	// retries.
-	list := fleetOf(slices.Repeat([]string{backend.Addr}, 24)...)
+	// An instance opens up to 48 connections to a backend. An attempt leaves the window
+	// while its large value is still being transferred, so a 49th request may be sent
+	// to the same backend. It is rejected after 5 s, and the client retries it.
+	list := endpointList(slices.Repeat([]string{backend.Addr}, 24)...)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Sockets, cfg.Memory = 1024, 32<<20
 	addr, _ := startInstance(t, cfg)
@@ -202,9 +205,9 @@
 	begun.Wait()
 	time.Sleep(time.Second)
 	used := heap() - before
-	t.Logf("%d values of %d bytes on their way: %d KiB a reader", readers, size, used/readers>>10)
-	if used > 20<<20 { // the test's clients and backends among them; the rest of 32 MB is for the program itself
-		t.Errorf("%d values of %d bytes hold %d bytes", readers, size, used)
+	t.Logf("%d values of %d bytes in transfer: %d KiB per reader", readers, size, used/readers>>10)
+	if used > 20<<20 { // includes the test's clients and backends; the rest of 32 MB is for the program itself
+		t.Errorf("%d values of %d bytes in transfer use %d bytes", readers, size, used)
 	}
 	nc, in := dial(t, addr)
 	began := time.Now()
@@ -217,8 +220,9 @@
 	wg.Wait()
 }
 
-// readSlowly requests a large value and reads it slowly until stop closes. It
-// retries up to three times if it is rejected, and then calls begun.Done.
+// readSlowly requests a large value and reads it slowly until stop is closed. It
+// retries a rejected request up to three times, and calls begun.Done when the value
+// begins or the retries are exhausted.
 func readSlowly(
 	t *testing.T,
 	nc net.Conn,
@@ -236,7 +240,7 @@
 	}
 	begun.Done()
 	if !strings.HasPrefix(head, "$") {
-		t.Errorf("a slow reader got %q in the place of a value", head)
+		t.Errorf("a slow reader got %q instead of a value", head)
 		return
 	}
 	piece := make([]byte, 64)
@@ -253,21 +257,21 @@
 	}
 }
 
-// A body of up to 4 MiB is forwarded as it came. One for which there is no
-// memory now is rejected and the connection goes on; a longer one is an error.
+// A body of up to 4 MiB is forwarded unchanged. If there is no memory for it, the
+// request is rejected and the connection stays open. A longer body is an error.
 func TestLargeBodies(t *testing.T) {
 	got := make(chan []string, 4)
 	backend := scripted.NewBackend(t, func(_ int, args []string, _ net.Conn) string {
 		got <- args
 		return servedReply
 	})
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
-	cfg.Memory = 32 << 20 // 4 MiB for commands that come in
+	cfg.Memory = 32 << 20 // of which 4 MiB are for incoming commands
 	addr, _ := startInstance(t, cfg)
 	write := func(id, size int) string {
 		return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id),
-			"c=write,t=p,d=50000,units=1,spread=1,first=0", string(pattern(id, size)))
+			"c=write,t=p,d=50000,units=1,spread=1,first=0", string(randomValue(id, size)))
 	}
 	nc, in := dial(t, addr)
 	text := write(1, 1<<20)
@@ -277,12 +281,12 @@
 		from += n
 	}
 	requireValue(t, in)
-	if args := <-got; len(args) != 5 || args[4] != string(pattern(1, 1<<20)) {
-		t.Fatalf("the node got %d arguments, not the body as it came", len(args))
+	if args := <-got; len(args) != 5 || args[4] != string(randomValue(1, 1<<20)) {
+		t.Fatalf("the backend got %d arguments, want 5 with the unchanged body", len(args))
 	}
 	go io.WriteString(nc, write(2, resp.MaxLargeValue)+encodeRead(3, readFields))
 	if l := readLine(t, in); l != "-BUSY 250" {
-		t.Fatalf("a body without room: %q", l)
+		t.Fatalf("a body without memory for it: %q", l)
 	}
 	requireValue(t, in)
 	go io.WriteString(nc, write(4, resp.MaxLargeValue+1))
@@ -291,11 +295,11 @@
 	}
 }
 
-// A client may take two seconds for the fields of a command, and longer for a
-// body that makes progress.
+// A client may take 2 s to send the fields of a command, and longer to send a body
+// that makes progress.
 func TestSlowCommand(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
-	list := fleetOf(backend.Addr)
+	list := endpointList(backend.Addr)
 	addr, _ := startInstance(t, testConfig(scripted.Registry(t, list, nil), list))
 	for name, c := range map[string]struct {
 		text  string
--- a/internal/ingress/partial_test.go
+++ b/internal/ingress/partial_test.go
@@ -9,16 +9,15 @@
 	"time"
 )
 
-// bytePause lies between two bytes of a command that comes in pieces.
+// bytePause is the pause between two bytes of a command that is sent in pieces.
 const bytePause = time.Millisecond
 
-// Commands that come byte by byte are served like others, in order and once
-// each.
+// Commands that arrive byte by byte are served once each and in order.
 func TestCommandsInSingleBytes(t *testing.T) {
 	t.Parallel()
 	backend := newObservedBackend(t, nil)
-	list := fleetOf(backend.addr)
-	addr, _ := startIngress(t, testConfig(registryOf(t, list), list))
+	list := endpointList(backend.addr)
+	addr, _ := startIngress(t, testConfig(startDiscovery(t, list), list))
 	nc, in := dial(t, addr)
 	text := encodeRead(1, readFields) + encodeCommand("PING") + encodeRead(2, readFields) +
 		encodeCommand("HELLO") + encodeRead(3, readFields)
@@ -38,9 +37,9 @@
 	}
 }
 
-// A connection that ends within a command, at whatever byte, ends with nothing
-// forwarded, no answer to the partial command, and its slot free. Earlier
-// commands are answered.
+// If a connection ends within a command, after any number of bytes, the partial
+// command is neither forwarded nor answered, and the connection slot becomes free.
+// Earlier commands are answered.
 func TestConnectionEndsWithinCommand(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*net.TCPConn) error{
@@ -56,13 +55,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := newObservedBackend(t, nil)
-			list := fleetOf(backend.addr)
-			addr, instance := startInstance(t, testConfig(registryOf(t, list), list))
+			list := endpointList(backend.addr)
+			addr, instance := startInstance(t, testConfig(startDiscovery(t, list), list))
 			text := encodeRead(1<<20, readFields)
 			for cut := 1; cut < len(text); cut++ {
 				endWithinCommand(t, addr, text, cut, name == "half closed", end)
 			}
-			eventually(t, 5*time.Second, "no connection is kept", func() bool {
+			eventually(t, 5*time.Second, "all connections are closed", func() bool {
 				return instance.front.Load().OpenConnections() == 0
 			})
 			if n, _ := backend.commands(); n != (len(text)-1)/5 {
@@ -75,10 +74,10 @@
 	}
 }
 
-// endWithinCommand sends the first bytes of a command and ends the connection. On
-// every fifth connection a complete command comes first; on every third the bytes
-// are read before the end comes. A half-closed connection must end without an
-// answer.
+// endWithinCommand sends the first cut bytes of a command and ends the connection.
+// If cut is a multiple of 5, a complete command comes first; if it is a multiple of
+// 3, the ingress has time to read the bytes before the end. A half-closed connection
+// must be closed without an answer.
 func endWithinCommand(t *testing.T, addr, text string, cut int, halfClosed bool, end func(*net.TCPConn) error) {
 	t.Helper()
 	nc, in := dial(t, addr)
@@ -101,25 +100,25 @@
 	}
 }
 
-// The rest of a command that is partial at SIGTERM is waited for. The command
-// is served while the ingress serves, then rejected. If the rest doesn't come,
-// the command ends with its connection, and never keeps the process beyond its
-// time.
+// A shutdown waits for the rest of partial commands. If the rest arrives while the
+// ingress still accepts commands, the command is served, afterwards it is rejected.
+// If the rest never arrives, the connection is closed and does not delay the process
+// exit beyond the shutdown timeout.
 func TestPartialCommandAtShutdown(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name  string
-		after time.Duration // of SIGTERM, when the rest comes; 0: never
-		want  string        // the begin of its one answer; "": none, or an error
+		after time.Duration // from SIGTERM until the rest is sent; 0 if it is never sent
+		want  string        // prefix of the only answer; if empty, there is no answer or an error
 	}{
-		{"the rest while it serves", 200 * time.Millisecond, "$5"},
-		{"the rest behind the close of the listener", listenerGrace + 30*time.Millisecond, "$5"},
+		{"the rest while the listener is open", 200 * time.Millisecond, "$5"},
+		{"the rest after the listener is closed", listenerGrace + 30*time.Millisecond, "$5"},
 		{"the rest too late", commandGrace + 300*time.Millisecond, "-BUSY "},
 		{"no rest", 0, ""},
 	}
 	backend := newObservedBackend(t, nil)
-	list := fleetOf(backend.addr)
-	addr, stop := startIngress(t, testConfig(registryOf(t, list), list))
+	list := endpointList(backend.addr)
+	addr, stop := startIngress(t, testConfig(startDiscovery(t, list), list))
 	type client struct {
 		nc  net.Conn
 		all chan string
@@ -135,7 +134,7 @@
 			clients[n].all <- string(rest)
 		}()
 	}
-	time.Sleep(20 * time.Millisecond) // they are read
+	time.Sleep(20 * time.Millisecond) // until the ingress has read them
 	began := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
@@ -160,14 +159,14 @@
 		t.Errorf("ended %v after SIGTERM, want %v at the most", took, limit)
 	}
 	if n, _ := backend.commands(); n != 2 {
-		t.Errorf("%d commands were forwarded, want those of two", n)
+		t.Errorf("%d commands were forwarded, want 2", n)
 	}
 }
 
-// A backend that answers a part and falls silent, at whatever byte, is waited
-// for 0.2 s. The request has one end: the answer of another backend if it may
-// be retried, else a failure. The connection with the part is closed, so that
-// the rest is not taken for another answer.
+// A backend sends part of an answer, of any length, and then nothing more. The
+// ingress waits 0.2 s for the rest. Then the request is retried if that is safe, else
+// it fails. The connection is closed, so that the rest is not taken for the answer to
+// another command.
 func TestBackendFallsSilentWithinAnswer(t *testing.T) {
 	t.Parallel()
 	const attempts = 2
@@ -189,15 +188,15 @@
 }
 
 func testSilenceWithinAnswer(t *testing.T, command, want string, cut, attempts int) {
-	const maxAnswerTime = 2 * time.Second // 0.2 s for the backend, and some for a busy machine; the request has 50 s
+	const maxAnswerTime = 2 * time.Second // well above the 0.2 s wait, and far below the deadline of 50 s
 	backend := newObservedBackend(t, func(n int) string {
 		if n == 1 {
 			return servedReply[:cut]
 		}
 		return servedReply
 	})
-	list := fleetOf(backend.addr)
-	cfg := testConfig(registryOf(t, list), list)
+	list := endpointList(backend.addr)
+	cfg := testConfig(startDiscovery(t, list), list)
 	cfg.Settings.MaxAttempts = attempts
 	addr, _ := startIngress(t, cfg)
 	nc, in := dial(t, addr)
@@ -214,10 +213,10 @@
 		t.Errorf("answered after %v, want %v at most", took, maxAnswerTime)
 	}
 	if got := readLine(t, in); got != "+PONG" {
-		t.Fatalf("got %q behind the answer, want +PONG", got)
+		t.Fatalf("got %q after the answer, want +PONG", got)
 	}
-	// The ingress closes it before it sends the second attempt; the backend sees that when its reader runs.
-	eventually(t, time.Second, "the connection with the part is closed", func() bool {
+	// The ingress closes it before the second attempt, but the backend's reader may notice that later.
+	eventually(t, time.Second, "the connection with the partial answer is closed", func() bool {
 		return backend.connections() <= 1
 	})
 }
--- a/internal/ingress/peer_metrics.go
+++ b/internal/ingress/peer_metrics.go
@@ -6,7 +6,8 @@
 	"hitchspring/internal/peers"
 )
 
-// peerCollector exports what this instance knows of its peers, read at each scrape.
+// peerCollector exports the status of the peers as Prometheus metrics. It reads the
+// status at each scrape.
 type peerCollector struct {
 	status func() (peers.Status, bool)
 
@@ -24,17 +25,17 @@
 func newPeerCollector(status func() (peers.Status, bool)) *peerCollector {
 	return &peerCollector{
 		status:   status,
-		members:  describe("peers_members", "Other instances by what is believed of them.", "state"),
-		facts:    describe("peers_facts", "Facts that are held, of all instances."),
-		bytes:    describe("peers_facts_bytes", "Memory that facts take."),
-		messages: describe("peers_messages_total", "Datagrams from and to other instances.", "way"),
-		traffic:  describe("peers_bytes_total", "Bytes of datagrams from and to other instances.", "way"),
-		ignored:  describe("peers_left_aside_total", "Datagrams and parts of them that were left aside.", "why"),
-		refuted: describe("peers_refuted_total",
+		members:  newMetricDesc("peers_members", "Other instances by what is believed of them.", "state"),
+		facts:    newMetricDesc("peers_facts", "Facts that are held, of all instances."),
+		bytes:    newMetricDesc("peers_facts_bytes", "Memory that facts take."),
+		messages: newMetricDesc("peers_messages_total", "Datagrams from and to other instances.", "way"),
+		traffic:  newMetricDesc("peers_bytes_total", "Bytes of datagrams from and to other instances.", "way"),
+		ignored:  newMetricDesc("peers_left_aside_total", "Datagrams and parts of them that were left aside.", "why"),
+		refuted: newMetricDesc("peers_refuted_total",
 			"Times that others took this instance for gone and were told otherwise."),
-		deaths: describe("peers_refuted_deaths_total",
+		deaths: newMetricDesc("peers_refuted_deaths_total",
 			"Times that this instance took another for gone which was there."),
-		stalls: describe("peers_stalls_total", "Times that this process did not run for long."),
+		stalls: newMetricDesc("peers_stalls_total", "Times that this process did not run for long."),
 	}
 }
 
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -14,14 +14,14 @@
 	"hitchspring/internal/takeover"
 )
 
-// peerLink is the connection to the other instances. Until Run has joined them it
-// knows of none, and what is published is dropped.
+// peerLink is the core's link to the other instances. Before Run has joined them,
+// its queries return nothing, and what is published or sent is dropped.
 type peerLink struct {
 	name   string // of this instance among its peers
 	joined atomic.Pointer[peers.Peers]
-	// changeMu is held while the members are read and passed to the core, so
-	// that an earlier view never follows a later one.
-	changeMu sync.Mutex
+	// membersMu is held from reading the list of members until the core has it,
+	// so that the core never gets an older list after a newer one.
+	membersMu sync.Mutex
 }
 
 // Publish implements core.Peers.
@@ -57,7 +57,8 @@
 	}
 }
 
-// ClockReading returns the clock of another instance, as its last message had it.
+// ClockReading returns the clock reading in the last message from another instance,
+// or 0 if there is none.
 func (l *peerLink) ClockReading(name string) time.Duration {
 	if p := l.joined.Load(); p != nil {
 		return p.ClockReading(name)
@@ -65,8 +66,8 @@
 	return 0
 }
 
-// joinPeers joins the other instances, if the configuration has any, until leave is
-// called.
+// joinPeers joins the other instances, if the configuration has peers. Calling
+// leave ends the membership.
 func (i *Instance) joinPeers() (leave func(), err error) {
 	if i.config.Peers == nil {
 		return func() {}, nil
@@ -92,18 +93,18 @@
 	}
 	i.peers.joined.Store(p)
 	if exchangesMessages {
-		i.peersChanged(nil) // the members that were found before joined was set
+		i.peersChanged(nil) // passes on members that were found before joined was set
 	}
 	return p.Close, nil
 }
 
-// peerSyncWait is how long a starting instance waits for what another one knows.
-// Without an answer it serves all the same.
-const peerSyncWait = 30 * time.Millisecond
+// peerSyncTimeout is how long a starting instance waits for the state of its peers.
+// Without an answer it starts to serve all the same.
+const peerSyncTimeout = 30 * time.Millisecond
 
-// awaitPeerSync has the core know what the other instances know before the first
-// client comes. Otherwise its first requests would go to backends that all others
-// avoid.
+// awaitPeerSync waits for the peers' observations of backends and passes them to
+// the core before the first client connects. Otherwise the first requests would go
+// to backends that all other instances avoid.
 func (i *Instance) awaitPeerSync(ctx context.Context) {
 	if i.peers == nil {
 		return
@@ -114,21 +115,21 @@
 	}
 	select {
 	case <-p.Synced():
-	case <-time.After(peerSyncWait):
+	case <-time.After(peerSyncTimeout):
 	case <-ctx.Done():
 	}
 	i.core.AssessBackends()
 }
 
-// peersChanged passes the members to the core, and the incarnations that have
-// ended, started or left.
+// peersChanged passes the current members to the core, and which incarnations have
+// started, ended or left.
 func (i *Instance) peersChanged(changes []swim.Change) {
 	p := i.peers.joined.Load()
 	if p == nil {
 		return
 	}
-	i.peers.changeMu.Lock()
-	defer i.peers.changeMu.Unlock()
+	i.peers.membersMu.Lock()
+	defer i.peers.membersMu.Unlock()
 	var members []takeover.Member
 	for _, m := range p.Members() {
 		members = append(members, takeover.Member{Name: m.Name, Zone: m.Zone})
@@ -136,18 +137,18 @@
 	i.core.UpdateMembers(members, memberChanges(changes))
 }
 
-// memberChanges returns what changes of the membership mean for the core, in
-// their order.
+// memberChanges converts membership changes to those of the core, in the same
+// order.
 func memberChanges(changes []swim.Change) []core.MemberChange {
 	var out []core.MemberChange
 	for _, c := range changes {
 		incarnation := core.Incarnation{Name: c.Name, Number: c.Incarnation}
 		if c.State > swim.Suspect {
-			surely := c.State == swim.Left || c.Confirmed
-			out = append(out, core.MemberChange{Incarnation: incarnation, Ended: true, Surely: surely})
+			confirmed := c.State == swim.Left || c.Confirmed
+			out = append(out, core.MemberChange{Incarnation: incarnation, Ended: true, Surely: confirmed})
 			continue
 		}
-		if c.New && c.Incarnation > 0 { // an earlier incarnation has ended, whether or not that was seen
+		if c.New && c.Incarnation > 0 { // so the previous incarnation has ended, even if its end was not observed
 			earlier := core.Incarnation{Name: c.Name, Number: c.Incarnation - 1}
 			out = append(out, core.MemberChange{Incarnation: earlier, Ended: true})
 		}
@@ -156,10 +157,12 @@
 	return out
 }
 
-// errNoFront says that requests cannot be rebuilt before clients are accepted.
-var errNoFront = errors.New("this instance serves nobody yet")
+// errNoFront is returned for a request to be taken over before the instance accepts
+// clients, since the front that parses commands is missing.
+var errNoFront = errors.New("this instance does not accept clients yet")
 
-// rebuildRequest makes a request of a command that another instance has received.
+// rebuildRequest parses a command that another instance received, to take over its
+// request.
 func (i *Instance) rebuildRequest(args [][]byte) (*core.Request, error) {
 	front := i.front.Load()
 	if front == nil {
@@ -168,8 +171,8 @@
 	return front.Rebuild(args)
 }
 
-// PeersStatus is what this instance knows of its peers. It reports false if there
-// are none.
+// PeersStatus returns the status of the peers, or false if this instance has not
+// joined any.
 func (i *Instance) PeersStatus() (peers.Status, bool) {
 	if i.peers == nil {
 		return peers.Status{}, false
--- a/internal/ingress/peers_test.go
+++ b/internal/ingress/peers_test.go
@@ -8,8 +8,8 @@
 	"hitchspring/internal/swim"
 )
 
-// The core is told of deaths and refutations in their order, and of the end of
-// the incarnation before a new one, in whatever state that one is first heard.
+// The core is notified of deaths and refutations in their order. A new incarnation
+// also ends the previous one, whether it is first heard of as alive or suspect.
 func TestMemberChangesKeepTheirOrder(t *testing.T) {
 	change := func(state swim.State, incarnation uint64, added bool) swim.Change {
 		return swim.Change{Update: swim.Update{Name: "n1", Incarnation: incarnation, State: state}, New: added}
@@ -24,7 +24,7 @@
 		changes []swim.Change
 		want    []core.MemberChange
 	}{
-		"a refuted death, and another": {
+		"a refuted death, and another death": {
 			changes: []swim.Change{
 				change(swim.Dead, 5, false),
 				change(swim.Alive, 5, false),
@@ -36,7 +36,7 @@
 			changes: []swim.Change{change(swim.Alive, 6, true)},
 			want:    []core.MemberChange{ended(5), alive(6)},
 		},
-		"a new incarnation that is suspected when it is first heard": {
+		"a new incarnation that is first heard of as suspect": {
 			changes: []swim.Change{change(swim.Suspect, 6, true), change(swim.Alive, 6, false)},
 			want:    []core.MemberChange{ended(5), alive(6), alive(6)},
 		},
--- a/internal/ingress/proxy_client_test.go
+++ b/internal/ingress/proxy_client_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// proxyClient is the HTTP client of a reverse proxy.
+// proxyClient is a reverse proxy's HTTP client of the forward-auth front.
 type proxyClient struct {
 	t       *testing.T
 	baseURL string
@@ -28,7 +28,7 @@
 	}
 }
 
-// proxyAnswer is the answer to a call or a report.
+// proxyAnswer is the HTTP answer to a call or a report.
 type proxyAnswer struct {
 	status                  int
 	lease, backend          string
@@ -103,6 +103,6 @@
 		c.t.Fatal(err)
 	}
 	out := reportAnswer{Status: a.status}
-	_ = json.Unmarshal([]byte(a.body), &out) // an error has another body
+	_ = json.Unmarshal([]byte(a.body), &out) // the body of an error has other fields
 	return out
 }
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	quotaBoundsTimeout = time.Second      // for the event loop
-	maxDisconnection   = 10 * time.Minute // that quota bounds are computed for
+	quotaBoundsTimeout = time.Second      // for the event loop to compute the bounds
+	maxDisconnection   = 10 * time.Minute // longest disconnection that a caller may ask about
 )
 
-// serveQuotaBounds answers how quotas stand and how much may be overspent, for
-// `hitchspring status budgets`. The parameter for is how long instances are
-// disconnected from one another.
+// serveQuotaBounds answers with the state of the quotas and their overrun bounds,
+// for `hitchspring status budgets`. The query parameter "for" is how long the
+// instances are assumed to be disconnected from one another.
 func (i *Instance) serveQuotaBounds(w http.ResponseWriter, r *http.Request) {
 	disconnection := time.Duration(0)
 	if text := r.URL.Query().Get("for"); text != "" {
@@ -33,8 +33,8 @@
 	writeStatus(w, bounds, err == nil, "the event loop has no time")
 }
 
-// serveEscrow answers which allocations of quotas have moved, for `hitchspring
-// status rights`.
+// serveEscrow answers with the quota allocations that instances have transferred,
+// for `hitchspring status rights`.
 func (i *Instance) serveEscrow(w http.ResponseWriter, _ *http.Request) {
 	status, ok := i.core.EscrowStatus()
 	writeStatus(w, status, ok, "parts of budgets are even: [rights] is off")
--- a/internal/ingress/quota_test.go
+++ b/internal/ingress/quota_test.go
@@ -13,10 +13,10 @@
 	"hitchspring/policy"
 )
 
-// An instance answers how its quotas stand. A duration that is none is an error
-// of one line that names it.
+// /budgets answers with the overrun bound of each quota. An invalid duration is
+// answered with a one-line error that quotes it.
 func TestQuotaBounds(t *testing.T) {
-	list := fleetOf(scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply }).Addr)
+	list := endpointList(scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply }).Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	cfg.Metrics = freeAddr(t)
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 5, Burst: 9}}
@@ -40,7 +40,7 @@
 	}
 	bound := all[0]
 	if bound.Tenant != "00000000b4d65521" || bound.Mode != overrun.NeverHeard ||
-		bound.MaxSpend < 50 || bound.MaxSpend > 62 { // a block of 9, one spent, and 50 in 10 s
+		bound.MaxSpend < 50 || bound.MaxSpend > 62 { // a burst of 9, of which 1 is spent, and 50 units in 10 s
 		t.Errorf("%+v", bound)
 	}
 	for _, bad := range []string{"11h", "x", "-1s"} {
--- a/internal/ingress/reload_test.go
+++ b/internal/ingress/reload_test.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	// Commands to a backend stop this soon after discovery can be reached and has
-	// the change.
-	stopsWithin = 2 * time.Second
-	// The same for many instances that move to one discovery: they begin there
-	// within 2 s of one another.
-	stopsWithinAtMove = 3 * time.Second
-	// The same if the watches of many end: they come back within 4 s.
-	stopsWithinAtReturn = 5 * time.Second
-	// The same for many instances that poll, after a call that failed.
-	stopsWithinAfterFailure = 6 * time.Second
-	// A backend is observed for this long after that.
+	// maxStopDelay is the maximum time from when discovery is reachable and has a
+	// drain or removal of a backend until the last command to that backend.
+	maxStopDelay = 2 * time.Second
+	// maxStopDelayAfterMove is the same after many instances change to one discovery
+	// agent: they spread their first requests over 2 s.
+	maxStopDelayAfterMove = 3 * time.Second
+	// maxStopDelayAfterWatchEnd is the same after the watches of many instances end:
+	// they reconnect within 4 s.
+	maxStopDelayAfterWatchEnd = 5 * time.Second
+	// maxStopDelayAfterFailure is the same for many polling instances after a failed
+	// request.
+	maxStopDelayAfterFailure = 6 * time.Second
+	// observationTime is how long a backend is observed after that.
 	observationTime = 500 * time.Millisecond
 
-	loadClients  = 6
-	loadPause    = 3 * time.Millisecond
-	agentRevives = 700 * time.Millisecond
+	loadClients    = 6
+	loadPause      = 3 * time.Millisecond
+	initialSilence = 700 * time.Millisecond
 )
 
-// discoveryAgent is a stand-in of discovery whose calls a test answers one by
-// one: list is for a poll, watch for the nth watch, from 1.
-type discoveryAgent struct {
+// scriptedDiscovery is a stand-in for discovery. A test provides the handlers: list
+// answers polls, watch answers the nth watch, from 1.
+type scriptedDiscovery struct {
 	addr    string
 	mu      sync.Mutex
 	watches int
@@ -43,13 +45,13 @@
 	watch   func(n int, w http.ResponseWriter, r *http.Request)
 }
 
-func newDiscoveryAgent(
+func newScriptedDiscovery(
 	t testing.TB,
 	list func(http.ResponseWriter, *http.Request),
 	watch func(int, http.ResponseWriter, *http.Request),
-) *discoveryAgent {
+) *scriptedDiscovery {
 	t.Helper()
-	a := &discoveryAgent{list: list, watch: watch}
+	a := &scriptedDiscovery{list: list, watch: watch}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("follow") == "" {
 			a.list(w, r)
@@ -69,11 +71,11 @@
 	return a
 }
 
-// registryOf is an agent of one list whose watch stays open, and begins with
-// the list if the caller holds another revision.
-func registryOf(t testing.TB, list discovery.List) (addr string) {
+// startDiscovery starts a discovery stand-in that always has the same list. Its watch
+// stays open, and begins with the list if the caller has another revision.
+func startDiscovery(t testing.TB, list discovery.List) (addr string) {
 	t.Helper()
-	return newDiscoveryAgent(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
+	return newScriptedDiscovery(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("since") != fmt.Sprint(list.Rev) {
 			serveList(list)(w, r)
 		}
@@ -81,7 +83,7 @@
 	}).addr
 }
 
-// serveList answers a call with a list.
+// serveList returns a handler that answers with a list.
 func serveList(list discovery.List) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(list)
@@ -89,7 +91,8 @@
 	}
 }
 
-// keepWatchOpen keeps a watch open, with an empty line now and then.
+// keepWatchOpen sends an empty line as a keepalive every second until the caller
+// disconnects.
 func keepWatchOpen(w http.ResponseWriter, r *http.Request) {
 	w.(http.Flusher).Flush()
 	for {
@@ -103,9 +106,9 @@
 	}
 }
 
-// withFirstBackend returns a list with another revision and another state of
-// its first backend, or without it if state is empty.
-func withFirstBackend(list discovery.List, rev int64, state string) discovery.List {
+// withFirstBackendState returns a copy of list with another revision and the given
+// state of its first backend, or without that backend if state is empty.
+func withFirstBackendState(list discovery.List, rev int64, state string) discovery.List {
 	out := discovery.List{Rev: rev, Complete: true}
 	for n, target := range list.Targets {
 		if n == 0 {
@@ -118,8 +121,8 @@
 	return out
 }
 
-// startLoad sends requests without a pause, from several clients, until the
-// test ends. Each is to be served.
+// startLoad sends requests from several clients until the test ends. Each request
+// must be served.
 func startLoad(t *testing.T, addr string) {
 	t.Helper()
 	stop := make(chan struct{})
@@ -151,96 +154,98 @@
 	})
 }
 
-// SIGHUP moves discovery while a backend drains, and lists come in the worst
-// ways that the platform allows. From 2 s after the change could be known,
-// nothing new reaches the backend that drains or is unlisted, though it still
-// answers; its idle connections are closed; all clients are served by the
-// others, queued ones too.
+// A reload changes discovery's address while a backend is drained or removed, and the
+// new list arrives in the most awkward ways that the platform allows. From 2 s after
+// the change is available, the backend must get no commands although it still answers
+// (later with many instances), its connections must be closed, and all requests,
+// queued ones included, must be served by the other backend.
 func TestReloadWhileBackendDrains(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		state   string // of the first backend by the new list; "": left out
+		state   string // of the first backend in the new list; "" removes it
 		to      func(t *testing.T, list discovery.List, state string) (addr string)
-		reached time.Duration // after the move, when the new address answers first
-		failed  bool          // a call failed or was silent: many instances pace their next ones
+		reached time.Duration // from the change of address until the new one answers
+		failed  bool          // a request fails or gets no answer, so that many instances spread the next ones
 	}{
-		"complete list with the drain":            {state: "DRAINING", to: listed},
-		"complete list without the backend":       {to: listed},
-		"complete list on the watch alone":        {to: listedOnWatch},
-		"complete list after the new watch ended": {failed: true, to: listedAfterEndedWatch},
-		"complete list after a silence":           {failed: true, to: listedAfterSilence, reached: agentRevives},
+		"complete list with the drain":            {state: "DRAINING", to: changeOnEveryCall},
+		"complete list without the backend":       {to: changeOnEveryCall},
+		"complete list on the watch alone":        {to: changeOnWatchOnly},
+		"complete list after the new watch ended": {failed: true, to: changeAfterEndedWatch},
+		"complete list after a silence":           {failed: true, to: changeAfterSilence, reached: initialSilence},
 	} {
 		for _, many := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, many %v", name, many), func(t *testing.T) {
 				t.Parallel()
-				drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
-				list := fleetOf(drains.addr, stays.addr)
+				draining, other := newObservedBackend(t, nil), newObservedBackend(t, nil)
+				list := endpointList(draining.addr, other.addr)
 				list.Rev = 5
-				addr, instance := startInstance(t, reloadConfig(registryOf(t, list), list, many))
+				addr, instance := startInstance(t, reloadConfig(startDiscovery(t, list), list, many))
 				startLoad(t, addr)
-				awaitLoad(t, drains)
+				awaitCommands(t, draining)
 				to := c.to(t, list, c.state)
 				moved := time.Now()
 				instance.SetAddresses(to, "")
-				within := stopsWithin
+				within := maxStopDelay
 				switch {
 				case many && c.failed:
-					within = stopsWithinAfterFailure
+					within = maxStopDelayAfterFailure
 				case many:
-					within = stopsWithinAtMove
+					within = maxStopDelayAfterMove
 				}
-				nothingMoreAt(t, drains, moved.Add(c.reached), within)
+				requireNoNewCommands(t, draining, moved.Add(c.reached), within)
 			})
 		}
 	}
 }
 
-// listedOnWatch is an agent that has the change on its watch, and answers no poll.
-func listedOnWatch(t *testing.T, list discovery.List, state string) string {
+// changeOnWatchOnly starts a discovery stand-in that sends the change on watches and
+// answers polls with an error.
+func changeOnWatchOnly(t *testing.T, list discovery.List, state string) string {
 	t.Helper()
-	return newDiscoveryAgent(t, unavailable, func(_ int, w http.ResponseWriter, r *http.Request) {
-		serveList(withFirstBackend(list, 6, state))(w, r)
+	return newScriptedDiscovery(t, unavailable, func(_ int, w http.ResponseWriter, r *http.Request) {
+		serveList(withFirstBackendState(list, 6, state))(w, r)
 		keepWatchOpen(w, r)
 	}).addr
 }
 
-// listedAfterEndedWatch is one whose first watch ends without the change.
-func listedAfterEndedWatch(t *testing.T, list discovery.List, state string) string {
+// changeAfterEndedWatch starts a discovery stand-in whose first watch ends without
+// the change. Later watches have it, and polls are answered with an error.
+func changeAfterEndedWatch(t *testing.T, list discovery.List, state string) string {
 	t.Helper()
-	return newDiscoveryAgent(t, unavailable, func(n int, w http.ResponseWriter, r *http.Request) {
+	return newScriptedDiscovery(t, unavailable, func(n int, w http.ResponseWriter, r *http.Request) {
 		if n > 1 {
-			serveList(withFirstBackend(list, 6, state))(w, r)
+			serveList(withFirstBackendState(list, 6, state))(w, r)
 			keepWatchOpen(w, r)
 		}
 	}).addr
 }
 
-// listedAfterSilence is one that accepts calls, and answers those that come from
-// agentRevives on.
-func listedAfterSilence(t *testing.T, list discovery.List, state string) string {
+// changeAfterSilence starts a discovery stand-in that does not answer requests during
+// the first initialSilence, and answers later ones with the change.
+func changeAfterSilence(t *testing.T, list discovery.List, state string) string {
 	t.Helper()
 	began := time.Now()
 	hang := func(r *http.Request) bool {
-		if time.Since(began) < agentRevives {
+		if time.Since(began) < initialSilence {
 			<-r.Context().Done()
 			return true
 		}
 		return false
 	}
-	return newDiscoveryAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	return newScriptedDiscovery(t, func(w http.ResponseWriter, r *http.Request) {
 		if !hang(r) {
-			serveList(withFirstBackend(list, 6, state))(w, r)
+			serveList(withFirstBackendState(list, 6, state))(w, r)
 		}
 	}, func(_ int, w http.ResponseWriter, r *http.Request) {
 		if !hang(r) {
-			serveList(withFirstBackend(list, 6, state))(w, r)
+			serveList(withFirstBackendState(list, 6, state))(w, r)
 			keepWatchOpen(w, r)
 		}
 	}).addr
 }
 
-// reloadConfig is of an ingress alone, or of one of 24 instances that poll one
-// discovery.
+// reloadConfig returns the configuration of a single instance, or if many is set, of
+// one of 24 instances that poll one discovery agent.
 func reloadConfig(discoveryAddr string, known discovery.List, many bool) Config {
 	cfg := testConfig(discoveryAddr, known)
 	cfg.Settings.MaxAttempts, cfg.Settings.MayProbe = 3, true
@@ -250,8 +255,8 @@
 	return cfg
 }
 
-// A watch that ends is followed by a complete list without a backend, or in
-// which it drains. The change counts as known from then on.
+// After a watch ends, the next one begins with a complete list in which a backend is
+// missing or drains. The time limit for the change counts from the end of the watch.
 func TestCompleteListAfterEndedWatch(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ last, state string }{
@@ -259,14 +264,14 @@
 		{"", "DRAINING"},
 		{`{"rev":6,"all":true,"tar`, ""}, // the watch ends within a list
 	} {
-		for _, many := range []bool{false, true} { // instances that share what discovery can do
-			t.Run(fmt.Sprintf("last word %q, state %q, many %v", c.last, c.state, many), func(t *testing.T) {
+		for _, many := range []bool{false, true} { // whether many instances share one discovery agent
+			t.Run(fmt.Sprintf("last bytes %q, state %q, many %v", c.last, c.state, many), func(t *testing.T) {
 				t.Parallel()
-				drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
-				list := fleetOf(drains.addr, stays.addr)
+				draining, other := newObservedBackend(t, nil), newObservedBackend(t, nil)
+				list := endpointList(draining.addr, other.addr)
 				list.Rev = 5
 				end := make(chan struct{})
-				a := newDiscoveryAgent(t, serveList(list), func(n int, w http.ResponseWriter, r *http.Request) {
+				a := newScriptedDiscovery(t, serveList(list), func(n int, w http.ResponseWriter, r *http.Request) {
 					w.(http.Flusher).Flush()
 					if n == 1 {
 						io.WriteString(w, "\n")
@@ -275,12 +280,12 @@
 						io.WriteString(w, c.last)
 						return
 					}
-					serveList(withFirstBackend(list, 6, c.state))(w, r)
+					serveList(withFirstBackendState(list, 6, c.state))(w, r)
 					keepWatchOpen(w, r)
 				})
 				addr, _ := startIngress(t, reloadConfig(a.addr, list, many))
 				startLoad(t, addr)
-				awaitLoad(t, drains)
+				awaitCommands(t, draining)
 				eventually(t, 5*time.Second, "the watch is open", func() bool {
 					a.mu.Lock()
 					defer a.mu.Unlock()
@@ -288,51 +293,51 @@
 				})
 				ended := time.Now()
 				close(end)
-				within := stopsWithin
+				within := maxStopDelay
 				if many {
-					within = stopsWithinAtReturn
+					within = maxStopDelayAfterWatchEnd
 				}
-				nothingMoreAt(t, drains, ended, within)
+				requireNoNewCommands(t, draining, ended, within)
 			})
 		}
 	}
 }
 
-// A drain that is known holds over a move to an agent that is behind: an older
-// list, although complete, revives no backend.
-func TestReloadToOlderListRevivesNoBackend(t *testing.T) {
+// A known drain holds when discovery's address changes to an agent with an older
+// revision: its list, although complete, does not put the backend back into use.
+func TestReloadToOlderListKeepsDrain(t *testing.T) {
 	t.Parallel()
-	drains, stays := newObservedBackend(t, nil), newObservedBackend(t, nil)
-	list := fleetOf(drains.addr, stays.addr)
+	draining, other := newObservedBackend(t, nil), newObservedBackend(t, nil)
+	list := endpointList(draining.addr, other.addr)
 	list.Rev = 5
-	from := newDiscoveryAgent(t, serveList(withFirstBackend(list, 6, "DRAINING")),
+	from := newScriptedDiscovery(t, serveList(withFirstBackendState(list, 6, "DRAINING")),
 		func(_ int, w http.ResponseWriter, r *http.Request) { keepWatchOpen(w, r) })
 	addr, instance := startInstance(t, reloadConfig(from.addr, list, false))
 	knownAt := time.Now()
 	startLoad(t, addr)
 	time.Sleep(observationTime)
-	instance.SetAddresses(registryOf(t, list), "") // revision 5, in which it serves
-	nothingMoreAt(t, drains, knownAt, stopsWithin)
+	instance.SetAddresses(startDiscovery(t, list), "") // revision 5, in which it serves
+	requireNoNewCommands(t, draining, knownAt, maxStopDelay)
 }
 
-// Attempts at a backend that a complete list leaves out complete there, and
-// their answers reach the clients; then the connections to it are closed. If it
-// is listed again later, it is used again.
-func TestUnlistedBackendCompletesItsWork(t *testing.T) {
+// Attempts in flight at a backend that is missing from a complete list still end
+// there, and clients get their answers; then the connections to it are closed. If the
+// backend is listed again later, it is used again.
+func TestUnlistedBackendCompletesItsRequests(t *testing.T) {
 	t.Parallel()
-	const running, firstID = 3, 1 << 30 // requests that it works on; they are unsafe
+	const running, firstID = 3, 1 << 30 // number and first id of the unsafe requests in flight
 	unsafe := strings.Replace(readFields, "c=read", "c=write", 1)
 	release := make(chan struct{})
-	leaves := newObservedBackend(t, func(n int) string {
+	unlisted := newObservedBackend(t, func(n int) string {
 		if n <= running {
 			<-release
 		}
 		return servedReply
 	})
-	stays := newObservedBackend(t, nil)
-	list := fleetOf(leaves.addr)
+	other := newObservedBackend(t, nil)
+	list := endpointList(unlisted.addr)
 	changes := make(chan discovery.List)
-	a := newDiscoveryAgent(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
+	a := newScriptedDiscovery(t, serveList(list), func(_ int, w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		for {
 			select {
@@ -348,70 +353,71 @@
 	for id := range running {
 		io.WriteString(waiting, encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", firstID+id), unsafe))
 	}
-	eventually(t, 5*time.Second, "it works on them", func() bool {
-		n, _ := leaves.commands()
+	eventually(t, 5*time.Second, "the backend has received them", func() bool {
+		n, _ := unlisted.commands()
 		return n == running
 	})
-	both := fleetOf(leaves.addr, stays.addr)
-	changes <- withFirstBackend(both, 2, "")
+	both := endpointList(unlisted.addr, other.addr)
+	changes <- withFirstBackendState(both, 2, "")
 	startLoad(t, addr)
-	awaitLoad(t, stays) // the change is known
-	before, _ := leaves.commands()
+	awaitCommands(t, other) // then the change has been applied
+	before, _ := unlisted.commands()
 	time.Sleep(observationTime)
-	if n, _ := leaves.commands(); n > before {
-		t.Errorf("%d commands came after the list", n-before)
+	if n, _ := unlisted.commands(); n > before {
+		t.Errorf("%d commands arrived at the unlisted backend", n-before)
 	}
 	close(release)
 	for range running {
 		requireValue(t, in)
 	}
 	eventually(t, 2*time.Second, "its connections are closed", func() bool {
-		return leaves.connections() == 0
+		return unlisted.connections() == 0
 	})
 	if n := instance.core.Metrics().OpenRequests(); n > loadClients {
 		t.Errorf("%d requests are open", n)
 	}
-	changes <- withFirstBackend(both, 3, "SERVING")
-	eventually(t, 5*time.Second, "it is used again", func() bool {
-		n, _ := leaves.commands()
+	changes <- withFirstBackendState(both, 3, "SERVING")
+	eventually(t, 5*time.Second, "the backend is used again", func() bool {
+		n, _ := unlisted.commands()
 		return n > before
 	})
 }
 
-// listed is an agent that has the change and answers each call with it.
-func listed(t *testing.T, list discovery.List, state string) (addr string) {
-	return registryOf(t, withFirstBackend(list, 6, state))
+// changeOnEveryCall starts a discovery stand-in that answers polls and watches with
+// the change.
+func changeOnEveryCall(t *testing.T, list discovery.List, state string) (addr string) {
+	return startDiscovery(t, withFirstBackendState(list, 6, state))
 }
 
-// unavailable answers 503.
+// unavailable is a handler that answers with status 503.
 func unavailable(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// awaitLoad waits until a backend is busy.
-func awaitLoad(t *testing.T, n *observedBackend) {
+// awaitCommands waits until a backend has received more than 20 commands.
+func awaitCommands(t *testing.T, backend *observedBackend) {
 	t.Helper()
 	eventually(t, 10*time.Second, "the backend is used", func() bool {
-		number, _ := n.commands()
+		number, _ := backend.commands()
 		return number > 20
 	})
 }
 
-// nothingMoreAt waits until a change counts as known and then for
-// observationTime, and reports commands that a backend got after that, and
-// connections to it that are still open.
-func nothingMoreAt(t *testing.T, n *observedBackend, reachable time.Time, within time.Duration) {
+// requireNoNewCommands waits for within and observationTime from reachable, the time
+// from which the change was available. It fails the test if the backend got commands
+// later than within, or if connections to it are still open.
+func requireNoNewCommands(t *testing.T, backend *observedBackend, reachable time.Time, within time.Duration) {
 	t.Helper()
 	time.Sleep(time.Until(reachable.Add(within + observationTime)))
-	_, last := n.commands()
+	_, last := backend.commands()
 	if last.IsZero() {
 		last = reachable
 	}
-	t.Logf("the last command came %v after the change could be known", last.Sub(reachable).Round(time.Millisecond))
+	t.Logf("the last command arrived %v after the change was available", last.Sub(reachable).Round(time.Millisecond))
 	if late := last.Sub(reachable); late > within {
-		t.Errorf("a command came %v after the change could be known, want %v at the most", late, within)
+		t.Errorf("a command arrived %v after the change was available, want %v at most", late, within)
 	}
-	if open := n.connections(); open > 0 {
-		t.Errorf("%d connections to it are open still", open)
+	if open := backend.connections(); open > 0 {
+		t.Errorf("%d connections to the backend are still open", open)
 	}
 }
--- a/internal/ingress/request_metrics.go
+++ b/internal/ingress/request_metrics.go
@@ -7,8 +7,8 @@
 	"hitchspring/internal/metrics"
 )
 
-// requestCollector exports the counters that the admin server shows too, read at
-// each scrape.
+// requestCollector exports the admin server's counters as Prometheus metrics. It
+// reads them at each scrape.
 type requestCollector struct {
 	set   *metrics.Set
 	guard *guard.Monitor
@@ -27,21 +27,22 @@
 	return &requestCollector{
 		set:   set,
 		guard: m,
-		reasons: describe("reasons_total",
+		reasons: newMetricDesc("reasons_total",
 			"Refusals, failures, ends of attempts, attempts held back and ends of clients' connections, by reason.",
 			"what", "reason"),
-		violations: describe("invariants_violated_total",
+		violations: newMetricDesc("invariants_violated_total",
 			"What must never happen, by its name; 0 is wanted.", "invariant"),
-		requests: describe("requests_total",
+		requests: newMetricDesc("requests_total",
 			"Requests by class and by how they ended: answered, deferred (refused), errored (failed).",
 			"class", "end"),
-		disconnects: describe("requests_client_gone_total",
+		disconnects: newMetricDesc("requests_client_gone_total",
 			"Requests dropped because their client had closed its connection, by how far they had come.",
 			"stage"),
-		attemptsSent: describe("attempts_written_total", "Attempts that were written to a node to their last byte."),
-		open:         describe("requests_open", "Requests taken and not ended."),
-		backends:     describe("nodes_listed", "Nodes in discovery's list."),
-		avoided:      describe("nodes_avoided", "Listed nodes that are taken out by hand or left out by choice."),
+		attemptsSent: newMetricDesc("attempts_written_total",
+			"Attempts that were written to a node to their last byte."),
+		open:     newMetricDesc("requests_open", "Requests taken and not ended."),
+		backends: newMetricDesc("nodes_listed", "Nodes in discovery's list."),
+		avoided:  newMetricDesc("nodes_avoided", "Listed nodes that are taken out by hand or left out by choice."),
 	}
 }
 
@@ -72,7 +73,7 @@
 	put(c.avoided, prometheus.GaugeValue, unhealthy)
 }
 
-// describe describes a metric of this program.
-func describe(name, help string, labels ...string) *prometheus.Desc {
+// newMetricDesc returns a metric description whose name has the hitchspring_ prefix.
+func newMetricDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("hitchspring_"+name, help, labels, nil)
 }
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	listenerGrace    = 600 * time.Millisecond // after SIGTERM, in which new connections are served
-	commandGrace     = 700 * time.Millisecond // after SIGTERM, in which commands are taken that have all their time
-	maxRequestGrace  = 3 * time.Second        // for a request that was taken
-	lastAnswersGrace = 100 * time.Millisecond // from the last answers to the end, and from the end to SIGKILL
+	listenerGrace    = 600 * time.Millisecond // after SIGTERM: new connections are still accepted
+	commandGrace     = 700 * time.Millisecond // after SIGTERM: commands are accepted and have their full deadline
+	maxRequestGrace  = 3 * time.Second        // longest wait for the end of an accepted request
+	lastAnswersGrace = 100 * time.Millisecond // from the last answers to process exit, and from exit to SIGKILL
 )
 
-// shutDown answers what has been taken and returns when all clients have
-// disconnected, or when their time is over.
+// shutDown answers the accepted requests and returns when all clients have
+// disconnected, or at the shutdown timeout.
 //
-// Its times count from signaledAt, whatever the steps before have taken, since the
-// platform's SIGKILL counts from there. Connections are closed no sooner than
-// lastAnswersGrace after the last answers, even if the process was delayed.
+// All times are measured from signaledAt, however long the steps take, since the
+// platform sends SIGKILL at a fixed time after SIGTERM. Connections stay open for at
+// least lastAnswersGrace after the last answers, even if the process was delayed.
 func (i *Instance) shutDown(front *resp.Front, signaledAt time.Time) {
 	i.log.Info("shutting down")
 	i.shuttingDown.Store(true)
 	front.StartDrain()
-	if i.config.Listener != nil { // the next process accepts what is in the listen queue
+	if i.config.Listener != nil { // the next process accepts the connections in the listen queue
 		front.Close()
 		i.handOver()
 	}
@@ -33,31 +33,31 @@
 		i.auth.Unready()
 	}
 	time.Sleep(time.Until(signaledAt.Add(listenerGrace)))
-	limit, endLimit := context.WithCancel(context.Background())
+	drainCtx, endDrain := context.WithCancel(context.Background())
 	lastAnswers := make(chan struct{})
 	timer := time.AfterFunc(time.Until(signaledAt.Add(shutdownTimeout(i.config.Settings)-lastAnswersGrace)), func() {
 		defer close(lastAnswers)
 		i.core.AnswerAll()
-		waitFor(limit, lastAnswersGrace)
-		endLimit()
+		sleepContext(drainCtx, lastAnswersGrace)
+		endDrain()
 	})
-	gatesDone := make(chan struct{})
+	authDone := make(chan struct{})
 	go func() {
-		defer close(gatesDone)
+		defer close(authDone)
 		if i.auth != nil {
-			i.auth.Drain(limit)
+			i.auth.Drain(drainCtx)
 		}
 	}()
-	front.Drain(limit)
-	<-gatesDone
-	endLimit()
+	front.Drain(drainCtx)
+	<-authDone
+	endDrain()
 	if !timer.Stop() {
 		<-lastAnswers
 	}
 }
 
-// waitFor waits for d, unless ctx ends before.
-func waitFor(ctx context.Context, d time.Duration) {
+// sleepContext waits for d or until ctx ends, whichever is first.
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -66,9 +66,9 @@
 	}
 }
 
-// shutdownTimeout is the time from SIGTERM to the end of the process. It is over
-// before the platform's SIGKILL, which comes no sooner than the longest deadline of
-// a class after commandGrace.
+// shutdownTimeout returns the maximum time from SIGTERM to process exit. It ends
+// before the platform's SIGKILL, which comes at the earliest after commandGrace plus
+// the longest deadline of a class.
 func shutdownTimeout(set policy.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
--- a/internal/ingress/status.go
+++ b/internal/ingress/status.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxMetricsCalls      = 8 // at once, and the descriptors that are set aside for them
+	maxMetricsRequests   = 8 // concurrent requests; as many descriptors are reserved
 	statusHeaderTimeout  = 2 * time.Second
 	statusWriteTimeout   = 10 * time.Second
 	statusIdleTimeout    = 2 * time.Minute
 	statusMaxHeaderBytes = 8 << 10
 )
 
-// serveStatus serves metrics and the states that `hitchspring status` shows, if the
-// configuration has an address for them.
+// serveStatus serves the Prometheus metrics and the data of `hitchspring status`
+// until end is called, if the configuration has an address for them.
 func (i *Instance) serveStatus() (end func(), err error) {
 	if i.config.Metrics == "" {
 		return func() {}, nil
@@ -40,7 +40,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(listener) // returns when the server is closed
+		_ = server.Serve(listener) // always returns an error, http.ErrServerClosed after Close
 	}()
 	return func() {
 		server.Close()
@@ -71,44 +71,46 @@
 	mux.HandleFunc("GET /budgets", i.serveQuotaBounds)
 	mux.HandleFunc("GET /rights", i.serveEscrow)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{
-		MaxRequestsInFlight: maxMetricsCalls,
+		MaxRequestsInFlight: maxMetricsRequests,
 	}))
 	return mux
 }
 
-// serveZones answers what is known of the zones, for `hitchspring status halls`.
+// serveZones answers with the status of the zones, for `hitchspring status halls`.
 func (i *Instance) serveZones(w http.ResponseWriter, _ *http.Request) {
 	status, ok := i.core.ZoneStatus()
 	writeStatus(w, status, ok, "nothing is known of halls: [halls] is off, or no node has been listed yet")
 }
 
-// serveWork answers which requests can be taken over, for `hitchspring status work`.
+// serveWork answers with the requests that can be taken over, for `hitchspring
+// status work`.
 func (i *Instance) serveWork(w http.ResponseWriter, _ *http.Request) {
 	status, ok := i.core.WorkStatus()
 	writeStatus(w, status, ok, "work in hand ends with this instance: [takeover] is off")
 }
 
-// servePeers answers what is known of the peers, for `hitchspring status peers`.
+// servePeers answers with the status of the peers, for `hitchspring status peers`.
 func (i *Instance) servePeers(w http.ResponseWriter, _ *http.Request) {
 	status, ok := i.PeersStatus()
 	writeStatus(w, status, ok,
 		"this instance takes no part among peers: [peers] is off, or its address is not free yet")
 }
 
-// serveBackends answers what is known of backends, for `hitchspring status nodes`.
+// serveBackends answers with the assessments of the backends, for `hitchspring
+// status nodes`.
 func (i *Instance) serveBackends(w http.ResponseWriter, _ *http.Request) {
 	status, ok := i.core.BackendsStatus()
 	writeStatus(w, status, ok, "nobody tells of nodes here: [peers] is off")
 }
 
-// writeStatus answers with a status as JSON, or else with 503 and why there is none.
-func writeStatus(w http.ResponseWriter, status any, ok bool, why string) {
+// writeStatus answers with a status as JSON, or with 503 and the reason if ok is false.
+func writeStatus(w http.ResponseWriter, status any, ok bool, reason string) {
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(status) // a caller that has disconnected gets no answer
+	_ = encoder.Encode(status) // fails only if the caller has disconnected
 }
