--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -108,7 +108,7 @@
 	}
 	if cfg.Store == nil {
 		if cfg.Settings.Counter && cfg.Counter == "" {
-			return nil, errors.New("the settings enable a shared counter, but the configuration has no address for it")
+			return nil, errors.New("the settings name a shared counter, the configuration has no address of it")
 		}
 		cfg.Store = func(sink store.Sink) (store.Counter, error) {
 			return tally.New(cfg.Counter, cfg.Settings.CounterTimeout, sink), nil
