--- a/internal/front/resp/age_test.go
+++ b/internal/front/resp/age_test.go
@@ -14,18 +14,20 @@
 	"hitchspring/policy"
 )
 
-// arrivalCore shows from when the deadline of each command counts, on the test's clock.
+// arrivalCore puts the arrival time of each command, relative to start, into the
+// request's GiveUpAt, so that a test can check it.
 type arrivalCore struct {
 	manualCore
 	start time.Time
 }
 
-// GiveUpAt returns the time from which a request's deadline counts, instead of its end.
+// GiveUpAt returns the time from which the deadline counts instead of the deadline.
 func (c arrivalCore) GiveUpAt(_ policy.Class, at time.Time, _ time.Duration) time.Duration {
 	return at.Sub(c.start)
 }
 
-// virtualClient is the one client of a front, on a pipe in the bubble of a synctest.
+// virtualClient is the only client of a front, connected by a pipe inside a synctest
+// bubble.
 type virtualClient struct {
 	arrivalCore
 	conn    net.Conn
@@ -53,13 +55,13 @@
 	return v
 }
 
-// sendAsync writes text without waiting for its reader.
+// sendAsync writes text without waiting until it is read.
 func (v *virtualClient) sendAsync(text string) {
 	go io.WriteString(v.conn, text)
 }
 
-// More commands arrive at once than the pipeline window takes. The time of those
-// that wait counts from their arrival, so that backends aren't given more time than
+// More commands arrive at once than the pipeline window allows. The deadlines of those
+// that wait must count from their arrival. Otherwise backends are given more time than
 // the client has left.
 func TestAgeOfCommandsBehindFullWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -76,15 +78,15 @@
 		for i := range commands {
 			request := <-v.submitted
 			if age := time.Since(v.start) - request.GiveUpAt; i >= maxPipelined && age < waited-peerClosedPollInterval {
-				t.Fatalf("command %d came %v ago, its time counts from %v ago", i, time.Since(v.start), age)
+				t.Fatalf("command %d arrived %v ago, but its deadline counts from %v ago", i, time.Since(v.start), age)
 			}
 			request.Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("v")})
 		}
 	})
 }
 
-// A command arrives behind protocol errors, whose answers are delayed. Its time
-// counts from its arrival.
+// A command arrives behind protocol errors, whose replies are delayed. Its deadline
+// must count from its arrival.
 func TestAgeOfCommandsBehindProtocolErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualClient(t, 1<<20)
@@ -95,17 +97,17 @@
 		passed, age := time.Since(v.start), time.Since(v.start)-request.GiveUpAt
 		pauses := (1 + 2 + 3 + 4 + 5 + 6) * protocolErrorPause
 		if passed < pauses || passed > pauses+peerClosedPollInterval {
-			t.Errorf("the command was taken after %v, want %v: a pause for each error", passed, pauses)
+			t.Errorf("the command was submitted after %v, want %v: one pause per error", passed, pauses)
 		}
 		if age < passed-peerClosedPollInterval {
-			t.Errorf("the command came %v ago, its time counts from %v ago", passed, age)
+			t.Errorf("the command arrived %v ago, but its deadline counts from %v ago", passed, age)
 		}
 		request.Sink.Deliver(core.Answer{Kind: core.Served, Value: []byte("v")})
 	})
 }
 
-// A client that stops within a command for which there is no memory gets an error,
-// or the end of its connection, as soon as any other that stops within a command.
+// A client that stalls within a command that exceeds the memory budget must get an
+// error or a closed connection as soon as one that stalls within any other command.
 func TestStalledCommandWithoutMemory(t *testing.T) {
 	const maxWait = 3 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -120,13 +122,13 @@
 			t.Fatal(err)
 		}
 		if took := time.Since(v.start); took > maxWait {
-			t.Errorf("the client got no answer for %v", took)
+			t.Errorf("the client got no reply for %v", took)
 		}
 	})
 }
 
-// Requests that were read with the protocol error that ends a connection, and
-// behind it, are answered.
+// Requests that were read together with the protocol error that ends a connection,
+// but after it, must be answered.
 func TestRequestsBehindLastProtocolErrorAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualClient(t, 1<<20)
--- a/internal/front/resp/command.go
+++ b/internal/front/resp/command.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	maxKeyBytes = 256     // of an idempotency key
-	tenantLimit = 1 << 33 // tenants' numbers are below
+	maxKeyBytes      = 256     // maximum length of an idempotency key
+	tenantUpperBound = 1 << 33 // tenant numbers are smaller than this
 )
 
-// Positions of a request's arguments.
+// Positions of the arguments of Q.ASK and Q.DO.
 const (
 	argName = iota
 	argTenant
 	argID
 	argFields
-	argBody // may be missing
+	argBody // optional
 	maxArgs
 )
 
-// command is a request as the client sent it, to be forwarded to a backend.
+// command holds the arguments of a request as the client sent them, for forwarding
+// to a backend.
 type command struct {
 	args          [][]byte // name, tenant, id, fields, body
-	deadlineStart int      // where the value of d begins in the fields
-	deadlineEnd   int      // where it ends
+	deadlineStart int      // offset of the value of d in the fields argument
+	deadlineEnd   int      // offset of its end
 }
 
-// Encode returns the client's own command with the time that is left for it, for
-// a backend.
+// Encode returns the client's command in RESP2 with the value of field d replaced
+// by the remaining time, for a backend.
 func (c *command) Encode(left time.Duration) []byte {
 	b := redcon.AppendArray(make([]byte, 0, 192+len(c.args[len(c.args)-1])), len(c.args))
 	for i, arg := range c.args {
@@ -50,8 +51,8 @@
 	return b
 }
 
-// requestFields are the values of a request's list of fields. Unknown fields are
-// forwarded unread.
+// requestFields holds the parsed fields argument of a request. Unknown fields are
+// not interpreted, but are forwarded to the backend.
 type requestFields struct {
 	class          string  // c
 	plan           string  // t
@@ -60,19 +61,19 @@
 	deadlineMillis uint64  // d
 	spread         uint64  // spread
 	first          uint64  // first
-	hasFirst       bool    // the list has a field first
-	deadlineStart  int     // where the value of d begins in the list
-	deadlineEnd    int     // where it ends
+	hasFirst       bool    // the list contains the field first
+	deadlineStart  int     // offset of the value of d in the list
+	deadlineEnd    int     // offset of its end
 }
 
-// parseRequest checks a request and returns it, if a backend would take it. The
-// error says what is wrong, for the client.
+// parseRequest validates the arguments of a command and converts them to a request.
+// The text of the error is sent to the client.
 func (f *Front) parseRequest(args [][]byte, arrivedAt time.Time) (*core.Request, error) {
 	if len(args) <= argFields || len(args) > maxArgs {
 		return nil, fmt.Errorf("%s wants a customer, an id, fields and at most a body", args[argName])
 	}
 	tenant, err := parseHex16(args[argTenant])
-	if err != nil || tenant >= tenantLimit {
+	if err != nil || tenant >= tenantUpperBound {
 		return nil, errors.New("the customer is not 16 hex digits below 2^33")
 	}
 	id, err := parseHex16(args[argID])
@@ -88,16 +89,16 @@
 		return nil, err
 	}
 	request := &core.Request{ClientID: id, IdempotencyKey: fields.idempotencyKey}
-	request.Tenant = strings.ToLower(string(args[argTenant])) // a tenant is a number, in capitals or not
+	request.Tenant = strings.ToLower(string(args[argTenant])) // hex digits in either case denote the same tenant
 	request.Class = fields.class
 	request.Plan = fields.plan
 	request.Units = fields.units
 	request.Spread = int(fields.spread)
 	request.First = int(fields.first)
-	// The core bounds the time that a client says it will wait.
+	// The core limits the waiting time that the client states.
 	request.GiveUpAt = f.core.GiveUpAt(class, arrivedAt, time.Duration(fields.deadlineMillis)*time.Millisecond)
 	cmd := &command{deadlineStart: fields.deadlineStart, deadlineEnd: fields.deadlineEnd}
-	for _, arg := range args { // the buffer belongs to the connection
+	for _, arg := range args { // copied: the connection reuses its read buffer
 		cmd.args = append(cmd.args, append(make([]byte, 0, len(arg)), arg...))
 		request.Size += len(arg)
 	}
@@ -105,7 +106,7 @@
 	return request, nil
 }
 
-// parseFields reads a list of fields with different names: name=value,...
+// parseFields parses a list of the form name=value,... A repeated name is an error.
 func parseFields(list string) (requestFields, error) {
 	var fields requestFields
 	seen := map[string]bool{}
@@ -128,7 +129,7 @@
 	return fields, nil
 }
 
-// set sets the value of one field.
+// set parses and stores the value of one field. It ignores unknown fields.
 func (f *requestFields) set(name, value string) (err error) {
 	switch name {
 	case "c":
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// checkFields compares a request's fields with the settings in force.
-// mayHaveEffects is whether the command's name allows effects. The engine takes a
-// tenant's plan and set of instances from the first request that names it, so
-// impossible values are rejected here.
+// checkFields validates a request's fields against the current settings.
+// mayHaveEffects is whether the command allows side effects: Q.DO does, Q.ASK does
+// not. The policy engine takes a tenant's plan and set of instances from the first
+// request of the tenant, so invalid values have to be rejected here.
 func (f *Front) checkFields(fields requestFields, mayHaveEffects bool) (policy.Class, error) {
 	class, known := f.core.Class(fields.class)
 	instances := uint64(f.core.Instances())
@@ -184,8 +185,8 @@
 // Args returns the command as the client sent it.
 func (c *command) Args() [][]byte { return c.args }
 
-// Rebuild makes a request of a command that another instance has received. It is
-// checked like a client's.
+// Rebuild converts the arguments of a command that another instance received to a
+// request. They are validated like those of a client.
 func (f *Front) Rebuild(args [][]byte) (*core.Request, error) {
 	if len(args) == 0 {
 		return nil, errors.New("no words")
@@ -193,7 +194,7 @@
 	return f.parseRequest(args, time.Now())
 }
 
-// hex16 reads a number of 16 hex digits.
+// parseHex16 parses a number of exactly 16 hex digits.
 func parseHex16(b []byte) (uint64, error) {
 	if len(b) != 16 {
 		return 0, errors.New("not 16 digits")
--- a/internal/front/resp/connection.go
+++ b/internal/front/resp/connection.go
@@ -15,46 +15,46 @@
 	"hitchspring/internal/socket"
 )
 
-// connectionPhase is how far a connection has come to its end. It only rises.
+// connectionPhase is a stage of a connection's shutdown. It only increases.
 type connectionPhase uint8
 
 const (
 	serving    connectionPhase = iota
-	readClosed                 // the reader takes no more commands; those that it took are answered
-	finished                   // every answer is with the writer: no reply may be added
-	released                   // nothing is written any more: late answers are dropped
+	readClosed                 // no more commands are read; those that were read still get their replies
+	finished                   // all replies have been passed to the writer; none may be added
+	released                   // nothing more is written; later answers are dropped
 )
 
-// connection is one client's connection. Its reader takes commands, its writer
-// sends the answers in the order of the commands; serve starts both goroutines
-// and waits for them.
+// connection is the connection of one client. Its reader reads commands; its
+// writer sends the replies in the order of the commands. serve is the reader's
+// goroutine; it starts the writer and waits for it.
 type connection struct {
-	front          *Front
-	conn           net.Conn
-	pipelineWindow chan struct{} // holds one element for each command until its answer is written
-	wake           chan struct{} // holds an element if the writer has something to do
-	written        chan struct{} // closed when nothing is written any more
-	protocolErrors atomic.Int32  // made by the client
-	partialCommand atomic.Bool   // a command has begun and not ended
-	abortReason    atomic.Int32  // one more than the metrics.CloseReason of an abort; 0: not aborted
+	front             *Front
+	conn              net.Conn
+	pipelineWindow    chan struct{} // semaphore: one element per command whose reply is not written yet
+	wake              chan struct{} // signals that the writer has work
+	written           chan struct{} // closed when the writer has ended
+	protocolErrors    atomic.Int32  // number of protocol errors by the client
+	hasPartialCommand atomic.Bool   // part of a command has been read
+	abortReason       atomic.Int32  // the metrics.CloseReason of abort plus 1; 0 if not aborted
 
 	mu              sync.Mutex      // guards the fields up to phase
-	pending         []*pendingReply // replies that are not in outgoing yet, in the order of commands
-	outgoing        []byte          // encoded replies that the writer has not taken
+	pending         []*pendingReply // replies not moved to outgoing yet, in command order
+	outgoing        []byte          // encoded replies for the next write
 	outgoingReplies int             // number of replies in outgoing
-	unsentBytes     int             // bytes of replies that are not written
-	lastActive      time.Time       // when it was opened, the last command came or the last answer was given
+	unsentBytes     int             // encoded bytes not written yet
+	lastActive      time.Time       // time of the accept, the last command or the last answer, whichever is latest
 	hasSentCommand  bool            // the client has sent a complete command
-	closing         bool            // the connection ends as soon as no command is without an answer
-	endRequested    bool            // the reader shall end the connection, unless more has come
-	readDeadline    time.Time       // of the reader, while no end is requested
-	phase           connectionPhase // only rises
+	closing         bool            // the connection is to end as soon as no reply is pending
+	endRequested    bool            // the reader is to end the connection unless more bytes have arrived
+	readDeadline    time.Time       // read deadline that applies while endRequested is false
+	phase           connectionPhase // only increases
 
-	// Used by the reader only:
+	// Fields below are used by the reader only.
 	inbox           resp.Inbox
 	receipts        receiptLog
-	errorsBackedOff int32 // protocol errors for which the reader has paused
-	peerClosed      bool  // the client has disconnected while the reader waited
+	errorsBackedOff int32 // value of protocolErrors at the last pause
+	peerClosed      bool  // the client disconnected while the reader waited
 }
 
 func newConnection(front *Front, conn net.Conn) *connection {
@@ -68,7 +68,7 @@
 	}
 }
 
-// serve runs the connection to its end.
+// serve reads commands and writes replies until the connection has ended.
 func (c *connection) serve() {
 	defer c.front.serving.Done()
 	done := make(chan struct{})
@@ -84,7 +84,7 @@
 	case endedByServer:
 		reason = metrics.ClosedByServer
 		c.linger()
-	case clientLeft:
+	case clientDisconnected:
 	}
 	c.conn.Close()
 	close(done)
@@ -96,9 +96,9 @@
 	c.release(reason)
 }
 
-// endAfterProtocolError has the earlier answers written, then that of the
-// protocol error. Little of what comes meanwhile is read, so that a flood costs
-// only its sender's time.
+// endAfterProtocolError ends the connection once the earlier replies and that to
+// the protocol error are written. It discards only a bounded number of the bytes
+// that arrive meanwhile, so that a flood slows down only its sender.
 func (c *connection) endAfterProtocolError() {
 	c.mu.Lock()
 	c.phase = readClosed
@@ -109,17 +109,18 @@
 	}
 	c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 	socket.CloseWrite(c.conn)
-	_, _ = io.CopyN(io.Discard, c.conn, lingerBytes) // the connection ends whatever is read
+	_, _ = io.CopyN(io.Discard, c.conn, lingerBytes) // the result doesn't matter: the connection is closed next
 }
 
-// abort closes the connection at once. The first reason counts.
+// abort closes the connection at once. If it is called again, the first reason is
+// the one that is recorded.
 func (c *connection) abort(reason metrics.CloseReason) {
 	c.abortReason.CompareAndSwap(0, int32(reason)+1)
 	c.conn.Close()
 }
 
-// release gives back what the connection holds and abandons its requests that
-// have no answer. It is called when nothing is written any more.
+// release frees the connection's resources and notifies the core of its
+// unanswered requests. It is called after the writer has ended.
 func (c *connection) release(reason metrics.CloseReason) {
 	c.front.metrics.ConnectionClosed(reason)
 	c.mu.Lock()
@@ -132,7 +133,7 @@
 	c.phase = released
 	c.front.unsent.Add(-int64(c.unsentBytes))
 	c.mu.Unlock()
-	c.closeStreams() // those that began since the connection was closed
+	c.closeStreams() // again: more streams may have started since the connection was closed
 	if len(abandoned) > 0 {
 		if reason == metrics.ClosedByServer || reason == metrics.ClosedShutdownLimit {
 			c.front.guard.Violated(guard.ClosedUnanswered,
@@ -147,8 +148,8 @@
 	<-c.front.slots
 }
 
-// closeStreams ends the attempts whose values are being relayed: the client has
-// disconnected.
+// closeStreams closes the streams of all pending replies. The connection is closed,
+// so they cannot be relayed any more.
 func (c *connection) closeStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,8 +160,7 @@
 	}
 }
 
-// close has the connection end at the next moment when no command is without an
-// answer.
+// close ends the connection as soon as no reply is pending.
 func (c *connection) close() {
 	c.mu.Lock()
 	c.closing = true
@@ -168,7 +168,7 @@
 	c.wakeWriter()
 }
 
-// wakeWriter has the writer look for something to do. It never blocks.
+// wakeWriter signals the writer that it may have work. It never blocks.
 func (c *connection) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/front/resp/connection_test.go
+++ b/internal/front/resp/connection_test.go
@@ -14,7 +14,7 @@
 	"hitchspring/internal/core"
 )
 
-// fakeCore records the requests whose clients have disconnected.
+// fakeCore records the requests that the front reports as disconnected.
 type fakeCore struct {
 	Core
 	disconnected []*core.Request
@@ -24,19 +24,20 @@
 	f.disconnected = append(f.disconnected, reqs...)
 }
 
-// Commands on a finished connection are dropped, however many: a reader that waited
-// for the pipeline window would keep a shutdown from ending.
+// A finished connection accepts no command, even if more arrive than fit into the
+// pipeline window. A reader that waited for the window would block a shutdown.
 func TestFinishedConnectionTakesNoCommand(t *testing.T) {
 	c := newConnection(nil, nil)
 	c.phase = finished
 	for range maxPipelined + 1 {
 		if c.addPending(nil) != nil {
-			t.Fatal("a command was taken")
+			t.Fatal("addPending accepted a command")
 		}
 	}
 }
 
-// deadlineRecorder records whether each read deadline of a connection is set or removed.
+// deadlineRecorder records for each SetReadDeadline call whether it sets or removes the
+// deadline.
 type deadlineRecorder struct {
 	net.Conn
 	isSet []bool
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// A partial command must end in time, so that a half-open client doesn't stay for
-// good. Between commands a client may be silent.
+// Only a partial command has a read deadline, so that a half-open connection doesn't
+// stay open forever. Between commands a client may be silent.
 func TestOnlyPartialCommandsHaveReadDeadline(t *testing.T) {
 	server, client := net.Pipe()
 	c := newConnection(New(nil, nil, 1, 1<<20), &deadlineRecorder{Conn: server})
@@ -64,12 +65,12 @@
 	client.Close()
 	<-done
 	if got := c.conn.(*deadlineRecorder).isSet; fmt.Sprint(got) != "[true false]" {
-		t.Fatalf("limits set: %v, want one inside the split command, taken off after it", got)
+		t.Fatalf("got deadlines set: %v, want one set within the split command and removed after it", got)
 	}
 }
 
-// A client that leaves its answers unread is disconnected before these fill the
-// memory, and not one that reads them.
+// When the unsent replies exceed the memory limit, the connection with the most unsent
+// bytes is closed, and no other.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	f := New(nil, nil, 2, 1000)
 	var clients [2]net.Conn
@@ -81,17 +82,17 @@
 	}
 	connections[0].addPending(nil).complete(make([]byte, 900))
 	connections[1].addPending(nil).complete(make([]byte, 200))
-	clients[1].SetWriteDeadline(time.Now()) // nobody reads it: a write waits for ever
+	clients[1].SetWriteDeadline(time.Now()) // the other end isn't read, so a write would block forever
 	if _, err := clients[0].Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 		t.Fatalf("the slow reader's connection was not closed: %v", err)
 	}
 	if _, err := clients[1].Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the other's was closed: %v", err)
+		t.Fatalf("the other client's connection was closed: %v", err)
 	}
 }
 
-// Bytes that are not written are counted until their connection ends, also if the
-// client has disconnected by then.
+// Unsent bytes of a connection are no longer counted after its end, even if the client
+// disconnects before they are written.
 func TestUnsentBytesAreReleased(t *testing.T) {
 	fake := &fakeCore{}
 	f := New(nil, fake, 1, 1<<20)
@@ -105,9 +106,9 @@
 	c.serve()
 	first.complete([]byte("-ERR failed\r\n"))
 	if n := f.unsent.Load(); n != 0 {
-		t.Fatalf("got %d unsent bytes without a connection, want 0", n)
+		t.Fatalf("got %d unsent bytes after the end of the connection, want 0", n)
 	}
 	if len(fake.disconnected) != 1 {
-		t.Fatalf("%d requests abandoned", len(fake.disconnected))
+		t.Fatalf("got %d abandoned requests, want 1", len(fake.disconnected))
 	}
 }
--- a/internal/front/resp/crowd_test.go
+++ b/internal/front/resp/crowd_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// badClientLimit is within what time a client that stops within a command is owed
-// an error or the end of its connection.
-const badClientLimit = 3 * time.Second
+// stalledClientTimeout is the time within which a client that stalls within a command
+// must get an error or a closed connection.
+const stalledClientTimeout = 3 * time.Second
 
-// dialPartial connects and sends a part of a command. It returns a channel that
-// is closed when the connection has brought something, or has ended.
+// dialPartial connects and sends part of a command. It returns a channel that is
+// closed when the client receives something or its connection ends.
 func dialPartial(t *testing.T, addr, part string) <-chan struct{} {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -24,24 +24,24 @@
 	if _, err := io.WriteString(conn, part); err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan struct{})
+	responded := make(chan struct{})
 	go func() {
-		defer close(heard)
+		defer close(responded)
 		var b [1]byte
-		_, _ = conn.Read(b[:]) // an error is an end as well
+		_, _ = conn.Read(b[:]) // an error also means the end of the connection
 	}()
-	return heard
+	return responded
 }
 
-// Guards against a client that stops within a command and waits for over 3 s for
-// its error, because all slots are taken by clients that have stopped too.
+// Guards against a stalled client that waits longer than 3 s for its error because all
+// slots are taken by other stalled clients.
 func TestStalledClientBehindStalledClients(t *testing.T) {
 	few := encodeRequest(1)[:20]
 	body := strings.Repeat("x", 1<<20)
 	withBody := encodeCommand("Q.DO", "00000000b4d65521", "1", "c=read,t=p,d=50000,units=1,spread=1,first=0", body)
 	tests := map[string]string{
 		"a few bytes": few,
-		// The kernel takes the last of them from the client when the first are read.
+		// The client's last bytes reach our kernel only once the first have been read.
 		"more than the kernel holds for a connection in the queue": withBody[:len(withBody)/2],
 	}
 	for name, part := range tests {
@@ -68,14 +68,14 @@
 	for range slots {
 		dialPartial(t, ln.Addr().String(), encodeRequest(1)[:20])
 	}
-	time.Sleep(20 * time.Millisecond) // they have the slots
+	time.Sleep(20 * time.Millisecond) // until these clients hold all slots
 	began := time.Now()
-	heard := dialPartial(t, ln.Addr().String(), part)
+	responded := dialPartial(t, ln.Addr().String(), part)
 	select {
-	case <-heard:
-	case <-time.After(2 * badClientLimit):
+	case <-responded:
+	case <-time.After(2 * stalledClientTimeout):
 	}
-	if took := time.Since(began); took > badClientLimit {
-		t.Errorf("it was left without a word for %v, want %v at the most", took, badClientLimit)
+	if took := time.Since(began); took > stalledClientTimeout {
+		t.Errorf("the client got no reply for %v, want at most %v", took, stalledClientTimeout)
 	}
 }
--- a/internal/front/resp/dispatch.go
+++ b/internal/front/resp/dispatch.go
@@ -8,7 +8,7 @@
 	"hitchspring/internal/core"
 )
 
-// handle serves one complete command.
+// handle executes one complete command that arrived at arrivedAt.
 func (c *connection) handle(command []byte, arrivedAt time.Time) {
 	complete, args, _, _, err := redcon.ReadNextCommand(command, nil)
 	if err != nil || !complete || len(args) == 0 {
@@ -41,10 +41,10 @@
 	}
 }
 
-// rejectReceived rejects the requests that were read behind the protocol error
-// that ends the connection, up to the next error: a request that was read is owed
-// an answer.
-func (c *connection) rejectReceived() {
+// rejectBuffered rejects the requests that were already read when a protocol error
+// ended the connection, up to the next invalid command. Every request that has been
+// read must be answered.
+func (c *connection) rejectBuffered() {
 	for remaining := c.inbox.BufferedBytes(); remaining > 0 && !c.peerClosed; {
 		command, err := c.inbox.Next()
 		if command == nil || err != nil || !c.isRequest(command) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// isRequest reports whether a complete command is a request that would be served.
+// isRequest reports whether a complete command is a valid request.
 func (c *connection) isRequest(command []byte) bool {
 	complete, args, _, _, err := redcon.ReadNextCommand(command, nil)
 	if err != nil || !complete || len(args) == 0 {
@@ -65,20 +65,20 @@
 	return err == nil
 }
 
-// rejectOverloaded rejects a command that is not passed to the core.
+// rejectOverloaded rejects a command without submitting it to the core.
 func (c *connection) rejectOverloaded() {
 	c.replyNow(encodeRejection(core.Answer{RetryAfter: core.OverloadRetryAfter}))
 }
 
-// protocolError answers a protocol error after a pause, so that a client that
-// repeats it as soon as it is answered takes no CPU time from the others.
+// protocolError sends an error reply after a pause. The pause prevents a client
+// that repeats invalid commands from using CPU time that other clients need.
 func (c *connection) protocolError(text string) {
 	c.protocolErrors.Add(1)
 	c.backOff()
 	c.replyNow(redcon.AppendError(nil, "ERR "+text))
 }
 
-// backOff pauses for protocolErrorPause times the number of protocol errors.
+// backOff pauses for protocolErrorPause times the number of protocol errors so far.
 func (c *connection) backOff() {
 	c.errorsBackedOff = c.protocolErrors.Load()
 	end := time.Now().Add(time.Duration(c.errorsBackedOff) * protocolErrorPause)
--- a/internal/front/resp/drain.go
+++ b/internal/front/resp/drain.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	drainReapInterval = 50 * time.Millisecond  // between searches for idle connections while draining
-	drainIdleAfter    = 600 * time.Millisecond // of draining, after which connections without an open request end
-	drainRejectAfter  = 700 * time.Millisecond // of draining, after which a terminating front rejects commands
+	drainReapInterval = 50 * time.Millisecond  // interval of the search for idle connections while draining
+	drainIdleAfter    = 600 * time.Millisecond // into a drain: connections without an open request are closed
+	drainRejectAfter  = 700 * time.Millisecond // into a drain: a terminating front rejects commands
 )
 
-// StartDrain begins a graceful drain, unless the front is draining already. PING
-// is answered by an error and each connection is closed after its next answer;
-// after drainIdleAfter, connections without an open request are closed too. New
-// connections are served in the same way: the listener stays open.
+// StartDrain begins a graceful drain, unless the front is draining already. While
+// draining, PING is answered with an error and each connection is closed after its
+// next reply. After drainIdleAfter, connections without an open request are closed
+// as well. The listener stays open; new connections are treated in the same way.
 func (f *Front) StartDrain() {
 	if f.drainingSince.CompareAndSwap(0, time.Now().UnixNano()) {
 		f.notifyChanged()
 	}
 }
 
-// StopDrain ends the drain that StartDrain has begun. A connection that is about
-// to be closed is closed all the same.
+// StopDrain ends the drain that StartDrain began. Connections that are already
+// marked for closing are still closed.
 func (f *Front) StopDrain() {
 	f.drainingSince.Store(0)
 	f.notifyChanged()
@@ -33,8 +33,8 @@
 // Draining reports whether the front is draining.
 func (f *Front) Draining() bool { return f.drainingSince.Load() != 0 }
 
-// drainingFor is how long the front has been draining; it is negative if the
-// front is not draining.
+// drainingFor returns how long the front has been draining, or a negative value if
+// it is not draining.
 func (f *Front) drainingFor() time.Duration {
 	if since := f.drainingSince.Load(); since != 0 {
 		return time.Duration(time.Now().UnixNano() - since)
@@ -42,13 +42,13 @@
 	return -1
 }
 
-// Drain closes the listener, then each connection as soon as no command on it is
-// without an answer, or at once when ctx ends. It returns when all connections
-// have ended.
+// Drain shuts the front down. It closes the listener, and each connection as soon
+// as no reply is pending on it, or at once when ctx ends. It returns when all
+// connections have ended.
 //
-// A connection on which an answer is owed may stay open for longer than
-// drainRejectAfter. Commands that come on it later are rejected and not left
-// unread: the client has written them to an open connection.
+// A connection with a pending reply may stay open for longer than drainRejectAfter.
+// Commands that arrive on it later are read and rejected: the client wrote them to an
+// open connection and expects a reply.
 func (f *Front) Drain(ctx context.Context) {
 	f.listener.Close()
 	defer func() {
@@ -63,7 +63,7 @@
 	f.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		f.accepting.Wait() // it may have accepted a connection that is not served yet
+		f.accepting.Wait() // a connection may have been accepted and not be counted in serving yet
 		f.serving.Wait()
 		close(done)
 	}()
--- a/internal/front/resp/drain_test.go
+++ b/internal/front/resp/drain_test.go
@@ -10,12 +10,12 @@
 	"hitchspring/internal/core"
 )
 
-// delayedListener returns an accepted connection only when a test lets it, also
-// after the listener was closed.
+// delayedListener holds an accepted connection back until a test releases it, even if
+// the listener is closed meanwhile.
 type delayedListener struct {
 	net.Listener
-	accepted chan struct{} // closed when it has one
-	release  chan struct{}
+	accepted chan struct{} // closed when a connection has been accepted
+	release  chan struct{} // closed by the test to let Accept return
 }
 
 // Accept implements net.Listener.
@@ -29,8 +29,8 @@
 	return nc, nil
 }
 
-// A drain begins when a connection has been accepted and isn't served yet. It must
-// not end, and with it the process, while a request of that connection is open.
+// A drain begins after a connection was accepted but before it is served. The drain
+// must not end, and let the process exit, while a request of that connection is open.
 func TestDrainWaitsForAcceptedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,16 +60,16 @@
 	case request := <-fake.submitted:
 		select {
 		case open := <-drained:
-			t.Errorf("the drain has ended while a request is open, on %d connections", open)
+			t.Errorf("the drain ended while a request was open, with %d connections left", open)
 			drained <- 0
 		case <-time.After(100 * time.Millisecond):
 		}
 		request.Sink.Deliver(core.Answer{Kind: core.Rejected})
 	case <-time.After(10 * time.Second):
-		t.Fatal("the request was not taken")
+		t.Fatal("the request was not submitted")
 	}
 	client.(*net.TCPConn).CloseWrite()
 	if open := <-drained; open != 0 {
-		t.Errorf("%d connections are open after the drain", open)
+		t.Errorf("got %d open connections after the drain, want 0", open)
 	}
 }
--- a/internal/front/resp/ending.go
+++ b/internal/front/resp/ending.go
@@ -8,17 +8,17 @@
 	"hitchspring/internal/socket"
 )
 
-// requestEnd has the reader end the connection, unless more has arrived. Only the
-// reader knows: a command that it has read and not taken yet, or that lies in the
-// kernel, was written to an open connection and is owed an answer. The caller has
-// locked c.mu.
+// requestEnd interrupts the reader so that it ends the connection unless more bytes
+// have arrived. Only the reader can decide this: a command may be in its buffer or in
+// the kernel's, and was written to an open connection, so it must be answered. The
+// caller must hold c.mu.
 func (c *connection) requestEnd() {
 	c.endRequested = true
 	c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// takeEndRequest clears a request for the end, and reports whether there was one.
-// The caller has locked c.mu.
+// takeEndRequest clears endRequested, restores the read deadline and reports
+// whether endRequested was set. The caller must hold c.mu.
 func (c *connection) takeEndRequest() bool {
 	if !c.endRequested {
 		return false
@@ -28,10 +28,10 @@
 	return true
 }
 
-// endIfIdle ends the connection if that was requested, no command is without an
-// answer, and nothing more has come. From then on nothing is read. It reports
-// whether the end was requested and whether the connection has ended; if it
-// hasn't, the next answer requests the end again.
+// endIfIdle ends the connection if its end was requested, no reply is pending and
+// no more bytes have arrived. After that, nothing more is read. It reports whether the
+// end was requested and whether the connection ended. If it didn't end, the end is
+// requested again after the next reply.
 func (c *connection) endIfIdle() (requested, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,23 +47,24 @@
 	return true, true
 }
 
-// linger closes our direction of the connection and gives the client some time
-// to close its own, so that no answer is lost to a reset. Commands that cross our
-// end are not read: the client sends them again elsewhere.
+// linger closes the sending side of the connection and waits briefly for the client
+// to close the other side, so that a TCP reset doesn't destroy replies in transit.
+// Commands that arrive meanwhile are not read: the client sends them again on another
+// connection.
 func (c *connection) linger() {
 	<-c.written
 	socket.CloseWrite(c.conn)
 	for deadline := time.Now().Add(lingerTime); time.Now().Before(deadline); time.Sleep(lingerPollInterval) {
 		_, disconnected := socket.Peek(c.conn)
-		if disconnected || socket.HungUp(c.conn) { // by the client, or by the end of a drain
+		if disconnected || socket.HungUp(c.conn) { // closed by the client, or aborted at the time limit of a drain
 			return
 		}
 	}
 }
 
-// discardUntilWritten waits for the last answer to be written and discards a
-// bounded part of what comes meanwhile. It reports false if the client has
-// disconnected before.
+// discardUntilWritten waits until the last reply is written, and discards up to
+// maxDiscardedBytes of the input that arrives meanwhile. It returns false if the
+// client disconnects first.
 func (c *connection) discardUntilWritten() (written bool) {
 	buffer := make([]byte, relayBufferSize)
 	for discarded := 0; ; {
--- a/internal/front/resp/ending_test.go
+++ b/internal/front/resp/ending_test.go
@@ -19,7 +19,7 @@
 	"hitchspring/policy"
 )
 
-// manualCore passes each request to the test, which answers it.
+// manualCore passes each submitted request to the test, which answers it.
 type manualCore struct {
 	submitted    chan *core.Request
 	disconnected chan *core.Request
@@ -52,12 +52,12 @@
 func (manualCore) MaxUnits() float64                                             { return 4 }
 func (manualCore) GiveUpAt(policy.Class, time.Time, time.Duration) time.Duration { return time.Minute }
 
-// gatedConn is a real connection whose reads a test delays: before the system call,
-// or between the call and its return.
+// gatedConn is a TCP connection whose reads a test can delay, either before the system
+// call or between the system call and the return of Read.
 type gatedConn struct {
 	*net.TCPConn
-	beforeRead, afterRead chan struct{} // a read waits for each; nil: it doesn't
-	holdsData             atomic.Bool   // a read waits for after, with what the kernel has brought
+	beforeRead, afterRead chan struct{} // a read receives from each; nil: no delay
+	holdsData             atomic.Bool   // a read has data and waits for afterRead
 }
 
 func (c *gatedConn) Read(b []byte) (int, error) {
@@ -72,7 +72,7 @@
 	return n, err
 }
 
-// testConnection is the connection of a front with one client, on a real socket.
+// testConnection is a connection of a front over TCP, with its only client.
 type testConnection struct {
 	manualCore
 	front      *Front
@@ -121,7 +121,7 @@
 		select {
 		case <-tc.done:
 		case <-time.After(20 * time.Second):
-			t.Error("the connection is served still")
+			t.Error("the connection is still being served")
 		}
 	})
 	return tc
@@ -151,14 +151,14 @@
 	}
 }
 
-// nextRequest waits for the next request that is submitted.
+// nextRequest waits for the next submitted request.
 func (tc *testConnection) nextRequest(t *testing.T) *core.Request {
 	t.Helper()
 	select {
 	case r := <-tc.submitted:
 		return r
 	case <-time.After(10 * time.Second):
-		t.Fatal("a request that had come was not taken")
+		t.Fatal("the request was not submitted")
 		return nil
 	}
 }
@@ -166,19 +166,19 @@
 func (tc *testConnection) wantLine(t *testing.T, want string) {
 	t.Helper()
 	if got, err := tc.replies.ReadString('\n'); err != nil || !strings.HasPrefix(got, want) {
-		t.Fatalf("%q, %v; want %s", got, err, want)
+		t.Fatalf("got line %q, error %v; want %s", got, err, want)
 	}
 }
 
 func (tc *testConnection) wantEnd(t *testing.T) {
 	t.Helper()
 	if rest, err := io.ReadAll(tc.replies); err != nil || len(rest) > 0 {
-		t.Fatalf("%q, %v; want the end", rest, err)
+		t.Fatalf("got %q, error %v; want the end of the connection", rest, err)
 	}
 }
 
-// awaitEndRequest waits until the writer has requested the end of the connection,
-// or has ended it itself.
+// awaitEndRequest waits until the end of the connection has been requested or the
+// connection has finished.
 func (tc *testConnection) awaitEndRequest(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -189,14 +189,14 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("nobody asked for the connection's end")
+			t.Fatal("the end of the connection was not requested")
 		}
 	}
 }
 
-// The end of a connection is requested while a command lies in the kernel, or was
-// read and isn't taken yet. Either was written to an open connection, so it is owed
-// an answer, and the end comes after that.
+// The end of a connection is requested while a command is in the kernel's buffer, or
+// has been read but not handled. Either way the client wrote it to an open connection,
+// so it must be answered before the connection ends.
 func TestEndCrossesCommand(t *testing.T) {
 	for where, configure := range map[string]func(*gatedConn){
 		"unread": func(conn *gatedConn) { conn.beforeRead = make(chan struct{}) },
@@ -213,12 +213,12 @@
 				tc := newTestConnection(t, configure)
 				tc.send(t, encodeRequest(1))
 				gate := tc.gated.beforeRead
-				if gate == nil { // it is read: an end before that crosses nothing
+				if gate == nil { // wait until the command has been read
 					gate = tc.gated.afterRead
 					for !tc.gated.holdsData.Load() {
 						time.Sleep(time.Millisecond)
 					}
-				} else { // it lies in the kernel: our side of the connection says so
+				} else { // wait until the command is in the kernel's buffer
 					for arrived := false; !arrived; {
 						arrived, _ = socket.Peek(tc.gated)
 					}
@@ -236,9 +236,9 @@
 	}
 }
 
-// A client goes on sending on a connection that stays open during a shutdown, since
-// an answer is owed on it. Late commands are rejected behind that answer and not
-// left unread: they were written to an open connection.
+// A connection stays open during a shutdown because a reply is pending, and the client
+// sends further commands on it. They were written to an open connection, so they must
+// be read and rejected after the pending reply.
 func TestTerminatingFrontRejectsLateCommands(t *testing.T) {
 	tc := newTestConnection(t, nil)
 	tc.send(t, encodeRequest(1))
@@ -256,7 +256,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("what came late was not read")
+			t.Fatal("the late commands were not read")
 		}
 	}
 	tc.send(t, encodeRequest(4)[40:])
@@ -268,12 +268,12 @@
 	}
 	tc.wantEnd(t)
 	if n := len(tc.submitted); n > 0 {
-		t.Errorf("%d of them were taken", n)
+		t.Errorf("%d late commands were submitted, want 0", n)
 	}
 }
 
-// A client's disconnect is noticed at once, wherever the reader waits, and its
-// requests are abandoned.
+// A client's disconnect is noticed at once, whatever the reader is waiting for, and
+// the core is notified of its requests.
 func TestDisconnectIsNoticedWhileNothingIsRead(t *testing.T) {
 	many := strings.Builder{}
 	for i := range maxPipelined + 1 {
@@ -291,7 +291,7 @@
 			tc := newTestConnection(t, nil)
 			tc.client.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
 			_, err := io.WriteString(tc.client, text)
-			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // what doesn't fit is never sent
+			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // the rest doesn't fit and is not sent
 				t.Fatal(err)
 			}
 			taken := min(strings.Count(text, "Q.ASK"), maxPipelined)
@@ -304,18 +304,18 @@
 				select {
 				case <-tc.disconnected:
 				case <-time.After(10 * time.Second):
-					t.Fatal("the client's leaving was not noticed")
+					t.Fatal("the client's disconnect was not noticed")
 				}
 			}
 			if took := time.Since(closedAt); took > 300*time.Millisecond {
-				t.Errorf("noticed after %v", took)
+				t.Errorf("the disconnect was noticed after %v, want at most 300 ms", took)
 			}
 		})
 	}
 }
 
-// A front that drains and isn't terminating serves each connection until its next
-// answer.
+// A front that is draining but not terminating still serves one request on each
+// connection, and closes the connection after the reply.
 func TestDrainingFrontServes(t *testing.T) {
 	tc := newTestConnection(t, nil)
 	tc.front.drainingSince.Store(time.Now().Add(-drainRejectAfter - time.Second).UnixNano())
@@ -326,7 +326,7 @@
 	tc.wantEnd(t)
 }
 
-// A tenant is a number: in capitals it is the same one, with the same quota.
+// Upper-case and lower-case hex digits denote the same tenant, with the same quota.
 func TestTenantIgnoresCaseOfDigits(t *testing.T) {
 	front := New(nil, manualCore{}, 1, 1<<20)
 	for _, digits := range []string{"00000000b4d65521", "00000000B4D65521"} {
@@ -336,7 +336,7 @@
 		}
 		request, err := front.Rebuild(args)
 		if err != nil || request.Tenant != "00000000b4d65521" {
-			t.Errorf("%s: %v, %v", digits, request, err)
+			t.Errorf("tenant %s: got request %v, error %v", digits, request, err)
 		}
 	}
 }
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -1,10 +1,10 @@
-// Package resp is the front for the platform's clients. It accepts connections
-// on one listener and reads pipelined commands in RESP2: PING, Q.ASK and Q.DO.
-// Each command that a backend would take becomes a core.Request, and its answer
-// goes out on the same connection, in the order of the commands. Connections,
-// bytes of unfinished commands, commands without an answer and bytes of unread
-// answers are all bounded. The package doesn't know how a request is decided or
-// where it is sent.
+// Package resp is the front for clients that speak RESP2, the Redis protocol. It
+// accepts connections on one listener and reads pipelined commands: PING, Q.ASK
+// and Q.DO. Each valid Q.ASK or Q.DO is submitted to the core as a core.Request.
+// Replies are written on the same connection, in the order of the commands. The
+// front bounds the number of connections, the memory of incomplete commands, the
+// commands in flight on a connection and the memory of unsent replies. Admission
+// and routing are up to the core.
 package resp
 
 import (
@@ -21,62 +21,62 @@
 	"hitchspring/policy"
 )
 
-// Core is what the front needs of the core.
+// Core is the part of the core that the front uses.
 type Core interface {
-	// Submit takes a request; its answer comes through the request's Sink.
+	// Submit accepts a request. The answer is delivered to the request's Sink.
 	Submit(*core.Request)
-	// NotifyDisconnected says that the clients of these requests have disconnected.
+	// NotifyDisconnected reports that the clients of these requests have disconnected.
 	NotifyDisconnected([]*core.Request)
-	// Class finds a request class of the settings in force.
+	// Class looks up a request class in the current settings.
 	Class(name string) (policy.Class, bool)
-	// Plan reports whether the settings in force have a plan of this name.
+	// Plan reports whether the current settings have a plan with this name.
 	Plan(name string) bool
-	// Instances is the number of instances of the ingress.
+	// Instances returns the number of instances of the ingress.
 	Instances() int
-	// MaxUnits is the most units that one request may cost.
+	// MaxUnits returns the largest cost of one request, in units.
 	MaxUnits() float64
-	// GiveUpAt is when a client gives up that sent a request at a time and
-	// waits for d, on the core's clock.
+	// GiveUpAt returns when the client of a request stops waiting, on the core's
+	// clock. The request arrived at the given time and its client waits for d.
 	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
 // Front accepts clients on one address. Its methods may be called from any
 // goroutine.
 //
-// Start begins two goroutines: one accepts connections, one closes idle ones.
-// Each connection has two more, a reader and a writer. Drain ends them all.
-// Locks are taken in the order reserveMu, mu, and the mu of one connection.
+// Start starts two goroutines: one accepts connections, the other closes idle
+// ones. Each connection has two more, a reader and a writer. Drain ends all of them.
+// Lock order: reserveMu, mu, then the mu of one connection.
 type Front struct {
 	listener      net.Listener
 	core          Core
 	metrics       *metrics.Set
 	guard         *guard.Monitor
-	requestMemory *resp.Budget // for the bytes of commands that are being read
-	maxUnsent     int64        // bytes of answers that clients may leave unread, all together
-	unsent        atomic.Int64 // bytes of answers that are not written
+	requestMemory *resp.Budget // for buffered bytes of commands
+	maxUnsent     int64        // maximum of unsent
+	unsent        atomic.Int64 // bytes of encoded replies not written yet, over all connections
 
-	slots          chan struct{} // holds one element for each connection and each reserved slot
-	slotsToReserve atomic.Int64  // slots to be left to another process
+	slots          chan struct{} // semaphore: one element per connection and per reserved slot
+	slotsToReserve atomic.Int64  // number of slots to leave to another process
 
 	reserveMu     sync.Mutex // guards slotsReserved
-	slotsReserved int        // slots that no connection can take any more
+	slotsReserved int        // slots currently held back from connections
 
 	mu          sync.Mutex // guards connections
 	connections map[*connection]bool
 	serving     sync.WaitGroup // of connections
 
-	drainingSince atomic.Int64  // nanoseconds of Unix time; 0: the front is not draining
-	terminating   atomic.Bool   // draining, and the process is about to end
-	changed       chan struct{} // holds an element after drainingSince or slotsToReserve has changed
+	drainingSince atomic.Int64  // Unix time in nanoseconds; 0 if the front is not draining
+	terminating   atomic.Bool   // Drain was called: the process is about to exit
+	changed       chan struct{} // signals a change of drainingSince or slotsToReserve
 
 	stop      context.CancelFunc // ends the goroutine that closes idle connections
 	accepting sync.WaitGroup     // of the goroutine that accepts
 	reaping   sync.WaitGroup     // of the goroutine that closes idle connections
 }
 
-// New returns a front on listener that does not serve yet. It takes up to
-// maxConnections connections; memory bounds, in bytes, the unfinished commands
-// of all connections, and separately their unread answers.
+// New returns a front on listener. Start makes it serve. There may be up to
+// maxConnections connections. memory is a limit in bytes that applies separately to
+// the buffered commands and to the unsent replies of all connections.
 func New(listener net.Listener, c Core, maxConnections, memory int) *Front {
 	return &Front{
 		listener:      listener,
@@ -90,13 +90,13 @@
 	}
 }
 
-// Observe has the front count in the metrics and invariants of a process. It is
-// called before Start.
+// Observe sets the metrics and the invariant monitor that the front reports to. It
+// must be called before Start.
 func (f *Front) Observe(set *metrics.Set, monitor *guard.Monitor) {
 	f.metrics, f.guard = set, monitor
 }
 
-// Start serves until Drain.
+// Start serves connections until Drain is called.
 func (f *Front) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -104,25 +104,25 @@
 	f.reaping.Go(func() { f.reapIdle(ctx) })
 }
 
-// SetMaxConnections changes how many connections there may be, up to the number
-// given to New. If there are more, the idlest are closed.
+// SetMaxConnections changes the maximum number of connections, up to the value
+// given to New. If more are open, those that have been idle longest are closed.
 func (f *Front) SetMaxConnections(n int) {
 	f.slotsToReserve.Store(int64(max(0, cap(f.slots)-n)))
 	f.notifyChanged()
 }
 
-// MaxConnections is the largest number of connections, as given to New.
+// MaxConnections returns the maximum number of connections that was given to New.
 func (f *Front) MaxConnections() int { return cap(f.slots) }
 
-// OpenConnections is the number of connections.
+// OpenConnections returns the number of open connections.
 func (f *Front) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.connections)
 }
 
-// notifyChanged wakes the goroutine that closes idle connections after a change
-// of drainingSince or slotsToReserve. It never blocks.
+// notifyChanged wakes reapIdle after a change of drainingSince or slotsToReserve.
+// It never blocks.
 func (f *Front) notifyChanged() {
 	select {
 	case f.changed <- struct{}{}:
--- a/internal/front/resp/idle.go
+++ b/internal/front/resp/idle.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	idleTimeout  = 2100 * time.Millisecond // after which a connection without an open request is closed
-	reapInterval = 250 * time.Millisecond  // between searches for idle connections
+	idleTimeout  = 2100 * time.Millisecond // time without an open request after which a connection is closed
+	reapInterval = 250 * time.Millisecond  // interval of the search for idle connections
 )
 
-// reapIdle closes, until ctx ends, the connections that have been without an
-// open request for too long. Each of them holds memory and a descriptor, and some
-// clients send one request and stay for good, or never send any.
+// reapIdle closes connections that have had no open request for too long, until ctx
+// ends. Each connection uses memory and a file descriptor, and some clients keep one
+// open forever after a single request, or without sending any.
 func (f *Front) reapIdle(ctx context.Context) {
 	tick := time.NewTicker(reapInterval)
 	defer tick.Stop()
@@ -35,8 +35,8 @@
 	}
 }
 
-// closeExpired closes the connections whose time without an open request is
-// over. draining is how long the front has been draining, or negative.
+// closeExpired closes the connections that isExpired selects. draining is how long
+// the front has been draining; it is negative if the front is not draining.
 func (f *Front) closeExpired(now time.Time, draining time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,8 +47,8 @@
 	}
 }
 
-// isExpired reports whether the connection is to be closed at the next moment
-// when no command on it is without an answer.
+// isExpired reports whether the connection is to be closed as soon as no reply is
+// pending: its idle timeout has passed, or the drain requires it.
 func (c *connection) isExpired(now time.Time, draining time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,8 +57,8 @@
 	if !c.hasSentCommand {
 		timeout = firstCommandTimeout - reapInterval
 	}
-	// The reader limits the time of a partial command.
-	if len(c.pending) == 0 && !c.partialCommand.Load() && idle > timeout {
+	// A partial command is limited by the read deadline instead.
+	if len(c.pending) == 0 && !c.hasPartialCommand.Load() && idle > timeout {
 		return true
 	}
 	return draining > drainRejectAfter || draining > drainIdleAfter && (c.hasSentCommand || idle > drainIdleAfter)
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-const acceptPause = 5 * time.Millisecond // after an accept that failed
+const acceptPause = 5 * time.Millisecond // after a failed accept
 
-// accept takes connections until the listener closes.
+// accept accepts connections until the listener is closed. It acquires a slot before
+// each, so that further connections wait in the listen queue.
 func (f *Front) accept() {
 	for {
 		f.acquireSlot()
@@ -16,7 +17,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, say: a pause, then on
+		if err != nil { // for example, out of file descriptors: retry after a pause
 			<-f.slots
 			time.Sleep(acceptPause)
 			continue
@@ -34,6 +35,6 @@
 	}
 }
 
-// Close closes the listener in this process; other processes that share the
-// socket keep it.
+// Close closes the listener in this process only. Other processes that share the
+// socket can still accept.
 func (f *Front) Close() { f.listener.Close() }
--- a/internal/front/resp/pending.go
+++ b/internal/front/resp/pending.go
@@ -11,17 +11,17 @@
 	"hitchspring/internal/socket"
 )
 
-// pendingReply is the reply to one command, at its place in the order of commands
-// until it is written. It is the core.ReplySink of its request.
+// pendingReply is the reply to one command. It holds the command's position in the
+// order of replies until it is written. It implements core.ReplySink for its request.
 type pendingReply struct {
 	conn    *connection
-	request *core.Request   // nil: the command was answered without the core
-	encoded []byte          // nil until answered; of a streamed value, its head
-	stream  *backend.Stream // the value that follows the head; nil: encoded is the entire reply
+	request *core.Request   // nil if the command is answered without the core
+	encoded []byte          // nil until answered; for a streamed value, only its RESP header
+	stream  *backend.Stream // value that follows the header; nil if encoded is the complete reply
 }
 
-// addPending adds a pending reply at the end of the order, or returns nil if the
-// connection takes no more commands.
+// addPending appends a pending reply for the next command. It may wait for the
+// pipeline window, and returns nil if the connection accepts no more commands.
 func (c *connection) addPending(request *core.Request) *pendingReply {
 	if !c.acquireWindow() {
 		return nil
@@ -38,9 +38,9 @@
 	return reply
 }
 
-// acquireWindow waits until the pipeline window takes a further command, and
-// reports false if the connection ends first. Written answers free the window, and
-// each request has a time limit.
+// acquireWindow waits until the pipeline window has capacity for another command. It
+// returns false if the connection ends first. Each written reply frees capacity, and
+// each request has a deadline, so the wait is bounded.
 func (c *connection) acquireWindow() (acquired bool) {
 	ended := false
 	c.waitWhileReading(func(maxWait time.Duration) bool {
@@ -59,8 +59,8 @@
 	return acquired
 }
 
-// awaitWindow waits up to maxWait for the pipeline window to take a command, or
-// for the last write of the connection.
+// awaitWindow waits up to maxWait for capacity in the pipeline window or for the end
+// of the writer.
 func (c *connection) awaitWindow(maxWait time.Duration) (acquired, ended bool) {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -74,14 +74,14 @@
 	}
 }
 
-// replyNow answers a command without the core.
+// replyNow adds an encoded reply to a command that the core doesn't see.
 func (c *connection) replyNow(encoded []byte) {
 	if reply := c.addPending(nil); reply != nil {
 		reply.complete(encoded)
 	}
 }
 
-// Deliver encodes the final answer of the request. The core calls it once.
+// Deliver encodes the final answer to the request. The core calls it exactly once.
 func (p *pendingReply) Deliver(a core.Answer) {
 	switch a.Kind {
 	case core.Served:
@@ -101,13 +101,13 @@
 	}
 }
 
-// Disconnected reports whether the client has closed its connection, also before
-// the reader has noticed: a command and the end of the connection may arrive
-// together, and the reader may be waiting. It looks into the kernel and never blocks.
+// Disconnected reports whether the client has closed its connection, even if the
+// reader has not noticed yet: a command and the close may arrive together, and the
+// reader may be waiting. It asks the kernel and never blocks.
 func (p *pendingReply) Disconnected() bool { return socket.HungUp(p.conn.conn) }
 
-// complete sets the encoded reply and never blocks. Clients that leave their
-// answers unread are disconnected before these fill the memory.
+// complete sets the encoded reply. It never blocks. If the unsent replies exceed the
+// memory limit, the connection with the most unsent bytes is closed.
 func (p *pendingReply) complete(encoded []byte) {
 	c := p.conn
 	c.mu.Lock()
@@ -127,8 +127,8 @@
 	c.wakeWriter()
 }
 
-// encodeRejection encodes a rejection, with the milliseconds after which the
-// client should retry.
+// encodeRejection encodes a rejection, with the Retry-After in milliseconds if there
+// is one.
 func encodeRejection(a core.Answer) []byte {
 	if a.RetryAfter <= 0 {
 		return []byte("-BUSY\r\n")
@@ -136,8 +136,8 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), max(1, a.RetryAfter.Milliseconds()), 10), '\r', '\n')
 }
 
-// completeWithStream sets a reply whose value is relayed as it arrives. The
-// connection's writer reads it when the replies before it are written.
+// completeWithStream sets a reply whose value is relayed as it arrives. The writer
+// reads the stream once all earlier replies are written.
 func (p *pendingReply) completeWithStream(v *backend.Stream) {
 	c := p.conn
 	c.mu.Lock()
@@ -153,8 +153,8 @@
 	c.wakeWriter()
 }
 
-// collectReplies moves the replies that are due to outgoing, up to the first that
-// is streamed. The caller has locked c.mu.
+// collectReplies moves replies from the front of pending to outgoing, up to the first
+// that is unanswered or streamed. The caller must hold c.mu.
 func (c *connection) collectReplies() {
 	for len(c.pending) > 0 && c.pending[0].encoded != nil && c.pending[0].stream == nil {
 		c.outgoing = append(c.outgoing, c.pending[0].encoded...)
--- a/internal/front/resp/reader.go
+++ b/internal/front/resp/reader.go
@@ -9,22 +9,22 @@
 	"hitchspring/internal/socket"
 )
 
-// readResult is how reading came to its end.
+// readResult is the reason why the reader stopped.
 type readResult uint8
 
 const (
-	clientLeft     readResult = iota // the client has disconnected, or the connection is broken
-	protocolFailed                   // the framing is lost, or the client has made too many protocol errors
-	endedByServer                    // no command is without an answer, and the last answer is on its way
+	clientDisconnected readResult = iota // the client closed the connection, or it failed
+	protocolFailed                       // the framing is invalid, or there were too many protocol errors
+	endedByServer                        // no command is unanswered; the last reply may still be being written
 )
 
-// commandProgress is what the reader knows of a partial command.
+// commandProgress tracks a partial command in order to set its read deadline.
 type commandProgress struct {
-	beganAt      time.Time // zero: none has begun
-	arrivedBytes int       // of it, when its deadline was last set
+	beganAt         time.Time // arrival of the first bytes; zero if there is no partial command
+	bytesAtDeadline int       // buffered bytes when the deadline was last set
 }
 
-// readCommands takes commands until the connection ends.
+// readCommands reads and handles commands until the connection ends.
 func (c *connection) readCommands() readResult {
 	in := &c.inbox
 	in.Budget, in.Max = c.front.requestMemory, resp.MaxLargeValue
@@ -34,14 +34,14 @@
 		command, err := in.Next()
 		if command != nil {
 			progress = commandProgress{}
-			c.handle(command, c.receipts.takeCommand(in.BufferedBytes()))
+			c.handle(command, c.receipts.consumeCommand(in.BufferedBytes()))
 			if result, ended := c.checkProtocolErrors(); ended {
 				return result
 			}
 			continue
 		}
 		if err == nil {
-			c.limitPartialCommand(&progress, c.receipts.forgetPartial())
+			c.updatePartialDeadline(&progress, c.receipts.discardPartial())
 			err = c.fillInbox()
 		}
 		if errors.Is(err, resp.ErrMemory) {
@@ -51,16 +51,16 @@
 			return endedByServer
 		}
 		if err != nil {
-			return c.readFailed(err)
+			return c.handleReadError(err)
 		}
 	}
 }
 
-// errEnded says that the reader has ended the connection as it was requested to.
+// errEnded is returned when the reader has ended the connection on request.
 var errEnded = errors.New("the connection has ended between requests")
 
-// fillInbox reads more of the next command. It returns errEnded if an end of the
-// connection was requested and is done.
+// fillInbox reads more input. It returns errEnded if the end of the connection was
+// requested and the connection has ended.
 func (c *connection) fillInbox() error {
 	err := c.inbox.Fill(c.receive)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -77,15 +77,15 @@
 	}
 }
 
-// checkProtocolErrors reports after a command whether reading has ended. It
-// pauses for a protocol error that the core has found.
+// checkProtocolErrors is called after each command and reports whether reading must
+// stop. It pauses after a protocol error that was detected by the core.
 func (c *connection) checkProtocolErrors() (result readResult, ended bool) {
 	count := c.protocolErrors.Load()
 	switch {
 	case c.peerClosed:
-		return clientLeft, true
+		return clientDisconnected, true
 	case count >= maxProtocolErrors:
-		c.rejectReceived()
+		c.rejectBuffered()
 		return protocolFailed, true
 	case count > c.errorsBackedOff:
 		c.backOff()
@@ -93,26 +93,26 @@
 	return 0, false
 }
 
-// limitPartialCommand sets the read deadline while a command is partial, later
-// with each progress, and removes it behind the command's end. Between commands
-// there is none, since setting one for each read would cost CPU time.
+// updatePartialDeadline sets the read deadline when part of a command has been read,
+// extends it with each progress, and removes it when the command is complete. Between
+// commands there is no deadline, since setting one for each read would cost CPU time.
 //
-// arrivedAt is when the first of the bytes that were read last came, which may
-// have waited for this process: the command's time counts from then, but what has
-// come behind them is read first.
-func (c *connection) limitPartialCommand(progress *commandProgress, arrivedAt time.Time) {
+// arrivedAt is the arrival of the earliest bytes of the latest reads. They may have
+// waited in the kernel for this process. The deadline counts from their arrival, but
+// leaves at least minRemainderTimeout to read the bytes that arrived after them.
+func (c *connection) updatePartialDeadline(progress *commandProgress, arrivedAt time.Time) {
 	partial := c.inbox.Partial()
 	switch {
-	case !partial && c.partialCommand.Load():
+	case !partial && c.hasPartialCommand.Load():
 		c.setReadDeadline(time.Time{})
-		c.partialCommand.Store(false)
-	case partial && (progress.beganAt.IsZero() || c.inbox.BufferedBytes()-progress.arrivedBytes >= minProgressBytes):
+		c.hasPartialCommand.Store(false)
+	case partial && (progress.beganAt.IsZero() || c.inbox.BufferedBytes()-progress.bytesAtDeadline >= minProgressBytes):
 		now := time.Now()
 		if arrivedAt.IsZero() {
 			arrivedAt = now
 		}
-		deadline := later(arrivedAt.Add(firstCommandTimeout), now.Add(minRestTimeout))
-		if limit := arrivedAt.Add(stalledLimit); now.Before(limit) {
+		deadline := later(arrivedAt.Add(firstCommandTimeout), now.Add(minRemainderTimeout))
+		if limit := arrivedAt.Add(maxStallTime); now.Before(limit) {
 			deadline = earlier(deadline, limit)
 		}
 		if progress.beganAt.IsZero() {
@@ -120,15 +120,15 @@
 		} else {
 			deadline = earlier(deadline, progress.beganAt.Add(commandTimeout))
 		}
-		progress.arrivedBytes = c.inbox.BufferedBytes()
-		c.partialCommand.Store(true)
+		progress.bytesAtDeadline = c.inbox.BufferedBytes()
+		c.hasPartialCommand.Store(true)
 		c.setReadDeadline(deadline)
 	}
 }
 
-// receive reads from the connection and notes when the bytes arrived.
+// receive reads from the connection and records when the bytes arrived.
 func (c *connection) receive(b []byte) (int, error) {
-	var began time.Time // matters only for the first read, and after reading had stopped
+	var began time.Time // needed only for the first read and after reading was suspended
 	if c.receipts.totalBytes == 0 || !c.receipts.stoppedAt.IsZero() {
 		began = time.Now()
 	}
@@ -136,35 +136,36 @@
 	if n > 0 {
 		now := time.Now()
 		if c.receipts.totalBytes == 0 {
-			if waited := c.listenQueueWait(now.Sub(began)); waited >= receiptGap {
-				c.receipts.noteStop(now.Add(-waited))
+			if waited := c.listenQueueWait(now.Sub(began)); waited >= minReceiptInterval {
+				c.receipts.recordStop(now.Add(-waited))
 				began = now
 			}
 		}
-		c.receipts.noteRead(n, began, now)
+		c.receipts.recordRead(n, began, now)
 	}
 	return n, err
 }
 
-// listenQueueWait returns how long the first bytes may have waited in the listen
-// queue for a slot. The first read has taken readFor: what it had to wait for came
-// after the connection was accepted, and only the last bytes are of known age.
+// listenQueueWait estimates how long the first bytes waited while the connection was
+// in the listen queue, before a slot was free. readFor is the duration of the first
+// read. If that read blocked, the bytes arrived after the accept, and the kernel's
+// time of the last received bytes is the best estimate.
 func (c *connection) listenQueueWait(readFor time.Duration) time.Duration {
 	waited := socket.SinceReceived(c.conn)
-	if readFor < receiptGap {
+	if readFor < minReceiptInterval {
 		waited = socket.SinceFirstReceived(c.conn)
 	}
 	return min(waited, maxListenQueueWait)
 }
 
-// skipCommand reads past a command for which there is no memory now, and rejects
-// it if its end is known. The command's time is limited like that of any other, so
-// that a client that stops within it is not waited for.
+// skipCommand discards a command that exceeds the memory budget and rejects it. If
+// its end is unknown, it returns resp.ErrMemory. The same time limits apply as for any
+// other partial command, so that a stalled client cannot block the reader.
 func (c *connection) skipCommand() error {
 	end := time.Now().Add(commandTimeout)
 	skipped, err := c.inbox.SkipFrame(func(b []byte) (int, error) {
 		c.mu.Lock()
-		c.takeEndRequest() // the rest of the command comes first
+		c.takeEndRequest() // the end must wait for the rest of the command
 		c.mu.Unlock()
 		c.setReadDeadline(earlier(time.Now().Add(firstCommandTimeout), end))
 		return c.receive(b)
@@ -179,21 +180,22 @@
 	return err
 }
 
-// readFailed returns how reading has ended by err. It answers a protocol error.
-func (c *connection) readFailed(err error) readResult {
+// handleReadError maps a read error to the result of the reader. If it is a protocol
+// error, it also adds the error reply.
+func (c *connection) handleReadError(err error) readResult {
 	switch {
 	case errors.Is(err, resp.ErrFraming), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrMemory):
 		c.protocolError(err.Error())
 		return protocolFailed
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.partialCommand.Load():
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.hasPartialCommand.Load():
 		c.protocolError("the command does not end")
 		return protocolFailed
 	}
-	return clientLeft
+	return clientDisconnected
 }
 
-// setReadDeadline sets when reading is to stop. While an end is requested,
-// reading stops at once whatever the deadline.
+// setReadDeadline sets the read deadline. If the end of the connection is requested,
+// the expired deadline of requestEnd stays in place until takeEndRequest.
 func (c *connection) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,10 +204,10 @@
 	}
 }
 
-// waitWhileReading waits until done reports true. done waits itself, for up to
-// the time that it is given. Meanwhile a bounded part of the next commands is
-// read, in order to notice when the client disconnects: nothing may be sent for it
-// any more. In that case it sets peerClosed and returns.
+// waitWhileReading waits until done returns true. done is called repeatedly with the
+// time for which it may block. Between the calls, up to readAheadBytes of the next
+// commands are read in order to detect that the client has disconnected. In that case
+// it sets peerClosed and returns early: no more attempts may be sent for the client.
 func (c *connection) waitWhileReading(done func(time.Duration) bool) {
 	if done(0) {
 		return
@@ -213,10 +215,10 @@
 	defer c.setReadDeadline(time.Time{})
 	for readAhead := true; !done(0); {
 		c.mu.Lock()
-		c.takeEndRequest() // the commands that have been read come first
+		c.takeEndRequest() // the end must wait for the commands that have been read
 		c.mu.Unlock()
 		if readAhead = readAhead && c.inbox.BufferedBytes() < readAheadBytes; !readAhead {
-			c.receipts.noteStop(time.Now())
+			c.receipts.recordStop(time.Now())
 			if done(peerClosedPollInterval) {
 				return
 			}
@@ -237,8 +239,8 @@
 	}
 }
 
-// waitClosed waits up to maxWait until a channel closes, and reports whether it
-// has.
+// waitClosed waits up to maxWait for a channel to be closed, and reports whether it
+// was closed.
 func waitClosed(closed <-chan struct{}, maxWait time.Duration) bool {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
--- a/internal/front/resp/receipts.go
+++ b/internal/front/resp/receipts.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// maxInFlightBytes is more than two kernels hold for a connection: bytes that are
-// read beyond it were sent after reading had stopped.
-const maxInFlightBytes = 8 << 20
+// maxKernelBufferedBytes exceeds what the send buffer of the client's kernel and the
+// receive buffer of ours hold for one connection. Bytes beyond it were written by the
+// client after reading had resumed.
+const maxKernelBufferedBytes = 8 << 20
 
-// receiptGap is the shortest time between two receipts: bytes that come sooner
-// after others count as arrived with these.
-const receiptGap = 25 * time.Millisecond
+// minReceiptInterval is the shortest time between two entries of a receiptLog. Bytes
+// that arrive sooner after the previous entry are merged into it. It is also the
+// duration from which a read counts as blocked.
+const minReceiptInterval = 25 * time.Millisecond
 
-// receiptLog remembers when the bytes of a connection arrived that no command has
-// been taken from yet. A request's time counts from the arrival of its last byte,
-// also if it waits behind other commands, for the pipeline window or for the end
-// of a pause.
+// receiptLog records when the unconsumed bytes of a connection arrived. The deadline
+// of a request counts from the arrival of its last byte, even if the request waits
+// behind other commands, for the pipeline window or for the end of a pause.
 type receiptLog struct {
-	totalBytes     int64     // that have arrived
+	totalBytes     int64     // read from the connection so far
 	entries        []receipt // in the order of arrival
-	stoppedAt      time.Time // when reading stopped while more may have arrived; zero: all that arrived was read
+	stoppedAt      time.Time // when reading was suspended; zero once all bytes that arrived before are read
 	bytesSinceStop int64     // read since stoppedAt
 }
 
@@ -27,45 +28,45 @@
 	arrivedAt time.Time
 }
 
-// noteStop notes that nothing is read for a while: bytes that are sent meanwhile
-// count as arrived now.
-func (log *receiptLog) noteStop(now time.Time) {
+// recordStop records that reading is suspended from now on. The bytes that wait in
+// the kernel when it resumes count as arrived now.
+func (log *receiptLog) recordStop(now time.Time) {
 	if log.stoppedAt.IsZero() {
 		log.stoppedAt, log.bytesSinceStop = now, 0
 	}
 }
 
-// noteRead notes bytes that a read has brought which began at a time. If the read
-// had to wait, they were sent just now.
-func (log *receiptLog) noteRead(bytes int, began, now time.Time) {
+// recordRead records the bytes of a read that lasted from began to now. If the read
+// blocked, the kernel's buffer was empty and the bytes have only just arrived.
+func (log *receiptLog) recordRead(bytes int, began, now time.Time) {
 	log.bytesSinceStop += int64(bytes)
-	if now.Sub(began) >= receiptGap || log.bytesSinceStop > maxInFlightBytes {
+	if now.Sub(began) >= minReceiptInterval || log.bytesSinceStop > maxKernelBufferedBytes {
 		log.stoppedAt = time.Time{}
 	}
 	if !log.stoppedAt.IsZero() {
 		now = log.stoppedAt
 	}
 	log.totalBytes += int64(bytes)
-	if last := len(log.entries) - 1; last >= 0 && now.Sub(log.entries[last].arrivedAt) < receiptGap {
+	if last := len(log.entries) - 1; last >= 0 && now.Sub(log.entries[last].arrivedAt) < minReceiptInterval {
 		log.entries[last].endOffset = log.totalBytes
 		return
 	}
 	log.entries = append(log.entries, receipt{endOffset: log.totalBytes, arrivedAt: now})
 }
 
-// takeCommand returns when the last byte of a command arrived, behind which
-// further bytes have arrived, and forgets the receipts before it.
-func (log *receiptLog) takeCommand(behind int) time.Time {
-	end := log.totalBytes - int64(behind)
+// consumeCommand returns when the last byte of the next command arrived, and drops
+// the entries before it. bytesAfter is the number of bytes received after the command.
+func (log *receiptLog) consumeCommand(bytesAfter int) time.Time {
+	end := log.totalBytes - int64(bytesAfter)
 	for len(log.entries) > 1 && log.entries[0].endOffset < end {
 		log.entries = log.entries[1:]
 	}
 	return log.entries[0].arrivedAt
 }
 
-// forgetPartial forgets the receipts of a partial command, and returns when its
-// first bytes arrived, or zero if there is none.
-func (log *receiptLog) forgetPartial() (beganAt time.Time) {
+// discardPartial drops all entries, which belong to a partial command, and returns
+// the time of the earliest, or zero if there is none.
+func (log *receiptLog) discardPartial() (beganAt time.Time) {
 	if len(log.entries) > 0 {
 		beganAt = log.entries[0].arrivedAt
 	}
--- a/internal/front/resp/receipts_test.go
+++ b/internal/front/resp/receipts_test.go
@@ -11,11 +11,11 @@
 	"hitchspring/internal/core"
 )
 
-// A connection waits in the listen queue for a slot, with its commands. Their time
-// counts from their arrival and not from when the slot was free, so that backends
-// aren't given time that the client no longer has.
+// A connection waits in the listen queue for a slot while its commands have already
+// arrived. Their deadlines must count from their arrival, not from the accept.
+// Otherwise backends are given more time than the client has left.
 func TestAgeOfCommandsInListenQueue(t *testing.T) {
-	for _, writes := range []int{1, 3} { // the last of them just before the connection is accepted
+	for _, writes := range []int{1, 3} { // the last write is just before the accept
 		t.Run(fmt.Sprint(writes, " writes"), func(t *testing.T) { testAgeOfCommandsInListenQueue(t, writes) })
 	}
 }
@@ -36,11 +36,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		commands := encodeRequest(id) + strings.Repeat(encodeRequest(id+10), 40) // more than one read takes
+		commands := encodeRequest(id) + strings.Repeat(encodeRequest(id+10), 40) // more than fits into one read
 		if _, err := io.WriteString(conn, commands); err != nil {
 			t.Fatal(err)
 		}
-		for n := 1; n < writes; n++ { // a part of a further command
+		for n := 1; n < writes; n++ { // part of another command
 			time.AfterFunc(waited*time.Duration(n)/time.Duration(writes-1)-waited/20, func() {
 				io.WriteString(conn, encodeRequest(id + 10*n)[:n])
 			})
@@ -54,19 +54,19 @@
 				check(request)
 				request.Sink.Deliver(core.Answer{Kind: core.Failed})
 			case <-time.After(10 * time.Second):
-				t.Fatal("a command is not taken")
+				t.Fatal("a command was not submitted")
 			}
 		}
 	}
 	dial(1, 1)
 	answer(commandsPerConnection-1, func(*core.Request) {})
-	last := <-fake.submitted // its connection has the one slot until it is answered
+	last := <-fake.submitted // its connection holds the only slot until it is answered
 	sent := time.Since(fake.start)
 	dial(2, writes)
 	time.AfterFunc(waited, func() { last.Sink.Deliver(core.Answer{Kind: core.Failed}) })
 	answer(commandsPerConnection, func(request *core.Request) {
 		if request.GiveUpAt-sent > waited/2 {
-			t.Errorf("a command that arrived at %v, and was taken at %v, counts from %v",
+			t.Errorf("a command arrived at %v and was submitted at %v, but its deadline counts from %v",
 				sent, time.Since(fake.start), request.GiveUpAt)
 		}
 	})
@@ -74,11 +74,12 @@
 	f.stop()
 }
 
-// More arrives behind a full pipeline window than is read ahead: the rest lies in
-// the kernel. When it is read, it counts as arrived no later than when reading
-// stopped.
+// More commands arrive behind a full pipeline window than are read ahead, so the rest
+// stays in the kernel's buffers. When they are read, they must count as arrived no
+// later than when reading was suspended.
 func TestAgeOfCommandsBeyondReadAhead(t *testing.T) {
-	const waited, large = 600 * time.Millisecond, 100 // more than the kernel holds for us: the rest is in the client's
+	// 100 large commands exceed our kernel's receive buffer: the rest stays in the client's send buffer.
+	const waited, large = 600 * time.Millisecond, 100
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,17 +105,17 @@
 	go io.WriteString(conn, text.String())
 	sent := time.Since(fake.start)
 	for id := range maxPipelined + large {
-		if id == 1 { // the others wait until then
+		if id == 1 { // all other commands wait meanwhile
 			time.Sleep(waited)
 		}
 		select {
 		case request := <-fake.submitted:
 			if arrivedAt := request.GiveUpAt; arrivedAt-sent > waited/2 {
-				t.Fatalf("command %d came at %v, and counts from %v", id, sent, arrivedAt)
+				t.Fatalf("command %d arrived at %v, but its deadline counts from %v", id, sent, arrivedAt)
 			}
 			request.Sink.Deliver(core.Answer{Kind: core.Failed})
 		case <-time.After(10 * time.Second):
-			t.Fatalf("command %d is not taken", id)
+			t.Fatalf("command %d was not submitted", id)
 		}
 	}
 	f.Close()
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	evictionPause = 5 * time.Millisecond  // before a further connection is closed to free a slot
-	newcomerGrace = 50 * time.Millisecond // in which a connection that has sent nothing is not evicted
+	evictionPause      = 5 * time.Millisecond  // before another connection is closed to free a slot
+	newConnectionGrace = 50 * time.Millisecond // time for which a connection that has sent nothing is not evicted
 )
 
-// reserveSlots takes or gives back the slots that are to be left to another
-// process, and reports whether that is done. No connection is accepted before.
+// reserveSlots adjusts the number of reserved slots to slotsToReserve. If too few
+// slots are free, it evicts idle connections and returns false; the caller must call
+// it again. No connection is accepted until it returns true.
 func (f *Front) reserveSlots(now time.Time) bool {
 	f.reserveMu.Lock()
 	defer f.reserveMu.Unlock()
@@ -25,7 +26,7 @@
 		select {
 		case f.slots <- struct{}{}:
 			f.slotsReserved++
-		default: // a later call finds the slots of the connections that are closed now
+		default: // the connections evicted here free their slots for a later call
 			for range want - f.slotsReserved - f.closingCount() {
 				f.evictIdlest(now)
 			}
@@ -35,7 +36,7 @@
 	return true
 }
 
-// closingCount is the number of connections that are about to end.
+// closingCount returns the number of connections that are marked for closing.
 func (f *Front) closingCount() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,9 +50,9 @@
 	return n
 }
 
-// acquireSlot waits for the slot of a further connection. Clients keep idle
-// connections for good, and hundreds may never send anything, so one of these is
-// closed if all slots are taken.
+// acquireSlot waits for a free slot for the next connection. If all slots are taken
+// it evicts an idle connection: clients may keep idle connections open forever, and
+// hundreds of them may never send anything.
 func (f *Front) acquireSlot() {
 	for {
 		if !f.reserveSlots(time.Now()) {
@@ -61,7 +62,7 @@
 		select {
 		case f.slots <- struct{}{}:
 			return
-		default: // all are taken
+		default: // all slots are taken
 		}
 		f.evictIdlest(time.Now())
 		select {
@@ -72,8 +73,8 @@
 	}
 }
 
-// evictIdlest closes the oldest connection that has sent no command yet, or else
-// the one that has been between requests for the longest.
+// evictIdlest closes the connection that has waited longest for its first command.
+// If there is none, it closes the one that has been idle longest since its last.
 func (f *Front) evictIdlest(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,7 +85,7 @@
 		c.mu.Lock()
 		idler := idlest == nil || idlestHasSent && !c.hasSentCommand ||
 			idlestHasSent == c.hasSentCommand && c.lastActive.Before(idleSince)
-		if idler && c.evictable(now) {
+		if idler && c.isEvictable(now) {
 			idlest, idleSince, idlestHasSent = c, c.lastActive, c.hasSentCommand
 		}
 		c.mu.Unlock()
@@ -94,20 +95,20 @@
 	}
 }
 
-// evictable reports whether the connection may be closed to free its slot. The
-// caller has locked c.mu.
-func (c *connection) evictable(now time.Time) bool {
+// isEvictable reports whether the connection may be closed to free its slot. The
+// caller must hold c.mu.
+func (c *connection) isEvictable(now time.Time) bool {
 	idle := now.Sub(c.lastActive)
 	if c.closing || len(c.pending) > 0 {
 		return false
 	}
-	if c.partialCommand.Load() && idle < firstCommandTimeout {
+	if c.hasPartialCommand.Load() && idle < firstCommandTimeout {
 		return false
 	}
-	return c.hasSentCommand || idle > newcomerGrace
+	return c.hasSentCommand || idle > newConnectionGrace
 }
 
-// closeSlowestReader closes the connection with the most bytes of answers unsent.
+// closeSlowestReader aborts the connection with the most unsent bytes of replies.
 func (f *Front) closeSlowestReader() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -11,8 +11,9 @@
 	"hitchspring/internal/socket"
 )
 
-// relayStream writes the first pending reply, whose value is streamed. A value
-// that breaks off ends the connection, so that the client sees that it is cut.
+// relayStream writes the first pending reply, whose value is streamed. If the stream
+// fails midway, it returns an error and the connection is closed, so that the client
+// can tell that the value is truncated.
 func (c *connection) relayStream(reply *pendingReply) error {
 	defer reply.stream.Close()
 	if err := c.sendStream(reply); err != nil {
@@ -28,7 +29,8 @@
 	return nil
 }
 
-// sendStream writes a bulk string: its head, its value as it arrives, its end.
+// sendStream writes a RESP bulk string: the header, the value as it arrives, and the
+// final CRLF.
 func (c *connection) sendStream(reply *pendingReply) error {
 	if err := c.send(reply.encoded); err != nil {
 		return err
@@ -50,12 +52,12 @@
 	}
 }
 
-// send writes all of b. It fails only if the client makes no progress for
-// writeStallTimeout: one that reads slowly gets it all. While nothing can be
-// written, the bytes that the client acknowledges count as progress, since the
-// kernel takes more only when a third of its buffer is free.
+// send writes all of b, however slowly the client reads. It fails if the connection
+// fails, or if there is no progress for writeStallTimeout. While nothing can be
+// written, acknowledged bytes count as progress, since the kernel accepts more data
+// only when a third of its buffer is free.
 func (c *connection) send(b []byte) error {
-	unacknowledged := socket.Unknown // bytes, when half of the client's time had passed
+	unacknowledged := socket.Unknown // bytes unacknowledged after half of writeStallTimeout
 	for len(b) > 0 {
 		c.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout / 2))
 		n, err := c.conn.Write(b)
@@ -72,7 +74,7 @@
 				return err
 			}
 			unacknowledged = now
-			if now == socket.Unknown { // the client has the other half of its time, and no more
+			if now == socket.Unknown { // progress can't be seen: fail after the second half of writeStallTimeout
 				unacknowledged = 0
 			}
 		}
@@ -80,17 +82,17 @@
 	return nil
 }
 
-// batch is what the writer sends at one wake-up.
+// batch is the work of one wake-up of the writer.
 type batch struct {
 	encoded      []byte        // complete replies
-	replies      int           // their number
-	stream       *pendingReply // the streamed reply behind them; nil: none, or its turn has not come
-	endRequested bool          // the connection is to end once they are written, unless more has come
-	last         bool          // nothing is written behind them
+	replies      int           // number of replies in encoded
+	stream       *pendingReply // the streamed reply after them; nil if the next reply is not ready or not streamed
+	endRequested bool          // the connection is to end after them, unless more bytes have arrived
+	last         bool          // nothing is written after them
 }
 
-// writeReplies sends replies as they become due, and requests the end of the
-// connection once it is closing and no command is without an answer.
+// writeReplies sends replies as they become ready. It requests the end of the
+// connection when the connection is closing and no reply is pending.
 func (c *connection) writeReplies(done <-chan struct{}) {
 	var spare []byte
 	for {
@@ -101,7 +103,7 @@
 		}
 		b := c.nextBatch(spare)
 		if err := c.sendBatch(b); err != nil {
-			c.abort(writeFailure(err))
+			c.abort(writeFailureReason(err))
 			return
 		}
 		if spare = b.encoded; cap(spare) > resp.SmallBufferBytes {
@@ -110,7 +112,7 @@
 		if b.last {
 			return
 		}
-		if b.endRequested && !c.partialCommand.Load() { // a partial command ends first, or its time does
+		if b.endRequested && !c.hasPartialCommand.Load() { // else wait for the partial command or its deadline
 			c.mu.Lock()
 			c.requestEnd()
 			c.mu.Unlock()
@@ -118,15 +120,16 @@
 	}
 }
 
-// writeFailure is why a connection ends if a write fails with err.
-func writeFailure(err error) metrics.CloseReason {
+// writeFailureReason returns the reason for which a failed write closes a connection.
+func writeFailureReason(err error) metrics.CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return metrics.ClosedSlowReader
 	}
 	return metrics.ClosedByClient
 }
 
-// nextBatch takes the replies that are due. spare is the buffer for the next ones.
+// nextBatch removes the replies that are ready. spare becomes the buffer for the
+// following ones.
 func (c *connection) nextBatch(spare []byte) batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +146,7 @@
 	return b
 }
 
-// sendBatch writes a batch and frees the pipeline window of its commands.
+// sendBatch writes a batch and releases its commands from the pipeline window.
 func (c *connection) sendBatch(b batch) error {
 	if len(b.encoded) > 0 {
 		err := c.send(b.encoded)
@@ -164,6 +167,6 @@
 	if err := c.relayStream(b.stream); err != nil {
 		return err
 	}
-	c.wakeWriter() // for the replies that became due behind it
+	c.wakeWriter() // for the replies that became ready after it
 	return nil
 }
