--- a/internal/front/forwardauth/authorize.go
+++ b/internal/front/forwardauth/authorize.go
@@ -11,30 +11,30 @@
 	"hitchspring/internal/socket"
 )
 
-// callSink waits for the one answer of a call.
+// callSink receives the answer to one call. It implements core.ReplySink.
 type callSink struct {
-	answer chan core.Answer // has capacity for the one
-	ctx    context.Context  // of the call; it ends when the server notices a disconnect
-	conn   net.Conn         // of the call; nil: not known
+	answer chan core.Answer // buffered, so that Deliver never blocks
+	ctx    context.Context  // context of the call; it ends when the server notices a disconnect
+	conn   net.Conn         // connection of the call; nil if unknown
 }
 
 // Deliver implements core.ReplySink.
 func (s *callSink) Deliver(a core.Answer) { s.answer <- a }
 
-// Disconnected reports whether the caller has hung up, also before the server has
-// noticed.
+// Disconnected reports whether the caller has disconnected, even if the HTTP server
+// has not noticed yet.
 func (s *callSink) Disconnected() bool {
 	return s.ctx.Err() != nil || s.conn != nil && socket.HungUp(s.conn)
 }
 
-// connectionKey is the key of a call's connection in its context.
+// connectionKey is the context key of a call's connection.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, nc)
 }
 
-// authorize answers whether and where one request may be forwarded.
+// authorize requests a lease for one forwarded request and writes the answer.
 func (f *Front) authorize(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	if r.ContentLength > f.config.MaxBodyBytes {
@@ -68,7 +68,7 @@
 	}
 }
 
-// writeAnswer writes the core's answer to a call.
+// writeAnswer writes the core's answer as the HTTP response to a call.
 func (f *Front) writeAnswer(w http.ResponseWriter, r *http.Request, answer core.Answer) {
 	header := w.Header()
 	header.Set("Cache-Control", "no-store")
@@ -95,7 +95,7 @@
 	}
 }
 
-// setGrantHeaders writes a granted attempt into the headers of an answer.
+// setGrantHeaders adds the headers that describe a granted attempt.
 func (f *Front) setGrantHeaders(header http.Header, grant core.Grant) {
 	millis := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	header.Set(f.config.Header+"-Node", grant.Addr)
--- a/internal/front/forwardauth/call.go
+++ b/internal/front/forwardauth/call.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	maxIDBytes   = 64      // of a request's id
-	maxKeyBytes  = 64      // of an idempotency key
-	channelLimit = 1 << 33 // channels' numbers are below
-	callSize     = 256     // bytes that a call counts for in the core
+	maxIDBytes   = 64      // maximum length of a request's id
+	maxKeyBytes  = 64      // maximum length of an idempotency key
+	channelLimit = 1 << 33 // channel numbers are smaller than this
+	callSize     = 256     // size in bytes that a call counts as in the core
 
 	maxChannelDigits = 16
 )
 
-// call is the request that a proxy's call is about.
+// call is a parsed call: a request for which a proxy wants a lease.
 type call struct {
 	request     *core.Request
-	id          string // the caller's, or one that no other call can have
-	fingerprint uint64 // of the particulars; other calls of the id must have the same
+	id          string // from the caller, or else unique
+	fingerprint uint64 // hash of the parameters; all calls with this id must have the same
 }
 
-// parseCall reads the request that a call is about from its headers. What the rule
-// that matches it determines is taken from there. The error names the field and
-// its value, for the caller.
+// parseCall builds the request from a call's headers. Parameters that the matching
+// rule sets take precedence over the headers. The text of the error is sent to the
+// caller and names the parameter and its value.
 func (f *Front) parseCall(r *http.Request, arrivedAt time.Time) (call, error) {
 	request := &core.Request{}
 	class, err := f.parseTarget(r, request)
@@ -56,7 +56,7 @@
 	request.Size = callSize
 	id := f.header(r, "Id")
 	if id == "" {
-		id = fmt.Sprintf("\x00%d", request.ClientID) // no other call can have it
+		id = fmt.Sprintf("\x00%d", request.ClientID) // unique: a header value can't contain a zero byte
 	}
 	if len(id) > maxIDBytes {
 		return call{}, fmt.Errorf("id %q is longer than %d characters", id[:maxIDBytes], maxIDBytes)
@@ -64,16 +64,16 @@
 	return call{request: request, id: id, fingerprint: fingerprint(request, key)}, nil
 }
 
-// header returns the value of one of the front's own headers.
+// header returns the value of the front's own header with this name after the prefix.
 func (f *Front) header(r *http.Request, name string) string {
 	return r.Header.Get(f.config.Header + "-" + name)
 }
 
-// parseTarget sets class, plan and tenant of a request, by the rule that matches
-// its method and path. Headers fill only what the operator's rules leave open.
+// parseTarget sets the class, plan and tenant of a request by the rule that matches
+// its method and path. Headers supply only what the rule does not set.
 func (f *Front) parseTarget(r *http.Request, request *core.Request) (policy.Class, error) {
 	method, target := originalRequest(r, f.config.Prefix)
-	segments, err := Segments(target)
+	segments, err := SplitPath(target)
 	if err != nil {
 		return policy.Class{}, err
 	}
@@ -101,11 +101,12 @@
 	if err != nil || number >= channelLimit || len(channel) > maxChannelDigits {
 		return class, fmt.Errorf("channel %q is not up to 16 hex digits below 2^33", channel)
 	}
-	request.Tenant = fmt.Sprintf("%016x", number) // as in RESP2: a channel has one quota at both fronts
+	request.Tenant = fmt.Sprintf("%016x", number) // as in the RESP2 front, so that both share the tenant's quota
 	return class, nil
 }
 
-// parseUnits sets the units of a request, unless its rule has.
+// parseUnits sets the units of a request unless its rule has set them. The default
+// is 1.
 func (f *Front) parseUnits(text string, request *core.Request) (err error) {
 	if text != "" && request.Units == 0 {
 		if request.Units, err = strconv.ParseFloat(text, 64); err != nil {
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// parseSpread sets the instances that the tenant's requests come through, from
-// text of the form SPREAD/FIRST. Without it they come through all.
+// parseSpread sets the instances that receive the tenant's requests from text of the
+// form SPREAD/FIRST: their number and the first one. The default is all instances.
 func (f *Front) parseSpread(text string, request *core.Request) error {
 	instances := f.core.Instances()
 	request.Spread, request.First = instances, 0
@@ -137,8 +138,8 @@
 	return nil
 }
 
-// parseDeadline reads how long the client waits, in milliseconds. The core bounds
-// a time that is too long.
+// parseDeadline parses the time that the client waits, in milliseconds. The core
+// limits it.
 func parseDeadline(text string, byDefault time.Duration) (time.Duration, error) {
 	if text == "" {
 		return byDefault, nil
@@ -150,7 +151,8 @@
 	return time.Duration(millis) * time.Millisecond, nil
 }
 
-// fingerprint is a hash of the particulars in which all calls of an id must agree.
+// fingerprint returns a hash of the parameters that must be equal in all calls with
+// the same id.
 func fingerprint(request *core.Request, key string) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s\x00%s\x00%s\x00%v\x00%d/%d\x00%s",
@@ -158,10 +160,10 @@
 	return hash.Sum64()
 }
 
-// originalRequest returns the method and target of the request that a call is
-// about: X-Forwarded-Method and -Uri (Traefik, Caddy), X-Original-Method and -Uri
-// (nginx, as its configuration sets them), or the call's own behind a prefix
-// (Envoy).
+// originalRequest returns the method and target of the request that the proxy wants
+// to forward. They come from X-Forwarded-Method and X-Forwarded-Uri (Traefik, Caddy),
+// from X-Original-Method and X-Original-Uri (nginx, if configured to set them), or from
+// the call itself, without the prefix (Envoy).
 func originalRequest(r *http.Request, prefix string) (method, target string) {
 	method, target = r.Header.Get("X-Forwarded-Method"), r.Header.Get("X-Forwarded-Uri")
 	if target == "" {
--- a/internal/front/forwardauth/call_test.go
+++ b/internal/front/forwardauth/call_test.go
@@ -10,8 +10,7 @@
 	"hitchspring/internal/lease"
 )
 
-// Each kind of answer has its status, its headers and a body that says what it is
-// about.
+// Each kind of answer has its own status, headers and body.
 func TestAnswers(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer core.Answer
@@ -48,7 +47,7 @@
 	}
 }
 
-// requireAnswerHeaders checks the headers of TestAnswers by an answer's status.
+// requireAnswerHeaders checks the headers that TestAnswers expects for a status.
 func requireAnswerHeaders(t *testing.T, resp *http.Response) {
 	t.Helper()
 	want := map[string]string{"Cache-Control": "no-store"}
@@ -67,25 +66,25 @@
 	}
 }
 
-// A call that cannot be read is answered 400 with the field and the value, and the
-// core gets no request.
+// An invalid call is answered 400 with the parameter and its value, and is not passed
+// to the core.
 func TestUnreadableCalls(t *testing.T) {
 	f := &fakeCore{answer: grantAll}
 	addr := startFront(t, f, nil, Rule{Path: "/channels/{channel}/guide", Class: "read", Plan: "storby"})
 	for want, headers := range map[string][]string{
 		"X-Hitch-Class is missing":  {"X-Hitch-Plan", "storby"},
-		`class \"write\" is none`:   with("X-Hitch-Class", "write"),
-		`plan \"metro\" is none`:    with("X-Hitch-Plan", "metro"),
-		`channel \"zz\"`:            with("X-Hitch-Channel", "zz"),
-		`channel \"ffffffffffff\"`:  with("X-Hitch-Channel", "ffffffffffff"),
-		"units 7 is out of range":   with("X-Hitch-Units", "7"),
-		`units \"many\"`:            with("X-Hitch-Units", "many"),
-		"units NaN":                 with("X-Hitch-Units", "NaN"),
-		`set \"4/0\"`:               with("X-Hitch-Set", "4/0"),
-		`deadline \"-5\"`:           with("X-Hitch-Deadline-Ms", "-5"),
-		"class publish wants a key": with("X-Hitch-Class", "publish"),
-		"longer than 64":            with("X-Hitch-Id", strings.Repeat("x", 65)),
-		"read in more than one way": with("X-Forwarded-Uri", "/channels/3e9/../../admin"),
+		`class \"write\" is none`:   withHeaders("X-Hitch-Class", "write"),
+		`plan \"metro\" is none`:    withHeaders("X-Hitch-Plan", "metro"),
+		`channel \"zz\"`:            withHeaders("X-Hitch-Channel", "zz"),
+		`channel \"ffffffffffff\"`:  withHeaders("X-Hitch-Channel", "ffffffffffff"),
+		"units 7 is out of range":   withHeaders("X-Hitch-Units", "7"),
+		`units \"many\"`:            withHeaders("X-Hitch-Units", "many"),
+		"units NaN":                 withHeaders("X-Hitch-Units", "NaN"),
+		`set \"4/0\"`:               withHeaders("X-Hitch-Set", "4/0"),
+		`deadline \"-5\"`:           withHeaders("X-Hitch-Deadline-Ms", "-5"),
+		"class publish wants a key": withHeaders("X-Hitch-Class", "publish"),
+		"longer than 64":            withHeaders("X-Hitch-Id", strings.Repeat("x", 65)),
+		"read in more than one way": withHeaders("X-Forwarded-Uri", "/channels/3e9/../../admin"),
 	} {
 		t.Run(want, func(t *testing.T) {
 			resp, body := doCall(t, "GET", addr, "/x", "", headers...)
@@ -102,8 +101,8 @@
 	}
 }
 
-// Each proxy's way to name the original request is understood, and the rules are
-// stronger than the caller's headers.
+// The front understands how each proxy passes the original request, and rules take
+// precedence over the caller's headers.
 func TestProxyConventions(t *testing.T) {
 	f := &fakeCore{answer: grantAll}
 	rule := Rule{Method: "POST", Path: "/channels/{channel}/guide", Class: "read", Plan: "storby", Units: 2}
@@ -135,18 +134,18 @@
 	}
 }
 
-// Two ids that differ in case are two. The same particulars have the same
-// fingerprint, others another.
+// Ids are case-sensitive. Calls with equal parameters have the same fingerprint, and
+// calls with different parameters have different ones.
 func TestFingerprints(t *testing.T) {
 	f := &fakeCore{answer: grantAll}
 	addr := startFront(t, f, nil)
-	doCall(t, "GET", addr, "/", "", with("X-Hitch-Id", "Ab")...)
-	doCall(t, "GET", addr, "/", "", with("X-Hitch-Id", "ab")...)
-	doCall(t, "GET", addr, "/", "", with("X-Hitch-Id", "ab", "X-Hitch-Units", "3")...)
+	doCall(t, "GET", addr, "/", "", withHeaders("X-Hitch-Id", "Ab")...)
+	doCall(t, "GET", addr, "/", "", withHeaders("X-Hitch-Id", "ab")...)
+	doCall(t, "GET", addr, "/", "", withHeaders("X-Hitch-Id", "ab", "X-Hitch-Units", "3")...)
 	if len(f.ids) != 3 || f.ids[0] == f.ids[1] {
 		t.Errorf("got ids %q, want Ab, ab, ab", f.ids)
 	}
 	if f.fingerprints[0] != f.fingerprints[1] || f.fingerprints[1] == f.fingerprints[2] {
-		t.Errorf("got fingerprints %x, want the first two equal and the third another", f.fingerprints)
+		t.Errorf("got fingerprints %x, want the first two equal and the third different", f.fingerprints)
 	}
 }
--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -1,9 +1,8 @@
 // Package forwardauth is the front for reverse proxies that forward requests
-// themselves. For each request a proxy calls to learn whether it may go and to which
-// backend, by the conventions of Traefik, nginx, Caddy or Envoy, and reports how
-// it ended. The answer is a backend under a lease, a rejection with a time after
-// which to retry, or a failure. The package makes no decisions and doesn't know
-// the policy engine or a store.
+// themselves. It implements the forward authentication protocols of Traefik, nginx,
+// Caddy and Envoy. For each request, the proxy calls this front and is answered with
+// a lease on a backend, a rejection with a Retry-After, or a failure. Afterwards the
+// proxy reports the outcome of the attempt. Admission and routing are up to the core.
 package forwardauth
 
 import (
@@ -24,59 +23,59 @@
 	"hitchspring/policy"
 )
 
-// Core is what the front needs of the core.
+// Core is the part of the core that the front uses.
 type Core interface {
-	// RequestLease requests an attempt of a request; the answer goes to sink.
-	// A call with an id that is open already joins it, if the fingerprint of its
-	// particulars is the same.
+	// RequestLease requests a lease for an attempt of a request. The answer is
+	// delivered to sink. If a request with this id is open already, the call joins
+	// it, provided that the fingerprints of their parameters are equal.
 	RequestLease(r *core.Request, id string, fingerprint uint64, sink core.ReplySink)
-	// CancelWait says that the caller behind sink has disconnected.
+	// CancelWait reports that the caller that waits on sink has disconnected.
 	CancelWait(id string, sink core.ReplySink)
-	// ReportOutcome passes on how an attempt ended, and calls notify with the
-	// result.
+	// ReportOutcome reports the outcome of the attempt under the named lease, and
+	// calls notify with the result.
 	ReportOutcome(name string, out lease.Outcome, notify func(core.ReportResult))
-	// Class finds a request class of the settings in force.
+	// Class looks up a request class in the current settings.
 	Class(name string) (policy.Class, bool)
-	// Plan reports whether the settings in force have a plan of this name.
+	// Plan reports whether the current settings have a plan with this name.
 	Plan(name string) bool
-	// Instances is the number of instances of the ingress.
+	// Instances returns the number of instances of the ingress.
 	Instances() int
-	// MaxUnits is the most units that one request may cost.
+	// MaxUnits returns the largest cost of one request, in units.
 	MaxUnits() float64
-	// GiveUpAt is when a client gives up that sent a request at a time and
-	// waits for d, on the core's clock.
+	// GiveUpAt returns when the client of a request stops waiting, on the core's
+	// clock. The request arrived at the given time and its client waits for d.
 	GiveUpAt(c policy.Class, at time.Time, d time.Duration) time.Duration
 }
 
-// Config is the front's settings, checked.
+// Config holds the front's settings, which the caller has validated.
 type Config struct {
-	Prefix         string         // of the paths of calls, removed to get the original's: Envoy's path_prefix
-	Trusted        []netip.Prefix // addresses that may call; others are answered 401
-	Header         string         // beginning of the names of its own headers: X-Hitch
-	MaxCalls       int            // at once; further ones are answered 503
-	MaxConnections int            // at once; further ones are closed
-	MaxHeaderBytes int            // of a call
-	MaxBodyBytes   int64          // of a report
-	HeaderTimeout  time.Duration  // for a call's headers
-	IdleTimeout    time.Duration  // of a connection between calls
-	MaxReports     int            // in one call
+	Prefix         string         // path prefix that is removed to get the original path; matches Envoy's path_prefix
+	Trusted        []netip.Prefix // addresses of trusted callers; others are answered 401
+	Header         string         // prefix of the names of the front's own headers, for example X-Hitch
+	MaxCalls       int            // concurrent calls; more are answered 503
+	MaxConnections int            // open connections; more are closed at once
+	MaxHeaderBytes int            // size of a call's headers
+	MaxBodyBytes   int64          // size of a call's body
+	HeaderTimeout  time.Duration  // time limit to read a call's headers
+	IdleTimeout    time.Duration  // time limit of an idle connection between calls
+	MaxReports     int            // reports in one call
 }
 
 const (
-	bodyTimeout          = 5 * time.Second        // for a call's body, after its headers
-	maxConcurrentStreams = 256                    // calls at once on a connection of HTTP/2
-	callsRetryAfter      = 250 * time.Millisecond // for a caller beyond MaxCalls
-	firstRequestID       = 1 << 63                // apart from the ids of clients of other fronts
+	bodyTimeout          = 5 * time.Second        // to read a call's body after its headers
+	maxConcurrentStreams = 256                    // concurrent calls on one HTTP/2 connection
+	callsRetryAfter      = 250 * time.Millisecond // Retry-After of a call beyond MaxCalls
+	firstRequestID       = 1 << 63                // keeps the ids apart from those of clients of other fronts
 )
 
-// Front answers calls. Its methods may be called from any goroutine. Start begins
-// the goroutine of the HTTP server, which Drain ends.
+// Front is an HTTP server that answers the calls of reverse proxies. Its methods may
+// be called from any goroutine. Start starts the server's goroutine; Drain ends it.
 type Front struct {
 	config          Config
 	core            Core
 	log             *slog.Logger
-	table           atomic.Pointer[Table] // rules in force
-	callSlots       chan struct{}         // holds one element for each call being answered
+	table           atomic.Pointer[Table] // current rules
+	callSlots       chan struct{}         // semaphore: one element per call being answered
 	openConnections atomic.Int64
 	draining        atomic.Bool
 	lastRequestID   atomic.Uint64
@@ -85,8 +84,7 @@
 	metrics         *metrics
 }
 
-// New returns a front that does not serve yet. Its metrics are registered with
-// reg.
+// New returns a front and registers its metrics with reg. Start makes it serve.
 func New(cfg Config, table *Table, c Core, log *slog.Logger, reg prometheus.Registerer) *Front {
 	f := &Front{
 		config:    cfg,
@@ -115,10 +113,10 @@
 	return f
 }
 
-// SetTable puts other rules in force for the calls that come from now on.
+// SetTable replaces the rules for all calls from now on.
 func (f *Front) SetTable(t *Table) { f.table.Store(t) }
 
-// Start serves on a listener, which the front owns from then on.
+// Start serves calls on ln and takes ownership of it.
 func (f *Front) Start(ln net.Listener) {
 	go func() {
 		defer close(f.ended)
@@ -128,11 +126,12 @@
 	}()
 }
 
-// Unready has /readyz answer 503, so that no more calls are routed here.
+// Unready makes /readyz answer 503, so that proxies stop sending calls to this
+// instance. Calls that arrive nevertheless are answered.
 func (f *Front) Unready() { f.draining.Store(true) }
 
-// Drain takes no more connections, waits until every call is answered, and ends
-// the server. When ctx ends, the remaining connections are closed.
+// Drain stops accepting connections, waits until every call is answered, and stops
+// the server. When ctx ends, it closes the remaining connections.
 func (f *Front) Drain(ctx context.Context) {
 	f.Unready()
 	if f.server.Shutdown(ctx) != nil {
@@ -172,7 +171,7 @@
 			f.writeProblem(w, r, http.StatusUnauthorized, "this caller is not trusted", 0)
 			return
 		}
-		// A mux would clean and redirect the proxies' own paths, which must stay as they are.
+		// A ServeMux would clean and redirect the forwarded paths, which must stay unchanged.
 		switch p := r.URL.Path; {
 		case p == "/healthz" || p == "/readyz" || strings.HasPrefix(p, "/v1/attempts"):
 			mux.ServeHTTP(w, r)
@@ -182,7 +181,7 @@
 	})
 }
 
-// isTrusted reports whether calls may come from a remote address.
+// isTrusted reports whether a remote address is that of a trusted caller.
 func (f *Front) isTrusted(remote string) bool {
 	addrPort, err := netip.ParseAddrPort(remote)
 	if err != nil {
--- a/internal/front/forwardauth/front_test.go
+++ b/internal/front/forwardauth/front_test.go
@@ -26,13 +26,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeCore is a core that answers as the test says.
+// fakeCore is a core whose answers are set by the test. It records the calls.
 type fakeCore struct {
-	answer   func(r *core.Request, id string, sink core.ReplySink) // nil: no answer
+	answer   func(r *core.Request, id string, sink core.ReplySink) // if nil, calls get no answer
 	report   func(name string, outcome lease.Outcome) core.ReportResult
-	canceled chan string // ids of the calls whose caller has disconnected
+	canceled chan string // ids of the calls whose callers have disconnected
 
-	mu           sync.Mutex // guards the particulars of the calls so far
+	mu           sync.Mutex // guards the records of calls below
 	requests     []*core.Request
 	ids          []string
 	fingerprints []uint64
@@ -90,8 +90,8 @@
 	}})
 }
 
-// startFront serves a front on loopback and returns its address. change may change
-// its configuration before.
+// startFront starts a front on the loopback interface and returns its address. change,
+// if not nil, modifies the configuration first.
 func startFront(t *testing.T, c *fakeCore, change func(*Config), rules ...Rule) (addr string) {
 	t.Helper()
 	table, err := NewTable(rules)
@@ -127,7 +127,7 @@
 	return listener.Addr().String()
 }
 
-// newCall returns a call with pairs of headers.
+// newCall returns an HTTP request. headers alternates names and values.
 func newCall(t *testing.T, method, addr, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
@@ -140,7 +140,7 @@
 	return req
 }
 
-// doCall makes one call and returns its answer with the body.
+// doCall sends one HTTP request and returns the response and its body.
 func doCall(t *testing.T, method, addr, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(newCall(t, method, addr, path, body, headers...))
@@ -155,21 +155,22 @@
 	return resp, string(answer)
 }
 
-// validHeaders are those of a call that can be read. with returns them with more.
+// validHeaders are the headers of a valid call.
 var validHeaders = []string{"X-Hitch-Class", "read", "X-Hitch-Plan", "storby", "X-Hitch-Channel", "3e9"}
 
-func with(more ...string) []string {
+// withHeaders returns validHeaders followed by more headers, which override them.
+func withHeaders(more ...string) []string {
 	return append(append([]string{}, validHeaders...), more...)
 }
 
-// A caller that isn't trusted is rejected, whatever it claims to forward.
+// An untrusted caller is rejected, even if its X-Forwarded-For names a trusted address.
 func TestUntrustedCallersAreRejected(t *testing.T) {
 	f := &fakeCore{answer: grantAll}
 	addr := startFront(t, f, func(c *Config) {
 		c.Trusted = []netip.Prefix{netip.MustParsePrefix("127.9.9.9/32")}
 	})
 	for _, path := range []string{"/x", "/v1/attempts/abc", "/healthz"} {
-		headers := with("X-Forwarded-For", "127.9.9.9")
+		headers := withHeaders("X-Forwarded-For", "127.9.9.9")
 		resp, _ := doCall(t, "POST", addr, path, `{"outcome":"served"}`, headers...)
 		if resp.StatusCode != http.StatusUnauthorized {
 			t.Errorf("%s: got status %d, want 401", path, resp.StatusCode)
@@ -180,8 +181,8 @@
 	}
 }
 
-// Endless headers, slow headers, idle connections by the thousand and unreadable
-// calls are each bounded, and leave nothing behind.
+// Endless headers, slow headers, thousands of idle connections and invalid calls are
+// each bounded and don't leak memory, connections or goroutines.
 func TestHostileClients(t *testing.T) {
 	f := &fakeCore{answer: grantAll, canceled: make(chan string, 300)}
 	addr := startFront(t, f, nil)
@@ -232,7 +233,7 @@
 	var idle []net.Conn
 	for range 5000 {
 		idle = append(idle, dial(t, addr))
-		if len(idle) < 250 { // more than MaxConnections: the last of them are closed at once
+		if len(idle) < 250 { // exceeds MaxConnections, so the front closes the last ones at once
 			continue
 		}
 		for _, conn := range idle {
@@ -250,7 +251,7 @@
 	}
 	for deadline := time.Now().Add(20 * time.Second); !isServing(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no connection is served after the idle ones")
+			t.Fatal("the front serves no connection after the idle ones were closed")
 		}
 	}
 }
@@ -259,7 +260,7 @@
 	const maxGrowth = 4 << 20 // bytes
 	sendUnreadable := func(count int) {
 		for i := range count {
-			resp, _ := doCall(t, "GET", addr, "/x", "", with("X-Hitch-Class", fmt.Sprint("c", i))...)
+			resp, _ := doCall(t, "GET", addr, "/x", "", withHeaders("X-Hitch-Class", fmt.Sprint("c", i))...)
 			if resp.StatusCode != http.StatusBadRequest {
 				t.Fatalf("got status %d, want 400", resp.StatusCode)
 			}
@@ -276,17 +277,17 @@
 	before := heapBytes()
 	sendUnreadable(10000)
 	if after := heapBytes(); after > before+maxGrowth {
-		t.Errorf("10,000 unreadable calls leave %d bytes", after-before)
+		t.Errorf("10,000 invalid calls leak %d bytes", after-before)
 	}
 }
 
-// Calls beyond MaxCalls get a time after which to retry. The core hears of a
-// caller that disconnects.
+// Calls beyond MaxCalls are answered with a Retry-After. The core is notified when a
+// caller disconnects.
 func TestCallsAreBounded(t *testing.T) {
 	f := &fakeCore{canceled: make(chan string, 10)}
 	addr := startFront(t, f, func(c *Config) { c.MaxCalls = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
-	first := newCall(t, "GET", addr, "/x", "", with("X-Hitch-Id", "first")...).WithContext(ctx)
+	first := newCall(t, "GET", addr, "/x", "", withHeaders("X-Hitch-Id", "first")...).WithContext(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -308,7 +309,7 @@
 	}
 }
 
-// HTTP/2 without TLS is spoken as well.
+// The front also supports HTTP/2 without TLS.
 func TestUnencryptedHTTP2(t *testing.T) {
 	addr := startFront(t, &fakeCore{answer: grantAll}, nil)
 	transport := &http.Transport{Protocols: new(http.Protocols)}
--- a/internal/front/forwardauth/golden_test.go
+++ b/internal/front/forwardauth/golden_test.go
@@ -16,7 +16,7 @@
 	"hitchspring/internal/lease"
 )
 
-// Gates read these answers, headers and bodies.
+// Reverse proxies parse the headers and bodies of these answers.
 func TestGoldenAnswers(t *testing.T) {
 	f := &Front{config: Config{Header: "X-Hitch"}, metrics: newMetrics(prometheus.NewRegistry())}
 	var all bytes.Buffer
--- a/internal/front/forwardauth/metrics.go
+++ b/internal/front/forwardauth/metrics.go
@@ -2,16 +2,16 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the front's counters.
+// metrics holds the front's Prometheus metrics.
 type metrics struct {
 	calls           *prometheus.CounterVec // by answer
 	reports         *prometheus.CounterVec // by outcome
-	shed            *prometheus.CounterVec // by the bound that was reached
+	shed            *prometheus.CounterVec // by the limit that was reached
 	answerSeconds   prometheus.Histogram
 	openConnections prometheus.Gauge
 }
 
-// newMetrics returns the counters, registered with reg.
+// newMetrics creates the metrics and registers them with reg.
 func newMetrics(reg prometheus.Registerer) *metrics {
 	m := &metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/front/forwardauth/problem.go
+++ b/internal/front/forwardauth/problem.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// problemBody is the problem details of RFC 9457, with one more member.
+// problemBody is a problem details object (RFC 9457) with the extension member
+// retry_after_ms.
 type problemBody struct {
 	Type         string `json:"type"`
 	Title        string `json:"title"`
@@ -17,8 +18,8 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// writeProblem answers a call that is not granted. A retryAfter above 0 is also
-// written into the headers, in whole seconds and in milliseconds.
+// writeProblem writes an error response with problem details. If retryAfter is
+// positive, the headers also contain it, in whole seconds and in milliseconds.
 func (f *Front) writeProblem(
 	w http.ResponseWriter,
 	r *http.Request,
@@ -47,8 +48,8 @@
 	encodeJSON(w, value)
 }
 
-// encodeJSON writes a body. It fails only for a caller that has disconnected,
-// which gets no answer.
+// encodeJSON writes value as the response body. It ignores errors: they occur only
+// if the caller has disconnected.
 func encodeJSON(w http.ResponseWriter, value any) {
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/internal/front/forwardauth/reports.go
+++ b/internal/front/forwardauth/reports.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/lease"
 )
 
-// reportBody is one report in the body of a call.
+// reportBody is one report in the body of a call: the outcome of an attempt.
 type reportBody struct {
 	Lease   string  `json:"lease,omitempty"`
 	Outcome string  `json:"outcome"`
@@ -24,11 +24,11 @@
 	Status       int               `json:"status"`
 	State        string            `json:"state,omitempty"`
 	Error        string            `json:"error,omitempty"`
-	Next         map[string]string `json:"next,omitempty"` // the headers of another grant
+	Next         map[string]string `json:"next,omitempty"` // headers of the grant for a further attempt
 	RetryAfterMS int64             `json:"retry_after_ms,omitempty"`
 }
 
-// handleReport answers a call with the report of one lease.
+// handleReport handles a call that reports the outcome of one lease.
 func (f *Front) handleReport(w http.ResponseWriter, r *http.Request) {
 	var body reportBody
 	if !f.decodeBody(w, r, &body) {
@@ -42,7 +42,7 @@
 	f.writeJSON(w, answer.Status, answer)
 }
 
-// handleReports answers a call with reports of several leases.
+// handleReports handles a call that reports the outcomes of several leases.
 func (f *Front) handleReports(w http.ResponseWriter, r *http.Request) {
 	var bodies []reportBody
 	if !f.decodeBody(w, r, &bodies) {
@@ -64,8 +64,8 @@
 	f.writeJSON(w, http.StatusOK, answers)
 }
 
-// decodeBody reads a call's body into value. It reports false after it has
-// answered a body that cannot be read.
+// decodeBody decodes a call's JSON body into value. If the body is invalid, it writes
+// an error response and returns false.
 func (f *Front) decodeBody(w http.ResponseWriter, r *http.Request, value any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, f.config.MaxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -81,8 +81,8 @@
 	return true
 }
 
-// reportOutcome passes one report to the core and returns its answer. It reports
-// false if the caller has disconnected meanwhile.
+// reportOutcome passes one report to the core, waits for the result and returns the
+// answer. It returns false if the caller disconnects first.
 func (f *Front) reportOutcome(ctx context.Context, body reportBody) (reportAnswer, bool) {
 	outcome, known := lease.ParseOutcome(body.Outcome)
 	if !known {
@@ -103,7 +103,7 @@
 	}
 }
 
-// answerReport is the answer to a report by the core's result.
+// answerReport converts the core's result of a report to its answer.
 func (f *Front) answerReport(body reportBody, result core.ReportResult) reportAnswer {
 	answer := reportAnswer{Lease: body.Lease, Status: http.StatusOK, State: result.State.String()}
 	label := body.Outcome
--- a/internal/front/forwardauth/reports_test.go
+++ b/internal/front/forwardauth/reports_test.go
@@ -13,7 +13,7 @@
 	"hitchspring/internal/lease"
 )
 
-// Each report is answered by what the lease's state makes of it.
+// The answer to each report depends on the state of its lease.
 func TestReports(t *testing.T) {
 	f := &fakeCore{report: func(name string, _ lease.Outcome) core.ReportResult {
 		switch name {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Whatever a report says, its answer has one of the known statuses.
+// Any report that can be decoded is answered with status 200 or 400.
 func FuzzReport(f *testing.F) {
 	f.Add(`{"outcome":"served"}`)
 	front := New(
--- a/internal/front/forwardauth/rules.go
+++ b/internal/front/forwardauth/rules.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// Rule determines what a request is by its method and path.
+// Rule assigns a class, a plan and units to the requests that match its method and
+// path.
 type Rule struct {
-	Method string  // empty: any
-	Path   string  // {channel} stands for the channel, * for one segment, a last ** for any rest
-	Class  string  // of the settings
-	Plan   string  // of the settings; empty: by a header
-	Units  float64 // 0: by a header, else 1
+	Method string  // empty matches any method
+	Path   string  // {channel} matches the channel, * any segment, ** at the end any remaining segments
+	Class  string  // name of a request class
+	Plan   string  // name of a plan; if empty, a header supplies it
+	Units  float64 // if 0, a header supplies them; the default is 1
 }
 
-// Table holds rules in their order; the first that matches counts. It doesn't
-// change once it is made.
+// Table is an immutable, ordered list of rules. The first rule that matches a request
+// applies.
 type Table struct{ rules []compiledRule }
 
 type compiledRule struct {
@@ -25,8 +26,8 @@
 	segments []string
 }
 
-// NewTable checks rules and returns their table. An error names the rule by its
-// position, from 0.
+// NewTable validates rules and returns a table of them. An error names the index of
+// the invalid rule.
 func NewTable(rules []Rule) (*Table, error) {
 	table := &Table{}
 	for i, r := range rules {
@@ -37,24 +38,24 @@
 		for position, segment := range segments {
 			switch {
 			case segment == "**" && position != len(segments)-1:
-				return nil, fmt.Errorf("rule[%d]: path %q: ** stands last or not at all", i, r.Path)
+				return nil, fmt.Errorf("rule[%d]: path %q: ** is allowed only as the last segment", i, r.Path)
 			case strings.ContainsAny(segment, "{}") && segment != "{channel}":
-				return nil, fmt.Errorf("rule[%d]: path %q: %q is no segment, want {channel}", i, r.Path, segment)
+				return nil, fmt.Errorf("rule[%d]: path %q: invalid segment %q, want {channel}", i, r.Path, segment)
 			}
 		}
 		if r.Class == "" {
 			return nil, fmt.Errorf("rule[%d]: class is missing", i)
 		}
 		if !(r.Units >= 0) {
-			return nil, fmt.Errorf("rule[%d]: units %v is below 0", i, r.Units)
+			return nil, fmt.Errorf("rule[%d]: units %v must not be negative", i, r.Units)
 		}
 		table.rules = append(table.rules, compiledRule{r, segments})
 	}
 	return table, nil
 }
 
-// Match finds the first rule that matches a request. channel is the segment at
-// {channel}.
+// Match returns the first rule that matches a request, and the path segment in the
+// position of {channel}.
 func (t *Table) Match(method string, segments []string) (r Rule, channel string, ok bool) {
 	for _, rule := range t.rules {
 		if rule.Method != "" && !strings.EqualFold(rule.Method, method) {
@@ -95,11 +96,11 @@
 
 var errAmbiguousPath = errors.New("the path can be read in more than one way")
 
-// Segments returns the decoded segments of a request's target. A path that a
-// backend might read in another way is an error: dot segments, empty ones,
-// parameters behind a semicolon, an encoded slash or dot, a backslash, a control
-// character.
-func Segments(target string) ([]string, error) {
+// SplitPath splits the path of a request's target into decoded segments. A path that a
+// backend might interpret differently is an error: one with dot segments, empty
+// segments, semicolon parameters, encoded slashes or percent signs, backslashes or
+// control characters.
+func SplitPath(target string) ([]string, error) {
 	if i := strings.IndexAny(target, "?#"); i >= 0 {
 		target = target[:i]
 	}
@@ -123,8 +124,8 @@
 	return segments, nil
 }
 
-// isAmbiguous reports whether a backend might read a decoded segment as anything
-// but one segment.
+// isAmbiguous reports whether a backend might interpret a decoded segment as anything
+// other than one plain segment.
 func isAmbiguous(segment string) bool {
 	if segment == "." || segment == ".." || strings.ContainsAny(segment, "/\\;%") {
 		return true
--- a/internal/front/forwardauth/rules_size_test.go
+++ b/internal/front/forwardauth/rules_size_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// manyRules is a table of so many rules that begin alike, as those of one platform do.
+// manyRules returns a table of n rules whose paths share a prefix, as the paths
+// of one platform do.
 func manyRules(tb testing.TB, n int) *Table {
 	tb.Helper()
 	rules := make([]Rule, n)
@@ -24,7 +25,7 @@
 	return table
 }
 
-// Each of 12,000 rules is found by its own path.
+// In a table of 12,000 rules, each path matches its own rule.
 func TestManyRules(t *testing.T) {
 	table := manyRules(t, 12000)
 	for _, i := range []int{0, 500, 11999} {
@@ -38,7 +39,8 @@
 	}
 }
 
-// BenchmarkLastRule is the longest search: the rules are tried in their order.
+// BenchmarkLastRule measures the worst case of Match: rules are tried in order, and
+// only the last one matches.
 func BenchmarkLastRule(b *testing.B) {
 	for _, n := range []int{500, 12000, 16384} {
 		table := manyRules(b, n)
--- a/internal/front/forwardauth/rules_test.go
+++ b/internal/front/forwardauth/rules_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A path that a backend could read as another one is an error.
+// A path that a backend could interpret differently is an error.
 func TestSegments(t *testing.T) {
 	const invalid = "!"
 	for target, want := range map[string]string{
@@ -33,7 +33,7 @@
 		"//a":         invalid,
 		"/a\\b":       invalid,
 	} {
-		segments, err := Segments(target)
+		segments, err := SplitPath(target)
 		got := strings.Join(segments, "|")
 		if err != nil {
 			got = invalid
@@ -44,7 +44,7 @@
 	}
 }
 
-// A rule matches only what it says.
+// A rule matches only requests with its method and path.
 func TestMatch(t *testing.T) {
 	table, err := NewTable([]Rule{
 		{Method: "GET", Path: "/channels/{channel}/guide", Class: "read"},
@@ -65,7 +65,7 @@
 		"GET /channels/3e9":         "",
 	} {
 		method, target, _ := strings.Cut(request, " ")
-		segments, err := Segments(target)
+		segments, err := SplitPath(target)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-// An invalid rule is an error that names its position.
+// The error for an invalid rule names its index.
 func TestInvalidRules(t *testing.T) {
 	for _, invalid := range []Rule{
 		{Path: "x", Class: "a"},
@@ -95,13 +95,13 @@
 	}
 }
 
-// Whatever the target, the segments can be read in one way only.
+// For any target, SplitPath returns an error or only unambiguous segments.
 func FuzzSegments(f *testing.F) {
 	for _, segment := range []string{"/a/b", "/a/%2e%2e/b", "//", "/a;b", "/%", "/a?b#c"} {
 		f.Add(segment)
 	}
 	f.Fuzz(func(t *testing.T, target string) {
-		segments, err := Segments(target)
+		segments, err := SplitPath(target)
 		if err != nil {
 			return
 		}
