--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin is the operators' admin server: HTTP/1.1 on its own address, one
-// call to a connection. Each call is answered at once, whatever the ingress is busy
-// with and however many callers never finish a call, by a success (2xx) or an error
-// (4xx, 5xx). The package makes no decisions about requests; what it calls must
+// Package admin is the admin server for operators. It serves HTTP/1.1 on its own
+// address, with one HTTP request, named a call, per connection. Each call is answered
+// promptly with a success (2xx) or an error (4xx, 5xx), even if the ingress is
+// overloaded or many callers never complete their calls. For this, the Service must
 // never wait for the core's event loop.
 package admin
 
@@ -14,38 +14,37 @@
 )
 
 const (
-	callTimeout     = 900 * time.Millisecond // a caller waits one second
-	shutdownTimeout = 50 * time.Millisecond  // for open calls, on Close
+	callTimeout     = 900 * time.Millisecond // less than the one second that callers wait
+	shutdownTimeout = 50 * time.Millisecond  // time that Close leaves to open calls
 	maxHeaderBytes  = 2 << 10
 )
 
-// Service is what the admin server controls. Its methods may be called from any
-// goroutine, and none may wait for the event loop.
+// Service is the part of the ingress that the admin server reads and controls. Its
+// methods may be called from any goroutine, and must not wait for the core's event loop.
 type Service interface {
 	// Ready reports whether this process is ready to serve.
 	Ready() bool
-	// Metrics returns lines NAME=NUMBER.
+	// Metrics returns the metrics as lines of the form NAME=NUMBER.
 	Metrics() []byte
-	// Suspend takes a backend out, and is in force when it returns. It returns
-	// override.ErrUnknown if the backend was never listed.
+	// Suspend excludes a backend from new attempts. The suspension is in effect when
+	// it returns. It returns override.ErrUnknown if the backend was never listed.
 	Suspend(id string) error
-	// Resume puts a backend back.
+	// Resume ends the suspension of a backend.
 	Resume(id string) error
-	// Drain drains the ingress. It is an error while there is nothing to drain:
-	// before the first client and during a shutdown.
+	// Drain drains the ingress. It returns an error before the ingress accepts clients
+	// and during a shutdown.
 	Drain() error
-	// Activate ends the drain.
+	// Activate ends a drain.
 	Activate() error
 }
 
-// Server is an admin server that is running. Serve starts its goroutine, which
-// Close ends.
+// Server is a running admin server. Serve starts its goroutine; Close ends it.
 type Server struct {
 	server *http.Server
 	done   chan struct{} // closed when the goroutine has ended
 }
 
-// Serve answers calls on listener until Close.
+// Serve starts a server that answers calls on listener until Close is called.
 func Serve(listener net.Listener, service Service, log *slog.Logger) *Server {
 	s := &Server{
 		done: make(chan struct{}),
@@ -68,7 +67,7 @@
 	return s
 }
 
-// Close ends the server, and open calls after shutdownTimeout.
+// Close stops the server. Calls still open after shutdownTimeout are aborted.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -14,14 +14,15 @@
 
 const maxBackendIDBytes = 128
 
-// connectionKey is the key of a call's connection in its context.
+// connectionKey is the context key of a call's connection.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, nc)
 }
 
-// markCalled notes on a connection that it has brought a complete call.
+// markCalled sets hasCalled on the connection of each call and passes the call on to
+// next.
 func markCalled(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connectionKey{}).(*boundedConn); ok {
@@ -31,7 +32,7 @@
 	})
 }
 
-// newHandler returns the handler of all calls.
+// newHandler returns the HTTP handler of the admin server.
 func newHandler(s Service, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -43,7 +44,7 @@
 	})
 	mux.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = w.Write(s.Metrics()) // a caller that has disconnected gets no answer
+		_, _ = w.Write(s.Metrics()) // fails only if the caller has disconnected
 	})
 	mux.HandleFunc("PUT /v1/backends/{id}/suspend", handleBackend("suspend", s.Suspend, log))
 	mux.HandleFunc("PUT /v1/backends/{id}/resume", handleBackend("resume", s.Resume, log))
@@ -52,7 +53,7 @@
 	return mux
 }
 
-// handleBackend returns the handler of a call on one backend.
+// handleBackend returns the handler of the named call, which acts on one backend.
 func handleBackend(name string, call func(id string) error, log *slog.Logger) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
@@ -74,7 +75,7 @@
 	}
 }
 
-// handleIngress returns the handler of a call on the entire ingress.
+// handleIngress returns the handler of the named call, which acts on the ingress.
 func handleIngress(name string, call func() error, log *slog.Logger) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := call(); err != nil {
@@ -86,11 +87,11 @@
 	}
 }
 
-// writeOK answers a call that succeeded. A caller that has disconnected gets no
-// answer.
+// writeOK writes the answer to a successful call. It ignores errors: they occur only
+// if the caller has disconnected.
 func writeOK(w http.ResponseWriter) { _, _ = io.WriteString(w, "ok\n") }
 
-// isBackendID reports whether discovery can list a backend with this id.
+// isBackendID reports whether id is valid for a backend in the endpoint list.
 func isBackendID(id string) bool {
 	if id == "" || len(id) > maxBackendIDBytes {
 		return false
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// MaxConnections is the number of descriptors that the admin server may use, that
-// of the listener among them.
+// MaxConnections is the number of file descriptors that the admin server may use,
+// including that of the listener.
 const MaxConnections = 14
 
 const (
-	// One descriptor is for the listener, one for a newcomer that waits for a slot.
+	// One descriptor is for the listener, one for an accepted connection that waits for
+	// a slot.
 	maxOpen = MaxConnections - 2
 
-	minOpenTime    = 50 * time.Millisecond  // before a connection is closed for a newcomer
-	maxUnreadTime  = 500 * time.Millisecond // the same for a connection that waits for this process
-	slotPollPeriod = 5 * time.Millisecond   // between searches for a free slot
+	minOpenTime      = 50 * time.Millisecond  // age from which a connection may be evicted for a new one
+	maxProtectedTime = 500 * time.Millisecond // the same for a connection that waits for this process
+	slotPollPeriod   = 5 * time.Millisecond   // maximum pause between two searches for a slot
 )
 
-// boundedListener is a listener with few connections. If all slots are taken, a
-// newcomer gets that of the connection which has been open for the longest, as soon
-// as this has had the time that a call needs. The time of a connection whose bytes
-// nobody has read yet is longer: on a busy machine this process is the one that is
-// late. The same holds after a complete call, which is answered at once.
+// boundedListener is a listener with a fixed number of connection slots. If all slots
+// are taken, the connection that has been open longest is closed in favor of a new
+// one, as soon as it has been open for minOpenTime, which is enough for a call. A
+// connection that waits for this process is protected until maxProtectedTime, since on a
+// busy machine it is this process that is slow: one whose bytes have not been read
+// yet, or one whose complete call is about to be answered.
 type boundedListener struct {
 	net.Listener
 	mu       sync.Mutex // guards openedAt
@@ -37,11 +39,12 @@
 	net.Conn
 	listener  *boundedListener
 	closing   sync.Once
-	hasRead   atomic.Bool // some of its bytes were read
-	hasCalled atomic.Bool // it has brought a complete call
+	hasRead   atomic.Bool // some bytes have been read from it
+	hasCalled atomic.Bool // a complete call has been read from it
 }
 
-// Accept implements net.Listener. It waits until the connection has a slot.
+// Accept implements net.Listener. It waits for a slot for the accepted connection and
+// evicts an old connection if necessary.
 func (b *boundedListener) Accept() (net.Conn, error) {
 	nc, err := b.Listener.Accept()
 	if err != nil {
@@ -64,8 +67,9 @@
 	}
 }
 
-// findOldest returns the connection that has been open for the longest, except for
-// those that wait for this process, and whether a slot is free anyway.
+// findOldest returns the connection that has been open longest, without those that are
+// protected because they wait for this process, and how long it has been open. free
+// reports whether a slot is free, so that no connection has to be closed.
 func (b *boundedListener) findOldest(now time.Time) (oldest *boundedConn, openTime time.Duration, free bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +78,7 @@
 		if oldest != nil && open <= openTime {
 			continue
 		}
-		if open >= minOpenTime && open < maxUnreadTime && (c.hasCalled.Load() || c.hasUnreadBytes()) {
+		if open >= minOpenTime && open < maxProtectedTime && (c.hasCalled.Load() || c.hasUnreadBytes()) {
 			continue
 		}
 		oldest, openTime = c, open
@@ -82,7 +86,7 @@
 	return oldest, openTime, len(b.openedAt) < maxOpen
 }
 
-// hasUnreadBytes reports whether bytes have arrived and none of them was read.
+// hasUnreadBytes reports whether bytes have arrived and none have been read yet.
 func (c *boundedConn) hasUnreadBytes() bool {
 	if c.hasRead.Load() {
 		return false
