--- a/internal/metrics/groups.go
+++ b/internal/metrics/groups.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// counterGroup is counters of one kind, by name.
+// counterGroup is a set of named counters of one kind.
 type counterGroup struct {
 	name   string
 	names  []string
-	counts []atomic.Int64 // one for each of names
+	counts []atomic.Int64 // parallel to names
 }
 
-// The groups, as indexes into Set.groups.
+// Indexes of the counter groups in Set.groups.
 const (
 	rejectedGroup = iota
 	failedGroup
@@ -19,7 +19,7 @@
 	groupCount
 )
 
-// newGroups returns the groups with the names that metrics have.
+// newGroups returns the counter groups. Their names are part of the names of metrics.
 func newGroups(reasons, outcomes []string) [groupCount]counterGroup {
 	groups := [groupCount]counterGroup{
 		rejectedGroup: {name: "refused", names: reasons},
@@ -34,29 +34,29 @@
 	return groups
 }
 
-// count adds one to a counter of a group. An index beyond the group's names is ignored.
+// count increments a counter of a group. It ignores an index that is out of range.
 func (s *Set) count(group, index int) {
 	if counts := s.groups[group].counts; index < len(counts) {
 		counts[index].Add(1)
 	}
 }
 
-// Rejected counts a rejection by the policy module, by its reason.
+// Rejected counts a rejected request by the policy module's reason.
 func (s *Set) Rejected(reason int) { s.count(rejectedGroup, reason) }
 
-// Failed counts a failure of a request, by the policy module's reason.
+// Failed counts a failed request by the policy module's reason.
 func (s *Set) Failed(reason int) { s.count(failedGroup, reason) }
 
-// AttemptEnded counts the end of an attempt, by its outcome.
+// AttemptEnded counts an attempt that has ended, by its outcome.
 func (s *Set) AttemptEnded(outcome int) { s.count(attemptsGroup, outcome) }
 
-// AttemptWithheld counts an attempt that was withheld right before it would have been written.
+// AttemptWithheld counts an attempt that was not sent, by the reason that was found right before the write.
 func (s *Set) AttemptWithheld(reason WithheldReason) { s.count(withheldGroup, int(reason)) }
 
-// ConnectionClosed counts the end of a client's connection.
+// ConnectionClosed counts a client connection that has ended, by the reason.
 func (s *Set) ConnectionClosed(reason CloseReason) { s.count(closedGroup, int(reason)) }
 
-// Each calls visit with each counter of the groups: those that have a reason or an outcome.
+// Each calls visit for each counter that has a reason or an outcome.
 func (s *Set) Each(visit func(group, name string, value int64)) {
 	for i := range s.groups {
 		group := &s.groups[i]
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,6 @@
-// Package metrics counts what an ingress does with requests, and formats it as plain text for operators. In comes one
-// call for each request that is accepted, for its one end, and for each attempt that is written completely; out go
-// lines NAME=NUMBER in a stable order. The package decides nothing. All of it is safe for concurrent use, and nothing
-// blocks.
+// Package metrics counts the requests, attempts and connections of an ingress, and formats the counts as plain text
+// for operators: lines of the form NAME=NUMBER in a stable order. Callers report each request that is accepted, its
+// end, and each attempt that is written completely. Everything is safe for concurrent use and nothing blocks.
 package metrics
 
 import (
@@ -9,27 +8,27 @@
 	"sync/atomic"
 )
 
-// linePrefix begins each line of the text.
+// linePrefix is the prefix of each metric's name in the text.
 const linePrefix = "edge_router."
 
-// initialTextSize is the capacity, in bytes, with which the text is allocated.
+// initialTextSize is the initial capacity of the text in bytes.
 const initialTextSize = 512
 
-// Set holds the metrics of one process; each counts from 0. Its methods may be called from any goroutine.
+// Set holds the metrics of one process, all of which start at 0. Its methods may be called from any goroutine.
 type Set struct {
-	classes     []string
-	classIndex  map[string]int // into requests
-	requests    [][requestEndCount]atomic.Int64
-	disconnects [disconnectStageCount]atomic.Int64
-	sends       atomic.Int64 // attempts written completely
-	current     atomic.Int64 // requests that have not ended
-	backends    atomic.Int64 // in the endpoint list
-	unhealthy   atomic.Int64 // of these, avoided now
-	groups      [groupCount]counterGroup
+	classes         []string
+	classIndex      map[string]int // index of each class in requests
+	requests        [][requestEndCount]atomic.Int64
+	disconnects     [disconnectStageCount]atomic.Int64
+	attemptsSent    atomic.Int64 // attempts that were written completely
+	openRequests    atomic.Int64 // requests that have not ended
+	backends        atomic.Int64 // backends in the endpoint list
+	avoidedBackends atomic.Int64 // listed backends that are currently avoided
+	groups          [groupCount]counterGroup
 }
 
-// New returns the metrics for the request classes of the settings, in their order, the reasons of rejections and
-// failures, and the outcomes of attempts.
+// New returns a Set for the given request classes, reasons of rejections and failures, and outcomes of attempts. The
+// metrics keep the order of these names.
 func New(classes, reasons, outcomes []string) *Set {
 	s := &Set{
 		classes:    classes,
@@ -43,46 +42,50 @@
 	return s
 }
 
-// RequestAccepted counts a request that has not ended.
-func (s *Set) RequestAccepted() { s.current.Add(1) }
+// RequestAccepted counts a request that was accepted. It counts as open until its end is reported.
+func (s *Set) RequestAccepted() { s.openRequests.Add(1) }
 
-// RequestEnded counts the one end of a request that was accepted. A class that isn't in the settings is not counted.
+// RequestEnded counts the end of an accepted request, once per request. If the class is not in the settings, the end
+// is not counted, but the request is no longer open.
 func (s *Set) RequestEnded(class string, end RequestEnd) {
-	s.current.Add(-1)
+	s.openRequests.Add(-1)
 	if i, ok := s.classIndex[class]; ok {
 		s.requests[i][end].Add(1)
 	}
 }
 
 // ClientDisconnected counts an accepted request whose client has disconnected, by the stage that the request had
-// reached. Such a request has no end of its own.
+// reached. It is called instead of RequestEnded.
 func (s *Set) ClientDisconnected(stage DisconnectStage) {
-	s.current.Add(-1)
+	s.openRequests.Add(-1)
 	s.disconnects[stage].Add(1)
 }
 
 // Disconnects returns how many requests were dropped at a stage because their clients had disconnected.
 func (s *Set) Disconnects(stage DisconnectStage) int64 { return s.disconnects[stage].Load() }
 
-// AttemptSent counts an attempt that was written to its last byte.
-func (s *Set) AttemptSent() { s.sends.Add(1) }
+// AttemptSent counts an attempt that was written completely.
+func (s *Set) AttemptSent() { s.attemptsSent.Add(1) }
 
-// SetBackends sets how many backends are listed, and how many of them are avoided now.
-func (s *Set) SetBackends(size, unhealthy int) {
+// SetBackends sets the number of listed backends, and how many of them are currently avoided.
+func (s *Set) SetBackends(size, avoidedBackends int) {
 	s.backends.Store(int64(size))
-	s.unhealthy.Store(int64(unhealthy))
+	s.avoidedBackends.Store(int64(avoidedBackends))
 }
 
 // Classes returns the request classes, in the order of the settings.
 func (s *Set) Classes() []string { return s.classes }
 
-// Backends returns how many backends are listed, and how many of them are avoided.
-func (s *Set) Backends() (size, unhealthy int64) { return s.backends.Load(), s.unhealthy.Load() }
+// Backends returns the number of listed backends, and how many of them are currently avoided.
+func (s *Set) Backends() (size, avoidedBackends int64) {
+	return s.backends.Load(), s.avoidedBackends.Load()
+}
 
 // OpenRequests returns the number of requests that were accepted and have not ended.
-func (s *Set) OpenRequests() int64 { return s.current.Load() }
+func (s *Set) OpenRequests() int64 { return s.openRequests.Load() }
 
-// Requests returns how many requests of a class had an end; 0 for a class that isn't in the settings.
+// Requests returns the number of requests of a class that had the given end. It is 0 if the class is not in the
+// settings.
 func (s *Set) Requests(class string, end RequestEnd) int64 {
 	i, ok := s.classIndex[class]
 	if !ok {
@@ -92,9 +95,9 @@
 }
 
 // AttemptsSent returns the number of attempts that were written completely.
-func (s *Set) AttemptsSent() int64 { return s.sends.Load() }
+func (s *Set) AttemptsSent() int64 { return s.attemptsSent.Load() }
 
-// AppendLine appends the line of one metric to text.
+// AppendLine appends the line NAME=NUMBER of one metric to text.
 func AppendLine(text []byte, name string, value int64) []byte {
 	text = append(text, linePrefix...)
 	text = append(text, name...)
@@ -103,7 +106,7 @@
 	return append(text, '\n')
 }
 
-// Text returns all metrics, a line each.
+// Text returns all metrics, one per line.
 func (s *Set) Text() []byte {
 	text := make([]byte, 0, initialTextSize)
 	appendLine := func(name string, value int64) { text = AppendLine(text, name, value) }
@@ -115,7 +118,7 @@
 	appendLine("sends", s.AttemptsSent())
 	appendLine("current", s.OpenRequests())
 	appendLine("cluster_size", s.backends.Load())
-	appendLine("cluster_unhealthy", s.unhealthy.Load())
+	appendLine("cluster_unhealthy", s.avoidedBackends.Load())
 	for _, stage := range Stages() {
 		appendLine("clients_gone."+stage.String(), s.Disconnects(stage))
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each class is there from the start with 0, in the order of the settings.
+// From the start, the text contains each class with 0, in the order of the settings.
 func TestTextAtStart(t *testing.T) {
 	const want = `edge_router.transactions.b.answered=0
 edge_router.transactions.b.deferred=0
@@ -33,11 +33,11 @@
 edge_router.connections_closed.shutdown_limit=0
 `
 	if got := string(New([]string{"b", "a"}, []string{"quota"}, []string{"done"}).Text()); got != want {
-		t.Errorf("got at the start:\n%s\nwant:\n%s", got, want)
+		t.Errorf("got initial text:\n%s\nwant:\n%s", got, want)
 	}
 }
 
-// Each end counts once, whichever goroutine counts it.
+// Ends that are reported concurrently are each counted exactly once.
 func TestText(t *testing.T) {
 	s := New([]string{"b", "a"}, []string{"quota"}, []string{"done"})
 	var wg sync.WaitGroup
@@ -65,7 +65,7 @@
 		"clients_gone.in_flight=0",
 	} {
 		if !strings.Contains(got, "edge_router."+want+"\n") {
-			t.Errorf("got no line %s in:\n%s", want, got)
+			t.Errorf("line %s is missing in:\n%s", want, got)
 		}
 	}
 }
--- a/internal/metrics/reasons.go
+++ b/internal/metrics/reasons.go
@@ -6,30 +6,30 @@
 // The ends of a request.
 const (
 	Answered RequestEnd = iota // served
-	Deferred                   // rejected: a retry is harmless
+	Deferred                   // rejected, so that a retry is safe
 	Errored                    // failed
 	requestEndCount
 )
 
 var requestEndNames = [requestEndCount]string{"answered", "deferred", "errored"}
 
-// Ends returns all ends, in their order.
+// Ends returns all values of RequestEnd in order.
 func Ends() []RequestEnd { return []RequestEnd{Answered, Deferred, Errored} }
 
-// String returns the end's name, as metrics have it.
+// String returns the name of the end in metrics.
 func (e RequestEnd) String() string { return requestEndNames[min(e, requestEndCount-1)] }
 
-// DisconnectStage is how far a request has come when its client disconnects.
+// DisconnectStage is the stage that a request had reached when its client disconnected.
 type DisconnectStage uint8
 
 // The stages of a request.
 const (
-	// BeforeAdmission: its command and the end of its connection were read together, so that the policy module never
-	// saw it.
+	// BeforeAdmission means that the command arrived together with the end of the connection, so that the request was
+	// not passed to the policy module.
 	BeforeAdmission DisconnectStage = iota
-	BeforeAttempt                   // no attempt was handed to a connection
-	BeforeRetry                     // all attempts had ended, and there was to be another
-	InFlight                        // an attempt was in flight; none followed it
+	BeforeAttempt                   // no attempt had been assigned to a connection
+	BeforeRetry                     // all attempts had ended and a retry was to follow
+	InFlight                        // an attempt was in flight; it was not followed by another
 	disconnectStageCount
 )
 
@@ -40,35 +40,35 @@
 	"in_flight",
 }
 
-// Stages returns all stages, in their order.
+// Stages returns all values of DisconnectStage in order.
 func Stages() []DisconnectStage {
 	return []DisconnectStage{BeforeAdmission, BeforeAttempt, BeforeRetry, InFlight}
 }
 
-// String returns the stage's name, as metrics have it.
+// String returns the name of the stage in metrics.
 func (s DisconnectStage) String() string { return disconnectStageNames[min(s, disconnectStageCount-1)] }
 
-// WithheldReason is why an attempt was withheld right before it would have been written.
+// WithheldReason is the reason, found right before the write, for not sending an attempt.
 type WithheldReason uint8
 
-// The reasons to withhold an attempt.
+// The reasons for withholding an attempt.
 const (
-	DeadlinePassed WithheldReason = iota // its request's deadline had passed
+	DeadlinePassed WithheldReason = iota // the deadline of the request had passed
 	withheldReasonCount
 )
 
 var withheldReasonNames = [withheldReasonCount]string{"time_over"}
 
-// CloseReason is why a client's connection ended.
+// CloseReason is the reason for the end of a client's connection.
 type CloseReason uint8
 
-// The reasons of the end of a connection.
+// The reasons for the end of a connection.
 const (
-	ClosedByClient      CloseReason = iota // the client closed it, or it broke
+	ClosedByClient      CloseReason = iota // the client closed it, or it failed
 	ClosedByProtocol                       // the client violated the protocol
-	ClosedByServer                         // between two requests: idle, for want of capacity, or while draining
-	ClosedSlowReader                       // the client read nothing of its answers for too long
-	ClosedShutdownLimit                    // at the time limit of a graceful shutdown
+	ClosedByServer                         // closed between requests: idle, evicted to free a slot, or draining
+	ClosedSlowReader                       // the client did not read its replies
+	ClosedShutdownLimit                    // aborted at the time limit of a graceful shutdown
 	closeReasonCount
 )
 
@@ -80,5 +80,5 @@
 	"shutdown_limit",
 }
 
-// String returns the reason's name, as metrics have it.
+// String returns the name of the reason in metrics.
 func (r CloseReason) String() string { return closeReasonNames[min(r, closeReasonCount-1)] }
