--- a/internal/rulecheck/answers.go
+++ b/internal/rulecheck/answers.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// tightMargin is how long before the client's timeout an answer counts as tight.
+// tightMargin is the time before the client's timeout within which an answer counts as tight.
 const tightMargin = 150 * time.Millisecond
 
-// checkAnswers checks that each request has exactly one final answer, in time, and that nothing is sent after it.
+// checkAnswers checks that each request gets exactly one final answer before its timeout, and that no attempt is sent
+// after that answer.
 func (r *Result) checkAnswers(rules Rules, idx *index) {
 	for _, request := range idx.requests {
 		r.Checked[NoRequestLost]++
@@ -23,36 +24,43 @@
 		if first.At > request.deadline()-tightMargin {
 			r.Margins.Tight++
 		}
-		r.checkSentAfterAnswer(rules, request, first, idx.attemptsOf[request.ID])
+		r.checkAttemptsAfterAnswer(rules, request, first, idx.attemptsByRequest[request.ID])
 	}
 }
 
-// checkAnswerCount records a violation unless the request has one answer of its own, in time.
+// checkAnswerCount records a violation unless the request has exactly one answer, made for it, before its timeout.
+// Excused requests may have a late answer or none.
 func (r *Result) checkAnswerCount(rules Rules, request ClientRequest) {
 	deadline := request.deadline()
-	add := func(until time.Duration, format string, args ...any) {
+	report := func(until time.Duration, format string, args ...any) {
 		r.addViolation(NoRequestLost, request.SentAt, until, format, args...)
 	}
 	switch {
 	case request.ForeignAnswer:
-		add(deadline, "%s %s was answered with what no node made for it", request.Class, request.ID)
+		report(deadline, "%s %s was answered with what no node made for it", request.Class, request.ID)
 	case len(request.Answers) > 1:
-		add(deadline, "%s %s has %d answers", request.Class, request.ID, len(request.Answers))
+		report(deadline, "%s %s has %d answers", request.Class, request.ID, len(request.Answers))
 	case request.Excused:
 	case len(request.Answers) == 0:
-		add(deadline, "%s %s to %s has no answer", request.Class, request.ID, request.Instance)
+		report(deadline, "%s %s to %s has no answer", request.Class, request.ID, request.Instance)
 	case request.Answers[0].At > deadline+rules.Tolerance:
 		answeredAt := request.Answers[0].At
-		add(answeredAt, "%s %s was answered %v after its time", request.Class, request.ID, answeredAt-deadline)
+		report(answeredAt, "%s %s was answered %v after its time", request.Class, request.ID, answeredAt-deadline)
 	}
 }
 
-// checkSentAfterAnswer records a violation for each attempt that arrived after the request's answer.
-func (r *Result) checkSentAfterAnswer(rules Rules, request ClientRequest, answer Answer, attempts []BackendAttempt) {
+// checkAttemptsAfterAnswer records a violation for each attempt that arrived after the request's answer, beyond the
+// tolerance.
+func (r *Result) checkAttemptsAfterAnswer(
+	rules Rules,
+	request ClientRequest,
+	answer Answer,
+	attempts []BackendAttempt,
+) {
 	for _, attempt := range attempts {
 		if attempt.Instance != request.Instance && rules.Classes[request.Class] == Keyed {
-			// A successor that takes the request over may be cut off from the instance that answered. That it adds no
-			// effect is checked by checkRepeats.
+			// A network partition can keep a successor from learning that the first instance has answered, so its
+			// attempt is allowed here. checkRepeats checks that the attempt has no second effect.
 			continue
 		}
 		if attempt.ArrivedAt > answer.At+rules.Tolerance {
@@ -63,15 +71,17 @@
 }
 
 const (
-	// minLateRejections is how many late rejections of a class at an instance make a violation: fewer are chance.
+	// minLateRejections is the minimum number of late rejections of a class at an instance that is a violation.
+	// Fewer can occur by chance.
 	minLateRejections = 3
-	// minLateRejectionFraction is the least fraction of all rejections of the class at the instance that must be late.
+	// minLateRejectionFraction is the minimum fraction of late ones among the rejections of a class at an instance
+	// that is a violation.
 	minLateRejectionFraction = 0.1
 )
 
-// checkLateRejections checks that an instance rejects a request as soon as it gives up on it. A rejection that comes
-// when no backend could have served the request in time, and while no attempt was running, was decided earlier and
-// delayed.
+// checkLateRejections checks that an instance rejects a request as soon as it gives up on it. A rejection was delayed
+// if it came when no backend could serve the request before its timeout any more, and no attempt was running or had
+// just ended.
 func (r *Result) checkLateRejections(rules Rules, idx *index) {
 	type group struct{ instance, class string }
 	rejections := map[group]int{}
@@ -82,7 +92,7 @@
 		}
 		key := group{request.Instance, request.Class}
 		rejections[key]++
-		if rejectedLate(rules, request, idx.attemptsOf[request.ID]) {
+		if rejectedLate(rules, request, idx.attemptsByRequest[request.ID]) {
 			late[key] = append(late[key], request)
 		}
 	}
@@ -99,8 +109,8 @@
 	}
 }
 
-// rejectedLate reports whether a rejection came after the last moment at which an attempt could have succeeded, and no
-// attempt ended shortly before it.
+// rejectedLate reports whether a request was rejected so shortly before its timeout that no attempt could have
+// succeeded any more, although no attempt was running at the rejection or had ended shortly before it.
 func rejectedLate(rules Rules, request ClientRequest, attempts []BackendAttempt) bool {
 	minAttempt := rules.MinAttempts[request.Class]
 	rejectedAt := request.Answers[0].At
--- a/internal/rulecheck/drains.go
+++ b/internal/rulecheck/drains.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// route is an instance and a backend that it may send to.
+// route identifies an instance and one of its backends.
 type route struct{ instance, backend string }
 
-// checkDrains checks that an instance sends nothing new to a backend after the grace that follows the notification of
-// its drain. It also checks that each attempt belongs to a client's request.
+// checkDrains checks that an instance sends no attempt to a draining backend once the grace period after the drain's
+// notification is over. It also checks that each attempt belongs to a client's request.
 func (r *Result) checkDrains(rules Rules, idx *index, notifications []Notification) {
 	history := notificationsByRoute(notifications)
-	r.countOutlastedDrains(rules, idx, history)
+	r.countDrainsPastGrace(rules, idx, history)
 	for _, attempt := range idx.attempts {
-		if idx.requestOf[attempt.ID] == nil {
+		if idx.requestByID[attempt.ID] == nil {
 			r.addViolation(NoRequestLost, attempt.ArrivedAt, attempt.ArrivedAt,
 				"node %s was sent %s, which no client asked", attempt.Backend, attempt.ID)
 			continue
@@ -30,7 +30,7 @@
 	}
 }
 
-// notificationsByRoute groups notifications by receiver and backend, each group in order of time.
+// notificationsByRoute groups notifications by the instance notified and the backend, each group in order of time.
 func notificationsByRoute(notifications []Notification) map[route][]Notification {
 	sorted := slices.Clone(notifications)
 	slices.SortStableFunc(sorted, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
@@ -42,8 +42,9 @@
 	return history
 }
 
-// countOutlastedDrains counts the drains after whose grace the instance still sent to other backends.
-func (r *Result) countOutlastedDrains(rules Rules, idx *index, history map[route][]Notification) {
+// countDrainsPastGrace counts the routes on which the backend drained and the instance sent to other backends after
+// the grace period. Only these show that the instance avoided the draining backend.
+func (r *Result) countDrainsPastGrace(rules Rules, idx *index, history map[route][]Notification) {
 	for key, notifications := range history {
 		drain := slices.IndexFunc(notifications, func(n Notification) bool { return !n.Serving })
 		if drain < 0 {
@@ -52,7 +53,7 @@
 		graceEnd := notifications[drain].At + rules.DrainGrace
 		sentElsewhere := slices.ContainsFunc(idx.attempts, func(attempt BackendAttempt) bool {
 			return attempt.ArrivedAt > graceEnd && attempt.Instance == key.instance &&
-				attempt.Backend != key.backend && idx.requestOf[attempt.ID] != nil
+				attempt.Backend != key.backend && idx.requestByID[attempt.ID] != nil
 		})
 		if sentElsewhere {
 			r.Margins.Drains++
@@ -60,7 +61,8 @@
 	}
 }
 
-// drainingSince returns since when a backend drains, by the notifications that its instance had received at a time.
+// drainingSince returns whether a backend is draining and since when, according to the notifications that the instance
+// received up to the given time.
 func drainingSince(notifications []Notification, at time.Duration) (since time.Duration, draining bool) {
 	for _, notification := range notifications {
 		if notification.At > at {
--- a/internal/rulecheck/evidence.go
+++ b/internal/rulecheck/evidence.go
@@ -6,77 +6,78 @@
 	"time"
 )
 
-// The kinds of a client's answer.
+// The kinds of final answers.
 const (
 	AnswerServed   = "served"
 	AnswerRejected = "refused"
 	AnswerFailed   = "failed"
 )
 
-// Answer is a final answer, as the client read it.
+// Answer is one final answer that a client read.
 type Answer struct {
 	At   time.Duration
 	Kind string // AnswerServed, AnswerRejected or AnswerFailed
 }
 
-// ClientRequest is one request of a client, as the client recorded it. A client's retry is another request.
+// ClientRequest is the client's record of one request. A client's retry is a separate request.
 type ClientRequest struct {
-	ID            string        // new with every request
-	Instance      string        // the instance that the request was sent to
+	ID            string        // unique to the request
+	Instance      string        // the instance that received the request
 	Class         string        // the request's class, a key of Rules.Classes
-	SentAt        time.Duration // when the last byte was written
+	SentAt        time.Duration // when the client wrote the last byte
 	Timeout       time.Duration // how long the client waits after SentAt
 	Answers       []Answer      // all final answers; more than one is a violation
-	ForeignAnswer bool          // an answer was not made for this request
-	Excused       bool          // the instance was killed or never accepted the request, so no answer is due
+	ForeignAnswer bool          // an answer carried a value that no backend made for this request
+	Excused       bool          // no answer is required: the instance was killed or never accepted the request
 }
 
-// deadline is when the client gives up.
+// deadline returns when the client gives up.
 func (r ClientRequest) deadline() time.Duration { return r.SentAt + r.Timeout }
 
-// BackendAttempt is one attempt, as its backend recorded it.
+// BackendAttempt is the backend's record of one attempt.
 type BackendAttempt struct {
-	ArrivedAt time.Duration // when the last byte was read, before any fault acted
-	EndedAt   time.Duration // when the answer left or the connection was reset; 0: not yet
+	ArrivedAt time.Duration // when the backend read the last byte, before any injected fault took effect
+	EndedAt   time.Duration // when the backend answered or reset the connection; 0: still running
 	Backend   string
 	Instance  string // the instance that sent it
-	ID        string // of the client's request
+	ID        string // ID of the client's request
 	Tenant    string
 	Plan      string
 	Class     string
-	Rack      int // of the backend
+	Rack      int // rack of the backend
 	Units     float64
-	Busy      bool // rejected by the backend: it never ran, and the instance could know so from EndedAt on
-	WarmingUp bool // the backend was in its slow start
+	Busy      bool // the backend rejected it without running it; the instance can know this from EndedAt on
+	WarmingUp bool // the backend was in slow start
 }
 
-// neverRan reports whether the instance could know at a time that the attempt never ran.
-func (a BackendAttempt) neverRan(at time.Duration) bool {
+// knownNeverRan reports whether the instance could know, at the given time, that the attempt never ran.
+func (a BackendAttempt) knownNeverRan(at time.Duration) bool {
 	return a.Busy && a.EndedAt > 0 && a.EndedAt <= at
 }
 
-// Notification is one entry of the endpoint list, as discovery wrote it to an instance.
+// Notification is discovery's record of one backend's state sent to an instance.
 type Notification struct {
 	At                time.Duration
 	Instance, Backend string
-	Serving           bool // false: the backend drains
+	Serving           bool // false: the backend is draining
 }
 
-// Overload is the record of a backend that warmed up: how much of its limit was used, and whether it was exceeded.
+// Overload is the record of a backend's slow start: its highest load, and whether the backend failed under it.
 type Overload struct {
 	Backend  string
-	FellAt   time.Duration // when it failed under its load; 0: it did not
-	Reason   string        // why it failed
-	Pressure float64       // the most load as a fraction of what makes it fail
+	FellAt   time.Duration // when the backend failed under its load; 0: it did not fail
+	Reason   string        // why the backend failed
+	Pressure float64       // maximum load, as a fraction of the load that makes the backend fail
 }
 
-// ObserverDelay is a span in which the machine kept the observers from running.
+// ObserverDelay is a period in which the observers (clients, backends and discovery) were not scheduled to run, so that
+// their timestamps may be late.
 type ObserverDelay struct {
-	At    time.Duration // when the span began
-	Delay time.Duration // how long it lasted
+	At    time.Duration // start of the period
+	Delay time.Duration // length of the period
 }
 
-// Evidence holds all that clients, backends and discovery recorded in a run.
+// Evidence holds everything that clients, backends and discovery recorded in a run.
 type Evidence struct {
 	Requests       []ClientRequest
 	Attempts       []BackendAttempt
@@ -85,27 +86,27 @@
 	ObserverDelays []ObserverDelay
 }
 
-// index is the evidence in the order and grouping that the checks need.
+// index holds the requests and attempts of the evidence, sorted and grouped for the checks.
 type index struct {
-	requests   []ClientRequest
-	attempts   []BackendAttempt            // in order of arrival
-	attemptsOf map[string][]BackendAttempt // by request, in order of arrival
-	requestOf  map[string]*ClientRequest   // by id
+	requests          []ClientRequest
+	attempts          []BackendAttempt            // in order of arrival
+	attemptsByRequest map[string][]BackendAttempt // by request ID, each in order of arrival
+	requestByID       map[string]*ClientRequest   // by request ID
 }
 
-// newIndex groups the requests and attempts of the evidence.
+// newIndex sorts and groups the requests and attempts of the evidence.
 func newIndex(e Evidence) *index {
 	idx := &index{
-		requests:   e.Requests,
-		attempts:   byArrival(e.Attempts),
-		attemptsOf: map[string][]BackendAttempt{},
-		requestOf:  map[string]*ClientRequest{},
+		requests:          e.Requests,
+		attempts:          byArrival(e.Attempts),
+		attemptsByRequest: map[string][]BackendAttempt{},
+		requestByID:       map[string]*ClientRequest{},
 	}
 	for _, attempt := range idx.attempts {
-		idx.attemptsOf[attempt.ID] = append(idx.attemptsOf[attempt.ID], attempt)
+		idx.attemptsByRequest[attempt.ID] = append(idx.attemptsByRequest[attempt.ID], attempt)
 	}
 	for i := range e.Requests {
-		idx.requestOf[e.Requests[i].ID] = &e.Requests[i]
+		idx.requestByID[e.Requests[i].ID] = &e.Requests[i]
 	}
 	return idx
 }
--- a/internal/rulecheck/quota.go
+++ b/internal/rulecheck/quota.go
@@ -4,19 +4,19 @@
 
 // Quota is a plan's quota: a token bucket that starts full.
 type Quota struct {
-	Rate  float64 // units a second that the bucket gains
-	Burst float64 // units that the bucket holds
+	Rate  float64 // refill rate in units per second
+	Burst float64 // capacity of the bucket in units
 }
 
-// QuotaUse is what one tenant used of its quota, replayed over all instances together.
+// QuotaUse is one tenant's use of its quota through all instances together.
 type QuotaUse struct {
 	Plan        string
 	WithinQuota float64 // units of first attempts that the quota covered
-	BeyondQuota float64 // units of first attempts that it did not
-	Overrun     float64 // the most units by which the bucket is overdrawn at a time if all use is taken from it
+	BeyondQuota float64 // units of first attempts that the quota did not cover
+	Overrun     float64 // maximum overdraft of the bucket in units if every first attempt is charged to it
 }
 
-// QuotaUses replays the quotas over the attempts and returns the use of each tenant.
+// QuotaUses replays the attempts against the quotas, which are by plan, and returns the use of each tenant.
 func QuotaUses(quotas map[string]Quota, attempts []BackendAttempt) map[string]QuotaUse {
 	uses := map[string]QuotaUse{}
 	replayQuotas(quotas, attempts, func(attempt BackendAttempt, covered bool, overrun float64) {
@@ -45,13 +45,14 @@
 
 // quotaBucket is the token bucket of one tenant's quota.
 type quotaBucket struct {
-	level  float64 // without the attempts that it did not cover
-	strict float64 // with all attempts; below 0 when overdrawn
-	at     time.Duration
+	coveredLevel float64 // after charging only the attempts that the quota covered
+	totalLevel   float64 // after charging all attempts; negative while overdrawn
+	updatedAt    time.Duration
 }
 
-// replayQuotas takes each first attempt from its tenant's bucket in order of arrival. It calls visit with whether the
-// bucket covered the attempt, and by how many units all use together has overdrawn it.
+// replayQuotas charges each first attempt to its tenant's bucket in order of arrival. For each it calls visit with
+// whether the quota covered the attempt, and with the overrun: by how many units the tenant has overdrawn the quota if
+// every attempt so far is charged. A negative overrun is what is left.
 func replayQuotas(
 	quotas map[string]Quota,
 	attempts []BackendAttempt,
@@ -62,18 +63,18 @@
 		quota := quotas[attempt.Plan]
 		bucket := buckets[attempt.Tenant]
 		if bucket == nil {
-			bucket = &quotaBucket{level: quota.Burst, strict: quota.Burst, at: attempt.ArrivedAt}
+			bucket = &quotaBucket{coveredLevel: quota.Burst, totalLevel: quota.Burst, updatedAt: attempt.ArrivedAt}
 			buckets[attempt.Tenant] = bucket
 		}
-		gained := quota.Rate * (attempt.ArrivedAt - bucket.at).Seconds()
-		bucket.level = min(quota.Burst, bucket.level+gained)
-		bucket.strict = min(quota.Burst, bucket.strict+gained)
-		bucket.at = attempt.ArrivedAt
-		covered := bucket.level >= attempt.Units
+		gained := quota.Rate * (attempt.ArrivedAt - bucket.updatedAt).Seconds()
+		bucket.coveredLevel = min(quota.Burst, bucket.coveredLevel+gained)
+		bucket.totalLevel = min(quota.Burst, bucket.totalLevel+gained)
+		bucket.updatedAt = attempt.ArrivedAt
+		covered := bucket.coveredLevel >= attempt.Units
 		if covered {
-			bucket.level -= attempt.Units
+			bucket.coveredLevel -= attempt.Units
 		}
-		bucket.strict -= attempt.Units
-		visit(attempt, covered, -bucket.strict)
+		bucket.totalLevel -= attempt.Units
+		visit(attempt, covered, -bucket.totalLevel)
 	}
 }
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -1,6 +1,6 @@
-// Package rulecheck checks the platform's five rules against what the peers of the ingress recorded. Its input is
-// the clients' record of requests and answers, the backends' record of attempts, and discovery's record of
-// notifications. Its output is the list of violations, and how near the run came to each rule's edge. It does no
+// Package rulecheck checks the platform's five rules against what the processes around the ingress recorded in a run.
+// Its input is the clients' record of requests and answers, the backends' record of attempts, and discovery's record of
+// notifications. Its output is the list of violations, and how close the run came to the limit of each rule. It does no
 // I/O and never queries an ingress, so a defect in the ingress cannot hide itself.
 package rulecheck
 
@@ -10,60 +10,60 @@
 	"time"
 )
 
-// Violation is one break of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   string        `json:"Rule"`
 	At     time.Duration `json:"At"`
 	Detail string        `json:"What"`
-	// Until ends the span from At in which everything lies that the violation follows from.
+	// Until ends the period from At that holds all events on which the violation is based.
 	Until time.Duration `json:"Until"`
-	// Doubtful says that the observers were delayed in that span, so that their delay may explain the violation.
+	// Doubtful is true if the observers were delayed in that period, so that late timestamps may explain the violation.
 	Doubtful bool `json:"Doubtful"`
 }
 
-// Margins holds how near a run came to what the rules forbid. A run that never came near an edge proves nothing
-// about it.
+// Margins holds how close a run came to the limits of the rules. A run that stays far from a limit does not show that
+// the ingress respects it.
 type Margins struct {
 	// Refused counts the requests that were rejected.
 	Refused int `json:"Refused"`
 	// Tight counts the answers within tightMargin of the client's timeout.
 	Tight int `json:"Tight"`
-	// Repeats counts the allowed attempts that followed one that may have run.
+	// Repeats counts the allowed repeats: attempts of a request of which an earlier attempt may have run.
 	Repeats int `json:"Repeats"`
-	// Withheld counts the keyed and unsafe requests that ended without a value and were not repeated elsewhere,
-	// though an attempt of theirs may have run.
+	// Withheld counts the keyed and unsafe requests that were rejected or failed after an attempt that may have run,
+	// so that no further attempt followed.
 	Withheld int `json:"HeldBack"`
-	// Drains counts the pairs of an instance and a draining backend in which the instance sent elsewhere after the
-	// grace.
+	// Drains counts the pairs of an instance and a draining backend for which the instance sent to other backends
+	// after the grace period.
 	Drains int `json:"Drains"`
-	// SlowStartSends counts the attempts at backends that were warming up.
+	// SlowStartSends counts the attempts at backends in slow start.
 	SlowStartSends int `json:"ColdSends"`
-	// SlowStartPush is the most load on a backend warming up, as a fraction of what makes it fail.
+	// SlowStartPush is the maximum load on a backend in slow start, as a fraction of the load that makes it fail.
 	SlowStartPush float64 `json:"ColdPush"`
-	// Ceiling is how near a tenant came to its ceiling, as a fraction of its burst: 0 is the edge, -1 is idle.
+	// Ceiling is the maximum of Result.Closest over all tenants: 0 is at the ceiling, -1 is an idle tenant.
 	Ceiling float64 `json:"Ceiling"`
-	// CeilingFor counts the tenants that came within nearCeiling of it.
+	// CeilingFor counts the tenants that came within nearCeilingFraction of their ceiling.
 	CeilingFor int `json:"CeilingFor"`
 }
 
 // Result holds what a check found.
 type Result struct {
-	// Violations are in the order of their times.
+	// Violations are in order of At.
 	Violations []Violation
-	// Closest is, by tenant under a ceiling, the most units sent beyond what the ceiling allowed at that moment, as a
-	// fraction of its burst. It is below 0 where the tenant stayed under its ceiling.
+	// Closest holds, for each tenant with a ceiling, the maximum excess over the ceiling as a fraction of its burst. It
+	// is negative if the tenant stayed below its ceiling.
 	Closest map[string]float64
-	// Checked counts the facts that each rule was checked on.
+	// Checked counts, by rule, the requests or attempts that the rule was checked on.
 	Checked map[string]int
 	Margins Margins
-	// WorstDelay is the longest time for which the observers were kept from running.
+	// WorstDelay is the longest ObserverDelay.
 	WorstDelay time.Duration
 }
 
-// Clean reports whether no rule was broken.
+// Clean reports whether there is no violation.
 func (r Result) Clean() bool { return len(r.Violations) == 0 }
 
-// CountCertain counts the violations that no delay of the observers can explain.
+// CountCertain counts the violations that late observers cannot explain: those that are not Doubtful.
 func (r Result) CountCertain() int {
 	count := 0
 	for _, violation := range r.Violations {
@@ -85,7 +85,7 @@
 	return found
 }
 
-// Check checks the evidence of a run against the rules.
+// Check checks all rules on the evidence of a run.
 func Check(rules Rules, evidence Evidence) Result {
 	idx := newIndex(evidence)
 	result := Result{
@@ -106,23 +106,23 @@
 	return result
 }
 
-// markDoubtful marks the violations whose span overlaps a delay of the observers beyond the tolerance.
+// markDoubtful marks the violations whose period overlaps an observer delay that is longer than the tolerance.
 func (r *Result) markDoubtful(tolerance time.Duration, delays []ObserverDelay) {
-	for _, span := range delays {
-		r.WorstDelay = max(r.WorstDelay, span.Delay)
-		if span.Delay <= tolerance {
+	for _, delay := range delays {
+		r.WorstDelay = max(r.WorstDelay, delay.Delay)
+		if delay.Delay <= tolerance {
 			continue
 		}
 		for i := range r.Violations {
 			violation := &r.Violations[i]
-			if span.At+span.Delay >= violation.At && span.At-span.Delay <= violation.Until+tolerance {
+			if delay.At+delay.Delay >= violation.At && delay.At-delay.Delay <= violation.Until+tolerance {
 				violation.Doubtful = true
 			}
 		}
 	}
 }
 
-// addViolation records a violation that follows from what happened between at and until.
+// addViolation records a violation that is based on events between at and until.
 func (r *Result) addViolation(rule string, at, until time.Duration, format string, args ...any) {
 	r.Violations = append(r.Violations, Violation{
 		Rule:   rule,
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// request is a request of class that was served in time, changed by change where that is given.
+// request returns a request that was served in time, modified by change unless that is nil.
 func request(id, class string, change func(*ClientRequest)) ClientRequest {
 	r := ClientRequest{
 		ID:       id,
@@ -38,17 +38,17 @@
 	return r
 }
 
-// answered changes a request's answer.
-func answered(kind string, at time.Duration) func(*ClientRequest) {
+// withAnswer returns a change for request that replaces the answer.
+func withAnswer(kind string, at time.Duration) func(*ClientRequest) {
 	return func(r *ClientRequest) { r.Answers = []Answer{{At: at, Kind: kind}} }
 }
 
-// servedWithin makes a request that was sent at 0 and served just at its timeout.
-func servedWithin(timeout time.Duration) func(*ClientRequest) {
+// servedAtTimeout returns a change for request: it is sent at 0 and served exactly at its timeout.
+func servedAtTimeout(timeout time.Duration) func(*ClientRequest) {
 	return func(r *ClientRequest) { r.SentAt, r.Timeout, r.Answers[0].At = 0, timeout, timeout }
 }
 
-// attempt is an attempt of 40 ms by the instance i0.
+// attempt returns an attempt by the instance i0 that takes 40 ms.
 func attempt(id, class, backend string, rack int, at time.Duration) BackendAttempt {
 	return BackendAttempt{
 		ArrivedAt: at,
@@ -74,34 +74,34 @@
 	return a
 }
 
-func via(a BackendAttempt, instance string) BackendAttempt {
+func sentBy(a BackendAttempt, instance string) BackendAttempt {
 	a.Instance = instance
 	return a
 }
 
-// attemptsUnderCeiling is n first attempts of a tenant under a ceiling, through two instances in turn.
+// attemptsUnderCeiling returns n first attempts of a tenant with a ceiling, sent by two instances in turn.
 func attemptsUnderCeiling(n int, units float64, every time.Duration) (e Evidence) {
 	for i := range n {
 		id := string(rune('a' + i))
-		e.Requests = append(e.Requests, request(id, "read", servedWithin(time.Minute)))
-		first := via(attempt(id, "read", "n1", 1, every*time.Duration(i)), fmt.Sprint("i", i%2))
+		e.Requests = append(e.Requests, request(id, "read", servedAtTimeout(time.Minute)))
+		first := sentBy(attempt(id, "read", "n1", 1, every*time.Duration(i)), fmt.Sprint("i", i%2))
 		first.Plan, first.Units = "storby", units
 		e.Attempts = append(e.Attempts, first)
 	}
 	return e
 }
 
-// rejections is n rejections of publish, each so long before its timeout.
+// rejections returns n rejected publish requests, each rejected by that duration before its timeout.
 func rejections(n int, before time.Duration, attempts ...BackendAttempt) (e Evidence) {
 	for i := range n {
 		id := string(rune('a' + i))
-		e.Requests = append(e.Requests, request(id, "publish", answered(AnswerRejected, 11*s-before)))
+		e.Requests = append(e.Requests, request(id, "publish", withAnswer(AnswerRejected, 11*s-before)))
 	}
 	e.Attempts = attempts
 	return e
 }
 
-// oneRequest is the evidence of one request with its attempts.
+// oneRequest returns the evidence of one request with its attempts.
 func oneRequest(request ClientRequest, attempts ...BackendAttempt) Evidence {
 	return Evidence{Requests: []ClientRequest{request}, Attempts: attempts}
 }
@@ -111,7 +111,7 @@
 	return e
 }
 
-// evidenceCase is evidence with the one rule that it breaks, or none.
+// evidenceCase is evidence and the only rule that it violates; empty: none.
 type evidenceCase struct {
 	evidence Evidence
 	want     string
@@ -124,8 +124,8 @@
 	}
 }
 
-// checkEvidence checks that the evidence breaks the rule wanted once, or none, and that a delay of the observers
-// makes a violation doubtful just if it overlaps with it and is beyond the tolerance.
+// checkEvidence checks that the evidence violates the wanted rule once, or no rule if want is empty. It also checks
+// that an observer delay makes a violation doubtful if and only if it overlaps the violation and exceeds the tolerance.
 func checkEvidence(t *testing.T, evidence Evidence, want string) {
 	t.Helper()
 	result := Check(testRules(), evidence)
@@ -137,19 +137,19 @@
 		t.Errorf("got %v, want %q", result.Violations, want)
 	}
 	if text := result.String(); (want == "") != !strings.Contains(text, "BROKEN") {
-		t.Errorf("got the text %s, want BROKEN in it just for a violation", text)
+		t.Errorf("got the text %s, want BROKEN in it if and only if there is a violation", text)
 	}
 	evidence.ObserverDelays = []ObserverDelay{{At: 10 * s, Delay: 2 * s}, {At: 1500 * ms, Delay: 2 * s}}
 	if result := Check(testRules(), evidence); result.CountCertain() > 0 || result.WorstDelay != 2*s {
-		t.Errorf("certain though the observers were delayed: %v", result.Violations)
+		t.Errorf("got certain violations though the observers were delayed: %v", result.Violations)
 	}
 	evidence.ObserverDelays = []ObserverDelay{{At: time.Hour, Delay: 2 * s}, {At: 10 * s, Delay: 40 * ms}}
 	if result := Check(testRules(), evidence); result.CountCertain() != len(result.Violations) {
-		t.Errorf("doubtful for a delay at another time, or within the tolerance: %v", result.Violations)
+		t.Errorf("got doubtful violations for a delay at another time or within the tolerance: %v", result.Violations)
 	}
 }
 
-// TestCheckAnswers covers one final answer in time, and nothing sent after it.
+// TestCheckAnswers covers the rule of exactly one final answer in time, and no attempt after it.
 func TestCheckAnswers(t *testing.T) {
 	read := request("a", "read", nil)
 	checkCases(t, map[string]evidenceCase{
@@ -167,8 +167,8 @@
 			),
 			want: NoRequestLost,
 		},
-		"late answer":  {oneRequest(request("a", "read", answered(AnswerServed, 11*s+51*ms))), NoRequestLost},
-		"just in time": {oneRequest(request("a", "read", answered(AnswerServed, 11*s+49*ms))), ""},
+		"late answer":  {oneRequest(request("a", "read", withAnswer(AnswerServed, 11*s+51*ms))), NoRequestLost},
+		"just in time": {oneRequest(request("a", "read", withAnswer(AnswerServed, 11*s+49*ms))), ""},
 		"foreign answer": {
 			evidence: oneRequest(request("a", "read", func(r *ClientRequest) { r.ForeignAnswer = true })),
 			want:     NoRequestLost,
@@ -183,7 +183,7 @@
 	})
 }
 
-// TestCheckLateRejections covers rejections that an instance delayed.
+// TestCheckLateRejections covers rejections that an instance sent later than it could have.
 func TestCheckLateRejections(t *testing.T) {
 	checkCases(t, map[string]evidenceCase{
 		"rejected at once":       {rejections(5, 900*ms), ""},
@@ -199,11 +199,12 @@
 	})
 }
 
-// TestCheckUnsafeRepeats covers what may follow an attempt of an unsafe request that may have run.
+// TestCheckUnsafeRepeats covers which attempts and answers may follow an attempt that may have run, in classes that
+// forbid a repeat.
 func TestCheckUnsafeRepeats(t *testing.T) {
 	once := request("a", "once", nil)
-	failed := request("a", "once", answered(AnswerFailed, 11*s))
-	rejected := request("a", "once", answered(AnswerRejected, 11*s))
+	failed := request("a", "once", withAnswer(AnswerFailed, 11*s))
+	rejected := request("a", "once", withAnswer(AnswerRejected, 11*s))
 	checkCases(t, map[string]evidenceCase{
 		"unsafe again": {
 			evidence: oneRequest(once, attempt("a", "once", "n1", 1, 10*s), attempt("a", "once", "n1", 1, 10*s+1)),
@@ -232,21 +233,22 @@
 	})
 }
 
-// TestCheckIdempotentRepeats covers what may follow an attempt that may have run if the class allows a repeat.
+// TestCheckIdempotentRepeats covers which attempts and answers may follow an attempt that may have run, in classes that
+// allow a repeat.
 func TestCheckIdempotentRepeats(t *testing.T) {
 	read, publish := request("a", "read", nil), request("a", "publish", nil)
 	slow := request("a", "publish", func(r *ClientRequest) { r.Timeout, r.Answers[0].At = 5*s, 14*s })
 	checkCases(t, map[string]evidenceCase{
 		"keyed rejected": {
 			evidence: oneRequest(
-				request("a", "publish", answered(AnswerRejected, 11*s)),
+				request("a", "publish", withAnswer(AnswerRejected, 11*s)),
 				attempt("a", "publish", "n1", 1, 10*s),
 			),
 			want: NoEffectTwice,
 		},
 		"safe rejected": {
 			evidence: oneRequest(
-				request("a", "read", answered(AnswerRejected, 11*s)),
+				request("a", "read", withAnswer(AnswerRejected, 11*s)),
 				attempt("a", "read", "n1", 1, 10*s),
 			),
 		},
@@ -275,7 +277,7 @@
 	})
 }
 
-// TestCheckDrains covers sends to a backend that drains.
+// TestCheckDrains covers attempts at a draining backend.
 func TestCheckDrains(t *testing.T) {
 	read := request("a", "read", nil)
 	checkCases(t, map[string]evidenceCase{
@@ -311,8 +313,8 @@
 					Requests: []ClientRequest{read, request("b", "read", nil), request("c", "read", nil)},
 					Attempts: []BackendAttempt{
 						attempt("a", "read", "n2", 1, 10*s),
-						via(attempt("b", "read", "n2", 1, 10*s), "i1"),
-						via(attempt("c", "read", "n1", 1, 10*s), "i2"),
+						sentBy(attempt("b", "read", "n2", 1, 10*s), "i1"),
+						sentBy(attempt("c", "read", "n1", 1, 10*s), "i2"),
 					},
 				},
 				Notification{5 * s, "i0", "n1", false},
@@ -324,7 +326,7 @@
 	})
 }
 
-// TestCheckLoadLimits covers backends that warm up and tenants under a ceiling.
+// TestCheckLoadLimits covers backends in slow start and tenants with a ceiling.
 func TestCheckLoadLimits(t *testing.T) {
 	checkCases(t, map[string]evidenceCase{
 		"failed under load": {
@@ -333,22 +335,22 @@
 		},
 		"withstood its load": {Evidence{Overloads: []Overload{{Backend: "n1", Pressure: 0.9}}}, ""},
 		"under its ceiling":  {attemptsUnderCeiling(10, 2, ms), ""},
-		"within slack":       {attemptsUnderCeiling(13, 2, ms), ""}, // 26 of 20, slack 6 and 1.5
+		"within slack":       {attemptsUnderCeiling(13, 2, ms), ""}, // 26 units: burst 20, slack 6 + 1.5
 		"two together":       {attemptsUnderCeiling(14, 2, ms), Ceilings},
 		"as it fills":        {attemptsUnderCeiling(20, 4, 400*ms), ""},
 		"faster":             {attemptsUnderCeiling(20, 4, 200*ms), Ceilings},
 	})
 }
 
-// TestMargins checks that the margins tell how near a run came to what is forbidden.
+// TestMargins checks how close a run came to the limits of the rules.
 func TestMargins(t *testing.T) {
 	warmingUp := attempt("a", "read", "n3", 1, 10*s)
 	warmingUp.WarmingUp = true
 	evidence := Evidence{
 		Requests: []ClientRequest{
 			request("a", "read", nil),
-			request("b", "once", answered(AnswerFailed, 10*s+900*ms)),
-			request("c", "publish", answered(AnswerRejected, 10*s+100*ms)),
+			request("b", "once", withAnswer(AnswerFailed, 10*s+900*ms)),
+			request("c", "publish", withAnswer(AnswerRejected, 10*s+100*ms)),
 			request("d", "read", nil),
 		},
 		Attempts: []BackendAttempt{
@@ -379,36 +381,37 @@
 	}
 }
 
-// TestCeilingAgainstReplay checks that what exceeds a ceiling is found, and nothing else, against a plain token bucket.
-func TestCeilingAgainstReplay(t *testing.T) {
+// TestCeilingMatchesTokenBucket checks that a ceiling violation is found if and only if a plain token bucket, charged
+// with the same attempts, is overdrawn beyond the slack.
+func TestCeilingMatchesTokenBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var evidence Evidence
-		level, over := 20.0, 0.0
+		level, maxOverdraft := 20.0, 0.0
 		at, previous := time.Duration(0), time.Duration(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "n") {
 			at += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * ms
 			units := float64(rapid.IntRange(1, 6).Draw(t, "units"))
 			id := fmt.Sprint(i)
-			first := via(attempt(id, "read", "n1", 1, at), fmt.Sprint("i", rapid.IntRange(0, 2).Draw(t, "instance")))
+			first := sentBy(attempt(id, "read", "n1", 1, at), fmt.Sprint("i", rapid.IntRange(0, 2).Draw(t, "instance")))
 			first.Plan, first.Units = "storby", units
-			evidence.Requests = append(evidence.Requests, request(id, "read", servedWithin(time.Hour)))
-			evidence.Attempts = append(evidence.Attempts, first, first) // a retry takes nothing
+			evidence.Requests = append(evidence.Requests, request(id, "read", servedAtTimeout(time.Hour)))
+			evidence.Attempts = append(evidence.Attempts, first, first) // the second is a retry, which is not charged
 			if i > 0 {
 				level = min(20, level+10*(at-previous).Seconds())
 			}
 			previous = at
 			level -= units
-			over = max(over, -level)
+			maxOverdraft = max(maxOverdraft, -level)
 		}
 		result := Check(testRules(), evidence)
-		if broken := len(result.ForRule(Ceilings)) > 0; broken != (over > 7.5) {
-			t.Fatalf("got %v for %.2f units over the ceiling", result.Violations, over)
+		if violated := len(result.ForRule(Ceilings)) > 0; violated != (maxOverdraft > 7.5) {
+			t.Fatalf("got %v for %.2f units over the ceiling", result.Violations, maxOverdraft)
 		}
 	})
 }
 
-// TestQuotaUses checks that a quota's use counts each request once, and that the overrun is what all use together
-// overdraws.
+// TestQuotaUses checks that the use of a quota counts each request once, and that the overrun is the overdraft of all
+// requests together.
 func TestQuotaUses(t *testing.T) {
 	var attempts []BackendAttempt
 	for i := range 10 {
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Effect says whether a request of a class may be sent again after an attempt that may have run.
+// Effect is the effect of a class's requests on the backends. It determines whether a request may be sent again after
+// an attempt that may have run.
 type Effect uint8
 
-// The effects.
+// The effects, with when a request may be sent again.
 const (
 	Unsafe Effect = iota // never
-	Safe                 // always: it changes nothing
-	Keyed                // within the rack that remembers its idempotency key
+	Safe                 // always: the request changes nothing
+	Keyed                // to the same rack, while it remembers the idempotency key
 )
 
 // String returns the effect's name.
@@ -27,33 +28,33 @@
 
 // Ceiling is a tenant's hard limit: a token bucket that starts full.
 type Ceiling struct {
-	Rate  float64 // units a second that the bucket gains
-	Burst float64 // units that the bucket holds
+	Rate  float64 // refill rate in units per second
+	Burst float64 // capacity of the bucket in units
 }
 
 // Rules holds the parameters of the five rules.
 type Rules struct {
 	// Classes holds the effect of each class.
 	Classes map[string]Effect
-	// MinAttempts is, by class, the shortest time in which any backend serves an attempt.
+	// MinAttempts holds, by class, the shortest time in which any backend can serve an attempt.
 	MinAttempts map[string]time.Duration
-	// KeyMemory is how long a rack remembers an idempotency key.
+	// KeyMemory is how long a rack retains an idempotency key.
 	KeyMemory time.Duration
 	// DrainGrace is how long an instance may still send to a backend after it was notified that the backend drains.
 	DrainGrace time.Duration
-	// Ceilings holds the ceiling of each plan; a plan that is not in it has none.
+	// Ceilings holds the ceilings by plan; a plan without an entry has no ceiling.
 	Ceilings map[string]Ceiling
-	// CeilingSlack is the fraction of a ceiling's burst by which it may be exceeded.
+	// CeilingSlack is by how much a ceiling may be exceeded, as a fraction of its burst.
 	CeilingSlack float64
-	// MaxUnits is the largest request in units. A ceiling's slack is never less.
+	// MaxUnits is the size of the largest request in units. A ceiling may always be exceeded by at least this.
 	MaxUnits float64
-	// Tolerance is the slack of every time limit. All observers read one clock, but a client records an answer when
-	// it has read it, and a backend an attempt when it has read that. Events that one instance ordered may so
-	// appear reversed by as much as one observer can be late.
+	// Tolerance is the slack of every time limit. All observers share one clock, but each records an event only when
+	// it has read it: a client its answer, a backend its attempt. Two events of an instance may therefore appear
+	// reversed by up to the delay of one observer.
 	Tolerance time.Duration
 }
 
-// DefaultRules returns the platform's parameters, without classes and ceilings.
+// DefaultRules returns the platform's parameters, without those of classes (Classes, MinAttempts) and plans (Ceilings).
 func DefaultRules() Rules {
 	return Rules{
 		KeyMemory:    3 * time.Second,
@@ -64,7 +65,7 @@
 	}
 }
 
-// The names of the rules, as reports show them.
+// The names of the rules in reports.
 const (
 	NoRequestLost = "no request lost"
 	NoEffectTwice = "no effect twice"
--- a/internal/rulecheck/slow_start.go
+++ b/internal/rulecheck/slow_start.go
@@ -1,6 +1,6 @@
 package rulecheck
 
-// checkSlowStart checks that no backend failed while it warmed up under the load of all instances together.
+// checkSlowStart checks that no backend in slow start failed under the load of all instances together.
 func (r *Result) checkSlowStart(idx *index, overloads []Overload) {
 	for _, attempt := range idx.attempts {
 		if attempt.WarmingUp {
--- a/internal/rulecheck/text.go
+++ b/internal/rulecheck/text.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// maxListedViolations is how many violations of a rule String lists.
+// maxListedViolations is the maximum number of violations that String lists for each rule.
 const maxListedViolations = 3
 
-// String lists the rules with their violations, a line each.
+// String returns a line for each rule, each followed by a line for each of the rule's first violations.
 func (r Result) String() string {
 	var text strings.Builder
 	for _, rule := range RuleNames {
