--- a/internal/simproto/actions.go
+++ b/internal/simproto/actions.go
@@ -9,9 +9,10 @@
 	"hitchspring/policy"
 )
 
-// line builds the line of one action at the end of a buffer.
+// line appends one line to a buffer, field by field.
 type line struct{ buf []byte }
 
+// newLine starts a line with its name and the field "i", the instance.
 func newLine(buf []byte, name string, instance int) *line {
 	l := &line{buf: append(buf, name...)}
 	return l.number("i", float64(instance))
@@ -33,10 +34,10 @@
 	return l.text(name, strconv.FormatInt(span.Microseconds(), 10))
 }
 
-// end ends the line and returns the buffer.
+// end terminates the line and returns the buffer.
 func (l *line) end() []byte { return append(l.buf, '\n') }
 
-// AppendAction appends the line of one action of an instance.
+// AppendAction appends the line for one action of an instance. An action without a line in the protocol is skipped.
 func AppendAction(buf []byte, instance int, action policy.Action) []byte {
 	switch a := action.(type) {
 	case policy.SendAttempt:
@@ -88,12 +89,12 @@
 	return newLine(buf, "NOTIFY", instance).text("dest", dest).text("msg", msg).end()
 }
 
-// AppendFault appends the line that declares an instance broken.
+// AppendFault appends the line that reports an instance as failed.
 func AppendFault(buf []byte, instance int, text string) []byte {
 	return newLine(buf, "PANIC", instance).text("text", oneLine(text)).end()
 }
 
-// oneLine replaces what would break the line format in free text.
+// oneLine replaces line breaks and tabs, which delimit lines and fields, with spaces.
 func oneLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\n' || r == '\r' || r == '\t' {
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -8,8 +8,8 @@
 	"hitchspring/policy"
 )
 
-// parseMessage parses one line; known is false for a name that this program does
-// not have.
+// parseMessage parses the fields of one line into a message; known is false if the
+// line's name is not one of the protocol's.
 func (r *Reader) parseMessage(name string, p *parser) (m Message, known bool) {
 	m.Name = name
 	switch name {
@@ -22,12 +22,12 @@
 	case "ARRIVAL":
 		m.Event = parseArrival(p)
 	case "STARTED":
-		p.need("call", "try")
+		p.require("call", "try")
 		m.Event = policy.StreamStarted{ID: p.requestID(), Attempt: p.int("try")}
 	case "ATTEMPT_END":
 		m.Event = parseAttemptEnd(p)
 	case "DROPPED":
-		p.need("call")
+		p.require("call")
 		m.Event = policy.Disconnected{ID: p.requestID()}
 	case "TICK_DUE":
 		m.Event = policy.TimerFired{}
@@ -40,7 +40,7 @@
 	default:
 		return m, false
 	}
-	p.need("i")
+	p.require("i")
 	m.Instance = p.int("i")
 	if p.err != nil {
 		p.err = fmt.Errorf("%s: %w", name, p.err)
@@ -49,7 +49,7 @@
 }
 
 func parseSettings(p *parser) *policy.Settings {
-	p.need("facts")
+	p.require("facts")
 	if p.err != nil {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 func parseArrival(p *parser) policy.Event {
-	p.need("call", "giveUpAtUs")
+	p.require("call", "giveUpAtUs")
 	return policy.Arrival{Request: policy.Request{
 		ID:       p.requestID(),
 		Class:    p.fields["qos"],
@@ -75,7 +75,7 @@
 }
 
 func parseAttemptEnd(p *parser) policy.Event {
-	p.need("call", "try", "backend", "stateCode")
+	p.require("call", "try", "backend", "stateCode")
 	return policy.AttemptEnded{
 		ID:           p.requestID(),
 		Attempt:      p.int("try"),
@@ -89,7 +89,7 @@
 }
 
 func parseProbeEnd(p *parser) policy.Event {
-	p.need("backend", "stateCode")
+	p.require("backend", "stateCode")
 	return policy.ProbeEnded{
 		Backend: policy.BackendID(p.fields["backend"]),
 		Outcome: parseOutcome(p.fields["stateCode"]),
@@ -99,7 +99,7 @@
 }
 
 func parseCounterReply(p *parser) policy.Event {
-	p.need("counter", "stateCode")
+	p.require("counter", "stateCode")
 	return policy.CounterReply{
 		Name:    p.fields["counter"],
 		Outcome: parseOutcome(p.fields["stateCode"]),
@@ -107,10 +107,10 @@
 	}
 }
 
-// parseEndpoints parses an endpoint list and the lines of its entries, which
-// follow it.
+// parseEndpoints parses the line of an endpoint list and reads the lines of its
+// entries, which follow it.
 func (r *Reader) parseEndpoints(p *parser) policy.Event {
-	p.need("form")
+	p.require("form")
 	form := p.fields["form"]
 	event := policy.EndpointsChanged{
 		Complete: form == "full" || form == "cached",
@@ -119,15 +119,15 @@
 	for n := p.int("members"); n > 0 && p.err == nil; n-- {
 		text, err := r.next()
 		if err != nil {
-			p.err = errors.New("members: the list is cut off")
+			p.err = errors.New("members: input ends inside the endpoint list")
 			break
 		}
-		name, f := split(text)
+		name, entryFields := splitLine(text)
 		if name != "M" {
-			p.err = fmt.Errorf("members: %q where an entry is wanted", name)
+			p.err = fmt.Errorf("members: got line %q, want an entry (M)", name)
 			break
 		}
-		entry := &parser{fields: f}
+		entry := &parser{fields: entryFields}
 		event.Backends = append(event.Backends, parseBackend(entry))
 		p.err = entry.err
 	}
@@ -135,7 +135,7 @@
 }
 
 func parseBackend(p *parser) policy.Backend {
-	p.need("backend")
+	p.require("backend")
 	return policy.Backend{
 		ID:      policy.BackendID(p.fields["backend"]),
 		Zone:    p.fields["az"],
@@ -147,7 +147,7 @@
 	}
 }
 
-// parseState returns a backend's state; an unknown one counts as draining.
+// parseState returns the state of a name. An unknown name counts as draining.
 func parseState(name string) policy.BackendState {
 	switch name {
 	case "on":
@@ -159,8 +159,8 @@
 	}
 }
 
-// parseOutcome returns an outcome; an unknown one counts as failed, which may have
-// run.
+// parseOutcome returns the outcome of a name. An unknown name counts as failed, that
+// is, the attempt may have run.
 func parseOutcome(name string) policy.Outcome {
 	switch name {
 	case "done":
--- a/internal/simproto/parser.go
+++ b/internal/simproto/parser.go
@@ -11,12 +11,12 @@
 	"hitchspring/policy"
 )
 
-// fields are the name=value parts of a line.
+// fields holds the values of a line's fields by name.
 type fields map[string]string
 
-// split cuts a line into its name and its fields. The value of facts runs to the
-// end of the line.
-func split(text string) (string, fields) {
+// splitLine splits a line into its name and its fields. The value of the field facts
+// extends to the end of the line and may contain tabs.
+func splitLine(text string) (string, fields) {
 	name, rest, _ := strings.Cut(text, "\t")
 	f := make(fields, 8)
 	for rest != "" {
@@ -33,21 +33,22 @@
 	return name, f
 }
 
-// parser reads the fields of one line and keeps the first error. A field that is
-// absent is read as zero.
+// parser parses the fields of one line and records the first error. A missing field
+// is parsed as zero.
 type parser struct {
 	fields fields
 	err    error
 }
 
+// fail records an error of a field, unless there is an earlier error.
 func (p *parser) fail(field string, err error) {
 	if p.err == nil {
 		p.err = fmt.Errorf("field %s: %w", field, err)
 	}
 }
 
-// need fails if one of the fields is absent.
-func (p *parser) need(names ...string) {
+// require records an error if one of the fields is missing.
+func (p *parser) require(names ...string) {
 	for _, name := range names {
 		if _, ok := p.fields[name]; !ok {
 			p.fail(name, errors.New("missing"))
@@ -83,7 +84,7 @@
 		return 0
 	}
 	n, err := strconv.ParseFloat(text, 64)
-	if err == nil && (n != n || n > 1e300 || n < -1e300) { // n != n: NaN
+	if err == nil && (n != n || n > 1e300 || n < -1e300) { // n != n if n is NaN
 		err = errors.New("not a finite number")
 	}
 	if err != nil {
@@ -92,7 +93,7 @@
 	return n
 }
 
-// load parses name:number pairs; "-" stands for none.
+// load parses comma-separated name:number pairs; "-" means no load.
 func (p *parser) load(name string) policy.Load {
 	text := p.fields[name]
 	if text == "" || text == "-" {
@@ -111,7 +112,7 @@
 	return load
 }
 
-// bytes parses base64; "-" stands for none.
+// bytes decodes base64; "-" means no bytes.
 func (p *parser) bytes(name string) []byte {
 	text := p.fields[name]
 	if text == "" || text == "-" {
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,8 +1,8 @@
-// Package simproto speaks the simulator's protocol: lines of a name and
-// tab-separated fields, in batches that are each answered by one reply. Lines of
-// events come in; lines of the actions that the instances' engines decide on go
-// out. It parses and prints only; every decision is made by package policy. A
-// malformed line ends the exchange with an error that names the line and the
+// Package simproto implements the simulator's line protocol. A line is a name and
+// tab-separated fields. The input is batches of lines with events; each batch gets
+// one reply, the lines of the actions that the instances' engines return for these
+// events. The package only parses and formats lines; package policy makes every
+// decision. A malformed line ends the run with an error that names the line and the
 // field.
 package simproto
 
@@ -15,12 +15,14 @@
 	"hitchspring/policy"
 )
 
-// host runs the engines of many instances, each with its own events only.
+// host runs the engines of many instances. Each engine handles only the events of its
+// own instance.
 type host struct {
-	engines map[int]*policy.Engine // by instance
+	engines map[int]*policy.Engine // by number of the instance
 }
 
-// Host runs many instances until the input ends.
+// Host runs the instances that the batches of in start, and writes a reply to out for
+// each batch, until the input ends.
 func Host(in io.Reader, out io.Writer) error {
 	h := &host{engines: map[int]*policy.Engine{}}
 	r := NewReader(in)
@@ -36,26 +38,26 @@
 		}
 		reply = reply[:0]
 		for _, m := range batch.Messages {
-			reply = h.handle(reply, batch, m)
+			reply = h.handleMessage(reply, batch, m)
 		}
 		reply = append(reply, "NEXT\n"...)
 		if _, err := w.Write(reply); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// handle handles one message and appends the lines of its actions. A panic of the
-// engine becomes a fault of its instance alone.
-func (h *host) handle(buf []byte, batch *Batch, m Message) (reply []byte) {
-	mark := len(buf)
+// handleMessage handles one message and appends the lines of the resulting actions. If
+// the engine panics, its instance is removed and reported as failed; the others go on.
+func (h *host) handleMessage(buf []byte, batch *Batch, m Message) (reply []byte) {
+	start := len(buf)
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.engines, m.Instance)
-			reply = AppendFault(buf[:mark], m.Instance, fmt.Sprint(p))
+			reply = AppendFault(buf[:start], m.Instance, fmt.Sprint(p))
 		}
 	}()
 	switch {
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -9,11 +9,11 @@
 	"hitchspring/policy"
 )
 
-// begin is the start of instance 3.
-const begin = "BEGIN\ti=3\tnonce64=18446744073709551615\tfacts={\"me\":0,\"replicasOfMe\":2,\"unknown\":{\"a\":1}," +
+// beginMsg starts instance 3.
+const beginMsg = "BEGIN\ti=3\tnonce64=18446744073709551615\tfacts={\"me\":0,\"replicasOfMe\":2,\"unknown\":{\"a\":1}," +
 	"\"classes\":[{\"name\":\"read\",\"value\":1,\"objectiveUs\":500000,\"deadlineUs\":2000000,\"effect\":\"odd\"}]}\n"
 
-// runHost returns what the host answers to the input.
+// runHost returns the output and the error of Host for an input.
 func runHost(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -29,17 +29,17 @@
 }
 
 func TestRequestIsSentToAListedBackend(t *testing.T) {
-	out, err := runHost(t, "SYNC\twallUs=1000000\n"+begin+
+	out, err := runHost(t, "SYNC\twallUs=1000000\n"+beginMsg+
 		"MEMBERSHIP\ti=3\tform=cached\tgeneration=1\tmembers=1\nM\tbackend=10.0.0.1:80\taz=a\tlifecycle=on\n"+
 		"SOMETHING_NEW\ti=3\tx=1\n"+
 		"ARRIVAL\ti=3\tcall=4294967295\tqos=read\tterms=none\tholder=aa\tgiveUpAtUs=3000000\tnew=1\nYOUR_TURN\n")
 	if err != nil || !strings.Contains(out, "TRANSMIT\ti=3\tcall=4294967295\tbackend=10.0.0.1:80\n") {
-		t.Fatalf("got %q, %v; want a send to the listed backend", out, err)
+		t.Fatalf("got %q, %v; want an attempt at the listed backend", out, err)
 	}
 }
 
 func TestManyRestartsInOneBatch(t *testing.T) {
-	in := "SYNC\twallUs=1\n" + strings.Repeat(begin+"DESTROY\ti=3\n", 50) + "DROPPED\ti=3\tcall=1\nYOUR_TURN\n"
+	in := "SYNC\twallUs=1\n" + strings.Repeat(beginMsg+"DESTROY\ti=3\n", 50) + "DROPPED\ti=3\tcall=1\nYOUR_TURN\n"
 	if out, err := runHost(t, in); err != nil || out != "NEXT\n" {
 		t.Fatalf("got %q, %v; want an empty reply", out, err)
 	}
