--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -8,43 +8,45 @@
 	"hitchspring/policy"
 )
 
-const maxQueue = 40 // requests that wait at a backend
+const maxQueueLength = 40 // attempts that wait at a backend; it rejects more
 
-// backend is a queue with cores. In slow start it does a part of its work.
+// backend simulates a backend as a queue that is served by cores. In slow start its
+// cores are slower.
 type backend struct {
 	policy.Backend
 
-	cores       int
-	speed       float64 // of a core
-	slowdown    float64 // its work takes so many times as long
-	down        bool    // the machine is off
-	refuses     bool    // it refuses connections
-	hangs       bool    // it takes what comes and never answers
-	incarnation int     // stops so far; tells work of an earlier one apart
-	queue       []*attempt
-	busyCores   int
-	recent      []timedWork // of the overload span, while in slow start
-	slowStart   *slowStart
+	cores              int
+	speed              float64 // speed of a core, relative to full speed
+	slowdown           float64 // factor by which all work takes longer; 1: none
+	down               bool    // the machine is off
+	refusesConnections bool    // it refuses all connections
+	hangs              bool    // it accepts attempts and never answers
+	incarnation        int     // number of stops so far; work of an earlier incarnation is dropped
+	queue              []*attempt
+	busyCores          int
+	recentWork         []timedWork // work that arrived in the last overloadSpan, recorded in slow start only
+	slowStartRecord    *slowStartRecord
 }
 
-// timedWork is work that came at a time.
+// timedWork is work with its time of arrival.
 type timedWork struct {
 	at     time.Duration
-	amount float64 // seconds of a core of the backend
+	amount float64 // seconds of one core of this backend
 }
 
-// attempt is an attempt of a request at a backend.
+// attempt is one attempt of a request.
 type attempt struct {
 	request *request
-	index   int      // among the request's attempts
-	backend *backend // nil: its machine was replaced
-	work    float64  // seconds of a core at full speed
+	index   int      // number among the request's attempts, from 0
+	backend *backend // nil: the instance sent to an unknown backend ID
+	work    float64  // seconds of one core at full speed
 	sentAt  time.Duration
 	ended   bool
-	counted *tenant // counts it as in flight; nil: it has not come, or has ended
+	counted *tenant // tenant whose inFlight includes the attempt; nil: it has not arrived or has ended
 }
 
-// newBackend returns the backend of an index.
+// newBackend returns the backend with an index: the index determines its ID, zone, cell
+// and cores.
 func newBackend(index int) *backend {
 	b := &backend{
 		Backend: policy.Backend{
@@ -66,13 +68,15 @@
 
 func zoneName(index int) string { return string(rune('a' + index%3)) }
 
-// replacement returns a new backend on the same machine, under another ID.
+// replacement returns a new backend on the same machine. Its ID has the suffix
+// appended.
 func (b *backend) replacement(suffix policy.BackendID) *backend {
-	fresh := &backend{Backend: b.Backend, cores: b.cores, speed: b.speed, slowdown: 1}
-	fresh.ID += suffix
-	return fresh
+	added := &backend{Backend: b.Backend, cores: b.cores, speed: b.speed, slowdown: 1}
+	added.ID += suffix
+	return added
 }
 
+// stopBackend stops a backend. Its queued and running work is lost without an answer.
 func (s *simulation) stopBackend(b *backend) {
 	b.down = true
 	b.State = policy.Gone
@@ -81,14 +85,16 @@
 	b.busyCores = 0
 }
 
+// startBackend starts a backend in slow start.
 func (s *simulation) startBackend(b *backend) {
 	b.down = false
 	b.State = policy.Running
 	b.Started = epoch + s.now
-	b.recent = nil
+	b.recentWork = nil
 	s.beginSlowStart(b)
 }
 
+// findBackend returns the backend with an ID, or nil.
 func (s *simulation) findBackend(id policy.BackendID) *backend {
 	i := slices.IndexFunc(s.backends, func(b *backend) bool { return b.ID == id })
 	if i < 0 {
@@ -97,8 +103,9 @@
 	return s.backends[i]
 }
 
-// send puts an attempt on its way to its backend.
-func (s *simulation) send(i *instance, action policy.SendAttempt) {
+// sendAttempt sends an attempt to its backend. The attempt times out when its client
+// gives up.
+func (s *simulation) sendAttempt(i *instance, action policy.SendAttempt) {
 	r := s.requests[action.ID]
 	b := s.findBackend(action.Backend)
 	a := &attempt{request: r, index: len(r.attempts), backend: b, sentAt: s.now}
@@ -111,12 +118,12 @@
 		s.report.SentToDraining++
 	}
 	a.work = s.rng.ExpFloat64() * s.workOf(r.class)
-	s.after(linkDelay, func() { s.receive(a) })
+	s.after(linkDelay, func() { s.receiveAttempt(a) })
 	s.endAttemptAfter(i, r.GiveUpAt-epoch-s.now, a, policy.TimedOut)
 }
 
-// endAttemptAfter ends an attempt after a while, as its instance sees it, if that is
-// still in the same incarnation.
+// endAttemptAfter ends an attempt for its instance after a delay, unless the instance is
+// down or in another incarnation by then.
 func (s *simulation) endAttemptAfter(i *instance, span time.Duration, a *attempt, outcome policy.Outcome) {
 	s.notifyAfter(i, span, func() policy.Event {
 		s.endAttempt(a, outcome)
@@ -124,33 +131,33 @@
 	})
 }
 
-// receive takes an attempt that has come to its backend.
-func (s *simulation) receive(a *attempt) {
+// receiveAttempt handles the arrival of an attempt at its backend.
+func (s *simulation) receiveAttempt(a *attempt) {
 	b := a.backend
 	switch {
 	case b.down:
 		s.after(dialTimeout, func() { s.endAttempt(a, policy.NoConnect) })
 		return
-	case b.refuses:
+	case b.refusesConnections:
 		s.after(linkDelay, func() { s.endAttempt(a, policy.NoConnect) })
 		return
 	case b.hangs:
 		return
 	}
 	if s.capacityShare(b) < 1 {
-		b.slowStart.record(s.now, a, s.workOf(a.request.class))
+		b.slowStartRecord.record(s.now, a, s.workOf(a.request.class))
 	}
 	s.checkRules(a)
-	if len(b.queue) >= maxQueue {
+	if len(b.queue) >= maxQueueLength {
 		s.after(linkDelay, func() { s.endAttempt(a, policy.Rejected) })
 		return
 	}
 	b.queue = append(b.queue, a)
-	s.serve(b)
+	s.startQueuedWork(b)
 }
 
-// serve begins the work for which cores are free.
-func (s *simulation) serve(b *backend) {
+// startQueuedWork starts queued attempts while the backend has free cores.
+func (s *simulation) startQueuedWork(b *backend) {
 	for b.busyCores < b.cores && len(b.queue) > 0 {
 		a := b.queue[0]
 		b.queue = b.queue[1:]
@@ -165,12 +172,13 @@
 			if !b.down && !b.hangs {
 				s.after(linkDelay, func() { s.endAttempt(a, policy.Succeeded) })
 			}
-			s.serve(b)
+			s.startQueuedWork(b)
 		})
 	}
 }
 
-// endAttempt ends an attempt as its instance sees it.
+// endAttempt ends an attempt and notifies its instance of the outcome, unless the
+// instance is down or the attempt has already ended there.
 func (s *simulation) endAttempt(a *attempt, outcome policy.Outcome) {
 	if a.counted != nil {
 		a.counted.inFlight--
--- a/internal/sim/events.go
+++ b/internal/sim/events.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something that is to happen.
+// event is a function that is scheduled to run at a virtual time.
 type event struct {
 	at       time.Duration
-	sequence int // orders events of one time as they were scheduled
+	sequence int // orders events with the same time as they were scheduled
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, ordered by time. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -23,10 +23,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push appends an event; only container/heap calls it.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is for container/heap.
+// Pop removes the last event; only container/heap calls it.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -34,10 +34,11 @@
 	return last
 }
 
-// at schedules a function; a time that is past counts as now.
+// at schedules a function to run at a virtual time, or now if that time has passed.
 func (s *simulation) at(t time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.events, event{max(t, s.now), s.sequence, run})
 }
 
+// after schedules a function to run after a delay.
 func (s *simulation) after(span time.Duration, run func()) { s.at(s.now+span, run) }
--- a/internal/sim/golden_test.go
+++ b/internal/sim/golden_test.go
@@ -8,8 +8,8 @@
 	"hitchspring/internal/golden"
 )
 
-// One fleet with a seed of its own, played to the end: whatever changes in the
-// decisions shows in the report.
+// TestGoldenReport compares the report of one fleet with a golden file, so that a change
+// in the policy's decisions or in the simulator shows.
 func TestGoldenReport(t *testing.T) {
 	f := testFleet(20, 7)
 	f.Length = 6 * time.Second
@@ -19,6 +19,6 @@
 		KillInstances(3*time.Second, 4, time.Second),
 		ReplaceBackends(3*time.Second, 6, 2*time.Second),
 	}
-	report := play(t, f)
-	golden.Compare(t, "report", fmt.Appendf(nil, "%v\n", *report)) // the values alone: a renamed field changes nothing
+	report := mustRun(t, f)
+	golden.Compare(t, "report", fmt.Appendf(nil, "%v\n", *report)) // %v omits field names
 }
--- a/internal/sim/instance.go
+++ b/internal/sim/instance.go
@@ -10,22 +10,22 @@
 
 const (
 	counterTimeout = 80 * time.Millisecond
-	listSpread     = 300 * time.Millisecond // most by which instances differ in when they are notified of a list
+	maxListJitter  = 300 * time.Millisecond // maximum random delay of an endpoint list update at an instance
 )
 
-// instance is one engine with its timers.
+// instance simulates one ingress instance with a real engine.
 type instance struct {
-	index         int
-	engine        *policy.Engine
-	up            bool
-	incarnation   int                                // starts so far; tells events of an earlier one apart
-	listDelay     time.Duration                      // by which it is notified later than the others
-	drainingSince map[policy.BackendID]time.Duration // when it was notified that a backend drains or was removed
-	knownStart    map[policy.BackendID]time.Duration // start of each backend that it was notified of
+	index          int
+	engine         *policy.Engine
+	up             bool
+	incarnation    int                                // number of starts; events of earlier ones are dropped
+	extraListDelay time.Duration                      // additional delay of its endpoint list updates
+	drainingSince  map[policy.BackendID]time.Duration // when it was notified that a backend is draining or was removed
+	notifiedStart  map[policy.BackendID]time.Duration // last start of each backend that it was notified of
 }
 
-// startInstance gives an instance a new engine, which knows the backends as they
-// are at that moment.
+// startInstance starts an instance with a new engine and notifies it of the backends
+// that are running now.
 func (s *simulation) startInstance(i *instance) error {
 	instances := cmp.Or(s.assumedInstances, s.Instances)
 	engine, err := policy.New(policy.Settings{
@@ -55,27 +55,28 @@
 	i.up = true
 	i.incarnation++
 	i.drainingSince = map[policy.BackendID]time.Duration{}
-	i.knownStart = map[policy.BackendID]time.Duration{}
+	i.notifiedStart = map[policy.BackendID]time.Duration{}
 	list := policy.EndpointsChanged{Complete: true}
 	for _, b := range s.backends {
 		if b.State == policy.Running {
 			list.Backends = append(list.Backends, b.Backend)
-			i.knownStart[b.ID] = b.Started
+			i.notifiedStart[b.ID] = b.Started
 		}
 	}
 	s.notify(i, list)
 	return nil
 }
 
-// notify hands an event to an instance's engine and carries out its actions.
+// notify passes an event to an instance's engine and executes the resulting actions.
 func (s *simulation) notify(i *instance, event policy.Event) {
 	for _, action := range i.engine.Handle(epoch+s.now, event, nil) {
-		s.carryOut(i, action)
+		s.execute(i, action)
 	}
 }
 
-// notifyAfter notifies an instance after a while, if it is still in the same
-// incarnation. The event is made at that time; nil: nothing to notify of.
+// notifyAfter notifies an instance of an event after a delay, unless the instance is
+// down or in another incarnation by then. It calls makeEvent only at that time; a nil
+// event is skipped.
 func (s *simulation) notifyAfter(i *instance, span time.Duration, makeEvent func() policy.Event) {
 	incarnation := i.incarnation
 	s.after(span, func() {
@@ -88,7 +89,8 @@
 	})
 }
 
-func (s *simulation) carryOut(i *instance, action policy.Action) {
+// execute executes one action of an instance.
+func (s *simulation) execute(i *instance, action policy.Action) {
 	switch a := action.(type) {
 	case policy.SetTimer:
 		s.notifyAfter(i, a.After, func() policy.Event { return policy.TimerFired{} })
@@ -97,21 +99,22 @@
 	case policy.Fail:
 		s.answer(a.ID, false)
 	case policy.SendAttempt:
-		s.send(i, a)
+		s.sendAttempt(i, a)
 	case policy.CancelAttempt:
 		r := s.requests[a.ID]
 		if r != nil && a.Attempt < len(r.attempts) {
 			s.endAttempt(r.attempts[a.Attempt], policy.Canceled)
 		}
 	case policy.AddToCounter:
-		s.callCounter(i, a)
-	case policy.WatchEndpoints: // all instances are notified of all changes
+		s.answerCounterCall(i, a)
+	case policy.WatchEndpoints: // publishBackends notifies all instances of all changes
 	}
 }
 
-// callCounter answers a counter call, late where more calls come than the counter
-// can take.
-func (s *simulation) callCounter(i *instance, call policy.AddToCounter) {
+// answerCounterCall adds to a counter and notifies the instance of the reply. Calls beyond
+// the counter's rate queue up, and time out for the instance after counterTimeout; the
+// counter adds their units all the same.
+func (s *simulation) answerCounterCall(i *instance, call policy.AddToCounter) {
 	reply := policy.CounterReply{Name: call.Name}
 	took := 2 * linkDelay
 	if s.rng.Float64() < s.CounterRejects {
@@ -132,17 +135,17 @@
 	s.notifyAfter(i, took, func() policy.Event { return reply })
 }
 
-// publishBackends notifies all instances of changed backends, each at its own time.
+// publishBackends notifies all instances of changed backends, each after its own delay.
 func (s *simulation) publishBackends(backends ...*backend) {
 	var change policy.EndpointsChanged
 	for _, b := range backends {
 		change.Backends = append(change.Backends, b.Backend)
 	}
 	for _, i := range s.instances {
-		delay := s.ListDelay + i.listDelay + time.Duration(s.rng.Float64()*float64(listSpread))
+		delay := s.EndpointListDelay + i.extraListDelay + time.Duration(s.rng.Float64()*float64(maxListJitter))
 		s.notifyAfter(i, delay, func() policy.Event {
 			for _, b := range change.Backends {
-				i.knownStart[b.ID] = b.Started
+				i.notifiedStart[b.ID] = b.Started
 				delete(i.drainingSince, b.ID)
 				if b.State != policy.Running {
 					i.drainingSince[b.ID] = s.now
@@ -153,9 +156,9 @@
 	}
 }
 
-// abandonRequests leaves the unanswered requests of an instance that is killed to
-// their clients.
-func (s *simulation) abandonRequests(i *instance) {
+// abandonUnansweredRequests marks the unanswered requests of a killed instance as abandoned
+// and counts them as lost.
+func (s *simulation) abandonUnansweredRequests(i *instance) {
 	for _, r := range s.requests {
 		if r.instance == i && r.answers == 0 {
 			r.answers = abandoned
--- a/internal/sim/request.go
+++ b/internal/sim/request.go
@@ -6,7 +6,7 @@
 	"hitchspring/policy"
 )
 
-// Work of a request, in seconds of a core at full speed.
+// Mean work of a request, in seconds of one core at full speed.
 const (
 	readWork     = 0.08
 	publishWork  = 0.25
@@ -14,8 +14,8 @@
 	meanWork     = (1-publishShare)*readWork + publishShare*publishWork
 )
 
-// abandoned in place of the number of answers marks a request whose instance was
-// killed.
+// abandoned is the value of request.answers for a request that its instance was killed
+// before answering, or that arrived while its instance was down.
 const abandoned = -1
 
 func classes() []policy.Class {
@@ -31,7 +31,7 @@
 	}
 }
 
-// request is a request of a client and what became of it.
+// request is a client's request with its attempts and its outcome.
 type request struct {
 	policy.Request
 
@@ -39,10 +39,11 @@
 	instance  *instance
 	arrivedAt time.Duration
 	attempts  []*attempt
-	answers   int  // final answers, or abandoned
-	counted   bool // an attempt of it has come to a backend
+	answers   int  // number of final answers, or abandoned
+	counted   bool // it was charged to quota and ceiling when its first attempt arrived at a backend
 }
 
+// weight returns priority weight times price times units.
 func (r *request) weight(p policy.Plan) float64 { return r.class.PriorityWeight * p.Price * r.Units }
 
 // workOf returns the mean work of a class.
@@ -53,7 +54,8 @@
 	return readWork * s.workFactor()
 }
 
-// scheduleArrival schedules the next request, and with it the one after.
+// scheduleArrival schedules the arrival of the next request, which in turn schedules the
+// one after it.
 func (s *simulation) scheduleArrival() {
 	if s.now > s.Length {
 		return
@@ -65,15 +67,16 @@
 	})
 }
 
-// arrive draws a request and hands it to its instance.
+// arrive draws a random request and notifies its instance of it.
 func (s *simulation) arrive() {
 	t := s.drawTenant()
 	r := s.drawRequest(t)
 	s.report.Requests++
 	s.report.OfferedWeight += r.weight(t.plan)
-	// What one instance that sees all would admit, whatever becomes of it here.
+	// What a single instance that sees all requests would admit, whether or not it is
+	// admitted in this run.
 	if t.idealQuota.take(t.plan, s.now, r.Units) {
-		s.report.InsideWeight += r.weight(t.plan)
+		s.report.WeightWithinQuotas += r.weight(t.plan)
 	}
 	s.requests[r.ID] = r
 	if !r.instance.up {
@@ -84,14 +87,15 @@
 	s.notify(r.instance, policy.Arrival{Request: r.Request})
 }
 
+// drawRequest draws a random request of a tenant.
 func (s *simulation) drawRequest(t *tenant) *request {
 	class := classes()[0]
 	if s.rng.Float64() < publishShare {
 		class = classes()[1]
 	}
-	target := s.instances[(t.first+s.rng.IntN(t.spread))%s.Instances]
+	target := s.instances[(t.firstInstance+s.rng.IntN(t.spread))%s.Instances]
 	s.lastID++
-	patience := time.Duration((0.5 + s.rng.Float64()/2) * float64(class.Deadline))
+	timeout := time.Duration((0.5 + s.rng.Float64()/2) * float64(class.Deadline))
 	return &request{
 		class:     class,
 		instance:  target,
@@ -101,15 +105,15 @@
 			Class:    class.Name,
 			Plan:     t.plan.Name,
 			Tenant:   t.id,
-			GiveUpAt: epoch + s.now + patience,
+			GiveUpAt: epoch + s.now + timeout,
 			Units:    float64(1 + s.rng.IntN(2)),
 			Spread:   t.spread,
-			First:    t.first,
+			First:    t.firstInstance,
 		},
 	}
 }
 
-// answer counts a final answer; the first is the client's.
+// answer counts a final answer. Only the first reaches the client; more are a fault.
 func (s *simulation) answer(id policy.RequestID, served bool) {
 	r := s.requests[id]
 	if r == nil || r.answers == abandoned {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// testFleet returns a fleet at some six tenths of what it can do.
+// testFleet returns a fleet at about 60% of its capacity.
 func testFleet(instances int, seed uint64) Fleet {
 	return Fleet{
-		Seed:        seed,
-		Instances:   instances,
-		Backends:    30,
-		Rate:        250,
-		Tenants:     160,
-		Length:      14 * time.Second,
-		CounterRate: 120,
-		ListDelay:   1500 * time.Millisecond,
+		Seed:              seed,
+		Instances:         instances,
+		Backends:          30,
+		Rate:              250,
+		Tenants:           160,
+		Length:            14 * time.Second,
+		CounterRate:       120,
+		EndpointListDelay: 1500 * time.Millisecond,
 	}
 }
 
-func play(t *testing.T, f Fleet) *Report {
+func mustRun(t *testing.T, f Fleet) *Report {
 	t.Helper()
-	report, err := Play(f)
+	report, err := Run(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return report
 }
 
-// checkReport fails the test for each rule that a report breaks.
+// checkReport fails the test for each rule that the report violates.
 func checkReport(t *testing.T, name string, r *Report) {
 	t.Helper()
 	if r.Answers+r.Lost != r.Requests || r.AnsweredTwice > 0 || r.AnsweredLate > 0 {
@@ -41,19 +41,19 @@
 		t.Errorf("%s: got %v overloaded in slow start, want none", name, r.Overloaded)
 	}
 	if r.SentToDraining > 0 {
-		t.Errorf("%s: got %d sends to backends that drain or are gone, after the grace", name, r.SentToDraining)
+		t.Errorf("%s: got %d attempts at draining or removed backends after the grace period", name, r.SentToDraining)
 	}
 	if r.OverCeiling > 6+ceilingRate*0.15 {
 		t.Errorf("%s: got a tenant %.1f units over its ceiling", name, r.OverCeiling)
 	}
 }
 
-// scenario is what happens to a fleet, of which 80 instances serve at least a share
-// of what 3 serve.
+// scenario is a set of faults under which 80 instances must serve almost as much weight
+// as 3 instances.
 type scenario struct {
 	faults         func(instances int) []Fault
 	counterRejects float64
-	listDelay      time.Duration // beyond the usual
+	listDelay      time.Duration // added to the delay of testFleet
 }
 
 func scenarios() map[string]scenario {
@@ -78,21 +78,24 @@
 		},
 		"the counter rejects half of the calls": {faults: calm, counterRejects: 0.5},
 		"one instance is notified 5 s after the rest": {
-			faults: func(int) []Fault { return []Fault{DelayList(1, 5*second), LoseZone(3*second, "c", 5*second)} },
+			faults: func(int) []Fault {
+				return []Fault{DelayEndpointList(1, 5*second), LoseZone(3*second, "c", 5*second)}
+			},
 		},
 	}
 }
 
-// Each scenario at 3 and at 80 instances under the same load and the same faults.
+// TestScenarios runs each scenario with 3 and with 80 instances, under the same load and
+// faults, and compares the weight that they serve.
 func TestScenarios(t *testing.T) {
-	const minServed = 0.90 // at 80 instances, of what is served at 3
+	const minServed = 0.90 // at 80 instances, as a fraction of the weight served at 3
 	if testing.Short() {
-		t.Skip("plays a fleet of 80")
+		t.Skip("simulates 80 instances")
 	}
 	for name, sc := range scenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			few, many := sc.served(t, name, 3), sc.served(t, name, 80)
+			few, many := sc.servedShare(t, name, 3), sc.servedShare(t, name, 80)
 			t.Logf("served %.3f at 3 instances, %.3f at 80: %.2f", few, many, many/few)
 			if many < minServed*few {
 				t.Errorf("got %.3f served at 80 instances, want %.2f of the %.3f at 3", many, minServed, few)
@@ -101,55 +104,56 @@
 	}
 }
 
-// served returns the share of the offered weight that is served, over two seeds.
-func (sc scenario) served(t *testing.T, name string, instances int) float64 {
+// servedShare returns the served share of the offered weight, averaged over two seeds.
+func (sc scenario) servedShare(t *testing.T, name string, instances int) float64 {
 	t.Helper()
-	served := 0.0
+	servedShare := 0.0
 	for seed := range uint64(2) {
 		f := testFleet(instances, seed+1)
 		f.Faults = sc.faults(instances)
 		f.CounterRejects = sc.counterRejects
-		f.ListDelay += sc.listDelay
-		report := play(t, f)
+		f.EndpointListDelay += sc.listDelay
+		report := mustRun(t, f)
 		checkReport(t, name, report)
-		served += report.ServedWeight / report.OfferedWeight / 2
+		servedShare += report.ServedWeight / report.OfferedWeight / 2
 	}
-	return served
+	return servedShare
 }
 
-// The same seed is the same run, another one is not.
-func TestSeed(t *testing.T) {
+// TestSeedDeterminesReport checks that the same seed gives the same report and another
+// seed gives another report.
+func TestSeedDeterminesReport(t *testing.T) {
 	var reports [3]*Report
 	for i, seed := range []uint64{7, 7, 8} {
 		f := testFleet(20, seed)
 		f.Length = 3 * time.Second
 		f.Faults = []Fault{LoseZone(time.Second, "a", time.Second)}
-		reports[i] = play(t, f)
+		reports[i] = mustRun(t, f)
 	}
 	if !reflect.DeepEqual(reports[0], reports[1]) {
-		t.Errorf("got two reports of one seed: %+v, %+v", reports[0], reports[1])
+		t.Errorf("got different reports for the same seed: %+v, %+v", reports[0], reports[1])
 	}
 	if reflect.DeepEqual(reports[0], reports[2]) {
-		t.Error("got one report of two seeds")
+		t.Error("got the same report for different seeds")
 	}
 }
 
-// A fleet that cannot be played is an error, not a panic.
-func TestBadFleets(t *testing.T) {
+// TestInvalidFleets checks that an invalid fleet is an error, not a panic.
+func TestInvalidFleets(t *testing.T) {
 	for _, f := range []Fleet{
 		{},
 		{Instances: 1, Backends: 2, Tenants: 1, Rate: 1, Length: 1},
 		{Instances: 1, Backends: 3, Tenants: 1, Length: 1},
 		{Instances: 0, Backends: 3, Tenants: 1, Rate: 1, Length: 1},
 	} {
-		if _, err := Play(f); err == nil {
+		if _, err := Run(f); err == nil {
 			t.Errorf("%+v: got no error, want one", f)
 		}
 	}
 }
 
-// The checks detect what they are for: attempts that are too many for a backend in
-// slow start, and over a ceiling.
+// TestChecksDetectViolations checks that too many attempts at a backend in slow start,
+// and beyond a tenant's ceiling, are reported.
 func TestChecksDetectViolations(t *testing.T) {
 	f := testFleet(3, 1)
 	f.Length = time.Second
@@ -163,14 +167,15 @@
 		s.checkRules(&attempt{request: r, backend: b, work: 0.1})
 	}
 	if len(s.report.Overloaded) != 1 || s.report.OverCeiling < 30 {
-		t.Errorf("a hundred at once: got overloaded %v, %.1f over the ceiling; want one, and 30 or more",
+		t.Errorf("100 attempts at once: got overloaded %v, %.1f over the ceiling; want one backend, and 30 or more",
 			s.report.Overloaded, s.report.OverCeiling)
 	}
 }
 
-// More instances than requests, or than backends, is a fleet as well.
-func TestFewRequests(t *testing.T) {
-	report := play(t, Fleet{
+// TestMoreInstancesThanRequests checks a fleet with more instances than requests and
+// backends.
+func TestMoreInstancesThanRequests(t *testing.T) {
+	report := mustRun(t, Fleet{
 		Seed: 1, Instances: 80, Backends: 3, Tenants: 2, Rate: 3, Length: 5 * time.Second,
 		Faults: []Fault{LoseZone(time.Second, "a", time.Second)},
 	})
@@ -180,13 +185,14 @@
 	}
 }
 
-// On a quiet day what all instances together admit beyond quotas costs at most 0.1
-// of the weight inside them, also where the counter can take fewer calls than half
-// of the requests. That is 0.1 more than under a policy that never admits anything
-// beyond: none that sees the true state late can do with less.
+// TestQuotasHoldForTheFleet checks that, under normal load, the requests that all
+// instances together admit beyond quotas cost at most 0.1 of the weight within quotas,
+// even if the counter can process fewer calls than half of the requests. The bound is 0.1
+// above the cost of a policy that never admits anything beyond a quota; no policy that
+// learns the shared state late can cost less.
 func TestQuotasHoldForTheFleet(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays fleets of 300")
+		t.Skip("simulates 300 instances")
 	}
 	for _, counterRate := range []float64{600, 120} {
 		for _, instances := range []int{3, 20, 80, 300} {
@@ -206,12 +212,12 @@
 	f.DemandByQuota = true
 	f.CounterRate = counterRate
 	f.Length = 40 * time.Second
-	r := play(t, f)
+	r := mustRun(t, f)
 	checkReport(t, t.Name(), r)
-	t.Logf("seed %d: %d requests, served %.3f of the weight inside quotas, paid %.3f for what is beyond",
-		seed, r.Requests, r.ServedWeight/r.InsideWeight, r.ExcessPaid/r.InsideWeight)
-	if r.ExcessPaid > 0.1*r.InsideWeight {
-		t.Errorf("seed %d: got %.3f of the weight inside quotas paid for what is beyond, want 0.1 at most",
-			seed, r.ExcessPaid/r.InsideWeight)
+	t.Logf("seed %d: %d requests, served %.3f of the weight within quotas, excess cost %.3f",
+		seed, r.Requests, r.ServedWeight/r.WeightWithinQuotas, r.ExcessCostTotal/r.WeightWithinQuotas)
+	if r.ExcessCostTotal > 0.1*r.WeightWithinQuotas {
+		t.Errorf("seed %d: got an excess cost of %.3f of the weight within quotas, want 0.1 at most",
+			seed, r.ExcessCostTotal/r.WeightWithinQuotas)
 	}
 }
--- a/internal/sim/slow_start.go
+++ b/internal/sim/slow_start.go
@@ -9,12 +9,12 @@
 
 const (
 	slowStartWindow  = 18 * time.Second
-	slowStartShare   = 0.25 // of its capacity, that a backend starts with
-	overloadMultiple = 4.0  // times what it can do
+	slowStartShare   = 0.25 // initial share of a backend's full capacity
+	overloadMultiple = 4.0  // overload limit, as a multiple of the current capacity
 	overloadSpan     = time.Second
 )
 
-// slowStartRule is the slow start as all instances are given it.
+// slowStartRule holds the slow start settings of all instances.
 var slowStartRule = slowstart.Rule{
 	InitialShare:     slowStartShare,
 	Window:           slowStartWindow,
@@ -22,50 +22,50 @@
 	Span:             overloadSpan,
 }
 
-// SlowStart is what one slow start of a backend got from all instances together,
-// at its nearest to the limit.
+// SlowStart reports the load of one slow start of a backend from all instances together,
+// at the time when it came closest to the limit.
 type SlowStart struct {
 	Backend  policy.BackendID
-	Attempts int            // that came during it
-	Mean     slowstart.Peak // each attempt as the mean work of its class
-	Drawn    slowstart.Peak // each attempt as its own work, which no instance knows
+	Attempts int            // attempts that arrived during the slow start
+	Mean     slowstart.Peak // peak if each attempt counts as the mean work of its class
+	Drawn    slowstart.Peak // peak if each attempt counts as its own random work, which no instance knows
 }
 
-// slowStart records what comes to a backend from a start on.
-type slowStart struct {
+// slowStartRecord records the attempts that arrive at a backend after one of its starts.
+type slowStartRecord struct {
 	id      policy.BackendID
 	backend slowstart.Backend
-	mean    []slowstart.Arrival // each as the mean work of its class
-	drawn   []slowstart.Arrival // each as its own work
+	mean    []slowstart.Arrival // each attempt with the mean work of its class
+	drawn   []slowstart.Arrival // each attempt with its own work
 }
 
-// beginSlowStart begins the record of a slow start.
+// beginSlowStart starts a new record for the slow start of a backend.
 func (s *simulation) beginSlowStart(b *backend) {
-	b.slowStart = &slowStart{id: b.ID, backend: slowstart.Backend{
+	b.slowStartRecord = &slowStartRecord{id: b.ID, backend: slowstart.Backend{
 		Started:  s.now,
 		Capacity: float64(b.cores) * b.speed,
 		MeanWork: meanWork * s.workFactor(),
 	}}
-	s.slowStarts = append(s.slowStarts, b.slowStart)
+	s.slowStartRecords = append(s.slowStartRecords, b.slowStartRecord)
 }
 
-// record records an attempt that has come.
-func (r *slowStart) record(now time.Duration, a *attempt, meanWork float64) {
+// record records the arrival of an attempt.
+func (r *slowStartRecord) record(now time.Duration, a *attempt, meanWork float64) {
 	i := a.request.instance
 	arrival := slowstart.Arrival{
 		At:       now,
 		Work:     meanWork,
 		Instance: i.index,
-		Notified: i.knownStart[r.id] == epoch+r.backend.Started,
+		Notified: i.notifiedStart[r.id] == epoch+r.backend.Started,
 	}
 	r.mean = append(r.mean, arrival)
 	arrival.Work = a.work
 	r.drawn = append(r.drawn, arrival)
 }
 
-// reportSlowStarts reports all slow starts, in the order in which they began.
+// reportSlowStarts adds all slow starts to the report, in the order of their starts.
 func (s *simulation) reportSlowStarts() error {
-	for _, r := range s.slowStarts {
+	for _, r := range s.slowStartRecords {
 		mean, err := slowStartRule.Peak(r.backend, r.mean)
 		if err != nil {
 			return err
--- a/internal/sim/slow_start_budget_test.go
+++ b/internal/sim/slow_start_budget_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// What all instances together send to a backend that starts under a burst stays
-// within its budget and what is left to chance.
+// TestSlowStartsWithinBudgetOfAll checks that all instances together stay within the
+// limit of a backend that starts during a burst: its budget and an allowance for random
+// variation.
 func TestSlowStartsWithinBudgetOfAll(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays fleets of 80")
+		t.Skip("simulates 80 instances")
 	}
 	for _, sc := range slowStartScenarios() {
 		for _, instances := range []int{3, 20, 30, 80} {
@@ -18,7 +19,7 @@
 					name := fmt.Sprintf("%s/%d instances/burst %v/work %v", sc.name, instances, burst, work)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
-						checkBudget(t, sc, instances, burst, work)
+						checkSlowStartBudget(t, sc, instances, burst, work)
 					})
 				}
 			}
@@ -26,11 +27,11 @@
 	}
 }
 
-func checkBudget(t *testing.T, sc slowStartScenario, instances int, burst, work float64) {
+func checkSlowStartBudget(t *testing.T, sc slowStartScenario, instances int, burst, work float64) {
 	t.Helper()
 	var summary slowStartSummary
 	for _, seed := range slowStartSeeds() {
-		report := play(t, sc.fleet(instances, seed, burst, work))
+		report := mustRun(t, sc.fleet(instances, seed, burst, work))
 		summary.add(report)
 		for _, start := range report.SlowStarts {
 			if start.Mean.IsOverload() {
@@ -39,8 +40,8 @@
 		}
 	}
 	t.Log(summary.String())
-	// At 62 requests a second over 80 instances a single backend in slow start may get none of them.
+	// At 62 requests per second over 80 instances, a single backend in slow start may get no attempt.
 	if summary.attempts == 0 && work < 4 {
-		t.Error("got no attempt at a backend in slow start: the scenario shows nothing")
+		t.Error("got no attempt at a backend in slow start: the scenario tests nothing")
 	}
 }
--- a/internal/sim/slow_start_test.go
+++ b/internal/sim/slow_start_test.go
@@ -8,12 +8,11 @@
 	"time"
 )
 
-// slowStartScenario is a way in which backends start while arrivals come several
-// times as often as usual.
+// slowStartScenario is a scenario in which backends start around a burst of arrivals.
 type slowStartScenario struct {
-	name   string
-	length time.Duration
-	faults func(burst float64) []Fault
+	name     string
+	duration time.Duration
+	faults   func(burst float64) []Fault
 }
 
 func slowStartScenarios() []slowStartScenario {
@@ -48,27 +47,28 @@
 	}
 }
 
-// fleet returns a fleet whose backends bear the fewer requests the more work each
-// brings: one that has just started bears 17, 8 or 4 where the work is 1, 2 or 4
-// times the usual. Instances are notified of the list at once, when a backend in
-// slow start bears the least.
+// fleet returns a fleet for the scenario. The larger the work factor, the fewer requests
+// a backend can bear: 17, 8 or 4 right after its start for a factor of 1, 2 or 4. The
+// delay of the endpoint list is short, so that instances send to a backend while its
+// capacity is lowest.
 func (sc slowStartScenario) fleet(instances int, seed uint64, burst, work float64) Fleet {
 	f := testFleet(instances, seed)
-	f.Length = sc.length
+	f.Length = sc.duration
 	f.Faults = sc.faults(burst)
 	f.Rate /= work
 	f.WorkFactor = work
-	f.ListDelay = 50 * time.Millisecond
+	f.EndpointListDelay = 50 * time.Millisecond
 	return f
 }
 
-// slowStartSummary is the nearest that any slow start came to its limit.
+// slowStartSummary sums up the slow starts of several reports, with those that came
+// closest to their limit.
 type slowStartSummary struct {
 	starts    int
 	attempts  int
-	mean      SlowStart // nearest by mean work
-	drawn     SlowStart // nearest by drawn work
-	drawnOver int       // starts at which the drawn work passed the limit
+	mean      SlowStart // closest to its limit by mean work
+	drawn     SlowStart // closest to its limit by drawn work
+	drawnOver int       // number of starts whose drawn work exceeded the limit
 }
 
 func (s *slowStartSummary) add(r *Report) {
@@ -92,8 +92,8 @@
 		s.starts, s.attempts, s.mean.Mean, s.drawn.Drawn.Ratio(), s.drawnOver)
 }
 
-// slowStartSeeds returns the seeds that each case is played with. Of the short list
-// each has shown a policy that sends too much: 1 at 80 instances, 2 at 30, 17 at 20.
+// slowStartSeeds returns the seeds for each case. Each seed of the short list has detected
+// a policy that overloads backends: 1 at 80 instances, 2 at 30, 17 at 20.
 func slowStartSeeds() []uint64 {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" {
 		return []uint64{1, 2, 17}
@@ -105,31 +105,32 @@
 	return all
 }
 
-// Instances that each send what all together may are detected: the defect that the
-// record is for.
+// TestSlowStartRecordDetectsInstancesThatIgnoreOthers checks that the record detects
+// instances that each use the whole budget of a backend as if they were alone.
 func TestSlowStartRecordDetectsInstancesThatIgnoreOthers(t *testing.T) {
 	for _, instances := range []int{30, 80} {
 		f := slowStartScenarios()[0].fleet(instances, 1, 4.7, 2)
 		f.assumedInstances = 1
 		var summary slowStartSummary
-		summary.add(play(t, f))
+		summary.add(mustRun(t, f))
 		if !summary.mean.Mean.IsViolation() {
-			t.Errorf("%d instances, each as if alone: got %v, want a violation", instances, &summary)
+			t.Errorf("%d instances, each with the whole budget: got %v, want a violation", instances, &summary)
 		}
 	}
 }
 
-// Attempts of instances that were not notified of a start are told apart, and so
-// are the starts of one backend.
-func TestSlowStartRecordKnowsWhoWasNotified(t *testing.T) {
+// TestSlowStartRecordCountsNotifiedInstances checks that attempts by instances that were
+// not notified of a start are counted separately, and that two starts of one backend are
+// reported separately.
+func TestSlowStartRecordCountsNotifiedInstances(t *testing.T) {
 	f := testFleet(3, 1)
 	f.Length = 6 * time.Second
-	f.ListDelay = 30 * time.Second // no instance is notified of the start
+	f.EndpointListDelay = 30 * time.Second // no instance is notified of the start
 	f.Faults = []Fault{
 		RestartBackend(time.Second, 4, 50*time.Millisecond),
 		RestartBackend(3*time.Second, 4, 50*time.Millisecond),
 	}
-	report := play(t, f)
+	report := mustRun(t, f)
 	if len(report.SlowStarts) != 2 || report.SlowStarts[0].Backend != report.SlowStarts[1].Backend {
 		t.Fatalf("got slow starts %+v, want two of one backend", report.SlowStarts)
 	}
@@ -141,11 +142,11 @@
 	}
 }
 
-// A fleet with less than no work is an error.
-func TestBadWork(t *testing.T) {
+// TestNegativeWorkFactor checks that a negative work factor is an error.
+func TestNegativeWorkFactor(t *testing.T) {
 	f := testFleet(3, 1)
 	f.WorkFactor = -1
-	if _, err := Play(f); err == nil || !strings.Contains(err.Error(), "work -1") {
+	if _, err := Run(f); err == nil || !strings.Contains(err.Error(), "work -1") {
 		t.Errorf("got error %v, want one with work -1", err)
 	}
 }
--- a/internal/sim/tenant.go
+++ b/internal/sim/tenant.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	ceilingRate  = 30.0 // units a second
+	ceilingRate  = 30.0 // units per second
 	ceilingBurst = 60.0 // units
-	meanUnits    = 1.5  // of a request
+	meanUnits    = 1.5  // mean units of a request
 )
 
 func plans() []policy.Plan {
@@ -24,22 +24,22 @@
 	}
 }
 
-// tenant sends requests through some of the instances.
+// tenant is a tenant that sends its requests through some of the instances.
 type tenant struct {
-	id       string
-	plan     policy.Plan
-	spread   int     // instances that its requests come through
-	first    int     // index of the first of them
-	demand   float64 // with DemandByQuota: units a second
-	inFlight int     // attempts out
+	id            string
+	plan          policy.Plan
+	spread        int     // number of instances that receive its requests
+	firstInstance int     // index of the first of these instances
+	demand        float64 // units per second; set with DemandByQuota only
+	inFlight      int     // attempts in flight
 
-	ceilingLevel float64
-	ceilingAt    time.Duration // time of ceilingLevel
-	quota        bucket        // as all instances together use it
-	idealQuota   bucket        // as one instance would have used it that sees all
+	ceilingLevel     float64
+	ceilingUpdatedAt time.Duration // when ceilingLevel was computed
+	quota            quotaBucket   // charged with the first attempts of all instances
+	idealQuota       quotaBucket   // charged with all requests, as by a single instance that sees them all
 }
 
-// newTenant returns the tenant of an index. One in eight is large.
+// newTenant returns the tenant with an index. One in eight has the large plan.
 func (s *simulation) newTenant(index int) *tenant {
 	all := plans()
 	plan := all[min(1, max(0, 1-index%8))]
@@ -48,36 +48,36 @@
 		plan:         plan,
 		spread:       max(1, s.Instances*2/3),
 		ceilingLevel: ceilingBurst,
-		quota:        bucket{level: plan.Burst},
-		idealQuota:   bucket{level: plan.Burst},
+		quota:        quotaBucket{level: plan.Burst},
+		idealQuota:   quotaBucket{level: plan.Burst},
 	}
 	if plan.CeilingRate > 0 {
 		t.spread = min(s.Instances, 10)
 	}
-	t.first = s.rng.IntN(s.Instances)
+	t.firstInstance = s.rng.IntN(s.Instances)
 	return t
 }
 
-// setDemandByQuota sets what each tenant demands by its quota, and so the rate of
-// all.
+// setDemandByQuota sets the demand of each tenant as a multiple of its quota's rate, and
+// computes the total arrival rate from these demands.
 func (s *simulation) setDemandByQuota() {
 	s.Rate = 0
 	for i, t := range s.tenants {
-		use := 0.35
-		switch i / 8 % 20 { // the same among small and large ones
+		demandRatio := 0.35
+		switch i / 8 % 20 { // i/8: the same ratios for small and large plans
 		case 1, 7, 13:
-			use = 0.95
+			demandRatio = 0.95
 		case 4, 10, 16:
-			use = 3
+			demandRatio = 3
 		}
-		t.demand = t.plan.Rate * use
+		t.demand = t.plan.Rate * demandRatio
 		s.Rate += t.demand / meanUnits
 	}
 }
 
-// drawTenant returns the tenant of the next request.
+// drawTenant draws a random tenant for the next request.
 func (s *simulation) drawTenant() *tenant {
-	if !s.DemandByQuota { // the first ones demand the most
+	if !s.DemandByQuota { // tenants with a lower index send more requests
 		return s.tenants[int(float64(len(s.tenants))*math.Pow(s.rng.Float64(), 1.3))]
 	}
 	x := s.rng.Float64() * s.Rate * meanUnits
@@ -90,21 +90,21 @@
 	return s.tenants[len(s.tenants)-1]
 }
 
-// bucket is the token bucket of a quota.
-type bucket struct {
-	level float64       // units, as of at
-	at    time.Duration // time of level
+// quotaBucket is the token bucket of a quota.
+type quotaBucket struct {
+	level     float64       // units at updatedAt
+	updatedAt time.Duration // when level was computed
 }
 
-// fill brings the bucket up to now.
-func (b *bucket) fill(p policy.Plan, now time.Duration) {
-	b.level = min(p.Burst, b.level+p.Rate*(now-b.at).Seconds())
-	b.at = now
+// refill adds the units that the bucket has gained since updatedAt.
+func (b *quotaBucket) refill(p policy.Plan, now time.Duration) {
+	b.level = min(p.Burst, b.level+p.Rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
-// take takes units and reports whether the bucket held them.
-func (b *bucket) take(p policy.Plan, now time.Duration, units float64) bool {
-	b.fill(p, now)
+// take removes units from the bucket if it holds enough, and reports whether it did.
+func (b *quotaBucket) take(p policy.Plan, now time.Duration, units float64) bool {
+	b.refill(p, now)
 	if b.level < units {
 		return false
 	}
