--- a/cmd/hitchspring/configuration.go
+++ b/cmd/hitchspring/configuration.go
@@ -126,7 +126,7 @@
 		cfg.LogRequests = l.LogRequests
 	}
 	if z := options.Zones; z != nil {
-		cfg.ZoneDrains = z.Drains
+		cfg.ZoneDrains = z.DrainFile
 		cfg.Zones = zonesConfig(z)
 	}
 	if p := options.Peers; p != nil {
@@ -155,9 +155,9 @@
 		FarPrice:      z.FarPrice,
 		Overprovision: z.Overprovision,
 		Panic:         z.Panic,
-		Ramp:          time.Duration(z.MaxRamp),
+		Ramp:          time.Duration(z.MaxRampDuration),
 		RampFrom:      z.RampFrom,
-		Forget:        time.Duration(z.ForgetAfter),
+		Forget:        time.Duration(z.CautionDecayInterval),
 	}
 }
 
--- a/cmd/hitchspring/configuration_test.go
+++ b/cmd/hitchspring/configuration_test.go
@@ -10,14 +10,14 @@
 	"hitchspring/internal/config"
 )
 
-// goodConfig is a configuration with a shared counter that has no address.
-const goodConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+// validConfig is a configuration with a shared counter that has no address.
+const validConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 	"limits":{"cores":1,"sockets":256},"settings":{
 	"replicasOfMe":1,"familyInfo":{"sharedCounter":true,"counterTimeoutUs":80000},
 	"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}]}}`
 
-// runQuietly runs a command without its log and returns what it prints.
-func runQuietly(args ...string) (string, error) {
+// runWithoutLog runs a command without its log and returns what it prints.
+func runWithoutLog(args ...string) (string, error) {
 	var out strings.Builder
 	err := runCommand(args, &out, slog.New(slog.DiscardHandler))
 	return out.String(), err
@@ -69,25 +69,25 @@
 func TestCheck(t *testing.T) {
 	good := writeTemp(t, "good.toml", "[store]\nkind = \"redis\"\naddress = \"127.0.0.1:6379\"\n")
 	bad := writeTemp(t, "bad.toml", "[store]\nkind = \"redis\"\n")
-	t.Setenv(configVariable, writeTemp(t, "config.json", goodConfig))
-	out, err := runQuietly("check", "--options", good)
+	t.Setenv(configVariable, writeTemp(t, "config.json", validConfig))
+	out, err := runWithoutLog("check", "--options", good)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := `prefix = 'hitchspring'`; !strings.Contains(out, want) {
 		t.Fatalf("got settings in force\n%s\nwant them with %s", out, want)
 	}
-	_, err = runQuietly("check", "--options", bad)
+	_, err = runWithoutLog("check", "--options", bad)
 	requireOneLine(t, err, bad+":1: store.address")
-	_, err = runQuietly("check") // without the options the counter has no address
+	_, err = runWithoutLog("check") // without the options the counter has no address
 	requireOneLine(t, err, "no address of it")
 	t.Setenv(optionsVariable, bad)
 	for _, args := range [][]string{nil, {"check"}} {
-		_, err := runQuietly(args...)
+		_, err := runWithoutLog(args...)
 		requireOneLine(t, err, "store.address")
 	}
 	for _, args := range [][]string{{"chekc"}, {"--nonsense"}, {"check", "more"}} {
-		_, err := runQuietly(args...)
+		_, err := runWithoutLog(args...)
 		requireOneLine(t, err, "hitchspring --help lists the commands")
 	}
 }
@@ -120,7 +120,7 @@
 		"path = \"x\"\nclass = \"a\"":                `forward_auth.rule[0]: path "x"`,
 	} {
 		t.Run(want, func(t *testing.T) {
-			_, err := runQuietly("check", "--options", writeTemp(t, "options.toml", section+rule+"\n"))
+			_, err := runWithoutLog("check", "--options", writeTemp(t, "options.toml", section+rule+"\n"))
 			requireOneLine(t, err, want)
 		})
 	}
@@ -128,7 +128,7 @@
 
 // The version command prints a line that begins with the program's name.
 func TestVersion(t *testing.T) {
-	out, err := runQuietly("version")
+	out, err := runWithoutLog("version")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/hitchspring/forward_auth_test.go
+++ b/cmd/hitchspring/forward_auth_test.go
@@ -63,7 +63,7 @@
 	metricsAddr := freeAddr(t)
 	client := authClient{Client: &http.Client{Transport: &http.Transport{}}, addr: freeAddr(t)}
 	defer client.CloseIdleConnections()
-	s := newServed(t)
+	s := newInProcessServer(t)
 	section := fmt.Sprintf("[metrics]\nlisten = %q\n[forward_auth]\nlisten = %q\ntrusted = [\"127.0.0.1\"]\n",
 		metricsAddr, client.addr) + "connections = 50\n"
 	rule := func(path string) string {
@@ -75,7 +75,7 @@
 	client.awaitRule(t, "/one/3e9")
 	client.awaitNoRule(t, "/two/3e9")
 	writeFile(t, s.optionsPath, section+rule("/two/{channel}"))
-	s.hangup()
+	s.sendSIGHUP()
 	client.awaitRule(t, "/two/3e9")
 	client.awaitNoRule(t, "/one/3e9")
 	for _, bad := range []string{
@@ -84,7 +84,7 @@
 		section + "rules = 3",
 	} {
 		writeFile(t, s.optionsPath, bad)
-		s.hangup()
+		s.sendSIGHUP()
 		time.Sleep(50 * time.Millisecond)
 		client.awaitRule(t, "/two/3e9")
 		client.awaitNoRule(t, "/three/3e9")
--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -60,7 +60,7 @@
 		{"hall", "return", "--help"},
 		{"version", "--help"},
 	} {
-		out, err := runQuietly(args...)
+		out, err := runWithoutLog(args...)
 		if err != nil {
 			t.Fatalf("%q: got error %v", args, err)
 		}
@@ -69,18 +69,18 @@
 	golden.Compare(t, "help", []byte(all.String()))
 }
 
-// goTypes matches the names of Go types that a decoder puts into its errors.
-var goTypes = regexp.MustCompile(`\b(main|settings|config)\.[A-Za-z.]+`)
+// goTypeNames matches the names of Go types that a decoder puts into its errors.
+var goTypeNames = regexp.MustCompile(`\b(main|settings|config)\.[A-Za-z.]+`)
 
-// runLog runs the program and holds what it prints and how it ends.
-type runLog struct {
+// transcript runs the program and holds what it prints and how it ends.
+type transcript struct {
 	program string
 	dir     string // of the files, whose path is left out
 	text    strings.Builder
 }
 
 // run runs the program with a configuration file, and appends one line.
-func (l *runLog) run(t *testing.T, configPath string, args ...string) {
+func (l *transcript) run(t *testing.T, configPath string, args ...string) {
 	t.Helper()
 	cmd := exec.Command(l.program, args...)
 	cmd.Env = []string{"ROUTER_CONFIG=" + configPath}
@@ -96,12 +96,12 @@
 		exitCode = exitErr.ExitCode()
 	}
 	line := strings.ReplaceAll(stderr.String(), l.dir, "DIR")
-	line = goTypes.ReplaceAllString(line, "GOTYPE")
+	line = goTypeNames.ReplaceAllString(line, "GOTYPE")
 	fmt.Fprintf(&l.text, "%d %q %s", exitCode, stdout.String(), line)
 }
 
 // file writes a file into the directory and returns its path.
-func (l *runLog) file(t *testing.T, name, text string) string {
+func (l *transcript) file(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(l.dir, name)
 	writeFile(t, path, text)
@@ -111,8 +111,8 @@
 // What a bad file or command line is answered with: one line on standard error, nothing on standard output, and exit
 // status 1.
 func TestGoldenErrors(t *testing.T) {
-	log := &runLog{program: programPath(t), dir: t.TempDir()}
-	config := log.file(t, "config.json", goodConfig)
+	log := &transcript{program: programPath(t), dir: t.TempDir()}
+	config := log.file(t, "config.json", validConfig)
 	const head = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",`
 	for i, text := range []string{
 		"",
--- a/cmd/hitchspring/instance_test.go
+++ b/cmd/hitchspring/instance_test.go
@@ -30,24 +30,24 @@
 	process    *process // nil before the first start
 }
 
-// platform is what the platform tells an instance.
-type platform struct {
-	discovery   string         // host:port
-	known       discovery.List // endpoint list of the configuration file
-	instances   int            // that share the settings
-	mode        string         // of discovery: "subscribe" polls for the list, "push" has an agent
-	maxAttempts int            // of one request; 0: one
+// platformConfig is what the platform tells an instance.
+type platformConfig struct {
+	discovery     string         // host:port
+	known         discovery.List // endpoint list of the configuration file
+	instances     int            // that share the settings
+	discoveryMode string         // of discovery: "subscribe" polls for the list, "push" has an agent
+	maxAttempts   int            // of one request; 0: one
 }
 
-// healthyPlatform is a platform of one instance whose discovery is healthy, and which allows three attempts.
-func healthyPlatform(t *testing.T, list discovery.List) platform {
+// healthyPlatformConfig is a platform of one instance whose discovery is healthy, and which allows three attempts.
+func healthyPlatformConfig(t *testing.T, list discovery.List) platformConfig {
 	t.Helper()
-	return platform{
-		discovery:   startDiscovery(t, list, healthy),
-		known:       list,
-		instances:   1,
-		mode:        "push",
-		maxAttempts: 3,
+	return platformConfig{
+		discovery:     startDiscovery(t, list, healthy),
+		known:         list,
+		instances:     1,
+		discoveryMode: "push",
+		maxAttempts:   3,
 	}
 }
 
@@ -65,7 +65,7 @@
 }
 
 // startInstance returns an instance that is configured and ready.
-func startInstance(t *testing.T, p platform) *instance {
+func startInstance(t *testing.T, p platformConfig) *instance {
 	t.Helper()
 	i := newInstance(t, 0)
 	i.configure(t, 0, p)
@@ -74,7 +74,7 @@
 }
 
 // configure writes the configuration of the next start, or of the next SIGHUP.
-func (i *instance) configure(t *testing.T, index int, p platform) {
+func (i *instance) configure(t *testing.T, index int, p platformConfig) {
 	t.Helper()
 	known, err := json.Marshal(p.known)
 	if err != nil {
@@ -86,7 +86,7 @@
 		"permissions":{"maxAttempts":%d,"retryAfter":true,"maxRetryAfterUs":500000,"mayCancel":true},
 		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}],
 		"contracts":[{"name":"p","price":1}]}}`,
-		i.listen, p.discovery, index+1, known, index, p.instances, p.mode, max(1, p.maxAttempts)))
+		i.listen, p.discovery, index+1, known, index, p.instances, p.discoveryMode, max(1, p.maxAttempts)))
 }
 
 // start starts a process and waits for nothing.
--- a/cmd/hitchspring/kill_test.go
+++ b/cmd/hitchspring/kill_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	killRounds     = 12                    // with another moment of the kill each
-	killClients    = 60                    // that connect around the kill, of each round
-	killStep       = 4 * time.Millisecond  // by which the kill comes later in each round
-	deliveryGrace  = 50 * time.Millisecond // after a process's end, by when what it wrote has reached its backend
-	backendLatency = 3 * time.Millisecond  // of a backend for one request
-	termClients    = 360                   // that connect around a SIGTERM
-	termBefore     = 100 * time.Millisecond
-	termAfter      = 800 * time.Millisecond
-	termServed     = 500 * time.Millisecond // after SIGTERM clients are still answered; the listener closes at 600 ms
-	firstKillID    = 1 << 24
-	firstTermID    = 1 << 28
-	clientTimeout  = 3 * time.Second
+	killRounds         = 12                    // with another moment of the kill each
+	killClients        = 60                    // that connect around the kill, of each round
+	killDelayStep      = 4 * time.Millisecond  // by which the kill comes later in each round
+	deliveryGrace      = 50 * time.Millisecond // after a process's end, by when what it wrote has reached its backend
+	backendLatency     = 3 * time.Millisecond  // of a backend for one request
+	termClients        = 360                   // that connect around a SIGTERM
+	connectBeforeTerm  = 100 * time.Millisecond
+	connectAfterTerm   = 800 * time.Millisecond
+	servedAfterTerm    = 500 * time.Millisecond // after SIGTERM clients are still answered; the listener closes at 600 ms
+	firstKillRequestID = 1 << 24
+	firstTermRequestID = 1 << 28
+	clientTimeout      = 3 * time.Second
 )
 
 // arrivalLog records when the command of each request ID arrived at a backend.
@@ -76,7 +76,7 @@
 // clientRecord is what one client saw, from its dial to the end of its connection.
 type clientRecord struct {
 	id        int
-	began     time.Time
+	dialedAt  time.Time
 	connected bool     // false: the connection was refused
 	answers   []string // first lines, in their order
 	truncated bool     // the last answer was incomplete
@@ -86,7 +86,7 @@
 // runClient connects, sends one request, and reads to the end of the connection.
 func runClient(addr string, id int) (c clientRecord) {
 	c.id = id
-	c.began = time.Now()
+	c.dialedAt = time.Now()
 	conn, err := net.DialTimeout("tcp", addr, clientTimeout)
 	if err != nil {
 		c.err = err
@@ -157,14 +157,14 @@
 // A process that is killed right after it accepted ends each of its clients by one answer or by a reset; nothing
 // reaches a backend after it, and nothing reaches one twice. The moments of the kill are spread from before the first
 // accept to after the first answers.
-func TestKillBehindAnAccept(t *testing.T) {
+func TestSIGKILLAfterAccept(t *testing.T) {
 	var arrivals arrivalLog
 	i := newInstance(t, 0)
-	i.configure(t, 0, healthyPlatform(t, servingList(1, arrivals.startBackend(t))))
+	i.configure(t, 0, healthyPlatformConfig(t, servingList(1, arrivals.startBackend(t))))
 	var counts clientCounts
 	for round := range killRounds {
 		i.startReady(t)
-		clients, ended := killUnderClients(i, firstKillID+round*killClients, time.Duration(round)*killStep)
+		clients, ended := killDuringConnects(i, firstKillRequestID+round*killClients, time.Duration(round)*killDelayStep)
 		time.Sleep(deliveryGrace)
 		if last, id := arrivals.latest(); last.Sub(ended) > deliveryGrace {
 			t.Errorf("round %d: %s reached its backend %v after the process had ended", round, id, last.Sub(ended))
@@ -185,9 +185,9 @@
 	}
 }
 
-// killUnderClients has clients connect at once and kills the process after a delay. It returns what they saw, and when
+// killDuringConnects has clients connect at once and kills the process after a delay. It returns what they saw, and when
 // the process had ended.
-func killUnderClients(i *instance, firstID int, delay time.Duration) (clients []clientRecord, ended time.Time) {
+func killDuringConnects(i *instance, firstID int, delay time.Duration) (clients []clientRecord, ended time.Time) {
 	clients = make([]clientRecord, killClients)
 	var running sync.WaitGroup
 	begin := make(chan struct{})
@@ -207,19 +207,19 @@
 
 // Clients that connect from before a SIGTERM to after the listener's close are each answered once, or not accepted: a
 // request whose connection ends with no answer was never sent to a backend. The process ends by itself and cleanly.
-func TestTermBehindAnAccept(t *testing.T) {
+func TestSIGTERMDuringConnects(t *testing.T) {
 	var arrivals arrivalLog
-	i := startInstance(t, healthyPlatform(t, servingList(1, arrivals.startBackend(t))))
+	i := startInstance(t, healthyPlatformConfig(t, servingList(1, arrivals.startBackend(t))))
 	clients := make([]clientRecord, termClients)
 	var running sync.WaitGroup
 	began := time.Now()
 	for n := range clients {
 		running.Go(func() {
-			time.Sleep((termBefore + termAfter) * time.Duration(n) / termClients)
-			clients[n] = runClient(i.listen, firstTermID+n)
+			time.Sleep((connectBeforeTerm + connectAfterTerm) * time.Duration(n) / termClients)
+			clients[n] = runClient(i.listen, firstTermRequestID+n)
 		})
 	}
-	time.Sleep(time.Until(began.Add(termBefore)))
+	time.Sleep(time.Until(began.Add(connectBeforeTerm)))
 	i.process.signal(syscall.SIGTERM)
 	term := time.Now()
 	running.Wait()
@@ -234,7 +234,7 @@
 	var counts clientCounts
 	for n := range clients {
 		counts.add(&clients[n])
-		clients[n].checkAroundTerm(t, term, arrivals.count(clients[n].id))
+		clients[n].checkAroundSIGTERM(t, term, arrivals.count(clients[n].id))
 	}
 	t.Logf("%d clients answered, %d connected and ended with no answer, %d refused",
 		counts.answered, counts.reset, counts.refused)
@@ -243,13 +243,13 @@
 	}
 }
 
-// checkAroundTerm reports what a client must not see around a SIGTERM; sends is how often its request reached a
+// checkAroundSIGTERM reports what a client must not see around a SIGTERM; sends is how often its request reached a
 // backend.
-func (c *clientRecord) checkAroundTerm(t *testing.T, term time.Time, sends int) {
+func (c *clientRecord) checkAroundSIGTERM(t *testing.T, term time.Time, sends int) {
 	t.Helper()
 	c.check(t)
 	unanswered := len(c.answers) == 0
-	if after := c.began.Sub(term); unanswered && after < termServed {
+	if after := c.dialedAt.Sub(term); unanswered && after < servedAfterTerm {
 		t.Errorf("client %d, which came %v after SIGTERM, was not answered: %v", c.id, after, c.err)
 	}
 	if unanswered && sends > 0 {
@@ -261,10 +261,10 @@
 }
 
 // A SIGTERM during a start, which waits for discovery, ends the process at once and cleanly, with no client accepted.
-func TestTermDuringAStart(t *testing.T) {
+func TestSIGTERMDuringStart(t *testing.T) {
 	const endsWithin = 500 * time.Millisecond // less than a process takes that has begun to serve
 	i := newInstance(t, 0)
-	i.configure(t, 0, platform{discovery: startDiscovery(t, discovery.List{}, silent), instances: 1, mode: "push"})
+	i.configure(t, 0, platformConfig{discovery: startDiscovery(t, discovery.List{}, silent), instances: 1, discoveryMode: "push"})
 	startWait := []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} // a start waits for 300 ms
 	for _, delay := range startWait {
 		if err := i.start(); err != nil {
--- a/cmd/hitchspring/reload_test.go
+++ b/cmd/hitchspring/reload_test.go
@@ -13,7 +13,7 @@
 // A real process is told by several SIGHUPs in a row, with a bad file in between, to move discovery, while a backend
 // drains and the clients go on: nothing new reaches that backend later than 2 s after the last SIGHUP, and no client is
 // rejected.
-func TestHangupsWhileABackendDrains(t *testing.T) {
+func TestSIGHUPsDuringBackendDrain(t *testing.T) {
 	const (
 		drainWithin     = 2 * time.Second
 		quietPeriod     = 500 * time.Millisecond
@@ -27,7 +27,7 @@
 		return discovery.List{Rev: revision, Complete: true, Targets: targets}
 	}
 	before, after := list(3, "SERVING"), list(4, "DRAINING")
-	p := healthyPlatform(t, before)
+	p := healthyPlatformConfig(t, before)
 	i := startInstance(t, p)
 	var calls atomic.Int64
 	lastDiscovery := startDiscovery(t, after, func(http.ResponseWriter, *http.Request) bool {
--- a/cmd/hitchspring/replace_test.go
+++ b/cmd/hitchspring/replace_test.go
@@ -23,25 +23,25 @@
 )
 
 const (
-	maxDescriptors  = 256      // the platform's smallest limits, for two processes together
-	maxMemoryKiB    = 32 << 10 // the same
-	replaceClients  = 25
-	maxTermCut      = 2  // requests cut off by a SIGTERM of the first process
-	maxKillCut      = 30 // requests cut off by that and by a SIGKILL of the second
-	drainedBackend  = "s1"
-	replaceReady    = 6 * time.Second
-	replaceInterval = 20 * time.Millisecond // between two checks whether a process is ready
-	drainEffective  = 500 * time.Millisecond
+	maxDescriptors         = 256      // the platform's smallest limits, for two processes together
+	maxMemoryKiB           = 32 << 10 // the same
+	loadClientCount        = 25
+	maxUnansweredAfterTerm = 2  // requests cut off by a SIGTERM of the first process
+	maxUnansweredAfterKill = 30 // requests cut off by that and by a SIGKILL of the second
+	suspendedBackend       = "s1"
+	readyTimeout           = 6 * time.Second
+	readyPollInterval      = 20 * time.Millisecond // between two checks whether a process is ready
+	suspensionDelay        = 500 * time.Millisecond
 )
 
-// replacedProcess is one of several processes that follow each other on an inherited socket.
-type replacedProcess struct {
+// serverProcess is one of several processes that follow each other on an inherited socket.
+type serverProcess struct {
 	*process
 	admin string // host:port for operators
 }
 
 // call sends an operator's request and returns the status code, or 0 if there is no answer.
-func (p *replacedProcess) call(method, path string) int {
+func (p *serverProcess) call(method, path string) int {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+p.admin+path, nil)
 	if err != nil {
@@ -56,7 +56,7 @@
 }
 
 // usage returns how many descriptors and KiB of anonymous memory a process has now; 0, 0 when it has ended.
-func (p *replacedProcess) usage() (descriptors, memoryKiB int) {
+func (p *serverProcess) usage() (descriptors, memoryKiB int) {
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
 	open, _ := os.ReadDir(dir + "/fd")
 	status, _ := os.ReadFile(dir + "/status")
@@ -68,8 +68,8 @@
 	return len(open), memoryKiB
 }
 
-// replacement is what the processes have in common: the socket, the files, and two backends.
-type replacement struct {
+// replacementEnv is what the processes have in common: the socket, the files, and two backends.
+type replacementEnv struct {
 	program    string
 	configPath string
 	stateDir   string
@@ -78,10 +78,10 @@
 	sends      [2]atomic.Int64
 }
 
-// newReplacement opens the socket, starts the backends and writes the configuration.
-func newReplacement(t *testing.T) *replacement {
+// newReplacementEnv opens the socket, starts the backends and writes the configuration.
+func newReplacementEnv(t *testing.T) *replacementEnv {
 	t.Helper()
-	r := &replacement{program: programPath(t), stateDir: t.TempDir()}
+	r := &replacementEnv{program: programPath(t), stateDir: t.TempDir()}
 	r.configPath = filepath.Join(r.stateDir, "config.json")
 	list := discovery.List{Rev: 1, Complete: true}
 	for n := range r.sends {
@@ -116,7 +116,7 @@
 }
 
 // start starts a further process and waits until it is ready.
-func (r *replacement) start(t *testing.T) *replacedProcess {
+func (r *replacementEnv) start(t *testing.T) *serverProcess {
 	t.Helper()
 	admin := freeAddr(t)
 	environment := []string{
@@ -129,14 +129,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &replacedProcess{process: started, admin: admin}
+	p := &serverProcess{process: started, admin: admin}
 	t.Cleanup(func() {
 		p.kill()
 		t.Logf("log of the process at %s:\n%s", p.admin, &p.log)
 	})
-	for end := time.Now().Add(replaceReady); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(replaceInterval) {
+	for end := time.Now().Add(readyTimeout); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(readyPollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("the process is not ready within %v", replaceReady)
+			t.Fatalf("the process is not ready within %v", readyTimeout)
 		}
 	}
 	return p
@@ -148,7 +148,7 @@
 	addr       string
 	lastID     atomic.Int64
 	answered   atomic.Int64
-	cut        atomic.Int64 // requests whose connection ended with no answer
+	unanswered atomic.Int64 // requests whose connection ended with no answer
 	unexpected atomic.Int64 // refused connections, and answers that are not a value
 	stopped    chan struct{}
 	running    sync.WaitGroup
@@ -157,7 +157,7 @@
 // startLoad starts clients. The test must stop them.
 func startLoad(addr string) *loadClients {
 	c := &loadClients{addr: addr, stopped: make(chan struct{})}
-	for range replaceClients {
+	for range loadClientCount {
 		c.running.Go(c.run)
 	}
 	return c
@@ -207,7 +207,7 @@
 		io.WriteString(conn, request(int(c.lastID.Add(1))))
 		head, err := in.ReadString('\n')
 		if err != nil {
-			c.cut.Add(1)
+			c.unanswered.Add(1)
 			return false
 		}
 		if !strings.HasPrefix(head, "$") {
@@ -215,7 +215,7 @@
 			continue
 		}
 		if _, err := in.ReadString('\n'); err != nil {
-			c.cut.Add(1)
+			c.unanswered.Add(1)
 			return false
 		}
 		c.answered.Add(1)
@@ -240,17 +240,17 @@
 // Processes of the real program follow each other on an inherited socket under load: by SIGTERM, and by SIGKILL with
 // requests open. What an operator told the first holds at the last, and two together stay within the platform's
 // smallest limits.
-func TestProcessesFollowEachOther(t *testing.T) {
-	r := newReplacement(t)
+func TestProcessReplacementUnderLoad(t *testing.T) {
+	r := newReplacementEnv(t)
 	first := r.start(t)
 	clients := startLoad(r.addr)
 	stopClients := sync.OnceFunc(clients.stop)
 	defer stopClients()
 	clients.awaitProgress(t)
-	if status := first.call("PUT", "/v1/backends/"+drainedBackend+"/suspend"); status != http.StatusOK {
+	if status := first.call("PUT", "/v1/backends/"+suspendedBackend+"/suspend"); status != http.StatusOK {
 		t.Fatalf("suspend: got status %d, want %d", status, http.StatusOK)
 	}
-	time.Sleep(drainEffective)
+	time.Sleep(suspensionDelay)
 	sendsBefore := r.sends[1].Load()
 
 	second := r.start(t)
@@ -260,30 +260,30 @@
 		t.Errorf("after SIGTERM the first process ended with %v", first.result)
 	}
 	clients.awaitProgress(t)
-	if cut, unexpected := clients.cut.Load(), clients.unexpected.Load(); cut > maxTermCut || unexpected > 0 {
+	if unanswered, unexpected := clients.unanswered.Load(), clients.unexpected.Load(); unanswered > maxUnansweredAfterTerm || unexpected > 0 {
 		t.Errorf("SIGTERM: got %d requests cut and %d unexpected answers, of %d, want %d and 0 at most",
-			cut, unexpected, clients.answered.Load(), maxTermCut)
+			unanswered, unexpected, clients.answered.Load(), maxUnansweredAfterTerm)
 	}
 
 	third := r.start(t)
 	second.cmd.Process.Kill() // with requests open
 	clients.awaitProgress(t)
 	stopClients()
-	if cut, unexpected := clients.cut.Load(), clients.unexpected.Load(); cut > maxKillCut || unexpected > 0 {
+	if unanswered, unexpected := clients.unanswered.Load(), clients.unexpected.Load(); unanswered > maxUnansweredAfterKill || unexpected > 0 {
 		t.Errorf("SIGKILL: got %d requests cut and %d unexpected answers, want %d and 0 at most",
-			cut, unexpected, maxKillCut)
+			unanswered, unexpected, maxUnansweredAfterKill)
 	}
 	if sends := r.sends[1].Load() - sendsBefore; sends > 0 {
 		t.Errorf("got %d sends to the suspended backend, want none", sends)
 	}
-	if status := third.call("PUT", "/v1/backends/"+drainedBackend+"/resume"); status != http.StatusOK {
+	if status := third.call("PUT", "/v1/backends/"+suspendedBackend+"/resume"); status != http.StatusOK {
 		t.Errorf("resume at the third process: got status %d, want %d", status, http.StatusOK)
 	}
-	t.Logf("%d answered, %d cut", clients.answered.Load(), clients.cut.Load())
+	t.Logf("%d answered, %d cut", clients.answered.Load(), clients.unanswered.Load())
 }
 
 // checkUsageUntilEnd checks that two processes together stay within the limits until the first has ended.
-func checkUsageUntilEnd(t *testing.T, first, second *replacedProcess) {
+func checkUsageUntilEnd(t *testing.T, first, second *serverProcess) {
 	t.Helper()
 	for {
 		descriptors1, memory1 := first.usage()
--- a/cmd/hitchspring/restart_test.go
+++ b/cmd/hitchspring/restart_test.go
@@ -19,38 +19,38 @@
 	restartedInstances = 24 // that are killed and started again at once
 	trialInstances     = 40 // the same with HITCHSPRING_TRIALS=1
 
-	maxReadyP90     = 10 * time.Second // for nine in ten restarted instances
-	maxReady        = 30 * time.Second // for each of them
-	maxServedKnown  = time.Second      // until a ready instance serves that has an endpoint list
-	maxServedCalled = 15 * time.Second // the same for one that gets it from discovery
+	maxReadyP90                = 10 * time.Second // for nine in ten restarted instances
+	maxReady                   = 30 * time.Second // for each of them
+	maxServeDelayKnownList     = time.Second      // until a ready instance serves that has an endpoint list
+	maxServeDelayFromDiscovery = 15 * time.Second // the same for one that gets it from discovery
 )
 
 // restartCase is one way in which discovery and the configuration meet restarted instances.
 type restartCase struct {
-	mode      string // of discovery
-	known     bool   // the configuration holds an endpoint list
-	discovery namedDiscovery
+	discoveryMode string // as in platformConfig
+	known         bool   // the configuration holds an endpoint list
+	discovery     namedDiscovery
 }
 
 // namedDiscovery is a stand-in of discovery.
 type namedDiscovery struct {
-	name, addr string
-	answers    bool // with the list, sooner or later
+	name, addr   string
+	providesList bool // with the list, sooner or later
 }
 
 // name returns the name of the subtest.
 func (c restartCase) name() string {
 	if c.known {
-		return fmt.Sprintf("%s/known list/%s", c.mode, c.discovery.name)
+		return fmt.Sprintf("%s/known list/%s", c.discoveryMode, c.discovery.name)
 	}
-	return fmt.Sprintf("%s/no list/%s", c.mode, c.discovery.name)
+	return fmt.Sprintf("%s/no list/%s", c.discoveryMode, c.discovery.name)
 }
 
 // serves reports whether the instances can serve: they hold a list, or can get one. A pushed list that is slow is given
 // up on after 1 s.
 func (c restartCase) serves() bool {
-	slowPush := c.discovery.name == "slow" && c.mode == "push"
-	return c.known || c.discovery.answers && !slowPush
+	slowPush := c.discovery.name == "slow" && c.discoveryMode == "push"
+	return c.known || c.discovery.providesList && !slowPush
 }
 
 // Nine in ten instances that were killed and started again, all at once, answer PING within 10 s, and all within 30 s,
@@ -70,10 +70,10 @@
 		{"unavailable", startDiscovery(t, list, unavailable), false},
 	}
 	var cases []restartCase
-	for _, mode := range []string{"subscribe", "push"} {
+	for _, discoveryMode := range []string{"subscribe", "push"} {
 		for _, known := range []bool{true, false} {
 			for _, d := range discoveries {
-				cases = append(cases, restartCase{mode: mode, known: known, discovery: d})
+				cases = append(cases, restartCase{discoveryMode: discoveryMode, known: known, discovery: d})
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	for n := range count {
 		instances = append(instances, newInstance(t, n))
 	}
-	restart(t, instances, platform{discovery: discoveries[0].addr, known: list, instances: count, mode: "push"})
+	restart(t, instances, platformConfig{discovery: discoveries[0].addr, known: list, instances: count, discoveryMode: "push"})
 	firstID := 0
 	for _, c := range cases {
 		t.Run(c.name(), func(t *testing.T) {
@@ -93,11 +93,11 @@
 // checkRestart restarts all instances in one case, and checks that they become ready and serve in time.
 func checkRestart(t *testing.T, c restartCase, instances []*instance, list discovery.List, firstID *int) {
 	t.Helper()
-	p := platform{discovery: c.discovery.addr, instances: len(instances), mode: c.mode}
-	maxServed := maxServedCalled
+	p := platformConfig{discovery: c.discovery.addr, instances: len(instances), discoveryMode: c.discoveryMode}
+	maxServed := maxServeDelayFromDiscovery
 	if c.known {
 		p.known = list
-		maxServed = maxServedKnown
+		maxServed = maxServeDelayKnownList
 	}
 	spans := restart(t, instances, p)
 	p90 := spans[(len(spans)*9+9)/10-1]
@@ -116,7 +116,7 @@
 
 // restart kills all instances, starts them again at once, waits until each is ready, and returns how long that took, in
 // ascending order.
-func restart(t *testing.T, instances []*instance, p platform) []time.Duration {
+func restart(t *testing.T, instances []*instance, p platformConfig) []time.Duration {
 	t.Helper()
 	for _, i := range instances {
 		if i.process != nil { // all at once, before the wait for the first
--- a/cmd/hitchspring/serve_test.go
+++ b/cmd/hitchspring/serve_test.go
@@ -24,23 +24,23 @@
 // awaitTimeout bounds a wait for what a reload changes.
 const awaitTimeout = 20 * time.Second
 
-// served is the program serving within the test's own process, on files that the test changes.
-type served struct {
+// inProcessServer is the program serving within the test's own process, on files that the test changes.
+type inProcessServer struct {
 	configPath  string
 	optionsPath string
 	log         testlog.Buffer
 	ended       chan error // receives the result once
 }
 
-// newServed returns a program that doesn't serve yet, with paths for its files. Until the test ends, a SIGHUP that the
+// newInProcessServer returns a program that doesn't serve yet, with paths for its files. Until the test ends, a SIGHUP that the
 // program doesn't handle has no effect.
-func newServed(t *testing.T) *served {
+func newInProcessServer(t *testing.T) *inProcessServer {
 	t.Helper()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	t.Cleanup(func() { signal.Stop(hangups) })
 	dir := t.TempDir()
-	s := &served{
+	s := &inProcessServer{
 		configPath:  filepath.Join(dir, "config.json"),
 		optionsPath: filepath.Join(dir, "options.toml"),
 		ended:       make(chan error, 1),
@@ -50,18 +50,18 @@
 }
 
 // start serves; without a path there are no options.
-func (s *served) start(optionsPath string) {
+func (s *inProcessServer) start(optionsPath string) {
 	go func() { s.ended <- serve(optionsPath, slog.New(slog.NewTextHandler(&s.log, nil))) }()
 }
 
-// hangup asks the program to read its files again.
-func (s *served) hangup() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
+// sendSIGHUP asks the program to read its files again.
+func (s *inProcessServer) sendSIGHUP() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
 
 // requireShutdown shuts the program down and fails the test if it ends with an error.
-func (s *served) requireShutdown(t *testing.T) {
+func (s *inProcessServer) requireShutdown(t *testing.T) {
 	t.Helper()
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	s.hangup() // in the middle of a shutdown it does no harm
+	s.sendSIGHUP() // in the middle of a shutdown it does no harm
 	if err := <-s.ended; err != nil {
 		t.Fatalf("the program ended with %v", err)
 	}
@@ -79,7 +79,7 @@
 
 // SIGHUP moves discovery to the address that the file names now and doesn't end the process; a bad file changes
 // nothing, and a SIGHUP in the middle of a shutdown does no harm.
-func TestHangup(t *testing.T) {
+func TestSIGHUPMovesDiscovery(t *testing.T) {
 	calls := make(chan int, 16) // index of the stand-in that was called
 	var addrs [3]string
 	empty := discovery.List{Rev: 1, Complete: true, Targets: []discovery.Target{}}
@@ -89,7 +89,7 @@
 			return true
 		})
 	}
-	s := newServed(t)
+	s := newInProcessServer(t)
 	configure := func(addr string) {
 		writeFile(t, s.configPath, fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 			"limits":{"cores":1,"sockets":256},"settings":{"replicasOfMe":1,
@@ -107,27 +107,27 @@
 	s.start("")
 	awaitCall(0)
 	configure(addrs[1])
-	s.hangup()
+	s.sendSIGHUP()
 	awaitCall(1)
 	configure("nowhere")
-	s.hangup()
+	s.sendSIGHUP()
 	configure(addrs[2])
-	s.hangup()
+	s.sendSIGHUP()
 	awaitCall(2)
 	s.requireShutdown(t)
 }
 
 // The instance starts with a store on Redis, moves it on SIGHUP, and keeps the old options where the new ones are bad
 // or change what can't change in service.
-func TestRedisMoves(t *testing.T) {
+func TestSIGHUPMovesRedisStore(t *testing.T) {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
 	defer agent.Close()
 	first, second := startRedis(t), startRedis(t)
 	listen := freeAddr(t)
-	s := newServed(t)
-	config := strings.Replace(goodConfig, "127.0.0.1:1", strings.TrimPrefix(agent.URL, "http://"), 1)
+	s := newInProcessServer(t)
+	config := strings.Replace(validConfig, "127.0.0.1:1", strings.TrimPrefix(agent.URL, "http://"), 1)
 	config = strings.Replace(config, "127.0.0.1:0", listen, 1)
 	const plans = `"contracts":[{"name":"p","price":1,"refill":1000,"burst":100}]`
 	config = strings.Replace(config, `"classes"`, plans+`,"classes"`, 1)
@@ -140,7 +140,7 @@
 	}
 	counts := func(server *redis.Server) func() bool {
 		return func() bool {
-			sendAndLeave(listen)
+			sendAndDisconnect(listen)
 			return hasScriptCall(server)
 		}
 	}
@@ -148,16 +148,16 @@
 	s.start(s.optionsPath)
 	await(t, "a count at the first server", counts(first))
 	useStore("nowhere", "")
-	s.hangup()
+	s.sendSIGHUP()
 	await(t, "the log line of the bad file", logged("options.toml:3: store.address"))
 	useStore(second.Addr(), "prefix = \"other\"\n")
-	s.hangup()
+	s.sendSIGHUP()
 	await(t, "the log line of another prefix", logged("only the address can change"))
 	if second.Clients() > 0 {
 		t.Fatal("the store has moved with another prefix")
 	}
 	useStore(second.Addr(), "")
-	s.hangup()
+	s.sendSIGHUP()
 	await(t, "a count at the second server", counts(second))
 	s.requireShutdown(t)
 }
@@ -183,11 +183,11 @@
 	return false
 }
 
-// lastRequestID is that of sendAndLeave's latest request.
+// lastRequestID is that of sendAndDisconnect's latest request.
 var lastRequestID atomic.Int64
 
-// sendAndLeave sends a request that costs 60 units, and leaves without waiting for its answer.
-func sendAndLeave(addr string) {
+// sendAndDisconnect sends a request that costs 60 units, and leaves without waiting for its answer.
+func sendAndDisconnect(addr string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -21,7 +21,7 @@
 	server := httptest.NewServer(answer)
 	defer server.Close()
 	all := append([]string{"status"}, args...)
-	return runQuietly(append(all, "--at", strings.TrimPrefix(server.URL, "http://"))...)
+	return runWithoutLog(append(all, "--at", strings.TrimPrefix(server.URL, "http://"))...)
 }
 
 // respond returns a handler that answers every request so.
@@ -69,7 +69,7 @@
 	requireOneLine(t, err, "503 Service Unavailable: [halls] is off")
 	_, err = runStatus(t, respond(http.StatusOK, "hello"), "halls")
 	requireOneLine(t, err, "something else")
-	_, err = runQuietly("status", "halls", "--at", "127.0.0.1:1")
+	_, err = runWithoutLog("status", "halls", "--at", "127.0.0.1:1")
 	requireOneLine(t, err, "status halls: ")
 }
 
--- a/cmd/hitchspring/zones.go
+++ b/cmd/hitchspring/zones.go
@@ -67,10 +67,10 @@
 	if err != nil {
 		return err
 	}
-	if options.Zones == nil || options.Zones.Drains == "" {
+	if options.Zones == nil || options.Zones.DrainFile == "" {
 		return errors.New("hall: the options have no halls.drills: no file that the instances read")
 	}
-	path, now := options.Zones.Drains, time.Now()
+	path, now := options.Zones.DrainFile, time.Now()
 	drains, err := zonedrain.Load(path, now)
 	if err != nil {
 		return err
--- a/cmd/hitchspring/zones_test.go
+++ b/cmd/hitchspring/zones_test.go
@@ -18,7 +18,7 @@
 	t.Setenv(optionsVariable, writeTemp(t, "options.toml", options))
 	run := func(args ...string) string {
 		t.Helper()
-		out, err := runQuietly(args...)
+		out, err := runWithoutLog(args...)
 		if err != nil {
 			t.Fatalf("%q: got error %v", args, err)
 		}
@@ -51,11 +51,11 @@
 		{"--at names no address", []string{"status", "halls"}},
 	} {
 		t.Run(test.want, func(t *testing.T) {
-			_, err := runQuietly(test.args...)
+			_, err := runWithoutLog(test.args...)
 			requireOneLine(t, err, test.want)
 		})
 	}
 	t.Setenv(optionsVariable, "")
-	_, err = runQuietly("hall", "list")
+	_, err = runWithoutLog("hall", "list")
 	requireOneLine(t, err, "halls.drills")
 }
--- a/cmd/lab/cli_test.go
+++ b/cmd/lab/cli_test.go
@@ -85,7 +85,7 @@
 }
 
 // The Redis stand-in alone serves any client, with a password from a file, and ends with its context.
-func TestRedisAlone(t *testing.T) {
+func TestRedisStandIn(t *testing.T) {
 	const startTimeout = 20 * time.Second
 	secret := filepath.Join(t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("pw\n"), 0o600); err != nil {
@@ -121,7 +121,7 @@
 }
 
 // The lab leaves no process behind when it is killed in the middle of a run.
-func TestKilled(t *testing.T) {
+func TestKilledLabLeavesNoProcess(t *testing.T) {
 	const instances = 3
 	dir := t.TempDir()
 	program := filepath.Join(dir, "ingress-of-a-killed-lab")
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -46,13 +46,13 @@
 	}
 	fmt.Fprintf(out, "%d runs: %d with a broken rule, %d that could not be judged; "+
 		"most overdrawn %.1f%% of a ceiling\n",
-		len(sum.reports), sum.broken, sum.unjudged, 100*sum.worstOverrun)
+		len(sum.reports), sum.broken, sum.unchecked, 100*sum.worstOverrun)
 	if c.JSON != "" {
 		if err := writeJSON(c.JSON, sum.reports); err != nil {
 			return failed, err
 		}
 	}
-	return exitCode(sum.broken, sum.unjudged), nil
+	return exitCode(sum.broken, sum.unchecked), nil
 }
 
 // scenarios returns the scenarios that are played in turn.
@@ -70,7 +70,7 @@
 type soakSummary struct {
 	reports      []*lab.Report
 	broken       int     // runs in which a rule broke
-	unjudged     int     // runs that could not be judged
+	unchecked     int     // runs that could not be judged
 	worstOverrun float64 // share of a ceiling
 }
 
@@ -81,7 +81,7 @@
 	case lab.Broken:
 		s.broken++
 	case lab.Unjudged:
-		s.unjudged++
+		s.unchecked++
 	}
 	s.worstOverrun = max(s.worstOverrun, r.WorstOverrun)
 }
--- a/internal/config/bounds_test.go
+++ b/internal/config/bounds_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-const wantManyRules = 12_000
+// designRuleCount is the number of rules that the rule table is designed for.
+const designRuleCount = 12_000
 
-// ruleSections returns the text of a section with n rules, each as long as a usual one.
+// ruleSections returns a [forward_auth] section with n rules of typical length.
 func ruleSections(n int) string {
 	var text strings.Builder
-	text.WriteString(authHead)
+	text.WriteString(forwardAuthHead)
 	for i := range n {
 		text.WriteString("[[forward_auth.rule]]\nmethod = \"GET\"\n")
 		fmt.Fprintf(&text, "path = \"/v1/channels/{channel}/assets/%05d/segments\"\n", i)
@@ -20,22 +21,23 @@
 	return text.String()
 }
 
-// A table of 12,000 rules is accepted completely.
+// A table with the 12,000 rules of the design is accepted, and none is lost.
 func TestManyRules(t *testing.T) {
-	o, err := parse("f.toml", []byte(ruleSections(wantManyRules)))
+	o, err := parse("f.toml", []byte(ruleSections(designRuleCount)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := len(o.ForwardAuth.Rules); got != wantManyRules {
-		t.Fatalf("got %d rules, want %d", got, wantManyRules)
+	if got := len(o.ForwardAuth.Rules); got != designRuleCount {
+		t.Fatalf("got %d rules, want %d", got, designRuleCount)
 	}
 	const wantLast = "/v1/channels/{channel}/assets/11999/segments"
-	if got := o.ForwardAuth.Rules[wantManyRules-1].Path; got != wantLast {
+	if got := o.ForwardAuth.Rules[designRuleCount-1].Path; got != wantLast {
 		t.Errorf("last rule: got path %q, want %q", got, wantLast)
 	}
 }
 
-// One rule beyond the bound and a file that is too large are each an error that names the key and the value.
+// One rule more than maxRules is an error that names the key and the count, and a file larger than maxFileBytes is an
+// error that names the file and its size.
 func TestTooManyRules(t *testing.T) {
 	atBound := ruleSections(maxRules)
 	if _, err := parse("f.toml", []byte(atBound)); err != nil {
@@ -52,10 +54,10 @@
 	})
 }
 
-// 2,000 seeds and as many addresses to dial are accepted: neither list has a bound of its own.
+// 2,000 seeds and 2,000 dial addresses are accepted: only the size of the file limits either list.
 func TestManySeeds(t *testing.T) {
 	const count = 2000
-	keyFile := writeFile(t, "key", "a key that all of them have\n")
+	keyFile := writeFile(t, "key", "a key that all instances share\n")
 	var seeds, dial strings.Builder
 	for i := range count {
 		host := fmt.Sprintf("%d.%d:7946", i/200, 1+i%200)
--- a/internal/config/clock.go
+++ b/internal/config/clock.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Bounds of an artificial clock error.
+// Bounds of a simulated clock error.
 const (
 	maxClockOffset = Duration(time.Hour)
 	minClockRate   = 0.5
 	maxClockRate   = 2
 )
 
-// Clock is an artificial error of this process's clock, for tests of what depends on clocks and for nothing else.
+// Clock is a simulated error of this process's clock. It is for tests of clock skew and drift only.
 type Clock struct {
-	Offset Duration `toml:"ahead,omitempty"` // how far it is ahead of the true time
-	Rate   float64  `toml:"rate,omitempty"`  // seconds that pass on it in a true second; 0: one
+	Offset Duration `toml:"ahead,omitempty"` // difference from the true time at the start; may be negative
+	Rate   float64  `toml:"rate,omitempty"`  // seconds of this clock per true second; 0 means 1
 }
 
-// validate returns what is wrong.
+// validate returns the errors of the section.
 func (c *Clock) validate() []fieldError {
 	s := section{name: "clock"}
 	if c.Offset < -maxClockOffset || c.Offset > maxClockOffset {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// decodeError returns an error of the decoder as one line that names file, line, key and value.
+// decodeError converts an error of the TOML decoder to a one-line error that names the file and, where the decoder
+// reports them, the line, the key and the text of that line.
 func decodeError(path string, text []byte, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -31,10 +32,11 @@
 	return fmt.Errorf("options %s:%d: %s: %s in %q", path, line, key, reason, source)
 }
 
-// oneLine returns a text without line ends.
+// oneLine replaces the newlines of a text by spaces.
 func oneLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
 
-// sourceLine returns a line of the file, counted from 1, without the spaces around it; empty if there is no such line.
+// sourceLine returns a line of the file without leading and trailing spaces. Lines count from 1; it returns the empty
+// string for a line that does not exist.
 func sourceLine(text []byte, number int) string {
 	lines := strings.Split(string(text), "\n")
 	if number < 1 || number > len(lines) {
@@ -43,7 +45,8 @@
 	return strings.TrimSpace(lines[number-1])
 }
 
-// lineOf returns the line on which a key stands, or else its section, or else 1.
+// lineOf returns the line number of a key. It returns the line of the section header for a key that is not set, and 1
+// if the section is not found either.
 func lineOf(key string, text []byte) int {
 	lines := keyLines(text)
 	line := lines[key]
@@ -54,8 +57,9 @@
 	return max(line, 1)
 }
 
-// keyLines returns the line of each section and of each key, as section.key. It knows the plain form of TOML only: a
-// file that is written otherwise decodes just as well, and an error names the line of the section or the first one.
+// keyLines returns the line number of each section and of each key, named section.key. It recognizes only section
+// headers and key = value lines. Keys in other TOML syntax, such as inline tables, decode correctly but are not found
+// here, so their errors name the line of the section or line 1.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	sectionName := ""
--- a/internal/config/forward_auth.go
+++ b/internal/config/forward_auth.go
@@ -8,45 +8,47 @@
 	"time"
 )
 
-// drainGracePeriod is how long the platform lets a draining backend finish; a grant must be used well within it.
+// drainGracePeriod is how long the platform lets a draining backend finish its requests. A caller must send a granted
+// request well before that, so start_within has to be shorter.
 const drainGracePeriod = Duration(2 * time.Second)
 
-// maxRules bounds the rule table; it is designed for 12,000 routes.
+// maxRules is the maximum size of the rule table, which is designed for 12,000 routes.
 const maxRules = 16384
 
-// defaultHeaderPrefix is the beginning of the names of the program's own headers.
+// defaultHeaderPrefix is the default name prefix of the HTTP headers that hitchspring defines itself.
 const defaultHeaderPrefix = "X-Hitch"
 
 var headerPrefixPattern = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9-]{0,39}$`)
 
-// ForwardAuth says where gates may ask whether, and to which backend, to send a request themselves. Absent: nowhere.
+// ForwardAuth configures the HTTP listener for forward authentication. Its callers, the gates, ask whether a request is
+// admitted and which backend to send it to, and send it themselves. If the section is absent, there is no listener.
 type ForwardAuth struct {
 	Listen         string     `toml:"listen"`                  // host:port
-	Trusted        []string   `toml:"trusted"`                 // addresses or networks that may call
-	PathPrefix     string     `toml:"prefix,omitempty"`        // of a call's path, which is left out of the original's
-	HeaderPrefix   string     `toml:"header,omitempty"`        // beginning of the names of the program's own headers
-	LeaseTimeout   Duration   `toml:"lease_timeout,omitempty"` // after which an attempt without a report is over
-	StartWithin    Duration   `toml:"start_within,omitempty"`  // time in which a grant must be used
-	Retention      Duration   `toml:"keep,omitempty"`          // of an answer, after its client's deadline
-	MaxRequests    int        `toml:"requests,omitempty"`      // whose answers are retained
-	MaxCalls       int        `toml:"calls,omitempty"`         // at the same time
-	MaxConnections int        `toml:"connections,omitempty"`   // at the same time
-	MaxHeaderBytes int        `toml:"header_bytes,omitempty"`  // of one call
-	HeaderTimeout  Duration   `toml:"header_time,omitempty"`   // for a call's headers
-	IdleTimeout    Duration   `toml:"idle_time,omitempty"`     // of a connection between two calls
-	Rules          []AuthRule `toml:"rule,omitempty"`          // the first that matches holds; can change in service
+	Trusted        []string   `toml:"trusted"`                 // IP addresses or networks that callers may have
+	PathPrefix     string     `toml:"prefix,omitempty"`        // removed from a call's path to get the original path
+	HeaderPrefix   string     `toml:"header,omitempty"`        // name prefix of the headers that hitchspring defines
+	LeaseTimeout   Duration   `toml:"lease_timeout,omitempty"` // after it an attempt without a report counts as ended
+	StartWithin    Duration   `toml:"start_within,omitempty"`  // max time from the grant to the start of the attempt
+	Retention      Duration   `toml:"keep,omitempty"`          // of an answer after the client's deadline
+	MaxRequests    int        `toml:"requests,omitempty"`      // max requests whose answers are retained
+	MaxCalls       int        `toml:"calls,omitempty"`         // max concurrent calls
+	MaxConnections int        `toml:"connections,omitempty"`   // max open connections
+	MaxHeaderBytes int        `toml:"header_bytes,omitempty"`  // max size of the headers of one call
+	HeaderTimeout  Duration   `toml:"header_time,omitempty"`   // for reading the headers of a call
+	IdleTimeout    Duration   `toml:"idle_time,omitempty"`     // max idle time of a connection between two calls
+	Rules          []AuthRule `toml:"rule,omitempty"`          // the first match applies; reloaded on SIGHUP
 }
 
-// AuthRule says what a request is, by its method and path.
+// AuthRule assigns a class, a plan and a cost to the requests that match its method and path.
 type AuthRule struct {
-	Method string  `toml:"method,omitempty"` // empty: any
-	Path   string  `toml:"path"`             // pattern of the path, as package forwardauth parses it
-	Class  string  `toml:"class"`            // a class of the settings
-	Plan   string  `toml:"plan,omitempty"`   // a plan of the settings; empty: a header says
-	Units  float64 `toml:"units,omitempty"`  // of quota that a request costs; 0: a header says, else 1
+	Method string  `toml:"method,omitempty"` // empty: any method
+	Path   string  `toml:"path"`             // path pattern in the syntax of package forwardauth
+	Class  string  `toml:"class"`            // name of a class in the platform's settings
+	Plan   string  `toml:"plan,omitempty"`   // name of a plan in the platform's settings; empty: taken from a header
+	Units  float64 `toml:"units,omitempty"`  // quota units per request; 0: taken from a header, or 1 without one
 }
 
-// validate fills in the defaults and returns what is wrong.
+// validate fills in the defaults and returns the errors of the section.
 func (f *ForwardAuth) validate() []fieldError {
 	s := section{name: "forward_auth"}
 	s.validateListen(f.Listen)
@@ -72,7 +74,7 @@
 	return s.errs
 }
 
-// validateBounds fills in and checks the time spans and the numbers.
+// validateBounds fills in the defaults of the durations and limits, and checks their ranges.
 func (f *ForwardAuth) validateBounds(s *section) {
 	const (
 		ms  = Duration(time.Millisecond)
@@ -89,8 +91,8 @@
 	setDefault(s, "header_bytes", &f.MaxHeaderBytes, 16<<10, 1<<10, 1<<20)
 }
 
-// TrustedNetworks returns the networks that may call. An error names the first value that is neither an address nor a
-// network.
+// TrustedNetworks returns the networks whose addresses may call. The error names the first value that is neither an IP
+// address nor a network.
 func (f *ForwardAuth) TrustedNetworks() ([]netip.Prefix, error) {
 	var networks []netip.Prefix
 	for _, text := range f.Trusted {
@@ -107,8 +109,8 @@
 	return networks, nil
 }
 
-// EqualExceptRules reports whether two sections, either of which may be absent, differ at most in what can change in
-// service: the rules.
+// EqualExceptRules reports whether two sections are equal apart from the rules, which a reload may change. Either
+// section may be nil.
 func (f *ForwardAuth) EqualExceptRules(other *ForwardAuth) bool {
 	if f == nil || other == nil {
 		return f == other
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,7 +10,7 @@
 	"hitchspring/internal/golden"
 )
 
-// Every key of the options file, with its type.
+// The golden file lists every key of the options file with its type, so that no key changes unnoticed.
 func TestGoldenKeys(t *testing.T) {
 	golden.RequireTags(t, "toml", Options{})
 	keys := appendKeys(nil, "", reflect.TypeFor[Options]())
@@ -18,7 +18,7 @@
 	golden.Compare(t, "keys", []byte(strings.Join(keys, "\n")+"\n"))
 }
 
-// appendKeys appends the keys of a type, each with the kind of its value; key is the type's own.
+// appendKeys appends the key of a value of the given type, with the kind of the value, and the keys of all its fields.
 func appendKeys(keys []string, key string, typ reflect.Type) []string {
 	if typ == reflect.TypeFor[Duration]() {
 		return append(keys, key+" duration")
@@ -42,7 +42,8 @@
 	}
 }
 
-// What `hitchspring check` prints of the examples, defaults among them.
+// The golden files hold the effective options of the example files, including defaults, as `hitchspring check` prints
+// them.
 func TestGoldenSettingsInForce(t *testing.T) {
 	for _, name := range []string{"fleet-log", "forward-auth", "halls", "redis"} {
 		o, err := Load("../../deploy/options-" + name + ".toml")
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -1,10 +1,10 @@
-// Package config reads the options file: what the platform's own configuration
-// has no settings for. The file is TOML, with a section for each optional part
-// of the program; a section that is absent turns its part off. Load decodes the
-// file strictly, fills in the defaults and checks everything before anything
-// starts; an error is one line that names file, line, key and value. The package
-// starts nothing and keeps no state, but checking reads the files that the
-// options name.
+// Package config reads the options file, which configures the optional features
+// that the platform's own configuration does not cover. The file is TOML with a
+// section for each feature; without its section a feature is off. Load rejects
+// unknown keys, fills in the defaults and validates all values. Its errors are
+// one line that names the file, the line, the key and the value. The package has
+// no state and starts nothing, but validation also reads the files that the
+// options name, such as key files.
 package config
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxFileBytes bounds the options file: 16,384 rules of 150 bytes are 2.5 MB.
+// maxFileBytes is the maximum size of the options file. 16,384 rules of 150 bytes take 2.5 MB.
 const maxFileBytes = 4 << 20
 
-// Bounds of the time between two summaries in the log.
+// Bounds of the interval between two summary lines in the log.
 const (
 	minSummaryInterval = Duration(100 * time.Millisecond)
 	maxSummaryInterval = Duration(time.Hour)
 )
 
-// Duration is a time span that is written as 250ms or 2s.
+// Duration is a time.Duration that is written as text, such as 250ms or 2s.
 type Duration time.Duration
 
-// UnmarshalText parses the written form.
+// UnmarshalText parses the syntax of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// MarshalText returns the written form, for the settings in force.
+// MarshalText formats the duration as UnmarshalText accepts it.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// String returns the written form.
+// String formats the duration as time.Duration does.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Options is the complete file; a section that is absent is nil, and its part of the program is off.
+// Options is the content of the options file. A section that is absent is nil, and its feature is off.
 type Options struct {
 	Store       *Store       `toml:"store,omitempty"`
 	ForwardAuth *ForwardAuth `toml:"forward_auth,omitempty"`
@@ -54,27 +54,30 @@
 	Clock       *Clock       `toml:"clock,omitempty"`
 }
 
-// Takeover lets pending work with an idempotency key survive its instance. It needs Peers and has no settings.
+// Takeover enables the takeover of pending work: if an instance fails, other instances complete its requests that have
+// an idempotency key. It requires Peers and has no settings.
 type Takeover struct{}
 
-// Escrow lets quota allocations move between the instances that a tenant's requests come through. It needs Peers and
-// has no settings.
+// Escrow enables transfers of quota allocations between the instances that receive a tenant's requests. It requires
+// Peers and has no settings.
 type Escrow struct{}
 
-// Metrics says where metrics and status are served.
+// Metrics configures the HTTP listener for metrics and status.
 type Metrics struct {
 	Listen string `toml:"listen"` // host:port
 }
 
-// Log says what is logged besides events out of the ordinary.
+// Log enables log lines on regular operation, in addition to those on unusual events.
 type Log struct {
-	// SummaryInterval is the time between two lines of counts, which can be added up over instances; 0: no such lines.
+	// SummaryInterval is the time between two summary lines, whose counts can be added up over all instances. 0 turns
+	// summaries off.
 	SummaryInterval Duration `toml:"summary,omitempty"`
-	// LogRequests asks for a line at the end of each request: its ids, the reason, and what became of its attempts.
+	// LogRequests enables a line at the end of each request with its ids, the reason of its outcome, and the outcomes
+	// of its attempts.
 	LogRequests bool `toml:"requests,omitempty"`
 }
 
-// Load reads and checks a file and fills in the defaults. An empty path gives options with every part off.
+// Load reads and validates a file and fills in the defaults. With an empty path every feature is off.
 func Load(path string) (*Options, error) {
 	if path == "" {
 		return &Options{}, nil
@@ -86,7 +89,7 @@
 	return parse(path, text)
 }
 
-// parse decodes and checks the text of a file; path is for errors only.
+// parse decodes and validates the text of a file; path is only used in errors.
 func parse(path string, text []byte) (*Options, error) {
 	if len(text) > maxFileBytes {
 		return nil, fmt.Errorf("options %s: the file has %d bytes, %d at most", path, len(text), maxFileBytes)
@@ -102,7 +105,7 @@
 	return &o, nil
 }
 
-// validate fills in the defaults and returns what is wrong, section by section.
+// validate fills in the defaults of all sections and returns their errors.
 func (o *Options) validate() []fieldError {
 	var errs []fieldError
 	if o.Store != nil {
@@ -135,14 +138,14 @@
 	return errs
 }
 
-// validate returns what is wrong.
+// validate returns the errors of the section.
 func (m *Metrics) validate() []fieldError {
 	s := section{name: "metrics"}
 	s.validateListen(m.Listen)
 	return s.errs
 }
 
-// validate returns what is wrong. A summary is required unless requests are logged.
+// validate returns the errors of the section. The summary interval is required unless requests are logged.
 func (l *Log) validate() []fieldError {
 	s := section{name: "log"}
 	onlyRequests := l.LogRequests && l.SummaryInterval == 0
@@ -152,7 +155,8 @@
 	return s.errs
 }
 
-// Text returns the settings in force, with the defaults and without any secret, as a file that Load accepts.
+// Text returns the effective options, including defaults, in the format that Load reads. They contain the paths of
+// secret files, but no secrets.
 func (o *Options) Text() string {
 	text, err := toml.Marshal(o)
 	if err != nil || len(bytes.TrimSpace(text)) == 0 {
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -28,10 +28,10 @@
 	return path
 }
 
-// redisHead is a section that is complete; keys added to it stand on its fourth line and below.
+// redisHead is a complete section of three lines; keys that are appended to it begin on line 4.
 const redisHead = "[store]\nkind = \"redis\"\naddress = \"a:1\"\n"
 
-// A bad file is one line that names file, line, key and value.
+// An invalid file is rejected with a one-line error that names the file, the line and the key.
 func TestBadOptions(t *testing.T) {
 	empty := writeFile(t, "empty", "\n")
 	for _, test := range []struct{ text, want string }{
@@ -79,7 +79,7 @@
 	}
 }
 
-// The settings in force are a file with the same meaning, without the secret.
+// The text of the effective options has the same meaning when it is loaded again, and does not contain the password.
 func TestSettingsInForce(t *testing.T) {
 	secret := writeFile(t, "password", "s3cret\n")
 	o, err := Load(writeFile(t, "options.toml", redisHead+"password_file = \""+secret+"\"\n"))
@@ -88,49 +88,49 @@
 	}
 	s := o.Store
 	if s.KeyPrefix != "hitchspring" || s.Shards != 1 || time.Duration(s.ConnectTimeout) != 250*time.Millisecond {
-		t.Fatalf("got other defaults: %+v", s)
+		t.Fatalf("unexpected defaults: %+v", s)
 	}
 	if password, err := s.Password(); password != "s3cret" || err != nil {
 		t.Fatalf("got password %q, %v, want %q", password, err, "s3cret")
 	}
 	text := o.Text()
 	if strings.Contains(text, "s3cret") || !strings.Contains(text, "250ms") {
-		t.Fatalf("got settings in force\n%s\nwant them with the default timeout and without the password", text)
+		t.Fatalf("got text\n%s\nwant it with the default timeout and without the password", text)
 	}
 	again, err := Load(writeFile(t, "again.toml", text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !again.Store.EqualExceptAddress(s) {
-		t.Fatalf("the settings in force mean %+v, want %+v", again.Store, s)
+		t.Fatalf("options loaded from Text: got %+v, want %+v", again.Store, s)
 	}
 	again.Store.Address = "127.0.0.1:6380"
 	if !again.Store.EqualExceptAddress(s) {
-		t.Error("stores at two addresses are not equal except for them")
+		t.Error("stores that differ only in the address: got not equal, want equal")
 	}
 	again.Store.KeyPrefix = "other"
 	if again.Store.EqualExceptAddress(s) {
-		t.Error("stores with two key prefixes are equal")
+		t.Error("stores that differ in the key prefix: got equal, want not equal")
 	}
 }
 
-// Without a file every part is off, and the settings in force are a comment.
+// Without a file every feature is off, and Text returns a comment.
 func TestNoOptions(t *testing.T) {
 	o, err := Load("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if o.Store != nil || !strings.HasPrefix(o.Text(), "#") {
-		t.Fatalf("got store %+v and settings in force %q, want none and a comment", o.Store, o.Text())
+		t.Fatalf("got store %+v and text %q, want none and a comment", o.Store, o.Text())
 	}
 }
 
-// Whatever a file holds, an error is one line.
+// FuzzParse checks that parse errors are always one line.
 func FuzzParse(f *testing.F) {
 	f.Add("[store]\nkind = \"redis\"\naddress = \"a:1\"\nlanes = 3")
 	f.Fuzz(func(t *testing.T, text string) {
 		if strings.Contains(text, "_file") {
-			return // it would read files
+			return // validation would read arbitrary files
 		}
 		if _, err := parse("f", []byte(text)); err != nil && strings.Contains(err.Error(), "\n") {
 			t.Fatalf("%q: got error %v, want one line", text, err)
@@ -138,7 +138,7 @@
 	})
 }
 
-// What is wrong with [peers], [clock] and the sections that need [peers] is one line with file, line, key and value.
+// Errors in [peers], in [clock] and in the sections that require [peers] are one line that names the key.
 func TestBadPeers(t *testing.T) {
 	key := writeFile(t, "key", "a key of enough letters\n")
 	good := "[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.2:7946\"]\nkey_file = \"" + key + "\"\n"
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -7,21 +7,21 @@
 	"hitchspring/internal/peers"
 )
 
-// maxPeerNameBytes bounds the name of an instance.
+// maxPeerNameBytes is the maximum length of the name of an instance.
 const maxPeerNameBytes = 64
 
-// Peers says with which other instances this one exchanges gossip. Absent: with none.
+// Peers configures the peer group in which this instance exchanges gossip. If the section is absent, it joins none.
 type Peers struct {
-	Name      string            `toml:"name,omitempty"`       // of this instance, unique among all; absent: Advertise
-	Listen    string            `toml:"listen"`               // UDP, IP:port
-	Advertise string            `toml:"advertise,omitempty"`  // IP:port at which others reach it; absent: Listen
-	Seeds     []string          `toml:"seeds,omitempty"`      // advertised addresses of some others
-	SeedsFile string            `toml:"seeds_file,omitempty"` // in place of Seeds, one a line; read again when changed
-	KeyFile   string            `toml:"key_file"`             // one or two, the first encrypts; read again when changed
-	Dial      map[string]string `toml:"dial,omitempty"`       // address to dial for an advertised one, if it differs
+	Name      string            `toml:"name,omitempty"`       // unique name of this instance; default: Advertise
+	Listen    string            `toml:"listen"`               // UDP address, IP:port
+	Advertise string            `toml:"advertise,omitempty"`  // IP:port at which peers reach it; default: Listen
+	Seeds     []string          `toml:"seeds,omitempty"`      // advertised addresses of other instances
+	SeedsFile string            `toml:"seeds_file,omitempty"` // alternative to Seeds, one per line; reloaded on change
+	KeyFile   string            `toml:"key_file"`             // one or two keys, the first encrypts; reloaded on change
+	Dial      map[string]string `toml:"dial,omitempty"`       // by advertised address: the address to dial instead
 }
 
-// validate fills in the defaults and returns what is wrong, also with the files as they are now.
+// validate fills in the defaults and returns the errors of the section, including errors from reading its files.
 func (p *Peers) validate() []fieldError {
 	s := section{name: "peers"}
 	s.validateAddrPort("listen", p.Listen)
@@ -49,7 +49,8 @@
 	return s.errs
 }
 
-// validateSeeds checks that the seeds come from one place and name another instance than this one.
+// validateSeeds checks that the seeds are set in either Seeds or SeedsFile, and that Seeds contain an instance other
+// than this one.
 func (p *Peers) validateSeeds(s *section) {
 	isOther := func(seed string) bool { return seed != p.Advertise }
 	switch {
@@ -69,7 +70,7 @@
 	}
 }
 
-// validateAddrPort rejects an address that is not an IP address and a port.
+// validateAddrPort adds an error unless an address is IP:port with a port other than 0.
 func (s *section) validateAddrPort(key, address string) {
 	if at, err := netip.ParseAddrPort(address); err != nil || at.Port() == 0 {
 		s.reject(key, "%q is no IP address and port", address)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// The kinds of store.
+// Values of Store.Kind.
 const (
 	StoreTally = "tally"
 	StoreRedis = "redis"
 )
 
-// Defaults and bounds of a store on Redis.
+// Defaults and bounds for a Redis store.
 const (
 	defaultKeyPrefix      = "hitchspring"
 	maxKeyPrefixBytes     = 24
@@ -24,23 +24,23 @@
 	maxConnectTimeout     = Duration(10 * time.Second)
 )
 
-// Store says which shared counter is used. Without the section it is the platform's, at the address in ROUTER_CONFIG.
-// All fields but Kind are for Redis only.
+// Store selects the store of the shared counters. If the section is absent, the platform's counter is used, at the
+// address in the file that ROUTER_CONFIG names. All fields but Kind apply to Redis only.
 type Store struct {
 	Kind           string   `toml:"kind"`                      // StoreTally or StoreRedis
-	Address        string   `toml:"address,omitempty"`         // host:port; can change in service
-	Sentinels      []string `toml:"sentinels,omitempty"`       // in place of Address: host:port of each
-	PrimaryName    string   `toml:"master,omitempty"`          // with Sentinels: the primary's name
-	Username       string   `toml:"username,omitempty"`        // needs PasswordFile
-	PasswordFile   string   `toml:"password_file,omitempty"`   // read anew for each connection
-	Database       int      `toml:"database,omitempty"`        // for SELECT
-	KeyPrefix      string   `toml:"prefix,omitempty"`          // of all keys; the same at all instances
-	Shards         int      `toml:"lanes,omitempty"`           // connections; the same at all instances
+	Address        string   `toml:"address,omitempty"`         // host:port; reloaded on SIGHUP
+	Sentinels      []string `toml:"sentinels,omitempty"`       // alternative to Address: host:port of each Sentinel
+	PrimaryName    string   `toml:"master,omitempty"`          // name under which Sentinels monitor the primary
+	Username       string   `toml:"username,omitempty"`        // requires PasswordFile
+	PasswordFile   string   `toml:"password_file,omitempty"`   // read again for each connection
+	Database       int      `toml:"database,omitempty"`        // index for the SELECT command
+	KeyPrefix      string   `toml:"prefix,omitempty"`          // of all keys; the same on all instances
+	Shards         int      `toml:"lanes,omitempty"`           // number of connections; the same on all instances
 	ConnectTimeout Duration `toml:"connect_timeout,omitempty"` // for dialing, TLS and authentication together
-	TLS            *TLS     `toml:"tls,omitempty"`             // nil: plain TCP
+	TLS            *TLS     `toml:"tls,omitempty"`             // nil: no encryption
 }
 
-// validate fills in the defaults and returns what is wrong.
+// validate fills in the defaults and returns the errors of the section.
 func (s *Store) validate() []fieldError {
 	sec := section{name: "store"}
 	if s.Kind != StoreRedis {
@@ -71,7 +71,7 @@
 	return sec.errs
 }
 
-// validateKind checks a store that is not on Redis.
+// validateKind checks a store whose kind is not StoreRedis.
 func (s *Store) validateKind(sec *section) {
 	switch s.Kind {
 	case StoreTally, "":
@@ -86,7 +86,7 @@
 	}
 }
 
-// validateAddresses checks that there is either an address, or Sentinels with the name of a primary.
+// validateAddresses checks that either an address is set, or Sentinels and the name of the primary.
 func (s *Store) validateAddresses(sec *section) {
 	switch {
 	case s.Address == "" && len(s.Sentinels) == 0:
@@ -106,7 +106,7 @@
 	}
 }
 
-// validateCredentials checks that a user has a password, and that its file can be read now.
+// validateCredentials checks that a user has a password file, and that the file can be read.
 func (s *Store) validateCredentials(sec *section) {
 	if s.Username != "" && s.PasswordFile == "" {
 		sec.reject("username", "%q stands without password_file", s.Username)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Password returns the content of PasswordFile without line ends behind it. No error holds any of it.
+// Password reads PasswordFile and returns its content without trailing newlines. Errors never contain the password.
 func (s *Store) Password() (string, error) {
 	text, err := os.ReadFile(s.PasswordFile)
 	if err != nil {
@@ -132,8 +132,8 @@
 	return password, nil
 }
 
-// EqualExceptAddress reports whether two sections, either of which may be absent, differ at most in what can change in
-// service: the address.
+// EqualExceptAddress reports whether two sections are equal apart from the address, which a reload may change. Either
+// section may be nil.
 func (s *Store) EqualExceptAddress(other *Store) bool {
 	if s == nil || other == nil {
 		return s == other
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -7,15 +7,15 @@
 	"os"
 )
 
-// TLS says how the store is verified and which certificate it is shown. The files are read anew for each connection.
+// TLS configures TLS connections to the store. Its files are read again for each connection.
 type TLS struct {
-	CAFile     string `toml:"ca_file,omitempty"`     // absent: the system's authorities
-	CertFile   string `toml:"cert_file,omitempty"`   // the client's certificate, with KeyFile
-	KeyFile    string `toml:"key_file,omitempty"`    // of the client's certificate
-	ServerName string `toml:"server_name,omitempty"` // absent: the host of the address
+	CAFile     string `toml:"ca_file,omitempty"`     // CAs for the server's certificate; default: the system's
+	CertFile   string `toml:"cert_file,omitempty"`   // client certificate; requires KeyFile
+	KeyFile    string `toml:"key_file,omitempty"`    // private key of the client certificate
+	ServerName string `toml:"server_name,omitempty"` // name to verify; default: the host of the address
 }
 
-// validate returns what is wrong, also with the files as they are now.
+// validate returns the errors of the section, including errors from reading its files.
 func (t *TLS) validate() []fieldError {
 	s := section{name: "store.tls"}
 	if (t.CertFile == "") != (t.KeyFile == "") {
@@ -31,7 +31,8 @@
 	return s.errs
 }
 
-// Config reads the files and returns the configuration of one connection. An error names the key of the file.
+// Config reads the files and returns the TLS configuration for one connection. An error names the key of the file that
+// could not be used.
 func (t *TLS) Config() (*tls.Config, error) {
 	rootCAs, err := t.rootCAs()
 	if err != nil {
@@ -49,7 +50,7 @@
 	}, nil
 }
 
-// rootCAs returns the authorities of CAFile, or nil for the system's.
+// rootCAs returns the certificate pool of CAFile, or nil, which selects the system's pool.
 func (t *TLS) rootCAs() (*x509.CertPool, error) {
 	if t.CAFile == "" {
 		return nil, nil
@@ -65,7 +66,7 @@
 	return pool, nil
 }
 
-// certificates returns the client's certificate, or nil if there is none.
+// certificates returns the client certificate, or nil if none is configured.
 func (t *TLS) certificates() ([]tls.Certificate, error) {
 	if t.CertFile == "" {
 		return nil, nil
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -7,28 +7,37 @@
 	"hitchspring/internal/zones"
 )
 
-// Zones says how requests are kept in the instance's own zone, and where they go when a zone is lost. Absent: another
-// zone costs a fixed factor, and no zone has a state.
+// Zones configures zone-aware routing: how strongly requests prefer the instance's own zone, and how they spill to
+// other zones when a zone fails. If the section is absent, backends in other zones have a fixed higher price, and the
+// state of zones is not tracked.
 type Zones struct {
-	Near          []string `toml:"near,omitempty"`          // zones of the second locality priority; others: the third
-	NearPrice     float64  `toml:"near_price,omitempty"`    // of a backend in a near zone, relative to the own zone
-	FarPrice      float64  `toml:"far_price,omitempty"`     // of a backend in any other zone, relative to the own zone
-	Overprovision float64  `toml:"overprovision,omitempty"` // a zone keeps its load down to 1/Overprovision capacity
-	Panic         float64  `toml:"panic,omitempty"`         // share of all capacity below which no zone is preferred
-	MaxRamp       Duration `toml:"ramp,omitempty"`          // longest recovery ramp of a zone
-	RampFrom      float64  `toml:"ramp_from,omitempty"`     // share of the rate at which a recovery ramp begins
-	ForgetAfter   Duration `toml:"forget,omitempty"`        // time without a loss after which one is forgotten
-	Drains        string   `toml:"drills,omitempty"`        // path of the zone drain file; empty: there is none
+	Near      []string `toml:"near,omitempty"`       // zones of the second locality priority; others: the third
+	NearPrice float64  `toml:"near_price,omitempty"` // price of a backend in a near zone; 1 in the own zone
+	FarPrice  float64  `toml:"far_price,omitempty"`  // price of a backend in any other zone
+
+	// Overprovision bounds the spill: a zone retains all its load while at least 1/Overprovision of its capacity is
+	// available.
+	Overprovision float64 `toml:"overprovision,omitempty"`
+	// Panic is the share of available capacity below which panic mode begins: no zone is preferred or drained.
+	Panic float64 `toml:"panic,omitempty"`
+	// MaxRampDuration is the maximum length of the recovery ramp of a zone.
+	MaxRampDuration Duration `toml:"ramp,omitempty"`
+	// RampFrom is the share of the full rate with which a recovery ramp starts.
+	RampFrom float64 `toml:"ramp_from,omitempty"`
+	// CautionDecayInterval is the time that a zone is up before one caution step is taken back.
+	CautionDecayInterval Duration `toml:"forget,omitempty"`
+	// DrainFile is the path of the zone drain file; empty: no file.
+	DrainFile string `toml:"drills,omitempty"`
 }
 
-// validate fills in the defaults and returns what is wrong.
+// validate fills in the defaults and returns the errors of the section.
 func (z *Zones) validate() []fieldError {
 	const (
 		minRatio, maxPrice, maxOverprovision = 1.0, 100.0, 10.0
 		minShare, maxShare                   = 0.01, 1.0
 		minSpan                              = Duration(time.Second)
 		maxRamp                              = Duration(10 * time.Minute)
-		maxForgetAfter                       = Duration(24 * time.Hour)
+		maxCautionDecayInterval              = Duration(24 * time.Hour)
 	)
 	s := section{name: "halls"}
 	if slices.Contains(z.Near, "") {
@@ -42,7 +51,7 @@
 	setDefault(&s, "overprovision", &z.Overprovision, zones.DefaultOverprovision, minRatio, maxOverprovision)
 	setDefault(&s, "panic", &z.Panic, zones.DefaultPanic, minShare, maxShare)
 	setDefault(&s, "ramp_from", &z.RampFrom, zones.DefaultRampFrom, minShare, maxShare)
-	setDefault(&s, "ramp", &z.MaxRamp, Duration(zones.DefaultRamp), minSpan, maxRamp)
-	setDefault(&s, "forget", &z.ForgetAfter, Duration(zones.DefaultForget), minSpan, maxForgetAfter)
+	setDefault(&s, "ramp", &z.MaxRampDuration, Duration(zones.DefaultRamp), minSpan, maxRamp)
+	setDefault(&s, "forget", &z.CautionDecayInterval, Duration(zones.DefaultForget), minSpan, maxCautionDecayInterval)
 	return s.errs
 }
--- a/internal/config/zones_test.go
+++ b/internal/config/zones_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// A [halls] section needs no key and gets the defaults.
+// An empty [halls] section is valid and gets the defaults; far_price defaults to at least near_price.
 func TestZoneDefaults(t *testing.T) {
 	o, err := parse("x.toml", []byte("[halls]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &Zones{
-		NearPrice:     2,
-		FarPrice:      3,
-		Overprovision: 1.4,
-		Panic:         0.3,
-		MaxRamp:       Duration(4 * time.Second),
-		RampFrom:      0.3,
-		ForgetAfter:   Duration(time.Minute),
+		NearPrice:            2,
+		FarPrice:             3,
+		Overprovision:        1.4,
+		Panic:                0.3,
+		MaxRampDuration:      Duration(4 * time.Second),
+		RampFrom:             0.3,
+		CautionDecayInterval: Duration(time.Minute),
 	}
 	if !reflect.DeepEqual(o.Zones, want) {
 		t.Fatalf("got %+v, want %+v", o.Zones, want)
@@ -33,7 +33,7 @@
 	}
 }
 
-// Each bad key of [halls] is named with its line and value.
+// Each invalid value in [halls] is rejected with a one-line error that names the key.
 func TestBadZones(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"near_price = 0.5", "x.toml:2: halls.near_price: 0.5 is out of range"},
