--- a/cmd/hitchspring/cli.go
+++ b/cmd/hitchspring/cli.go
@@ -16,12 +16,13 @@
 	"hitchspring/internal/version"
 )
 
-// optionsVariable names the options file where --options doesn't.
+// optionsVariable is the environment variable with the path of the options file; --options overrides it.
 const optionsVariable = "HITCHSPRING_OPTIONS"
 
-// cli is the command line. The names of commands and flags are published; a name tag keeps one whose field differs.
+// cli is the command line as kong parses it. Names of commands and flags are part of the public interface: where the Go
+// field has another name, a name tag keeps the public one.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type cli struct {
 	Options string `help:"The options file (TOML); without it everything is as ROUTER_CONFIG has it." env:"HITCHSPRING_OPTIONS" placeholder:"FILE"`
 
@@ -33,33 +34,34 @@
 	Completion kongcompletion.Completion `cmd:"" help:"Print what a shell needs to complete this command line (bash, zsh, fish)."`
 }
 
-// commandEnv is what a command runs with.
+// commandEnv is the environment that each command receives.
 type commandEnv struct {
 	ctx         context.Context
 	out         io.Writer
 	log         *slog.Logger
-	optionsPath string // empty: there are no options
+	optionsPath string // empty: no options file
 }
 
-// serveCmd serves; it is what the program does without a command.
+// serveCmd runs the ingress. It is the default command.
 type serveCmd struct{}
 
-// Run serves until a signal ends it.
+// Run serves until SIGTERM or SIGINT.
 func (serveCmd) Run(e *commandEnv) error { return serve(e.optionsPath, e.log) }
 
-// versionCmd prints which build the program is.
+// versionCmd prints the version of the build.
 type versionCmd struct{}
 
-// Run prints one line.
+// Run prints the version in one line.
 func (versionCmd) Run(e *commandEnv) error {
 	_, err := io.WriteString(e.out, version.Text("hitchspring")+"\n")
 	return err
 }
 
-// checkCmd checks the configuration and the options.
+// checkCmd validates the configuration and the options.
 type checkCmd struct{}
 
-// Run checks both files and prints the options in force. It starts nothing.
+// Run validates the options file, and the configuration file if ROUTER_CONFIG is set, and prints the effective options.
+// It starts nothing.
 func (checkCmd) Run(e *commandEnv) error {
 	options, err := config.Load(e.optionsPath)
 	if err != nil {
@@ -74,7 +76,8 @@
 	return err
 }
 
-// runCommand runs the command that the arguments name. Without arguments it serves and builds no command-line parser.
+// runCommand runs the command given by the arguments. Without arguments it serves, without building a command-line
+// parser.
 func runCommand(args []string, out io.Writer, log *slog.Logger) error {
 	if len(args) == 0 {
 		return serve(os.Getenv(optionsVariable), log)
--- a/cmd/hitchspring/configuration.go
+++ b/cmd/hitchspring/configuration.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	// overlappingProcesses is how many processes of one ingress may run at the same time, where the platform replaces
-	// them in service.
+	// overlappingProcesses is the maximum number of processes of one ingress that run at the same time, which happens
+	// while the platform replaces one by the next.
 	overlappingProcesses = 2
 
-	// Bounds of one call of forward authentication.
+	// Limits for one call of forward authentication.
 	maxAuthBodyBytes = 64 << 10
 	maxAuthReports   = 1000
 )
 
-// configuration is what the configuration file, the environment and the options say together.
+// configuration combines the configuration file, the environment variables and the options.
 type configuration struct {
 	ingress  ingress.Config
 	file     *configFile
-	socketFD int // of the clients' inherited listening socket; 0: there is none
+	socketFD int // descriptor of the inherited listening socket; 0: none
 }
 
-// loadConfiguration reads the configuration file and checks it completely, together with the options. It starts
-// nothing.
+// loadConfiguration reads the configuration file, combines it with the environment and the options, and validates the
+// result. It starts nothing.
 func loadConfiguration(path string, options *config.Options, log *slog.Logger) (*configuration, error) {
 	c, err := parseConfiguration(path, options, log)
 	if err != nil {
@@ -48,13 +48,13 @@
 		return nil, err
 	}
 	c.applyOptions(options)
-	if _, err := ingress.New(c.ingress, log); err != nil { // an instance that doesn't run holds no resources
+	if _, err := ingress.New(c.ingress, log); err != nil { // validates; an instance holds no resources until it runs
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
-// parseConfiguration reads the configuration file, and those options whose meaning depends on its settings.
+// parseConfiguration reads the configuration file, and applies the options that depend on its settings.
 func parseConfiguration(path string, options *config.Options, log *slog.Logger) (*configuration, error) {
 	file, err := readConfigFile(path)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// applyEnvironment adds what the platform's environment variables say of this one process.
+// applyEnvironment applies the platform's environment variables, which configure this process only.
 func (c *configuration) applyEnvironment() (err error) {
 	if addr := os.Getenv(adminAddrVariable); addr != "" {
 		c.ingress.Admin = addr
@@ -106,16 +106,16 @@
 	if c.socketFD, err = inheritedSocket(); err != nil {
 		return err
 	}
-	if c.socketFD > 0 { // the platform's limit holds for both processes together
+	if c.socketFD > 0 { // the memory limit is shared by the overlapping processes
 		c.ingress.Memory /= overlappingProcesses
 	}
-	if c.ingress.Admin != "" || c.socketFD > 0 { // otherwise there is no state to store
+	if c.ingress.Admin != "" || c.socketFD > 0 { // otherwise there is no state to hand over
 		c.ingress.StateDir = os.Getenv(stateDirVariable)
 	}
 	return nil
 }
 
-// applyOptions adds the options that need no setting of the configuration file.
+// applyOptions applies the options that do not depend on the settings of the configuration file.
 func (c *configuration) applyOptions(options *config.Options) {
 	cfg := &c.ingress
 	if m := options.Metrics; m != nil {
@@ -161,8 +161,8 @@
 	}
 }
 
-// forwardAuthConfig returns the configuration of forward authentication. Its rules must name classes and plans of the
-// settings.
+// forwardAuthConfig returns the configuration of forward authentication. It returns an error for a rule with a class or
+// plan that is not in the settings.
 func forwardAuthConfig(f *config.ForwardAuth, set *policy.Settings) (*ingress.ForwardAuth, error) {
 	networks, err := f.TrustedNetworks()
 	if err != nil {
@@ -193,7 +193,7 @@
 	}}, nil
 }
 
-// checkRule returns an error if the settings don't have the rule's class or plan.
+// checkRule returns an error if the class or the plan of a rule is not in the settings.
 func checkRule(rule config.AuthRule, set *policy.Settings) error {
 	hasClass := func(c policy.Class) bool { return c.Name == rule.Class }
 	hasPlan := func(p policy.Plan) bool { return p.Name == rule.Plan }
@@ -206,7 +206,8 @@
 	return nil
 }
 
-// leaseConfig returns the bounds of the attempts that callers of forward authentication make themselves.
+// leaseConfig returns the configuration of the leases for attempts that callers of forward authentication send
+// themselves.
 func leaseConfig(f *config.ForwardAuth) *core.LeaseConfig {
 	return &core.LeaseConfig{
 		Timeout:     time.Duration(f.LeaseTimeout),
@@ -216,7 +217,7 @@
 	}
 }
 
-// redisOptions returns the options of a store on Redis; timeout bounds a call.
+// redisOptions returns the options of the Redis store; timeout is the limit for one call.
 func redisOptions(s *config.Store, timeout time.Duration) redis.Options {
 	o := redis.Options{
 		Address:        s.Address,
--- a/cmd/hitchspring/configuration_test.go
+++ b/cmd/hitchspring/configuration_test.go
@@ -10,13 +10,13 @@
 	"hitchspring/internal/config"
 )
 
-// validConfig is a configuration with a shared counter that has no address.
+// validConfig is a configuration that uses a shared counter but has no address for it, so it needs a [store] section.
 const validConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 	"limits":{"cores":1,"sockets":256},"settings":{
 	"replicasOfMe":1,"familyInfo":{"sharedCounter":true,"counterTimeoutUs":80000},
 	"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}]}}`
 
-// runWithoutLog runs a command without its log and returns what it prints.
+// runWithoutLog runs a command, discards its log and returns its output.
 func runWithoutLog(args ...string) (string, error) {
 	var out strings.Builder
 	err := runCommand(args, &out, slog.New(slog.DiscardHandler))
@@ -31,7 +31,7 @@
 	}
 }
 
-// writeTemp writes a file into a directory of its own and returns the path.
+// writeTemp writes a file into a new temporary directory and returns its path.
 func writeTemp(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -39,7 +39,7 @@
 	return path
 }
 
-// A bad configuration is one plain line that names what is wrong.
+// An invalid configuration is rejected with a one-line error that names the cause.
 func TestBadConfiguration(t *testing.T) {
 	const head = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",`
 	for _, test := range []struct{ text, want string }{
@@ -64,8 +64,8 @@
 	requireOneLine(t, serve("", slog.New(slog.DiscardHandler)), "ROUTER_CONFIG names no configuration file")
 }
 
-// The check command says what is wrong and starts nothing, or prints the settings in force; the path of the options may
-// come from the environment.
+// The check command reports the first error or prints the effective options. The path of the options file is taken from
+// --options or from the environment. Invalid command lines are one-line errors that refer to --help.
 func TestCheck(t *testing.T) {
 	good := writeTemp(t, "good.toml", "[store]\nkind = \"redis\"\naddress = \"127.0.0.1:6379\"\n")
 	bad := writeTemp(t, "bad.toml", "[store]\nkind = \"redis\"\n")
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if want := `prefix = 'hitchspring'`; !strings.Contains(out, want) {
-		t.Fatalf("got settings in force\n%s\nwant them with %s", out, want)
+		t.Fatalf("got effective options\n%s\nwant them with %s", out, want)
 	}
 	_, err = runWithoutLog("check", "--options", bad)
 	requireOneLine(t, err, bad+":1: store.address")
@@ -92,7 +92,7 @@
 	}
 }
 
-// What the options file says of the log reaches the instance.
+// The [log] section of the options is applied to the configuration of the instance.
 func TestLogOptions(t *testing.T) {
 	path := writeTemp(t, "config.json", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 		"limits":{"sockets":256},"settings":{"replicasOfMe":1,
@@ -110,7 +110,8 @@
 	}
 }
 
-// A rule that names no class or plan of the settings is one line that says which.
+// A forward authentication rule with an unknown class or plan, or with an invalid path, is rejected with a one-line
+// error that names the rule and the value.
 func TestForwardAuthCheck(t *testing.T) {
 	t.Setenv(configVariable, writeTemp(t, "config.json", forwardAuthConfigFile))
 	const section = "[forward_auth]\nlisten = \"127.0.0.1:1\"\ntrusted = [\"127.0.0.1\"]\n[[forward_auth.rule]]\n"
@@ -126,7 +127,7 @@
 	}
 }
 
-// The version command prints a line that begins with the program's name.
+// The output of the version command begins with the name of the program.
 func TestVersion(t *testing.T) {
 	out, err := runWithoutLog("version")
 	if err != nil {
--- a/cmd/hitchspring/discovery_test.go
+++ b/cmd/hitchspring/discovery_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	slowCallDelay     = 3 * time.Second // before slow discovery answers a call
-	watchKeepAlive    = 2 * time.Second // between two empty lines on a watch
-	unusedDiscoveryIP = "127.93.81.8"   // on which no other test listens, so that a refused port stays free
+	slowCallDelay     = 3 * time.Second // delay of each response of slow discovery
+	watchKeepAlive    = 2 * time.Second // interval of the empty lines sent on a watch
+	unusedDiscoveryIP = "127.93.81.8"   // no other test listens here, so its ports keep refusing connections
 )
 
-// discoveryBehavior is how a stand-in of discovery treats one call. It reports whether the call is to be answered with
-// the endpoint list.
+// discoveryBehavior handles one call to the discovery stand-in. It returns true if the stand-in must answer the call
+// with the endpoint list.
 type discoveryBehavior func(w http.ResponseWriter, r *http.Request) bool
 
 // healthy answers at once.
@@ -46,8 +46,8 @@
 	return false
 }
 
-// startDiscovery starts a stand-in of discovery with one list. It answers each call with the complete list, and
-// a watch too, which then stays open.
+// startDiscovery starts a discovery stand-in that answers each call with the same complete list, unless behavior
+// returns false. A watch stays open after the list.
 func startDiscovery(t *testing.T, list discovery.List, behavior discoveryBehavior) (addr string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,18 +75,18 @@
 	return server.Listener.Addr().String()
 }
 
-// refusedAddr returns an address at which every connection is refused.
+// refusedAddr returns an address that refuses connections.
 func refusedAddr(t *testing.T) string {
 	t.Helper()
 	return freeAddrOn(t, unusedDiscoveryIP)
 }
 
-// servingList returns the complete endpoint list of one backend that serves.
+// servingList returns a complete endpoint list with one backend in state SERVING.
 func servingList(revision int64, addr string) discovery.List {
 	return discovery.List{Rev: revision, Complete: true, Targets: []discovery.Target{target("s0", addr, "SERVING")}}
 }
 
-// target returns the entry of a backend in zone a.
+// target returns the endpoint list entry of a backend in zone a.
 func target(uid, addr, state string) discovery.Target {
 	return discovery.Target{UID: uid, Endpoint: addr, Zone: "a", State: state}
 }
--- a/cmd/hitchspring/forward_auth_test.go
+++ b/cmd/hitchspring/forward_auth_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// forwardAuthConfigFile is a configuration with class a and plan p, to which rules may refer.
 const forwardAuthConfigFile = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 	"limits":{"cores":1,"sockets":512},
 	"known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a","state":"SERVING"}]},
@@ -16,13 +17,13 @@
 	"permissions":{"maxAttempts":1,"retryAfter":true,"maxRetryAfterUs":500000},"familyInfo":{"maxUnits":6},
 	"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}]}}`
 
-// authClient asks a running instance about requests.
+// authClient calls the forward authentication listener of a running instance.
 type authClient struct {
 	*http.Client
 	addr string
 }
 
-// status returns the status code for a GET of path, or 0 if there is no answer.
+// status returns the status code of a call about a GET request for path, or 0 if the call fails.
 func (c authClient) status(t *testing.T, path string) int {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+c.addr+"/", nil)
@@ -39,7 +40,7 @@
 	return resp.StatusCode
 }
 
-// awaitRule waits until a rule matches path: the request is granted, or rejected for want of capacity.
+// awaitRule waits until a rule matches path: the request is then granted, or rejected for lack of capacity.
 func (c authClient) awaitRule(t *testing.T, path string) {
 	t.Helper()
 	await(t, "a rule for "+path, func() bool {
@@ -57,8 +58,8 @@
 	await(t, "no rule for "+path, func() bool { return c.status(t, path) == http.StatusBadRequest })
 }
 
-// The rule table changes on SIGHUP, a bad file or another change of the section changes nothing, and metrics are
-// served.
+// SIGHUP reloads the rule table. An invalid file, or a change of any other value of the section, is rejected and leaves
+// the rules as they are. The metrics of forward authentication are served.
 func TestForwardAuthInService(t *testing.T) {
 	metricsAddr := freeAddr(t)
 	client := authClient{Client: &http.Client{Transport: &http.Transport{}}, addr: freeAddr(t)}
@@ -98,7 +99,7 @@
 	s.requireShutdown(t)
 }
 
-// readMetrics returns the metrics that a listener serves.
+// readMetrics returns the text of /metrics at a metrics listener.
 func readMetrics(t *testing.T, client *http.Client, addr string) string {
 	t.Helper()
 	resp, err := client.Get("http://" + addr + "/metrics")
--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -17,7 +17,7 @@
 	"hitchspring/internal/zones"
 )
 
-// The tables of the status command, for an answer with a value in every field.
+// The golden files hold the tables of the status command for a response with a value in every field.
 func TestGoldenStatusTables(t *testing.T) {
 	for name, status := range map[string]any{
 		"halls":   &zones.Status{},
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			golden.Fill(status)
 			if s, ok := status.(*peers.Status); ok {
-				s.LeftReason = "" // an instance that has left is an error
+				s.LeftReason = "" // printPeers returns an error for an instance that has left
 			}
 			answer, err := json.Marshal(status)
 			if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// The commands and flags.
+// The golden file holds the help texts of the commands.
 func TestGoldenHelp(t *testing.T) {
 	var all strings.Builder
 	for _, args := range [][]string{
@@ -69,17 +69,17 @@
 	golden.Compare(t, "help", []byte(all.String()))
 }
 
-// goTypeNames matches the names of Go types that a decoder puts into its errors.
+// goTypeNames matches Go type names in decoder errors; they are not part of the golden output.
 var goTypeNames = regexp.MustCompile(`\b(main|settings|config)\.[A-Za-z.]+`)
 
-// transcript runs the program and holds what it prints and how it ends.
+// transcript runs the program repeatedly and records the exit status and output of each run.
 type transcript struct {
 	program string
-	dir     string // of the files, whose path is left out
+	dir     string // directory of the files; replaced by DIR in the text
 	text    strings.Builder
 }
 
-// run runs the program with a configuration file, and appends one line.
+// run runs the program with a configuration file and appends its exit status and output to the text.
 func (l *transcript) run(t *testing.T, configPath string, args ...string) {
 	t.Helper()
 	cmd := exec.Command(l.program, args...)
@@ -100,7 +100,7 @@
 	fmt.Fprintf(&l.text, "%d %q %s", exitCode, stdout.String(), line)
 }
 
-// file writes a file into the directory and returns its path.
+// file writes a file into the directory of the transcript and returns its path.
 func (l *transcript) file(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(l.dir, name)
@@ -108,8 +108,8 @@
 	return path
 }
 
-// What a bad file or command line is answered with: one line on standard error, nothing on standard output, and exit
-// status 1.
+// The golden file holds the errors for invalid files and command lines: one line on standard error, nothing on standard
+// output, and exit status 1.
 func TestGoldenErrors(t *testing.T) {
 	log := &transcript{program: programPath(t), dir: t.TempDir()}
 	config := log.file(t, "config.json", validConfig)
--- a/cmd/hitchspring/instance_test.go
+++ b/cmd/hitchspring/instance_test.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	pingInterval   = 20 * time.Millisecond  // between two checks whether an instance is ready
-	pingTimeout    = 500 * time.Millisecond // for one answer to PING
-	requestTimeout = 2 * time.Second        // for the answer to one request
+	pingInterval   = 20 * time.Millisecond  // interval of readiness checks and of retries
+	pingTimeout    = 500 * time.Millisecond // limit for connecting, and for one answer to PING
+	requestTimeout = 2 * time.Second        // limit for the answer to one request
 )
 
-// instance is one real instance of a test: an address that stays the same over its restarts, and its latest process.
-// It is used by one goroutine at a time.
+// instance is an instance that runs as a separate process. Its address stays the same across restarts. It must be used
+// by one goroutine at a time.
 type instance struct {
 	program    string
 	listen     string
 	configPath string
-	process    *process // nil before the first start
+	process    *process // latest process; nil before the first start
 }
 
-// platformConfig is what the platform tells an instance.
+// platformConfig holds the values of the configuration file that differ between tests.
 type platformConfig struct {
 	discovery     string         // host:port
-	known         discovery.List // endpoint list of the configuration file
-	instances     int            // that share the settings
-	discoveryMode string         // of discovery: "subscribe" polls for the list, "push" has an agent
-	maxAttempts   int            // of one request; 0: one
+	known         discovery.List // initial endpoint list
+	instances     int            // number of instances of the ingress
+	discoveryMode string         // "subscribe": poll for the endpoint list; "push": an agent sends it
+	maxAttempts   int            // max attempts of a request; 0 means 1
 }
 
-// healthyPlatformConfig is a platform of one instance whose discovery is healthy, and which allows three attempts.
+// healthyPlatformConfig returns the configuration of a single instance with healthy discovery and three attempts per
+// request.
 func healthyPlatformConfig(t *testing.T, list discovery.List) platformConfig {
 	t.Helper()
 	return platformConfig{
@@ -51,8 +52,8 @@
 	}
 }
 
-// newInstance returns an instance that doesn't run yet. Its host is its own, so that no outgoing connection of another
-// process takes its port between two starts.
+// newInstance returns an instance that does not run yet. It has its own loopback IP address, so that no outgoing
+// connection of another process can take its port between two starts.
 func newInstance(t *testing.T, index int) *instance {
 	t.Helper()
 	i := &instance{
@@ -64,7 +65,7 @@
 	return i
 }
 
-// startInstance returns an instance that is configured and ready.
+// startInstance configures and starts an instance, and waits until it is ready.
 func startInstance(t *testing.T, p platformConfig) *instance {
 	t.Helper()
 	i := newInstance(t, 0)
@@ -73,7 +74,7 @@
 	return i
 }
 
-// configure writes the configuration of the next start, or of the next SIGHUP.
+// configure writes the configuration file, which the next start or SIGHUP reads.
 func (i *instance) configure(t *testing.T, index int, p platformConfig) {
 	t.Helper()
 	known, err := json.Marshal(p.known)
@@ -89,7 +90,7 @@
 		i.listen, p.discovery, index+1, known, index, p.instances, p.discoveryMode, max(1, p.maxAttempts)))
 }
 
-// start starts a process and waits for nothing.
+// start starts a process and does not wait until it is ready.
 func (i *instance) start() (err error) {
 	i.process, err = startProcess(i.program, []string{"ROUTER_CONFIG=" + i.configPath})
 	return err
@@ -106,14 +107,14 @@
 	}
 }
 
-// kill ends the process by SIGKILL and waits for its end.
+// kill sends SIGKILL to the process and waits until it has ended.
 func (i *instance) kill() {
 	if i.process != nil {
 		i.process.kill()
 	}
 }
 
-// awaitReady waits until the instance answers PING. It returns an error if the process or ctx ends before.
+// awaitReady waits until the instance answers PING. It returns an error if the process or ctx ends first.
 func (i *instance) awaitReady(ctx context.Context) error {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
--- a/cmd/hitchspring/kill_test.go
+++ b/cmd/hitchspring/kill_test.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	killRounds         = 12                    // with another moment of the kill each
-	killClients        = 60                    // that connect around the kill, of each round
-	killDelayStep      = 4 * time.Millisecond  // by which the kill comes later in each round
-	deliveryGrace      = 50 * time.Millisecond // after a process's end, by when what it wrote has reached its backend
-	backendLatency     = 3 * time.Millisecond  // of a backend for one request
-	termClients        = 360                   // that connect around a SIGTERM
-	connectBeforeTerm  = 100 * time.Millisecond
-	connectAfterTerm   = 800 * time.Millisecond
-	servedAfterTerm    = 500 * time.Millisecond // after SIGTERM clients are still answered; the listener closes at 600 ms
-	firstKillRequestID = 1 << 24
-	firstTermRequestID = 1 << 28
-	clientTimeout      = 3 * time.Second
+	killRounds        = 12                    // each kills at a different time
+	killClients       = 60                    // per round, all connecting at the same time
+	killDelayStep     = 4 * time.Millisecond  // the kill comes this much later in each round
+	deliveryGrace     = 50 * time.Millisecond // time after the end of a process for its last writes to reach a backend
+	backendLatency    = 3 * time.Millisecond  // time that a backend takes for one request
+	termClients       = 360                   // connecting before and after the SIGTERM
+	connectBeforeTerm = 100 * time.Millisecond
+	connectAfterTerm  = 800 * time.Millisecond
+	servedAfterTerm   = 500 * time.Millisecond // after SIGTERM, still answered; the listener closes at 600 ms
+	firstKillID       = 1 << 24
+	firstTermID       = 1 << 28
+	clientTimeout     = 3 * time.Second
 )
 
-// arrivalLog records when the command of each request ID arrived at a backend.
+// arrivalLog records when the commands of each request ID arrived at a backend.
 type arrivalLog struct {
 	mu       sync.Mutex // guards arrivals
 	arrivals map[string][]time.Time
 }
 
-// startBackend starts a backend that records what arrives, and returns its address.
+// startBackend starts a backend that records its commands, and returns its address.
 func (l *arrivalLog) startBackend(t *testing.T) (addr string) {
 	t.Helper()
 	l.arrivals = map[string][]time.Time{}
@@ -51,14 +51,14 @@
 	}).Addr
 }
 
-// count returns how often the command of a request ID arrived.
+// count returns how many commands of a request ID arrived.
 func (l *arrivalLog) count(id int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.arrivals[fmt.Sprintf("%016x", id)])
 }
 
-// latest returns when the last command of all arrived, and its request ID.
+// latest returns the arrival time and the request ID of the last command.
 func (l *arrivalLog) latest() (last time.Time, lastID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,17 +73,17 @@
 	return last, lastID
 }
 
-// clientRecord is what one client saw, from its dial to the end of its connection.
+// clientRecord records what one client observed, from its dial to the end of its connection.
 type clientRecord struct {
 	id        int
 	dialedAt  time.Time
 	connected bool     // false: the connection was refused
-	answers   []string // first lines, in their order
+	answers   []string // first line of each answer, in order of arrival
 	truncated bool     // the last answer was incomplete
-	err       error    // other than a clean end
+	err       error    // nil if the connection ended with EOF
 }
 
-// runClient connects, sends one request, and reads to the end of the connection.
+// runClient connects, sends one request and reads until the connection ends.
 func runClient(addr string, id int) (c clientRecord) {
 	c.id = id
 	c.dialedAt = time.Now()
@@ -103,7 +103,7 @@
 	return c
 }
 
-// readAnswers reads to the end of the connection, or to an answer that is incomplete.
+// readAnswers reads until the connection ends or an answer is incomplete.
 func (c *clientRecord) readAnswers(in *bufio.Reader) {
 	for {
 		head, err := in.ReadString('\n')
@@ -125,7 +125,8 @@
 	}
 }
 
-// check reports what no client may see: more than one answer, one that is incomplete, or no end of the connection.
+// check fails the test if the client received more than one answer or an incomplete one, or if its connection did not
+// end.
 func (c *clientRecord) check(t *testing.T) {
 	t.Helper()
 	if len(c.answers) > 1 {
@@ -139,7 +140,7 @@
 	}
 }
 
-// clientCounts counts clients by how their connection ended.
+// clientCounts counts clients by outcome: answered, connected but not answered, or refused.
 type clientCounts struct{ answered, reset, refused int }
 
 // add counts one client.
@@ -154,9 +155,9 @@
 	}
 }
 
-// A process that is killed right after it accepted ends each of its clients by one answer or by a reset; nothing
-// reaches a backend after it, and nothing reaches one twice. The moments of the kill are spread from before the first
-// accept to after the first answers.
+// If a process is killed just after it has accepted connections, each client gets either one complete answer or the end
+// of its connection. No command reaches a backend after the process has ended, and none reaches it twice. The rounds
+// vary the delay of the kill from before the first accept to after the first answers.
 func TestSIGKILLAfterAccept(t *testing.T) {
 	var arrivals arrivalLog
 	i := newInstance(t, 0)
@@ -164,29 +165,29 @@
 	var counts clientCounts
 	for round := range killRounds {
 		i.startReady(t)
-		clients, ended := killDuringConnects(i, firstKillRequestID+round*killClients, time.Duration(round)*killDelayStep)
+		clients, ended := killDuringConnects(i, firstKillID+round*killClients, time.Duration(round)*killDelayStep)
 		time.Sleep(deliveryGrace)
 		if last, id := arrivals.latest(); last.Sub(ended) > deliveryGrace {
-			t.Errorf("round %d: %s reached its backend %v after the process had ended", round, id, last.Sub(ended))
+			t.Errorf("round %d: request %s reached its backend %v after the process end", round, id, last.Sub(ended))
 		}
 		for n := range clients {
 			c := &clients[n]
 			c.check(t)
 			counts.add(c)
 			if sends := arrivals.count(c.id); sends > 1 {
-				t.Errorf("client %d: got %d sends to a backend that reset nothing, want one at most", c.id, sends)
+				t.Errorf("client %d: got %d sends without a reset by the backend, want one at most", c.id, sends)
 			}
 		}
 	}
 	t.Logf("%d kills: %d clients answered, %d connected and reset, %d refused",
 		killRounds, counts.answered, counts.reset, counts.refused)
 	if counts.reset == 0 || counts.answered == 0 {
-		t.Error("no kill fell between an accept and its answer: the test forces nothing")
+		t.Error("no kill came between an accept and its answer: the test did not exercise this case")
 	}
 }
 
-// killDuringConnects has clients connect at once and kills the process after a delay. It returns what they saw, and when
-// the process had ended.
+// killDuringConnects starts all clients at the same time and kills the process after a delay. It returns the records of
+// the clients and when the process had ended.
 func killDuringConnects(i *instance, firstID int, delay time.Duration) (clients []clientRecord, ended time.Time) {
 	clients = make([]clientRecord, killClients)
 	var running sync.WaitGroup
@@ -205,8 +206,9 @@
 	return clients, ended
 }
 
-// Clients that connect from before a SIGTERM to after the listener's close are each answered once, or not accepted: a
-// request whose connection ends with no answer was never sent to a backend. The process ends by itself and cleanly.
+// Clients connect from before a SIGTERM until after the listener is closed. Each is answered once or its connection is
+// refused or ended without an answer, and a request without an answer must not have reached a backend. The process ends
+// by itself without an error.
 func TestSIGTERMDuringConnects(t *testing.T) {
 	var arrivals arrivalLog
 	i := startInstance(t, healthyPlatformConfig(t, servingList(1, arrivals.startBackend(t))))
@@ -216,7 +218,7 @@
 	for n := range clients {
 		running.Go(func() {
 			time.Sleep((connectBeforeTerm + connectAfterTerm) * time.Duration(n) / termClients)
-			clients[n] = runClient(i.listen, firstTermRequestID+n)
+			clients[n] = runClient(i.listen, firstTermID+n)
 		})
 	}
 	time.Sleep(time.Until(began.Add(connectBeforeTerm)))
@@ -239,33 +241,39 @@
 	t.Logf("%d clients answered, %d connected and ended with no answer, %d refused",
 		counts.answered, counts.reset, counts.refused)
 	if counts.answered == 0 || counts.refused == 0 {
-		t.Error("the clients did not cross the shutdown: the test forces nothing")
+		t.Error("want clients before and after the listener is closed: the test did not exercise the shutdown")
 	}
 }
 
-// checkAroundSIGTERM reports what a client must not see around a SIGTERM; sends is how often its request reached a
-// backend.
+// checkAroundSIGTERM fails the test if a client that connected early enough was not answered, or if its request reached
+// a backend without an answer or more than once. sends is how often the request reached a backend.
 func (c *clientRecord) checkAroundSIGTERM(t *testing.T, term time.Time, sends int) {
 	t.Helper()
 	c.check(t)
 	unanswered := len(c.answers) == 0
 	if after := c.dialedAt.Sub(term); unanswered && after < servedAfterTerm {
-		t.Errorf("client %d, which came %v after SIGTERM, was not answered: %v", c.id, after, c.err)
+		t.Errorf("client %d connected %v after SIGTERM and was not answered: %v", c.id, after, c.err)
 	}
 	if unanswered && sends > 0 {
 		t.Errorf("client %d: the request was forwarded and not answered: %v", c.id, c.err)
 	}
 	if sends > 1 {
-		t.Errorf("client %d: got %d sends to a backend that reset nothing, want one at most", c.id, sends)
+		t.Errorf("client %d: got %d sends without a reset by the backend, want one at most", c.id, sends)
 	}
 }
 
-// A SIGTERM during a start, which waits for discovery, ends the process at once and cleanly, with no client accepted.
+// A SIGTERM while a starting process waits for discovery ends it at once, without an error and before it accepts
+// clients.
 func TestSIGTERMDuringStart(t *testing.T) {
-	const endsWithin = 500 * time.Millisecond // less than a process takes that has begun to serve
+	const endsWithin = 500 * time.Millisecond // a process that already serves takes longer to shut down
 	i := newInstance(t, 0)
-	i.configure(t, 0, platformConfig{discovery: startDiscovery(t, discovery.List{}, silent), instances: 1, discoveryMode: "push"})
-	startWait := []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} // a start waits for 300 ms
+	i.configure(t, 0, platformConfig{
+		discovery:     startDiscovery(t, discovery.List{}, silent),
+		instances:     1,
+		discoveryMode: "push",
+	})
+	// Both delays are shorter than the 300 ms that a starting process waits for discovery.
+	startWait := []time.Duration{100 * time.Millisecond, 200 * time.Millisecond}
 	for _, delay := range startWait {
 		if err := i.start(); err != nil {
 			t.Fatal(err)
--- a/cmd/hitchspring/main.go
+++ b/cmd/hitchspring/main.go
@@ -1,12 +1,14 @@
-// Command hitchspring is the ingress: it takes requests from clients, has the
-// decision module choose what becomes of each, and sends them to backends.
+// Command hitchspring is the ingress: it accepts requests from clients, lets the
+// decision module choose whether and where to forward each, and sends them to
+// backends.
 //
-// It reads two files. ROUTER_CONFIG names the platform's configuration (JSON),
-// and --options or HITCHSPRING_OPTIONS names the options (TOML), without which
-// every optional part is off. Without a command it serves until SIGTERM or
-// SIGINT; SIGHUP reads both files again. The other commands check the files,
-// query a running instance and drain zones. An error is one line on standard
-// error, and the exit status is 1.
+// It reads two files: the platform's configuration (JSON), whose path is in
+// ROUTER_CONFIG, and the options (TOML), whose path is in --options or
+// HITCHSPRING_OPTIONS. Without an options file every optional feature is off.
+// Without a command it serves until SIGTERM or SIGINT, and SIGHUP reloads both
+// files. The other commands validate the files, query a running instance and
+// drain zones. Errors are reported as one line on standard error, with exit
+// status 1.
 package main
 
 import (
--- a/cmd/hitchspring/process_test.go
+++ b/cmd/hitchspring/process_test.go
@@ -10,15 +10,16 @@
 	"hitchspring/internal/testlog"
 )
 
-// process is one run of the program as the platform runs it. Its goroutine ends with the process; kill ends both.
+// process is a running process of the program, started as the platform starts it. A goroutine waits for its end.
 type process struct {
 	cmd    *exec.Cmd
 	log    testlog.Buffer
-	ended  chan struct{} // closed when the process has been waited for
-	result error         // of the process; read it after ended
+	ended  chan struct{} // closed after cmd.Wait has returned
+	result error         // of cmd.Wait; valid after ended is closed
 }
 
-// startProcess starts the program with no other environment than the one given, and waits for nothing.
+// startProcess starts the program with only the given environment variables and inherited files. It does not wait until
+// the process is ready.
 func startProcess(program string, environment []string, inherited ...*os.File) (*process, error) {
 	p := &process{cmd: exec.Command(program), ended: make(chan struct{})}
 	p.cmd.Env = environment
@@ -37,19 +38,19 @@
 // signal sends a signal to the process.
 func (p *process) signal(s os.Signal) { p.cmd.Process.Signal(s) }
 
-// kill ends the process by SIGKILL and waits for its end.
+// kill sends SIGKILL to the process and waits until it has ended.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	<-p.ended
 }
 
-// freeAddr returns a loopback address on which nothing listens just now.
+// freeAddr returns a loopback address on which nothing listens at the moment.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	return freeAddrOn(t, "127.0.0.1")
 }
 
-// freeAddrOn returns an address of a host on which nothing listens just now.
+// freeAddrOn returns an address of a host on which nothing listens at the moment.
 func freeAddrOn(t *testing.T, host string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -60,7 +61,7 @@
 	return listener.Addr().String()
 }
 
-// writeFile writes a file that only the test's user may read.
+// writeFile writes a file with mode 0600.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -68,10 +69,10 @@
 	}
 }
 
-// request returns a command of class a in RESP2, with 900 ms for its answer.
+// request returns a RESP2 command for a request of class a with a deadline of 900 ms.
 func request(id int) string { return requestWith(id, "c=a,t=p,d=900,units=1,spread=1,first=0") }
 
-// requestWith returns a command with the fields given.
+// requestWith returns a RESP2 command for a request with the given fields.
 func requestWith(id int, fields string) string {
 	const (
 		command = "*4\r\n$5\r\nQ.ASK\r\n"
--- a/cmd/hitchspring/program_test.go
+++ b/cmd/hitchspring/program_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// buildDir is where the program lies that tests with real processes run; empty until it is built.
+// buildDir is the temporary directory with the program for tests that start processes; empty until it is built.
 var buildDir string
 
 func TestMain(m *testing.M) {
@@ -20,7 +20,7 @@
 	os.Exit(code)
 }
 
-// buildProgram builds the program once for all tests of this package and returns its path.
+// buildProgram returns the path of the program, which it builds on the first call.
 var buildProgram = sync.OnceValues(func() (path string, err error) {
 	if buildDir, err = os.MkdirTemp("", "hitchspring"); err != nil {
 		return "", err
@@ -32,7 +32,7 @@
 	return path, nil
 })
 
-// programPath is the path of the built program; a failed build ends the test.
+// programPath returns the path of the built program and fails the test if the build fails.
 func programPath(t *testing.T) string {
 	t.Helper()
 	path, err := buildProgram()
--- a/cmd/hitchspring/reload_test.go
+++ b/cmd/hitchspring/reload_test.go
@@ -10,15 +10,15 @@
 	"hitchspring/internal/discovery"
 )
 
-// A real process is told by several SIGHUPs in a row, with a bad file in between, to move discovery, while a backend
-// drains and the clients go on: nothing new reaches that backend later than 2 s after the last SIGHUP, and no client is
-// rejected.
+// Several SIGHUPs in a row move a process from one discovery address to the next, among them a refusing, an invalid and
+// a silent one. The last one lists a backend as draining. While clients keep sending, no request reaches that backend
+// more than 2 s after the last SIGHUP, and none is rejected.
 func TestSIGHUPsDuringBackendDrain(t *testing.T) {
 	const (
 		drainWithin     = 2 * time.Second
 		quietPeriod     = 500 * time.Millisecond
 		requestInterval = 5 * time.Millisecond
-		hangupInterval  = 20 * time.Millisecond
+		sighupInterval  = 20 * time.Millisecond
 	)
 	var drainingLog, servingLog arrivalLog
 	drainingAddr, servingAddr := drainingLog.startBackend(t), servingLog.startBackend(t)
@@ -46,22 +46,22 @@
 	}
 	sendFor(quietPeriod)
 	if last, _ := drainingLog.latest(); last.IsZero() {
-		t.Fatal("the backend that is to drain was not used")
+		t.Fatal("the backend received no request before it drains")
 	}
 	for _, addr := range []string{refusedAddr(t), "nowhere", startDiscovery(t, before, silent), lastDiscovery} {
 		p.discovery = addr
 		i.configure(t, 0, p)
 		i.process.signal(syscall.SIGHUP)
-		sendFor(hangupInterval)
+		sendFor(sighupInterval)
 	}
 	moved := time.Now()
 	sendFor(drainWithin + quietPeriod)
 	if calls.Load() == 0 {
-		t.Error("the last address of discovery was never called")
+		t.Error("the last discovery address was never called")
 	}
 	last, _ := drainingLog.latest()
-	t.Logf("the last command came %v after the last SIGHUP", last.Sub(moved).Round(time.Millisecond))
+	t.Logf("the last command arrived %v after the last SIGHUP", last.Sub(moved).Round(time.Millisecond))
 	if late := last.Sub(moved); late > drainWithin {
-		t.Errorf("a command came %v after the last SIGHUP, want %v at most", late, drainWithin)
+		t.Errorf("a command arrived %v after the last SIGHUP, want %v at most", late, drainWithin)
 	}
 }
--- a/cmd/hitchspring/replace_test.go
+++ b/cmd/hitchspring/replace_test.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	maxDescriptors         = 256      // the platform's smallest limits, for two processes together
-	maxMemoryKiB           = 32 << 10 // the same
-	loadClientCount        = 25
-	maxUnansweredAfterTerm = 2  // requests cut off by a SIGTERM of the first process
-	maxUnansweredAfterKill = 30 // requests cut off by that and by a SIGKILL of the second
-	suspendedBackend       = "s1"
-	readyTimeout           = 6 * time.Second
-	readyPollInterval      = 20 * time.Millisecond // between two checks whether a process is ready
-	suspensionDelay        = 500 * time.Millisecond
+	maxDescriptors   = 256      // the platform's smallest limit, for two processes together
+	maxMemoryKiB     = 32 << 10 // likewise
+	loadClientCount  = 25
+	maxLostAfterTerm = 2  // after SIGTERM to the first process
+	maxLostAfterKill = 30 // also after SIGKILL to the second process
+	suspendedBackend = "s1"
+	readyTimeout     = 6 * time.Second
+	readyInterval    = 20 * time.Millisecond  // between readiness checks
+	suspensionDelay  = 500 * time.Millisecond // time for a suspension to take effect
 )
 
-// serverProcess is one of several processes that follow each other on an inherited socket.
+// serverProcess is one of several processes that replace each other on an inherited socket.
 type serverProcess struct {
 	*process
-	admin string // host:port for operators
+	admin string // host:port of the admin server
 }
 
-// call sends an operator's request and returns the status code, or 0 if there is no answer.
+// call sends a request to the admin server and returns the status code, or 0 if the request fails.
 func (p *serverProcess) call(method, path string) int {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+p.admin+path, nil)
@@ -55,7 +55,7 @@
 	return resp.StatusCode
 }
 
-// usage returns how many descriptors and KiB of anonymous memory a process has now; 0, 0 when it has ended.
+// usage returns the open descriptors and the anonymous memory of the process; 0, 0 when it has ended.
 func (p *serverProcess) usage() (descriptors, memoryKiB int) {
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
 	open, _ := os.ReadDir(dir + "/fd")
@@ -68,14 +68,14 @@
 	return len(open), memoryKiB
 }
 
-// replacementEnv is what the processes have in common: the socket, the files, and two backends.
+// replacementEnv is what all processes of the test share: the socket, the files and two backends.
 type replacementEnv struct {
 	program    string
 	configPath string
 	stateDir   string
-	addr       string   // of the clients' listening socket
-	socket     *os.File // which every process inherits
-	sends      [2]atomic.Int64
+	addr       string          // of the listening socket
+	socket     *os.File        // listening socket, inherited by every process
+	sends      [2]atomic.Int64 // requests received, by backend
 }
 
 // newReplacementEnv opens the socket, starts the backends and writes the configuration.
@@ -115,7 +115,7 @@
 	return r
 }
 
-// start starts a further process and waits until it is ready.
+// start starts another process and waits until it is ready.
 func (r *replacementEnv) start(t *testing.T) *serverProcess {
 	t.Helper()
 	admin := freeAddr(t)
@@ -134,7 +134,7 @@
 		p.kill()
 		t.Logf("log of the process at %s:\n%s", p.admin, &p.log)
 	})
-	for end := time.Now().Add(readyTimeout); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(readyPollInterval) {
+	for end := time.Now().Add(readyTimeout); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(readyInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("the process is not ready within %v", readyTimeout)
 		}
@@ -142,19 +142,19 @@
 	return p
 }
 
-// loadClients are clients that send one request after the other, and connect again when a process closes their
-// connection. stop ends them.
+// loadClients generate load. Each sends one request after the other, and reconnects when a process closes its
+// connection.
 type loadClients struct {
 	addr       string
 	lastID     atomic.Int64
 	answered   atomic.Int64
-	unanswered atomic.Int64 // requests whose connection ended with no answer
-	unexpected atomic.Int64 // refused connections, and answers that are not a value
+	lost       atomic.Int64 // requests whose connection ended without an answer
+	unexpected atomic.Int64 // refused connections, and answers other than a value
 	stopped    chan struct{}
 	running    sync.WaitGroup
 }
 
-// startLoad starts clients. The test must stop them.
+// startLoad starts the clients. The caller must call stop.
 func startLoad(addr string) *loadClients {
 	c := &loadClients{addr: addr, stopped: make(chan struct{})}
 	for range loadClientCount {
@@ -169,7 +169,7 @@
 	c.running.Wait()
 }
 
-// run is one client, over all its connections.
+// run runs one client, which uses one connection after the other.
 func (c *loadClients) run() {
 	for {
 		conn, err := net.Dial("tcp", c.addr)
@@ -185,11 +185,12 @@
 	}
 }
 
-// useConnection sends requests until the connection ends. It reports whether the clients were stopped.
+// useConnection sends requests until the connection ends or the clients are stopped; it returns true in the latter
+// case.
 func (c *loadClients) useConnection(conn net.Conn) (stopped bool) {
 	const (
 		requestInterval = 2 * time.Millisecond
-		closeProbe      = 50 * time.Microsecond // to see whether the process has closed the connection
+		closeProbe      = 50 * time.Microsecond // read timeout of the check for a closed connection
 		answerTimeout   = 5 * time.Second
 	)
 	in := bufio.NewReader(conn)
@@ -207,7 +208,7 @@
 		io.WriteString(conn, request(int(c.lastID.Add(1))))
 		head, err := in.ReadString('\n')
 		if err != nil {
-			c.unanswered.Add(1)
+			c.lost.Add(1)
 			return false
 		}
 		if !strings.HasPrefix(head, "$") {
@@ -215,14 +216,14 @@
 			continue
 		}
 		if _, err := in.ReadString('\n'); err != nil {
-			c.unanswered.Add(1)
+			c.lost.Add(1)
 			return false
 		}
 		c.answered.Add(1)
 	}
 }
 
-// awaitProgress waits until a further 200 requests are answered.
+// awaitProgress waits until 200 more requests are answered.
 func (c *loadClients) awaitProgress(t *testing.T) {
 	t.Helper()
 	const (
@@ -237,9 +238,10 @@
 	}
 }
 
-// Processes of the real program follow each other on an inherited socket under load: by SIGTERM, and by SIGKILL with
-// requests open. What an operator told the first holds at the last, and two together stay within the platform's
-// smallest limits.
+// Three processes replace each other on an inherited socket under load: the first ends by SIGTERM, the second by
+// SIGKILL with open requests. A backend that an operator suspended at the first process stays suspended at the others.
+// While two processes overlap, they stay within the platform's smallest limits together. Few requests remain
+// unanswered.
 func TestProcessReplacementUnderLoad(t *testing.T) {
 	r := newReplacementEnv(t)
 	first := r.start(t)
@@ -260,18 +262,18 @@
 		t.Errorf("after SIGTERM the first process ended with %v", first.result)
 	}
 	clients.awaitProgress(t)
-	if unanswered, unexpected := clients.unanswered.Load(), clients.unexpected.Load(); unanswered > maxUnansweredAfterTerm || unexpected > 0 {
-		t.Errorf("SIGTERM: got %d requests cut and %d unexpected answers, of %d, want %d and 0 at most",
-			unanswered, unexpected, clients.answered.Load(), maxUnansweredAfterTerm)
+	if lost, unexpected := clients.lost.Load(), clients.unexpected.Load(); lost > maxLostAfterTerm || unexpected > 0 {
+		t.Errorf("SIGTERM: got %d unanswered requests and %d unexpected answers, of %d, want %d and 0 at most",
+			lost, unexpected, clients.answered.Load(), maxLostAfterTerm)
 	}
 
 	third := r.start(t)
-	second.cmd.Process.Kill() // with requests open
+	second.cmd.Process.Kill() // with open requests
 	clients.awaitProgress(t)
 	stopClients()
-	if unanswered, unexpected := clients.unanswered.Load(), clients.unexpected.Load(); unanswered > maxUnansweredAfterKill || unexpected > 0 {
-		t.Errorf("SIGKILL: got %d requests cut and %d unexpected answers, want %d and 0 at most",
-			unanswered, unexpected, maxUnansweredAfterKill)
+	if lost, unexpected := clients.lost.Load(), clients.unexpected.Load(); lost > maxLostAfterKill || unexpected > 0 {
+		t.Errorf("SIGKILL: got %d unanswered requests and %d unexpected answers, want %d and 0 at most",
+			lost, unexpected, maxLostAfterKill)
 	}
 	if sends := r.sends[1].Load() - sendsBefore; sends > 0 {
 		t.Errorf("got %d sends to the suspended backend, want none", sends)
@@ -279,10 +281,11 @@
 	if status := third.call("PUT", "/v1/backends/"+suspendedBackend+"/resume"); status != http.StatusOK {
 		t.Errorf("resume at the third process: got status %d, want %d", status, http.StatusOK)
 	}
-	t.Logf("%d answered, %d cut", clients.answered.Load(), clients.unanswered.Load())
+	t.Logf("%d answered, %d unanswered", clients.answered.Load(), clients.lost.Load())
 }
 
-// checkUsageUntilEnd checks that two processes together stay within the limits until the first has ended.
+// checkUsageUntilEnd checks that the usage of both processes together stays within the limits until the first has
+// ended.
 func checkUsageUntilEnd(t *testing.T, first, second *serverProcess) {
 	t.Helper()
 	for {
--- a/cmd/hitchspring/restart_test.go
+++ b/cmd/hitchspring/restart_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	restartedInstances = 24 // that are killed and started again at once
-	trialInstances     = 40 // the same with HITCHSPRING_TRIALS=1
+	restartedInstances = 24 // killed and restarted at the same time
+	trialInstances     = 40 // the number with HITCHSPRING_TRIALS=1
 
-	maxReadyP90                = 10 * time.Second // for nine in ten restarted instances
-	maxReady                   = 30 * time.Second // for each of them
-	maxServeDelayKnownList     = time.Second      // until a ready instance serves that has an endpoint list
-	maxServeDelayFromDiscovery = 15 * time.Second // the same for one that gets it from discovery
+	maxReadyP90                = 10 * time.Second // for 90% of the restarted instances
+	maxReady                   = 30 * time.Second // for every restarted instance
+	maxServeDelayKnownList     = time.Second      // for a ready instance with an initial endpoint list
+	maxServeDelayFromDiscovery = 15 * time.Second // for a ready instance that gets its list from discovery
 )
 
-// restartCase is one way in which discovery and the configuration meet restarted instances.
+// restartCase is one combination of discovery mode, configuration and discovery behavior at a restart.
 type restartCase struct {
 	discoveryMode string // as in platformConfig
-	known         bool   // the configuration holds an endpoint list
+	known         bool   // the configuration contains an endpoint list
 	discovery     namedDiscovery
 }
 
-// namedDiscovery is a stand-in of discovery.
+// namedDiscovery is a discovery stand-in.
 type namedDiscovery struct {
 	name, addr   string
-	providesList bool // with the list, sooner or later
+	providesList bool // it answers with the endpoint list, possibly slowly
 }
 
 // name returns the name of the subtest.
@@ -46,15 +46,15 @@
 	return fmt.Sprintf("%s/no list/%s", c.discoveryMode, c.discovery.name)
 }
 
-// serves reports whether the instances can serve: they hold a list, or can get one. A pushed list that is slow is given
-// up on after 1 s.
+// serves reports whether the instances can serve, because they have an endpoint list or can get one. In push mode an
+// instance waits 1 s for the list, so it gets none from slow discovery.
 func (c restartCase) serves() bool {
 	slowPush := c.discovery.name == "slow" && c.discoveryMode == "push"
 	return c.known || c.discovery.providesList && !slowPush
 }
 
-// Nine in ten instances that were killed and started again, all at once, answer PING within 10 s, and all within 30 s,
-// however discovery fares. Those that hold an endpoint list, or can get one, then serve.
+// All instances are killed and restarted at the same time. Whatever the state of discovery, 90% of them answer PING
+// within 10 s and all within 30 s. Those that have an endpoint list, or can get one, then serve requests in time.
 func TestRestartOfAllInstances(t *testing.T) {
 	count := restartedInstances
 	if os.Getenv("HITCHSPRING_TRIALS") != "" {
@@ -81,7 +81,12 @@
 	for n := range count {
 		instances = append(instances, newInstance(t, n))
 	}
-	restart(t, instances, platformConfig{discovery: discoveries[0].addr, known: list, instances: count, discoveryMode: "push"})
+	restart(t, instances, platformConfig{
+		discovery:     discoveries[0].addr,
+		known:         list,
+		instances:     count,
+		discoveryMode: "push",
+	})
 	firstID := 0
 	for _, c := range cases {
 		t.Run(c.name(), func(t *testing.T) {
@@ -90,7 +95,7 @@
 	}
 }
 
-// checkRestart restarts all instances in one case, and checks that they become ready and serve in time.
+// checkRestart restarts all instances in one case and checks that they become ready and serve in time.
 func checkRestart(t *testing.T, c restartCase, instances []*instance, list discovery.List, firstID *int) {
 	t.Helper()
 	p := platformConfig{discovery: c.discovery.addr, instances: len(instances), discoveryMode: c.discoveryMode}
@@ -101,9 +106,9 @@
 	}
 	spans := restart(t, instances, p)
 	p90 := spans[(len(spans)*9+9)/10-1]
-	t.Logf("ready after: p50 %v, p90 %v, last %v", spans[len(spans)/2], p90, spans[len(spans)-1])
+	t.Logf("ready after: p50 %v, p90 %v, max %v", spans[len(spans)/2], p90, spans[len(spans)-1])
 	if p90 > maxReadyP90 {
-		t.Errorf("nine in ten were ready after %v, want %v at most", p90, maxReadyP90)
+		t.Errorf("p90 of the time until ready: got %v, want %v at most", p90, maxReadyP90)
 	}
 	if !c.serves() {
 		return
@@ -111,15 +116,15 @@
 	began := time.Now()
 	*firstID += len(instances)
 	serveAll(t, instances, *firstID, maxServed)
-	t.Logf("the last served %v later", time.Since(began).Round(time.Millisecond))
+	t.Logf("the last instance served %v later", time.Since(began).Round(time.Millisecond))
 }
 
-// restart kills all instances, starts them again at once, waits until each is ready, and returns how long that took, in
-// ascending order.
+// restart kills all instances, starts them again concurrently and waits until all are ready. It returns the time that
+// each took, in ascending order.
 func restart(t *testing.T, instances []*instance, p platformConfig) []time.Duration {
 	t.Helper()
 	for _, i := range instances {
-		if i.process != nil { // all at once, before the wait for the first
+		if i.process != nil { // signal all before waiting for any
 			i.process.signal(os.Kill)
 		}
 	}
@@ -152,7 +157,8 @@
 	return spans
 }
 
-// serveAll has each instance serve a request within a time; one that is rejected earlier is sent again with another ID.
+// serveAll checks that each instance serves a request in time. Until then, a request that is not served is sent again
+// with a new ID.
 func serveAll(t *testing.T, instances []*instance, firstID int, within time.Duration) {
 	t.Helper()
 	end := time.Now().Add(within)
--- a/cmd/hitchspring/serve.go
+++ b/cmd/hitchspring/serve.go
@@ -17,21 +17,21 @@
 	"hitchspring/internal/ingress"
 )
 
-// server is an instance in service, with what reading its files again needs.
+// server is a running instance, with the state needed to reload its files.
 type server struct {
 	configPath   string
-	optionsPath  string          // empty: there are no options
-	startOptions *config.Options // those of the start: what can't change in service must stay as it is there
+	optionsPath  string          // empty: no options file
+	startOptions *config.Options // loaded at the start; a reload may change only some of them
 	instance     *ingress.Instance
 	log          *slog.Logger
 }
 
-// serve runs one instance until SIGTERM or SIGINT has shut it down. SIGHUP reads its files again.
+// serve runs one instance until it has shut down after SIGTERM or SIGINT. SIGHUP reloads its files.
 func serve(optionsPath string, log *slog.Logger) error {
-	// From the start on, so that a SIGHUP never meets the default, which ends the process.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	// Registered first: the default action of SIGHUP would end the process.
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	defer signal.Stop(sighups)
 	s, err := newServer(optionsPath, log)
 	if err != nil {
 		return err
@@ -44,13 +44,14 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-hangups: // also during a shutdown, where it must do no harm
+		case <-sighups: // also during a shutdown, which a reload must not disturb
 			s.reload()
 		}
 	}
 }
 
-// newServer reads both files, sets the limits of the process and returns the instance, which doesn't run yet.
+// newServer reads both files, applies the CPU and memory limits to the process and returns a server whose instance does
+// not run yet.
 func newServer(optionsPath string, log *slog.Logger) (*server, error) {
 	path := os.Getenv(configVariable)
 	if path == "" {
@@ -65,7 +66,7 @@
 		return nil, err
 	}
 	runtime.GOMAXPROCS(max(1, int(c.file.Limits.Cores)))
-	if c.file.Limits.MemoryMB > 0 { // a quarter is left for memory that the Go runtime does not count
+	if c.file.Limits.MemoryMB > 0 { // a quarter remains for memory that the Go runtime does not count
 		debug.SetMemoryLimit(int64(c.ingress.Memory) / 4 * 3)
 	}
 	if c.socketFD > 0 {
@@ -86,8 +87,8 @@
 	}, nil
 }
 
-// reload moves the instance to the addresses and rules that the files name now. A bad file changes nothing, nor do
-// options that differ in what can't change in service.
+// reload reads both files again and applies their addresses and rules. It applies nothing if a file is invalid, or if
+// the options differ from those of the start in a value that requires a restart.
 func (s *server) reload() {
 	options, err := config.Load(s.optionsPath)
 	if err != nil {
@@ -110,23 +111,23 @@
 	s.instance.SetAddresses(c.ingress.Discovery, c.ingress.Counter)
 }
 
-// checkReloadable returns an error if the options differ from those of the start in what can't change in service.
+// checkReloadable returns an error if the options differ from those of the start in a value that requires a restart.
 func checkReloadable(start, now *config.Options) error {
 	switch {
 	case !now.Store.EqualExceptAddress(start.Store):
-		return errors.New("store: only the address can change in service")
+		return errors.New("store: only the address can change without a restart")
 	case !reflect.DeepEqual(now.Zones, start.Zones):
-		return errors.New("halls: only the content of the file of drills can change in service")
+		return errors.New("halls: only the content of the drills file can change without a restart")
 	case !reflect.DeepEqual(now.Peers, start.Peers):
-		return errors.New("peers: only the content of the files of keys and seeds can change in service")
+		return errors.New("peers: only the content of the key file and the seeds file can change without a restart")
 	case !reflect.DeepEqual(now.Clock, start.Clock):
-		return errors.New("clock: nothing can change in service")
+		return errors.New("clock: no value can change without a restart")
 	case !reflect.DeepEqual(now.Takeover, start.Takeover):
-		return errors.New("takeover: nothing can change in service")
+		return errors.New("takeover: the section can't be added or removed without a restart")
 	case !reflect.DeepEqual(now.Escrow, start.Escrow):
-		return errors.New("rights: nothing can change in service")
+		return errors.New("rights: the section can't be added or removed without a restart")
 	case !now.ForwardAuth.EqualExceptRules(start.ForwardAuth):
-		return errors.New("forward_auth: only the rules can change in service")
+		return errors.New("forward_auth: only the rules can change without a restart")
 	}
 	return nil
 }
--- a/cmd/hitchspring/serve_test.go
+++ b/cmd/hitchspring/serve_test.go
@@ -21,24 +21,24 @@
 	"hitchspring/internal/testlog"
 )
 
-// awaitTimeout bounds a wait for what a reload changes.
+// awaitTimeout is the time limit of await.
 const awaitTimeout = 20 * time.Second
 
-// inProcessServer is the program serving within the test's own process, on files that the test changes.
+// inProcessServer runs serve in the test's own process, with files that the test can change.
 type inProcessServer struct {
 	configPath  string
 	optionsPath string
 	log         testlog.Buffer
-	ended       chan error // receives the result once
+	ended       chan error // receives the result of serve
 }
 
-// newInProcessServer returns a program that doesn't serve yet, with paths for its files. Until the test ends, a SIGHUP that the
-// program doesn't handle has no effect.
+// newInProcessServer returns a server that is not started yet, with paths for its files. Until the test ends, a SIGHUP
+// that the server does not handle has no effect, instead of ending the test process.
 func newInProcessServer(t *testing.T) *inProcessServer {
 	t.Helper()
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	t.Cleanup(func() { signal.Stop(hangups) })
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	t.Cleanup(func() { signal.Stop(sighups) })
 	dir := t.TempDir()
 	s := &inProcessServer{
 		configPath:  filepath.Join(dir, "config.json"),
@@ -49,36 +49,36 @@
 	return s
 }
 
-// start serves; without a path there are no options.
+// start calls serve in a goroutine. An empty path means no options file.
 func (s *inProcessServer) start(optionsPath string) {
 	go func() { s.ended <- serve(optionsPath, slog.New(slog.NewTextHandler(&s.log, nil))) }()
 }
 
-// sendSIGHUP asks the program to read its files again.
+// sendSIGHUP makes the server reload its files.
 func (s *inProcessServer) sendSIGHUP() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
 
-// requireShutdown shuts the program down and fails the test if it ends with an error.
+// requireShutdown shuts the server down with SIGTERM and fails the test if serve returns an error.
 func (s *inProcessServer) requireShutdown(t *testing.T) {
 	t.Helper()
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	s.sendSIGHUP() // in the middle of a shutdown it does no harm
+	s.sendSIGHUP() // must not disturb the shutdown
 	if err := <-s.ended; err != nil {
 		t.Fatalf("the program ended with %v", err)
 	}
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds, and fails the test after awaitTimeout.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited %v in vain for %s", awaitTimeout, what)
+			t.Fatalf("timeout after %v waiting for %s", awaitTimeout, what)
 		}
 	}
 }
 
-// SIGHUP moves discovery to the address that the file names now and doesn't end the process; a bad file changes
-// nothing, and a SIGHUP in the middle of a shutdown does no harm.
+// SIGHUP makes the server use the new discovery address in the configuration file. A SIGHUP with an invalid file does
+// not prevent later reloads, and one during a shutdown does not disturb it.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	calls := make(chan int, 16) // index of the stand-in that was called
 	var addrs [3]string
@@ -117,8 +117,8 @@
 	s.requireShutdown(t)
 }
 
-// The instance starts with a store on Redis, moves it on SIGHUP, and keeps the old options where the new ones are bad
-// or change what can't change in service.
+// SIGHUP moves the Redis store to a new address. The previous options stay in effect if the new ones are invalid or
+// change a value that requires a restart.
 func TestSIGHUPMovesRedisStore(t *testing.T) {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`)
@@ -146,23 +146,23 @@
 	}
 	useStore(first.Addr(), "")
 	s.start(s.optionsPath)
-	await(t, "a count at the first server", counts(first))
+	await(t, "a script call at the first server", counts(first))
 	useStore("nowhere", "")
 	s.sendSIGHUP()
-	await(t, "the log line of the bad file", logged("options.toml:3: store.address"))
+	await(t, "the log line about the invalid file", logged("options.toml:3: store.address"))
 	useStore(second.Addr(), "prefix = \"other\"\n")
 	s.sendSIGHUP()
-	await(t, "the log line of another prefix", logged("only the address can change"))
+	await(t, "the log line about the changed prefix", logged("only the address can change"))
 	if second.Clients() > 0 {
-		t.Fatal("the store has moved with another prefix")
+		t.Fatal("the store moved although the prefix changed, want the reload rejected")
 	}
 	useStore(second.Addr(), "")
 	s.sendSIGHUP()
-	await(t, "a count at the second server", counts(second))
+	await(t, "a script call at the second server", counts(second))
 	s.requireShutdown(t)
 }
 
-// startRedis starts a stand-in of Redis.
+// startRedis starts a Redis stand-in.
 func startRedis(t *testing.T) *redis.Server {
 	t.Helper()
 	server, err := redis.Start(redis.Options{})
@@ -173,7 +173,7 @@
 	return server
 }
 
-// hasScriptCall reports whether a server has run the script that counts.
+// hasScriptCall reports whether a server has received a script call, by which the store adds to its counters.
 func hasScriptCall(server *redis.Server) bool {
 	for _, record := range server.Records() {
 		if strings.HasPrefix(record.Args[0], "EVAL") {
@@ -183,10 +183,10 @@
 	return false
 }
 
-// lastRequestID is that of sendAndDisconnect's latest request.
+// lastRequestID is the ID of the last request that sendAndDisconnect sent.
 var lastRequestID atomic.Int64
 
-// sendAndDisconnect sends a request that costs 60 units, and leaves without waiting for its answer.
+// sendAndDisconnect sends a request that costs 60 quota units, and disconnects after 20 ms even without an answer.
 func sendAndDisconnect(addr string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/hitchspring/status.go
+++ b/cmd/hitchspring/status.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// statusTimeout bounds a whole call, from the connection to the last byte of the answer.
+	// statusTimeout is the limit for a complete call, from connecting to the last byte of the response.
 	statusTimeout = 3 * time.Second
 
-	// maxStatusBytes bounds an answer: 7,700 backends on which 30 instances each have reported take some 40 MB.
+	// maxStatusBytes is the maximum size of a response. Reports of 30 instances on each of 7,700 backends take
+	// about 40 MB.
 	maxStatusBytes = 64 << 20
 )
 
-// statusCmd has one command for each of the paths that the metrics listener of an instance answers.
+// statusCmd has one subcommand for each status path of the metrics listener.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type statusCmd struct {
 	Zones    statusZonesCmd    `cmd:"" name:"halls" help:"Each hall's capacity, what is offered, kept and spilled, and why."`
 	Peers    statusPeersCmd    `cmd:"" help:"The other instances: what is believed of each, since when, and what came from them."`
@@ -32,9 +33,9 @@
 	Backends statusBackendsCmd `cmd:"" name:"nodes" help:"The nodes of which something is known or told: what is believed, from whom, how old, and why."`
 }
 
-// statusFlags are the flags of every status command.
+// statusFlags are the flags that all status commands share.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type statusFlags struct {
 	Address string `name:"at" help:"host:port of the metrics listener; empty: metrics.listen of the options." placeholder:"ADDR"`
 	JSON    bool   `help:"As JSON."`
@@ -43,23 +44,23 @@
 // statusZonesCmd shows the states of the zones.
 type statusZonesCmd struct{ statusFlags }
 
-// Run prints the zones of a running instance.
+// Run prints the states of the zones as a running instance sees them.
 func (c *statusZonesCmd) Run(e *commandEnv) error {
 	return printStatus(c.statusFlags, e, "halls", printZones)
 }
 
-// statusPeersCmd shows the membership of the other instances.
+// statusPeersCmd shows the members of the peer group.
 type statusPeersCmd struct{ statusFlags }
 
-// Run prints the other instances that a running instance knows.
+// Run prints the members that a running instance knows.
 func (c *statusPeersCmd) Run(e *commandEnv) error {
 	return printStatus(c.statusFlags, e, "peers", printPeers)
 }
 
-// statusBackendsCmd shows what is known of the backends.
+// statusBackendsCmd shows the assessments of the backends.
 type statusBackendsCmd struct{ statusFlags }
 
-// Run prints what a running instance knows of its backends.
+// Run prints a running instance's assessments of its backends, and the reports of other instances on them.
 func (c *statusBackendsCmd) Run(e *commandEnv) error {
 	return printStatus(c.statusFlags, e, "nodes", printBackends)
 }
@@ -67,12 +68,12 @@
 // statusWorkCmd shows the counts of pending work.
 type statusWorkCmd struct{ statusFlags }
 
-// Run prints the pending work of a running instance.
+// Run prints the counts of pending work of a running instance.
 func (c *statusWorkCmd) Run(e *commandEnv) error {
 	return printStatus(c.statusFlags, e, "work", printWork)
 }
 
-// statusQuotasCmd shows the quotas and what may be overspent while no other instance is heard.
+// statusQuotasCmd shows the quotas, with a bound on the overrun if this instance receives no more reports from others.
 type statusQuotasCmd struct {
 	statusFlags
 	For time.Duration `help:"What would be passed on within so long, up to 10m." default:"1m"`
@@ -91,8 +92,8 @@
 	return printStatus(c.statusFlags, e, "rights", printEscrow)
 }
 
-// printStatus queries path of a running instance and prints the answer: as it came where JSON is wanted, else by
-// printTable.
+// printStatus queries a status path of a running instance. It prints the response unchanged if the JSON flag is set,
+// and otherwise decodes it and calls printTable.
 func printStatus[T any](flags statusFlags, e *commandEnv, path string, printTable func(io.Writer, T) error) error {
 	address, err := flags.resolveAddress(e, path)
 	if err != nil {
@@ -128,7 +129,8 @@
 	return options.Metrics.Listen, nil
 }
 
-// queryStatus returns the body that the metrics listener at address answers for path. Any status but 200 is an error.
+// queryStatus returns the response body for a path of the metrics listener at address. A status other than 200 is an
+// error.
 func queryStatus(ctx context.Context, address, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -152,16 +154,16 @@
 	return body, nil
 }
 
-// bodyTooLargeError is returned for a body of more than the bytes that it holds.
+// bodyTooLargeError reports a body larger than the maximum, which is its value in bytes.
 type bodyTooLargeError int64
 
-// Error names the bound.
+// Error names the maximum size.
 func (e bodyTooLargeError) Error() string {
 	return fmt.Sprintf("the answer is larger than %d bytes, and nothing of it is shown", int64(e))
 }
 
-// readBody returns a complete body of at most maxBytes. It returns a bodyTooLargeError for a larger one, and reads at
-// most one byte beyond the bound.
+// readBody reads a body of at most maxBytes. For a larger body it returns a bodyTooLargeError and no data, and reads no
+// more than maxBytes+1 bytes.
 func readBody(resp *http.Response, maxBytes int64) ([]byte, error) {
 	if resp.ContentLength > maxBytes {
 		return nil, bodyTooLargeError(maxBytes)
--- a/cmd/hitchspring/status_tables.go
+++ b/cmd/hitchspring/status_tables.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	columnPadding   = 2                      // spaces between two columns
-	zoneAgeRounding = 100 * time.Millisecond // of the time that a zone has been in its state
+	columnPadding   = 2                      // spaces between columns
+	zoneAgeRounding = 100 * time.Millisecond // rounding of the time since a zone entered its state
 )
 
-// tierNames are the published names of a zone's locality priorities.
+// tierNames are the printed names of the locality priorities, by priority.
 var tierNames = [...]string{"own", "near", "far"}
 
-// newTable returns a writer that aligns tab-separated cells; flags are tabwriter's.
+// newTable returns a writer that aligns tab-separated columns; flags are those of tabwriter.
 func newTable(out io.Writer, flags uint) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', flags)
 }
 
-// milliseconds returns a duration that an answer gives in milliseconds.
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// printZones prints a row for each zone, the reason of each state that has one, and where the own zone's work goes.
+// printZones prints a row for each zone, the reasons for their states, and the share of the own zone's load that spills
+// to other zones.
 func printZones(out io.Writer, s zones.Status) error {
 	w := newTable(out, tabwriter.AlignRight)
 	fmt.Fprintln(w, "hall\ttier\tstate\tfor\tnodes\tproven\tcapacity\tof\toffered/s\tanswered/s\t"+
@@ -70,7 +71,7 @@
 	return err
 }
 
-// printEscrow prints a row for each account of which an allocation has moved, and what became of the transfers.
+// printEscrow prints a row for each account with transferred allocations, and the counts of transfers.
 func printEscrow(out io.Writer, s core.EscrowStatus) error {
 	w := newTable(out, 0)
 	fmt.Fprintln(w, "channel\tat home\theld\tlent\tborrowed\tspent unheard by others\tlent to\tborrowed of")
@@ -89,7 +90,8 @@
 	return err
 }
 
-// printQuotas prints a row for each tenant's quota, and says so where there may be more than an answer holds.
+// printQuotas prints a row for each tenant's quota, and a note if the response has the maximum number of them, so that
+// there may be more.
 func printQuotas(out io.Writer, bounds []overrun.Bound) error {
 	w := newTable(out, 0)
 	fmt.Fprintln(w, "channel\tplan\tmode\tways\tdemand/s\tothers/s\ttotal heard\tpart\theld\tuntold\troom\t"+
@@ -111,7 +113,7 @@
 	return err
 }
 
-// printWork prints what became of pending work: the instance's own, and that for which it is a replica.
+// printWork prints counts of pending work: of the instance itself, and of other instances for which it is a replica.
 func printWork(out io.Writer, s core.WorkStatus) error {
 	fmt.Fprintf(out, "in hand %d; kept for all %d in %d bytes\n", s.Pending, s.Records, s.Bytes)
 	fmt.Fprintf(out, "own tries: %d covered, %d without a word of some keeper, %d uncovered, %d without any keeper\n",
@@ -129,8 +131,8 @@
 	return err
 }
 
-// printPeers prints a row for each member, and the counts of messages. It returns an error if the instance has left
-// the peer group.
+// printPeers prints a row for each member and the message counts. It returns an error, after printing, if the instance
+// has left the peer group.
 func printPeers(out io.Writer, s peers.Status) error {
 	w := newTable(out, 0)
 	fmt.Fprintln(w, "member\tstate\tfor\theard\thall\taddress\tlife\tinc\tby")
@@ -162,7 +164,7 @@
 	return err
 }
 
-// printBackends prints a row for each backend, and a line for each report of another instance on it.
+// printBackends prints a row for each backend, and a line for each report of another instance on a backend.
 func printBackends(out io.Writer, s core.BackendsStatus) error {
 	w := newTable(out, 0)
 	fmt.Fprintln(w, "node\town good\town bad\town word\tby others' word\tcause\tage\twhy")
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -15,7 +15,7 @@
 	"hitchspring/policy"
 )
 
-// runStatus runs a status command against a server that answers so, and returns what it prints.
+// runStatus runs a status command against a server with the given handler and returns its output.
 func runStatus(t *testing.T, answer http.HandlerFunc, args ...string) (string, error) {
 	t.Helper()
 	server := httptest.NewServer(answer)
@@ -24,7 +24,7 @@
 	return runWithoutLog(append(all, "--at", strings.TrimPrefix(server.URL, "http://"))...)
 }
 
-// respond returns a handler that answers every request so.
+// respond returns a handler that sends the same response to every request.
 func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -32,7 +32,7 @@
 	}
 }
 
-// requireContains fails the test unless text contains all that is wanted.
+// requireContains marks the test as failed unless text contains all of wants.
 func requireContains(t *testing.T, text string, wants ...string) {
 	t.Helper()
 	for _, want := range wants {
@@ -42,7 +42,7 @@
 	}
 }
 
-// The zones are a table with the reasons, or JSON on request.
+// The status of zones is printed as a table with reasons, or unchanged as JSON with --json.
 func TestStatusZones(t *testing.T) {
 	const answer = `{"own":"hall-a","reach":0.66,"planned":1,"spilled":0.97,
 		"why":"the own hall is lost: 4 of 4 nodes failed for 30ms","halls":[
@@ -59,11 +59,12 @@
 		t.Fatal(err)
 	}
 	if text != answer {
-		t.Errorf("got JSON %s, want the answer as it came: %s", text, answer)
+		t.Errorf("got JSON %s, want the response unchanged: %s", text, answer)
 	}
 }
 
-// A listener without the section, something else that answers, and no listener are each one line.
+// A listener whose instance lacks the section, a server that does not send JSON, and a refused connection are one-line
+// errors.
 func TestStatusErrors(t *testing.T) {
 	_, err := runStatus(t, respond(http.StatusServiceUnavailable, "[halls] is off"), "halls")
 	requireOneLine(t, err, "503 Service Unavailable: [halls] is off")
@@ -73,7 +74,7 @@
 	requireOneLine(t, err, "status halls: ")
 }
 
-// Quotas are a table with their modes, for the span that was requested.
+// The status of quotas is printed as a table; the flag --for is passed on as a query parameter.
 func TestStatusQuotas(t *testing.T) {
 	const answer = `[{"Customer":"c1","Plan":"storby","Mode":"alone","Ways":3,"Demand":40,"Age":1500000000,
 		"Held":4.5,"Untold":2,"Room":-3,"For":10000000000,"Spend":91.2,"Uncounted":88.7}]`
@@ -91,7 +92,7 @@
 	}
 }
 
-// What 60 instances report of each of 1,200 backends, some 6 MB, is shown completely.
+// A response of about 6 MB, with reports of 60 instances on each of 1,200 backends, is printed completely.
 func TestStatusOfManyBackends(t *testing.T) {
 	const backends, reporters, minBytes = 1200, 60, 5 << 20
 	var status core.BackendsStatus
@@ -119,7 +120,7 @@
 	}
 }
 
-// An answer beyond the bound is one error that says so; a part of it is never printed, neither as JSON.
+// A response larger than the maximum is an error that names the maximum. No part of it is printed, even with --json.
 func TestStatusAnswerTooLarge(t *testing.T) {
 	tooLarge := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(maxStatusBytes+1))
@@ -135,7 +136,8 @@
 	}
 }
 
-// A body that does not say its size is read up to the bound, completely or not at all.
+// A body without a Content-Length is returned completely if it is at most as large as the maximum. Of a larger one
+// nothing is returned, and reading stops one byte after the maximum.
 func TestReadBody(t *testing.T) {
 	const bound = 1000
 	for _, test := range []struct {
@@ -159,7 +161,7 @@
 	}
 }
 
-// A list of quotas that is as long as it may be says that there may be more.
+// The table of quotas has a note that there may be more only if the response has the maximum number of quotas.
 func TestStatusQuotasAtTheBound(t *testing.T) {
 	for _, count := range []int{core.MaxBoundsShown - 1, core.MaxBoundsShown} {
 		out, err := runStatus(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/hitchspring/stopped_test.go
+++ b/cmd/hitchspring/stopped_test.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	maxDeadline        = time.Second                               // of the settings' one class
-	platformKillDelay  = maxDeadline + 700*time.Millisecond        // SIGTERM the platform kills at the earliest
-	stopDuration       = 150 * time.Millisecond                    // an instance may be held up between two of its steps
-	longDeadlineFields = "c=a,t=p,d=2000,units=1,spread=1,first=0" // the client waits longer than a shutdown takes
+	maxDeadline        = time.Second                               // of the only request class in the settings
+	platformKillDelay  = maxDeadline + 700*time.Millisecond        // earliest SIGKILL by the platform after SIGTERM
+	stopDuration       = 150 * time.Millisecond                    // how long a process is stopped during its shutdown
+	longDeadlineFields = "c=a,t=p,d=2000,units=1,spread=1,first=0" // a client deadline longer than a shutdown takes
 )
 
-// Processes that shut down are stopped for a moment, at each step of their shutdown, while their backends hang: each
-// accepted client has its answer before the platform kills. The last answers are due, and connections close, by times
-// that count from SIGTERM and not from the end of an earlier step, which a stopped process reaches late.
+// A process that is stopped (SIGSTOP) for a moment during its shutdown, while its backends hang, still answers every
+// client before the platform would kill it. The test guards against timers that count from the end of an earlier step
+// of the shutdown, which a stopped process reaches late: the deadlines of the last answers and of closing connections
+// must count from SIGTERM. Each instance is stopped at another step.
 func TestStopDuringShutdown(t *testing.T) {
 	hanging := scripted.Listen(t, func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	list := servingList(1, hanging)
@@ -38,7 +39,8 @@
 	running.Wait()
 }
 
-// shutDownWithStop shuts one process down under open requests, and stops it for a moment, stopAfter after SIGTERM.
+// shutDownWithStop shuts one process down while requests are open, and stops it for stopDuration at stopAfter after
+// SIGTERM.
 func shutDownWithStop(t *testing.T, i *instance, stopAfter time.Duration) {
 	if err := i.awaitReady(t.Context()); err != nil {
 		t.Error(err)
--- a/cmd/hitchspring/zones.go
+++ b/cmd/hitchspring/zones.go
@@ -9,14 +9,14 @@
 	"hitchspring/internal/zonedrain"
 )
 
-// zoneCmd changes the zone drain file that the options name and that running instances read.
+// zoneCmd edits the zone drain file, which running instances read. Its path is in the options.
 type zoneCmd struct {
 	Drain  zoneDrainCmd  `cmd:"" help:"Take a hall out: no instance sends it new work until the time is up."`
 	Return zoneReturnCmd `cmd:"" help:"End a hall's drill: it is let in again by its ramp."`
 	List   zoneListCmd   `cmd:"" help:"The drills in force."`
 }
 
-// zoneDrainCmd takes a zone out of service for a time.
+// zoneDrainCmd starts a zone drain, which ends by itself after a given time.
 type zoneDrainCmd struct {
 	Zone   string        `arg:"" name:"hall" help:"The hall's name, as in the list of nodes."`
 	For    time.Duration `help:"For how long, 4h at most." default:"15m"`
@@ -24,7 +24,7 @@
 	Reason string        `name:"why" help:"What for."`
 }
 
-// Run adds a drain in place of the one that the zone may be in.
+// Run starts a drain of the zone. It replaces the zone's current drain, if any.
 func (c *zoneDrainCmd) Run(e *commandEnv) error {
 	return e.updateDrains(func(drains zonedrain.List, now time.Time) (zonedrain.List, error) {
 		if c.For <= 0 || c.For > zonedrain.MaxDuration {
@@ -40,12 +40,12 @@
 	})
 }
 
-// zoneReturnCmd takes a zone into service again.
+// zoneReturnCmd ends a zone drain early.
 type zoneReturnCmd struct {
 	Zone string `arg:"" name:"hall" help:"The hall's name."`
 }
 
-// Run ends a zone's drain.
+// Run ends the drain of the zone. It returns an error if the zone is not drained.
 func (c *zoneReturnCmd) Run(e *commandEnv) error {
 	return e.updateDrains(func(drains zonedrain.List, now time.Time) (zonedrain.List, error) {
 		if _, drained := drains.Active(now)[c.Zone]; !drained {
@@ -55,13 +55,14 @@
 	})
 }
 
-// zoneListCmd shows the drains.
+// zoneListCmd lists the zone drains.
 type zoneListCmd struct{}
 
-// Run prints the drains in force.
+// Run prints the active drains.
 func (zoneListCmd) Run(e *commandEnv) error { return e.updateDrains(nil) }
 
-// updateDrains applies change to the zone drain file, unless it is nil, and prints the drains that are in force then.
+// updateDrains applies change to the zone drain file and prints the drains that are active afterwards. If change is
+// nil, it leaves the file as it is.
 func (e *commandEnv) updateDrains(change func(zonedrain.List, time.Time) (zonedrain.List, error)) error {
 	options, err := config.Load(e.optionsPath)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// printDrains prints the drains that are in force at now.
+// printDrains prints the drains that are active at now.
 func (e *commandEnv) printDrains(drains zonedrain.List, now time.Time) {
 	active := drains.Active(now)
 	for _, d := range drains.Drains {
--- a/cmd/hitchspring/zones_test.go
+++ b/cmd/hitchspring/zones_test.go
@@ -10,7 +10,8 @@
 	"hitchspring/internal/zonedrain"
 )
 
-// A zone is drained and returned through the file that the options name.
+// The zone commands start, list and end drains in the zone drain file that the options name, and report invalid
+// arguments as one-line errors.
 func TestZoneDrain(t *testing.T) {
 	const none = "no hall is taken out\n"
 	drainFile := filepath.Join(t.TempDir(), "drills.toml")
