--- a/cmd/lab/cli_test.go
+++ b/cmd/lab/cli_test.go
@@ -16,7 +16,8 @@
 	"hitchspring/internal/lab"
 )
 
-// What cannot be run is one clear error, and no run is checked.
+// Invalid arguments are reported as an error that names the argument, with the exit status for runs that could not be
+// checked.
 func TestBadArguments(t *testing.T) {
 	for want, args := range map[string][]string{
 		"no command":                       nil,
@@ -50,7 +51,7 @@
 	}
 }
 
-// Help names each flag with its default; scenarios, defects, the version and the completion are printed.
+// Help texts, the lists of scenarios and defects, the version and the shell completion are printed with exit status 0.
 func TestPrints(t *testing.T) {
 	for want, args := range map[string][]string{
 		"--seed=1":       {"demo", "--help"},
@@ -75,16 +76,17 @@
 	}
 }
 
-// lineWriter sends on what is written, a line at a time.
+// lineWriter is an io.Writer that sends each write to the channel.
 type lineWriter chan string
 
-// Write is io.Writer's.
+// Write implements io.Writer.
 func (w lineWriter) Write(b []byte) (int, error) {
 	w <- string(b)
 	return len(b), nil
 }
 
-// The Redis stand-in alone serves any client, with a password from a file, and ends with its context.
+// The redis command runs the Redis stand-in, which serves a regular client with the password from a file and ends when
+// its context is cancelled.
 func TestRedisStandIn(t *testing.T) {
 	const startTimeout = 20 * time.Second
 	secret := filepath.Join(t.TempDir(), "secret")
@@ -105,9 +107,9 @@
 	case line := <-out:
 		addr = strings.TrimSpace(line[strings.LastIndexByte(line, ' '):])
 	case err := <-done:
-		t.Fatalf("the stand-in ended at its start: %v", err)
+		t.Fatalf("the stand-in ended before it listened: %v", err)
 	case <-time.After(startTimeout):
-		t.Fatalf("the stand-in does not start within %v", startTimeout)
+		t.Fatalf("the stand-in did not start within %v", startTimeout)
 	}
 	client := goredis.NewClient(&goredis.Options{Addr: addr, Password: "pw"})
 	defer client.Close()
@@ -120,7 +122,7 @@
 	}
 }
 
-// The lab leaves no process behind when it is killed in the middle of a run.
+// A lab process that is killed during a run leaves no instance processes behind.
 func TestKilledLabLeavesNoProcess(t *testing.T) {
 	const instances = 3
 	dir := t.TempDir()
@@ -139,12 +141,12 @@
 	awaitProcesses(t, program, instances)
 	cmd.Process.Kill()
 	if err := cmd.Wait(); err == nil {
-		t.Error("the lab ended cleanly, want it killed")
+		t.Error("the lab exited without an error, want it killed")
 	}
 	awaitProcesses(t, program, 0)
 }
 
-// awaitProcesses waits until so many processes of a program run.
+// awaitProcesses waits until the number of running processes of a program is as wanted.
 func awaitProcesses(t *testing.T, program string, want int) {
 	t.Helper()
 	const timeout = 20 * time.Second
@@ -159,7 +161,7 @@
 	}
 }
 
-// countProcesses returns how many processes of a program run now.
+// countProcesses returns the number of running processes of a program.
 func countProcesses(t *testing.T, program string) (count int) {
 	t.Helper()
 	commandLines, err := filepath.Glob("/proc/[0-9]*/cmdline")
--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -14,9 +14,9 @@
 	"hitchspring/internal/lab/cost"
 )
 
-// costCmd measures latency and CPU per request of builds and of a bare proxy.
+// costCmd measures the latency and the CPU time per request of several builds and of a bare proxy, for comparison.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type costCmd struct {
 	Builds      []string      `name:"build" help:"NAME=PATH of a hitchspring; may stand several times." default:"bin/hitchspring" sep:"none" placeholder:"NAME=PATH"`
 	Rates       []int         `name:"rate" help:"Requests a second; may stand several times." default:"190,3000"`
@@ -31,7 +31,7 @@
 	Chart       string        `help:"Write a chart as SVG." type:"path" placeholder:"FILE"`
 }
 
-// config returns the configuration of a measurement.
+// config returns the configuration given by the flags.
 func (c *costCmd) config() (cost.Config, error) {
 	cfg := cost.Default()
 	self, err := os.Executable()
@@ -61,7 +61,7 @@
 	return cfg, cfg.Check()
 }
 
-// run measures every build at every rate, and prints and writes the results.
+// run measures every build at every rate, prints the results, and writes the files given by the flags.
 func (c *costCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	cfg, err := c.config()
 	if err != nil {
@@ -87,7 +87,8 @@
 	return lab.Clean, nil
 }
 
-// runShort is the check for CI. The exit status is 1 where a build is too slow and 2 where nothing could be judged.
+// runShort runs the short measurement for CI. The exit status is 1 if a build is too slow and 2 if the measurement
+// could not be made.
 func (c *costCmd) runShort(ctx context.Context, cfg cost.Config, out io.Writer) (int, error) {
 	report, err := cost.Short(ctx, cfg, out)
 	if report != nil {
@@ -102,7 +103,7 @@
 	return failed, err
 }
 
-// writeReport writes the files that the flags ask for.
+// writeReport writes the JSON file and the chart, if the flags name them.
 func (c *costCmd) writeReport(report *cost.Report) error {
 	if c.JSON != "" {
 		all := struct {
@@ -123,13 +124,13 @@
 	return errors.Join(report.Chart(file), file.Close())
 }
 
-// costProxyCmd is the bare proxy that 'lab cost' starts as a process of its own.
+// costProxyCmd runs the bare proxy, which 'lab cost' starts as a separate process.
 type costProxyCmd struct {
 	Listen   string   `help:"Loopback address." required:""`
 	Backends []string `name:"backend" help:"Address of a backend; may stand several times." required:"" sep:"none"`
 }
 
-// run serves until ctx ends.
+// run serves until ctx is done.
 func (c *costProxyCmd) run(ctx context.Context, _ io.Writer) (int, error) {
 	if err := checkLoopback(c.Listen); err != nil {
 		return failed, err
--- a/cmd/lab/experiment.go
+++ b/cmd/lab/experiment.go
@@ -14,16 +14,16 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// experimentCmd runs an experiment that a file describes.
+// experimentCmd runs the experiment that is defined in a file.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type experimentCmd struct {
 	File string `arg:"" help:"The experiment (TOML)." type:"path"`
 	Out  string `help:"Folder for results.jsonl and index.html; results there are not played again." type:"path" default:"found/experiment"`
 	Jobs int    `help:"Runs at once." default:"1"`
 }
 
-// run runs an experiment that a file describes.
+// run runs the experiment and prints its results.
 func (c *experimentCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	spec, err := experiment.Load(c.File)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return code, err
 }
 
-// runExperiment runs an experiment and writes its page, also from the results that an interruption has left. It returns
-// the results and the exit status.
+// runExperiment runs an experiment and writes its HTML page, even from partial results if the run was interrupted. It
+// returns the results and the exit status.
 func runExperiment(
 	ctx context.Context, spec *experiment.Spec, dir string, jobs int, out io.Writer,
 ) ([]experiment.Line, int, error) {
@@ -47,7 +47,7 @@
 		fmt.Fprint(out, spec.Text(lines))
 		page := filepath.Join(dir, "index.html")
 		if pageErr := writePage(spec, page, lines); pageErr != nil {
-			return nil, failed, fmt.Errorf("the page: %w", pageErr)
+			return nil, failed, fmt.Errorf("writing the page: %w", pageErr)
 		}
 		fmt.Fprintln(out, "page:", page)
 	}
@@ -63,7 +63,7 @@
 	return lines, code, nil
 }
 
-// writePage writes the page of an experiment's results.
+// writePage writes the HTML page with the results of an experiment.
 func writePage(spec *experiment.Spec, path string, lines []experiment.Line) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -76,9 +76,9 @@
 	return err
 }
 
-// compareCmd compares this source with another commit.
+// compareCmd compares the current source with another commit.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type compareCmd struct {
 	Base      string        `help:"The other commit." default:"HEAD"`
 	Scenarios string        `name:"day" help:"Days, with commas." default:"calm"`
@@ -89,7 +89,8 @@
 	Out       string        `help:"Folder for results.jsonl and index.html; empty: they are not kept." type:"path" default:""`
 }
 
-// run is an experiment of two builds, which also share a testbed, so that both meet the same machine.
+// run runs an experiment with two variants, the other commit and the current source. Both run in the same testbed, so
+// that load from other programs on the machine affects both equally.
 func (c *compareCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	spec := &experiment.Spec{
 		Name:      "compare",
--- a/cmd/lab/gate.go
+++ b/cmd/lab/gate.go
@@ -11,9 +11,9 @@
 	"hitchspring/internal/standin/gate"
 )
 
-// gateCmd runs the stand-in gate alone.
+// gateCmd runs the gate stand-in by itself. A gate is a proxy that calls the forward authentication of an instance.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type gateCmd struct {
 	Listen   string   `help:"Loopback address for plain HTTP: /CHANNEL/CLASS?plan=PLAN&key=KEY." default:"127.0.0.1:8080"`
 	Instance string   `name:"ask" help:"Loopback address of an ingress's [forward_auth]." required:""`
@@ -21,7 +21,7 @@
 	Seed     uint64   `help:"Of the faults' chances." default:"1"`
 }
 
-// run serves a gate until ctx ends.
+// run serves until ctx is done.
 func (c *gateCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	for _, addr := range []string{c.Listen, c.Instance} {
 		if err := checkLoopback(addr); err != nil {
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,9 +1,9 @@
 // Command lab runs the complete service on loopback against stand-ins, for
-// people and for tests. It plays scenarios that load real instances under faults
-// and checks the five rules by what the peers saw, runs experiments and soaks,
-// plants defects to test the rule checker, and runs stand-ins alone. The exit
-// status is 0 where no rule broke, 1 where one did, and 2 where nothing could be
-// run or judged.
+// manual use and for tests. It runs scenarios that put real instances under load
+// and faults, and checks the five rules by the records of clients and backends.
+// It also runs experiments and soaks, plants defects to test the rule checker,
+// and runs single stand-ins. The exit status is 0 if no rule was violated, 1 if
+// one was, and 2 if something could not be run or checked.
 package main
 
 import (
@@ -24,12 +24,13 @@
 	"hitchspring/internal/version"
 )
 
-// failed is the exit status where nothing could be run or judged; lab.Clean and lab.Broken are the others.
+// failed is the exit status if something could not be run or checked. The others are lab.Clean and lab.Broken.
 const failed = lab.Unjudged
 
-// cli is the command line. The names of commands and flags are published; a name tag keeps one whose field differs.
+// cli is the command line as kong parses it. Names of commands and flags are part of the public interface: where the Go
+// field has another name, a name tag keeps the public one.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type cli struct {
 	Demo              demoCmd                   `cmd:"" help:"Play a day once, with a line a second and a report."`
 	Soak              soakCmd                   `cmd:"" help:"Play a day once for each seed, a line each."`
@@ -59,13 +60,13 @@
 	os.Exit(code)
 }
 
-// runner is a command. Its run returns the exit status; ctx ends when the user or the platform stops the program.
+// runner is a command. run returns the exit status; ctx is cancelled on SIGINT and SIGTERM.
 type runner interface {
 	run(ctx context.Context, out io.Writer) (int, error)
 }
 
-// run parses the arguments, runs the command that they name and returns the exit status. Without arguments it prints
-// the help and returns an error.
+// run parses the arguments, runs the selected command and returns the exit status. Without arguments it prints the help
+// and returns an error.
 func run(ctx context.Context, args []string, out io.Writer) (code int, err error) {
 	const about = "Runs the whole service on loopback, with faults, " +
 		"and judges the five rules by what the peers saw.\n" +
@@ -96,16 +97,16 @@
 	return code, err
 }
 
-// versionCmd prints which build the program is.
+// versionCmd prints the version of the build.
 type versionCmd struct{}
 
-// run prints one line.
+// run prints the version in one line.
 func (versionCmd) run(_ context.Context, out io.Writer) (int, error) {
 	_, err := fmt.Fprintln(out, version.Text("lab"))
 	return lab.Clean, err
 }
 
-// writeJSON writes a value as indented JSON into a file.
+// writeJSON writes a value to a file as indented JSON.
 func writeJSON(path string, value any) error {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
--- a/cmd/lab/mutation.go
+++ b/cmd/lab/mutation.go
@@ -10,9 +10,9 @@
 	"hitchspring/internal/lab/mutation"
 )
 
-// mutationCmd tests the rule checker with planted defects.
+// mutationCmd tests the rule checker with builds that contain planted defects.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type mutationCmd struct {
 	Names []string `arg:"" optional:"" help:"Defects, or rules (lost, twice, drains, cold, ceilings, quotas); none: all."`
 	Short bool     `help:"The short set alone."`
@@ -24,7 +24,8 @@
 	JSON  string   `help:"Write the results as JSON." type:"path" placeholder:"FILE"`
 }
 
-// run plants defects, plays the scenarios that must find them, and prints what was found.
+// run builds the program with each planted defect, runs the scenario in which the rule checker must find it, and prints
+// the results.
 func (c *mutationCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	if c.List {
 		return listDefects(out)
@@ -54,7 +55,7 @@
 	return lab.Clean, err
 }
 
-// listDefects prints a line for each defect; a star marks those of the short set.
+// listDefects prints a line for each defect. A star marks the defects of the short set.
 func listDefects(out io.Writer) (int, error) {
 	defects, err := mutation.Defects()
 	if err != nil {
--- a/cmd/lab/overlapping_faults.go
+++ b/cmd/lab/overlapping_faults.go
@@ -10,12 +10,12 @@
 	"hitchspring/internal/lab/soak"
 )
 
-// maxViolationsShown is how many violations of one rule are printed in full.
+// maxViolationsShown is the maximum number of violations per rule that are printed in full.
 const maxViolationsShown = 3
 
-// overlappingFaultsCmd plays random faults that overlap against many processes.
+// overlappingFaultsCmd runs many instance processes under random faults that overlap in time.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type overlappingFaultsCmd struct {
 	Seed      uint64        `help:"The first." default:"1"`
 	Seeds     int           `help:"How many." default:"1"`
@@ -26,7 +26,7 @@
 	Logs      string        `help:"Folder for what the ingresses log, one for each seed in it; empty: it is not kept." type:"path" placeholder:"DIR"`
 }
 
-// run plays one run for each seed, and prints a line each and what is known of each violation.
+// run runs the test once for each seed, and prints a summary line and the details of violations for each run.
 func (c *overlappingFaultsCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	program, removeProgram, err := programOrBuild(ctx, c.Program, "lab-overlap-", c.Race)
 	if err != nil {
--- a/cmd/lab/redis.go
+++ b/cmd/lab/redis.go
@@ -14,17 +14,17 @@
 	"hitchspring/internal/standin/redis"
 )
 
-// readHeaderTimeout bounds the headers of a request to a stand-in.
+// readHeaderTimeout is the limit for reading the headers of an HTTP request to a stand-in.
 const readHeaderTimeout = 5 * time.Second
 
-// redisCmd runs the Redis stand-in alone.
+// redisCmd runs the Redis stand-in by itself.
 type redisCmd struct {
 	Listen       string `help:"Loopback address." default:"127.0.0.1:6379"`
 	Control      string `help:"Loopback address that takes faults over HTTP; empty: none."`
 	PasswordFile string `help:"The password that clients must give." type:"path" placeholder:"FILE"`
 }
 
-// run serves the stand-in until ctx ends.
+// run serves until ctx is done.
 func (c *redisCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	for _, addr := range []string{c.Listen, c.Control} {
 		if err := checkLoopback(addr); err != nil {
@@ -59,14 +59,14 @@
 	return lab.Clean, nil
 }
 
-// serveHTTP serves on a listener in a goroutine of its own. The caller calls stop, which closes the listener and all
+// serveHTTP serves on a listener in a new goroutine. The caller must call stop, which closes the listener and all
 // connections and waits for the goroutine.
 func serveHTTP(listener net.Listener, handler http.Handler) (stop func()) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(listener) // it ends when stop closes the server
+		_ = server.Serve(listener) // returns when stop closes the server
 	}()
 	return func() {
 		server.Close()
@@ -74,7 +74,8 @@
 	}
 }
 
-// checkLoopback returns an error for an address that others could reach: a stand-in protects nothing.
+// checkLoopback returns an error unless an address is on loopback or empty. Stand-ins have no access control, so other
+// machines must not reach them.
 func checkLoopback(addr string) error {
 	if addr == "" {
 		return nil
--- a/cmd/lab/scenarios.go
+++ b/cmd/lab/scenarios.go
@@ -11,9 +11,9 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// scenarioFlags are the flags of whatever plays scenarios.
+// scenarioFlags are the flags of all commands that run scenarios.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type scenarioFlags struct {
 	Scenario   string        `name:"day" help:"The day: a name from 'lab days', or a TOML file." default:"evening"`
 	For        time.Duration `help:"Length of the load, 10m at most; 0: the day's." default:"0s"`
@@ -33,7 +33,7 @@
 	JSON       string        `help:"Write the report as JSON." type:"path" placeholder:"FILE"`
 }
 
-// config returns the configuration of a run. The caller calls closeLog after the last run.
+// config returns the configuration given by the flags. The caller must call closeLog after the last run.
 func (f *scenarioFlags) config() (cfg lab.Config, closeLog func(), err error) {
 	cfg = lab.Config{
 		Scenario:  f.Scenario,
@@ -71,13 +71,13 @@
 	return cfg, closeLog, nil
 }
 
-// demoCmd plays a scenario once, for people to watch.
+// demoCmd runs a scenario once, with a live table of its progress.
 type demoCmd struct {
 	scenarioFlags
 	Quiet bool `help:"No live table."`
 }
 
-// run plays a scenario once and prints the report.
+// run runs the scenario and prints the report.
 func (c *demoCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	cfg, closeLog, err := c.config()
 	if err != nil {
@@ -100,12 +100,12 @@
 	return report.Code(), nil
 }
 
-// scenariosCmd shows the scenarios that come with the program.
+// scenariosCmd shows the scenarios that are built into the program.
 type scenariosCmd struct {
 	Name string `arg:"" optional:"" help:"Print this one."`
 }
 
-// run lists the scenarios, or prints one.
+// run lists the scenarios, or prints the definition of one.
 func (c *scenariosCmd) run(_ context.Context, out io.Writer) (int, error) {
 	if c.Name != "" {
 		text, err := scenario.Text(c.Name)
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -12,14 +12,14 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// soakCmd plays scenarios over many seeds.
+// soakCmd runs scenarios with many seeds.
 type soakCmd struct {
 	scenarioFlags
 	Seeds int    `help:"How many, from --seed on." default:"20"`
 	All   string `help:"Play these days in turn, one a seed: names with commas, or 'all'." placeholder:"DAYS"`
 }
 
-// run plays one run for each seed and prints a line each.
+// run runs one scenario for each seed and prints a line for each run.
 func (c *soakCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	cfg, closeLog, err := c.config()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return exitCode(sum.broken, sum.unchecked), nil
 }
 
-// scenarios returns the scenarios that are played in turn.
+// scenarios returns the names of the scenarios, which the seeds use in turn.
 func (c *soakCmd) scenarios() []string {
 	switch c.All {
 	case "":
@@ -66,12 +66,12 @@
 	return strings.Split(c.All, ",")
 }
 
-// soakSummary adds up the runs of a soak.
+// soakSummary sums up the runs of a soak.
 type soakSummary struct {
 	reports      []*lab.Report
-	broken       int     // runs in which a rule broke
-	unchecked     int     // runs that could not be judged
-	worstOverrun float64 // share of a ceiling
+	broken       int     // runs with a rule violation
+	unchecked    int     // runs that could not be checked
+	worstOverrun float64 // largest overrun of all runs, as a share of the ceiling
 }
 
 // add adds the report of one run.
@@ -86,7 +86,8 @@
 	s.worstOverrun = max(s.worstOverrun, r.WorstOverrun)
 }
 
-// printRun prints a line for one run, and one for each violation, crash and doubt.
+// printRun prints a line for one run, one for each violation and each crash, and one with the reasons if the run could
+// not be checked.
 func printRun(out io.Writer, seed uint64, r *lab.Report) {
 	breaks := len(r.Violations) + len(r.Crashed)
 	fmt.Fprintf(out, "%-12s seed %3d  tries %6d  service %.3f  breaks %d  ",
@@ -105,8 +106,8 @@
 	}
 }
 
-// programOrBuild returns the path of an instance's program: the one given, or one that it builds from this source in a
-// temporary directory. The caller calls remove when the program has run for the last time.
+// programOrBuild returns program, or if it is empty, the path of a program that it builds from the current source in a
+// temporary directory. The caller must call remove when the program is no longer needed.
 func programOrBuild(
 	ctx context.Context, program, dirPrefix string, race bool,
 ) (path string, remove func(), err error) {
@@ -126,7 +127,7 @@
 	return path, remove, nil
 }
 
-// exitCode returns the exit status for how many runs broke a rule, and how many could not be judged.
+// exitCode returns the exit status for the numbers of runs with rule violations and of runs that could not be checked.
 func exitCode(broken, unjudged int) int {
 	switch {
 	case broken > 0:
--- a/cmd/lab/trial.go
+++ b/cmd/lab/trial.go
@@ -10,9 +10,9 @@
 	"hitchspring/internal/lab/trial"
 )
 
-// trialCmd runs a trial of many processes.
+// trialCmd runs a trial: many instance processes with faults in the network between them.
 //
-//nolint:lll // a struct tag stands on one line
+//nolint:lll // a struct tag can't be wrapped
 type trialCmd struct {
 	Name      string   `arg:"" optional:"" help:"The trial; none: list them."`
 	Seed      uint64   `help:"The first." default:"1"`
@@ -24,7 +24,7 @@
 	Out       string   `help:"Folder for results.jsonl, table.txt and chart.svg." type:"path" placeholder:"DIR"`
 }
 
-// run plays many processes under faults between them, or lists the trials.
+// run runs the trial, or lists the trials if none is named.
 func (c *trialCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	if c.Name == "" {
 		for _, line := range trial.Names() {
--- a/cmd/lab/zones.go
+++ b/cmd/lab/zones.go
@@ -9,7 +9,7 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// zonesCmd measures the loss and return of zones.
+// zonesCmd measures how instances respond to the loss and the return of a zone.
 type zonesCmd struct {
 	Scenarios string `name:"days" help:"Days, with commas; empty: all that lose a hall, and a calm one." default:""`
 	Seeds     int    `help:"How many, from --seed on." default:"3"`
@@ -19,7 +19,7 @@
 	Out       string `help:"Folder for results.jsonl and index.html." type:"path" default:"found/halls"`
 }
 
-// run is an experiment: how instances with zones of their own fare when a zone is lost, against instances without.
+// run runs an experiment that compares instances with zone-aware routing to instances without it while a zone is lost.
 func (c *zonesCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	spec := &experiment.Spec{
 		Name:     "halls",
@@ -50,7 +50,7 @@
 	return code, err
 }
 
-// Help is printed below the command's own line of help.
+// Help returns the text that kong prints below the one-line help of the command.
 func (c *zonesCmd) Help() string {
 	return "Figures are from the clients' and the nodes' records alone: " +
 		"what was earned of what a worth-ordered fill of the true capacity would earn " +
