--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,8 +1,8 @@
-// Command wirehost runs the decisions of simulated instances for the platform's
+// Command wirehost makes the decisions of simulated instances for the platform's
 // simulator. It reads batches of events from standard input and writes the
 // decisions to standard output, in the simulator's protocol (package simproto).
-// It opens no connection and reads no clock; it ends at the end of its input,
-// or with exit status 1 and one line on standard error.
+// It opens no connections and reads no clock. It exits at the end of its input.
+// After an error it prints one line on standard error and exits with status 1.
 package main
 
 import (
--- a/internal/cmdline/cmdline.go
+++ b/internal/cmdline/cmdline.go
@@ -1,8 +1,7 @@
-// Package cmdline parses the command line of a program by the kong structure
-// that describes it. It takes the structure and the arguments, and hands the
-// command that they name to the caller's function. Help and shell completion
-// are printed here, with no command run. The package ends no process and reads
-// no arguments of its own.
+// Package cmdline parses a command line with kong. It takes the grammar, which is
+// a struct with kong tags, and the arguments, and passes the selected command to
+// a function of the caller. If the arguments request help or shell completion, it
+// prints that and runs no command. It never ends the process.
 package cmdline
 
 import (
@@ -12,11 +11,12 @@
 	kongcompletion "github.com/jotaen/kong-completion"
 )
 
-// exitRequest is the panic by which kong's parser stops after it has printed help or a completion.
+// exitRequest is the value of the panic that replaces kong's call of os.Exit after printing help or a completion.
 type exitRequest struct{}
 
-// Run parses args into the structure that grammar points to and calls run with the command that they name. It returns
-// run's error, or the parser's. It reports true, without calling run, if help or a completion was printed to out.
+// Run parses args into the struct that grammar points to and calls run with the selected command. It returns the error
+// of run or of the parser. If args request help or a completion, Run prints that to out and returns true without
+// calling run.
 func Run(
 	grammar any, name, description string, args []string, out io.Writer,
 	run func(*kong.Context) error, options ...kong.Option,
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,7 +1,7 @@
-// Package version tells which build a program is. It reads what the Go tool has
-// stamped into the binary: the revision, its time, whether the source had
-// uncommitted changes, and the version of Go. It needs no linker flags, and a
-// build without that information says so.
+// Package version describes the build of the running program. It reads the build
+// information that the go command embeds in the binary: the revision, its time,
+// whether the source had uncommitted changes, and the Go version. It needs no
+// linker flags. If the information is missing, the text says so.
 package version
 
 import (
@@ -9,15 +9,15 @@
 	"runtime/debug"
 )
 
-// Keys of the build settings, as the Go tool writes them.
+// Keys of the build settings in debug.BuildInfo.
 const (
 	revisionKey     = "vcs.revision"
 	revisionTimeKey = "vcs.time"
 	modifiedKey     = "vcs.modified"
 )
 
-// Text returns one line: the program's name, the revision that it was built from and the revision's time, and the
-// version of Go.
+// Text returns one line with the name of the program, the revision that it was built from, the time of the revision,
+// and the Go version.
 func Text(program string) string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
