--- a/cmd/hitchspring/golden_test.go
+++ b/cmd/hitchspring/golden_test.go
@@ -17,7 +17,7 @@
 	"hitchspring/internal/zones"
 )
 
-// The tables of the status command, for an answer with a value in every field.
+// The golden files hold the tables of the status command for a response with a value in every field.
 func TestGoldenStatusTables(t *testing.T) {
 	for name, status := range map[string]any{
 		"halls":   &zones.Status{},
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			golden.Fill(status)
 			if s, ok := status.(*peers.Status); ok {
-				s.LeftReason = "" // an instance that has left is an error
+				s.LeftReason = "" // printPeers returns an error for an instance that has left
 			}
 			answer, err := json.Marshal(status)
 			if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// The commands and flags.
+// The golden file holds the help texts of the commands.
 func TestGoldenHelp(t *testing.T) {
 	var all strings.Builder
 	for _, args := range [][]string{
@@ -60,7 +60,7 @@
 		{"hall", "return", "--help"},
 		{"version", "--help"},
 	} {
-		out, err := runQuietly(args...)
+		out, err := runWithoutLog(args...)
 		if err != nil {
 			t.Fatalf("%q: got error %v", args, err)
 		}
@@ -69,18 +69,18 @@
 	golden.Compare(t, "help", []byte(all.String()))
 }
 
-// goTypes matches the names of Go types that a decoder puts into its errors.
-var goTypes = regexp.MustCompile(`\b(main|settings|config)\.[A-Za-z.]+`)
+// goTypeNames matches Go type names in decoder errors; they are not part of the golden output.
+var goTypeNames = regexp.MustCompile(`\b(main|settings|config)\.[A-Za-z.]+`)
 
-// runLog runs the program and holds what it prints and how it ends.
-type runLog struct {
+// transcript runs the program repeatedly and records the exit status and output of each run.
+type transcript struct {
 	program string
-	dir     string // of the files, whose path is left out
+	dir     string // directory of the files; replaced by DIR in the text
 	text    strings.Builder
 }
 
-// run runs the program with a configuration file, and appends one line.
-func (l *runLog) run(t *testing.T, configPath string, args ...string) {
+// run runs the program with a configuration file and appends its exit status and output to the text.
+func (l *transcript) run(t *testing.T, configPath string, args ...string) {
 	t.Helper()
 	cmd := exec.Command(l.program, args...)
 	cmd.Env = []string{"ROUTER_CONFIG=" + configPath}
@@ -96,23 +96,23 @@
 		exitCode = exitErr.ExitCode()
 	}
 	line := strings.ReplaceAll(stderr.String(), l.dir, "DIR")
-	line = goTypes.ReplaceAllString(line, "GOTYPE")
+	line = goTypeNames.ReplaceAllString(line, "GOTYPE")
 	fmt.Fprintf(&l.text, "%d %q %s", exitCode, stdout.String(), line)
 }
 
-// file writes a file into the directory and returns its path.
-func (l *runLog) file(t *testing.T, name, text string) string {
+// file writes a file into the directory of the transcript and returns its path.
+func (l *transcript) file(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(l.dir, name)
 	writeFile(t, path, text)
 	return path
 }
 
-// What a bad file or command line is answered with: one line on standard error, nothing on standard output, and exit
-// status 1.
+// The golden file holds the errors for invalid files and command lines: one line on standard error, nothing on standard
+// output, and exit status 1.
 func TestGoldenErrors(t *testing.T) {
-	log := &runLog{program: programPath(t), dir: t.TempDir()}
-	config := log.file(t, "config.json", goodConfig)
+	log := &transcript{program: programPath(t), dir: t.TempDir()}
+	config := log.file(t, "config.json", validConfig)
 	const head = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",`
 	for i, text := range []string{
 		"",
--- a/cmd/hitchspring/instance_test.go
+++ b/cmd/hitchspring/instance_test.go
@@ -16,43 +16,44 @@
 )
 
 const (
-	pingInterval   = 20 * time.Millisecond  // between two checks whether an instance is ready
-	pingTimeout    = 500 * time.Millisecond // for one answer to PING
-	requestTimeout = 2 * time.Second        // for the answer to one request
+	pingInterval   = 20 * time.Millisecond  // interval of readiness checks and of retries
+	pingTimeout    = 500 * time.Millisecond // limit for connecting, and for one answer to PING
+	requestTimeout = 2 * time.Second        // limit for the answer to one request
 )
 
-// instance is one real instance of a test: an address that stays the same over its restarts, and its latest process.
-// It is used by one goroutine at a time.
+// instance is an instance that runs as a separate process. Its address stays the same across restarts. It must be used
+// by one goroutine at a time.
 type instance struct {
 	program    string
 	listen     string
 	configPath string
-	process    *process // nil before the first start
+	process    *process // latest process; nil before the first start
 }
 
-// platform is what the platform tells an instance.
-type platform struct {
-	discovery   string         // host:port
-	known       discovery.List // endpoint list of the configuration file
-	instances   int            // that share the settings
-	mode        string         // of discovery: "subscribe" polls for the list, "push" has an agent
-	maxAttempts int            // of one request; 0: one
+// platformConfig holds the values of the configuration file that differ between tests.
+type platformConfig struct {
+	discovery     string         // host:port
+	known         discovery.List // initial endpoint list
+	instances     int            // number of instances of the ingress
+	discoveryMode string         // "subscribe": poll for the endpoint list; "push": an agent sends it
+	maxAttempts   int            // max attempts of a request; 0 means 1
 }
 
-// healthyPlatform is a platform of one instance whose discovery is healthy, and which allows three attempts.
-func healthyPlatform(t *testing.T, list discovery.List) platform {
+// healthyPlatformConfig returns the configuration of a single instance with healthy discovery and three attempts per
+// request.
+func healthyPlatformConfig(t *testing.T, list discovery.List) platformConfig {
 	t.Helper()
-	return platform{
-		discovery:   startDiscovery(t, list, healthy),
-		known:       list,
-		instances:   1,
-		mode:        "push",
-		maxAttempts: 3,
+	return platformConfig{
+		discovery:     startDiscovery(t, list, healthy),
+		known:         list,
+		instances:     1,
+		discoveryMode: "push",
+		maxAttempts:   3,
 	}
 }
 
-// newInstance returns an instance that doesn't run yet. Its host is its own, so that no outgoing connection of another
-// process takes its port between two starts.
+// newInstance returns an instance that does not run yet. It has its own loopback IP address, so that no outgoing
+// connection of another process can take its port between two starts.
 func newInstance(t *testing.T, index int) *instance {
 	t.Helper()
 	i := &instance{
@@ -64,8 +65,8 @@
 	return i
 }
 
-// startInstance returns an instance that is configured and ready.
-func startInstance(t *testing.T, p platform) *instance {
+// startInstance configures and starts an instance, and waits until it is ready.
+func startInstance(t *testing.T, p platformConfig) *instance {
 	t.Helper()
 	i := newInstance(t, 0)
 	i.configure(t, 0, p)
@@ -73,8 +74,8 @@
 	return i
 }
 
-// configure writes the configuration of the next start, or of the next SIGHUP.
-func (i *instance) configure(t *testing.T, index int, p platform) {
+// configure writes the configuration file, which the next start or SIGHUP reads.
+func (i *instance) configure(t *testing.T, index int, p platformConfig) {
 	t.Helper()
 	known, err := json.Marshal(p.known)
 	if err != nil {
@@ -86,10 +87,10 @@
 		"permissions":{"maxAttempts":%d,"retryAfter":true,"maxRetryAfterUs":500000,"mayCancel":true},
 		"classes":[{"name":"a","value":1,"objectiveUs":1000000,"deadlineUs":1000000,"effect":"read_like"}],
 		"contracts":[{"name":"p","price":1}]}}`,
-		i.listen, p.discovery, index+1, known, index, p.instances, p.mode, max(1, p.maxAttempts)))
+		i.listen, p.discovery, index+1, known, index, p.instances, p.discoveryMode, max(1, p.maxAttempts)))
 }
 
-// start starts a process and waits for nothing.
+// start starts a process and does not wait until it is ready.
 func (i *instance) start() (err error) {
 	i.process, err = startProcess(i.program, []string{"ROUTER_CONFIG=" + i.configPath})
 	return err
@@ -106,14 +107,14 @@
 	}
 }
 
-// kill ends the process by SIGKILL and waits for its end.
+// kill sends SIGKILL to the process and waits until it has ended.
 func (i *instance) kill() {
 	if i.process != nil {
 		i.process.kill()
 	}
 }
 
-// awaitReady waits until the instance answers PING. It returns an error if the process or ctx ends before.
+// awaitReady waits until the instance answers PING. It returns an error if the process or ctx ends first.
 func (i *instance) awaitReady(ctx context.Context) error {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
--- a/cmd/hitchspring/replace_test.go
+++ b/cmd/hitchspring/replace_test.go
@@ -23,25 +23,25 @@
 )
 
 const (
-	maxDescriptors  = 256      // the platform's smallest limits, for two processes together
-	maxMemoryKiB    = 32 << 10 // the same
-	replaceClients  = 25
-	maxTermCut      = 2  // requests cut off by a SIGTERM of the first process
-	maxKillCut      = 30 // requests cut off by that and by a SIGKILL of the second
-	drainedBackend  = "s1"
-	replaceReady    = 6 * time.Second
-	replaceInterval = 20 * time.Millisecond // between two checks whether a process is ready
-	drainEffective  = 500 * time.Millisecond
+	maxDescriptors   = 256      // the platform's smallest limit, for two processes together
+	maxMemoryKiB     = 32 << 10 // likewise
+	loadClientCount  = 25
+	maxLostAfterTerm = 2  // after SIGTERM to the first process
+	maxLostAfterKill = 30 // also after SIGKILL to the second process
+	suspendedBackend = "s1"
+	readyTimeout     = 6 * time.Second
+	readyInterval    = 20 * time.Millisecond  // between readiness checks
+	suspensionDelay  = 500 * time.Millisecond // time for a suspension to take effect
 )
 
-// replacedProcess is one of several processes that follow each other on an inherited socket.
-type replacedProcess struct {
+// serverProcess is one of several processes that replace each other on an inherited socket.
+type serverProcess struct {
 	*process
-	admin string // host:port for operators
+	admin string // host:port of the admin server
 }
 
-// call sends an operator's request and returns the status code, or 0 if there is no answer.
-func (p *replacedProcess) call(method, path string) int {
+// call sends a request to the admin server and returns the status code, or 0 if the request fails.
+func (p *serverProcess) call(method, path string) int {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+p.admin+path, nil)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return resp.StatusCode
 }
 
-// usage returns how many descriptors and KiB of anonymous memory a process has now; 0, 0 when it has ended.
-func (p *replacedProcess) usage() (descriptors, memoryKiB int) {
+// usage returns the open descriptors and the anonymous memory of the process; 0, 0 when it has ended.
+func (p *serverProcess) usage() (descriptors, memoryKiB int) {
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
 	open, _ := os.ReadDir(dir + "/fd")
 	status, _ := os.ReadFile(dir + "/status")
@@ -68,20 +68,20 @@
 	return len(open), memoryKiB
 }
 
-// replacement is what the processes have in common: the socket, the files, and two backends.
-type replacement struct {
+// replacementEnv is what all processes of the test share: the socket, the files and two backends.
+type replacementEnv struct {
 	program    string
 	configPath string
 	stateDir   string
-	addr       string   // of the clients' listening socket
-	socket     *os.File // which every process inherits
-	sends      [2]atomic.Int64
+	addr       string          // of the listening socket
+	socket     *os.File        // listening socket, inherited by every process
+	sends      [2]atomic.Int64 // requests received, by backend
 }
 
-// newReplacement opens the socket, starts the backends and writes the configuration.
-func newReplacement(t *testing.T) *replacement {
+// newReplacementEnv opens the socket, starts the backends and writes the configuration.
+func newReplacementEnv(t *testing.T) *replacementEnv {
 	t.Helper()
-	r := &replacement{program: programPath(t), stateDir: t.TempDir()}
+	r := &replacementEnv{program: programPath(t), stateDir: t.TempDir()}
 	r.configPath = filepath.Join(r.stateDir, "config.json")
 	list := discovery.List{Rev: 1, Complete: true}
 	for n := range r.sends {
@@ -115,8 +115,8 @@
 	return r
 }
 
-// start starts a further process and waits until it is ready.
-func (r *replacement) start(t *testing.T) *replacedProcess {
+// start starts another process and waits until it is ready.
+func (r *replacementEnv) start(t *testing.T) *serverProcess {
 	t.Helper()
 	admin := freeAddr(t)
 	environment := []string{
@@ -129,35 +129,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &replacedProcess{process: started, admin: admin}
+	p := &serverProcess{process: started, admin: admin}
 	t.Cleanup(func() {
 		p.kill()
 		t.Logf("log of the process at %s:\n%s", p.admin, &p.log)
 	})
-	for end := time.Now().Add(replaceReady); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(replaceInterval) {
+	for end := time.Now().Add(readyTimeout); p.call("GET", "/v1/readyz") != http.StatusOK; time.Sleep(readyInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("the process is not ready within %v", replaceReady)
+			t.Fatalf("the process is not ready within %v", readyTimeout)
 		}
 	}
 	return p
 }
 
-// loadClients are clients that send one request after the other, and connect again when a process closes their
-// connection. stop ends them.
+// loadClients generate load. Each sends one request after the other, and reconnects when a process closes its
+// connection.
 type loadClients struct {
 	addr       string
 	lastID     atomic.Int64
 	answered   atomic.Int64
-	cut        atomic.Int64 // requests whose connection ended with no answer
-	unexpected atomic.Int64 // refused connections, and answers that are not a value
+	lost       atomic.Int64 // requests whose connection ended without an answer
+	unexpected atomic.Int64 // refused connections, and answers other than a value
 	stopped    chan struct{}
 	running    sync.WaitGroup
 }
 
-// startLoad starts clients. The test must stop them.
+// startLoad starts the clients. The caller must call stop.
 func startLoad(addr string) *loadClients {
 	c := &loadClients{addr: addr, stopped: make(chan struct{})}
-	for range replaceClients {
+	for range loadClientCount {
 		c.running.Go(c.run)
 	}
 	return c
@@ -169,7 +169,7 @@
 	c.running.Wait()
 }
 
-// run is one client, over all its connections.
+// run runs one client, which uses one connection after the other.
 func (c *loadClients) run() {
 	for {
 		conn, err := net.Dial("tcp", c.addr)
@@ -185,11 +185,12 @@
 	}
 }
 
-// useConnection sends requests until the connection ends. It reports whether the clients were stopped.
+// useConnection sends requests until the connection ends or the clients are stopped; it returns true in the latter
+// case.
 func (c *loadClients) useConnection(conn net.Conn) (stopped bool) {
 	const (
 		requestInterval = 2 * time.Millisecond
-		closeProbe      = 50 * time.Microsecond // to see whether the process has closed the connection
+		closeProbe      = 50 * time.Microsecond // read timeout of the check for a closed connection
 		answerTimeout   = 5 * time.Second
 	)
 	in := bufio.NewReader(conn)
@@ -207,7 +208,7 @@
 		io.WriteString(conn, request(int(c.lastID.Add(1))))
 		head, err := in.ReadString('\n')
 		if err != nil {
-			c.cut.Add(1)
+			c.lost.Add(1)
 			return false
 		}
 		if !strings.HasPrefix(head, "$") {
@@ -215,14 +216,14 @@
 			continue
 		}
 		if _, err := in.ReadString('\n'); err != nil {
-			c.cut.Add(1)
+			c.lost.Add(1)
 			return false
 		}
 		c.answered.Add(1)
 	}
 }
 
-// awaitProgress waits until a further 200 requests are answered.
+// awaitProgress waits until 200 more requests are answered.
 func (c *loadClients) awaitProgress(t *testing.T) {
 	t.Helper()
 	const (
@@ -237,20 +238,21 @@
 	}
 }
 
-// Processes of the real program follow each other on an inherited socket under load: by SIGTERM, and by SIGKILL with
-// requests open. What an operator told the first holds at the last, and two together stay within the platform's
-// smallest limits.
-func TestProcessesFollowEachOther(t *testing.T) {
-	r := newReplacement(t)
+// Three processes replace each other on an inherited socket under load: the first ends by SIGTERM, the second by
+// SIGKILL with open requests. A backend that an operator suspended at the first process stays suspended at the others.
+// While two processes overlap, they stay within the platform's smallest limits together. Few requests remain
+// unanswered.
+func TestProcessReplacementUnderLoad(t *testing.T) {
+	r := newReplacementEnv(t)
 	first := r.start(t)
 	clients := startLoad(r.addr)
 	stopClients := sync.OnceFunc(clients.stop)
 	defer stopClients()
 	clients.awaitProgress(t)
-	if status := first.call("PUT", "/v1/backends/"+drainedBackend+"/suspend"); status != http.StatusOK {
+	if status := first.call("PUT", "/v1/backends/"+suspendedBackend+"/suspend"); status != http.StatusOK {
 		t.Fatalf("suspend: got status %d, want %d", status, http.StatusOK)
 	}
-	time.Sleep(drainEffective)
+	time.Sleep(suspensionDelay)
 	sendsBefore := r.sends[1].Load()
 
 	second := r.start(t)
@@ -260,30 +262,31 @@
 		t.Errorf("after SIGTERM the first process ended with %v", first.result)
 	}
 	clients.awaitProgress(t)
-	if cut, unexpected := clients.cut.Load(), clients.unexpected.Load(); cut > maxTermCut || unexpected > 0 {
-		t.Errorf("SIGTERM: got %d requests cut and %d unexpected answers, of %d, want %d and 0 at most",
-			cut, unexpected, clients.answered.Load(), maxTermCut)
+	if lost, unexpected := clients.lost.Load(), clients.unexpected.Load(); lost > maxLostAfterTerm || unexpected > 0 {
+		t.Errorf("SIGTERM: got %d unanswered requests and %d unexpected answers, of %d, want %d and 0 at most",
+			lost, unexpected, clients.answered.Load(), maxLostAfterTerm)
 	}
 
 	third := r.start(t)
-	second.cmd.Process.Kill() // with requests open
+	second.cmd.Process.Kill() // with open requests
 	clients.awaitProgress(t)
 	stopClients()
-	if cut, unexpected := clients.cut.Load(), clients.unexpected.Load(); cut > maxKillCut || unexpected > 0 {
-		t.Errorf("SIGKILL: got %d requests cut and %d unexpected answers, want %d and 0 at most",
-			cut, unexpected, maxKillCut)
+	if lost, unexpected := clients.lost.Load(), clients.unexpected.Load(); lost > maxLostAfterKill || unexpected > 0 {
+		t.Errorf("SIGKILL: got %d unanswered requests and %d unexpected answers, want %d and 0 at most",
+			lost, unexpected, maxLostAfterKill)
 	}
 	if sends := r.sends[1].Load() - sendsBefore; sends > 0 {
 		t.Errorf("got %d sends to the suspended backend, want none", sends)
 	}
-	if status := third.call("PUT", "/v1/backends/"+drainedBackend+"/resume"); status != http.StatusOK {
+	if status := third.call("PUT", "/v1/backends/"+suspendedBackend+"/resume"); status != http.StatusOK {
 		t.Errorf("resume at the third process: got status %d, want %d", status, http.StatusOK)
 	}
-	t.Logf("%d answered, %d cut", clients.answered.Load(), clients.cut.Load())
+	t.Logf("%d answered, %d unanswered", clients.answered.Load(), clients.lost.Load())
 }
 
-// checkUsageUntilEnd checks that two processes together stay within the limits until the first has ended.
-func checkUsageUntilEnd(t *testing.T, first, second *replacedProcess) {
+// checkUsageUntilEnd checks that the usage of both processes together stays within the limits until the first has
+// ended.
+func checkUsageUntilEnd(t *testing.T, first, second *serverProcess) {
 	t.Helper()
 	for {
 		descriptors1, memory1 := first.usage()
--- a/cmd/hitchspring/zones_test.go
+++ b/cmd/hitchspring/zones_test.go
@@ -10,7 +10,8 @@
 	"hitchspring/internal/zonedrain"
 )
 
-// A zone is drained and returned through the file that the options name.
+// The zone commands start, list and end drains in the zone drain file that the options name, and report invalid
+// arguments as one-line errors.
 func TestZoneDrain(t *testing.T) {
 	const none = "no hall is taken out\n"
 	drainFile := filepath.Join(t.TempDir(), "drills.toml")
@@ -18,7 +19,7 @@
 	t.Setenv(optionsVariable, writeTemp(t, "options.toml", options))
 	run := func(args ...string) string {
 		t.Helper()
-		out, err := runQuietly(args...)
+		out, err := runWithoutLog(args...)
 		if err != nil {
 			t.Fatalf("%q: got error %v", args, err)
 		}
@@ -51,11 +52,11 @@
 		{"--at names no address", []string{"status", "halls"}},
 	} {
 		t.Run(test.want, func(t *testing.T) {
-			_, err := runQuietly(test.args...)
+			_, err := runWithoutLog(test.args...)
 			requireOneLine(t, err, test.want)
 		})
 	}
 	t.Setenv(optionsVariable, "")
-	_, err = runQuietly("hall", "list")
+	_, err = runWithoutLog("hall", "list")
 	requireOneLine(t, err, "halls.drills")
 }
