--- a/cmd/hitchspring/configuration.go
+++ b/cmd/hitchspring/configuration.go
@@ -73,18 +73,18 @@
 		Counter: file.Counter,
 		Admin:   file.AdminAddr,
 		Config: core.Config{
-			Discovery:   file.Discovery,
-			Seed:        seed,
-			Sockets:     file.Limits.Sockets,
-			Memory:      int(file.Limits.MemoryMB << 20),
-			Known:       file.Known,
-			Settings:    *set,
-			Connections: connections,
+			Discovery:        file.Discovery,
+			Seed:             seed,
+			Sockets:          file.Limits.Sockets,
+			Memory:           int(file.Limits.MemoryMB << 20),
+			InitialEndpoints: file.Known,
+			Settings:         *set,
+			Connections:      connections,
 		},
 	}}
 	if s := options.Store; s != nil && s.Kind == config.StoreRedis {
 		c.ingress.Counter = s.Address
-		c.ingress.Store = func(sink store.Sink) (store.Counter, error) {
+		c.ingress.NewCounter = func(sink store.Sink) (store.Counter, error) {
 			return redis.New(redisOptions(s, set.CounterTimeout), log, sink)
 		}
 	}
@@ -142,22 +142,22 @@
 	}
 	cfg.EnableTakeover = options.Takeover != nil
 	cfg.EnableEscrow = options.Escrow != nil
-	if clock := options.Clock; clock != nil {
-		cfg.Clock = core.Clock{Offset: time.Duration(clock.Offset), Rate: clock.Rate}
+	if clock := options.ClockError; clock != nil {
+		cfg.ClockError = core.ClockError{Offset: time.Duration(clock.Offset), Rate: clock.Rate}
 	}
 }
 
 // zonesConfig returns the configuration of the zone tracker.
 func zonesConfig(z *config.Zones) *zones.Config {
 	return &zones.Config{
-		Near:          z.Near,
-		NearPrice:     z.NearPrice,
-		FarPrice:      z.FarPrice,
-		Overprovision: z.Overprovision,
-		Panic:         z.Panic,
-		Ramp:          time.Duration(z.MaxRampDuration),
-		RampFrom:      z.RampFrom,
-		Forget:        time.Duration(z.CautionDecayInterval),
+		Near:                 z.Near,
+		NearPrice:            z.NearPrice,
+		FarPrice:             z.FarPrice,
+		Overprovision:        z.Overprovision,
+		Panic:                z.Panic,
+		MaxRampDuration:      time.Duration(z.MaxRampDuration),
+		RampFrom:             z.RampFrom,
+		CautionDecayInterval: time.Duration(z.CautionDecayInterval),
 	}
 }
 
--- a/cmd/hitchspring/serve.go
+++ b/cmd/hitchspring/serve.go
@@ -120,7 +120,7 @@
 		return errors.New("halls: only the content of the drills file can change without a restart")
 	case !reflect.DeepEqual(now.Peers, start.Peers):
 		return errors.New("peers: only the content of the key file and the seeds file can change without a restart")
-	case !reflect.DeepEqual(now.Clock, start.Clock):
+	case !reflect.DeepEqual(now.ClockError, start.ClockError):
 		return errors.New("clock: no value can change without a restart")
 	case !reflect.DeepEqual(now.Takeover, start.Takeover):
 		return errors.New("takeover: the section can't be added or removed without a restart")
--- a/cmd/hitchspring/status_tables.go
+++ b/cmd/hitchspring/status_tables.go
@@ -42,14 +42,14 @@
 			state += " (grey)"
 		}
 		rate := "any"
-		if z.Rate >= 0 {
-			rate = fmt.Sprintf("%.1f", z.Rate)
+		if z.RateLimit >= 0 {
+			rate = fmt.Sprintf("%.1f", z.RateLimit)
 		}
 		tier := tierNames[min(max(z.Priority, 0), len(tierNames)-1)]
 		since := z.Since.Round(zoneAgeRounding)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t", z.Name, tier, state, since, z.Backends, z.Proven)
-		fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t%.1f\t", z.Capacity, z.Nominal, z.Offered, z.Answered)
-		fmt.Fprintf(w, "%.0f%%\t%.0f%%\t%.0f%%\t", 100*z.Share, 100*z.Late, 100*z.Ramp)
+		fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t%.1f\t", z.Capacity, z.NominalCapacity, z.Offered, z.Answered)
+		fmt.Fprintf(w, "%.0f%%\t%.0f%%\t%.0f%%\t", 100*z.AttemptShare, 100*z.LateShare, 100*z.RampShare)
 		fmt.Fprintf(w, "%s\t%.2f\t%d\t\n", rate, z.Price, z.Caution)
 	}
 	if err := w.Flush(); err != nil {
@@ -126,7 +126,7 @@
 		"%d refused after a takeover, %d without room, %d taken over, %d failed, %d whose end was never told, "+
 		"%d turned away as believed dead\n",
 		r.Granted, r.StaleClocks, r.Joined, r.Adopted, r.RefusedOwners, r.Full, r.TookOver, r.Failed, r.Unreported,
-		r.TurnedAway)
+		r.RefusedEndedSenders)
 	_, err := fmt.Fprintf(out, "messages that could not be read: %d\n", s.Unreadable)
 	return err
 }
@@ -138,8 +138,8 @@
 	fmt.Fprintln(w, "member\tstate\tfor\theard\thall\taddress\tlife\tinc\tby")
 	for _, m := range s.Members {
 		heard := "never"
-		if m.HeardMS >= 0 {
-			heard = milliseconds(m.HeardMS).String() + " ago"
+		if m.LastMessageMS >= 0 {
+			heard = milliseconds(m.LastMessageMS).String() + " ago"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t", m.Name, m.State, milliseconds(m.SinceMS), heard)
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", m.Zone, m.Addr, m.Incarnation, m.Refutation, m.SuspectedBy)
@@ -154,10 +154,10 @@
 	fmt.Fprintf(out, "left aside: %d that no key opens, %d malformed, %d of a later version, %d too late, "+
 		"%d of an ended life, %d stray\n",
 		s.Counts.WrongKey, s.Counts.Malformed+s.Gossip.Malformed, s.Counts.Newer, s.Gossip.Late,
-		s.Swim.EndedIncarnation+s.Gossip.EndedIncarnation, s.Swim.Stray+s.Counts.Unsolicited)
+		s.Swim.EndedIncarnation+s.Gossip.EndedIncarnation, s.Swim.Rejected+s.Counts.Unsolicited)
 	_, err := fmt.Fprintf(out, "no room for: %d facts, %d updates on members; "+
 		"not sent: %d without a place in the queue, %d too large, %d by the system\n",
-		s.Gossip.Full, s.Swim.Full, s.Unqueued, s.Counts.Oversized, s.Unsent)
+		s.Gossip.Full, s.Swim.Full, s.DroppedMessages, s.Counts.Oversized, s.FailedWrites)
 	if err == nil && s.LeftReason != "" {
 		err = errors.New("takes no part any more: " + s.LeftReason)
 	}
@@ -169,7 +169,7 @@
 	w := newTable(out, 0)
 	fmt.Fprintln(w, "node\town good\town bad\town word\tby others' word\tcause\tage\twhy")
 	for _, b := range s.Backends {
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%s\t", b.Backend, b.Good, b.Bad, b.OwnCause)
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%s\t", b.Backend, b.SuccessEvidence, b.FailureEvidence, b.OwnCause)
 		fmt.Fprintf(w, "%.1f times\t%s\t%v\t%s\n", b.PeerSlowness, b.Cause, milliseconds(b.AgeMS), b.Reason)
 	}
 	if err := w.Flush(); err != nil {
@@ -178,7 +178,7 @@
 	for _, b := range s.Backends {
 		for _, r := range b.Reports {
 			_, err := fmt.Fprintf(out, "%s: %s (hall %s) says %s, bad %.1f, good %.1f, %v ago\n",
-				b.Backend, r.Owner, r.Zone, r.Cause, r.Bad, r.Good, milliseconds(r.AgeMS))
+				b.Backend, r.Owner, r.Zone, r.Cause, r.FailureEvidence, r.SuccessEvidence, milliseconds(r.AgeMS))
 			if err != nil {
 				return err
 			}
--- a/cmd/hitchspring/status_test.go
+++ b/cmd/hitchspring/status_test.go
@@ -99,7 +99,10 @@
 	for n := range backends {
 		backend := core.BackendStatus{Backend: policy.BackendID(fmt.Sprintf("node-%04d", n)), PeerSlowness: 1}
 		for r := range reporters {
-			report := core.PeerReport{Owner: fmt.Sprintf("instance-%03d", r), Zone: "zone-a", Cause: "slow", Bad: 1}
+			report := core.PeerReport{
+				Owner: fmt.Sprintf("instance-%03d", r), Zone: "zone-a", Cause: "slow",
+				FailureEvidence: 1,
+			}
 			backend.Reports = append(backend.Reports, report)
 		}
 		status.Backends = append(status.Backends, backend)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	if err := simproto.Host(os.Stdin, os.Stdout); err != nil {
+	if err := simproto.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -88,7 +88,7 @@
 func (p *Pool) Start(attempt *Attempt, id policy.BackendID) {
 	backend := p.backends[id]
 	if backend == nil { // no longer known
-		backend = &backendPool{Backend: policy.Backend{ID: id, State: policy.Gone}}
+		backend = &backendPool{Backend: policy.Backend{ID: id, State: policy.Removed}}
 	}
 	attempt.backend = backend
 	attempt.entry = backend.Backend
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -318,7 +318,7 @@
 	opened := (<-owner.events).(connectionOpened)
 	owner.pool.Handle(opened)
 	list := entries(server.Addr, server.Addr)
-	list[0].State = policy.Gone
+	list[0].State = policy.Removed
 	owner.pool.Update(list, false)
 	if len(owner.pool.backends) != 2 {
 		t.Fatalf("%d backends while an attempt is in flight, want 2", len(owner.pool.backends))
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -85,7 +85,7 @@
 
 // read posts replies until the connection ends or must not be reused.
 func (c *conn) read(ctx context.Context, post func(Event)) {
-	in := resp.Inbox{Budget: c.frameBudget}
+	in := resp.FrameBuffer{Budget: c.frameBudget}
 	defer in.Close()
 	deadlineSet := false
 	for {
@@ -138,7 +138,7 @@
 
 // readLargeReply streams a value of size bytes whose header has been read, and posts the reply after its end. It
 // reports whether the connection may be reused.
-func (c *conn) readLargeReply(ctx context.Context, in *resp.Inbox, size int, post func(Event)) bool {
+func (c *conn) readLargeReply(ctx context.Context, in *resp.FrameBuffer, size int, post func(Event)) bool {
 	reply, err := c.streamValue(ctx, in, size, post)
 	if err != nil {
 		return false
--- a/internal/backend/exploration_test.go
+++ b/internal/backend/exploration_test.go
@@ -443,7 +443,7 @@
 			e.violate("%s after all was settled: %d connections, %d dialing, wake scheduled %v, %d waiting, %d idle",
 				id, b.connections, b.dialing, b.wakeScheduled, len(b.waiting), len(b.idle))
 		}
-		if b.State == policy.Gone {
+		if b.State == policy.Removed {
 			e.violate("%s was removed and is still in the pool", id)
 		}
 	}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -92,7 +92,7 @@
 func (p *Pool) Update(list []Endpoint, complete bool) {
 	if complete {
 		for _, backend := range p.backends {
-			backend.State = policy.Gone
+			backend.State = policy.Removed
 		}
 	}
 	for _, endpoint := range list {
@@ -102,7 +102,7 @@
 			p.backends[endpoint.ID] = backend
 		}
 		backend.Backend = endpoint.Backend
-		if endpoint.Addr != "" && endpoint.State != policy.Gone {
+		if endpoint.Addr != "" && endpoint.State != policy.Removed {
 			backend.addr = endpoint.Addr
 		}
 	}
@@ -127,7 +127,7 @@
 // Backends returns the backends that are on the endpoint list, in no particular order.
 func (p *Pool) Backends() (out []policy.Backend) {
 	for _, backend := range p.backends {
-		if backend.State != policy.Gone {
+		if backend.State != policy.Removed {
 			out = append(out, backend.Backend)
 		}
 	}
@@ -150,7 +150,7 @@
 // attempts. New backends have new ids, so that the map would grow without bound otherwise.
 func (p *Pool) deleteIfRemoved(backend *backendPool) {
 	unused := backend.connections == 0 && len(backend.waiting) == 0
-	if backend.State == policy.Gone && unused && p.backends[backend.ID] == backend {
+	if backend.State == policy.Removed && unused && p.backends[backend.ID] == backend {
 		delete(p.backends, backend.ID)
 	}
 }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -70,7 +70,7 @@
 }
 
 // streamValue streams a large value whose header has just been read, then reads the rest of the reply.
-func (c *conn) streamValue(ctx context.Context, in *resp.Inbox, size int, post func(Event)) (Reply, error) {
+func (c *conn) streamValue(ctx context.Context, in *resp.FrameBuffer, size int, post func(Event)) (Reply, error) {
 	stream := newStream(size)
 	c.currentStream.Store(stream)
 	defer c.currentStream.Store(nil)
@@ -114,7 +114,7 @@
 }
 
 // readStreamTail reads what follows a streamed value: its line end, the usage and the load report.
-func (c *conn) readStreamTail(in *resp.Inbox) (Reply, error) {
+func (c *conn) readStreamTail(in *resp.FrameBuffer) (Reply, error) {
 	c.nc.SetReadDeadline(c.streamDeadline(time.Now()))
 	for in.BufferedBytes() < 2 {
 		if err := in.Fill(c.nc.Read); err != nil {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -51,7 +51,7 @@
 	Peers       *Peers       `toml:"peers,omitempty"`
 	Takeover    *Takeover    `toml:"takeover,omitempty"`
 	Escrow      *Escrow      `toml:"rights,omitempty"`
-	Clock       *Clock       `toml:"clock,omitempty"`
+	ClockError  *ClockError  `toml:"clock,omitempty"`
 }
 
 // Takeover enables the takeover of pending work: if an instance fails, other instances complete its requests that have
@@ -132,8 +132,8 @@
 	if o.Escrow != nil && o.Peers == nil {
 		errs = append(errs, newFieldError("rights", "it needs [peers]: with whom would parts move?"))
 	}
-	if o.Clock != nil {
-		errs = append(errs, o.Clock.validate()...)
+	if o.ClockError != nil {
+		errs = append(errs, o.ClockError.validate()...)
 	}
 	return errs
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -51,7 +51,8 @@
 	setDefault(&s, "overprovision", &z.Overprovision, zones.DefaultOverprovision, minRatio, maxOverprovision)
 	setDefault(&s, "panic", &z.Panic, zones.DefaultPanic, minShare, maxShare)
 	setDefault(&s, "ramp_from", &z.RampFrom, zones.DefaultRampFrom, minShare, maxShare)
-	setDefault(&s, "ramp", &z.MaxRampDuration, Duration(zones.DefaultRamp), minSpan, maxRamp)
-	setDefault(&s, "forget", &z.CautionDecayInterval, Duration(zones.DefaultForget), minSpan, maxCautionDecayInterval)
+	setDefault(&s, "ramp", &z.MaxRampDuration, Duration(zones.DefaultMaxRampDuration), minSpan, maxRamp)
+	setDefault(&s, "forget", &z.CautionDecayInterval, Duration(zones.DefaultCautionDecayInterval),
+		minSpan, maxCautionDecayInterval)
 	return s.errs
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -104,7 +104,7 @@
 		Attempt:  attempt.Number,
 		Backend:  attempt.BackendID(),
 		Outcome:  outcome,
-		Took:     c.now - attempt.StartedAt,
+		Elapsed:  c.now - attempt.StartedAt,
 		Finished: r.finished,
 		Load:     reply.Load,
 	})
@@ -130,7 +130,7 @@
 		Attempt:  attempt.Number,
 		Backend:  attempt.BackendID(),
 		Outcome:  policy.Succeeded,
-		Took:     c.now - attempt.StartedAt,
+		Elapsed:  c.now - attempt.StartedAt,
 		Finished: true,
 	})
 	c.withdrawUnsent(r)
@@ -150,7 +150,7 @@
 		r.pending.attemptEnded(ev)
 	}
 	if c.zones != nil {
-		c.zones.AttemptEnded(c.now, ev.Backend, c.now-ev.Took, r.Class, ev.Outcome)
+		c.zones.AttemptEnded(c.now, ev.Backend, c.now-ev.Elapsed, r.Class, ev.Outcome)
 	}
 	if c.outliers != nil {
 		c.outliers.detector.AttemptEnded(c.now, outlier.AttemptID{Request: r.ID, Number: ev.Attempt}, ev.Outcome)
@@ -176,5 +176,5 @@
 		c.zones.ProbeEnded(c.now, attempt.BackendID(), outcome == policy.Succeeded)
 	}
 	took := c.now - attempt.StartedAt
-	c.notifyEngine(policy.ProbeEnded{Backend: attempt.BackendID(), Outcome: outcome, Took: took, Load: reply.Load})
+	c.notifyEngine(policy.ProbeEnded{Backend: attempt.BackendID(), Outcome: outcome, Elapsed: took, Load: reply.Load})
 }
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -9,14 +9,14 @@
 // answerMargin is how long before the client's deadline a request is given up, so that the answer arrives in time.
 const answerMargin = 20 * time.Millisecond
 
-// Clock is a simulated error of a process's clock, for tests of clock skew and drift.
-type Clock struct {
+// ClockError is a simulated error of a process's clock, for tests of clock skew and drift.
+type ClockError struct {
 	Offset time.Duration // difference from the true time when the process starts
 	Rate   float64       // seconds of this clock per true second; 0 means 1
 }
 
 // elapsed returns how far the clock advances during a span of true time.
-func (k Clock) elapsed(span time.Duration) time.Duration {
+func (k ClockError) elapsed(span time.Duration) time.Duration {
 	if k.Rate == 0 {
 		return span
 	}
@@ -26,7 +26,7 @@
 // clock converts a time to the shared clock of all instances, which is Unix time. Its progress follows this process's
 // monotonic clock, so that it never jumps.
 func (c *Core) clock(t time.Time) time.Duration {
-	return c.epoch + c.cfg.Clock.elapsed(t.Sub(c.startedAt))
+	return c.epoch + c.cfg.ClockError.elapsed(t.Sub(c.startedAt))
 }
 
 // Now returns this instance's reading of the shared clock.
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -24,25 +24,25 @@
 
 // Config is the configuration of a core.
 type Config struct {
-	Discovery     string         // address of the discovery service
-	Seed          uint64         // of all random numbers
-	Sockets       int            // max file descriptors of the core and the fronts together
-	Memory        int            // max bytes of the core and the fronts together; 0: defaultMemory
-	Known         discovery.List // the endpoint list until discovery sends one
-	Settings      policy.Settings
-	Store         func(store.Sink) (store.Counter, error) // creates the shared counter; nil: there is none
-	Connections   settings.Connections
-	Leases        *LeaseConfig    // leases for callers who send attempts themselves; nil: none are granted
-	Zones         *zones.Config   // nil: zones are not tracked, and a backend of another zone costs a fixed factor
-	Summary       time.Duration   // interval between two summary lines of the log; 0: no summary lines
-	LogRequests   bool            // write a log line for the end of each request
-	Siblings      int             // sibling processes of this instance at the start, which share its limits
-	CountBackends bool            // keep the metrics of the endpoint list up to date
-	Overrides     OverrideStore   // persists operators' overrides; nil: they end with the process
-	Peers         Peers           // other instances, to share observations of backends with; nil: none are shared
-	Clock         Clock           // simulated clock error, for tests
-	Escrow        Transport       // carries transfers of quota shares; nil: all instances have equal shares
-	Takeover      *TakeoverConfig // nil: no other instance completes this one's work after its end
+	Discovery        string         // address of the discovery service
+	Seed             uint64         // of all random numbers
+	Sockets          int            // max file descriptors of the core and the fronts together
+	Memory           int            // max bytes of the core and the fronts together; 0: defaultMemory
+	InitialEndpoints discovery.List // the endpoint list until discovery sends one
+	Settings         policy.Settings
+	NewCounter       func(store.Sink) (store.Counter, error) // creates the shared counter; nil: there is none
+	Connections      settings.Connections
+	Leases           *LeaseConfig    // leases for callers who send attempts themselves; nil: none are granted
+	Zones            *zones.Config   // nil: zones are not tracked, and a backend of another zone costs a fixed factor
+	Summary          time.Duration   // interval between two summary lines of the log; 0: no summary lines
+	LogRequests      bool            // write a log line for the end of each request
+	Siblings         int             // sibling processes of this instance at the start, which share its limits
+	CountBackends    bool            // keep the metrics of the endpoint list up to date
+	Overrides        OverrideStore   // persists operators' overrides; nil: they end with the process
+	Peers            Peers           // other instances, to share observations of backends with; nil: none are shared
+	ClockError       ClockError      // simulated clock error, for tests
+	Escrow           Transport       // carries transfers of quota shares; nil: all instances have equal shares
+	Takeover         *TakeoverConfig // nil: no other instance completes this one's work after its end
 }
 
 // validate returns an error that names the first invalid field.
@@ -50,7 +50,7 @@
 	if cfg.Sockets < minSockets {
 		return fmt.Errorf("%d sockets are too few: %d at least", cfg.Sockets, minSockets)
 	}
-	if cfg.Settings.Counter && cfg.Store == nil {
+	if cfg.Settings.Counter && cfg.NewCounter == nil {
 		return errors.New("the settings name a shared counter, and there is none")
 	}
 	if _, _, err := net.SplitHostPort(cfg.Discovery); cfg.Discovery != "" && err != nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -115,7 +115,7 @@
 		events:          make(chan event, eventQueueLength),
 		stopped:         make(chan struct{}),
 		startedAt:       startedAt,
-		epoch:           time.Duration(startedAt.UnixNano()) + cfg.Clock.Offset,
+		epoch:           time.Duration(startedAt.UnixNano()) + cfg.ClockError.Offset,
 		metrics:         newMetrics(cfg.Settings.Classes),
 		guard:           guard.NewMonitor(log),
 		maxConnections:  cfg.Sockets * 3 / 8,
@@ -170,7 +170,9 @@
 		FrameBudget:    resp.NewBudget(cfg.Memory / memoryShares),
 	})
 	if cfg.Settings.Counter {
-		c.counter, err = cfg.Store(func(call *store.Call, result store.Result) { c.post(counterReplied{call, result}) })
+		c.counter, err = cfg.NewCounter(func(call *store.Call, result store.Result) {
+			c.post(counterReplied{call, result})
+		})
 		if err != nil {
 			return err
 		}
@@ -179,9 +181,9 @@
 	if cfg.Settings.PollEndpoints {
 		polling = cfg.Settings.Instances
 	}
-	known := len(cfg.Known.Targets) > 0
+	known := len(cfg.InitialEndpoints.Targets) > 0
 	receive := func(list discovery.List) { c.post(list) }
-	c.discovery = discovery.New(cfg.Discovery, cfg.Known.Rev, polling, known, receive, c.log)
+	c.discovery = discovery.New(cfg.Discovery, cfg.InitialEndpoints.Rev, polling, known, receive, c.log)
 	return nil
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -50,8 +50,8 @@
 
 func testConfig(known discovery.List) Config {
 	return Config{
-		Sockets: 256,
-		Known:   known,
+		Sockets:          256,
+		InitialEndpoints: known,
 		Settings: policy.Settings{
 			Instances:   1,
 			MaxAttempts: 1,
--- a/internal/core/counter_test.go
+++ b/internal/core/counter_test.go
@@ -23,7 +23,7 @@
 	c := newTestCore(t, testConfig(discovery.List{}), discardLogger)
 	call := &store.Call{Name: "a"}
 	c.handleCounterReply(counterReplied{call, store.Result{}})
-	c.handleCounterReply(counterReplied{call, store.Result{Certainty: store.Added, Seen: true, Total: 7}})
+	c.handleCounterReply(counterReplied{call, store.Result{Certainty: store.Added, HasTotal: true, Total: 7}})
 	if len(c.engineEvents) != 1 || c.engineEvents[0].(policy.CounterReply).Outcome != policy.TimedOut {
 		t.Fatalf("got events %v, want one reply that timed out", c.engineEvents)
 	}
@@ -32,7 +32,7 @@
 // Each degree of certainty that a store reports reaches the engine as the matching outcome.
 func TestCounterCertainty(t *testing.T) {
 	for want, result := range map[policy.Outcome]store.Result{
-		policy.Succeeded: {Certainty: store.Added, Seen: true, Total: 3},
+		policy.Succeeded: {Certainty: store.Added, HasTotal: true, Total: 3},
 		policy.Failed:    {Certainty: store.Added},
 		policy.NoConnect: {Certainty: store.NotAdded},
 		policy.TimedOut:  {},
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -21,7 +21,7 @@
 // loadKnownEndpoints applies the endpoint list of the configuration. It runs before all other events.
 func (c *Core) loadKnownEndpoints() {
 	c.now = c.clock(time.Now())
-	list := c.cfg.Known.Usable(c.log)
+	list := c.cfg.InitialEndpoints.Usable(c.log)
 	list.Complete = true
 	c.handle(list)
 }
@@ -51,7 +51,7 @@
 		}
 	}
 	c.overrides.mu.Lock()
-	c.overrides.active.NoteListed(ids)
+	c.overrides.active.RecordListed(ids)
 	c.overrides.mu.Unlock()
 	c.applyEndpoints(list)
 }
--- a/internal/core/escrow.go
+++ b/internal/core/escrow.go
@@ -79,7 +79,7 @@
 		e.members = append(e.members, escrow.Member{Name: member.Name})
 	}
 	for _, change := range ev.changes {
-		if change.Surely {
+		if change.Confirmed {
 			e.allocator.PeerEnded(change.Name, change.Number)
 		}
 	}
--- a/internal/core/guards.go
+++ b/internal/core/guards.go
@@ -109,7 +109,7 @@
 		c.guard.Violated(guard.AnsweredLate, append(r.logAttrs(), "late", late, "attempts", len(r.attempts))...)
 	}
 	if a.Kind == Rejected && !r.Delegated && !guard.MayReject(c.classOf(r), r.assignedAttempts(nil)) {
-		c.guard.Violated(guard.RejectedThoughRun, append(r.logAttrs(), "attempts", len(r.attempts))...)
+		c.guard.Violated(guard.RejectedAfterPossibleRun, append(r.logAttrs(), "attempts", len(r.attempts))...)
 		if enforced {
 			a = Answer{Kind: Failed}
 		}
@@ -124,7 +124,7 @@
 func (c *Core) checkUnanswered() {
 	for _, r := range c.requests {
 		if !r.finished && !r.Delegated {
-			c.guard.Violated(guard.OpenAtExit, r.logAttrs()...)
+			c.guard.Violated(guard.UnansweredAtExit, r.logAttrs()...)
 		}
 	}
 }
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -56,7 +56,7 @@
 	if (poolOwner{c}).AttemptWanted(retry) {
 		t.Error("the retry would be written, want it withheld")
 	}
-	checkViolations(t, c, guard.RepeatOfUnsafe, 1)
+	checkViolations(t, c, guard.RetryOfNonIdempotent, 1)
 }
 
 // awaitConnection waits until the connection of an attempt is established, and returns that event.
@@ -83,7 +83,7 @@
 	c.handle(awaitConnection(t, c))
 	c.performAction(policy.Reject{ID: r.ID, Reason: policy.NoRetry})
 	checkAnswer(t, sink, Failed)
-	checkViolations(t, c, guard.RejectedThoughRun, 1)
+	checkViolations(t, c, guard.RejectedAfterPossibleRun, 1)
 }
 
 // A second final answer is dropped, and the violation is counted.
@@ -142,5 +142,5 @@
 	c := newUnsafeCore(t)
 	submitRequest(c, 1, &recordingSink{})
 	c.checkUnanswered()
-	checkViolations(t, c, guard.OpenAtExit, 1)
+	checkViolations(t, c, guard.UnansweredAtExit, 1)
 }
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -301,7 +301,7 @@
 		Attempt:  attempt.Number,
 		Backend:  policy.BackendID(l.entry.Lease.Backend),
 		Outcome:  outcome,
-		Took:     c.now - attempt.StartedAt,
+		Elapsed:  c.now - attempt.StartedAt,
 		Finished: r.finished,
 		Unsent:   unsent,
 	})
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -47,8 +47,8 @@
 // of the same incarnation.
 type MemberChange struct {
 	Incarnation
-	Ended  bool // false: it is alive
-	Surely bool // the end is confirmed, and not only concluded from a suspicion
+	Ended     bool // false: it is alive
+	Confirmed bool // the end is confirmed, and not only concluded from a suspicion
 }
 
 // ReceiveMessage handles a message from an incarnation of another instance.
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -66,27 +66,27 @@
 
 // BackendStatus is the assessment of one backend that this or another instance has observed.
 type BackendStatus struct {
-	Backend      policy.BackendID `json:"Node"`
-	Good         float64          `json:"Good"` // this instance's evidence of successes
-	Bad          float64          `json:"Bad"`  // this instance's evidence of failures
-	OwnCause     string           `json:"Own"`  // cause of this instance's evidence of failures
-	PeerSlowness float64          `json:"Told"` // multiple of the usual latency, by others' observations; 1: not slow
-	Cause        string           `json:"Cause"`
-	Reporters    []string         `json:"Accusers"`
-	Defenders    []string         `json:"Defence"` // "" stands for this instance
-	Reason       string           `json:"Why"`
-	AgeMS        int64            `json:"AgeMS"`
-	Reports      []PeerReport     `json:"Words"`
+	Backend         policy.BackendID `json:"Node"`
+	SuccessEvidence float64          `json:"Good"` // this instance's evidence of successes
+	FailureEvidence float64          `json:"Bad"`  // this instance's evidence of failures
+	OwnCause        string           `json:"Own"`  // cause of this instance's evidence of failures
+	PeerSlowness    float64          `json:"Told"` // multiple of the usual latency, as observed by others; 1: not slow
+	Cause           string           `json:"Cause"`
+	Reporters       []string         `json:"Accusers"`
+	Defenders       []string         `json:"Defence"` // "" stands for this instance
+	Reason          string           `json:"Why"`
+	AgeMS           int64            `json:"AgeMS"`
+	Reports         []PeerReport     `json:"Words"`
 }
 
 // PeerReport is one other instance's observation of a backend.
 type PeerReport struct {
-	Owner string  `json:"Owner"`
-	Zone  string  `json:"Hall"`
-	Cause string  `json:"Cause"`
-	Good  float64 `json:"Good"`
-	Bad   float64 `json:"Bad"`
-	AgeMS int64   `json:"AgeMS"`
+	Owner           string  `json:"Owner"`
+	Zone            string  `json:"Hall"`
+	Cause           string  `json:"Cause"`
+	SuccessEvidence float64 `json:"Good"`
+	FailureEvidence float64 `json:"Bad"`
+	AgeMS           int64   `json:"AgeMS"`
 }
 
 // assessmentRequested is the event of AssessBackends.
@@ -121,7 +121,7 @@
 	clear(t.startTimes)
 	c.overrides.mu.Lock()
 	for id, target := range c.endpoints.targets {
-		if listed := c.overrides.active.Apply(target.Backend()); listed.State != policy.Gone {
+		if listed := c.overrides.active.Apply(target.Backend()); listed.State != policy.Removed {
 			t.startTimes[id] = listed.Started
 		}
 	}
@@ -271,27 +271,27 @@
 // backendStatus returns the status of one backend from this instance's observation and the assessment.
 func (t *outlierTracker) backendStatus(now time.Duration, o outlier.Observation, a outlier.Assessment) BackendStatus {
 	status := BackendStatus{
-		Backend:      o.Backend,
-		Good:         o.SuccessEvidence,
-		Bad:          o.FailureEvidence,
-		PeerSlowness: max(1, t.peerSlowness[o.Backend]),
-		Cause:        a.Cause.String(),
-		Reporters:    a.Reporters,
-		Defenders:    a.Defenders,
-		Reason:       a.Reason,
-		AgeMS:        a.Age.Milliseconds(),
+		Backend:         o.Backend,
+		SuccessEvidence: o.SuccessEvidence,
+		FailureEvidence: o.FailureEvidence,
+		PeerSlowness:    max(1, t.peerSlowness[o.Backend]),
+		Cause:           a.Cause.String(),
+		Reporters:       a.Reporters,
+		Defenders:       a.Defenders,
+		Reason:          a.Reason,
+		AgeMS:           a.Age.Milliseconds(),
 	}
 	if o.FailureEvidence > statusMinFailureEvidence {
 		status.OwnCause = o.Cause.String()
 	}
 	for _, peer := range t.peerObservations[o.Backend] {
 		status.Reports = append(status.Reports, PeerReport{
-			Owner: peer.Owner,
-			Zone:  peer.Zone,
-			Cause: peer.Cause.String(),
-			Good:  peer.SuccessEvidence,
-			Bad:   peer.FailureEvidence,
-			AgeMS: (now - peer.ObservedAt()).Milliseconds(),
+			Owner:           peer.Owner,
+			Zone:            peer.Zone,
+			Cause:           peer.Cause.String(),
+			SuccessEvidence: peer.SuccessEvidence,
+			FailureEvidence: peer.FailureEvidence,
+			AgeMS:           (now - peer.ObservedAt()).Milliseconds(),
 		})
 	}
 	return status
--- a/internal/core/quota_bounds.go
+++ b/internal/core/quota_bounds.go
@@ -38,6 +38,6 @@
 	if ev.span <= 0 {
 		ev.span = defaultBoundSpan
 	}
-	quotas := overrun.QuotaStates(c.engine.ExportState(), c.engine.QuotaStandings(), c.cfg.Settings)
+	quotas := overrun.QuotaStates(c.engine.ExportState(), c.engine.QuotaStatuses(), c.cfg.Settings)
 	ev.reply <- overrun.TopBounds(c.now, quotas, ev.span, MaxBoundsShown)
 }
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -79,7 +79,7 @@
 		return false
 	default: // any attempt sent to the previous scope certainly never ran
 		r.pending.scope, r.pending.awaiting, r.pending.backend = scope, attempt, to
-		c.takeover.coordinator.MigrateAttempt(c.now, r.ClientID, scope)
+		c.takeover.coordinator.RelocateAttempt(c.now, r.ClientID, scope)
 	}
 	c.drainCoordinator()
 	return true
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -51,7 +51,7 @@
 	case serving:
 		backend.State = policy.Running
 	case Deleted:
-		backend.State = policy.Gone
+		backend.State = policy.Removed
 	}
 	return backend
 }
--- a/internal/front/forwardauth/front.go
+++ b/internal/front/forwardauth/front.go
@@ -126,14 +126,14 @@
 	}()
 }
 
-// Unready makes /readyz answer 503, so that proxies stop sending calls to this
+// SetNotReady makes /readyz answer 503, so that proxies stop sending calls to this
 // instance. Calls that arrive nevertheless are answered.
-func (f *Front) Unready() { f.draining.Store(true) }
+func (f *Front) SetNotReady() { f.draining.Store(true) }
 
 // Drain stops accepting connections, waits until every call is answered, and stops
 // the server. When ctx ends, it closes the remaining connections.
 func (f *Front) Drain(ctx context.Context) {
-	f.Unready()
+	f.SetNotReady()
 	if f.server.Shutdown(ctx) != nil {
 		f.server.Close()
 	}
--- a/internal/front/resp/connection.go
+++ b/internal/front/resp/connection.go
@@ -51,7 +51,7 @@
 	phase           connectionPhase // only increases
 
 	// Fields below are used by the reader only.
-	inbox           resp.Inbox
+	inbox           resp.FrameBuffer
 	receipts        receiptLog
 	errorsBackedOff int32 // value of protocolErrors at the last pause
 	peerClosed      bool  // the client disconnected while the reader waited
--- a/internal/front/resp/reader.go
+++ b/internal/front/resp/reader.go
@@ -27,7 +27,7 @@
 // readCommands reads and handles commands until the connection ends.
 func (c *connection) readCommands() readResult {
 	in := &c.inbox
-	in.Budget, in.Max = c.front.requestMemory, resp.MaxLargeValue
+	in.Budget, in.MaxBytes = c.front.requestMemory, resp.MaxLargeValueBytes
 	defer in.Close()
 	var progress commandProgress
 	for {
@@ -44,7 +44,7 @@
 			c.updatePartialDeadline(&progress, c.receipts.discardPartial())
 			err = c.fillInbox()
 		}
-		if errors.Is(err, resp.ErrMemory) {
+		if errors.Is(err, resp.ErrBudgetExhausted) {
 			err = c.skipCommand()
 		}
 		if errors.Is(err, errEnded) {
@@ -159,7 +159,7 @@
 }
 
 // skipCommand discards a command that exceeds the memory budget and rejects it. If
-// its end is unknown, it returns resp.ErrMemory. The same time limits apply as for any
+// its end is unknown, it returns resp.ErrBudgetExhausted. The same time limits apply as for any
 // other partial command, so that a stalled client cannot block the reader.
 func (c *connection) skipCommand() error {
 	end := time.Now().Add(commandTimeout)
@@ -175,7 +175,7 @@
 		return nil
 	}
 	if err == nil {
-		return resp.ErrMemory
+		return resp.ErrBudgetExhausted
 	}
 	return err
 }
@@ -184,7 +184,7 @@
 // error, it also adds the error reply.
 func (c *connection) handleReadError(err error) readResult {
 	switch {
-	case errors.Is(err, resp.ErrFraming), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrMemory):
+	case errors.Is(err, resp.ErrFraming), errors.Is(err, resp.ErrTooLong), errors.Is(err, resp.ErrBudgetExhausted):
 		c.protocolError(err.Error())
 		return protocolFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && c.hasPartialCommand.Load():
@@ -230,7 +230,7 @@
 		c.setReadDeadline(time.Now().Add(peerClosedPollInterval))
 		switch err := c.inbox.Fill(c.receive); {
 		case err == nil || errors.Is(err, os.ErrDeadlineExceeded):
-		case errors.Is(err, resp.ErrMemory) || errors.Is(err, resp.ErrTooLong):
+		case errors.Is(err, resp.ErrBudgetExhausted) || errors.Is(err, resp.ErrTooLong):
 			readAhead = false
 		default:
 			c.peerClosed = true
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -69,7 +69,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
 		default:
-			now := socket.Unsent(c.conn)
+			now := socket.UnackedBytes(c.conn)
 			if unacknowledged != socket.Unknown && (now >= unacknowledged || now == socket.Unknown) {
 				return err
 			}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -15,19 +15,19 @@
 // The invariants. Those up to TwoAttemptsInFlight are checked before an attempt is written. An attempt that would
 // violate one of them is not written.
 const (
-	None                  Invariant = iota // no violation
-	SendAfterAnswer                        // an attempt of a request that already has its final answer
-	SendAfterDeadline                      // an attempt of a request whose deadline has passed
-	SendToNonRunning                       // an attempt at a backend that is not running, by the endpoint list
-	RepeatOfUnsafe                         // a retry of a non-idempotent request, after an attempt that may have run
-	RetryOutsideScope                      // a retry with an idempotency key outside the scope that drops duplicates
-	RetryAfterScopeExpiry                  // a retry with an idempotency key that its scope may have dropped
-	TwoAttemptsInFlight                    // a second attempt in flight of a request that may have only one
-	AnsweredTwice                          // a second final answer
-	AnsweredLate                           // a final answer later than half a second after the request's deadline
-	RejectedThoughRun                      // a rejection, which declares a retry safe, although an attempt may have run
-	ClosedUnanswered                       // this process closed a client's connection before answering its request
-	OpenAtExit                             // a request that is still unanswered when the process exits
+	None                     Invariant = iota // no violation
+	SendAfterAnswer                           // an attempt of a request that already has its final answer
+	SendAfterDeadline                         // an attempt of a request whose deadline has passed
+	SendToNonRunning                          // an attempt at a backend that is not running, by the endpoint list
+	RetryOfNonIdempotent                      // a retry of a non-idempotent request, after an attempt that may have run
+	RetryOutsideScope                         // a retry with an idempotency key outside the scope that drops duplicates
+	RetryAfterScopeExpiry                     // a retry with an idempotency key that its scope may have dropped
+	TwoAttemptsInFlight                       // a second attempt in flight of a request that may have only one
+	AnsweredTwice                             // a second final answer
+	AnsweredLate                              // a final answer later than half a second after the request's deadline
+	RejectedAfterPossibleRun                  // rejected as safe to retry, though an attempt may have run
+	ClosedUnanswered                          // this process closed a client's connection before answering its request
+	UnansweredAtExit                          // a request that is still unanswered when the process exits
 	invariantCount
 )
 
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -12,10 +12,10 @@
 	var text bytes.Buffer
 	m := NewMonitor(slog.New(slog.NewTextHandler(&text, nil)))
 	for range maxLogged + 5 {
-		m.Violated(RepeatOfUnsafe, "request", "00ff")
+		m.Violated(RetryOfNonIdempotent, "request", "00ff")
 	}
 	m.Violated(None)
-	if got := m.Count(RepeatOfUnsafe); got != maxLogged+5 {
+	if got := m.Count(RetryOfNonIdempotent); got != maxLogged+5 {
 		t.Errorf("got count %d, want %d", got, maxLogged+5)
 	}
 	const message = `msg="invariant violated" invariant=repeat_of_unsafe request=00ff`
@@ -32,8 +32,8 @@
 
 func TestNilMonitor(t *testing.T) {
 	var m *Monitor
-	m.Violated(OpenAtExit)
-	if got := m.Count(OpenAtExit); got != 0 {
+	m.Violated(UnansweredAtExit)
+	if got := m.Count(UnansweredAtExit); got != 0 {
 		t.Errorf("got count %d of a nil monitor, want 0", got)
 	}
 }
--- a/internal/guard/send.go
+++ b/internal/guard/send.go
@@ -66,7 +66,7 @@
 	case s.Class.Effect == policy.Safe:
 		return None
 	case s.Class.Effect != policy.Keyed:
-		return RepeatOfUnsafe
+		return RetryOfNonIdempotent
 	case !s.isInScopeOf(first):
 		return RetryOutsideScope
 	case now-first.At > s.Class.RepeatWindow:
--- a/internal/guard/send_test.go
+++ b/internal/guard/send_test.go
@@ -48,11 +48,13 @@
 		"to a drained backend": {
 			policy.Safe, func(s *Send) { s.BackendRunning = false }, nil, SendToNonRunning,
 		},
-		"unsafe after one that never ran":    {policy.Unsafe, unchanged, []Attempt{neverRan}, None},
-		"unsafe after one that may have run": {policy.Unsafe, unchanged, []Attempt{neverRan, ran}, RepeatOfUnsafe},
-		"unsafe while another is in flight":  {policy.Unsafe, unchanged, []Attempt{inFlight}, RepeatOfUnsafe},
-		"unknown effect":                     {policy.Effect(9), unchanged, []Attempt{ran}, RepeatOfUnsafe},
-		"safe while another is in flight":    {policy.Safe, unchanged, []Attempt{inFlight}, None},
+		"unsafe after one that never ran": {policy.Unsafe, unchanged, []Attempt{neverRan}, None},
+		"unsafe after one that may have run": {
+			policy.Unsafe, unchanged, []Attempt{neverRan, ran}, RetryOfNonIdempotent,
+		},
+		"unsafe while another is in flight": {policy.Unsafe, unchanged, []Attempt{inFlight}, RetryOfNonIdempotent},
+		"unknown effect":                    {policy.Effect(9), unchanged, []Attempt{ran}, RetryOfNonIdempotent},
+		"safe while another is in flight":   {policy.Safe, unchanged, []Attempt{inFlight}, None},
 		"safe while another is in flight, not parallel": {
 			policy.Safe, notParallel, []Attempt{inFlight}, TwoAttemptsInFlight,
 		},
--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -122,7 +122,7 @@
 	cfg.Settings.Counter, cfg.Settings.CounterTimeout = true, 50*time.Millisecond
 	cfg.Settings.Plans = []policy.Plan{{Name: "p", Price: 1, Rate: 1, Burst: 4}}
 	stall := &stallingCounter{stallTime: 2 * time.Second, stalled: make(chan struct{}, 1)}
-	cfg.Store = func(store.Sink) (store.Counter, error) { return stall, nil }
+	cfg.NewCounter = func(store.Sink) (store.Counter, error) { return stall, nil }
 	instance, _ := runIngress(t, cfg)
 	payloads := []string{
 		"",
--- a/internal/ingress/bench_test.go
+++ b/internal/ingress/bench_test.go
@@ -22,11 +22,11 @@
 // client. cpu-us is the user and system time of the process per request.
 func BenchmarkFronts(b *testing.B) {
 	cfg := authConfig(b, 8, func(c *Config) {
-		for i := range c.Known.Targets {
+		for i := range c.InitialEndpoints.Targets {
 			backend := scripted.NewBackend(b, func(int, []string, net.Conn) string { return servedReply })
-			c.Known.Targets[i].Endpoint = backend.Addr
+			c.InitialEndpoints.Targets[i].Endpoint = backend.Addr
 		}
-		c.Discovery = scripted.Registry(b, c.Known, nil)
+		c.Discovery = scripted.Registry(b, c.InitialEndpoints, nil)
 		c.Sockets, c.Leases.Retention, c.Leases.MaxRequests = 4096, time.Second, 1<<20
 		c.Settings.MaxAttempts, c.Settings.Hedging = 1, false
 		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].Deadline = time.Second, time.Second
--- a/internal/ingress/forwardauth_test.go
+++ b/internal/ingress/forwardauth_test.go
@@ -103,10 +103,10 @@
 func TestAuthUnitsAreCountedOnce(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	cfg := authConfig(t, 4, nil)
-	for i := range cfg.Known.Targets {
-		cfg.Known.Targets[i].Endpoint = backend.Addr
+	for i := range cfg.InitialEndpoints.Targets {
+		cfg.InitialEndpoints.Targets[i].Endpoint = backend.Addr
 	}
-	cfg.Discovery = scripted.Registry(t, cfg.Known, nil)
+	cfg.Discovery = scripted.Registry(t, cfg.InitialEndpoints, nil)
 	instance, _ := runIngress(t, cfg)
 	c := newProxyClient(t, instance)
 	nc, err := net.Dial("tcp", instance.AuthAddr().String())
@@ -208,10 +208,10 @@
 func TestAuthAndBackendDrain(t *testing.T) {
 	changes := make(chan discovery.List, 1)
 	cfg := authConfig(t, 2, nil)
-	cfg.Discovery = scripted.Registry(t, cfg.Known, changes)
+	cfg.Discovery = scripted.Registry(t, cfg.InitialEndpoints, changes)
 	instance, _ := runIngress(t, cfg)
 	c := newProxyClient(t, instance)
-	list := cfg.Known
+	list := cfg.InitialEndpoints
 	list.Complete, list.Rev = false, 2
 	list.Targets = []discovery.Target{list.Targets[0]}
 	list.Targets[0].State = "DRAINING"
@@ -329,8 +329,8 @@
 func TestPriorityHoldsAcrossFronts(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return servedReply })
 	cfg := authConfig(t, 1, nil)
-	cfg.Known.Targets[0].Endpoint = backend.Addr
-	cfg.Discovery = scripted.Registry(t, cfg.Known, nil)
+	cfg.InitialEndpoints.Targets[0].Endpoint = backend.Addr
+	cfg.Discovery = scripted.Registry(t, cfg.InitialEndpoints, nil)
 	cfg.Settings.Classes[2].PriorityWeight, cfg.Settings.Classes[2].RepeatWindow = 5, 3*time.Second
 	instance, stop := runIngress(t, cfg)
 	c := newProxyClient(t, instance)
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -43,7 +43,7 @@
 
 func testConfig(discoveryAddr string, known discovery.List) Config {
 	return Config{Listen: "127.0.0.1:0", Config: core.Config{
-		Discovery: discoveryAddr, Sockets: 256, Known: known,
+		Discovery: discoveryAddr, Sockets: 256, InitialEndpoints: known,
 		Settings: policy.Settings{
 			Instances: 1, MaxAttempts: 1, MayCancel: true, MaxUnits: 4,
 			Classes: []policy.Class{
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -106,11 +106,11 @@
 	if cfg.Listener != nil { // assume one sibling process until the state directory gives the number
 		cfg.Siblings = 1
 	}
-	if cfg.Store == nil {
+	if cfg.NewCounter == nil {
 		if cfg.Settings.Counter && cfg.Counter == "" {
 			return nil, errors.New("the settings name a shared counter, the configuration has no address of it")
 		}
-		cfg.Store = func(sink store.Sink) (store.Counter, error) {
+		cfg.NewCounter = func(sink store.Sink) (store.Counter, error) {
 			return tally.New(cfg.Counter, cfg.Settings.CounterTimeout, sink), nil
 		}
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -92,7 +92,7 @@
 }
 
 func badInputs() map[string]badInput {
-	long := strings.Repeat("x", resp.MaxValue+1)
+	long := strings.Repeat("x", resp.MaxValueBytes+1)
 	return map[string]badInput{
 		"unknown command": {encodeCommand("HELLO", "3"), false},
 		"no fields":       {encodeCommand("Q.ASK"), false},
--- a/internal/ingress/large_values_test.go
+++ b/internal/ingress/large_values_test.go
@@ -63,7 +63,7 @@
 // Values of all sizes arrive complete and in order on one connection, although the
 // backend sends them in pieces of random size, one with a pause of 2 s.
 func TestLargeValuesInPieces(t *testing.T) {
-	sizes := []int{1, resp.MaxValue, resp.MaxValue + 1, 5, 1 << 20, 100, resp.MaxLargeValue, 3}
+	sizes := []int{1, resp.MaxValueBytes, resp.MaxValueBytes + 1, 5, 1 << 20, 100, resp.MaxLargeValueBytes, 3}
 	backend := scripted.NewBackend(t, func(n int, args []string, nc net.Conn) string {
 		id := requestID(args)
 		b := []byte(encodeValue(randomValue(id, sizes[id])))
@@ -75,7 +75,7 @@
 			}
 			nc.Write(b[:k])
 			b = b[k:]
-			if sizes[id] == resp.MaxValue+1 && len(b) < 30000 && len(b) > 100 {
+			if sizes[id] == resp.MaxValueBytes+1 && len(b) < 30000 && len(b) > 100 {
 				time.Sleep(2 * time.Second)
 				nc.Write(b)
 				b = nil
@@ -111,7 +111,7 @@
 			io.WriteString(nc, encodeValue(randomValue(1, 1<<20))[:500000])
 			nc.Close()
 		case 2:
-			return fmt.Sprintf("*3\r\n$%d\r\nxxx", resp.MaxLargeValue+1)
+			return fmt.Sprintf("*3\r\n$%d\r\nxxx", resp.MaxLargeValueBytes+1)
 		case 3:
 			return "*3\r\n$-77777\r\nxxx"
 		case 4:
@@ -123,7 +123,7 @@
 					}
 				}
 			}()
-			return fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLargeValue)
+			return fmt.Sprintf("*3\r\n$%d\r\n", resp.MaxLargeValueBytes)
 		}
 		return servedReply
 	})
@@ -165,7 +165,7 @@
 // Many clients that read large values slowly need little memory each, and do not
 // delay other clients.
 func TestSlowReadersOfLargeValues(t *testing.T) {
-	const readers, size, other = 200, resp.MaxLargeValue, 1000
+	const readers, size, other = 200, resp.MaxLargeValueBytes, 1000
 	// All readers share one byte slice, since a string would be copied for each write.
 	value := []byte(encodeValue(randomValue(0, size)))
 	backend := scripted.NewBackend(t, func(_ int, args []string, nc net.Conn) string {
@@ -284,12 +284,12 @@
 	if args := <-got; len(args) != 5 || args[4] != string(randomValue(1, 1<<20)) {
 		t.Fatalf("the backend got %d arguments, want 5 with the unchanged body", len(args))
 	}
-	go io.WriteString(nc, write(2, resp.MaxLargeValue)+encodeRead(3, readFields))
+	go io.WriteString(nc, write(2, resp.MaxLargeValueBytes)+encodeRead(3, readFields))
 	if l := readLine(t, in); l != "-BUSY 250" {
 		t.Fatalf("a body without memory for it: %q", l)
 	}
 	requireValue(t, in)
-	go io.WriteString(nc, write(4, resp.MaxLargeValue+1))
+	go io.WriteString(nc, write(4, resp.MaxLargeValueBytes+1))
 	if l := readLine(t, in); l != "-ERR value too long" {
 		t.Fatalf("a body that is too long: %q", l)
 	}
--- a/internal/ingress/peer_metrics.go
+++ b/internal/ingress/peer_metrics.go
@@ -70,7 +70,7 @@
 		"newer":      s.Counts.Newer,
 		"late":       s.Gossip.Late,
 		"ended life": s.Swim.EndedIncarnation + s.Gossip.EndedIncarnation,
-		"stray":      s.Swim.Stray + s.Counts.Unsolicited,
+		"stray":      s.Swim.Rejected + s.Counts.Unsolicited,
 		"full":       s.Swim.Full + s.Gossip.Full,
 	} {
 		put(c.ignored, prometheus.CounterValue, float64(n), reason)
--- a/internal/ingress/peers.go
+++ b/internal/ingress/peers.go
@@ -145,7 +145,7 @@
 		incarnation := core.Incarnation{Name: c.Name, Number: c.Incarnation}
 		if c.State > swim.Suspect {
 			confirmed := c.State == swim.Left || c.Confirmed
-			out = append(out, core.MemberChange{Incarnation: incarnation, Ended: true, Surely: confirmed})
+			out = append(out, core.MemberChange{Incarnation: incarnation, Ended: true, Confirmed: confirmed})
 			continue
 		}
 		if c.New && c.Incarnation > 0 { // so the previous incarnation has ended, even if its end was not observed
--- a/internal/ingress/quota_test.go
+++ b/internal/ingress/quota_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(code, err, text)
 	}
 	bound := all[0]
-	if bound.Tenant != "00000000b4d65521" || bound.Mode != overrun.NeverHeard ||
+	if bound.Tenant != "00000000b4d65521" || bound.Mode != overrun.NeverAnswered ||
 		bound.MaxSpend < 50 || bound.MaxSpend > 62 { // a burst of 9, of which 1 is spent, and 50 units in 10 s
 		t.Errorf("%+v", bound)
 	}
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -30,7 +30,7 @@
 		i.handOver()
 	}
 	if i.auth != nil {
-		i.auth.Unready()
+		i.auth.SetNotReady()
 	}
 	time.Sleep(time.Until(signaledAt.Add(listenerGrace)))
 	drainCtx, endDrain := context.WithCancel(context.Background())
--- a/internal/lab/trial/quota_bounds.go
+++ b/internal/lab/trial/quota_bounds.go
@@ -280,7 +280,7 @@
 
 // checkModes checks that instances state to be disconnected where the case cuts one off, and only there.
 func (r *Result) checkModes(cut disconnection, modes map[overrun.Mode]int) {
-	alone := modes[overrun.Disconnected] + modes[overrun.NeverHeard]
+	alone := modes[overrun.Disconnected] + modes[overrun.NeverAnswered]
 	r.Metrics["looks_alone"] = float64(alone)
 	r.Metrics["looks"] = float64(modes[overrun.Normal] + modes[overrun.Late] + alone)
 	if len(cut.instances) > 0 && alone == 0 {
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -56,8 +56,8 @@
 // New returns Overrides without any ids.
 func New() *Overrides { return &Overrides{entries: map[policy.BackendID]*entry{}} }
 
-// NoteListed records the ids of an endpoint list or of a change to it.
-func (o *Overrides) NoteListed(ids []policy.BackendID) {
+// RecordListed records the ids of an endpoint list or of a change to it.
+func (o *Overrides) RecordListed(ids []policy.BackendID) {
 	o.updates++
 	for _, id := range ids {
 		o.entry(id).lastListed = o.updates
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -32,7 +32,7 @@
 }
 
 func (m *overridesModel) list(id policy.BackendID) {
-	m.overrides.NoteListed([]policy.BackendID{id})
+	m.overrides.RecordListed([]policy.BackendID{id})
 	m.listed[id] = true
 }
 
@@ -60,7 +60,7 @@
 	if changed := other.Merge(m.overrides.All()); len(changed) > 0 {
 		t.Fatalf("got %v changed by overrides that were merged before, want none", changed)
 	}
-	other.NoteListed(m.ids)
+	other.RecordListed(m.ids)
 	m.overrides = other
 	for _, id := range m.ids {
 		m.listed[id] = true
@@ -98,7 +98,7 @@
 				m.merge(t)
 			}
 			for _, id := range m.ids {
-				for _, state := range []policy.BackendState{policy.Running, policy.Draining, policy.Gone} {
+				for _, state := range []policy.BackendState{policy.Running, policy.Draining, policy.Removed} {
 					m.check(t, id, state)
 				}
 			}
@@ -119,7 +119,7 @@
 func TestListedRestartAfterSuspensionTakesPrecedence(t *testing.T) {
 	for _, c := range []struct{ listed, want time.Duration }{{0, 20}, {9, 20}, {10, 20}, {12, 12}, {25, 25}} {
 		o := New()
-		o.NoteListed([]policy.BackendID{"a"})
+		o.RecordListed([]policy.BackendID{"a"})
 		set(t, o, "a", true, 10)
 		set(t, o, "a", false, 20)
 		got := o.Apply(policy.Backend{ID: "a", State: policy.Running, Started: c.listed}).Started
@@ -133,10 +133,10 @@
 // If new ids keep arriving, the number of entries stays bounded and no suspended backend is evicted.
 func TestNumberOfEntriesIsBounded(t *testing.T) {
 	o := New()
-	o.NoteListed([]policy.BackendID{"suspended"})
+	o.RecordListed([]policy.BackendID{"suspended"})
 	set(t, o, "suspended", true, 1)
 	for i := range 3 * maxEntries {
-		o.NoteListed([]policy.BackendID{policy.BackendID(fmt.Sprint("s", i))})
+		o.RecordListed([]policy.BackendID{policy.BackendID(fmt.Sprint("s", i))})
 	}
 	if len(o.entries) > maxEntries {
 		t.Fatalf("got %d ids, want at most %d", len(o.entries), maxEntries)
@@ -155,8 +155,8 @@
 	for i := range 7700 {
 		ids = append(ids, policy.BackendID(fmt.Sprint("s", i)))
 	}
-	o.NoteListed(ids)
-	o.NoteListed([]policy.BackendID{"another"})
+	o.RecordListed(ids)
+	o.RecordListed([]policy.BackendID{"another"})
 	for _, id := range ids {
 		set(t, o, id, true, 1)
 	}
--- a/internal/overrun/bound_test.go
+++ b/internal/overrun/bound_test.go
@@ -129,7 +129,9 @@
 			if r.counterLost {
 				r.forwarded += r.units[action.ID]
 			}
-			ended := policy.AttemptEnded{ID: action.ID, Outcome: policy.Succeeded, Took: r.serviceTime, Finished: true}
+			ended := policy.AttemptEnded{
+				ID: action.ID, Outcome: policy.Succeeded, Elapsed: r.serviceTime, Finished: true,
+			}
 			r.schedule(r.serviceTime, ended)
 		case policy.AddToCounter:
 			r.addToCounter(action)
@@ -155,7 +157,7 @@
 // in transit are lost. It returns false if no request has arrived yet.
 func (r *engineRun) loseCounter() (Bound, bool) {
 	var bound Bound
-	for _, quota := range QuotaStates(r.engine.ExportState(), r.engine.QuotaStandings(), r.settings) {
+	for _, quota := range QuotaStates(r.engine.ExportState(), r.engine.QuotaStatuses(), r.settings) {
 		bound = BoundOf(r.now, quota, r.span)
 	}
 	if bound.Tenant == "" {
@@ -272,7 +274,7 @@
 	},
 	"never heard": {
 		change:        func(q *QuotaState) { q.TotalAt, q.CounterSilent = 0, true },
-		mode:          NeverHeard,
+		mode:          NeverAnswered,
 		maxUnreported: 10,
 	},
 	"each request calls the counter": {
@@ -296,7 +298,7 @@
 					TotalAt:     testNow - 100*ms,
 					RefreshedAt: testNow,
 				},
-				QuotaStanding: policy.QuotaStanding{AvailableUnits: 10},
+				QuotaStatus: policy.QuotaStatus{AvailableUnits: 10},
 			}
 			test.change(&quota)
 			bound := BoundOf(testNow, quota, 3*time.Second)
--- a/internal/overrun/mode.go
+++ b/internal/overrun/mode.go
@@ -10,11 +10,11 @@
 
 // The modes.
 const (
-	Normal       Mode = iota // the counter answers
-	Late                     // a call has failed, or no total arrived for lateAfter although there is demand
-	Disconnected             // calls fail and no total arrived for disconnectedAfter: only the own share is spent
-	NeverHeard               // the counter has never answered for this tenant
-	PerRequest               // units are not leased: the counter is called for each request
+	Normal        Mode = iota // the counter answers
+	Late                      // a call has failed, or no total arrived for lateAfter although there is demand
+	Disconnected              // calls fail and no total arrived for disconnectedAfter: only the own share is spent
+	NeverAnswered             // the counter has never answered for this tenant
+	PerRequest                // units are not leased: the counter is called for each request
 )
 
 // modeNames holds the names shown to operators.
@@ -55,7 +55,7 @@
 	case q.Sparse:
 		return PerRequest
 	case q.TotalAt == 0:
-		return NeverHeard
+		return NeverAnswered
 	case q.CounterSilent && totalAge > disconnectedAfter:
 		return Disconnected
 	case q.CounterSilent, totalAge > lateAfter && q.Demand > minDemand:
--- a/internal/overrun/overrun.go
+++ b/internal/overrun/overrun.go
@@ -20,7 +20,7 @@
 // QuotaState is this instance's state of one tenant's quota.
 type QuotaState struct {
 	policy.LearnedTenant
-	policy.QuotaStanding
+	policy.QuotaStatus
 	Plan Plan
 }
 
@@ -30,7 +30,7 @@
 // QuotaStates returns the quota states of all tenants of a policy engine that have
 // a limited rate.
 func QuotaStates(
-	learned policy.LearnedState, standings map[string]policy.QuotaStanding, settings policy.Settings,
+	learned policy.LearnedState, standings map[string]policy.QuotaStatus, settings policy.Settings,
 ) []QuotaState {
 	plans := map[string]Plan{}
 	for _, p := range settings.Plans {
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -16,7 +16,7 @@
 // parser trusts lengths and panics if one is huge or negative, so input must pass
 // this function first.
 func FrameLength(b []byte, depth int) (int, error) {
-	size, _, err := scanFrame(b, depth, MaxValue)
+	size, _, err := scanFrame(b, depth, MaxValueBytes)
 	return size, err
 }
 
@@ -117,10 +117,10 @@
 }
 
 // ParseLargeValueHeader checks whether b begins with an array of three elements
-// whose first is a string longer than MaxValue, which is forwarded as it arrives.
+// whose first is a string longer than MaxBytes, which is forwarded as it arrives.
 // It returns the number of bytes before the content of the string and the length
 // of the string, or 0 for both if b begins otherwise. A string longer than
-// MaxLargeValue is ErrTooLong.
+// MaxLargeValueBytes is ErrTooLong.
 func ParseLargeValueHeader(b []byte) (headerBytes, valueBytes int, err error) {
 	const start = "*3\r\n$"
 	if len(b) <= len(start) || string(b[:len(start)]) != start {
@@ -133,9 +133,9 @@
 	}
 	n, valid := parseLength(rest[:end-1])
 	switch {
-	case !valid || n <= MaxValue: // FrameLength handles these
+	case !valid || n <= MaxValueBytes: // FrameLength handles these
 		return 0, 0, nil
-	case n > MaxLargeValue:
+	case n > MaxLargeValueBytes:
 		return 0, 0, ErrTooLong
 	}
 	return len(start) + end + 1, n, nil
--- a/internal/resp/inbox.go
+++ b/internal/resp/frame_buffer.go
@@ -1,13 +1,13 @@
 package resp
 
-// Inbox buffers the bytes of a connection until a frame is complete. The zero
+// FrameBuffer buffers the bytes of a connection until a frame is complete. The zero
 // value is ready to use; Close must be called after use. It is not safe for
 // concurrent use.
-type Inbox struct {
+type FrameBuffer struct {
 	// Budget provides the memory beyond SmallBufferBytes; nil: unlimited.
 	Budget *Budget
-	// Max bounds the bytes of one string; 0: MaxValue.
-	Max int
+	// MaxBytes bounds the bytes of one string; 0: MaxBytes.
+	MaxBytes int
 
 	buf           []byte
 	start         int         // start of the unconsumed bytes in buf
@@ -17,21 +17,21 @@
 }
 
 // Close releases the memory that was reserved from the budget.
-func (in *Inbox) Close() {
+func (in *FrameBuffer) Close() {
 	in.Budget.Release(in.reserved)
 	in.reserved = 0
 }
 
-func (in *Inbox) maxValue() int {
-	if in.Max > 0 {
-		return in.Max
+func (in *FrameBuffer) maxValue() int {
+	if in.MaxBytes > 0 {
+		return in.MaxBytes
 	}
-	return MaxValue
+	return MaxValueBytes
 }
 
 // Next consumes and returns the next complete frame, or nil if more must be read.
 // The frame is valid until Fill is called.
-func (in *Inbox) Next() ([]byte, error) {
+func (in *FrameBuffer) Next() ([]byte, error) {
 	size, bound, err := scanFrame(in.buf[in.start:in.end], 0, in.maxValue())
 	in.pendingLength = bound
 	if size == 0 || err != nil {
@@ -44,21 +44,21 @@
 
 // Partial reports whether there are unconsumed bytes, of a frame that Next has not
 // returned.
-func (in *Inbox) Partial() bool { return in.end > in.start }
+func (in *FrameBuffer) Partial() bool { return in.end > in.start }
 
 // BufferedBytes returns the number of unconsumed bytes.
-func (in *Inbox) BufferedBytes() int { return in.end - in.start }
+func (in *FrameBuffer) BufferedBytes() int { return in.end - in.start }
 
 // Buffered returns the unconsumed bytes. They are valid until Fill is called.
-func (in *Inbox) Buffered() []byte { return in.buf[in.start:in.end] }
+func (in *FrameBuffer) Buffered() []byte { return in.buf[in.start:in.end] }
 
 // Discard consumes n bytes.
-func (in *Inbox) Discard(n int) { in.start += n }
+func (in *FrameBuffer) Discard(n int) { in.start += n }
 
 // Fill calls read once. If the buffer is full, it grows it first, up to the size of
-// one frame. It returns ErrTooLong if the frame does not fit, ErrMemory if the
+// one frame. It returns ErrTooLong if the frame does not fit, ErrBudgetExhausted if the
 // budget is exhausted, and the error of read if no bytes were read.
-func (in *Inbox) Fill(read func([]byte) (int, error)) error {
+func (in *FrameBuffer) Fill(read func([]byte) (int, error)) error {
 	if in.start > 0 {
 		in.end = copy(in.buf, in.buf[in.start:in.end])
 		in.start = 0
@@ -83,7 +83,7 @@
 // grow doubles the buffer, up to the size of the largest frame. If the length of
 // the pending frame is known, it grows the buffer at most to that length plus a
 // small buffer for the bytes that may follow.
-func (in *Inbox) grow() error {
+func (in *FrameBuffer) grow() error {
 	maxBytes := in.maxValue() + frameOverheadBytes + maxHeaderBytes
 	if in.end >= maxBytes {
 		return ErrTooLong
@@ -93,7 +93,7 @@
 		growth = min(growth, in.pendingLength.bytes-in.end+SmallBufferBytes)
 	}
 	if !in.Budget.Reserve(growth) {
-		return ErrMemory
+		return ErrBudgetExhausted
 	}
 	in.reserved += growth
 	in.buf = append(in.buf, make([]byte, growth)...)
@@ -103,7 +103,7 @@
 // SkipFrame reads and discards the rest of the pending frame, so that the next one
 // can be read. It reports false if the length of the frame is unknown, or if read
 // failed before its end.
-func (in *Inbox) SkipFrame(read func([]byte) (int, error)) (bool, error) {
+func (in *FrameBuffer) SkipFrame(read func([]byte) (int, error)) (bool, error) {
 	if !in.pendingLength.exact {
 		return false, nil
 	}
--- a/internal/resp/large_fuzz_test.go
+++ b/internal/resp/large_fuzz_test.go
@@ -26,12 +26,13 @@
 			t.Fatalf("got lengths %d and %d with error %v, want zeros", headerBytes, size, err)
 		case size == 0:
 			return
-		case size <= MaxValue || size > MaxLargeValue || headerBytes > len(b) || !bytes.HasPrefix(b, []byte("*3\r\n$")):
+		case size <= MaxValueBytes || size > MaxLargeValueBytes || headerBytes > len(b) ||
+			!bytes.HasPrefix(b, []byte("*3\r\n$")):
 			t.Fatalf("%q: got a header of %d bytes for a value of %d bytes", b, headerBytes, size)
 		}
 		frame := append(append([]byte{}, b[:headerBytes]...), make([]byte, size)...)
 		frame = append(frame, "\r\n$-1\r\n$-1\r\n"...)
-		if n, _, err := scanFrame(frame, 0, MaxLargeValue); n != len(frame) || err != nil {
+		if n, _, err := scanFrame(frame, 0, MaxLargeValueBytes); n != len(frame) || err != nil {
 			t.Fatalf("%q: got a frame of %d bytes, %v, want %d", b[:headerBytes], n, err, len(frame))
 		}
 	})
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -10,9 +10,9 @@
 // Bounds on what a peer may send, in bytes. A frame is buffered completely before
 // it is parsed, so they also bound the buffer of a connection.
 const (
-	MaxValue      = 64 << 10 // of one string
-	MaxLargeValue = 4 << 20  // of a string that is forwarded as it arrives, or of a request body
-	MaxFrameBytes = MaxValue + frameOverheadBytes
+	MaxValueBytes      = 64 << 10 // of one string
+	MaxLargeValueBytes = 4 << 20  // of a string that is forwarded as it arrives, or of a request body
+	MaxFrameBytes      = MaxValueBytes + frameOverheadBytes
 
 	// SmallBufferBytes is the size of the buffer that a connection retains between frames.
 	SmallBufferBytes = 2 << 10
@@ -30,7 +30,7 @@
 // Errors for input from a peer. After any of them the framing of the connection is
 // lost, unless Inbox.SkipFrame can skip the rest of the frame.
 var (
-	ErrFraming = errors.New("malformed RESP")
-	ErrTooLong = errors.New("value too long")
-	ErrMemory  = errors.New("no memory for this now")
+	ErrFraming         = errors.New("malformed RESP")
+	ErrTooLong         = errors.New("value too long")
+	ErrBudgetExhausted = errors.New("no memory for this now")
 )
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -14,15 +14,15 @@
 // The total memory for incomplete frames of all connections is bounded.
 func TestBudget(t *testing.T) {
 	budget := NewBudget(SmallBufferBytes + 10)
-	fill := func(in *Inbox) error {
+	fill := func(in *FrameBuffer) error {
 		return in.Fill(func(p []byte) (int, error) { return len(p), nil })
 	}
-	one, two := Inbox{Budget: budget}, Inbox{Budget: budget}
+	one, two := FrameBuffer{Budget: budget}, FrameBuffer{Budget: budget}
 	for i, step := range []struct {
-		inbox *Inbox
-		want  error
-	}{{&one, nil}, {&two, nil}, {&one, nil}, {&two, ErrMemory}} {
-		if err := fill(step.inbox); !errors.Is(err, step.want) {
+		buffer *FrameBuffer
+		want   error
+	}{{&one, nil}, {&two, nil}, {&one, nil}, {&two, ErrBudgetExhausted}} {
+		if err := fill(step.buffer); !errors.Is(err, step.want) {
 			t.Fatalf("step %d: got %v, want %v", i, err, step.want)
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n, err := FrameLength(b, 0)
-		if n < 0 || n > len(b) || n > MaxFrameBytes+MaxValue || err != nil && n != 0 {
+		if n < 0 || n > len(b) || n > MaxFrameBytes+MaxValueBytes || err != nil && n != 0 {
 			t.Fatalf("got %d of %d bytes, %v", n, len(b), err)
 		}
 		if n > 0 {
@@ -72,7 +72,7 @@
 }
 
 // readAll returns the frames of a stream that is read in segments of random size.
-func readAll(t *rapid.T, in *Inbox, stream string) []string {
+func readAll(t *rapid.T, in *FrameBuffer, stream string) []string {
 	var frames []string
 	read := func(p []byte) (int, error) {
 		piece := rapid.SampledFrom([]int{1, 2, 7, 1000, 50000, 1 << 20}).Draw(t, "cut")
@@ -104,7 +104,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "frames") {
 			want = append(want, anyFrame(t))
 		}
-		in := Inbox{Max: 1 << 20}
+		in := FrameBuffer{MaxBytes: 1 << 20}
 		got := readAll(t, &in, strings.Join(want, ""))
 		if !slices.Equal(got, want) || in.Partial() {
 			t.Fatalf("got %d frames, partial: %v, want the %d that were sent", len(got), in.Partial(), len(want))
@@ -115,7 +115,7 @@
 // A frame that exceeds the memory budget is skipped exactly to its end if its
 // length is known.
 func TestSkipFrame(t *testing.T) {
-	in := Inbox{Max: 1 << 20, Budget: NewBudget(100)}
+	in := FrameBuffer{MaxBytes: 1 << 20, Budget: NewBudget(100)}
 	stream := "*2\r\n$1\r\nx\r\n$50000\r\n" + strings.Repeat("y", 50000) + "\r\n" + "+OK\r\n"
 	read := func(p []byte) (int, error) {
 		if stream == "" {
@@ -131,8 +131,8 @@
 			err = in.Fill(read)
 		}
 	}
-	if !errors.Is(err, ErrMemory) {
-		t.Fatalf("got %v, want %v", err, ErrMemory)
+	if !errors.Is(err, ErrBudgetExhausted) {
+		t.Fatalf("got %v, want %v", err, ErrBudgetExhausted)
 	}
 	if skipped, err := in.SkipFrame(read); !skipped || err != nil {
 		t.Fatalf("got %v, %v, want the frame skipped", skipped, err)
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -79,7 +79,7 @@
 // stopBackend stops a backend. Its queued and running work is lost without an answer.
 func (s *simulation) stopBackend(b *backend) {
 	b.down = true
-	b.State = policy.Gone
+	b.State = policy.Removed
 	b.incarnation++
 	b.queue = nil
 	b.busyCores = 0
@@ -196,7 +196,7 @@
 		ID:       r.ID,
 		Attempt:  a.index,
 		Outcome:  outcome,
-		Took:     s.now - a.sentAt,
+		Elapsed:  s.now - a.sentAt,
 		Finished: r.answers > 0,
 	}
 	if a.backend != nil {
--- a/internal/simproto/actions.go
+++ b/internal/simproto/actions.go
@@ -66,7 +66,7 @@
 		return appendNotification(buf, instance, a)
 	case policy.AddToCounter:
 		return newLine(buf, "INCR", instance).text("counter", a.Name).number("add", a.Add).
-			micros("keepForUs", a.Keep).end()
+			micros("keepForUs", a.Retention).end()
 	case policy.WatchEndpoints:
 		return newLine(buf, "KEEP_INFORMED", instance).text("on", "1").end()
 	case policy.FetchEndpoints:
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -81,7 +81,7 @@
 		Attempt:      p.int("try"),
 		Backend:      policy.BackendID(p.fields["backend"]),
 		Outcome:      parseOutcome(p.fields["stateCode"]),
-		Took:         p.micros("lagUs"),
+		Elapsed:      p.micros("lagUs"),
 		Finished:     p.bool("over"),
 		SettledUnits: p.float("settled"),
 		Load:         p.load("metrics"),
@@ -93,7 +93,7 @@
 	return policy.ProbeEnded{
 		Backend: policy.BackendID(p.fields["backend"]),
 		Outcome: parseOutcome(p.fields["stateCode"]),
-		Took:    p.micros("lagUs"),
+		Elapsed: p.micros("lagUs"),
 		Load:    p.load("metrics"),
 	}
 }
@@ -153,7 +153,7 @@
 	case "on":
 		return policy.Running
 	case "off":
-		return policy.Gone
+		return policy.Removed
 	default:
 		return policy.Draining
 	}
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -21,9 +21,9 @@
 	engines map[int]*policy.Engine // by number of the instance
 }
 
-// Host runs the instances that the batches of in start, and writes a reply to out for
+// Serve runs the instances that the batches of in start, and writes a reply to out for
 // each batch, until the input ends.
-func Host(in io.Reader, out io.Writer) error {
+func Serve(in io.Reader, out io.Writer) error {
 	h := &host{engines: map[int]*policy.Engine{}}
 	r := NewReader(in)
 	w := bufio.NewWriterSize(out, bufferSize)
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -17,7 +17,7 @@
 func runHost(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
-	err := Host(strings.NewReader(in), &out)
+	err := Serve(strings.NewReader(in), &out)
 	return out.String(), err
 }
 
@@ -84,7 +84,7 @@
 		{policy.Reject{ID: 2}, "BUSY\ti=1\tcall=2\n"},
 		{policy.Fail{ID: 2}, "DROP_REQUEST\ti=1\tcall=2\n"},
 		{
-			policy.AddToCounter{Name: "c", Add: -1.5, Keep: time.Millisecond},
+			policy.AddToCounter{Name: "c", Add: -1.5, Retention: time.Millisecond},
 			"INCR\ti=1\tcounter=c\tadd=-1.5\tkeepForUs=1000\n",
 		},
 		{policy.NotifyInstance{To: -1, Body: []byte("hi 7")}, "NOTIFY\ti=1\tdest=all\tmsg=aGkgNw==\n"},
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -47,9 +47,9 @@
 	return ended || state == closed
 }
 
-// Unsent returns the number of bytes that were written to a connection and not
+// UnackedBytes returns the number of bytes that were written to a connection and not
 // yet acknowledged by its peer, or Unknown.
-func Unsent(conn net.Conn) int {
+func UnackedBytes(conn net.Conn) int {
 	unsent := Unknown
 	control(conn, func(fd int) {
 		queued := int32(0)
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -38,7 +38,7 @@
 	if n, err := writer.Write(make([]byte, 64<<20)); err == nil {
 		t.Fatalf("got all %d bytes written, want a time-out", n)
 	}
-	before := Unsent(writer)
+	before := UnackedBytes(writer)
 	if before <= 0 {
 		t.Fatalf("got %d unsent bytes, want more than 0", before)
 	}
@@ -48,15 +48,15 @@
 			t.Fatal(err)
 		}
 	}
-	for end := time.Now().Add(5 * time.Second); Unsent(writer) >= before; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); UnackedBytes(writer) >= before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("got %d unsent bytes after 100 KiB were read, want less than %d", Unsent(writer), before)
+			t.Fatalf("got %d unsent bytes after 100 KiB were read, want less than %d", UnackedBytes(writer), before)
 		}
 	}
 	a, z := net.Pipe()
 	defer a.Close()
 	defer z.Close()
-	if got := Unsent(a); got != Unknown {
+	if got := UnackedBytes(a); got != Unknown {
 		t.Fatalf("got %d unsent bytes for a pipe, want Unknown", got)
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -137,7 +137,7 @@
 	}
 	var lost int
 	sink := func(_ *store.Call, result store.Result) {
-		if !result.Seen {
+		if !result.HasTotal {
 			lost++
 		}
 		free <- struct{}{}
@@ -189,7 +189,7 @@
 	cfg := ingress.Config{Listen: "127.0.0.1:0", Counter: addr, Config: core.Config{
 		Discovery: agent,
 		Sockets:   256,
-		Known: discovery.List{
+		InitialEndpoints: discovery.List{
 			Rev:      1,
 			Complete: true,
 			Targets:  []discovery.Target{{UID: "s", Endpoint: backend, State: "SERVING"}},
@@ -213,7 +213,7 @@
 		Connections: settings.Connections{Idle: time.Minute, ConnectTimeout: time.Second},
 	}}
 	if kind == "redis" {
-		cfg.Store = func(sink store.Sink) (store.Counter, error) { return newCounter(kind, addr, sink) }
+		cfg.NewCounter = func(sink store.Sink) (store.Counter, error) { return newCounter(kind, addr, sink) }
 	}
 	return cfg
 }
--- a/internal/store/redis/conn.go
+++ b/internal/store/redis/conn.go
@@ -14,7 +14,7 @@
 // second one reads; the reader ends when nc is closed.
 type conn struct {
 	nc            net.Conn
-	inbox         resp.Inbox        // used only by the reader
+	inbox         resp.FrameBuffer  // used only by the reader
 	pending       chan pendingWrite // sent writes without a reply, in the order of their replies
 	readerDone    chan struct{}
 	wakeWriter    chan struct{}              // signals that the writer must check closeReason and the retry queue
--- a/internal/store/redis/failover_test.go
+++ b/internal/store/redis/failover_test.go
@@ -70,7 +70,7 @@
 	for range 4 {
 		if r := x.AddAndWait(t, "a", 1); r.Certainty != store.NotAdded {
 			spent++
-			if r.Seen && r.Total < spent-1e-9 {
+			if r.HasTotal && r.Total < spent-1e-9 {
 				t.Fatalf("total %v is below the known %v", r.Total, spent)
 			}
 		}
@@ -94,7 +94,7 @@
 func addAndCheckTotal(t *testing.T, instance *storetest.Instance, amount, spent float64) store.Result {
 	t.Helper()
 	result := instance.AddAndWait(t, "a", amount)
-	if result.Seen && result.Total < spent-1e-9 {
+	if result.HasTotal && result.Total < spent-1e-9 {
 		t.Fatalf("total %v is below the known %v", result.Total, spent)
 	}
 	return result
@@ -150,10 +150,10 @@
 	}
 	storetest.Eventually(t, "an add on the new primary", func() bool {
 		result := x.AddAndWait(t, "a", 0)
-		if result.Seen && result.Total < spent {
+		if result.HasTotal && result.Total < spent {
 			t.Fatalf("total %v is below the known %v", result.Total, spent)
 		}
-		return result.Seen && total(t, replica, "a") > 0
+		return result.HasTotal && total(t, replica, "a") > 0
 	})
 	storetest.Eventually(t, "the new primary to hold all adds", func() bool { return total(t, replica, "a") == spent })
 }
--- a/internal/store/redis/faults_test.go
+++ b/internal/store/redis/faults_test.go
@@ -47,7 +47,7 @@
 			call := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 			instance.Add(call)
 			got := instance.NextAnswer(t) // resent on a new connection
-			if got.Call != call || got.Result != (store.Result{Certainty: store.Added, Seen: true, Total: 11}) {
+			if got.Call != call || got.Result != (store.Result{Certainty: store.Added, HasTotal: true, Total: 11}) {
 				t.Fatalf("%+v", got.Result)
 			}
 			if got := stats(instance).AlreadyApplied == 1; got != c.alreadyApplied {
@@ -104,7 +104,7 @@
 		call := &store.Call{Name: "a", Amount: 1, TTL: time.Minute}
 		instance.Add(call)
 		storetest.Eventually(t, "the call to be claimed", func() bool { return !call.IsQueued() })
-		if !call.Lapse() {
+		if !call.AssumeAdded() {
 			t.Fatal("the store has already rejected the call")
 		}
 		storetest.Eventually(t, string(kind)+": unit in the total", func() bool { return total(t, s, "a") == 11 })
--- a/internal/store/redis/read.go
+++ b/internal/store/redis/read.go
@@ -33,7 +33,7 @@
 		var err error
 		confirmed, errorReply, err = s.readConfirmations(c, confirmed[:0])
 		for _, add := range confirmed {
-			s.sink(add.call, store.Result{Certainty: store.Added, Seen: true, Total: add.total})
+			s.sink(add.call, store.Result{Certainty: store.Added, HasTotal: true, Total: add.total})
 		}
 		if err == nil && errorReply != nil {
 			err = s.handleErrorReply(c, errorReply)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -34,7 +34,7 @@
 // Result is the result of an add.
 type Result struct {
 	Certainty Certainty
-	Seen      bool    // Total is valid; false if the add took effect but its reply could not be parsed
+	HasTotal  bool    // Total is valid; false if the add took effect but its reply could not be parsed
 	Total     float64 // in units, including this add; never less than what this instance knows to be spent
 }
 
@@ -68,9 +68,9 @@
 // the call, which guarantees that it is never added.
 func (c *Call) Withdraw() bool { return c.state.CompareAndSwap(queued, withdrawn) }
 
-// Lapse is called by the caller at its timeout, if the call can no longer be withdrawn. From then on the call counts
-// as added. It reports false if the store has already rejected the call; its result follows shortly.
-func (c *Call) Lapse() bool { return c.state.CompareAndSwap(claimed, assumedAdded) }
+// AssumeAdded is called by the caller at its timeout, if the call can no longer be withdrawn. From then on the call
+// counts as added. It reports false if the store has already rejected the call; its result follows shortly.
+func (c *Call) AssumeAdded() bool { return c.state.CompareAndSwap(claimed, assumedAdded) }
 
 // Reject is called by the store before it removes the amount of the call from the total. It reports false if the
 // caller has counted the call as added; the amount must then stay in the total.
@@ -79,9 +79,9 @@
 // IsQueued reports whether the call has been neither claimed nor withdrawn.
 func (c *Call) IsQueued() bool { return c.state.Load() == queued }
 
-// FirstAnswer is called by the caller, from one goroutine, for each result of the call. It marks the call as answered
+// MarkAnswered is called by the caller, from one goroutine, for each result of the call. It marks the call as answered
 // and reports whether this was its first result.
-func (c *Call) FirstAnswer() bool {
+func (c *Call) MarkAnswered() bool {
 	first := !c.answered
 	c.answered = true
 	return first
--- a/internal/store/storetest/suite.go
+++ b/internal/store/storetest/suite.go
@@ -37,7 +37,7 @@
 	for _, amount := range []float64{1, 2.5, -0.75, 0, 1e-6, 123456.5, -3} {
 		want += amount
 		got := instance.AddAndWait(t, "a", amount)
-		if got.Certainty != store.Added || !got.Seen || !ApproxEqual(got.Total, want) {
+		if got.Certainty != store.Added || !got.HasTotal || !ApproxEqual(got.Total, want) {
 			t.Fatalf("after %v: got %+v, want %v", amount, got, want)
 		}
 	}
@@ -85,7 +85,7 @@
 	last := map[string]float64{}
 	for range names * each {
 		got := instance.NextAnswer(t)
-		if !got.Result.Seen {
+		if !got.Result.HasTotal {
 			t.Fatalf("%s: %+v", got.Call.Name, got.Result)
 		}
 		last[got.Call.Name] = got.Result.Total
--- a/internal/store/tally/protocol.go
+++ b/internal/store/tally/protocol.go
@@ -42,7 +42,7 @@
 	}
 	if text, ok := strings.CutPrefix(line, "ok "); ok {
 		if total, err := strconv.ParseFloat(text, 64); err == nil && math.Abs(total) <= maxTotal {
-			return store.Result{Certainty: store.Added, Seen: true, Total: total}
+			return store.Result{Certainty: store.Added, HasTotal: true, Total: total}
 		}
 	}
 	return unreadable
--- a/internal/store/tally/tally_test.go
+++ b/internal/store/tally/tally_test.go
@@ -59,7 +59,7 @@
 		}
 	})
 	for i, want := range []store.Result{
-		{Certainty: store.Added, Seen: true, Total: 3.5},
+		{Certainty: store.Added, HasTotal: true, Total: 3.5},
 		{Certainty: store.NotAdded},
 		{Certainty: store.NotAdded},
 		{},
@@ -117,7 +117,7 @@
 		}
 	}
 	s.calls <- &store.Call{Name: "c"}
-	if got := <-answers; !got.result.Seen || got.result.Total != 4 {
+	if got := <-answers; !got.result.HasTotal || got.result.Total != 4 {
 		t.Fatalf("%.9q: next call: got %v, want total 4", reply, got.result)
 	}
 }
@@ -196,7 +196,7 @@
 	s.calls <- &store.Call{Name: "a"}
 	close(proceed)
 	for want := 1.0; want <= 2; want++ {
-		if got := <-answers; !got.result.Seen || got.result.Total != want {
+		if got := <-answers; !got.result.HasTotal || got.result.Total != want {
 			t.Fatalf("got %v, total %v; want %v", got.result, got.result.Total, want)
 		}
 	}
--- a/internal/swim/members.go
+++ b/internal/swim/members.go
@@ -122,7 +122,7 @@
 // Otherwise the update may count as a confirmation of the current suspicion.
 func (m *Machine) apply(update Update) {
 	if !validUpdate(update) {
-		m.counts.Stray++
+		m.counts.Rejected++
 		return
 	}
 	if update.Name == m.self.Name {
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -57,9 +57,9 @@
 	// Refusals counts suspicions that this member raised because a host refused
 	// a message.
 	Refusals int `json:"Refusals"`
-	// Stray counts rejected messages and updates: messages sent by this member
+	// Rejected counts rejected messages and updates: messages sent by this member
 	// itself or addressed to another one, and malformed updates.
-	Stray int `json:"Stray"`
+	Rejected int `json:"Stray"`
 	// Full counts updates about unknown members that were ignored because the
 	// member list was full.
 	Full int `json:"Full"`
@@ -188,7 +188,7 @@
 		return nil
 	}
 	if !m.addressedToSelf(msg) || !validUpdate(msg.Self) {
-		m.counts.Stray++
+		m.counts.Rejected++
 		return nil
 	}
 	if msg.Self.Name == m.self.Name {
--- a/internal/takeover/coordinator.go
+++ b/internal/takeover/coordinator.go
@@ -135,9 +135,9 @@
 	c.requestConsent(now, pending)
 }
 
-// MigrateAttempt requests consent for a further attempt in another scope. The
+// RelocateAttempt requests consent for a further attempt in another scope. The
 // caller must know that no earlier attempt ran.
-func (c *Coordinator) MigrateAttempt(now time.Duration, attempt uint64, scope Scope) {
+func (c *Coordinator) RelocateAttempt(now time.Duration, attempt uint64, scope Scope) {
 	c.advance(now)
 	work := c.pending[attempt]
 	if work == nil {
--- a/internal/takeover/coordinator_test.go
+++ b/internal/takeover/coordinator_test.go
@@ -116,12 +116,12 @@
 	f := newTestFleet(5)
 	c := f.coordinators["n0"]
 	f.requestSend("n0", testWork(), 1, ownScope("a"), f.now+2*time.Second)
-	c.MigrateAttempt(f.now, 1, ownScope("b"))
+	c.RelocateAttempt(f.now, 1, ownScope("b"))
 	f.deliverAll()
 	f.expectCount(t, "n0", ActionSend, 2)
 
 	f.disconnect(c.pending[1].remotes[1])
-	c.MigrateAttempt(f.now, 1, ownScope("c"))
+	c.RelocateAttempt(f.now, 1, ownScope("c"))
 	f.deliverAll()
 	f.tickAt("n0", 40)
 	f.expectCount(t, "n0", ActionSend, 2)
--- a/internal/takeover/departure_test.go
+++ b/internal/takeover/departure_test.go
@@ -57,7 +57,7 @@
 func TestDeparturesDoNotProlongTheWait(t *testing.T) {
 	now := time.Hour
 	c := newWaitingWork(t, now)
-	c.MigrateAttempt(now, 1, ownScope("b"))
+	c.RelocateAttempt(now, 1, ownScope("b"))
 	for range 5 {
 		now += 70 * ms
 		c.MemberLeft(now, c.pending[1].remotes[0], 1)
@@ -80,7 +80,7 @@
 	c.RequestSend(now, work, 1, ScopeNone, now+4*time.Second)
 	replyFromAll(c, now, 1, Reply{Kind: ReplyGranted, Epoch: 1})
 	remotes := c.pending[1].remotes
-	c.MigrateAttempt(now, 1, ownScope("a"))
+	c.RelocateAttempt(now, 1, ownScope("a"))
 	replyFromAll(c, now, 1, Reply{Kind: ReplyGranted, Epoch: 1})
 	c.AttemptSent(now, 1)
 	c.Receive(now, remotes[0], 1, Message{Intent: &Intent{
--- a/internal/takeover/false_death_test.go
+++ b/internal/takeover/false_death_test.go
@@ -142,7 +142,7 @@
 		for name, action := range f.takeOvers() {
 			if !requested[name] {
 				requested[name] = true
-				f.coordinators[name].MigrateAttempt(f.now, action.Attempt, ownScope(name))
+				f.coordinators[name].RelocateAttempt(f.now, action.Attempt, ownScope(name))
 			}
 		}
 		f.deliverAll()
--- a/internal/takeover/known_faults_test.go
+++ b/internal/takeover/known_faults_test.go
@@ -80,7 +80,7 @@
 			c.SetMembers(members)
 			c.RequestSend(now, work, 1, ScopeNone, now+4*time.Second)
 			replyFromAll(c, now, 1, Reply{Kind: ReplyGranted, Epoch: 1})
-			c.MigrateAttempt(now, 1, ownScope("a"))
+			c.RelocateAttempt(now, 1, ownScope("a"))
 			replyFromAll(c, now, 1, Reply{Kind: ReplyAdopt, Epoch: 3, Scope: ownScope("b")})
 			c.Drain()
 			if leaves {
--- a/internal/takeover/model_test.go
+++ b/internal/takeover/model_test.go
@@ -345,7 +345,7 @@
 		case s.defect == defectTakesOverWithoutConsent:
 			s.sendAttempt(name, action.Attempt, ownScope(name), true)
 		default:
-			s.coordinators[name].MigrateAttempt(s.now, action.Attempt, ownScope(name))
+			s.coordinators[name].RelocateAttempt(s.now, action.Attempt, ownScope(name))
 		}
 	case ActionUseAnswer:
 		s.recordAnswer(id, action.Answer)
@@ -363,7 +363,7 @@
 	work := c.pending[action.Attempt]
 	accepted := work != nil && work.scope == ScopeNone
 	if accepted && work.covered && s.defect != defectSendsFromScopeNone { // if not covered, no replica has it
-		c.MigrateAttempt(s.now, action.Attempt, ownScope(name))
+		c.RelocateAttempt(s.now, action.Attempt, ownScope(name))
 		return
 	}
 	if _, sent := s.sent[attemptID(name, action.Attempt)]; !sent {
--- a/internal/takeover/random_fleet_test.go
+++ b/internal/takeover/random_fleet_test.go
@@ -170,7 +170,7 @@
 	}
 	attempt.scope = ownScope(name[1:])
 	f.expectAction(attempt, maxReplyTimeout)
-	f.instances[name].coordinator.MigrateAttempt(f.now, number, attempt.scope)
+	f.instances[name].coordinator.RelocateAttempt(f.now, number, attempt.scope)
 	f.drain(name)
 }
 
@@ -382,7 +382,7 @@
 	}
 	attempt.scope = ownScope(name[1:])
 	f.expectAction(attempt, maxReplyTimeout)
-	instance.coordinator.MigrateAttempt(f.now, taken.Attempt, attempt.scope)
+	instance.coordinator.RelocateAttempt(f.now, taken.Attempt, attempt.scope)
 }
 
 // send records that an attempt was sent.
--- a/internal/takeover/replica.go
+++ b/internal/takeover/replica.go
@@ -156,9 +156,9 @@
 	TookOver      int `json:"Taken"`   // records taken over by this instance
 	Failed        int `json:"Failed"`  // orphaned records that could not be taken over
 	Unreported    int `json:"Late"`    // records whose owners did not report an outcome in time
-	// TurnedAway counts refused intents of instances that were believed to have
+	// RefusedEndedSenders counts refused intents of instances that were believed to have
 	// ended, for keys that another instance owns.
-	TurnedAway int `json:"TurnedAway"`
+	RefusedEndedSenders int `json:"TurnedAway"`
 }
 
 // newReplicaStore returns an empty store for an incarnation of self.
--- a/internal/takeover/replica_intent.go
+++ b/internal/takeover/replica_intent.go
@@ -122,7 +122,7 @@
 // owner, since no successor would take the record over from it again. It gets the
 // answer, because it may be alive after all.
 func (r *ReplicaStore) refuseEndedSender(from string, intent *Intent, rec *record, reply *Reply) {
-	r.counts.TurnedAway++
+	r.counts.RefusedEndedSenders++
 	r.leaveToOwner(from, intent, rec, reply)
 }
 
--- a/internal/zones/recovery.go
+++ b/internal/zones/recovery.go
@@ -36,7 +36,7 @@
 	case Up:
 		if lost {
 			t.markLost(now, z, reason)
-		} else if z.caution > 0 && now-z.stableSince > t.cfg.Forget {
+		} else if z.caution > 0 && now-z.stableSince > t.cfg.CautionDecayInterval {
 			z.caution--
 			z.stableSince = now
 		}
@@ -79,7 +79,7 @@
 // markLost takes a zone out of service: each of its backends is used again only once it is proven. A loss during a
 // recovery or soon after it adds a caution step to the next recovery.
 func (t *Tracker) markLost(now time.Duration, z *zone, reason string) {
-	if z.rampStartedAt > 0 && (z.state == Returning || now-z.stableSince < t.cfg.Forget) {
+	if z.rampStartedAt > 0 && (z.state == Returning || now-z.stableSince < t.cfg.CautionDecayInterval) {
 		z.caution = min(z.caution+1, maxCaution)
 	}
 	z.lostAt = now
@@ -95,11 +95,11 @@
 // within bounds, but has its full length if a backend is in slow start. Each caution step doubles it.
 func (t *Tracker) startRamp(now time.Duration, z *zone, rampStartedAt time.Duration, reason string) {
 	z.rampStartedAt = rampStartedAt
-	z.rampDuration = min(t.cfg.Ramp, max(minRampDuration, now-z.lostAt))
+	z.rampDuration = min(t.cfg.MaxRampDuration, max(minRampDuration, now-z.lostAt))
 	if slices.ContainsFunc(z.backends, func(b *backend) bool {
 		return b.Started > 0 && now-b.Started < t.cfg.SlowStartWindow
 	}) {
-		z.rampDuration = t.cfg.Ramp
+		z.rampDuration = t.cfg.MaxRampDuration
 	}
 	z.rampDuration <<= z.caution
 	t.setState(now, z, Returning, reason)
@@ -133,7 +133,7 @@
 	}
 	var starts []time.Duration // start times of the backends that have just started
 	for _, b := range z.backends {
-		if b.Started > 0 && now-b.Started < t.cfg.Ramp {
+		if b.Started > 0 && now-b.Started < t.cfg.MaxRampDuration {
 			starts = append(starts, b.Started)
 		}
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	z.lostAt = median
-	reason := fmt.Sprintf("%d of %d nodes have started within %v", len(starts), len(z.backends), t.cfg.Ramp)
+	reason := fmt.Sprintf("%d of %d nodes have started within %v", len(starts), len(z.backends), t.cfg.MaxRampDuration)
 	t.startRamp(now, z, median, reason)
 }
 
--- a/internal/zones/recovery_test.go
+++ b/internal/zones/recovery_test.go
@@ -17,17 +17,17 @@
 	if f.run(3*time.Second, f.ownZoneIs(Returning)) > 1500*ms {
 		f.t.Fatal("the zone answers but is not returning within 1.5s")
 	}
-	firstShare = f.zoneStatus("a").Ramp
+	firstShare = f.zoneStatus("a").RampShare
 	if rate := f.entry("a").Rate; rate <= 0 {
 		f.t.Fatalf("got rate %v of a returning zone, want it above 0", rate)
 	}
 	last := 0.0
 	took = f.run(2*time.Minute, func() bool {
 		s := f.zoneStatus("a")
-		if s.Ramp < last {
-			f.t.Fatalf("the ramp falls from %v to %v", last, s.Ramp)
+		if s.RampShare < last {
+			f.t.Fatalf("the ramp falls from %v to %v", last, s.RampShare)
 		}
-		last = s.Ramp
+		last = s.RampShare
 		return s.State == "up"
 	})
 	return firstShare, took
@@ -36,7 +36,7 @@
 // A recovery ramp starts low, grows and ends. A loss soon after it makes the next ramp start lower and last longer,
 // until the zone has been up for a while.
 func TestFailureDuringRecoveryLengthensNextRamp(t *testing.T) {
-	f := newTestFleet(t, Config{Forget: 5 * time.Second})
+	f := newTestFleet(t, Config{CautionDecayInterval: 5 * time.Second})
 	f.run(3*time.Second, nil)
 	share, took := f.loseAndReturn()
 	if share > 0.35 || took < 3*time.Second || took > 6*time.Second {
@@ -76,7 +76,7 @@
 		if s.State != "returning" {
 			t.Fatalf("got %+v, want it returning", s)
 		}
-		shares = append(shares, s.Ramp)
+		shares = append(shares, s.RampShare)
 	}
 	if d := shares[0] - shares[1]; d > 0.01 || d < -0.01 {
 		t.Fatalf("got ramp shares %v at two instances, want them equal within 0.01", shares)
--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -23,24 +23,24 @@
 
 // ZoneStatus is the state of one zone.
 type ZoneStatus struct {
-	Name        string        `json:"name"`
-	Priority    int           `json:"tier"`          // locality priority; 0: own, 1: near, 2: any other
-	State       string        `json:"state"`         // a State's name
-	Since       time.Duration `json:"since_ns"`      // time spent in that state
-	Reason      string        `json:"why,omitempty"` // reason for the state
-	GrayFailure bool          `json:"grey"`          // up, with less than half of its nominal capacity
-	Backends    int           `json:"nodes"`         // running backends, by the endpoint list
-	Proven      int           `json:"proven"`        // running backends that are neither unhealthy nor unproven
-	Nominal     float64       `json:"nominal"`       // highest recent capacity, in average backends after slow start
-	Capacity    float64       `json:"capacity"`      // present capacity, in the same unit
-	Offered     float64       `json:"offered"`       // attempts a second that this instance sends there
-	Answered    float64       `json:"answered"`      // answers a second
-	Late        float64       `json:"late"`          // share of attempts that ended late or with a failure
-	Share       float64       `json:"share"`         // of this instance's attempts
-	Ramp        float64       `json:"ramp"`          // share of its full rate that the recovery ramp allows
-	Rate        float64       `json:"rate"`          // limit of attempts a second; unlimited if below 0
-	Price       float64       `json:"price"`         // relative to a backend of the own zone with the same load
-	Caution     int           `json:"caution"`       // caution steps, each of which doubles the recovery ramp
+	Name            string        `json:"name"`
+	Priority        int           `json:"tier"`          // locality priority; 0: own, 1: near, 2: any other
+	State           string        `json:"state"`         // a State's name
+	Since           time.Duration `json:"since_ns"`      // time spent in that state
+	Reason          string        `json:"why,omitempty"` // reason for the state
+	GrayFailure     bool          `json:"grey"`          // up, with less than half of its nominal capacity
+	Backends        int           `json:"nodes"`         // running backends, by the endpoint list
+	Proven          int           `json:"proven"`        // running backends that are neither unhealthy nor unproven
+	NominalCapacity float64       `json:"nominal"`       // highest recent capacity, in mean backends after slow start
+	Capacity        float64       `json:"capacity"`      // present capacity, in the same unit
+	Offered         float64       `json:"offered"`       // attempts a second that this instance sends there
+	Answered        float64       `json:"answered"`      // answers a second
+	LateShare       float64       `json:"late"`          // share of attempts that ended late or with a failure
+	AttemptShare    float64       `json:"share"`         // of this instance's attempts
+	RampShare       float64       `json:"ramp"`          // share of its full rate that the recovery ramp allows
+	RateLimit       float64       `json:"rate"`          // limit of attempts a second; unlimited if below 0
+	Price           float64       `json:"price"`         // relative to a backend of the own zone with the same load
+	Caution         int           `json:"caution"`       // caution steps, each of which doubles the recovery ramp
 }
 
 // Status returns the state as of now.
@@ -60,7 +60,7 @@
 	for _, z := range t.sortedZones {
 		zoneStatus := t.zoneStatus(now, z)
 		if total > 0 {
-			zoneStatus.Share = zoneStatus.Offered / total
+			zoneStatus.AttemptShare = zoneStatus.Offered / total
 		}
 		if z.priority != ownZone {
 			spilled += zoneStatus.Offered
@@ -76,21 +76,21 @@
 // zoneStatus returns the status of one zone, without its share of the attempts.
 func (t *Tracker) zoneStatus(now time.Duration, z *zone) ZoneStatus {
 	status := ZoneStatus{
-		Name:        z.name,
-		Priority:    int(z.priority),
-		State:       z.state.String(),
-		Since:       now - z.stateSince,
-		Reason:      z.reason,
-		GrayFailure: z.state == Up && z.nominal > 0 && z.capacity < grayFailureShare*z.nominal,
-		Nominal:     z.nominal,
-		Capacity:    z.capacity,
-		Offered:     z.sent.get(now),
-		Answered:    z.answered.get(now),
-		Late:        lateShare(z.late.get(now), z.ended.get(now)),
-		Ramp:        z.rampShare,
-		Rate:        z.rateLimit,
-		Price:       z.price,
-		Caution:     z.caution,
+		Name:            z.name,
+		Priority:        int(z.priority),
+		State:           z.state.String(),
+		Since:           now - z.stateSince,
+		Reason:          z.reason,
+		GrayFailure:     z.state == Up && z.nominal > 0 && z.capacity < grayFailureShare*z.nominal,
+		NominalCapacity: z.nominal,
+		Capacity:        z.capacity,
+		Offered:         z.sent.get(now),
+		Answered:        z.answered.get(now),
+		LateShare:       lateShare(z.late.get(now), z.ended.get(now)),
+		RampShare:       z.rampShare,
+		RateLimit:       z.rateLimit,
+		Price:           z.price,
+		Caution:         z.caution,
 	}
 	for _, b := range z.backends {
 		if b.State == policy.Running {
--- a/internal/zones/tracker.go
+++ b/internal/zones/tracker.go
@@ -74,7 +74,7 @@
 func (t *Tracker) UpdateBackends(now time.Duration, list []Backend, complete bool) {
 	if complete {
 		for _, b := range t.backends {
-			b.State = policy.Gone
+			b.State = policy.Removed
 		}
 	}
 	for _, entry := range list {
@@ -97,7 +97,7 @@
 	case b == nil:
 		b = newBackend(now)
 		t.backends[entry.ID] = b
-	case b.Started != entry.Started || b.State == policy.Gone && entry.State == policy.Running:
+	case b.Started != entry.Started || b.State == policy.Removed && entry.State == policy.Running:
 		b.restart(now)
 	}
 	b.Backend = entry
@@ -109,7 +109,7 @@
 		z.backends = z.backends[:0]
 	}
 	for id, b := range t.backends {
-		if b.State == policy.Gone {
+		if b.State == policy.Removed {
 			if len(b.inFlight) == 0 {
 				delete(t.backends, id)
 			}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -33,30 +33,30 @@
 
 // Config holds the operators' settings. A zero field takes its default, if it has one.
 type Config struct {
-	Own               string                   // this instance's zone
-	Near              []string                 // zones of the second locality priority; other zones have the third
-	NearPrice         float64                  // price of a backend in a near zone; 1 in the own zone at the same load
-	FarPrice          float64                  // price of a backend in any other zone
-	Overprovision     float64                  // a zone retains all its load down to 1/Overprovision of its capacity
-	Panic             float64                  // below this share of available capacity no zone is preferred or drained
-	Ramp              time.Duration            // maximum length of a recovery ramp without caution steps
-	RampFrom          float64                  // share of the full rate with which a ramp starts
-	Forget            time.Duration            // time that a zone is up before one caution step is taken back
-	SlowStartWindow   time.Duration            // length of a backend's slow start; 0: no slow start
-	SlowStartShare    float64                  // share of its capacity with which a backend starts
-	Probe             bool                     // backends may be probed
-	LatencyObjectives map[string]time.Duration // by request class
+	Own                  string                   // this instance's zone
+	Near                 []string                 // zones of the second locality priority; other zones have the third
+	NearPrice            float64                  // price of a backend in a near zone; the own zone has 1
+	FarPrice             float64                  // price of a backend in any other zone
+	Overprovision        float64                  // a zone retains all its load down to 1/Overprovision of its capacity
+	Panic                float64                  // available share below which no zone is preferred or drained
+	MaxRampDuration      time.Duration            // maximum length of a recovery ramp without caution steps
+	RampFrom             float64                  // share of the full rate with which a ramp starts
+	CautionDecayInterval time.Duration            // time that a zone is up before one caution step is taken back
+	SlowStartWindow      time.Duration            // length of a backend's slow start; 0: no slow start
+	SlowStartShare       float64                  // share of its capacity with which a backend starts
+	Probe                bool                     // backends may be probed
+	LatencyObjectives    map[string]time.Duration // by request class
 }
 
 // The defaults of Config. The options file has the same defaults.
 const (
-	DefaultNearPrice     = 2.0
-	DefaultFarPrice      = 3.0
-	DefaultOverprovision = 1.4
-	DefaultPanic         = 0.3
-	DefaultRamp          = 4 * time.Second
-	DefaultRampFrom      = 0.3
-	DefaultForget        = time.Minute
+	DefaultNearPrice            = 2.0
+	DefaultFarPrice             = 3.0
+	DefaultOverprovision        = 1.4
+	DefaultPanic                = 0.3
+	DefaultMaxRampDuration      = 4 * time.Second
+	DefaultRampFrom             = 0.3
+	DefaultCautionDecayInterval = time.Minute
 )
 
 // withDefaults returns the settings with each default filled in.
@@ -65,9 +65,9 @@
 	c.FarPrice = cmp.Or(c.FarPrice, DefaultFarPrice)
 	c.Overprovision = cmp.Or(c.Overprovision, DefaultOverprovision)
 	c.Panic = cmp.Or(c.Panic, DefaultPanic)
-	c.Ramp = cmp.Or(c.Ramp, DefaultRamp)
+	c.MaxRampDuration = cmp.Or(c.MaxRampDuration, DefaultMaxRampDuration)
 	c.RampFrom = cmp.Or(c.RampFrom, DefaultRampFrom)
-	c.Forget = cmp.Or(c.Forget, DefaultForget)
+	c.CautionDecayInterval = cmp.Or(c.CautionDecayInterval, DefaultCautionDecayInterval)
 	return c
 }
 
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -48,9 +48,9 @@
 
 // AddToCounter adds to a named total of the shared counter.
 type AddToCounter struct {
-	Name string
-	Add  float64
-	Keep time.Duration // how long the counter retains the name after its first call
+	Name      string
+	Add       float64
+	Retention time.Duration // how long the counter retains the name after its first call
 }
 
 // WatchEndpoints subscribes to changes of the endpoint list.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -93,9 +93,9 @@
 	r.tenant.inFlight--
 	if !a.releasedFromWindow {
 		e.window.inFlight--
-		e.updateWindow(a, r.class, event.Outcome, event.Took)
+		e.updateWindow(a, r.class, event.Outcome, event.Elapsed)
 	}
-	e.recordOutcome(a, r.class, event.Outcome, event.Took)
+	e.recordOutcome(a, r.class, event.Outcome, event.Elapsed)
 	if event.Unsent && len(r.attempts) == 1 { // no backend has received it: refund the ceiling
 		r.sent = false
 		r.tenant.ceilingLevel += r.Units
--- a/policy/backends.go
+++ b/policy/backends.go
@@ -31,7 +31,7 @@
 const (
 	Draining BackendState = iota
 	Running
-	Gone
+	Removed
 )
 
 // backend is a Backend with its attempts in flight and the statistics that this
@@ -66,7 +66,7 @@
 	}
 	if event.Complete {
 		for _, b := range e.running {
-			b.State = Gone
+			b.State = Removed
 		}
 	}
 	for _, entry := range event.Backends {
@@ -111,7 +111,7 @@
 	for id, b := range e.backends {
 		if b.State == Running {
 			e.running = append(e.running, b)
-		} else if b.State == Gone && len(b.outstanding) == 0 {
+		} else if b.State == Removed && len(b.outstanding) == 0 {
 			delete(e.backends, id)
 		}
 	}
--- a/policy/backends_test.go
+++ b/policy/backends_test.go
@@ -30,7 +30,7 @@
 func TestRemovedBackendIsForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), runningBackends("s")...)
 	h.arrive(1, "read", "free")
-	h.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: Gone}, {ID: "u", State: Running}}})
+	h.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: Removed}, {ID: "u", State: Running}}})
 	if len(h.engine.backends) != 2 {
 		t.Fatal("the removed backend was deleted while an attempt was in flight")
 	}
@@ -43,7 +43,7 @@
 
 // Rule 3: no new attempts are sent to a draining or removed backend.
 func TestNothingIsSentToADrainingBackend(t *testing.T) {
-	for _, state := range []BackendState{Draining, Gone, BackendState(9)} {
+	for _, state := range []BackendState{Draining, Removed, BackendState(9)} {
 		h := newHarness(t, testSettings(), runningBackends("s", "u")...)
 		h.notify(EndpointsChanged{Backends: []Backend{{ID: "s", State: state}}})
 		for id := RequestID(1); id < 20; id++ {
--- a/policy/counter.go
+++ b/policy/counter.go
@@ -29,7 +29,7 @@
 	t.callUnits = t.unreportedUnits + block
 	t.callBlock = block
 	t.unreportedUnits = 0
-	e.emit(AddToCounter{Name: t.counterName(), Add: t.callUnits, Keep: counterNameRetention})
+	e.emit(AddToCounter{Name: t.counterName(), Add: t.callUnits, Retention: counterNameRetention})
 }
 
 // startEpoch switches to the counter name of the given epoch, whose total starts
--- a/policy/events.go
+++ b/policy/events.go
@@ -14,7 +14,7 @@
 	Attempt      int
 	Backend      BackendID
 	Outcome      Outcome
-	Took         time.Duration
+	Elapsed      time.Duration
 	Finished     bool    // the client has received the final answer
 	SettledUnits float64 // units actually used, for plans with SettledByReply; 0: unknown
 	Load         Load
@@ -46,7 +46,7 @@
 type ProbeEnded struct {
 	Backend BackendID
 	Outcome Outcome
-	Took    time.Duration
+	Elapsed time.Duration
 	Load    Load
 }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, a := range engine.Handle(now+time.Millisecond, policy.AttemptEnded{
-		ID: 1, Attempt: 0, Backend: first.Backend, Outcome: policy.NoConnect, Took: time.Millisecond,
+		ID: 1, Attempt: 0, Backend: first.Backend, Outcome: policy.NoConnect, Elapsed: time.Millisecond,
 	}, nil) {
 		if retry, ok := a.(policy.SendAttempt); ok {
 			fmt.Println("sent to another backend:", retry.Backend != first.Backend)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -105,7 +105,7 @@
 
 // succeeded returns the successful end of a request's first attempt.
 func succeeded(id RequestID, backend BackendID, took time.Duration) AttemptEnded {
-	return AttemptEnded{ID: id, Backend: backend, Outcome: Succeeded, Took: took, Finished: true}
+	return AttemptEnded{ID: id, Backend: backend, Outcome: Succeeded, Elapsed: took, Finished: true}
 }
 
 // actionsOf returns the actions of one type.
--- a/policy/quota_report.go
+++ b/policy/quota_report.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// QuotaStanding is the state of a tenant's quota at an instance, in addition to the
+// QuotaStatus is the state of a tenant's quota at an instance, in addition to the
 // values that ExportState returns.
-type QuotaStanding struct {
+type QuotaStatus struct {
 	QueuedUnits    float64 // units charged for requests that have not been sent
 	AvailableUnits float64 // current level of the quota as seen by this instance, minus all known leases
 	Sparse         bool    // no blocks are leased: the counter grants units per request
 	Escrowed       bool    // shares are agreed with other instances, which reserve them for unreported use
 }
 
-// QuotaStandings returns the quota state of all tenants by account.
-func (e *Engine) QuotaStandings() map[string]QuotaStanding {
-	standings := map[string]QuotaStanding{}
+// QuotaStatuses returns the quota state of all tenants by account.
+func (e *Engine) QuotaStatuses() map[string]QuotaStatus {
+	standings := map[string]QuotaStatus{}
 	for _, t := range e.tenantOrder {
-		standings[t.account] = QuotaStanding{
+		standings[t.account] = QuotaStatus{
 			AvailableUnits: e.availableUnits(t),
 			Sparse:         t.sparse,
 			Escrowed:       e.allocations != nil && t.spread > 1,
--- a/policy/sparse_quota.go
+++ b/policy/sparse_quota.go
@@ -88,9 +88,9 @@
 	r.reason = CounterLate
 	t.awaitingCounter = append(t.awaitingCounter, r)
 	e.emit(AddToCounter{
-		Name: r.counterName,
-		Add:  r.counterUnits,
-		Keep: min(2*t.grantWindow, counterNameRetention),
+		Name:      r.counterName,
+		Add:       r.counterUnits,
+		Retention: min(2*t.grantWindow, counterNameRetention),
 	})
 }
 
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -153,7 +153,7 @@
 		if a.ended {
 			continue
 		}
-		event := AttemptEnded{ID: id, Attempt: index, Backend: "a0", Outcome: TimedOut, Took: time.Second}
+		event := AttemptEnded{ID: id, Attempt: index, Backend: "a0", Outcome: TimedOut, Elapsed: time.Second}
 		actions := h.notify(event)
 		if s := actionsOf[SendAttempt](actions); len(s) > 0 && h.zoneOf(s[0].Backend) != "a" {
 			h.Fatalf("got %v sent to another zone, want none", s)
