--- a/cmd/lab/scenarios.go
+++ b/cmd/lab/scenarios.go
@@ -36,26 +36,26 @@
 // config returns the configuration of a run. The caller calls closeLog after the last run.
 func (f *scenarioFlags) config() (cfg lab.Config, closeLog func(), err error) {
 	cfg = lab.Config{
-		Scenario:  f.Scenario,
-		Seed:      f.Seed,
-		For:       f.For,
-		Backends:  f.Backends,
-		Ingresses: f.Instances,
-		Store:     f.Store,
-		Faults:    f.Faults,
-		Rate:      f.Rate,
-		Hot:       f.HotFactor,
-		Ingress:   f.Program,
-		Race:      f.Race,
-		Zones:     f.Zones,
-		GateFault: f.GateFaults,
+		Scenario:       f.Scenario,
+		Seed:           f.Seed,
+		For:            f.For,
+		Backends:       f.Backends,
+		Ingresses:      f.Instances,
+		Store:          f.Store,
+		Faults:         f.Faults,
+		Rate:           f.Rate,
+		HotQuotaFactor: f.HotFactor,
+		Ingress:        f.Program,
+		Race:           f.Race,
+		Zones:          f.Zones,
+		GateFaultRules: f.GateFaults,
 	}
 	switch f.Fronts {
 	case "resp":
 	case "http":
-		cfg.HTTP = 1
+		cfg.HTTPShare = 1
 	case "resp,http", "http,resp":
-		cfg.HTTP = 0.5
+		cfg.HTTPShare = 0.5
 	default:
 		return cfg, nil, fmt.Errorf("--fronts: %q is none of resp, http and resp,http", f.Fronts)
 	}
--- a/internal/lab/brief.go
+++ b/internal/lab/brief.go
@@ -12,14 +12,14 @@
 
 // class is a kind of request of the brief.
 type class struct {
-	name          string
-	share         float64
-	work          backend.Work
-	aim, deadline time.Duration
-	worth         float64
-	late          float64
-	effect        string // as the settings word it
-	units         float64
+	name                       string
+	share                      float64
+	work                       backend.Work
+	latencyObjective, deadline time.Duration
+	priorityWeight             float64
+	lateShare                  float64
+	effect                     string // as the settings word it
+	units                      float64
 }
 
 // classes are the brief's; the last is the lab's own, for days that need one which may not be repeated.
@@ -38,22 +38,22 @@
 
 // plan is a plan of the brief, by the middle of its figures.
 type plan struct {
-	name                    string
-	channels                int
-	price, rate, seconds    float64 // seconds: of the rate that may be used at once
-	open                    int
-	excessWorth, excessCost float64
-	ceiling                 float64 // times the quota; 0: none
+	name                            string
+	tenants                         int
+	price, refillRate, burstSeconds float64 // burstSeconds: of the rate that may be used at once
+	concurrency                     int
+	excessWorth, excessCost         float64
+	ceilingFactor                   float64 // burstFactor the quota; 0: none
 }
 
-func (p *plan) burst() float64        { return p.rate * p.seconds }
-func (p *plan) ceilingRate() float64  { return p.rate * p.ceiling }
-func (p *plan) ceilingBurst() float64 { return p.burst() * p.ceiling }
+func (p *plan) burst() float64        { return p.refillRate * p.burstSeconds }
+func (p *plan) ceilingRate() float64  { return p.refillRate * p.ceilingFactor }
+func (p *plan) ceilingBurst() float64 { return p.burst() * p.ceilingFactor }
 
 // quota is what a channel may use: no more than its ceiling.
 func (p *plan) quota() rulecheck.Quota {
-	q := rulecheck.Quota{Rate: p.rate, Burst: p.burst()}
-	if p.ceiling > 0 && p.ceiling < 1 {
+	q := rulecheck.Quota{Rate: p.refillRate, Burst: p.burst()}
+	if p.ceilingFactor > 0 && p.ceilingFactor < 1 {
 		q.Rate, q.Burst = p.ceilingRate(), p.ceilingBurst()
 	}
 	return q
@@ -75,33 +75,33 @@
 }
 
 const (
-	maxUnits     = 6.0
-	tolerance    = 0.1
-	crossHall    = 0.01 // points of service for a request that crosses halls
-	warmAfter    = 18 * time.Second
-	coldShare    = 0.25
-	fallMultiple = 4
-	keyMemory    = 3 * time.Second
+	maxUnits          = 6.0
+	ceilingTolerance  = 0.1
+	crossZonePrice    = 0.01 // points of service for a request that crosses halls
+	slowStartWindow   = 18 * time.Second
+	slowStartShare    = 0.25
+	overloadMultiple  = 4
+	idempotencyWindow = 3 * time.Second
 )
 
 // mean is the units and the work of a request, over all classes.
-func mean(cs []class) (units float64, work time.Duration) {
-	for _, c := range cs {
+func mean(requestClasses []class) (units float64, work time.Duration) {
+	for _, c := range requestClasses {
 		units += c.share * c.units
 		work += time.Duration(c.share * float64(c.work.Mean()))
 	}
 	return units, work
 }
 
-// worths is what the measuring room is told of classes and plans.
-func worths(cs []class, ps []*plan) (map[string]measure.Class, map[string]measure.Plan) {
-	mc, mp := map[string]measure.Class{}, map[string]measure.Plan{}
-	for _, c := range cs {
-		mc[c.name] = measure.Class{PriorityWeight: c.worth, LatencyObjective: c.aim, LateShare: c.late}
+// scoreWeights is what the measuring room is told of classes and plans.
+func scoreWeights(requestClasses []class, tenantPlans []*plan) (map[string]measure.Class, map[string]measure.Plan) {
+	classWeights, planWeights := map[string]measure.Class{}, map[string]measure.Plan{}
+	for _, c := range requestClasses {
+		classWeights[c.name] = measure.Class{PriorityWeight: c.priorityWeight, LatencyObjective: c.latencyObjective, LateShare: c.lateShare}
 	}
-	for _, p := range ps {
+	for _, p := range tenantPlans {
 		q := p.quota()
-		mp[p.name] = measure.Plan{Price: p.price, Rate: q.Rate, Burst: q.Burst, ExcessCost: p.excessCost}
+		planWeights[p.name] = measure.Plan{Price: p.price, Rate: q.Rate, Burst: q.Burst, ExcessCost: p.excessCost}
 	}
-	return mc, mp
+	return classWeights, planWeights
 }
--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -12,10 +12,10 @@
 	"hitchspring/internal/testlog"
 )
 
-// logged is what the instances have logged.
-type logged struct{ testlog.Buffer }
+// logCapture is what the instances have logged.
+type logCapture struct{ testlog.Buffer }
 
-func (l *logged) count(texts ...string) (n int) {
+func (l *logCapture) count(texts ...string) (n int) {
 	for line := range strings.Lines(l.String()) {
 		all := true
 		for _, t := range texts {
@@ -30,7 +30,7 @@
 
 // Starters that find nobody who knows anything, or whose donors stall or die while they ask: each serves in its usual time, all know one another
 // in the end, and each rule is kept.
-func TestStartersAlone(t *testing.T) {
+func TestInstanceStartsWithoutDonor(t *testing.T) {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // eighteen processes more beside all other tests
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
@@ -46,15 +46,15 @@
 			t.Parallel()
 			cfg := peersConfig(t, 3, append(faults, "node/4:slow 8 5s at 1s")...)
 			cfg.For, cfg.Rate = 8*time.Second, 0.6
-			want := all([]int{0, 1, 2})
+			want := completeViews([]int{0, 1, 2})
 			if strings.HasPrefix(name, "new") {
 				want = []string{"n1", "n0", ""}
 			}
 			r := viewsAt(t, cfg, map[time.Duration][]string{7800 * ms: want})
-			holds(t, r)
+			requireRules(t, r)
 			first := map[int]float64{} // the first command that came from an instance once it was back
 			for _, c := range r.Commands {
-				if at := c.ArrivedAt.Seconds() - r.BeganS; at > 2.3 && (first[c.Instance] == 0 || at < first[c.Instance]) {
+				if at := c.ArrivedAt.Seconds() - r.LoadStartS; at > 2.3 && (first[c.Instance] == 0 || at < first[c.Instance]) {
 					first[c.Instance] = at
 				}
 			}
@@ -68,21 +68,21 @@
 // An instance with another key is nobody's member, says so in a line now and then, and serves as one without peers; the others go on.
 func TestWrongKey(t *testing.T) {
 	t.Parallel()
-	log := &logged{}
+	log := &logCapture{}
 	cfg := peersConfig(t, 3)
-	cfg.For, cfg.Strangers, cfg.Log = 4*time.Second, []int{2}, log
+	cfg.For, cfg.WrongKeyInstances, cfg.Log = 4*time.Second, []int{2}, log
 	r := viewsAt(t, cfg, map[time.Duration][]string{3 * time.Second: {"n1", "n0", ""}, 3500 * time.Millisecond: {"n1", "n0", ""}})
-	holds(t, r)
+	requireRules(t, r)
 	if n := log.count("datagram rejected", "the key in its peers.key_file is another"); n < 2 || n > 6 {
 		t.Errorf("seed %d: %d lines on the wrong key", r.Seed, n)
 	}
 }
 
-// edit is a text of a source file, from the module's root, with another in its place.
-type edit struct{ file, find, replace string }
+// sourceEdit is a text of a source file, from the module's root, with another in its place.
+type sourceEdit struct{ file, find, replace string }
 
-// planted builds the ingress with edits of its source.
-func planted(t *testing.T, edits ...edit) string {
+// buildEdited builds the ingress with edits of its source.
+func buildEdited(t *testing.T, edits ...sourceEdit) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -126,24 +126,24 @@
 }
 
 // versionEdits are the edits that make a program of the next version of the messages, of a version before, and of one that this version cannot read.
-func versionEdits() (next, before, later []edit) {
+func versionEdits() (next, before, later []sourceEdit) {
 	const datagram = "internal/peers/datagram.go"
 	field := "	Clock int64 `cbor:\"8,keyasint,omitempty\"`\n"
-	second := edit{datagram, "	Version          = 1\n", "	Version          = 2\n"}
+	second := sourceEdit{datagram, "	Version          = 1\n", "	Version          = 2\n"}
 	clock := "	p.Clock = e.now.Microseconds()\n"
-	next = []edit{
+	next = []sourceEdit{
 		second,
 		{datagram, field, field + "	Fresh string `cbor:\"99,keyasint\"`\n"},
 		{datagram, clock, clock + "	p.Fresh = \"what is new\"\n"},
 	}
-	before = []edit{{datagram, field, "	Clock int64 `cbor:\"-\"`\n"}}
-	later = []edit{second, {datagram, "	minReaderVersion = 1\n", "	minReaderVersion = 2\n"}}
+	before = []sourceEdit{{datagram, field, "	Clock int64 `cbor:\"-\"`\n"}}
+	later = []sourceEdit{second, {datagram, "	minReaderVersion = 1\n", "	minReaderVersion = 2\n"}}
 	return next, before, later
 }
 
 // A fleet in which one instance is of the next version of the messages, with a field that nobody knows, and one of a version before, which lacks
 // one: all know one another, a node that crawls is left by all, and each rule is kept. One that this version cannot read is nobody's member.
-func TestVersionsTogether(t *testing.T) {
+func TestMixedMessageVersions(t *testing.T) {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // it builds three programs
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
@@ -152,16 +152,16 @@
 		t.Fatal(err)
 	}
 	nextEdits, beforeEdits, laterEdits := versionEdits()
-	next, before, later := planted(t, nextEdits...), planted(t, beforeEdits...), planted(t, laterEdits...)
+	next, before, later := buildEdited(t, nextEdits...), buildEdited(t, beforeEdits...), buildEdited(t, laterEdits...)
 	t.Run("they understand one another", func(t *testing.T) {
 		t.Parallel()
 		cfg := peersConfig(t, 3, "node/4:slow 8 5s at 2s")
-		cfg.Ingress, cfg.Mixed, cfg.For, cfg.Rate = "", []string{now, next, before}, 7*time.Second, 0.7
-		r := viewsAt(t, cfg, map[time.Duration][]string{2 * time.Second: all([]int{0, 1, 2}), 6 * time.Second: all([]int{0, 1, 2})})
-		holds(t, r)
+		cfg.Ingress, cfg.Programs, cfg.For, cfg.Rate = "", []string{now, next, before}, 7*time.Second, 0.7
+		r := viewsAt(t, cfg, map[time.Duration][]string{2 * time.Second: completeViews([]int{0, 1, 2}), 6 * time.Second: completeViews([]int{0, 1, 2})})
+		requireRules(t, r)
 		late := map[int]int{}
 		for _, c := range r.Commands {
-			if at := c.ArrivedAt.Seconds() - r.BeganS; c.Backend == "node-04" && at > 4 && at < 7 {
+			if at := c.ArrivedAt.Seconds() - r.LoadStartS; c.Backend == "node-04" && at > 4 && at < 7 {
 				late[c.Instance]++
 			}
 		}
@@ -173,11 +173,11 @@
 	})
 	t.Run("one cannot be read", func(t *testing.T) {
 		t.Parallel()
-		log := &logged{}
+		log := &logCapture{}
 		cfg := peersConfig(t, 3)
-		cfg.Ingress, cfg.Mixed, cfg.For, cfg.Log = "", []string{now, now, later}, 4*time.Second, log
+		cfg.Ingress, cfg.Programs, cfg.For, cfg.Log = "", []string{now, now, later}, 4*time.Second, log
 		r := viewsAt(t, cfg, map[time.Duration][]string{3 * time.Second: {"n1", "n0", ""}})
-		holds(t, r)
+		requireRules(t, r)
 		if log.count("datagram rejected", "later version") == 0 {
 			t.Error("nobody says that a later version is there", fmt.Sprint(log.count("datagram rejected")))
 		}
@@ -200,30 +200,30 @@
 		"present ones are killed":  {now, previous, now, previous, now, previous},
 	} {
 		t.Run(name, func(t *testing.T) {
-			log := &logged{}
+			log := &logCapture{}
 			cfg := peersConfig(t, 6, "fleet:slow 5 2s at 3s", "ingress/0:kill at 4s", "ingress/2:kill at 4500ms")
-			cfg.Ingress, cfg.Mixed, cfg.Log = "", mixed, log
+			cfg.Ingress, cfg.Programs, cfg.Log = "", mixed, log
 			cfg.Takeover, cfg.Escrow, cfg.For, cfg.Rate = true, true, 9*time.Second, 1
-			r := play(t, cfg)
-			holds(t, r)
+			r := runUntilOnTime(t, cfg)
+			requireRules(t, r)
 			for _, line := range []string{"cannot be read", "messages are left aside", "unreadable message", "datagram rejected"} {
 				if n := log.count(line, ""); n > 0 {
 					t.Errorf("got %d lines with %q, want none", n, line)
 				}
 			}
-			helped := 0
-			for _, w := range r.Keyed {
-				if w.Effects > 1 {
-					t.Errorf("got two effects of %+v", w)
+			takenOver := 0
+			for _, request := range r.KeyedRequests {
+				if request.Effects > 1 {
+					t.Errorf("got two effects of %+v", request)
 				}
-				if w.Lost && w.Helped > 0 {
-					helped++
+				if request.FirstUnanswered && request.OtherInstanceAt > 0 {
+					takenOver++
 				}
 			}
-			if broken := CheckHistory(r.History); len(broken) > 0 {
-				t.Errorf("got %v, want no breaks", broken)
+			if violations := CheckHistory(r.History); len(violations) > 0 {
+				t.Errorf("got %v, want no breaks", violations)
 			}
-			if helped == 0 {
+			if takenOver == 0 {
 				t.Error("got no work that was taken over between the versions, want some")
 			}
 		})
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -9,18 +9,18 @@
 )
 
 // evidence gathers what the peers saw.
-func (w *Testbed) evidence() rulecheck.Evidence {
-	e := rulecheck.Evidence{Requests: w.load.asked(), ObserverDelays: w.meter.Delays()}
-	for _, r := range w.fleet.Records(0) {
+func (tb *Testbed) evidence() rulecheck.Evidence {
+	e := rulecheck.Evidence{Requests: tb.load.clientRequests(), ObserverDelays: tb.meter.Delays()}
+	for _, r := range tb.fleet.Records(0) {
 		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
 			ArrivedAt: r.ArrivedAt, EndedAt: r.EndedAt, ID: r.ID, Backend: r.Backend, Instance: fmt.Sprint("n", r.Instance), Tenant: r.Tenant,
 			Plan: r.Plan, Class: r.Class, Rack: r.Rack, Units: r.Units, Busy: r.Fate == backend.Busy, WarmingUp: r.WarmingUp,
 		})
 	}
-	for _, t := range w.registry.Notifications() {
+	for _, t := range tb.registry.Notifications() {
 		e.Notifications = append(e.Notifications, rulecheck.Notification{At: t.At, Instance: fmt.Sprint("n", t.Agent), Backend: t.UID, Serving: t.State == "SERVING"})
 	}
-	for _, n := range w.fleet.Backends() {
+	for _, n := range tb.fleet.Backends() {
 		why, at := n.Fell()
 		if n.Pushed() > 0 {
 			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FellAt: at, Reason: why, Pressure: n.Pushed()})
@@ -29,32 +29,32 @@
 	return e
 }
 
-func (w *Testbed) rules() rulecheck.Rules {
+func (tb *Testbed) rules() rulecheck.Rules {
 	r := rulecheck.DefaultRules()
-	r.MaxUnits, r.CeilingSlack = maxUnits, tolerance
-	if w.cfg.Tolerance > 0 {
-		r.Tolerance = w.cfg.Tolerance
+	r.MaxUnits, r.CeilingSlack = maxUnits, ceilingTolerance
+	if tb.cfg.Tolerance > 0 {
+		r.Tolerance = tb.cfg.Tolerance
 	}
 	r.Classes, r.Ceilings, r.MinAttempts = map[string]rulecheck.Effect{}, map[string]rulecheck.Ceiling{}, map[string]time.Duration{}
 	fastest := 0.0
-	for _, s := range w.specs {
+	for _, s := range tb.specs {
 		fastest = max(fastest, s.Speed)
 	}
-	for _, c := range w.classes {
+	for _, c := range tb.classes {
 		r.Classes[c.name] = map[string]rulecheck.Effect{"read_like": rulecheck.Safe, "idempotency_key": rulecheck.Keyed}[c.effect]
 		r.MinAttempts[c.name] = time.Duration(float64(c.work.Min) / fastest)
 	}
-	for _, p := range w.plans {
-		if p.ceiling > 0 {
+	for _, p := range tb.plans {
+		if p.ceilingFactor > 0 {
 			r.Ceilings[p.name] = rulecheck.Ceiling{Rate: p.ceilingRate(), Burst: p.ceilingBurst()}
 		}
 	}
 	return r
 }
 
-func (w *Testbed) quotas() map[string]rulecheck.Quota {
+func (tb *Testbed) quotas() map[string]rulecheck.Quota {
 	out := map[string]rulecheck.Quota{}
-	for _, p := range w.plans {
+	for _, p := range tb.plans {
 		out[p.name] = p.quota()
 	}
 	return out
--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -77,7 +77,7 @@
 }
 
 // addMarks draws a dashed vertical line at each event of the run's timeline.
-func addMarks(p *plot.Plot, marks []lab.Mark) error {
+func addMarks(p *plot.Plot, marks []lab.TimelineEvent) error {
 	for _, m := range marks {
 		line, err := plotter.NewLine(plotter.XYs{{X: m.AtS, Y: p.Y.Min}, {X: m.AtS, Y: p.Y.Max}})
 		if err != nil {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -84,13 +84,13 @@
 			Service:         0.9 - 0.1*float64(len(text)-4)/1 + 0.001*float64(cfg.Seed),
 			CPUPerRequestUS: 100,
 			Processes: []lab.Process{
-				{Attempts: 100, CPUS: 0.01, PeakMB: 10},
-				{Attempts: 100, CPUS: 0.02, PeakMB: 12},
+				{Attempts: 100, CPUSeconds: 0.01, PeakMB: 10},
+				{Attempts: 100, CPUSeconds: 0.02, PeakMB: 12},
 			},
 			Rows: []lab.Row{
 				{Class: "guide-read", Plan: "by", Requests: 10, InTime: 9},
 			},
-			Marks:    []lab.Mark{{AtS: 1, What: "node/1:drain"}},
+			Events:   []lab.TimelineEvent{{AtS: 1, Description: "node/1:drain"}},
 			Timeline: []lab.Second{{Requests: 10, InTime: 9, P99MS: 100}, {Requests: 10, InTime: 8, P99MS: 200}},
 			Backends: []lab.BackendTrack{
 				{Backend: "node-00", Zone: "hall-a", InFlight: []float64{1, 2, -1}},
--- a/internal/lab/experiment/load_charts.go
+++ b/internal/lab/experiment/load_charts.go
@@ -122,7 +122,7 @@
 		return chart{}, nil
 	}
 	p.Y.Max = top * 1.2
-	if err := addMarks(p, l.Report.Marks); err != nil {
+	if err := addMarks(p, l.Report.Events); err != nil {
 		return chart{}, err
 	}
 	out, err := renderSVG(p, chartHeight)
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -100,14 +100,14 @@
 // addEvents adds a run's violations, and its faults if it is the first run with any.
 func (sec *section) addEvents(l Line) {
 	if sec.Faults == nil {
-		for _, m := range l.Report.Marks {
-			sec.Faults = append(sec.Faults, fmt.Sprintf("%.1f s %s", m.AtS, m.What))
+		for _, m := range l.Report.Events {
+			sec.Faults = append(sec.Faults, fmt.Sprintf("%.1f s %s", m.AtS, m.Description))
 		}
 	}
 	for _, v := range l.Report.Violations {
 		if len(sec.Violations) < maxListedViolations {
 			sec.Violations = append(sec.Violations, fmt.Sprintf("%s, seed %d: %s at %.2f s: %s",
-				l.Variants[0], l.Seed, v.Rule, v.At.Seconds()-l.Report.BeganS, v.Detail))
+				l.Variants[0], l.Seed, v.Rule, v.At.Seconds()-l.Report.LoadStartS, v.Detail))
 		}
 	}
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -176,7 +176,7 @@
 		l.Variants = append(l.Variants, s.Variants[v].Name)
 	}
 	if len(c.Variants) == 2 {
-		run.Ingresses, run.Mixed = 4, []string{programs[c.Variants[0]], programs[c.Variants[1]]}
+		run.Ingresses, run.Programs = 4, []string{programs[c.Variants[0]], programs[c.Variants[1]]}
 	}
 	r, err := cfg.Run(ctx, run)
 	if err != nil {
--- a/internal/lab/experiment/service_charts.go
+++ b/internal/lab/experiment/service_charts.go
@@ -52,7 +52,7 @@
 	}
 	p.Y.Max = max(maxY, 1e-6)
 	if list := byVariant[s.Variants[0].Name]; len(list) > 0 {
-		if err := addMarks(p, list[0].Report.Marks); err != nil {
+		if err := addMarks(p, list[0].Report.Events); err != nil {
 			return chart{}, err
 		}
 	}
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -156,7 +156,7 @@
 	cpu, attempts, n := 0.0, 0, 0
 	for i := from; i < len(l.Report.Processes); i += 2 {
 		p := l.Report.Processes[i]
-		cpu, attempts, peakMB, n = cpu+p.CPUS, attempts+p.Attempts, peakMB+p.PeakMB, n+1
+		cpu, attempts, peakMB, n = cpu+p.CPUSeconds, attempts+p.Attempts, peakMB+p.PeakMB, n+1
 	}
 	return cpu * 1e6 / float64(max(1, attempts)), peakMB / float64(max(1, n))
 }
--- a/internal/lab/experiment/zone_table.go
+++ b/internal/lab/experiment/zone_table.go
@@ -39,7 +39,7 @@
 		m.addLoss(l.Report.Loss)
 		m.slowStartPush = append(m.slowStartPush, l.Report.Margins.SlowStartPush)
 		m.crossZone = append(m.crossZone, l.Report.Score.CrossShare)
-		m.swing = append(m.swing, l.Report.Swing)
+		m.swing = append(m.swing, l.Report.MaxSpillChange)
 		m.service = append(m.service, l.Report.Service)
 	}
 	return m
@@ -54,14 +54,14 @@
 	m.serviceDuring = append(m.serviceDuring, loss.During)
 	m.serviceAfter = append(m.serviceAfter, loss.After)
 	recovery := float64(unrecoveredS)
-	if loss.RecoverS >= 0 {
-		recovery = loss.RecoverS
+	if loss.RecoveryS >= 0 {
+		recovery = loss.RecoveryS
 	}
 	m.recovery = append(m.recovery, recovery)
 	if loss.LastSentS >= 0 {
 		m.lastSent = append(m.lastSent, loss.LastSentS)
 	}
-	m.longestQueue = append(m.longestQueue, loss.LongestS)
+	m.longestQueue = append(m.longestQueue, loss.LongestQueueS)
 }
 
 // cells returns the table's cells after the names of scenario and variant.
--- a/internal/lab/halls_test.go
+++ b/internal/lab/halls_test.go
@@ -7,24 +7,24 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// sent is what a hall's nodes saw between two times of the load, in seconds.
-func sent(r *Report, hall string, from, to float64) (n float64) {
+// sendsBetween is what a hall's nodes saw between two times of the load, in seconds.
+func sendsBetween(r *Report, zone string, from, to float64) (n float64) {
 	for _, h := range r.Zones {
-		if h.Zone != "hall-"+hall {
+		if h.Zone != "hall-"+zone {
 			continue
 		}
 		for k, v := range h.Sends {
-			if at := float64(k) * hallSpan.Seconds(); at >= from && at+hallSpan.Seconds() <= to {
-				n += v * hallSpan.Seconds()
+			if at := float64(k) * zoneSpan.Seconds(); at >= from && at+zoneSpan.Seconds() <= to {
+				n += v * zoneSpan.Seconds()
 			}
 		}
 	}
 	return n
 }
 
-func sends(r *Report, hall string) []float64 {
+func sendRates(r *Report, zone string) []float64 {
 	for _, h := range r.Zones {
-		if h.Zone == "hall-"+hall {
+		if h.Zone == "hall-"+zone {
 			return h.Sends
 		}
 	}
@@ -33,7 +33,7 @@
 
 // Three halls and three ingresses that know of them. Whatever becomes of a hall the rules hold by what the nodes saw; a hall
 // that is lost, or taken out, gets nothing once that is known, and work again when it is back.
-func TestHalls(t *testing.T) {
+func TestZones(t *testing.T) {
 	type span struct {
 		hall     string
 		from, to float64
@@ -61,19 +61,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cfg := testConfig(t)
-			cfg.Hot, cfg.For, cfg.Zones, cfg.Faults, cfg.Store, cfg.HTTP = 0, 10*time.Second, true, c.faults, c.store, c.http
+			cfg.HotQuotaFactor, cfg.For, cfg.Zones, cfg.Faults, cfg.Store, cfg.HTTPShare = 0, 10*time.Second, true, c.faults, c.store, c.http
 			if c.back != "" {
 				cfg.Rate = 1
 			}
-			r := play(t, cfg)
-			holds(t, r)
+			r := runUntilOnTime(t, cfg)
+			requireRules(t, r)
 			for _, s := range c.quiet {
-				if n := sent(r, s.hall, s.from, s.to); n > 0 {
-					t.Errorf("%.0f commands came to hall %s between %.1f and %.1f s: %.0f", n, s.hall, s.from, s.to, sends(r, s.hall))
+				if n := sendsBetween(r, s.hall, s.from, s.to); n > 0 {
+					t.Errorf("%.0f commands came to hall %s between %.1f and %.1f s: %.0f", n, s.hall, s.from, s.to, sendRates(r, s.hall))
 				}
 			}
-			if c.back != "" && sent(r, c.back, 9, 10) == 0 {
-				t.Errorf("nothing comes to hall %s at the end: %.0f", c.back, sends(r, c.back))
+			if c.back != "" && sendsBetween(r, c.back, 9, 10) == 0 {
+				t.Errorf("nothing comes to hall %s at the end: %.0f", c.back, sendRates(r, c.back))
 			}
 		})
 	}
--- a/internal/lab/history_test.go
+++ b/internal/lab/history_test.go
@@ -7,13 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// What a key's history may be and what not.
-func TestHistories(t *testing.T) {
+// Description a key's history may be and what not.
+func TestCheckHistory(t *testing.T) {
 	const s = time.Second
 	try := func(from, until time.Duration, value string) Step {
 		return Step{Key: "k", From: from, Until: until, Served: value != "", Value: value}
 	}
-	effect := func(from, until time.Duration) Step { return Step{Key: "k", From: from, Until: until, Effect: true} }
+	effect := func(from, until time.Duration) Step {
+		return Step{Key: "k", From: from, Until: until, Effect: true}
+	}
 	for name, c := range map[string]struct {
 		steps []Step
 		fine  bool
@@ -29,30 +31,30 @@
 		"a refusal, and an effect of another":    {[]Step{try(s, 2*s, ""), try(3*s, 5*s, "v"), effect(4*s, 5*s)}, true},
 		"the same value under two keys is apart": {[]Step{try(s, 3*s, "v"), effect(2*s, 3*s), {Key: "l", From: s, Until: 3 * s, Effect: true}}, true},
 	} {
-		if broken := CheckHistory(c.steps); len(broken) == 0 != c.fine {
-			t.Errorf("%s: %v", name, broken)
+		if violations := CheckHistory(c.steps); len(violations) == 0 != c.fine {
+			t.Errorf("%s: %v", name, violations)
 		}
 	}
 }
 
 // Histories of one thing that happens once are fine however its tries overlap, and one more effect is always found.
-func TestHistoriesDrawn(t *testing.T) {
+func TestCheckHistoryRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Duration(rapid.IntRange(1, 50).Draw(t, "effect"))
 		steps := []Step{{Key: "k", From: at, Until: at + 1, Effect: true}}
 		for i := range rapid.IntRange(0, 6).Draw(t, "tries") {
 			from := time.Duration(rapid.IntRange(1, 60).Draw(t, "from"))
-			x := Step{Key: "k", From: from, Until: from + time.Duration(rapid.IntRange(1, 60).Draw(t, "for")), Who: i}
+			x := Step{Key: "k", From: from, Until: from + time.Duration(rapid.IntRange(1, 60).Draw(t, "for")), ClientID: i}
 			if x.Until > at+1 && rapid.Bool().Draw(t, "served") {
 				x.Served, x.Value = true, "v"
 			}
 			steps = append(steps, x)
 		}
-		if broken := CheckHistory(steps); len(broken) > 0 {
-			t.Fatal(broken, steps)
+		if violations := CheckHistory(steps); len(violations) > 0 {
+			t.Fatal(violations, steps)
 		}
 		again := time.Duration(rapid.IntRange(1, 60).Draw(t, "again"))
-		if broken := CheckHistory(append(steps, Step{Key: "k", From: again, Until: again + 5, Effect: true})); len(broken) == 0 {
+		if violations := CheckHistory(append(steps, Step{Key: "k", From: again, Until: again + 5, Effect: true})); len(violations) == 0 {
 			t.Fatal("a second effect is not found")
 		}
 	})
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -53,13 +53,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Config{Ingress: path, Scenario: "calm", Seed: 7, For: 5 * time.Second, Rate: 0.6, Hot: 8.4, Tolerance: time.Second}
+	return Config{Ingress: path, Scenario: "calm", Seed: 7, For: 5 * time.Second, Rate: 0.6, HotQuotaFactor: 8.4, Tolerance: time.Second}
 }
 
-// mostPlays is how often a run is played in which the machine itself stood still for longer than times are judged by: that says nothing.
-const mostPlays = 3
+// maxRuns is how often a run is played in which the machine itself stood still for longer than times are judged by: that says nothing.
+const maxRuns = 3
 
-func play(t *testing.T, cfg Config) *Report {
+func runUntilOnTime(t *testing.T, cfg Config) *Report {
 	t.Helper()
 	for n := 1; ; n++ {
 		r, err := Run(t.Context(), cfg)
@@ -67,24 +67,24 @@
 			t.Fatal(err)
 		}
 		late := time.Duration(r.ObserverDelayMS * float64(ms))
-		if cfg.Tolerance == 0 || late <= cfg.Tolerance || n == mostPlays {
+		if cfg.Tolerance == 0 || late <= cfg.Tolerance || n == maxRuns {
 			return r
 		}
 		t.Logf("seed %d: the machine stood still for %v, the run is played again", cfg.Seed, late)
 	}
 }
 
-// holds fails the test where one of the five rules broke. The lab's own limit on use beyond quotas is not for days on
+// requireRules fails the test where one of the five rules broke. The lab's own limit on use beyond quotas is not for days on
 // which the store goes.
-func holds(t *testing.T, r *Report) {
+func requireRules(t *testing.T, r *Report) {
 	t.Helper()
-	broken := len(r.Crashed)
-	for _, b := range r.Violations {
-		if b.Rule != Quotas {
-			broken++
+	violations := len(r.Crashed)
+	for _, violation := range r.Violations {
+		if violation.Rule != RuleQuotas {
+			violations++
 		}
 	}
-	if broken > 0 || r.Attempts < 300 {
+	if violations > 0 || r.Attempts < 300 {
 		t.Errorf("seed %d: %d tries, %s", r.Seed, r.Attempts, r.Text())
 	}
 }
@@ -111,13 +111,13 @@
 			if f != "none" {
 				cfg.Faults = append(cfg.Faults, "store:"+f+" at 1500ms")
 			}
-			holds(t, play(t, cfg))
+			requireRules(t, runUntilOnTime(t, cfg))
 		})
 	}
 }
 
 // The same rules with the platform's own counter, and with troubles at the nodes, halls, discovery and the ingresses.
-func TestRulesElsewhere(t *testing.T) {
+func TestRulesUnderOtherFaults(t *testing.T) {
 	for i, faults := range [][]string{
 		{"store:stall 1s at 1s", "store:restart 200ms at 3s"},
 		{"node/1:drain at 500ms", "node/2:slow 6 2s at 1s", "node/3:stop at 1s", "node/4:restart at 1s", "node/5:unlist at 1s"},
@@ -130,7 +130,7 @@
 			cfg := testConfig(t)
 			cfg.Seed += 50 + uint64(i)
 			cfg.Faults = faults
-			holds(t, play(t, cfg))
+			requireRules(t, runUntilOnTime(t, cfg))
 		})
 	}
 }
@@ -144,10 +144,10 @@
 			t.Parallel()
 			cfg := testConfig(t)
 			cfg.Seed += 80 + uint64(i)
-			cfg.HTTP, cfg.GateFault = 0.5, faults
+			cfg.HTTPShare, cfg.GateFaultRules = 0.5, faults
 			cfg.Faults = []string{"node/1:drain at 500ms", "node/4:restart at 1s", "node/2:drop-after for 2s share 0.2 at 1s", "node/5:drop-before for 2s share 0.2 at 1s"}
-			r := play(t, cfg)
-			holds(t, r)
+			r := runUntilOnTime(t, cfg)
+			requireRules(t, r)
 			a, h := r.Fronts["resp"], r.Fronts["http"]
 			if a.Requested == 0 || h.Requested == 0 || h.Served == 0 {
 				t.Fatalf("seed %d: %+v", r.Seed, r.Fronts)
@@ -160,36 +160,36 @@
 }
 
 // A node that stamps late makes no break: an attempt that is given up long before its node gets to it was sent in time.
-func TestDelayIsNoBreak(t *testing.T) {
+func TestDelayIsNoViolation(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t)
 	cfg.Tolerance = 0
 	cfg.Faults = []string{"node/7:delay 300ms for 3s share 0.5 at 1s", "node/4:delay 1200ms for 3s share 0.2 at 1s"}
-	r := play(t, cfg)
+	r := runUntilOnTime(t, cfg)
 	if n := r.Rules[rulecheck.NoRequestLost]; n > 0 && len(r.Doubts()) == 0 {
 		t.Fatal(r.Text())
 	}
 }
 
 // Where the machine itself has no time for the lab, nothing is judged by it, and nobody is blamed.
-func TestPauseOfTheLab(t *testing.T) {
+func TestTestbedPauseIsInconclusive(t *testing.T) {
 	cfg := testConfig(t)
-	cfg.Tolerance, cfg.For, cfg.Hot = 0, 0, 0
+	cfg.Tolerance, cfg.For, cfg.HotQuotaFactor = 0, 0, 0
 	cfg.Scenario = filepath.Join(t.TempDir(), "pause.toml")
 	if err := os.WriteFile(cfg.Scenario, []byte("length = \"3s\"\nfaults = [\"lab:pause 200ms at 1s\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, cfg)
+	r := runUntilOnTime(t, cfg)
 	if r.Code() != Unjudged || r.ObserverDelayMS < 150 || !strings.Contains(r.Text(), "CAN'T JUDGE: the lab itself stood still") {
 		t.Fatal(r.Code(), r.Text())
 	}
 }
 
 // A run that did not come near what its day is for proves nothing, and says so.
-func TestUnexercised(t *testing.T) {
+func TestUnexercisedScenarioIsInconclusive(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t)
-	cfg.Scenario, cfg.For, cfg.Hot, cfg.Rate = "maintenance", 3*time.Second, 0, 0.3
+	cfg.Scenario, cfg.For, cfg.HotQuotaFactor, cfg.Rate = "maintenance", 3*time.Second, 0, 0.3
 	if _, err := Run(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), "after the day's end at 3s") {
 		t.Fatal(err)
 	}
@@ -198,27 +198,27 @@
 		t.Fatal(err)
 	}
 	cfg.Scenario, cfg.For = file, 0
-	r := play(t, cfg)
+	r := runUntilOnTime(t, cfg)
 	if r.Code() != Unjudged || len(r.Unmet) != 3 || !strings.Contains(r.Text(), "CAN'T JUDGE: sends to cold nodes: 0, the day wants 5") {
 		t.Fatal(r.Code(), r.Unmet)
 	}
 }
 
-// What is drawn for a seed is drawn again for it, whatever happens in a run, and the load is what the day says.
-func TestDraw(t *testing.T) {
+// Description is drawn for a seed is drawn again for it, whatever happens in a run, and the load is what the day says.
+func TestArrivalsAreDeterministic(t *testing.T) {
 	draw := func(seed uint64) (*Testbed, *load) {
 		d, err := scenario.Load("evening")
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := newWorld(Config{Seed: seed, Rate: 1}, d)
-		if err := w.openFleet(); err != nil {
+		tb := newTestbed(Config{Seed: seed, Rate: 1}, d)
+		if err := tb.openFleet(); err != nil {
 			t.Fatal(err)
 		}
-		defer w.close()
-		return w, newLoad(w)
+		defer tb.close()
+		return tb, newLoad(tb)
 	}
-	w, a := draw(3)
+	tb, a := draw(3)
 	_, b := draw(3)
 	_, c := draw(4)
 	if len(a.arrivals) == 0 || len(a.arrivals) != len(b.arrivals) || len(a.arrivals) == len(c.arrivals) {
@@ -227,18 +227,18 @@
 	inside := 0.0
 	for i, x := range a.arrivals {
 		y := b.arrivals[i]
-		if x.due != y.due || x.ch.id != y.ch.id || x.class.name != y.class.name || x.at != y.at || x.seed != y.seed {
+		if x.due != y.due || x.sender.id != y.sender.id || x.class.name != y.class.name || x.target != y.target || x.seed != y.seed {
 			t.Fatal(i, x, y)
 		}
 		if i > 0 && x.due < a.arrivals[i-1].due {
 			t.Fatal("not in order")
 		}
 	}
-	for _, ch := range a.channels {
-		inside += ch.plan.rate * min(1, ch.demand)
+	for _, sender := range a.tenants {
+		inside += sender.plan.refillRate * min(1, sender.demand)
 	}
-	units, work := mean(w.classes)
-	if load := inside / units * work.Seconds() / w.capacity; load < 0.899 || load > 0.901 {
+	units, work := mean(tb.classes)
+	if load := inside / units * work.Seconds() / tb.capacity; load < 0.899 || load > 0.901 {
 		t.Fatal(load)
 	}
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -22,162 +22,162 @@
 )
 
 const (
-	retriesAtMost = 2
-	shiftEvery    = 5 * time.Second // of the ways by which a channel comes
-	poolSize      = 100             // idle connections kept to an ingress
-	answerSlack   = 100 * ms        // that a client waits beyond its time at the least, to see what comes late
+	maxRetries           = 2
+	routingShiftInterval = 5 * time.Second // slowness the ways by which a channel comes
+	maxIdleConnections   = 100             // unusedLinkFaults connections kept to an ingress
+	lateAnswerWait       = 100 * ms        // that a client waits beyond its time at the least, to see what comes late
 )
 
-// channel is one customer.
-type channel struct {
-	id            uint64
-	plan          *plan
-	demand        float64       // times its quota
-	on, off       time.Duration // of its bursts; 0: it asks for as much all the time
-	spread, first int
+// sender is one customer.
+type tenant struct {
+	id                    uint64
+	plan                  *plan
+	demand                float64       // burstFactor its quota
+	burstTime, pauseTime  time.Duration // slowness its bursts; 0: it asks for as much all the time
+	spread, firstInstance int
 }
 
-// between is what a channel asks for between its bursts, times its quota.
-const between = 0.05
+// pauseDemand is what a channel asks for between its bursts, times its quota.
+const pauseDemand = 0.05
 
 // mean is what it asks for over a long time.
-func (c *channel) mean() float64 {
-	if c.on == 0 {
+func (c *tenant) mean() float64 {
+	if c.burstTime == 0 {
 		return c.demand
 	}
-	on, off := c.on.Seconds(), c.off.Seconds()
-	return (c.demand*on + between*off) / (on + off)
+	burstTime, pauseTime := c.burstTime.Seconds(), c.pauseTime.Seconds()
+	return (c.demand*burstTime + pauseDemand*pauseTime) / (burstTime + pauseTime)
 }
 
-// asks is the share of its demand that it has at a time; a burst comes after the first pause.
-func (c *channel) asks(at time.Duration) float64 {
-	if c.on == 0 || at%(c.on+c.off) >= c.off {
+// demandShare is the share of its demand that it has at a time; a burst comes after the first pause.
+func (c *tenant) demandShare(at time.Duration) float64 {
+	if c.burstTime == 0 || at%(c.burstTime+c.pauseTime) >= c.pauseTime {
 		return 1
 	}
-	return between / c.demand
+	return pauseDemand / c.demand
 }
 
 // arrival is a first try as it was drawn before the run: nothing that happens in the run changes when it is due.
 type arrival struct {
-	due   time.Duration // from the load's beginning
-	ch    *channel
-	class *class
-	at    int // instance
-	http  bool
-	seed  uint64
+	due    time.Duration // from the load's beginning
+	sender *tenant
+	class  *class
+	target int // target
+	http   bool
+	seed   uint64
 }
 
 // load is the clients of a run.
 type load struct {
-	w        *Testbed
-	channels []*channel
-	arrivals []arrival
-	pools    []*pool
-	open     chan struct{}
-	wg       sync.WaitGroup
-	lastID   atomic.Uint64
-	dropped  atomic.Int64 // tries that found no room here, which no ingress saw
-	tries    atomic.Int64
-	began    time.Duration
+	tb           *Testbed
+	tenants      []*tenant
+	arrivals     []arrival
+	pools        []*connPool
+	inFlight     chan struct{}
+	wg           sync.WaitGroup
+	lastID       atomic.Uint64
+	dropped      atomic.Int64 // attemptCount that found no room here, which no ingress saw
+	attemptCount atomic.Int64
+	startedAt    time.Duration
 
-	mu    sync.Mutex
-	tried []tried
+	mu   sync.Mutex
+	sent []sent
 }
 
-// tried is a try with what the report needs beyond the audit.
-type tried struct {
+// sent is a try with what the report needs beyond the audit.
+type sent struct {
 	rulecheck.ClientRequest
-	due   time.Duration // of the first try
-	wish  int
-	ch    *channel
-	class *class
-	retry int
-	http  bool
-	key   string // of a keyed class
-	value string // that it was served
+	due          time.Duration // slowness the first try
+	requestIndex int
+	sender       *tenant
+	class        *class
+	retry        int
+	http         bool
+	key          string // slowness a keyed class
+	value        string // that it was served
 }
 
 // newLoad draws the channels, sets the plans' figures so that what is asked inside quotas is the day's share of what the
 // fleet can do, and draws all first tries.
-func newLoad(w *Testbed) *load {
-	l := &load{w: w, open: make(chan struct{}, mostOpen)}
-	l.lastID.Store(w.cfg.Seed<<40 | 1)
+func newLoad(tb *Testbed) *load {
+	l := &load{tb: tb, inFlight: make(chan struct{}, maxInFlight)}
+	l.lastID.Store(tb.cfg.Seed<<40 | 1)
 	id := uint64(1000)
 	hot := map[string][]scenario.HotTenants{}
-	for _, h := range w.day.HotTenants {
+	for _, h := range tb.scenarioConfig.HotTenants {
 		for range h.Tenants {
 			hot[h.Plan] = append(hot[h.Plan], h)
 		}
 	}
-	n := w.day.Ingresses
+	n := tb.scenarioConfig.Ingresses
 	inside := 0.0 // units a second
-	for _, p := range w.plans {
-		for i := range p.channels {
+	for _, p := range tb.plans {
+		for i := range p.tenants {
 			id++
-			c := &channel{id: id, plan: p, spread: min(n, 2+w.rng.IntN(2)), first: w.rng.IntN(n)}
-			switch x := w.rng.Float64(); {
+			c := &tenant{id: id, plan: p, spread: min(n, 2+tb.rng.IntN(2)), firstInstance: tb.rng.IntN(n)}
+			switch x := tb.rng.Float64(); {
 			case x < 0.10:
-				c.demand = 2 + 2.5*w.rng.Float64()
+				c.demand = 2 + 2.5*tb.rng.Float64()
 			case x < 0.28:
 				c.demand = 0.95
 			default:
-				c.demand = 0.2 + 0.4*w.rng.Float64()
+				c.demand = 0.2 + 0.4*tb.rng.Float64()
 			}
 			if i < len(hot[p.name]) {
 				h := hot[p.name][i]
-				c.demand, c.spread, c.on, c.off = h.QuotaFactor, n, time.Duration(h.On), time.Duration(h.Off)
+				c.demand, c.spread, c.burstTime, c.pauseTime = h.QuotaFactor, n, time.Duration(h.On), time.Duration(h.Off)
 			}
 			inside += p.quota().Rate * min(1, c.mean())
-			l.channels = append(l.channels, c)
+			l.tenants = append(l.tenants, c)
 		}
 	}
-	units, work := mean(w.classes)
-	k := w.day.Load * w.cfg.Rate * w.capacity / (inside / units * work.Seconds())
-	for _, p := range w.plans {
-		p.rate *= k
+	units, work := mean(tb.classes)
+	rateScale := tb.scenarioConfig.Load * tb.cfg.Rate * tb.capacity / (inside / units * work.Seconds())
+	for _, p := range tb.plans {
+		p.refillRate *= rateScale
 	}
-	for i, ch := range l.channels {
-		l.draw(ch, ch.plan.rate*ch.demand/units, rand.New(rand.NewPCG(w.cfg.Seed, uint64(i)+100)))
+	for i, sender := range l.tenants {
+		l.drawArrivals(sender, sender.plan.refillRate*sender.demand/units, rand.New(rand.NewPCG(tb.cfg.Seed, uint64(i)+100)))
 	}
 	slices.SortStableFunc(l.arrivals, func(a, b arrival) int { return cmp.Compare(a.due, b.due) })
 	return l
 }
 
-// draw draws one channel's first tries.
-func (l *load) draw(ch *channel, rate float64, rng *rand.Rand) {
-	weights := make([]float64, ch.spread)
+// drawArrivals draws one channel's first tries.
+func (l *load) drawArrivals(sender *tenant, rate float64, rng *rand.Rand) {
+	weights := make([]float64, sender.spread)
 	shift := time.Duration(-1)
 	for due := time.Duration(0); ; {
 		due += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if due >= time.Duration(l.w.day.Length) {
+		if due >= time.Duration(l.tb.scenarioConfig.Length) {
 			return
 		}
-		if p := ch.asks(due); p < 1 && rng.Float64() >= p { // thinned: the draw stays the same process
+		if p := sender.demandShare(due); p < 1 && rng.Float64() >= p { // thinned: the draw stays the same process
 			continue
 		}
-		if shift < 0 || l.w.day.UnevenRouting && ch.on == 0 && due-shift > shiftEvery {
+		if shift < 0 || l.tb.scenarioConfig.UnevenRouting && sender.burstTime == 0 && due-shift > routingShiftInterval {
 			shift = due
 			for i := range weights {
-				if weights[i] = 1; l.w.day.UnevenRouting && ch.on == 0 {
+				if weights[i] = 1; l.tb.scenarioConfig.UnevenRouting && sender.burstTime == 0 {
 					weights[i] = 0.1 + rng.Float64()*rng.Float64()
 				}
 			}
 		}
-		c := &l.w.classes[0]
+		c := &l.tb.classes[0]
 		x := rng.Float64()
-		for i := range l.w.classes {
-			if x < l.w.classes[i].share {
-				c = &l.w.classes[i]
+		for i := range l.tb.classes {
+			if x < l.tb.classes[i].share {
+				c = &l.tb.classes[i]
 				break
 			}
-			x -= l.w.classes[i].share
+			x -= l.tb.classes[i].share
 		}
-		l.arrivals = append(l.arrivals, arrival{due, ch, c, way(ch, weights, l.w.day.Ingresses, rng), l.w.cfg.HTTP > 0 && rng.Float64() < l.w.cfg.HTTP, rng.Uint64()})
+		l.arrivals = append(l.arrivals, arrival{due, sender, c, drawInstance(sender, weights, l.tb.scenarioConfig.Ingresses, rng), l.tb.cfg.HTTPShare > 0 && rng.Float64() < l.tb.cfg.HTTPShare, rng.Uint64()})
 	}
 }
 
-// way draws the instance that a try goes to.
-func way(ch *channel, weights []float64, instances int, rng *rand.Rand) int {
+// drawInstance draws the instance that a try goes to.
+func drawInstance(sender *tenant, weights []float64, instances int, rng *rand.Rand) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -185,24 +185,24 @@
 	x := rng.Float64() * sum
 	for i, w := range weights {
 		if x -= w; x < 0 {
-			return (ch.first + i) % instances
+			return (sender.firstInstance + i) % instances
 		}
 	}
-	return ch.first
+	return sender.firstInstance
 }
 
-// begin sets the time from which the load, the timeline and all figures count. It comes before anything that reads it.
-func (l *load) begin() { l.began = l.w.clock() }
+// start sets the time from which the load, the timeline and all figures count. It comes before anything that reads it.
+func (l *load) start() { l.startedAt = l.tb.clock() }
 
 // run plays the load until each try has ended.
 func (l *load) run(ctx context.Context) {
-	for _, g := range l.w.ingresses {
-		l.pools = append(l.pools, &pool{addr: g.addr})
+	for _, inst := range l.tb.instances {
+		l.pools = append(l.pools, &connPool{addr: inst.addr})
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for i, a := range l.arrivals {
-		timer.Reset(l.began + a.due - l.w.clock())
+	for i, arrival := range l.arrivals {
+		timer.Reset(l.startedAt + arrival.due - l.tb.clock())
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -211,14 +211,14 @@
 			break
 		}
 		select {
-		case l.open <- struct{}{}:
+		case l.inFlight <- struct{}{}:
 		default:
 			l.dropped.Add(1)
 			continue
 		}
 		l.wg.Go(func() {
-			defer func() { <-l.open }()
-			l.request(ctx, i, a)
+			defer func() { <-l.inFlight }()
+			l.request(ctx, i, arrival)
 		})
 	}
 	l.wg.Wait()
@@ -227,55 +227,55 @@
 	}
 }
 
-// request is one client's wish: a try, and up to two more where it was not served.
-func (l *load) request(ctx context.Context, wish int, a arrival) {
+// requestIndex is one client's wish: a try, and up to two more where it was not served.
+func (l *load) request(ctx context.Context, requestIndex int, a arrival) {
 	rng := rand.New(rand.NewPCG(a.seed, 1))
-	at := a.at
+	target := a.target
 	key := "" // each try has its own
-	if l.w.cfg.SameKey {
+	if l.tb.cfg.ReuseKey {
 		key = fmt.Sprintf("%016x", a.seed)
 	}
 	for retry := 0; ; retry++ {
-		if l.tries.Add(1) > mostTries {
+		if l.attemptCount.Add(1) > maxAttempts {
 			l.dropped.Add(1)
 			return
 		}
-		for i := 0; i < a.ch.spread && l.w.ingresses[at].left(l.w.clock()); i++ { // the front deals round a dead one
+		for i := 0; i < a.sender.spread && l.tb.instances[target].routedAround(l.tb.clock()); i++ { // the front deals round a dead one
 			n := len(l.pools)
-			place := (at - a.ch.first + n) % n // within the channel's set
-			at = (a.ch.first + (place+1)%a.ch.spread) % n
+			slot := (target - a.sender.firstInstance + n) % n // within the channel's set
+			target = (a.sender.firstInstance + (slot+1)%a.sender.spread) % n
 		}
-		try := l.try
+		sendAttempt := l.sendAttempt
 		if a.http {
-			try = l.tryHTTP
+			sendAttempt = l.sendHTTPAttempt
 		}
-		t, after := try(a.ch, a.class, at, retry, key, rng)
+		t, after := sendAttempt(a.sender, a.class, target, retry, key, rng)
 		t.http = a.http
-		t.due, t.wish = l.began+a.due, wish
+		t.due, t.requestIndex = l.startedAt+a.due, requestIndex
 		l.mu.Lock()
-		l.tried = append(l.tried, t)
+		l.sent = append(l.sent, t)
 		l.mu.Unlock()
-		if len(t.Answers) > 0 && t.Answers[0].Kind == "served" || retry == retriesAtMost || ctx.Err() != nil {
+		if len(t.Answers) > 0 && t.Answers[0].Kind == "served" || retry == maxRetries || ctx.Err() != nil {
 			return
 		}
 		if after == 0 || rng.Float64() > 0.6 { // many do not heed it
 			after = 20*ms + time.Duration(rng.Int64N(int64(140*ms)))
 		}
 		time.Sleep(after)
-		if l.w.clock() > l.began+time.Duration(l.w.day.Length) {
+		if l.tb.clock() > l.startedAt+time.Duration(l.tb.scenarioConfig.Length) {
 			return
 		}
-		at = (a.ch.first + rng.IntN(a.ch.spread)) % len(l.pools)
+		target = (a.sender.firstInstance + rng.IntN(a.sender.spread)) % len(l.pools)
 	}
 }
 
-// try sends one try and waits for its answer.
-func (l *load) try(ch *channel, c *class, at, retry int, key string, rng *rand.Rand) (t tried, after time.Duration) {
-	g := l.w.ingresses[at]
+// sendAttempt sends one try and waits for its answer.
+func (l *load) sendAttempt(sender *tenant, c *class, at, retry int, key string, rng *rand.Rand) (t sent, after time.Duration) {
+	inst := l.tb.instances[at]
 	id := l.lastID.Add(1)
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{ClientRequest: rulecheck.ClientRequest{ID: fmt.Sprintf("%016x", id), Instance: g.Name, Class: c.name, Timeout: wait}, ch: ch, class: c, retry: retry}
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=%d", c.name, ch.plan.name, wait.Milliseconds(), c.units, ch.spread, ch.first)
+	t = sent{ClientRequest: rulecheck.ClientRequest{ID: fmt.Sprintf("%016x", id), Instance: inst.Name, Class: c.name, Timeout: wait}, sender: sender, class: c, retry: retry}
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=%d", c.name, sender.plan.name, wait.Milliseconds(), c.units, sender.spread, sender.firstInstance)
 	name := "Q.DO"
 	switch c.effect {
 	case "read_like":
@@ -284,77 +284,77 @@
 		t.key = cmp.Or(key, fmt.Sprintf("%016x", id))
 		fields += ",k=" + t.key
 	}
-	command := respclient.EncodeCommand(name, fmt.Sprintf("%016x", ch.id), t.ID, fields)
+	command := respclient.EncodeCommand(name, fmt.Sprintf("%016x", sender.id), t.ID, fields)
 	for fresh := false; ; fresh = true {
-		nc, err := l.pools[at].get(fresh)
+		conn, err := l.pools[at].get(fresh)
 		if err != nil {
-			t.SentAt = l.w.clock()
+			t.SentAt = l.tb.clock()
 			t.Excused = true // it was never taken
 			return t, 0
 		}
-		t.SentAt = l.w.clock()
-		ans, err := nc.ask(command, wait+max(answerSlack, l.w.rules().Tolerance)) // what nobody waits for can't be judged late
+		t.SentAt = l.tb.clock()
+		answer, err := conn.roundTrip(command, wait+max(lateAnswerWait, l.tb.rules().Tolerance)) // what nobody waits for can't be judged late
 		if err == nil {
-			t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: ans.Kind})
-			if ans.Kind == respclient.Served {
-				t.value = ans.Value
+			t.Answers = append(t.Answers, rulecheck.Answer{At: l.tb.clock(), Kind: answer.Kind})
+			if answer.Kind == respclient.Served {
+				t.value = answer.Value
 			}
 			if at := t.Answers[0].At; at-t.SentAt > wait { // one that was stopped answers when it wakes
-				t.Excused = g.wasDown(t.SentAt, at)
+				t.Excused = inst.wasDown(t.SentAt, at)
 			}
 			// The first attempt of the same key may have made the value.
-			ofSameKey := key != "" && t.key == key && strings.HasPrefix(ans.Value, "value of ")
-			t.ForeignAnswer = ans.Kind == respclient.Served && ans.Value != "value of "+t.ID && !ofSameKey
-			if nc.more() {
-				t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: "failed"})
-				nc.Close()
+			ofSameKey := key != "" && t.key == key && strings.HasPrefix(answer.Value, "value of ")
+			t.ForeignAnswer = answer.Kind == respclient.Served && answer.Value != "value of "+t.ID && !ofSameKey
+			if conn.hasUnsolicited() {
+				t.Answers = append(t.Answers, rulecheck.Answer{At: l.tb.clock(), Kind: "failed"})
+				conn.Close()
 			} else {
-				l.pools[at].put(nc)
+				l.pools[at].put(conn)
 			}
-			return t, ans.RetryAfter
+			return t, answer.RetryAfter
 		}
-		nc.Close()
-		if !fresh && nc.used && errors.Is(err, respclient.ErrClosed) { // it was closed between requests: the protocol has us send again
+		conn.Close()
+		if !fresh && conn.reused && errors.Is(err, respclient.ErrClosed) { // it was closed between requests: the protocol has us send again
 			continue
 		}
-		at := l.w.clock()
-		if slices.Contains(l.w.cfg.Mortal, g.n) {
-			time.Sleep(noticing) // its end may not be known yet
+		at := l.tb.clock()
+		if slices.Contains(l.tb.cfg.MayExit, inst.index) {
+			time.Sleep(exitDetectionDelay) // its end may not be known yet
 		}
-		t.Excused = g.wasDown(t.SentAt, at)
+		t.Excused = inst.wasDown(t.SentAt, at)
 		return t, 0
 	}
 }
 
-// tryHTTP sends one try through the instance's gate.
-func (l *load) tryHTTP(ch *channel, c *class, at, retry int, _ string, rng *rand.Rand) (t tried, after time.Duration) {
-	g := l.w.ingresses[at]
+// sendHTTPAttempt sends one try through the instance's gate.
+func (l *load) sendHTTPAttempt(sender *tenant, c *class, target, retry int, _ string, rng *rand.Rand) (t sent, after time.Duration) {
+	inst := l.tb.instances[target]
 	id := fmt.Sprintf("%016x", l.lastID.Add(1))
 	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64()))
-	t = tried{ClientRequest: rulecheck.ClientRequest{ID: id, Instance: g.Name, Class: c.name, Timeout: wait, SentAt: l.w.clock()}, ch: ch, class: c, retry: retry}
-	wish := gate.Request{ID: id, Channel: fmt.Sprintf("%016x", ch.id), Class: c.name, Plan: ch.plan.name, Units: c.units, Spread: ch.spread, First: ch.first, Wait: wait}
+	t = sent{ClientRequest: rulecheck.ClientRequest{ID: id, Instance: inst.Name, Class: c.name, Timeout: wait, SentAt: l.tb.clock()}, sender: sender, class: c, retry: retry}
+	gateRequest := gate.Request{ID: id, Channel: fmt.Sprintf("%016x", sender.id), Class: c.name, Plan: sender.plan.name, Units: c.units, Spread: sender.spread, First: sender.firstInstance, Wait: wait}
 	if c.effect == "idempotency_key" {
-		wish.Key = id
+		gateRequest.Key = id
 	}
-	res := l.w.gates[at].Do(context.Background(), wish)
-	t.Answers = append(t.Answers, rulecheck.Answer{At: l.w.clock(), Kind: res.Kind})
+	res := l.tb.gates[target].Do(context.Background(), gateRequest)
+	t.Answers = append(t.Answers, rulecheck.Answer{At: l.tb.clock(), Kind: res.Kind})
 	t.ForeignAnswer = res.Kind == "served" && res.Value != "value of "+id
-	t.Excused = res.Kind != "served" && g.wasDown(t.SentAt, l.w.clock())
+	t.Excused = res.Kind != "served" && inst.wasDown(t.SentAt, l.tb.clock())
 	return t, res.After
 }
 
-func (l *load) asked() []rulecheck.ClientRequest {
+func (l *load) clientRequests() []rulecheck.ClientRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]rulecheck.ClientRequest, len(l.tried))
-	for i, t := range l.tried {
+	out := make([]rulecheck.ClientRequest, len(l.sent))
+	for i, t := range l.sent {
 		out[i] = t.ClientRequest
 	}
 	return out
 }
 
-// pool is the connections to one ingress, each for one request at a time.
-type pool struct {
+// connPool is the connections to one ingress, each for one request at a time.
+type connPool struct {
 	addr string
 	mu   sync.Mutex
 	idle []*clientConn
@@ -362,11 +362,11 @@
 
 type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	reused bool
 }
 
-func (p *pool) get(fresh bool) (*clientConn, error) {
+func (p *connPool) get(fresh bool) (*clientConn, error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 && !fresh {
 		c := p.idle[n-1]
@@ -379,21 +379,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: nc, in: bufio.NewReaderSize(nc, 512)}, nil
+	return &clientConn{Conn: nc, reader: bufio.NewReaderSize(nc, 512)}, nil
 }
 
-func (p *pool) put(c *clientConn) {
-	c.used = true
+func (p *connPool) put(c *clientConn) {
+	c.reused = true
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) >= poolSize {
+	if len(p.idle) >= maxIdleConnections {
 		c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-func (p *pool) close() {
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -402,14 +402,14 @@
 	p.idle = nil
 }
 
-// ask writes a command and reads its answer.
-func (c *clientConn) ask(command string, wait time.Duration) (respclient.Answer, error) {
+// roundTrip writes a command and reads its answer.
+func (c *clientConn) roundTrip(command string, wait time.Duration) (respclient.Answer, error) {
 	c.SetDeadline(time.Now().Add(wait))
 	if _, err := io.WriteString(c, command); err != nil {
 		return respclient.Answer{}, respclient.ErrClosed
 	}
-	return respclient.ReadAnswer(c.in)
+	return respclient.ReadAnswer(c.reader)
 }
 
-// more says whether something came that nobody asked for.
-func (c *clientConn) more() bool { return c.in.Buffered() > 0 }
+// hasUnsolicited says whether something came that nobody asked for.
+func (c *clientConn) hasUnsolicited() bool { return c.reader.Buffered() > 0 }
--- a/internal/lab/mutation/defect.go
+++ b/internal/lab/mutation/defect.go
@@ -57,9 +57,9 @@
 	"drains":   rulecheck.Drains,
 	"cold":     rulecheck.SlowStart,
 	"ceilings": rulecheck.Ceilings,
-	"quotas":   lab.Quotas,
-	"words":    lab.Reports,
-	"once":     lab.OnceByKey,
+	"quotas":   lab.RuleQuotas,
+	"words":    lab.RuleReports,
+	"once":     lab.RuleOnceByKey,
 }
 
 // disableGuards keeps the ingress from enforcing its own invariants, so that the rule checker gets to see a defect.
--- a/internal/lab/mutation/job.go
+++ b/internal/lab/mutation/job.go
@@ -107,7 +107,7 @@
 		switch {
 		case violation.Doubtful:
 		case j.defect.Name != "" && violation.Rule == ruleNames[j.defect.Rule]:
-			after := max(0, violation.Until.Seconds()-report.BeganS)
+			after := max(0, violation.Until.Seconds()-report.LoadStartS)
 			if !result.Detected || after < result.DetectedAfterS {
 				result.Detected, result.DetectedAfterS = true, after
 			}
--- a/internal/lab/peers_test.go
+++ b/internal/lab/peers_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// view is who an instance holds to be there, suspected or not.
-func view(ctx context.Context, w *Testbed, i int) string {
-	s, err := w.Peers(ctx, i)
+// memberView is who an instance holds to be there, suspected or not.
+func memberView(ctx context.Context, tb *Testbed, i int) string {
+	s, err := tb.Peers(ctx, i)
 	if err != nil {
 		return "silent"
 	}
@@ -29,7 +29,7 @@
 // peersConfig is a short run of instances that know one another.
 func peersConfig(t *testing.T, n int, faults ...string) Config {
 	cfg := testConfig(t)
-	cfg.Hot, cfg.Peers, cfg.Ingresses, cfg.Faults, cfg.Rate = 0, true, n, faults, 0.4
+	cfg.HotQuotaFactor, cfg.Peers, cfg.Ingresses, cfg.Faults, cfg.Rate = 0, true, n, faults, 0.4
 	return cfg
 }
 
@@ -38,16 +38,16 @@
 	t.Helper()
 	var mu sync.Mutex
 	got := map[time.Duration][]string{}
-	cfg.Watch = func(ctx context.Context, w *Testbed) {
+	cfg.Watch = func(ctx context.Context, tb *Testbed) {
 		var wg sync.WaitGroup
 		for at := range want {
 			wg.Go(func() {
-				if !w.WaitUntil(ctx, at) {
+				if !tb.WaitUntil(ctx, at) {
 					return
 				}
 				var views []string
-				for i := range w.Instances() {
-					views = append(views, view(ctx, w, i))
+				for i := range tb.Instances() {
+					views = append(views, memberView(ctx, tb, i))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -56,7 +56,7 @@
 		}
 		wg.Wait()
 	}
-	r := play(t, cfg)
+	r := runUntilOnTime(t, cfg)
 	for at, views := range want {
 		for i, v := range views {
 			if v != "" && (i >= len(got[at]) || got[at][i] != v) {
@@ -68,8 +68,8 @@
 	return r
 }
 
-// all are the views of a part whose members all know one another and nobody else.
-func all(parts ...[]int) []string {
+// completeViews are the views of a part whose members all know one another and nobody else.
+func completeViews(parts ...[]int) []string {
 	n := 0
 	for _, p := range parts {
 		n += len(p)
@@ -92,26 +92,26 @@
 
 // Instances find one another by a few seeds; one that is killed is held to be dead, one that is told to end has left, one that
 // comes back is there again, in another life; and each rule is kept meanwhile.
-func TestPeersComeAndGo(t *testing.T) {
+func TestPeerMembership(t *testing.T) {
 	t.Parallel()
 	cfg := peersConfig(t, 3, "ingress/1:kill at 1500ms", "ingress/2:restart 500ms at 4500ms")
 	cfg.For = 8 * time.Second
-	holds(t, viewsAt(t, cfg, map[time.Duration][]string{
-		time.Second:             all([]int{0, 1, 2}),
+	requireRules(t, viewsAt(t, cfg, map[time.Duration][]string{
+		time.Second:             completeViews([]int{0, 1, 2}),
 		4300 * time.Millisecond: {"n2", "", "n0"},
 		7800 * time.Millisecond: {"n2", "silent", "n0"},
 	}))
 }
 
 // Six instances in two parts: each part knows its own after a while, and all know all soon after the cut has ended.
-func TestPeersParted(t *testing.T) {
+func TestPeerPartitions(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults []string
 		during []string // 4 s after the cut
 		cut    time.Duration
 	}{
-		"3|3":                   {[]string{"link/0,1,2|3,4,5:cut 5s at 1s"}, all([]int{0, 1, 2}, []int{3, 4, 5}), 5 * time.Second},
-		"1|5":                   {[]string{"link/0|1,2,3,4,5:cut 5s at 1s"}, all([]int{0}, []int{1, 2, 3, 4, 5}), 5 * time.Second},
+		"3|3":                   {[]string{"link/0,1,2|3,4,5:cut 5s at 1s"}, completeViews([]int{0, 1, 2}, []int{3, 4, 5}), 5 * time.Second},
+		"1|5":                   {[]string{"link/0|1,2,3,4,5:cut 5s at 1s"}, completeViews([]int{0}, []int{1, 2, 3, 4, 5}), 5 * time.Second},
 		"flapping, 300 ms":      {[]string{"link/0,1,2|3,4,5:flap 300ms 5s at 1s"}, nil, 5 * time.Second},
 		"lossy, twice, swapped": {[]string{"link/0,1,2,3,4,5>0,1,2,3,4,5:drop 0.2 5s at 1s", "link/0,1,2,3,4,5>0,1,2,3,4,5:repeat 0.3 5s at 1s", "link/0,1,2,3,4,5>0,1,2,3,4,5:swap 0.3 5s at 1s"}, nil, 5 * time.Second},
 		"one-way":               {[]string{"link/1>0:cut 5s at 1s"}, nil, 5 * time.Second},
@@ -121,11 +121,11 @@
 			t.Parallel()
 			cfg := peersConfig(t, 6, c.faults...)
 			cfg.For = 9 * time.Second
-			want := map[time.Duration][]string{time.Second + c.cut + 2500*time.Millisecond: all([]int{0, 1, 2, 3, 4, 5})}
+			want := map[time.Duration][]string{time.Second + c.cut + 2500*time.Millisecond: completeViews([]int{0, 1, 2, 3, 4, 5})}
 			if c.during != nil {
 				want[5*time.Second] = c.during
 			}
-			holds(t, viewsAt(t, cfg, want))
+			requireRules(t, viewsAt(t, cfg, want))
 		})
 	}
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -12,103 +12,103 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// play loads what is open, by the timeline, and judges.
-func (w *Testbed) play(ctx context.Context, steps []scenario.Step) (*Report, error) {
+// runUntilOnTime loads what is open, by the timeline, and judges.
+func (tb *Testbed) play(ctx context.Context, steps []scenario.Step) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer w.wg.Wait()
-	w.meter = lateness.Start(w.clock)
-	w.onClose(w.meter.Close)
-	began, beganCPU := time.Now(), ownCPU()
-	w.load.begin()
-	before := make([]proc.Usage, len(w.ingresses))
-	for i, g := range w.ingresses {
-		before[i] = g.Usage()
+	defer tb.wg.Wait()
+	tb.meter = lateness.Start(tb.clock)
+	tb.onClose(tb.meter.Close)
+	startedAt, cpuBefore := time.Now(), processCPU()
+	tb.load.start()
+	usageBefore := make([]proc.Usage, len(tb.instances))
+	for i, inst := range tb.instances {
+		usageBefore[i] = inst.Usage()
 	}
-	calls := w.store.Calls()
-	faulty := make(chan error, 1)
+	calls := tb.store.Calls()
+	timelineDone := make(chan error, 1)
 	go func() {
-		err := w.timeline(ctx, began, steps)
+		err := tb.runTimeline(ctx, startedAt, steps)
 		if err != nil {
 			cancel() // the load ends early
 		}
-		faulty <- err
+		timelineDone <- err
 	}()
-	live, tracks := make(chan struct{}), make(chan map[string]*BackendTrack, 1)
+	progressDone, trackResults := make(chan struct{}), make(chan map[string]*BackendTrack, 1)
 	go func() {
-		defer close(live)
-		w.show(ctx)
+		defer close(progressDone)
+		tb.printProgress(ctx)
 	}()
-	able := &ableTrack{map[string][]float64{}, map[string][]float64{}}
-	go func() { tracks <- w.sample(ctx, able) }()
-	watched := make(chan struct{})
+	capacity := &capacityTrack{map[string][]float64{}, map[string][]float64{}}
+	go func() { trackResults <- tb.sample(ctx, capacity) }()
+	watchDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		if w.cfg.Watch != nil {
-			w.cfg.Watch(ctx, w)
+		defer close(watchDone)
+		if tb.cfg.Watch != nil {
+			tb.cfg.Watch(ctx, tb)
 		}
 	}()
-	w.load.run(ctx)
+	tb.load.run(ctx)
 	interrupted := context.Cause(ctx)
 	var procs []Process
 	cpu := time.Duration(0)
-	for i, g := range w.ingresses {
-		u := g.Usage()
-		cpu += u.CPU - before[i].CPU
-		procs = append(procs, Process{Name: g.Name, CPUS: (u.CPU - before[i].CPU).Seconds(), PeakMB: float64(u.PeakKB) / 1024})
+	for i, inst := range tb.instances {
+		u := inst.Usage()
+		cpu += u.CPU - usageBefore[i].CPU
+		procs = append(procs, Process{Name: inst.Name, CPUSeconds: (u.CPU - usageBefore[i].CPU).Seconds(), PeakMB: float64(u.PeakKB) / 1024})
 	}
-	seconds, labCPU := time.Since(began).Seconds(), ownCPU()-beganCPU
+	seconds, labCPU := time.Since(startedAt).Seconds(), processCPU()-cpuBefore
 	cancel()
-	<-live
-	<-watched
-	if err := <-faulty; err != nil {
+	<-progressDone
+	<-watchDone
+	if err := <-timelineDone; err != nil {
 		return nil, err
 	}
-	w.wg.Wait()
-	if err := errors.Join(w.failed...); err != nil {
+	tb.wg.Wait()
+	if err := errors.Join(tb.stepErrors...); err != nil {
 		return nil, err
 	}
 	if interrupted != nil {
 		return nil, fmt.Errorf("interrupted: %w", interrupted)
 	}
 	time.Sleep(200 * ms) // what was sent last reaches the nodes' record
-	evidence := w.evidence()
-	verdict := rulecheck.Check(w.rules(), evidence)
+	evidence := tb.evidence()
+	checkResult := rulecheck.Check(tb.rules(), evidence)
 	r := &Report{
-		Scenario: w.day.Name, Seed: w.cfg.Seed, Store: w.day.Store, Seconds: seconds, BeganS: w.load.began.Seconds(), Faults: w.notes, Dropped: int(w.load.dropped.Load()), Processes: procs,
-		Violations: verdict.Violations, Rules: map[string]int{}, Fronts: map[string]QuotaShare{}, verdict: verdict, Margins: verdict.Margins, Unmet: append(w.day.Required.Unmet(verdict.Margins), w.idle()...),
-		ObserverDelayMS: float64(verdict.WorstDelay.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: w.rules().Tolerance, lost: w.fleet.Lost(),
+		Scenario: tb.scenarioConfig.Name, Seed: tb.cfg.Seed, Store: tb.scenarioConfig.Store, Seconds: seconds, LoadStartS: tb.load.startedAt.Seconds(), Faults: tb.faultLog, Dropped: int(tb.load.dropped.Load()), Processes: procs,
+		Violations: checkResult.Violations, Rules: map[string]int{}, Fronts: map[string]QuotaShare{}, checkResult: checkResult, Margins: checkResult.Margins, Unmet: append(tb.scenarioConfig.Required.Unmet(checkResult.Margins), tb.unusedLinkFaults()...),
+		ObserverDelayMS: float64(checkResult.WorstDelay.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: tb.rules().Tolerance, droppedRecords: tb.fleet.Lost(),
 	}
 	for _, rule := range rulecheck.RuleNames {
-		r.Rules[rule] = len(verdict.ForRule(rule))
+		r.Rules[rule] = len(checkResult.ForRule(rule))
 	}
-	for _, g := range w.ingresses {
-		g.mu.Lock()
-		if g.crashed != "" {
-			r.Crashed = append(r.Crashed, g.crashed)
+	for _, inst := range tb.instances {
+		inst.mu.Lock()
+		if inst.crash != "" {
+			r.Crashed = append(r.Crashed, inst.crash)
 		}
-		if g.died {
-			r.Died = append(r.Died, g.Name)
+		if inst.exited {
+			r.Died = append(r.Died, inst.Name)
 		}
-		g.mu.Unlock()
+		inst.mu.Unlock()
 	}
 	for _, s := range steps {
-		r.Marks = append(r.Marks, Mark{s.At.Seconds(), s.Text})
+		r.Events = append(r.Events, TimelineEvent{s.At.Seconds(), s.Text})
 	}
-	held := <-tracks
-	for _, s := range w.specs {
-		r.Backends = append(r.Backends, *held[s.ID])
+	backendTracks := <-trackResults
+	for _, s := range tb.specs {
+		r.Backends = append(r.Backends, *backendTracks[s.ID])
 	}
-	w.rows(r)
-	w.halls(r, able, w.score(r, evidence, w.store.Calls()-calls))
+	tb.addRows(r)
+	tb.addZones(r, capacity, tb.addScore(r, evidence, tb.store.Calls()-calls))
 	if r.Attempts > 0 {
 		r.CPUPerRequestUS = float64(cpu.Microseconds()) / float64(r.Attempts)
 	}
-	w.channels(r, evidence)
-	w.commands(r)
-	w.wishes(r)
-	if w.links != nil {
-		r.Links = w.links.FaultRecords()
+	tb.tenants(r, evidence)
+	tb.addCommands(r)
+	tb.addKeyedRequests(r)
+	if tb.links != nil {
+		r.Links = tb.links.FaultRecords()
 	}
 	return r, nil
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -16,42 +16,42 @@
 	Unjudged = 2 // nothing could be judged: the run did not exercise what it must, or the lab itself was late
 )
 
-// Quotas is the lab's own rule beside the five: what is passed on beyond quotas stays under the day's limit.
-const Quotas = "quotas kept"
+// RuleQuotas is the lab's own rule beside the five: what is passed on beyond quotas stays under the day's limit.
+const RuleQuotas = "quotas kept"
 
 // Row is what clients of one class and plan got; a wish is a first try with its retries. Times are from when a wish was
 // due.
 type Row struct {
-	Class    string  `json:"Class"`
-	Plan     string  `json:"Plan"`
-	Requests int     `json:"Wishes"`
-	Attempts int     `json:"Tries"`
-	Served   int     `json:"Served"`
-	InTime   int     `json:"InTime"` // wishes
-	Refused  int     `json:"Refused"`
-	Failed   int     `json:"Failed"`
-	None     int     `json:"None"` // tries
-	P50MS    float64 `json:"P50MS"`
-	P99MS    float64 `json:"P99MS"`
+	Class      string  `json:"Class"`
+	Plan       string  `json:"Plan"`
+	Requests   int     `json:"Wishes"`
+	Attempts   int     `json:"Tries"`
+	Served     int     `json:"Served"`
+	InTime     int     `json:"InTime"` // addKeyedRequests
+	Refused    int     `json:"Refused"`
+	Failed     int     `json:"Failed"`
+	Unanswered int     `json:"None"` // attemptCount
+	P50MS      float64 `json:"P50MS"`
+	P99MS      float64 `json:"P99MS"`
 }
 
 // Process is what one ingress took.
 type Process struct {
-	Name     string  `json:"Name"`
-	Attempts int     `json:"Tries"`
-	CPUS     float64 `json:"CPUS"` // seconds over the load
-	PeakMB   float64 `json:"PeakMB"`
+	Name       string  `json:"Name"`
+	Attempts   int     `json:"Tries"`
+	CPUSeconds float64 `json:"CPUS"` // burstSeconds over the load
+	PeakMB     float64 `json:"PeakMB"`
 }
 
-// Channel is one customer under a ceiling, as the nodes saw it.
-type Channel struct {
-	Tenant    string  `json:"Customer"`
-	Plan      string  `json:"Plan"`
-	Inside    float64 `json:"Inside"`
-	Beyond    float64 `json:"Beyond"`    // units
-	Overrun   float64 `json:"Overrun"`   // units by which all use together overdrew the quota at the most
-	OfCeiling float64 `json:"OfCeiling"` // the same as a share of the ceiling's store
-	Closest   float64 `json:"Closest"`   // most units beyond what the ceiling allowed, as a share of its store; below 0 it stayed under
+// TenantUse is one customer under a ceiling, as the nodes saw it.
+type TenantUse struct {
+	Tenant           string  `json:"Customer"`
+	Plan             string  `json:"Plan"`
+	Inside           float64 `json:"Inside"`
+	Beyond           float64 `json:"Beyond"`    // units
+	Overrun          float64 `json:"Overrun"`   // units by which all use together overdrew the quota at the most
+	OverrunOfCeiling float64 `json:"OfCeiling"` // the same as a share of the ceiling's store
+	Closest          float64 `json:"Closest"`   // maxSlowness units beyond what the ceiling allowed, as a share of its store; below 0 it stayed under
 }
 
 // QuotaShare is what the clients of one front requested and got, of tenants with a ceiling that request more than their
@@ -95,8 +95,8 @@
 	Late      bool          `json:"Late"` // it had no answer within its class's aim
 }
 
-// Pass is units that one instance has passed on for a channel, as a node saw them: once for each try.
-type Pass struct {
+// ForwardedUnits is units that one instance has passed on for a channel, as a node saw them: once for each try.
+type ForwardedUnits struct {
 	ArrivedAt time.Duration `json:"Came"`
 	Instance  int           `json:"Instance"`
 	Tenant    string        `json:"Customer"`
@@ -105,27 +105,27 @@
 
 // ClientRequest is one effect that a client wants, with its idempotency key and all its attempts.
 type ClientRequest struct {
-	Key      string        `json:"Key"`
-	Class    string        `json:"Class"`
-	First    time.Duration `json:"First"`    // when its first try was sent
-	Patience time.Duration `json:"GiveUp"`   // after it, when that try's client gives up
-	Instance string        `json:"Instance"` // that it was sent to
-	Lost     bool          `json:"Lost"`     // its first try had no answer
-	Answered time.Duration `json:"Answered"` // when its first try was answered; 0: never
-	Attempts int           `json:"Tries"`
-	Served   bool          `json:"Served"`
-	Values   int           `json:"Values"`  // different values that its tries were answered
-	Effects  int           `json:"Effects"` // that nodes saw
-	Racks    int           `json:"Racks"`   // in which they were
-	Helped   time.Duration `json:"Helped"`  // when a node first saw it from another instance than the first; 0: never
-	Again    int           `json:"Again"`   // further tries that an instance has answered
-	Story    []string      `json:"Story"`   // each try: whom it was sent to, when, and what came of it
+	Key             string        `json:"Key"`
+	Class           string        `json:"Class"`
+	FirstSentAt     time.Duration `json:"First"`    // when its first try was sent
+	ClientTimeout   time.Duration `json:"GiveUp"`   // after it, when that try's client gives up
+	Instance        string        `json:"Instance"` // that it was sent to
+	FirstUnanswered bool          `json:"Lost"`     // its first try had no answer
+	FirstAnsweredAt time.Duration `json:"Answered"` // when its first try was answered; 0: never
+	Attempts        int           `json:"Tries"`
+	Served          bool          `json:"Served"`
+	Values          int           `json:"Values"`  // different values that its tries were answered
+	Effects         int           `json:"Effects"` // that nodes saw
+	Racks           int           `json:"Racks"`   // reader which they were
+	OtherInstanceAt time.Duration `json:"Helped"`  // when a node first saw it from another instance than the first; 0: never
+	AnsweredRetries int           `json:"Again"`   // further tries that an instance has answered
+	Timeline        []string      `json:"Story"`   // each try: whom it was sent to, when, and what came of it
 }
 
-// Mark is something that the timeline did.
-type Mark struct {
-	AtS  float64 `json:"AtS"`
-	What string  `json:"What"`
+// TimelineEvent is something that the timeline did.
+type TimelineEvent struct {
+	AtS         float64 `json:"AtS"`
+	Description string  `json:"What"`
 }
 
 // Report is what a run comes to.
@@ -134,17 +134,17 @@
 	Seed            uint64                `json:"Seed"`
 	Store           string                `json:"Store"`
 	Seconds         float64               `json:"Seconds"`
-	BeganS          float64               `json:"BeganS"` // when the load began, on the clock of the breaks
+	LoadStartS      float64               `json:"BeganS"` // when the load began, on the clock of the breaks
 	Faults          []string              `json:"Faults"`
 	Attempts        int                   `json:"Tries"`
 	Dropped         int                   `json:"Dropped"`
 	Service         float64               `json:"Service"` // as the brief counts it; Score has its parts
 	Score           measure.Score         `json:"Score"`
 	Rows            []Row                 `json:"Rows"`
-	CPUPerRequestUS float64               `json:"CPUPerRequestUS"` // of the ingresses together, for a try
+	CPUPerRequestUS float64               `json:"CPUPerRequestUS"` // slowness the ingresses together, for a try
 	LabCores        float64               `json:"LabCores"`        // that the lab and its stand-ins took
 	Processes       []Process             `json:"Processes"`
-	Channels        []Channel             `json:"Channels"`
+	Tenants         []TenantUse           `json:"Channels"`
 	WorstOverrun    float64               `json:"WorstOverrun"` // the most of all channels, as a share of the ceiling
 	Fronts          map[string]QuotaShare `json:"Fronts"`       // resp and http
 	BeyondShare     float64               `json:"BeyondShare"`  // units passed on beyond quotas, as a share of those inside
@@ -155,20 +155,20 @@
 	ObserverDelayMS float64               `json:"LateMS"` // the longest time for which the lab itself was not run
 	Crashed         []string              `json:"Crashed"`
 	Died            []string              `json:"Died"` // instances that have ended by themselves, as they may
-	Marks           []Mark                `json:"Marks"`
+	Events          []TimelineEvent       `json:"Marks"`
 	Timeline        []Second              `json:"Timeline"`
 	Backends        []BackendTrack        `json:"Nodes"`
 	Zones           []ZoneTrack           `json:"Halls"`
-	Loss            *Loss                 `json:"Loss"`  // of a day that loses a hall
-	Swing           float64               `json:"Swing"` // most points by which the spill changed from second to second while nothing was done
-	Passes          []Pass                `json:"-"`     // first sends, in order of time
-	History         []Step                `json:"-"`     // of keyed wishes, by clients and nodes
-	Keyed           []ClientRequest       `json:"-"`     // keyed wishes, by when their first try was sent
+	Loss            *Loss                 `json:"Loss"`  // slowness a day that loses a hall
+	MaxSpillChange  float64               `json:"Swing"` // maxSlowness points by which the spill changed from second to second while nothing was done
+	Forwarded       []ForwardedUnits      `json:"-"`     // firstInstance sends, in order of time
+	History         []Step                `json:"-"`     // slowness keyed wishes, by clients and nodes
+	KeyedRequests   []ClientRequest       `json:"-"`     // keyed wishes, by when their first try was sent
 	Commands        []Command             `json:"-"`
 	Links           []link.FaultRecord    `json:"Links,omitempty"` // what each fault of a link did
 	tolerance       time.Duration
-	lost            int // records that found no room
-	verdict         rulecheck.Result
+	droppedRecords  int // records that found no room
+	checkResult     rulecheck.Result
 }
 
 // Clean says whether every rule was kept and nothing crashed.
@@ -176,11 +176,11 @@
 
 // Doubts says why nothing can be said of a run; empty: it can be judged.
 func (r *Report) Doubts() (out []string) {
-	if late := time.Duration(r.ObserverDelayMS * float64(ms)); late > r.tolerance {
-		out = append(out, fmt.Sprintf("the lab itself stood still for %v: its observers were late", late.Round(ms)))
+	if delay := time.Duration(r.ObserverDelayMS * float64(ms)); delay > r.tolerance {
+		out = append(out, fmt.Sprintf("the lab itself stood still for %v: its observers were late", delay.Round(ms)))
 	}
-	if r.lost > 0 {
-		out = append(out, fmt.Sprintf("%d commands found no room in the nodes' record", r.lost))
+	if r.droppedRecords > 0 {
+		out = append(out, fmt.Sprintf("%d commands found no room in the nodes' record", r.droppedRecords))
 	}
 	if r.Dropped > 0 {
 		out = append(out, fmt.Sprintf("%d tries found no room at the clients", r.Dropped))
@@ -190,9 +190,9 @@
 
 // Code is the exit code: a break that lateness cannot explain is one, however late the lab was elsewhere.
 func (r *Report) Code() int {
-	certain := r.verdict.CountCertain()
-	for _, b := range r.Violations {
-		if b.Rule == Quotas {
+	certain := r.checkResult.CountCertain()
+	for _, violation := range r.Violations {
+		if violation.Rule == RuleQuotas {
 			certain++
 		}
 	}
--- a/internal/lab/sample.go
+++ b/internal/lab/sample.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-const sampleEvery = 250 * ms
+const sampleInterval = 250 * ms
 
 // sample watches how full the nodes are.
-func (w *Testbed) sample(ctx context.Context, able *ableTrack) map[string]*BackendTrack {
+func (tb *Testbed) sample(ctx context.Context, capacity *capacityTrack) map[string]*BackendTrack {
 	out := map[string]*BackendTrack{}
-	for _, s := range w.specs {
+	for _, s := range tb.specs {
 		out[s.ID] = &BackendTrack{Backend: s.ID, Zone: s.Zone}
 	}
-	t := time.NewTicker(sampleEvery)
+	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -22,11 +22,11 @@
 			return out
 		case <-t.C:
 		}
-		w.sampleAble(w.load.began, able)
-		for i, s := range w.specs {
-			n, _ := w.node(i)
-			held, _, down := n.Load()
-			v := float64(held) / float64(s.Cores)
+		tb.sampleCapacity(tb.load.startedAt, capacity)
+		for i, s := range tb.specs {
+			n, _ := tb.backendAt(i)
+			inFlight, _, down := n.Load()
+			v := float64(inFlight) / float64(s.Cores)
 			if down {
 				v = -1
 			}
@@ -35,7 +35,7 @@
 	}
 }
 
-func ownCPU() time.Duration {
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// dying is what a program is given that kills itself at a step of a piece of work, the twelfth time that it comes there after it has run for
+// crashCode is what a program is given that kills itself at a step of a piece of work, the twelfth time that it comes there after it has run for
 // three seconds.
-const dying = `
+const crashCode = `
 var dyingCame atomic.Int32
 var dyingFrom = time.Now().Add(3 * time.Second)
 
@@ -31,8 +31,8 @@
 
 // crashStep is a step of a piece of work at which an instance is killed.
 type crashStep struct {
-	edits []edit
-	loss  bool // another instance is killed, so that there is something to take over
+	edits      []sourceEdit
+	killOthers bool // another instance is killed, so that there is something to take over
 }
 
 // crashSteps are all steps, by name, with the edits that make the program kill itself there.
@@ -45,13 +45,13 @@
 		requests    = "internal/core/request.go"
 		conn        = "internal/backend/conn.go"
 	)
-	// in is a step at one place of a file of the core: find is replaced there.
+	// reader is a step at one place of a file of the core: find is replaced there.
 	in := func(file, find, replace string) crashStep {
-		imports := edit{file, "import (\n", "import (\n\t\"os\"\n\t\"sync/atomic\"\n\t\"syscall\"\n"}
-		return crashStep{edits: []edit{imports, {file, find, replace}}}
+		imports := sourceEdit{file, "import (\n", "import (\n\t\"os\"\n\t\"sync/atomic\"\n\t\"syscall\"\n"}
+		return crashStep{edits: []sourceEdit{imports, {file, find, replace}}}
 	}
 	lossOf := func(step crashStep) crashStep {
-		step.loss = true
+		step.killOthers = true
 		return step
 	}
 	const (
@@ -77,7 +77,7 @@
 		"the owner, accepted":                  in(replication, accepted, accepted+"\t"+dieSoon),
 		"the owner, intent sent":               in(replication, waiting+awaited, waiting+"\t"+dieSoon+awaited),
 		"the owner, acknowledged and not sent": in(actions, sending, "\tdies(0)\n"+sending),
-		"the owner, half of a command written": {edits: []edit{
+		"the owner, half of a command written": {edits: []sourceEdit{
 			{conn, "import (\n", "import (\n\t\"bytes\"\n\t\"os\"\n"},
 			{conn, write, "\t\t\tif bytes.Contains(pending.command, []byte(\",k=\")) {\n" +
 				"\t\t\t\tdies(3*time.Millisecond, func() { c.nc.Write(pending.command[:len(pending.command)/2]) })\n\t\t\t}\n" + write},
@@ -101,7 +101,7 @@
 }
 
 // requireEditsApply fails the test for each edit that doesn't find its one place in the source as it is.
-func requireEditsApply(t *testing.T, name string, edits ...edit) {
+func requireEditsApply(t *testing.T, name string, edits ...sourceEdit) {
 	t.Helper()
 	for _, e := range edits {
 		source, err := os.ReadFile("../../" + e.file)
@@ -115,11 +115,11 @@
 }
 
 // The edits of the trials find their places also where the trials themselves are not played.
-func TestPlantedEditsApply(t *testing.T) {
+func TestSourceEditsApply(t *testing.T) {
 	for name, step := range crashSteps() {
 		requireEditsApply(t, name, step.edits...)
 	}
-	requireEditsApply(t, "whole spaces", wholeSpaces()...)
+	requireEditsApply(t, "whole spaces", fullCapacityEdits()...)
 	next, before, later := versionEdits()
 	requireEditsApply(t, "next version", next...)
 	requireEditsApply(t, "version before", before...)
@@ -128,7 +128,7 @@
 
 // An instance that dies at each step of a piece of work, as its owner, as its keeper, or as the one that takes it over: by what nodes and clients
 // saw no key has two effects, none has two answers, and each rule is kept.
-func TestKilledAtEachStep(t *testing.T) {
+func TestCrashAtEachStep(t *testing.T) {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // 78 processes, and as many builds as steps
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
@@ -140,34 +140,34 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			last := lastLine(t, c.edits[0].file)
-			edits := append(c.edits, edit{c.edits[0].file, last, last + dying})
+			edits := append(c.edits, sourceEdit{c.edits[0].file, last, last + crashCode})
 			cfg := peersConfig(t, 6, "fleet:slow 5 2s at 3s")
-			if c.loss {
+			if c.killOthers {
 				cfg.Faults = append(cfg.Faults, "ingress/1:kill at 4s", "ingress/2:kill at 4500ms")
 			}
-			cfg.Ingress, cfg.Mixed, cfg.Mortal = "", []string{planted(t, edits...), now, now, now, now, now}, []int{0}
+			cfg.Ingress, cfg.Programs, cfg.MayExit = "", []string{buildEdited(t, edits...), now, now, now, now, now}, []int{0}
 			cfg.Takeover, cfg.For, cfg.Rate = true, 9*time.Second, 1
-			r := play(t, cfg)
-			holds(t, r)
+			r := runUntilOnTime(t, cfg)
+			requireRules(t, r)
 			if len(r.Died) == 0 {
 				t.Fatalf("seed %d: the step was never reached", r.Seed)
 			}
-			doubled, helped, lost := 0, 0, 0
-			for _, w := range r.Keyed {
-				if w.Effects > 1 {
-					doubled++
-					t.Log(w)
+			twoEffects, takenOver, lost := 0, 0, 0
+			for _, request := range r.KeyedRequests {
+				if request.Effects > 1 {
+					twoEffects++
+					t.Log(request)
 				}
-				if w.Lost {
+				if request.FirstUnanswered {
 					lost++
-					if w.Helped > 0 {
-						helped++
+					if request.OtherInstanceAt > 0 {
+						takenOver++
 					}
 				}
 			}
-			t.Logf("%d keyed wishes, %d lost their first try's answer, %d of them were helped", len(r.Keyed), lost, helped)
-			if broken := CheckHistory(r.History); len(broken) > 0 || doubled > 0 {
-				t.Errorf("seed %d: %d with two effects, %v", r.Seed, doubled, broken)
+			t.Logf("%d keyed wishes, %d lost their first try's answer, %d of them were helped", len(r.KeyedRequests), lost, takenOver)
+			if violations := CheckHistory(r.History); len(violations) > 0 || twoEffects > 0 {
+				t.Errorf("seed %d: %d with two effects, %v", r.Seed, twoEffects, violations)
 			}
 		})
 	}
--- a/internal/lab/stores.go
+++ b/internal/lab/stores.go
@@ -15,27 +15,27 @@
 	Calls() int
 }
 
-func (w *Testbed) openStore() error {
-	switch w.day.Store {
+func (tb *Testbed) openStore() error {
+	switch tb.scenarioConfig.Store {
 	case scenario.StoreTally:
-		s, err := tally.Start(w.net+".1:0", w.cfg.Seed)
+		s, err := tally.Start(tb.network+".1:0", tb.cfg.Seed)
 		if err != nil {
 			return err
 		}
-		w.onClose(s.Close)
-		w.store = tallyStore{s}
+		tb.onClose(s.Close)
+		tb.store = tallyStore{s}
 	default:
-		s, err := redis.Start(redis.Options{Seed: w.cfg.Seed, Listen: w.net + ".1:0"})
+		s, err := redis.Start(redis.Options{Seed: tb.cfg.Seed, Listen: tb.network + ".1:0"})
 		if err != nil {
 			return err
 		}
-		w.onClose(s.Close)
-		replica, err := s.Group().AddReplica(redis.Options{Seed: w.cfg.Seed, Listen: w.net + ".1:0"})
+		tb.onClose(s.Close)
+		replica, err := s.Group().AddReplica(redis.Options{Seed: tb.cfg.Seed, Listen: tb.network + ".1:0"})
 		if err != nil {
 			return err
 		}
-		w.onClose(replica.Close)
-		w.store = redisStore{s}
+		tb.onClose(replica.Close)
+		tb.store = redisStore{s}
 	}
 	return nil
 }
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -11,115 +11,115 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// commands are what came to nodes.
-func (w *Testbed) commands(r *Report) {
-	aims := map[string]time.Duration{}
-	for _, c := range w.classes {
-		aims[c.name] = c.aim
+// addCommands are what came to nodes.
+func (tb *Testbed) addCommands(r *Report) {
+	objectives := map[string]time.Duration{}
+	for _, c := range tb.classes {
+		objectives[c.name] = c.latencyObjective
 	}
 	seen := map[string]bool{}
-	for _, x := range w.fleet.Records(0) {
+	for _, x := range tb.fleet.Records(0) {
 		if !seen[x.ID] {
 			seen[x.ID] = true
-			r.Passes = append(r.Passes, Pass{x.ArrivedAt, x.Instance, x.Tenant, x.Units})
+			r.Forwarded = append(r.Forwarded, ForwardedUnits{x.ArrivedAt, x.Instance, x.Tenant, x.Units})
 		}
-		r.Commands = append(r.Commands, Command{x.ArrivedAt, x.Backend, x.Instance, x.Class, x.EndedAt == 0 || x.EndedAt-x.ArrivedAt > aims[x.Class]})
+		r.Commands = append(r.Commands, Command{x.ArrivedAt, x.Backend, x.Instance, x.Class, x.EndedAt == 0 || x.EndedAt-x.ArrivedAt > objectives[x.Class]})
 	}
 }
 
-// wishes are the keyed ones, with what nodes saw of them.
-func (w *Testbed) wishes(r *Report) {
+// addKeyedRequests are the keyed ones, with what nodes saw of them.
+func (tb *Testbed) addKeyedRequests(r *Report) {
 	by := map[string]*ClientRequest{}
 	values := map[string]map[string]bool{}
 	racks := map[string]map[int]bool{}
-	w.load.mu.Lock()
-	slices.SortFunc(w.load.tried, func(a, b tried) int { return cmp.Compare(a.SentAt, b.SentAt) })
-	for _, t := range w.load.tried {
+	tb.load.mu.Lock()
+	slices.SortFunc(tb.load.sent, func(a, b sent) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	for _, t := range tb.load.sent {
 		if t.key == "" {
 			continue
 		}
 		x := by[t.key]
 		if x == nil {
-			x = &ClientRequest{Key: t.key, Class: t.class.name, First: t.SentAt, Patience: t.Timeout, Instance: t.Instance, Lost: len(t.Answers) == 0}
+			x = &ClientRequest{Key: t.key, Class: t.class.name, FirstSentAt: t.SentAt, ClientTimeout: t.Timeout, Instance: t.Instance, FirstUnanswered: len(t.Answers) == 0}
 			by[t.key], values[t.key], racks[t.key] = x, map[string]bool{}, map[int]bool{}
 		}
 		x.Attempts++
-		end, step := "no answer", Step{Key: t.key, From: t.SentAt, Who: len(r.History)}
+		end, step := "no answer", Step{Key: t.key, From: t.SentAt, ClientID: len(r.History)}
 		if len(t.Answers) > 0 {
 			step.Until, step.Served, step.Value = t.Answers[0].At, t.Answers[0].Kind == "served", t.value
 			end = fmt.Sprintf("%s after %v", t.Answers[0].Kind, (t.Answers[0].At - t.SentAt).Round(ms))
 			if x.Attempts > 1 {
-				x.Again++
+				x.AnsweredRetries++
 			} else {
-				x.Answered = t.Answers[0].At
+				x.FirstAnsweredAt = t.Answers[0].At
 			}
 		}
 		r.History = append(r.History, step)
-		x.Story = append(x.Story, fmt.Sprintf("%s at %v: %s", t.Instance, t.SentAt.Round(ms), end))
+		x.Timeline = append(x.Timeline, fmt.Sprintf("%s at %v: %s", t.Instance, t.SentAt.Round(ms), end))
 		if len(t.Answers) > 0 && t.Answers[0].Kind == "served" {
 			x.Served = true
 			values[t.key][t.value] = true
 		}
 	}
-	w.load.mu.Unlock()
-	for _, c := range w.fleet.Records(0) {
+	tb.load.mu.Unlock()
+	for _, c := range tb.fleet.Records(0) {
 		x := by[c.Key]
 		if x == nil {
 			continue
 		}
-		if fmt.Sprint("n", c.Instance) != x.Instance && x.Helped == 0 {
-			x.Helped = c.ArrivedAt
+		if fmt.Sprint("n", c.Instance) != x.Instance && x.OtherInstanceAt == 0 {
+			x.OtherInstanceAt = c.ArrivedAt
 		}
 		switch c.Fate {
 		case backend.Ran, backend.DroppedAfter, backend.Unanswered:
 			x.Effects++
-			r.History = append(r.History, Step{Key: c.Key, From: c.ArrivedAt, Until: c.EndedAt, Effect: true, Who: len(r.History)})
+			r.History = append(r.History, Step{Key: c.Key, From: c.ArrivedAt, Until: c.EndedAt, Effect: true, ClientID: len(r.History)})
 			racks[c.Key][c.Rack] = true
 		}
 	}
 	for key, x := range by {
 		x.Values, x.Racks = len(values[key]), len(racks[key])
-		r.Keyed = append(r.Keyed, *x)
+		r.KeyedRequests = append(r.KeyedRequests, *x)
 	}
-	slices.SortFunc(r.Keyed, func(a, b ClientRequest) int { return cmp.Compare(a.First, b.First) })
+	slices.SortFunc(r.KeyedRequests, func(a, b ClientRequest) int { return cmp.Compare(a.FirstSentAt, b.FirstSentAt) })
 }
 
-// rows sums up the clients' record.
-func (w *Testbed) rows(r *Report) {
+// addRows sums up the clients' record.
+func (tb *Testbed) addRows(r *Report) {
 	type key struct{ class, plan string }
 	byKey := map[key]*Row{}
 	took := map[key]*measure.Latencies{}
 	var seconds []*Second
 	var perSecond []*measure.Latencies
-	w.load.mu.Lock()
-	defer w.load.mu.Unlock()
-	r.Attempts = len(w.load.tried)
-	slices.SortFunc(w.load.tried, func(a, b tried) int { return cmp.Compare(a.SentAt, b.SentAt) })
-	for _, t := range w.load.tried {
+	tb.load.mu.Lock()
+	defer tb.load.mu.Unlock()
+	r.Attempts = len(tb.load.sent)
+	slices.SortFunc(tb.load.sent, func(a, b sent) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	for _, t := range tb.load.sent {
 		for i := range r.Processes {
 			if r.Processes[i].Name == t.Instance {
 				r.Processes[i].Attempts++
 			}
 		}
-		k := key{t.class.name, t.ch.plan.name}
+		k := key{t.class.name, t.sender.plan.name}
 		row := byKey[k]
 		if row == nil {
 			row = &Row{Class: k.class, Plan: k.plan}
 			byKey[k], took[k] = row, measure.NewLatencies()
 		}
-		n := int((t.due - w.load.began) / time.Second)
+		n := int((t.due - tb.load.startedAt) / time.Second)
 		for len(seconds) <= n {
 			seconds = append(seconds, &Second{ByClass: map[string]Slot{}, ByPlan: map[string]Slot{}})
 			perSecond = append(perSecond, measure.NewLatencies())
 		}
 		sec := seconds[n]
-		count := func(wishes, inTime int) {
-			sec.Requests, sec.InTime = sec.Requests+wishes, sec.InTime+inTime
+		count := func(requests, inTime int) {
+			sec.Requests, sec.InTime = sec.Requests+requests, sec.InTime+inTime
 			c, p := sec.ByClass[k.class], sec.ByPlan[k.plan]
-			sec.ByClass[k.class], sec.ByPlan[k.plan] = Slot{c.Requests + wishes, c.InTime + inTime}, Slot{p.Requests + wishes, p.InTime + inTime}
+			sec.ByClass[k.class], sec.ByPlan[k.plan] = Slot{c.Requests + requests, c.InTime + inTime}, Slot{p.Requests + requests, p.InTime + inTime}
 		}
 		row.Attempts++
-		if t.ch.plan.ceiling > 0 && t.ch.demand > 1 {
+		if t.sender.plan.ceilingFactor > 0 && t.sender.demand > 1 {
 			name := map[bool]string{false: "resp", true: "http"}[t.http]
 			x := r.Fronts[name]
 			if t.retry == 0 {
@@ -135,15 +135,15 @@
 			count(1, 0)
 		}
 		if len(t.Answers) == 0 {
-			row.None++
+			row.Unanswered++
 			continue
 		}
-		switch lat := t.Answers[0].At - t.due; t.Answers[0].Kind {
+		switch latency := t.Answers[0].At - t.due; t.Answers[0].Kind {
 		case "served":
 			row.Served++
-			took[k].Add(lat)
-			perSecond[n].Add(lat)
-			if lat <= t.class.aim {
+			took[k].Add(latency)
+			perSecond[n].Add(latency)
+			if latency <= t.class.latencyObjective {
 				row.InTime++
 				count(0, 1)
 			}
@@ -158,8 +158,8 @@
 		s.P50MS, s.P99MS = perSecond[i].QuantileMS(0.5), perSecond[i].QuantileMS(0.99)
 		r.Timeline = append(r.Timeline, *s)
 	}
-	for _, p := range w.plans {
-		for _, c := range w.classes {
+	for _, p := range tb.plans {
+		for _, c := range tb.classes {
 			k := key{c.name, p.name}
 			if row := byKey[k]; row != nil {
 				row.P50MS, row.P99MS = took[k].QuantileMS(0.5), took[k].QuantileMS(0.99)
@@ -169,32 +169,32 @@
 	}
 }
 
-// score is the service as the brief counts it, from the clients' and the nodes' records.
-func (w *Testbed) score(r *Report, e rulecheck.Evidence, calls int) (list []measure.Operation) {
-	wishes := map[int]*measure.Operation{}
+// addScore is the service as the brief counts it, from the clients' and the nodes' records.
+func (tb *Testbed) addScore(r *Report, e rulecheck.Evidence, calls int) (list []measure.Operation) {
+	operations := map[int]*measure.Operation{}
 	costs := measure.Costs{CounterCalls: calls}
-	w.load.mu.Lock()
-	for _, t := range w.load.tried {
-		x := wishes[t.wish]
+	tb.load.mu.Lock()
+	for _, t := range tb.load.sent {
+		x := operations[t.requestIndex]
 		if x == nil {
-			x = &measure.Operation{Due: t.due - w.load.began, Tenant: fmt.Sprint(t.ch.id), Plan: t.ch.plan.name, Class: t.class.name, Units: t.class.units}
-			wishes[t.wish] = x
+			x = &measure.Operation{Due: t.due - tb.load.startedAt, Tenant: fmt.Sprint(t.sender.id), Plan: t.sender.plan.name, Class: t.class.name, Units: t.class.units}
+			operations[t.requestIndex] = x
 			costs.WorkRequested += t.class.work.Mean()
 		}
 		if x.Served || len(t.Answers) == 0 {
 			continue
 		}
-		x.AnsweredAt, x.Served = t.Answers[0].At-w.load.began, t.Answers[0].Kind == "served"
+		x.AnsweredAt, x.Served = t.Answers[0].At-tb.load.startedAt, t.Answers[0].Kind == "served"
 	}
-	w.load.mu.Unlock()
-	list = make([]measure.Operation, 0, len(wishes))
-	for _, x := range wishes {
+	tb.load.mu.Unlock()
+	list = make([]measure.Operation, 0, len(operations))
+	for _, x := range operations {
 		list = append(list, *x)
 	}
 	slices.SortFunc(list, func(a, b measure.Operation) int {
 		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Tenant, b.Tenant))
 	})
-	for _, rec := range w.fleet.Records(0) {
+	for _, rec := range tb.fleet.Records(0) {
 		if rec.Fate != backend.Busy {
 			costs.WorkDone += rec.Work
 		}
@@ -203,38 +203,38 @@
 		}
 	}
 	var beyond []measure.ExcessAttempt
-	for _, s := range rulecheck.AttemptsBeyondQuota(w.quotas(), e.Attempts) {
-		beyond = append(beyond, measure.ExcessAttempt{At: s.ArrivedAt - w.load.began, Plan: s.Plan, Class: s.Class, Units: s.Units})
+	for _, s := range rulecheck.AttemptsBeyondQuota(tb.quotas(), e.Attempts) {
+		beyond = append(beyond, measure.ExcessAttempt{At: s.ArrivedAt - tb.load.startedAt, Plan: s.Plan, Class: s.Class, Units: s.Units})
 	}
-	mc, mp := worths(w.classes, w.plans)
-	r.Score = measure.ComputeScore(mc, mp, list, beyond, costs)
+	classWeights, planWeights := scoreWeights(tb.classes, tb.plans)
+	r.Score = measure.ComputeScore(classWeights, planWeights, list, beyond, costs)
 	r.Service = r.Score.Service
 	return list
 }
 
-// channels compares what the nodes saw with what was allowed.
-func (w *Testbed) channels(r *Report, e rulecheck.Evidence) {
-	uses := rulecheck.QuotaUses(w.quotas(), e.Attempts)
+// tenants compares what the nodes saw with what was allowed.
+func (tb *Testbed) tenants(r *Report, e rulecheck.Evidence) {
+	quotaUses := rulecheck.QuotaUses(tb.quotas(), e.Attempts)
 	inside, beyond := 0.0, 0.0
-	for _, u := range uses {
+	for _, u := range quotaUses {
 		inside, beyond = inside+u.WithinQuota, beyond+u.BeyondQuota
 	}
 	if inside > 0 {
 		r.BeyondShare = beyond / inside
 	}
-	if most := w.day.MaxBeyond; most > 0 && r.BeyondShare > most {
-		r.Violations = append(r.Violations, rulecheck.Violation{Rule: Quotas, At: w.load.began + time.Duration(w.day.Length), Until: w.load.began + time.Duration(w.day.Length), Detail: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*most)})
-		r.Rules[Quotas] = 1
+	if maxValue := tb.scenarioConfig.MaxBeyond; maxValue > 0 && r.BeyondShare > maxValue {
+		r.Violations = append(r.Violations, rulecheck.Violation{Rule: RuleQuotas, At: tb.load.startedAt + time.Duration(tb.scenarioConfig.Length), Until: tb.load.startedAt + time.Duration(tb.scenarioConfig.Length), Detail: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*maxValue)})
+		r.Rules[RuleQuotas] = 1
 	}
-	for _, ch := range w.load.channels {
-		id := fmt.Sprintf("%016x", ch.id)
-		u, seen := uses[id]
-		if !seen || ch.plan.ceiling == 0 {
+	for _, sender := range tb.load.tenants {
+		id := fmt.Sprintf("%016x", sender.id)
+		u, seen := quotaUses[id]
+		if !seen || sender.plan.ceilingFactor == 0 {
 			continue
 		}
-		size := ch.plan.ceilingBurst()
-		c := Channel{Tenant: id, Plan: u.Plan, Inside: u.WithinQuota, Beyond: u.BeyondQuota, Overrun: u.Overrun, OfCeiling: u.Overrun / size, Closest: r.verdict.Closest[id]}
-		r.WorstOverrun = max(r.WorstOverrun, c.OfCeiling)
-		r.Channels = append(r.Channels, c)
+		size := sender.plan.ceilingBurst()
+		c := TenantUse{Tenant: id, Plan: u.Plan, Inside: u.WithinQuota, Beyond: u.BeyondQuota, Overrun: u.Overrun, OverrunOfCeiling: u.Overrun / size, Closest: r.checkResult.Closest[id]}
+		r.WorstOverrun = max(r.WorstOverrun, c.OverrunOfCeiling)
+		r.Tenants = append(r.Tenants, c)
 	}
 }
--- a/internal/lab/takeover_test.go
+++ b/internal/lab/takeover_test.go
@@ -11,11 +11,11 @@
 )
 
 // Work reads what an instance has in custody; it is for the run's watcher.
-func workOf(ctx context.Context, w *Testbed, i int) (core.WorkStatus, error) {
-	return get[core.WorkStatus](ctx, w.ingresses[i], "/work")
+func workStatus(ctx context.Context, tb *Testbed, i int) (core.WorkStatus, error) {
+	return fetchStatus[core.WorkStatus](ctx, tb.instances[i], "/work")
 }
 
-// Keyed work in hand at an instance that is killed, stopped and woken, or cut off is finished by another, once: no key has effects
+// KeyedRequests work in hand at an instance that is killed, stopped and woken, or cut off is finished by another, once: no key has effects
 // in two racks, no two answers of one key differ, and most of the clients that ask again have their answer.
 func TestTakeover(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -45,7 +45,7 @@
 			cfg.Watch = func(ctx context.Context, w *Testbed) {
 				for at := time.Second; w.WaitUntil(ctx, at); at += 500 * ms {
 					for i := range w.Instances() {
-						if s, err := workOf(ctx, w, i); err == nil {
+						if s, err := workStatus(ctx, w, i); err == nil {
 							mu.Lock()
 							last[i] = s
 							mu.Unlock()
@@ -53,50 +53,50 @@
 					}
 				}
 			}
-			r := play(t, cfg)
-			holds(t, r)
-			doubled, differ, lost, helped, served, open := 0, 0, 0, 0, 0, 0
-			at := time.Duration(r.BeganS*float64(time.Second)) + 3*time.Second // the first loss, or the second
-			for _, w := range r.Keyed {
+			r := runUntilOnTime(t, cfg)
+			requireRules(t, r)
+			twoEffects, twoValues, lost, takenOver, served, open := 0, 0, 0, 0, 0, 0
+			at := time.Duration(r.LoadStartS*float64(time.Second)) + 3*time.Second // the first loss, or the second
+			for _, w := range r.KeyedRequests {
 				if w.Effects > 1 {
-					doubled++
+					twoEffects++
 					t.Logf("%+v", w)
 				}
 				if w.Values > 1 {
-					differ++
+					twoValues++
 				}
-				if w.Lost {
-					if lost++; w.First < at && w.First+w.Patience > at+2*time.Second {
+				if w.FirstUnanswered {
+					if lost++; w.FirstSentAt < at && w.FirstSentAt+w.ClientTimeout > at+2*time.Second {
 						open++
 					}
 					if w.Attempts > 1 && !w.Served {
-						t.Log(w.Story)
+						t.Log(w.Timeline)
 					}
 					if w.Served {
 						served++
 					}
-					if w.Helped > 0 {
-						helped++
+					if w.OtherInstanceAt > 0 {
+						takenOver++
 					}
 				}
 			}
-			taken, covered, loose := 0, 0, 0
+			taken, covered, notCovered := 0, 0, 0
 			for _, s := range last {
 				taken += s.TookOver
 				covered += s.Covered
-				loose += s.PartlyCovered + s.Uncovered + s.NoReplica
+				notCovered += s.PartlyCovered + s.Uncovered + s.NoReplica
 			}
-			t.Logf("%d keyed wishes, %d whose first try had no answer: %d of them helped, %d served; %d doubled, %d with two values; covered %d, not %d, taken over %d", len(r.Keyed), lost, helped,
-				served, doubled, differ, covered, loose, taken)
-			if loose > covered { // a machine without time: most went out without the keepers' word, and nothing is promised for those
+			t.Logf("%d keyed wishes, %d whose first try had no answer: %d of them helped, %d served; %d doubled, %d with two values; covered %d, not %d, taken over %d", len(r.KeyedRequests), lost, takenOver,
+				served, twoEffects, twoValues, covered, notCovered, taken)
+			if notCovered > covered { // a machine without time: most went out without the keepers' word, and nothing is promised for those
 				t.Logf("seed %d: nothing can be said of effects", r.Seed)
-				doubled = 0
+				twoEffects = 0
 			}
-			if broken := CheckHistory(r.History); len(broken) > 0 && loose <= covered {
-				t.Errorf("seed %d: %v", r.Seed, broken)
+			if violations := CheckHistory(r.History); len(violations) > 0 && notCovered <= covered {
+				t.Errorf("seed %d: %v", r.Seed, violations)
 			}
-			if doubled > 0 || differ > 0 || len(r.Keyed) < 50 || covered == 0 {
-				t.Errorf("seed %d: %d of %d keyed wishes have two effects, %d two values; %d were covered", r.Seed, doubled, len(r.Keyed), differ, covered)
+			if twoEffects > 0 || twoValues > 0 || len(r.KeyedRequests) < 50 || covered == 0 {
+				t.Errorf("seed %d: %d of %d keyed wishes have two effects, %d two values; %d were covered", r.Seed, twoEffects, len(r.KeyedRequests), twoValues, covered)
 			}
 			if c.taken && taken == 0 && open > 0 {
 				t.Errorf("seed %d: nothing was taken over, and %d were in hand", r.Seed, open)
--- a/internal/lab/trial/quota_bounds.go
+++ b/internal/lab/trial/quota_bounds.go
@@ -185,19 +185,19 @@
 	cut := newDisconnection(c)
 	stated := newStatedBounds()
 	cfg := lab.Config{
-		Scenario:  "calm",
-		Seed:      c.Seed,
-		For:       disconnectAt + disconnectDuration + rejoinDuration,
-		Ingresses: c.Instances,
-		Backends:  24,
-		Hot:       5,
-		Ingress:   program,
-		Tolerance: tolerance,
-		Linked:    true,
-		Peers:     true,
-		Escrow:    c.On,
-		Faults:    cut.faults,
-		Watch:     stated.watch,
+		Scenario:       "calm",
+		Seed:           c.Seed,
+		For:            disconnectAt + disconnectDuration + rejoinDuration,
+		Ingresses:      c.Instances,
+		Backends:       24,
+		HotQuotaFactor: 5,
+		Ingress:        program,
+		Tolerance:      tolerance,
+		Linked:         true,
+		Peers:          true,
+		Escrow:         c.On,
+		Faults:         cut.faults,
+		Watch:          stated.watch,
 	}
 	if c.Case == "clocks off, one deaf" {
 		cfg.Options = map[int]string{1: "[clock]\nahead = \"3s\"\n", 2: "[clock]\nrate = 1.08\n"}
@@ -241,7 +241,7 @@
 
 // forwardedUnits sums the units that an instance forwarded for a tenant until the bound expired.
 func forwardedUnits(report *lab.Report, instance int, tenant string, from time.Duration) (sum float64) {
-	for _, pass := range report.Passes {
+	for _, pass := range report.Forwarded {
 		if pass.Instance != instance || pass.Tenant != tenant {
 			continue
 		}
@@ -255,21 +255,21 @@
 // checkOverrun compares how far each tenant was overdrawn with the sum of what the disconnected instances had
 // stated.
 func (r *Result) checkOverrun(report *lab.Report, cut disconnection, stated *statedBounds) {
-	for _, channel := range report.Channels {
+	for _, channel := range report.Tenants {
 		if channel.Plan != strictPlan {
 			continue
 		}
-		r.Metrics["overdrawn"] = max(r.Metrics["overdrawn"], 100*channel.OfCeiling)
+		r.Metrics["overdrawn"] = max(r.Metrics["overdrawn"], 100*channel.OverrunOfCeiling)
 		bound, complete := 0.0, len(cut.instances) > 0
 		for _, i := range cut.instances {
 			statement, found := stated.byInstance[i][channel.Tenant]
 			bound += statement.Overrun
 			complete = complete && found && !cut.restarted[i]
 		}
-		if channel.OfCeiling <= 0 || !complete {
+		if channel.OverrunOfCeiling <= 0 || !complete {
 			continue
 		}
-		burst := channel.Overrun / channel.OfCeiling
+		burst := channel.Overrun / channel.OverrunOfCeiling
 		r.Metrics["bound"] = max(r.Metrics["bound"], 100*bound/burst)
 		bound += normalOverrun * burst
 		if channel.Overrun > bound+inFlightUnits*float64(len(cut.instances)) {
--- a/internal/lab/trial/results.go
+++ b/internal/lab/trial/results.go
@@ -108,6 +108,6 @@
 // dropQuotaViolations removes the violations of the quota rule.
 func (r *Result) dropQuotaViolations() {
 	r.Violations = slices.DeleteFunc(r.Violations, func(violation string) bool {
-		return strings.HasPrefix(violation, lab.Quotas)
+		return strings.HasPrefix(violation, lab.RuleQuotas)
 	})
 }
--- a/internal/lab/trial/slow_backend.go
+++ b/internal/lab/trial/slow_backend.go
@@ -120,7 +120,7 @@
 
 // slowSince returns when the backend became slow, on the clock of the report's times.
 func slowSince(report *lab.Report) time.Duration {
-	return time.Duration(report.BeganS*float64(time.Second)) + slowAt
+	return time.Duration(report.LoadStartS*float64(time.Second)) + slowAt
 }
 
 // countLateAnswers counts the commands that reached the slow backend within lateAnswerWindow, and the late ones
--- a/internal/lab/trial/takeover.go
+++ b/internal/lab/trial/takeover.go
@@ -74,7 +74,7 @@
 		Ingress:   program,
 		Tolerance: tolerance,
 		Linked:    true,
-		SameKey:   true,
+		ReuseKey:  true,
 		Peers:     c.On,
 		Takeover:  c.On,
 		Faults:    faults,
@@ -105,10 +105,10 @@
 
 // addKeyedWork records what became of all keyed work, and of that in flight at the loss.
 func (r *Result) addKeyedWork(c Cell, report *lab.Report) {
-	lostAt := time.Duration(report.BeganS*float64(time.Second)) + lossAt
+	lostAt := time.Duration(report.LoadStartS*float64(time.Second)) + lossAt
 	var counts takeoverCounts
-	for i := range report.Keyed {
-		work := &report.Keyed[i]
+	for i := range report.KeyedRequests {
+		work := &report.KeyedRequests[i]
 		if work.Effects > 1 {
 			r.Metrics["doubled"]++
 		}
@@ -124,7 +124,7 @@
 			counts.addElsewhere(work)
 		}
 	}
-	r.Metrics["keyed"] = float64(len(report.Keyed))
+	r.Metrics["keyed"] = float64(len(report.KeyedRequests))
 	r.Metrics["in_hand"] = float64(counts.inFlight)
 	r.Metrics["done"] = float64(counts.withEffect)
 	r.Metrics["again"] = float64(counts.retried)
@@ -138,13 +138,13 @@
 
 // inFlightAt reports whether a client was waiting for the work at the loss and still had time left.
 func inFlightAt(work *lab.ClientRequest, lostAt time.Duration) bool {
-	if work.First > lostAt || work.First < lostAt-maxWorkAge {
+	if work.FirstSentAt > lostAt || work.FirstSentAt < lostAt-maxWorkAge {
 		return false
 	}
-	if work.First+work.Patience < lostAt+minTimeLeft {
+	if work.FirstSentAt+work.ClientTimeout < lostAt+minTimeLeft {
 		return false
 	}
-	return work.Answered <= 0 || work.Answered >= lostAt
+	return work.FirstAnsweredAt <= 0 || work.FirstAnsweredAt >= lostAt
 }
 
 // isLostInstance reports whether a case loses the instance of that name.
@@ -160,21 +160,21 @@
 }
 
 func (t *takeoverCounts) addLost(work *lab.ClientRequest, lostAt time.Duration) {
-	if !work.Lost { // an instance that was cut off or stopped has answered after all
+	if !work.FirstUnanswered { // an instance that was cut off or stopped has answered after all
 		return
 	}
 	t.inFlight++
 	if work.Effects > 0 {
 		t.withEffect++
 	}
-	if work.Again > 0 {
+	if work.AnsweredRetries > 0 {
 		t.retried++
 		if work.Served {
 			t.answered++
 		}
 	}
-	if work.Helped > lostAt {
-		t.lastHelped = max(t.lastHelped, work.Helped-lostAt)
+	if work.OtherInstanceAt > lostAt {
+		t.lastHelped = max(t.lastHelped, work.OtherInstanceAt-lostAt)
 	}
 }
 
--- a/internal/lab/trial/takeover_overhead.go
+++ b/internal/lab/trial/takeover_overhead.go
@@ -38,7 +38,7 @@
 		Ingress:   program,
 		Tolerance: tolerance,
 		Linked:    true,
-		SameKey:   true,
+		ReuseKey:  true,
 		Peers:     true,
 		Takeover:  c.On,
 	}
@@ -62,7 +62,7 @@
 	}
 	r.addReport(report)
 	latencies := singleAttemptLatencies(report)
-	r.Metrics["keyed"] = float64(len(report.Keyed))
+	r.Metrics["keyed"] = float64(len(report.KeyedRequests))
 	r.Metrics["tries"] = float64(report.Attempts)
 	r.Metrics["p50_ms"] = quantile(latencies, 0.5)
 	r.Metrics["p99_ms"] = quantile(latencies, 0.99)
@@ -72,9 +72,9 @@
 
 // singleAttemptLatencies returns the sorted latencies, in milliseconds, of keyed work served at the first attempt.
 func singleAttemptLatencies(report *lab.Report) (out []float64) {
-	for _, work := range report.Keyed {
+	for _, work := range report.KeyedRequests {
 		if work.Attempts == 1 && work.Served {
-			out = append(out, float64((work.Answered-work.First).Microseconds())/1000)
+			out = append(out, float64((work.FirstAnsweredAt-work.FirstSentAt).Microseconds())/1000)
 		}
 	}
 	slices.Sort(out)
