--- a/internal/lab/ask.go
+++ b/internal/lab/ask.go
@@ -12,10 +12,10 @@
 	"hitchspring/internal/peers"
 )
 
-// statusTimeout is what an instance may take to say what it believes; one that is stopped says nothing.
+// statusTimeout bounds a status request: a stopped process accepts connections but never answers.
 const statusTimeout = 300 * ms
 
-// fetchStatus asks an instance for what is at a path of its metrics listener.
+// fetchStatus requests a path of an instance's metrics listener and decodes the JSON response.
 func fetchStatus[T any](ctx context.Context, inst *instance, path string) (v T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -36,29 +36,29 @@
 	return v, err
 }
 
-// Peers is what an instance believes of its peers; it is for the run's watcher.
+// Peers returns an instance's view of its peers, for use by Config.Watch.
 func (tb *Testbed) Peers(ctx context.Context, i int) (peers.Status, error) {
 	return fetchStatus[peers.Status](ctx, tb.instances[i], "/peers")
 }
 
-// Backends returns what an instance says of backends, for the watcher of the run.
+// Backends returns an instance's view of the backends, for use by Config.Watch.
 func (tb *Testbed) Backends(ctx context.Context, i int) (core.BackendsStatus, error) {
 	return fetchStatus[core.BackendsStatus](ctx, tb.instances[i], "/nodes")
 }
 
-// QuotaBounds returns by how much an instance may overrun quotas if it hears nothing for
-// a span, for the watcher of the run.
+// QuotaBounds returns the overrun bounds that an instance reports for a disconnection of
+// the given span, for use by Config.Watch.
 func (tb *Testbed) QuotaBounds(ctx context.Context, i int, span time.Duration) ([]overrun.Bound, error) {
 	return fetchStatus[[]overrun.Bound](ctx, tb.instances[i], "/budgets?for="+span.String())
 }
 
-// Now is the time on the clock of the records.
+// Now returns the time since the testbed was created, the clock of all records.
 func (tb *Testbed) Now() time.Duration { return tb.clock() }
 
-// Instances is how many there are.
+// Instances returns the number of instances.
 func (tb *Testbed) Instances() int { return len(tb.instances) }
 
-// WaitUntil waits until a time of the load. It reports false if the run ends before.
+// WaitUntil waits until a time after the start of the load. It returns false if the run ends before.
 func (tb *Testbed) WaitUntil(ctx context.Context, at time.Duration) bool {
 	t := time.NewTimer(tb.load.startedAt + at - tb.clock())
 	defer t.Stop()
--- a/internal/lab/brief.go
+++ b/internal/lab/brief.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// class is a kind of request of the brief.
+// class is a request class of the specification.
 type class struct {
 	name                       string
 	share                      float64
@@ -18,11 +18,12 @@
 	latencyObjective, deadline time.Duration
 	priorityWeight             float64
 	lateShare                  float64
-	effect                     string // as the settings word it
+	effect                     string // value of the setting classes[].effect
 	units                      float64
 }
 
-// classes are the brief's; the last is the lab's own, for days that need one which may not be repeated.
+// classes returns the request classes of the specification. If unsafe is set, it adds a class of requests that must not
+// be sent twice, for scenarios that test this.
 func classes(unsafe bool) []class {
 	out := []class{
 		{"guide-read", 0.60, backend.Work{Min: 26 * ms, Max: 45 * ms}, 400 * ms, time.Second, 2, 0.1, "read_like", 1},
@@ -36,21 +37,21 @@
 	return out
 }
 
-// plan is a plan of the brief, by the middle of its figures.
+// plan is a tenant plan of the specification, with the middle of each range of values.
 type plan struct {
 	name                            string
 	tenants                         int
-	price, refillRate, burstSeconds float64 // burstSeconds: of the rate that may be used at once
+	price, refillRate, burstSeconds float64 // the burst is refillRate times burstSeconds
 	concurrency                     int
 	excessWorth, excessCost         float64
-	ceilingFactor                   float64 // burstFactor the quota; 0: none
+	ceilingFactor                   float64 // relative to the quota; 0: no ceiling
 }
 
 func (p *plan) burst() float64        { return p.refillRate * p.burstSeconds }
 func (p *plan) ceilingRate() float64  { return p.refillRate * p.ceilingFactor }
 func (p *plan) ceilingBurst() float64 { return p.burst() * p.ceilingFactor }
 
-// quota is what a channel may use: no more than its ceiling.
+// quota returns the quota of a tenant, limited by its ceiling if that is lower.
 func (p *plan) quota() rulecheck.Quota {
 	q := rulecheck.Quota{Rate: p.refillRate, Burst: p.burst()}
 	if p.ceilingFactor > 0 && p.ceilingFactor < 1 {
@@ -59,8 +60,8 @@
 	return q
 }
 
-// plans are the brief's; the ceiling of so many channels of storby has been cut to half of their quota, so that it alone
-// holds them.
+// plans returns the plans of the specification. cut tenants of storby get a ceiling of half of their quota, so that
+// the ceiling alone limits them.
 func plans(cut int) []*plan {
 	out := []*plan{
 		{"grend", 90, 0.45, 1.6, 4.8, 0, 0, 1.2, 0},
@@ -77,14 +78,14 @@
 const (
 	maxUnits          = 6.0
 	ceilingTolerance  = 0.1
-	crossZonePrice    = 0.01 // points of service for a request that crosses halls
+	crossZonePrice    = 0.01 // service score points for each request sent to another zone
 	slowStartWindow   = 18 * time.Second
 	slowStartShare    = 0.25
 	overloadMultiple  = 4
 	idempotencyWindow = 3 * time.Second
 )
 
-// mean is the units and the work of a request, over all classes.
+// mean returns the mean units and the mean work of a request over all classes, weighted by their shares.
 func mean(requestClasses []class) (units float64, work time.Duration) {
 	for _, c := range requestClasses {
 		units += c.share * c.units
@@ -93,7 +94,7 @@
 	return units, work
 }
 
-// scoreWeights is what the measuring room is told of classes and plans.
+// scoreWeights converts classes and plans to the parameters of package measure.
 func scoreWeights(requestClasses []class, tenantPlans []*plan) (map[string]measure.Class, map[string]measure.Plan) {
 	classWeights, planWeights := map[string]measure.Class{}, map[string]measure.Plan{}
 	for _, c := range requestClasses {
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -13,33 +13,34 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// slowStartReturn is a run of many real processes in which one node comes back cold, told to all at once, under a burst.
+// slowStartReturn is a run of many real processes in which one backend returns in slow start during a burst. All
+// instances are notified of it at once.
 type slowStartReturn struct {
 	seed        uint64
 	instances   int
-	burstFactor float64 // slowness the usual arrivals, in the burst
-	work        float64 // burstFactor the usual work of a request: the heavier, the fewer a cold node bears
-	program     string  // the ingress; empty: this module's
+	burstFactor float64 // arrival rate in the burst, relative to the usual rate
+	work        float64 // work of a request, relative to the usual; more work overloads a backend with fewer requests
+	program     string  // path of the ingress program; empty: that of this module
 }
 
 const (
-	replacedBackend     = 4 // the node that returns
+	replacedBackend     = 4 // index of the returning backend
 	replacementBackends = 9
-	usualLoad           = 0.4             // slowness what the fleet can do, outside the burst
-	removedAt           = 4 * time.Second // after the load's beginning
-	returnedAt          = 5 * time.Second // then the burst begins too
+	usualLoad           = 0.4             // of the capacity of the fleet, outside the burst
+	removedAt           = 4 * time.Second // after the start of the load
+	returnedAt          = 5 * time.Second // the burst starts at the same time
 	burstEndsAt         = 8 * time.Second
 	loadEndsAt          = 9 * time.Second
-	calmScenarioLoad    = 0.5 // slowness the day that is played
+	calmScenarioLoad    = 0.5 // load of calmScenario
 	calmScenario        = "calm"
 	minReturnAttempts   = 1
 )
 
-// Within the span that the settings name, a node that returns cold under a burst gets no more from 24 real processes together than
-// its budget and what is left to chance, as its own observer counts.
+// Checks that 24 real processes together send a backend that returns in slow start during a burst no more work than the
+// overload limit of the settings allows, counted at the backend.
 func TestSlowStartAcrossManyInstances(t *testing.T) {
 	cases := []slowStartReturn{{seed: 1, instances: 24, burstFactor: 3, work: 3}}
-	if os.Getenv("HITCHSPRING_TRIALS") != "" { // 24 processes for each, beside all other tests
+	if os.Getenv("HITCHSPRING_TRIALS") != "" { // each case runs 24 processes beside all other tests
 		cases = nil
 		for seed := range uint64(3) {
 			for _, burstFactor := range []float64{1.5, 4.7} {
@@ -52,18 +53,18 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("seed %d, burst %v, work %v", c.seed, c.burstFactor, c.work), func(t *testing.T) {
 			peak, calls := c.play(t)
-			t.Logf("%d attempts at the cold node, nearest %v", calls, peak)
+			t.Logf("%d attempts at the returning backend, peak %v", calls, peak)
 			if calls < minReturnAttempts {
-				t.Errorf("%d attempts came to the cold node: the run shows nothing", calls)
+				t.Errorf("got %d attempts at the returning backend, too few for a check", calls)
 			}
 			if peak.IsOverload() {
-				t.Errorf("the cold node got %v", peak)
+				t.Errorf("the returning backend was overloaded: %v", peak)
 			}
 		})
 	}
 }
 
-// fullCapacityEdits are the edits after which each process takes the whole of a cold node's space.
+// fullCapacityEdits returns the edits after which each process uses the full capacity of a backend in slow start.
 func fullCapacityEdits() []sourceEdit {
 	return []sourceEdit{
 		{"policy/slow_start.go", "return e.refillSlowStartTokens() >= 1 && e.now-b.lastSent > slowStartInterval", "return true"},
@@ -71,21 +72,21 @@
 	}
 }
 
-// Processes that each take the whole of a cold node's space, and take it first, are seen at its observer. Without the second a node's
-// even part of a burst stays under the limit, whatever each takes.
+// Checks that the overload check detects processes that each use the full capacity of a backend in slow start and prefer it
+// to others. Without the preference, the backend's even share of the burst stays below the limit.
 func TestSlowStartCheckDetectsFullCapacityUse(t *testing.T) {
-	if os.Getenv("HITCHSPRING_TRIALS") == "" { // it builds a program, and runs 24 processes
+	if os.Getenv("HITCHSPRING_TRIALS") == "" { // builds a program and runs 24 processes
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
 	program := buildEdited(t, fullCapacityEdits()...)
 	peak, calls := slowStartReturn{seed: 1, instances: 24, burstFactor: 4.7, work: 3, program: program}.play(t)
-	t.Logf("%d attempts at the cold node, nearest %v", calls, peak)
+	t.Logf("%d attempts at the returning backend, peak %v", calls, peak)
 	if !peak.IsViolation() {
-		t.Errorf("the cold node got %v: the defect is not seen", peak)
+		t.Errorf("the returning backend got %v: the defect was not detected", peak)
 	}
 }
 
-// runUntilOnTime runs it, and returns what the cold node got at its nearest to the limit, and in all.
+// play runs it, and returns the peak load of the returning backend and its number of attempts.
 func (c slowStartReturn) play(t *testing.T) (slowstart.Peak, int) {
 	t.Helper()
 	cfg := testConfig(t)
@@ -110,7 +111,7 @@
 		minWork, maxWork := &tb.classes[i].work.Min, &tb.classes[i].work.Max
 		*minWork, *maxWork = time.Duration(c.work*float64(*minWork)), time.Duration(c.work*float64(*maxWork))
 	}
-	// The node that returns is of a fleet of its own, in which none falls: all that comes is seen, also beyond the limit.
+	// The returning backend is in a fleet of its own without overload, so that it records attempts beyond the limit too.
 	returning = backend.NewFleet(c.rules(tb), c.seed, tb.clock)
 	defer returning.Close()
 	if err := tb.open(t.Context()); err != nil {
@@ -123,7 +124,7 @@
 	return c.check(t, tb, returning)
 }
 
-// rules are those of the cold node.
+// rules returns the rules of the returning backend.
 func (c slowStartReturn) rules(tb *Testbed) backend.Rules {
 	work := map[string]backend.Work{}
 	for _, k := range tb.classes {
@@ -135,7 +136,7 @@
 	}
 }
 
-// thinOutsideBurst leaves outside the burst as many of the arrivals, which are drawn for it, as are usual.
+// thinOutsideBurst thins the arrivals, which are drawn at the rate of the burst, to the usual rate outside of it.
 func (c slowStartReturn) thinOutsideBurst(tb *Testbed) {
 	rng := rand.New(rand.NewPCG(c.seed, 77))
 	tb.load.arrivals = slices.DeleteFunc(tb.load.arrivals, func(a arrival) bool {
@@ -143,7 +144,7 @@
 	})
 }
 
-// replaceBackend takes the node away and starts it cold; all processes are told of both at once.
+// replaceBackend removes the backend and later starts it in slow start. All instances are notified of both at once.
 func (c slowStartReturn) replaceBackend(ctx context.Context, tb *Testbed, returning *backend.Fleet) error {
 	if !sleepUntil(ctx, tb, removedAt) {
 		return nil
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// sleepUntil waits for a time after the load's beginning; false: the run ends before.
+// sleepUntil waits until a time after the start of the load. It returns false if the run ends before.
 func sleepUntil(ctx context.Context, tb *Testbed, at time.Duration) bool {
 	timer := time.NewTimer(tb.load.startedAt + at - tb.clock())
 	defer timer.Stop()
@@ -182,12 +183,13 @@
 	}
 }
 
-// check slides the settings' window over what the cold node's observer saw. Each attempt counts as the mean work of its class.
+// check computes the peak load of the returning backend in a sliding window, from its records. Each attempt counts as
+// the mean work of its class.
 func (c slowStartReturn) check(t *testing.T, tb *Testbed, returning *backend.Fleet) (slowstart.Peak, int) {
 	t.Helper()
 	nodes := returning.Backends()
 	if len(nodes) != 1 {
-		t.Fatalf("%d nodes came back", len(nodes))
+		t.Fatalf("got %d returning backends, want 1", len(nodes))
 	}
 	rule := slowstart.Rule{InitialShare: slowStartShare, Window: slowStartWindow, OverloadMultiple: overloadMultiple, Span: time.Second}
 	meanWorkOf := map[string]float64{}
--- a/internal/lab/company_test.go
+++ b/internal/lab/company_test.go
@@ -12,7 +12,7 @@
 	"hitchspring/internal/testlog"
 )
 
-// logCapture is what the instances have logged.
+// logCapture collects the logs of the instances.
 type logCapture struct{ testlog.Buffer }
 
 func (l *logCapture) count(texts ...string) (n int) {
@@ -28,10 +28,10 @@
 	return n
 }
 
-// Starters that find nobody who knows anything, or whose donors stall or die while they ask: each serves in its usual time, all know one another
-// in the end, and each rule is kept.
+// Checks instances that start while no peer has state to share, or while the peers that share it stall or die: each
+// serves after its usual time, all find each other in the end, and no rule is violated.
 func TestInstanceStartsWithoutDonor(t *testing.T) {
-	if os.Getenv("HITCHSPRING_TRIALS") == "" { // eighteen processes more beside all other tests
+	if os.Getenv("HITCHSPRING_TRIALS") == "" { // runs 18 processes beside all other tests
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
 	for name, faults := range map[string][]string{
@@ -52,20 +52,21 @@
 			}
 			r := viewsAt(t, cfg, map[time.Duration][]string{7800 * ms: want})
 			requireRules(t, r)
-			first := map[int]float64{} // the first command that came from an instance once it was back
+			first := map[int]float64{} // time of the first command of each instance after its restart
 			for _, c := range r.Commands {
 				if at := c.ArrivedAt.Seconds() - r.LoadStartS; at > 2.3 && (first[c.Instance] == 0 || at < first[c.Instance]) {
 					first[c.Instance] = at
 				}
 			}
 			if first[0] == 0 || first[0] > 4.5 {
-				t.Errorf("seed %d: the starter sends nothing until %.1f s", r.Seed, first[0])
+				t.Errorf("seed %d: the started instance sends nothing until %.1f s", r.Seed, first[0])
 			}
 		})
 	}
 }
 
-// An instance with another key is nobody's member, says so in a line now and then, and serves as one without peers; the others go on.
+// An instance with a different peer key does not join the group and logs this at a limited rate. It serves without
+// peers, and the others are not affected.
 func TestWrongKey(t *testing.T) {
 	t.Parallel()
 	log := &logCapture{}
@@ -74,14 +75,14 @@
 	r := viewsAt(t, cfg, map[time.Duration][]string{3 * time.Second: {"n1", "n0", ""}, 3500 * time.Millisecond: {"n1", "n0", ""}})
 	requireRules(t, r)
 	if n := log.count("datagram rejected", "the key in its peers.key_file is another"); n < 2 || n > 6 {
-		t.Errorf("seed %d: %d lines on the wrong key", r.Seed, n)
+		t.Errorf("seed %d: got %d log lines on the wrong key, want 2 to 6", r.Seed, n)
 	}
 }
 
-// sourceEdit is a text of a source file, from the module's root, with another in its place.
+// sourceEdit replaces a text in a source file, whose path is relative to the module root.
 type sourceEdit struct{ file, find, replace string }
 
-// buildEdited builds the ingress with edits of its source.
+// buildEdited builds the ingress with edits of its source, and returns the path of the program.
 func buildEdited(t *testing.T, edits ...sourceEdit) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -100,7 +101,7 @@
 			text = string(b)
 		}
 		if strings.Count(text, e.find) != 1 {
-			t.Fatalf("%s: %q is not there once", e.file, e.find)
+			t.Fatalf("%s: text %q does not occur exactly once", e.file, e.find)
 		}
 		texts[path] = strings.Replace(text, e.find, e.replace, 1)
 	}
@@ -125,7 +126,8 @@
 	return program
 }
 
-// versionEdits are the edits that make a program of the next version of the messages, of a version before, and of one that this version cannot read.
+// versionEdits returns the source edits for a program with the next version of the peer messages, one with a previous
+// version, and one with a later version that this version cannot read.
 func versionEdits() (next, before, later []sourceEdit) {
 	const datagram = "internal/peers/datagram.go"
 	field := "	Clock int64 `cbor:\"8,keyasint,omitempty\"`\n"
@@ -141,10 +143,11 @@
 	return next, before, later
 }
 
-// A fleet in which one instance is of the next version of the messages, with a field that nobody knows, and one of a version before, which lacks
-// one: all know one another, a node that crawls is left by all, and each rule is kept. One that this version cannot read is nobody's member.
+// Checks a fleet with three versions of the peer messages: one adds a field that the others do not know, one lacks a
+// field. All find each other, all avoid a slow backend, and no rule is violated. An instance whose version the others
+// cannot read does not join.
 func TestMixedMessageVersions(t *testing.T) {
-	if os.Getenv("HITCHSPRING_TRIALS") == "" { // it builds three programs
+	if os.Getenv("HITCHSPRING_TRIALS") == "" { // builds three programs
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
 	now, err := program()
@@ -167,7 +170,7 @@
 		}
 		for i := range 3 {
 			if late[i] > 8 {
-				t.Errorf("seed %d: n%d goes on sending to the node that crawls: %v", r.Seed, i, late)
+				t.Errorf("seed %d: n%d still sends to the slow backend: %v", r.Seed, i, late)
 			}
 		}
 	})
@@ -179,16 +182,16 @@
 		r := viewsAt(t, cfg, map[time.Duration][]string{3 * time.Second: {"n1", "n0", ""}})
 		requireRules(t, r)
 		if log.count("datagram rejected", "later version") == 0 {
-			t.Error("nobody says that a later version is there", fmt.Sprint(log.count("datagram rejected")))
+			t.Error("got no log line on a later version", fmt.Sprint(log.count("datagram rejected")))
 		}
 	})
 }
 
-// Processes of the version before and of this one are a fleet together: each rule is kept, work and quota move between them, and no message of
-// one is unreadable to the other.
+// Checks a fleet of processes of the previous release and of this one: no rule is violated, work and quota move between
+// them, and neither gets a message that it cannot read.
 func TestMixedWithPreviousVersion(t *testing.T) {
 	previous := os.Getenv("HITCHSPRING_PREVIOUS")
-	if previous == "" { // the path of a build of the version before
+	if previous == "" { // path of a program built from the previous release
 		t.Skip("HITCHSPRING_PREVIOUS is not set")
 	}
 	now, err := program()
@@ -221,7 +224,7 @@
 				}
 			}
 			if violations := CheckHistory(r.History); len(violations) > 0 {
-				t.Errorf("got %v, want no breaks", violations)
+				t.Errorf("got %v, want no violations", violations)
 			}
 			if takenOver == 0 {
 				t.Error("got no work that was taken over between the versions, want some")
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -9,51 +9,51 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// Bounds of a run, so that every load is bounded in count and time.
+// Limits of a run, which bound every load.
 const (
-	maxInFlight = 3000 // attemptCount of all clients that are out at once
+	maxInFlight = 3000 // client attempts in flight
 	maxAttempts = 500000
-	// firstInstanceHost is the host of the first instance in the run's network; nodes have those before it.
+	// firstInstanceHost is the last byte of the first instance's address; backends have the addresses below it.
 	firstInstanceHost = 221
 )
 
-// DefaultScenario is the scenario of a run that names none.
+// DefaultScenario is the scenario of a run whose Config names none.
 const DefaultScenario = "evening"
 
-// Config says what is run. Zero fields leave the day's figures as they are.
+// Config configures a run. Fields that are zero keep the values of the scenario.
 type Config struct {
-	Scenario          string // a name, or a file
+	Scenario          string // name, or path of a scenario file
 	Seed              uint64
-	For               time.Duration // slowness the load
+	For               time.Duration // duration of the load
 	Backends          int
 	Ingresses         int
 	Store             string
-	Faults            []string // TARGET:WHAT at TIME, beside the day's
-	Rate              float64  // burstFactor the day's load
-	HotQuotaFactor    float64  // one channel of storby asks for so many times its quota; 0: none does
-	Ingress           string   // the program; empty: it is built from this module's source
-	Race              bool     // it is built with the race detector
-	Programs          []string // programs that the ingresses are in turn, in place of Ingress
+	Faults            []string // TARGET:ACTION at TIME, in addition to the scenario's
+	Rate              float64  // factor on the scenario's load
+	HotQuotaFactor    float64  // demand of one tenant of plan storby, relative to its quota; 0: no such tenant
+	Ingress           string   // path of the ingress program; empty: built from the source of this module
+	Race              bool     // build with the race detector
+	Programs          []string // ingress programs that the instances run in turn, instead of Ingress
 	MemoryMB          int
-	Tolerance         time.Duration                   // slowness the rules' time limits; 0: the platform's 50 ms
-	Zones             bool                            // the ingresses know of halls: [halls] is in their options
-	ZoneLines         string                          // further lines of that section
-	HTTPShare         float64                         // share of the wishes that come through gates, which ask over HTTPShare
-	GateFaultRules    []string                        // rules for all gates, from the start
-	Linked            bool                            // every way of an instance goes through a link that can be faulted
-	Peers             bool                            // the instances take part among each other: [peers] is in their options; Linked too
-	ReuseKey          bool                            // a client's further tries of a keyed wish have the key of the first
-	Takeover          bool                            // work in hand survives its instance: [takeover] is in their options; Peers too
-	WrongKeyInstances []int                           // instances with another key than their peers have
-	MayExit           []int                           // instances that may end by themselves: for tests of programs that do
-	Escrow            bool                            // parts of budgets move between the instances: [rights] is in their options; Peers too
-	Options           map[int]string                  // further lines of an instance's options
-	Watch             func(context.Context, *Testbed) // runs beside the load, and is waited for; nil: nothing does
-	Live              io.Writer                       // a table each second; nil: none
-	Log               io.Writer                       // what the ingresses log; nil: nobody
+	Tolerance         time.Duration                   // of the time limits of the rules; 0: 50 ms, as on the platform
+	Zones             bool                            // adds [halls] to the options of the instances
+	ZoneLines         string                          // further lines of [halls]
+	HTTPShare         float64                         // fraction of requests sent through gates
+	GateFaultRules    []string                        // fault rules of all gates, in force from the start
+	Linked            bool                            // routes all connections through links that inject faults
+	Peers             bool                            // adds [peers] to the options of the instances; implies Linked
+	ReuseKey          bool                            // retries reuse the idempotency key of the first attempt
+	Takeover          bool                            // adds [takeover] to the options; implies Peers, ReuseKey
+	WrongKeyInstances []int                           // instances whose peer key differs from that of their peers
+	MayExit           []int                           // instances whose process may exit by itself, for tests
+	Escrow            bool                            // adds [rights] to the options of the instances; implies Peers
+	Options           map[int]string                  // further lines of the options, by instance
+	Watch             func(context.Context, *Testbed) // runs during the load; the run waits for its return; may be nil
+	Live              io.Writer                       // destination of a progress line each second; may be nil
+	Log               io.Writer                       // destination of the logs of the instances; may be nil
 }
 
-// resolve is the day that is played: the named one, changed by what else is set.
+// resolve sets defaults, loads the scenario, and applies the overrides of c to it.
 func (c *Config) resolve() (*scenario.Scenario, error) {
 	if c.Scenario == "" {
 		c.Scenario = DefaultScenario
@@ -90,7 +90,7 @@
 		return nil, fmt.Errorf("rate: %v is out of range, up to 4", c.Rate)
 	}
 	if !(c.HTTPShare >= 0 && c.HTTPShare <= 1) {
-		return nil, fmt.Errorf("http: %v is no share, 0 to 1", c.HTTPShare)
+		return nil, fmt.Errorf("http: %v is out of range, 0 to 1", c.HTTPShare)
 	}
 	if c.HotQuotaFactor > 0 {
 		resolved.HotTenants = append(resolved.HotTenants, scenario.HotTenants{Plan: "storby", Tenants: 1, QuotaFactor: c.HotQuotaFactor})
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -8,7 +8,7 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// evidence gathers what the peers saw.
+// evidence collects the records of clients, backends and discovery for the rule checker.
 func (tb *Testbed) evidence() rulecheck.Evidence {
 	e := rulecheck.Evidence{Requests: tb.load.clientRequests(), ObserverDelays: tb.meter.Delays()}
 	for _, r := range tb.fleet.Records(0) {
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -11,34 +11,35 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// ZoneTrack is what arrived at a zone's backends and what they could do, for each span of the run.
+// ZoneTrack records the load and the capacity of a zone's backends for each span of the run.
 type ZoneTrack struct {
 	Zone     string    `json:"Hall"`
-	Sends    []float64 `json:"Sends"` // addCommands a second
-	Capacity []float64 `json:"Able"`  // burstSeconds of work a second
-	Own      []float64 `json:"Own"`   // share of the sends of the instances that stand there which stayed there; -1 where they sent nothing
+	Sends    []float64 `json:"Sends"` // commands per second
+	Capacity []float64 `json:"Able"`  // seconds of work per second
+	Own      []float64 `json:"Own"`   // fraction of its instances' commands that stayed in the zone; -1: no commands
 }
 
-// Loss is the figures of a hall that was lost, from the clients' and the nodes' records alone.
+// Loss holds the metrics of a zone outage, computed only from the records of clients and backends.
+// "Attained" values are relative to what filling the true capacity in order of priority would have earned.
 type Loss struct {
-	Before          float64 `json:"Before"`      // priorityWeight earned of the best, as below, from a second after the start to the loss
-	During          float64 `json:"During"`      // priorityWeight earned of what a worth-ordered fill of the true capacity would earn, from the loss to the return
-	DuringRequested float64 `json:"DuringAsked"` // the same, of all that was asked inside quotas
-	After           float64 `json:"After"`       // the same fill, from 5 s after the return
-	RecoveryS       float64 `json:"RecoverS"`    // from the loss until nearly (95%) the best was earned again, in whole spans; -1: not while it lasted
-	LastSentS       float64 `json:"LastSentS"`   // from a silent loss until the last command went into the lost halls; -1: none did, or they could not be seen
-	LongestQueueS   float64 `json:"LongestS"`    // the longest for which a node that returns or survives kept more waiting than the class's aim allows
-	SlowStartPush   float64 `json:"ColdPush"`    // the most that a cold node of them was pushed: 1 is the edge
+	Before          float64 `json:"Before"`      // attained from one second after the start until the outage
+	During          float64 `json:"During"`      // attained during the outage
+	DuringRequested float64 `json:"DuringAsked"` // earned during the outage, relative to all requests within quotas
+	After           float64 `json:"After"`       // attained from 5 s after the zones returned
+	RecoveryS       float64 `json:"RecoverS"`    // from the outage until 95% was attained again, in spans; -1: never
+	LastSentS       float64 `json:"LastSentS"`   // from a silent outage to the last command to its zones; -1: none
+	LongestQueueS   float64 `json:"LongestS"`    // longest time for which a backend missed all latency objectives
+	SlowStartPush   float64 `json:"ColdPush"`    // maximum pressure on a backend in slow start; 1 is the overload limit
 }
 
 const (
 	zoneSpan        = 500 * ms
-	settleTime      = 5 * time.Second // after a return
+	settleTime      = 5 * time.Second // wait after the return of a zone
 	recoveredRatio  = 0.95
-	spillSettleTime = 2 * time.Second // after the start, or a fault, for the swing of the spill
+	spillSettleTime = 2 * time.Second // wait after the start or a fault before the spill is measured
 )
 
-// capacityTrack samples what the halls could do.
+// capacityTrack sums the samples of each zone's capacity by span.
 type capacityTrack struct {
 	sums, counts map[string][]float64
 }
@@ -52,7 +53,7 @@
 	a.counts[zone][k]++
 }
 
-// sampleCapacity watches what the nodes can do, until ctx ends.
+// sampleCapacity adds one sample of the capacity of each zone.
 func (tb *Testbed) sampleCapacity(startedAt time.Duration, a *capacityTrack) {
 	now := tb.clock() - startedAt
 	if now < 0 {
@@ -68,7 +69,7 @@
 	}
 }
 
-// addZones sums up what each hall was sent, and the figures of a loss.
+// addZones adds the track of each zone, the largest change of the spill, and the metrics of a zone outage to r.
 func (tb *Testbed) addZones(r *Report, a *capacityTrack, operations []measure.Operation) {
 	spans := int(time.Duration(tb.scenarioConfig.Length) / zoneSpan)
 	startedAt := tb.load.startedAt
@@ -157,8 +158,8 @@
 	return out
 }
 
-// longestQueue is for how long, at the most, every command that came to a node began so late that its class's aim was gone
-// already: a queue past its aim.
+// longestQueue returns the longest time for which every command that a backend ran exceeded the latency objective of
+// its class.
 func (tb *Testbed) longestQueue() float64 {
 	objectives := map[string]time.Duration{}
 	for _, c := range tb.classes {
@@ -186,8 +187,8 @@
 	return longest.Seconds()
 }
 
-// maxSpillChange is the largest change, from one second to the next, of the share that leaves the own hall, over all instances
-// together, apart from the seconds around what the timeline did.
+// maxSpillChange returns the largest change from one second to the next of the fraction of commands that leave their
+// zone, averaged over zones. It ignores the seconds around injected faults.
 func maxSpillChange(zones []ZoneTrack, marks []TimelineEvent) float64 {
 	if len(zones) == 0 {
 		return 0
@@ -222,7 +223,7 @@
 	return maxValue
 }
 
-// Text is the loss in a line.
+// Text formats the metrics as one line.
 func (l *Loss) Text() string {
 	return fmt.Sprintf("loss: %.3f of the best before it, %.3f while it lasted (%.3f of what was asked), %.3f from 5 s after the return; near the best after %.1f s; last command into it after %.2f s; "+
 		"cold nodes pushed to %.2f of the edge; longest queue past its aim %.1f s", l.Before, l.During, l.DuringRequested, l.After, l.RecoveryS, l.LastSentS, l.SlowStartPush, l.LongestQueueS)
--- a/internal/lab/halls_test.go
+++ b/internal/lab/halls_test.go
@@ -7,7 +7,7 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// sendsBetween is what a hall's nodes saw between two times of the load, in seconds.
+// sendsBetween returns the number of commands that a zone's backends got between two times of the load, in seconds.
 func sendsBetween(r *Report, zone string, from, to float64) (n float64) {
 	for _, h := range r.Zones {
 		if h.Zone != "hall-"+zone {
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// Three halls and three ingresses that know of them. Whatever becomes of a hall the rules hold by what the nodes saw; a hall
-// that is lost, or taken out, gets nothing once that is known, and work again when it is back.
+// Checks outages and drains of zones with three zones and three instances that route by zone: no rule is violated, and
+// a zone that is lost or drained gets no commands once this is detected, and commands again after its return.
 func TestZones(t *testing.T) {
 	type span struct {
 		hall     string
@@ -42,8 +42,8 @@
 		faults []string
 		store  string
 		http   float64
-		quiet  []span // nothing comes to the hall
-		back   string // it has work again in the last second: a hall that is warm, or all that there is
+		quiet  []span // the zone gets no commands
+		back   string // zone that must get commands in the last second: one past slow start, or the only one left
 	}{
 		"dies":                {faults: []string{"hall/a:die 3s at 2s"}, quiet: []span{{"a", 2.5, 5}}},
 		"vanishes":            {faults: []string{"hall/a:vanish 3s at 1s"}, quiet: []span{{"a", 3.5, 4}}},
@@ -69,11 +69,11 @@
 			requireRules(t, r)
 			for _, s := range c.quiet {
 				if n := sendsBetween(r, s.hall, s.from, s.to); n > 0 {
-					t.Errorf("%.0f commands came to hall %s between %.1f and %.1f s: %.0f", n, s.hall, s.from, s.to, sendRates(r, s.hall))
+					t.Errorf("got %.0f commands to zone %s between %.1f and %.1f s: %.0f", n, s.hall, s.from, s.to, sendRates(r, s.hall))
 				}
 			}
 			if c.back != "" && sendsBetween(r, c.back, 9, 10) == 0 {
-				t.Errorf("nothing comes to hall %s at the end: %.0f", c.back, sendRates(r, c.back))
+				t.Errorf("got no commands to zone %s at the end: %.0f", c.back, sendRates(r, c.back))
 			}
 		})
 	}
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -11,32 +11,35 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// RuleOnceByKey is the lab's own rule for work that several instances may act on: a key's history is that of one thing which happens at most once, and whose
-// answers are all that one's.
+// RuleOnceByKey is the testbed's own rule for keyed work that several instances may act on: the work of a key takes
+// effect at most once, and all answers hold the result of that effect.
 const RuleOnceByKey = "a key's work happens once, and has one answer"
 
-// historyCheckTimeout is what one key's history may take to be checked: they are short.
+// historyCheckTimeout bounds the check of the history of one key; histories are short.
 const historyCheckTimeout = 5 * time.Second
 
-// Step is one operation of a key's history, by its observers: a client's try, or an effect at a node.
+// Step is one operation in the history of a key, as its observer recorded it: a client's attempt, or an effect at a
+// backend. An attempt lasts from its request to its answer, an effect from the arrival of its command until just before
+// its answer is sent.
 type Step struct {
 	Key      string        `json:"Key"`
 	From     time.Duration `json:"From"`
-	Until    time.Duration `json:"Until"` // clientRequests and answered; of an effect, when its command had come and when its answer was about to leave. Until 0: never
+	Until    time.Duration `json:"Until"` // 0: no end
 	Effect   bool          `json:"Effect"`
 	Served   bool          `json:"Served"`
-	Value    string        `json:"Value"` // slowness a try that was served
-	ClientID int           `json:"Who"`   // client or node, for a picture of it
+	Value    string        `json:"Value"` // answer of an attempt that was served
+	ClientID int           `json:"Who"`   // unique number of the operation: each has a porcupine client of its own
 }
 
-// keyState is what a key has come to: an effect, and the answer that was given.
+// keyState is the state of a key in the model: whether its effect has happened, and the answer that clients got.
 type keyState struct {
 	applied bool
 	value   string
 }
 
-// keyModel is the specification (Herlihy and Wing 1990, checked as by Lowe 2017): an effect may happen where none has; a try that is served has its answer from an effect that has
-// happened, the same as every other's; any other end of a try says nothing.
+// keyModel is the sequential specification of a key for the linearizability checker (Herlihy and Wing 1990, checked as
+// by Lowe 2017): an effect may happen only once; an attempt may be served only after the effect, with the same value as
+// all others; any other result of an attempt is allowed in every state.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyState{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -53,8 +56,7 @@
 	DescribeOperation: func(in, _ any) string { return fmt.Sprintf("%+v", in) },
 }
 
-// CheckOnce checks, by what backends saw and clients were answered, that the work of each key happened once and has
-// one answer.
+// CheckOnce returns a violation for each key with several effects at backends or with different answers to clients.
 func (r *Report) CheckOnce() (out []rulecheck.Violation) {
 	for _, request := range r.KeyedRequests {
 		if request.Effects > 1 || request.Values > 1 {
@@ -64,7 +66,8 @@
 	return out
 }
 
-// CheckHistory looks for an order of each key's steps, within their times, that keyModel allows, and returns what there is none for.
+// CheckHistory checks that the steps of each key are linearizable under keyModel, and returns a description of each key
+// for which they are not.
 func CheckHistory(steps []Step) (violations []string) {
 	byKey := map[string][]porcupine.Operation{}
 	for _, x := range steps {
--- a/internal/lab/instance.go
+++ b/internal/lab/instance.go
@@ -14,7 +14,7 @@
 	"hitchspring/internal/standin/redis"
 )
 
-// newInstance writes an instance's files.
+// newInstance prepares an instance: it reserves its addresses, creates its links and writes its configuration files.
 func (tb *Testbed) newInstance(i int, program string) (*instance, error) {
 	inst := &instance{tb: tb, index: i, host: tb.instanceHost(i)}
 	inst.Process = proc.Process{Name: fmt.Sprint("n", i), Program: program, Output: tb.cfg.Log, IsServing: inst.ping, OnExit: inst.handleExit}
@@ -111,7 +111,7 @@
 	return inst, nil
 }
 
-// settings is the platform's object of settings, for one instance.
+// settings returns the platform settings of one instance, for its configuration file.
 func (tb *Testbed) settings(i int) map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var cs, ps []any
--- a/internal/lab/judge_test.go
+++ b/internal/lab/judge_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// avoidedSlowness is from which slowness by others' word on an instance as good as leaves a node.
+// avoidedSlowness is the slowness reported by peers from which an instance practically avoids a backend.
 const avoidedSlowness = 3
 
-// peerReports is what each instance has been told of nodes at the most, over a run.
+// peerReports collects the slowness that instances derived from the reports of peers, over a run.
 type peerReports struct {
 	mu             sync.Mutex
-	maxSlowness    map[string]float64 // by instance and node
-	avoidedSamples map[string]int     // samplesAvoided at which it was as good as left
-	responses      int                // answers of instances
+	maxSlowness    map[string]float64 // by instance and backend
+	avoidedSamples map[string]int     // samples with at least avoidedSlowness, by instance and backend
+	responses      int                // status responses received
 }
 
 func (x *peerReports) slowness(instance int, node string) float64 {
@@ -32,11 +32,11 @@
 	return x.avoidedSamples[fmt.Sprintf("n%d %s", instance, node)]
 }
 
-// watch looks at what all instances believe, from a time of the load on.
+// watch returns a Config.Watch function that samples all instances, from a time of the load on.
 func (x *peerReports) watch(from time.Duration) func(context.Context, *Testbed) {
 	return func(ctx context.Context, tb *Testbed) {
 		x.mu.Lock()
-		x.maxSlowness, x.avoidedSamples = map[string]float64{}, map[string]int{} // slowness this play
+		x.maxSlowness, x.avoidedSamples = map[string]float64{}, map[string]int{} // discards those of a previous run
 		x.mu.Unlock()
 		for at := from; tb.WaitUntil(ctx, at); at += 200 * ms {
 			for i := range tb.Instances() {
@@ -58,21 +58,21 @@
 	}
 }
 
-// runWithPeerReports plays a run of instances that tell one another of nodes, and says what each was told.
+// runWithPeerReports runs instances that gossip about backends, and returns the reports that each received.
 func runWithPeerReports(t *testing.T, cfg Config) (*peerReports, *Report) {
 	t.Helper()
 	x := &peerReports{}
 	cfg.Watch = x.watch(500 * ms)
 	r := runUntilOnTime(t, cfg)
 	if x.responses == 0 {
-		t.Fatal("no instance has said anything")
+		t.Fatal("got no status response of any instance")
 	}
 	requireRules(t, r)
 	return x, r
 }
 
-// A node that crawls at an eighth is left by all by what two have seen, however little each of them sends; with wrong clocks as
-// well: one is 5 s ahead, one 5 s behind, one runs 10% fast. No other node is left for it.
+// Checks that all instances avoid a backend that is slowed to an eighth once two have observed it, however little each
+// sends, even with wrong clocks: one 5 s ahead, one 5 s behind, one 10% fast. No other backend is avoided.
 func TestSlowBackendIsAvoided(t *testing.T) {
 	t.Parallel()
 	cfg := peersConfig(t, 4, "node/4:slow 8 6s at 2s")
@@ -82,7 +82,7 @@
 	for i := range 4 {
 		for k := range 12 {
 			if name := fmt.Sprintf("node-%02d", k); k != 4 && x.slowness(i, name) >= avoidedSlowness {
-				t.Errorf("n%d was told %.1f of %s, which is fine", i, x.slowness(i, name), name)
+				t.Errorf("n%d got slowness %.1f by peers for %s, which is healthy", i, x.slowness(i, name), name)
 			}
 		}
 	}
@@ -96,20 +96,20 @@
 		}
 	}
 	if all < 100 || toSlow > all/12/3 {
-		t.Errorf("%d of %d commands came to the node that crawls, two seconds after it began to", toSlow, all)
+		t.Errorf("%d of %d commands went to the slow backend, two seconds after it slowed down", toSlow, all)
 	}
 }
 
-// An instance that is cut off from one hall's nodes goes on telling that they are dead, and so does a part of three that is, while
-// garbage and old messages come to all: nobody who is served by them leaves them. By what the nodes saw the others went on.
+// Checks that instances which cannot reach the backends of one zone, and report them as dead, do not make the others
+// avoid these backends. One or three instances are cut off, while garbage datagrams arrive at all.
 func TestInstancesCutOffFromZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		cut  string
-		free []int // who are served there
-		most int   // samplesAvoided, of 25, at which a node there may be held to be slow by those
+		free []int // instances that can reach the zone
+		most int   // maximum of 25 samples at which these may avoid a backend there
 	}{
 		"one instance": {"link/0>hall-b:cut 5s at 2s", []int{1, 2, 3, 4, 5}, 0},
-		"half of them": {"link/0,1,2>hall-b:cut 5s at 2s", []int{3, 4, 5}, 10}, // until it has served them again
+		"half of them": {"link/0,1,2>hall-b:cut 5s at 2s", []int{3, 4, 5}, 10}, // until the backends have served them again
 		"all are slow": {"fleet:slow 5 3s at 2s", []int{0, 1, 2, 3, 4, 5}, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -137,19 +137,19 @@
 			for _, i := range c.free {
 				for k := 1; k < 12; k += 3 {
 					if node := fmt.Sprintf("node-%02d", k); x.samplesAvoided(i, node) > c.most {
-						t.Errorf("n%d was told %.1f of %s at %d looks, which serves it", i, x.slowness(i, node), node, x.samplesAvoided(i, node))
+						t.Errorf("n%d got slowness %.1f by peers for %s in %d samples, though it can reach it", i, x.slowness(i, node), node, x.samplesAvoided(i, node))
 					}
 				}
 				all += sent[i]
 			}
 			if all < 8*len(c.free) {
-				t.Errorf("they have left hall b: %v", sent)
+				t.Errorf("the other instances avoid zone b: %v", sent)
 			}
 		})
 	}
 }
 
-// A node that nobody reached for a moment, and all have left, is back in use soon, as it would be if nobody told anybody of it.
+// Checks that a backend which no instance could reach for a moment is soon used again, as it would be without gossip.
 func TestUnreachableBackendReturns(t *testing.T) {
 	t.Parallel()
 	cfg := peersConfig(t, 4, "link/0,1,2,3>node-04:cut 1500ms at 1s")
@@ -161,7 +161,7 @@
 	}
 }
 
-// sendGarbage sends all instances what no peer would say.
+// sendGarbage sends datagrams that no peer would send to all instances.
 func sendGarbage(ctx context.Context, tb *Testbed) {
 	for k := 0; tb.WaitUntil(ctx, time.Second+time.Duration(k)*20*ms); k++ {
 		c, err := net.Dial("udp4", tb.peerAddr(k%tb.Instances()))
@@ -180,8 +180,8 @@
 	}
 }
 
-// Nodes that restart under their ids, are drained, and half of the instances killed and started again within seconds, while one node
-// crawls: each rule is kept, all know one another again, and no node that is fine is left for another's word.
+// Checks restarts of backends and of half of the instances, a drain and a silent discovery agent within seconds, while
+// one backend is slow: no rule is violated, and no healthy backend is avoided because of the reports of peers.
 func TestRestartsDuringSlowBackend(t *testing.T) {
 	t.Parallel()
 	cfg := peersConfig(t, 6, "node/4:slow 8 7s at 1s", "node/1:restart at 2s", "node/7:drain at 2s", "node/4:restart at 5s", "ingress/0:restart 1s at 3s", "ingress/1:restart 1500ms at 3s",
@@ -191,7 +191,7 @@
 	for i := range 6 {
 		for k := range 12 {
 			if name := fmt.Sprintf("node-%02d", k); k != 4 && k != 1 && k != 7 && x.slowness(i, name) >= avoidedSlowness {
-				t.Errorf("n%d was told %.1f of %s, which is fine", i, x.slowness(i, name), name)
+				t.Errorf("n%d got slowness %.1f by peers for %s, which is healthy", i, x.slowness(i, name), name)
 			}
 		}
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,7 +18,7 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// program builds the ingress once for all tests.
+// program builds the ingress once for all tests, and returns its path.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lab-test-")
 	if err != nil {
@@ -30,7 +30,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if runtime.GOMAXPROCS(0) < 6 { // a run mostly waits: it takes about a third of a core
+	if runtime.GOMAXPROCS(0) < 6 { // a run mostly waits and uses about a third of a core
 		flag.Set("test.parallel", "6")
 	}
 	code := m.Run()
@@ -46,7 +46,7 @@
 	os.Exit(code)
 }
 
-// testConfig is a short run that asks little of the machine, and judges times generously: many run at once here.
+// testConfig returns a short run with low load and a generous tolerance, because many runs share the machine.
 func testConfig(t *testing.T) Config {
 	t.Helper()
 	path, err := program()
@@ -56,7 +56,8 @@
 	return Config{Ingress: path, Scenario: "calm", Seed: 7, For: 5 * time.Second, Rate: 0.6, HotQuotaFactor: 8.4, Tolerance: time.Second}
 }
 
-// maxRuns is how often a run is played in which the machine itself stood still for longer than times are judged by: that says nothing.
+// maxRuns bounds how often a run is repeated because the machine stalled for longer than the tolerance, which makes its
+// times meaningless.
 const maxRuns = 3
 
 func runUntilOnTime(t *testing.T, cfg Config) *Report {
@@ -70,12 +71,12 @@
 		if cfg.Tolerance == 0 || late <= cfg.Tolerance || n == maxRuns {
 			return r
 		}
-		t.Logf("seed %d: the machine stood still for %v, the run is played again", cfg.Seed, late)
+		t.Logf("seed %d: the machine stalled for %v, repeating the run", cfg.Seed, late)
 	}
 }
 
-// requireRules fails the test where one of the five rules broke. The lab's own limit on use beyond quotas is not for days on
-// which the store goes.
+// requireRules fails the test if one of the five rules was violated. RuleQuotas does not apply, because some runs lose
+// the store.
 func requireRules(t *testing.T, r *Report) {
 	t.Helper()
 	violations := len(r.Crashed)
@@ -85,12 +86,12 @@
 		}
 	}
 	if violations > 0 || r.Attempts < 300 {
-		t.Errorf("seed %d: %d tries, %s", r.Seed, r.Attempts, r.Text())
+		t.Errorf("seed %d: %d attempts, %s", r.Seed, r.Attempts, r.Text())
 	}
 }
 
-// Three ingresses, one channel of storby at five times its quota through all of them, while the store goes through each
-// of its troubles: by what the nodes saw the ceiling and the other rules hold.
+// Checks that ceilings and the other rules hold during each fault of the store, with three instances that all get
+// requests of one storby tenant far above its quota.
 func TestRulesUnderStoreFaults(t *testing.T) {
 	faults := []string{
 		"none", "stall 1500ms", "silent 1500ms", "stop 1500ms", "restart 300ms", "load 1500ms", "full 1500ms", "readonly 1500ms", "kick", "flush", "forget-scripts",
@@ -116,7 +117,7 @@
 	}
 }
 
-// The same rules with the platform's own counter, and with troubles at the nodes, halls, discovery and the ingresses.
+// Checks the rules with the platform's own counter, and with faults of backends, zones, discovery and instances.
 func TestRulesUnderOtherFaults(t *testing.T) {
 	for i, faults := range [][]string{
 		{"store:stall 1s at 1s", "store:restart 200ms at 3s"},
@@ -135,9 +136,8 @@
 	}
 }
 
-// Both fronts at once, one channel of storby at five times its quota and more through each, over three ingresses, while gates
-// time out, die after the grant, report twice, late or never: by what the nodes saw every rule holds, and neither front is
-// favoured.
+// Checks that every rule holds and neither front end is favoured when RESP2 and HTTP clients of one storby tenant both
+// request far more than its quota, while gates time out, die after the grant, or report twice, late or never.
 func TestBothFronts(t *testing.T) {
 	for i, faults := range [][]string{nil, {"drop-before share 0.1"}, {"drop-after share 0.03"}, {"repeat share 0.3"}, {"late 700ms share 0.1"}, {"swallow share 0.03"}, {"delay 800ms share 0.05"}} {
 		t.Run(fmt.Sprint(faults), func(t *testing.T) {
@@ -153,13 +153,14 @@
 				t.Fatalf("seed %d: %+v", r.Seed, r.Fronts)
 			}
 			if faults == nil && (h.Served/h.Requested < 0.6*a.Served/a.Requested || a.Served/a.Requested < 0.6*h.Served/h.Requested) {
-				t.Errorf("seed %d: one front is favoured: %+v", r.Seed, r.Fronts)
+				t.Errorf("seed %d: one front end is favoured: %+v", r.Seed, r.Fronts)
 			}
 		})
 	}
 }
 
-// A node that stamps late makes no break: an attempt that is given up long before its node gets to it was sent in time.
+// A backend that records arrivals late causes no violation: an attempt that is given up long before the backend reads
+// it was still sent in time.
 func TestDelayIsNoViolation(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t)
@@ -171,7 +172,7 @@
 	}
 }
 
-// Where the machine itself has no time for the lab, nothing is judged by it, and nobody is blamed.
+// A run during which the machine does not schedule the testbed is inconclusive, and no violation is reported.
 func TestTestbedPauseIsInconclusive(t *testing.T) {
 	cfg := testConfig(t)
 	cfg.Tolerance, cfg.For, cfg.HotQuotaFactor = 0, 0, 0
@@ -185,7 +186,7 @@
 	}
 }
 
-// A run that did not come near what its day is for proves nothing, and says so.
+// A run that does not meet the requirements of its scenario is inconclusive and says which.
 func TestUnexercisedScenarioIsInconclusive(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t)
@@ -204,7 +205,7 @@
 	}
 }
 
-// Description is drawn for a seed is drawn again for it, whatever happens in a run, and the load is what the day says.
+// The arrivals depend only on the seed, and the load is that of the scenario.
 func TestArrivalsAreDeterministic(t *testing.T) {
 	draw := func(seed uint64) (*Testbed, *load) {
 		d, err := scenario.Load("evening")
@@ -231,7 +232,7 @@
 			t.Fatal(i, x, y)
 		}
 		if i > 0 && x.due < a.arrivals[i-1].due {
-			t.Fatal("not in order")
+			t.Fatal("arrivals are not in order of time")
 		}
 	}
 	for _, sender := range a.tenants {
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -14,10 +14,11 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// peerPort is where an instance hears its peers, at its own host; it is outside the span that the system draws ports from.
+// peerPort is the UDP port of the peer listener on each instance's host. It is outside the ephemeral port range of the
+// system.
 const peerPort = 7946
 
-// openLinks makes the network of a run in which every way can be faulted, and the key that instances share.
+// openLinks creates the network of links that can inject faults, and the key file that the instances share.
 func (tb *Testbed) openLinks() error {
 	if !tb.cfg.Linked {
 		return nil
@@ -33,7 +34,8 @@
 	return fmt.Sprintf("%s.%d", tb.network, firstInstanceHost+i)
 }
 
-// linkAddress is the address at which an instance finds a target.
+// linkAddress returns the address by which an instance reaches target: that of a new link, or target itself if there
+// are no links.
 func (tb *Testbed) linkAddress(inst *instance, name, target string) (string, error) {
 	if tb.links == nil {
 		return target, nil
@@ -45,7 +47,7 @@
 	return s.Addr(), nil
 }
 
-// linkBackend is the addresses at which the instances find a node's start, in their order.
+// linkBackend returns the addresses by which the instances reach a started backend, in the order of the instances.
 func (tb *Testbed) linkBackend(spec backend.Spec, n *backend.Backend) ([]string, error) {
 	if tb.links == nil {
 		return n.Addrs(), nil
@@ -65,7 +67,7 @@
 	return out, nil
 }
 
-// stopBackend ends a node; nobody can connect to it any more.
+// stopBackend stops a backend and closes the links to it.
 func (tb *Testbed) stopBackend(i int) {
 	n, _ := tb.backendAt(i)
 	n.Stop()
@@ -80,7 +82,7 @@
 
 func (tb *Testbed) peerAddr(i int) string { return fmt.Sprintf("%s:%d", tb.instanceHost(i), peerPort) }
 
-// peerOptions is an instance's section of options on its peers: each is dialled through a link of its own.
+// peerOptions returns the [peers] section of an instance's options, with a link of its own to each peer.
 func (tb *Testbed) peerOptions(inst *instance) (string, error) {
 	seeds, dial := []string{}, ""
 	for i := range tb.scenarioConfig.Ingresses {
@@ -92,7 +94,7 @@
 			return "", fmt.Errorf("link from %s to n%d: %w", inst.Name, i, err)
 		}
 		dial += fmt.Sprintf("%q = %q\n", tb.peerAddr(i), address)
-		if i < 2 || i == (inst.index+1)%tb.scenarioConfig.Ingresses { // a few, as an operator would name
+		if i < 2 || i == (inst.index+1)%tb.scenarioConfig.Ingresses { // only a few, as an operator would configure
 			seeds = append(seeds, fmt.Sprintf("%q", tb.peerAddr(i)))
 		}
 	}
@@ -106,10 +108,10 @@
 	return fmt.Sprintf("[peers]\nname = %q\nlisten = %q\nseeds = [%s]\nkey_file = %q\n[peers.dial]\n%s", inst.Name, tb.peerAddr(inst.index), strings.Join(seeds, ", "), peerKeyFile, dial), nil
 }
 
-// injectLinkFault puts a fault in force on links.
+// injectLinkFault injects the fault of a step into links.
 func (tb *Testbed) injectLinkFault(s scenario.Step) error {
 	if tb.links == nil {
-		return fmt.Errorf("there are no links in this run")
+		return fmt.Errorf("link faults require a run with links")
 	}
 	f, err := link.Parse(s.Action)
 	if err != nil {
@@ -122,7 +124,7 @@
 	return tb.links.Inject(to, from, f)
 }
 
-// linkEnds are the names of a link's end: a hall's are its nodes'.
+// linkEnds returns names with each zone replaced by the backends in it.
 func (tb *Testbed) linkEnds(names []string) (out []string) {
 	for _, name := range names {
 		n := len(out)
@@ -138,7 +140,7 @@
 	return slices.Compact(out)
 }
 
-// unusedLinkFaults are the faults of links that never acted: a run with any has not played what it says.
+// unusedLinkFaults describes the link faults that affected no traffic: a run with any did not test what it claims to.
 func (tb *Testbed) unusedLinkFaults() (out []string) {
 	if tb.links == nil {
 		return nil
@@ -149,7 +151,7 @@
 	}
 	acted := map[key]bool{}
 	var order []key
-	for _, a := range tb.links.FaultRecords() { // one step is on many ways: some may have nothing to carry
+	for _, a := range tb.links.FaultRecords() { // one step applies to many links, some of which may carry no traffic
 		k := key{a.Fault, a.SetAt.Milliseconds() / 50}
 		if _, seen := acted[k]; !seen {
 			order = append(order, k)
@@ -164,17 +166,17 @@
 	return out
 }
 
-// RuleReports is the name of the testbed's own rule for gossip: no instance leaves a backend because one other reports it.
+// RuleReports is the testbed's own rule for gossip: no instance avoids a backend on the report of a single peer.
 const RuleReports = "no node left for one word"
 
 const (
-	reportDelay   = 3 * time.Second // after a fault's beginning, from which on the others' sends are counted
-	minSendRatio  = 0.35            // slowness what comes to another node of the hall
-	minUsualSends = 40              // addCommands to such a node, below which nothing can be said
+	reportDelay   = 3 * time.Second // time from a fault until commands are counted
+	minSendRatio  = 0.35            // relative to the mean of the other backends in the zone
+	minUsualSends = 40              // mean number of commands below which the check is skipped
 )
 
-// LeftOnReport checks, by what backends saw, whether all instances but one have left a backend that serves them while
-// only that one can't reach it, by the first fault of a link.
+// LeftOnReport returns a violation if the other instances avoid a backend that only one instance, with the index but,
+// can't reach. It counts the commands at the backends after the first link fault.
 func (r *Report) LeftOnReport(node string, but int) (out []rulecheck.Violation) {
 	from := time.Duration(0)
 	for _, l := range r.Links {
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// Text is the report for people.
+// Text formats the report as text.
 func (r *Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n%-14s %-10s %7s %7s %7s %8s %8s %7s %9s %9s\n", "class", "plan", "wishes", "served", "in time", "refused", "failed", "none", "p50 ms", "p99 ms")
@@ -63,10 +63,10 @@
 	return b.String()
 }
 
-// tableInterval is the seconds from one table by class and plan to the next.
+// tableInterval is the number of seconds between tables by class and plan.
 const tableInterval = 5
 
-// printTable prints what the tries from one to another came to, by class and plan.
+// printTable prints the results of the attempts with indexes from (inclusive) to to (exclusive), by class and plan.
 func (tb *Testbed) printTable(out io.Writer, from, to int) {
 	type cell struct {
 		served, refused int
@@ -109,7 +109,7 @@
 	}
 }
 
-// printProgress prints a line each second, and now and then a table.
+// printProgress prints a line each second, and a table every tableInterval seconds.
 func (tb *Testbed) printProgress(ctx context.Context) {
 	out := tb.cfg.Live
 	if out == nil {
@@ -119,7 +119,7 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	from, sentFrom, last := 0, 0, time.Now()
-	tableFrom := 0 // slowness the tries that the next block is about
+	tableFrom := 0 // index of the first attempt in the next table
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -23,24 +23,24 @@
 
 const (
 	maxRetries           = 2
-	routingShiftInterval = 5 * time.Second // slowness the ways by which a channel comes
-	maxIdleConnections   = 100             // unusedLinkFaults connections kept to an ingress
-	lateAnswerWait       = 100 * ms        // that a client waits beyond its time at the least, to see what comes late
+	routingShiftInterval = 5 * time.Second // how often the routing weights of a tenant change
+	maxIdleConnections   = 100             // per instance
+	lateAnswerWait       = 100 * ms        // minimum time that a client waits beyond its timeout, to record late answers
 )
 
-// sender is one customer.
+// tenant is a tenant whose clients send requests.
 type tenant struct {
 	id                    uint64
 	plan                  *plan
-	demand                float64       // burstFactor its quota
-	burstTime, pauseTime  time.Duration // slowness its bursts; 0: it asks for as much all the time
-	spread, firstInstance int
+	demand                float64       // relative to its quota
+	burstTime, pauseTime  time.Duration // length of its bursts and of the pauses between them; 0: constant demand
+	spread, firstInstance int           // number of instances that it uses, and the first of them
 }
 
-// pauseDemand is what a channel asks for between its bursts, times its quota.
+// pauseDemand is the demand of a tenant between its bursts, relative to its quota.
 const pauseDemand = 0.05
 
-// mean is what it asks for over a long time.
+// mean returns the long-term mean of the demand, relative to the quota.
 func (c *tenant) mean() float64 {
 	if c.burstTime == 0 {
 		return c.demand
@@ -49,7 +49,8 @@
 	return (c.demand*burstTime + pauseDemand*pauseTime) / (burstTime + pauseTime)
 }
 
-// demandShare is the share of its demand that it has at a time; a burst comes after the first pause.
+// demandShare returns the demand at a time as a fraction of the demand in a burst. The first burst follows the first
+// pause.
 func (c *tenant) demandShare(at time.Duration) float64 {
 	if c.burstTime == 0 || at%(c.burstTime+c.pauseTime) >= c.pauseTime {
 		return 1
@@ -57,17 +58,18 @@
 	return pauseDemand / c.demand
 }
 
-// arrival is a first try as it was drawn before the run: nothing that happens in the run changes when it is due.
+// arrival is the first attempt of a request. All arrivals are drawn before the run, so that nothing in the run changes
+// when they are due.
 type arrival struct {
-	due    time.Duration // from the load's beginning
+	due    time.Duration // from the start of the load
 	sender *tenant
 	class  *class
-	target int // target
+	target int // index of the instance
 	http   bool
 	seed   uint64
 }
 
-// load is the clients of a run.
+// load sends the requests of all clients of a run.
 type load struct {
 	tb           *Testbed
 	tenants      []*tenant
@@ -76,7 +78,7 @@
 	inFlight     chan struct{}
 	wg           sync.WaitGroup
 	lastID       atomic.Uint64
-	dropped      atomic.Int64 // attemptCount that found no room here, which no ingress saw
+	dropped      atomic.Int64 // attempts not sent because a limit of the testbed was reached
 	attemptCount atomic.Int64
 	startedAt    time.Duration
 
@@ -84,21 +86,21 @@
 	sent []sent
 }
 
-// sent is a try with what the report needs beyond the audit.
+// sent is an attempt that a client has sent, with the data that the report needs besides that of the rule checker.
 type sent struct {
 	rulecheck.ClientRequest
-	due          time.Duration // slowness the first try
+	due          time.Duration // time at which the first attempt was due
 	requestIndex int
 	sender       *tenant
 	class        *class
 	retry        int
 	http         bool
-	key          string // slowness a keyed class
-	value        string // that it was served
+	key          string // idempotency key, if the class is keyed
+	value        string // value of the answer, if it was served
 }
 
-// newLoad draws the channels, sets the plans' figures so that what is asked inside quotas is the day's share of what the
-// fleet can do, and draws all first tries.
+// newLoad draws the tenants, scales the quotas of the plans so that the demand within quotas is the scenario's fraction
+// of the fleet's capacity, and draws all arrivals.
 func newLoad(tb *Testbed) *load {
 	l := &load{tb: tb, inFlight: make(chan struct{}, maxInFlight)}
 	l.lastID.Store(tb.cfg.Seed<<40 | 1)
@@ -110,7 +112,7 @@
 		}
 	}
 	n := tb.scenarioConfig.Ingresses
-	inside := 0.0 // units a second
+	inside := 0.0 // units per second
 	for _, p := range tb.plans {
 		for i := range p.tenants {
 			id++
@@ -143,7 +145,7 @@
 	return l
 }
 
-// drawArrivals draws one channel's first tries.
+// drawArrivals draws the arrivals of one tenant as a Poisson process.
 func (l *load) drawArrivals(sender *tenant, rate float64, rng *rand.Rand) {
 	weights := make([]float64, sender.spread)
 	shift := time.Duration(-1)
@@ -152,7 +154,7 @@
 		if due >= time.Duration(l.tb.scenarioConfig.Length) {
 			return
 		}
-		if p := sender.demandShare(due); p < 1 && rng.Float64() >= p { // thinned: the draw stays the same process
+		if p := sender.demandShare(due); p < 1 && rng.Float64() >= p { // thinning keeps the arrivals a Poisson process
 			continue
 		}
 		if shift < 0 || l.tb.scenarioConfig.UnevenRouting && sender.burstTime == 0 && due-shift > routingShiftInterval {
@@ -176,7 +178,7 @@
 	}
 }
 
-// drawInstance draws the instance that a try goes to.
+// drawInstance draws the instance that receives an attempt.
 func drawInstance(sender *tenant, weights []float64, instances int, rng *rand.Rand) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -191,10 +193,11 @@
 	return sender.firstInstance
 }
 
-// start sets the time from which the load, the timeline and all figures count. It comes before anything that reads it.
+// start sets the time that the load, the timeline and the metrics count from. It must be called before any of them
+// starts.
 func (l *load) start() { l.startedAt = l.tb.clock() }
 
-// run plays the load until each try has ended.
+// run sends all requests at their times, and returns when each attempt has ended.
 func (l *load) run(ctx context.Context) {
 	for _, inst := range l.tb.instances {
 		l.pools = append(l.pools, &connPool{addr: inst.addr})
@@ -227,11 +230,11 @@
 	}
 }
 
-// requestIndex is one client's wish: a try, and up to two more where it was not served.
+// request sends the attempts of one request: the first, and up to maxRetries retries until one is served.
 func (l *load) request(ctx context.Context, requestIndex int, a arrival) {
 	rng := rand.New(rand.NewPCG(a.seed, 1))
 	target := a.target
-	key := "" // each try has its own
+	key := "" // each attempt gets its own key
 	if l.tb.cfg.ReuseKey {
 		key = fmt.Sprintf("%016x", a.seed)
 	}
@@ -240,9 +243,10 @@
 			l.dropped.Add(1)
 			return
 		}
-		for i := 0; i < a.sender.spread && l.tb.instances[target].routedAround(l.tb.clock()); i++ { // the front deals round a dead one
+		// The front end routes around a dead instance.
+		for i := 0; i < a.sender.spread && l.tb.instances[target].routedAround(l.tb.clock()); i++ {
 			n := len(l.pools)
-			slot := (target - a.sender.firstInstance + n) % n // within the channel's set
+			slot := (target - a.sender.firstInstance + n) % n // position within the tenant's set of instances
 			target = (a.sender.firstInstance + (slot+1)%a.sender.spread) % n
 		}
 		sendAttempt := l.sendAttempt
@@ -258,7 +262,7 @@
 		if len(t.Answers) > 0 && t.Answers[0].Kind == "served" || retry == maxRetries || ctx.Err() != nil {
 			return
 		}
-		if after == 0 || rng.Float64() > 0.6 { // many do not heed it
+		if after == 0 || rng.Float64() > 0.6 { // some clients ignore Retry-After
 			after = 20*ms + time.Duration(rng.Int64N(int64(140*ms)))
 		}
 		time.Sleep(after)
@@ -269,7 +273,7 @@
 	}
 }
 
-// sendAttempt sends one try and waits for its answer.
+// sendAttempt sends one attempt over RESP2 and waits for its answer.
 func (l *load) sendAttempt(sender *tenant, c *class, at, retry int, key string, rng *rand.Rand) (t sent, after time.Duration) {
 	inst := l.tb.instances[at]
 	id := l.lastID.Add(1)
@@ -289,20 +293,21 @@
 		conn, err := l.pools[at].get(fresh)
 		if err != nil {
 			t.SentAt = l.tb.clock()
-			t.Excused = true // it was never taken
+			t.Excused = true // the instance never received it
 			return t, 0
 		}
 		t.SentAt = l.tb.clock()
-		answer, err := conn.roundTrip(command, wait+max(lateAnswerWait, l.tb.rules().Tolerance)) // what nobody waits for can't be judged late
+		// A late answer can only be detected while the client waits for it.
+		answer, err := conn.roundTrip(command, wait+max(lateAnswerWait, l.tb.rules().Tolerance))
 		if err == nil {
 			t.Answers = append(t.Answers, rulecheck.Answer{At: l.tb.clock(), Kind: answer.Kind})
 			if answer.Kind == respclient.Served {
 				t.value = answer.Value
 			}
-			if at := t.Answers[0].At; at-t.SentAt > wait { // one that was stopped answers when it wakes
+			if at := t.Answers[0].At; at-t.SentAt > wait { // a process that was stopped answers late, once it continues
 				t.Excused = inst.wasDown(t.SentAt, at)
 			}
-			// The first attempt of the same key may have made the value.
+			// The value may stem from an earlier attempt with the same key.
 			ofSameKey := key != "" && t.key == key && strings.HasPrefix(answer.Value, "value of ")
 			t.ForeignAnswer = answer.Kind == respclient.Served && answer.Value != "value of "+t.ID && !ofSameKey
 			if conn.hasUnsolicited() {
@@ -314,19 +319,20 @@
 			return t, answer.RetryAfter
 		}
 		conn.Close()
-		if !fresh && conn.reused && errors.Is(err, respclient.ErrClosed) { // it was closed between requests: the protocol has us send again
+		// A connection that was closed between requests: the protocol requires a resend.
+		if !fresh && conn.reused && errors.Is(err, respclient.ErrClosed) {
 			continue
 		}
 		at := l.tb.clock()
 		if slices.Contains(l.tb.cfg.MayExit, inst.index) {
-			time.Sleep(exitDetectionDelay) // its end may not be known yet
+			time.Sleep(exitDetectionDelay) // its exit may not have been detected yet
 		}
 		t.Excused = inst.wasDown(t.SentAt, at)
 		return t, 0
 	}
 }
 
-// sendHTTPAttempt sends one try through the instance's gate.
+// sendHTTPAttempt sends one attempt through the instance's gate.
 func (l *load) sendHTTPAttempt(sender *tenant, c *class, target, retry int, _ string, rng *rand.Rand) (t sent, after time.Duration) {
 	inst := l.tb.instances[target]
 	id := fmt.Sprintf("%016x", l.lastID.Add(1))
@@ -353,7 +359,7 @@
 	return out
 }
 
-// connPool is the connections to one ingress, each for one request at a time.
+// connPool holds the idle connections to one instance. A connection carries one request at a time.
 type connPool struct {
 	addr string
 	mu   sync.Mutex
@@ -402,7 +408,7 @@
 	p.idle = nil
 }
 
-// roundTrip writes a command and reads its answer.
+// roundTrip sends a command and reads its answer.
 func (c *clientConn) roundTrip(command string, wait time.Duration) (respclient.Answer, error) {
 	c.SetDeadline(time.Now().Add(wait))
 	if _, err := io.WriteString(c, command); err != nil {
@@ -411,5 +417,5 @@
 	return respclient.ReadAnswer(c.reader)
 }
 
-// hasUnsolicited says whether something came that nobody asked for.
+// hasUnsolicited reports whether unsolicited data follows the answer.
 func (c *clientConn) hasUnsolicited() bool { return c.reader.Buffered() > 0 }
--- a/internal/lab/peers_test.go
+++ b/internal/lab/peers_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// memberView is who an instance holds to be there, suspected or not.
+// memberView returns the names of the members that an instance considers alive or suspect, or "silent" if it does not
+// answer.
 func memberView(ctx context.Context, tb *Testbed, i int) string {
 	s, err := tb.Peers(ctx, i)
 	if err != nil {
@@ -26,14 +27,14 @@
 	return strings.Join(out, " ")
 }
 
-// peersConfig is a short run of instances that know one another.
+// peersConfig returns a short run of n instances that are peers.
 func peersConfig(t *testing.T, n int, faults ...string) Config {
 	cfg := testConfig(t)
 	cfg.HotQuotaFactor, cfg.Peers, cfg.Ingresses, cfg.Faults, cfg.Rate = 0, true, n, faults, 0.4
 	return cfg
 }
 
-// viewsAt plays a run and compares the instances' views at times of it; "" stands for an instance that may say anything.
+// viewsAt runs cfg and compares the instances' views at given times of the load with want; "" accepts any view.
 func viewsAt(t *testing.T, cfg Config, want map[time.Duration][]string) *Report {
 	t.Helper()
 	var mu sync.Mutex
@@ -68,7 +69,7 @@
 	return r
 }
 
-// completeViews are the views of a part whose members all know one another and nobody else.
+// completeViews returns the views of instances in partitions, each of which knows exactly its own members.
 func completeViews(parts ...[]int) []string {
 	n := 0
 	for _, p := range parts {
@@ -90,8 +91,8 @@
 	return out
 }
 
-// Instances find one another by a few seeds; one that is killed is held to be dead, one that is told to end has left, one that
-// comes back is there again, in another life; and each rule is kept meanwhile.
+// Instances find each other through a few seeds. A killed instance is declared dead, a restarted one joins again as a
+// new incarnation, and no rule is violated meanwhile.
 func TestPeerMembership(t *testing.T) {
 	t.Parallel()
 	cfg := peersConfig(t, 3, "ingress/1:kill at 1500ms", "ingress/2:restart 500ms at 4500ms")
@@ -103,11 +104,12 @@
 	}))
 }
 
-// Six instances in two parts: each part knows its own after a while, and all know all soon after the cut has ended.
+// Checks six instances under partitions and other link faults: each partition converges on its own members, and all
+// instances find each other soon after the fault.
 func TestPeerPartitions(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults []string
-		during []string // 4 s after the cut
+		during []string // views 4 s after the cut
 		cut    time.Duration
 	}{
 		"3|3":                   {[]string{"link/0,1,2|3,4,5:cut 5s at 1s"}, completeViews([]int{0, 1, 2}, []int{3, 4, 5}), 5 * time.Second},
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -12,7 +12,7 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// runUntilOnTime loads what is open, by the timeline, and judges.
+// play runs the load and the steps of the timeline on an open testbed, checks the rules, and returns the report.
 func (tb *Testbed) play(ctx context.Context, steps []scenario.Step) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -30,7 +30,7 @@
 	go func() {
 		err := tb.runTimeline(ctx, startedAt, steps)
 		if err != nil {
-			cancel() // the load ends early
+			cancel() // end the load early
 		}
 		timelineDone <- err
 	}()
@@ -71,7 +71,7 @@
 	if interrupted != nil {
 		return nil, fmt.Errorf("interrupted: %w", interrupted)
 	}
-	time.Sleep(200 * ms) // what was sent last reaches the nodes' record
+	time.Sleep(200 * ms) // let the last commands reach the records of the backends
 	evidence := tb.evidence()
 	checkResult := rulecheck.Check(tb.rules(), evidence)
 	r := &Report{
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -13,26 +13,26 @@
 	"hitchspring/internal/lab/proc"
 )
 
-// target is one real ingress, a process of its own, as the day sees it: when it is to be counted on.
+// instance is an ingress process, with the times during which it was unavailable because of injected faults.
 type instance struct {
 	proc.Process
 	tb          *Testbed
 	index       int
-	host        string // completeViews its own addresses are there
-	addr        string // slowness its clients
-	metricsAddr string // where it says what it holds; empty: nowhere
+	host        string // of all its own addresses
+	addr        string // for clients
+	metricsAddr string // metrics listener; empty: none
 	mu          sync.Mutex
-	downSpans   []span // when it was not to be counted on
+	downSpans   []span // when it was unavailable
 	crash       string
-	exited      bool // it has ended by itself, as it may
+	exited      bool // it exited by itself, as Config.MayExit allows
 }
 
-// exitDetectionDelay is within which the end of a process that ends by itself is known.
+// exitDetectionDelay bounds the time until the exit of a process that ends by itself is detected.
 const exitDetectionDelay = 100 * ms
 
 type span struct{ from, to time.Duration }
 
-// reserveAddress draws an address of the instance's own host, which is held until the run's end.
+// reserveAddress reserves a free port on the instance's host until the end of the run.
 func (inst *instance) reserveAddress() (string, error) {
 	h, err := proc.ReserveAddress(inst.host)
 	if err != nil {
@@ -42,10 +42,10 @@
 	return h.Addr(), nil
 }
 
-// handleExit notes an end that nobody asked for.
+// handleExit records an exit of the process that the testbed did not cause.
 func (inst *instance) handleExit(err error) {
 	last := inst.LastLine()
-	if links := inst.tb.links; links != nil { // closing fails nowhere
+	if links := inst.tb.links; links != nil { // SetServing returns no error when it closes
 		links.SetServing(inst.Name, false)
 	}
 	inst.mu.Lock()
@@ -72,7 +72,7 @@
 	return err == nil && string(b[:5]) == "+PONG"
 }
 
-// markDown says that the process is not to be counted on from now on, up that it is again.
+// markDown records that the process is unavailable from now on; markUp ends this.
 func (inst *instance) markDown() {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// wasDown says whether the process was down at some time between the two.
+// wasDown reports whether the process was unavailable at some time between from and to, or up to 100 ms before.
 func (inst *instance) wasDown(from, to time.Duration) bool {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -99,7 +99,7 @@
 	return false
 }
 
-// restartBackend kills the process and starts it after a while.
+// restart kills the process and starts it again after a delay.
 func (inst *instance) restart(ctx context.Context, after time.Duration) error {
 	inst.markDown()
 	inst.Stop(syscall.SIGKILL)
@@ -118,10 +118,11 @@
 	return err
 }
 
-// catchUpTime is how long a process that was stopped may take to catch up, which is nobody's fault.
+// catchUpTime is how long a process may take to catch up after a stop; during this time it still counts as
+// unavailable.
 const catchUpTime = 300 * ms
 
-// pauseLab stops the process and lets it go on after a while.
+// pause stops the process with SIGSTOP and continues it after d.
 func (inst *instance) pause(ctx context.Context, d time.Duration) error {
 	inst.markDown()
 	if err := inst.SendSignal(syscall.SIGSTOP); err != nil {
@@ -140,7 +141,7 @@
 	return err
 }
 
-// terminate ends the process in the way of a planned restart.
+// terminate ends the process with SIGTERM, as a planned restart does.
 func (inst *instance) terminate() {
 	if inst.Running() {
 		inst.markDown()
@@ -148,10 +149,10 @@
 	}
 }
 
-// frontDetectionDelay is how long the front before the ingresses goes on sending to a dead one.
+// frontDetectionDelay is how long the front end before the instances goes on sending to a dead one.
 const frontDetectionDelay = 1500 * ms
 
-// avoidedSamples says whether the front has noticed that the instance is down.
+// routedAround reports whether the front end has detected that the instance is down.
 func (inst *instance) routedAround(now time.Duration) bool {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -12,56 +12,57 @@
 // Exit codes of a run.
 const (
 	Clean    = 0
-	Broken   = 1 // a rule broke
-	Unjudged = 2 // nothing could be judged: the run did not exercise what it must, or the lab itself was late
+	Broken   = 1 // a rule was violated
+	Unjudged = 2 // inconclusive: the run did not exercise what it must, or the testbed itself was too slow
 )
 
-// RuleQuotas is the lab's own rule beside the five: what is passed on beyond quotas stays under the day's limit.
+// RuleQuotas is the testbed's own rule besides the five: the units forwarded beyond quotas stay under the limit of the
+// scenario.
 const RuleQuotas = "quotas kept"
 
-// Row is what clients of one class and plan got; a wish is a first try with its retries. Times are from when a wish was
-// due.
+// Row sums up the requests of one class and plan. A request is a first attempt with its retries. Latencies count from
+// when the request was due.
 type Row struct {
 	Class      string  `json:"Class"`
 	Plan       string  `json:"Plan"`
 	Requests   int     `json:"Wishes"`
 	Attempts   int     `json:"Tries"`
 	Served     int     `json:"Served"`
-	InTime     int     `json:"InTime"` // addKeyedRequests
+	InTime     int     `json:"InTime"` // requests
 	Refused    int     `json:"Refused"`
 	Failed     int     `json:"Failed"`
-	Unanswered int     `json:"None"` // attemptCount
+	Unanswered int     `json:"None"` // attempts
 	P50MS      float64 `json:"P50MS"`
 	P99MS      float64 `json:"P99MS"`
 }
 
-// Process is what one ingress took.
+// Process is the resource use of one instance.
 type Process struct {
 	Name       string  `json:"Name"`
 	Attempts   int     `json:"Tries"`
-	CPUSeconds float64 `json:"CPUS"` // burstSeconds over the load
+	CPUSeconds float64 `json:"CPUS"` // CPU time during the load, in seconds
 	PeakMB     float64 `json:"PeakMB"`
 }
 
-// TenantUse is one customer under a ceiling, as the nodes saw it.
+// TenantUse is the use of one tenant with a ceiling, as the backends saw it.
 type TenantUse struct {
 	Tenant           string  `json:"Customer"`
 	Plan             string  `json:"Plan"`
 	Inside           float64 `json:"Inside"`
 	Beyond           float64 `json:"Beyond"`    // units
-	Overrun          float64 `json:"Overrun"`   // units by which all use together overdrew the quota at the most
-	OverrunOfCeiling float64 `json:"OfCeiling"` // the same as a share of the ceiling's store
-	Closest          float64 `json:"Closest"`   // maxSlowness units beyond what the ceiling allowed, as a share of its store; below 0 it stayed under
+	Overrun          float64 `json:"Overrun"`   // maximum units by which the total use overdrew the quota
+	OverrunOfCeiling float64 `json:"OfCeiling"` // Overrun as a fraction of the ceiling's burst
+	Closest          float64 `json:"Closest"`   // maximum units beyond the ceiling, as a fraction of its burst; < 0: stayed below
 }
 
-// QuotaShare is what the clients of one front requested and got, of tenants with a ceiling that request more than their
-// quota.
+// QuotaShare is what clients requested and got through one front end, RESP2 or HTTP. It counts the tenants with a
+// ceiling that request more than their quota.
 type QuotaShare struct {
 	Requested float64 `json:"Asked"`
 	Served    float64 `json:"Served"`
-} // units of wishes
+} // in units of requests
 
-// Second is one second of a run, by when wishes were due.
+// Second sums up the requests that were due in one second of a run.
 type Second struct {
 	Requests int             `json:"Wishes"`
 	InTime   int             `json:"InTime"`
@@ -72,30 +73,31 @@
 	ByPlan   map[string]Slot `json:"ByPlan"`
 }
 
-// Slot is a part of a second.
+// Slot is the part of a Second of one class or plan.
 type Slot struct {
 	Requests int `json:"Wishes"`
 	InTime   int `json:"InTime"`
 }
 
-// BackendTrack is the load of a backend, sampled each quarter of a second: requests in flight for each core, -1 while it
-// was down.
+// BackendTrack is the load of a backend, sampled four times per second: requests in flight per core, -1 while it was
+// down.
 type BackendTrack struct {
 	Backend  string    `json:"Node"`
 	Zone     string    `json:"Hall"`
 	InFlight []float64 `json:"Held"`
 }
 
-// Command is one command as its node saw it.
+// Command is one command as its backend saw it.
 type Command struct {
 	ArrivedAt time.Duration `json:"Came"`
 	Backend   string        `json:"Node"`
 	Instance  int           `json:"Instance"`
 	Class     string        `json:"Class"`
-	Late      bool          `json:"Late"` // it had no answer within its class's aim
+	Late      bool          `json:"Late"` // not answered within the latency objective of its class
 }
 
-// ForwardedUnits is units that one instance has passed on for a channel, as a node saw them: once for each try.
+// ForwardedUnits is the units of an attempt that an instance forwarded for a tenant, as a backend saw them. Repeated
+// commands for one attempt count once.
 type ForwardedUnits struct {
 	ArrivedAt time.Duration `json:"Came"`
 	Instance  int           `json:"Instance"`
@@ -107,74 +109,74 @@
 type ClientRequest struct {
 	Key             string        `json:"Key"`
 	Class           string        `json:"Class"`
-	FirstSentAt     time.Duration `json:"First"`    // when its first try was sent
-	ClientTimeout   time.Duration `json:"GiveUp"`   // after it, when that try's client gives up
-	Instance        string        `json:"Instance"` // that it was sent to
-	FirstUnanswered bool          `json:"Lost"`     // its first try had no answer
-	FirstAnsweredAt time.Duration `json:"Answered"` // when its first try was answered; 0: never
+	FirstSentAt     time.Duration `json:"First"`    // when its first attempt was sent
+	ClientTimeout   time.Duration `json:"GiveUp"`   // from FirstSentAt until the client gives up the first attempt
+	Instance        string        `json:"Instance"` // instance that received the first attempt
+	FirstUnanswered bool          `json:"Lost"`     // the first attempt got no answer
+	FirstAnsweredAt time.Duration `json:"Answered"` // when the first attempt was answered; 0: never
 	Attempts        int           `json:"Tries"`
 	Served          bool          `json:"Served"`
-	Values          int           `json:"Values"`  // different values that its tries were answered
-	Effects         int           `json:"Effects"` // that nodes saw
-	Racks           int           `json:"Racks"`   // reader which they were
-	OtherInstanceAt time.Duration `json:"Helped"`  // when a node first saw it from another instance than the first; 0: never
-	AnsweredRetries int           `json:"Again"`   // further tries that an instance has answered
-	Timeline        []string      `json:"Story"`   // each try: whom it was sent to, when, and what came of it
+	Values          int           `json:"Values"`  // number of different values in the answers
+	Effects         int           `json:"Effects"` // number of effects that backends recorded
+	Racks           int           `json:"Racks"`   // number of racks with effects
+	OtherInstanceAt time.Duration `json:"Helped"`  // first command of another instance at a backend; 0: never
+	AnsweredRetries int           `json:"Again"`   // number of retries that were answered
+	Timeline        []string      `json:"Story"`   // one line for each attempt: its instance, send time and result
 }
 
-// TimelineEvent is something that the timeline did.
+// TimelineEvent is a fault or another step of the scenario, at a time after the start of the load.
 type TimelineEvent struct {
 	AtS         float64 `json:"AtS"`
 	Description string  `json:"What"`
 }
 
-// Report is what a run comes to.
+// Report is the result of a run.
 type Report struct {
 	Scenario        string                `json:"Day"`
 	Seed            uint64                `json:"Seed"`
 	Store           string                `json:"Store"`
 	Seconds         float64               `json:"Seconds"`
-	LoadStartS      float64               `json:"BeganS"` // when the load began, on the clock of the breaks
+	LoadStartS      float64               `json:"BeganS"` // start of the load, on the clock of the violations
 	Faults          []string              `json:"Faults"`
 	Attempts        int                   `json:"Tries"`
 	Dropped         int                   `json:"Dropped"`
-	Service         float64               `json:"Service"` // as the brief counts it; Score has its parts
+	Service         float64               `json:"Service"` // service score of the specification; Score has its parts
 	Score           measure.Score         `json:"Score"`
 	Rows            []Row                 `json:"Rows"`
-	CPUPerRequestUS float64               `json:"CPUPerRequestUS"` // slowness the ingresses together, for a try
-	LabCores        float64               `json:"LabCores"`        // that the lab and its stand-ins took
+	CPUPerRequestUS float64               `json:"CPUPerRequestUS"` // of all instances together, per attempt
+	LabCores        float64               `json:"LabCores"`        // CPU cores that the testbed and its stand-ins used
 	Processes       []Process             `json:"Processes"`
 	Tenants         []TenantUse           `json:"Channels"`
-	WorstOverrun    float64               `json:"WorstOverrun"` // the most of all channels, as a share of the ceiling
-	Fronts          map[string]QuotaShare `json:"Fronts"`       // resp and http
-	BeyondShare     float64               `json:"BeyondShare"`  // units passed on beyond quotas, as a share of those inside
+	WorstOverrun    float64               `json:"WorstOverrun"` // maximum of OverrunOfCeiling over all tenants
+	Fronts          map[string]QuotaShare `json:"Fronts"`       // by front end: resp and http
+	BeyondShare     float64               `json:"BeyondShare"`  // units beyond quotas, as a fraction of those within
 	Rules           map[string]int        `json:"Rules"`
 	Violations      []rulecheck.Violation `json:"Breaks"`
 	Margins         rulecheck.Margins     `json:"Edges"`
-	Unmet           []string              `json:"Unmet"`  // what the day wants exercised and was not
-	ObserverDelayMS float64               `json:"LateMS"` // the longest time for which the lab itself was not run
+	Unmet           []string              `json:"Unmet"`  // requirements of the scenario that the run did not exercise
+	ObserverDelayMS float64               `json:"LateMS"` // longest time for which the testbed itself was not scheduled
 	Crashed         []string              `json:"Crashed"`
-	Died            []string              `json:"Died"` // instances that have ended by themselves, as they may
+	Died            []string              `json:"Died"` // instances that exited by themselves, as Config.MayExit allows
 	Events          []TimelineEvent       `json:"Marks"`
 	Timeline        []Second              `json:"Timeline"`
 	Backends        []BackendTrack        `json:"Nodes"`
 	Zones           []ZoneTrack           `json:"Halls"`
-	Loss            *Loss                 `json:"Loss"`  // slowness a day that loses a hall
-	MaxSpillChange  float64               `json:"Swing"` // maxSlowness points by which the spill changed from second to second while nothing was done
-	Forwarded       []ForwardedUnits      `json:"-"`     // firstInstance sends, in order of time
-	History         []Step                `json:"-"`     // slowness keyed wishes, by clients and nodes
-	KeyedRequests   []ClientRequest       `json:"-"`     // keyed wishes, by when their first try was sent
+	Loss            *Loss                 `json:"Loss"`  // of a scenario with a zone outage
+	MaxSpillChange  float64               `json:"Swing"` // largest change of the spill per second without a fault
+	Forwarded       []ForwardedUnits      `json:"-"`     // first command of each attempt, by arrival
+	History         []Step                `json:"-"`     // of keyed requests, as clients and backends saw them
+	KeyedRequests   []ClientRequest       `json:"-"`     // by FirstSentAt
 	Commands        []Command             `json:"-"`
-	Links           []link.FaultRecord    `json:"Links,omitempty"` // what each fault of a link did
+	Links           []link.FaultRecord    `json:"Links,omitempty"` // effect of each link fault
 	tolerance       time.Duration
-	droppedRecords  int // records that found no room
+	droppedRecords  int // backend records dropped for lack of capacity
 	checkResult     rulecheck.Result
 }
 
-// Clean says whether every rule was kept and nothing crashed.
+// Clean reports whether no rule was violated and no process crashed.
 func (r *Report) Clean() bool { return len(r.Violations) == 0 && len(r.Crashed) == 0 }
 
-// Doubts says why nothing can be said of a run; empty: it can be judged.
+// Doubts returns the reasons why the run is inconclusive, none if it is conclusive.
 func (r *Report) Doubts() (out []string) {
 	if delay := time.Duration(r.ObserverDelayMS * float64(ms)); delay > r.tolerance {
 		out = append(out, fmt.Sprintf("the lab itself stood still for %v: its observers were late", delay.Round(ms)))
@@ -188,7 +190,8 @@
 	return append(out, r.Unmet...)
 }
 
-// Code is the exit code: a break that lateness cannot explain is one, however late the lab was elsewhere.
+// Code returns the exit code. A violation that observer delays cannot explain counts even if the testbed was slow at
+// other times.
 func (r *Report) Code() int {
 	certain := r.checkResult.CountCertain()
 	for _, violation := range r.Violations {
--- a/internal/lab/sample.go
+++ b/internal/lab/sample.go
@@ -8,7 +8,7 @@
 
 const sampleInterval = 250 * ms
 
-// sample watches how full the nodes are.
+// sample records the load of each backend and the capacity of each zone until ctx ends.
 func (tb *Testbed) sample(ctx context.Context, capacity *capacityTrack) map[string]*BackendTrack {
 	out := map[string]*BackendTrack{}
 	for _, s := range tb.specs {
--- a/internal/lab/steps_test.go
+++ b/internal/lab/steps_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// crashCode is what a program is given that kills itself at a step of a piece of work, the twelfth time that it comes there after it has run for
-// three seconds.
+// crashCode is added to a program that kills itself at a step of keyed work: the twelfth time it reaches the step,
+// counted from three seconds after its start.
 const crashCode = `
 var dyingCame atomic.Int32
 var dyingFrom = time.Now().Add(3 * time.Second)
@@ -29,13 +29,13 @@
 }
 `
 
-// crashStep is a step of a piece of work at which an instance is killed.
+// crashStep is a step of keyed work at which an instance is killed.
 type crashStep struct {
 	edits      []sourceEdit
-	killOthers bool // another instance is killed, so that there is something to take over
+	killOthers bool // other instances are killed too, so that there is work to take over
 }
 
-// crashSteps are all steps, by name, with the edits that make the program kill itself there.
+// crashSteps returns all steps by name, with the source edits that make the program kill itself there.
 func crashSteps() map[string]crashStep {
 	const (
 		replication = "internal/core/replication.go"
@@ -45,7 +45,7 @@
 		requests    = "internal/core/request.go"
 		conn        = "internal/backend/conn.go"
 	)
-	// reader is a step at one place of a file of the core: find is replaced there.
+	// in returns the step for one place in a source file: find is replaced there.
 	in := func(file, find, replace string) crashStep {
 		imports := sourceEdit{file, "import (\n", "import (\n\t\"os\"\n\t\"sync/atomic\"\n\t\"syscall\"\n"}
 		return crashStep{edits: []sourceEdit{imports, {file, find, replace}}}
@@ -100,7 +100,7 @@
 	}
 }
 
-// requireEditsApply fails the test for each edit that doesn't find its one place in the source as it is.
+// requireEditsApply fails the test for each edit whose text does not occur exactly once in the source.
 func requireEditsApply(t *testing.T, name string, edits ...sourceEdit) {
 	t.Helper()
 	for _, e := range edits {
@@ -114,7 +114,7 @@
 	}
 }
 
-// The edits of the trials find their places also where the trials themselves are not played.
+// Checks that the source edits still apply, also where the tests that build edited programs are skipped.
 func TestSourceEditsApply(t *testing.T) {
 	for name, step := range crashSteps() {
 		requireEditsApply(t, name, step.edits...)
@@ -126,10 +126,10 @@
 	requireEditsApply(t, "later version", later...)
 }
 
-// An instance that dies at each step of a piece of work, as its owner, as its keeper, or as the one that takes it over: by what nodes and clients
-// saw no key has two effects, none has two answers, and each rule is kept.
+// Kills an instance at each step of keyed work, as its owner, as a replica, or as the successor that takes it over. No
+// key may have two effects or two different answers, and no rule may be violated.
 func TestCrashAtEachStep(t *testing.T) {
-	if os.Getenv("HITCHSPRING_TRIALS") == "" { // 78 processes, and as many builds as steps
+	if os.Getenv("HITCHSPRING_TRIALS") == "" { // runs 78 processes, and builds one program per step
 		t.Skip("HITCHSPRING_TRIALS is not set")
 	}
 	now, err := program()
@@ -165,15 +165,15 @@
 					}
 				}
 			}
-			t.Logf("%d keyed wishes, %d lost their first try's answer, %d of them were helped", len(r.KeyedRequests), lost, takenOver)
+			t.Logf("%d keyed requests, %d without an answer to the first attempt, %d of these handled by another instance", len(r.KeyedRequests), lost, takenOver)
 			if violations := CheckHistory(r.History); len(violations) > 0 || twoEffects > 0 {
-				t.Errorf("seed %d: %d with two effects, %v", r.Seed, twoEffects, violations)
+				t.Errorf("seed %d: %d keys with two effects, %v", r.Seed, twoEffects, violations)
 			}
 		})
 	}
 }
 
-// lastLine is the end of a source file, after which more can be written: its last function.
+// lastLine returns the shortest end of a source file that occurs once, to append code after it.
 func lastLine(t *testing.T, file string) string {
 	t.Helper()
 	b, err := os.ReadFile("../../" + file)
@@ -186,6 +186,6 @@
 			return tail
 		}
 	}
-	t.Fatal("no end of " + file)
+	t.Fatal("no unique end of " + file)
 	return ""
 }
--- a/internal/lab/stores.go
+++ b/internal/lab/stores.go
@@ -8,7 +8,7 @@
 	"hitchspring/internal/standin/tally"
 )
 
-// store is a stand-in for a shared counter, as the timeline and the report need it.
+// store is a stand-in for a shared counter store, with the operations that the timeline and the report need.
 type store interface {
 	Addr() string
 	Do(line string) error
@@ -42,16 +42,16 @@
 
 type tallyStore struct{ *tally.Server }
 
-// Calls is how many came.
+// Calls returns the number of calls received.
 func (s tallyStore) Calls() int { return len(s.Records()) }
 
-// redisStore hands the timeline's words to whoever is the primary by then.
+// redisStore applies fault commands to the current primary of a replication group.
 type redisStore struct{ *redis.Server }
 
-// Do hands a word on.
+// Do applies a fault command to the current primary.
 func (s redisStore) Do(line string) error { return s.Group().Primary().Do(line) }
 
-// Calls is how many adds came.
+// Calls returns the number of scripts run, each of which adds to counters.
 func (s redisStore) Calls() int {
 	n := 0
 	for _, r := range s.Records() {
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -11,7 +11,7 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// addCommands are what came to nodes.
+// addCommands adds the commands that arrived at backends to the report.
 func (tb *Testbed) addCommands(r *Report) {
 	objectives := map[string]time.Duration{}
 	for _, c := range tb.classes {
@@ -27,7 +27,7 @@
 	}
 }
 
-// addKeyedRequests are the keyed ones, with what nodes saw of them.
+// addKeyedRequests adds the keyed requests and their history to the report, as clients and backends saw them.
 func (tb *Testbed) addKeyedRequests(r *Report) {
 	by := map[string]*ClientRequest{}
 	values := map[string]map[string]bool{}
@@ -84,7 +84,7 @@
 	slices.SortFunc(r.KeyedRequests, func(a, b ClientRequest) int { return cmp.Compare(a.FirstSentAt, b.FirstSentAt) })
 }
 
-// addRows sums up the clients' record.
+// addRows sums up the clients' attempts by class and plan, by second and by front end.
 func (tb *Testbed) addRows(r *Report) {
 	type key struct{ class, plan string }
 	byKey := map[key]*Row{}
@@ -169,7 +169,8 @@
 	}
 }
 
-// addScore is the service as the brief counts it, from the clients' and the nodes' records.
+// addScore computes the service score of the specification from the records of clients and backends, and returns the
+// operations that it counted.
 func (tb *Testbed) addScore(r *Report, e rulecheck.Evidence, calls int) (list []measure.Operation) {
 	operations := map[int]*measure.Operation{}
 	costs := measure.Costs{CounterCalls: calls}
@@ -212,7 +213,7 @@
 	return list
 }
 
-// tenants compares what the nodes saw with what was allowed.
+// tenants compares the units that backends saw with the quotas and ceilings of the tenants.
 func (tb *Testbed) tenants(r *Report, e rulecheck.Evidence) {
 	quotaUses := rulecheck.QuotaUses(tb.quotas(), e.Attempts)
 	inside, beyond := 0.0, 0.0
--- a/internal/lab/takeover_test.go
+++ b/internal/lab/takeover_test.go
@@ -10,17 +10,17 @@
 	"hitchspring/internal/core"
 )
 
-// Work reads what an instance has in custody; it is for the run's watcher.
+// workStatus returns the takeover status of an instance, for use by Config.Watch.
 func workStatus(ctx context.Context, tb *Testbed, i int) (core.WorkStatus, error) {
 	return fetchStatus[core.WorkStatus](ctx, tb.instances[i], "/work")
 }
 
-// KeyedRequests work in hand at an instance that is killed, stopped and woken, or cut off is finished by another, once: no key has effects
-// in two racks, no two answers of one key differ, and most of the clients that ask again have their answer.
+// Keyed work in flight at an instance that is killed, stopped or cut off is completed once by another instance: no key
+// has two effects, and no two answers of one key differ.
 func TestTakeover(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults []string
-		taken  bool // somebody has to take over
+		taken  bool // an instance must take over work
 	}{
 		"killed":             {[]string{"ingress/0:kill at 3s"}, true},
 		"stopped and woken":  {[]string{"ingress/0:pause 3s at 3s"}, true},
@@ -31,12 +31,12 @@
 		"lossy and late":     {[]string{"link/0,1,2,3,4,5>0,1,2,3,4,5:drop 0.1 5s at 2s", "link/0,1,2,3,4,5>0,1,2,3,4,5:repeat 0.2 5s at 2s", "link/0,1,2,3,4,5>0,1,2,3,4,5:jitter 20ms 5s at 2s", "ingress/0:kill at 4s"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if name != "killed" && os.Getenv("HITCHSPRING_TRIALS") == "" { // 36 processes beside all other tests have no time
+			if name != "killed" && os.Getenv("HITCHSPRING_TRIALS") == "" { // too many processes beside all other tests
 				t.Skip("HITCHSPRING_TRIALS is not set")
 			}
 			t.Parallel()
 			cfg := peersConfig(t, 6, c.faults...)
-			if c.taken { // so that there is work in hand
+			if c.taken { // so that there is work in flight
 				cfg.Faults = append(cfg.Faults, "fleet:slow 5 2s at 2s")
 			}
 			cfg.Takeover, cfg.For, cfg.Rate = true, 9*time.Second, 0.8
@@ -56,7 +56,7 @@
 			r := runUntilOnTime(t, cfg)
 			requireRules(t, r)
 			twoEffects, twoValues, lost, takenOver, served, open := 0, 0, 0, 0, 0, 0
-			at := time.Duration(r.LoadStartS*float64(time.Second)) + 3*time.Second // the first loss, or the second
+			at := time.Duration(r.LoadStartS*float64(time.Second)) + 3*time.Second // time of the first failure, in most cases
 			for _, w := range r.KeyedRequests {
 				if w.Effects > 1 {
 					twoEffects++
@@ -86,20 +86,21 @@
 				covered += s.Covered
 				notCovered += s.PartlyCovered + s.Uncovered + s.NoReplica
 			}
-			t.Logf("%d keyed wishes, %d whose first try had no answer: %d of them helped, %d served; %d doubled, %d with two values; covered %d, not %d, taken over %d", len(r.KeyedRequests), lost, takenOver,
+			t.Logf("%d keyed requests, %d without an answer to the first attempt: %d of these handled by another instance, %d served; %d with two effects, %d with two values; replicated %d, not %d, taken over %d", len(r.KeyedRequests), lost, takenOver,
 				served, twoEffects, twoValues, covered, notCovered, taken)
-			if notCovered > covered { // a machine without time: most went out without the keepers' word, and nothing is promised for those
-				t.Logf("seed %d: nothing can be said of effects", r.Seed)
+			// On an overloaded machine, most attempts are sent without the replicas' acknowledgements, which allows repeated effects.
+			if notCovered > covered {
+				t.Logf("seed %d: inconclusive on effects", r.Seed)
 				twoEffects = 0
 			}
 			if violations := CheckHistory(r.History); len(violations) > 0 && notCovered <= covered {
 				t.Errorf("seed %d: %v", r.Seed, violations)
 			}
 			if twoEffects > 0 || twoValues > 0 || len(r.KeyedRequests) < 50 || covered == 0 {
-				t.Errorf("seed %d: %d of %d keyed wishes have two effects, %d two values; %d were covered", r.Seed, twoEffects, len(r.KeyedRequests), twoValues, covered)
+				t.Errorf("seed %d: %d of %d keyed requests have two effects, %d two values; %d were replicated", r.Seed, twoEffects, len(r.KeyedRequests), twoValues, covered)
 			}
 			if c.taken && taken == 0 && open > 0 {
-				t.Errorf("seed %d: nothing was taken over, and %d were in hand", r.Seed, open)
+				t.Errorf("seed %d: nothing was taken over, though %d requests were in flight", r.Seed, open)
 			}
 		})
 	}
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -14,7 +14,7 @@
 	"hitchspring/internal/zonedrain"
 )
 
-// runTimeline does the steps at their times, until ctx ends.
+// runTimeline runs the steps at their times, until ctx ends.
 func (tb *Testbed) runTimeline(ctx context.Context, startedAt time.Time, steps []scenario.Step) error {
 	for _, s := range steps {
 		t := time.NewTimer(time.Until(startedAt.Add(s.At)))
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// schedule does something after a while, unless the run ends before.
+// schedule calls do after d, unless the run ends before.
 func (tb *Testbed) schedule(ctx context.Context, d time.Duration, do func()) {
 	tb.wg.Go(func() {
 		select {
@@ -64,14 +64,14 @@
 	case "link":
 		return tb.injectLinkFault(s)
 	}
-	var which []int // slowness a hall, or the fleet
+	var which []int // indexes of the backends of a zone, or of the fleet
 	for i, spec := range tb.specs {
 		if s.Kind == "fleet" || spec.Zone == "hall-"+string(rune('a'+s.Index)) {
 			which = append(which, i)
 		}
 	}
 	switch {
-	case s.Kind == "fleet" && verb == "restart": // the next so many in turn
+	case s.Kind == "fleet" && verb == "restart": // the next fraction of the backends, in turn
 		n := int(float64(len(which))*s.Factor(1) + 0.5)
 		for range n {
 			if err := tb.restartBackend(tb.fleetRestarts % len(which)); err != nil {
@@ -82,7 +82,7 @@
 		return nil
 	case verb == "drill":
 		return tb.drainZone("hall-"+string(rune('a'+s.Index)), s.Duration(1))
-	case verb == "die" || verb == "trickle": // nobody tells discovery; cold when it is back
+	case verb == "die" || verb == "trickle": // discovery is not notified; the backends return in slow start
 		for _, i := range which {
 			tb.stopBackend(i)
 		}
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// restartLater starts a node anew after a while, where nobody has done so meanwhile.
+// restartLater restarts a backend after d, unless another step has replaced it meanwhile.
 func (tb *Testbed) restartLater(ctx context.Context, d time.Duration, i int) {
 	n, _ := tb.backendAt(i)
 	tb.schedule(ctx, d, func() {
@@ -137,7 +137,7 @@
 	})
 }
 
-// drainZone takes a hall out by the file that all instances read.
+// drainZone drains a zone by the zone drain file that all instances read.
 func (tb *Testbed) drainZone(zone string, d time.Duration) error {
 	now := time.Now()
 	l, err := zonedrain.Load(tb.drainFile, now)
@@ -150,7 +150,7 @@
 	return err
 }
 
-// restartBackend ends a node and starts it cold, at other addresses under its old id.
+// restartBackend stops a backend and starts it in slow start, with the same id at new addresses.
 func (tb *Testbed) restartBackend(i int) error {
 	n, _ := tb.backendAt(i)
 	tb.stopBackend(i)
@@ -161,14 +161,15 @@
 	return err
 }
 
-// pauseLab stops this whole process for a while, as a machine without time for it would.
+// pauseLab stops this process for d, as an overloaded machine would. A shell sends the signals, since a stopped
+// process cannot continue itself.
 func (tb *Testbed) pauseLab(d time.Duration) error {
 	pid := os.Getpid()
 	script := fmt.Sprintf("kill -STOP %d; sleep %.3f; kill -CONT %d", pid, d.Seconds(), pid)
 	return exec.Command("sh", "-c", script).Run()
 }
 
-// recordFailure notes what went wrong with a step that was not waited for.
+// recordFailure records the error of a step that runs in the background.
 func (tb *Testbed) recordFailure(err error) {
 	if err != nil {
 		tb.mu.Lock()
@@ -185,7 +186,7 @@
 	case "term":
 		inst.markDown()
 		inst.Stop(syscall.SIGTERM)
-	case "restart": // others go on meanwhile
+	case "restart": // in the background, so that later steps are not delayed
 		tb.wg.Go(func() { tb.recordFailure(inst.restart(ctx, s.Duration(1))) })
 	case "pause":
 		tb.wg.Go(func() { tb.recordFailure(inst.pause(ctx, s.Duration(1))) })
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -1,5 +1,6 @@
-// Package lab runs the whole service on loopback: stand-in nodes, discovery and store, real ingress processes, bounded
-// load by clients, faults by a day's timeline, and at the end a report that the auditor judges from what the peers saw.
+// Package lab is a testbed that runs the complete service on loopback: real ingress processes, stand-ins for backends,
+// discovery and the counter store, a bounded load of client requests, and the faults of a scenario. The rule checker
+// checks each run by what clients, backends and discovery recorded.
 package lab
 
 import (
@@ -22,41 +23,42 @@
 	"hitchspring/internal/standin/gate"
 )
 
-// Testbed is one run: processes, stand-ins, links and clients.
+// Testbed holds the processes, stand-ins, links and clients of one run.
 type Testbed struct {
 	cfg            Config
 	scenarioConfig *scenario.Scenario
 	classes        []class
 	plans          []*plan
 	dir            string
-	links          *link.Network              // nil: not Linked
-	backendLinks   map[string][]*link.TCPLink // by node id: those to its present start
-	peerKeyFile    string                     // file of the key that instances share
-	drainFile      string                     // the file of drills
-	network        string                     // the loopback network of this run: three bytes of an address
+	links          *link.Network              // nil without Config.Linked
+	backendLinks   map[string][]*link.TCPLink // to the running process of each backend, by its id
+	peerKeyFile    string                     // path of the key file that the instances share
+	drainFile      string                     // path of the zone drain file
+	network        string                     // first three bytes of the loopback addresses of this run
 	began          time.Time
 	rng            *rand.Rand
 	fleet          *backend.Fleet
-	capacity       float64 // slowness all nodes when warm, in seconds of work a second
+	capacity       float64 // of all backends after slow start, in seconds of work per second
 	registry       *discovery.Registry
 	store          store
 	instances      []*instance
-	gates          []*gate.Gate // one for each instance, where Config.HTTPShare is set
+	gates          []*gate.Gate // one per instance if Config.HTTPShare is set
 	load           *load
 	meter          *lateness.Meter
-	mu             sync.Mutex // slowness all below
+	mu             sync.Mutex // guards the fields below
 	specs          []backend.Spec
 	backendsByID   map[string]*backend.Backend
 	targets        map[string]discovery.Target
 	lastHost       int
-	fleetRestarts  int      // nodes that a share of the fleet has restarted so far
-	faultLog       []string // what the timeline did
-	stepErrors     []error  // steps that could not be played
+	fleetRestarts  int      // backends restarted so far by steps on a fraction of the fleet
+	faultLog       []string // texts of the steps that have run
+	stepErrors     []error  // errors of background steps
 	wg             sync.WaitGroup
 	closers        []func()
 }
 
-// Run plays a run and returns its report. An error means that it could not be played, not that a rule broke.
+// Run runs a scenario and returns its report. An error means that the run could not be completed, not that a rule was
+// violated.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	d, err := cfg.resolve()
 	if err != nil {
@@ -92,7 +94,8 @@
 	}
 }
 
-// Build builds the ingress from this module's source; race adds the race detector, overlay replaces files of the source.
+// Build builds the ingress program from the source of this module. race enables the race detector; overlay is the path
+// of a go build overlay file, or empty.
 func Build(ctx context.Context, to string, race bool, overlay string) error {
 	args := []string{"build", "-o", to}
 	if race {
@@ -129,7 +132,7 @@
 			return err
 		}
 	}
-	tb.load = newLoad(tb) // sets the plans' figures, which the ingresses are told
+	tb.load = newLoad(tb) // scales the plans, which the settings of the instances contain
 	for i := range tb.scenarioConfig.Ingresses {
 		if n := len(tb.cfg.Programs); n > 0 {
 			program = tb.cfg.Programs[i%n]
@@ -208,18 +211,18 @@
 	return t, nil
 }
 
-// nextHost is a loopback address that nothing in this run has had. What one run's processes go on sending to a peer that has
-// ended must reach nobody, neither here nor in a run beside it.
+// nextHost returns a loopback address that was not used before in this run, so that what processes still send to a
+// stopped backend cannot reach another one.
 func (tb *Testbed) nextHost() (string, error) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	if tb.lastHost++; tb.lastHost >= firstInstanceHost {
-		return "", errors.New("too many nodes have been started in one run")
+		return "", errors.New("too many backends have been started in one run")
 	}
 	return fmt.Sprintf("%s.%d", tb.network, tb.lastHost), nil
 }
 
-// backendAt returns a node with its entry of the list.
+// backendAt returns the backend with index i and its entry in the endpoint list.
 func (tb *Testbed) backendAt(i int) (*backend.Backend, discovery.Target) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -227,7 +230,7 @@
 	return tb.backendsByID[id], tb.targets[id]
 }
 
-// publishState puts an entry into the list, which the instances learn of late.
+// publishState updates an entry of the endpoint list, which the instances receive after the delay of the registry.
 func (tb *Testbed) publishState(t discovery.Target, state string) {
 	t.State = state
 	tb.mu.Lock()
