--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -11,41 +11,44 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// OnceByKey is the lab's own rule for work that several instances may act on: a key's history is that of one thing which happens at most once, and whose
-// answers are all that one's.
-const OnceByKey = "a key's work happens once, and has one answer"
+// RuleOnceByKey is the testbed's own rule for keyed work that several instances may act on: the work of a key takes
+// effect at most once, and all answers hold the result of that effect.
+const RuleOnceByKey = "a key's work happens once, and has one answer"
 
-// historyTime is what one key's history may take to be checked: they are short.
-const historyTime = 5 * time.Second
+// historyCheckTimeout bounds the check of the history of one key; histories are short.
+const historyCheckTimeout = 5 * time.Second
 
-// Step is one operation of a key's history, by its observers: a client's try, or an effect at a node.
+// Step is one operation in the history of a key, as its observer recorded it: a client's attempt, or an effect at a
+// backend. An attempt lasts from its request to its answer, an effect from the arrival of its command until just before
+// its answer is sent.
 type Step struct {
-	Key    string        `json:"Key"`
-	From   time.Duration `json:"From"`
-	Until  time.Duration `json:"Until"` // asked and answered; of an effect, when its command had come and when its answer was about to leave. Until 0: never
-	Effect bool          `json:"Effect"`
-	Served bool          `json:"Served"`
-	Value  string        `json:"Value"` // of a try that was served
-	Who    int           `json:"Who"`   // client or node, for a picture of it
+	Key      string        `json:"Key"`
+	From     time.Duration `json:"From"`
+	Until    time.Duration `json:"Until"` // 0: no end
+	Effect   bool          `json:"Effect"`
+	Served   bool          `json:"Served"`
+	Value    string        `json:"Value"` // answer of an attempt that was served
+	ClientID int           `json:"Who"`   // unique number of the operation: each has a porcupine client of its own
 }
 
-// keyState is what a key has come to: an effect, and the answer that was given.
+// keyState is the state of a key in the model: whether its effect has happened, and the answer that clients got.
 type keyState struct {
-	done  bool
-	value string
+	applied bool
+	value   string
 }
 
-// keyModel is the specification (Herlihy and Wing 1990, checked as by Lowe 2017): an effect may happen where none has; a try that is served has its answer from an effect that has
-// happened, the same as every other's; any other end of a try says nothing.
+// keyModel is the sequential specification of a key for the linearizability checker (Herlihy and Wing 1990, checked as
+// by Lowe 2017): an effect may happen only once; an attempt may be served only after the effect, with the same value as
+// all others; any other result of an attempt is allowed in every state.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyState{} },
 	Step: func(state, input, _ any) (bool, any) {
 		s, x := state.(keyState), input.(Step)
 		switch {
 		case x.Effect:
-			return !s.done, keyState{true, s.value}
+			return !s.applied, keyState{true, s.value}
 		case x.Served:
-			return s.done && (s.value == "" || s.value == x.Value), keyState{s.done, x.Value}
+			return s.applied && (s.value == "" || s.value == x.Value), keyState{s.applied, x.Value}
 		}
 		return true, s
 	},
@@ -53,32 +56,32 @@
 	DescribeOperation: func(in, _ any) string { return fmt.Sprintf("%+v", in) },
 }
 
-// CheckOnce checks, by what backends saw and clients were answered, that the work of each key happened once and has
-// one answer.
+// CheckOnce returns a violation for each key with several effects at backends or with different answers to clients.
 func (r *Report) CheckOnce() (out []rulecheck.Violation) {
-	for _, w := range r.Keyed {
-		if w.Effects > 1 || w.Values > 1 {
-			out = append(out, rulecheck.Violation{Rule: OnceByKey, At: w.First, Until: w.First + w.Patience, Detail: fmt.Sprintf("key %s has %d effects in %d racks and %d answers", w.Key, w.Effects, w.Racks, w.Values)})
+	for _, request := range r.KeyedRequests {
+		if request.Effects > 1 || request.Values > 1 {
+			out = append(out, rulecheck.Violation{Rule: RuleOnceByKey, At: request.FirstSentAt, Until: request.FirstSentAt + request.ClientTimeout, Detail: fmt.Sprintf("key %s has %d effects in %d racks and %d answers", request.Key, request.Effects, request.Racks, request.Values)})
 		}
 	}
 	return out
 }
 
-// CheckHistory looks for an order of each key's steps, within their times, that keyModel allows, and returns what there is none for.
-func CheckHistory(steps []Step) (broken []string) {
+// CheckHistory checks that the steps of each key are linearizable under keyModel, and returns a description of each key
+// for which they are not.
+func CheckHistory(steps []Step) (violations []string) {
 	byKey := map[string][]porcupine.Operation{}
 	for _, x := range steps {
 		end := int64(x.Until)
 		if x.Until == 0 {
 			end = math.MaxInt64
 		}
-		byKey[x.Key] = append(byKey[x.Key], porcupine.Operation{ClientId: x.Who, Input: x, Call: int64(x.From), Return: end})
+		byKey[x.Key] = append(byKey[x.Key], porcupine.Operation{ClientId: x.ClientID, Input: x, Call: int64(x.From), Return: end})
 	}
 	for key, ops := range byKey {
-		if res := porcupine.CheckOperationsTimeout(keyModel, ops, historyTime); res != porcupine.Ok {
-			broken = append(broken, fmt.Sprintf("%s: key %s: %d steps: %s", OnceByKey, key, len(ops), res))
+		if res := porcupine.CheckOperationsTimeout(keyModel, ops, historyCheckTimeout); res != porcupine.Ok {
+			violations = append(violations, fmt.Sprintf("%s: key %s: %d steps: %s", RuleOnceByKey, key, len(ops), res))
 		}
 	}
-	slices.Sort(broken)
-	return broken
+	slices.Sort(violations)
+	return violations
 }
--- a/internal/lab/stores.go
+++ b/internal/lab/stores.go
@@ -8,50 +8,50 @@
 	"hitchspring/internal/standin/tally"
 )
 
-// store is a stand-in for a shared counter, as the timeline and the report need it.
+// store is a stand-in for a shared counter store, with the operations that the timeline and the report need.
 type store interface {
 	Addr() string
 	Do(line string) error
 	Calls() int
 }
 
-func (w *Testbed) openStore() error {
-	switch w.day.Store {
+func (tb *Testbed) openStore() error {
+	switch tb.scenarioConfig.Store {
 	case scenario.StoreTally:
-		s, err := tally.Start(w.net+".1:0", w.cfg.Seed)
+		s, err := tally.Start(tb.network+".1:0", tb.cfg.Seed)
 		if err != nil {
 			return err
 		}
-		w.onClose(s.Close)
-		w.store = tallyStore{s}
+		tb.onClose(s.Close)
+		tb.store = tallyStore{s}
 	default:
-		s, err := redis.Start(redis.Options{Seed: w.cfg.Seed, Listen: w.net + ".1:0"})
+		s, err := redis.Start(redis.Options{Seed: tb.cfg.Seed, Listen: tb.network + ".1:0"})
 		if err != nil {
 			return err
 		}
-		w.onClose(s.Close)
-		replica, err := s.Group().AddReplica(redis.Options{Seed: w.cfg.Seed, Listen: w.net + ".1:0"})
+		tb.onClose(s.Close)
+		replica, err := s.Group().AddReplica(redis.Options{Seed: tb.cfg.Seed, Listen: tb.network + ".1:0"})
 		if err != nil {
 			return err
 		}
-		w.onClose(replica.Close)
-		w.store = redisStore{s}
+		tb.onClose(replica.Close)
+		tb.store = redisStore{s}
 	}
 	return nil
 }
 
 type tallyStore struct{ *tally.Server }
 
-// Calls is how many came.
+// Calls returns the number of calls received.
 func (s tallyStore) Calls() int { return len(s.Records()) }
 
-// redisStore hands the timeline's words to whoever is the primary by then.
+// redisStore applies fault commands to the current primary of a replication group.
 type redisStore struct{ *redis.Server }
 
-// Do hands a word on.
+// Do applies a fault command to the current primary.
 func (s redisStore) Do(line string) error { return s.Group().Primary().Do(line) }
 
-// Calls is how many adds came.
+// Calls returns the number of scripts run, each of which adds to counters.
 func (s redisStore) Calls() int {
 	n := 0
 	for _, r := range s.Records() {
