--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -17,90 +17,91 @@
 )
 
 const (
-	lateBy       = 500 * time.Millisecond // beyond a request's time, up to which its answer only earns nothing
-	answerWait   = lateBy + 350*time.Millisecond
-	badClient    = 3 * time.Second // within which a client that misbehaves is owed an error or the end of its connection
-	frontNotice  = 300 * time.Millisecond
-	bodyShare    = 0.05
-	mostBody     = 60 << 10
-	slowPieces   = 12   // of a request that comes slowly, on the mean
-	mostNonsense = 6    // commands of one connection that are no requests: the tenth ends it
-	ratePerSec   = 12.0 // first requests a second at each instance
+	lateAnswerGrace    = 500 * time.Millisecond                 // after the timeout, in which an answer is late but allowed
+	answerReadGrace    = lateAnswerGrace + 350*time.Millisecond // after the timeout, in which a client still reads
+	misbehaviorTimeout = 3 * time.Second                        // until a misbehaving client must be answered or cut off
+	balancerDelay      = 300 * time.Millisecond                 // until the balancer in front avoids a draining instance
+	bodyFraction       = 0.05                                   // of the requests that may change something
+	maxBodyBytes       = 60 << 10
+	meanSlowPieces     = 12   // in which a slow client sends a request
+	maxUnknownCommands = 6    // on one connection; the instance closes it at the tenth
+	requestsPerSecond  = 12.0 // of the steady client of each instance
 )
 
-// asked is one request as its client saw it.
+// clientRequest is one request as its client saw it.
 type clientRequest struct {
-	id, class string
-	kind      string // of the client
-	in        *instance
-	since     time.Duration // when its connection was dialled, where that was long before
-	sent      time.Duration
-	wait      time.Duration // that it said it waits
-	owed      time.Duration // after sent: by when the answer is, where it counts from the answer before it on the connection
-	answers   []rulecheck.Answer
-	value     string
-	fresh     bool          // the first on its connection
-	noConnect bool          // its connection was not taken
-	ended     time.Duration // when its connection ended without an answer; 0: it has not
-	left      time.Duration // when the client had closed its connection; 0: it stayed
-	waited    time.Duration // until when the client waited without an answer; 0: it has one, or none is owed
+	id, class    string
+	kind         string        // of the client that sends it
+	in           *instance     // that it is sent to
+	dialedAt     time.Duration // when its connection was opened, of a slow client; 0: of another
+	sent         time.Duration // when it was sent
+	timeout      time.Duration // that the request names
+	answerDue    time.Duration // after sent; later than timeout if the answer before it on the connection was later
+	answers      []rulecheck.Answer
+	value        string        // of the answer
+	firstOnConn  bool          // no request was sent on its connection before
+	notConnected bool          // no instance took it: its client sends it to another
+	connEndedAt  time.Duration // when its connection ended without an answer; 0: it did not
+	left         time.Duration // when its client closed the connection without waiting; 0: it did not
+	gaveUpAt     time.Duration // when its client stopped waiting for the answer; 0: it did not
 }
 
-// channel is a customer with its plan and set of instances.
-type channel struct {
+// tenant is a tenant with its plan and the instances that it uses: spread of them, from first on.
+type tenant struct {
 	id            uint64
 	plan          string
 	spread, first int
 }
 
-// channels are the customers that come through an instance: the last is shared by neighbours and presses against its ceiling.
-func (r *run) channels(n int) []channel {
-	var out []channel
+// tenants returns the tenants that use an instance. The last is shared with neighboring instances and exceeds its
+// ceiling.
+func (r *run) tenants(n int) []tenant {
+	var out []tenant
 	for k := range 6 {
-		out = append(out, channel{id: uint64(1000 + n*10 + k), plan: "small", spread: min(1+k%3, r.cfg.Instances), first: n})
+		out = append(out, tenant{id: uint64(1000 + n*10 + k), plan: "small", spread: min(1+k%3, r.cfg.Instances), first: n})
 	}
 	spread := min(3, r.cfg.Instances)
-	return append(out, channel{id: uint64(900000 + n/spread), plan: "large", spread: spread, first: n / spread * spread % r.cfg.Instances})
+	return append(out, tenant{id: uint64(900000 + n/spread), plan: "large", spread: spread, first: n / spread * spread % r.cfg.Instances})
 }
 
-// request is a request that is about to be sent.
+// request is a request before it is sent.
 type request struct {
 	clientRequest
-	text string
+	text string // the encoded command
 }
 
-// newRequest words a request of a class for a customer.
+// newRequest draws a request from a client of an instance.
 func (r *run) newRequest(kind string, in *instance, rng *rand.Rand) request {
-	c := r.deployment.draw(rng)
-	list := r.channels(in.n)
-	ch := list[len(list)-1]
+	c := r.deployment.drawClass(rng)
+	choices := r.tenants(in.index)
+	t := choices[len(choices)-1]
 	if rng.Float64() < 0.6 {
-		ch = list[rng.IntN(len(list)-1)]
+		t = choices[rng.IntN(len(choices)-1)]
 	}
 	id := fmt.Sprintf("%016x", r.lastID.Add(1))
-	wait := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64())).Truncate(time.Millisecond)
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d", c.name, ch.plan, wait.Milliseconds(), c.units, ch.spread, ch.first)
+	timeout := time.Duration(float64(c.deadline) * (0.5 + 0.5*rng.Float64())).Truncate(time.Millisecond)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d", c.name, t.plan, timeout.Milliseconds(), c.units, t.spread, t.first)
 	name := "Q.DO"
 	switch c.effect {
-	case safe:
+	case effectSafe:
 		name = "Q.ASK"
-	case keyed:
+	case effectKeyed:
 		fields += ",k=" + id
 	}
-	words := []string{name, fmt.Sprintf("%016x", ch.id), id, fields}
-	if c.effect != safe && rng.Float64() < bodyShare {
-		words = append(words, strings.Repeat("b", 1+rng.IntN(mostBody)))
+	args := []string{name, fmt.Sprintf("%016x", t.id), id, fields}
+	if c.effect != effectSafe && rng.Float64() < bodyFraction {
+		args = append(args, strings.Repeat("b", 1+rng.IntN(maxBodyBytes)))
 	}
-	text := respclient.EncodeCommand(words...)
-	return request{clientRequest: clientRequest{id: id, class: c.name, kind: kind, in: in, wait: wait}, text: text}
+	text := respclient.EncodeCommand(args...)
+	return request{clientRequest: clientRequest{id: id, class: c.name, kind: kind, in: in, timeout: timeout}, text: text}
 }
 
-// conn is a client's connection.
+// conn is a connection of a client.
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool
-	rest time.Time // since when nothing is open on it
+	in        *bufio.Reader
+	used      bool // it has answered a request
+	idleSince time.Time
 }
 
 func (in *instance) dial() (*conn, error) {
@@ -111,80 +112,82 @@
 	return &conn{Conn: nc, in: bufio.NewReader(nc)}, nil
 }
 
-// answer reads one answer.
-func (c *conn) answer(until time.Time) (respclient.Answer, error) {
-	c.SetReadDeadline(until)
+// answer reads one answer until a deadline.
+func (c *conn) answer(deadline time.Time) (respclient.Answer, error) {
+	c.SetReadDeadline(deadline)
 	return respclient.ReadAnswer(c.in)
 }
 
-// note records a request as it went.
-func (r *run) note(a clientRequest) {
+// recordRequest adds a request to those that are checked.
+func (r *run) recordRequest(req clientRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.clientRequests = append(r.clientRequests, a)
+	r.clientRequests = append(r.clientRequests, req)
 }
 
-// reads awaits the answer of a request that was sent on a connection; before is when the answer ahead of it came.
-func (r *run) reads(c *conn, a *clientRequest, before time.Duration) error {
-	a.owed = max(a.wait, before-a.sent)
-	until := time.Now().Add(a.sent + a.owed + answerWait - r.clock())
-	answer, err := c.answer(until)
+// awaitAnswer reads the answer of a request and records its outcome. previousAnswerAt is when the answer before it on
+// the connection arrived.
+func (r *run) awaitAnswer(c *conn, req *clientRequest, previousAnswerAt time.Duration) error {
+	req.answerDue = max(req.timeout, previousAnswerAt-req.sent)
+	deadline := time.Now().Add(req.sent + req.answerDue + answerReadGrace - r.clock())
+	answer, err := c.answer(deadline)
 	now := r.clock()
 	switch {
 	case err == nil:
-		a.answers = append(a.answers, rulecheck.Answer{At: now, Kind: answer.Kind})
-		a.value = answer.Value
+		req.answers = append(req.answers, rulecheck.Answer{At: now, Kind: answer.Kind})
+		req.value = answer.Value
 	case errors.Is(err, respclient.ErrClosed):
-		a.ended = now
+		req.connEndedAt = now
 	default:
-		a.waited = now
+		req.gaveUpAt = now
 	}
 	return err
 }
 
-// once sends one request on a connection and reads its answer. Where a connection that was used before ends under it and the request
-// was not forwarded, it is sent once more on a new one, as the protocol has it.
-func (r *run) once(c *conn, q request) (*conn, bool) {
-	a := q.clientRequest
+// send sends one request on a connection, or on a new one if c is nil, and reads its answer. If a reused connection
+// ends before the answer, and the request was not forwarded, it is sent again on a new connection, as the protocol
+// demands. It returns the connection if it can be reused.
+func (r *run) send(c *conn, q request) (*conn, bool) {
+	req := q.clientRequest
 	for {
 		if c == nil {
 			var err error
-			if !a.in.open() { // the front sends it to another
+			if !req.in.inRotation() { // the balancer sends the request to another instance
 				err = respclient.ErrClosed
 			} else {
-				c, err = a.in.dial()
+				c, err = req.in.dial()
 			}
 			if err != nil {
-				a.sent, a.noConnect = r.clock(), true
-				r.note(a)
+				req.sent, req.notConnected = r.clock(), true
+				r.recordRequest(req)
 				return nil, false
 			}
 		}
-		a.sent, a.fresh, a.ended = r.clock(), !c.used, 0
+		req.sent, req.firstOnConn, req.connEndedAt = r.clock(), !c.used, 0
 		_, err := io.WriteString(c, q.text)
 		if err == nil {
-			err = r.reads(c, &a, 0)
+			err = r.awaitAnswer(c, &req, 0)
 		} else {
-			a.ended = r.clock()
+			req.connEndedAt = r.clock()
 		}
 		if err == nil {
-			c.used, c.rest = true, time.Now()
-			r.note(a)
+			c.used, c.idleSince = true, time.Now()
+			r.recordRequest(req)
 			return c, true
 		}
 		c.Close()
 		c = nil
-		if a.ended > 0 && !a.fresh && !r.forwarded(a.id) {
+		if req.connEndedAt > 0 && !req.firstOnConn && !r.forwarded(req.id) {
 			continue
 		}
-		r.note(a)
+		r.recordRequest(req)
 		return nil, false
 	}
 }
 
-// forwarded reports whether a request has come to a backend.
+// forwarded reports whether a request has reached a backend.
 func (r *run) forwarded(id string) bool {
-	time.Sleep(20 * time.Millisecond) // the backend's record may be on its way
+	time.Sleep(20 * time.Millisecond) // the backend may not have recorded it yet
 	for _, rec := range r.fleet.Records(0) {
 		if rec.ID == id {
 			return true
@@ -193,33 +196,33 @@
 	return false
 }
 
-// open reports whether the front before the instances still sends new connections to one.
-func (in *instance) open() bool {
+// inRotation reports whether the balancer in front still sends new connections to the instance.
+func (in *instance) inRotation() bool {
 	now := in.run.clock()
-	return in.leavingFor(now) <= frontNotice && !in.draining(now-frontNotice)
+	return in.timeSinceShutdown(now) <= balancerDelay && !in.draining(now-balancerDelay)
 }
 
-// steady sends requests at a rate, each on a connection that rests or a new one.
-func (r *run) steady(ctx context.Context, in *instance, rng *rand.Rand) {
+// steadyClient sends requests at a steady mean rate, each on an idle connection or a new one.
+func (r *run) steadyClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	var mu sync.Mutex
 	var idle []*conn
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for sleep(ctx, time.Duration(rng.ExpFloat64()/ratePerSec*float64(time.Second))) {
+	for sleep(ctx, time.Duration(rng.ExpFloat64()/requestsPerSecond*float64(time.Second))) {
 		mu.Lock()
 		var c *conn
-		if len(idle) > 0 { // any of them, so that some get old
+		if len(idle) > 0 { // a random one, so that some grow old
 			i := rng.IntN(len(idle))
 			c = idle[i]
 			idle = append(idle[:i], idle[i+1:]...)
 		}
 		mu.Unlock()
-		if c == nil && !in.open() {
+		if c == nil && !in.inRotation() {
 			continue
 		}
 		q := r.newRequest("steady", in, rng)
 		wg.Go(func() {
-			if c, ok := r.once(c, q); ok {
+			if c, ok := r.send(c, q); ok {
 				mu.Lock()
 				idle = append(idle, c)
 				mu.Unlock()
@@ -232,17 +235,18 @@
 	}
 }
 
-// resting sends a request on a connection that has rested for nearly as long as the instance lets it, or until the instance ends it.
-func (r *run) resting(ctx context.Context, in *instance, rng *rand.Rand) {
+// idleClient sends requests on one connection with pauses about as long as the instance's idle timeout. It opens a new
+// one when the instance closes it.
+func (r *run) idleClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	var c *conn
 	for {
-		if c == nil && !in.open() {
+		if c == nil && !in.inRotation() {
 			if !sleep(ctx, 100*time.Millisecond) {
 				return
 			}
 			continue
 		}
-		c, _ = r.once(c, r.newRequest("resting", in, rng))
+		c, _ = r.send(c, r.newRequest("resting", in, rng))
 		if !sleep(ctx, 1950*time.Millisecond+time.Duration(rng.Int64N(int64(450*time.Millisecond)))) {
 			if c != nil {
 				c.Close()
@@ -252,69 +256,70 @@
 	}
 }
 
-// pipelining sends many commands at once on one connection, and reads the answers in their order.
-func (r *run) pipelining(ctx context.Context, in *instance, rng *rand.Rand) {
+// pipeliningClient sends many commands at once on one connection, some of them unknown, and reads the answers in
+// order.
+func (r *run) pipeliningClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	for sleep(ctx, time.Duration(500+rng.IntN(2500))*time.Millisecond) {
-		if !in.open() {
+		if !in.inRotation() {
 			continue
 		}
 		c, err := in.dial()
 		if err != nil {
 			continue
 		}
-		list := make([]request, 2+rng.IntN(120))
+		requests := make([]request, 2+rng.IntN(120))
 		var text strings.Builder
-		nonsense := rng.IntN(mostNonsense + 1)
-		for i := range list {
-			list[i] = r.newRequest("pipelining", in, rng)
-			if nonsense > 0 && rng.IntN(12) == 0 {
-				nonsense--
+		unknownCommands := rng.IntN(maxUnknownCommands + 1)
+		for i := range requests {
+			requests[i] = r.newRequest("pipelining", in, rng)
+			if unknownCommands > 0 && rng.IntN(12) == 0 {
+				unknownCommands--
 				text.WriteString(respclient.EncodeCommand("NONSENSE", "x"))
 			}
-			text.WriteString(list[i].text)
+			text.WriteString(requests[i].text)
 		}
 		sent := r.clock()
 		_, err = io.WriteString(c, text.String())
-		before := time.Duration(0)
-		for i := range list {
-			a := &list[i].clientRequest
-			a.sent, a.fresh = sent, true
+		previousAnswerAt := time.Duration(0)
+		for i := range requests {
+			req := &requests[i].clientRequest
+			req.sent, req.firstOnConn = sent, true
 			for err == nil {
-				if err = r.reads(c, a, before); err == nil && a.value != "" && strings.Contains(a.value, "unknown command") { // the nonsense's
-					a.answers, a.value, before = nil, "", r.clock()
+				if err = r.awaitAnswer(c, req, previousAnswerAt); err == nil && req.value != "" && strings.Contains(req.value, "unknown command") { // the answer of an unknown command
+					req.answers, req.value, previousAnswerAt = nil, "", r.clock()
 					continue
 				}
 				break
 			}
-			if err != nil && a.ended == 0 && a.waited == 0 {
-				a.ended = r.clock()
+			if err != nil && req.connEndedAt == 0 && req.gaveUpAt == 0 {
+				req.connEndedAt = r.clock()
 			}
-			before = r.clock()
-			r.note(*a)
+			previousAnswerAt = r.clock()
+			r.recordRequest(*req)
 		}
 		c.Close()
 	}
 }
 
-// leaving sends some requests and closes the connection, without or with a reset.
-func (r *run) leaving(ctx context.Context, in *instance, rng *rand.Rand) {
+// disconnectingClient sends some requests and closes the connection at once, half of the time with a reset.
+func (r *run) disconnectingClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	for sleep(ctx, time.Duration(100+rng.IntN(600))*time.Millisecond) {
-		if !in.open() {
+		if !in.inRotation() {
 			continue
 		}
 		c, err := in.dial()
 		if err != nil {
 			continue
 		}
-		list := make([]request, 1+rng.IntN(12))
+		requests := make([]request, 1+rng.IntN(12))
 		var text strings.Builder
-		for i := range list {
-			list[i] = r.newRequest("leaving", in, rng)
-			text.WriteString(list[i].text)
+		for i := range requests {
+			requests[i] = r.newRequest("leaving", in, rng)
+			text.WriteString(requests[i].text)
 		}
 		sent := r.clock()
 		io.WriteString(c, text.String())
-		if rng.IntN(3) == 0 { // with half of another behind
+		if rng.IntN(3) == 0 { // followed by a part of another
 			part := r.newRequest("leaving", in, rng).text
 			io.WriteString(c, part[:rng.IntN(len(part))])
 		}
@@ -324,24 +329,24 @@
 		}
 		c.Close()
 		left := r.clock()
-		for _, q := range list {
-			q.sent, q.left, q.fresh = sent, left, true
-			r.note(q.clientRequest)
+		for _, q := range requests {
+			q.sent, q.left, q.firstOnConn = sent, left, true
+			r.recordRequest(q.clientRequest)
 		}
 	}
 }
 
-// Bounds of a connection on which requests are sent unpaced.
+// The bounds of a connection on which requests are sent unpaced.
 const (
-	maxUnpacedGap      = 60 * time.Millisecond // the longest between two requests
-	maxUnpacedRequests = 400                   // requests on one connection
+	maxUnpacedGap      = 60 * time.Millisecond // between two requests
+	maxUnpacedRequests = 400
 )
 
-// unpaced sends request after request on one connection, without waiting for the answers, until the instance ends the
-// connection: also after a SIGTERM, up to the SIGKILL.
-func (r *run) unpaced(ctx context.Context, in *instance, rng *rand.Rand) {
+// unpacedClient sends requests on one connection without waiting for their answers until the instance closes it. It
+// goes on after SIGTERM, so that requests arrive during the whole shutdown.
+func (r *run) unpacedClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	for sleep(ctx, time.Duration(100+rng.IntN(400))*time.Millisecond) {
-		if !in.open() {
+		if !in.inRotation() {
 			continue
 		}
 		c, err := in.dial()
@@ -353,7 +358,7 @@
 	}
 }
 
-// sendUnpaced sends requests on a connection and reads their answers, until it ends or the load does.
+// sendUnpaced sends requests on a connection and reads their answers until the connection or the load ends.
 func (r *run) sendUnpaced(ctx context.Context, c *conn, in *instance, rng *rand.Rand) {
 	sent := make(chan *clientRequest, maxUnpacedRequests)
 	var reading sync.WaitGroup
@@ -364,9 +369,9 @@
 	})
 	for n := range maxUnpacedRequests {
 		q := r.newRequest("unpaced", in, rng)
-		a := &q.clientRequest
-		a.sent, a.fresh = r.clock(), n == 0
-		sent <- a
+		req := &q.clientRequest
+		req.sent, req.firstOnConn = r.clock(), n == 0
+		sent <- req
 		if _, err := io.WriteString(c, q.text); err != nil {
 			break
 		}
@@ -378,7 +383,7 @@
 	reading.Wait()
 }
 
-// awaitNextUnpaced waits until the next request is due. It reports false if the connection has ended or the load has.
+// awaitNextUnpaced waits until the next request is due. It returns false if the connection or the load ends before.
 func (r *run) awaitNextUnpaced(ctx context.Context, ended <-chan struct{}, rng *rand.Rand) bool {
 	timer := time.NewTimer(time.Duration(rng.Int64N(int64(maxUnpacedGap))))
 	defer timer.Stop()
@@ -392,32 +397,32 @@
 	}
 }
 
-// readUnpaced reads the answers of a connection in their order. Once it has ended, a request that no backend has seen is
-// sent to another instance, as the protocol has it; the others are owed their answers.
+// readUnpaced reads the answers of a connection in order. After the connection has ended, its client sends the
+// requests that no backend has seen to another instance, as the protocol demands. The others are owed an answer.
 func (r *run) readUnpaced(c *conn, sent <-chan *clientRequest) {
 	var err error
-	before := time.Duration(0)
-	for a := range sent {
+	previousAnswerAt := time.Duration(0)
+	for req := range sent {
 		if err == nil {
-			err = r.reads(c, a, before)
-			before = r.clock()
+			err = r.awaitAnswer(c, req, previousAnswerAt)
+			previousAnswerAt = r.clock()
 		} else {
-			a.ended = r.clock()
+			req.connEndedAt = r.clock()
 		}
-		if a.ended > 0 && !a.fresh && !r.forwarded(a.id) {
-			a.noConnect = true
+		if req.connEndedAt > 0 && !req.firstOnConn && !r.forwarded(req.id) {
+			req.notConnected = true
 		}
-		r.note(*a)
+		r.recordRequest(*req)
 		if err != nil {
 			c.Close()
 		}
 	}
 }
 
-// slow sends a request in pieces.
-func (r *run) slow(ctx context.Context, in *instance, rng *rand.Rand) {
+// slowClient sends requests in pieces with pauses between them.
+func (r *run) slowClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	for sleep(ctx, time.Duration(300+rng.IntN(1500))*time.Millisecond) {
-		if !in.open() {
+		if !in.inRotation() {
 			continue
 		}
 		c, err := in.dial()
@@ -425,28 +430,29 @@
 			continue
 		}
 		q := r.newRequest("slow", in, rng)
-		a, rest := q.clientRequest, q.text
-		a.fresh, a.since = true, r.clock()
+		req, rest := q.clientRequest, q.text
+		req.firstOnConn, req.dialedAt = true, r.clock()
 		for len(rest) > 0 && err == nil {
-			n := min(len(rest), 1+rng.IntN(2*len(q.text)/slowPieces))
+			n := min(len(rest), 1+rng.IntN(2*len(q.text)/meanSlowPieces))
 			_, err = io.WriteString(c, rest[:n])
 			if rest = rest[n:]; len(rest) > 0 {
 				sleep(ctx, time.Duration(rng.IntN(250))*time.Millisecond)
 			}
 		}
-		a.sent = r.clock()
+		req.sent = r.clock()
 		if err == nil {
-			r.reads(c, &a, 0)
-			r.note(a)
+			r.awaitAnswer(c, &req, 0)
+			r.recordRequest(req)
 		}
 		c.Close()
 	}
 }
 
-// stalling sends a part of a command and stays; it is owed an error or the end of its connection.
-func (r *run) stalling(ctx context.Context, in *instance, rng *rand.Rand) {
+// stallingClient sends a part of a command and then nothing. The instance must send an error or close the connection
+// within misbehaviorTimeout.
+func (r *run) stallingClient(ctx context.Context, in *instance, rng *rand.Rand) {
 	for sleep(ctx, time.Duration(300+rng.IntN(2000))*time.Millisecond) {
-		if !in.open() {
+		if !in.inRotation() {
 			continue
 		}
 		c, err := in.dial()
@@ -456,12 +462,12 @@
 		text := r.newRequest("stalling", in, rng).text
 		io.WriteString(c, text[:1+rng.IntN(len(text)-1)])
 		began := r.clock()
-		c.SetReadDeadline(time.Now().Add(badClient + time.Second))
+		c.SetReadDeadline(time.Now().Add(misbehaviorTimeout + time.Second))
 		_, err = c.in.ReadByte()
 		took := r.clock() - began
 		c.Close()
-		if took > badClient+tolerance && !in.killedWithin(began, began+took) {
-			r.found(RuleBadClients, began+took, fmt.Sprintf("%s left a client that stopped within a command without a word for %v (%v)", in.Name, took.Round(time.Millisecond), err))
+		if took > misbehaviorTimeout+tolerance && !in.killedWithin(began, began+took) {
+			r.addViolation(RuleMisbehavingClients, began+took, fmt.Sprintf("%s left a client that stopped within a command without a word for %v (%v)", in.Name, took.Round(time.Millisecond), err))
 		}
 	}
 }
--- a/internal/lab/soak/instance.go
+++ b/internal/lab/soak/instance.go
@@ -18,100 +18,102 @@
 	"hitchspring/internal/lab/respclient"
 )
 
-// killAfter is how long after SIGTERM, beyond the longest deadline (3 s at most), the platform sends SIGKILL.
-const killAfter = 700 * time.Millisecond
+// killGrace is how long after SIGTERM the platform sends SIGKILL, in addition to the longest deadline (3 s at most).
+const killGrace = 700 * time.Millisecond
 
-// instance is one ingress, a process of its own, and what was done to it.
+// in is one ingress, which runs as a process of its own, with what was done to it. Its times are those of the
+// run's clock.
 type instance struct {
 	proc.Process
-	run    *run
-	n      int
-	addr   string
-	admin  string    // of the operators' door
-	config string    // path of its configuration
-	agents [2]string // of discovery: a new configuration moves from one to the other
-	acting sync.Mutex
+	run             *run
+	index           int
+	addr            string
+	adminAddr       string     // of the admin server
+	config          string     // path of its configuration file
+	discoveryAgents [2]string  // addresses; each reload moves the instance from one to the other
+	operationMu     sync.Mutex // serializes starts, stops and reloads
 
-	mu              sync.Mutex
-	kills           []time.Duration // by the run, of a process that owed nothing any more
-	terms           []time.Duration
-	ends            []time.Duration
-	starts          []time.Duration
-	hangups         []time.Duration
-	overrun         []time.Duration // kills of a process that had not ended by the time that the platform leaves it
-	startup         []time.Duration // how long each start took
-	drains          []span          // by operators, until it is surely back at work
-	crowds          []span          // in which all its places may be taken; r.mu
-	configuredAgent int             // which agent its configuration names
-	expected        bool            // its end is
-	ending          bool            // it has been sent a SIGTERM
-	activations     int             // calls of operators that ended a drain
-	lateSignals     int             // sent to it after a first SIGTERM
-	nearestKill     time.Duration   // the least time that was left to SIGKILL when it had ended after a SIGTERM; 0: it never has
-	crashed         []string
-	violated        []string // lines of its log about an invariant
+	mu                sync.Mutex      // guards all below except floods
+	killedAt          []time.Duration // SIGKILLs as a fault; requests in flight then are owed no answer
+	terminatedAt      []time.Duration // SIGTERMs
+	endedAt           []time.Duration // exits
+	startedAt         []time.Duration // when it was ready after each start
+	reloadedAt        []time.Duration // SIGHUPs
+	timedOutAt        []time.Duration // SIGKILLs because a shutdown outlasted its limit
+	startDurations    []time.Duration
+	drains            []span // by operators, each until the instance must be active again
+	floods            []span // in which all its connections may be taken; guarded by run.mu
+	configuredAgent   int    // index in discoveryAgents of the one that its configuration names
+	exitExpected      bool
+	terminating       bool          // between a SIGTERM and the next start
+	activations       int           // operator calls that ended a drain
+	lateSignals       int           // signals sent after the first SIGTERM
+	minTimeBeforeKill time.Duration // shortest time from the end of a shutdown to its limit; 0: none has ended
+	crashes           []string      // exits that were not expected, and starts that failed
+	invariantLines    []string      // log lines about a violated invariant, a panic or a data race
 }
 
-// lineWriter hands whole lines to a function, and passes everything on.
+// lineWriter calls a function with each complete line, and passes all bytes on to a writer.
 type lineWriter struct {
-	to   io.Writer
-	line func(string)
-	rest []byte
+	output  io.Writer
+	onLine  func(string)
+	partial []byte // line that is not complete yet
 }
 
-// Write is io.Writer's.
+// Write implements io.Writer.
 func (w *lineWriter) Write(p []byte) (int, error) {
-	w.rest = append(w.rest, p...)
+	w.partial = append(w.partial, p...)
 	for {
-		i := bytes.IndexByte(w.rest, '\n')
+		i := bytes.IndexByte(w.partial, '\n')
 		if i < 0 {
 			break
 		}
-		w.line(string(w.rest[:i]))
-		w.rest = w.rest[i+1:]
+		w.onLine(string(w.partial[:i]))
+		w.partial = w.partial[i+1:]
 	}
-	return w.to.Write(p)
+	return w.output.Write(p)
 }
 
-// newInstance prepares an instance; it does not run yet.
-func (r *run) newInstance(n int) (*instance, error) {
-	in := &instance{run: r, n: n, config: filepath.Join(r.dir, fmt.Sprintf("n%d.json", n))}
-	held, err := proc.ReserveAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
+// newInstance prepares an instance without starting it.
+func (r *run) newInstance(index int) (*instance, error) {
+	in := &instance{run: r, index: index, config: filepath.Join(r.tempDir, fmt.Sprintf("n%d.json", index))}
+	clientReservation, err := proc.ReserveAddress(fmt.Sprintf("%s.%d", r.networkPrefix, firstInstanceHost+index))
 	if err != nil {
 		return nil, err
 	}
-	r.onClose(held.Release)
-	door, err := proc.ReserveAddress(fmt.Sprintf("%s.%d", r.network, firstInstanceHost+n))
+	r.onClose(clientReservation.Release)
+	adminReservation, err := proc.ReserveAddress(fmt.Sprintf("%s.%d", r.networkPrefix, firstInstanceHost+index))
 	if err != nil {
 		return nil, err
 	}
-	r.onClose(door.Release)
-	in.addr, in.admin = held.Addr(), door.Addr()
-	state := filepath.Join(r.dir, fmt.Sprint("state-", n))
+	r.onClose(adminReservation.Release)
+	in.addr, in.adminAddr = clientReservation.Addr(), adminReservation.Addr()
+	state := filepath.Join(r.tempDir, fmt.Sprint("state-", index))
 	if err := os.MkdirAll(state, 0o755); err != nil {
 		return nil, err
 	}
-	log, err := os.Create(filepath.Join(r.logs, fmt.Sprintf("n%d.log", n)))
+	log, err := os.Create(filepath.Join(r.logDir, fmt.Sprintf("n%d.log", index)))
 	if err != nil {
 		return nil, err
 	}
 	r.onClose(func() { log.Close() })
 	in.Process = proc.Process{
-		Name: fmt.Sprint("n", n), Program: r.cfg.Program, Output: &lineWriter{to: log, line: in.logged}, IsServing: in.ping, OnExit: in.ended,
+		Name: fmt.Sprint("n", index), Program: r.cfg.Program, Output: &lineWriter{output: log, onLine: in.checkLogLine}, IsServing: in.ping, OnExit: in.onExit,
 		Env: append(os.Environ(), "ROUTER_CONFIG="+in.config, "HITCHSPRING_OPTIONS=", "TMPDIR="+state),
 	}
 	return in, nil
 }
 
-// logged notes what an instance says of its invariants, and what the runtime says of it.
-func (in *instance) logged(line string) {
+// checkLogLine records a log line that reports a violated invariant, a panic or a data race.
+func (in *instance) checkLogLine(line string) {
 	if strings.Contains(line, "invariant violated") || strings.Contains(line, "panic:") || strings.Contains(line, "DATA RACE") {
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		in.violated = append(in.violated, line)
+		in.invariantLines = append(in.invariantLines, line)
 	}
 }
 
+// ping reports whether the instance answers PING.
 func (in *instance) ping() bool {
 	nc, err := net.DialTimeout("tcp", in.addr, 200*time.Millisecond)
 	if err != nil {
@@ -125,18 +127,19 @@
 	return err == nil && string(b[:]) == "+PONG"
 }
 
-func (in *instance) ended(err error) {
+// onExit records the exit of the process, and a crash if the exit was not expected.
+func (in *instance) onExit(err error) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.ends = append(in.ends, in.run.clock())
-	if !in.expected {
-		in.crashed = append(in.crashed, fmt.Sprintf("%s ended by itself at %.3f s: %v: %s", in.Name, in.run.clock().Seconds(), err, in.LastLine()))
+	in.endedAt = append(in.endedAt, in.run.clock())
+	if !in.exitExpected {
+		in.crashes = append(in.crashes, fmt.Sprintf("%s ended by itself at %.3f s: %v: %s", in.Name, in.run.clock().Seconds(), err, in.LastLine()))
 	}
 }
 
-// write writes its configuration, which names one of its agents.
-func (in *instance) write(agent int) error {
-	text, err := in.run.deployment.config(in.n, in.run.cfg.Instances, in.run.cfg.Seed*1000+uint64(in.n)+1, in.addr, in.admin, in.agents[agent], in.run.counter.Addr())
+// writeConfig writes the configuration file, which names one of the agents of discovery.
+func (in *instance) writeConfig(agent int) error {
+	text, err := in.run.deployment.config(in.index, in.run.cfg.Instances, in.run.cfg.Seed*1000+uint64(in.index)+1, in.addr, in.adminAddr, in.discoveryAgents[agent], in.run.counter.Addr())
 	if err != nil {
 		return err
 	}
@@ -146,10 +149,10 @@
 	return os.WriteFile(in.config, text, 0o600)
 }
 
-// start starts the process and notes how long that took.
+// start starts the process and records how long that took.
 func (in *instance) start(ctx context.Context) error {
 	in.mu.Lock()
-	in.expected = false
+	in.exitExpected = false
 	in.mu.Unlock()
 	began := in.run.clock()
 	if err := in.Start(ctx); err != nil {
@@ -158,86 +161,88 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	now := in.run.clock()
-	in.starts, in.startup = append(in.starts, now), append(in.startup, now-began)
+	in.startedAt, in.startDurations = append(in.startedAt, now), append(in.startDurations, now-began)
 	return nil
 }
 
-// expect says that the end of the process is wanted, and notes when it was asked for.
-func (in *instance) expect(list *[]time.Duration) {
+// expectExit marks the exit of the process as expected, and adds the current time to a list.
+func (in *instance) expectExit(list *[]time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.expected = true
+	in.exitExpected = true
 	*list = append(*list, in.run.clock())
 }
 
-// kill kills the process and starts it again after a while.
-func (in *instance) kill(ctx context.Context, pause time.Duration) {
-	in.acting.Lock()
-	defer in.acting.Unlock()
-	in.expect(&in.kills)
+// kill kills the process and starts it again after a delay.
+func (in *instance) kill(ctx context.Context, delay time.Duration) {
+	in.operationMu.Lock()
+	defer in.operationMu.Unlock()
+	in.expectExit(&in.killedAt)
 	in.Stop(syscall.SIGKILL)
-	in.startAgain(ctx, pause)
+	in.restartAfter(ctx, delay)
 }
 
-// terminate ends the process as a planned restart does, and starts it again after a while. Further signals come before and after the
-// first SIGTERM. Once it is held up for a time, near the end of what it has.
-func (in *instance) terminate(ctx context.Context, pause, hold time.Duration, signals signalSeries) {
-	in.acting.Lock()
-	defer in.acting.Unlock()
-	limit := min(in.run.deployment.longest(), 3*time.Second) + killAfter
+// terminate ends the process as a planned restart does, with further signals before and after the first SIGTERM, and
+// starts it again after a delay. A pauseLength above 0 pauses the process near the end of its shutdown limit. A
+// process that outlasts the limit is killed.
+func (in *instance) terminate(ctx context.Context, delay, pauseLength time.Duration, signals signalSeries) {
+	in.operationMu.Lock()
+	defer in.operationMu.Unlock()
+	limit := min(in.run.deployment.maxDeadline(), 3*time.Second) + killGrace
 	in.sendSeries(ctx, signals.before)
-	in.expect(&in.terms)
-	in.setEnding(true)
-	began := in.run.clock()
+	in.expectExit(&in.terminatedAt)
+	in.setTerminating(true)
+	signalledAt := in.run.clock()
 	in.SendSignal(syscall.SIGTERM)
 	var sent sync.WaitGroup
 	sending, stop := context.WithCancel(ctx)
 	sent.Go(func() { in.sendSeries(sending, signals.after) })
-	if hold > 0 {
-		sleep(ctx, limit-killAfter+450*time.Millisecond)
-		in.holdUp(ctx, hold)
+	if pauseLength > 0 {
+		sleep(ctx, limit-killGrace+450*time.Millisecond)
+		in.pauseFor(ctx, pauseLength)
 	}
-	for in.Running() && in.run.clock()-began < limit {
+	for in.Running() && in.run.clock()-signalledAt < limit {
 		if !sleep(ctx, 5*time.Millisecond) {
 			break
 		}
 	}
 	if in.Running() {
 		in.mu.Lock()
-		in.overrun = append(in.overrun, in.run.clock())
+		in.timedOutAt = append(in.timedOutAt, in.run.clock())
 		in.mu.Unlock()
 		in.Stop(syscall.SIGKILL)
 	} else {
-		in.noteEnd(limit - (in.run.clock() - began))
+		in.recordTimeBeforeKill(limit - (in.run.clock() - signalledAt))
 	}
 	stop()
 	sent.Wait()
-	in.setEnding(false)
-	in.startAgain(ctx, pause)
+	in.setTerminating(false)
+	in.restartAfter(ctx, delay)
 }
 
-// noteEnd notes how much time was left to SIGKILL when the process had ended.
-func (in *instance) noteEnd(left time.Duration) {
+// recordTimeBeforeKill records how much of the shutdown limit was left when the process had ended.
+func (in *instance) recordTimeBeforeKill(left time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.nearestKill == 0 || left < in.nearestKill {
-		in.nearestKill = left
+	if in.minTimeBeforeKill == 0 || left < in.minTimeBeforeKill {
+		in.minTimeBeforeKill = left
 	}
 }
 
-func (in *instance) startAgain(ctx context.Context, pause time.Duration) {
-	if !sleep(ctx, pause) {
+// restartAfter starts the process after a delay.
+func (in *instance) restartAfter(ctx context.Context, delay time.Duration) {
+	if !sleep(ctx, delay) {
 		return
 	}
 	if err := in.start(ctx); err != nil && ctx.Err() == nil {
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		in.crashed = append(in.crashed, err.Error())
+		in.crashes = append(in.crashes, err.Error())
 	}
 }
 
-// holdUp stops the process for a moment, as a machine without time for it does.
-func (in *instance) holdUp(ctx context.Context, d time.Duration) {
+// pauseFor stops the process with SIGSTOP for a while, as if the machine gave it no CPU time.
+func (in *instance) pauseFor(ctx context.Context, d time.Duration) {
 	if in.SendSignal(syscall.SIGSTOP) != nil {
 		return
 	}
@@ -245,10 +250,11 @@
 	in.SendSignal(syscall.SIGCONT)
 }
 
-// hangUp gives the process a new configuration, so many times, each of which moves to the other agent; with torn the file is half written once in between.
-func (in *instance) hangUp(ctx context.Context, times int, gap time.Duration, torn bool) {
-	in.acting.Lock()
-	defer in.acting.Unlock()
+// reload reloads the configuration several times, each time with the other agent of discovery. If torn is set, one
+// reload in between finds an incomplete file.
+func (in *instance) reload(ctx context.Context, times int, gap time.Duration, torn bool) {
+	in.operationMu.Lock()
+	defer in.operationMu.Unlock()
 	for i := range times {
 		if torn && i == times/2 {
 			os.WriteFile(in.config, []byte(`{"listen":"`+in.addr+`","disco`), 0o600)
@@ -262,11 +268,12 @@
 	}
 }
 
-// killedWithin reports whether the run killed the process, which frees it of what it had, at some time between the two.
+// killedWithin reports whether the process was killed as a fault between from and to. What it had in flight is owed no
+// answer then.
 func (in *instance) killedWithin(from, to time.Duration) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	for _, at := range in.kills {
+	for _, at := range in.killedAt {
 		if at >= from-50*time.Millisecond && at <= to {
 			return true
 		}
@@ -274,8 +281,9 @@
 	return false
 }
 
-// leavingFor is how long before a time the process was told to end, or had ended, and was not started again since; 0: it serves.
-func (in *instance) leavingFor(at time.Duration) (since time.Duration) {
+// timeSinceShutdown returns how long before a time the process was last terminated or killed. It is 0 if the process
+// has been started again since.
+func (in *instance) timeSinceShutdown(at time.Duration) (since time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	latest := func(list []time.Duration) (last time.Duration) {
@@ -286,21 +294,21 @@
 		}
 		return last
 	}
-	end := max(latest(in.terms), latest(in.kills))
-	if end == 0 || latest(in.starts) > end {
+	end := max(latest(in.terminatedAt), latest(in.killedAt))
+	if end == 0 || latest(in.startedAt) > end {
 		return 0
 	}
 	return at - end
 }
 
-// draining reports whether operators had the instance drained at a time.
+// draining reports whether an operator had drained the instance at a time.
 func (in *instance) draining(at time.Duration) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return slices.ContainsFunc(in.drains, func(s span) bool { return at > s.from && at < s.to })
 }
 
-// sleep waits; false where ctx ends before.
+// sleep waits, and returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -11,47 +11,47 @@
 	"hitchspring/internal/standin/backend"
 )
 
-// tolerance is how late an observer may be, and the platform's slack on each time limit.
+// tolerance is how late an observer's time may be, and the slack that the platform grants on each time limit.
 const tolerance = 50 * time.Millisecond
 
-// What is judged beside the five rules of package audit.
+// The rules that the run checks besides the five of package rulecheck.
 const (
-	RuleDeadline    = "time told to a backend"
-	RuleClientsGone = "nothing for clients that have gone"
-	RuleBadClients  = "an end for clients that misbehave"
-	RuleReady       = "ready after a start"
-	RuleInvariants  = "invariants of the program"
-	RuleCrashes     = "no crash"
+	RuleDeadline            = "time told to a backend"
+	RuleDisconnectedClients = "nothing for clients that have gone"
+	RuleMisbehavingClients  = "an end for clients that misbehave"
+	RuleReady               = "ready after a start"
+	RuleInvariants          = "invariants of the program"
+	RuleCrashes             = "no crash"
 )
 
 const (
-	toldSlack    = 150 * time.Millisecond // of the time that an attempt tells its backend
-	goneSlack    = 100 * time.Millisecond // after the close, up to which an attempt may begin
-	readyWithin  = 10 * time.Second       // of nine starts in ten
-	readyShare   = 0.9
-	hangupGrace  = 4 * time.Second // after a new configuration, until which what it moves to counts as not told
-	askedWithin  = 6 * time.Second // after discovery had it, where instances ask for the list
-	silenceGrace = 6 * time.Second // after an agent has fallen silent, until which what it misses counts as not told
+	deadlineSlack   = 150 * time.Millisecond // by which an attempt may name more than its client has left
+	disconnectSlack = 100 * time.Millisecond // after a disconnection, in which attempts may still begin
+	readyTimeout    = 10 * time.Second       // for a start
+	readyFraction   = 0.9                    // of the starts, which must be within readyTimeout
+	reloadGrace     = 4 * time.Second        // after a reload, in which notifications may be missed
+	pollGrace       = 6 * time.Second        // until a polling instance knows of a change
+	silenceGrace    = 6 * time.Second        // after an agent falls silent, in which notifications may be missed
 )
 
-// Finding is one break, with what is known of it.
-type Finding struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule     string
 	At       time.Duration
 	Detail   string
-	Doubtful bool // the observers were late then
-	Story    []string
+	Doubtful bool     // the delay of an observer may explain it
+	Timeline []string // what client, instance and backends recorded of the request
 }
 
-// found notes a break that was seen while the run went on.
-func (r *run) found(rule string, at time.Duration, what string) {
+// addViolation records a violation.
+func (r *run) addViolation(rule string, at time.Duration, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.findings = append(r.findings, Finding{Rule: rule, At: at, Detail: what})
+	r.violations = append(r.violations, Violation{Rule: rule, At: at, Detail: detail})
 }
 
-// judge judges the run by what was recorded.
-func (r *run) judge() *Report {
+// checkRun checks everything that was recorded and returns the report.
+func (r *run) checkRun() *Report {
 	records := r.fleet.Records(0)
 	byID := map[string][]backend.Record{}
 	for _, rec := range records {
@@ -62,11 +62,11 @@
 	for i := range r.clientRequests {
 		a := &r.clientRequests[i]
 		requests[a.id] = a
-		list[i] = r.asAudited(a, byID[a.id])
+		list[i] = r.checkerRequest(a, byID[a.id])
 	}
-	r.judgeRecords(records, requests)
-	r.judgeInstances()
-	e := rulecheck.Evidence{Requests: list, Notifications: r.toldToInstances(), ObserverDelays: r.meter.Delays()}
+	r.checkRecords(records, requests)
+	r.checkInstances()
+	e := rulecheck.Evidence{Requests: list, Notifications: r.instanceNotifications(), ObserverDelays: r.meter.Delays()}
 	for _, rec := range records {
 		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
 			ArrivedAt: rec.ArrivedAt, EndedAt: rec.EndedAt, ID: rec.ID, Backend: rec.Backend, Instance: fmt.Sprint("n", rec.Instance), Tenant: rec.Tenant,
@@ -78,83 +78,87 @@
 			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FellAt: at, Reason: why, Pressure: n.Pushed()})
 		}
 	}
-	verdict := rulecheck.Check(r.deployment.auditRules(), e)
+	verdict := rulecheck.Check(r.deployment.checkerRules(), e)
 	for _, b := range verdict.Violations {
-		r.findings = append(r.findings, Finding{Rule: b.Rule, At: b.At, Detail: b.Detail, Doubtful: b.Doubtful})
+		r.violations = append(r.violations, Violation{Rule: b.Rule, At: b.At, Detail: b.Detail, Doubtful: b.Doubtful})
 	}
-	r.doubtBy(r.meter.Delays())
-	for i := range r.findings {
-		r.tellStory(&r.findings[i], requests, byID)
+	r.markDoubtful(r.meter.Delays())
+	for i := range r.violations {
+		r.addTimeline(&r.violations[i], requests, byID)
 	}
-	slices.SortStableFunc(r.findings, func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(r.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return r.report(verdict)
 }
 
-// asAudited is a request as package audit judges it: excused where nobody owes it an answer.
-func (r *run) asAudited(a *clientRequest, sent []backend.Record) rulecheck.ClientRequest {
-	out := rulecheck.ClientRequest{ID: a.id, Instance: a.in.Name, Class: a.class, SentAt: a.sent, Timeout: max(a.wait, a.owed) + lateBy, Answers: a.answers}
-	out.ForeignAnswer = len(a.answers) > 0 && a.answers[0].Kind == "served" && a.value != "value of "+a.id
-	end := max(a.ended, a.waited)
-	if len(a.answers) > 0 {
-		end = a.answers[0].At
+// checkerRequest converts a request for package rulecheck; sent is what backends recorded of it. The request is
+// excused if nobody owes it an answer.
+func (r *run) checkerRequest(req *clientRequest, sent []backend.Record) rulecheck.ClientRequest {
+	out := rulecheck.ClientRequest{ID: req.id, Instance: req.in.Name, Class: req.class, SentAt: req.sent, Timeout: max(req.timeout, req.answerDue) + lateAnswerGrace, Answers: req.answers}
+	out.ForeignAnswer = len(req.answers) > 0 && req.answers[0].Kind == "served" && req.value != "value of "+req.id
+	end := max(req.connEndedAt, req.gaveUpAt)
+	if len(req.answers) > 0 {
+		end = req.answers[0].At
 	}
-	if a.fresh && end > 0 && a.in.crowded(a.sent, end) { // it has waited for a place
-		out.Timeout = max(out.Timeout, end-a.sent)
+	if req.firstOnConn && end > 0 && req.in.floodedWithin(req.sent, end) { // it may have waited for a connection slot
+		out.Timeout = max(out.Timeout, end-req.sent)
 	}
-	switch leaving := a.in.leavingFor(a.sent); {
-	case a.noConnect, a.left > 0, a.in.killedWithin(cmp.Or(a.since, a.sent), end):
+	switch sinceShutdown := req.in.timeSinceShutdown(req.sent); {
+	case req.notConnected, req.left > 0, req.in.killedWithin(cmp.Or(req.dialedAt, req.sent), end):
 		out.Excused = true
-	case len(a.answers) == 0 && len(sent) == 0 && a.fresh && a.ended > 0: // in the listen queue when the listener closed, or before a start
-		out.Excused = leaving > frontNotice || a.in.leavingFor(a.ended) > frontNotice || a.in.crowded(a.sent, a.ended)
-	case len(a.answers) == 0 && len(sent) == 0 && a.fresh: // it has waited for a place
-		out.Excused = a.in.crowded(a.sent, a.waited)
+	case len(req.answers) == 0 && len(sent) == 0 && req.firstOnConn && req.connEndedAt > 0: // not yet accepted when the listener closed, or sent before it opened
+		out.Excused = sinceShutdown > balancerDelay || req.in.timeSinceShutdown(req.connEndedAt) > balancerDelay || req.in.floodedWithin(req.sent, req.connEndedAt)
+	case len(req.answers) == 0 && len(sent) == 0 && req.firstOnConn: // it may have waited for a connection slot
+		out.Excused = req.in.floodedWithin(req.sent, req.gaveUpAt)
 	}
 	return out
 }
 
-// judgeRecords judges what attempts told, and what was sent for clients that had gone.
-func (r *run) judgeRecords(records []backend.Record, requests map[string]*clientRequest) {
+// checkRecords checks the time that attempts name to backends, and that no attempt begins after its client has
+// disconnected.
+func (r *run) checkRecords(records []backend.Record, requests map[string]*clientRequest) {
 	for _, rec := range records {
-		a := requests[rec.ID]
-		if a == nil {
-			continue // audit has a word for it
+		req := requests[rec.ID]
+		if req == nil {
+			continue // package rulecheck reports it
 		}
-		if left := a.sent + a.wait - rec.ArrivedAt; rec.Allowed > left+toldSlack+tolerance {
-			r.found(RuleDeadline, rec.ArrivedAt, fmt.Sprintf("%s %s (%s) told %s that %v were left, %v were", a.class, a.id, a.kind, rec.Backend, rec.Allowed, left.Round(time.Millisecond)))
+		if left := req.sent + req.timeout - rec.ArrivedAt; rec.Allowed > left+deadlineSlack+tolerance {
+			r.addViolation(RuleDeadline, rec.ArrivedAt, fmt.Sprintf("%s %s (%s) told %s that %v were left, %v were", req.class, req.id, req.kind, rec.Backend, rec.Allowed, left.Round(time.Millisecond)))
 		}
-		if a.left > 0 && rec.ArrivedAt > a.left+goneSlack+tolerance {
-			r.found(RuleClientsGone, rec.ArrivedAt, fmt.Sprintf("%s %s was sent to %s %v after its client had gone", a.class, a.id, rec.Backend, (rec.ArrivedAt-a.left).Round(time.Millisecond)))
+		if req.left > 0 && rec.ArrivedAt > req.left+disconnectSlack+tolerance {
+			r.addViolation(RuleDisconnectedClients, rec.ArrivedAt, fmt.Sprintf("%s %s was sent to %s %v after its client had gone", req.class, req.id, rec.Backend, (rec.ArrivedAt-req.left).Round(time.Millisecond)))
 		}
 	}
 }
 
-// judgeInstances judges starts, ends and what the instances said of their invariants.
-func (r *run) judgeInstances() {
+// checkInstances checks the starts, exits and logged invariant violations of the instances.
+func (r *run) checkInstances() {
 	var starts []time.Duration
 	for _, in := range r.instances {
-		for _, text := range in.crashed {
-			r.found(RuleCrashes, r.clock(), text)
+		for _, line := range in.crashes {
+			r.addViolation(RuleCrashes, r.clock(), line)
 		}
-		for _, text := range in.violated {
-			r.found(RuleInvariants, r.clock(), in.Name+": "+text)
+		for _, line := range in.invariantLines {
+			r.addViolation(RuleInvariants, r.clock(), in.Name+": "+line)
 		}
-		starts = append(starts, in.startup...)
+		starts = append(starts, in.startDurations...)
 	}
 	slow := 0
 	for _, took := range starts {
-		if took > readyWithin {
+		if took > readyTimeout {
 			slow++
 		}
 	}
-	if float64(slow) > (1-readyShare)*float64(len(starts)) {
-		r.found(RuleReady, r.clock(), fmt.Sprintf("%d of %d starts took over %v", slow, len(starts), readyWithin))
+	if float64(slow) > (1-readyFraction)*float64(len(starts)) {
+		r.addViolation(RuleReady, r.clock(), fmt.Sprintf("%d of %d starts took over %v", slow, len(starts), readyTimeout))
 	}
 }
 
-// toldToInstances is what the instances count as told: what their agents had, but for what these could not tell.
-func (r *run) toldToInstances() []rulecheck.Notification {
-	learnt := r.registry.Versions()
-	slices.SortStableFunc(learnt, func(a, b learntEntry) int { return cmp.Compare(a.At, b.At) })
+// instanceNotifications returns when each instance must know each backend's state: when its agents had it, and later
+// where polls, reloads or failures of discovery delay it. A backend serves from the first agent's notification on, and
+// drains from the last one's on.
+func (r *run) instanceNotifications() []rulecheck.Notification {
+	notifications := r.registry.Versions()
+	slices.SortStableFunc(notifications, func(a, b agentNotification) int { return cmp.Compare(a.At, b.At) })
 	type pair struct {
 		instance int
 		uid      string
@@ -162,60 +166,60 @@
 	drains := map[pair]rulecheck.Notification{}
 	serves := map[pair]bool{}
 	var out []rulecheck.Notification
-	for _, l := range learnt {
-		p := pair{l.Agent % r.cfg.Instances, l.UID}
+	for _, n := range notifications {
+		p := pair{n.Agent % r.cfg.Instances, n.UID}
 		name := fmt.Sprint("n", p.instance)
-		if l.State == "SERVING" { // from the first of its agents on
-			if t, drained := drains[p]; drained && t.At < l.At {
-				out = append(out, t)
+		if n.State == "SERVING" { // the first agent decides
+			if drain, drained := drains[p]; drained && drain.At < n.At {
+				out = append(out, drain)
 			}
 			delete(drains, p)
 			if !serves[p] {
 				serves[p] = true
-				out = append(out, rulecheck.Notification{At: l.At, Instance: name, Backend: l.UID, Serving: true})
+				out = append(out, rulecheck.Notification{At: n.At, Instance: name, Backend: n.UID, Serving: true})
 			}
 			continue
 		}
 		serves[p] = false
-		drains[p] = rulecheck.Notification{At: max(drains[p].At, r.heardBy(p.instance, l.At)), Instance: name, Backend: l.UID}
+		drains[p] = rulecheck.Notification{At: max(drains[p].At, r.notifiedAt(p.instance, n.At)), Instance: name, Backend: n.UID}
 	}
-	for _, t := range drains {
-		out = append(out, t)
+	for _, drain := range drains {
+		out = append(out, drain)
 	}
-	return append(out, r.said...)
+	return append(out, r.operatorNotifications...)
 }
 
-// heardBy is when an instance counts as told what its agent had at a time.
-func (r *run) heardBy(instance int, at time.Duration) time.Duration {
-	told := at
-	if r.deployment.asks {
-		told += askedWithin
+// notifiedAt returns when an instance must know what one of its agents had at a time.
+func (r *run) notifiedAt(instance int, at time.Duration) time.Duration {
+	notified := at
+	if r.deployment.polls {
+		notified += pollGrace
 	}
 	for again := true; again; {
 		again = false
-		for _, s := range r.deafness(instance) {
-			if told > s.from-onItsWay && told < s.to {
-				told, again = s.to, true
+		for _, s := range r.notificationGaps(instance) {
+			if notified > s.from-notificationTransit && notified < s.to {
+				notified, again = s.to, true
 			}
 		}
 	}
-	return told
+	return notified
 }
 
-// onItsWay is how long before a failure a change may have been told that has not come.
-const onItsWay = 200 * time.Millisecond
+// notificationTransit is how long before a gap a notification may have been sent and still be lost in it.
+const notificationTransit = 200 * time.Millisecond
 
-// span is a time.
+// span is a range of time.
 type span struct{ from, to time.Duration }
 
-// crowded reports whether all places of an instance may have been taken at some time between the two.
-func (in *instance) crowded(from, to time.Duration) bool {
-	return slices.ContainsFunc(in.crowds, func(s span) bool { return from < s.to && to > s.from })
+// floodedWithin reports whether all connections of the instance may have been taken at some time between from and to.
+func (in *instance) floodedWithin(from, to time.Duration) bool {
+	return slices.ContainsFunc(in.floods, func(s span) bool { return from < s.to && to > s.from })
 }
 
-// deafness are the times in which an instance is not owed to hear anything.
-func (r *run) deafness(instance int) (out []span) {
-	for _, f := range r.failures {
+// notificationGaps returns the spans in which an instance may miss notifications.
+func (r *run) notificationGaps(instance int) (out []span) {
+	for _, f := range r.discoveryFailures {
 		if !slices.Contains(f.instances, instance) {
 			continue
 		}
@@ -223,50 +227,51 @@
 		if f.silent {
 			s.to = max(f.to, f.from+silenceGrace)
 		}
-		if r.deployment.asks {
-			s.to += askedWithin
+		if r.deployment.polls {
+			s.to += pollGrace
 		}
 		out = append(out, s)
 	}
-	for _, h := range r.instances[instance].hangups {
-		out = append(out, span{h, h + hangupGrace})
+	for _, h := range r.instances[instance].reloadedAt {
+		out = append(out, span{h, h + reloadGrace})
 	}
 	return out
 }
 
-// doubtBy marks what the lateness of the observers can explain.
-func (r *run) doubtBy(late []rulecheck.ObserverDelay) {
-	for i := range r.findings {
-		f := &r.findings[i]
-		for _, l := range late {
-			f.Doubtful = f.Doubtful || l.Delay > tolerance && l.At-time.Second <= f.At && f.At <= l.At+l.Delay+time.Second
+// markDoubtful marks the violations that a delay of the observers may explain.
+func (r *run) markDoubtful(delays []rulecheck.ObserverDelay) {
+	for i := range r.violations {
+		v := &r.violations[i]
+		for _, d := range delays {
+			v.Doubtful = v.Doubtful || d.Delay > tolerance && d.At-time.Second <= v.At && v.At <= d.At+d.Delay+time.Second
 		}
 	}
 }
 
-// tellStory adds to a finding what client and backends saw of the request that it names.
-func (r *run) tellStory(f *Finding, requests map[string]*clientRequest, byID map[string][]backend.Record) {
-	for _, word := range strings.Fields(f.Detail) {
-		a := requests[word]
-		if a == nil {
+// addTimeline adds to a violation what client, instance and backends recorded of the first request that its detail
+// names.
+func (r *run) addTimeline(v *Violation, requests map[string]*clientRequest, byID map[string][]backend.Record) {
+	for _, word := range strings.Fields(v.Detail) {
+		req := requests[word]
+		if req == nil {
 			continue
 		}
-		line := fmt.Sprintf("client (%s) of %s: sent %.3f, waits %v, fresh %v", a.kind, a.in.Name, a.sent.Seconds(), a.wait, a.fresh)
-		for _, x := range a.answers {
-			line += fmt.Sprintf(", %s at %.3f %q", x.Kind, x.At.Seconds(), a.value)
+		line := fmt.Sprintf("client (%s) of %s: sent %.3f, waits %v, fresh %v", req.kind, req.in.Name, req.sent.Seconds(), req.timeout, req.firstOnConn)
+		for _, answer := range req.answers {
+			line += fmt.Sprintf(", %s at %.3f %q", answer.Kind, answer.At.Seconds(), req.value)
 		}
-		if a.ended > 0 {
-			line += fmt.Sprintf(", connection ended at %.3f", a.ended.Seconds())
+		if req.connEndedAt > 0 {
+			line += fmt.Sprintf(", connection ended at %.3f", req.connEndedAt.Seconds())
 		}
-		if a.left > 0 {
-			line += fmt.Sprintf(", left at %.3f", a.left.Seconds())
+		if req.left > 0 {
+			line += fmt.Sprintf(", left at %.3f", req.left.Seconds())
 		}
-		if a.waited > 0 {
-			line += fmt.Sprintf(", waited until %.3f", a.waited.Seconds())
+		if req.gaveUpAt > 0 {
+			line += fmt.Sprintf(", waited until %.3f", req.gaveUpAt.Seconds())
 		}
-		f.Story = append(f.Story, line, fmt.Sprintf("%s: terms %v, kills %v, overrun %v, ends %v, starts %v", a.in.Name, a.in.terms, a.in.kills, a.in.overrun, a.in.ends, a.in.starts))
-		for _, rec := range byID[a.id] {
-			f.Story = append(f.Story, fmt.Sprintf("%s from n%d: came %.3f, ended %.3f, %s, told %v, rack %d, connection %d", rec.Backend, rec.Instance, rec.ArrivedAt.Seconds(), rec.EndedAt.Seconds(), rec.Fate, rec.Allowed, rec.Rack, rec.Conn))
+		v.Timeline = append(v.Timeline, line, fmt.Sprintf("%s: terms %v, kills %v, overrun %v, ends %v, starts %v", req.in.Name, req.in.terminatedAt, req.in.killedAt, req.in.timedOutAt, req.in.endedAt, req.in.startedAt))
+		for _, rec := range byID[req.id] {
+			v.Timeline = append(v.Timeline, fmt.Sprintf("%s from n%d: came %.3f, ended %.3f, %s, told %v, rack %d, connection %d", rec.Backend, rec.Instance, rec.ArrivedAt.Seconds(), rec.EndedAt.Seconds(), rec.Fate, rec.Allowed, rec.Rack, rec.Conn))
 		}
 		return
 	}
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -9,28 +9,27 @@
 	"time"
 )
 
-// Bounds of the signals around a SIGTERM.
+// The bounds of the signals before and after a SIGTERM.
 const (
-	maxHangupsBefore = 2
+	maxReloadsBefore = 2
 	maxSignalsAfter  = 6
 	maxGapBefore     = 30 * time.Millisecond
 	maxGapAfter      = 700 * time.Millisecond
 )
 
-// timedSignal is a signal that follows another after a gap.
+// timedSignal is a signal and the time since the one before it.
 type timedSignal struct {
 	gap    time.Duration
 	signal syscall.Signal
 }
 
-// signalSeries is what an instance is sent around its first SIGTERM.
+// signalSeries is the signals that an instance is sent before and after its first SIGTERM.
 type signalSeries struct {
-	before []timedSignal // new configurations, the last of them a gap before the SIGTERM
+	before []timedSignal // SIGHUPs that reload the configuration
 	after  []timedSignal
 }
 
-// drawSignals draws a series. One in four is the SIGTERM alone, and half of the
-// gaps are none.
+// drawSignals draws a series. One in four is empty, and half of the gaps are 0.
 func drawSignals(rng *rand.Rand) (series signalSeries) {
 	if rng.IntN(4) == 0 {
 		return series
@@ -38,7 +37,7 @@
 	gap := func(limit time.Duration) time.Duration {
 		return time.Duration(rng.IntN(2)) * time.Duration(rng.Int64N(int64(limit))).Round(time.Millisecond)
 	}
-	for range rng.IntN(maxHangupsBefore + 1) {
+	for range rng.IntN(maxReloadsBefore + 1) {
 		series.before = append(series.before, timedSignal{gap(maxGapBefore), syscall.SIGHUP})
 	}
 	kinds := []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT}
@@ -48,7 +47,7 @@
 	return series
 }
 
-// String names the signals with their gaps.
+// String lists the signals with their gaps.
 func (s signalSeries) String() string {
 	var parts []string
 	for _, x := range s.before {
@@ -60,8 +59,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// sendSeries sends signals one after another, until the process has ended. A
-// SIGHUP comes with a configuration that names the other agent.
+// sendSeries sends signals one after another until the process has ended. Before each SIGHUP it writes a configuration
+// that names the other agent of discovery.
 func (in *instance) sendSeries(ctx context.Context, list []timedSignal) {
 	for _, x := range list {
 		if !sleep(ctx, x.gap) || !in.Running() {
@@ -77,34 +76,33 @@
 	}
 }
 
-// moveAgent gives the process a configuration that names its other agent.
+// moveAgent reloads the configuration with the other agent of discovery. It returns false if that fails.
 func (in *instance) moveAgent() bool {
 	in.mu.Lock()
 	next := 1 - in.configuredAgent
 	in.mu.Unlock()
-	if in.write(next) != nil || in.SendSignal(syscall.SIGHUP) != nil {
+	if in.writeConfig(next) != nil || in.SendSignal(syscall.SIGHUP) != nil {
 		return false
 	}
 	in.mu.Lock()
-	in.hangups = append(in.hangups, in.run.clock())
-	if in.ending {
+	in.reloadedAt = append(in.reloadedAt, in.run.clock())
+	if in.terminating {
 		in.lateSignals++
 	}
 	in.mu.Unlock()
 	return true
 }
 
-// countLateSignal counts a signal that was sent after the first SIGTERM.
+// countLateSignal counts a signal sent after the first SIGTERM.
 func (in *instance) countLateSignal() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.lateSignals++
 }
 
-// setEnding notes whether the process has been sent a SIGTERM and has not been
-// started again.
-func (in *instance) setEnding(ending bool) {
+// setTerminating records whether the process has been sent SIGTERM and has not been started again since.
+func (in *instance) setTerminating(terminating bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.ending = ending
+	in.terminating = terminating
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,8 +1,10 @@
-// Package soak runs many real processes of the ingress under faults that overlap: processes that are told to end, killed,
-// held up and given new configurations, backends, discovery and the counter that fail in many ways, and clients that
-// misbehave, all drawn by a seed. It takes a program and a seed, and returns each violation of a rule, by what clients,
-// backends and discovery saw and by what the program says of its own invariants. It never asks an instance how it decided.
-// The command is `lab overlap`.
+// Package soak runs many ingress processes under faults that overlap. Instances are terminated, killed, paused and
+// reconfigured; backends, discovery and the counter fail in many ways; clients misbehave. All of it is drawn from a
+// seed.
+//
+// Its input is a program and a seed. Its output is a report with each violation of a rule, found from what clients,
+// backends and discovery observed and from the invariant violations that the program logs. It never inspects how an
+// instance decided. The command is `lab overlap`.
 package soak
 
 import (
@@ -25,141 +27,141 @@
 	"hitchspring/internal/standin/tally"
 )
 
-// Bounds of a run.
+// The bounds and delays of a run.
 const (
-	MaxInstances      = 30
-	MaxLength         = 5 * time.Minute
-	firstInstanceHost = 221
-	listLeast         = 100 * time.Millisecond // how late a change of the list comes to the agents
-	listMost          = 600 * time.Millisecond
-	settle            = 6 * time.Second // after the load, for what is still open
+	MaxInstances         = 30
+	MaxLength            = 5 * time.Minute
+	firstInstanceHost    = 221                    // last byte of the address of instance 0; backends have lower ones
+	minNotificationDelay = 100 * time.Millisecond // of a list change on its way to an agent
+	maxNotificationDelay = 600 * time.Millisecond
+	settleTimeout        = 6 * time.Second // after the load, for requests and faults that have not ended
 )
 
-// Config says what is run.
+// Config describes a run.
 type Config struct {
 	Program   string
 	Seed      uint64
 	Instances int
 	Length    time.Duration // of the load
-	Logs      string        // folder for what the instances log; empty: a folder that goes with the run
+	Logs      string        // directory of the instances' logs; empty: a temporary one
 }
 
-// check returns an error that names a value out of range.
-func (c *Config) check() error {
+// validate returns an error that names the first field that is out of range.
+func (c *Config) validate() error {
 	switch {
 	case c.Instances < 1 || c.Instances > MaxInstances:
 		return fmt.Errorf("instances: %d is out of range, 1 to %d", c.Instances, MaxInstances)
-	case c.Length < 2*clusterFirst || c.Length > MaxLength:
-		return fmt.Errorf("length: %v is out of range, %v to %v", c.Length, 2*clusterFirst, MaxLength)
+	case c.Length < 2*firstClusterAt || c.Length > MaxLength:
+		return fmt.Errorf("length: %v is out of range, %v to %v", c.Length, 2*firstClusterAt, MaxLength)
 	}
 	return nil
 }
 
-// learntEntry is what an agent of discovery learnt.
-type learntEntry = discovery.Notification
+// agentNotification is a backend state that reached an agent of discovery.
+type agentNotification = discovery.Notification
 
-// failure is a time in which discovery failed for some instances.
-type failure struct {
+// discoveryFailure is a span in which discovery failed for some instances.
+type discoveryFailure struct {
 	instances []int
 	silent    bool
 	from, to  time.Duration
 }
 
-// notes are lines that many goroutines add.
-type notes struct {
+// faultLog is the injected faults and the errors of injecting them, one line each. It is safe for concurrent use.
+type faultLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (n *notes) add(line string) {
+func (n *faultLog) add(line string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lines = append(n.lines, line)
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
-	cfg        Config
-	deployment deployment
-	began      time.Time
-	dir, logs  string
-	network    string // three bytes of its loopback addresses
-	fleet      *backend.Fleet
-	registry   *discovery.Registry
-	counter    *tally.Server
-	instances  []*instance
-	meter      *lateness.Meter
-	lastID     atomic.Uint64
-	notes      notes
-	wg         sync.WaitGroup // of troubles
-	closers    []func()
+	cfg             Config
+	deployment      deployment
+	startedAt       time.Time
+	tempDir, logDir string
+	networkPrefix   string // first three bytes of the run's loopback addresses
+	fleet           *backend.Fleet
+	registry        *discovery.Registry
+	counter         *tally.Server
+	instances       []*instance
+	meter           *lateness.Meter
+	lastID          atomic.Uint64
+	faultLog        faultLog
+	wg              sync.WaitGroup // of the faults
+	closers         []func()
 
-	mu             sync.Mutex // of all below
-	backends       []*backend.Backend
-	targets        []discovery.Target
-	hosts          int
-	clientRequests []clientRequest
-	failures       []failure
-	said           []rulecheck.Notification // by operators
-	findings       []Finding
+	mu                    sync.Mutex // guards all below
+	backends              []*backend.Backend
+	targets               []discovery.Target
+	usedHosts             int // number of hosts that backends have used
+	clientRequests        []clientRequest
+	discoveryFailures     []discoveryFailure
+	operatorNotifications []rulecheck.Notification // overrides that operators set
+	violations            []Violation
 }
 
-// Run plays a run. An error means that it could not be played.
+// Run carries out a run and checks it. An error means that it could not be carried out.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, 31))
-	r := &run{cfg: cfg, deployment: drawDeployment(rng), began: time.Now(), network: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256))}
+	r := &run{cfg: cfg, deployment: drawDeployment(rng), startedAt: time.Now(), networkPrefix: fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256))}
 	r.lastID.Store(cfg.Seed << 40)
 	defer r.close()
-	if err := r.open(ctx); err != nil {
+	if err := r.setUp(ctx); err != nil {
 		return nil, err
 	}
-	r.load(ctx, rng)
+	r.runLoad(ctx, rng)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	r.endAll()
-	return r.judge(), nil
+	r.stopInstances()
+	return r.checkRun(), nil
 }
 
-func (r *run) clock() time.Duration { return time.Since(r.began) }
+func (r *run) clock() time.Duration { return time.Since(r.startedAt) }
 
-func (r *run) onClose(do func()) { r.closers = append(r.closers, do) }
+func (r *run) onClose(closer func()) { r.closers = append(r.closers, closer) }
 
 func (r *run) close() {
-	for _, do := range slices.Backward(r.closers) {
-		do()
+	for _, closer := range slices.Backward(r.closers) {
+		closer()
 	}
 }
 
-// open starts everything.
-func (r *run) open(ctx context.Context) (err error) {
-	if r.dir, err = os.MkdirTemp("", "hitchspring-overlap-"); err != nil {
+// setUp starts the stand-ins, the backends and the instances.
+func (r *run) setUp(ctx context.Context) (err error) {
+	if r.tempDir, err = os.MkdirTemp("", "hitchspring-overlap-"); err != nil {
 		return err
 	}
-	r.onClose(func() { os.RemoveAll(r.dir) })
-	if r.logs = r.cfg.Logs; r.logs == "" {
-		r.logs = r.dir
+	r.onClose(func() { os.RemoveAll(r.tempDir) })
+	if r.logDir = r.cfg.Logs; r.logDir == "" {
+		r.logDir = r.tempDir
 	}
-	if err := os.MkdirAll(r.logs, 0o755); err != nil {
+	if err := os.MkdirAll(r.logDir, 0o755); err != nil {
 		return err
 	}
 	r.meter = lateness.Start(r.clock)
 	r.onClose(r.meter.Close)
-	if r.counter, err = tally.Start(r.network+".1:0", r.cfg.Seed); err != nil {
+	if r.counter, err = tally.Start(r.networkPrefix+".1:0", r.cfg.Seed); err != nil {
 		return err
 	}
 	r.onClose(r.counter.Close)
-	r.fleet = backend.NewFleet(r.deployment.nodeRules(), r.cfg.Seed, r.clock)
+	r.fleet = backend.NewFleet(r.deployment.backendRules(), r.cfg.Seed, r.clock)
 	r.onClose(r.fleet.Close)
-	r.registry = discovery.New(r.cfg.Seed, r.clock, listLeast, listMost)
+	r.registry = discovery.New(r.cfg.Seed, r.clock, minNotificationDelay, maxNotificationDelay)
 	r.onClose(r.registry.Close)
-	if err := r.openInstances(); err != nil {
+	if err := r.prepareInstances(); err != nil {
 		return err
 	}
-	r.hosts = 1
+	r.usedHosts = 1
 	for b := range r.deployment.backends {
 		n, t, err := r.addBackend(b, false)
 		if err != nil {
@@ -168,11 +170,12 @@
 		r.backends, r.targets = append(r.backends, n), append(r.targets, t)
 		r.registry.Set(t, true)
 	}
-	return r.startAll(ctx)
+	return r.startInstances(ctx)
 }
 
-// openInstances prepares the instances, each with two agents of discovery; agent k of instance i has the number i + k times the instances.
-func (r *run) openInstances() error {
+// prepareInstances prepares the instances and gives each two agents of discovery. The agents of instance i have the
+// numbers i and i + cfg.Instances.
+func (r *run) prepareInstances() error {
 	for n := range r.cfg.Instances {
 		in, err := r.newInstance(n)
 		if err != nil {
@@ -186,19 +189,19 @@
 			if err != nil {
 				return err
 			}
-			in.agents[k] = addr
+			in.discoveryAgents[k] = addr
 		}
 	}
 	for _, in := range r.instances {
-		if err := in.write(0); err != nil {
+		if err := in.writeConfig(0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) startAll(ctx context.Context) error {
-	r.onClose(r.endAll)
+func (r *run) startInstances(ctx context.Context) error {
+	r.onClose(r.stopInstances)
 	errs := make([]error, len(r.instances))
 	var wg sync.WaitGroup
 	for i, in := range r.instances {
@@ -208,15 +211,15 @@
 	return errors.Join(errs...)
 }
 
-// endAll ends what still runs.
-func (r *run) endAll() {
+// stopInstances terminates the instances that are running.
+func (r *run) stopInstances() {
 	var wg sync.WaitGroup
 	for _, in := range r.instances {
 		wg.Go(func() {
-			in.acting.Lock()
-			defer in.acting.Unlock()
+			in.operationMu.Lock()
+			defer in.operationMu.Unlock()
 			if in.Running() {
-				in.expect(&in.terms)
+				in.expectExit(&in.terminatedAt)
 				in.Stop(syscall.SIGTERM)
 			}
 		})
@@ -224,38 +227,38 @@
 	wg.Wait()
 }
 
-// addBackend starts a backend, on a host that none had before.
-func (r *run) addBackend(b int, cold bool) (*backend.Backend, discovery.Target, error) {
+// addBackend starts a backend on a host that no other backend has used.
+func (r *run) addBackend(b int, slowStart bool) (*backend.Backend, discovery.Target, error) {
 	r.mu.Lock()
-	r.hosts++
-	host := fmt.Sprintf("%s.%d", r.network, r.hosts)
-	full := r.hosts >= firstInstanceHost
+	r.usedHosts++
+	host := fmt.Sprintf("%s.%d", r.networkPrefix, r.usedHosts)
+	full := r.usedHosts >= firstInstanceHost
 	r.mu.Unlock()
 	if full {
 		return nil, discovery.Target{}, errors.New("too many backends have been started in one run")
 	}
-	spec := r.deployment.spec(b)
-	n, err := r.fleet.Add(spec, host, cold, r.cfg.Instances)
+	backendSpec := r.deployment.backendSpec(b)
+	n, err := r.fleet.Add(backendSpec, host, slowStart, r.cfg.Instances)
 	if err != nil {
 		return nil, discovery.Target{}, err
 	}
 	addrs := n.Addrs()
-	t := discovery.Target{UID: spec.ID, Endpoint: addrs[0], Endpoints: append(addrs, addrs...), Zone: spec.Zone, Model: spec.Kind, Group: spec.Rack, State: "SERVING", Capacity: 1}
-	if cold {
+	t := discovery.Target{UID: backendSpec.ID, Endpoint: addrs[0], Endpoints: append(addrs, addrs...), Zone: backendSpec.Zone, Model: backendSpec.Kind, Group: backendSpec.Rack, State: "SERVING", Capacity: 1}
+	if slowStart {
 		t.BootMS = time.Now().UnixMilli()
 	}
 	return n, t, nil
 }
 
-// backend is a backend as it runs now.
+// backend returns the current process of a backend.
 func (r *run) backend(b int) *backend.Backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.backends[b]
 }
 
-// tell changes a backend's state in the list.
-func (r *run) tell(b int, state string) {
+// setBackendState changes the state of a backend in the endpoint list.
+func (r *run) setBackendState(b int, state string) {
 	r.mu.Lock()
 	t := r.targets[b]
 	r.mu.Unlock()
@@ -263,12 +266,12 @@
 	r.registry.Set(t, false)
 }
 
-// restartBackend ends a backend and starts it cold, at other addresses under its old id.
+// restartBackend stops a backend and starts it again under the same id, at other addresses and in slow start.
 func (r *run) restartBackend(b int) {
 	r.backend(b).Stop()
 	n, t, err := r.addBackend(b, true)
 	if err != nil {
-		r.notes.add(err.Error())
+		r.faultLog.add(err.Error())
 		return
 	}
 	r.mu.Lock()
@@ -277,45 +280,45 @@
 	r.registry.Set(t, false)
 }
 
-// discoveryFails has both agents of some instances fail for a while.
-func (r *run) discoveryFails(ctx context.Context, which []int, how discovery.Failure, d time.Duration) {
+// failDiscovery makes both agents of some instances fail for a while.
+func (r *run) failDiscovery(ctx context.Context, which []int, kind discovery.Failure, d time.Duration) {
 	from := r.clock()
-	set := func(how discovery.Failure) {
+	set := func(kind discovery.Failure) {
 		for _, i := range which {
-			r.registry.Fail(i, how)
-			r.registry.Fail(i+r.cfg.Instances, how)
+			r.registry.Fail(i, kind)
+			r.registry.Fail(i+r.cfg.Instances, kind)
 		}
 	}
-	set(how)
+	set(kind)
 	sleep(ctx, d)
 	set(discovery.Answering)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failures = append(r.failures, failure{instances: which, silent: how == discovery.Silent, from: from, to: r.clock()})
+	r.discoveryFailures = append(r.discoveryFailures, discoveryFailure{instances: which, silent: kind == discovery.Silent, from: from, to: r.clock()})
 }
 
-// load plays clients and troubles, and waits until all have ended.
-func (r *run) load(ctx context.Context, rng *rand.Rand) {
-	troubles := r.drawTroubles(rng)
-	playing, end := context.WithTimeout(ctx, r.cfg.Length)
-	defer end()
+// runLoad runs the clients and injects the faults, and waits until all have ended.
+func (r *run) runLoad(ctx context.Context, rng *rand.Rand) {
+	faults := r.drawFaults(rng)
+	loadCtx, cancelLoad := context.WithTimeout(ctx, r.cfg.Length)
+	defer cancelLoad()
 	var clients sync.WaitGroup
 	for n, in := range r.instances {
 		for k, client := range []func(context.Context, *instance, *rand.Rand){
-			r.steady, r.resting, r.pipelining, r.leaving, r.slow, r.stalling, r.unpaced,
+			r.steadyClient, r.idleClient, r.pipeliningClient, r.disconnectingClient, r.slowClient, r.stallingClient, r.unpacedClient,
 		} {
-			own := rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+n*10+k)))
-			clients.Go(func() { client(playing, in, own) })
+			clientRNG := rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+n*10+k)))
+			clients.Go(func() { client(loadCtx, in, clientRNG) })
 		}
 	}
-	acting, stop := context.WithTimeout(ctx, r.cfg.Length+settle)
-	defer stop()
-	r.play(acting, r.clock(), troubles)
+	faultCtx, cancelFaults := context.WithTimeout(ctx, r.cfg.Length+settleTimeout)
+	defer cancelFaults()
+	r.injectFaults(faultCtx, r.clock(), faults)
 	clients.Wait()
 	r.wg.Wait()
 }
 
-// Report is what a run comes to.
+// Report is the outcome of a run. The counts are those of requests, unless a comment says otherwise.
 type Report struct {
 	Seed               uint64
 	Instances          int
@@ -324,56 +327,57 @@
 	Refused            int
 	Failed             int
 	NoConnection       int
-	Starts             int
-	Overruns           int
-	LateSignals        int           // sent after a first SIGTERM
-	RequestsInShutdown int           // requests sent after a SIGTERM on a connection that was open
-	NearestToKill      time.Duration // the least time that was left to SIGKILL at an end after SIGTERM
-	SlowestStart       time.Duration
-	LatestObserver     time.Duration
-	Faults             []string
-	Findings           []Finding
-	NearestToCeiling   float64
-	NearestToOverload  float64
+	Starts             int           // of instances
+	ShutdownTimeouts   int           // instances killed because their shutdown outlasted its limit
+	LateSignals        int           // signals sent to an instance after its first SIGTERM
+	RequestsInShutdown int           // sent on an open connection after a SIGTERM
+	MinTimeBeforeKill  time.Duration // shortest time from the end of a shutdown to its limit
+	SlowestStart       time.Duration // of an instance
+	MaxObserverDelay   time.Duration
+	Faults             []string // what was injected, one line each
+	Findings           []Violation
+	CeilingMargin      float64 // nearest tenant to its ceiling, see rulecheck.Margins
+	SlowStartLoad      float64 // highest of a backend warming up, see rulecheck.Margins
 }
 
+// report returns the report of the run from what was recorded and the result of the rule checker.
 func (r *run) report(v rulecheck.Result) *Report {
 	out := &Report{
-		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.clientRequests), Faults: r.notes.lines, Findings: r.findings, LatestObserver: v.WorstDelay,
-		NearestToCeiling: v.Margins.Ceiling, NearestToOverload: v.Margins.SlowStartPush,
+		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.clientRequests), Faults: r.faultLog.lines, Findings: r.violations, MaxObserverDelay: v.WorstDelay,
+		CeilingMargin: v.Margins.Ceiling, SlowStartLoad: v.Margins.SlowStartPush,
 	}
 	for i := range r.clientRequests {
-		a := &r.clientRequests[i]
-		if !a.fresh && !a.noConnect && a.in.leavingFor(a.sent) > 0 {
+		req := &r.clientRequests[i]
+		if !req.firstOnConn && !req.notConnected && req.in.timeSinceShutdown(req.sent) > 0 {
 			out.RequestsInShutdown++
 		}
 		switch {
-		case a.noConnect:
+		case req.notConnected:
 			out.NoConnection++
-		case len(a.answers) == 0:
-		case a.answers[0].Kind == "served":
+		case len(req.answers) == 0:
+		case req.answers[0].Kind == "served":
 			out.Served++
-		case a.answers[0].Kind == "refused":
+		case req.answers[0].Kind == "refused":
 			out.Refused++
 		default:
 			out.Failed++
 		}
 	}
 	for _, in := range r.instances {
-		out.Starts += len(in.startup)
-		out.Overruns += len(in.overrun)
+		out.Starts += len(in.startDurations)
+		out.ShutdownTimeouts += len(in.timedOutAt)
 		out.LateSignals += in.lateSignals
-		if in.nearestKill > 0 && (out.NearestToKill == 0 || in.nearestKill < out.NearestToKill) {
-			out.NearestToKill = in.nearestKill
+		if in.minTimeBeforeKill > 0 && (out.MinTimeBeforeKill == 0 || in.minTimeBeforeKill < out.MinTimeBeforeKill) {
+			out.MinTimeBeforeKill = in.minTimeBeforeKill
 		}
-		for _, took := range in.startup {
+		for _, took := range in.startDurations {
 			out.SlowestStart = max(out.SlowestStart, took)
 		}
 	}
 	return out
 }
 
-// Certain are the findings that no lateness of the observers explains.
+// Certain returns the number of violations that no delay of the observers explains.
 func (r *Report) Certain() (n int) {
 	for _, f := range r.Findings {
 		if !f.Doubtful {
@@ -383,28 +387,28 @@
 	return n
 }
 
-// Line sums a run up.
+// Line returns a summary in one line.
 func (r *Report) Line() string {
 	return fmt.Sprintf("seed %d: %d requests at %d instances, served %d, refused %d, failed %d, not connected %d; %d starts, slowest %v, %d killed at the end of their time, nearest %v; %d signals and %d requests in shutdowns; ceiling %+.2f, cold %.2f, observers late by %v: %d breaks, %d certain",
-		r.Seed, r.Requests, r.Instances, r.Served, r.Refused, r.Failed, r.NoConnection, r.Starts, r.SlowestStart.Round(time.Millisecond), r.Overruns, r.NearestToKill.Round(time.Millisecond), r.LateSignals, r.RequestsInShutdown,
-		r.NearestToCeiling, r.NearestToOverload,
-		r.LatestObserver.Round(time.Millisecond), len(r.Findings), r.Certain())
+		r.Seed, r.Requests, r.Instances, r.Served, r.Refused, r.Failed, r.NoConnection, r.Starts, r.SlowestStart.Round(time.Millisecond), r.ShutdownTimeouts, r.MinTimeBeforeKill.Round(time.Millisecond), r.LateSignals, r.RequestsInShutdown,
+		r.CeilingMargin, r.SlowStartLoad,
+		r.MaxObserverDelay.Round(time.Millisecond), len(r.Findings), r.Certain())
 }
 
-// Text is all that is known of the breaks, up to so many of each rule.
-func (r *Report) Text(most int) string {
+// Text returns the details of the violations, up to maxPerRule of each rule, and the faults that were injected.
+func (r *Report) Text(maxPerRule int) string {
 	var b strings.Builder
 	seen := map[string]int{}
 	for _, f := range r.Findings {
-		if seen[f.Rule]++; seen[f.Rule] > most {
+		if seen[f.Rule]++; seen[f.Rule] > maxPerRule {
 			continue
 		}
-		doubt := ""
+		suffix := ""
 		if f.Doubtful {
-			doubt = " (observers were late)"
+			suffix = " (observers were late)"
 		}
-		fmt.Fprintf(&b, "  %s at %.3f s: %s%s\n", f.Rule, f.At.Seconds(), f.Detail, doubt)
-		for _, line := range f.Story {
+		fmt.Fprintf(&b, "  %s at %.3f s: %s%s\n", f.Rule, f.At.Seconds(), f.Detail, suffix)
+		for _, line := range f.Timeline {
 			fmt.Fprintf(&b, "      %s\n", line)
 		}
 	}
@@ -412,8 +416,8 @@
 		fmt.Fprintf(&b, "  %s: %d times\n", rule, n)
 	}
 	if len(r.Findings) > 0 {
-		for _, t := range r.Faults {
-			fmt.Fprintf(&b, "  trouble at %s\n", t)
+		for _, faultLine := range r.Faults {
+			fmt.Fprintf(&b, "  trouble at %s\n", faultLine)
 		}
 	}
 	return b.String()
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -13,87 +13,88 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// Troubles come in clusters of a few that overlap; this is how many, and how far apart.
+// Faults come in clusters that overlap.
 const (
-	clusterEvery = 2500 * time.Millisecond
-	clusterFirst = 1500 * time.Millisecond
-	clusterSize  = 5
-	jitter       = 1200 * time.Millisecond
-	crowdEnds    = time.Second // that it takes until those who waited for a place have one
+	clusterInterval = 2500 * time.Millisecond
+	firstClusterAt  = 1500 * time.Millisecond
+	clusterSize     = 5                       // faults
+	maxFaultJitter  = 1200 * time.Millisecond // after the cluster's time, at which a fault begins
+	floodRecovery   = time.Second             // until clients that waited for a connection slot have one
 )
 
-// trouble is something that goes wrong at a time, counted from the beginning of the load.
-type trouble struct {
-	at   time.Duration
-	text string
-	do   func(context.Context)
+// scheduledFault is a fault with the time, since the load began, at which it is injected.
+type scheduledFault struct {
+	at     time.Duration
+	text   string
+	inject func(context.Context)
 }
 
-// troubleKind draws a trouble of one kind.
-type troubleKind func(*run, *rand.Rand) trouble
+// faultGenerator draws a fault of one kind.
+type faultGenerator func(*run, *rand.Rand) scheduledFault
 
-var troubleKinds = []troubleKind{
-	drawTerminations, drawTerminations, drawKills, drawHangups, drawSilence, drawBrokenDiscovery, drawDrains, drawColdRestarts,
-	drawResets, drawRules, drawPauses, drawCuts, drawCounter, drawHolds, drawIdleCloses, drawCrowd, drawDrainedInstances, drawSuspensions,
+var faultGenerators = []faultGenerator{
+	drawTerminations, drawTerminations, drawKills, drawReloads, drawSilentDiscovery, drawFailingDiscovery, drawBackendDrains, drawBackendRestarts,
+	drawConnectionResets, drawFaultRules, drawBackendPauses, drawPartitions, drawCounterFaults, drawInstancePauses, drawIdleCloses, drawConnectionFlood, drawInstanceDrains, drawSuspensions,
 }
 
-// drawTroubles draws the troubles of a run.
-func (r *run) drawTroubles(rng *rand.Rand) (out []trouble) {
-	for at := clusterFirst; at < r.cfg.Length-clusterEvery/2; at += clusterEvery {
-		for _, k := range rng.Perm(len(troubleKinds))[:clusterSize] {
-			t := troubleKinds[k](r, rng)
-			t.at = at + time.Duration(rng.Int64N(int64(jitter)))
+// drawFaults draws the faults of a run, in order of their time.
+func (r *run) drawFaults(rng *rand.Rand) (out []scheduledFault) {
+	for at := firstClusterAt; at < r.cfg.Length-clusterInterval/2; at += clusterInterval {
+		for _, k := range rng.Perm(len(faultGenerators))[:clusterSize] {
+			t := faultGenerators[k](r, rng)
+			t.at = at + time.Duration(rng.Int64N(int64(maxFaultJitter)))
 			out = append(out, t)
 		}
 	}
-	slices.SortFunc(out, func(a, b trouble) int { return int(a.at - b.at) })
+	slices.SortFunc(out, func(a, b scheduledFault) int { return int(a.at - b.at) })
 	return out
 }
 
-// play does the troubles at their times and waits until all have ended.
-func (r *run) play(ctx context.Context, began time.Duration, list []trouble) {
-	for _, t := range list {
+// injectFaults starts a goroutine for each fault, which injects it at its time. The goroutines belong to r.wg.
+func (r *run) injectFaults(ctx context.Context, loadStart time.Duration, faults []scheduledFault) {
+	for _, t := range faults {
 		r.wg.Go(func() {
-			if sleep(ctx, began+t.at-r.clock()) {
-				r.notes.add(fmt.Sprintf("%.3f s: %s", r.clock().Seconds(), t.text))
-				t.do(ctx)
+			if sleep(ctx, loadStart+t.at-r.clock()) {
+				r.faultLog.add(fmt.Sprintf("%.3f s: %s", r.clock().Seconds(), t.text))
+				t.inject(ctx)
 			}
 		})
 	}
 }
 
-// pick draws some of n.
-func pick(rng *rand.Rand, n, least, most int) []int {
-	count := min(n, least+rng.IntN(most-least+1))
+// pickIndices draws between minCount and maxCount different numbers below n, in ascending order.
+func pickIndices(rng *rand.Rand, n, minCount, maxCount int) []int {
+	count := min(n, minCount+rng.IntN(maxCount-minCount+1))
 	out := rng.Perm(n)[:count]
 	slices.Sort(out)
 	return out
 }
 
-func drawSpan(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return (least + time.Duration(rng.Int64N(int64(most-least)))).Round(time.Millisecond)
+func drawDuration(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return (shortest + time.Duration(rng.Int64N(int64(longest-shortest)))).Round(time.Millisecond)
 }
 
-// drawTerminations ends some instances one after another, mostly while many backends hang, and holds some of them up at their end.
-func drawTerminations(r *run, rng *rand.Rand) trouble {
-	which := pick(rng, r.cfg.Instances, 1, max(1, r.cfg.Instances/5))
-	gap, hold := drawSpan(rng, 0, 400*time.Millisecond), time.Duration(rng.IntN(2))*drawSpan(rng, 100*time.Millisecond, 150*time.Millisecond)
-	pause := drawSpan(rng, 0, time.Second)
+// drawTerminations sends SIGTERM to some instances one after another, in most cases while many backends hang. In half
+// the cases it also pauses each process near the end of its shutdown limit.
+func drawTerminations(r *run, rng *rand.Rand) scheduledFault {
+	which := pickIndices(rng, r.cfg.Instances, 1, max(1, r.cfg.Instances/5))
+	gap, pauseLength := drawDuration(rng, 0, 400*time.Millisecond), time.Duration(rng.IntN(2))*drawDuration(rng, 100*time.Millisecond, 150*time.Millisecond)
+	restartDelay := drawDuration(rng, 0, time.Second)
 	signals := make([]signalSeries, len(which))
 	for i := range signals {
 		signals[i] = drawSignals(rng)
 	}
 	var hang []int
 	if rng.IntN(4) > 0 {
-		hang = pick(rng, r.deployment.backends, r.deployment.backends/4, r.deployment.backends)
+		hang = pickIndices(rng, r.deployment.backends, r.deployment.backends/4, r.deployment.backends)
 	}
-	text := fmt.Sprintf("SIGTERM to %v, %v apart, held up for %v near the end, while %v hang; with it %v", which, gap, hold, hang, signals)
-	return trouble{text: text, do: func(ctx context.Context) {
+	text := fmt.Sprintf("SIGTERM to %v, %v apart, held up for %v near the end, while %v hang; with it %v", which, gap, pauseLength, hang, signals)
+	return scheduledFault{text: text, inject: func(ctx context.Context) {
 		for _, b := range hang {
 			r.backend(b).Pause(4500 * time.Millisecond)
 		}
 		for n, i := range which {
-			r.wg.Go(func() { r.instances[i].terminate(ctx, pause, hold, signals[n]) })
+			r.wg.Go(func() { r.instances[i].terminate(ctx, restartDelay, pauseLength, signals[n]) })
 			if !sleep(ctx, gap) {
 				return
 			}
@@ -101,76 +102,77 @@
 	}}
 }
 
-func drawKills(r *run, rng *rand.Rand) trouble {
-	which, pause := pick(rng, r.cfg.Instances, 1, max(1, r.cfg.Instances/3)), drawSpan(rng, 100*time.Millisecond, 1500*time.Millisecond)
-	return trouble{text: fmt.Sprintf("SIGKILL to %v, back after %v", which, pause), do: func(ctx context.Context) {
+func drawKills(r *run, rng *rand.Rand) scheduledFault {
+	which, restartDelay := pickIndices(rng, r.cfg.Instances, 1, max(1, r.cfg.Instances/3)), drawDuration(rng, 100*time.Millisecond, 1500*time.Millisecond)
+	return scheduledFault{text: fmt.Sprintf("SIGKILL to %v, back after %v", which, restartDelay), inject: func(ctx context.Context) {
 		for _, i := range which {
-			r.wg.Go(func() { r.instances[i].kill(ctx, pause) })
+			r.wg.Go(func() { r.instances[i].kill(ctx, restartDelay) })
 		}
 	}}
 }
 
-func drawHangups(r *run, rng *rand.Rand) trouble {
-	which, times, gap, torn := pick(rng, r.cfg.Instances, 1, r.cfg.Instances), 1+rng.IntN(5), drawSpan(rng, 20*time.Millisecond, 700*time.Millisecond), rng.IntN(2) == 0
-	return trouble{text: fmt.Sprintf("%d new configurations %v apart to %v, one torn: %v", times, gap, which, torn), do: func(ctx context.Context) {
+func drawReloads(r *run, rng *rand.Rand) scheduledFault {
+	which, times, gap, torn := pickIndices(rng, r.cfg.Instances, 1, r.cfg.Instances), 1+rng.IntN(5), drawDuration(rng, 20*time.Millisecond, 700*time.Millisecond), rng.IntN(2) == 0
+	return scheduledFault{text: fmt.Sprintf("%d new configurations %v apart to %v, one torn: %v", times, gap, which, torn), inject: func(ctx context.Context) {
 		for _, i := range which {
-			r.wg.Go(func() { r.instances[i].hangUp(ctx, times, gap, torn) })
+			r.wg.Go(func() { r.instances[i].reload(ctx, times, gap, torn) })
 		}
 	}}
 }
 
-// drawSilence makes the agents of some instances silent, both of each.
-func drawSilence(r *run, rng *rand.Rand) trouble {
-	which, d := pick(rng, r.cfg.Instances, r.cfg.Instances/2, r.cfg.Instances), drawSpan(rng, time.Second, 8*time.Second)
-	return trouble{text: fmt.Sprintf("discovery silent for %v at %v", d, which), do: func(ctx context.Context) {
-		r.discoveryFails(ctx, which, discovery.Silent, d)
+// drawSilentDiscovery makes both agents of some instances silent.
+func drawSilentDiscovery(r *run, rng *rand.Rand) scheduledFault {
+	which, d := pickIndices(rng, r.cfg.Instances, r.cfg.Instances/2, r.cfg.Instances), drawDuration(rng, time.Second, 8*time.Second)
+	return scheduledFault{text: fmt.Sprintf("discovery silent for %v at %v", d, which), inject: func(ctx context.Context) {
+		r.failDiscovery(ctx, which, discovery.Silent, d)
 	}}
 }
 
-// drawBrokenDiscovery has the agents of some instances reset connections, or turn calls away.
-func drawBrokenDiscovery(r *run, rng *rand.Rand) trouble {
-	which, d := pick(rng, r.cfg.Instances, 1, r.cfg.Instances), drawSpan(rng, 200*time.Millisecond, 4*time.Second)
-	how, name := discovery.Resetting, "resets"
+// drawFailingDiscovery makes the agents of some instances reset their connections or reject calls.
+func drawFailingDiscovery(r *run, rng *rand.Rand) scheduledFault {
+	which, d := pickIndices(rng, r.cfg.Instances, 1, r.cfg.Instances), drawDuration(rng, 200*time.Millisecond, 4*time.Second)
+	kind, name := discovery.Resetting, "resets"
 	if rng.IntN(2) == 0 {
-		how, name = discovery.TurningAway, "turns away"
+		kind, name = discovery.TurningAway, "turns away"
 	}
-	return trouble{text: fmt.Sprintf("discovery %s for %v at %v", name, d, which), do: func(ctx context.Context) {
-		r.discoveryFails(ctx, which, how, d)
+	return scheduledFault{text: fmt.Sprintf("discovery %s for %v at %v", name, d, which), inject: func(ctx context.Context) {
+		r.failDiscovery(ctx, which, kind, d)
 	}}
 }
 
-// drawDrains has backends drain and stay up; they come back later.
-func drawDrains(r *run, rng *rand.Rand) trouble {
-	which, d := pick(rng, r.deployment.backends, 1, r.deployment.backends/3), drawSpan(rng, 3*time.Second, 8*time.Second)
-	turnsAway := rng.IntN(2) == 0
-	return trouble{text: fmt.Sprintf("backends %v drain for %v, and turn away: %v", which, d, turnsAway), do: func(ctx context.Context) {
+// drawBackendDrains drains some backends, which keep running and serve again later. They may reject requests
+// meanwhile.
+func drawBackendDrains(r *run, rng *rand.Rand) scheduledFault {
+	which, d := pickIndices(rng, r.deployment.backends, 1, r.deployment.backends/3), drawDuration(rng, 3*time.Second, 8*time.Second)
+	rejects := rng.IntN(2) == 0
+	return scheduledFault{text: fmt.Sprintf("backends %v drain for %v, and turn away: %v", which, d, rejects), inject: func(ctx context.Context) {
 		for _, b := range which {
-			r.tell(b, "DRAINING")
-			r.backend(b).Drain(turnsAway)
+			r.setBackendState(b, "DRAINING")
+			r.backend(b).Drain(rejects)
 		}
 		if !sleep(ctx, d) {
 			return
 		}
 		for _, b := range which {
 			r.backend(b).Drain(false)
-			r.tell(b, "SERVING")
+			r.setBackendState(b, "SERVING")
 		}
 	}}
 }
 
-func drawColdRestarts(r *run, rng *rand.Rand) trouble {
-	which := pick(rng, r.deployment.backends, 1, r.deployment.backends/3)
-	return trouble{text: fmt.Sprintf("backends %v restart cold", which), do: func(context.Context) {
+func drawBackendRestarts(r *run, rng *rand.Rand) scheduledFault {
+	which := pickIndices(rng, r.deployment.backends, 1, r.deployment.backends/3)
+	return scheduledFault{text: fmt.Sprintf("backends %v restart cold", which), inject: func(context.Context) {
 		for _, b := range which {
 			r.restartBackend(b)
 		}
 	}}
 }
 
-// drawResets has backends forget their connections, some times.
-func drawResets(r *run, rng *rand.Rand) trouble {
-	which, times, gap := pick(rng, r.deployment.backends, 1, r.deployment.backends), 1+rng.IntN(8), drawSpan(rng, 5*time.Millisecond, 300*time.Millisecond)
-	return trouble{text: fmt.Sprintf("backends %v reset all connections %d times, %v apart", which, times, gap), do: func(ctx context.Context) {
+// drawConnectionResets makes some backends reset all their connections, several times.
+func drawConnectionResets(r *run, rng *rand.Rand) scheduledFault {
+	which, times, gap := pickIndices(rng, r.deployment.backends, 1, r.deployment.backends), 1+rng.IntN(8), drawDuration(rng, 5*time.Millisecond, 300*time.Millisecond)
+	return scheduledFault{text: fmt.Sprintf("backends %v reset all connections %d times, %v apart", which, times, gap), inject: func(ctx context.Context) {
 		for range times {
 			for _, b := range which {
 				r.backend(b).Reset()
@@ -182,17 +184,17 @@
 	}}
 }
 
-// drawRules spoils a share of what some backends answer.
-func drawRules(r *run, rng *rand.Rand) trouble {
-	which, d := pick(rng, r.deployment.backends, 2, r.deployment.backends), drawSpan(rng, time.Second, 4*time.Second)
+// drawFaultRules applies a fault rule to some backends, which affects a fraction of their requests.
+func drawFaultRules(r *run, rng *rand.Rand) scheduledFault {
+	which, d := pickIndices(rng, r.deployment.backends, 2, r.deployment.backends), drawDuration(rng, time.Second, 4*time.Second)
 	text := []string{
 		"drop-after share 0.3", "drop-before share 0.3", "ignore share 0.3", "hold 400ms share 0.4", "repeat share 0.3", "repeat-late 8ms share 0.3", "cut share 0.3",
 		"delay 300ms share 0.4", "fail share 0.3", "swallow share 0.3",
 	}[rng.IntN(10)]
-	return trouble{text: fmt.Sprintf("backends %v for %v: %s", which, d, text), do: func(context.Context) {
+	return scheduledFault{text: fmt.Sprintf("backends %v for %v: %s", which, d, text), inject: func(context.Context) {
 		rule, err := fault.Parse(text)
 		if err != nil {
-			panic(err) // the words are above
+			panic(err) // the rules above are valid
 		}
 		rule.For = d
 		for _, b := range which {
@@ -201,19 +203,19 @@
 	}}
 }
 
-func drawPauses(r *run, rng *rand.Rand) trouble {
-	which, d := pick(rng, r.deployment.backends, 1, r.deployment.backends), drawSpan(rng, 200*time.Millisecond, 3*time.Second)
-	return trouble{text: fmt.Sprintf("backends %v hang for %v", which, d), do: func(context.Context) {
+func drawBackendPauses(r *run, rng *rand.Rand) scheduledFault {
+	which, d := pickIndices(rng, r.deployment.backends, 1, r.deployment.backends), drawDuration(rng, 200*time.Millisecond, 3*time.Second)
+	return scheduledFault{text: fmt.Sprintf("backends %v hang for %v", which, d), inject: func(context.Context) {
 		for _, b := range which {
 			r.backend(b).Pause(d)
 		}
 	}}
 }
 
-// drawCuts cuts some backends off from some instances.
-func drawCuts(r *run, rng *rand.Rand) trouble {
-	which, from, d := pick(rng, r.deployment.backends, 1, r.deployment.backends/2), pick(rng, r.cfg.Instances, 1, r.cfg.Instances), drawSpan(rng, 500*time.Millisecond, 4*time.Second)
-	return trouble{text: fmt.Sprintf("backends %v are cut off from %v for %v", which, from, d), do: func(context.Context) {
+// drawPartitions cuts the connections between some backends and some instances.
+func drawPartitions(r *run, rng *rand.Rand) scheduledFault {
+	which, from, d := pickIndices(rng, r.deployment.backends, 1, r.deployment.backends/2), pickIndices(rng, r.cfg.Instances, 1, r.cfg.Instances), drawDuration(rng, 500*time.Millisecond, 4*time.Second)
+	return scheduledFault{text: fmt.Sprintf("backends %v are cut off from %v for %v", which, from, d), inject: func(context.Context) {
 		for _, b := range which {
 			for _, i := range from {
 				r.backend(b).Cut(i, d)
@@ -222,24 +224,25 @@
 	}}
 }
 
-func drawCounter(r *run, rng *rand.Rand) trouble {
-	d := drawSpan(rng, 300*time.Millisecond, 4*time.Second)
+func drawCounterFaults(r *run, rng *rand.Rand) scheduledFault {
+	d := drawDuration(rng, 300*time.Millisecond, 4*time.Second)
 	text := []string{fmt.Sprint("silent ", d), fmt.Sprint("stop ", d), "restart 200ms", fmt.Sprintf("drop-after for %v share 0.4", d), fmt.Sprintf("delay 90ms for %v share 0.5", d)}[rng.IntN(5)]
-	return trouble{text: "counter: " + text, do: func(context.Context) {
+	return scheduledFault{text: "counter: " + text, inject: func(context.Context) {
 		if err := r.counter.Do(text); err != nil {
-			r.notes.add(err.Error())
+			r.faultLog.add(err.Error())
 		}
 	}}
 }
 
-// drawHolds holds some instances up, again and again, for as long as an ingress may be held up between reading its clock and writing.
-func drawHolds(r *run, rng *rand.Rand) trouble {
-	which, times, d := pick(rng, r.cfg.Instances, 1, max(1, r.cfg.Instances/3)), 2+rng.IntN(6), drawSpan(rng, 40*time.Millisecond, 150*time.Millisecond)
-	return trouble{text: fmt.Sprintf("%v are held up %d times for %v", which, times, d), do: func(ctx context.Context) {
+// drawInstancePauses pauses some instances several times, each for no longer than an ingress may be delayed between
+// reading its clock and writing.
+func drawInstancePauses(r *run, rng *rand.Rand) scheduledFault {
+	which, times, d := pickIndices(rng, r.cfg.Instances, 1, max(1, r.cfg.Instances/3)), 2+rng.IntN(6), drawDuration(rng, 40*time.Millisecond, 150*time.Millisecond)
+	return scheduledFault{text: fmt.Sprintf("%v are held up %d times for %v", which, times, d), inject: func(ctx context.Context) {
 		for _, i := range which {
 			r.wg.Go(func() {
 				for range times {
-					r.instances[i].holdUp(ctx, d)
+					r.instances[i].pauseFor(ctx, d)
 					if !sleep(ctx, d+250*time.Millisecond) {
 						return
 					}
@@ -249,10 +252,10 @@
 	}}
 }
 
-// drawIdleCloses has backends close idle connections far sooner than the settings say, for a while.
-func drawIdleCloses(r *run, rng *rand.Rand) trouble {
-	which, after, d := pick(rng, r.deployment.backends, 1, r.deployment.backends), drawSpan(rng, 15*time.Millisecond, 500*time.Millisecond), drawSpan(rng, time.Second, 4*time.Second)
-	return trouble{text: fmt.Sprintf("backends %v close connections after %v without a command, for %v", which, after, d), do: func(ctx context.Context) {
+// drawIdleCloses makes some backends close idle connections far sooner than the settings say.
+func drawIdleCloses(r *run, rng *rand.Rand) scheduledFault {
+	which, after, d := pickIndices(rng, r.deployment.backends, 1, r.deployment.backends), drawDuration(rng, 15*time.Millisecond, 500*time.Millisecond), drawDuration(rng, time.Second, 4*time.Second)
+	return scheduledFault{text: fmt.Sprintf("backends %v close connections after %v without a command, for %v", which, after, d), inject: func(ctx context.Context) {
 		set := func(after time.Duration) {
 			for _, b := range which {
 				r.backend(b).CloseIdle(after)
@@ -264,11 +267,12 @@
 	}}
 }
 
-// drawCrowd fills the places of one instance with idle clients, some of which have begun a command.
-func drawCrowd(r *run, rng *rand.Rand) trouble {
-	in, clients, d := r.instances[rng.IntN(r.cfg.Instances)], mostSockets+rng.IntN(100), drawSpan(rng, time.Second, 4*time.Second)
-	return trouble{text: fmt.Sprintf("%d idle clients at %s for %v", clients, in.Name, d), do: func(ctx context.Context) {
-		crowd := in.beginCrowd(r.clock())
+// drawConnectionFlood opens idle connections to one instance up to its limit or beyond. Some have sent the beginning
+// of a command.
+func drawConnectionFlood(r *run, rng *rand.Rand) scheduledFault {
+	in, clients, d := r.instances[rng.IntN(r.cfg.Instances)], maxSockets+rng.IntN(100), drawDuration(rng, time.Second, 4*time.Second)
+	return scheduledFault{text: fmt.Sprintf("%d idle clients at %s for %v", clients, in.Name, d), inject: func(ctx context.Context) {
+		flood := in.beginFlood(r.clock())
 		var open []net.Conn
 		for i := range clients {
 			nc, err := net.DialTimeout("tcp", in.addr, 100*time.Millisecond)
@@ -284,28 +288,29 @@
 		for _, nc := range open {
 			nc.Close()
 		}
-		in.endCrowd(crowd, r.clock()+crowdEnds)
+		in.endFlood(flood, r.clock()+floodRecovery)
 	}}
 }
 
-// beginCrowd notes that all places of an instance may be taken from now on, and returns the number of the crowd.
-func (in *instance) beginCrowd(from time.Duration) int {
+// beginFlood records that all connections of the instance may be taken from now on, and returns the number of the
+// flood.
+func (in *instance) beginFlood(from time.Duration) int {
 	in.run.mu.Lock()
 	defer in.run.mu.Unlock()
-	in.crowds = append(in.crowds, span{from: from, to: math.MaxInt64})
-	return len(in.crowds) - 1
+	in.floods = append(in.floods, span{from: from, to: math.MaxInt64})
+	return len(in.floods) - 1
 }
 
-// endCrowd notes when a crowd has gone.
-func (in *instance) endCrowd(crowd int, to time.Duration) {
+// endFlood records when a flood ended.
+func (in *instance) endFlood(flood int, to time.Duration) {
 	in.run.mu.Lock()
 	defer in.run.mu.Unlock()
-	in.crowds[crowd].to = to
+	in.floods[flood].to = to
 }
 
-// crowdedSince reports whether all places may have been taken at some time since then.
-func (in *instance) crowdedSince(from time.Duration) bool {
+// floodedSince reports whether all connections may have been taken at some time since from.
+func (in *instance) floodedSince(from time.Duration) bool {
 	in.run.mu.Lock()
 	defer in.run.mu.Unlock()
-	return in.crowded(from, in.run.clock())
+	return in.floodedWithin(from, in.run.clock())
 }
