--- a/internal/lab/scenario/decode.go
+++ b/internal/lab/scenario/decode.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time.Duration that TOML writes as Go does, like "3s".
+// Duration is a time.Duration whose text is written as in Go, for example "3s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// Decode reads a TOML text into a struct and rejects unknown keys. Errors begin with subject and name the line.
+// Decode decodes a TOML text into a struct and rejects unknown keys. Errors begin with subject and name the line.
 func Decode(subject string, text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var unknownKeys *toml.StrictMissingError
--- a/internal/lab/scenario/random.go
+++ b/internal/lab/scenario/random.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// faultStream is the random stream of the faults, so that they differ from what else is drawn from the seed.
+	// faultStream is the random stream of the faults. It makes them independent of everything else that is drawn from
+	// the seed.
 	faultStream = 23
-	// earliestRandomFault is when the first random fault may come.
+	// earliestRandomFault is the earliest time of a random fault.
 	earliestRandomFault = 500 * time.Millisecond
-	// latestRandomFault is when the last one may come, as a fraction of the length: its effect must show before the
-	// end.
+	// latestRandomFault is the latest time of a random fault, as a fraction of the load's length. The fault's effect
+	// must show before the end.
 	latestRandomFault = 0.85
 )
 
-// faultGenerator draws the text of faults from a seed. The order of its draws decides which faults a seed gives.
+// faultGenerator draws the texts of faults from a seed. Its draws must keep their order, or a seed gives other faults.
 type faultGenerator struct {
 	rng       *rand.Rand
 	backends  int
@@ -38,7 +39,7 @@
 	return drawn.Round(time.Millisecond)
 }
 
-// randomFaults are the kinds of fault that may be drawn, without their time.
+// randomFaults draw the text of one fault each, without its time.
 var randomFaults = []func(g *faultGenerator) string{
 	func(g *faultGenerator) string {
 		return fmt.Sprintf("node/%d:slow %.1f %v",
@@ -82,7 +83,7 @@
 	},
 }
 
-// drawFaults returns the texts of the random faults that a seed gives.
+// drawFaults returns the texts of the random faults of a seed.
 func (s *Scenario) drawFaults(seed uint64) []string {
 	generator := &faultGenerator{
 		rng:       rand.New(rand.NewPCG(seed, faultStream)),
--- a/internal/lab/scenario/required.go
+++ b/internal/lab/scenario/required.go
@@ -6,8 +6,8 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// Required holds what a run must have exercised: at least so many facts near each rule's edge, as rulecheck.Margins
-// counts them. Zero requires nothing.
+// Required is what a run must exercise to prove anything: a minimum for each of the rulecheck.Margins, which say how
+// near and how often the run came to a limit. A minimum of 0 requires nothing.
 type Required struct {
 	Refused        int      `toml:"refused"`
 	Tight          int      `toml:"tight"`
@@ -15,13 +15,13 @@
 	Withheld       int      `toml:"held_back"`
 	Drains         int      `toml:"drains"`
 	SlowStartSends int      `toml:"cold_sends"`
-	SlowStartPush  float64  `toml:"cold_push"`   // load of a backend warming up, as a fraction of what makes it fail
+	SlowStartPush  float64  `toml:"cold_push"`   // load on a backend warming up, as a fraction of what makes it fail
 	Ceiling        *float64 `toml:"ceiling"`     // nearest tenant, as a fraction of its burst: -0.1 is within a tenth
 	CeilingFor     int      `toml:"ceiling_for"` // tenants that came within a tenth of their ceiling
 }
 
-// Unmet returns a line for each requirement that a run does not meet. If there is none, the run proves what its
-// scenario is for.
+// Unmet returns a line for each requirement that a run does not meet. A run without such a line proves what its
+// scenario is there to prove.
 func (r Required) Unmet(margins rulecheck.Margins) (unmet []string) {
 	for _, count := range []struct {
 		subject   string
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,7 +1,6 @@
-// Package scenario holds the lab's scenarios: the load of a run, the faults that are injected, and what the run
-// must have exercised to prove anything. Its input is a TOML file, or the name of a scenario that comes with the
-// program. Its output is a Scenario of which every key and fault has been validated. It starts nothing and knows no
-// process and no socket.
+// Package scenario holds the scenarios of the lab: the load of a run, the faults that are injected, and what the run
+// must exercise to prove anything. Its input is a TOML file, or the name of a scenario that is part of the program.
+// Its output is a Scenario whose keys and faults have been validated. It starts no process and opens no connection.
 package scenario
 
 import (
@@ -27,26 +26,26 @@
 	StoreSentinel = "redis-sentinel" // a primary and a replica, found by a Sentinel
 )
 
-// HotTenants describes tenants that request far more than their quota.
+// HotTenants is a group of tenants that request far more than their quota.
 type HotTenants struct {
 	Plan        string  `toml:"plan"`
 	Tenants     int     `toml:"channels"`
 	QuotaFactor float64 `toml:"times"` // load as a multiple of the quota
-	// On and Off, if set, are the lengths of bursts and of the pauses between them. The tenants request hardly
-	// anything in a pause, so that the burst of their quota is full again when the next one begins.
+	// On and Off, if set, are the lengths of load bursts and of the pauses between them. The tenants request almost
+	// nothing in a pause, so that their quota allows a full burst again when the next one begins.
 	On  Duration `toml:"on"`
 	Off Duration `toml:"off"`
 }
 
-// ZoneLoss says which zones are lost, from when until when. The report compares what was served in that span with
-// what the remaining zones could have served.
+// ZoneLoss is the loss of zones for a span of time. The report compares what was served in that span with what the
+// remaining zones could have served.
 type ZoneLoss struct {
 	Zones []string `toml:"halls"`
 	From  Duration `toml:"from"`
 	To    Duration `toml:"to"`
 }
 
-// Scenario says what a run does.
+// Scenario describes a run.
 type Scenario struct {
 	Name           string       `toml:"-"`
 	About          string       `toml:"about"`
@@ -54,25 +53,26 @@
 	Backends       int          `toml:"nodes"`
 	Ingresses      int          `toml:"ingresses"`
 	Store          string       `toml:"store"`   // StoreTally, StoreRedis or StoreSentinel
-	Load           float64      `toml:"load"`    // requested within quotas, as a fraction of the fleet's capacity
-	UnevenRouting  bool         `toml:"uneven"`  // tenants spread unevenly over the ingresses, changing every 5 s
-	UnsafeClass    bool         `toml:"unsafe"`  // one more class, whose requests may not be repeated
-	HalvedCeilings int          `toml:"cut"`     // number of tenants of the plan storby that have half the ceiling
+	Load           float64      `toml:"load"`    // load within the quotas, as a fraction of the fleet's capacity
+	UnevenRouting  bool         `toml:"uneven"`  // tenants are spread unevenly over the ingresses, changing every 5 s
+	UnsafeClass    bool         `toml:"unsafe"`  // adds a class whose requests may not be repeated
+	HalvedCeilings int          `toml:"cut"`     // number of tenants of the plan storby whose ceiling is halved
 	WarmedBy       int          `toml:"warm_by"` // requests after which a backend has warmed up
 	HotTenants     []HotTenants `toml:"hot"`
 	Faults         []string     `toml:"faults"` // each TARGET:WHAT at TIME, see ParseStep
 	RandomFaults   int          `toml:"random"` // number of faults drawn from the seed, besides Faults
-	// MaxBeyond is the most that may be sent on beyond quotas, as a fraction of what is sent on within them. 0: any.
+	// MaxBeyond is the maximum load forwarded beyond quotas, as a fraction of that forwarded within quotas. 0: no
+	// maximum.
 	MaxBeyond float64   `toml:"most_beyond"`
 	Required  Required  `toml:"must"`
 	Loss      *ZoneLoss `toml:"loss"` // nil: no zone is lost
 }
 
-// Names lists the scenarios that come with the program.
+// Names returns the names of the scenarios that are part of the program.
 func Names() []string {
 	entries, err := scenarioFiles.ReadDir(scenarioDir)
 	if err != nil {
-		panic(err) // they are part of the program
+		panic(err) // the files are embedded
 	}
 	var names []string
 	for _, entry := range entries {
@@ -81,7 +81,7 @@
 	return names
 }
 
-// Text returns the TOML text of a scenario that comes with the program.
+// Text returns the TOML text of a scenario that is part of the program.
 func Text(name string) (string, error) {
 	if !slices.Contains(Names(), name) {
 		return "", fmt.Errorf("day %q: there is none of this name (%s)", name, strings.Join(Names(), ", "))
@@ -90,7 +90,7 @@
 	return string(text), err
 }
 
-// Load returns the validated scenario of a name, or from a file.
+// Load returns the scenario of a name, or the one in the file of that path. It is validated.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
 		text, err := Text(name)
@@ -110,7 +110,7 @@
 	return Parse(strings.TrimSuffix(path.Base(name), ".toml"), text)
 }
 
-// Parse reads a scenario's text. An unknown key, a value out of range or a fault that cannot be injected is an
+// Parse parses and validates the text of a scenario. An unknown key, a value out of range or an invalid fault is an
 // error of one line.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{Name: name}
@@ -124,7 +124,7 @@
 	return s, nil
 }
 
-// Steps returns the faults in order of their time, those drawn from the seed among them.
+// Steps returns the faults of the scenario and those drawn from the seed, in order of time.
 func (s *Scenario) Steps(seed uint64) ([]Step, error) {
 	var steps []Step
 	for _, text := range slices.Concat(s.Faults, s.drawFaults(seed)) {
@@ -141,5 +141,5 @@
 	return steps, nil
 }
 
-// end is the time at which the load ends.
+// end returns the time at which the load ends.
 func (s *Scenario) end() time.Duration { return time.Duration(s.Length) }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"hitchspring/internal/rulecheck"
 )
 
-// Each scenario that comes with the program is valid with any seed, and says what it is about.
+// Each scenario that is part of the program is valid with any seed and describes itself.
 func TestOwnScenarios(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// A file that cannot be run is an error of one line with the field and the value.
+// An invalid file is an error of one line that names the field and the value.
 func TestParseFails(t *testing.T) {
 	for text, want := range map[string]string{
 		"lenght = \"3s\"":                               `line 1: unknown key "lenght"`,
@@ -76,7 +76,7 @@
 	}
 }
 
-// A scenario is found by its name, or as a file. The error for a name that is neither lists the names.
+// Load finds a scenario by its name or as a file. The error for a name that is neither lists the names.
 func TestLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "mine.toml")
 	if err := os.WriteFile(file, []byte("load = 0.7"), 0o600); err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// What a run did not exercise is listed; what it did is not.
+// Unmet lists what a run did not exercise, and nothing else.
 func TestUnmet(t *testing.T) {
 	near := -0.1
 	required := Required{Refused: 5, Repeats: 2, SlowStartPush: 0.5, Ceiling: &near}
@@ -107,7 +107,7 @@
 	}
 }
 
-// Any text is a step that can be injected or an error.
+// ParseStep returns a valid step or an error for any text.
 func FuzzParseStep(f *testing.F) {
 	for _, text := range []string{
 		"node/1:slow 3 2s at 1s",
@@ -123,7 +123,7 @@
 			return
 		}
 		if step.At < 0 || step.Index < 0 || targets[step.Kind].actions == nil || len(step.ActionFields()) == 0 {
-			t.Fatalf("%q: got %+v", text, step)
+			t.Fatalf("%q: got %+v, want a valid step", text, step)
 		}
 	})
 }
--- a/internal/lab/scenario/step.go
+++ b/internal/lab/scenario/step.go
@@ -15,33 +15,33 @@
 type Step struct {
 	At     time.Duration // since the load began
 	Kind   string        // of the target: store, node, hall, fleet, ingress, link, discovery or lab
-	Index  int           // of a backend, a zone (0 is a), an ingress, or discovery's stream to an ingress
+	Index  int           // of a backend, a zone (0 is a), an ingress, or the ingress that a discovery stream belongs to
 	Action string        // the verb and its arguments, or a fault rule
-	Text   string        // the whole entry
+	Text   string        // the complete entry
 
 	From, To      []string // of a link: the names of its ends
-	Bidirectional bool     // of a link: the ways back are meant too
+	Bidirectional bool     // of a link: the opposite directions are affected too
 }
 
 // ActionFields returns the verb and the arguments of the action.
 func (s Step) ActionFields() []string { return strings.Fields(s.Action) }
 
-// verb is the first field of the action.
+// verb returns the first field of the action.
 func (s Step) verb() string { return s.ActionFields()[0] }
 
-// Factor returns the field i of a validated step's action as a factor.
+// Factor returns field i of a validated step's action as a factor.
 func (s Step) Factor(i int) float64 {
 	value, _ := strconv.ParseFloat(s.ActionFields()[i], 64)
 	return value
 }
 
-// Duration returns the field i of a validated step's action as a duration.
+// Duration returns field i of a validated step's action as a duration.
 func (s Step) Duration(i int) time.Duration {
 	value, _ := time.ParseDuration(s.ActionFields()[i])
 	return value
 }
 
-// Number returns the field i of a validated step's action as a whole number.
+// Number returns field i of a validated step's action as an integer.
 func (s Step) Number(i int) int {
 	value, _ := strconv.Atoi(s.ActionFields()[i])
 	return value
@@ -97,7 +97,7 @@
 	return index, nil
 }
 
-// validateAction checks that the action is one that the target has.
+// validateAction checks that the target supports the action.
 func (s Step) validateAction(target target) error {
 	fields := s.ActionFields()
 	if len(fields) == 0 {
@@ -111,8 +111,8 @@
 	return target.validateRule(s.Kind, s.Action, fields[0])
 }
 
-// parseLink parses the ends of a link and validates its fault. A>B is the ways from A to B, A|B also those back. An
-// end is numbers of instances, counter, discovery, node-NN or hall-a, separated by commas.
+// parseLink parses the ends of a link and validates its fault. A>B is the direction from A to B, and A|B is both
+// directions. An end is a list of instance numbers, counter, discovery, node-NN or hall-a, separated by commas.
 func (s Step) parseLink(ends string) (Step, error) {
 	s.Kind = "link"
 	from, to, oneWay := strings.Cut(ends, ">")
@@ -152,7 +152,7 @@
 		strings.HasPrefix(name, "node-") || strings.HasPrefix(name, "hall-")
 }
 
-// validateFor returns an error if the step needs what the scenario does not have.
+// validateFor returns an error if the step needs a target or a time that the scenario does not have.
 func (s Step) validateFor(scenario *Scenario) error {
 	counts := map[string]int{
 		"node":      scenario.Backends,
@@ -183,7 +183,8 @@
 	return nil
 }
 
-// supportedBy reports whether the scenario's kind of store has the step's action, if the step is for the store.
+// supportedBy reports whether a kind of store supports the step's action. A step for another target is supported by
+// all.
 func (s Step) supportedBy(store string) bool {
 	if s.Kind != "store" || store != StoreTally {
 		return true
--- a/internal/lab/scenario/target.go
+++ b/internal/lab/scenario/target.go
@@ -21,10 +21,10 @@
 // maxFactor bounds a factor or fraction.
 const maxFactor = 1000
 
-// signature is what arguments an action has.
+// signature describes the arguments of an action.
 type signature struct {
 	arguments []argument
-	unchecked bool // any arguments; the store's stand-in checks them
+	unchecked bool // any arguments; the store's stand-in validates them
 }
 
 // The signatures of the actions.
@@ -41,13 +41,13 @@
 	}
 )
 
-// target is a kind of what a fault can be injected into.
+// target is a kind of target for faults.
 type target struct {
 	actions map[string]signature
 	rules   bool // takes fault rules (see fault.Parse) besides its actions
 }
 
-// targets holds the kinds of targets by the name that a step begins with.
+// targets maps the name that a step begins with to its kind of target.
 var targets = map[string]target{
 	"node": {
 		actions: map[string]signature{
@@ -119,7 +119,7 @@
 	},
 }
 
-// tallyActions are the store's actions that a store of kind StoreTally has.
+// tallyActions are the store actions that a store of kind StoreTally supports.
 var tallyActions = []string{"stop", "restart", "silent"}
 
 // ruleKinds are the kinds of fault rules that a step may inject.
@@ -128,7 +128,7 @@
 	fault.Repeat, fault.Swap, fault.Cut, fault.Fail,
 }
 
-// validateRule checks that an action which is none of the target's own is a fault rule that it takes.
+// validateRule checks that an action that the target does not define is a fault rule that the target accepts.
 func (t target) validateRule(kind, action, verb string) error {
 	unsupported := fmt.Errorf("%q is nothing that can be done to %s", verb, kind)
 	if !t.rules {
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -30,7 +30,7 @@
 // zoneNames are the zones of the testbed. The position of a zone is its Step.Index.
 var zoneNames = []string{"a", "b", "c"}
 
-// SetDefaults sets what is not set to its default.
+// SetDefaults sets each unset field to its default.
 func (s *Scenario) SetDefaults() {
 	if s.Backends == 0 {
 		s.Backends = defaultBackends
@@ -54,7 +54,7 @@
 	return fmt.Errorf("day %s: %s: %s", s.Name, field, fmt.Sprintf(format, args...))
 }
 
-// Validate returns an error with the field and the value if the scenario cannot be run.
+// Validate returns an error that names the field and the value if the scenario cannot be run.
 func (s *Scenario) Validate() error {
 	if err := s.validateSize(); err != nil {
 		return err
@@ -69,7 +69,8 @@
 	return err
 }
 
-// validateSize checks the fields that hold one value. A condition on a float is written so that NaN fails it.
+// validateSize validates the fields that hold a single value. The conditions on floats are negated so that NaN is out
+// of range.
 func (s *Scenario) validateSize() error {
 	switch {
 	case s.Length < 0 || s.end() > MaxLength:
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// validateLoss checks the loss of zones.
+// validateLoss validates the zones and the span of a loss.
 func (s *Scenario) validateLoss() error {
 	loss := s.Loss
 	if loss == nil {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// validateHotTenants checks the groups of hot tenants.
+// validateHotTenants validates the groups of hot tenants.
 func (s *Scenario) validateHotTenants() error {
 	for i, hot := range s.HotTenants {
 		field := fmt.Sprintf("hot[%d]", i)
