--- a/internal/lab/link/direction.go
+++ b/internal/lab/link/direction.go
@@ -16,7 +16,7 @@
 	record *FaultRecord
 }
 
-// direction is one direction of a link.
+// direction is one direction of a link, with its faults.
 type direction struct {
 	name    string // FROM>TO
 	network *Network
@@ -24,7 +24,7 @@
 	mu             sync.Mutex // guards all below
 	active         []*activeFault
 	records        []*FaultRecord
-	throttledUntil time.Time // when the bytes that a throttle has let in will have passed
+	throttledUntil time.Time // when all bytes that a throttle has accepted have passed
 }
 
 // inject activates a fault.
@@ -40,14 +40,14 @@
 // treatment is what the active faults do to one datagram or chunk.
 type treatment struct {
 	lost       bool
-	lostUntil  time.Duration // when the cut ends that it is lost to
+	lostUntil  time.Duration // end of the cut that loses it
 	duplicated bool
 	swapped    bool
 	corrupted  bool
 	delay      time.Duration
 }
 
-// treat decides what becomes of a datagram or chunk that arrives now, and records the faults that act on it.
+// treat determines what the active faults do to a datagram or chunk that arrives now, and records that they acted.
 func (d *direction) treat(size int, stream bool) (t treatment) {
 	now := d.network.clock()
 	d.mu.Lock()
@@ -62,7 +62,7 @@
 	return t
 }
 
-// apply adds what a fault does to a treatment, and reports whether it acts. The caller holds d.mu.
+// apply adds the effect of a fault to a treatment, and reports whether it has any. The caller holds d.mu.
 func (d *direction) apply(fault *activeFault, now time.Duration, size int, stream bool, t *treatment) (acts bool) {
 	switch fault.Kind {
 	case Cut:
@@ -96,12 +96,12 @@
 		t.delay += d.throttle(size, fault.Share)
 		return stream
 	case Reset:
-		return false // TCPLink does it
+		return false // done by TCPLink.resetLoop
 	}
 	return true
 }
 
-// throttle returns how long size bytes must wait behind those before them. The caller holds d.mu.
+// throttle returns how long size bytes must wait for those accepted before them to pass. The caller holds d.mu.
 func (d *direction) throttle(size int, bytesPerSecond float64) time.Duration {
 	now := time.Now()
 	if d.throttledUntil.Before(now) {
@@ -121,7 +121,7 @@
 	})
 }
 
-// takeResets removes the resets that are to be done now, and reports whether there were any.
+// takeResets removes the resets that are due, and reports whether there were any.
 func (d *direction) takeResets() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,7 +130,7 @@
 	return len(d.active) < before
 }
 
-// recordResets counts the resets that had not been done.
+// recordResets records that the resets that were due have been done.
 func (d *direction) recordResets() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/link/fault.go
+++ b/internal/lab/link/fault.go
@@ -14,19 +14,19 @@
 // The kinds. A share is a fraction of the datagrams, or of the chunks of a stream.
 const (
 	Cut      Kind = "cut"      // nothing passes
-	Flap     Kind = "flap"     // cut for a time, open for as long, in turn
-	Delay    Kind = "delay"    // all is delayed by a time
-	Jitter   Kind = "jitter"   // each is delayed by a random part of a time; datagrams change their order
-	Drop     Kind = "drop"     // a share is lost; a stream delays it instead, as a retransmission does
+	Flap     Kind = "flap"     // alternately cut and open, for a given time each
+	Delay    Kind = "delay"    // everything is delayed by a given time
+	Jitter   Kind = "jitter"   // each is delayed by a random part of a given time, which may reorder datagrams
+	Drop     Kind = "drop"     // a share is lost; a chunk is delayed instead, as by a retransmission
 	Repeat   Kind = "repeat"   // a share of datagrams is duplicated
-	Swap     Kind = "swap"     // a share of datagrams changes places with the next one
-	Corrupt  Kind = "corrupt"  // one byte of a share is changed
-	Throttle Kind = "throttle" // so many bytes a second pass, of a stream
-	Reset    Kind = "reset"    // all connections are reset, once
+	Swap     Kind = "swap"     // a share of datagrams is swapped with the next one
+	Corrupt  Kind = "corrupt"  // one byte is changed in a share
+	Throttle Kind = "throttle" // a stream passes at a given number of bytes per second
+	Reset    Kind = "reset"    // all connections are reset once
 )
 
-// parameters is how many arguments each kind has in a fault's text. The last one is the duration.
-var parameters = map[Kind]int{
+// argumentCounts is the number of arguments of each kind in the text of a fault. The last one is the duration.
+var argumentCounts = map[Kind]int{
 	Cut:      1,
 	Flap:     2,
 	Delay:    2,
@@ -43,8 +43,8 @@
 type Fault struct {
 	Kind  Kind          `json:"Kind"`
 	Time  time.Duration `json:"Time"`  // of Flap, Delay and Jitter
-	Share float64       `json:"Share"` // of Drop, Repeat, Swap and Corrupt; of Throttle: bytes a second
-	For   time.Duration `json:"For"`   // how long the fault is active; 0: of Reset
+	Share float64       `json:"Share"` // of Drop, Repeat, Swap and Corrupt; bytes per second of Throttle
+	For   time.Duration `json:"For"`   // how long the fault is active; 0 for Reset
 }
 
 // Parse parses the text of a fault: cut D | flap ON D | delay T D | jitter T D | drop S D | repeat S D | swap S D |
@@ -56,7 +56,7 @@
 	}
 	verb, arguments := fields[0], fields[1:]
 	fault := Fault{Kind: Kind(verb)}
-	count, known := parameters[fault.Kind]
+	count, known := argumentCounts[fault.Kind]
 	if !known {
 		return fault, fmt.Errorf("%q is nothing that can be done to a link", verb)
 	}
@@ -88,7 +88,7 @@
 	return value, nil
 }
 
-// parseShare parses a fraction above 0, or the bytes a second of Throttle.
+// parseShare parses a fraction above 0, or the bytes per second of Throttle.
 func parseShare(kind Kind, text string) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(value > 0) || kind != Throttle && value > 1 {
@@ -97,7 +97,7 @@
 	return value, nil
 }
 
-// FaultRecord says what one fault did on one direction. Its times are those of the network's clock.
+// FaultRecord is what one fault did to one direction. Its times are those of the network's clock.
 type FaultRecord struct {
 	Direction    string        `json:"Way"` // FROM>TO
 	Fault        Fault         `json:"Fault"`
@@ -107,7 +107,7 @@
 	Count        int           `json:"Times"` // datagrams, chunks or resets that it acted on
 }
 
-// add counts one action of the fault.
+// add records that the fault acted.
 func (r *FaultRecord) add(now time.Duration) {
 	r.Count++
 	if r.FirstActedAt == 0 {
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,12 +1,12 @@
 // Package link is the network of a run with many processes. Each direction between two processes, and from each of
-// them to its counter, discovery and backends, goes through a link into which faults can be injected while it runs.
-// Its input is addresses, and faults with the names of their ends. Its output is what went through, and a record of
-// when and how often each fault acted. It does not know what the bytes mean.
+// them to its counter, discovery and backends, goes through a link into which faults can be injected during the run.
+// Its input is addresses, and faults with the names of the ends of links. Its output is the forwarded data, and a
+// record of when and how often each fault acted. It does not interpret the data.
 //
-// A TCP link keeps what is cut and delivers it when the cut ends, as a network that retransmits does. If that takes
-// longer than maxCutDelay, the connection is reset instead. A datagram that is cut is lost. One thing differs from
-// a real network: a connection that is opened while its direction is cut is accepted by the link, but goes no
-// further.
+// A TCP link queues data during a cut and delivers it when the cut ends, as retransmissions do. If that takes longer
+// than maxCutDelay, the connection is reset instead. A datagram that arrives during a cut is lost. One thing differs
+// from a real network: a connection that is opened while its direction is cut is accepted by the link, but not
+// connected to its target.
 package link
 
 import (
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// randomStream is the random stream of the faults, so that they differ from what else is drawn from the seed.
+// randomStream is the random stream of the faults. It makes them independent of everything else that is drawn from the
+// seed.
 const randomStream = 61
 
 // Network holds the links of a run, with one clock and one source of random numbers. Each link has goroutines,
@@ -35,7 +36,7 @@
 	udpLinks   []*udpLink
 }
 
-// New returns a network without links. clock tells the time of the run.
+// New returns a network without links. clock returns the time since the run began.
 func New(seed uint64, clock func() time.Duration) *Network {
 	return &Network{
 		clock:  clock,
@@ -44,14 +45,14 @@
 	}
 }
 
-// randomFraction draws a number from 0 up to 1.
+// randomFraction returns a random number in [0, 1).
 func (n *Network) randomFraction() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
 }
 
-// addDirection adds a direction between two names.
+// addDirection adds the direction from one name to another.
 func (n *Network) addDirection(from, to string) *direction {
 	d := &direction{name: from + ">" + to, network: n}
 	n.mu.Lock()
@@ -60,14 +61,14 @@
 	return d
 }
 
-// onClose has Close call a function.
+// onClose registers a function that Close calls.
 func (n *Network) onClose(closer func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closers = append(n.closers, closer)
 }
 
-// Close ends all links and waits for their goroutines. It is called once.
+// Close ends all links and waits for their goroutines. It must be called only once.
 func (n *Network) Close() {
 	close(n.closed)
 	n.mu.Lock()
@@ -86,8 +87,8 @@
 	return slices.Clone(n.directions)
 }
 
-// Inject activates a fault on all directions from one of the names in from to one of those in to. It is an error if
-// there is no such direction.
+// Inject activates a fault on all directions from one of the names in from to one of those in to. It returns an error
+// if there is none.
 func (n *Network) Inject(from, to []string, fault Fault) error {
 	found := false
 	for _, d := range n.allDirections() {
@@ -123,7 +124,7 @@
 	}
 }
 
-// sleep waits, and returns false if the network is closed before.
+// sleep waits, and returns false if the network is closed meanwhile.
 func (n *Network) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -16,13 +16,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// clock returns a clock that begins now.
+// clock returns a clock that starts now.
 func clock() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
 }
 
-// startEcho starts a target that sends back what arrives, and returns its address.
+// startEcho starts an echo server and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 	return listener.Addr().String()
 }
 
-// newTCPLink returns a link from n0 to counter with a connection through it.
+// newTCPLink returns a link from n0 to counter, and a connection through it to an echo server.
 func newTCPLink(t *testing.T) (*Network, *TCPLink, net.Conn) {
 	t.Helper()
 	network := New(1, clock())
@@ -67,7 +67,7 @@
 	return network, link, conn
 }
 
-// exchange sends a text and returns what comes back within a time, up to the text's length.
+// exchange sends a text and returns what comes back before the timeout, up to the text's length.
 func exchange(t *testing.T, conn net.Conn, text string, timeout time.Duration) (string, error) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -79,7 +79,7 @@
 	return string(buffer[:size]), err
 }
 
-// mustExchange fails the test unless a text comes back.
+// mustExchange fails the test unless the text comes back.
 func mustExchange(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if got, err := exchange(t, conn, text, 5*time.Second); got != text {
@@ -100,7 +100,7 @@
 	return fault
 }
 
-// countActions returns how often the faults of a kind have acted.
+// countActions returns how often faults of a kind have acted.
 func countActions(network *Network, kind Kind) (count int) {
 	for _, record := range network.FaultRecords() {
 		if record.Fault.Kind == kind {
@@ -110,7 +110,7 @@
 	return count
 }
 
-// Each fault of a stream does what it says, in its own direction alone, and leaves a record; without any all passes.
+// Data passes unchanged without a fault. A fault acts only on its own direction and leaves a record.
 func TestStream(t *testing.T) {
 	network, _, conn := newTCPLink(t)
 	mustExchange(t, conn, "hello")
@@ -138,7 +138,8 @@
 	}
 }
 
-// A long cut delivers nothing late: its connection is reset at its end, and one that was opened meanwhile as well.
+// A cut longer than maxCutDelay resets its connection instead of delivering data late. A connection opened during the
+// cut is reset too.
 func TestLongCut(t *testing.T) {
 	network, link, conn := newTCPLink(t)
 	mustExchange(t, conn, "hello")
@@ -154,14 +155,14 @@
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		var netErr net.Error
 		if size, err := c.Read(make([]byte, 10)); err == nil || errors.Is(err, io.EOF) && size > 0 {
-			t.Fatal("it was delivered")
+			t.Fatal("data was delivered after a long cut")
 		} else if errors.As(err, &netErr) && netErr.Timeout() {
-			t.Fatal("it was not reset")
+			t.Fatal("the connection was not reset")
 		}
 	}
 }
 
-// A reset ends all connections; a link whose target has gone accepts none.
+// A reset ends all connections. A closed link accepts none.
 func TestReset(t *testing.T) {
 	network, link, conn := newTCPLink(t)
 	mustExchange(t, conn, "hello")
@@ -182,7 +183,7 @@
 	}
 }
 
-// A stream that is throttled takes its time.
+// A throttled stream passes no faster than its rate.
 func TestThrottle(t *testing.T) {
 	network, _, conn := newTCPLink(t)
 	mustExchange(t, conn, "x")
@@ -196,7 +197,7 @@
 	}
 }
 
-// newUDPLink returns a link for datagrams from n0 to n1, with the receiver's socket and the sender's.
+// newUDPLink returns a link for datagrams from n0 to n1, with the sockets of its receiver and its sender.
 func newUDPLink(t *testing.T) (network *Network, receiver net.PacketConn, sender net.Conn) {
 	t.Helper()
 	receiver, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -217,10 +218,11 @@
 	return network, receiver, sender
 }
 
-// payload follows the number of a datagram.
+// payload is what each datagram carries after its number.
 var payload = []byte{1, 2, 3, 4, 5, 6, 7}
 
-// transmit sends count datagrams, each with its number and payload, and returns what arrives until there is a pause.
+// transmit sends count datagrams, each with its number and payload, and returns those that arrive until there is a
+// pause.
 func transmit(sender net.Conn, receiver net.PacketConn, count int) (received [][]byte) {
 	for i := range count {
 		sender.Write(append([]byte{byte(i)}, payload...))
@@ -236,7 +238,7 @@
 	}
 }
 
-// reordered reports whether a datagram is not in the place of its number.
+// reordered reports whether a datagram did not arrive at the position of its number.
 func reordered(received [][]byte) bool {
 	for i, datagram := range received {
 		if int(datagram[0]) != i {
@@ -275,8 +277,8 @@
 	}
 }
 
-// A link to a name without a process refuses datagrams as the process's host would, from its own address, and forwards
-// them again when there is a process. While the direction is cut nothing comes back.
+// A link to a name without a process refuses datagrams from its own address, as the process's host would. It forwards
+// them again when there is a process. Nothing comes back while the direction is cut.
 func TestSetServing(t *testing.T) {
 	network, receiver, sender := newUDPLink(t)
 	refused := func() bool {
@@ -311,7 +313,7 @@
 		t.Error("a datagram was refused though its direction is cut")
 	}
 	buffer := make([]byte, 10)
-	for range 2 { // what was sent while there was a process
+	for range 2 { // the datagrams sent while there was a process
 		receiver.SetReadDeadline(time.Now().Add(2 * time.Second))
 		if _, _, err := receiver.ReadFrom(buffer); err != nil {
 			t.Error(err)
@@ -319,7 +321,7 @@
 	}
 }
 
-// A fault that cannot be injected is an error of one line.
+// An invalid fault is an error that names the wrong part.
 func TestParseFails(t *testing.T) {
 	for text, want := range map[string]string{
 		"":              "nothing",
@@ -339,7 +341,7 @@
 	}
 }
 
-// A fault between names that no link joins is an error.
+// A fault between names without a link is an error.
 func TestInjectFails(t *testing.T) {
 	network := New(1, clock())
 	defer network.Close()
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -12,12 +12,13 @@
 	chunkSize         = 16 << 10 // bytes
 	dialTimeout       = 2 * time.Second
 	resetPollInterval = 5 * time.Millisecond
-	// maxQueuedChunks is how many chunks one direction of a connection queues before it stops reading.
+	// maxQueuedChunks is how many chunks one direction of a connection queues. It stops reading while the queue is
+	// full.
 	maxQueuedChunks = 256
-	// maxConnectDelay is how long a new connection waits for a cut to end: its client gives up then.
+	// maxConnectDelay is how long a new connection waits for a cut to end. Its client is assumed to give up then.
 	maxConnectDelay = 200 * time.Millisecond
-	// maxCutDelay is how long a chunk waits for a cut to end. After that the connection is reset at the cut's end,
-	// because its sender has given the data up.
+	// maxCutDelay is how long a chunk may wait for a cut to end. If the cut lasts longer, the connection is reset at
+	// its end, because the sender has given up retransmitting.
 	maxCutDelay = 900 * time.Millisecond
 )
 
@@ -32,11 +33,11 @@
 	closeOnce  sync.Once
 
 	mu          sync.Mutex            // guards all below
-	targetConns map[net.Conn]net.Conn // by the connection that was accepted
+	targetConns map[net.Conn]net.Conn // by the connection of the client
 	closed      bool
 }
 
-// AddTCPLink adds a link for connections, at an address of a loopback host. Connections to it go on to target.
+// AddTCPLink adds a link that listens on a loopback host and forwards connections to target.
 func (n *Network) AddTCPLink(from, to, host, target string) (*TCPLink, error) {
 	listener, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -59,7 +60,7 @@
 // Addr returns the address that the link listens on.
 func (l *TCPLink) Addr() string { return l.listener.Addr().String() }
 
-// Close ends the link as if its target had gone: it accepts no connection any more, and resets the open ones.
+// Close ends the link as if its target had stopped: it accepts no more connections and resets the open ones.
 func (l *TCPLink) Close() {
 	l.closeOnce.Do(func() {
 		l.listener.Close()
@@ -98,7 +99,7 @@
 	}
 }
 
-// resetLoop does the resets that are injected.
+// resetLoop performs the injected resets.
 func (l *TCPLink) resetLoop() {
 	for l.network.sleep(resetPollInterval) {
 		if l.isClosed() {
@@ -122,7 +123,8 @@
 	}
 }
 
-// awaitConnect waits while a new connection's first packet is cut, and returns false if its client has given up.
+// awaitConnect waits while the first packet of a new connection is cut, and returns false once its client has given
+// up.
 func (l *TCPLink) awaitConnect() bool {
 	began := time.Now()
 	for t := l.toTarget.treat(0, true); t.lost; t = l.toTarget.treat(0, true) {
@@ -134,7 +136,7 @@
 	return true
 }
 
-// track has the link's resets end a connection. It returns false if the link is closed.
+// track registers a connection so that the link's resets end it. It returns false if the link is closed.
 func (l *TCPLink) track(client, target net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +147,7 @@
 	return true
 }
 
-// serveConn joins a connection with one to the target until both directions have ended.
+// serveConn forwards a connection to the target until both directions have ended.
 func (l *TCPLink) serveConn(client net.Conn) {
 	if !l.awaitConnect() {
 		abort(client)
@@ -172,14 +174,14 @@
 	target.Close()
 }
 
-// chunk is data that is to be written at a time.
+// chunk is data with the time at which it is written.
 type chunk struct {
 	data    []byte
 	writeAt time.Time
-	dropped bool // it is not written, the connection is reset instead
+	dropped bool // the connection is reset instead of writing it
 }
 
-// copyChunks copies one direction of a connection, in order: a chunk that waits delays those behind it.
+// copyChunks copies one direction of a connection in order. A chunk that is delayed delays those behind it.
 func (l *TCPLink) copyChunks(d *direction, from, to net.Conn) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	done := make(chan struct{})
@@ -199,7 +201,7 @@
 	}
 }
 
-// readChunks queues what it reads, with what the faults do to it, until reading fails.
+// readChunks reads chunks and queues them with the effects of the faults until reading fails.
 func (l *TCPLink) readChunks(d *direction, from net.Conn, chunks chan<- chunk) error {
 	for {
 		buffer := make([]byte, chunkSize)
@@ -227,7 +229,8 @@
 	return chunk{data: data, writeAt: writeAt.Add(cutDelay), dropped: cutDelay > maxCutDelay}
 }
 
-// writeChunks writes each chunk at its time until the queue is closed. After a failure it goes on to empty the queue.
+// writeChunks writes each chunk at its time until the queue is closed. After a failure it goes on to drain the queue,
+// so that readChunks does not block.
 func (l *TCPLink) writeChunks(chunks <-chan chunk, from, to net.Conn) {
 	for c := range chunks {
 		wait := time.Until(c.writeAt)
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -12,8 +12,8 @@
 // maxDatagram is the largest datagram that is forwarded, in bytes.
 const maxDatagram = 64 << 10
 
-// AddUDPLink adds a one-way link for datagrams from one name to another, at an address of a loopback host, and
-// returns the address. What arrives there is forwarded to target.
+// AddUDPLink adds a one-way link for datagrams from one name to another, and returns its address, which is on a
+// loopback host. Datagrams that arrive there are forwarded to target.
 func (n *Network) AddUDPLink(from, to, host, target string) (string, error) {
 	in, err := net.ListenPacket("udp4", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -29,7 +29,7 @@
 	n.udpLinks = append(n.udpLinks, l)
 	n.mu.Unlock()
 	n.onClose(func() {
-		// Closing an open port cannot fail in a way that matters here.
+		// Closing the port returns no error.
 		_ = l.setOpen(false)
 		out.Close()
 	})
@@ -47,9 +47,9 @@
 	in   net.PacketConn // nil while the port is closed
 }
 
-// SetServing says whether there is a process at a name. A host answers a datagram to a port without a process with
-// an ICMP error, so the links to the name close their ports to do the same. A link whose direction is cut stays
-// open, because nothing may come back from it: it goes on losing what arrives.
+// SetServing sets whether a process is running at a name. A host answers a datagram to a port without a process with
+// an ICMP error, so the links to the name close their ports to cause the same. A link whose direction is cut keeps its
+// port open, because nothing may come back from it, and loses what arrives.
 func (n *Network) SetServing(to string, serving bool) error {
 	n.mu.Lock()
 	links := slices.Clone(n.udpLinks)
@@ -63,7 +63,7 @@
 	return errors.Join(errs...)
 }
 
-// setOpen opens or closes the link's port. A port is not opened again after the network was closed.
+// setOpen opens or closes the link's port. It opens no port after the network was closed.
 func (l *udpLink) setOpen(open bool) error {
 	l.inMu.Lock()
 	defer l.inMu.Unlock()
@@ -89,10 +89,10 @@
 	return nil
 }
 
-// forwardLoop forwards what arrives at a port until the port is closed.
+// forwardLoop forwards datagrams from a port until the port is closed.
 func (l *udpLink) forwardLoop(in net.PacketConn) {
 	buffer := make([]byte, maxDatagram)
-	var overtaken []byte // a datagram that the next one is to overtake; nil: none
+	var overtaken []byte // a swapped datagram, sent after the next one; nil: none
 	for {
 		size, _, err := in.ReadFrom(buffer)
 		if err != nil {
@@ -121,7 +121,8 @@
 	}
 }
 
-// send writes a datagram to the target after a delay. A target without a process loses it, so errors are ignored.
+// send writes a datagram to the target after a delay. Errors are ignored, because a target without a process loses the
+// datagram.
 func (l *udpLink) send(data []byte, delay time.Duration) {
 	if delay <= 0 {
 		_, _ = l.out.Write(data)
