--- a/internal/lab/mutation/defect.go
+++ b/internal/lab/mutation/defect.go
@@ -23,34 +23,35 @@
 //go:embed defects/*.toml
 var defectFiles embed.FS
 
-// Edit is one change of a source file: Find, which must occur exactly once, is replaced.
+// Edit is a replacement in a source file. Find must occur exactly once.
 type Edit struct {
 	File    string `toml:"file"` // path from the module's root
 	Find    string `toml:"find"`
 	Replace string `toml:"replace"`
 }
 
-// Defect is a change of the ingress that breaks a rule on purpose.
+// Defect is a change of the ingress that makes it break a rule.
 type Defect struct {
 	Name      string `toml:"-"`
 	About     string `toml:"about"`
 	Rule      string `toml:"rule"` // the short name of the rule it breaks, a key of ruleNames
 	Component string `toml:"part"` // what it is planted in: policy, core, a front or a store
-	// Scenario is the scenario whose run shows the defect. The fields from Store to Takeover and Faults change it.
+	// Scenario is the name of the scenario that shows the defect. The fields from Store to Takeover and Faults change
+	// that scenario.
 	Scenario string `toml:"day"`
 	Store    string `toml:"store"`    // replaces the scenario's store
 	Zones    bool   `toml:"halls"`    // the ingresses know their zones
-	Peers    int    `toml:"peers"`    // number of ingresses, which know one another; 0: the scenario's, which do not
-	Takeover bool   `toml:"takeover"` // pending work survives its ingress; needs Peers
-	// LocallyUnreachable is, with the rule "words", the backend that the first ingress alone cannot reach, and that the
-	// others must go on using.
+	Peers    int    `toml:"peers"`    // number of ingresses, which gossip; 0: the scenario's number, without gossip
+	Takeover bool   `toml:"takeover"` // peers take over the pending work of an ingress that dies; needs Peers
+	// LocallyUnreachable, used with the rule "words", is the backend that only the first ingress cannot reach. The
+	// other ingresses must go on using it.
 	LocallyUnreachable string   `toml:"left"`
-	ShortSet           bool     `toml:"short"`  // it belongs to the short set, which CI runs
-	Faults             []string `toml:"faults"` // added to the scenario's
+	ShortSet           bool     `toml:"short"`  // part of the short set, which CI runs
+	Faults             []string `toml:"faults"` // added to those of the scenario
 	Edits              []Edit   `toml:"edit"`
 }
 
-// ruleNames maps the short names of the rules to those that a run's report uses.
+// ruleNames maps the short names of the rules to their names in a report.
 var ruleNames = map[string]string{
 	"lost":     rulecheck.NoRequestLost,
 	"twice":    rulecheck.NoEffectTwice,
@@ -62,14 +63,14 @@
 	"once":     lab.OnceByKey,
 }
 
-// disableGuards keeps the ingress from enforcing its own invariants, so that the rule checker gets to see a defect.
+// disableGuards stops the ingress from enforcing its own invariants, which would hide a defect from the rule checker.
 var disableGuards = Edit{
 	File:    "internal/core/guards.go",
 	Find:    "const enforced = true",
 	Replace: "const enforced = false",
 }
 
-// Defects returns all defects that come with the program, by name.
+// Defects returns the defects that are part of the program, sorted by name.
 func Defects() ([]Defect, error) {
 	entries, err := defectFiles.ReadDir("defects")
 	if err != nil {
@@ -110,9 +111,9 @@
 	return defect, nil
 }
 
-// WriteOverlay writes the changed files, and the overlay for go build that puts them in place of the real ones,
-// into dir. It returns the overlay's path. It fails if the text of an edit does not occur exactly once, because
-// then the source has changed and the defect must follow.
+// WriteOverlay writes the changed files and an overlay for go build, which substitutes them for the real ones, into
+// dir. It returns the path of the overlay. It fails if the text of an edit does not occur exactly once: the source has
+// changed then, and the edit must be updated.
 func (d Defect) WriteOverlay(root, dir string) (overlay string, err error) {
 	texts, err := d.applyEdits(root)
 	if err != nil {
@@ -143,14 +144,14 @@
 		if !read {
 			content, err := os.ReadFile(file)
 			if err != nil {
-				return nil, fmt.Errorf("defect %s: edit %d: its file has moved: %w", d.Name, i+1, err)
+				return nil, fmt.Errorf("defect %s: edit %d: reading its file: %w", d.Name, i+1, err)
 			}
 			text = string(content)
 		}
 		find := strings.TrimRight(edit.Find, "\n")
 		if count := strings.Count(text, find); count != 1 {
-			return nil, fmt.Errorf("defect %s: edit %d: its place in %s is there %d times, not once: "+
-				"the source has changed, and the defect must follow:\n%s", d.Name, i+1, edit.File, count, find)
+			return nil, fmt.Errorf("defect %s: edit %d: its text in %s is there %d times, not once: "+
+				"the source has changed, and the edit must be updated:\n%s", d.Name, i+1, edit.File, count, find)
 		}
 		texts[file] = strings.Replace(text, find, strings.TrimRight(edit.Replace, "\n"), 1)
 	}
@@ -161,7 +162,7 @@
 func ModuleRoot(ctx context.Context) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}", "hitchspring").Output()
 	if err != nil {
-		return "", fmt.Errorf("finding the source, which a defect is planted in: %w", err)
+		return "", fmt.Errorf("finding the source in which defects are planted: %w", err)
 	}
 	return strings.TrimSpace(string(out)), nil
 }
--- a/internal/lab/mutation/job.go
+++ b/internal/lab/mutation/job.go
@@ -15,15 +15,15 @@
 	rerunSeedStep = 1000
 )
 
-// job is a build with what it is run on.
+// job is a run of a build with one seed.
 type job struct {
-	defect  Defect // Name is empty for the untouched build
+	defect  Defect // planted in the build; its Name is empty for the untouched build
 	program string
 	seed    uint64
 }
 
-// runJobs runs the jobs, cfg.Jobs at a time, and prints each result to cfg.Output. Jobs that had not begun when ctx
-// ended leave an empty result.
+// runJobs runs the jobs, cfg.Jobs at a time, and prints each result to cfg.Output. The results of jobs that had not
+// started when ctx ended are empty.
 func runJobs(ctx context.Context, cfg Config, jobs []job) []Result {
 	results := make([]Result, len(jobs))
 	var wg sync.WaitGroup
@@ -52,8 +52,8 @@
 	return results
 }
 
-// runUntilConclusive runs the job with further seeds until a result says something. A run in which the lab was
-// delayed, or that did not come near the edges that its scenario requires, proves nothing.
+// runUntilConclusive repeats the job with other seeds until its result is conclusive. A run is not conclusive if the
+// lab was delayed, or if it did not come as near to the limits as its scenario requires.
 func (j job) runUntilConclusive(ctx context.Context) (result Result) {
 	for range 1 + maxReruns {
 		result = j.runOnce(ctx)
@@ -65,7 +65,7 @@
 	return result
 }
 
-// runOnce runs the job and looks for the violation expected.
+// runOnce runs the job and looks for the expected violation.
 func (j job) runOnce(ctx context.Context) Result {
 	result := Result{
 		Defect:    j.defect.Name,
@@ -101,7 +101,8 @@
 	return result
 }
 
-// classifyViolations sorts the certain violations into those that the defect was to show and others.
+// classifyViolations separates the violation that the defect is expected to cause from others. It ignores doubtful
+// ones.
 func (j job) classifyViolations(result *Result, report *lab.Report) {
 	for _, violation := range report.Violations {
 		switch {
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -1,7 +1,7 @@
-// Package mutation shows that the rule checker detects what it is there to detect. It plants defects in the
-// ingress, each a small change of its source that go build -overlay puts in place of the real one. It runs the
-// scenario that should show the defect, and looks for the expected violation in the report. Its input is the
-// defects that come with the program, its output is one result a run. It writes no source file.
+// Package mutation verifies that the rule checker detects planted defects. Each defect is a small change of the
+// ingress's source, which go build -overlay applies without writing a source file. The package builds the ingress with
+// a defect, runs the scenario that should show it, and looks for the expected violation in the report. Its input is
+// the defects that are part of the program. Its output is one result for each run.
 package mutation
 
 import (
@@ -18,13 +18,13 @@
 	"hitchspring/internal/lab"
 )
 
-// Config says which defects are run, and how.
+// Config selects the defects and says how they are run.
 type Config struct {
 	Names     []string // names of defects or short names of rules; empty: all
-	ShortSet  bool     // the short set alone
+	ShortSet  bool     // only the short set
 	Seed      uint64   // the first seed
 	Seeds     int      // runs of each defect, each with the next seed
-	Untouched bool     // run the untouched build in the same scenarios as well, where it must break no rule
+	Untouched bool     // also run the unchanged build in the same scenarios, where it must violate no rule
 	Jobs      int      // builds and runs at a time
 	Output    io.Writer
 }
@@ -37,7 +37,8 @@
 	return len(c.Names) == 0 || slices.Contains(c.Names, defect.Name) || slices.Contains(c.Names, defect.Rule)
 }
 
-// Run builds and runs the selected defects. An error means that this could not be done, not that a defect was missed.
+// Run builds and runs the selected defects. An error means that a build or the setup failed, not that a defect was
+// missed.
 func Run(ctx context.Context, cfg Config) ([]Result, error) {
 	defects, err := Defects()
 	if err != nil {
@@ -73,7 +74,8 @@
 	return runJobs(ctx, cfg, jobs), ctx.Err()
 }
 
-// untouchedJobs returns the runs of the untouched build, one for each setting in which a defect is run.
+// untouchedJobs returns the runs of the untouched build: for each combination of scenario, store and faults in which a
+// defect is run, one for each seed.
 func untouchedJobs(cfg Config, defects []Defect, program string) (jobs []job) {
 	added := map[string]bool{}
 	for _, defect := range defects {
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Each defect that comes with the program is valid and can be planted. There are four at least for each rule, and
-// one for each front and store.
+// Each defect that is part of the program is valid and can be planted. There are at least four for each rule, and one
+// for each front and store.
 func TestPlaces(t *testing.T) {
 	defects, err := Defects()
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// The ingress builds with each defect: a name in the text that is put in place may have changed.
+// The ingress builds with each defect. The text that an edit inserts may use a name that has been renamed since.
 func TestDefectsBuild(t *testing.T) {
 	if os.Getenv("HITCHSPRING_TRIALS") == "" { // as many builds as defects
 		t.Skip("HITCHSPRING_TRIALS is not set")
@@ -69,7 +69,7 @@
 	}
 }
 
-// A defect whose text has changed fails with its place, and a file that cannot be read says why.
+// An edit whose text does not occur exactly once, or whose file cannot be read, is an error.
 func TestWriteOverlayFails(t *testing.T) {
 	root := t.TempDir()
 	if err := os.WriteFile(filepath.Join(root, "a.go"), []byte("one\ntwo\ntwo\n"), 0o600); err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A defect that cannot be run is an error with the field and the value.
+// An invalid defect is an error that names the field and the value.
 func TestParseDefectFails(t *testing.T) {
 	for text, want := range map[string]string{
 		"rule = \"first\"": `rule: "first"`,
@@ -103,8 +103,7 @@
 	}
 }
 
-// A missed defect, a violation of the untouched build and a missing run each fail. A run that cannot be judged does
-// not.
+// A missed defect, a violation of the untouched build and a failed run are errors. An inconclusive run is not.
 func TestSummarize(t *testing.T) {
 	detected := Result{Defect: "a", Detected: true, DetectedAfterS: 3}
 	for name, c := range map[string]struct {
--- a/internal/lab/mutation/result.go
+++ b/internal/lab/mutation/result.go
@@ -19,20 +19,20 @@
 	Component       string            `json:"Part"`
 	Scenario        string            `json:"Day"`
 	Seed            uint64            `json:"Seed"`
-	Detected        bool              `json:"Seen"`   // the rule was found broken
-	DetectedAfterS  float64           `json:"AfterS"` // seconds of load until then
+	Detected        bool              `json:"Seen"`   // the expected violation was found
+	DetectedAfterS  float64           `json:"AfterS"` // seconds since the load began
 	OtherViolations []string          `json:"Also"`   // of other rules, and crashes
-	Doubts          []string          `json:"Doubts"` // why the run cannot be judged
+	Doubts          []string          `json:"Doubts"` // why the run is not conclusive
 	Margins         rulecheck.Margins `json:"Edges"`
-	Error           string            `json:"Err,omitempty"` // why there was no run
+	Error           string            `json:"Err,omitempty"` // why the run failed
 }
 
-// conclusive reports whether the result says something about the build, or another run cannot help.
+// conclusive reports whether no further run is needed: the result says something about the build, or the run failed.
 func (r Result) conclusive() bool {
 	return r.Error != "" || r.Detected || len(r.OtherViolations) > 0 || len(r.Doubts) == 0
 }
 
-// String returns the result as one line for people.
+// String returns the result as one human-readable line.
 func (r Result) String() string {
 	name := r.Defect
 	if name == "" {
@@ -52,7 +52,7 @@
 	return line + fmt.Sprintf("MISSED: %+v", r.Margins)
 }
 
-// untouchedOutcome is the end of the line of a run of the untouched build.
+// untouchedOutcome returns the outcome of a run of the untouched build, for the end of its line.
 func (r Result) untouchedOutcome() string {
 	switch {
 	case len(r.OtherViolations) > 0:
@@ -64,22 +64,22 @@
 	return "clean"
 }
 
-// ErrMissed says that a defect was not detected in every run, that the untouched build broke a rule, or that there
-// was no run.
-var ErrMissed = errors.New("the judge does not see what it must")
+// ErrMissed means that a defect was not detected in every run, that the untouched build violated a rule, or that a run
+// failed.
+var ErrMissed = errors.New("a defect was missed, the untouched build violated a rule, or a run failed")
 
 // summary counts the outcomes of results.
 type summary struct {
-	defects []string // names in order of their first result
+	defects []string // names in order of their first results
 	runs    map[string]int
 	detects map[string]int // runs that detected the defect
-	slowest time.Duration  // detection
+	slowest time.Duration  // longest time until a detection
 
 	clean, alarms, doubtful int // runs of the untouched build
-	failed                  int // results without a run
+	failed                  int // runs that failed
 }
 
-// add counts one result.
+// add counts a result.
 func (s *summary) add(result Result) {
 	switch {
 	case result.Error != "":
@@ -95,7 +95,7 @@
 	}
 }
 
-// addDefect counts the run of a defect.
+// addDefect counts the result of a run with a defect.
 func (s *summary) addDefect(result Result) {
 	if s.runs[result.Defect] == 0 {
 		s.defects = append(s.defects, result.Defect)
