--- a/internal/lab/trial/partitions.go
+++ b/internal/lab/trial/partitions.go
@@ -11,11 +11,11 @@
 	"hitchspring/internal/lab"
 )
 
-// partitions cuts instances off from one another, with the counter reachable or not. It compares the service
-// with that of the same load and cut without peers, and measures how soon after the cut all instances agree on
-// the members.
+// partitions cuts the links between instances, with the counter reachable or not. It compares the service with
+// that of instances without peers under the same load and faults, and measures how soon after the partition ends
+// all instances agree on the membership.
 var partitions = &definition{
-	about: "instances parted from one another: service in each part against the program without peers, " +
+	description: "instances parted from one another: service in each part against the program without peers, " +
 		"and convergence",
 	cases:        partitionCases,
 	instances:    []int{6},
@@ -24,7 +24,7 @@
 	table:        partitionsTable,
 }
 
-// withoutCounter ends the name of a case in which no instance reaches the counter either.
+// withoutCounter is the suffix of the cases in which all instances are also cut off from the counter.
 const withoutCounter = ", no counter"
 
 var partitionCases = []string{
@@ -44,18 +44,18 @@
 const (
 	partitionAt       = 2 * time.Second
 	partitionDuration = 5 * time.Second
-	// maxConvergence is how long after the cut's end all members must agree again.
+	// maxConvergence is how long after the partition's end the instances may take to agree on the membership.
 	maxConvergence = 6 * time.Second
 )
 
-// partitionFaults returns the link faults of a case.
+// partitionFaults returns the link faults of the named case.
 func partitionFaults(name string) (out []string) {
 	at := fmt.Sprintf(" %v at %v", partitionDuration, partitionAt)
 	name, counterCut := strings.CutSuffix(name, withoutCounter)
 	switch name {
 	case "3|3":
 		out = []string{"link/0,1,2|3,4,5:cut" + at}
-	case "one hears nothing": // except clients and backends
+	case "one hears nothing": // keeps only its links to clients and backends
 		out = []string{"link/0|1,2,3,4,5:cut" + at, "link/0|counter:cut" + at, "link/0|discovery:cut" + at}
 	case "1|5":
 		out = []string{"link/0|1,2,3,4,5:cut" + at}
@@ -76,7 +76,7 @@
 
 func runPartitions(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
-	convergence := convergenceTimer{convergedAfter: notConverged}
+	convergence := convergenceTimer{convergedAfterS: notConverged}
 	cfg := lab.Config{
 		Scenario:  "calm",
 		Seed:      c.Seed,
@@ -98,20 +98,20 @@
 	}
 	r.addReport(report)
 	if strings.HasSuffix(c.Case, withoutCounter) {
-		r.dropQuotaViolations() // the quotaBounds trial measures the overrun
+		r.dropQuotaViolations() // without the counter an overrun is expected; the quotaBounds trial measures it
 	}
 	r.Metrics["service"] = report.Service
 	if c.On {
-		if convergence.convergedAfter < 0 {
+		if convergence.convergedAfterS < 0 {
 			r.violate("the members do not agree %v after the cut's end", maxConvergence)
 		}
-		r.Metrics["healed_s"] = convergence.convergedAfter
+		r.Metrics["healed_s"] = convergence.convergedAfterS
 	}
 	return r, nil
 }
 
-// partitionCellFaults returns the faults of a run: those of the case, and a slow backend that the instances
-// come to differ about.
+// partitionCellFaults returns the faults of a run: those of its case, and a slow backend, about which the parts
+// reach different assessments.
 func partitionCellFaults(c Cell) []string {
 	faults := append(partitionFaults(c.Case), fmt.Sprintf("node/%d:slow %d 3s at %v",
 		slowBackendIndex(c.Seed), slowdown, partitionAt+500*time.Millisecond))
@@ -123,25 +123,27 @@
 	})
 }
 
-// notConverged is the time of a convergenceTimer whose members don't agree.
+// notConverged is the value of convergenceTimer.convergedAfterS while the instances do not agree.
 const notConverged = -1.0
 
-// convergenceTimer measures how many seconds after the cut's end the members agree, and do so until the run's end.
-type convergenceTimer struct{ convergedAfter float64 }
+// convergenceTimer measures how many seconds after the partition's end the instances agree on the membership. A
+// later disagreement resets it.
+type convergenceTimer struct{ convergedAfterS float64 }
 
+// watch polls the instances until maxConvergence after the partition's end.
 func (t *convergenceTimer) watch(ctx context.Context, testbed *lab.Testbed) {
 	end := partitionAt + partitionDuration
 	for at := end; at < end+maxConvergence && testbed.WaitUntil(ctx, at); at += 50 * time.Millisecond {
 		switch {
 		case !membersAgree(ctx, testbed):
-			t.convergedAfter = notConverged
-		case t.convergedAfter < 0:
-			t.convergedAfter = (at - end).Seconds()
+			t.convergedAfterS = notConverged
+		case t.convergedAfterS < 0:
+			t.convergedAfterS = (at - end).Seconds()
 		}
 	}
 }
 
-// membersAgree reports whether each instance considers all others alive.
+// membersAgree reports whether every instance considers all others alive.
 func membersAgree(ctx context.Context, testbed *lab.Testbed) bool {
 	for i := range testbed.Instances() {
 		status, err := testbed.Peers(ctx, i)
@@ -157,13 +159,13 @@
 	return true
 }
 
-func partitionsTable(out io.Writer, all []Result) {
+func partitionsTable(out io.Writer, results []Result) {
 	fmt.Fprintf(out, "\n%-20s  %-12s  %-12s  %-6s  %-20s\n",
 		"case", "service off", "service on", "ratio", "agreed after, s (worst)")
 	for _, name := range partitionCases {
-		off := mean(metricValues(all, "service", ofCase(name, false)))
-		on := mean(metricValues(all, "service", ofCase(name, true)))
-		converged := metricValues(all, "healed_s", ofCase(name, true))
+		off := mean(metricValues(results, "service", ofCase(name, false)))
+		on := mean(metricValues(results, "service", ofCase(name, true)))
+		converged := metricValues(results, "healed_s", ofCase(name, true))
 		fmt.Fprintf(out, "%-20s  %.3f         %.3f         %.3f   %.2f (%.2f)\n",
 			name, off, on, ratio(on, off), mean(converged), quantile(converged, 1))
 	}
--- a/internal/lab/trial/peering_overhead.go
+++ b/internal/lab/trial/peering_overhead.go
@@ -9,10 +9,10 @@
 	"hitchspring/internal/lab"
 )
 
-// peeringOverhead measures what instances with peers cost at several loads while nothing fails. The baseline are
-// instances without peers.
+// peeringOverhead measures the CPU time and memory of instances with peers at several loads, without faults. Its
+// baseline is the same load on instances without peers.
 var peeringOverhead = &definition{
-	about: "CPU and memory of instances that know one another, against those that don't, " +
+	description: "CPU and memory of instances that know one another, against those that don't, " +
 		"in one run after the other",
 	cases:        peeringOverheadCases,
 	instances:    []int{3},
@@ -23,7 +23,7 @@
 
 var peeringOverheadCases = []string{"light", "usual", "heavy"}
 
-// overheadBackends is the number of backends of a case. The load follows from it.
+// overheadBackends is the number of backends of each case. The load is proportional to it.
 var overheadBackends = map[string]int{"light": 6, "usual": 24, "heavy": 60}
 
 const overheadDuration = 10 * time.Second
@@ -60,16 +60,16 @@
 	}
 }
 
-func peeringOverheadTable(out io.Writer, all []Result) {
+func peeringOverheadTable(out io.Writer, results []Result) {
 	fmt.Fprintf(out, "\n%-6s  %-22s  %-18s  %-6s  %-20s\n",
 		"load", "tries a second each", "CPU us a try off, on", "ratio", "peak MB off, on")
 	for _, name := range peeringOverheadCases {
 		median := func(metric string, on bool) float64 {
-			return quantile(metricValues(all, metric, ofCase(name, on)), 0.5)
+			return quantile(metricValues(results, metric, ofCase(name, on)), 0.5)
 		}
 		off, on := median("cpu_us", false), median("cpu_us", true)
 		fmt.Fprintf(out, "%-6s  %8.0f                %.0f, %.0f             %.3f   %.1f, %.1f\n",
-			name, mean(metricValues(all, "tries_s", ofCase(name, true))), off, on, ratio(on, off),
+			name, mean(metricValues(results, "tries_s", ofCase(name, true))), off, on, ratio(on, off),
 			median("peak_mb", false), median("peak_mb", true))
 	}
 }
--- a/internal/lab/trial/quota_bounds.go
+++ b/internal/lab/trial/quota_bounds.go
@@ -12,11 +12,11 @@
 	"hitchspring/internal/overrun"
 )
 
-// quotaBounds cuts instances off from the counter while a tenant requests five times its quota. It compares
-// what each instance forwards, by the backends' records, with the bound that the instance stated before, and
-// measures the overrun.
+// quotaBounds cuts instances off from the counter while a tenant requests five times its quota. It compares the
+// units that each instance forwards, as the backends recorded them, with the bound that the instance stated just
+// before the disconnection, and measures the overrun. The baseline runs without escrow.
 var quotaBounds = &definition{
-	about: "instances that do not hear the counter: what each passes on beside what it stated before, " +
+	description: "instances that do not hear the counter: what each passes on beside what it stated before, " +
 		"and the overrun",
 	cases:        quotaBoundCases,
 	instances:    []int{3},
@@ -43,22 +43,22 @@
 	disconnectAt       = 4 * time.Second
 	disconnectDuration = 8 * time.Second
 	rejoinDuration     = 5 * time.Second
-	// boundLead is how long before the disconnection the bounds are read.
-	boundLead = 40 * time.Millisecond
-	// boundInterval is the time between two readings of the bounds.
+	// boundReadLead is how long before the disconnection the stated bounds are read.
+	boundReadLead = 40 * time.Millisecond
+	// boundInterval is the interval at which the instances' bounds are polled.
 	boundInterval = 500 * time.Millisecond
-	// normalOverrun is the platform's slack: how far a tenant may be overdrawn without any fault, as a fraction
-	// of its ceiling's burst.
+	// normalOverrun is how far a tenant may exceed its ceiling without any fault, as a fraction of the ceiling's
+	// burst.
 	normalOverrun = 0.1
-	// inFlightUnits bounds the units in flight when an instance stated its bound.
+	// inFlightUnits is the maximum number of units in flight at an instance when it stated its bound.
 	inFlightUnits = 6.0
-	// strictPlan is the plan whose tenants may not exceed their quota. Those of other plans may, by contract.
+	// strictPlan is the plan whose tenants must stay within their quota. Other plans allow use beyond it.
 	strictPlan = "storby"
-	// quotaClass is the class of request whose timeliness the table shows.
+	// quotaClass is the request class whose fraction of answers in time the table shows.
 	quotaClass = "clip-publish"
 )
 
-// disconnectedInstances returns the instances that a case cuts off from the counter.
+// disconnectedInstances returns the instances that the named case cuts off from the counter.
 func disconnectedInstances(name string, instances int) (out []int) {
 	for i := range instances {
 		if isDisconnected(name, i) {
@@ -80,10 +80,10 @@
 	return strings.HasSuffix(name, "nobody hears")
 }
 
-// disconnection is what a case does to the instances.
+// disconnection describes the faults of a case.
 type disconnection struct {
-	instances []int        // those that don't hear the counter
-	restarted map[int]bool // those that start anew, so that their earlier bound no longer holds
+	instances []int        // those cut off from the counter
+	restarted map[int]bool // those that restart, which invalidates the bound that they stated
 	faults    []string
 }
 
@@ -120,12 +120,13 @@
 	d.restarted[instance] = true
 }
 
-// statedBounds collects what the instances state while a run lasts. Its fields are read without mu after the run.
+// statedBounds collects the bounds and modes that the instances report during a run. After the run, its fields are
+// read without mu.
 type statedBounds struct {
 	mu         sync.Mutex                       // guards the fields below
-	byInstance map[int]map[string]overrun.Bound // by tenant, as stated just before the disconnection
-	statedAt   map[int]time.Duration
-	modes      map[overrun.Mode]int // how often each mode was seen
+	byInstance map[int]map[string]overrun.Bound // by instance and tenant, read just before the disconnection
+	statedAt   map[int]time.Duration            // when each instance's bounds were read
+	modes      map[overrun.Mode]int             // how often each mode was reported
 }
 
 func newStatedBounds() *statedBounds {
@@ -136,13 +137,13 @@
 	}
 }
 
-// watch reads the bounds of all instances until the run ends.
+// watch polls the bounds of all instances until the run ends.
 func (s *statedBounds) watch(ctx context.Context, testbed *lab.Testbed) {
 	for at := boundInterval; ; at += boundInterval {
 		beforeCut := at == disconnectAt
 		readAt := at
 		if beforeCut {
-			readAt -= boundLead
+			readAt -= boundReadLead
 		}
 		if !testbed.WaitUntil(ctx, readAt) {
 			return
@@ -207,7 +208,7 @@
 		return r, err
 	}
 	r.addReport(report)
-	r.dropQuotaViolations() // this trial measures the overrun itself
+	r.dropQuotaViolations() // checkOverrun compares the overrun with the stated bounds instead
 	r.checkForwarded(report, cut, stated)
 	r.checkOverrun(report, cut, stated)
 	r.checkModes(cut, stated.modes)
@@ -216,8 +217,7 @@
 	return r, nil
 }
 
-// checkForwarded compares what each disconnected instance forwarded for each tenant with the bound that it had
-// stated.
+// checkForwarded checks that no disconnected instance forwarded more for a tenant than the bound that it stated.
 func (r *Result) checkForwarded(report *lab.Report, cut disconnection, stated *statedBounds) {
 	for _, i := range cut.instances {
 		if cut.restarted[i] {
@@ -239,7 +239,7 @@
 	}
 }
 
-// forwardedUnits sums the units that an instance forwarded for a tenant until the bound expired.
+// forwardedUnits sums the units that an instance forwarded for a tenant within disconnectDuration after from.
 func forwardedUnits(report *lab.Report, instance int, tenant string, from time.Duration) (sum float64) {
 	for _, pass := range report.Passes {
 		if pass.Instance != instance || pass.Tenant != tenant {
@@ -252,8 +252,8 @@
 	return sum
 }
 
-// checkOverrun compares how far each tenant was overdrawn with the sum of what the disconnected instances had
-// stated.
+// checkOverrun checks that each tenant's overrun is at most the sum of the overruns that the disconnected instances
+// stated, plus the overrun that is normal without faults.
 func (r *Result) checkOverrun(report *lab.Report, cut disconnection, stated *statedBounds) {
 	for _, channel := range report.Channels {
 		if channel.Plan != strictPlan {
@@ -278,12 +278,12 @@
 	}
 }
 
-// checkModes checks that instances state to be disconnected where the case cuts one off, and only there.
+// checkModes checks that an instance reports that it is disconnected if and only if the case cuts one off.
 func (r *Result) checkModes(cut disconnection, modes map[overrun.Mode]int) {
-	alone := modes[overrun.Disconnected] + modes[overrun.NeverHeard]
-	r.Metrics["looks_alone"] = float64(alone)
-	r.Metrics["looks"] = float64(modes[overrun.Normal] + modes[overrun.Late] + alone)
-	if len(cut.instances) > 0 && alone == 0 {
+	disconnected := modes[overrun.Disconnected] + modes[overrun.NeverHeard]
+	r.Metrics["looks_alone"] = float64(disconnected)
+	r.Metrics["looks"] = float64(modes[overrun.Normal] + modes[overrun.Late] + disconnected)
+	if len(cut.instances) > 0 && disconnected == 0 {
 		r.violate("no instance said that it was alone")
 	}
 	if len(cut.instances) == 0 && modes[overrun.Disconnected] > 0 {
@@ -291,7 +291,7 @@
 	}
 }
 
-// inTimeFraction returns the fraction of a class's requests that were answered in time.
+// inTimeFraction returns the fraction of a class's requests that were answered within the latency objective.
 func inTimeFraction(report *lab.Report, class string) float64 {
 	requests, inTime := 0, 0
 	for _, row := range report.Rows {
@@ -303,13 +303,13 @@
 	return float64(inTime) / float64(max(1, requests))
 }
 
-func quotaBoundsTable(out io.Writer, all []Result) {
+func quotaBoundsTable(out io.Writer, results []Result) {
 	fmt.Fprintf(out, "\n%-26s  %-6s  %-7s  %-8s  %-22s  %-16s  %-36s  %s\n",
 		"case", "rights", "service", "clips", "passed on, stated", "tightest, worst",
 		"overdrawn, % of the ceiling's store", "stated, % of it")
 	for _, name := range quotaBoundCases {
 		for _, on := range []bool{false, true} {
-			values := func(metric string) []float64 { return metricValues(all, metric, ofCase(name, on)) }
+			values := func(metric string) []float64 { return metricValues(results, metric, ofCase(name, on)) }
 			if len(values("service")) == 0 {
 				continue
 			}
--- a/internal/lab/trial/results.go
+++ b/internal/lab/trial/results.go
@@ -13,7 +13,7 @@
 	"hitchspring/internal/lab"
 )
 
-// addReport adds the violations and doubts of a run's report.
+// addReport adds a report's violations and crashes, and the reasons why the run is inconclusive.
 func (r *Result) addReport(report *lab.Report) {
 	for _, violation := range report.Violations {
 		if !violation.Doubtful {
@@ -24,12 +24,12 @@
 	r.Doubts = append(r.Doubts, report.Doubts()...)
 }
 
-// violate adds one violation.
+// violate adds a violation with a formatted message.
 func (r *Result) violate(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// line describes a run for the terminal.
+// line formats the result of a run, or the error that stopped it, for the terminal.
 func (r Result) line(err error) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-24s %2d instances seed %4d on=%-5v", r.Case, r.Instances, r.Seed, r.On)
@@ -41,11 +41,11 @@
 	for _, name := range names {
 		fmt.Fprintf(&b, "  %s %.4g", name, r.Metrics[name])
 	}
-	for _, x := range r.Violations {
-		fmt.Fprintf(&b, "\n    BROKEN: %s", x)
+	for _, message := range r.Violations {
+		fmt.Fprintf(&b, "\n    BROKEN: %s", message)
 	}
-	for _, x := range r.Doubts {
-		fmt.Fprintf(&b, "\n    proves nothing: %s", x)
+	for _, message := range r.Doubts {
+		fmt.Fprintf(&b, "\n    proves nothing: %s", message)
 	}
 	if err != nil {
 		fmt.Fprintf(&b, "\n    not played: %v", err)
@@ -53,7 +53,7 @@
 	return b.String()
 }
 
-// summarize prints the table, writes the results to cfg.Out, and returns ErrBroken if something did not hold.
+// summarize prints the table and writes the results to cfg.Out. It returns ErrBroken if any run has a violation.
 func summarize(trial *definition, cfg Config, results []Result, out io.Writer) error {
 	var table bytes.Buffer
 	trial.table(&table, results)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// writeResults writes results.jsonl, table.txt and, if the trial has one, chart.svg to a directory.
+// writeResults writes results.jsonl, table.txt and, for a trial with a chart, chart.svg to a directory.
 func writeResults(dir string, trial *definition, results []Result, table []byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -105,7 +105,7 @@
 	return trial.chart(filepath.Join(dir, "chart.svg"), results)
 }
 
-// dropQuotaViolations removes the violations of the quota rule.
+// dropQuotaViolations removes the violations of the lab.Quotas rule.
 func (r *Result) dropQuotaViolations() {
 	r.Violations = slices.DeleteFunc(r.Violations, func(violation string) bool {
 		return strings.HasPrefix(violation, lab.Quotas)
--- a/internal/lab/trial/slow_backend.go
+++ b/internal/lab/trial/slow_backend.go
@@ -18,10 +18,10 @@
 	"hitchspring/internal/lab"
 )
 
-// slowBackend slows one backend down and restarts an instance meanwhile. It counts late answers, and compares
-// how much of its traffic the restarted instance sends to the slow backend with what the others send.
+// slowBackend slows one backend down and restarts an instance meanwhile. It counts the late answers, and compares
+// the fraction of its traffic that the restarted instance sends to the slow backend with that of the others.
 var slowBackend = &definition{
-	about: "a node crawls at an eighth: how many answers come too late before all have left it, " +
+	description: "a node crawls at an eighth: how many answers come too late before all have left it, " +
 		"and what a starter knows",
 	cases:        []string{"crawl"},
 	instances:    []int{3, 6, 12},
@@ -32,32 +32,33 @@
 }
 
 const (
-	slowdown     = 8 // times the usual service time
+	slowdown     = 8 // factor on the service time
 	slowAt       = 4 * time.Second
 	slowDuration = 12 * time.Second
-	// lateAnswerWindow is how long after slowAt late answers are counted.
+	// lateAnswerWindow is the time after slowAt in which late answers are counted.
 	lateAnswerWindow = 7 * time.Second
-	// restartAfterSlow is when instance 0 is restarted, counted from slowAt.
+	// restartAfterSlow is the time from slowAt to the restart of instance 0.
 	restartAfterSlow = 6 * time.Second
 	restartDuration  = 300 * time.Millisecond
-	// restartedWindow is how long after the restart the traffic of the instances is compared.
+	// restartedWindow is the time after the restart in which the traffic of the instances is compared.
 	restartedWindow = 2 * time.Second
-	// minReportedSlowness is the slowness by gossip alone from which a healthy backend counts as avoided.
+	// minReportedSlowness is the slowness reported by peers at which a healthy backend counts as avoided.
 	minReportedSlowness = 3
 )
 
-// slowBackendIndex chooses the backend that is slow by the seed, among those of the usual kind.
+// slowBackendIndex derives the index of the slow backend from the seed. It chooses among the backends of the
+// standard kind.
 func slowBackendIndex(seed uint64) int { return int(seed*7) % 12 / 3 * 3 }
 
-// falseReports collects the healthy backends that an instance avoids because of its peers' reports.
+// falseReports collects violations of instances that avoid a healthy backend because of their peers' reports.
 type falseReports struct {
-	slow string // name of the backend that is slow
+	slow string // name of the slow backend
 
-	mu    sync.Mutex // guards found
-	found map[string]bool
+	mu         sync.Mutex // guards found
+	violations map[string]bool
 }
 
-// watch inspects all instances until the run ends.
+// watch polls all instances until the run ends.
 func (f *falseReports) watch(ctx context.Context, testbed *lab.Testbed) {
 	for at := time.Second; testbed.WaitUntil(ctx, at); at += 250 * time.Millisecond {
 		for i := range testbed.Instances() {
@@ -75,7 +76,7 @@
 	defer f.mu.Unlock()
 	for _, b := range status.Backends {
 		if string(b.Backend) != f.slow && b.PeerSlowness >= minReportedSlowness {
-			f.found[fmt.Sprintf("n%d left healthy %s for the word of %s (%.1f times)",
+			f.violations[fmt.Sprintf("n%d avoids the healthy %s because of reports by %s (%.1f times as slow)",
 				instance, b.Backend, strings.Join(b.Reporters, ","), b.PeerSlowness)] = true
 		}
 	}
@@ -83,7 +84,7 @@
 
 func runSlowBackend(ctx context.Context, c Cell, program string) (Result, error) {
 	index := slowBackendIndex(c.Seed)
-	reports := &falseReports{slow: fmt.Sprintf("node-%02d", index), found: map[string]bool{}}
+	reports := &falseReports{slow: fmt.Sprintf("node-%02d", index), violations: map[string]bool{}}
 	r := Result{Metrics: map[string]float64{}}
 	cfg := lab.Config{
 		Scenario:  "calm",
@@ -108,7 +109,7 @@
 		return r, err
 	}
 	r.addReport(report)
-	for violation := range reports.found {
+	for violation := range reports.violations {
 		r.Violations = append(r.Violations, violation)
 	}
 	r.countLateAnswers(report, reports.slow)
@@ -118,13 +119,13 @@
 	return r, nil
 }
 
-// slowSince returns when the backend became slow, on the clock of the report's times.
+// slowSince returns when the backend became slow, on the clock of the times in the report.
 func slowSince(report *lab.Report) time.Duration {
 	return time.Duration(report.BeganS*float64(time.Second)) + slowAt
 }
 
-// countLateAnswers counts the commands that reached the slow backend within lateAnswerWindow, and the late ones
-// of them.
+// countLateAnswers counts the commands that reached the slow backend within lateAnswerWindow, and how many of them
+// were answered late.
 func (r *Result) countLateAnswers(report *lab.Report, slow string) {
 	from := slowSince(report)
 	sent, late := 0, 0
@@ -141,8 +142,8 @@
 	r.Metrics["sent"] = float64(sent)
 }
 
-// compareRestarted computes which fraction of their commands the restarted instance and the others sent to the
-// slow backend, within restartedWindow after the restart.
+// compareRestarted computes the fraction of commands that went to the slow backend within restartedWindow, for the
+// restarted instance and for all others.
 func (r *Result) compareRestarted(report *lab.Report, slow string) {
 	from := slowSince(report) + restartAfterSlow + restartDuration
 	var restarted, others struct{ toSlow, all float64 }
@@ -165,17 +166,17 @@
 	}
 }
 
-func slowBackendTable(out io.Writer, all []Result) {
+func slowBackendTable(out io.Writer, results []Result) {
 	fmt.Fprintf(out, "\n%-9s  %-21s  %-21s  %-6s  %-17s  %-22s  %-22s\n",
 		"instances", "late answers off (p90)", "on (p90)", "ratio",
 		"service off, on", "starter's share off, on", "others' share off, on")
 	sizes := map[int]bool{}
-	for _, r := range all {
+	for _, r := range results {
 		sizes[r.Instances] = true
 	}
 	for _, size := range slices.Sorted(maps.Keys(sizes)) {
 		values := func(metric string, on bool) []float64 {
-			return metricValues(all, metric, func(r Result) bool { return r.Instances == size && r.On == on })
+			return metricValues(results, metric, func(r Result) bool { return r.Instances == size && r.On == on })
 		}
 		off, on := values("late", false), values("late", true)
 		fmt.Fprintf(out, "%9d  %8.1f (%.0f)           %8.1f (%.0f)           %6.2f  "+
@@ -187,19 +188,19 @@
 	}
 }
 
-// offOnColours are the colours of runs with the tried feature off and on.
+// offOnColours are the chart colours of runs with the feature under trial off and on.
 var offOnColours = []color.Color{color.RGBA{R: 200, G: 60, B: 40, A: 255}, color.RGBA{R: 30, G: 90, B: 180, A: 255}}
 
-func slowBackendChart(file string, all []Result) error {
+func slowBackendChart(file string, results []Result) error {
 	p := plot.New()
 	p.Title.Text = "Late answers of a node at an eighth of its speed, in 7 s"
 	p.X.Label.Text, p.Y.Label.Text = "instances", "late answers, all instances"
 	p.Legend.Top = true
 	for i, on := range []bool{false, true} {
 		var points plotter.XYs
-		for _, r := range all {
+		for _, r := range results {
 			if r.On == on {
-				x := float64(r.Instances) + 0.15*float64(2*i-1) // side by side
+				x := float64(r.Instances) + 0.15*float64(2*i-1) // so that off and on do not overlap
 				points = append(points, plotter.XY{X: x, Y: r.Metrics["late"]})
 			}
 		}
--- a/internal/lab/trial/statistics.go
+++ b/internal/lab/trial/statistics.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// ofCase selects the runs of a case with the tried feature on or off.
+// ofCase returns a filter for the runs of a case with the feature under trial on or off.
 func ofCase(name string, on bool) func(Result) bool {
 	return func(r Result) bool { return r.Case == name && r.On == on }
 }
 
 // metricValues returns the sorted values of one metric in all conclusive runs that selected accepts.
-func metricValues(all []Result, name string, selected func(Result) bool) (out []float64) {
-	for _, r := range all {
+func metricValues(results []Result, name string, selected func(Result) bool) (out []float64) {
+	for _, r := range results {
 		if v, has := r.Metrics[name]; has && selected(r) && len(r.Doubts) == 0 {
 			out = append(out, v)
 		}
--- a/internal/lab/trial/takeover.go
+++ b/internal/lab/trial/takeover.go
@@ -11,10 +11,10 @@
 	"hitchspring/internal/lab"
 )
 
-// takeover loses instances that have keyed work in flight, and counts what became of it, by what clients and
-// backends saw.
+// takeover kills, pauses or isolates instances that have keyed work in flight. From the records of clients and
+// backends it counts how that work ended.
 var takeover = &definition{
-	about: "instances lost with keyed work in hand: effects, answers and who asks again, " +
+	description: "instances lost with keyed work in hand: effects, answers and who asks again, " +
 		"with [takeover] off and on",
 	cases:        takeoverCases,
 	instances:    []int{6},
@@ -28,15 +28,15 @@
 const (
 	lossAt           = 4 * time.Second
 	takeoverDuration = 10 * time.Second
-	// slowdownAtLoss slows the backends around the loss, so that there is work in flight.
+	// slowdownAtLoss is the factor on the service time around the loss, which ensures that work is in flight.
 	slowdownAtLoss = 5
-	// maxWorkAge is how long before the loss work may have begun that counts as in flight.
+	// maxWorkAge is the maximum age, at the loss, of work that counts as in flight.
 	maxWorkAge = 2 * time.Second
-	// minTimeLeft is how long after the loss the client of such work must still wait.
-	minTimeLeft = 1500 * time.Millisecond
+	// minClientTimeLeft is the minimum time that the client of such work still waits after the loss.
+	minClientTimeLeft = 1500 * time.Millisecond
 )
 
-// lossFaults returns the faults of a case.
+// lossFaults returns the faults of the named case.
 func lossFaults(name string) []string {
 	at := fmt.Sprintf(" at %v", lossAt)
 	switch name {
@@ -48,7 +48,7 @@
 		return []string{"ingress/0:kill" + at, "ingress/1:kill" + at}
 	case "cut off":
 		return []string{"link/0|1,2,3,4,5:cut 3s" + at}
-	case "false deaths": // two instances are believed dead for a while, and serve again
+	case "false deaths": // pauses that make peers declare two live instances dead, before the loss
 		return []string{"ingress/1:pause 1700ms at 1s", "ingress/2:pause 1700ms at 1500ms", "ingress/0:kill" + at}
 	}
 	return []string{
@@ -91,19 +91,20 @@
 	return r, nil
 }
 
-// takeoverCounts counts the keyed work that was in flight at the loss.
+// takeoverCounts counts the keyed work that was in flight when instances were lost.
 type takeoverCounts struct {
-	inFlight            int // at lost instances
-	withEffect          int // of inFlight
-	retried             int // of inFlight: its client sent it again, to an instance that was there
-	answered            int // of retried
-	elsewhere           int // at the other instances, for comparison
-	elsewhereWithEffect int
-	// lastHelped is the longest time from the loss to the first attempt by another instance; 0 without one.
-	lastHelped time.Duration
+	inFlight              int // at lost instances, and not answered by them
+	withEffect            int // of inFlight
+	retried               int // of inFlight: its client retried it, and an instance answered
+	answered              int // of retried
+	onSurvivors           int // in flight at the other instances, for comparison
+	onSurvivorsWithEffect int
+	// maxTakeoverDelay is the longest time from the loss to the first attempt by another instance, or 0 if there was
+	// none.
+	maxTakeoverDelay time.Duration
 }
 
-// addKeyedWork records what became of all keyed work, and of that in flight at the loss.
+// addKeyedWork records the outcome of the keyed work, in total and of that in flight at the loss.
 func (r *Result) addKeyedWork(c Cell, report *lab.Report) {
 	lostAt := time.Duration(report.BeganS*float64(time.Second)) + lossAt
 	var counts takeoverCounts
@@ -119,9 +120,9 @@
 			continue
 		}
 		if isLostInstance(c.Case, work.Instance) {
-			counts.addLost(work, lostAt)
+			counts.addOnLost(work, lostAt)
 		} else {
-			counts.addElsewhere(work)
+			counts.addOnSurvivor(work)
 		}
 	}
 	r.Metrics["keyed"] = float64(len(report.Keyed))
@@ -129,38 +130,38 @@
 	r.Metrics["done"] = float64(counts.withEffect)
 	r.Metrics["again"] = float64(counts.retried)
 	r.Metrics["answered"] = float64(counts.answered)
-	r.Metrics["beside"] = float64(counts.elsewhere)
-	r.Metrics["beside_done"] = float64(counts.elsewhereWithEffect)
-	if counts.lastHelped > 0 {
-		r.Metrics["helped_s"] = counts.lastHelped.Seconds()
+	r.Metrics["beside"] = float64(counts.onSurvivors)
+	r.Metrics["beside_done"] = float64(counts.onSurvivorsWithEffect)
+	if counts.maxTakeoverDelay > 0 {
+		r.Metrics["helped_s"] = counts.maxTakeoverDelay.Seconds()
 	}
 }
 
-// inFlightAt reports whether a client was waiting for the work at the loss and still had time left.
+// inFlightAt reports whether a client was waiting for the work at the loss, with at least minClientTimeLeft to go.
 func inFlightAt(work *lab.ClientRequest, lostAt time.Duration) bool {
 	if work.First > lostAt || work.First < lostAt-maxWorkAge {
 		return false
 	}
-	if work.First+work.Patience < lostAt+minTimeLeft {
+	if work.First+work.Patience < lostAt+minClientTimeLeft {
 		return false
 	}
 	return work.Answered <= 0 || work.Answered >= lostAt
 }
 
-// isLostInstance reports whether a case loses the instance of that name.
+// isLostInstance reports whether the named case loses the named instance.
 func isLostInstance(name, instance string) bool {
 	return instance == "n0" || name == "two killed" && instance == "n1"
 }
 
-func (t *takeoverCounts) addElsewhere(work *lab.ClientRequest) {
-	t.elsewhere++
+func (t *takeoverCounts) addOnSurvivor(work *lab.ClientRequest) {
+	t.onSurvivors++
 	if work.Effects > 0 {
-		t.elsewhereWithEffect++
+		t.onSurvivorsWithEffect++
 	}
 }
 
-func (t *takeoverCounts) addLost(work *lab.ClientRequest, lostAt time.Duration) {
-	if !work.Lost { // an instance that was cut off or stopped has answered after all
+func (t *takeoverCounts) addOnLost(work *lab.ClientRequest, lostAt time.Duration) {
+	if !work.Lost { // a paused or isolated instance has answered it later
 		return
 	}
 	t.inFlight++
@@ -174,23 +175,23 @@
 		}
 	}
 	if work.Helped > lostAt {
-		t.lastHelped = max(t.lastHelped, work.Helped-lostAt)
+		t.maxTakeoverDelay = max(t.maxTakeoverDelay, work.Helped-lostAt)
 	}
 }
 
-func takeoverTable(out io.Writer, all []Result) {
+func takeoverTable(out io.Writer, results []Result) {
 	fmt.Fprintf(out, "\n%-11s %-4s  %-7s  %-7s  %-8s  %-13s  %-18s  %-16s  %-24s  %-8s\n",
 		"case", "on", "keyed", "doubled", "in hand", "with effect",
 		"beside, with effect", "asked again", "answered of those", "helped after, s (worst)")
 	for _, name := range takeoverCases {
 		for _, on := range []bool{false, true} {
 			sum := func(metric string) (total float64) {
-				for _, v := range metricValues(all, metric, ofCase(name, on)) {
+				for _, v := range metricValues(results, metric, ofCase(name, on)) {
 					total += v
 				}
 				return total
 			}
-			helped := metricValues(all, "helped_s", ofCase(name, on))
+			helped := metricValues(results, "helped_s", ofCase(name, on))
 			fmt.Fprintf(out, "%-11s %-5v %6.0f  %8.0f  %8.0f  %11.0f  "+
 				"%8.0f, %8.0f  %13.0f  %15.0f           %.2f (%.2f)\n",
 				name, on, sum("keyed"), sum("doubled"), sum("in_hand"), sum("done"),
--- a/internal/lab/trial/takeover_overhead.go
+++ b/internal/lab/trial/takeover_overhead.go
@@ -11,11 +11,11 @@
 	"hitchspring/internal/lab"
 )
 
-// takeoverOverhead measures what replicating pending work costs while no instance is lost. The baseline are
-// instances with peers and without takeover.
+// takeoverOverhead measures what the replication of pending work costs while no instance is lost. Its baseline is
+// the same load on instances with peers but without takeover.
 var takeoverOverhead = &definition{
-	about: "what keepers cost while nothing is lost: latency of keyed work, CPU, bytes between instances, memory; " +
-		"[peers] in both",
+	description: "what keepers cost while nothing is lost: latency of keyed work, CPU, bytes between instances, " +
+		"memory; [peers] in both",
 	cases:        takeoverOverheadCases,
 	instances:    []int{3},
 	withBaseline: true,
@@ -27,7 +27,7 @@
 
 func runTakeoverOverhead(ctx context.Context, c Cell, program string) (Result, error) {
 	r := Result{Metrics: map[string]float64{}}
-	var mu sync.Mutex // guards r.Metrics while the run lasts
+	var mu sync.Mutex // guards r.Metrics during the run
 	cfg := lab.Config{
 		Scenario:  "calm",
 		Seed:      c.Seed,
@@ -70,7 +70,7 @@
 	return r, nil
 }
 
-// singleAttemptLatencies returns the sorted latencies, in milliseconds, of keyed work served at the first attempt.
+// singleAttemptLatencies returns the sorted latencies, in milliseconds, of keyed work that took one attempt.
 func singleAttemptLatencies(report *lab.Report) (out []float64) {
 	for _, work := range report.Keyed {
 		if work.Attempts == 1 && work.Served {
@@ -81,13 +81,13 @@
 	return out
 }
 
-func takeoverOverheadTable(out io.Writer, all []Result) {
+func takeoverOverheadTable(out io.Writer, results []Result) {
 	fmt.Fprintf(out, "\n%-6s  %-22s  %-22s  %-24s  %-6s  %-22s  %-16s  %-14s\n",
 		"load", "keyed p50 ms off, on", "keyed p99 ms off, on", "CPU us a try off, on", "ratio",
 		"bytes/s each off, on", "peak MB off, on", "service off, on")
 	for _, name := range takeoverOverheadCases {
 		median := func(metric string, on bool) float64 {
-			return quantile(metricValues(all, metric, ofCase(name, on)), 0.5)
+			return quantile(metricValues(results, metric, ofCase(name, on)), 0.5)
 		}
 		fmt.Fprintf(out, "%-6s  %6.1f, %6.1f          %6.1f, %6.1f          %6.0f, %6.0f            %.3f   "+
 			"%8.0f, %8.0f      %.1f, %.1f        %.3f, %.3f\n",
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -1,8 +1,8 @@
-// Package trial runs many real processes of the ingress under faults between them, with one feature off and on,
-// and summarizes what the observers at backends, clients and links saw. A Config names the trial, the seeds and
-// the sizes. Run prints a line for each run and a table, writes the results as JSON and a chart to a directory,
-// and returns whether everything that the trial states was true. Package lab runs the processes and checks the
-// rules; this package decides nothing about a single run.
+// Package trial runs groups of real ingress processes under injected faults, with one feature off and on, and
+// compares the results. A Config names the trial, the seeds and the numbers of instances. Run prints a line for each
+// run and a summary table, optionally writes the results as JSON and a chart to a directory, and returns ErrBroken if
+// any run violated a rule or an expectation of the trial. Package lab starts the processes, records what backends,
+// clients and links observe, and checks the rules that hold for every run.
 package trial
 
 import (
@@ -26,16 +26,16 @@
 	maxInstances = 24
 )
 
-// Config says which runs of a trial are made.
+// Config selects the trial and its runs.
 type Config struct {
 	Name      string
-	Program   string   // path of the ingress; empty: it is built from this source
+	Program   string   // path of the ingress binary; empty: it is built from this source
 	Seed      uint64   // the first seed
 	Seeds     int      // how many consecutive seeds
-	Instances []int    // instances of each run; empty: the trial's default
+	Instances []int    // numbers of instances to run with; empty: the trial's default
 	Cases     []string // names of the trial's cases; empty: all
 	Jobs      int      // concurrent runs
-	Out       string   // directory for results.jsonl, table.txt and chart.svg; empty: none is written
+	Out       string   // directory for results.jsonl, table.txt and chart.svg; empty: no files are written
 }
 
 // Cell is one run of a trial.
@@ -50,11 +50,11 @@
 type Result struct {
 	Cell
 	Metrics    map[string]float64 `json:"Figures"`
-	Violations []string           `json:"Breaks"` // of the rules and of the trial's own statements
+	Violations []string           `json:"Breaks"` // of the lab's rules and of the trial's own expectations
 	Doubts     []string           `json:"Doubts"` // why the run is inconclusive; empty if it is conclusive
 }
 
-// trials are all trials by their name on the command line.
+// trials holds all trials by their names on the command line.
 var trials = map[string]*definition{
 	"judgements": slowBackend,
 	"partitions": partitions,
@@ -66,33 +66,33 @@
 
 // definition describes one trial.
 type definition struct {
-	about        string
+	description  string
 	cases        []string
-	instances    []int // default sizes
-	withBaseline bool  // each cell also runs with the feature off
+	instances    []int // default numbers of instances
+	withBaseline bool  // each cell also runs with the feature off, for comparison
 	run          func(ctx context.Context, c Cell, program string) (Result, error)
-	table        func(out io.Writer, all []Result)
-	chart        func(file string, all []Result) error // nil: the trial has no chart
+	table        func(out io.Writer, results []Result)
+	chart        func(file string, results []Result) error // nil: the trial has no chart
 }
 
-// Names returns a line for each trial, with its name and what it is about.
+// Names returns a sorted list of lines, each with the name and the description of a trial.
 func Names() (out []string) {
-	for name, k := range trials {
-		out = append(out, fmt.Sprintf("%-12s %s", name, k.about))
+	for name, trial := range trials {
+		out = append(out, fmt.Sprintf("%-12s %s", name, trial.description))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// ErrBroken says that in some run a rule or a statement of the trial did not hold.
-var ErrBroken = errors.New("something did not hold")
+// ErrBroken means that some run violated a rule of the lab or an expectation of the trial.
+var ErrBroken = errors.New("the trial found violations")
 
-// Run runs a trial, and prints a line for each run and then the table. It returns ErrBroken with the results if
-// something did not hold in a run.
+// Run runs a trial and prints a line for each run, then the summary table. If any run has a violation, it returns the
+// results together with ErrBroken.
 func Run(ctx context.Context, cfg Config, out io.Writer) ([]Result, error) {
 	trial := trials[cfg.Name]
 	if trial == nil {
-		return nil, fmt.Errorf("trial %q: there is none of this name:\n%s", cfg.Name, strings.Join(Names(), "\n"))
+		return nil, fmt.Errorf("unknown trial %q; the trials are:\n%s", cfg.Name, strings.Join(Names(), "\n"))
 	}
 	if len(cfg.Instances) == 0 {
 		cfg.Instances = trial.instances
@@ -115,7 +115,7 @@
 	}
 	for _, name := range cfg.Cases {
 		if !slices.Contains(trial.cases, name) {
-			return nil, fmt.Errorf("cases: %s has no %q, but %q", cfg.Name, name, trial.cases)
+			return nil, fmt.Errorf("cases: trial %s has no case %q; its cases are %q", cfg.Name, name, trial.cases)
 		}
 	}
 	results, err := runCells(ctx, trial, trial.cells(cfg), cfg, out)
@@ -125,7 +125,7 @@
 	return results, summarize(trial, cfg, results, out)
 }
 
-// cells returns the runs that cfg selects, the baseline before the run that it is compared with.
+// cells returns the runs that cfg selects. Each baseline run precedes the run that it is compared with.
 func (d *definition) cells(cfg Config) (out []Cell) {
 	for _, name := range d.cases {
 		if len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, name) {
@@ -144,7 +144,7 @@
 	return out
 }
 
-// runCells runs all cells, cfg.Jobs at once. Its goroutines end before it returns.
+// runCells runs all cells, up to cfg.Jobs at a time, and waits for them. Results are in the order of the cells.
 func runCells(ctx context.Context, trial *definition, cells []Cell, cfg Config, out io.Writer) ([]Result, error) {
 	results := make([]Result, len(cells))
 	errs := make([]error, len(cells))
@@ -172,24 +172,25 @@
 	return results, errors.Join(append(errs, ctx.Err())...)
 }
 
-// maxReplays is how often an inconclusive run is repeated with another seed.
-const maxReplays = 2
+// maxReruns is how often an inconclusive run is repeated, each time with another seed.
+const maxReruns = 2
 
-// replaySeedStep is added to the seed for a replay, so that it meets no seed of the same trial.
-const replaySeedStep = 1000
+// rerunSeedStep is added to the seed for each rerun. It is large, so that reruns use no seed of the trial's other runs.
+const rerunSeedStep = 1000
 
-// runCell runs one cell, and replays it while the run is inconclusive.
+// runCell runs one cell, and repeats it up to maxReruns times while the result is inconclusive.
 func runCell(ctx context.Context, trial *definition, c Cell, program string) (r Result, err error) {
-	for range 1 + maxReplays {
+	for range 1 + maxReruns {
 		r, err = trial.run(ctx, c, program)
 		r.Cell = c
 		if err != nil || len(r.Doubts) == 0 || len(r.Violations) > 0 || ctx.Err() != nil {
 			return r, err
 		}
-		c.Seed += replaySeedStep
+		c.Seed += rerunSeedStep
 	}
 	return r, err
 }
 
-// tolerance is how late the lab's own processes may be. It is generous, since many runs share the machine.
+// tolerance is the maximum delay of the lab's own observers in a conclusive run. It is generous, because many runs
+// share the machine.
 const tolerance = 400 * time.Millisecond
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// One of three real processes is cut off from the counter while a tenant requests five times its quota. It
-// states that it is disconnected, forwards no more than it stated before, and overdraws the tenant by no more,
-// with fixed shares of the quota and with shares that are transferred. The other rules have tests of their own,
-// which a busy machine disturbs less.
-func TestStatedBeforeTheCut(t *testing.T) {
+// One of three real processes is cut off from the counter while a tenant requests five times its quota. It must
+// report that it is disconnected, and must neither forward more units nor cause a larger overrun than it stated
+// before the cut, both with fixed shares of the quota and with escrow. Violations of other rules are not checked
+// here: they have tests of their own, which are less sensitive to a busy machine.
+func TestDisconnectedInstanceStaysWithinStatedBound(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
@@ -25,7 +25,7 @@
 	t.Log(out.String())
 	for _, r := range results {
 		if r.Metrics["stated"] == 0 || r.Metrics["passed"] == 0 {
-			t.Errorf("nothing was stated or passed on: %v", r.Metrics)
+			t.Errorf("got no stated or no forwarded units in %v", r.Metrics)
 		}
 		for _, violation := range r.Violations {
 			for _, phrase := range []string{"had stated", "were stated", "was alone"} {
@@ -37,9 +37,9 @@
 	}
 }
 
-// An unknown trial or case, or a size out of range, is an error that names it.
-func TestUnknown(t *testing.T) {
-	for _, x := range []struct {
+// An unknown trial, an unknown case or a number of instances out of range is an error that names the value.
+func TestRunRejectsInvalidConfig(t *testing.T) {
+	for _, test := range []struct {
 		name string
 		cfg  Config
 		want string
@@ -48,10 +48,10 @@
 		{"case", Config{Name: "budgets", Cases: []string{"nonsense"}}, "nonsense"},
 		{"size", Config{Name: "budgets", Instances: []int{1}}, "instances: 1"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			_, err := Run(t.Context(), x.cfg, &bytes.Buffer{})
-			if err == nil || !strings.Contains(err.Error(), x.want) {
-				t.Errorf("got %v, want an error with %q", err, x.want)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Run(t.Context(), test.cfg, &bytes.Buffer{})
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got %v, want an error with %q", err, test.want)
 			}
 		})
 	}
