--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -13,12 +13,12 @@
 const (
 	loopback = "127.0.0.1"
 	zone     = "hall-a"
-	// backendCores and backendQueue exceed any load here, so that no request waits in a backend's queue.
+	// backendCores and backendQueue exceed what any load here needs, so that no request waits in a backend's queue.
 	backendCores = 64
 	backendQueue = 10000
 )
 
-// backends holds the stand-ins that an ingress needs: backends, discovery and the shared counter.
+// backends holds the stand-ins that an ingress needs: the backends, discovery and the shared counter.
 type backends struct {
 	fleet    *backend.Fleet
 	backends []*backend.Backend
@@ -27,7 +27,7 @@
 	counter  *tally.Server
 }
 
-// startBackends starts the stand-ins of one measurement.
+// startBackends starts fresh stand-ins for one measurement.
 func startBackends(c *Config, build Build, seed uint64) (b *backends, err error) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
@@ -52,13 +52,13 @@
 			return nil, err
 		}
 	}
-	if build.Name != Bare { // the bare proxy would match each later answer with the wrong request
+	if build.Name != BareProxy { // the bare proxy cannot tell a second answer from the answer to the next request
 		b.injectSecondAnswers(c)
 	}
 	return b, nil
 }
 
-// add starts the backend of that number and registers it with discovery.
+// add starts backend i and registers it with discovery.
 func (b *backends) add(i int) error {
 	spec := backend.Spec{
 		ID:            fmt.Sprintf("backend-%03d", i),
@@ -69,14 +69,14 @@
 		Speed:         1,
 		QueueCapacity: backendQueue,
 	}
-	n, err := b.fleet.Add(spec, loopback, false, 1)
+	standIn, err := b.fleet.Add(spec, loopback, false, 1)
 	if err != nil {
 		return err
 	}
-	b.backends = append(b.backends, n)
+	b.backends = append(b.backends, standIn)
 	b.registry.Set(discovery.Target{
 		UID:      spec.ID,
-		Endpoint: n.Addr(0),
+		Endpoint: standIn.Addr(0),
 		Zone:     spec.Zone,
 		Model:    spec.Kind,
 		Group:    spec.Rack,
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// injectSecondAnswers has the backends answer a fraction of the requests a second time.
+// injectSecondAnswers makes the backends answer a fraction of the requests twice.
 func (b *backends) injectSecondAnswers(c *Config) {
 	if c.SecondShare == 0 {
 		return
@@ -95,11 +95,12 @@
 	if c.SecondLate == 0 {
 		rule.Kind = fault.Repeat
 	}
-	for _, n := range b.backends {
-		n.Fault(rule)
+	for _, standIn := range b.backends {
+		standIn.Fault(rule)
 	}
 }
 
+// close stops all stand-ins that were started.
 func (b *backends) close() {
 	b.fleet.Close()
 	b.registry.Close()
@@ -110,16 +111,17 @@
 
 // addresses returns the backends' addresses.
 func (b *backends) addresses() (out []string) {
-	for _, n := range b.backends {
-		out = append(out, n.Addr(0))
+	for _, standIn := range b.backends {
+		out = append(out, standIn.Addr(0))
 	}
 	return out
 }
 
-// acceptedConnections returns how many connections the backends have accepted so far: each is a handshake.
+// acceptedConnections returns how many connections the backends have accepted so far, which is the number of
+// handshakes.
 func (b *backends) acceptedConnections() (sum int) {
-	for _, n := range b.backends {
-		sum += n.Traffic(0).Opened
+	for _, standIn := range b.backends {
+		sum += standIn.Traffic(0).Opened
 	}
 	return sum
 }
--- a/internal/lab/cost/chart.go
+++ b/internal/lab/cost/chart.go
@@ -22,8 +22,8 @@
 	{"p99", func(r Row) Spread { return r.P99 }, color.RGBA{0xd6, 0x27, 0x28, 0xff}},
 }
 
-// Chart writes an SVG with the median and the 99th percentile of each build at each rate, and a bar from the
-// minimum to the maximum of the rounds.
+// Chart writes an SVG chart of the median and the 99th percentile latency of each build at each rate. A bar shows the
+// range over the rounds.
 func (r *Report) Chart(w io.Writer) error {
 	rows := r.Rows()
 	p := plot.New()
--- a/internal/lab/cost/config.go
+++ b/internal/lab/cost/config.go
@@ -1,7 +1,8 @@
-// Package cost measures what an ingress adds to a request: the time that a request waits in it, and the CPU,
-// memory and connections that it takes. Builds given by path and a bare forwarding proxy, the floor, run as
-// real processes on one processor each, in turns before the same stand-in backends and under the same open-loop
-// load on loopback. In: a Config. Out: a Report. It must never know how an ingress decides.
+// Package cost measures the overhead of an ingress: the latency that it adds to a request, and the CPU time, memory
+// and connections that it uses. It runs builds of the ingress and, as the lower bound, a bare forwarding proxy. Each
+// is a real process with GOMAXPROCS=1. They run one after the other, with equal stand-in backends and under the same
+// open-loop load on loopback. The input is a Config, the output a Report. The package depends on no details of the
+// ingress's decisions.
 package cost
 
 import (
@@ -12,10 +13,10 @@
 	"time"
 )
 
-// Bare is the name of the forwarding proxy among the builds.
-const Bare = "bare"
+// BareProxy is the name of the bare forwarding proxy in reports, next to the names of the builds.
+const BareProxy = "bare"
 
-// Bounds of a run.
+// Limits on a Config.
 const (
 	maxRate     = 20000
 	maxDuration = 5 * time.Minute
@@ -24,19 +25,19 @@
 
 	maxBackends     = 300
 	maxConnections  = 1000
-	maxBackendDelay = time.Second // of a backend's work and of its second answers
+	maxBackendDelay = time.Second // of a backend's service time, and of its second answers
 )
 
-// DefaultRates are in requests a second: the load of one instance in a large fleet, and that of a busy one.
+// DefaultRates are the typical load of one instance in a large fleet and that of a busy one, in requests per second.
 var DefaultRates = []int{190, 3000}
 
-// Build is one program that is measured.
+// Build is one build of the ingress to measure.
 type Build struct {
 	Name    string `json:"name"`
-	Program string `json:"program"` // path of a hitchspring
+	Program string `json:"program"` // path of the hitchspring binary
 }
 
-// ParseBuild reads NAME=PATH, or a PATH whose name is that of its last element.
+// ParseBuild parses NAME=PATH, or a PATH, whose last element is then the name.
 func ParseBuild(text string) (Build, error) {
 	name, program, named := strings.Cut(text, "=")
 	if !named {
@@ -46,32 +47,32 @@
 	if name == "" || program == "" {
 		return Build{}, fmt.Errorf("build %q: want NAME=PATH", text)
 	}
-	if name == Bare {
-		return Build{}, fmt.Errorf("build %q: %q is the name of the forwarding proxy", text, Bare)
+	if name == BareProxy {
+		return Build{}, fmt.Errorf("build %q: %q is the name of the forwarding proxy", text, BareProxy)
 	}
 	return Build{Name: name, Program: program}, nil
 }
 
-// Config says what is measured. Its JSON keys are part of the published report.
+// Config describes a measurement. Its JSON keys are part of the published report.
 type Config struct {
-	Builds      []Build       `json:"Builds"`  // measured beside the bare proxy
-	Proxy       []string      `json:"Proxy"`   // command that runs ServeProxy, without --listen and --backend
-	Rates       []int         `json:"Rates"`   // requests a second
-	Warm        time.Duration `json:"Warm"`    // of load before each measurement
-	Length      time.Duration `json:"Length"`  // of each measurement
-	Repeats     int           `json:"Repeats"` // rounds; in each every build is measured once at every rate
+	Builds      []Build       `json:"Builds"`  // measured in addition to the bare proxy
+	Proxy       []string      `json:"Proxy"`   // command that runs ServeProxy; --listen and --backend are added
+	Rates       []int         `json:"Rates"`   // requests per second
+	WarmUp      time.Duration `json:"Warm"`    // duration of the load before each measurement
+	Length      time.Duration `json:"Length"`  // duration of each measurement
+	Repeats     int           `json:"Repeats"` // rounds; each measures every build once at every rate
 	Backends    int           `json:"Backends"`
-	Connections int           `json:"Connections"` // of clients
-	Work        time.Duration `json:"Work"`        // service time of a backend
-	SecondLate  time.Duration `json:"SecondLate"`  // delay of a backend's second answer after its first
+	Connections int           `json:"Connections"` // client connections
+	Work        time.Duration `json:"Work"`        // service time of the backends
+	SecondLate  time.Duration `json:"SecondLate"`  // delay between a backend's first and second answer
 	SecondShare float64       `json:"SecondShare"` // fraction of requests that are answered twice
 }
 
-// Default returns the usual measurement. Builds and Proxy are left to the caller.
+// Default returns the default configuration. The caller must set Builds and Proxy.
 func Default() Config {
 	return Config{
 		Rates:       DefaultRates,
-		Warm:        time.Second,
+		WarmUp:      time.Second,
 		Length:      5 * time.Second,
 		Repeats:     3,
 		Backends:    12,
@@ -80,13 +81,13 @@
 	}
 }
 
-// Check returns an error that names the first field with a value that cannot be used.
+// Check returns an error that names the first invalid field and its value.
 func (c *Config) Check() error {
 	if err := c.checkBuilds(); err != nil {
 		return err
 	}
 	if len(c.Proxy) == 0 {
-		return errors.New("proxy: no program is named")
+		return errors.New("proxy: no program is given")
 	}
 	if err := c.checkRates(); err != nil {
 		return err
@@ -101,7 +102,7 @@
 	seen := map[string]bool{}
 	for _, b := range c.Builds {
 		if seen[b.Name] {
-			return fmt.Errorf("build %q: named twice", b.Name)
+			return fmt.Errorf("build %q: given twice", b.Name)
 		}
 		seen[b.Name] = true
 	}
@@ -110,14 +111,14 @@
 
 func (c *Config) checkRates() error {
 	if len(c.Rates) == 0 {
-		return errors.New("rate: none is named")
+		return errors.New("rate: none is given")
 	}
 	for i, r := range c.Rates {
 		if r < 1 || r > maxRate {
 			return fmt.Errorf("rate: %d is out of range, 1 to %d", r, maxRate)
 		}
 		if slices.Contains(c.Rates[:i], r) {
-			return fmt.Errorf("rate: %d is named twice", r)
+			return fmt.Errorf("rate: %d is given twice", r)
 		}
 	}
 	return nil
@@ -127,8 +128,8 @@
 	switch {
 	case c.Length <= 0 || c.Length > maxDuration:
 		return fmt.Errorf("seconds: %v is out of range, up to %v", c.Length, maxDuration)
-	case c.Warm < 0 || c.Warm > maxDuration:
-		return fmt.Errorf("warm: %v is out of range, up to %v", c.Warm, maxDuration)
+	case c.WarmUp < 0 || c.WarmUp > maxDuration:
+		return fmt.Errorf("warm: %v is out of range, up to %v", c.WarmUp, maxDuration)
 	case c.Repeats < 1 || c.Repeats > maxRepeats:
 		return fmt.Errorf("repeats: %d is out of range, 1 to %d", c.Repeats, maxRepeats)
 	case c.Backends < 1 || c.Backends > maxBackends:
@@ -140,24 +141,24 @@
 	case c.SecondLate < 0 || c.SecondLate > maxBackendDelay:
 		return fmt.Errorf("second-answers: %v is out of range, up to %v", c.SecondLate, maxBackendDelay)
 	case !(c.SecondShare >= 0 && c.SecondShare <= 1):
-		return fmt.Errorf("second-share: %v is no share, 0 to 1", c.SecondShare)
+		return fmt.Errorf("second-share: %v is out of range, 0 to 1", c.SecondShare)
 	}
 	return nil
 }
 
-// turn is one measurement in the order of a run.
-type turn struct {
+// measurementSlot identifies one measurement of a run.
+type measurementSlot struct {
 	round, rate int
-	build       Build // without a program: the bare proxy
+	build       Build // the bare proxy if it has no Program
 }
 
-// turns returns the order of a round: at each rate the bare proxy and the builds one after the other. Each
-// round begins with another one, so that a drift of the machine affects all alike.
-func (c *Config) turns(round int) (out []turn) {
-	all := append([]Build{{Name: Bare}}, c.Builds...)
+// slots returns the measurements of a round in their order: at each rate, the bare proxy and every build. Each round
+// starts with another of these, so that a drift in the machine's speed affects all of them alike.
+func (c *Config) slots(round int) (out []measurementSlot) {
+	all := append([]Build{{Name: BareProxy}}, c.Builds...)
 	for _, rate := range c.Rates {
 		for i := range all {
-			out = append(out, turn{round, rate, all[(i+round)%len(all)]})
+			out = append(out, measurementSlot{round, rate, all[(i+round)%len(all)]})
 		}
 	}
 	return out
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain lets the tests' own program be the bare proxy, as the lab's is.
+// TestMain runs the bare proxy if the first argument is "proxy", so that tests can start it as a process of its own.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "proxy" {
 		os.Exit(runProxy(os.Args[2:]))
@@ -52,24 +52,24 @@
 	return c
 }
 
-// A field that cannot be used is one error that names it with its value.
-func TestConfigMistakes(t *testing.T) {
+// The error for an invalid field names the field and its value.
+func TestCheckNamesInvalidField(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"builds: 0 is out of range":          func(c *Config) { c.Builds = nil },
-		`build "new": named twice`:           func(c *Config) { c.Builds = append(c.Builds, c.Builds[0]) },
-		"proxy: no program":                  func(c *Config) { c.Proxy = nil },
+		`build "new": given twice`:           func(c *Config) { c.Builds = append(c.Builds, c.Builds[0]) },
+		"proxy: no program is given":         func(c *Config) { c.Proxy = nil },
 		"rate: none":                         func(c *Config) { c.Rates = nil },
 		"rate: 0 is out of range":            func(c *Config) { c.Rates = []int{0} },
 		"rate: 20001 is out of range":        func(c *Config) { c.Rates = []int{20001} },
-		"rate: 5 is named twice":             func(c *Config) { c.Rates = []int{5, 5} },
+		"rate: 5 is given twice":             func(c *Config) { c.Rates = []int{5, 5} },
 		"seconds: 0s is out of range":        func(c *Config) { c.Length = 0 },
-		"warm: -1ns is out of range":         func(c *Config) { c.Warm = -1 },
+		"warm: -1ns is out of range":         func(c *Config) { c.WarmUp = -1 },
 		"repeats: 0 is out of range":         func(c *Config) { c.Repeats = 0 },
 		"backends: 301 is out of range":      func(c *Config) { c.Backends = 301 },
 		"connections: 0 is out of range":     func(c *Config) { c.Connections = 0 },
 		"work: 2s is out of range":           func(c *Config) { c.Work = 2 * time.Second },
 		"second-answers: -1ns is out of ran": func(c *Config) { c.SecondLate = -1 },
-		"second-share: 1.5 is no share":      func(c *Config) { c.SecondShare = 1.5 },
+		"second-share: 1.5 is out of range":  func(c *Config) { c.SecondShare = 1.5 },
 	} {
 		c := testConfig()
 		change(&c)
@@ -99,20 +99,20 @@
 	}
 }
 
-// Every build has a turn at every rate in each round, and none is always the first.
-func TestTurnsAlternate(t *testing.T) {
+// Every build is measured at every rate in each round, and each round starts with another build.
+func TestSlotsRotateFirstBuild(t *testing.T) {
 	c := testConfig()
 	c.Builds = append(c.Builds, Build{"old", "bin/old"})
 	var first []string
 	for round := range 3 {
-		turns := c.turns(round)
-		if len(turns) != 6 {
-			t.Fatalf("round %d: %d turns, want 6", round, len(turns))
+		slots := c.slots(round)
+		if len(slots) != 6 {
+			t.Fatalf("round %d: got %d slots, want 6", round, len(slots))
 		}
-		first = append(first, turns[0].build.Name)
+		first = append(first, slots[0].build.Name)
 		for _, rate := range c.Rates {
 			var names []string
-			for _, x := range turns {
+			for _, x := range slots {
 				if x.rate == rate {
 					names = append(names, x.build.Name)
 				}
@@ -128,7 +128,7 @@
 	}
 }
 
-// canned is a measurement of a median, without refusals.
+// testMeasurement returns a valid measurement with the given median.
 func testMeasurement(build string, round int, p50 float64) Measurement {
 	return Measurement{
 		Build:  build,
@@ -143,7 +143,7 @@
 	}
 }
 
-// The short check passes with its first good round, fails where all rounds are slow, and judges no void round.
+// The short check passes at the first good round, fails if a build is slow in all rounds, and ignores void rounds.
 func TestShortPassesWithOneGoodRound(t *testing.T) {
 	void := testMeasurement("new", 0, 2.1)
 	void.Void = "1 refused"
@@ -153,40 +153,40 @@
 		played int
 		want   error
 	}{
-		"good at once": {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 2.9)}}, 1, nil},
-		"at the limit": {[]round{{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 3)}}, 1, nil},
+		"good at once": {[]round{{testMeasurement(BareProxy, 0, 2), testMeasurement("new", 0, 2.9)}}, 1, nil},
+		"at the limit": {[]round{{testMeasurement(BareProxy, 0, 2), testMeasurement("new", 0, 3)}}, 1, nil},
 		"good at the third": {
 			[]round{
-				{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)},
-				{testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)},
-				{testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 2.5)},
+				{testMeasurement(BareProxy, 0, 2), testMeasurement("new", 0, 9)},
+				{testMeasurement(BareProxy, 1, 2), testMeasurement("new", 1, 3.1)},
+				{testMeasurement(BareProxy, 2, 2), testMeasurement("new", 2, 2.5)},
 			}, 3, nil,
 		},
 		"slow in each": {
 			[]round{
-				{testMeasurement(Bare, 0, 2), testMeasurement("new", 0, 9)},
-				{testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 3.1)},
-				{testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 12)},
+				{testMeasurement(BareProxy, 0, 2), testMeasurement("new", 0, 9)},
+				{testMeasurement(BareProxy, 1, 2), testMeasurement("new", 1, 3.1)},
+				{testMeasurement(BareProxy, 2, 2), testMeasurement("new", 2, 12)},
 			}, 3, ErrTooSlow,
 		},
 		"void, then good": {
 			[]round{
-				{testMeasurement(Bare, 0, 2), void},
-				{testMeasurement(Bare, 1, 2), testMeasurement("new", 1, 2.1)},
+				{testMeasurement(BareProxy, 0, 2), void},
+				{testMeasurement(BareProxy, 1, 2), testMeasurement("new", 1, 2.1)},
 			}, 2, nil,
 		},
 		"void in each": {
 			[]round{
-				{testMeasurement(Bare, 0, 2), void},
-				{testMeasurement(Bare, 1, 2)},
+				{testMeasurement(BareProxy, 0, 2), void},
+				{testMeasurement(BareProxy, 1, 2)},
 				{testMeasurement("new", 2, 2)},
 			}, 3, ErrVoid,
 		},
 		"another round's bare": {
 			[]round{
-				{testMeasurement(Bare, 0, 8)},
+				{testMeasurement(BareProxy, 0, 8)},
 				{testMeasurement("new", 1, 8)},
-				{testMeasurement(Bare, 2, 2), testMeasurement("new", 2, 8)},
+				{testMeasurement(BareProxy, 2, 2), testMeasurement("new", 2, 8)},
 			}, 3, ErrTooSlow,
 		},
 	} {
@@ -203,7 +203,7 @@
 	}
 }
 
-// One good build of two does not let the other pass.
+// The short check assesses each build on its own: a slow build fails even if another one is good.
 func TestShortAssessesEachBuild(t *testing.T) {
 	c := testConfig()
 	c.Builds = append(c.Builds, Build{"slow", "bin/slow"})
@@ -214,37 +214,37 @@
 		if i == 0 {
 			good.Void = "2 failed"
 		}
-		return []Measurement{testMeasurement(Bare, i, 2), good, testMeasurement("slow", i, 11)}, nil
+		return []Measurement{testMeasurement(BareProxy, i, 2), good, testMeasurement("slow", i, 11)}, nil
 	})
 	if !errors.Is(err, ErrTooSlow) || !strings.Contains(err.Error(), "build slow") ||
 		!strings.Contains(err.Error(), "9.00 ms") {
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), "VOID: new at 190 a second, round 1: 2 failed of 100"); n != 1 {
-		t.Errorf("a void measurement is said %d times", n)
+		t.Errorf("got the line of the void measurement %d times, want once", n)
 	}
 	if !strings.Contains(out.String(), "round 3: slow p50 11.00 ms, bare 2.00 ms: added 9.00 ms") {
 		t.Fatal(out.String())
 	}
 }
 
-// Added latencies and ratios are each against the same round's bare proxy; void rounds count for nothing and are
-// said.
+// Added latencies and CPU ratios are relative to the bare proxy in the same round. Void rounds do not contribute to
+// them, but are reported.
 func TestRows(t *testing.T) {
 	r := &Report{Config: testConfig()}
 	r.Config.Rates = []int{ShortRate}
 	void := testMeasurement("new", 2, 50)
 	void.Rejected, void.Void = 1, "1 refused"
 	r.Measurements = []Measurement{
-		testMeasurement(Bare, 0, 2),
+		testMeasurement(BareProxy, 0, 2),
 		testMeasurement("new", 0, 3),
-		testMeasurement(Bare, 1, 4),
+		testMeasurement(BareProxy, 1, 4),
 		testMeasurement("new", 1, 7),
-		testMeasurement(Bare, 2, 2),
+		testMeasurement(BareProxy, 2, 2),
 		void,
 	}
 	rows := r.Rows()
-	if len(rows) != 2 || rows[0].Build != Bare || rows[1].Build != "new" {
+	if len(rows) != 2 || rows[0].Build != BareProxy || rows[1].Build != "new" {
 		t.Fatalf("%+v", rows)
 	}
 	got := rows[1]
@@ -253,7 +253,7 @@
 		t.Errorf("%+v", got)
 	}
 	if got.Rounds != 3 || got.Void != 1 || got.Rejected != 1 {
-		t.Errorf("%d of %d void, %d refused", got.Void, got.Rounds, got.Rejected)
+		t.Errorf("got %d of %d rounds void and %d requests rejected", got.Void, got.Rounds, got.Rejected)
 	}
 	text := r.Text()
 	for _, want := range []string{
--- a/internal/lab/cost/load.go
+++ b/internal/lab/cost/load.go
@@ -22,9 +22,9 @@
 	tenantPlan      = "paced"
 	tenants         = 200
 	requestDeadline = time.Second
-	// answerTime is how long a phase waits for answers after its last request.
-	answerTime = requestDeadline + 500*time.Millisecond
-	// maxPending bounds the requests of one connection without an answer yet.
+	// answerTimeout is how long a phase waits for answers after its last request.
+	answerTimeout = requestDeadline + 500*time.Millisecond
+	// maxPending is the maximum number of unanswered requests on one connection.
 	maxPending     = 4096
 	maxAnswerBytes = 64 << 10
 
@@ -32,9 +32,9 @@
 	pong = "+PONG\r\n"
 )
 
-// schedule is when each request of a phase is due, fixed before the first is sent.
+// schedule determines when each request of a phase is due, independently of how earlier requests fare.
 type schedule struct {
-	rate  int // a second
+	rate  int // requests per second
 	count int
 }
 
@@ -42,25 +42,25 @@
 	return schedule{rate, int(length.Seconds() * float64(rate))}
 }
 
-// due is the intended start of a request, from the start of the phase.
+// due returns when request i is due, relative to the start of the phase.
 func (s schedule) due(i int) time.Duration {
 	return time.Duration(i) * time.Second / time.Duration(s.rate)
 }
 
-// clock is the time that a phase is paced by.
+// clock is the source of time for pacing a phase.
 type clock interface {
 	Now() time.Duration
 	SleepUntil(time.Duration)
 }
 
-// wallClock is the machine's clock. It sleeps in the kernel, because the runtime's timers can be a millisecond
-// late in an idle program.
+// wallClock is the machine's clock. It sleeps with nanosleep(2), because the Go runtime's timers can be a
+// millisecond late in an idle program.
 type wallClock struct{ began time.Time }
 
-// Now is the time since the clock's start.
+// Now returns the time since began.
 func (c wallClock) Now() time.Duration { return time.Since(c.began) }
 
-// SleepUntil returns at that time or soon after.
+// SleepUntil blocks until the clock reaches at.
 func (c wallClock) SleepUntil(at time.Duration) {
 	for left := at - c.Now(); left > 0; left = at - c.Now() {
 		ts := unix.NsecToTimespec(int64(left))
@@ -68,7 +68,7 @@
 	}
 }
 
-// pace calls send for each request when it is due. A late send postpones no later request.
+// pace calls send for each request when it is due. A late send does not shift the due times of later requests.
 func pace(ctx context.Context, s schedule, c clock, send func(i int, due time.Duration)) {
 	began := c.Now()
 	for i := 0; i < s.count && ctx.Err() == nil; i++ {
@@ -78,17 +78,17 @@
 	}
 }
 
-// outcomes counts how the requests of a phase ended. Each latency counts from when its request was due, not
-// from when it was sent, so that a stall hides no request that should have started during it. mu guards all
-// other fields but done and count.
+// outcomes counts how the requests of a phase ended. Latencies are measured from when a request was due, not from
+// when it was sent, so that a stall is charged to every request that was due during it (no coordinated omission). mu
+// guards all other fields except done and count.
 type outcomes struct {
 	mu         sync.Mutex
 	sent       int
 	ended      int
 	served     int
 	rejected   int
-	failed     int // errors, broken connections, and those without an answer
-	foreign    int // served with the answer to another request
+	failed     int // errors, broken connections and requests without an answer
+	mismatched int // served with the answer to another request
 	latencies  *measure.Latencies
 	sendDelays *measure.Latencies // from when requests were due to when they were sent
 	done       chan struct{}      // closed when count requests have ended
@@ -96,16 +96,16 @@
 }
 
 func newOutcomes(count int) *outcomes {
-	t := &outcomes{
+	o := &outcomes{
 		latencies:  measure.NewLatencies(),
 		sendDelays: measure.NewLatencies(),
 		done:       make(chan struct{}),
 		count:      count,
 	}
 	if count == 0 {
-		close(t.done)
+		close(o.done)
 	}
-	return t
+	return o
 }
 
 func (o *outcomes) recordSend(due, now time.Duration) {
@@ -120,20 +120,20 @@
 
 const (
 	served outcome = iota
-	servedForeign
+	servedMismatched
 	rejected
 	failed
 )
 
-func (o *outcomes) recordEnd(how outcome, due, now time.Duration) {
+func (o *outcomes) recordEnd(result outcome, due, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	switch how {
-	case served, servedForeign:
+	switch result {
+	case served, servedMismatched:
 		o.served++
 		o.latencies.Add(now - due)
-		if how == servedForeign {
-			o.foreign++
+		if result == servedMismatched {
+			o.mismatched++
 		}
 	case rejected:
 		o.rejected++
@@ -145,15 +145,15 @@
 	}
 }
 
-// pending is a request without an answer yet.
+// pending is a request that has not been answered yet.
 type pending struct {
 	id       string
 	due      time.Duration
 	outcomes *outcomes
 }
 
-// client is one pipelined connection. Requests are written when they are due, and answers arrive in the same
-// order. mu guards queue and closed.
+// client is one pipelined connection. Requests are written when they are due, and answers arrive in the order of the
+// requests. mu guards queue and closed.
 type client struct {
 	net.Conn
 	clock  clock
@@ -162,8 +162,7 @@
 	closed bool
 }
 
-// load is the open-loop load on one target: its client connections, each with one reading goroutine that close
-// ends.
+// load is the open-loop load on one target. Each client connection has a goroutine that reads answers until close.
 type load struct {
 	clients []*client
 	clock   clock
@@ -195,28 +194,28 @@
 	l.wg.Wait()
 }
 
-// runPhase sends one phase's requests and waits for their answers.
+// runPhase sends the requests of a schedule and waits up to answerTimeout for the remaining answers.
 func (l *load) runPhase(ctx context.Context, s schedule) (*outcomes, error) {
-	t := newOutcomes(s.count)
+	o := newOutcomes(s.count)
 	pace(ctx, s, l.clock, func(i int, due time.Duration) {
 		id := fmt.Sprintf("%016x", l.lastID.Add(1))
 		tenant := fmt.Sprintf("%016x", 1+i%tenants)
-		l.clients[i%len(l.clients)].send(pending{id, due, t}, command(tenant, id))
+		l.clients[i%len(l.clients)].send(pending{id, due, o}, command(tenant, id))
 	})
-	limit := time.NewTimer(answerTime)
+	limit := time.NewTimer(answerTimeout)
 	defer limit.Stop()
 	select {
-	case <-t.done:
+	case <-o.done:
 	case <-limit.C:
 		for _, c := range l.clients {
 			c.abort()
 		}
 	case <-ctx.Done():
 	}
-	return t, ctx.Err()
+	return o, ctx.Err()
 }
 
-// command returns the bytes of one request.
+// command returns the RESP encoding of one request.
 func command(tenant, id string) string {
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=1,first=0",
 		requestClass, tenantPlan, requestDeadline.Milliseconds())
@@ -228,6 +227,7 @@
 	return b.String()
 }
 
+// send writes a request, or counts it as failed if the connection is closed or has too many pending requests.
 func (c *client) send(p pending, text string) {
 	now := c.clock.Now()
 	p.outcomes.recordSend(p.due, now)
@@ -244,7 +244,7 @@
 	}
 }
 
-// abort closes the connection. Its pending requests have failed.
+// abort closes the connection and counts its pending requests as failed.
 func (c *client) abort() {
 	c.Close()
 	c.mu.Lock()
@@ -257,33 +257,34 @@
 	}
 }
 
-// read takes answers until the connection ends.
+// read reads answers until the connection ends, and matches them with the pending requests.
 func (c *client) read() {
 	defer c.abort()
 	in := bufio.NewReader(c)
 	for {
-		how, value, err := readAnswer(in)
+		result, value, err := readAnswer(in)
 		if err != nil {
 			return
 		}
 		now := c.clock.Now()
 		c.mu.Lock()
-		if len(c.queue) == 0 { // an unsolicited answer: later ones can't be matched
+		if len(c.queue) == 0 { // an unsolicited answer: later answers can no longer be matched with requests
 			c.mu.Unlock()
 			return
 		}
 		p := c.queue[0]
 		c.queue = c.queue[1:]
 		c.mu.Unlock()
-		if how == served && value != "value of "+p.id {
-			how = servedForeign
+		if result == served && value != "value of "+p.id {
+			result = servedMismatched
 		}
-		p.outcomes.recordEnd(how, p.due, now)
+		p.outcomes.recordEnd(result, p.due, now)
 	}
 }
 
-// readAnswer reads one answer: a value from an ingress, or an array that begins with the value from a backend.
-func readAnswer(in *bufio.Reader) (how outcome, value string, err error) {
+// readAnswer reads one answer: a bulk string from an ingress, or an array whose first element is the value from a
+// backend.
+func readAnswer(in *bufio.Reader) (result outcome, value string, err error) {
 	line, err := readLine(in)
 	if err != nil {
 		return failed, "", err
@@ -300,10 +301,10 @@
 	return failed, "", nil
 }
 
-func readArray(in *bufio.Reader, line string) (how outcome, value string, err error) {
+func readArray(in *bufio.Reader, line string) (result outcome, value string, err error) {
 	count, err := strconv.Atoi(line[1:])
 	if err != nil || count < 1 || count > 16 {
-		return failed, "", fmt.Errorf("answer of %q elements", line[1:])
+		return failed, "", fmt.Errorf("answer has an invalid number of elements %q", line[1:])
 	}
 	for i := range count {
 		if line, err = readLine(in); err != nil {
@@ -325,14 +326,14 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// readBulk reads the bulk string whose first line is given. A null one is empty.
+// readBulk reads the rest of a bulk string whose first line was read before. A null bulk string is returned as "".
 func readBulk(in *bufio.Reader, line string) (string, error) {
 	if line == "$-1" {
 		return "", nil
 	}
 	size, err := strconv.Atoi(strings.TrimPrefix(line, "$"))
 	if err != nil || size < 0 || size > maxAnswerBytes {
-		return "", fmt.Errorf("answer of length %q", line)
+		return "", fmt.Errorf("answer has an invalid length %q", line)
 	}
 	b := make([]byte, size+2)
 	if _, err := io.ReadFull(in, b); err != nil {
--- a/internal/lab/cost/load_test.go
+++ b/internal/lab/cost/load_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// fakeClock moves only by its sleeps and by the test; a load that it paces is never late.
+// fakeClock advances only in SleepUntil or by the test, so a load that it paces is never late.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -34,9 +34,9 @@
 	c.now = max(c.now, at)
 }
 
-// A server that stands still for a second costs each request that was due meanwhile what was left of that
-// second, though the load itself could send none of them: counted from when they were sent, the wait would be
-// one request's.
+// When a server stalls for a second, every request that was due during the stall must be charged with the rest of
+// that second, although the load could not send it. Measured from when requests were sent, only one request would
+// show the stall (coordinated omission).
 func TestLatencyCountsFromWhenDue(t *testing.T) {
 	const stalled, stall, answer = 100, time.Second, 2 * ms
 	s := schedule{rate: 100, count: 1000}
@@ -61,7 +61,7 @@
 		{"p95", corrected.latencies.QuantileMS(0.95), 480, 520},
 		{"p99.9", corrected.latencies.QuantileMS(0.999), 980, 1010},
 		{"late p99", corrected.sendDelays.QuantileMS(0.99), 890, 920},
-		{"p95 from the sending", naive.latencies.QuantileMS(0.95), 1.9, 2.1},
+		{"p95 from when sent", naive.latencies.QuantileMS(0.95), 1.9, 2.1},
 	} {
 		if x.got < x.lowest || x.got > x.highest {
 			t.Errorf("%s: %.2f ms, want %v to %v", x.name, x.got, x.lowest, x.highest)
@@ -69,7 +69,7 @@
 	}
 }
 
-// The times that requests are due do not depend on anything that happens, and do not drift.
+// Due times are fixed in advance: slow sends do not shift them, and they do not drift.
 func TestScheduleIsFixed(t *testing.T) {
 	s := newSchedule(3000, 5*time.Second)
 	if s.count != 15000 || s.due(0) != 0 || s.due(3000) != time.Second || s.due(s.count) != 5*time.Second {
@@ -86,8 +86,8 @@
 	}
 }
 
-// A load whose context is canceled sends nothing more.
-func TestPaceEnds(t *testing.T) {
+// A load stops sending when its context is canceled.
+func TestPaceStopsWhenCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	sent := 0
 	pace(ctx, schedule{rate: 10, count: 100}, &fakeClock{}, func(i int, _ time.Duration) {
@@ -96,12 +96,13 @@
 		}
 	})
 	if sent != 7 {
-		t.Fatalf("%d were sent", sent)
+		t.Fatalf("got %d requests sent, want 7", sent)
 	}
 }
 
-// server answers each command of each connection by its number, counted from 1, and its id.
-func server(t *testing.T, answer func(n int, id string) string) (addr string) {
+// startTestServer starts a RESP server whose answers are chosen by the number of the command, counted from 1 over all
+// connections, and the command's id. The answer "close" closes the connection.
+func startTestServer(t *testing.T, answer func(n int, id string) string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,8 +149,8 @@
 	return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value)
 }
 
-// phase plays a few requests over two connections and returns what became of them.
-func phase(t *testing.T, addr string, count int) Measurement {
+// runTestPhase sends count requests over two connections and returns their outcomes.
+func runTestPhase(t *testing.T, addr string, count int) Measurement {
 	t.Helper()
 	l, err := dialLoad(addr, 2, &fakeClock{})
 	if err != nil {
@@ -165,7 +166,8 @@
 	return m
 }
 
-// Refusals, errors, ends and silence are counted and make a measurement void; another request's answer is counted.
+// Rejections, errors, closed connections and missing answers are counted and make a measurement void. Answers to
+// another request are counted, but do not.
 func TestOutcomes(t *testing.T) {
 	for name, x := range map[string]struct {
 		answer func(n int, id string) string
@@ -173,50 +175,50 @@
 	}{
 		"served": {func(_ int, id string) string {
 			return valueOf(id)
-		}, "10 served, 0 refused, 0 failed, 0 foreign, void: "},
-		"a backend's form": {
+		}, "10 served, 0 refused, 0 failed, 0 mismatched, void: "},
+		"array as from a backend": {
 			func(_ int, id string) string { return "*3\r\n" + valueOf(id) + "$-1\r\n$-1\r\n" },
-			"10 served, 0 refused, 0 failed, 0 foreign, void: ",
+			"10 served, 0 refused, 0 failed, 0 mismatched, void: ",
 		},
 		"one refused": {func(n int, id string) string {
 			if n == 4 {
 				return "-BUSY 20\r\n"
 			}
 			return valueOf(id)
-		}, "9 served, 1 refused, 0 failed, 0 foreign, void: 1 refused"},
+		}, "9 served, 1 refused, 0 failed, 0 mismatched, void: 1 refused"},
 		"one error": {func(n int, id string) string {
 			if n == 4 {
 				return "-ERR failed\r\n"
 			}
 			return valueOf(id)
-		}, "9 served, 0 refused, 1 failed, 0 foreign, void: 1 failed"},
-		"one of another": {func(n int, id string) string {
+		}, "9 served, 0 refused, 1 failed, 0 mismatched, void: 1 failed"},
+		"one answer to another request": {func(n int, id string) string {
 			if n == 4 {
 				return valueOf("0000000000000000")
 			}
 			return valueOf(id)
-		}, "10 served, 0 refused, 0 failed, 1 foreign, void: "},
+		}, "10 served, 0 refused, 0 failed, 1 mismatched, void: "},
 		"all connections end": {func(int, string) string {
 			return "close"
-		}, "0 served, 0 refused, 10 failed, 0 foreign, void: 10 failed"},
+		}, "0 served, 0 refused, 10 failed, 0 mismatched, void: 10 failed"},
 		"silence": {func(n int, id string) string {
 			if n == 10 {
 				return ""
 			}
 			return valueOf(id)
-		}, "9 served, 0 refused, 1 failed, 0 foreign, void: 1 failed"},
-		"no RESP": {func(int, string) string {
+		}, "9 served, 0 refused, 1 failed, 0 mismatched, void: 1 failed"},
+		"invalid RESP": {func(int, string) string {
 			return "$x\r\n"
-		}, "0 served, 0 refused, 10 failed, 0 foreign, void: 10 failed"},
+		}, "0 served, 0 refused, 10 failed, 0 mismatched, void: 10 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := phase(t, server(t, x.answer), 10)
+			m := runTestPhase(t, startTestServer(t, x.answer), 10)
 			got := fmt.Sprintf(
-				"%d served, %d refused, %d failed, %d foreign, void: %s",
+				"%d served, %d refused, %d failed, %d mismatched, void: %s",
 				m.Served,
 				m.Rejected,
 				m.Failed,
-				m.Foreign,
+				m.Mismatched,
 				m.Void,
 			)
 			if got != x.want || m.Sent != 10 {
@@ -226,17 +228,18 @@
 	}
 }
 
-// Nothing sent says nothing.
+// A measurement without any request is void.
 func TestVoidWithoutRequests(t *testing.T) {
 	var m Measurement
 	m.recordOutcomes(newOutcomes(0))
 	if m.Void == "" {
-		t.Fatal("a measurement without a request counts")
+		t.Fatal("a measurement without requests is not void")
 	}
 }
 
-// A load that was late itself judges nothing: the bare proxy's wait would hide a build's.
-func TestVoidWhereTheLoadWasLate(t *testing.T) {
+// A measurement is void if the load itself was late: the delay of the bare proxy's load would hide the latency that a
+// build adds.
+func TestVoidWhenLoadWasLate(t *testing.T) {
 	for _, x := range []struct {
 		late time.Duration
 		void bool
@@ -252,19 +255,19 @@
 		}
 		var m Measurement
 		if m.recordOutcomes(ended); (m.Void != "") != x.void {
-			t.Errorf("a tenth %v late: void %q", x.late, m.Void)
+			t.Errorf("a tenth of the requests sent %v late: got the void reason %q", x.late, m.Void)
 		}
 	}
 }
 
-// Answers that are too long or cut are errors, and none is taken whole.
-func TestReadAnswerMistakes(t *testing.T) {
+// Truncated, oversized or malformed answers are errors.
+func TestReadAnswerRejectsMalformed(t *testing.T) {
 	for _, text := range []string{
 		"", "$5\r\nab", "$-2\r\n", "$99999999\r\n",
 		"*0\r\n", "*99\r\n", "*2\r\n$1\r\na\r\n", "*1\r\n:4\r\n$x\r\n",
 	} {
-		if how, value, err := readAnswer(bufio.NewReader(strings.NewReader(text))); err == nil {
-			t.Errorf("%q: %v %q", text, how, value)
+		if result, value, err := readAnswer(bufio.NewReader(strings.NewReader(text))); err == nil {
+			t.Errorf("%q: %v %q", text, result, value)
 		}
 	}
 }
--- a/internal/lab/cost/proxy.go
+++ b/internal/lab/cost/proxy.go
@@ -14,25 +14,25 @@
 
 const proxyBuffer = 4 << 10
 
-// proxy forwards each command to the next backend over a pooled connection and passes the answer on. It neither
-// decides, counts, retries nor times out, so its cost is a lower bound for any ingress in its place. Each
-// client connection has one goroutine, which ends with the connection.
+// proxy forwards each command to the next backend, round robin, over a pooled connection and returns the answer. It
+// has no admission, quotas, retries or timeouts, so its cost is a lower bound for that of any ingress. Each client
+// connection has one goroutine, which ends with the connection.
 type proxy struct {
-	backends []*backendPool
-	turn     atomic.Uint64
-	mu       sync.Mutex // guards clients
-	clients  map[net.Conn]bool
-	wg       sync.WaitGroup
+	backends    []*backendPool
+	nextBackend atomic.Uint64
+	mu          sync.Mutex // guards clients
+	clients     map[net.Conn]bool
+	wg          sync.WaitGroup
 }
 
-// backendPool is the idle connections to one backend, the last used first.
+// backendPool holds the idle connections to one backend. The most recently used one is taken first.
 type backendPool struct {
 	addr string
 	mu   sync.Mutex
 	idle []*framedConn
 }
 
-// framedConn is a connection that is read one RESP value at a time.
+// framedConn reads a connection one RESP value at a time, without decoding the values.
 type framedConn struct {
 	net.Conn
 	buf        []byte
@@ -43,7 +43,7 @@
 	return &framedConn{Conn: nc, buf: make([]byte, proxyBuffer)}
 }
 
-// next returns the bytes of the next value; they hold until the next call.
+// next returns the bytes of the next value. They are valid until the next call.
 func (f *framedConn) next() ([]byte, error) {
 	for {
 		size, err := resp.FrameLength(f.buf[f.begin:f.end], 0)
@@ -68,11 +68,12 @@
 	}
 }
 
-// ServeProxy forwards what comes to the listener until the context ends, and closes the listener.
+// ServeProxy runs the bare proxy on the listener until the context ends, and then closes the listener. It returns nil
+// if the context has ended.
 func ServeProxy(ctx context.Context, ln net.Listener, backends []string) error {
 	if len(backends) == 0 {
 		ln.Close()
-		return errors.New("proxy: no backend is named")
+		return errors.New("proxy: no backend is given")
 	}
 	p := &proxy{clients: map[net.Conn]bool{}}
 	for _, addr := range backends {
@@ -125,7 +126,7 @@
 	}
 }
 
-// serve forwards a client's commands one by one, until either side's connection fails.
+// serve forwards a client's commands one at a time until the client's or a backend's connection fails.
 func (p *proxy) serve(client *framedConn) {
 	for {
 		command, err := client.next()
@@ -145,7 +146,7 @@
 }
 
 func (p *proxy) forward(client *framedConn, command []byte) error {
-	pool := p.backends[p.turn.Add(1)%uint64(len(p.backends))]
+	pool := p.backends[p.nextBackend.Add(1)%uint64(len(p.backends))]
 	backend, err := pool.get()
 	if err != nil {
 		return err
--- a/internal/lab/cost/proxy_test.go
+++ b/internal/lab/cost/proxy_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// startProxy serves until the test ends.
+// startProxy starts the bare proxy, which runs until the test ends.
 func startProxy(t *testing.T, backends ...string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,16 +31,16 @@
 	return ln.Addr().String()
 }
 
-// The proxy passes commands and answers on as they are, keeps connections, and takes the backends in turn.
+// The proxy forwards commands and answers unchanged, reuses connections, and selects backends round robin.
 func TestProxyForwards(t *testing.T) {
 	c := testConfig()
-	b, err := startBackends(&c, Build{Name: Bare}, 1)
+	b, err := startBackends(&c, Build{Name: BareProxy}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.close()
-	m := phase(t, startProxy(t, b.addresses()...), 60)
-	if m.Served != 60 || m.Foreign != 0 || m.Void != "" {
+	m := runTestPhase(t, startProxy(t, b.addresses()...), 60)
+	if m.Served != 60 || m.Mismatched != 0 || m.Void != "" {
 		t.Fatalf("%+v", m)
 	}
 	records := b.fleet.Records(0)
@@ -49,17 +49,17 @@
 		at[r.Backend]++
 	}
 	if len(records) != 60 || len(at) != c.Backends || at["backend-000"] != 20 {
-		t.Errorf("%d came: %v", len(records), at)
+		t.Errorf("got %d commands at the backends, by backend %v, want 60, and 20 each", len(records), at)
 	}
-	if n := b.acceptedConnections(); n > 2*c.Backends { // two clients, one request each at a time
-		t.Errorf("%d connections for 2 clients and %d backends", n, c.Backends)
+	if n := b.acceptedConnections(); n > 2*c.Backends { // two clients, each with one request in flight
+		t.Errorf("got %d connections for 2 clients and %d backends, want at most two for each backend", n, c.Backends)
 	}
 }
 
-// A command or an answer that comes in pieces, or is longer than the buffer, is passed on whole.
-func TestProxyPieces(t *testing.T) {
+// Commands and answers that arrive in fragments or exceed the buffer are forwarded completely.
+func TestProxyForwardsFragmentedValues(t *testing.T) {
 	long := strings.Repeat("x", 3*proxyBuffer)
-	addr := startProxy(t, server(t, func(_ int, id string) string {
+	addr := startProxy(t, startTestServer(t, func(_ int, id string) string {
 		return fmt.Sprintf("$%d\r\n%s\r\n", len(id), id)
 	}))
 	nc, err := net.Dial("tcp", addr)
@@ -73,17 +73,17 @@
 		io.WriteString(nc, piece)
 	}
 	in := bufio.NewReader(nc)
-	how, value, err := readAnswer(in)
-	if err != nil || how != served || value != long {
-		t.Fatal(how, len(value), err)
+	result, value, err := readAnswer(in)
+	if err != nil || result != served || value != long {
+		t.Fatal(result, len(value), err)
 	}
 	if line, err := in.ReadString('\n'); err != nil || line != pong {
 		t.Fatal(line, err)
 	}
 }
 
-// A backend that cannot be reached ends the client's connection and not the proxy; what is no RESP does the same.
-func TestProxyFailures(t *testing.T) {
+// An unreachable backend or malformed input closes the client's connection, but the proxy goes on serving.
+func TestProxySurvivesFailures(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -103,49 +103,48 @@
 		nc.Close()
 	}
 	if !answersPing(addr) {
-		t.Error("the proxy has ended")
+		t.Error("the proxy does not answer PING any more")
 	}
 	if err := ServeProxy(t.Context(), ln, nil); err == nil {
-		t.Error("a proxy without backends serves")
+		t.Error("got no error for a proxy without backends")
 	}
 }
 
-// The rig measures the bare proxy as a process: CPU, memory, connections, and a median just over the backends'
-// work.
+// A measurement of the bare proxy in a process of its own has plausible latencies, CPU time, memory and connections.
 func TestMeasureBare(t *testing.T) {
 	c := testConfig()
-	c.Warm, c.Length = 100*ms, 400*ms
-	m, err := measureTurn(t.Context(), &c, turn{0, 200, Build{Name: Bare}})
+	c.WarmUp, c.Length = 100*ms, 400*ms
+	m, err := measureSlot(t.Context(), &c, measurementSlot{0, 200, Build{Name: BareProxy}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if m.Sent != 80 || m.Served != 80 || m.Rejected != 0 ||
-		m.Failed != 0 { // void it may be: a busy machine makes the load late
+		m.Failed != 0 { // Void is not checked: on a busy machine the load may be late
 		t.Fatalf("%+v", m)
 	}
-	if m.P50 < 1 || m.P99 < m.P50 || m.CPU <= 0 || m.PeakMB <= 0 || m.Opened < c.Backends || m.Switches <= 0 {
+	if m.P50 < 1 || m.P99 < m.P50 || m.CPU <= 0 || m.PeakMB <= 0 || m.ConnectionsOpened < c.Backends || m.Switches <= 0 {
 		t.Errorf("%+v", m)
 	}
 }
 
-// A program that does not start is one error that names it.
-func TestMeasureNoProgram(t *testing.T) {
+// The error for a program that does not start names the build and the program.
+func TestMeasureMissingProgram(t *testing.T) {
 	c := testConfig()
-	if _, err := measureTurn(
+	if _, err := measureSlot(
 		t.Context(),
 		&c,
-		turn{0, 200, Build{"new", "/no/such/program"}},
+		measurementSlot{0, 200, Build{"new", "/no/such/program"}},
 	); err == nil ||
 		!strings.Contains(err.Error(), "build new, program /no/such/program") {
 		t.Fatal(err)
 	}
 }
 
-// Second answers come to builds and not to the bare proxy, which cannot distinguish them from the first.
+// Backends answer twice for builds, but not for the bare proxy, which cannot tell a second answer from the next one.
 func TestSecondAnswers(t *testing.T) {
 	c := testConfig()
 	c.SecondLate, c.SecondShare = 0, 1
-	for name, want := range map[string]int{Bare: 1, "new": 2} {
+	for name, want := range map[string]int{BareProxy: 1, "new": 2} {
 		b, err := startBackends(&c, Build{Name: name}, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -171,8 +170,8 @@
 	}
 }
 
-// The account of a process follows what it does.
-func TestAccount(t *testing.T) {
+// The reported usage of a process grows with its work, and unreadable usage is an error.
+func TestReadProcessUsage(t *testing.T) {
 	before, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
@@ -183,13 +182,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if after.cpu <= before.cpu || after.peakKB < 1000 || after.switches < 0 {
+	if after.cpu <= before.cpu || after.peakKB < 1000 || after.contextSwitches < 0 {
 		t.Errorf("%+v, then %+v", before, after)
 	}
 	if _, err := readProcessUsage(1 << 30); err == nil {
-		t.Error("a process that isn't there has an account")
+		t.Error("got no error for a process that does not exist")
 	}
 	if _, err := statusField("VmHWM:\nx: 1\n", "VmHWM:"); err == nil {
-		t.Error("a field without a value is a number")
+		t.Error("got no error for a field without a value")
 	}
 }
--- a/internal/lab/cost/run.go
+++ b/internal/lab/cost/run.go
@@ -9,47 +9,48 @@
 	"time"
 )
 
-// A measurement is void if the load sent a tenth of its requests later than maxLateMS: the machine was too busy.
+// A measurement is void if the sendDelayQuantile of the load's own send delays exceeds maxSendDelayMS, because the
+// machine was too busy to generate the load on time.
 const (
-	lateQuantile = 0.9
-	maxLateMS    = 5
+	sendDelayQuantile = 0.9
+	maxSendDelayMS    = 5
 )
 
-// Measurement is one build at one rate in one round. Times are in milliseconds; CPU and context switches a
-// request are those of the whole process.
+// Measurement is the result of one build at one rate in one round. Latencies are in milliseconds. CPU time and context
+// switches are those of the whole process, divided by the number of requests.
 type Measurement struct {
 	Build string `json:"build"`
 	Rate  int    `json:"rate"`
 	Round int    `json:"round"`
 
-	Sent     int `json:"sent"`
-	Served   int `json:"served"`
-	Rejected int `json:"refused"`
-	Failed   int `json:"failed"`
-	Foreign  int `json:"answers_of_another_request"`
+	Sent       int `json:"sent"`
+	Served     int `json:"served"`
+	Rejected   int `json:"refused"`
+	Failed     int `json:"failed"`
+	Mismatched int `json:"answers_of_another_request"`
 
 	P50  float64 `json:"p50_ms"`
 	P90  float64 `json:"p90_ms"`
 	P99  float64 `json:"p99_ms"`
 	P999 float64 `json:"p99_9_ms"`
 
-	CPU        float64 `json:"cpu_us_a_request"`
-	Switches   float64 `json:"voluntary_switches_a_request"`
-	PeakMB     float64 `json:"peak_mb"` // since the process started
-	Opened     int     `json:"connections_opened"`
-	Handshakes float64 `json:"handshakes_a_request"` // during the measurement, without the warm-up
-	LoadLate   float64 `json:"load_late_p99_ms"`     // delay of the load's own sends
+	CPU               float64 `json:"cpu_us_a_request"`
+	Switches          float64 `json:"voluntary_switches_a_request"`
+	PeakMB            float64 `json:"peak_mb"` // since the process started
+	ConnectionsOpened int     `json:"connections_opened"`
+	Handshakes        float64 `json:"handshakes_a_request"` // excluding those of the warm-up
+	LoadDelay         float64 `json:"load_late_p99_ms"`     // from when requests were due to when they were sent
 
 	Void string `json:"void,omitempty"` // why the measurement can't be used; empty if it can
 }
 
-// Run measures all builds at all rates, round by round. It calls each, if not nil, after each measurement. If a
-// measurement fails, it returns the error with the report so far.
+// Run measures all builds at all rates, round by round. If each is not nil, it is called after every measurement. If
+// a measurement fails, Run returns the error with the report so far.
 func Run(ctx context.Context, c Config, each func(Measurement)) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	if err := c.findPrograms(); err != nil {
+	if err := c.checkPrograms(); err != nil {
 		return nil, err
 	}
 	r := &Report{Config: c}
@@ -63,8 +64,9 @@
 	return r, nil
 }
 
-// findPrograms returns an error that names the first build whose program is not there, before anything is started.
-func (c *Config) findPrograms() error {
+// checkPrograms returns an error that names the first build whose program does not exist, so that a run fails before
+// it starts anything.
+func (c *Config) checkPrograms() error {
 	for _, b := range c.Builds {
 		if _, err := exec.LookPath(b.Program); err != nil {
 			return fmt.Errorf("build %s, program %s: %w", b.Name, b.Program, err)
@@ -74,8 +76,8 @@
 }
 
 func measureRound(ctx context.Context, c *Config, round int, each func(Measurement)) (out []Measurement, err error) {
-	for _, t := range c.turns(round) {
-		m, err := measureTurn(ctx, c, t)
+	for _, slot := range c.slots(round) {
+		m, err := measureSlot(ctx, c, slot)
 		if err != nil {
 			return out, err
 		}
@@ -87,20 +89,20 @@
 	return out, nil
 }
 
-// measureTurn starts fresh stand-ins and a fresh process, warms it, and measures it.
-func measureTurn(ctx context.Context, c *Config, t turn) (m Measurement, err error) {
-	m = Measurement{Build: t.build.Name, Rate: t.rate, Round: t.round}
+// measureSlot starts new stand-ins and a new process, applies the load for the warm-up, and measures the process.
+func measureSlot(ctx context.Context, c *Config, slot measurementSlot) (m Measurement, err error) {
+	m = Measurement{Build: slot.build.Name, Rate: slot.rate, Round: slot.round}
 	dir, err := os.MkdirTemp("", "lab-cost-")
 	if err != nil {
 		return m, err
 	}
 	defer os.RemoveAll(dir)
-	b, err := startBackends(c, t.build, uint64(t.round+1))
+	b, err := startBackends(c, slot.build, uint64(slot.round+1))
 	if err != nil {
 		return m, err
 	}
 	defer b.close()
-	process, err := startTarget(ctx, c, t.build, b, dir)
+	process, err := startTarget(ctx, c, slot.build, b, dir)
 	if err != nil {
 		return m, err
 	}
@@ -110,7 +112,7 @@
 		return m, err
 	}
 	defer l.close()
-	if _, err := l.runPhase(ctx, newSchedule(t.rate, c.Warm)); err != nil {
+	if _, err := l.runPhase(ctx, newSchedule(slot.rate, c.WarmUp)); err != nil {
 		return m, err
 	}
 	opened := b.acceptedConnections()
@@ -118,41 +120,41 @@
 	if err != nil {
 		return m, err
 	}
-	ended, err := l.runPhase(ctx, newSchedule(t.rate, c.Length))
+	result, err := l.runPhase(ctx, newSchedule(slot.rate, c.Length))
 	if err != nil {
 		return m, err
 	}
 	after, err := readProcessUsage(process.Pid())
 	if err != nil {
-		return m, fmt.Errorf("build %s: %w: %s", t.build.Name, err, process.LastLine())
+		return m, fmt.Errorf("build %s: %w: %s", slot.build.Name, err, process.LastLine())
 	}
-	m.Opened = b.acceptedConnections()
-	m.Handshakes = perRequest(m.Opened-opened, ended.sent)
-	m.recordUsage(before, after, ended.sent)
-	m.recordOutcomes(ended)
+	m.ConnectionsOpened = b.acceptedConnections()
+	m.Handshakes = perRequest(m.ConnectionsOpened-opened, result.sent)
+	m.recordUsage(before, after, result.sent)
+	m.recordOutcomes(result)
 	return m, nil
 }
 
 func perRequest(sum, requests int) float64 { return float64(sum) / float64(max(1, requests)) }
 
-// recordUsage fills in what the process used between two readings.
+// recordUsage sets CPU, Switches and PeakMB from the process's usage before and after the measurement.
 func (m *Measurement) recordUsage(before, after processUsage, requests int) {
 	m.CPU = float64((after.cpu - before.cpu).Nanoseconds()) / 1000 / float64(max(1, requests))
-	m.Switches = perRequest(int(after.switches-before.switches), requests)
+	m.Switches = perRequest(int(after.contextSwitches-before.contextSwitches), requests)
 	m.PeakMB = float64(after.peakKB) / 1024
 }
 
-// recordOutcomes fills in how the requests ended. If any was rejected or failed, the measurement is void: latencies and
-// CPU would not be those of served requests.
-func (m *Measurement) recordOutcomes(t *outcomes) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	m.Sent, m.Served, m.Rejected, m.Failed, m.Foreign = t.sent, t.served, t.rejected, t.failed, t.foreign
-	m.P50 = t.latencies.QuantileMS(0.5)
-	m.P90 = t.latencies.QuantileMS(0.9)
-	m.P99 = t.latencies.QuantileMS(0.99)
-	m.P999 = t.latencies.QuantileMS(0.999)
-	m.LoadLate = t.sendDelays.QuantileMS(0.99)
+// recordOutcomes sets the counts and latencies. If any request was rejected or failed, the measurement is void, because
+// its latencies and CPU time are not only those of served requests.
+func (m *Measurement) recordOutcomes(o *outcomes) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	m.Sent, m.Served, m.Rejected, m.Failed, m.Mismatched = o.sent, o.served, o.rejected, o.failed, o.mismatched
+	m.P50 = o.latencies.QuantileMS(0.5)
+	m.P90 = o.latencies.QuantileMS(0.9)
+	m.P99 = o.latencies.QuantileMS(0.99)
+	m.P999 = o.latencies.QuantileMS(0.999)
+	m.LoadDelay = o.sendDelays.QuantileMS(0.99)
 	var reasons []string
 	if m.Sent == 0 {
 		reasons = append(reasons, "nothing was sent")
@@ -163,7 +165,7 @@
 	if m.Failed > 0 {
 		reasons = append(reasons, fmt.Sprintf("%d failed", m.Failed))
 	}
-	if late := t.sendDelays.QuantileMS(lateQuantile); late > maxLateMS {
+	if late := o.sendDelays.QuantileMS(sendDelayQuantile); late > maxSendDelayMS {
 		reasons = append(reasons, fmt.Sprintf("the load was late itself, a tenth of it by %.1f ms or more", late))
 	}
 	m.Void = strings.Join(reasons, ", ")
--- a/internal/lab/cost/short.go
+++ b/internal/lab/cost/short.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// ShortRate is the rate of the short check, a second.
+	// ShortRate is the load of the short check, in requests per second.
 	ShortRate = 190
-	// MaxAddedMS is how many milliseconds the short check lets a build add to the bare proxy's median.
+	// MaxAddedMS is the maximum latency that a build may add to the bare proxy's median in the short check, in
+	// milliseconds.
 	MaxAddedMS = 1.0
-	// ShortRounds is how many rounds the short check runs at most. The best one counts, since noise of the
-	// machine only adds to a latency, and a latency that the build causes appears in each round.
+	// ShortRounds is the maximum number of rounds of the short check. The best round counts: noise from the machine
+	// only increases a latency, whereas latency that the build causes appears in every round.
 	ShortRounds = 3
-	shortWarm   = 300 * time.Millisecond
+	shortWarmUp = 300 * time.Millisecond
 	shortLength = 1100 * time.Millisecond
 )
 
-// ErrTooSlow says that a build added more than MaxAddedMS to the median in each round.
-var ErrTooSlow = errors.New("the added median is too high")
+// ErrTooSlow means that a build added more than MaxAddedMS to the median latency in every round.
+var ErrTooSlow = errors.New("the added median latency is too high")
 
-// ErrVoid says that all rounds of a check were void.
-var ErrVoid = errors.New("no round could be judged")
+// ErrVoid means that a build has no round in which both its measurement and the bare proxy's were valid.
+var ErrVoid = errors.New("all rounds are void")
 
-// Short is the check for CI: each build at ShortRate only. It prints to out how each round went, and returns
-// ErrTooSlow or ErrVoid for the first build that does not pass.
+// Short is the check for CI. It measures each build at ShortRate only, prints the result of each round to out, and
+// returns ErrTooSlow or ErrVoid for the first build that does not pass.
 func Short(ctx context.Context, c Config, out io.Writer) (*Report, error) {
-	c.Rates, c.Warm, c.Length, c.Repeats = []int{ShortRate}, shortWarm, shortLength, ShortRounds
+	c.Rates, c.WarmUp, c.Length, c.Repeats = []int{ShortRate}, shortWarmUp, shortLength, ShortRounds
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	if err := c.findPrograms(); err != nil {
+	if err := c.checkPrograms(); err != nil {
 		return nil, err
 	}
 	return assessRounds(c, out, func(round int) ([]Measurement, error) { return measureRound(ctx, &c, round, nil) })
 }
 
-// assessRounds calls play until each build has passed in one round, at most c.Repeats times.
-func assessRounds(c Config, out io.Writer, play func(round int) ([]Measurement, error)) (*Report, error) {
+// assessRounds calls measure until each build has passed in some round, but at most c.Repeats times.
+func assessRounds(c Config, out io.Writer, measure func(round int) ([]Measurement, error)) (*Report, error) {
 	r := &Report{Config: c}
 	best := map[string]float64{}
 	for round := range c.Repeats {
-		done, err := play(round)
+		done, err := measure(round)
 		r.Measurements = append(r.Measurements, done...)
 		if err != nil {
 			return r, err
 		}
-		for _, line := range voids(done) {
+		for _, line := range voidLines(done) {
 			fmt.Fprintln(out, line)
 		}
 		r.assessRound(out, round, best)
@@ -60,11 +61,11 @@
 	return r, checkAdded(c, best)
 }
 
-// assessRound prints a round, and updates in best the lowest latency that each build has added.
+// assessRound prints the result of a round, and updates best, the lowest added median latency of each build so far.
 func (r *Report) assessRound(out io.Writer, round int, best map[string]float64) {
 	for _, b := range r.Config.Builds {
 		m, ok := r.find(b.Name, ShortRate, round)
-		bare, bareOK := r.find(Bare, ShortRate, round)
+		bare, bareOK := r.find(BareProxy, ShortRate, round)
 		if !ok || !bareOK {
 			continue
 		}
@@ -77,7 +78,8 @@
 	}
 }
 
-// checkAdded returns nil if each build has added at most MaxAddedMS in some round.
+// checkAdded returns an error for the first build that has added more than MaxAddedMS in all rounds, or has no valid
+// round.
 func checkAdded(c Config, best map[string]float64) error {
 	for _, b := range c.Builds {
 		added, measured := best[b.Name]
@@ -85,7 +87,7 @@
 			return fmt.Errorf("build %s: %w", b.Name, ErrVoid)
 		}
 		if added > MaxAddedMS {
-			return fmt.Errorf("build %s: %w: %.2f ms at the best of the rounds, %.2f at most",
+			return fmt.Errorf("build %s: %w: %.2f ms in the best round, want at most %.2f ms",
 				b.Name, ErrTooSlow, added, MaxAddedMS)
 		}
 	}
--- a/internal/lab/cost/target.go
+++ b/internal/lab/cost/target.go
@@ -17,7 +17,7 @@
 const (
 	memoryMB   = 64
 	maxSockets = 8192
-	// tenantQuota is the refill a second and the burst of each tenant, in units: more than any load here.
+	// tenantQuota is each tenant's refill per second and its burst, in units. No load here reaches it.
 	tenantQuota = 1e5
 )
 
@@ -27,7 +27,7 @@
 	addr *proc.ReservedAddress // reserved for the process
 }
 
-// startTarget starts a build, or the bare proxy, before the backends and waits until it serves.
+// startTarget starts a build, or the bare proxy, in front of the backends and waits until it serves.
 func startTarget(ctx context.Context, c *Config, build Build, b *backends, dir string) (*target, error) {
 	address, err := proc.ReserveAddress(loopback)
 	if err != nil {
@@ -36,7 +36,7 @@
 	t := &target{addr: address}
 	t.Process = proc.Process{Name: build.Name, IsServing: func() bool { return answersPing(address.Addr()) }}
 	t.Env = append(os.Environ(), "GOMAXPROCS=1", "HITCHSPRING_OPTIONS=", "ROUTER_ADMIN_ADDR=", "ROUTER_SOCKET_FD=")
-	if build.Name == Bare {
+	if build.Name == BareProxy {
 		t.Program = c.Proxy[0]
 		t.Args = append(append([]string{}, c.Proxy[1:]...), "--listen", address.Addr())
 		for _, addr := range b.addresses() {
@@ -58,12 +58,13 @@
 	return t, nil
 }
 
-// stop ends the process.
+// stop kills the process and releases its address.
 func (t *target) stop() {
 	t.Stop(syscall.SIGKILL)
 	t.addr.Release()
 }
 
+// answersPing reports whether a PING to the address is answered with PONG.
 func answersPing(addr string) bool {
 	nc, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return err == nil && string(answer) == pong
 }
 
-// writeConfig writes an ingress's ROUTER_CONFIG.
+// writeConfig writes the file that ROUTER_CONFIG names and returns its path.
 func writeConfig(dir string, b *backends, listen string) (file string, err error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "cost", "listen": listen, "discovery": b.agent, "counter": b.counter.Addr(), "seed": "1",
@@ -94,7 +95,7 @@
 	return file, os.WriteFile(file, text, 0o600)
 }
 
-// settings returns the platform's settings object, with quotas that no load here reaches.
+// settings returns the platform's settings for the ingress, with quotas that no load here reaches.
 func settings() map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	return map[string]any{
--- a/internal/lab/cost/usage.go
+++ b/internal/lab/cost/usage.go
@@ -11,11 +11,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// processUsage is what the kernel has accounted to a process since its start.
+// processUsage is the kernel's accounting of a process since its start.
 type processUsage struct {
-	cpu      time.Duration // user and system, of all its threads
-	switches int64         // voluntary context switches of its living threads
-	peakKB   int64         // peak resident memory, KiB
+	cpu             time.Duration // user and system time of all threads
+	contextSwitches int64         // voluntary context switches of the running threads
+	peakKB          int64         // peak resident memory, KiB
 }
 
 // readProcessUsage reads the usage of a running process.
@@ -25,10 +25,10 @@
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return usage, fmt.Errorf("account of process %d: %w", pid, err)
+		return usage, fmt.Errorf("usage of process %d: %w", pid, err)
 	}
 	if usage.peakKB, err = statusField(string(status), "VmHWM:"); err != nil {
-		return usage, fmt.Errorf("account of process %d: %w", pid, err)
+		return usage, fmt.Errorf("usage of process %d: %w", pid, err)
 	}
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	if err != nil {
@@ -36,31 +36,33 @@
 	}
 	for _, file := range threads {
 		text, err := os.ReadFile(file)
-		if err != nil { // the thread has ended since
+		if err != nil { // the thread has exited since
 			continue
 		}
 		n, err := statusField(string(text), "voluntary_ctxt_switches:")
 		if err != nil {
-			return usage, fmt.Errorf("account of process %d: %w", pid, err)
+			return usage, fmt.Errorf("usage of process %d: %w", pid, err)
 		}
-		usage.switches += n
+		usage.contextSwitches += n
 	}
 	return usage, nil
 }
 
-// cpuClock marks a clock's number as the CPU time of a whole process (clock_getcpuclockid(3)).
-const cpuClock = 2
+// processCPUClock, in the low bits of a clock id, selects the CPU-time clock of a whole process, see
+// clock_getcpuclockid(3).
+const processCPUClock = 2
 
-// processCPU reads a process's own CPU clock, which counts nanoseconds; /proc/PID/stat has steps of 10 ms.
+// processCPU reads the CPU-time clock of a process, which has a resolution of nanoseconds. That of /proc/PID/stat is
+// 10 ms.
 func processCPU(pid int) (time.Duration, error) {
 	var ts unix.Timespec
-	if err := unix.ClockGettime(int32(^pid)<<3|cpuClock, &ts); err != nil {
+	if err := unix.ClockGettime(int32(^pid)<<3|processCPUClock, &ts); err != nil {
 		return 0, fmt.Errorf("CPU time of process %d: %w", pid, err)
 	}
 	return time.Duration(ts.Nano()), nil
 }
 
-// statusField returns the number that follows name in the text of a /proc/PID/status.
+// statusField returns the number after name in the content of a /proc/PID/status file.
 func statusField(text, name string) (int64, error) {
 	for line := range strings.Lines(text) {
 		rest, found := strings.CutPrefix(line, name)
