--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -16,7 +16,7 @@
 	"hitchspring/internal/lab"
 )
 
-// variantColours distinguish the variants in the light and in the dark colour scheme.
+// variantColours distinguish the variants and are legible in light and dark colour schemes.
 var variantColours = []color.Color{
 	color.RGBA{0x2f, 0x7d, 0xd1, 0xff},
 	color.RGBA{0xe0, 0x6c, 0x2f, 0xff},
@@ -26,10 +26,10 @@
 	color.RGBA{0x5b, 0xa8, 0xb0, 0xff},
 }
 
-// variantColour returns the colour of the variant with that index.
+// variantColour returns the colour of the variant at index i. Colours repeat if there are more variants than colours.
 func variantColour(i int) color.Color { return variantColours[i%len(variantColours)] }
 
-// chart is a plot as a part of the page. It is empty if there is nothing to show.
+// chart is a rendered plot with its title and explanation. Without data it is the zero value.
 type chart struct {
 	Title, Note string
 	SVG         template.HTML
@@ -61,7 +61,7 @@
 	svgFontFamily = regexp.MustCompile(`font-family:[^;"]*`)
 )
 
-// renderSVG draws a plot so that it takes the page's width, text colour and font.
+// renderSVG renders a plot as inline SVG that adopts the page's width, text colour and font.
 func renderSVG(p *plot.Plot, height vg.Length) (template.HTML, error) {
 	c := vgsvg.New(chartWidth, height)
 	p.Draw(draw.New(c))
@@ -76,7 +76,7 @@
 	return template.HTML(text), nil
 }
 
-// addMarks draws a dashed vertical line at each event of the run's timeline.
+// addMarks draws a dashed vertical line at each injected fault or other event of a run.
 func addMarks(p *plot.Plot, marks []lab.Mark) error {
 	for _, m := range marks {
 		line, err := plotter.NewLine(plotter.XYs{{X: m.AtS, Y: p.Y.Min}, {X: m.AtS, Y: p.Y.Max}})
--- a/internal/lab/experiment/difference_chart.go
+++ b/internal/lab/experiment/difference_chart.go
@@ -11,7 +11,8 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// differenceChart draws the service of each variant relative to the first, with its confidence interval.
+// differenceChart draws the difference of each variant's service from that of the first variant, with its confidence
+// interval.
 func (s *Spec) differenceChart(rows []Row) (chart, error) {
 	p := newPlot("service against "+s.Variants[0].Name, "")
 	var names []string
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -13,6 +13,7 @@
 	"hitchspring/internal/lab"
 )
 
+// writeSpec writes an experiment's file and returns its path.
 func writeSpec(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "try.toml")
@@ -34,17 +35,17 @@
 defect = "quota-open"
 `
 
-func TestBadFiles(t *testing.T) {
+func TestLoadRejectsInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"dyas = []":         `line 1: unknown key "dyas"`,
-		"days = []":         "days: none is named",
+		"days = []":         "days: none is given",
 		"days = [\"calm\"]": "variant: none is given",
 		"days = [\"clam\"]\n[[variant]]\nname = \"a\"":                                  `day "clam"`,
 		"days = [\"calm\"]\nseeds = -1\n[[variant]]\nname = \"a\"":                      "seeds: -1",
 		"days = [\"calm\"]\nseeds = 9999\n[[variant]]\nname = \"a\"":                    "too many",
-		"days = [\"calm\"]\npaired = true\n[[variant]]\nname = \"a\"":                   "paired: wants two",
-		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"a\"":       "there twice",
-		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\ncommit = \"x\"\nprogram = \"y\"": "one at most",
+		"days = [\"calm\"]\npaired = true\n[[variant]]\nname = \"a\"":                   "paired: requires two",
+		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"a\"":       "missing or duplicate",
+		"days = [\"calm\"]\n[[variant]]\nname = \"a\"\ncommit = \"x\"\nprogram = \"y\"": "only one of",
 	} {
 		if _, err := Load(writeSpec(t, text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
@@ -52,8 +53,8 @@
 	}
 }
 
-// Variants are played next to one another, and who comes first changes with the seed.
-func TestCells(t *testing.T) {
+// The variants of a seed run one after the other, and the first variant changes with the seed.
+func TestCellsAlternateVariants(t *testing.T) {
 	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
@@ -68,11 +69,12 @@
 	}
 }
 
-// fake plays at once, with results that follow from the program and the seed.
+// fakeRunner returns a Runner whose reports are computed from the program and the seed. It counts its calls, and fails
+// at the call with the number stop.
 func fakeRunner(calls *int, stop int) Runner {
 	return func(ctx context.Context, cfg lab.Config) (*lab.Report, error) {
 		if *calls++; *calls == stop {
-			return nil, errors.New("the machine has gone")
+			return nil, errors.New("run interrupted")
 		}
 		text, err := os.ReadFile(cfg.Ingress)
 		if err != nil {
@@ -101,13 +103,14 @@
 	}
 }
 
+// fakeBuild is a Builder whose programs contain the variant's name.
 func fakeBuild(_ context.Context, v Variant, to string) error {
 	return os.WriteFile(to, []byte(v.Name), 0o600)
 }
 
-// What was played before an interruption is not played again, a half-written line is; another program's results
-// count for nothing.
-func TestContinues(t *testing.T) {
+// After an interruption, stored results are not computed again, except one whose line is incomplete. Results of another
+// build of a variant are not reused.
+func TestRunResumesAfterInterruption(t *testing.T) {
 	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(results, text[:len(text)-20], 0o600); err != nil { // as a kill leaves it
+	if err := os.WriteFile(results, text[:len(text)-20], 0o600); err != nil { // an incomplete line
 		t.Fatal(err)
 	}
 	calls, cfg.Run = 0, fakeRunner(&calls, 0)
@@ -141,9 +144,9 @@
 	}
 }
 
-// A build that is worse shows as worse, with an interval that leaves nought out; the page holds its pictures
-// and nothing from elsewhere.
-func TestComparesAndDraws(t *testing.T) {
+// A variant that is worse is reported as worse, with a confidence interval that excludes zero. The page contains its
+// charts, and refers to no external resources.
+func TestRowsAndPage(t *testing.T) {
 	s, err := Load(writeSpec(t, validSpec))
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +165,7 @@
 		rows[1].Runs != 3 {
 		t.Fatalf("%+v", rows)
 	}
-	// The first of a pair has the cheap process: by turns this and that, so the ratio is 2 or 1/2.
+	// The first variant of a pair gets the cheaper process, and the order rotates, so each run's ratio is 2 or 1/2.
 	if p := s.Pairs(lines); len(p) != 2 || p[0].CPU.N != 3 || p[0].CPU.Mean < 0.9 {
 		t.Fatalf("%+v", p)
 	}
@@ -176,7 +179,7 @@
 		"<svg ", "node/1:drain", "prefers-color-scheme",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	for _, never := range []string{"http://", "https://", "<script", "#000000"} {
@@ -188,7 +191,7 @@
 			),
 			never,
 		) {
-			t.Errorf("the page has %q", never)
+			t.Errorf("the page contains %q", never)
 		}
 	}
 }
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -10,7 +10,7 @@
 	"hitchspring/internal/lab/trial"
 )
 
-// The lab's results are stored in files, which programs of other versions read.
+// The encoding of results must not change, because stored results are read by other versions of the program.
 func TestGoldenResults(t *testing.T) {
 	for name, v := range map[string]any{
 		"line": &Line{}, "cost": &cost.Report{}, "mutation": &mutation.Result{}, "trial": &trial.Result{},
--- a/internal/lab/experiment/load_charts.go
+++ b/internal/lab/experiment/load_charts.go
@@ -15,7 +15,7 @@
 	"hitchspring/internal/lab"
 )
 
-// loadGrid is the load of the backends over time, a row for each backend. It implements plotter.GridXYZ.
+// loadGrid holds the load of the backends over time, with a row for each backend. It implements plotter.GridXYZ.
 type loadGrid struct {
 	rows [][]float64
 	step float64
@@ -24,33 +24,33 @@
 // Dims returns the numbers of columns and rows.
 func (g loadGrid) Dims() (c, r int) { return len(g.rows[0]), len(g.rows) }
 
-// Z returns the requests in flight for each core; NaN: the backend is down.
+// Z returns the requests in flight per core, or NaN while the backend is down.
 func (g loadGrid) Z(c, r int) float64 { return g.rows[r][c] }
 
 // X returns the time of a column in seconds.
 func (g loadGrid) X(c int) float64 { return float64(c) * g.step }
 
-// Y returns the position of a row.
+// Y returns the vertical position of a row.
 func (g loadGrid) Y(r int) float64 { return float64(r) }
 
-const maxInFlightPerCore = 12 // requests for each core, at the end of the colour scale
+const maxInFlightPerCore = 12 // requests per core at the upper end of the colour scale
 
-// backendLoadChart draws how many requests each backend had in flight, ordered by zone.
+// backendLoadChart draws a heat map of the requests in flight at each backend over time, ordered by zone.
 func backendLoadChart(variant string, l Line) (chart, error) {
-	nodes := slices.Clone(l.Report.Backends)
-	slices.SortStableFunc(nodes, func(a, b lab.BackendTrack) int {
+	backends := slices.Clone(l.Report.Backends)
+	slices.SortStableFunc(backends, func(a, b lab.BackendTrack) int {
 		return cmp.Or(cmp.Compare(b.Zone, a.Zone), cmp.Compare(b.Backend, a.Backend))
 	})
 	g := loadGrid{step: 0.25}
 	var names []string
 	width := 0
-	for _, n := range nodes {
+	for _, n := range backends {
 		width = max(width, len(n.InFlight))
 	}
-	if len(nodes) < 2 || width < 2 {
+	if len(backends) < 2 || width < 2 {
 		return chart{}, nil
 	}
-	for _, n := range nodes {
+	for _, n := range backends {
 		row := make([]float64, width)
 		for k := range row {
 			row[k] = math.NaN()
@@ -78,26 +78,27 @@
 		"Blue is none, red is %d or more, grey is down.", l.Seed, maxInFlightPerCore), out}, err
 }
 
-// zoneLoadChart draws the commands sent to each zone in one run, beside the zone's capacity.
+// zoneLoadChart draws the commands that each zone received during one run, with the zone's capacity as a dashed line.
+// The capacity is in seconds of work, and is scaled by the commands per second of work over the whole run.
 func zoneLoadChart(variant string, l Line) (chart, error) {
 	p := newPlot("seconds", "commands a second")
 	p.Y.Min = 0
 	top := 0.0
-	for i, h := range l.Report.Zones {
-		var sent, able plotter.XYs
-		scale := 0.0 // commands for each second of work, over the whole run
-		work := 0.0
-		for k := range h.Sends {
-			scale += h.Sends[k]
-			work += h.Capacity[k]
+	for i, zone := range l.Report.Zones {
+		var sent, capacity plotter.XYs
+		scale := 0.0 // commands over the whole run
+		work := 0.0  // seconds of work that the zone could do over the whole run
+		for k := range zone.Sends {
+			scale += zone.Sends[k]
+			work += zone.Capacity[k]
 		}
-		for k := range h.Sends {
+		for k := range zone.Sends {
 			x := (float64(k) + 0.5) * 0.5
-			sent = append(sent, plotter.XY{X: x, Y: h.Sends[k]})
+			sent = append(sent, plotter.XY{X: x, Y: zone.Sends[k]})
 			if work > 0 {
-				able = append(able, plotter.XY{X: x, Y: h.Capacity[k] * scale / work})
+				capacity = append(capacity, plotter.XY{X: x, Y: zone.Capacity[k] * scale / work})
 			}
-			top = max(top, h.Sends[k])
+			top = max(top, zone.Sends[k])
 		}
 		if len(sent) == 0 {
 			continue
@@ -108,9 +109,9 @@
 		}
 		line.Color, line.Width = variantColour(i), vg.Points(1.6)
 		p.Add(line)
-		p.Legend.Add(h.Zone, line)
-		if len(able) > 0 {
-			dashed, err := plotter.NewLine(able)
+		p.Legend.Add(zone.Zone, line)
+		if len(capacity) > 0 {
+			dashed, err := plotter.NewLine(capacity)
 			if err != nil {
 				return chart{}, err
 			}
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -1,7 +1,7 @@
 package experiment
 
 import (
-	_ "embed" // the page's template
+	_ "embed" // for go:embed
 	"fmt"
 	"html/template"
 	"io"
@@ -21,19 +21,19 @@
 	"mb":   func(value float64) string { return fmt.Sprintf("%.1f", value) },
 }).Parse(pageHTML))
 
-// maxListedViolations bounds the violations that a section lists.
+// maxListedViolations is the maximum number of violations that a section lists.
 const maxListedViolations = 12
 
 // section is the part of the page about one scenario.
 type section struct {
 	Scenario   string
-	Faults     []string // of the first seed
+	Faults     []string // of the first run
 	Charts     []chart
 	Rows       []Row
 	Violations []string
 }
 
-// Page writes a self-contained HTML page: no script, font or image is loaded from elsewhere.
+// Page writes the comparison as a self-contained HTML page, which loads no scripts, fonts or images.
 func (s *Spec) Page(w io.Writer, lines []Line) error {
 	rows := s.Rows(lines)
 	data := struct {
@@ -97,7 +97,7 @@
 	return sec, nil
 }
 
-// addEvents adds a run's violations, and its faults if it is the first run with any.
+// addEvents adds a run's violations, and its faults if no earlier run had any.
 func (sec *section) addEvents(l Line) {
 	if sec.Faults == nil {
 		for _, m := range l.Report.Marks {
@@ -112,7 +112,8 @@
 	}
 }
 
-// add adds a chart unless it is empty. It passes the error of the chart on.
+// add adds a chart unless it is empty. It returns err unchanged, so that the results of a chart function can be its
+// arguments.
 func (sec *section) add(c chart, err error) error {
 	if err == nil && c.SVG != "" {
 		sec.Charts = append(sec.Charts, c)
@@ -120,6 +121,7 @@
 	return err
 }
 
+// inTimeOverTime is the fraction of requests that were answered in time.
 var inTimeOverTime = timelineMetric{
 	title: "Answered in time, over time",
 	note: "Share of the wishes that were due in a second; the mean over seeds. " +
@@ -134,6 +136,7 @@
 	maxY: 1.2,
 }
 
+// p99OverTime is the 99th percentile of latency.
 var p99OverTime = timelineMetric{
 	title: "99th percentile of answers, over time",
 	note:  "Milliseconds from when a wish was due; served tries of that second; the mean over seeds.",
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,20 +17,20 @@
 	"hitchspring/internal/lab"
 )
 
-// maxLineBytes bounds a stored result.
+// maxLineBytes is the maximum length of a line in the results file.
 const maxLineBytes = 16 << 20
 
-// Config says how an experiment is played.
+// Config describes how to run an experiment.
 type Config struct {
-	Results string    // the file of JSON lines; what it holds already is not played again
-	Out     io.Writer // progress
-	Jobs    int       // runs at once, 1 at least: too many for the machine make the lab late
-	Build   Builder
-	Run     Runner
+	Results string    // JSON lines file; runs whose results it already holds are not repeated
+	Out     io.Writer // for the progress; nil: none is printed
+	Jobs    int       // concurrent runs, at least 1; too many for the machine delay the lab's own observers
+	Build   Builder   // nil: Build
+	Run     Runner    // nil: lab.Run
 }
 
-// Run plays what the results do not hold yet, and returns all lines that belong to the experiment. A run that is
-// interrupted keeps what it has.
+// Run makes the runs whose results are not stored yet, and returns the results of all runs of the experiment. If it is
+// interrupted, the results so far are stored and returned.
 func (s *Spec) Run(ctx context.Context, cfg Config) ([]Line, error) {
 	if cfg.Build == nil {
 		cfg.Build = Build
@@ -86,11 +86,11 @@
 		})
 	}
 	err = group.Wait()
-	return present(out), err
+	return completedLines(out), err
 }
 
-// present returns the lines of the runs that have a result.
-func present(lines []*Line) (out []Line) {
+// completedLines returns the results that are not nil.
+func completedLines(lines []*Line) (out []Line) {
 	for _, line := range lines {
 		if line != nil {
 			out = append(out, *line)
@@ -99,7 +99,7 @@
 	return out
 }
 
-// buildVariants builds the program of each variant in dir, and returns their paths and digests.
+// buildVariants builds the program of each variant in dir, and returns the programs' paths and digests.
 func (s *Spec) buildVariants(ctx context.Context, build Builder, dir string) (programs, digests []string, err error) {
 	for i, v := range s.Variants {
 		program := filepath.Join(dir, fmt.Sprint("variant-", i))
@@ -120,21 +120,21 @@
 	cells, jobs int
 	out         io.Writer // for the progress; nil: none is printed
 
-	mu    sync.Mutex // guards the fields below and writes to out
-	file  *os.File
-	ran   int           // runs since the start
-	done  int           // ran, and those found in the results
-	spent time.Duration // sum of the times of these runs
+	mu        sync.Mutex // guards the fields below and writes to out
+	file      *os.File
+	completed int           // runs that were made since the start
+	finished  int           // completed, and those whose results were stored before
+	runTime   time.Duration // total duration of the completed runs
 }
 
-// skip counts a run that the results hold already.
+// skip counts a run whose result is already stored.
 func (r *recorder) skip() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done++
+	r.finished++
 }
 
-// record stores the result of a run that began at that time.
+// record stores the result of a run, and prints the progress with an estimate of the remaining time.
 func (r *recorder) record(line Line, began time.Time) error {
 	text, err := json.Marshal(line)
 	if err != nil {
@@ -143,22 +143,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, err := r.file.Write(append(text, '\n')); err != nil {
-		return fmt.Errorf("keeping a result: %w", err)
+		return fmt.Errorf("storing a result: %w", err)
 	}
-	r.ran++
-	r.done++
-	r.spent += time.Since(began)
+	r.completed++
+	r.finished++
+	r.runTime += time.Since(began)
 	if r.out == nil {
 		return nil
 	}
-	left := time.Duration(r.cells-r.done) * r.spent / time.Duration(r.ran*r.jobs)
+	left := time.Duration(r.cells-r.finished) * r.runTime / time.Duration(r.completed*r.jobs)
 	fmt.Fprintf(r.out, "%3d of %d  %-16s seed %3d  %-24v service %.3f  CPU %4.0f us  code %d  (some %v to go)\n",
-		r.done, r.cells, line.Scenario, line.Seed, line.Variants, line.Report.Service,
+		r.finished, r.cells, line.Scenario, line.Seed, line.Variants, line.Report.Service,
 		line.Report.CPUPerRequestUS, line.Code, left.Round(time.Second))
 	return nil
 }
 
-// runCell runs one cell.
+// runCell runs one cell. The ingress processes of a paired run alternate between the two variants.
 func (s *Spec) runCell(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
 	first := s.Variants[c.Variants[0]]
 	run := lab.Config{
@@ -180,13 +180,13 @@
 	}
 	r, err := cfg.Run(ctx, run)
 	if err != nil {
-		return l, fmt.Errorf("day %s, seed %d, %v: %w", c.Scenario, c.Seed, l.Variants, err)
+		return l, fmt.Errorf("scenario %s, seed %d, variants %v: %w", c.Scenario, c.Seed, l.Variants, err)
 	}
 	l.Code, l.Report = r.Code(), r
 	return l, nil
 }
 
-// openResults opens the file of results for appending.
+// openResults opens the results file for appending.
 func openResults(name string) (*os.File, error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -198,8 +198,8 @@
 	return file, nil
 }
 
-// terminateLastLine ends a line that an interrupted run has left incomplete, so that the next result begins a
-// new one.
+// terminateLastLine appends a newline if an interrupted write has left the last line incomplete, so that the next
+// result starts on a line of its own.
 func terminateLastLine(name string, file *os.File) error {
 	b, err := os.ReadFile(name)
 	if err != nil || len(b) == 0 || b[len(b)-1] == '\n' {
@@ -209,8 +209,8 @@
 	return err
 }
 
-// readResults returns the stored results by their keys. It skips a line that an interrupted run has left
-// incomplete.
+// readResults returns the stored results by key. It skips lines that cannot be decoded, since an interrupted write
+// leaves an incomplete line.
 func readResults(file string) (map[string]Line, error) {
 	out := map[string]Line{}
 	f, err := os.Open(file)
--- a/internal/lab/experiment/service_charts.go
+++ b/internal/lab/experiment/service_charts.go
@@ -11,16 +11,16 @@
 	"hitchspring/internal/lab"
 )
 
-// timelineMetric is a value of each second of a run.
+// timelineMetric describes a metric that has a value for each second of a run.
 type timelineMetric struct {
 	title string
 	note  string
 	unit  string
 	of    func(lab.Second) float64 // NaN: the second has no value
-	maxY  float64                  // NaN: it follows from the values
+	maxY  float64                  // NaN: derived from the highest value
 }
 
-// timelineChart draws a line for each variant: the mean of a metric over the seeds.
+// timelineChart draws the mean of a metric over the seeds, with a line for each variant.
 func (s *Spec) timelineChart(byVariant map[string][]Line, metric timelineMetric) (chart, error) {
 	p := newPlot("seconds", metric.unit)
 	p.Y.Min = 0
@@ -60,7 +60,7 @@
 	return chart{metric.title, metric.note, out}, err
 }
 
-// meanTimeline returns the mean of a metric over all runs, for each second in which some run has a value.
+// meanTimeline returns the mean of a metric over all runs for each second in which at least one run has a value.
 func meanTimeline(lines []Line, of func(lab.Second) float64) (out plotter.XYs) {
 	var sums, counts []float64
 	for _, l := range lines {
@@ -85,7 +85,7 @@
 // inTimeCounts counts the requests of one plan or class.
 type inTimeCounts struct{ requests, inTime int }
 
-// countInTime sums the rows of all runs by plan and by class.
+// countInTime counts the requests of all runs by plan and by class.
 func countInTime(lines []Line) map[string]inTimeCounts {
 	out := map[string]inTimeCounts{}
 	for _, l := range lines {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// inTimeChart draws the fraction of requests answered in time by plan and by class, with a bar for each variant.
+// inTimeChart draws the fraction of requests answered in time for each plan and class, with a bar for each variant.
 func (s *Spec) inTimeChart(byVariant map[string][]Line) (chart, error) {
 	names := map[string]bool{}
 	counts := map[string]map[string]inTimeCounts{}
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -1,7 +1,7 @@
-// Package experiment runs several builds and settings of the ingress on the same scenarios and seeds, and
-// compares them. A TOML file describes the experiment. The runs of one seed follow one another, in an order
-// that changes with the seed. Results are stored as JSON lines, from which an interrupted experiment continues.
-// They are summarized as a text with confidence intervals and as an HTML page. Package lab makes each run.
+// Package experiment compares several builds and configurations of the ingress on the same scenarios and seeds. A TOML
+// file describes the experiment. The variants run one after the other for each seed, in an order that rotates with the
+// seed. Results are stored as JSON lines, so that an interrupted experiment can be resumed. They are summarized as text
+// with confidence intervals and as an HTML page. Package lab makes the individual runs.
 package experiment
 
 import (
@@ -23,33 +23,35 @@
 	"hitchspring/internal/lab/scenario"
 )
 
-// Variant is a build with its settings. Of Commit, Program and Defect one at most is set; none is this source.
+// Variant is a build of the ingress with its configuration. At most one of Commit, Program and Defect is set. Without
+// any, the current source is built.
 type Variant struct {
 	Name    string `toml:"name"`
 	Commit  string `toml:"commit"`
 	Program string `toml:"program"`
-	Defect  string `toml:"defect"` // of lab prove: a build that is known to be worse
-	Store   string `toml:"store"`  // instead of the day's
-	Zones   bool   `toml:"halls"`  // the zones section of the configuration is on
-	Lines   string `toml:"lines"`  // of that section, beside the usual
+	Defect  string `toml:"defect"` // name of a planted defect, for a build that is known to be worse
+	Store   string `toml:"store"`  // replaces the scenario's store, unless empty
+	Zones   bool   `toml:"halls"`  // enables the zones section of the configuration
+	Lines   string `toml:"lines"`  // additional lines of that section
 }
 
-// Spec is an experiment.
+// Spec describes an experiment.
 type Spec struct {
 	Name      string            `toml:"-"`
 	About     string            `toml:"about"`
 	Scenarios []string          `toml:"days"`
-	Seeds     int               `toml:"seeds"` // so many, from First on
+	Seeds     int               `toml:"seeds"` // number of consecutive seeds, starting at First
 	First     uint64            `toml:"first"`
-	Length    scenario.Duration `toml:"length"` // 0: the day's
+	Length    scenario.Duration `toml:"length"` // 0: that of the scenario
 	Rate      float64           `toml:"rate"`
-	Paired    bool              `toml:"paired"` // two variants also share each testbed, two ingresses each
+	Paired    bool              `toml:"paired"` // also run both variants in one testbed, with two instances each
 	Variants  []Variant         `toml:"variant"`
 }
 
+// maxRuns is the maximum number of runs of an experiment.
 const maxRuns = 2000
 
-// Load reads an experiment's file; whatever cannot be played is one clear error.
+// Load reads and checks the TOML file of an experiment.
 func Load(file string) (*Spec, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return s, s.Check()
 }
 
-// Check fills what is not set and says what is wrong, with the field and the value.
+// Check sets defaults for missing fields. It returns an error that names the first invalid field and its value.
 func (s *Spec) Check() error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("experiment %s: %s", s.Name, fmt.Sprintf(format, args...))
@@ -78,15 +80,15 @@
 	}
 	switch {
 	case len(s.Scenarios) == 0:
-		return bad("days: none is named")
+		return bad("days: none is given")
 	case s.Seeds < 1:
 		return bad("seeds: %d is out of range, from 1", s.Seeds)
 	case len(s.Variants) == 0:
 		return bad("variant: none is given")
 	case s.Paired && len(s.Variants) != 2:
-		return bad("paired: wants two variants, there are %d", len(s.Variants))
+		return bad("paired: requires two variants, got %d", len(s.Variants))
 	case len(s.Cells()) > maxRuns:
-		return bad("%d runs are too many, %d at most", len(s.Cells()), maxRuns)
+		return bad("%d runs are too many, the maximum is %d", len(s.Cells()), maxRuns)
 	}
 	for _, d := range s.Scenarios {
 		if _, err := scenario.Load(d); err != nil {
@@ -103,9 +105,9 @@
 		}
 		switch {
 		case v.Name == "" || names[v.Name]:
-			return bad("variant[%d]: name %q is missing or there twice", i, v.Name)
+			return bad("variant[%d]: name %q is missing or duplicate", i, v.Name)
 		case set > 1:
-			return bad("variant %s: commit, program and defect: one at most", v.Name)
+			return bad("variant %s: only one of commit, program and defect may be set", v.Name)
 		}
 		names[v.Name] = true
 	}
@@ -116,10 +118,11 @@
 type Cell struct {
 	Scenario string
 	Seed     uint64
-	Variants []int // of the spec: one, or two that share the world
+	Variants []int // indexes into Spec.Variants: one, or two that share a testbed
 }
 
-// Cells are all runs in their order: what is compared is played next to one another, and who comes first changes.
+// Cells returns all runs in their order. The variants run one after the other for each scenario and seed, and their
+// order rotates with the seed, so that a drift in the machine's speed affects all of them alike.
 func (s *Spec) Cells() (out []Cell) {
 	for i := range s.Seeds {
 		for _, d := range s.Scenarios {
@@ -138,7 +141,7 @@
 	return out
 }
 
-// Line is one run's result, as it is stored.
+// Line is the stored result of one run.
 type Line struct {
 	Key      string      `json:"Key"`
 	Scenario string      `json:"Day"`
@@ -148,13 +151,14 @@
 	Report   *lab.Report `json:"Report"`
 }
 
-// Builder writes the program of a variant to a file.
+// Builder builds the program of a variant and writes it to the file named to.
 type Builder func(ctx context.Context, v Variant, to string) error
 
-// Runner runs one cell and returns its report.
+// Runner makes one run and returns its report.
 type Runner func(ctx context.Context, cfg lab.Config) (*lab.Report, error)
 
-// Build is the usual builder.
+// Build is the default Builder. It copies Program, builds Commit or the source with Defect applied, or else builds the
+// current source.
 func Build(ctx context.Context, v Variant, to string) (err error) {
 	switch {
 	case v.Program != "":
@@ -183,19 +187,20 @@
 		return lab.Build(ctx, to, false, overlay)
 	case v.Commit != "":
 		tree := to + "-tree"
-		if err := command(ctx, "", "git", "worktree", "add", "--detach", tree, v.Commit); err != nil {
+		if err := runCommand(ctx, "", "git", "worktree", "add", "--detach", tree, v.Commit); err != nil {
 			return fmt.Errorf("variant %s: %w", v.Name, err)
 		}
 		defer func() {
 			cleanup := context.WithoutCancel(ctx)
-			err = errors.Join(err, command(cleanup, "", "git", "worktree", "remove", "--force", tree))
+			err = errors.Join(err, runCommand(cleanup, "", "git", "worktree", "remove", "--force", tree))
 		}()
-		return command(ctx, tree, "go", "build", "-o", to, "./cmd/hitchspring")
+		return runCommand(ctx, tree, "go", "build", "-o", to, "./cmd/hitchspring")
 	}
 	return lab.Build(ctx, to, false, "")
 }
 
-func command(ctx context.Context, dir, name string, args ...string) error {
+// runCommand runs a command in dir. Its error includes the command's output.
+func runCommand(ctx context.Context, dir, name string, args ...string) error {
 	cmd := exec.CommandContext(ctx, name, args...)
 	cmd.Dir = dir
 	if out, err := cmd.CombinedOutput(); err != nil {
@@ -204,7 +209,7 @@
 	return nil
 }
 
-// programDigest identifies a build, so that a later run does not continue with another program's results.
+// programDigest returns a digest of a program, so that results of another build are not reused.
 func programDigest(file string) (string, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -214,7 +219,7 @@
 	return hex.EncodeToString(sum[:6]), nil
 }
 
-// key names a run by all that it depends on.
+// key identifies a run by everything that its result depends on.
 func (s *Spec) key(c Cell, digests []string) string {
 	parts := []string{c.Scenario, fmt.Sprint(c.Seed), time.Duration(s.Length).String(), fmt.Sprint(s.Rate)}
 	for _, i := range c.Variants {
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -12,12 +12,14 @@
 	"hitchspring/internal/lab"
 )
 
-// Estimate is a mean with its 95% interval by Student's t; Half is infinite where there are fewer than two.
+// Estimate is a mean with the half-width of its 95% confidence interval, by Student's t-distribution. Half is infinite
+// for fewer than two values.
 type Estimate struct {
 	Mean, Half float64
 	N          int
 }
 
+// estimate returns the Estimate of the values. Its mean is NaN if there are none.
 func estimate(v []float64) Estimate {
 	if len(v) == 0 {
 		return Estimate{Mean: math.NaN(), Half: math.Inf(1)}
@@ -30,7 +32,7 @@
 	return Estimate{mean, t * dev / math.Sqrt(float64(len(v))), len(v)}
 }
 
-// String is the mean with its interval.
+// String formats the mean with its confidence interval.
 func (e Estimate) String() string {
 	if math.IsInf(e.Half, 1) {
 		return fmt.Sprintf("%+.3f (one run)", e.Mean)
@@ -38,17 +40,17 @@
 	return fmt.Sprintf("%+.3f ± %.3f", e.Mean, e.Half)
 }
 
-// Row is what a variant came to on a day.
+// Row summarizes the runs of one variant on one scenario.
 type Row struct {
 	Scenario, Variant string
 	Runs, Broken      int
 	Unjudged          int
-	Service           []float64 // by seed, in order
-	CPU, Peak         float64   // means: us a try, MB
-	Diff              Estimate  // of service, against the first variant on the same seeds
+	Service           []float64 // ordered by seed
+	CPU, Peak         float64   // means of CPU time per attempt in us, and of peak memory in MB
+	Diff              Estimate  // difference of service from the first variant, paired by seed
 }
 
-// Rows compares the variants on each scenario, seed by seed.
+// Rows returns a row for each scenario and variant that has runs.
 func (s *Spec) Rows(lines []Line) (out []Row) {
 	for _, scenario := range s.Scenarios {
 		var baseline map[uint64]float64 // service of the first variant by seed
@@ -81,7 +83,7 @@
 	return out
 }
 
-// newRow summarizes the runs of one variant on one scenario, of which there must be one at least.
+// newRow summarizes the runs of one variant on one scenario. list must not be empty.
 func newRow(scenario, variant string, list []Line) Row {
 	row := Row{Scenario: scenario, Variant: variant, Runs: len(list)}
 	for _, l := range list {
@@ -104,6 +106,7 @@
 	return row
 }
 
+// serviceBySeed returns the service of each run by its seed.
 func serviceBySeed(list []Line) map[uint64]float64 {
 	out := map[uint64]float64{}
 	for _, l := range list {
@@ -122,14 +125,14 @@
 	return out
 }
 
-// Pair is what two variants that share a world cost, the second against the first, in the same run.
+// Pair compares the cost of two variants that share a testbed: the second relative to the first in the same run.
 type Pair struct {
 	Scenario       string
-	CPU, PeakRatio Estimate // of the ratio
-	More           Estimate // MB
+	CPU, PeakRatio Estimate // ratio of CPU time per attempt, and of peak memory
+	More           Estimate // difference of peak memory in MB
 }
 
-// Pairs sums up the runs in which two variants shared the world.
+// Pairs compares the variants for each scenario over the runs in which they shared a testbed.
 func (s *Spec) Pairs(lines []Line) (out []Pair) {
 	for _, d := range s.Scenarios {
 		var cpu, peak, more []float64
@@ -150,7 +153,8 @@
 	return out
 }
 
-// variantUsage sums the processes of one variant in a shared run, where the variants' processes alternate.
+// variantUsage returns the CPU time per attempt and the mean peak memory of one variant's processes in a paired run,
+// where the processes of the two variants alternate.
 func variantUsage(l Line, variant string) (cpuUS, peakMB float64) {
 	from := slices.Index(l.Variants, variant)
 	cpu, attempts, n := 0.0, 0, 0
@@ -161,7 +165,7 @@
 	return cpu * 1e6 / float64(max(1, attempts)), peakMB / float64(max(1, n))
 }
 
-// Text is the comparison for people.
+// Text returns the comparison as a table for the terminal.
 func (s *Spec) Text(lines []Line) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n%-12s %-16s %5s %7s %10s %8s %9s %7s  %s\n",
--- a/internal/lab/experiment/zone_table.go
+++ b/internal/lab/experiment/zone_table.go
@@ -11,17 +11,17 @@
 	"hitchspring/internal/lab"
 )
 
-// unrecoveredS stands in the table for a run whose service never recovered, in seconds.
+// unrecoveredS is the recovery time, in seconds, that the table counts for a run whose service never recovered.
 const unrecoveredS = 99
 
-// zoneMetrics are the values of one variant on one scenario, a value for each run that has one.
+// zoneMetrics holds the metrics of one variant on one scenario. Each slice has a value for every run with that metric.
 type zoneMetrics struct {
 	runs, broken int
 
-	serviceBefore, serviceDuring, serviceAfter []float64 // around the loss of a zone
-	recovery                                   []float64 // seconds until the service was near its best again
-	lastSent                                   []float64 // seconds until the last command to the lost zone
-	longestQueue                               []float64 // seconds
+	serviceBefore, serviceDuring, serviceAfter []float64 // before, during and after the loss of a zone
+	recovery                                   []float64 // seconds until the service was near its maximum again
+	lastSent                                   []float64 // seconds until the last command was sent to the lost zone
+	longestQueue                               []float64 // longest time of a backend with an excessive queue, in seconds
 	slowStartPush                              []float64
 	crossZone                                  []float64
 	swing                                      []float64
@@ -45,7 +45,7 @@
 	return m
 }
 
-// addLoss adds the metrics of a lost zone; nil: the run lost none.
+// addLoss adds the metrics of a zone's loss. loss is nil if the run lost no zone.
 func (m *zoneMetrics) addLoss(loss *lab.Loss) {
 	if loss == nil {
 		return
@@ -64,7 +64,7 @@
 	m.longestQueue = append(m.longestQueue, loss.LongestS)
 }
 
-// cells returns the table's cells after the names of scenario and variant.
+// cells returns the cells of a table row, without those of the scenario and the variant.
 func (m *zoneMetrics) cells() []string {
 	return []string{
 		fmt.Sprint(m.runs),
@@ -89,7 +89,7 @@
 
 func meanOf(values []float64) float64 { return stat.Mean(values, nil) }
 
-// cell formats a summary of values, or a dash if there are none.
+// cell formats a summary of values. It returns a dash if there are none.
 func cell(format string, values []float64, summarize func([]float64) float64) string {
 	if len(values) == 0 {
 		return "-"
@@ -97,8 +97,8 @@
 	return fmt.Sprintf(format, summarize(values))
 }
 
-// ZoneText returns a table of the zone metrics, with a line for each scenario and variant: means over seeds,
-// and the worst.
+// ZoneText returns a table of the zone metrics with a row for each scenario and variant. A column is the mean over the
+// runs, or the worst of them.
 func (s *Spec) ZoneText(lines []Line) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
