--- a/internal/lab/experiment/zone_table.go
+++ b/internal/lab/experiment/zone_table.go
@@ -21,7 +21,7 @@
 	serviceBefore, serviceDuring, serviceAfter []float64 // before, during and after the loss of a zone
 	recovery                                   []float64 // seconds until the service was near its maximum again
 	lastSent                                   []float64 // seconds until the last command was sent to the lost zone
-	longestQueue                               []float64 // longest time of a backend with an excessive queue, in seconds
+	longestQueue                               []float64 // longest time that a backend's queue was excessive, in s
 	slowStartPush                              []float64
 	crossZone                                  []float64
 	swing                                      []float64
