--- a/internal/lab/measure/attainment.go
+++ b/internal/lab/measure/attainment.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Attainment compares what was served in a span of a run with what an allocation that knows the true capacity could
-// have served. All fields are in value within quotas.
+// Attainment compares the value earned in a span of a run with the value that an optimal allocation of the true
+// capacity could have earned. All fields count only value within quotas.
 type Attainment struct {
-	Requested  float64 // of all operations that were due
-	Attainable float64 // what the capacity allowed at the most
-	Earned     float64 // by the operations that were served
+	Requested  float64 // by all operations that were due
+	Attainable float64 // maximum that the capacity allowed
+	Earned     float64 // by operations that were served
 }
 
-// Ratio returns the fraction earned of what was attainable, 1 if nothing was.
+// Ratio returns the earned fraction of the attainable value, or 1 if nothing was attainable.
 func (a Attainment) Ratio() float64 {
 	if a.Attainable <= 0 {
 		return 1
@@ -22,7 +22,7 @@
 	return a.Earned / a.Attainable
 }
 
-// Add returns the attainment of two spans together.
+// Add returns the combined attainment of two spans.
 func (a Attainment) Add(other Attainment) Attainment {
 	return Attainment{
 		Requested:  a.Requested + other.Requested,
@@ -31,21 +31,22 @@
 	}
 }
 
-// minOperationWork bounds the work of an operation from below in seconds, so that one without work fits any capacity.
+// minOperationWork is the minimum work counted for an operation, in seconds. An operation without work then fits
+// into any capacity, and no division by zero occurs.
 const minOperationWork = 1e-9
 
-// rankedOperation is an operation within its quota, for the choice of what the capacity is best used for.
+// rankedOperation is an operation within its tenant's quota, as a candidate for the optimal allocation of capacity.
 type rankedOperation struct {
-	priority float64 // priority weight times price of a unit
+	priority float64 // value of a unit: priority weight times price
 	value    float64
 	work     float64 // in seconds
 }
 
-// AttainmentPerSpan fills the capacity of each span with the operations within quotas that were due in it, those of
-// the highest priority (priority weight times price) first, and compares their value with what the operations due
-// then earned. capacity is the seconds of work a second that all backends could do in each span; work is the mean
-// work of an operation by class. What a span cannot take is not carried over, because most latency objectives are
-// shorter than a span.
+// AttainmentPerSpan returns the attainment of each span. The attainable value is that of the operations within quotas
+// that were due in the span, allocated to its capacity in descending order of priority (priority weight times price).
+// capacity holds the total capacity of the backends in each span, in seconds of work per second. work is the mean work
+// of an operation by class. Operations that do not fit into a span are not carried over to the next, because most
+// latency objectives are shorter than a span.
 func AttainmentPerSpan(
 	classes map[string]Class,
 	plans map[string]Plan,
@@ -79,8 +80,8 @@
 	return attainments
 }
 
-// attainableValue returns the value of the operations of the highest priority that fit into a capacity in seconds
-// of work. The last one counts with the fraction that fits.
+// attainableValue returns the total value of the operations, in descending order of priority, that fit into a capacity
+// in seconds of work. The last one counts with the fraction that fits.
 func attainableValue(operations []rankedOperation, capacity float64) (value float64) {
 	slices.SortStableFunc(operations, func(a, b rankedOperation) int { return cmp.Compare(b.priority, a.priority) })
 	remaining := capacity
--- a/internal/lab/measure/credit.go
+++ b/internal/lab/measure/credit.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// sortedByDue returns a copy of the operations in the order in which they were due.
+// sortedByDue returns a copy of the operations, sorted by when they were due.
 func sortedByDue(operations []Operation) []Operation {
 	sorted := slices.Clone(operations)
 	slices.SortStableFunc(sorted, func(a, b Operation) int { return cmp.Compare(a.Due, b.Due) })
 	return sorted
 }
 
-// earnings is value earned of value requested.
+// earnings sums up the value that was requested and the value that was earned.
 type earnings struct{ requested, earned float64 }
 
 // add adds value to both sums.
@@ -22,20 +22,20 @@
 	e.earned += earned
 }
 
-// ratio returns the fraction earned of what was requested, 1 if nothing was.
-func (e earnings) ratio() float64 {
+// earnedRatio returns the earned fraction of the requested value, or 1 if nothing was requested.
+func (e earnings) earnedRatio() float64 {
 	if e.requested == 0 {
 		return 1
 	}
 	return e.earned / e.requested
 }
 
-// creditOperations returns what each operation requested within its tenant's quota and what it earned, in value.
-// The operations must be in the order in which they were due. A tenant earns no more than the value that it
-// requested within its quota up to then.
+// creditOperations returns, for each operation, the value that it requested within its tenant's quota and the value
+// that it earned. The operations must be sorted by when they were due. At any time a tenant has earned at most the
+// value that it has requested within its quota so far.
 func creditOperations(classes map[string]Class, plans map[string]Plan, operations []Operation) []earnings {
 	within := withinQuota(plans, operations)
-	unearned := map[string]float64{} // by tenant: value requested within the quota and not yet earned
+	unearned := map[string]float64{} // by tenant: value that was requested within the quota and has not been earned yet
 	credits := make([]earnings, len(operations))
 	for i, operation := range operations {
 		class := classes[operation.Class]
@@ -57,7 +57,8 @@
 	return credits
 }
 
-// withinQuota replays each tenant's quota over its operations, in their order, and reports which ones it covered.
+// withinQuota replays each tenant's token bucket over its operations, in order, and reports for each operation whether
+// the quota covered it.
 func withinQuota(plans map[string]Plan, operations []Operation) []bool {
 	type bucket struct {
 		level float64
--- a/internal/lab/measure/latencies.go
+++ b/internal/lab/measure/latencies.go
@@ -13,9 +13,9 @@
 	significantDigits = 3
 )
 
-// Latencies is a histogram of latencies from the moment that a request was due, so that a client that was late to
-// send does not hide a wait. It holds 100 us to 2 minutes with three significant digits; what lies outside counts
-// as the nearest of the two. It is not safe for concurrent use.
+// Latencies is a histogram of latencies. Callers should measure from when a request was due, so that the delay of a
+// client that sends late is included. The histogram covers 100 us to 2 minutes with three significant digits, and
+// clamps other values to that range. It is not safe for concurrent use.
 type Latencies struct{ histogram *hdrhistogram.Histogram }
 
 // NewLatencies returns an empty histogram.
@@ -26,11 +26,11 @@
 // Add records one latency.
 func (l *Latencies) Add(latency time.Duration) {
 	inRange := min(max(latency.Microseconds(), minLatency.Microseconds()), l.histogram.HighestTrackableValue())
-	// The value is in range, and only one that is not is an error.
+	// RecordValue fails only for values out of range.
 	_ = l.histogram.RecordValue(inRange)
 }
 
-// QuantileMS returns a quantile (0 to 1) in milliseconds, 0 if nothing was recorded.
+// QuantileMS returns a quantile (0 to 1) in milliseconds, or 0 if nothing was recorded.
 func (l *Latencies) QuantileMS(quantile float64) float64 {
 	if l.histogram.TotalCount() == 0 {
 		return 0
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,56 +1,56 @@
-// Package measure turns what clients and backends recorded into the score of a run. Its input is the operations of
-// the clients, the attempts that backends saw beyond quotas, and the costs of the run. Its output is the score as
-// the users' brief defines it, what the capacity would have allowed, and latencies from the moment that a request
-// was due. It starts no process and has no socket and no clock.
+// Package measure computes the score of a run from the records of clients and backends. Its inputs are the clients'
+// operations, the attempts beyond quotas that backends received, and the costs of the run. Its outputs are the score as
+// the user requirements define it, the value that the capacity would have allowed, and latency histograms. It does no
+// I/O and reads no clock.
 package measure
 
 import "time"
 
-// Class holds the value of the requests of a class.
+// Class defines the value of the requests of a class.
 type Class struct {
 	PriorityWeight   float64 // value of a unit
 	LatencyObjective time.Duration
-	LateShare        float64 // fraction of the value that an answer after the latency objective earns
+	LateShare        float64 // fraction of the value that a late answer earns
 }
 
-// Plan is what a tenant may use, and what use beyond that costs.
+// Plan defines a tenant's quota and the cost of use beyond it.
 type Plan struct {
 	Price      float64 // factor on the value
-	Rate       float64 // of the quota: units a second that its token bucket gains
-	Burst      float64 // of the quota: units that its token bucket holds
-	ExcessCost float64 // fraction of the value that a unit beyond the quota costs
+	Rate       float64 // refill of the quota's token bucket, in units per second
+	Burst      float64 // size of the quota's token bucket, in units
+	ExcessCost float64 // cost of a unit beyond the quota, as a fraction of its value
 }
 
-// Operation is what a client wanted: its first request together with its retries.
+// Operation is a client's first request together with its retries.
 type Operation struct {
-	Due        time.Duration // when the first request was to be sent
+	Due        time.Duration // when the first request should have been sent
 	Tenant     string
 	Plan       string
 	Class      string
 	Units      float64
 	Served     bool
-	AnsweredAt time.Duration // of the answer that served it, or else of the last answer
+	AnsweredAt time.Duration // when it was served, or else when the last answer arrived
 }
 
-// latency is how long the client waited, from when the operation was due.
+// latency returns the time from when the operation was due until it was answered.
 func (o Operation) latency() time.Duration { return o.AnsweredAt - o.Due }
 
-// ExcessAttempt is a first attempt beyond its tenant's quota, as its backend saw it.
+// ExcessAttempt is a first attempt beyond its tenant's quota that a backend received.
 type ExcessAttempt struct {
 	At          time.Duration
 	Plan, Class string
 	Units       float64
 }
 
-// Costs holds what the service of a run cost.
+// Costs holds the resources that a run used.
 type Costs struct {
-	WorkRequested  time.Duration // work that the operations requested
-	WorkDone       time.Duration // work that the backends did
-	CounterCalls   int           // calls of the quota store
-	CrossZoneSends int           // attempts sent to another zone
+	WorkRequested  time.Duration // total work of the operations
+	WorkDone       time.Duration // total work done by the backends
+	CounterCalls   int           // calls to the shared counter
+	CrossZoneSends int           // attempts sent to a backend in another zone
 }
 
-// The prices of the users' brief, in points of service for one of each for every operation.
+// The prices that the user requirements set, as the service lost for one of each per operation.
 const (
 	counterCallPrice = 0.005
 	wastePrice       = 0.03
@@ -58,7 +58,7 @@
 	lateFailurePrice = 0.05
 )
 
-// The weights of the users' brief for the parts of the service.
+// The weights that the user requirements set for the parts of the service.
 const (
 	completeWeight   = 0.5
 	worst10sWeight   = 0.25
@@ -66,49 +66,50 @@
 	worstPlanWeight  = 0.15
 )
 
-// worstWindow is the length of the window whose service is the worst of a run.
+// worstWindow is the length of the windows of which the worst one counts in the score.
 const worstWindow = 10 * time.Second
 
-// Score is the service with its parts, which are fractions of the value that was requested within quotas.
+// Score is the service of a run with its parts. The parts are fractions of the value that was requested within quotas.
 type Score struct {
-	// Service is the weighted sum of the parts, less Prices.
+	// Service is the weighted sum of Complete, Worst10s, WorstClass and WorstPlan, less Prices.
 	Service float64 `json:"Service"`
-	// Complete is what was answered within the latency objective, less the cost of what was sent beyond quotas.
+	// Complete is the value earned by answers, in full only within the latency objective, less the cost of attempts
+	// beyond quotas.
 	Complete   float64 `json:"Whole"`
 	Worst10s   float64 `json:"Worst10s"`   // Complete of the worst ten seconds
 	WorstClass float64 `json:"WorstClass"` // Complete of the worst class
 	WorstPlan  float64 `json:"WorstPlan"`  // Complete of the worst plan
-	Beyond     float64 `json:"Beyond"`     // cost of use beyond quotas
-	Prices     float64 `json:"Prices"`     // for counter calls, wasted work, cross-zone sends and late failures
-	CrossShare float64 `json:"CrossShare"` // cross-zone sends for each operation
-	Waste      float64 `json:"Waste"`      // work done beyond what was requested, as a fraction of that
+	Beyond     float64 `json:"Beyond"`     // cost of attempts beyond quotas
+	Prices     float64 `json:"Prices"`     // of counter calls, wasted work, cross-zone sends and late failures
+	CrossShare float64 `json:"CrossShare"` // cross-zone sends per operation
+	Waste      float64 `json:"Waste"`      // work done beyond the requested work, as a fraction of it
 }
 
-// tally sums up the earnings of a run in the ways that the score needs.
-type tally struct {
+// earningsTally sums up the earnings of a run in total, and by class, plan and second.
+type earningsTally struct {
 	all      earnings
 	byClass  map[string]*earnings
 	byPlan   map[string]*earnings
 	bySecond map[int]*earnings
 }
 
-func newTally() *tally {
-	return &tally{
+func newEarningsTally() *earningsTally {
+	return &earningsTally{
 		byClass:  map[string]*earnings{},
 		byPlan:   map[string]*earnings{},
 		bySecond: map[int]*earnings{},
 	}
 }
 
-// add counts value that was requested and earned at a time.
-func (t *tally) add(at time.Duration, class, plan string, requested, earned float64) {
+// add adds value that was requested and earned at the given time.
+func (t *earningsTally) add(at time.Duration, class, plan string, requested, earned float64) {
 	t.all.add(requested, earned)
 	entry(t.byClass, class).add(requested, earned)
 	entry(t.byPlan, plan).add(requested, earned)
 	entry(t.bySecond, int(at/time.Second)).add(requested, earned)
 }
 
-// entry returns the earnings of a key, which it adds if there are none.
+// entry returns the earnings for a key, which it creates if they are missing.
 func entry[K comparable](sums map[K]*earnings, key K) *earnings {
 	if sums[key] == nil {
 		sums[key] = &earnings{}
@@ -116,13 +117,12 @@
 	return sums[key]
 }
 
-// ComputeScore computes the score of a run. What a tenant earned beyond the value that it requested within its
-// quota does not count.
+// ComputeScore computes the score of a run. A tenant earns at most the value that it requested within its quota.
 func ComputeScore(
 	classes map[string]Class, plans map[string]Plan, operations []Operation, excess []ExcessAttempt, costs Costs,
 ) Score {
 	operations = sortedByDue(operations)
-	sums := newTally()
+	sums := newEarningsTally()
 	lateFailures := 0
 	for i, credit := range creditOperations(classes, plans, operations) {
 		operation := operations[i]
@@ -139,7 +139,7 @@
 		sums.add(attempt.At, attempt.Class, attempt.Plan, 0, -cost)
 	}
 	score := Score{
-		Complete:   sums.all.ratio(),
+		Complete:   sums.all.earnedRatio(),
 		Worst10s:   worstWindowRatio(sums.bySecond),
 		WorstClass: worstRatio(sums.byClass),
 		WorstPlan:  worstRatio(sums.byPlan),
@@ -153,7 +153,7 @@
 	return score
 }
 
-// addPrices sets the costs of a run as prices for each operation.
+// addPrices sets CrossShare, Waste and Prices from the costs of a run, per operation.
 func (s *Score) addPrices(costs Costs, operations, lateFailures int) {
 	if operations == 0 {
 		return
@@ -167,17 +167,17 @@
 		crossZonePrice*s.CrossShare + lateFailurePrice*float64(lateFailures)/count
 }
 
-// worstRatio returns the least ratio, 1 at the most.
+// worstRatio returns the lowest ratio, at most 1.
 func worstRatio(sums map[string]*earnings) float64 {
 	worst := 1.0
 	for _, sum := range sums {
-		worst = min(worst, sum.ratio())
+		worst = min(worst, sum.earnedRatio())
 	}
 	return worst
 }
 
-// worstWindowRatio returns the least ratio of any worstWindow that lies within the run, 1 at the most. A shorter
-// run is one window.
+// worstWindowRatio returns the lowest ratio of any window of length worstWindow within the run, at most 1. A run that
+// is shorter counts as one window.
 func worstWindowRatio(bySecond map[int]*earnings) float64 {
 	if len(bySecond) == 0 {
 		return 1
@@ -195,7 +195,7 @@
 				window.add(sum.requested, sum.earned)
 			}
 		}
-		worst = min(worst, window.ratio())
+		worst = min(worst, window.earnedRatio())
 	}
 	return worst
 }
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -15,7 +15,7 @@
 	plans   = map[string]Plan{"storby": {1.6, 10, 20, 0.6}, "bygd": {0.9, 1, 5, 0.8}}
 )
 
-// operation is one operation of a tenant of storby that asks for a unit and was answered so long after it was due.
+// operation returns an operation of one unit by a tenant of the plan storby that was answered latency after it was due.
 func operation(class string, due, latency time.Duration, served bool) Operation {
 	return Operation{
 		Due:        due,
@@ -41,16 +41,16 @@
 		"too late earns less": {operations: []Operation{operation("read", 0, 500*ms, true)}, want: 0.1},
 		"rejected":            {operations: []Operation{operation("read", 0, 10*ms, false)}, want: 0},
 		"failed too late":     {operations: []Operation{operation("read", 0, 900*ms, false)}, want: -0.05},
-		// Two sevenths are complete, in the worst ten seconds and plan too; the worst class has nothing.
-		"a class lost":     {operations: classLost, want: 0.5*2/7 + 0.25*2/7 + 0.15*2/7},
-		"one crossing":     {operations: []Operation{served}, costs: Costs{CrossZoneSends: 1}, want: 0.99},
-		"one counter call": {operations: []Operation{served}, costs: Costs{CounterCalls: 1}, want: 0.995},
-		"work twice over": {
+		// Complete, Worst10s and WorstPlan are 2/7; WorstClass is 0.
+		"one class failed":    {operations: classLost, want: 0.5*2/7 + 0.25*2/7 + 0.15*2/7},
+		"one cross-zone send": {operations: []Operation{served}, costs: Costs{CrossZoneSends: 1}, want: 0.99},
+		"one counter call":    {operations: []Operation{served}, costs: Costs{CounterCalls: 1}, want: 0.995},
+		"all work done twice": {
 			operations: []Operation{served},
 			costs:      Costs{WorkRequested: 10 * ms, WorkDone: 20 * ms},
 			want:       0.97,
 		},
-		"one beyond": {
+		"one attempt beyond the quota": {
 			operations: []Operation{served},
 			excess:     []ExcessAttempt{{0, "storby", "read", 1}},
 			want:       0.4,
@@ -65,9 +65,9 @@
 	}
 }
 
-// A build that serves all that is requested is never better than one that serves just what is within quotas, and
-// worse as soon as anything was beyond.
-func TestBeyondNeverPays(t *testing.T) {
+// A build that serves all requests never scores better than one that serves only those within quotas, and scores worse
+// if any request was beyond its quota.
+func TestServingBeyondQuotaNeverImprovesScore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Operation
 		gap := rapid.IntRange(1, 200).Draw(t, "gap")
@@ -93,7 +93,7 @@
 	})
 }
 
-// An outage of ten seconds shows in the worst of them, whatever the length of the run.
+// An outage of ten seconds lowers Worst10s to 0, independent of the length of the run.
 func TestWorst10s(t *testing.T) {
 	var all []Operation
 	for second := range 60 {
@@ -102,7 +102,7 @@
 	}
 	score := ComputeScore(classes, plans, all, nil, Costs{})
 	if score.Worst10s != 0 || math.Abs(score.Complete-50.0/60) > 1e-9 {
-		t.Fatalf("got %+v, want nothing in the worst ten seconds and 50 of 60 seconds complete", score)
+		t.Fatalf("got %+v, want 0 for the worst ten seconds and 50/60 complete", score)
 	}
 }
 
@@ -114,11 +114,11 @@
 	for i := 1; i <= 1000; i++ {
 		latencies.Add(time.Duration(i) * ms)
 	}
-	latencies.Add(time.Hour) // more than it can hold counts as the most
+	latencies.Add(time.Hour) // above the range: counts as the maximum
 	if got := latencies.QuantileMS(0.5); got < 499 || got > 502 {
 		t.Fatalf("got a median of %v ms, want 499 to 502", got)
 	}
 	if got := latencies.QuantileMS(1); got < 119000 {
-		t.Fatalf("got a maximum of %v ms, want 119000 at least", got)
+		t.Fatalf("got a maximum of %v ms, want at least 119000", got)
 	}
 }
