--- a/internal/lab/proc/address.go
+++ b/internal/lab/proc/address.go
@@ -6,23 +6,23 @@
 	"syscall"
 )
 
-// ReservedAddress is a TCP address that no other process can draw. A socket is bound to it and does not listen, so
-// that the process whose address it is can bind it too, as often as it is started (both set SO_REUSEADDR, as Go's
-// listeners do).
+// ReservedAddress is a TCP address that the kernel does not assign to other processes as an ephemeral port. A socket
+// is bound to it but does not listen. Since both sides set SO_REUSEADDR, as Go's listeners do, the process that the
+// address is reserved for can still bind it, on every start.
 type ReservedAddress struct {
 	addr string
-	fd   int // of the socket; -1 once it was released
+	fd   int // of the bound socket; -1 after Release
 }
 
-// ReserveAddress draws a free TCP port of a loopback host, an IPv4 address, and reserves it until Release.
+// ReserveAddress reserves a free TCP port on host, a loopback IPv4 address, until Release.
 func ReserveAddress(host string) (*ReservedAddress, error) {
 	ip, err := netip.ParseAddr(host)
 	if err != nil || !ip.Is4() {
-		return nil, fmt.Errorf("holding an address: %q is no IPv4 address", host)
+		return nil, fmt.Errorf("reserving an address: %q is not an IPv4 address", host)
 	}
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("holding an address: %w", err)
+		return nil, fmt.Errorf("reserving an address: %w", err)
 	}
 	reserved := &ReservedAddress{fd: fd}
 	if err := reserved.bind(host, ip); err != nil {
@@ -33,29 +33,29 @@
 }
 
 // bind binds the socket to a free port of the host.
-func (h *ReservedAddress) bind(host string, ip netip.Addr) error {
-	if err := syscall.SetsockoptInt(h.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
-		return fmt.Errorf("holding an address: %w", err)
+func (r *ReservedAddress) bind(host string, ip netip.Addr) error {
+	if err := syscall.SetsockoptInt(r.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		return fmt.Errorf("reserving an address: %w", err)
 	}
-	if err := syscall.Bind(h.fd, &syscall.SockaddrInet4{Addr: ip.As4()}); err != nil {
-		return fmt.Errorf("holding an address of %s: %w", host, err)
+	if err := syscall.Bind(r.fd, &syscall.SockaddrInet4{Addr: ip.As4()}); err != nil {
+		return fmt.Errorf("reserving an address on %s: %w", host, err)
 	}
-	bound, err := syscall.Getsockname(h.fd)
+	bound, err := syscall.Getsockname(r.fd)
 	if err != nil {
-		return fmt.Errorf("holding an address: %w", err)
+		return fmt.Errorf("reserving an address: %w", err)
 	}
 	port := bound.(*syscall.SockaddrInet4).Port
-	h.addr = netip.AddrPortFrom(ip, uint16(port)).String()
+	r.addr = netip.AddrPortFrom(ip, uint16(port)).String()
 	return nil
 }
 
 // Addr returns the address as host:port.
-func (h *ReservedAddress) Addr() string { return h.addr }
+func (r *ReservedAddress) Addr() string { return r.addr }
 
-// Release gives the address up. A second call does nothing.
-func (h *ReservedAddress) Release() {
-	if h.fd >= 0 {
-		_ = syscall.Close(h.fd) // nothing was written to it
-		h.fd = -1
+// Release frees the address. Further calls do nothing.
+func (r *ReservedAddress) Release() {
+	if r.fd >= 0 {
+		_ = syscall.Close(r.fd) // nothing was written, so no data can be lost
+		r.fd = -1
 	}
 }
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,6 +1,6 @@
-// Package proc runs one process of a program for the lab. It reserves the process's addresses, starts it, waits
-// until it serves, sends it signals, and reports how it ended, what it used and what it wrote last. Its input is a
-// program, its environment and a test of whether it serves. It knows no scenario, no load and no rule.
+// Package proc manages a child process for the lab. It reserves addresses for the process, starts it, waits until it
+// serves, sends it signals, and reports its exit, its resource usage and the last line of its output. The caller
+// provides the program, its environment and a readiness check.
 package proc
 
 import (
@@ -15,34 +15,35 @@
 )
 
 const (
-	// StartTimeout is how long a start may take.
+	// StartTimeout is how long a process may take until it serves.
 	StartTimeout = 20 * time.Second
-	// stopTimeout is how long a process may take to exit on a signal before it is killed.
+	// stopTimeout is how long Stop waits for the process to exit before it kills it.
 	stopTimeout = 8 * time.Second
 	// servingPollInterval is how often Start checks whether the process serves.
 	servingPollInterval = 5 * time.Millisecond
 )
 
-// Process is one program that may be started, stopped and started again. Each start has a goroutine that waits for the
-// process's exit. Its methods are safe for concurrent use, but Start and Stop must not be called at the same time.
+// Process is a child process that can be stopped and started again. Each start has a goroutine that waits for its exit.
+// Methods are safe for concurrent use, except that Start and Stop must not be called concurrently.
 type Process struct {
-	Name      string // in errors
+	Name      string // for error messages
 	Program   string
-	Args      []string // without the program's name
+	Args      []string // excluding the program's name
 	Env       []string
-	Output    io.Writer   // gets what the process writes; may be nil
-	IsServing func() bool // polled by Start
+	Output    io.Writer   // receives stdout and stderr; may be nil
+	IsServing func() bool // readiness check that Start polls
 	OnExit    func(error) // called at each exit, before Stop returns; may be nil
 
-	tail tail // of what it wrote
+	tail tail // the end of its output
 
-	mu     sync.Mutex    // guards all below
-	cmd    *exec.Cmd     // of the last start; nil: it was never started
+	mu     sync.Mutex    // guards the fields below
+	cmd    *exec.Cmd     // of the last start; nil if it was never started
 	exited chan struct{} // closed at the exit of cmd
-	usage  Usage         // of the starts that have exited
+	usage  Usage         // total of all starts that have exited
 }
 
-// Start starts the process and waits until it serves. If it exits before, the error has its last line.
+// Start starts the process and waits until it serves. If it exits before that, the error includes the last line of its
+// output.
 func (p *Process) Start(ctx context.Context) error {
 	exited, err := p.launch()
 	if err != nil {
@@ -55,7 +56,7 @@
 func (p *Process) launch() (exited chan struct{}, err error) {
 	cmd := exec.Command(p.Program, p.Args...)
 	cmd.Env = p.Env
-	// A lab that is killed leaves no process behind.
+	// The kernel kills the child if the lab itself is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	output := io.Writer(&p.tail)
 	if p.Output != nil {
@@ -73,7 +74,7 @@
 	return exited, nil
 }
 
-// awaitExit waits for the process's exit, adds what it used and calls OnExit.
+// awaitExit waits for the process's exit, adds its usage and calls OnExit.
 func (p *Process) awaitExit(cmd *exec.Cmd, exited chan<- struct{}) {
 	defer close(exited)
 	err := cmd.Wait()
@@ -85,7 +86,7 @@
 	}
 }
 
-// awaitServing polls until the process serves.
+// awaitServing polls IsServing until the process serves, exits or reaches StartTimeout.
 func (p *Process) awaitServing(ctx context.Context, exited <-chan struct{}) error {
 	timeout := time.NewTimer(StartTimeout)
 	defer timeout.Stop()
@@ -94,21 +95,21 @@
 	for !p.IsServing() {
 		select {
 		case <-exited:
-			return fmt.Errorf("%s ended at its start: %s", p.Name, p.LastLine())
+			return fmt.Errorf("%s exited before it was serving: %s", p.Name, p.LastLine())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timeout.C:
-			return fmt.Errorf("%s does not serve after %v: %s", p.Name, StartTimeout, p.LastLine())
+			return fmt.Errorf("%s is not serving after %v: %s", p.Name, StartTimeout, p.LastLine())
 		case <-poll.C:
 		}
 	}
 	return nil
 }
 
-// ErrNotRunning means that a signal was sent to a process that has exited, or was never started.
+// ErrNotRunning means that a signal could not be sent because the process has exited or was never started.
 var ErrNotRunning = errors.New("the process is not running")
 
-// SendSignal sends a signal and does not wait.
+// SendSignal sends a signal to the process and does not wait for its effect.
 func (p *Process) SendSignal(signal syscall.Signal) error {
 	cmd, exited := p.command()
 	if cmd == nil || isClosed(exited) {
@@ -117,23 +118,23 @@
 	return cmd.Process.Signal(signal)
 }
 
-// Stop sends a signal that ends the process and waits for its exit. A process that does not exit within stopTimeout is
-// killed.
+// Stop sends a terminating signal and waits for the process to exit. If it does not exit within stopTimeout, Stop kills
+// it.
 func (p *Process) Stop(signal syscall.Signal) {
 	cmd, exited := p.command()
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Signal(signal) // fails only if it has exited
+	_ = cmd.Process.Signal(signal) // fails only if the process has exited
 	select {
 	case <-exited:
 	case <-time.After(stopTimeout):
-		_ = cmd.Process.Kill() // fails only if it has exited
+		_ = cmd.Process.Kill() // fails only if the process has exited
 		<-exited
 	}
 }
 
-// Running reports whether the process was started and has not exited.
+// Running reports whether the process has been started and has not exited.
 func (p *Process) Running() bool {
 	cmd, exited := p.command()
 	return cmd != nil && !isClosed(exited)
@@ -146,7 +147,7 @@
 	return p.cmd, p.exited
 }
 
-// Pid returns the process's id, 0 if it was never started.
+// Pid returns the process id of the last start, or 0 if the process was never started.
 func (p *Process) Pid() int {
 	if cmd, _ := p.command(); cmd != nil {
 		return cmd.Process.Pid
@@ -154,10 +155,10 @@
 	return 0
 }
 
-// LastLine returns the last line that the process wrote.
+// LastLine returns the last line of the process's output.
 func (p *Process) LastLine() string { return p.tail.lastLine() }
 
-// Usage returns what the process has used so far, over all its starts.
+// Usage returns the process's resource usage so far, over all its starts.
 func (p *Process) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +169,7 @@
 	return usage
 }
 
-// isClosed reports whether a channel that is only closed is closed.
+// isClosed reports whether a channel is closed. Nothing may ever be sent on the channel.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// No other listener draws an address that is reserved, and its own process can listen on it again and again.
+// The kernel does not assign a reserved address to another listener, and its owner can listen on it repeatedly.
 func TestReserveAddress(t *testing.T) {
 	reserved, err := ReserveAddress("127.0.0.77")
 	if err != nil {
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		if _, err := net.Listen("tcp", reserved.Addr()); err == nil {
-			t.Fatal("two listen on one address")
+			t.Fatal("got two listeners on one address, want an error")
 		}
 		listener.Close()
 	}
@@ -31,14 +31,14 @@
 			t.Fatal(err)
 		}
 		if listener.Addr().String() == reserved.Addr() {
-			t.Fatal("another listener drew the reserved address")
+			t.Fatal("the reserved address was assigned to another listener")
 		}
 		listener.Close()
 	}
 }
 
 // Only an IPv4 address can be reserved.
-func TestReserveAddressFails(t *testing.T) {
+func TestReserveAddressRequiresIPv4(t *testing.T) {
 	for _, host := range []string{"", "::1", "localhost"} {
 		if _, err := ReserveAddress(host); err == nil || !strings.Contains(err.Error(), "IPv4") {
 			t.Errorf("%q: got %v, want an error about IPv4", host, err)
@@ -46,7 +46,7 @@
 	}
 }
 
-// A process that exits at its start is an error with its last line, and no other process's answer is taken for its own.
+// If a process exits before it serves, Start returns an error with the last line of its output, and signals to it fail.
 func TestExitAtStart(t *testing.T) {
 	process := &Process{
 		Name:      "n1",
@@ -55,18 +55,18 @@
 		IsServing: func() bool { return false },
 	}
 	err := process.Start(t.Context())
-	if want := "n1 ended at its start: it said nothing"; err == nil || !strings.Contains(err.Error(), want) {
+	if want := "n1 exited before it was serving: no output"; err == nil || !strings.Contains(err.Error(), want) {
 		t.Fatalf("got %v, want %s", err, want)
 	}
 	if process.Running() {
-		t.Error("the process is running")
+		t.Error("the process is reported as running after its exit")
 	}
 	if err := process.SendSignal(syscall.SIGTERM); !errors.Is(err, ErrNotRunning) {
 		t.Errorf("got %v for a signal, want %v", err, ErrNotRunning)
 	}
 }
 
-// A tail holds the last line, and no more than its bound.
+// A tail returns the last line and holds at most maxTailBytes.
 func TestTail(t *testing.T) {
 	var output tail
 	output.Write([]byte("one\ntwo\n"))
@@ -75,7 +75,7 @@
 	}
 	output.Write([]byte(strings.Repeat("x", 3*maxTailBytes) + "\nthree\n"))
 	if got := output.lastLine(); got != "three" || len(output.text) > maxTailBytes {
-		t.Fatalf("got the last line %q and %d bytes, want three and %d at the most",
+		t.Fatalf("got the last line %q and %d bytes, want three and at most %d",
 			got, len(output.text), maxTailBytes)
 	}
 }
--- a/internal/lab/proc/tail.go
+++ b/internal/lab/proc/tail.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// maxTailBytes bounds a tail.
+// maxTailBytes is the maximum size of a tail.
 const maxTailBytes = 4 << 10
 
-// tail is an io.Writer that keeps the end of what was written. It is safe for concurrent use.
+// tail is an io.Writer that retains the last maxTailBytes written to it. It is safe for concurrent use.
 type tail struct {
 	mu   sync.Mutex // guards text
 	text []byte
 }
 
-// Write implements io.Writer. It does not fail.
+// Write implements io.Writer. It never fails.
 func (t *tail) Write(data []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -25,13 +25,13 @@
 	return len(data), nil
 }
 
-// lastLine returns the last line that was written.
+// lastLine returns the last line that was written, or "no output".
 func (t *tail) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	text := strings.TrimRight(string(t.text), "\n")
 	if text == "" {
-		return "it said nothing"
+		return "no output"
 	}
 	return text[strings.LastIndexByte(text, '\n')+1:]
 }
--- a/internal/lab/proc/usage.go
+++ b/internal/lab/proc/usage.go
@@ -13,18 +13,18 @@
 const (
 	// clockTick is the unit of the times in /proc/PID/stat.
 	clockTick = 10 * time.Millisecond
-	// The fields of /proc/PID/stat behind the command's name, counted from 0.
+	// Indexes of the fields of /proc/PID/stat after the command name, counted from 0.
 	userTimeField   = 11
 	systemTimeField = 12
 )
 
-// Usage is what a process used, over all its starts.
+// Usage is the resource usage of a process over all its starts.
 type Usage struct {
 	CPU    time.Duration
-	PeakKB int64 // the most resident memory at a time
+	PeakKB int64 // peak resident memory, in KiB
 }
 
-// addExited adds what a process used that has exited.
+// addExited adds the usage of a process that has exited.
 func (u *Usage) addExited(state *os.ProcessState) {
 	if rusage, ok := state.SysUsage().(*syscall.Rusage); ok {
 		u.CPU += time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano())
@@ -32,7 +32,7 @@
 	}
 }
 
-// addRunning adds what a running process has used so far. What cannot be read counts as nothing.
+// addRunning adds the usage of a running process so far. Values that cannot be read are omitted.
 func (u *Usage) addRunning(pid int) {
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		u.CPU += parseCPU(stat)
@@ -42,8 +42,8 @@
 	}
 }
 
-// parseCPU returns the user and system time of a /proc/PID/stat. The command's name is in parentheses and may hold
-// spaces.
+// parseCPU returns the sum of user and system time from a /proc/PID/stat file. The command name is in parentheses and
+// may contain spaces.
 func parseCPU(stat []byte) time.Duration {
 	end := bytes.LastIndexByte(stat, ')')
 	if end <= 0 {
@@ -58,7 +58,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// parsePeakKB returns the peak resident memory of a /proc/PID/status.
+// parsePeakKB returns the peak resident memory from a /proc/PID/status file, in KiB.
 func parsePeakKB(status []byte) (peak int64) {
 	for line := range strings.Lines(string(status)) {
 		if value, found := strings.CutPrefix(line, "VmHWM:"); found {
