--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -1,6 +1,6 @@
-// Package fleetlog sums up what many instances logged, second by second. It reads the log lines "second" that the
-// setting [log] summary writes, and the lines "serving" of starts. Its input is a directory of logs, its output a
-// table of sums over the fleet. It knows no metric by name: a metric that is new in the lines is in the table.
+// Package fleetlog sums up the logs of many instances per second. It reads a directory of logs and returns a table of
+// sums over all instances. It uses the log messages "second", which instances write if the setting [log] summary is on,
+// and "serving", which they write at their start. Every numeric attribute of "second" becomes a metric of the table.
 package fleetlog
 
 import (
@@ -18,26 +18,26 @@
 )
 
 const (
-	// maxLineBytes bounds a line. A longer one ends the reading with an error.
+	// maxLineBytes is the maximum length of a log line. A longer line is an error.
 	maxLineBytes = 1 << 20
-	// earlyLine is how long before the end of its second a line may be written.
-	earlyLine = 20 * time.Millisecond
+	// maxEarly is how long before the end of its second the line of a second may be written.
+	maxEarly = 20 * time.Millisecond
 )
 
-// The metrics of the table that are not in the lines.
+// The metrics that are counted here instead of read from the lines.
 const (
-	linesMetric  = "lines"  // instances that wrote a line for the second
-	startsMetric = "starts" // instances that began to serve
+	linesMetric  = "lines"  // "second" lines: instances that wrote one for the second
+	startsMetric = "starts" // "serving" lines: instances that started
 )
 
-// Table holds sums over all instances.
+// Table holds the sums of metrics over all instances.
 type Table struct {
-	Seconds []time.Time                      // in order
-	Metrics []string                         // in the order in which they were first read
+	Seconds []time.Time                      // ascending
+	Metrics []string                         // in the order of their first appearance
 	Sums    map[time.Time]map[string]float64 // by second and metric
 }
 
-// Read sums up the files *.log of a directory.
+// Read sums up the *.log files of a directory.
 func Read(dir string) (*Table, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// addLine adds one line. A line of another kind, or one that is cut off, is skipped.
+// addLine adds one line. It skips lines with other messages and truncated lines.
 func (t *Table) addLine(text string, known map[string]bool) {
 	isSecond := strings.Contains(text, " msg=second ")
 	if !isSecond && !strings.Contains(text, " msg=serving ") {
@@ -105,10 +105,10 @@
 	} else {
 		values[startsMetric] = 1
 	}
-	t.addValues(at.Add(earlyLine).Truncate(time.Second), values)
+	t.addValues(at.Add(maxEarly).Truncate(time.Second), values)
 }
 
-// addMetric lists a metric that is not known yet.
+// addMetric adds a metric to the list of metrics unless it is known.
 func (t *Table) addMetric(name string, known map[string]bool) {
 	if !known[name] {
 		known[name] = true
@@ -128,8 +128,8 @@
 	}
 }
 
-// Write prints the table with a row a metric and a column a second. prefixes is a comma-separated list of the
-// beginnings of the metrics to print; empty: all.
+// Write prints the table with a row per metric and a column per second. prefixes is a comma-separated list of name
+// prefixes that selects the metrics to print; an empty list selects all.
 func (t *Table) Write(out io.Writer, prefixes string) error {
 	table := tabwriter.NewWriter(out, 0, 1, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "second\t")
@@ -152,7 +152,7 @@
 	return table.Flush()
 }
 
-// hasPrefix reports whether a name begins with one of the prefixes, which are separated by commas, or there are none.
+// hasPrefix reports whether a name begins with one of the comma-separated prefixes, or prefixes is empty.
 func hasPrefix(name, prefixes string) bool {
 	return prefixes == "" || slices.ContainsFunc(strings.Split(prefixes, ","), func(prefix string) bool {
 		return strings.HasPrefix(name, prefix)
--- a/internal/lab/fleetlog/fleetlog_test.go
+++ b/internal/lab/fleetlog/fleetlog_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// logs are the files of a directory. Lines of several instances that fall on one second are one column; a line of
-// another kind, or one that is cut off, is skipped.
+// logs holds the content of log files by name. The lines of both instances for the same second must be summed up; lines
+// with other messages and truncated lines must be skipped.
 var logs = map[string][]string{
 	"a.log": {
 		"0.1 time=2026-01-01T00:00:00.100Z level=INFO msg=serving listen=x",
@@ -27,7 +27,7 @@
 	},
 }
 
-// readLogs reads the logs.
+// readLogs writes logs to a directory and reads it.
 func readLogs(t *testing.T) *Table {
 	t.Helper()
 	dir := t.TempDir()
@@ -60,7 +60,7 @@
 	}
 }
 
-// Only the metrics with the prefixes are printed, in the order in which they were read.
+// Write prints only the metrics that match a prefix, in the order of their first appearance.
 func TestWrite(t *testing.T) {
 	var out strings.Builder
 	if err := readLogs(t).Write(&out, "refused,arr"); err != nil {
