--- a/internal/lab/lateness/lateness.go
+++ b/internal/lab/lateness/lateness.go
@@ -1,6 +1,5 @@
-// Package lateness measures how late this process itself is scheduled, because what its observers record can be no more
-// precise than that. Its input is a clock. Its output is the spans in which a goroutine that was ready did not run. It
-// knows no ingress and no rule.
+// Package lateness measures the scheduling delays of its own process, because they limit the precision of what the
+// lab's observers record. It records the times in which a goroutine that was ready to run was not scheduled.
 package lateness
 
 import (
@@ -12,14 +11,15 @@
 )
 
 const (
+	// wakeInterval is the interval at which the meter wakes up to measure its delay.
 	wakeInterval = 2 * time.Millisecond
-	// minDelay is the longest delay that is not recorded.
-	minDelay = 20 * time.Millisecond
-	// maxDelays bounds the record.
+	// minRecordedDelay is the threshold that a delay must exceed to be recorded.
+	minRecordedDelay = 20 * time.Millisecond
+	// maxDelays is the maximum number of recorded delays.
 	maxDelays = 1000
 )
 
-// Meter records delays in one goroutine, from Start until Close.
+// Meter records scheduling delays of one goroutine, from Start until Close.
 type Meter struct {
 	clock func() time.Duration
 	stop  chan struct{} // closed by Close
@@ -36,7 +36,7 @@
 	return m
 }
 
-// run wakes at an interval and records by how much it woke too late.
+// run wakes up every wakeInterval and records how late it was.
 func (m *Meter) run() {
 	ticker := time.NewTicker(wakeInterval)
 	defer ticker.Stop()
@@ -47,14 +47,14 @@
 		case <-ticker.C:
 		}
 		now := m.clock()
-		if delay := now - last - wakeInterval; delay > minDelay {
+		if delay := now - last - wakeInterval; delay > minRecordedDelay {
 			m.add(rulecheck.ObserverDelay{At: now - delay, Delay: delay})
 		}
 		last = now
 	}
 }
 
-// add records a delay unless the record is full.
+// add records a delay unless maxDelays is reached.
 func (m *Meter) add(delay rulecheck.ObserverDelay) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,14 +63,14 @@
 	}
 }
 
-// Delays returns what has been recorded so far.
+// Delays returns the delays recorded so far.
 func (m *Meter) Delays() []rulecheck.ObserverDelay {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.delays)
 }
 
-// Close ends the measurement. It is called once.
+// Close stops the meter. It must be called only once.
 func (m *Meter) Close() {
 	close(m.stop)
 	m.wg.Wait()
