--- a/internal/lab/respclient/respclient.go
+++ b/internal/lab/respclient/respclient.go
@@ -1,6 +1,5 @@
-// Package respclient is what the lab's clients need of RESP2, the protocol of Redis. It encodes a command, and
-// reads one answer of an ingress as served, rejected or failed. It opens no connection and knows no load and no
-// rule.
+// Package respclient implements the part of RESP2, the Redis protocol, that the lab's clients need. It encodes
+// commands, and classifies the answers of an ingress as served, rejected or failed. The caller opens the connections.
 package respclient
 
 import (
@@ -14,10 +13,10 @@
 	"time"
 )
 
-// maxValueBytes is the longest value that is read.
+// maxValueBytes is the maximum length of a value.
 const maxValueBytes = 1 << 16
 
-// The prefixes of answers, and the answer without a value.
+// Prefixes of answers, and the null answer.
 const (
 	valuePrefix  = "$"
 	noValue      = "$-1"
@@ -34,14 +33,14 @@
 // Answer is one answer of an ingress.
 type Answer struct {
 	Kind       string        // Served, Rejected or Failed
-	Value      string        // of Served; of Failed: the line of the error
-	RetryAfter time.Duration // of Rejected: when to retry; 0: not given
+	Value      string        // Served: the value; Failed: the error line
+	RetryAfter time.Duration // Rejected: the delay before a retry, or 0 if none was given
 }
 
-// ErrClosed means that the connection was closed before a byte of the answer.
-var ErrClosed = errors.New("the connection has ended")
+// ErrClosed means that the connection was closed before the first byte of an answer.
+var ErrClosed = errors.New("connection closed before an answer")
 
-// EncodeCommand returns the bytes of a command with its arguments.
+// EncodeCommand returns the RESP encoding of a command, given its name and arguments.
 func EncodeCommand(arguments ...string) string {
 	var command strings.Builder
 	fmt.Fprintf(&command, "*%d\r\n", len(arguments))
@@ -51,8 +50,8 @@
 	return command.String()
 }
 
-// ReadAnswer reads one answer. The error is ErrClosed if the connection was closed or broke before it, and a
-// net.Error if it did not arrive before the connection's deadline.
+// ReadAnswer reads one answer. The error is ErrClosed if the connection was closed or failed before the answer began,
+// and a net.Error if the answer did not arrive before the connection's deadline.
 func ReadAnswer(in *bufio.Reader) (Answer, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -68,18 +67,18 @@
 		return readValue(in, line[len(valuePrefix):])
 	}
 	if retryAfter, rejected := strings.CutPrefix(line, rejectPrefix); rejected {
-		// An answer without a number leaves the time at 0.
+		// An answer without a number has no retry delay: Atoi returns 0.
 		milliseconds, _ := strconv.Atoi(strings.TrimSpace(retryAfter))
 		return Answer{Kind: Rejected, RetryAfter: time.Duration(milliseconds) * time.Millisecond}, nil
 	}
 	return Answer{Kind: Failed, Value: line}, nil
 }
 
-// readValue reads the value of a length that was read before.
+// readValue reads a value whose length line was read before.
 func readValue(in *bufio.Reader, lengthText string) (Answer, error) {
 	length, err := strconv.Atoi(lengthText)
 	if err != nil || length < 0 || length > maxValueBytes {
-		return Answer{}, fmt.Errorf("an answer of length %q", lengthText)
+		return Answer{}, fmt.Errorf("answer has an invalid length %q", lengthText)
 	}
 	value := make([]byte, length+len("\r\n"))
 	if _, err := io.ReadFull(in, value); err != nil {
