--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,9 @@
-// Package golden holds bytes that leave the process to the bytes of earlier versions: stored files, messages between
-// instances, answers to operators. A test fills a value of each such type, encodes it and compares the result with a
-// file under testdata. A changed file means that another version of the program would read or write something else.
+// Package golden provides tests that compare encoded data with golden files, to detect changes of formats that other
+// versions of the program read: stored files, messages between instances, and answers to operators. A test fills a
+// value of such a type, encodes it, and compares the result with a file under testdata. A difference means that this
+// version would read or write something else than earlier ones.
 //
-// The package is for tests alone.
+// The package is only for tests.
 package golden
 
 import (
@@ -16,13 +17,13 @@
 	"time"
 )
 
-// updateVariable names the environment variable that makes Compare write the files instead of comparing them.
+// updateVariable is the environment variable that makes Compare write the golden files instead of comparing with them.
 const updateVariable = "UPDATE_GOLDEN"
 
-// maxDepth bounds how deep Fill follows pointers, slices and maps of a recursive type.
+// maxDepth is the maximum depth to which Fill follows a recursive type.
 const maxDepth = 12
 
-// Compare fails the test unless got is byte for byte the content of testdata/name.golden.
+// Compare fails the test unless got equals the content of testdata/name.golden.
 func Compare(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -44,7 +45,7 @@
 	}
 }
 
-// Read returns the content of testdata/name.golden, for a test that decodes what an earlier version wrote.
+// Read returns the content of testdata/name.golden, for tests that decode the data of an earlier version.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name+".golden"))
@@ -54,6 +55,7 @@
 	return content
 }
 
+// printable returns text unchanged, and other data in hexadecimal.
 func printable(b []byte) string {
 	for _, c := range b {
 		if c >= 0x80 || c < ' ' && c != '\n' && c != '\t' && c != '\r' {
@@ -63,13 +65,14 @@
 	return string(b)
 }
 
-// Fill sets every exported field below the pointer v to a value that is not zero and that depends on the order of the
-// declarations alone, so that a renamed field keeps its value. Slices, maps and pointers get one element.
+// Fill recursively sets every exported field of the value that v points to. Values are not zero and depend only on the
+// order of the declarations, so that renaming a field does not change its value. Slices and maps get one element.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n, 0)
 }
 
+// fill sets v. n counts the values so far, depth is the depth of the recursion.
 func fill(v reflect.Value, n *int, depth int) {
 	if depth > maxDepth {
 		return
@@ -83,7 +86,7 @@
 	case reflect.Int8:
 		v.SetInt(1)
 	case reflect.Uint8:
-		v.SetUint(1) // an enumeration
+		v.SetUint(1) // usually an enumeration, for which larger values may be invalid
 	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		v.SetUint(uint64(*n))
 	case reflect.Float32, reflect.Float64:
@@ -108,10 +111,11 @@
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		fillStruct(v, n, depth)
-	default: // no other kind is stored or sent
+	default: // other kinds are not encoded
 	}
 }
 
+// fillStruct sets the exported fields of a struct, or a time.Time as a whole.
 func fillStruct(v reflect.Value, n *int, depth int) {
 	if v.Type() == reflect.TypeFor[time.Time]() {
 		v.Set(reflect.ValueOf(time.Unix(int64(*n), 0).UTC()))
@@ -124,13 +128,15 @@
 	}
 }
 
-// RequireTags fails the test if an exported field that an encoder would reach from v has no explicit name for the codec
-// ("json", "cbor" or "toml"): without one, renaming the Go field changes the bytes. Embedded structs need none.
+// RequireTags fails the test if any exported field that an encoder reaches from v has no explicit name in the tag of
+// the codec ("json", "cbor" or "toml"). Without a tag, renaming the Go field would change the encoding. Embedded
+// structs need no tag.
 func RequireTags(t *testing.T, codec string, v any) {
 	t.Helper()
 	requireTags(t, codec, reflect.TypeOf(v), map[reflect.Type]bool{})
 }
 
+// requireTags checks typ and the types that it refers to, except those in seen.
 func requireTags(t *testing.T, codec string, typ reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	switch typ.Kind() {
@@ -157,5 +163,5 @@
 	}
 }
 
-// Updating reports whether Compare writes files, for a test whose bytes differ from run to run.
+// Updating reports whether Compare writes the golden files, for tests whose output differs from run to run.
 func Updating() bool { return os.Getenv(updateVariable) != "" }
