--- a/internal/testlog/testlog.go
+++ b/internal/testlog/testlog.go
@@ -1,5 +1,5 @@
-// Package testlog holds what processes and loggers write while a test reads it.
-// It is for tests alone.
+// Package testlog provides a buffer for the output of processes and loggers that a test reads while they write to it.
+// The package is only for tests.
 package testlog
 
 import (
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// Buffer collects what is written to it. Its methods are safe for many goroutines; the zero value is empty.
+// Buffer collects the data that is written to it. It is safe for concurrent use. The zero value is an empty buffer.
 type Buffer struct {
 	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
 }
 
-// Write appends p and never fails.
+// Write implements io.Writer. It never fails.
 func (b *Buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(p)
 }
 
-// String returns what has been written so far.
+// String returns the data written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
