--- a/internal/lab/cost/config.go
+++ b/internal/lab/cost/config.go
@@ -141,7 +141,7 @@
 	case c.SecondLate < 0 || c.SecondLate > maxBackendDelay:
 		return fmt.Errorf("second-answers: %v is out of range, up to %v", c.SecondLate, maxBackendDelay)
 	case !(c.SecondShare >= 0 && c.SecondShare <= 1):
-		return fmt.Errorf("second-share: %v is out of range, 0 to 1", c.SecondShare)
+		return fmt.Errorf("second-share: %v is no share, 0 to 1", c.SecondShare)
 	}
 	return nil
 }
