--- a/internal/standin/redis/accept.go
+++ b/internal/standin/redis/accept.go
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// transactionState is the phase of a connection's transaction.
+// transactionState is the state of a connection's transaction.
 type transactionState uint8
 
 const (
 	noTransaction      transactionState = iota
 	queueing                            // after MULTI: commands are queued
-	abortedTransaction                  // after MULTI and a command that is wrong: EXEC discards the queue
+	abortedTransaction                  // after MULTI and an invalid command: EXEC discards the queue
 )
 
-// client is one connection. Its own goroutine uses it, apart from messages, which group.mu guards, and what writeMu
-// guards.
+// client is one connection. Only the goroutine that serves it uses its fields, except messages, which group.mu guards,
+// and writes to nc, which writeMu serializes.
 type client struct {
 	server *Server
 	nc     net.Conn
 	id     int64
-	proto  int // version of the protocol, 2 or 3
+	proto  int // RESP version, 2 or 3
 	db     int
-	name   string // by CLIENT SETNAME or HELLO
+	name   string // set by CLIENT SETNAME or HELLO
 	authed bool
-	asking bool   // the command before was ASKING
-	out    []byte // replies that are not written yet
-	// swapped is a reply that a fault sends after the next one.
-	swapped []byte
+	asking bool   // the previous command was ASKING
+	out    []byte // replies not yet written
+	// swappedReply is a reply that the fault swap sends after the next reply.
+	swappedReply []byte
 
 	transactionState transactionState
-	queue            [][]string        // commands until EXEC
-	watched          map[string]*entry // the values of watched keys when WATCH ran
+	queue            [][]string        // commands queued since MULTI
+	watched          map[string]*entry // values of the watched keys at the time of WATCH
 
-	// messages receives the messages of the channels to which the client has subscribed; nil: none.
+	// messages carries the messages of the channels that the client has subscribed to; nil if it has no subscription.
 	messages chan []byte
-	// unsentMessages is messages until a goroutine sends them.
+	// unsentMessages equals messages from the first SUBSCRIBE until the goroutine that sends them starts, then nil.
 	unsentMessages <-chan []byte
 	writeMu        sync.Mutex // held while replies or a message are written
 }
 
-// accept serves the connections of a listener until it is closed.
+// accept accepts and serves connections until the listener is closed.
 func (s *Server) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -52,7 +52,7 @@
 			return
 		}
 		s.group.mu.Lock()
-		if s.down || s.ctx.Err() != nil || s.acceptFilter != nil && !s.acceptFilter(nc) {
+		if s.stopped || s.ctx.Err() != nil || s.acceptFilter != nil && !s.acceptFilter(nc) {
 			s.group.mu.Unlock()
 			reset(nc)
 			continue
@@ -70,8 +70,9 @@
 	}
 }
 
-// rejectConn tells the client why it is rejected, and waits a moment for the client to read it: a close with commands
-// unread would reset the connection and lose the reason. Errors do not matter, as the connection ends anyway.
+// rejectConn sends the max-clients error and drains the connection briefly before closing it: closing with unread
+// input would reset the connection and could discard the error. Errors are ignored because the connection is closed
+// anyway.
 func rejectConn(nc net.Conn) {
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(lingerTimeout))
@@ -82,7 +83,7 @@
 	_, _ = io.CopyN(io.Discard, nc, maxInlineLength)
 }
 
-// serve reads commands and replies to them in order until the connection ends.
+// serve reads commands and replies to them in order until the connection is closed.
 func (c *client) serve() {
 	defer func() {
 		c.nc.Close()
@@ -99,9 +100,9 @@
 			c.nc.SetReadDeadline(time.Now().Add(d))
 		}
 		args, err := readCommand(in)
-		var bad protoError
-		if errors.As(err, &bad) {
-			c.out = failure("ERR "+bad.Error()).append(c.out, c.proto)
+		var protocolErr protoError
+		if errors.As(err, &protocolErr) {
+			c.out = errorReply("ERR "+protocolErr.Error()).append(c.out, c.proto)
 			c.flush()
 			return
 		}
@@ -120,6 +121,8 @@
 	}
 }
 
+// flush writes the buffered replies and starts sending subscription messages if that is pending. It reports whether
+// the write succeeded.
 func (c *client) flush() bool {
 	if len(c.out) == 0 {
 		return true
@@ -134,7 +137,7 @@
 	return err == nil
 }
 
-// send writes replies or a message, never both at once.
+// writeOut writes replies or a subscription message. Writes are serialized so that the two never interleave.
 func (c *client) writeOut(b []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/standin/redis/clients_test.go
+++ b/internal/standin/redis/clients_test.go
@@ -21,13 +21,13 @@
 	return s
 }
 
-// do is a client that no one here wrote, as far as the suite needs it: a command in, Go values out.
-type do func(ctx context.Context, args ...string) (any, error)
+// doFunc runs a command on a third-party client and returns the reply as a Go value.
+type doFunc func(ctx context.Context, args ...string) (any, error)
 
-// clients opens both clients in both versions of the protocol.
-func clients(t *testing.T, addr, user, password string) map[string]do {
+// clients connects go-redis and rueidis, each with RESP2 and with RESP3.
+func clients(t *testing.T, addr, user, password string) map[string]doFunc {
 	t.Helper()
-	out := map[string]do{}
+	out := map[string]doFunc{}
 	for _, proto := range []int{2, 3} {
 		c := goredis.NewClient(&goredis.Options{
 			Addr: addr, Username: user, Password: password, Protocol: proto, MaxRetries: -1,
@@ -65,15 +65,15 @@
 	return out
 }
 
-// step is a command or script, and the reply that a client shows. A want that begins with ! is the begin of an error;
-// an empty one takes any reply.
+// step is a command or script and the expected reply. If want begins with !, the rest is the prefix of the expected
+// error message; an empty want accepts any reply.
 type step struct{ input, want string }
 
-// check compares what a client returned with what the step wants.
+// check compares a client's result with the expected reply.
 func (s step) check(t *testing.T, v any, err error) {
 	t.Helper()
 	got := fmt.Sprint(v)
-	if err != nil { // rueidis leaves out the word ERR
+	if err != nil { // rueidis strips the ERR prefix
 		got = "!" + strings.TrimPrefix(err.Error(), "ERR ")
 	}
 	if s.want == "" || got == s.want || strings.HasPrefix(s.want, "!") && strings.HasPrefix(got, s.want) {
@@ -141,7 +141,7 @@
 	{"COMMAND COUNT", ""},
 }
 
-// Two clients that no one here wrote get what the public documentation of each command says, in both versions.
+// Third-party clients receive the replies that the public documentation of each command describes, in RESP2 and RESP3.
 func TestCommands(t *testing.T) {
 	s := startServer(t, Options{Password: "pw"})
 	for name, c := range clients(t, s.Addr(), "", "pw") {
@@ -157,7 +157,7 @@
 	}
 }
 
-// scriptSteps run with the key k and the arguments a and b.
+// scriptSteps are run with the key k and the arguments a and b.
 var scriptSteps = []step{
 	{"return 3.99", "3"},
 	{"return 'x'", "x"},
@@ -188,7 +188,7 @@
 	{"return string.format('%.0f',2^53)", "9007199254740992"},
 }
 
-// Scripts: what goes in and what comes out, for both clients.
+// Lua scripts convert arguments and results as documented, with both clients.
 func TestScripts(t *testing.T) {
 	s := startServer(t, Options{})
 	for name, c := range clients(t, s.Addr(), "", "") {
@@ -205,8 +205,8 @@
 	}
 }
 
-// checkScriptCache checks that a loaded script runs by its name until the scripts are flushed.
-func checkScriptCache(t *testing.T, c do) {
+// checkScriptCache checks that a loaded script can be run by its SHA-1 until SCRIPT FLUSH.
+func checkScriptCache(t *testing.T, c doFunc) {
 	t.Helper()
 	ctx := t.Context()
 	id, err := c(ctx, "SCRIPT", "LOAD", "return ARGV[1]")
@@ -223,7 +223,7 @@
 	checkError(t, "EVALSHA after a flush", err, "NOSCRIPT")
 }
 
-// checkError checks that an error begins with a prefix.
+// checkError checks that an error message has a prefix.
 func checkError(t *testing.T, what string, err error, prefix string) {
 	t.Helper()
 	if err == nil || !strings.HasPrefix(err.Error(), prefix) {
@@ -231,7 +231,7 @@
 	}
 }
 
-// checkSet checks that a client's SET fails with an error that has a text in it, or succeeds if that is empty.
+// checkSet checks that SET fails with an error that contains text, or succeeds if text is empty.
 func checkSet(t *testing.T, what string, c *goredis.Client, text string) {
 	t.Helper()
 	err := c.Set(t.Context(), "k", "v", 0).Err()
@@ -263,7 +263,8 @@
 	}
 }
 
-// Pipelines and transactions of go-redis.
+// Pipelines and transactions work with go-redis: a failing command doesn't affect the others, an unknown command aborts
+// the transaction, and so does a change to a watched key.
 func TestTransactions(t *testing.T) {
 	s := startServer(t, Options{})
 	ctx := t.Context()
@@ -280,7 +281,7 @@
 	}
 	cmds, err = c.TxPipelined(ctx, func(p goredis.Pipeliner) error {
 		p.Incr(ctx, "n")
-		p.HGet(ctx, "n", "f") // fails when it runs; the others stand
+		p.HGet(ctx, "n", "f") // fails when executed; the other commands take effect
 		p.Incr(ctx, "n")
 		return nil
 	})
@@ -296,10 +297,10 @@
 		checkError(t, "a transaction with an unknown command", err, "ERR unknown command")
 	}
 	if n, _ := c.Get(ctx, "n").Int(); n != 102 {
-		t.Fatalf("n is %d after a transaction that was discarded", n)
+		t.Fatalf("n after a discarded transaction: got %d, want 102", n)
 	}
 	err = c.Watch(ctx, func(tx *goredis.Tx) error {
-		c.Incr(ctx, "n") // another connection
+		c.Incr(ctx, "n") // on another connection
 		_, err := tx.TxPipelined(ctx, func(p goredis.Pipeliner) error { return p.Set(ctx, "n", 0, 0).Err() })
 		return err
 	}, "n")
--- a/internal/standin/redis/cluster.go
+++ b/internal/standin/redis/cluster.go
@@ -9,18 +9,18 @@
 	"sync"
 )
 
-// slotCount is the number of slots of a cluster.
+// slotCount is the number of hash slots of a cluster.
 const slotCount = 16384
 
-// Cluster is a set of shards, each of which owns a part of the slots.
+// Cluster is a set of shards that share the hash slots.
 type Cluster struct {
 	mu        sync.Mutex // guards owner and migrating
 	shards    []*Server
 	owner     [slotCount]*Server
-	migrating map[int]*Server // the target of a slot that moves: its owner answers ASK for keys that it lacks
+	migrating map[int]*Server // target shards of slots in migration; owners answer ASK for missing keys
 }
 
-// StartCluster starts so many shards, each with an even part of the slots.
+// StartCluster starts a cluster of the given number of shards and distributes the slots evenly.
 func StartCluster(opt Options, shards int) (*Cluster, error) {
 	c := &Cluster{migrating: map[int]*Server{}}
 	for range shards {
@@ -38,17 +38,17 @@
 	return c, nil
 }
 
-// Close ends all shards.
+// Close closes all shards.
 func (c *Cluster) Close() {
 	for _, s := range c.shards {
 		s.Close()
 	}
 }
 
-// Shards are the servers, in the order of their slots.
+// Shards returns the shards, in the order of their initial slots.
 func (c *Cluster) Shards() []*Server { return slices.Clone(c.shards) }
 
-// Assign gives a slot to a shard at once; keys stay where they are.
+// Assign makes a shard the owner of a slot immediately and ends any migration of the slot. Keys are not moved.
 func (c *Cluster) Assign(slot int, to *Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,14 +56,15 @@
 	delete(c.migrating, slot)
 }
 
-// Migrate begins to move a slot: for keys that its owner lacks it answers ASK.
+// Migrate starts the migration of a slot: from now on its owner answers ASK for keys that it doesn't have.
 func (c *Cluster) Migrate(slot int, to *Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.migrating[slot] = to
 }
 
-// Slot is the cluster's hash of a key: CRC16 of the part in the first braces, if any, else of all of it.
+// Slot returns the hash slot of a key: the CRC16 of its hash tag (the text in the first braces), or of the complete key
+// if it has no hash tag.
 func Slot(key string) int {
 	if i := strings.IndexByte(key, '{'); i >= 0 {
 		if j := strings.IndexByte(key[i+1:], '}'); j > 0 {
@@ -84,7 +85,7 @@
 	return int(crc) % slotCount
 }
 
-// keysOf lists the keys of a command.
+// keysOf returns the keys among a command's arguments.
 func keysOf(name string, cmd command, args []string) []string {
 	if name == "EVAL" || name == "EVALSHA" {
 		if len(args) < 3 {
@@ -107,8 +108,8 @@
 	return keys
 }
 
-// check returns the reply to a command that a shard may not run, or nothing.
-func (c *Cluster) check(s *Server, x *call, name string, cmd command, args []string) value {
+// validate returns the error reply for a command whose keys the shard does not serve, or the zero value if it may run.
+func (c *Cluster) validate(s *Server, x *call, name string, cmd command, args []string) value {
 	keys := keysOf(name, cmd, args)
 	if len(keys) == 0 || x.inScript {
 		return value{}
@@ -116,28 +117,28 @@
 	slot := Slot(keys[0])
 	for _, k := range keys[1:] {
 		if Slot(k) != slot {
-			return failure("CROSSSLOT Keys in request don't hash to the same slot")
+			return errorReply("CROSSSLOT Keys in request don't hash to the same slot")
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	owner, next := c.owner[slot], c.migrating[slot]
+	owner, target := c.owner[slot], c.migrating[slot]
 	switch {
 	case owner == nil:
-		return failure("CLUSTERDOWN Hash slot not served")
-	case owner == s && next != nil && next != s && x.get(keys[0]) == nil:
-		return failure(fmt.Sprintf("ASK %d %s", slot, next.addr))
-	case owner != s && (next != s || x.client == nil || !x.client.asking):
-		return failure(fmt.Sprintf("MOVED %d %s", slot, owner.addr))
+		return errorReply("CLUSTERDOWN Hash slot not served")
+	case owner == s && target != nil && target != s && x.get(keys[0]) == nil:
+		return errorReply(fmt.Sprintf("ASK %d %s", slot, target.addr))
+	case owner != s && (target != s || x.client == nil || !x.client.asking):
+		return errorReply(fmt.Sprintf("MOVED %d %s", slot, owner.addr))
 	}
 	return value{}
 }
 
-// cmdCluster is CLUSTER KEYSLOT, MYID, INFO, SLOTS and SHARDS.
+// cmdCluster implements CLUSTER KEYSLOT, MYID, INFO, SLOTS and SHARDS.
 func cmdCluster(x *call, a []string) value {
 	c := x.server.cluster
 	if c == nil {
-		return errorf("This instance has cluster support disabled")
+		return errorReplyf("This instance has cluster support disabled")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,10 +177,10 @@
 		}
 		return out
 	}
-	return errorf("unknown subcommand '%s'", a[1])
+	return errorReplyf("unknown subcommand '%s'", a[1])
 }
 
-// ranges reports each range of slots with one owner. The mutex is held.
+// ranges calls report for each range of consecutive slots with the same owner. The caller must hold c.mu.
 func (c *Cluster) ranges(report func(from, to int, s *Server)) {
 	for from := 0; from < slotCount; {
 		to := from
--- a/internal/standin/redis/connection.go
+++ b/internal/standin/redis/connection.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// addConnection adds the commands that concern the connection and the server.
-func addConnection(t map[string]command) {
+// addConnectionCommands adds the connection and server commands to the table.
+func addConnectionCommands(t map[string]command) {
 	add := func(name string, arity int, run func(*call, []string) value) {
 		t[name] = command{arity: arity, noScript: true, run: run}
 	}
@@ -20,24 +20,24 @@
 		case len(a) > 1:
 			return bulk(a[1])
 		}
-		return status("PONG")
+		return statusReply("PONG")
 	})
 	add("ECHO", 2, func(_ *call, a []string) value { return bulk(a[1]) })
 	add("QUIT", -1, func(*call, []string) value { return okReply })
 	add("RESET", 1, func(x *call, _ []string) value {
 		x.client.endTransaction()
 		x.client.name, x.client.proto, x.db, x.client.authed = "", 2, 0, x.server.options.Password == ""
-		return status("RESET")
+		return statusReply("RESET")
 	})
 	add("SELECT", 2, func(x *call, a []string) value {
 		n, err := strconv.Atoi(a[1])
 		switch {
 		case err != nil:
-			return failure(notInteger)
+			return errorReply(notIntegerMessage)
 		case n < 0 || n >= maxDatabases:
-			return errorf("DB index is out of range")
+			return errorReplyf("DB index is out of range")
 		case x.server.cluster != nil && n > 0:
-			return errorf("SELECT is not allowed in cluster mode")
+			return errorReplyf("SELECT is not allowed in cluster mode")
 		}
 		x.db = n
 		return okReply
@@ -49,7 +49,7 @@
 		case 3:
 			return x.auth(a[1], a[2])
 		}
-		return failure("ERR syntax error")
+		return errorReply("ERR syntax error")
 	})
 	add("HELLO", -1, cmdHello)
 	add("CLIENT", -2, cmdClient)
@@ -61,10 +61,10 @@
 		if strings.EqualFold(a[1], "GET") {
 			return mapping()
 		}
-		return errorf("unknown subcommand or wrong number of arguments for '%s'", a[1])
+		return errorReplyf("unknown subcommand or wrong number of arguments for '%s'", a[1])
 	})
 	add("INFO", -1, cmdInfo)
-	for _, name := range []string{"MULTI", "EXEC", "DISCARD", "WATCH", "UNWATCH"} { // transaction answers them
+	for _, name := range []string{"MULTI", "EXEC", "DISCARD", "WATCH", "UNWATCH"} { // run by client.handleTransaction
 		arity := 1
 		if name == "WATCH" {
 			arity = -2
@@ -73,30 +73,30 @@
 	}
 }
 
-// auth logs the client in.
+// auth authenticates the client.
 func (x *call) auth(user, password string) value {
 	want := x.server.options
 	switch {
 	case want.Password == "":
-		return errorf("AUTH <password> called without any password configured for the default user. " +
+		return errorReplyf("AUTH <password> called without any password configured for the default user. " +
 			"Are you sure your configuration is correct?")
 	case password != want.Password || user != want.User:
-		return failure("WRONGPASS invalid username-password pair or user is disabled.")
+		return errorReply("WRONGPASS invalid username-password pair or user is disabled.")
 	}
 	x.client.authed = true
 	return okReply
 }
 
-// cmdHello is HELLO [version [AUTH user password] [SETNAME name]].
+// cmdHello implements HELLO [version [AUTH user password] [SETNAME name]].
 func cmdHello(x *call, a []string) value {
 	proto := x.client.proto
 	if len(a) > 1 {
 		n, err := strconv.Atoi(a[1])
 		switch {
 		case err != nil:
-			return errorf("Protocol version is not an integer or out of range")
+			return errorReplyf("Protocol version is not an integer or out of range")
 		case n != 2 && n != 3:
-			return failure("NOPROTO unsupported protocol version")
+			return errorReply("NOPROTO unsupported protocol version")
 		}
 		proto = n
 	}
@@ -112,11 +112,11 @@
 			i++
 			name = a[i]
 		default:
-			return errorf("Syntax error in HELLO option '%s'", a[i])
+			return errorReplyf("Syntax error in HELLO option '%s'", a[i])
 		}
 	}
 	if !x.client.authed {
-		return failure("NOAUTH HELLO must be called with the client already authenticated, otherwise the " +
+		return errorReply("NOAUTH HELLO must be called with the client already authenticated, otherwise the " +
 			"HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP " +
 			"protocol version at the same time")
 	}
@@ -133,25 +133,25 @@
 		bulk("role"), bulk(x.server.roleName()), bulk("modules"), array())
 }
 
-// cmdClient is CLIENT, as far as clients use it when they connect.
+// cmdClient implements the CLIENT subcommands that client libraries send when they connect.
 func cmdClient(x *call, a []string) value {
 	switch sub := strings.ToUpper(a[1]); {
 	case sub == "ID" && len(a) == 2:
 		return integer(x.client.id)
 	case sub == "GETNAME" && len(a) == 2:
 		if x.client.name == "" {
-			return null
+			return nullReply
 		}
 		return bulk(x.client.name)
 	case sub == "SETNAME" && len(a) == 3:
 		if strings.ContainsAny(a[2], " \n\r") {
-			return errorf("Client names cannot contain spaces, newlines or special characters.")
+			return errorReplyf("Client names cannot contain spaces, newlines or special characters.")
 		}
 		x.client.name = a[2]
 		return okReply
 	case sub == "SETINFO" && len(a) == 4:
 		if opt := strings.ToUpper(a[2]); opt != "LIB-NAME" && opt != "LIB-VER" {
-			return errorf("Unrecognized option '%s'", a[2])
+			return errorReplyf("Unrecognized option '%s'", a[2])
 		}
 		return okReply
 	case sub == "INFO" || sub == "LIST":
@@ -161,10 +161,10 @@
 	case sub == "NO-EVICT" || sub == "NO-TOUCH":
 		return okReply
 	}
-	return errorf("unknown subcommand or wrong number of arguments for '%s'. Try CLIENT HELP.", a[1])
+	return errorReplyf("unknown subcommand or wrong number of arguments for '%s'. Try CLIENT HELP.", a[1])
 }
 
-// cmdCommand is COMMAND, COMMAND COUNT and COMMAND DOCS.
+// cmdCommand implements COMMAND, COMMAND COUNT and COMMAND DOCS.
 func cmdCommand(x *call, a []string) value {
 	switch {
 	case len(a) == 1:
@@ -174,7 +174,8 @@
 			if c.write {
 				flag = "write"
 			}
-			out.list = append(out.list, array(bulk(strings.ToLower(name)), integer(int64(c.arity)), array(status(flag)),
+			out.list = append(out.list, array(bulk(strings.ToLower(name)), integer(int64(c.arity)),
+				array(statusReply(flag)),
 				integer(int64(c.keys[0])), integer(int64(c.keys[1])), integer(int64(c.keys[2]))))
 		}
 		return out
@@ -183,17 +184,17 @@
 	case strings.EqualFold(a[1], "DOCS"):
 		return mapping()
 	}
-	return errorf("unknown subcommand '%s'", a[1])
+	return errorReplyf("unknown subcommand '%s'", a[1])
 }
 
-// cmdInfo is INFO with all of its sections.
+// cmdInfo implements INFO. It returns all supported sections, whatever the arguments.
 func cmdInfo(x *call, _ []string) value {
 	s := x.server
 	var b strings.Builder
 	port := s.addr[strings.LastIndexByte(s.addr, ':')+1:]
 	fmt.Fprintf(&b, "# Server\r\nredis_version:%s\r\ntcp_port:%s\r\n", serverVersion, port)
 	fmt.Fprintf(&b, "# Clients\r\nconnected_clients:%d\r\nmaxclients:%d\r\n", len(s.clients), s.options.MaxClients)
-	fmt.Fprintf(&b, "# Persistence\r\nloading:%d\r\n", map[bool]int{true: 1}[time.Now().Before(s.loading)])
+	fmt.Fprintf(&b, "# Persistence\r\nloading:%d\r\n", map[bool]int{true: 1}[time.Now().Before(s.loadingUntil)])
 	fmt.Fprintf(&b, "# Replication\r\nrole:%s\r\n", s.roleName())
 	if s.master != nil {
 		host, port, _ := net.SplitHostPort(s.master.addr)
--- a/internal/standin/redis/control.go
+++ b/internal/standin/redis/control.go
@@ -12,40 +12,41 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// Do carries out one line: a command of the control port, or a fault rule for commands of clients.
+// Do executes one line of the control port: one of the commands below, or a fault rule (see fault.Parse) for client
+// commands.
 //
-//	stop DURATION         end all connections and refuse new ones
-//	restart [DURATION]    the same, and forget all keys and scripts
-//	silent DURATION       accept and never answer
-//	load DURATION         answer LOADING
+//	stop DURATION         reset all connections and refuse new ones
+//	restart [DURATION]    like stop, and delete all keys and scripts
+//	silent DURATION       accept connections and commands, but send no replies
+//	load DURATION         answer commands with LOADING
 //	full DURATION         answer writes with OOM
 //	readonly DURATION     answer writes with READONLY
-//	maxclients N          hold so many connections
-//	flush                 forget all keys
-//	forget-scripts        forget all scripts
-//	kick                  end all connections
-//	lag DURATION          of the replicas
-//	failover [split]      make the first replica the primary; split: the old one goes on taking writes
+//	maxclients N          set the connection limit
+//	flush                 delete all keys
+//	forget-scripts        empty the script cache
+//	kick                  reset all connections
+//	lag DURATION          set the replication lag
+//	failover [split]      promote the first replica; with split, the old primary continues to accept writes
 func (s *Server) Do(line string) error {
 	args := strings.Fields(line)
 	if len(args) == 0 {
-		return fmt.Errorf("fault %q: nothing to do", line)
+		return fmt.Errorf("fault %q: empty command", line)
 	}
 	switch args[0] {
 	case "stop", "silent", "full", "readonly", "load", "lag":
-		return s.doFor(line, args)
+		return s.doTimed(line, args)
 	case "restart":
 		if len(args) > 1 {
-			return s.doFor(line, args)
+			return s.doTimed(line, args)
 		}
 		s.Restart(0)
 	case "maxclients":
 		n := 0
 		if len(args) == 2 {
-			n, _ = strconv.Atoi(args[1]) // 0 if it can't be read, which is rejected
+			n, _ = strconv.Atoi(args[1]) // n is 0 on an error, which is rejected below
 		}
 		if n < 1 {
-			return fmt.Errorf("fault %q: maxclients wants a number", line)
+			return fmt.Errorf("fault %q: maxclients requires a positive number", line)
 		}
 		s.MaxClients(n)
 	case "flush":
@@ -62,27 +63,27 @@
 	return nil
 }
 
-// doFor carries out a line with a duration.
-func (s *Server) doFor(line string, args []string) error {
+// doTimed executes a command that takes a duration.
+func (s *Server) doTimed(line string, args []string) error {
 	if len(args) != 2 {
-		return fmt.Errorf("fault %q: %s wants a duration", line, args[0])
+		return fmt.Errorf("fault %q: %s requires a duration", line, args[0])
 	}
 	duration, err := time.ParseDuration(args[1])
 	if err != nil || duration < 0 {
-		return fmt.Errorf("fault %q: %q is no duration", line, args[1])
+		return fmt.Errorf("fault %q: invalid duration %q", line, args[1])
 	}
 	switch args[0] {
 	case "stop":
 		s.Stop()
-		s.after(duration, func() { _ = s.Listen() }) // clients see that no connection comes up
+		s.after(duration, func() { _ = s.Listen() }) // on an error, clients see refused connections
 	case "restart":
 		s.Restart(duration)
 	case "silent":
-		s.setFor(duration, s.Silent)
+		s.enableFor(duration, s.Silent)
 	case "full":
-		s.setFor(duration, s.Full)
+		s.enableFor(duration, s.Full)
 	case "readonly":
-		s.setFor(duration, s.ReadOnly)
+		s.enableFor(duration, s.ReadOnly)
 	case "load":
 		s.Load(duration)
 	case "lag":
@@ -91,13 +92,13 @@
 	return nil
 }
 
-// setFor turns a switch on for a while.
-func (s *Server) setFor(duration time.Duration, set func(bool)) {
+// enableFor turns a state on, and off again after the duration.
+func (s *Server) enableFor(duration time.Duration, set func(bool)) {
 	set(true)
 	s.after(duration, func() { set(false) })
 }
 
-// after calls do after a while, unless the server is closed before.
+// after calls do after the duration, unless the server is closed before.
 func (s *Server) after(duration time.Duration, do func()) {
 	s.wg.Go(func() {
 		if s.sleep(duration) {
@@ -106,7 +107,7 @@
 	})
 }
 
-// doFailover makes the first replica the primary.
+// doFailover promotes the first replica. With split, clients stay connected to the old primary.
 func (s *Server) doFailover(line string, split bool) error {
 	s.group.mu.Lock()
 	var replica *Server
@@ -127,28 +128,28 @@
 	return nil
 }
 
-// doFault puts the rule of a line in force.
+// doFault parses and adds a fault rule.
 func (s *Server) doFault(line, kind string) error {
 	rule, err := fault.Parse(line)
 	if err != nil {
 		return err
 	}
 	if !supportedKinds[rule.Kind] {
-		return fmt.Errorf("fault %q: unknown word %q", line, kind)
+		return fmt.Errorf("fault %q: unsupported fault kind %q", line, kind)
 	}
 	s.Fault(rule)
 	return nil
 }
 
-// supportedKinds holds the kinds of fault that can hit a command.
+// supportedKinds is the set of fault kinds that this stand-in implements.
 var supportedKinds = map[fault.Kind]bool{
 	fault.Delay: true, fault.Hold: true, fault.Stall: true, fault.Ignore: true, fault.Swallow: true, fault.Late: true,
 	fault.DropBefore: true, fault.DropAfter: true, fault.Repeat: true, fault.Swap: true, fault.Cut: true,
 	fault.Fail: true,
 }
 
-// Control serves the fault script and the record over HTTP: POST a line to /fault, DELETE /fault ends all rules, GET
-// /records has what came as JSON.
+// Control returns the HTTP handler of the control port. POST /fault executes a line (see Do), DELETE /fault removes
+// all fault rules, and GET /records returns the recorded commands as JSON.
 func (s *Server) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +169,7 @@
 	})
 	mux.HandleFunc("GET /records", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.Records()) // fails only if the client has gone
+		_ = json.NewEncoder(w).Encode(s.Records()) // fails only if the client has disconnected
 	})
 	return mux
 }
--- a/internal/standin/redis/control_test.go
+++ b/internal/standin/redis/control_test.go
@@ -11,7 +11,7 @@
 	goredis "github.com/redis/go-redis/v9"
 )
 
-// sendRequest returns the status and the body of the answer to a request.
+// sendRequest sends an HTTP request and returns the status and the body of the response.
 func sendRequest(t *testing.T, method, url, body string) (status int, answer string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -30,7 +30,7 @@
 	return resp.StatusCode, string(b)
 }
 
-// startWithReplica starts a primary with a replica.
+// startWithReplica starts a primary with one replica and returns the primary.
 func startWithReplica(t *testing.T) *Server {
 	t.Helper()
 	s := startServer(t, Options{})
@@ -45,7 +45,7 @@
 	return s
 }
 
-// The control port does what its lines say, and says what is wrong with a line.
+// The control port executes valid lines and answers invalid ones with an error that quotes the line.
 func TestControl(t *testing.T) {
 	s := startWithReplica(t)
 	web := httptest.NewServer(s.Control())
@@ -98,7 +98,7 @@
 	for end := time.Now().Add(10 * time.Second); s.Clients() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	fails("READONLY") // it is a replica now
+	fails("READONLY") // the old primary is a replica now
 	if _, text := send("GET", "/records", ""); !strings.Contains(text, `"Fault":"fail"`) {
 		t.Fatal(text)
 	}
--- a/internal/standin/redis/execute.go
+++ b/internal/standin/redis/execute.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// allowedWhileLoading lists the commands that are answered in every state.
+// allowedWhileLoading lists the commands that are not answered with LOADING.
 var allowedWhileLoading = []string{
 	"HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "COMMAND", "QUIT", "RESET", "SELECT", "CONFIG",
 }
 
-// check returns the reply to a command that may not run, or nothing.
-func (s *Server) check(x *call, name string, args []string) value {
+// validate returns the error reply for a command that must be rejected, or the zero value if it may run.
+func (s *Server) validate(x *call, name string, args []string) value {
 	cmd, known := s.commands[name]
 	switch {
 	case !known:
@@ -22,69 +22,70 @@
 		for _, a := range args[1:] {
 			fmt.Fprintf(&list, "'%.128s' ", a)
 		}
-		return errorf("unknown command '%.128s', with args beginning with: %s", args[0], list.String())
+		return errorReplyf("unknown command '%.128s', with args beginning with: %s", args[0], list.String())
 	case cmd.arity > 0 && len(args) != cmd.arity || len(args) < -cmd.arity:
-		return errorf("wrong number of arguments for '%s' command", strings.ToLower(name))
+		return errorReplyf("wrong number of arguments for '%s' command", strings.ToLower(name))
 	case x.inScript && cmd.noScript:
-		return errorf("This Redis command is not allowed from script")
+		return errorReplyf("This Redis command is not allowed from script")
 	case x.replicated:
 		return value{}
 	case x.client != nil && !x.client.authed && name != "AUTH" && name != "HELLO" && name != "QUIT" && name != "RESET":
-		return failure("NOAUTH Authentication required.")
+		return errorReply("NOAUTH Authentication required.")
 	case s.sentinel && !isSentinelCommand(name):
-		return errorf("unknown command '%.128s', with args beginning with: ", args[0])
-	case time.Now().Before(s.loading) && !slices.Contains(allowedWhileLoading, name):
-		return failure("LOADING Redis is loading the dataset in memory")
-	case cmd.write && s.full:
-		return failure("OOM command not allowed when used memory > 'maxmemory'.")
-	case cmd.write && (s.isReplica() || s.readonly):
-		return failure("READONLY You can't write against a read only replica.")
+		return errorReplyf("unknown command '%.128s', with args beginning with: ", args[0])
+	case time.Now().Before(s.loadingUntil) && !slices.Contains(allowedWhileLoading, name):
+		return errorReply("LOADING Redis is loading the dataset in memory")
+	case cmd.write && s.outOfMemory:
+		return errorReply("OOM command not allowed when used memory > 'maxmemory'.")
+	case cmd.write && (s.isReplica() || s.readOnly):
+		return errorReply("READONLY You can't write against a read only replica.")
 	}
 	if s.cluster != nil {
-		return s.cluster.check(s, x, name, cmd, args)
+		return s.cluster.validate(s, x, name, cmd, args)
 	}
 	return value{}
 }
 
-// execute runs a command; the group is locked.
+// execute checks and runs a command. The caller must hold group.mu.
 func (s *Server) execute(x *call, args []string) value {
 	name := strings.ToUpper(args[0])
-	if v := s.check(x, name, args); v.kind != kindNone {
+	if v := s.validate(x, name, args); v.kind != kindNone {
 		return v
 	}
 	return s.commands[name].run(x, args)
 }
 
-// call is one execution of a command: by a client, a script, a transaction or the replication.
+// call is the context of one command execution, on behalf of a client, a script, a transaction or replication.
 type call struct {
 	server     *Server
-	client     *client // nil: not run by a client
+	client     *client // nil if not run for a client
 	db         int
 	now        time.Time
 	inScript   bool
-	replicated bool // an effect of the primary: nothing is checked or propagated
+	replicated bool // an effect received from the primary: runs without state checks and isn't propagated
 }
 
-// propagate logs an effect for the replicas, in a form that does not depend on when they apply it.
+// propagate appends an effect to the replication log. The command must have the same result whenever a replica applies
+// it, so expiry times are absolute.
 func (x *call) propagate(args ...string) {
 	if !x.replicated {
 		x.server.propagate(x.db, x.now, args)
 	}
 }
 
-// unixMilli returns a time as PXAT takes it.
+// unixMilli formats a time in milliseconds, as PXAT and PEXPIREAT expect it.
 func unixMilli(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
 
-// command is an entry of the table of commands.
+// command is an entry of the command table.
 type command struct {
-	arity    int // as in the reply of COMMAND, with the name; negative: at least so many
+	arity    int // number of arguments including the command name; negative: the minimum number
 	write    bool
 	noScript bool
-	keys     [3]int // first, last, step; first 0: none
+	keys     [3]int // positions of the keys: first, last, step; first is 0 if there are none
 	run      func(*call, []string) value
 }
 
-// newCommandTable returns all commands, by their upper-case names. It is not changed afterwards.
+// newCommandTable returns all commands by upper-case name. The table is read-only afterwards.
 func newCommandTable() map[string]command {
 	one := [3]int{1, 1, 1}
 	all := [3]int{1, -1, 1}
@@ -126,13 +127,14 @@
 		"KEYS":         {2, false, false, [3]int{}, cmdKeys},
 		"TIME":         {1, false, false, [3]int{}, cmdTime},
 	}
-	addConnection(t)
-	addScripts(t)
-	addTopology(t)
+	addConnectionCommands(t)
+	addScriptCommands(t)
+	addTopologyCommands(t)
 	return t
 }
 
-func addTopology(t map[string]command) {
+// addTopologyCommands adds the replication, Pub/Sub, Sentinel and cluster commands to the table.
+func addTopologyCommands(t map[string]command) {
 	add := func(name string, arity int, run func(*call, []string) value) {
 		t[name] = command{arity: arity, noScript: true, run: run}
 	}
--- a/internal/standin/redis/expiry.go
+++ b/internal/standin/redis/expiry.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// expire: [P]EXPIRE[AT] key n [NX | XX | GT | LT].
+// cmdExpire returns the implementation of EXPIRE, PEXPIRE, EXPIREAT or PEXPIREAT key n [NX | XX | GT | LT].
 func cmdExpire(unit time.Duration, absolute bool) func(*call, []string) value {
 	return func(x *call, a []string) value {
 		n, err := strconv.ParseInt(a[2], 10, 64)
 		if err != nil {
-			return failure(notInteger)
+			return errorReply(notIntegerMessage)
 		}
 		if n > math.MaxInt64/int64(unit)/2 || n < -math.MaxInt64/int64(unit)/2 {
-			return errorf(invalidExpire, strings.ToLower(a[0]))
+			return errorReplyf(invalidExpireFormat, strings.ToLower(a[0]))
 		}
 		when := x.now.Add(time.Duration(n) * unit)
 		if absolute {
@@ -28,7 +28,7 @@
 		for _, option := range a[3:] {
 			allowed, known := allowsExpiry(option, e.expires, when)
 			if !known {
-				return errorf("Unsupported option %s", option)
+				return errorReplyf("Unsupported option %s", option)
 			}
 			if !allowed {
 				return integer(0)
@@ -45,8 +45,8 @@
 	}
 }
 
-// allowsExpiry reports whether an option of EXPIRE allows an expiry to change, and whether there is such an option. A
-// zero current expiry is none.
+// allowsExpiry reports whether an option of EXPIRE allows the expiry to change from current to next, and whether the
+// option is known. A zero current means that the key has no expiry.
 func allowsExpiry(option string, current, next time.Time) (allowed, known bool) {
 	switch strings.ToUpper(option) {
 	case "NX":
--- a/internal/standin/redis/faults.go
+++ b/internal/standin/redis/faults.go
@@ -7,27 +7,27 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// execution is one command of a client under the fault that hits it.
-type execution struct {
+// faultedCommand is one client command and the record of it, which the fault that hits the command affects.
+type faultedCommand struct {
 	client *client
 	name   string // in upper case
 	args   []string
 	record Record
 }
 
-// connState is what becomes of a connection after a command.
+// connState is the state of a connection after a command.
 type connState uint8
 
 const (
-	connOpen   connState = iota // it goes on
-	connEnds                    // it ends by the fault
-	serverDown                  // the server was closed meanwhile, and the command leaves no record
+	connOpen     connState = iota // the connection stays open
+	connClosing                   // the fault closes the connection
+	serverClosed                  // the server was closed during the command, which is not recorded
 )
 
-// handle runs one command by the fault script. It reports whether the connection goes on.
+// handle runs one command, applying the fault that hits it, if any. It reports whether the connection stays open.
 func (c *client) handle(args []string) bool {
 	s := c.server
-	if !c.awaitNotSilent() {
+	if !c.waitWhileSilent() {
 		return false
 	}
 	name := strings.ToUpper(args[0])
@@ -36,21 +36,21 @@
 	if hit {
 		record.Fault = rule.Kind
 	}
-	e := &execution{client: c, name: name, args: args, record: record}
+	e := &faultedCommand{client: c, name: name, args: args, record: record}
 	if rule.Kind == fault.Late {
 		e.runLate(rule.By)
 		return true
 	}
-	state := e.carryOut(rule, left)
-	if state == serverDown {
+	state := e.applyFault(rule, left)
+	if state == serverClosed {
 		return false
 	}
 	s.addRecord(e.record)
 	return state == connOpen && name != "QUIT"
 }
 
-// awaitNotSilent waits while the server is silent. It reports false when the server is closed.
-func (c *client) awaitNotSilent() bool {
+// waitWhileSilent blocks while the server is silent. It reports false if the server is closed meanwhile.
+func (c *client) waitWhileSilent() bool {
 	s := c.server
 	for {
 		s.group.mu.Lock()
@@ -65,82 +65,83 @@
 	}
 }
 
-// carryOut runs the command as the fault lets it, and appends what is sent of the reply.
-func (e *execution) carryOut(rule fault.Rule, left time.Duration) connState {
+// applyFault runs the command, unless the fault prevents it, and buffers the part of the reply that the fault lets
+// through.
+func (e *faultedCommand) applyFault(rule fault.Rule, left time.Duration) connState {
 	c := e.client
 	switch rule.Kind {
 	case fault.Ignore:
 		return connOpen
 	case fault.Fail:
-		e.reply(failure(rule.Text).append(nil, c.proto))
+		e.reply(errorReply(rule.Text).append(nil, c.proto))
 		return connOpen
 	case fault.DropBefore:
 		c.flush()
 		reset(c.nc)
-		return connEnds
+		return connClosing
 	case fault.Delay:
 		if !c.flushAndSleep(rule.By) {
-			return serverDown
+			return serverClosed
 		}
 	case fault.Stall:
 		if !c.flushAndSleep(left) {
-			return serverDown
+			return serverClosed
 		}
 	case fault.Hold:
-		c.flush() // the replies before this command do not wait for it
-	default: // the other kinds act on the reply
+		c.flush() // earlier replies are not delayed
+	default: // the other kinds affect the reply only
 	}
 	return e.deliver(rule, e.run())
 }
 
-// deliver appends what is sent of the reply to a command that has run.
-func (e *execution) deliver(rule fault.Rule, reply []byte) connState {
+// deliver buffers the reply to a command that has run, as modified by the fault.
+func (e *faultedCommand) deliver(rule fault.Rule, reply []byte) connState {
 	c := e.client
 	switch rule.Kind {
 	case fault.Hold:
 		if !c.server.sleep(rule.By) {
-			return serverDown
+			return serverClosed
 		}
 		e.reply(reply)
 	case fault.Swallow:
 	case fault.DropAfter:
 		c.flush()
-		c.nc.Close() // without a reset, so that the replies before arrive
-		return connEnds
+		c.nc.Close() // no reset, so that earlier replies arrive
+		return connClosing
 	case fault.Repeat:
 		e.reply(reply)
 		c.out = append(c.out, reply...)
 	case fault.Swap:
 		e.record.Reply = string(reply)
-		c.swapped = reply
+		c.swappedReply = reply
 	case fault.Cut:
 		e.reply(reply[:len(reply)/2])
 		c.flush()
-		return connEnds
-	default: // the other kinds have acted before the command ran
+		return connClosing
+	default: // the other kinds took effect before the command ran
 		e.reply(reply)
 	}
 	return connOpen
 }
 
-// run runs the command and returns its reply.
-func (e *execution) run() []byte {
+// run runs the command and returns its encoded reply.
+func (e *faultedCommand) run() []byte {
 	reply := e.client.run(e.name, e.args)
 	e.record.Applied = true
 	return reply.append(nil, e.client.proto)
 }
 
-// reply appends a reply to the client's output, and after it one that was to come later.
-func (e *execution) reply(reply []byte) {
+// reply buffers a reply, followed by the earlier reply that a swap fault has held back, if any.
+func (e *faultedCommand) reply(reply []byte) {
 	c := e.client
 	e.record.Reply = string(reply)
 	c.out = append(c.out, reply...)
-	c.out = append(c.out, c.swapped...)
-	c.swapped = nil
+	c.out = append(c.out, c.swappedReply...)
+	c.swappedReply = nil
 }
 
-// runLate runs and records the command after a delay, without a reply. The connection may have ended by then.
-func (e *execution) runLate(delay time.Duration) {
+// runLate runs and records the command after a delay, without sending a reply. The connection may be closed by then.
+func (e *faultedCommand) runLate(delay time.Duration) {
 	c, s := e.client, e.client.server
 	late := client{server: s, nc: c.nc, id: c.id, proto: c.proto, db: c.db, name: c.name, authed: c.authed}
 	s.wg.Go(func() {
@@ -152,13 +153,13 @@
 	})
 }
 
-// flushAndSleep writes the replies so far and waits. It reports false when the server is closed.
+// flushAndSleep writes the buffered replies and waits for d. It reports false if the server is closed before.
 func (c *client) flushAndSleep(d time.Duration) bool {
 	c.flush()
 	return c.server.sleep(d)
 }
 
-// addRecord keeps the record of a command.
+// addRecord stores a record, up to maxRecords.
 func (s *Server) addRecord(record Record) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
--- a/internal/standin/redis/faults_test.go
+++ b/internal/standin/redis/faults_test.go
@@ -11,11 +11,10 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// faultCase says what a fault does to a command: whether the client sees an error, and whether the command is
-// applied.
+// faultCase is the expected effect of a fault: whether the client sees an error, and whether the command is applied.
 type faultCase struct{ fails, applied bool }
 
-// Each fault does what it says to a client that no one here wrote.
+// Each fault kind has its documented effect on a third-party client.
 func TestFaults(t *testing.T) {
 	for kind, c := range map[fault.Kind]faultCase{
 		fault.Delay:      {false, true},
@@ -33,7 +32,7 @@
 	}
 }
 
-// checkFault checks what a fault does to one INCR.
+// checkFault checks the effect of a fault on one INCR.
 func checkFault(t *testing.T, kind fault.Kind, c faultCase) {
 	t.Helper()
 	s := startServer(t, Options{})
@@ -53,7 +52,7 @@
 	}
 }
 
-// awaitFaultRecord returns the last record with a fault, or a zero one if there is none for long.
+// awaitFaultRecord waits up to 10 seconds for a record with a fault and returns the last one, or the zero Record.
 func awaitFaultRecord(s *Server) (found Record) {
 	for end := time.Now().Add(10 * time.Second); found.Fault == "" && time.Now().Before(end); {
 		for _, rec := range s.Records() {
@@ -65,7 +64,8 @@
 	return found
 }
 
-// States of the whole server, as go-redis sees them.
+// The server's states (out of memory, read-only, loading, connection limit, idle timeout, restart) have their
+// documented effect on go-redis.
 func TestStates(t *testing.T) {
 	ctx := t.Context()
 	s := startServer(t, Options{Idle: 300 * time.Millisecond})
@@ -94,7 +94,7 @@
 	}
 	for end := time.Now().Add(10 * time.Second); s.Clients() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("an idle connection is not closed")
+			t.Fatal("idle connection was not closed")
 		}
 	}
 	s.Restart(0)
--- a/internal/standin/redis/hash.go
+++ b/internal/standin/redis/hash.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// hash returns the hash at key, a new one if create is set; ok is false if it holds something else.
+// hash returns the hash stored at key. If the key doesn't exist, it creates an empty hash if create is set, or returns
+// nil. If ok is false, the key holds a value of another type.
 func (x *call) hash(key string, create bool) (h map[string]string, ok bool) {
 	e := x.get(key)
 	if e == nil && create {
@@ -21,11 +22,11 @@
 
 func cmdHSet(x *call, a []string) value {
 	if len(a)%2 != 0 {
-		return errorf("wrong number of arguments for '%s' command", strings.ToLower(a[0]))
+		return errorReplyf("wrong number of arguments for '%s' command", strings.ToLower(a[0]))
 	}
 	h, ok := x.hash(a[1], true)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	n := int64(0)
 	for i := 2; i < len(a); i += 2 {
@@ -41,25 +42,25 @@
 func cmdHGet(x *call, a []string) value {
 	h, ok := x.hash(a[1], false)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	if s, found := h[a[2]]; found {
 		return bulk(s)
 	}
-	return null
+	return nullReply
 }
 
 func cmdHMGet(x *call, a []string) value {
 	h, ok := x.hash(a[1], false)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	out := array()
 	for _, f := range a[2:] {
 		if s, found := h[f]; found {
 			out.list = append(out.list, bulk(s))
 		} else {
-			out.list = append(out.list, null)
+			out.list = append(out.list, nullReply)
 		}
 	}
 	return out
@@ -68,7 +69,7 @@
 func cmdHGetAll(x *call, a []string) value {
 	h, ok := x.hash(a[1], false)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	fields := make([]string, 0, len(h))
 	for f := range h {
@@ -85,7 +86,7 @@
 func cmdHDel(x *call, a []string) value {
 	h, ok := x.hash(a[1], false)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	n := int64(0)
 	for _, f := range a[2:] {
@@ -106,7 +107,7 @@
 func cmdHLen(x *call, a []string) value {
 	h, ok := x.hash(a[1], false)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	return integer(int64(len(h)))
 }
@@ -114,20 +115,20 @@
 func cmdHIncrBy(x *call, a []string) value {
 	by, err := strconv.ParseInt(a[3], 10, 64)
 	if err != nil {
-		return failure(notInteger)
+		return errorReply(notIntegerMessage)
 	}
 	h, ok := x.hash(a[1], true)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	var n int64
 	if s, found := h[a[2]]; found {
 		if n, err = strconv.ParseInt(s, 10, 64); err != nil {
-			return failure("ERR hash value is not an integer")
+			return errorReply("ERR hash value is not an integer")
 		}
 	}
 	if n, ok = addChecked(n, by); !ok && by != 0 {
-		return failure("ERR increment or decrement would overflow")
+		return errorReply("ERR increment or decrement would overflow")
 	}
 	h[a[2]] = strconv.FormatInt(n, 10)
 	x.propagate(a...)
@@ -137,12 +138,12 @@
 func cmdHIncrByFloat(x *call, a []string) value {
 	h, ok := x.hash(a[1], true)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	s, found := h[a[2]]
-	text, fail := addFloat(s, found, a[3])
-	if fail.kind != kindNone {
-		return fail
+	text, errReply := addFloat(s, found, a[3])
+	if errReply.kind != kindNone {
+		return errReply
 	}
 	h[a[2]] = text
 	x.propagate("HSET", a[1], a[2], text)
--- a/internal/standin/redis/inline.go
+++ b/internal/standin/redis/inline.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// errUnbalancedQuotes is the error of a quote without its end, or with an argument right after it.
+// errUnbalancedQuotes is the error for an unterminated quoted string, or one not followed by a blank.
 const errUnbalancedQuotes = protoError("unbalanced quotes in request")
 
-// splitInline splits a line as a shell would: arguments, 'single' and "double" quotes with escapes.
+// splitInline splits an inline command into arguments like a shell, with 'single' and "double" quotes and backslash
+// escapes.
 func splitInline(line string) ([]string, error) {
 	p := inlineParser{line: line}
 	var args []string
@@ -27,10 +28,10 @@
 	}
 }
 
-// inlineParser reads arguments from a line.
+// inlineParser parses the arguments of an inline command.
 type inlineParser struct {
 	line string
-	pos  int // of the next byte
+	pos  int // index of the next byte
 }
 
 func (p *inlineParser) atEnd() bool { return p.pos >= len(p.line) }
@@ -39,7 +40,7 @@
 	return !p.atEnd() && (p.line[p.pos] == ' ' || p.line[p.pos] == '\t')
 }
 
-// argument reads one argument, up to a blank or the end.
+// argument reads one argument, up to a blank or the end of the line.
 func (p *inlineParser) argument() (string, error) {
 	var arg []byte
 	for !p.atEnd() && !p.atBlank() {
@@ -58,7 +59,7 @@
 	return string(arg), nil
 }
 
-// quoted appends the text up to the closing quote. It reports false if there is none.
+// quoted appends the text up to the closing quote to arg. It reports false if there is no closing quote.
 func (p *inlineParser) quoted(arg []byte, quote byte) ([]byte, bool) {
 	for !p.atEnd() {
 		c := p.line[p.pos]
@@ -75,7 +76,7 @@
 	return nil, false
 }
 
-// escaped appends what the bytes after a backslash stand for.
+// escaped decodes the escape sequence after a backslash and appends the result to arg.
 func (p *inlineParser) escaped(arg []byte, quote byte) []byte {
 	c := p.line[p.pos]
 	p.pos++
--- a/internal/standin/redis/keys.go
+++ b/internal/standin/redis/keys.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// entry is a key's value: a string, or a hash where hash is not nil.
+// entry is the value of a key: a hash if the field hash is not nil, otherwise a string.
 type entry struct {
 	str     string
 	hash    map[string]string
 	expires time.Time // zero: never
 }
 
-// database is the keys of one number.
+// database holds the entries of one database by key.
 type database map[string]*entry
 
-const wrongType = "WRONGTYPE Operation against a key holding the wrong kind of value"
+const wrongTypeMessage = "WRONGTYPE Operation against a key holding the wrong kind of value"
 
-// get returns a key that has not expired, or nil.
+// get returns the entry of a key, or nil if the key doesn't exist or has expired. It deletes an expired key, except on
+// a replica that serves a client.
 func (x *call) get(key string) *entry {
 	db := x.server.dbs[x.db]
 	e := db[key]
@@ -64,11 +65,11 @@
 func cmdType(x *call, a []string) value {
 	switch e := x.get(a[1]); {
 	case e == nil:
-		return status("none")
+		return statusReply("none")
 	case e.hash != nil:
-		return status("hash")
+		return statusReply("hash")
 	}
-	return status("string")
+	return statusReply("string")
 }
 
 func cmdDBSize(x *call, _ []string) value {
@@ -93,7 +94,7 @@
 	return okReply
 }
 
-// cmdKeys knows one pattern only: a prefix and a star.
+// cmdKeys implements KEYS, but only for an exact key or a pattern of the form prefix*.
 func cmdKeys(x *call, a []string) value {
 	prefix, star := strings.CutSuffix(a[1], "*")
 	var keys []string
--- a/internal/standin/redis/lifecycle.go
+++ b/internal/standin/redis/lifecycle.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Close ends the server and all of its goroutines.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.stop()
 	s.group.mu.Lock()
-	s.down = true
+	s.stopped = true
 	if s.ln != nil {
 		s.ln.Close()
 	}
@@ -26,54 +26,55 @@
 	}
 }
 
+// dropClients resets all connections. The caller must hold group.mu.
 func (s *Server) dropClients() {
 	for c := range s.clients {
 		reset(c.nc)
 	}
 }
 
-// reset ends a connection as a killed process would.
+// reset closes a connection with a TCP reset, as when a process is killed with unread input.
 func reset(nc net.Conn) {
 	if tcp, ok := nc.(interface{ SetLinger(int) error }); ok {
-		_ = tcp.SetLinger(0) // fails only if the connection has ended
+		_ = tcp.SetLinger(0) // fails only if the connection is already closed
 	}
 	nc.Close()
 }
 
-// Restart ends all connections and starts again with nothing: no keys, no scripts. It takes connections after pause.
+// Restart resets all connections and deletes all keys and scripts. The server accepts connections again after pause.
 func (s *Server) Restart(pause time.Duration) {
 	s.Stop()
 	s.group.mu.Lock()
 	clear(s.dbs)
 	s.scripts.flush()
-	s.group.log, s.group.offset = nil, s.group.offset+len(s.group.log)
+	s.group.log, s.group.logOffset = nil, s.group.logOffset+len(s.group.log)
 	for _, o := range s.group.servers {
-		o.applied = s.group.offset
+		o.appliedOffset = s.group.logOffset
 	}
 	s.group.mu.Unlock()
 	if pause <= 0 {
-		_ = s.Listen() // clients see that no connection comes up
+		_ = s.Listen() // on an error, clients see refused connections
 		return
 	}
 	s.after(pause, func() { _ = s.Listen() })
 }
 
-// Stop ends all connections and refuses new ones until Listen. The keys stay.
+// Stop resets all connections and refuses new ones until Listen is called. Keys are retained.
 func (s *Server) Stop() {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	s.down = true
+	s.stopped = true
 	if s.ln != nil {
 		s.ln.Close()
 	}
 	s.dropClients()
 }
 
-// Listen takes connections again after Stop, at the same address.
+// Listen accepts connections again after Stop, at the same address.
 func (s *Server) Listen() error {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if !s.down || s.ctx.Err() != nil {
+	if !s.stopped || s.ctx.Err() != nil {
 		return nil
 	}
 	ln, err := listenAgain(s.ctx, s.addr)
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// listenAgain waits for the port, which the old listener may hold for a moment more.
+// listenAgain listens on addr, retrying while the port is still in use by the closed listener.
 func listenAgain(ctx context.Context, addr string) (ln net.Listener, err error) {
 	for range 100 {
 		if ln, err = net.Listen("tcp", addr); err == nil || ctx.Err() != nil {
@@ -95,15 +96,16 @@
 	return nil, fmt.Errorf("listening again: %w", err)
 }
 
+// serveOn starts to accept connections from a listener. The caller must hold group.mu.
 func (s *Server) serveOn(ln net.Listener) {
 	if s.options.Wrap != nil {
 		ln = s.options.Wrap(ln)
 	}
-	s.ln, s.down = ln, false
+	s.ln, s.stopped = ln, false
 	s.wg.Go(func() { s.accept(ln) })
 }
 
-// sleep waits, and reports false where the server ended first.
+// sleep waits for d. It reports false if the server is closed before.
 func (s *Server) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/standin/redis/proto.go
+++ b/internal/standin/redis/proto.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Limits on what a client may send. The real ones are far larger; nothing here needs them.
+// Limits on what a client may send. Redis itself allows far more, which no test needs.
 const (
 	maxInlineLength  = 64 << 10
 	maxArgs          = 64 << 10
@@ -17,13 +17,13 @@
 	maxCommandLength = 16 << 20
 )
 
-// protoError is the reply -ERR Protocol error and ends the connection.
+// protoError is a protocol error. It is sent to the client as -ERR Protocol error, and the connection is closed.
 type protoError string
 
 func (e protoError) Error() string { return "Protocol error: " + string(e) }
 
-// readCommand reads one command: an array of bulk strings, or an inline one. An empty result is an empty command,
-// which has no reply.
+// readCommand reads one command, either an array of bulk strings or an inline command. The result is empty for an empty
+// command, which gets no reply.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	head, err := readLine(in)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return args, nil
 }
 
-// readBulk reads one bulk string, of which the command may have so many bytes left.
+// readBulk reads one bulk string of at most left bytes, the rest of the command's length limit.
 func readBulk(in *bufio.Reader, left int) (string, error) {
 	line, err := readLine(in)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return string(b[:length]), nil
 }
 
-// readLine reads to the end of a line, which is not in the result.
+// readLine reads a line and returns it without its line ending.
 func readLine(in *bufio.Reader) (string, error) {
 	var b []byte
 	for {
--- a/internal/standin/redis/proto_test.go
+++ b/internal/standin/redis/proto_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// What goes in as raw bytes, and what comes out.
+// Raw requests, valid and malformed, get exactly the expected reply bytes.
 func TestRaw(t *testing.T) {
 	s := startServer(t, Options{})
 	for in, want := range map[string]string{
@@ -59,8 +59,7 @@
 	}
 }
 
-// Whatever comes, the parser ends, and what it takes for a command can be sent again as an array of the same
-// arguments.
+// The parser terminates on any input, and a parsed command survives a round trip through the array encoding.
 func FuzzReadCommand(f *testing.F) {
 	for _, s := range []string{
 		"PING\r\n", "*2\r\n$3\r\nGET\r\n$1\r\nk\r\n", "*-1\r\n", "*1\r\n$99999999999\r\n", "\"a\\x4", "'\r\n",
--- a/internal/standin/redis/reply.go
+++ b/internal/standin/redis/reply.go
@@ -21,8 +21,8 @@
 	kindMap       kind = '%' // list holds keys and values in turn
 	kindDouble    kind = ','
 	kindPush      kind = '>'
-	kindEach      kind = 'e' // each of list is a reply of its own
-	kindNone      kind = 0   // no reply at all
+	kindSequence  kind = 'e' // list holds several replies, written one after another
+	kindNone      kind = 0   // no reply
 )
 
 // value is a reply.
@@ -35,13 +35,13 @@
 }
 
 var (
-	okReply = value{kind: kindStatus, str: "OK"}
-	null    = value{kind: kindNull}
+	okReply   = value{kind: kindStatus, str: "OK"}
+	nullReply = value{kind: kindNull}
 )
 
-func status(s string) value { return value{kind: kindStatus, str: s} }
+func statusReply(s string) value { return value{kind: kindStatus, str: s} }
 
-func failure(s string) value { return value{kind: kindError, str: s} }
+func errorReply(s string) value { return value{kind: kindError, str: s} }
 
 func integer(n int64) value { return value{kind: kindInteger, n: n} }
 
@@ -51,9 +51,11 @@
 
 func mapping(list ...value) value { return value{kind: kindMap, list: list} }
 
-func errorf(format string, args ...any) value { return failure(fmt.Sprintf("ERR "+format, args...)) }
+func errorReplyf(format string, args ...any) value {
+	return errorReply(fmt.Sprintf("ERR "+format, args...))
+}
 
-// append writes a reply in the connection's version of the protocol.
+// append appends the encoded reply to b, in RESP version proto.
 func (v value) append(b []byte, proto int) []byte {
 	head := func(c byte, n int) { b = append(strconv.AppendInt(append(b, c), int64(n), 10), '\r', '\n') }
 	switch v.kind {
@@ -82,7 +84,7 @@
 		} else {
 			b = bulk(text).append(b, proto)
 		}
-	case kindEach:
+	case kindSequence:
 		for _, e := range v.list {
 			b = e.append(b, proto)
 		}
@@ -102,7 +104,7 @@
 	return b
 }
 
-// formatFloat writes a number as INCRBYFLOAT does: no exponent, no trailing zeros.
+// formatFloat formats a number as INCRBYFLOAT does, without an exponent or trailing zeros.
 func formatFloat(f float64) string {
 	if math.IsInf(f, 1) {
 		return "inf"
--- a/internal/standin/redis/script.go
+++ b/internal/standin/redis/script.go
@@ -16,74 +16,74 @@
 )
 
 const (
-	scriptTimeout = 5 * time.Second // the real limit after which others are answered BUSY; here the script ends
+	scriptTimeout = 5 * time.Second // Redis starts to answer BUSY after this time; the stand-in aborts the script
 	maxScripts    = 1000
-	maxLuaDepth   = 16
+	maxReplyDepth = 16
 )
 
-// scripts is a server's cache of compiled scripts and the interpreter that runs them, one at a time.
+// scripts holds a server's compiled Lua scripts, by SHA-1, and the interpreter that runs them one at a time.
 type scripts struct {
 	compiled    map[string]*lua.FunctionProto
 	interpreter *lua.LState
-	current     *call // the one that runs
+	current     *call // context of the running script
 }
 
-// sha1Hex returns the name of a script by its text.
+// sha1Hex returns the SHA-1 digest of a text in hex, which identifies a script.
 func sha1Hex(text string) string {
 	sum := sha1.Sum([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// addScripts adds the commands that load and run scripts.
-func addScripts(t map[string]command) {
+// addScriptCommands adds the commands that load and run scripts to the table.
+func addScriptCommands(t map[string]command) {
 	t["EVAL"] = command{-3, false, true, [3]int{}, cmdEval}
 	t["EVALSHA"] = command{-3, false, true, [3]int{}, cmdEvalSHA}
 	t["SCRIPT"] = command{-2, false, true, [3]int{}, cmdScript}
 }
 
-// cmdEval is EVAL script numkeys key... arg...
+// cmdEval implements EVAL script numkeys key... arg...
 func cmdEval(x *call, a []string) value {
-	n, bad := keyCount(a)
-	if bad.kind != kindNone {
-		return bad
+	n, errReply := keyCount(a)
+	if errReply.kind != kindNone {
+		return errReply
 	}
 	id, err := x.server.scripts.load(a[1])
 	if err != nil {
-		return errorf("Error compiling script: %v", err)
+		return errorReplyf("Error compiling script: %v", err)
 	}
 	return x.server.scripts.run(x, id, a[3:3+n], a[3+n:])
 }
 
-// cmdEvalSHA is EVALSHA sha1 numkeys key... arg...
+// cmdEvalSHA implements EVALSHA sha1 numkeys key... arg...
 func cmdEvalSHA(x *call, a []string) value {
-	n, bad := keyCount(a)
-	if bad.kind != kindNone {
-		return bad
+	n, errReply := keyCount(a)
+	if errReply.kind != kindNone {
+		return errReply
 	}
 	return x.server.scripts.run(x, strings.ToLower(a[1]), a[3:3+n], a[3+n:])
 }
 
-// keyCount reads the number of keys of EVAL and EVALSHA; bad is the reply if it is wrong.
-func keyCount(a []string) (n int, bad value) {
+// keyCount parses the numkeys argument of EVAL and EVALSHA. If it is invalid, errReply is the error reply.
+func keyCount(a []string) (n int, errReply value) {
 	n, err := strconv.Atoi(a[2])
 	switch {
 	case err != nil:
-		return 0, failure(notInteger)
+		return 0, errorReply(notIntegerMessage)
 	case n < 0:
-		return 0, errorf("Number of keys can't be negative")
+		return 0, errorReplyf("Number of keys can't be negative")
 	case n > len(a)-3:
-		return 0, errorf("Number of keys can't be greater than number of args")
+		return 0, errorReplyf("Number of keys can't be greater than number of args")
 	}
 	return n, value{}
 }
 
-// cmdScript is SCRIPT LOAD, EXISTS and FLUSH.
+// cmdScript implements SCRIPT LOAD, EXISTS and FLUSH.
 func cmdScript(x *call, a []string) value {
 	switch sub := strings.ToUpper(a[1]); {
 	case sub == "LOAD" && len(a) == 3:
 		id, err := x.server.scripts.load(a[2])
 		if err != nil {
-			return errorf("Error compiling script: %v", err)
+			return errorReplyf("Error compiling script: %v", err)
 		}
 		return bulk(id)
 	case sub == "EXISTS" && len(a) > 2:
@@ -100,13 +100,13 @@
 		x.server.scripts.flush()
 		return okReply
 	}
-	return errorf("unknown subcommand or wrong number of arguments for '%s'", a[1])
+	return errorReplyf("unknown subcommand or wrong number of arguments for '%s'", a[1])
 }
 
-// flush forgets all scripts.
+// flush empties the script cache.
 func (s *scripts) flush() { s.compiled = map[string]*lua.FunctionProto{} }
 
-// load compiles a script, unless it is cached, and returns its name.
+// load compiles a script, unless it is cached, and returns its SHA-1. It empties a full cache first.
 func (s *scripts) load(text string) (string, error) {
 	id := sha1Hex(text)
 	if s.compiled[id] != nil {
@@ -130,7 +130,7 @@
 	return id, nil
 }
 
-// open makes the interpreter: no files, no processes, no globals of the script's own.
+// open creates the interpreter. Scripts have no access to files or processes, and can't create global variables.
 func (s *scripts) open() {
 	s.interpreter = lua.NewState(lua.Options{SkipOpenLibs: true, RegistrySize: 1 << 12, RegistryMaxSize: 1 << 18})
 	for name, open := range map[string]lua.LGFunction{
@@ -174,6 +174,7 @@
 	s.interpreter.SetMetatable(s.interpreter.Get(lua.GlobalsIndex), meta)
 }
 
+// replyTable implements redis.error_reply and redis.status_reply: it returns a table with the argument in a field.
 func replyTable(l *lua.LState, field string) int {
 	t := l.NewTable()
 	text := l.CheckString(1)
@@ -185,11 +186,11 @@
 	return 1
 }
 
-// run runs a script; what it wrote before an error stays written.
+// run runs a script by its SHA-1. If it fails, the writes that it made before remain.
 func (s *scripts) run(x *call, id string, keys, argv []string) value {
 	proto := s.compiled[id]
 	if proto == nil {
-		return failure("NOSCRIPT No matching script. Please use EVAL.")
+		return errorReply("NOSCRIPT No matching script. Please use EVAL.")
 	}
 	if s.interpreter == nil {
 		s.open()
@@ -225,16 +226,16 @@
 				if text == "" {
 					text = "ERR unknown error"
 				}
-				return failure(text + " script: " + id + ", on @user_script.")
+				return errorReply(text + " script: " + id + ", on @user_script.")
 			}
 			text = api.Object.String()
 		}
-		return errorf("Error running script: %s", text)
+		return errorReplyf("Error running script: %s", text)
 	}
 	return fromLua(s.interpreter.Get(-1), 0)
 }
 
-// call is redis.call and redis.pcall.
+// call implements redis.call and redis.pcall. With raise set, an error reply aborts the script.
 func (s *scripts) call(l *lua.LState, raise bool) int {
 	args := make([]string, 0, l.GetTop())
 	var v value
@@ -245,11 +246,11 @@
 		case lua.LNumber:
 			args = append(args, formatNumber(float64(a)))
 		default:
-			v = failure("ERR Lua redis lib command arguments must be strings or integers")
+			v = errorReply("ERR Lua redis lib command arguments must be strings or integers")
 		}
 	}
 	if len(args) == 0 && v.kind == kindNone {
-		v = failure("ERR Please specify at least one argument for this redis.call() call")
+		v = errorReply("ERR Please specify at least one argument for this redis.call() call")
 	}
 	if v.kind == kindNone {
 		v = s.current.server.execute(s.current, args)
@@ -261,7 +262,8 @@
 	return 1
 }
 
-// formatNumber writes a number as scripts pass it to commands: integers without a point, others with 17 digits.
+// formatNumber formats a Lua number as a command argument: integers without a decimal point, other numbers with 17
+// significant digits.
 func formatNumber(f float64) string {
 	if f == math.Trunc(f) && math.Abs(f) < 1e17 {
 		return strconv.FormatInt(int64(f), 10)
@@ -269,7 +271,7 @@
 	return strconv.FormatFloat(f, 'g', 17, 64)
 }
 
-// toLua returns a reply as a script sees it.
+// toLua converts a reply to a Lua value.
 func toLua(l *lua.LState, v value) lua.LValue {
 	wrap := func(field string) lua.LValue {
 		t := l.NewTable()
@@ -293,13 +295,13 @@
 			t.RawSetInt(i+1, toLua(l, e))
 		}
 		return t
-	default: // null
+	default: // null replies are false in Lua
 		return lua.LFalse
 	}
 }
 
-// fromLua returns the result of a script as a reply: numbers lose their fraction, true is 1, false and nil are null,
-// a table ends at its first nil.
+// fromLua converts the result of a script to a reply: numbers are truncated to integers, true becomes 1, false and nil
+// become null, and a table becomes an array that ends before its first nil.
 func fromLua(v lua.LValue, depth int) value {
 	switch v := v.(type) {
 	case lua.LString:
@@ -311,14 +313,14 @@
 			return integer(1)
 		}
 	case *lua.LTable:
-		if depth > maxLuaDepth {
-			return errorf("reached lua stack limit")
+		if depth > maxReplyDepth {
+			return errorReplyf("reached lua stack limit")
 		}
 		if e, ok := v.RawGetString("err").(lua.LString); ok {
-			return failure(string(e))
+			return errorReply(string(e))
 		}
 		if o, ok := v.RawGetString("ok").(lua.LString); ok {
-			return status(string(o))
+			return statusReply(string(o))
 		}
 		out := array()
 		for i := 1; ; i++ {
@@ -329,5 +331,5 @@
 			out.list = append(out.list, fromLua(e, depth+1))
 		}
 	}
-	return null
+	return nullReply
 }
--- a/internal/standin/redis/sentinel.go
+++ b/internal/standin/redis/sentinel.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// AddSentinel starts a Sentinel, and returns the name under which it monitors the primary.
+// AddSentinel starts a Sentinel and returns it with the master name under which it monitors the primary.
 func (g *Group) AddSentinel(opt Options) (s *Server, name string, err error) {
 	if s, err = g.listen(opt); err != nil {
 		return nil, "", err
@@ -19,7 +19,7 @@
 	return s, g.name, nil
 }
 
-// isSentinelCommand reports whether a Sentinel has a command.
+// isSentinelCommand reports whether a Sentinel supports a command.
 func isSentinelCommand(name string) bool {
 	return slices.Contains([]string{
 		"SENTINEL", "PING", "HELLO", "AUTH", "CLIENT", "INFO", "ROLE", "SUBSCRIBE", "PUBLISH",
@@ -27,14 +27,14 @@
 	}, name)
 }
 
-// cmdSentinel is SENTINEL, as far as clients use it.
+// cmdSentinel implements the SENTINEL subcommands that client libraries use.
 func cmdSentinel(x *call, a []string) value {
 	g := x.server.group
 	if !x.server.sentinel {
-		return errorf("unknown command 'SENTINEL', with args beginning with: ")
+		return errorReplyf("unknown command 'SENTINEL', with args beginning with: ")
 	}
 	if len(a) < 3 {
-		return errorf("wrong number of arguments for 'sentinel' command")
+		return errorReplyf("wrong number of arguments for 'sentinel' command")
 	}
 	describe := func(o *Server, flags string) value {
 		host, port, _ := net.SplitHostPort(o.addr)
@@ -46,7 +46,7 @@
 		if sub == "GET-MASTER-ADDR-BY-NAME" {
 			return value{kind: kindNullArray}
 		}
-		return errorf("No such master with that name")
+		return errorReplyf("No such master with that name")
 	}
 	out := array()
 	switch sub {
@@ -70,5 +70,5 @@
 		}
 		return out
 	}
-	return errorf("Unknown sentinel subcommand '%s'", a[1])
+	return errorReplyf("Unknown sentinel subcommand '%s'", a[1])
 }
--- a/internal/standin/redis/server.go
+++ b/internal/standin/redis/server.go
@@ -1,7 +1,7 @@
-// Package redis is a stand-in for Redis, written from its public protocol: RESP2 and RESP3 over real sockets, keys
-// with an expiry, transactions, Lua scripts, asynchronous replication with failover, Sentinel's queries and a
-// cluster's slots. It has what is needed to test clients against it and no more, in memory, in one process. Faults
-// come from a fault script and a control port. An observer records every command with its reply and its time.
+// Package redis is a stand-in for Redis, written from the public protocol: RESP2 and RESP3 over real sockets, keys
+// with an expiry, transactions, Lua scripts, asynchronous replication with failover, Sentinel queries and cluster
+// slots. It runs in memory, in one process, and implements only what client tests need. Faults come from a fault
+// script or from the control port. The server records every command with its reply and its time.
 package redis
 
 import (
@@ -27,32 +27,32 @@
 	serverVersion     = "7.2.0"
 )
 
-// Options are what a server is started with; the zero value listens on an ephemeral loopback port.
+// Options configures a server. The zero value listens on an ephemeral loopback port.
 type Options struct {
-	Listen     string // host:port; empty: an ephemeral port of 127.0.0.1
-	User       string // with Password: who may log in; empty: "default"
-	Password   string // empty: none wanted
-	MaxClients int    // 0: 10,000
-	Idle       time.Duration
-	Seed       uint64                          // of the fault script's chances
-	Now        func() time.Time                // for the expiry of keys; nil: the system's clock
-	Wrap       func(net.Listener) net.Listener // TLS, say; nil: none
+	Listen     string                          // host:port; empty: an ephemeral port of 127.0.0.1
+	User       string                          // user name for AUTH; empty: "default"
+	Password   string                          // empty: no authentication
+	MaxClients int                             // 0: 10,000
+	Idle       time.Duration                   // idle connections are closed after this time; 0: never
+	Seed       uint64                          // seed of the fault script's probabilities
+	Now        func() time.Time                // clock for key expiry; nil: the system clock
+	Wrap       func(net.Listener) net.Listener // wraps the listener, for example in TLS; nil: not wrapped
 }
 
-// Record is one command as the server saw it.
+// Record describes one command that the server received.
 type Record struct {
 	At      time.Duration // since the server's start
 	Conn    int64
-	Caller  string // the name that the client gave its connection
+	Caller  string // connection name, from CLIENT SETNAME or HELLO
 	Args    []string
-	Applied bool   // it ran
-	Reply   string // as written; empty if there was none
+	Applied bool   // whether the command was executed
+	Reply   string // the reply as encoded; empty if there was none
 	Fault   fault.Kind
 }
 
-// Server is one process of Redis: a primary, a replica, a Sentinel or a shard of a cluster. It runs a goroutine that
-// accepts connections, one for each connection and for its messages, and one for each pause of a fault or of the
-// control port; Close ends them all and waits for them.
+// Server is one Redis server: a primary, a replica, a Sentinel or a cluster shard. It runs one goroutine to accept
+// connections, one per connection, one per subscribed connection to send its messages, and one per delayed action of
+// a fault or a control command. Close stops them all and waits for them.
 type Server struct {
 	options  Options
 	group    *Group
@@ -63,60 +63,60 @@
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
-	// group.mu guards all below.
-	ln           net.Listener
-	addr         string
-	clients      map[*client]bool
-	lastConnID   int64
-	dbs          map[int]database
-	scripts      scripts
-	master       *Server // nil: a primary
-	applied      int     // of the group's log, where this is a replica
-	loading      time.Time
-	down         bool // accepts nothing
-	silent       bool // accepts and never answers
-	readonly     bool
-	full         bool // OOM
-	acceptFilter func(net.Conn) bool
-	cluster      *Cluster
-	sentinel     bool
-	id           string
-	records      []Record
+	// group.mu guards the fields below.
+	ln            net.Listener
+	addr          string
+	clients       map[*client]bool
+	lastConnID    int64
+	dbs           map[int]database
+	scripts       scripts
+	master        *Server   // nil: a primary
+	appliedOffset int       // on a replica: offset in the group's log up to which it has applied effects
+	loadingUntil  time.Time // commands are answered with LOADING until then
+	stopped       bool      // refuses connections
+	silent        bool      // accepts connections and commands, but sends no replies
+	readOnly      bool      // answers writes with READONLY
+	outOfMemory   bool      // answers writes with OOM
+	acceptFilter  func(net.Conn) bool
+	cluster       *Cluster
+	sentinel      bool
+	id            string
+	records       []Record
 }
 
-// Start starts a primary of a group of its own. Close ends it.
+// Start starts a primary in a new group. The caller must call Close.
 func Start(opt Options) (*Server, error) {
 	g := newGroup()
 	return g.add(opt, nil)
 }
 
-// Addr returns the address where the server listens.
+// Addr returns the server's listen address.
 func (s *Server) Addr() string { return s.addr }
 
-// Since returns the time since the server's start, the clock of its records.
+// Since returns the time since the server's start. Records use the same clock.
 func (s *Server) Since() time.Duration { return time.Since(s.start) }
 
-// Faults returns the fault script. It knows commands by their names, and callers by the names of their clients.
+// Faults returns the fault script. Its rules match commands by command name, and callers by connection name.
 func (s *Server) Faults() *fault.Script { return s.faults }
 
-// Fault puts a rule in force from now on.
+// Fault adds a fault rule that applies from now on.
 func (s *Server) Fault(r fault.Rule) { s.faults.Add(s.Since(), r) }
 
-// Records returns the commands so far, in the order in which they ended.
+// Records returns the commands recorded so far, in the order in which they completed.
 func (s *Server) Records() []Record {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	return slices.Clone(s.records)
 }
 
-// Clients returns how many connections are open.
+// Clients returns the number of open connections.
 func (s *Server) Clients() int {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	return len(s.clients)
 }
 
-// HashField returns a field of a hash without a client. It reports false if there is none.
+// HashField reads a field of a hash directly, without a client. It reports false if the field doesn't exist.
 func (s *Server) HashField(db int, key, field string) (string, bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -129,7 +129,7 @@
 	return v, ok
 }
 
-// newServer returns a server that owns ln and does not serve yet.
+// newServer returns a server that owns ln but does not accept connections yet.
 func newServer(g *Group, opt Options, ln net.Listener) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	addr := ln.Addr().String()
--- a/internal/standin/redis/strings.go
+++ b/internal/standin/redis/strings.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// text returns the string at key; ok is false if it holds something else.
+// text returns the string stored at key. If ok is false, the key holds a value of another type.
 func (x *call) text(key string) (s string, found, ok bool) {
 	e := x.get(key)
 	if e == nil {
@@ -20,9 +20,9 @@
 	s, found, ok := x.text(a[1])
 	switch {
 	case !ok:
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	case !found:
-		return null
+		return nullReply
 	}
 	return bulk(s)
 }
@@ -33,7 +33,7 @@
 		if s, found, ok := x.text(k); found && ok {
 			out.list = append(out.list, bulk(s))
 		} else {
-			out.list = append(out.list, null)
+			out.list = append(out.list, nullReply)
 		}
 	}
 	return out
@@ -42,34 +42,34 @@
 func cmdStrlen(x *call, a []string) value {
 	s, _, ok := x.text(a[1])
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	return integer(int64(len(s)))
 }
 
-const invalidExpire = "invalid expire time in '%s' command"
+const invalidExpireFormat = "invalid expire time in '%s' command"
 
-// syntaxError is the reply to options that make no sense.
-var syntaxError = failure("ERR syntax error")
+// syntaxError is the error reply for invalid or conflicting options.
+var syntaxError = errorReply("ERR syntax error")
 
-// setOptions are the options of SET.
+// setOptions holds the options of SET.
 type setOptions struct {
-	onlyNew   bool // NX
-	onlyOld   bool // XX
-	get       bool // GET: reply with the value before
-	keepTTL   bool // KEEPTTL
-	hasExpiry bool // EX, PX, EXAT or PXAT
-	expires   time.Time
+	onlyIfAbsent  bool // NX
+	onlyIfPresent bool // XX
+	get           bool // GET: reply with the previous value
+	keepTTL       bool // KEEPTTL
+	hasExpiry     bool // EX, PX, EXAT or PXAT
+	expires       time.Time
 }
 
-// parseSetOptions reads the options of SET; bad is the reply if they are wrong.
-func parseSetOptions(now time.Time, args []string) (o setOptions, bad value) {
+// parseSetOptions parses the options of SET. If they are invalid, errReply is the error reply.
+func parseSetOptions(now time.Time, args []string) (o setOptions, errReply value) {
 	for i := 0; i < len(args); i++ {
 		switch option := strings.ToUpper(args[i]); option {
 		case "NX":
-			o.onlyNew = true
+			o.onlyIfAbsent = true
 		case "XX":
-			o.onlyOld = true
+			o.onlyIfPresent = true
 		case "GET":
 			o.get = true
 		case "KEEPTTL":
@@ -80,31 +80,31 @@
 			}
 			o.hasExpiry = true
 			i++
-			if o.expires, bad = parseSetExpiry(now, option, args[i]); bad.kind != kindNone {
-				return o, bad
+			if o.expires, errReply = parseSetExpiry(now, option, args[i]); errReply.kind != kindNone {
+				return o, errReply
 			}
 		default:
 			return o, syntaxError
 		}
 	}
-	if o.onlyNew && o.onlyOld || o.keepTTL && o.hasExpiry {
+	if o.onlyIfAbsent && o.onlyIfPresent || o.keepTTL && o.hasExpiry {
 		return o, syntaxError
 	}
 	return o, value{}
 }
 
-// parseSetExpiry reads the value of EX, PX, EXAT or PXAT; bad is the reply if it is wrong.
-func parseSetExpiry(now time.Time, option, text string) (expires time.Time, bad value) {
+// parseSetExpiry parses the value of EX, PX, EXAT or PXAT. If it is invalid, errReply is the error reply.
+func parseSetExpiry(now time.Time, option, text string) (expires time.Time, errReply value) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return time.Time{}, failure(notInteger)
+		return time.Time{}, errorReply(notIntegerMessage)
 	}
 	unit := time.Millisecond
 	if option[0] == 'E' {
 		unit = time.Second
 	}
 	if n <= 0 || n > math.MaxInt64/int64(unit)/2 {
-		return time.Time{}, errorf(invalidExpire, "set")
+		return time.Time{}, errorReplyf(invalidExpireFormat, "set")
 	}
 	if strings.HasSuffix(option, "AT") {
 		return time.UnixMilli(n * int64(unit/time.Millisecond)), value{}
@@ -112,21 +112,21 @@
 	return now.Add(time.Duration(n) * unit), value{}
 }
 
-// cmdSet is SET key value [NX | XX] [GET] [EX s | PX ms | EXAT s | PXAT ms | KEEPTTL].
+// cmdSet implements SET key value [NX | XX] [GET] [EX s | PX ms | EXAT s | PXAT ms | KEEPTTL].
 func cmdSet(x *call, a []string) value {
-	options, bad := parseSetOptions(x.now, a[3:])
-	if bad.kind != kindNone {
-		return bad
+	options, errReply := parseSetOptions(x.now, a[3:])
+	if errReply.kind != kindNone {
+		return errReply
 	}
 	old := x.get(a[1])
-	before := null
+	before := nullReply
 	if old != nil && options.get {
 		if old.hash != nil {
-			return failure(wrongType)
+			return errorReply(wrongTypeMessage)
 		}
 		before = bulk(old.str)
 	}
-	if options.onlyNew && old != nil || options.onlyOld && old == nil {
+	if options.onlyIfAbsent && old != nil || options.onlyIfPresent && old == nil {
 		return before
 	}
 	e := &entry{str: a[2], expires: options.expires}
@@ -141,7 +141,7 @@
 	return okReply
 }
 
-// propagateString logs a string and its expiry for the replicas.
+// propagateString propagates a string and its expiry to the replicas.
 func (x *call) propagateString(key string, e *entry) {
 	if e.expires.IsZero() {
 		x.propagate("SET", key, e.str)
@@ -150,7 +150,7 @@
 	}
 }
 
-// cmdSetEX returns SETEX or PSETEX key n value, by the option of SET that they stand for.
+// cmdSetEX returns the implementation of SETEX or PSETEX key n value: SET with the option EX or PX.
 func cmdSetEX(option string) func(*call, []string) value {
 	return func(x *call, a []string) value { return cmdSet(x, []string{"SET", a[1], a[3], option, a[2]}) }
 }
@@ -163,9 +163,9 @@
 	return integer(1)
 }
 
-const notInteger = "ERR value is not an integer or out of range"
+const notIntegerMessage = "ERR value is not an integer or out of range"
 
-// addChecked adds two integers; ok is false if the sum overflows.
+// addChecked adds two integers. ok is false if the sum overflows.
 func addChecked(a, b int64) (n int64, ok bool) {
 	n = a + b
 	return n, (n > a) == (b > 0)
@@ -174,7 +174,7 @@
 func incrBy(x *call, a []string, sign int64) value {
 	n, err := strconv.ParseInt(a[2], 10, 64)
 	if err != nil || n == math.MinInt64 {
-		return failure(notInteger)
+		return errorReply(notIntegerMessage)
 	}
 	return incr(x, a[1], sign*n)
 }
@@ -182,25 +182,25 @@
 func incr(x *call, key string, by int64) value {
 	s, found, ok := x.text(key)
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
 	var n int64
 	if found {
 		var err error
 		if n, err = strconv.ParseInt(s, 10, 64); err != nil {
-			return failure(notInteger)
+			return errorReply(notIntegerMessage)
 		}
 	}
 	if n, ok = addChecked(n, by); !ok {
-		return failure("ERR increment or decrement would overflow")
+		return errorReply("ERR increment or decrement would overflow")
 	}
-	x.setText(key, strconv.FormatInt(n, 10))
+	x.setString(key, strconv.FormatInt(n, 10))
 	x.propagate("INCRBY", key, strconv.FormatInt(by, 10))
 	return integer(n)
 }
 
-// setText changes a string and leaves its expiry as it is.
-func (x *call) setText(key, s string) {
+// setString sets a string and retains the key's expiry.
+func (x *call) setString(key, s string) {
 	if e := x.get(key); e != nil {
 		e.str = s
 		return
@@ -211,13 +211,13 @@
 func cmdIncrByFloat(x *call, a []string) value {
 	s, found, ok := x.text(a[1])
 	if !ok {
-		return failure(wrongType)
+		return errorReply(wrongTypeMessage)
 	}
-	text, fail := addFloat(s, found, a[2])
-	if fail.kind != kindNone {
-		return fail
+	text, errReply := addFloat(s, found, a[2])
+	if errReply.kind != kindNone {
+		return errReply
 	}
-	x.setText(a[1], text)
+	x.setString(a[1], text)
 	x.propagateString(a[1], x.get(a[1]))
 	return bulk(text)
 }
@@ -227,15 +227,15 @@
 	var err error
 	if found {
 		if n, err = strconv.ParseFloat(s, 64); err != nil || math.IsNaN(n) {
-			return "", failure("ERR value is not a valid float")
+			return "", errorReply("ERR value is not a valid float")
 		}
 	}
 	d, err := strconv.ParseFloat(by, 64)
 	if err != nil || math.IsNaN(d) {
-		return "", failure("ERR value is not a valid float")
+		return "", errorReply("ERR value is not a valid float")
 	}
 	if n += d; math.IsInf(n, 0) || math.IsNaN(n) {
-		return "", failure("ERR increment would produce NaN or Infinity")
+		return "", errorReply("ERR increment would produce NaN or Infinity")
 	}
 	return strconv.FormatFloat(n, 'f', -1, 64), value{}
 }
--- a/internal/standin/redis/switches.go
+++ b/internal/standin/redis/switches.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// set changes a switch of the server.
+// update changes the server's state under the group's mutex.
 func (s *Server) update(change func()) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	change()
 }
 
-// Load answers LOADING for a while.
-func (s *Server) Load(d time.Duration) { s.update(func() { s.loading = time.Now().Add(d) }) }
+// Load makes the server answer commands with LOADING for d.
+func (s *Server) Load(d time.Duration) { s.update(func() { s.loadingUntil = time.Now().Add(d) }) }
 
-// Silent makes the server accept and never answer, or ends that.
+// Silent sets whether the server accepts connections and commands without ever replying.
 func (s *Server) Silent(on bool) { s.update(func() { s.silent = on }) }
 
-// Full makes it answer writes with OOM, or ends that.
-func (s *Server) Full(on bool) { s.update(func() { s.full = on }) }
+// Full sets whether the server answers writes with OOM.
+func (s *Server) Full(on bool) { s.update(func() { s.outOfMemory = on }) }
 
-// ReadOnly makes it answer writes with READONLY, or ends that.
-func (s *Server) ReadOnly(on bool) { s.update(func() { s.readonly = on }) }
+// ReadOnly sets whether the server answers writes with READONLY.
+func (s *Server) ReadOnly(on bool) { s.update(func() { s.readOnly = on }) }
 
-// MaxClients sets how many connections it holds; further ones are answered with an error and closed.
+// MaxClients sets the connection limit. Connections beyond it receive an error and are closed.
 func (s *Server) MaxClients(n int) { s.update(func() { s.options.MaxClients = n }) }
 
-// ForgetScripts empties the cache of scripts.
+// ForgetScripts empties the script cache.
 func (s *Server) ForgetScripts() { s.update(func() { s.scripts.flush() }) }
 
-// Kick ends all connections.
+// Kick resets all connections.
 func (s *Server) Kick() { s.update(s.dropClients) }
 
-// Flush forgets all keys and keeps the connections, as a failover behind a proxy would.
+// Flush deletes all keys but leaves connections open, like a failover behind a proxy.
 func (s *Server) Flush() { s.update(func() { clear(s.dbs) }) }
 
-// NextConnections sets a filter that decides for each new connection whether it is served; others are reset. nil
-// serves all.
+// NextConnections sets a filter for new connections: those for which it returns false are reset. With a nil filter all
+// are served.
 func (s *Server) NextConnections(serves func(net.Conn) bool) {
 	s.update(func() { s.acceptFilter = serves })
 }
--- a/internal/standin/redis/topology_test.go
+++ b/internal/standin/redis/topology_test.go
@@ -10,7 +10,8 @@
 	"github.com/redis/rueidis"
 )
 
-// A replica lags, refuses writes and, made the primary, has lost what had not reached it.
+// A replica applies writes after the lag and rejects writes of clients. After a failover, writes that had not reached
+// it are lost.
 func TestReplication(t *testing.T) {
 	a := startServer(t, Options{})
 	g := a.Group()
@@ -61,7 +62,7 @@
 	}
 }
 
-// Both clients find the primary by a Sentinel, and the new one after a failover.
+// Both clients find the primary through a Sentinel, and the new primary after a failover.
 func TestSentinel(t *testing.T) {
 	a := startServer(t, Options{})
 	g := a.Group()
@@ -109,12 +110,12 @@
 			seen = seen || ofKey && strings.HasPrefix(rec.Reply, "+OK")
 		}
 		if !seen {
-			t.Errorf("the new primary never took %s", k)
+			t.Errorf("new primary: got no successful SET of %s", k)
 		}
 	}
 }
 
-// Both clients follow the slots of a two-shard cluster, a slot that has moved and one that is on its way.
+// Both clients follow the slots of a two-shard cluster, including a slot in migration (ASK) and a moved one (MOVED).
 func TestCluster(t *testing.T) {
 	c, err := StartCluster(Options{}, 2)
 	if err != nil {
@@ -155,7 +156,7 @@
 		t.Fatal(err)
 	}
 	if to.dbs[0]["{moved}1"] == nil {
-		t.Fatal("the key is not where ASK pointed")
+		t.Fatal("key not found on the shard that ASK named")
 	}
 	c.Assign(slot, to)
 	if v, err := r.Do(ctx, r.B().Get().Key("{moved}1").Build()).ToString(); v != "asked" || err != nil { // MOVED
@@ -166,7 +167,7 @@
 	checkError(t, "MGET", raw.MGet(ctx, "a", "b").Err(), "CROSSSLOT")
 }
 
-// Slots are those of the specification.
+// Slot computes the slots of the Redis Cluster specification.
 func TestSlot(t *testing.T) {
 	for key, want := range map[string]int{
 		"123456789":            0x31c3,
--- a/internal/standin/redis/transaction.go
+++ b/internal/standin/redis/transaction.go
@@ -1,11 +1,11 @@
 package redis
 
-// run executes a client's command, or queues it in its transaction.
+// run executes a client's command, or queues it if a transaction is open.
 func (c *client) run(name string, args []string) value {
 	s := c.server
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if v, done := c.transaction(name, args); done {
+	if v, done := c.handleTransaction(name, args); done {
 		return v
 	}
 	x := c.newCall()
@@ -18,24 +18,25 @@
 	return v
 }
 
-// transaction handles MULTI and its kin; done says that the command was one of them, or was queued.
-func (c *client) transaction(name string, args []string) (v value, done bool) {
+// handleTransaction handles MULTI, EXEC, DISCARD, WATCH and UNWATCH, and queues other commands while a transaction is
+// open. If done is false, the caller must execute the command.
+func (c *client) handleTransaction(name string, args []string) (v value, done bool) {
 	switch name {
 	case "MULTI":
 		if c.transactionState != noTransaction {
-			return errorf("MULTI calls can not be nested"), true
+			return errorReplyf("MULTI calls can not be nested"), true
 		}
 		c.transactionState, c.queue = queueing, nil
 		return okReply, true
 	case "DISCARD":
 		if c.transactionState == noTransaction {
-			return errorf("DISCARD without MULTI"), true
+			return errorReplyf("DISCARD without MULTI"), true
 		}
 		c.endTransaction()
 		return okReply, true
 	case "WATCH":
 		if c.transactionState != noTransaction {
-			return errorf("WATCH inside MULTI is not allowed"), true
+			return errorReplyf("WATCH inside MULTI is not allowed"), true
 		}
 		c.watch(args[1:])
 		return okReply, true
@@ -44,7 +45,7 @@
 		return okReply, true
 	case "EXEC":
 		if c.transactionState == noTransaction {
-			return errorf("EXEC without MULTI"), true
+			return errorReplyf("EXEC without MULTI"), true
 		}
 		return c.exec(), true
 	}
@@ -54,12 +55,12 @@
 	return c.enqueue(name, args), true
 }
 
-// newCall returns an execution by the client, now.
+// newCall returns the context for executing a command of the client at the current time.
 func (c *client) newCall() *call {
 	return &call{server: c.server, client: c, db: c.db, now: c.server.options.Now()}
 }
 
-// watch remembers the values of keys, so that EXEC can tell whether they have changed.
+// watch copies the values of keys so that EXEC can detect changes.
 func (c *client) watch(keys []string) {
 	x := c.newCall()
 	if c.watched == nil {
@@ -70,12 +71,12 @@
 	}
 }
 
-// exec ends the transaction, and runs its commands unless it was aborted or a watched key has changed.
+// exec ends the transaction and runs its commands, unless it was aborted or a watched key has changed.
 func (c *client) exec() value {
 	queue, aborted, watched := c.queue, c.transactionState == abortedTransaction, c.watched
 	c.endTransaction()
 	if aborted {
-		return failure("EXECABORT Transaction discarded because of previous errors.")
+		return errorReply("EXECABORT Transaction discarded because of previous errors.")
 	}
 	x := c.newCall()
 	c.server.group.catchUp(x.now)
@@ -92,26 +93,26 @@
 	return replies
 }
 
-// enqueue adds a command to the transaction, or aborts it if the command is wrong.
+// enqueue queues a command in the transaction. An invalid command aborts the transaction.
 func (c *client) enqueue(name string, args []string) value {
-	if v := c.server.check(c.newCall(), name, args); v.kind != kindNone {
+	if v := c.server.validate(c.newCall(), name, args); v.kind != kindNone {
 		c.transactionState = abortedTransaction
 		return v
 	}
 	if len(c.queue) >= maxQueuedCommands {
 		c.transactionState = abortedTransaction
-		return errorf("too many commands in a transaction")
+		return errorReplyf("too many commands in a transaction")
 	}
 	c.queue = append(c.queue, args)
-	return status("QUEUED")
+	return statusReply("QUEUED")
 }
 
-// endTransaction forgets the transaction and the watched keys.
+// endTransaction clears the transaction and the watched keys.
 func (c *client) endTransaction() {
 	c.transactionState, c.queue, c.watched = noTransaction, nil, nil
 }
 
-// cloneEntry returns a copy of an entry that shares nothing with it.
+// cloneEntry returns a deep copy of an entry.
 func cloneEntry(e *entry) *entry {
 	if e == nil {
 		return nil
@@ -126,7 +127,7 @@
 	return &out
 }
 
-// equalEntries reports whether two entries hold the same value, whatever their expiry.
+// equalEntries reports whether two entries hold the same value. It ignores their expiry.
 func equalEntries(a, b *entry) bool {
 	if a == nil || b == nil {
 		return a == b
