--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -13,7 +13,7 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// newTestFleet returns a fleet whose reads take a millisecond. It ends with the test.
+// newTestFleet returns a fleet in which reads take 1 ms. It is closed when the test ends.
 func newTestFleet(t *testing.T) *Fleet {
 	t.Helper()
 	began := time.Now()
@@ -29,7 +29,7 @@
 	return f
 }
 
-// addBackend adds a warm backend.
+// addBackend adds a backend without slow start.
 func addBackend(t *testing.T, f *Fleet, id string, rack int) *Backend {
 	t.Helper()
 	spec := Spec{ID: id, Zone: "a", Rack: rack, Cores: 2, Speed: 1, QueueCapacity: 2}
@@ -40,7 +40,7 @@
 	return b
 }
 
-// sendCommand sends a command on a connection of its own and returns the reply's first line.
+// sendCommand sends a command on a new connection and returns the first line of the reply, or "refused" or "reset".
 func sendCommand(t *testing.T, b *Backend, args ...string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", b.Addr(1))
@@ -65,7 +65,7 @@
 	}
 }
 
-// readCommand returns the arguments of a read with an ID and further fields.
+// readCommand returns the arguments of a read command with the given ID and additional fields.
 func readCommand(id, more string) []string {
 	return []string{"Q.ASK", "0000000000000001", id, "c=read,t=p,d=1000,units=1,spread=1,first=0" + more}
 }
@@ -75,7 +75,8 @@
 	idB = "000000000000000b"
 )
 
-// A rack drops a repeat of a key, another rack does not know it; the record says which of them took effect.
+// Backends of one rack deduplicate commands with the same idempotency key; another rack executes the command again. The
+// records show which commands took effect.
 func TestKeys(t *testing.T) {
 	f := newTestFleet(t)
 	one := addBackend(t, f, "one", 1)
@@ -93,14 +94,14 @@
 
 // fates returns the fates of all commands so far.
 func fates(f *Fleet) string {
-	var how []Fate
+	var list []Fate
 	for _, r := range f.Records(0) {
-		how = append(how, r.Fate)
+		list = append(list, r.Fate)
 	}
-	return fmt.Sprint(how)
+	return fmt.Sprint(list)
 }
 
-// A draining backend rejects work without effect; what cannot be read is answered so.
+// A draining backend rejects requests without effect, and a malformed command is answered with SYNTAX and not recorded.
 func TestRejects(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
@@ -127,7 +128,7 @@
 	}
 }
 
-// Whatever fault a command meets, it is recorded at the time that it came, and how it went.
+// A command is recorded with its arrival time and its fate, whichever fault hits it.
 func TestEveryCommandLeavesARecord(t *testing.T) {
 	for rule, want := range map[string]Fate{
 		"delay 80ms": Ran, "hold 80ms": Ran, "drop-before": DroppedBefore, "drop-after": DroppedAfter, "fail": Failed,
@@ -154,7 +155,8 @@
 	}
 }
 
-// A command that comes from an instance while it is cut off gets no reply, and its connection is reset at the end.
+// A command that arrives during a partition from its instance gets no reply, and its connection is reset when the
+// partition ends.
 func TestCut(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
@@ -162,7 +164,7 @@
 	began := f.clock()
 	got := sendCommand(t, b, readCommand(idA, "")...)
 	if took := f.clock() - began; got != "reset" && got != "" || took < 90*time.Millisecond {
-		t.Fatalf("reply while cut off: got %q after %v, want a reset after 100ms", got, took)
+		t.Fatalf("reply during the partition: got %q after %v, want a reset after 100ms", got, took)
 	}
 	if got := sendCommand(t, b, readCommand(idB, "")...); got != "*3" {
 		t.Fatalf("reply: got %q, want %s", got, "*3")
@@ -172,9 +174,9 @@
 	}
 }
 
-// newModel returns a machine of one core of speed 1, and one second of work in it.
-func newModel(rules Rules, cold bool) (*machine, *job) {
-	m := &machine{Spec: Spec{Cores: 1, Speed: 1, QueueCapacity: 1000}, rules: &rules, cold: cold}
+// newModel returns a machine with one core of speed 1, and a job of one second on it.
+func newModel(rules Rules, slowStart bool) (*machine, *job) {
+	m := &machine{Spec: Spec{Cores: 1, Speed: 1, QueueCapacity: 1000}, rules: &rules, slowStart: slowStart}
 	return m, m.add(time.Second)
 }
 
@@ -188,7 +190,8 @@
 	}
 }
 
-// runUntilDone advances a machine in steps of a millisecond until a job is done, with events at their times.
+// runUntilDone advances a machine in steps of 1 ms until a job is done, runs the events at their times, and returns the
+// time at which the job was done.
 func runUntilDone(m *machine, j *job, events map[time.Duration]func()) time.Duration {
 	for now := time.Duration(0); now < time.Minute; now += time.Millisecond {
 		m.advance(now)
@@ -202,11 +205,11 @@
 	return time.Minute
 }
 
-// What slows a machine also slows what runs on it already.
+// A slowdown, pause, neighbour or slow start also affects a job that is already running.
 func TestMachineSlows(t *testing.T) {
 	const half = 500 * time.Millisecond
-	coldRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour}
-	warmedRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, SlowStartRequests: 10}
+	slowStartRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour}
+	servedRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, SlowStartRequests: 10}
 	kneeRules := Rules{Knee: 10, LossBeyond: 0.1}
 	neighbourFor := func(on time.Duration) func(*machine) {
 		return func(m *machine) { m.neighbour = neighbour{0.5, on, time.Second, m.now, m.now + time.Minute} }
@@ -217,24 +220,24 @@
 		m.slowDown(2, 10*time.Second)
 	}
 	for name, c := range map[string]struct {
-		rules Rules
-		cold  bool
-		event func(*machine)
-		want  time.Duration
+		rules     Rules
+		slowStart bool
+		event     func(*machine)
+		want      time.Duration
 	}{
-		"undisturbed":       {want: time.Second},
-		"slowdown":          {event: func(m *machine) { m.slowDown(4, 10*time.Second) }, want: half + 4*half},
-		"a short one":       {event: shortSlowdown, want: 2*half + 400*time.Millisecond},
-		"two at once":       {event: slowTwice, want: half + 4*half},
-		"pause":             {event: func(m *machine) { m.pausedUntil = m.now + 2*time.Second }, want: 3 * time.Second},
-		"neighbour":         {event: neighbourFor(time.Second), want: half + time.Second},
-		"neighbour, off":    {event: neighbourFor(200 * time.Millisecond), want: half + 600*time.Millisecond},
-		"cold by time":      {rules: coldRules, cold: true, want: 4 * time.Second},
-		"warm by requests":  {warmedRules, true, func(m *machine) { m.served = 10 }, half + 875*time.Millisecond},
-		"many in flight":    {rules: kneeRules, event: func(m *machine) { m.inFlight = 20 }, want: half + time.Second},
-		"fewer than a knee": {rules: kneeRules, event: func(m *machine) { m.inFlight = 10 }, want: time.Second},
+		"undisturbed":      {want: time.Second},
+		"slowdown":         {event: func(m *machine) { m.slowDown(4, 10*time.Second) }, want: half + 4*half},
+		"short slowdown":   {event: shortSlowdown, want: 2*half + 400*time.Millisecond},
+		"two slowdowns":    {event: slowTwice, want: half + 4*half},
+		"pause":            {event: func(m *machine) { m.pausedUntil = m.now + 2*time.Second }, want: 3 * time.Second},
+		"neighbour":        {event: neighbourFor(time.Second), want: half + time.Second},
+		"neighbour, off":   {event: neighbourFor(200 * time.Millisecond), want: half + 600*time.Millisecond},
+		"slow start":       {rules: slowStartRules, slowStart: true, want: 4 * time.Second},
+		"slow start ended": {servedRules, true, func(m *machine) { m.served = 10 }, half + 875*time.Millisecond},
+		"many in flight":   {rules: kneeRules, event: func(m *machine) { m.inFlight = 20 }, want: half + time.Second},
+		"at the knee":      {rules: kneeRules, event: func(m *machine) { m.inFlight = 10 }, want: time.Second},
 	} {
-		m, j := newModel(c.rules, c.cold)
+		m, j := newModel(c.rules, c.slowStart)
 		events := map[time.Duration]func(){}
 		if c.event != nil {
 			events[half] = func() { c.event(m) }
@@ -245,35 +248,35 @@
 	}
 }
 
-// A cold backend that is sent more than the overload limit falls over and says why, also by work that it rejects; a
-// warm one does not.
+// A backend in slow start fails and states the reason when the work sent to it exceeds the overload limit. A backend
+// without slow start does not.
 func TestOverload(t *testing.T) {
 	rules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, OverloadMultiple: 4, OverloadSpan: time.Second}
 	for name, c := range map[string]struct {
-		cold  bool
-		n     int
-		every time.Duration
-		falls bool
+		slowStart bool
+		n         int
+		every     time.Duration
+		fails     bool
 	}{
 		"warm":           {false, 100, 0, false},
-		"at the edge":    {true, 10, 0, false},
+		"at the limit":   {true, 10, 0, false},
 		"over":           {true, 11, 0, true},
 		"spread over 2s": {true, 20, 110 * time.Millisecond, false},
 		"too fast":       {true, 20, 80 * time.Millisecond, true},
 	} {
-		m, _ := newModel(rules, c.cold)
-		fell := false
+		m, _ := newModel(rules, c.slowStart)
+		failed := false
 		for i := range c.n {
 			m.advance(time.Duration(i) * c.every)
-			fell = m.addOverload(100*time.Millisecond) || fell
+			failed = m.addSlowStartLoad(100*time.Millisecond) || failed
 		}
-		if fell != c.falls || (m.failure != "") != c.falls || c.cold && !c.falls && m.peakOverload < 0.9 {
-			t.Errorf("%s: fell %v: %q, pushed %v", name, fell, m.failure, m.peakOverload)
+		if failed != c.fails || (m.failure != "") != c.fails || c.slowStart && !c.fails && m.peakLoad < 0.9 {
+			t.Errorf("%s: failed %v (%q), peak overload %v", name, failed, m.failure, m.peakLoad)
 		}
 	}
 }
 
-// Whatever comes, a backend either can read it or says so.
+// parseCommand either rejects a command or returns a record with valid required fields.
 func FuzzParse(f *testing.F) {
 	f.Add("0000000000000001", idA, "c=read,t=p,d=1000,units=1,spread=1,first=0")
 	f.Fuzz(func(t *testing.T, tenant, id, fields string) {
@@ -284,7 +287,7 @@
 	})
 }
 
-// A second reply comes late and names its own request, while the connection goes on with further commands.
+// Under repeat-late the reply is sent again after the delay, while the connection serves further commands.
 func TestRepeatLate(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
@@ -325,7 +328,7 @@
 	}
 }
 
-// A second reply that is still due does not delay the end of the fleet.
+// Close does not wait for the delay of a pending repeat-late reply.
 func TestCloseDuringRepeatLate(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
--- a/internal/standin/backend/command.go
+++ b/internal/standin/backend/command.go
@@ -12,11 +12,11 @@
 const (
 	minArgs  = 4 // name, tenant, ID and fields
 	maxArgs  = 5
-	idLength = 16 // of a tenant and of a command's ID
+	idLength = 16 // length of a tenant ID and of a command ID
 )
 
-// command carries out one command and returns its reply when it is due; an empty reply is not written. If keep is
-// false the connection is reset.
+// command executes one command and returns its reply when the reply is due. An empty reply is not written. If keep is
+// false, the caller must reset the connection.
 func (c *conn) command(args [][]byte) (reply string, keep bool) {
 	switch name := string(args[0]); name {
 	case "PING":
@@ -33,20 +33,20 @@
 	}
 }
 
-// request records and carries out a request.
+// request parses, records and executes a request.
 func (c *conn) request(args [][]byte) (reply string, keep bool) {
 	rec, valid := parseCommand(args)
 	if !valid {
 		return "-SYNTAX\r\n", true
 	}
 	rec.Instance, rec.Conn = c.instance, c.id
-	index := c.backend.addRecord(rec) // before any fault acts
+	index := c.backend.addRecord(rec) // before any fault takes effect
 	reply, fate := c.execute(rec, index)
 	c.backend.endRecord(index, fate)
 	return reply, fate.keepsConn()
 }
 
-// keepsConn reports whether the connection of a command goes on after it.
+// keepsConn reports whether the connection stays open after a command with this fate.
 func (f Fate) keepsConn() bool {
 	switch f {
 	case CutOff, DroppedBefore, DroppedAfter, Died:
@@ -56,10 +56,10 @@
 	}
 }
 
-// execute carries out a recorded request under the fault that hits it, and returns its reply when it is due.
+// execute executes a recorded request, applying the fault that hits it, if any. It returns the reply when it is due.
 func (c *conn) execute(rec Record, index int) (reply string, fate Fate) {
 	b := c.backend
-	if c.awaitCut() {
+	if c.awaitPartitionEnd() {
 		return "", CutOff
 	}
 	rule, left, _ := b.faults.Next(b.fleet.clock(), rec.Class, fmt.Sprint("n", c.instance))
@@ -74,7 +74,7 @@
 		return "", Unanswered
 	case fault.Fail:
 		return "-ERR failed\r\n", Failed
-	default: // the other kinds act on the reply
+	default: // the other kinds affect the reply only
 	}
 	if c.setup != nil {
 		b.awaitJob(c.setup)
@@ -86,7 +86,7 @@
 		return "-BUSY\r\n", Busy
 	case Died:
 		return "", Died
-	default: // the work is queued, or that of an earlier command with the same key is
+	default: // work is that of this command, or of an earlier one with the same key
 	}
 	b.awaitJob(work)
 	b.release()
@@ -96,7 +96,7 @@
 	return c.deliver(rule, "value of "+rec.ID, fate)
 }
 
-// deliver returns the reply with a value and the fate of a command under a fault; without one it is fate.
+// deliver returns the reply with a value and the fate of the command, both as modified by the fault.
 func (c *conn) deliver(rule fault.Rule, value string, fate Fate) (reply string, faultyFate Fate) {
 	reply = fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 	switch rule.Kind {
@@ -112,26 +112,26 @@
 		reply += reply
 	case fault.RepeatLate:
 		c.repeatAfter = rule.By
-	default: // the other kinds have acted before the command took effect, or do nothing here
+	default: // the other kinds took effect before the command ran, or are not supported
 	}
 	return reply, fate
 }
 
-// awaitJob waits until a job is done or the backend ends.
+// awaitJob waits until a job is done or the backend stops.
 func (b *Backend) awaitJob(work *job) {
 	select {
 	case <-work.done:
-	case <-b.ended:
+	case <-b.stopSignal:
 	}
 }
 
-// submit queues the work of a recorded command, unless the backend rejects it or its rack remembers its key. The fate
-// is Busy, Died, Remembered with the job of the first command, or Ran.
+// submit queues the work of a recorded command, unless the backend rejects it or the rack has already seen its key. The
+// fate is Busy, Died, Ran, or Remembered with the job of the first command of the key.
 func (b *Backend) submit(index int) (work *job, fate Fate) {
 	b.update(func(now time.Duration) {
 		rec := &b.fleet.records[index]
 		switch {
-		case b.down:
+		case b.stopped:
 			fate = Died
 			return
 		case b.draining || b.machine.inFlight >= b.QueueCapacity:
@@ -158,14 +158,14 @@
 	return work, fate
 }
 
-// release counts a request as no longer in flight.
+// release decrements the number of requests in flight.
 func (b *Backend) release() {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	b.machine.inFlight--
 }
 
-// parseCommand reads what a backend must be able to read of a command.
+// parseCommand parses a command into a record. It reports false if a required field is missing or invalid.
 func parseCommand(args [][]byte) (rec Record, ok bool) {
 	if len(args) < minArgs || len(args) > maxArgs || len(args[1]) != idLength || len(args[2]) != idLength {
 		return Record{}, false
--- a/internal/standin/backend/conn.go
+++ b/internal/standin/backend/conn.go
@@ -9,22 +9,23 @@
 	"github.com/tidwall/redcon"
 )
 
-// writeTimeout limits the write of one reply.
+// writeTimeout is the time limit for writing one reply.
 const writeTimeout = 5 * time.Second
 
-// conn is one connection of an instance. Its own goroutine uses it; bytesOut is also counted by a late repeat.
+// conn is one connection of an instance. It is used by a single goroutine, except that goroutines of late repeats also
+// write replies and update bytesOut.
 type conn struct {
 	net.Conn
 	backend     *Backend
 	instance    int
 	id          uint64
-	setup       *job          // what the connection itself costs; its first command waits for it
-	repeatAfter time.Duration // when to write the current reply again; 0: never
+	setup       *job          // work of setting up the connection; the first command waits for it
+	repeatAfter time.Duration // delay after which the current reply is written again; 0: not repeated
 	bytesIn     int64
 	bytesOut    atomic.Int64
 }
 
-// accept serves the connections of one instance until the backend ends.
+// accept accepts and serves the connections of one instance until the backend stops.
 func (b *Backend) accept(instance int, ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -32,9 +33,9 @@
 			return
 		}
 		b.fleet.mu.Lock()
-		if b.down || b.fleet.rules.MaxConnections > 0 && len(b.conns) >= b.fleet.rules.MaxConnections {
+		if b.stopped || b.fleet.rules.MaxConnections > 0 && len(b.conns) >= b.fleet.rules.MaxConnections {
 			b.fleet.mu.Unlock()
-			reset(nc)
+			resetConn(nc)
 			continue
 		}
 		b.conns[nc] = true
@@ -59,14 +60,14 @@
 	}
 }
 
-// Read implements net.Conn, and counts the bytes.
+// Read implements net.Conn and counts the bytes read.
 func (c *conn) Read(buf []byte) (int, error) {
 	n, err := c.Conn.Read(buf)
 	c.bytesIn += int64(n)
 	return n, err
 }
 
-// sleep waits for d. It reports false, at once, when the backend ends.
+// sleep waits for d. It returns false immediately if the backend stops.
 func (b *Backend) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -76,15 +77,15 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-b.ended:
+	case <-b.stopSignal:
 		return false
 	}
 }
 
-// awaitCut waits for the end of a cut of the network, and reports whether there was one.
-func (c *conn) awaitCut() bool {
+// awaitPartitionEnd waits until a partition from the instance ends. It reports whether there was one.
+func (c *conn) awaitPartitionEnd() bool {
 	c.backend.fleet.mu.Lock()
-	left := c.backend.cutUntil[c.instance] - c.backend.fleet.clock()
+	left := c.backend.partitionedUntil[c.instance] - c.backend.fleet.clock()
 	c.backend.fleet.mu.Unlock()
 	if left <= 0 {
 		return false
@@ -93,7 +94,7 @@
 	return true
 }
 
-// serve answers the commands of a connection one by one. Work that has begun goes on when the connection ends.
+// serve answers the commands of a connection one by one. Work in progress continues when the connection is closed.
 func (c *conn) serve() {
 	in := redcon.NewReader(c)
 	for {
@@ -108,8 +109,8 @@
 		}
 		reply, keep := c.command(cmd.Args)
 		if reply != "" {
-			if c.awaitCut() {
-				reset(c.Conn)
+			if c.awaitPartitionEnd() {
+				resetConn(c.Conn)
 				return
 			}
 			if err := c.write(reply); err != nil {
@@ -118,7 +119,7 @@
 			c.repeat(reply)
 		}
 		if !keep {
-			reset(c.Conn)
+			resetConn(c.Conn)
 			return
 		}
 	}
@@ -132,7 +133,7 @@
 	return err
 }
 
-// repeat writes a reply again when a fault asks for it, while the connection goes on with further commands.
+// repeat schedules a second write of a reply if a repeat-late fault hit the command. It does not delay later commands.
 func (c *conn) repeat(reply string) {
 	after := c.repeatAfter
 	if after == 0 {
@@ -141,7 +142,7 @@
 	c.repeatAfter = 0
 	c.backend.fleet.wg.Go(func() {
 		if c.backend.sleep(after) {
-			_ = c.write(reply) // the connection may have ended
+			_ = c.write(reply) // fails if the connection is closed by then
 		}
 	})
 }
--- a/internal/standin/backend/control.go
+++ b/internal/standin/backend/control.go
@@ -6,44 +6,45 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// Fault puts a rule in force from now on. Calls are known by their class, callers as n0, n1 and so on.
+// Fault adds a fault rule that applies from now on. Rules match commands by class, and callers by instance: n0, n1, ...
 func (b *Backend) Fault(rule fault.Rule) { b.faults.Add(b.fleet.clock(), rule) }
 
-// Stop ends the backend as a killed process would end.
+// Stop stops the backend abruptly, like a killed process.
 func (b *Backend) Stop() { b.update(func(time.Duration) { b.shutDown() }) }
 
-// Reset resets all connections, as a middlebox does that has lost their state. Work that has begun goes on.
+// Reset resets all connections, like a middlebox that has lost its connection state. Work in progress continues.
 func (b *Backend) Reset() {
 	b.update(func(time.Duration) {
 		for nc := range b.conns {
-			reset(nc)
+			resetConn(nc)
 		}
 	})
 }
 
-// Drain makes the backend reject new work, or ends that.
+// Drain sets whether the backend is draining, which means that it rejects new requests with BUSY.
 func (b *Backend) Drain(on bool) { b.update(func(time.Duration) { b.draining = on }) }
 
-// CloseIdle makes the backend close connections on which no command has come for so long; 0: never.
+// CloseIdle sets the idle timeout after which the backend closes a connection; 0 means none.
 func (b *Backend) CloseIdle(after time.Duration) { b.idleTimeout.Store(int64(after)) }
 
-// Slow makes the backend slower by a factor for a while, also in what it has begun.
+// Slow slows the backend down by a factor for d. This includes work in progress.
 func (b *Backend) Slow(factor float64, d time.Duration) {
 	b.update(func(now time.Duration) { b.machine.slowDown(factor, now+d) })
 }
 
-// Pause makes the backend do nothing for a while; it still accepts commands.
+// Pause suspends all work for d. The backend still accepts commands.
 func (b *Backend) Pause(d time.Duration) {
 	b.update(func(now time.Duration) { b.machine.pausedUntil = now + d })
 }
 
-// Neighbour lets another program take a share of the machine for d, on and off.
+// Neighbour simulates a noisy neighbour for d: another program that takes a share of the machine's capacity during
+// periods of length on, with pauses of length off between them.
 func (b *Backend) Neighbour(share float64, on, off, d time.Duration) {
 	b.update(func(now time.Duration) { b.machine.neighbour = neighbour{share, on, off, now, now + d} })
 }
 
-// Cut cuts the backend off from one instance for a while: nothing is read or answered, and connections with a command
-// are reset at its end.
+// Cut partitions the backend from one instance for d: commands take no effect and get no reply, and their connections
+// are reset when the partition ends.
 func (b *Backend) Cut(instance int, d time.Duration) {
-	b.update(func(now time.Duration) { b.cutUntil[instance] = now + d })
+	b.update(func(now time.Duration) { b.partitionedUntil[instance] = now + d })
 }
--- a/internal/standin/backend/fleet.go
+++ b/internal/standin/backend/fleet.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	reportInterval = 300 * time.Millisecond // between changes of a load report
-	tickInterval   = time.Millisecond       // between advances of the machines
+	reportInterval = 300 * time.Millisecond // how often the load report is updated
+	tickInterval   = time.Millisecond       // how often the machine models are advanced
 )
 
-// Fleet is a group of backends that share racks, a clock and an observer. It runs a goroutine that advances the
-// machines, one for each listener, one for each connection and one for each reply that is repeated late; Close ends
-// them all and waits for them.
+// Fleet is a group of backends that share racks, a clock and the records. It runs one goroutine that advances the
+// machine models, one per listener, one per connection, and one per reply that a fault repeats late. Close stops them
+// all and waits for them.
 type Fleet struct {
 	rules      Rules
 	clock      func() time.Duration
@@ -28,23 +28,23 @@
 	wg         sync.WaitGroup
 	lastConnID atomic.Uint64
 
-	mu       sync.Mutex // guards all below, and the backends' fields
-	rng      *rand.Rand
-	backends []*Backend
-	racks    map[int]map[string]*keyEntry // by rack and idempotency key
-	sweptAt  time.Duration
-	records  []Record
-	lost     int // commands without a record
+	mu             sync.Mutex // guards the fields below, and the backends' fields
+	rng            *rand.Rand
+	backends       []*Backend
+	racks          map[int]map[string]*keyEntry // recent idempotency keys, by rack and key
+	sweptAt        time.Duration
+	records        []Record
+	droppedRecords int // commands not recorded because the records were full
 }
 
-// keyEntry is an idempotency key that a rack remembers.
+// keyEntry is the first command of an idempotency key in a rack.
 type keyEntry struct {
-	at  time.Duration // when its first command was queued
-	job *job          // the work of that command
+	at  time.Duration // when the command was queued
+	job *job          // the command's work
 }
 
-// NewFleet returns a fleet without backends. The clock is that of all its records; the seed is that of the work of
-// each command.
+// NewFleet returns a fleet without backends. The clock provides the times of all records; the seed determines the work
+// of each command.
 func NewFleet(rules Rules, seed uint64, clock func() time.Duration) *Fleet {
 	f := &Fleet{
 		rules: rules,
@@ -57,7 +57,7 @@
 	return f
 }
 
-// tick advances the machines until the fleet is closed.
+// tick advances the machine models until the fleet is closed.
 func (f *Fleet) tick() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -70,7 +70,7 @@
 		f.mu.Lock()
 		now := f.clock()
 		for _, b := range f.backends {
-			if !b.down {
+			if !b.stopped {
 				b.machine.advance(now)
 			}
 		}
@@ -79,18 +79,18 @@
 	}
 }
 
-// Add starts a backend, cold or warm, with an address for each of so many instances, on a loopback host. On a host
-// that no other backend ever had, nothing arrives that was sent to one that has ended.
-func (f *Fleet) Add(spec Spec, host string, cold bool, instances int) (*Backend, error) {
+// Add starts a backend on a loopback host, with one listener for each instance. If slowStart is set, it begins in slow
+// start. A host that no other backend has used ensures that it receives no requests meant for a stopped backend.
+func (f *Fleet) Add(spec Spec, host string, slowStart bool, instances int) (*Backend, error) {
 	instances = max(1, instances)
 	b := &Backend{
-		Spec:     spec,
-		fleet:    f,
-		faults:   fault.New(uint64(len(spec.ID))),
-		ended:    make(chan struct{}),
-		conns:    map[net.Conn]bool{},
-		traffic:  make([]Traffic, instances),
-		cutUntil: make([]time.Duration, instances),
+		Spec:             spec,
+		fleet:            f,
+		faults:           fault.New(uint64(len(spec.ID))),
+		stopSignal:       make(chan struct{}),
+		conns:            map[net.Conn]bool{},
+		traffic:          make([]Traffic, instances),
+		partitionedUntil: make([]time.Duration, instances),
 	}
 	for range instances {
 		ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -98,14 +98,14 @@
 			for _, l := range b.listeners {
 				l.Close()
 			}
-			return nil, fmt.Errorf("node stand-in: %w", err)
+			return nil, fmt.Errorf("backend stand-in: %w", err)
 		}
 		b.listeners = append(b.listeners, ln)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	b.machine = machine{Spec: spec, rules: &f.rules, now: now, cold: cold, startedAt: now}
+	b.machine = machine{Spec: spec, rules: &f.rules, now: now, slowStart: slowStart, startedAt: now}
 	f.backends = append(f.backends, b)
 	for i, ln := range b.listeners {
 		f.wg.Go(func() { b.accept(i, ln) })
@@ -113,14 +113,14 @@
 	return b, nil
 }
 
-// Backends returns all backends that were added, also those that have ended.
+// Backends returns all backends that were added, including stopped ones.
 func (f *Fleet) Backends() []*Backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.backends)
 }
 
-// Close ends all backends.
+// Close stops all backends and waits for the fleet's goroutines.
 func (f *Fleet) Close() {
 	for _, b := range f.Backends() {
 		b.Stop()
@@ -129,7 +129,7 @@
 	f.wg.Wait()
 }
 
-// sweep forgets the keys that no rack remembers any more, once in KeyMemory.
+// sweep removes expired idempotency keys and old completions, once every KeyMemory and at most once a second.
 func (f *Fleet) sweep(now time.Duration) {
 	if now-f.sweptAt < max(f.rules.KeyMemory, time.Second) {
 		return
--- a/internal/standin/backend/machine.go
+++ b/internal/standin/backend/machine.go
@@ -6,56 +6,55 @@
 )
 
 const (
-	negligibleWork = 1e-9 // seconds of work that count as done, for rounding
-	minSlowdown    = 1e-3 // as a factor
+	workEpsilon = 1e-9 // remaining work, in seconds, that counts as none; absorbs rounding errors
+	minSlowdown = 1e-3 // smallest slowdown factor
 )
 
-// machine is the model of one backend: cores that share nothing but what slows them all, a queue before them, slow
-// start, and the limit beyond which a cold one falls over. It does no I/O; the time comes with each call and never
-// goes back.
+// machine is the model of one backend: cores of equal speed that process jobs from one queue, slow start, and the
+// overload limit during slow start. It does no I/O; callers pass in the time, which never decreases.
 type machine struct {
 	Spec
 	rules     *Rules
 	now       time.Duration
-	cold      bool
-	startedAt time.Duration // of a cold start
-	served    int           // requests that took effect
-	inFlight  int           // requests queued or running, and those that wait for another's job
-	running   []*job        // one for each busy core
+	slowStart bool
+	startedAt time.Duration // start of slow start, if slowStart is set
+	served    int           // requests served so far
+	inFlight  int           // requests queued or running, or waiting for the job of an earlier request
+	running   []*job        // one per busy core
 	queue     []*job
 
 	slowdowns   []slowdown
 	neighbour   neighbour
-	pausedUntil time.Duration // no work is done before
+	pausedUntil time.Duration // no work is done before this time
 
-	recentWork   []arrivedWork // at a cold backend, within the overload span
-	peakOverload float64       // the largest share of the overload limit that arrived within a span
-	failure      string        // why the backend fell over; empty if it did not
-	failedAt     time.Duration
+	recentWork []arrivedWork // work that arrived within the last overload span; used during slow start only
+	peakLoad   float64       // largest sum of recent work so far, as a share of the overload limit
+	failure    string        // why the backend failed from overload; empty if it has not
+	failedAt   time.Duration
 }
 
-// job is work on one core.
+// job is a unit of work that runs on one core.
 type job struct {
-	remaining float64       // seconds of a core of speed 1
-	done      chan struct{} // closed when nothing remains, or the backend ends
+	remaining float64       // in seconds on a core of speed 1
+	done      chan struct{} // closed when the job is complete or the backend stops
 }
 
-// slowdown divides the speed of a machine for a while.
+// slowdown divides the speed of a machine by a factor until a given time.
 type slowdown struct {
 	factor float64
 	until  time.Duration
 }
 
-// neighbour is another program on the machine, which takes a share of it, on and off.
+// neighbour is a noisy neighbour: another program that periodically takes a share of the machine's capacity.
 type neighbour struct {
 	share float64
-	on    time.Duration // how long it takes its share at a time
-	off   time.Duration // the pause before it does so again
-	from  time.Duration
-	to    time.Duration
+	on    time.Duration // length of each busy period
+	off   time.Duration // pause between busy periods
+	from  time.Duration // start time
+	to    time.Duration // end time
 }
 
-// shareAt returns the share that the neighbour takes at a time.
+// shareAt returns the share of capacity that the neighbour takes at time now.
 func (n neighbour) shareAt(now time.Duration) float64 {
 	if now < n.from || now >= n.to || (now-n.from)%(n.on+n.off) >= n.on {
 		return 0
@@ -63,10 +62,10 @@
 	return n.share
 }
 
-// capacity returns what the machine could do now if nothing slowed it, in seconds of work a second.
+// capacity returns the capacity of all cores without slowdowns, in seconds of work per second.
 func (m *machine) capacity() float64 { return m.Speed * float64(m.Cores) * m.capacityShare() }
 
-// rate returns what one core does now, in seconds of work a second.
+// rate returns the effective speed of one core, in seconds of work per second.
 func (m *machine) rate() float64 {
 	if m.now < m.pausedUntil {
 		return 0
@@ -83,8 +82,8 @@
 	return r
 }
 
-// advance moves the machine to a time. A change of its speed counts from the next call on, so the caller advances it
-// every millisecond or so.
+// advance processes jobs up to time now. A change of speed in between is noticed only at the next call, so the caller
+// must call it about every millisecond.
 func (m *machine) advance(now time.Duration) {
 	for left := (now - m.now).Seconds(); left > 0 && len(m.running) > 0; {
 		rate := m.rate()
@@ -103,11 +102,11 @@
 	m.slowdowns = slices.DeleteFunc(m.slowdowns, func(s slowdown) bool { return m.now >= s.until })
 }
 
-// work does so much work on each running job, and completes those that have none left.
+// work subtracts seconds of work from each running job and completes those with none left.
 func (m *machine) work(seconds float64) {
 	m.running = slices.DeleteFunc(m.running, func(j *job) bool {
 		j.remaining -= seconds
-		done := j.remaining <= negligibleWork
+		done := j.remaining <= workEpsilon
 		if done {
 			close(j.done)
 		}
@@ -115,7 +114,7 @@
 	})
 }
 
-// startQueued gives work to free cores.
+// startQueued starts queued jobs on free cores.
 func (m *machine) startQueued() {
 	for len(m.running) < m.Cores && len(m.queue) > 0 {
 		m.running = append(m.running, m.queue[0])
@@ -124,7 +123,7 @@
 	}
 }
 
-// add appends work to the queue.
+// add queues a job of the given work, and starts it if a core is free.
 func (m *machine) add(work time.Duration) *job {
 	j := &job{remaining: work.Seconds(), done: make(chan struct{})}
 	m.queue = append(m.queue, j)
@@ -132,7 +131,7 @@
 	return j
 }
 
-// slowDown makes the machine slower by a factor until a time. Factors multiply.
+// slowDown slows the machine down by a factor until the given time. Concurrent slowdowns multiply.
 func (m *machine) slowDown(factor float64, until time.Duration) {
 	m.slowdowns = append(m.slowdowns, slowdown{max(factor, minSlowdown), until})
 }
--- a/internal/standin/backend/overload.go
+++ b/internal/standin/backend/overload.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// arrivedWork is the work of a command that arrived at a cold backend.
+// arrivedWork is the work of a command that arrived during slow start.
 type arrivedWork struct {
 	at   time.Duration
-	work float64 // seconds of a core of speed 1
+	work float64 // in seconds on a core of speed 1
 }
 
-// addOverload counts the work that a cold backend is sent, also work that it rejects: within any span it must stay
-// under the multiple of the current capacity. It reports whether the backend has fallen over.
-func (m *machine) addOverload(work time.Duration) bool {
+// addSlowStartLoad counts the work that a backend is sent during slow start, including work that it rejects. It reports
+// whether this work makes the backend fail: its sum over the overload span exceeds the limit.
+func (m *machine) addSlowStartLoad(work time.Duration) bool {
 	rules := m.rules
 	if rules.OverloadMultiple <= 0 || m.capacityShare() >= 1 {
 		m.recentWork = nil
@@ -28,13 +28,13 @@
 		sum += s.work
 	}
 	limit := rules.OverloadMultiple*m.capacity()*rules.OverloadSpan.Seconds() + rules.OverloadSlack.Seconds()
-	m.peakOverload = max(m.peakOverload, sum/limit)
+	m.peakLoad = max(m.peakLoad, sum/limit)
 	if sum <= limit || m.failure != "" {
 		return false
 	}
 	m.failedAt = m.now
 	m.failure = fmt.Sprintf(
-		"%.2f s of work came within %v, %.2f is %g times what it can do at %.0f%% of its warmth, %v after its start",
+		"received %.2f s of work in %v; the limit is %.2f s, %g times its capacity (%.0f%% of full), %v after start",
 		sum, rules.OverloadSpan, limit, rules.OverloadMultiple, 100*m.capacityShare(),
 		(m.now - m.startedAt).Round(time.Millisecond))
 	return true
--- a/internal/standin/backend/record.go
+++ b/internal/standin/backend/record.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Fate is what became of a command at its backend.
+// Fate is the outcome of a command at its backend.
 type Fate string
 
 // The fates of a command.
 const (
-	Open          Fate = ""               // not ended yet
-	Ran           Fate = "ran"            // it took effect, and its reply was written
-	Remembered    Fate = "remembered"     // a repeat of a key that the rack dropped; answered as the first
+	Open          Fate = ""               // in progress
+	Ran           Fate = "ran"            // took effect, and the reply was written
+	Remembered    Fate = "remembered"     // repeated a key that the rack had seen; answered like the first command
 	Busy          Fate = "busy"           // rejected with BUSY, without effect
-	Failed        Fate = "failed"         // answered with an error
-	DroppedBefore Fate = "dropped before" // the connection was reset before it took effect
-	DroppedAfter  Fate = "dropped after"  // it took effect, and the connection was reset
-	Unanswered    Fate = "unanswered"     // it never got a reply
-	CutOff        Fate = "cut off"        // the network was cut: it reached no program
-	Died          Fate = "died"           // the backend ended before its reply
+	Failed        Fate = "failed"         // answered with an error by a fault, without effect
+	DroppedBefore Fate = "dropped before" // the connection was reset before the command took effect
+	DroppedAfter  Fate = "dropped after"  // the connection was reset after the command took effect
+	Unanswered    Fate = "unanswered"     // got no reply
+	CutOff        Fate = "cut off"        // arrived during a network partition, without effect
+	Died          Fate = "died"           // the backend stopped before the reply
 )
 
-// maxRecords limits the records of a fleet.
+// maxRecords is the maximum number of records of a fleet.
 const maxRecords = 1 << 20
 
-// Record is one command as its backend saw it, whatever became of it. Times are those of the fleet's clock.
+// Record describes one command that a backend received, whatever its fate. Times are those of the fleet's clock.
 type Record struct {
-	// ArrivedAt is when the command's last byte was read.
+	// ArrivedAt is when the command had been read completely.
 	ArrivedAt time.Duration
-	// StartedAt is when the command was queued for a core; 0 if it never was.
+	// StartedAt is when the command's work was queued; 0 if it was not.
 	StartedAt time.Duration
-	// EndedAt is when the reply was about to be written, or when it was clear that none would be; 0 before.
+	// EndedAt is the time just before the reply was written, or when it was certain that there would be no reply; 0
+	// while the command is in progress.
 	EndedAt time.Duration
-	// Instance is the sender, known by the address that the command came to.
+	// Instance is the index of the sender, identified by the listen address.
 	Instance int
 	// Conn identifies the connection.
 	Conn    uint64
@@ -48,31 +49,32 @@
 	Key   string
 	Rack  int
 	Units float64
-	// Allowed is how long the instance said that it waits for the reply.
+	// Allowed is how long the sender waits for the reply, according to the command.
 	Allowed time.Duration
 	Fate    Fate
-	// WarmingUp says whether the backend did not have its complete capacity yet.
+	// WarmingUp reports whether the backend was in slow start when the command arrived.
 	WarmingUp bool
-	// Work is the time that the command takes on a core of speed 1; 0 for a remembered key.
+	// Work is the command's service time on a core of speed 1; 0 if its key was a repeat.
 	Work time.Duration
 }
 
-// Records returns the records so far, from the given one on. Those of commands that have not ended may change yet.
+// Records returns the records from the index from on. Records of commands in progress may still change.
 func (f *Fleet) Records(from int) []Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.records[min(from, len(f.records)):])
 }
 
-// Lost returns the number of commands that found no space in the records: a run with any proves nothing.
+// Lost returns the number of commands that were not recorded because the records were full. If there are any, checks
+// based on the records are not conclusive.
 func (f *Fleet) Lost() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.droppedRecords
 }
 
-// addRecord records a command when it arrives, counts its work against the overload limit, and returns its index. A
-// lost record shares the last index.
+// addRecord records a command on arrival, counts its work against the overload limit, and returns the record's index.
+// If the records are full, the command is not recorded and gets the last index.
 func (b *Backend) addRecord(rec Record) (at int) {
 	b.update(func(now time.Duration) {
 		rec.ArrivedAt, rec.Backend, rec.Zone, rec.Rack = now, b.ID, b.Zone, b.Rack
@@ -86,16 +88,16 @@
 			b.fleet.records = append(b.fleet.records, rec)
 		} else {
 			at = maxRecords - 1
-			b.fleet.lost++
+			b.fleet.droppedRecords++
 		}
-		if !b.down && b.machine.addOverload(rec.Work) {
+		if !b.stopped && b.machine.addSlowStartLoad(rec.Work) {
 			b.shutDown()
 		}
 	})
 	return at
 }
 
-// endRecord records the fate of a command, and counts it as served if it took effect.
+// endRecord records the fate of a command, and counts it as served if it took effect or repeated one that did.
 func (b *Backend) endRecord(at int, fate Fate) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
@@ -107,7 +109,8 @@
 	}
 }
 
-// loadReport returns the load report that answers a health check. Its figure changes once in reportInterval.
+// loadReport returns the load report with which the backend answers a health check: the number of commands completed in
+// the last second, with the time rounded down to reportInterval.
 func (b *Backend) loadReport() string {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
--- a/internal/standin/backend/rules.go
+++ b/internal/standin/backend/rules.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Work is how long a request of a class takes on a core of speed 1: evenly distributed between Min and Max.
+// Work is the service time of a class's requests on a core of speed 1, uniformly distributed between Min and Max.
 type Work struct{ Min, Max time.Duration }
 
-// Mean returns the middle of the distribution.
+// Mean returns the mean of the distribution.
 func (w Work) Mean() time.Duration { return (w.Min + w.Max) / 2 }
 
-// defaultWork is that of a class which the rules do not name.
+// defaultWork is the work of a class that Rules.Work doesn't contain.
 var defaultWork = Work{20 * time.Millisecond, 40 * time.Millisecond}
 
-// Rules are what all backends of a fleet have in common. A zero field leaves its effect out.
+// Rules configures the behaviour that all backends of a fleet share. A zero field disables its effect.
 type Rules struct {
-	// Work is by class; a class that is not here takes 20 to 40 ms.
+	// Work is the work of a request by class; a class that is not listed takes 20 to 40 ms.
 	Work map[string]Work
-	// KeyMemory is for how long a rack drops repeats of an idempotency key.
+	// KeyMemory is how long a rack deduplicates commands with the same idempotency key.
 	KeyMemory time.Duration
-	// SlowStartShare is the share of its capacity with which a cold backend starts.
+	// SlowStartShare is the share of its full capacity that a backend has at the beginning of slow start.
 	SlowStartShare float64
-	// SlowStartWindow is the time from a cold start to the complete capacity.
+	// SlowStartWindow is the time that slow start takes to reach full capacity.
 	SlowStartWindow time.Duration
-	// SlowStartRequests is the number of served requests that end the slow start if that is earlier; 0: time alone.
+	// SlowStartRequests is the number of served requests that end slow start early; 0 means that only time counts.
 	SlowStartRequests int
-	// OverloadMultiple is how many times its capacity a cold backend may be sent within OverloadSpan; beyond that it
-	// falls over and stays down.
+	// OverloadMultiple is the multiple of its current capacity that a backend in slow start tolerates within
+	// OverloadSpan. A backend that is sent more fails and stays stopped.
 	OverloadMultiple float64
 	OverloadSpan     time.Duration
-	// OverloadSlack is work that may be sent in addition, so that chance alone does not push a backend over.
+	// OverloadSlack is added to the overload limit, so that random bursts alone don't make a backend fail.
 	OverloadSlack  time.Duration
 	MaxConnections int
-	// ConnWork is the work of a core for a new connection; its first request waits for it.
+	// ConnWork is the work of setting up a connection; the first request waits for it.
 	ConnWork time.Duration
-	// Knee is the number of requests in flight a core beyond which a backend grows less efficient.
+	// Knee is the number of requests in flight per core above which efficiency decreases.
 	Knee float64
-	// LossBeyond is the loss of efficiency for each request in flight a core beyond the knee.
+	// LossBeyond is the relative increase in service time for each request in flight per core above Knee.
 	LossBeyond float64
 }
 
@@ -45,8 +45,8 @@
 	Kind  string
 	Rack  int
 	Cores int
-	// Speed is that of each core; work is stated for speed 1.
+	// Speed is the speed of each core. Work is specified for speed 1.
 	Speed float64
-	// QueueCapacity is the number of requests in flight beyond which the backend answers BUSY.
+	// QueueCapacity is the number of requests in flight at which the backend rejects further ones with BUSY.
 	QueueCapacity int
 }
--- a/internal/standin/backend/slow_start.go
+++ b/internal/standin/backend/slow_start.go
@@ -1,8 +1,9 @@
 package backend
 
-// capacityShare returns the share of its capacity that the machine has by its age, or by what it has served.
+// capacityShare returns the share of full capacity that slow start allows now, by time or by the number of served
+// requests, whichever is larger.
 func (m *machine) capacityShare() float64 {
-	if !m.cold || m.rules.SlowStartWindow <= 0 {
+	if !m.slowStart || m.rules.SlowStartWindow <= 0 {
 		return 1
 	}
 	progress := (m.now - m.startedAt).Seconds() / m.rules.SlowStartWindow.Seconds()
