--- a/internal/standin/discovery/agent.go
+++ b/internal/standin/discovery/agent.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// keepAliveInterval is the pause between the empty lines that a watch without changes sends.
+// keepAliveInterval is the interval at which an idle watch sends empty lines.
 const keepAliveInterval = 2 * time.Second
 
-// agent answers the requests of one instance. The registry's mutex guards its fields.
+// agent serves the endpoint list to one instance. The registry's mutex guards its fields.
 type agent struct {
 	registry *Registry
-	index    int // among the registry's agents
+	index    int // index in the registry's agents
 	server   *http.Server
 	revision int64
-	known    map[string]Target // the endpoint list, by UID
-	// revisions holds the revision of the last change that the agent learned of each endpoint.
+	targets  map[string]Target // the endpoint list, by UID
+	// revisions holds the revision of the last change of each endpoint that the agent has applied, by UID.
 	revisions map[string]int64
-	// changed is closed, and replaced, when the list changes or the agent's failure does.
+	// changed is closed and replaced when the list or the agent's failure mode changes.
 	changed chan struct{}
-	// mute says whether the agent neither answers requests nor writes changes.
-	mute  bool
-	limit callLimit
+	// silent reports whether the agent is silent: it neither answers requests nor writes changes.
+	silent bool
+	limit  callLimit
 }
 
-// localize returns a target with the address at which the agent's instance reaches it.
+// localize returns a target with Endpoint set to the address that the agent's instance uses.
 func (a *agent) localize(target Target) Target {
 	if a.index < len(target.Endpoints) {
 		target.Endpoint = target.Endpoints[a.index]
@@ -36,53 +36,53 @@
 	return target
 }
 
-// learn applies a change to the agent's list, unless it knows a later one of the endpoint. The registry's mutex is
-// held.
-func (a *agent) learn(revision int64, target Target) {
+// applyChange applies a change to the agent's list, unless it has already applied a later change of the endpoint. The
+// caller must hold the registry's mutex.
+func (a *agent) applyChange(revision int64, target Target) {
 	if revision < a.revisions[target.UID] {
 		return
 	}
 	a.revision = max(a.revision, revision)
 	a.revisions[target.UID] = revision
 	r := a.registry
-	r.learned = append(r.learned, Notification{r.clock(), a.index, target.UID, target.State})
+	r.appliedChanges = append(r.appliedChanges, Notification{r.clock(), a.index, target.UID, target.State})
 	if target.State == stateDeleted {
-		delete(a.known, target.UID)
+		delete(a.targets, target.UID)
 	} else {
-		a.known[target.UID] = a.localize(target)
+		a.targets[target.UID] = a.localize(target)
 	}
 	a.wakeWatches()
 }
 
-// wakeWatches wakes the open watches. The registry's mutex is held.
+// wakeWatches wakes the agent's open watches. The caller must hold the registry's mutex.
 func (a *agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// snapshot returns the complete list, a channel that is closed when it changes, and whether the agent is silent.
-func (a *agent) snapshot() (l list, changed <-chan struct{}, mute bool) {
+// snapshot returns the current list, a channel that is closed when the list changes, and whether the agent is silent.
+func (a *agent) snapshot() (l list, changed <-chan struct{}, silent bool) {
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
 	l = list{Rev: a.revision, All: true, Targets: []Target{}}
-	for _, target := range a.known {
+	for _, target := range a.targets {
 		l.Targets = append(l.Targets, target)
 	}
 	slices.SortFunc(l.Targets, func(x, y Target) int { return cmp.Compare(x.UID, y.UID) })
-	return l, a.changed, a.mute
+	return l, a.changed, a.silent
 }
 
 // recordPoll records a request.
-func (a *agent) recordPoll(watch bool, since string, mute bool) {
+func (a *agent) recordPoll(watch bool, since string, silent bool) {
 	r := a.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.polls = append(r.polls, Poll{At: r.clock(), Agent: a.index, Watch: watch, Since: since, Mute: mute})
+	r.polls = append(r.polls, Poll{At: r.clock(), Agent: a.index, Watch: watch, Since: since, Mute: silent})
 }
 
-// recordWritten records the changes between two lists, the second of which has been written since began. The instance
-// can't have known of it before the write began, and surely knows only when it has ended: that an endpoint serves
-// counts from the former, that it doesn't from the latter.
+// recordWritten records the changes between two lists after the second was written in a write that started at began.
+// The instance may learn a change at any time between the start and the end of the write. So that checks don't blame it
+// unfairly, a change to SERVING is recorded with the start time, and other changes with the end time.
 func (a *agent) recordWritten(previous, written list, began time.Duration) {
 	r := a.registry
 	r.mu.Lock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// serve answers a request for the list or for a watch on it.
+// serve answers a request for the list or for a watch.
 func (a *agent) serve(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/registry/instances" {
 		http.NotFound(w, req)
@@ -115,13 +115,13 @@
 	}
 	query := req.URL.Query()
 	watching := query.Get("follow") != ""
-	current, changed, mute := a.snapshot()
-	a.recordPoll(watching, query.Get("since"), mute)
-	if mute {
+	current, changed, silent := a.snapshot()
+	a.recordPoll(watching, query.Get("since"), silent)
+	if silent {
 		<-req.Context().Done()
 		return
 	}
-	if !a.takeCall(req.Context(), w) {
+	if !a.awaitTurn(req.Context(), w) {
 		return
 	}
 	if !watching {
@@ -131,18 +131,18 @@
 		}
 		return
 	}
-	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // 0 if it can't be read
+	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // 0 if invalid or missing
 	a.watch(w, req, watchState{current: current, changed: changed, since: since})
 }
 
-// watchState is what a watch starts from.
+// watchState is the state of a watch.
 type watchState struct {
 	current list
-	changed <-chan struct{} // closed when current is out of date
-	since   int64           // the revision that the instance knows
+	changed <-chan struct{} // closed when current is outdated
+	since   int64           // the revision that the instance already has
 }
 
-// watch writes the list, unless the instance knows it, and each later one, until the request ends.
+// watch writes the current list, unless the instance already has it, and then every later list until the request ends.
 func (a *agent) watch(w http.ResponseWriter, req *http.Request, state watchState) {
 	out := json.NewEncoder(w)
 	flush := http.NewResponseController(w).Flush
@@ -163,17 +163,18 @@
 		if !a.awaitChange(w, req, state.changed, keepAlive.C) {
 			return
 		}
-		var mute bool
-		state.current, state.changed, mute = a.snapshot()
+		var silent bool
+		state.current, state.changed, silent = a.snapshot()
 		a.abortIfFailing()
-		if mute { // and for good: a watch does not recover when the agent does
+		if silent { // the watch stays silent even if the agent recovers
 			<-req.Context().Done()
 			return
 		}
 	}
 }
 
-// awaitChange waits for changed and writes an empty line now and then. It reports false if the request has ended.
+// awaitChange waits until changed is closed, and writes an empty line at each keepAlive tick. It reports false if the
+// request has ended.
 func (a *agent) awaitChange(
 	w http.ResponseWriter, req *http.Request, changed <-chan struct{}, keepAlive <-chan time.Time,
 ) bool {
@@ -183,7 +184,7 @@
 		case <-req.Context().Done():
 			return false
 		case <-keepAlive:
-			if a.muted() {
+			if a.isSilent() {
 				continue
 			}
 			if _, err := w.Write([]byte("\n")); err != nil || flush() != nil {
--- a/internal/standin/discovery/capacity.go
+++ b/internal/standin/discovery/capacity.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// callLimit is the capacity of an agent that stands for a registry which many instances share: one call at a time.
-// The registry's mutex guards it.
+// callLimit limits the calls that an agent serves, to model a registry shared by many instances: it processes one call
+// at a time. The registry's mutex guards it.
 type callLimit struct {
 	failure     Failure
-	serviceTime time.Duration // of one call; 0: no limit
-	patience    time.Duration // a call that would be answered later is rejected
-	freeAt      time.Time     // when all calls so far are answered
-	second      int64         // the second of the clock in which calls are counted
-	calls       int           // in that second
-	maxCalls    int           // in any second so far
+	serviceTime time.Duration // service time of one call; 0: no limit
+	maxWait     time.Duration // calls with a longer response time are rejected
+	idleAt      time.Time     // when the calls admitted so far have been processed
+	second      int64         // Unix time of the second that calls counts
+	calls       int           // calls in that second
+	maxCalls    int           // maximum number of calls in any second so far
 }
 
-// Limit gives an agent a capacity that all its callers share: each call takes it a service time, one after another. A
-// call that would be answered later than patience is rejected with 503.
-func (r *Registry) Limit(agent int, service, patience time.Duration) {
+// Limit limits the capacity of an agent: it processes one call after another, and each takes the service time. A call
+// that would wait longer than maxWait for its answer is rejected with 503.
+func (r *Registry) Limit(agent int, service, maxWait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	limit := &r.agents[agent].limit
-	limit.serviceTime, limit.patience = service, patience
+	limit.serviceTime, limit.maxWait = service, maxWait
 }
 
-// Busiest returns the largest number of calls that came to an agent within one second.
+// Busiest returns the maximum number of calls that an agent received within one second.
 func (r *Registry) Busiest(agent int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.agents[agent].limit.maxCalls
 }
 
-// takeCall waits for a call's turn. It reports false for a call that has none, which it has answered.
-func (a *agent) takeCall(ctx context.Context, w http.ResponseWriter) bool {
+// awaitTurn waits until the agent has processed a call. It reports false if it has rejected the call (and written the
+// response), or if the request has ended.
+func (a *agent) awaitTurn(ctx context.Context, w http.ResponseWriter) bool {
 	a.registry.mu.Lock()
 	wait, failure := a.limit.admit(time.Now())
 	a.registry.mu.Unlock()
@@ -45,7 +46,7 @@
 	case TurningAway:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
-	case Answering, Silent: // a call that came before the agent fell silent is answered
+	case Answering, Silent: // calls received before the agent became silent are still answered
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -57,7 +58,7 @@
 	}
 }
 
-// admit counts a call, and returns how long it waits for its answer or how it fails.
+// admit counts a call and returns how long to wait before answering it, or the failure that it meets.
 func (l *callLimit) admit(now time.Time) (wait time.Duration, failure Failure) {
 	if now.Unix() != l.second {
 		l.second, l.calls = now.Unix(), 0
@@ -67,13 +68,13 @@
 	if l.failure != Answering || l.serviceTime == 0 {
 		return 0, l.failure
 	}
-	if l.freeAt.Before(now) {
-		l.freeAt = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	wait = l.freeAt.Sub(now) + l.serviceTime
-	if wait > l.patience {
+	wait = l.idleAt.Sub(now) + l.serviceTime
+	if wait > l.maxWait {
 		return 0, TurningAway
 	}
-	l.freeAt = l.freeAt.Add(l.serviceTime)
+	l.idleAt = l.idleAt.Add(l.serviceTime)
 	return wait, Answering
 }
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery is a stand-in for the platform's endpoint registry: an endpoint list and a watch on it over HTTP.
-// Each instance talks to an agent of its own, and an agent learns of a change some time after it was made. Agents can
-// be silenced, made to fail or limited in the calls that they take. An observer records every poll, what each agent
-// learned, and when each agent wrote what to its instance.
+// Package discovery is a stand-in for the platform's endpoint registry, which serves an endpoint list and a watch on it
+// over HTTP. Each instance has its own agent. Changes reach the agents with a delay. Agents can be made silent or
+// failing, and their call rate can be limited. The registry records every poll, every change that reached an agent, and
+// when it was written to the agent's instance.
 package discovery
 
 import (
@@ -19,35 +19,35 @@
 // The states of an endpoint.
 const (
 	stateServing = "SERVING"
-	stateDeleted = "DELETED" // only in changes: a list leaves the endpoint out
+	stateDeleted = "DELETED" // used in changes only; lists omit deleted endpoints
 )
 
-// readHeaderTimeout limits how long an instance may take to send a request.
+// readHeaderTimeout is the time limit for reading the header of a request.
 const readHeaderTimeout = 5 * time.Second
 
-// Target is one endpoint of the list.
+// Target is one endpoint of the endpoint list.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
-	State    string  `json:"state"` // SERVING, DRAINING or, among changes, DELETED
+	State    string  `json:"state"` // SERVING, DRAINING or, in changes only, DELETED
 	Capacity float64 `json:"capacity_hint"`
 	BootMS   int64   `json:"boot_ms"`
 
-	// Endpoints replaces Endpoint, by agent, where each instance reaches the backend at an address of its own.
+	// Endpoints, indexed by agent, overrides Endpoint if each instance reaches the backend at a different address.
 	Endpoints []string `json:"-"`
 }
 
-// list is an endpoint list as it goes over the wire.
+// list is the JSON form of an endpoint list.
 type list struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
-// Notification is one change of an endpoint's state: that it was written to an instance, or that an agent learned it.
+// Notification is a state change of an endpoint that was written to an instance, or that reached an agent.
 type Notification struct {
 	At    time.Duration
 	Agent int
@@ -55,39 +55,39 @@
 	State string
 }
 
-// Poll is one request of an instance, whether or not it was answered.
+// Poll is one request of an instance for the list or a watch, whether or not it was answered.
 type Poll struct {
 	At    time.Duration
 	Agent int
-	// Watch says whether the instance asked for a watch rather than a list.
+	// Watch is true for a request for a watch, false for a request for the list.
 	Watch bool
-	// Since is the revision that the instance named.
+	// Since is the value of the request's since parameter: the revision that the instance already has.
 	Since string
-	// Mute says whether the agent was silent then.
+	// Mute reports whether the agent was silent at that time.
 	Mute bool
 }
 
-// Registry is the endpoint list and its agents. It runs an HTTP server for each agent, and a goroutine for each
-// change that an agent has not learned yet; Close ends them all and waits for them.
+// Registry is the endpoint registry with its agents. It runs one HTTP server per agent, and one goroutine per change
+// that has not reached an agent yet. Close stops them all and waits for them.
 type Registry struct {
-	clock    func() time.Duration // of all records
-	minDelay time.Duration        // until a change reaches an agent
-	maxDelay time.Duration
-	ctx      context.Context // done when the registry is closed
+	clock    func() time.Duration // clock of all records
+	minDelay time.Duration        // minimum delay until a change reaches an agent
+	maxDelay time.Duration        // maximum delay
+	ctx      context.Context      // done when the registry is closed
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu            sync.Mutex // guards all below, and the agents' fields
-	rng           *rand.Rand
-	revision      int64
-	agents        []*agent
-	notifications []Notification // changes written to instances
-	learned       []Notification // changes that agents learned, whether or not they were written to an instance
-	polls         []Poll
+	mu             sync.Mutex // guards the fields below, and the agents' fields
+	rng            *rand.Rand
+	revision       int64
+	agents         []*agent
+	notifications  []Notification // changes written to instances
+	appliedChanges []Notification // changes that reached agents, whether or not they were written to an instance
+	polls          []Poll
 }
 
-// New returns a registry without agents, whose changes reach each agent between minDelay and maxDelay late. The clock
-// is that of its records.
+// New returns a registry without agents. Changes reach each agent after a random delay between minDelay and maxDelay.
+// The clock provides the times of the records.
 func New(seed uint64, clock func() time.Duration, minDelay, maxDelay time.Duration) *Registry {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Registry{
@@ -101,8 +101,8 @@
 	}
 }
 
-// Agent starts a further agent and returns its host and port. The agent knows what the first agent knows, and learns
-// what is changed with Set from then on.
+// Agent starts another agent and returns its host and port. The agent begins with a copy of the first agent's list, and
+// receives later changes.
 func (r *Registry) Agent() (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -114,13 +114,13 @@
 		registry:  r,
 		index:     len(r.agents),
 		revision:  r.revision,
-		known:     map[string]Target{},
+		targets:   map[string]Target{},
 		revisions: map[string]int64{},
 		changed:   make(chan struct{}),
 	}
 	if len(r.agents) > 0 {
-		for uid, target := range r.agents[0].known {
-			a.known[uid] = a.localize(target)
+		for uid, target := range r.agents[0].targets {
+			a.targets[uid] = a.localize(target)
 		}
 	}
 	a.server = &http.Server{
@@ -131,13 +131,13 @@
 	r.agents = append(r.agents, a)
 	r.wg.Go(func() {
 		if err := a.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			panic(err) // nothing else closes the listener
+			panic(err) // the listener is closed only by server.Close
 		}
 	})
 	return ln.Addr().String(), nil
 }
 
-// Close ends all agents.
+// Close stops all agents.
 func (r *Registry) Close() {
 	r.stop()
 	r.mu.Lock()
@@ -148,10 +148,10 @@
 	r.wg.Wait()
 }
 
-// Set changes an endpoint. If now is set, each agent learns of it at once. Otherwise each learns of it late, all
-// within a tenth of the span between the minimum and the maximum delay. An agent ignores a change that is older than
-// what it knows of the endpoint.
-func (r *Registry) Set(target Target, now bool) {
+// Set changes an endpoint. If immediately is set, the change reaches all agents at once. Otherwise it reaches them
+// after a random delay; the agents' delays differ by at most a tenth of the range between minimum and maximum delay. An
+// agent ignores a change that is older than the last one that it received for the endpoint.
+func (r *Registry) Set(target Target, immediately bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -159,17 +159,17 @@
 	spread := (r.maxDelay - r.minDelay) / 10
 	base := r.minDelay + time.Duration(r.rng.Float64()*float64(r.maxDelay-r.minDelay-spread))
 	for _, a := range r.agents {
-		if now {
-			a.learn(revision, target)
+		if immediately {
+			a.applyChange(revision, target)
 			continue
 		}
 		delay := base + time.Duration(r.rng.Float64()*float64(spread))
-		r.wg.Go(func() { r.learnAfter(delay, a, revision, target) })
+		r.wg.Go(func() { r.applyChangeAfter(delay, a, revision, target) })
 	}
 }
 
-// learnAfter lets an agent learn of a change after a delay, unless the registry is closed before.
-func (r *Registry) learnAfter(delay time.Duration, a *agent, revision int64, target Target) {
+// applyChangeAfter applies a change to an agent after a delay, unless the registry is closed before.
+func (r *Registry) applyChangeAfter(delay time.Duration, a *agent, revision int64, target Target) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -177,27 +177,27 @@
 	case <-timer.C:
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		a.learn(revision, target)
+		a.applyChange(revision, target)
 	}
 }
 
-// Polls returns the requests of the instances so far.
+// Polls returns the instances' requests so far.
 func (r *Registry) Polls() []Poll {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.polls)
 }
 
-// Notifications returns the changes that were written to the instances so far.
+// Notifications returns the changes written to instances so far.
 func (r *Registry) Notifications() []Notification {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.notifications)
 }
 
-// Versions returns the changes that the agents have learned so far, whether or not they were written to an instance.
+// Versions returns the changes that have reached agents so far, whether or not they were written to an instance.
 func (r *Registry) Versions() []Notification {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.learned)
+	return slices.Clone(r.appliedChanges)
 }
--- a/internal/standin/discovery/discovery_test.go
+++ b/internal/standin/discovery/discovery_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// getList requests an agent's list or a watch on it.
+// getList requests the list or a watch from an agent and returns a scanner over the lines of the response.
 func getList(t *testing.T, url string) *bufio.Scanner {
 	t.Helper()
 	resp, err := http.Get(url)
@@ -20,7 +20,7 @@
 	return bufio.NewScanner(resp.Body)
 }
 
-// nextList reads the next list that is not an empty line.
+// nextList reads the next list, skipping empty lines.
 func nextList(t *testing.T, lines *bufio.Scanner) (l list) {
 	t.Helper()
 	for lines.Scan() {
@@ -32,12 +32,12 @@
 		}
 		return l
 	}
-	t.Fatal("the watch has ended")
+	t.Fatal("watch ended unexpectedly")
 	return l
 }
 
-// checkList reads the next list and checks its revision and the state of its only endpoint; an empty state wants no
-// endpoint.
+// checkList reads the next list and checks its revision and the state of its only endpoint. An empty state means that
+// no endpoint is expected.
 func checkList(t *testing.T, lines *bufio.Scanner, revision int64, state string) {
 	t.Helper()
 	got := nextList(t, lines)
@@ -52,7 +52,8 @@
 	}
 }
 
-// A change is written to each watch late, and the record says when it was; a list and a new watch show what holds.
+// A change is written to an open watch after the delay and recorded with its time. A list request and a new watch
+// return the current list.
 func TestWatch(t *testing.T) {
 	began := time.Now()
 	r := New(1, func() time.Duration { return time.Since(began) }, 50*time.Millisecond, 60*time.Millisecond)
@@ -74,7 +75,7 @@
 	for end := time.Now().Add(10 * time.Second); len(r.Notifications()) < 4 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	got := r.Notifications() // by the list, by the watch's first line, then the changes
+	got := r.Notifications() // from the list request, the watch's first list, and the two changes
 	if len(got) != 4 {
 		t.Fatalf("notifications: got %+v, want 4", got)
 	}
@@ -86,8 +87,8 @@
 	}
 }
 
-// A failing agent breaks its watches and answers as it is told to; a limited one rejects calls that would wait for
-// too long.
+// A failing agent aborts its watches and answers requests according to its failure mode. A limited agent rejects calls
+// that would wait too long.
 func TestFailAndLimit(t *testing.T) {
 	r := New(1, func() time.Duration { return 0 }, 0, time.Millisecond)
 	t.Cleanup(r.Close)
@@ -121,7 +122,7 @@
 	r.Fail(0, Answering)
 	r.Limit(0, time.Minute, time.Second)
 	if got := status(); got != 503 {
-		t.Errorf("a call that would wait for a minute: got status %d, want 503", got)
+		t.Errorf("call that would wait for a minute: got status %d, want 503", got)
 	}
 	if r.Busiest(0) == 0 {
 		t.Error("calls within a second: got 0, want more")
--- a/internal/standin/discovery/failure.go
+++ b/internal/standin/discovery/failure.go
@@ -2,21 +2,21 @@
 
 import "net/http"
 
-// Failure is a way in which an agent fails.
+// Failure is a failure mode of an agent.
 type Failure int
 
 const (
-	// Answering agents do not fail.
+	// Answering means that the agent works normally.
 	Answering Failure = iota
-	// Silent agents answer nothing; their open watches write nothing more, for good.
+	// Silent means that the agent answers no requests. Open watches stay silent even after it recovers.
 	Silent
-	// Resetting agents break open watches, and each connection on which a call comes.
+	// Resetting means that the agent aborts open watches, and the connection of each new request.
 	Resetting
-	// TurningAway agents break open watches and answer each call with 503.
+	// TurningAway means that the agent aborts open watches and answers each new request with 503.
 	TurningAway
 )
 
-// String returns the failure's name.
+// String returns the name of the failure mode.
 func (f Failure) String() string {
 	switch f {
 	case Answering:
@@ -32,31 +32,31 @@
 	}
 }
 
-// Fail makes an agent fail, or answer again.
+// Fail sets the failure mode of an agent; Answering ends a failure.
 func (r *Registry) Fail(agent int, failure Failure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.agents[agent]
 	a.limit.failure = failure
-	a.mute = failure == Silent
+	a.silent = failure == Silent
 	a.wakeWatches()
 }
 
-// Mute makes an agent silent, or ends that.
+// Mute sets whether an agent is silent.
 func (r *Registry) Mute(agent int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.agents[agent].mute = on
+	r.agents[agent].silent = on
 }
 
-// muted reports whether the agent is silent.
-func (a *agent) muted() bool {
+// isSilent reports whether the agent is silent.
+func (a *agent) isSilent() bool {
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
-	return a.mute
+	return a.silent
 }
 
-// abortIfFailing ends a call by a reset of its connection, if the agent's failure breaks watches.
+// abortIfFailing aborts the request and its connection if the agent's failure mode aborts watches.
 func (a *agent) abortIfFailing() {
 	a.registry.mu.Lock()
 	failure := a.limit.failure
