--- a/internal/standin/gate/backend.go
+++ b/internal/standin/gate/backend.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	maxIdleConns   = 64 // to one backend
+	maxIdleConns   = 64 // per backend
 	dialTimeout    = 250 * time.Millisecond
 	readBufferSize = 512
 	maxValueLength = 1 << 16
 )
 
-// backendConn is a connection to a backend, for one command at a time.
+// backendConn is a connection to a backend. It carries one command at a time.
 type backendConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -31,7 +31,7 @@
 		dialer := net.Dialer{Timeout: dialTimeout}
 		nc, err := dialer.DialContext(ctx, "tcp", addr)
 		if err != nil {
-			return "", refused // without a connection it took no effect
+			return "", outcomeRefused // without a connection, the request took no effect
 		}
 		c = &backendConn{nc, bufio.NewReaderSize(nc, readBufferSize)}
 	}
@@ -39,18 +39,18 @@
 	c.SetDeadline(deadline)
 	if _, err := io.WriteString(c, encodeCommand(request, time.Until(deadline))); err != nil {
 		c.Close()
-		return "", failed
+		return "", outcomeFailed
 	}
 	value, outcome, err := c.readReply()
 	if err != nil {
 		c.Close()
-		return "", failed
+		return "", outcomeFailed
 	}
 	g.putIdle(addr, c)
 	return value, outcome
 }
 
-// encodeCommand returns a request, whose client still waits for left, as a RESP2 command.
+// encodeCommand encodes a request as a RESP2 command. left is the time until the client's deadline.
 func encodeCommand(request Request, left time.Duration) string {
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%g,spread=%d,first=%d", request.Class, request.Plan,
 		max(1, left.Milliseconds()), request.Units, request.Spread, request.First)
@@ -68,7 +68,8 @@
 	return b.String()
 }
 
-// readReply reads a reply, which has three values if the request was served. It returns the first.
+// readReply reads a reply and returns the outcome. The reply to a served request is an array of three values, of which
+// readReply returns the first.
 func (c *backendConn) readReply() (value, outcome string, err error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -76,9 +77,9 @@
 	}
 	switch line = strings.TrimRight(line, "\r\n"); {
 	case strings.HasPrefix(line, "-BUSY"):
-		return "", refused, nil
+		return "", outcomeRefused, nil
 	case line != "*3":
-		return "", failed, nil
+		return "", outcomeFailed, nil
 	}
 	for i := range 3 {
 		text, err := c.readValue()
@@ -89,10 +90,10 @@
 			value = text
 		}
 	}
-	return value, served, nil
+	return value, outcomeServed, nil
 }
 
-// readValue reads one bulk string; a null is empty.
+// readValue reads one bulk string. It returns an empty string for a null.
 func (c *backendConn) readValue() (string, error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -100,7 +101,7 @@
 	}
 	length, err := strconv.Atoi(strings.TrimRight(strings.TrimPrefix(line, "$"), "\r\n"))
 	if err != nil || length > maxValueLength {
-		return "", fmt.Errorf("a value of length %q", line)
+		return "", fmt.Errorf("invalid length of a bulk string: %q", line)
 	}
 	if length < 0 {
 		return "", nil
@@ -112,7 +113,7 @@
 	return string(buf[:length]), nil
 }
 
-// takeIdle takes an idle connection to a backend; nil if there is none.
+// takeIdle removes an idle connection to a backend from the pool and returns it, or nil if there is none.
 func (g *Gate) takeIdle(addr string) *backendConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +126,7 @@
 	return conns[last]
 }
 
-// putIdle keeps a connection for the next request, or closes it if enough are idle or the gate is closed.
+// putIdle returns a connection to the pool, or closes it if the pool is full or the gate is closed.
 func (g *Gate) putIdle(addr string, c *backendConn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -1,17 +1,17 @@
-// Package gate is a stand-in for an HTTP gateway that asks the ingress about each request of a client, sends the
-// request to the backend that it is granted, and reports the outcome. It does what the operators' page asks of such a
-// gateway and, by a fault script, what the page forbids. Do takes a request from a test; ServeHTTP takes one over
-// HTTP. Nothing is retried beyond what the ingress grants.
+// Package gate is a stand-in for an HTTP gateway that uses the ingress's forward authentication: for each client
+// request it requests a grant from the ingress, sends the request to the granted backend, and reports the outcome. It
+// follows the documented rules for such gateways, and breaks them on purpose under a fault script. Do handles a request
+// of a test, ServeHTTP a request over HTTP. The gate makes no attempts beyond those that the ingress grants.
 //
-// The kinds of a fault rule do this here, where calls are known by their class; all others do nothing:
+// Fault rules match requests by class. These kinds have an effect:
 //
-//	drop-before  hangs up before the answer to its first call, and asks again
-//	drop-after   dies after the grant: sends nothing, reports nothing
-//	ignore       the same, and answers its client as if the request was rejected
-//	delay D      waits between grant and sending; past the time for it, it sends nothing and reports unsent
-//	swallow      never reports
-//	repeat       reports twice
-//	late D       reports so much later
+//	drop-before  cancel the first call before its answer arrives, and call again
+//	drop-after   stop after the grant: neither send the request nor report
+//	ignore       like drop-after, but tell the client that the request was rejected
+//	delay D      wait for D before sending; if the attempt's start limit has passed by then, report it as unsent
+//	swallow      do not report
+//	repeat       report twice
+//	late D       report after a delay of D
 package gate
 
 import (
@@ -23,18 +23,18 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// The kinds of a Result, and with unsent the outcomes of an attempt in a report.
+// The kinds of a Result and, together with outcomeUnsent, the outcomes of an attempt in a report.
 const (
-	served  = "served"
-	refused = "refused" // the request was rejected and took no effect
-	failed  = "failed"  // it is unknown whether the request took effect
-	unsent  = "unsent"  // the attempt was granted and never sent
+	outcomeServed  = "served"
+	outcomeRefused = "refused" // the request was rejected and took no effect
+	outcomeFailed  = "failed"  // it is unknown whether the request took effect
+	outcomeUnsent  = "unsent"  // the attempt was granted but not sent
 )
 
-// hangUpTimeout is how long a call lasts under drop-before.
-const hangUpTimeout = 2 * time.Millisecond
+// cancelTimeout is the time after which the fault drop-before cancels a call.
+const cancelTimeout = 2 * time.Millisecond
 
-// Request is one request of a client.
+// Request is a client request.
 type Request struct {
 	ID      string
 	Channel string
@@ -43,27 +43,27 @@
 	// Key is the idempotency key; empty if the request has none.
 	Key   string
 	Units float64
-	// Spread and First describe the set of backends that may serve the request.
+	// Spread and First select the set of backends that may serve the request.
 	Spread int
 	First  int
-	// Wait is how long the client waits.
+	// Wait is how long the client waits for a result.
 	Wait time.Duration
 }
 
-// Result is what the client is told.
+// Result is the result of a request, as returned to the client.
 type Result struct {
 	// Kind is served, refused or failed.
 	Kind string
-	// Value is the backend's reply, if served.
+	// Value is the backend's reply; set if Kind is served.
 	Value string
-	// After is the time after which the client may retry, if refused.
+	// After is the time after which the client may retry; set if Kind is refused.
 	After time.Duration
 }
 
-// Gate sends requests on as one ingress grants. It is safe for concurrent use. It runs a goroutine for each report
-// that a fault delays; Close ends them and closes all connections.
+// Gate forwards requests to backends as one ingress grants. It is safe for concurrent use. It runs one goroutine per
+// report that a fault delays. Close stops them and closes all connections.
 type Gate struct {
-	base      string // URL of the ingress
+	baseURL   string // URL of the ingress
 	client    *http.Client
 	transport *http.Transport
 	faults    *fault.Script
@@ -76,7 +76,7 @@
 	idle map[string][]*backendConn
 }
 
-// New returns a gate that asks the ingress at addr, a host and port. The seed is that of the fault script.
+// New returns a gate for the ingress at addr, a host and port. The seed is used for the fault script's probabilities.
 func New(addr string, seed uint64) *Gate {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 256,
@@ -86,7 +86,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	return &Gate{
-		base:      "http://" + addr,
+		baseURL:   "http://" + addr,
 		client:    &http.Client{Transport: transport},
 		transport: transport,
 		faults:    fault.New(seed),
@@ -97,10 +97,10 @@
 	}
 }
 
-// Fault puts a rule in force from now on.
+// Fault adds a fault rule that applies from now on.
 func (g *Gate) Fault(rule fault.Rule) { g.faults.Add(time.Since(g.start), rule) }
 
-// Close drops the reports that a fault delays, and closes all connections.
+// Close discards delayed reports and closes all connections.
 func (g *Gate) Close() {
 	g.stop()
 	g.wg.Wait()
@@ -115,49 +115,49 @@
 	g.idle = map[string][]*backendConn{}
 }
 
-// Do carries one request through: it asks the ingress, sends to the backend that it is granted, reports, and goes on
-// with further grants until the request is served or the ingress rejects it.
+// Do handles one request: it requests a grant, sends the request to the granted backend, reports the outcome, and
+// continues with further grants until the request is served, its time is over, or the ingress grants nothing more.
 func (g *Gate) Do(ctx context.Context, request Request) (result Result) {
 	ctx, cancel := context.WithTimeout(ctx, request.Wait)
 	defer cancel()
 	rule, _, _ := g.faults.Next(time.Since(g.start), request.Class, "")
 	if rule.Kind == fault.DropBefore {
-		short, cancel := context.WithTimeout(ctx, hangUpTimeout)
+		short, cancel := context.WithTimeout(ctx, cancelTimeout)
 		g.requestGrant(short, request, &result)
 		cancel()
 	}
 	granted, done := g.requestGrant(ctx, request, &result)
-	mayHaveRun := false // an earlier attempt
+	mayHaveRun := false // whether an earlier attempt may have taken effect
 	for !done {
 		switch rule.Kind {
 		case fault.DropAfter:
-			result.Kind = failed
+			result.Kind = outcomeFailed
 			return result
 		case fault.Ignore:
-			result.Kind = refused
+			result.Kind = outcomeRefused
 			return result
 		case fault.Delay:
 			sleep(ctx, rule.By)
-		default: // the other kinds act on calls and reports
+		default: // the other kinds affect calls to the ingress only
 		}
 		if time.Now().After(granted.startBy) {
-			g.report(ctx, granted.lease, unsent, rule)
-			result.Kind = refused
+			g.report(ctx, granted.lease, outcomeUnsent, rule)
+			result.Kind = outcomeRefused
 			if mayHaveRun {
-				result.Kind = failed
+				result.Kind = outcomeFailed
 			}
 			return result
 		}
 		value, outcome := g.send(ctx, granted.addr, request)
-		if outcome == served {
+		if outcome == outcomeServed {
 			g.report(ctx, granted.lease, outcome, rule)
-			result.Kind, result.Value = served, value
+			result.Kind, result.Value = outcomeServed, value
 			return result
 		}
-		mayHaveRun = mayHaveRun || outcome == failed
+		mayHaveRun = mayHaveRun || outcome == outcomeFailed
 		if ctx.Err() != nil {
 			g.report(g.ctx, granted.lease, outcome, rule)
-			result.Kind = failed
+			result.Kind = outcomeFailed
 			return result
 		}
 		next, ok := g.report(ctx, granted.lease, outcome, rule)
@@ -165,12 +165,12 @@
 			granted = next
 			continue
 		}
-		granted, done = g.requestGrant(ctx, request, &result) // the ingress may not have decided yet
+		granted, done = g.requestGrant(ctx, request, &result) // the ingress may still grant another attempt
 	}
 	return result
 }
 
-// sleep waits for d or the end of the context.
+// sleep waits for d, or until the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/standin/gate/gate_test.go
+++ b/internal/standin/gate/gate_test.go
@@ -20,27 +20,27 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ingress grants its backends in turn, and records calls and reports.
-type ingress struct {
-	mu       sync.Mutex // guards calls and reports
-	backends []string
-	within   time.Duration
-	status   int // in place of a grant
-	calls    []http.Header
-	reports  []string
+// fakeIngress is a fake ingress that grants its backends in turn, and records calls and reports.
+type fakeIngress struct {
+	mu          sync.Mutex // guards calls and reports
+	backends    []string
+	startWithin time.Duration // time within which an attempt must start
+	status      int           // status of the response to a call, in place of a grant; 0: grant
+	calls       []http.Header
+	reports     []string
 }
 
 // grant returns the headers of the nth grant.
-func (s *ingress) grant(n int) map[string]string {
+func (s *fakeIngress) grant(n int) map[string]string {
 	return map[string]string{
 		"X-Hitch-Node":            s.backends[n%len(s.backends)],
 		"X-Hitch-Lease":           fmt.Sprint("lease", n),
-		"X-Hitch-Start-Within-Ms": strconv.FormatInt(s.within.Milliseconds(), 10),
+		"X-Hitch-Start-Within-Ms": strconv.FormatInt(s.startWithin.Milliseconds(), 10),
 		"X-Hitch-Ends-Within-Ms":  "5000",
 	}
 }
 
-func (s *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeIngress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lease, ok := strings.CutPrefix(r.URL.Path, "/v1/attempts/"); ok {
@@ -58,8 +58,8 @@
 	}
 }
 
-// serveReport records a report and grants another attempt after one that was not served.
-func (s *ingress) serveReport(w http.ResponseWriter, r *http.Request, lease string) {
+// serveReport records a report, and grants another attempt if the reported one failed or was refused.
+func (s *fakeIngress) serveReport(w http.ResponseWriter, r *http.Request, lease string) {
 	var report struct{ Outcome string }
 	if err := json.NewDecoder(r.Body).Decode(&report); err != nil {
 		report.Outcome = err.Error()
@@ -72,19 +72,19 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
-// faultCase is a request under a fault, and what becomes of it.
+// faultCase is a request under a fault, and the expected result.
 type faultCase struct {
-	rule     string // empty: no fault
-	backends []string
-	within   time.Duration // the ingress's limit for the start of an attempt
-	status   int           // the ingress's answer in place of a grant
+	rule        string // empty: no fault
+	backends    []string
+	startWithin time.Duration // time within which an attempt must start
+	status      int           // status that the ingress returns in place of a grant; 0: grant
 
-	kind    string
-	reports string
-	sent    int // commands that reached the good backend
+	kind         string // expected Result.Kind
+	reports      string // expected reports
+	sentCommands int    // expected number of commands at the working backend
 }
 
-// By each fault the gate sends, reports and answers as the script says, and as it ought to without one.
+// With each fault, and without one, the gate sends, reports and answers as documented.
 func TestFaults(t *testing.T) {
 	const second = time.Second
 	good := scripted.NewBackend(t, func(int, []string, net.Conn) string { return scripted.Served })
@@ -109,17 +109,17 @@
 		t.Run(name, func(t *testing.T) {
 			before := len(good.Seen())
 			checkFault(t, c)
-			if got := len(good.Seen()) - before; got != c.sent {
-				t.Errorf("commands sent: got %d, want %d", got, c.sent)
+			if got := len(good.Seen()) - before; got != c.sentCommands {
+				t.Errorf("commands sent: got %d, want %d", got, c.sentCommands)
 			}
 		})
 	}
 }
 
-// checkFault carries a request through, and checks the result, the reports and the last call.
+// checkFault makes one request and checks its result, the reports, and the last call to the ingress.
 func checkFault(t *testing.T, c faultCase) {
 	t.Helper()
-	s := &ingress{backends: c.backends, within: c.within, status: c.status}
+	s := &fakeIngress{backends: c.backends, startWithin: c.startWithin, status: c.status}
 	server := httptest.NewServer(s)
 	defer server.Close()
 	g := New(strings.TrimPrefix(server.URL, "http://"), 1)
@@ -147,7 +147,7 @@
 	checkCall(t, s.calls[len(s.calls)-1])
 }
 
-// checkCall checks what the gate tells the ingress of a request.
+// checkCall checks the headers that describe a request to the ingress.
 func checkCall(t *testing.T, header http.Header) {
 	t.Helper()
 	for name, want := range map[string]string{
@@ -162,10 +162,10 @@
 	}
 }
 
-// A client's request over HTTP goes through, and one that cannot be read is answered with 400.
+// A valid client request over HTTP is served, and an invalid one is answered with 400.
 func TestPlainHTTP(t *testing.T) {
 	backend := scripted.NewBackend(t, func(int, []string, net.Conn) string { return scripted.Served })
-	server := httptest.NewServer(&ingress{backends: []string{backend.Addr}, within: time.Second})
+	server := httptest.NewServer(&fakeIngress{backends: []string{backend.Addr}, startWithin: time.Second})
 	defer server.Close()
 	g := New(strings.TrimPrefix(server.URL, "http://"), 1)
 	defer g.Close()
--- a/internal/standin/gate/http.go
+++ b/internal/standin/gate/http.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	clientWait   = 5 * time.Second // of a request over HTTP
-	idLength     = 16
-	defaultUnits = 1
+	clientTimeout = 5 * time.Second // time limit of a request over HTTP
+	idLength      = 16
+	defaultUnits  = 1
 )
 
-// ServeHTTP takes a request of a client, /CHANNEL/CLASS?plan=...&id=...&key=...&units=..., and answers it with the
-// backend's value, 429 or 503.
+// ServeHTTP handles a client request of the form /CHANNEL/CLASS?plan=...&id=...&key=...&units=... and responds with the
+// backend's value, or with 429 if the request was rejected, or 503 if it failed.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	channelText, class, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	query := r.URL.Query()
@@ -41,12 +41,12 @@
 		Key:     query.Get("key"),
 		Units:   units,
 		Spread:  1,
-		Wait:    clientWait,
+		Wait:    clientTimeout,
 	})
 	switch result.Kind {
-	case served:
+	case outcomeServed:
 		fmt.Fprintln(w, result.Value)
-	case refused:
+	case outcomeRefused:
 		w.Header().Set("Retry-After", strconv.Itoa(int(result.After.Seconds())+1))
 		http.Error(w, "refused", http.StatusTooManyRequests)
 	default:
--- a/internal/standin/gate/ingress.go
+++ b/internal/standin/gate/ingress.go
@@ -16,19 +16,19 @@
 const (
 	headerPrefix  = "X-Hitch"
 	reportTimeout = 2 * time.Second
-	maxBody       = 1 << 16 // bytes read of an answer of the ingress
+	maxBodyLength = 1 << 16 // maximum bytes read of a response body of the ingress
 )
 
-// grant is a backend that the ingress has named for an attempt.
+// grant is the ingress's permission for one attempt at a backend.
 type grant struct {
 	lease   string
 	addr    string
-	startBy time.Time // the attempt may not be sent later
+	startBy time.Time // latest time at which the attempt may be sent
 }
 
-// parseGrant reads a grant, received at a time, from its headers. It reports false if backend or lease is missing.
+// parseGrant reads a grant from the headers of a response. It reports false if the backend or the lease is missing.
 func parseGrant(get func(name string) string, receivedAt time.Time) (granted grant, ok bool) {
-	ms, _ := strconv.ParseInt(get(headerPrefix+"-Start-Within-Ms"), 10, 64) // 0 if it can't be read
+	ms, _ := strconv.ParseInt(get(headerPrefix+"-Start-Within-Ms"), 10, 64) // 0 if invalid or missing
 	granted = grant{
 		lease:   get(headerPrefix + "-Lease"),
 		addr:    get(headerPrefix + "-Node"),
@@ -37,11 +37,11 @@
 	return granted, granted.lease != "" && granted.addr != ""
 }
 
-// requestGrant calls the ingress about a request. If done is false it has granted an attempt; otherwise result is
-// final.
+// requestGrant requests a grant for a request. If done is false, the ingress has granted an attempt; otherwise result
+// is final.
 func (g *Gate) requestGrant(ctx context.Context, request Request, result *Result) (granted grant, done bool) {
-	result.Kind = failed
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.base+"/check", nil)
+	result.Kind = outcomeFailed
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.baseURL+"/check", nil)
 	if err != nil {
 		return grant{}, true
 	}
@@ -55,20 +55,20 @@
 		return grant{}, true
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // so that the connection can be used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyLength)) // so that the connection can be reused
 	switch resp.StatusCode {
 	case http.StatusOK:
 		granted, ok := parseGrant(resp.Header.Get, time.Now())
 		return granted, !ok
 	case http.StatusTooManyRequests:
-		result.Kind = refused
-		ms, _ := strconv.ParseInt(resp.Header.Get(headerPrefix+"-Retry-After-Ms"), 10, 64) // 0 if it can't be read
+		result.Kind = outcomeRefused
+		ms, _ := strconv.ParseInt(resp.Header.Get(headerPrefix+"-Retry-After-Ms"), 10, 64) // 0 if invalid or missing
 		result.After = time.Duration(ms) * time.Millisecond
 	}
 	return grant{}, true
 }
 
-// setHeaders describes a request, whose client still waits for left, to the ingress.
+// setHeaders sets the headers that describe a request to the ingress. left is the time until the client's deadline.
 func setHeaders(header http.Header, request Request, left time.Duration) {
 	header.Set("X-Forwarded-Method", "POST")
 	header.Set("X-Forwarded-Uri", "/channels/"+request.Channel+"/"+request.Class)
@@ -88,8 +88,8 @@
 	}
 }
 
-// report tells the ingress the outcome of an attempt, as the fault rule lets it. If ok is true the ingress has
-// granted another attempt.
+// report reports the outcome of an attempt to the ingress, as modified by the fault rule. If ok is true, the ingress
+// has granted another attempt.
 func (g *Gate) report(ctx context.Context, lease, outcome string, rule fault.Rule) (next grant, ok bool) {
 	switch rule.Kind {
 	case fault.Swallow:
@@ -106,12 +106,12 @@
 		next, ok = g.postReport(ctx, lease, outcome)
 		g.postReport(ctx, lease, outcome)
 		return next, ok
-	default: // the other kinds do not act on reports
+	default: // the other kinds do not affect reports
 		return g.postReport(context.WithoutCancel(ctx), lease, outcome)
 	}
 }
 
-// postReport posts a report once.
+// postReport sends a report once. If ok is true, the response contains another grant.
 func (g *Gate) postReport(ctx context.Context, lease, outcome string) (next grant, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -121,7 +121,7 @@
 	if err != nil {
 		return grant{}, false
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, g.base+"/v1/attempts/"+lease, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, g.baseURL+"/v1/attempts/"+lease, bytes.NewReader(body))
 	if err != nil {
 		return grant{}, false
 	}
@@ -132,7 +132,7 @@
 	defer resp.Body.Close()
 	var answer struct{ Next map[string]string }
 	receivedAt := time.Now()
-	if json.NewDecoder(io.LimitReader(resp.Body, maxBody)).Decode(&answer) != nil || len(answer.Next) == 0 {
+	if json.NewDecoder(io.LimitReader(resp.Body, maxBodyLength)).Decode(&answer) != nil || len(answer.Next) == 0 {
 		return grant{}, false
 	}
 	get := func(name string) string { return answer.Next[http.CanonicalHeaderKey(name)] }
