--- a/internal/standin/tally/conn.go
+++ b/internal/standin/tally/conn.go
@@ -9,16 +9,16 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// conn is one connection of a caller. Only the goroutine that serves it uses it.
+// conn is one connection of a caller. It is used only by the goroutine that serves it.
 type conn struct {
 	server *Server
 	nc     net.Conn
-	caller string // the address without its port
+	caller string // the caller's address without its port
 	id     int64
-	out    []byte // replies that are not written yet
+	out    []byte // replies not yet written
 }
 
-// serve replies to the calls of a connection in order. Replies are written when no further call is buffered.
+// serve replies to calls in order until the connection is closed. Replies are written when no further call is buffered.
 func (c *conn) serve() {
 	in := bufio.NewReaderSize(c.nc, readBufferSize)
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// flush writes the replies so far. It reports false if the connection has ended.
+// flush writes the buffered replies. It reports whether the write succeeded.
 func (c *conn) flush() bool {
 	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.nc.Write(c.out)
@@ -49,7 +49,8 @@
 	return err == nil
 }
 
-// call carries out one call under the fault that hits it, and records it. It reports false if the connection ends.
+// call executes and records one call, applying the fault that hits it, if any. It reports false if the connection must
+// be closed.
 func (c *conn) call(text string) (reply []byte, ok bool) {
 	s := c.server
 	rule, left, hit := s.faults.Next(s.Since(), "tally", c.caller)
@@ -74,12 +75,12 @@
 		if !c.flushAndSleep(left) {
 			return nil, false
 		}
-	default: // the other kinds act on the reply
+	default: // the other kinds affect the reply only
 	}
 	return c.deliver(rule, s.apply(text, &rec))
 }
 
-// deliver returns what is sent of a reply under a fault. It reports false if the connection ends.
+// deliver returns the reply as modified by the fault. It reports false if the connection must be closed.
 func (c *conn) deliver(rule fault.Rule, reply []byte) (sent []byte, ok bool) {
 	switch rule.Kind {
 	case fault.Hold:
@@ -97,12 +98,13 @@
 		c.out = append(c.out, reply[:len(reply)/2]...)
 		c.flush()
 		return nil, false
-	default: // the other kinds have acted before the call took effect
+	default: // the other kinds took effect before the call was applied
 	}
 	return reply, true
 }
 
-// flushAndSleep writes the replies so far and waits. It reports false if the connection or the server has ended.
+// flushAndSleep writes the buffered replies and waits for d. It reports false if the write fails or the server is
+// closed.
 func (c *conn) flushAndSleep(d time.Duration) bool {
 	return c.flush() && c.server.sleep(d)
 }
--- a/internal/standin/tally/control.go
+++ b/internal/standin/tally/control.go
@@ -9,12 +9,12 @@
 	"hitchspring/internal/standin/fault"
 )
 
-// unsupportedKinds lists the kinds of fault that a counter cannot carry out, because it replies in order.
+// unsupportedKinds lists the fault kinds that this stand-in rejects, because it replies to calls strictly in order.
 var unsupportedKinds = []fault.Kind{fault.Late, fault.RepeatLate, fault.Swap}
 
-// Do carries out one line of the control port: stop DURATION, restart DURATION (which loses all counts), silent
-// DURATION (calls take no effect and get no reply), or a fault rule. It returns an error for a line that it cannot
-// read.
+// Do executes one line of the control port: stop DURATION, restart DURATION (which deletes all counters), silent
+// DURATION (calls take no effect and get no reply), or a fault rule (see fault.Parse). It returns an error for an
+// invalid line.
 func (s *Server) Do(line string) error {
 	args := strings.Fields(line)
 	if len(args) == 2 {
@@ -30,17 +30,17 @@
 		return err
 	}
 	if slices.Contains(unsupportedKinds, rule.Kind) {
-		return fmt.Errorf("fault %q: this counter knows no %q", line, rule.Kind)
+		return fmt.Errorf("fault %q: unsupported fault kind %q", line, rule.Kind)
 	}
 	s.Fault(rule)
 	return nil
 }
 
-// interrupt carries out stop and restart: it ends all connections and takes new ones after a pause.
+// interrupt executes stop and restart: it resets all connections and accepts new ones after a pause.
 func (s *Server) interrupt(line, command, value string) error {
 	pause, err := time.ParseDuration(value)
 	if err != nil || pause < 0 {
-		return fmt.Errorf("fault %q: %q is no duration", line, value)
+		return fmt.Errorf("fault %q: invalid duration %q", line, value)
 	}
 	if command == "restart" {
 		s.Restart(pause)
--- a/internal/standin/tally/tally.go
+++ b/internal/standin/tally/tally.go
@@ -1,7 +1,7 @@
-// Package tally is a stand-in for the platform's shared counter, written from its protocol page: lines of text over
-// TCP, answered in order, that add to named numbers with an expiry. Faults come from a fault script, and control.go
-// reads the lines of the control port. An observer records every call with what became of it. Nothing is stored on
-// disk: a restart loses all counts.
+// Package tally is a stand-in for the platform's shared counter service, written from its protocol specification: calls
+// are lines of text over TCP, answered in order, that add to named counters with an expiry. Faults come from a fault
+// script or from the control port (see Server.Do). The server records every call with its result. Counters are kept in
+// memory only, so a restart loses them.
 package tally
 
 import (
@@ -19,44 +19,44 @@
 )
 
 const (
-	maxConnsPerCaller = 32 * 8 // 32 of each instance; on loopback all instances share one address
+	maxConnsPerCaller = 32 * 8 // 32 for each of 8 instances, which share one address on loopback
 	maxExpiry         = 60 * time.Second
 	maxNameLength     = 64
 	maxAmount         = 1e9
 	maxRecords        = 1 << 20
 	readBufferSize    = 4 << 10
 	writeTimeout      = 5 * time.Second
-	listenAttempts    = 100 // the port may be in use for a moment after Stop
+	listenAttempts    = 100 // the port may still be in use shortly after Stop
 	listenInterval    = time.Millisecond
 )
 
-// Record is one call as the counter saw it.
+// Record describes one call that the server received.
 type Record struct {
-	// At is when the call was received, since the start of the server.
+	// At is when the call was received, as the time since the server's start.
 	At time.Duration
 	// Conn identifies the connection.
 	Conn int64
 	// Caller is the caller's address without its port.
 	Caller string
-	// Name and Amount are the call's number and what it added; zero if it was not applied.
+	// Name and Amount are the counter's name and the amount added; zero if the call was not applied.
 	Name   string
 	Amount float64
-	// Applied says whether the call took effect.
+	// Applied reports whether the call took effect.
 	Applied bool
-	// Total is the number's value after the call.
+	// Total is the counter's value after the call.
 	Total float64
-	// Fault is the kind of fault that hit the call; empty if none did.
+	// Fault is the kind of fault that hit the call; empty if none.
 	Fault fault.Kind
 }
 
-// number is one shared count.
-type number struct {
+// counter is one named counter.
+type counter struct {
 	total   float64
 	expires time.Time
 }
 
-// Server is one counter. It runs a goroutine that accepts connections, one for each connection, and one for each
-// pause of Restart and Do; Close ends them all and waits for them.
+// Server is one counter server. It runs one goroutine to accept connections, one per connection, and one per pause of
+// Restart and Do. Close stops them all and waits for them.
 type Server struct {
 	faults *fault.Script
 	start  time.Time
@@ -65,16 +65,16 @@
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex          // guards all below
-	ln      net.Listener        // nil while stopped
-	conns   map[net.Conn]string // open connections, and their callers
-	lastID  int64               // of a connection
-	numbers map[string]*number
-	records []Record
+	mu         sync.Mutex          // guards the fields below
+	ln         net.Listener        // nil while stopped
+	conns      map[net.Conn]string // callers of the open connections
+	lastConnID int64               // ID of the last connection
+	counters   map[string]*counter
+	records    []Record
 }
 
-// Start starts a counter that listens on the address listen, or on an ephemeral loopback port if that is empty. The
-// seed is that of the fault script.
+// Start starts a server that listens on the address listen, or on an ephemeral loopback port if listen is empty. The
+// seed is used for the fault script's probabilities.
 func Start(listen string, seed uint64) (*Server, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
@@ -85,46 +85,46 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
-		faults:  fault.New(seed),
-		start:   time.Now(),
-		addr:    ln.Addr().String(),
-		ctx:     ctx,
-		stop:    stop,
-		ln:      ln,
-		conns:   map[net.Conn]string{},
-		numbers: map[string]*number{},
+		faults:   fault.New(seed),
+		start:    time.Now(),
+		addr:     ln.Addr().String(),
+		ctx:      ctx,
+		stop:     stop,
+		ln:       ln,
+		conns:    map[net.Conn]string{},
+		counters: map[string]*counter{},
 	}
 	s.wg.Go(func() { s.accept(ln) })
 	return s, nil
 }
 
-// Addr returns the address where the server listens.
+// Addr returns the server's listen address.
 func (s *Server) Addr() string { return s.addr }
 
-// Since returns the time since the server's start, the clock of its records.
+// Since returns the time since the server's start. Records use the same clock.
 func (s *Server) Since() time.Duration { return time.Since(s.start) }
 
-// Fault puts a rule in force from now on.
+// Fault adds a fault rule that applies from now on.
 func (s *Server) Fault(rule fault.Rule) { s.faults.Add(s.Since(), rule) }
 
-// Records returns the calls received so far, in the order in which they ended.
+// Records returns the calls recorded so far, in the order in which they completed.
 func (s *Server) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.records)
 }
 
-// Total returns the value of a number, or 0 if there is none or it has expired.
+// Total returns the value of a counter, or 0 if it doesn't exist or has expired.
 func (s *Server) Total(name string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := s.numbers[name]; n != nil && time.Now().Before(n.expires) {
+	if n := s.counters[name]; n != nil && time.Now().Before(n.expires) {
 		return n.total
 	}
 	return 0
 }
 
-// Stop resets all connections and accepts no new ones until Listen. The counts stay.
+// Stop resets all connections and accepts no new ones until Listen is called. Counters are retained.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,13 +134,13 @@
 	}
 	for nc := range s.conns {
 		if tcp, ok := nc.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // so that Close resets the connection; fails only if it has ended
+			_ = tcp.SetLinger(0) // makes Close reset the connection; fails only if already closed
 		}
 		nc.Close()
 	}
 }
 
-// Listen accepts connections again after Stop. It returns an error if the port cannot be opened.
+// Listen accepts connections again after Stop, at the same address. It returns an error if the port stays in use.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,32 +160,32 @@
 	return fmt.Errorf("tally stand-in: %w", err)
 }
 
-// Restart loses all counts and resets all connections. It accepts new ones after a pause.
+// Restart resets all connections and deletes all counters. The server accepts connections again after the pause.
 func (s *Server) Restart(pause time.Duration) {
 	s.Stop()
 	s.mu.Lock()
-	clear(s.numbers)
+	clear(s.counters)
 	s.mu.Unlock()
 	s.listenAfter(pause)
 }
 
-// listenAfter accepts connections again after a pause, unless the server is closed by then.
+// listenAfter accepts connections again after the pause, unless the server is closed before.
 func (s *Server) listenAfter(pause time.Duration) {
 	s.wg.Go(func() {
 		if s.sleep(pause) {
-			_ = s.Listen() // callers see that no connection comes up
+			_ = s.Listen() // on an error, callers see refused connections
 		}
 	})
 }
 
-// Close stops the server for good and waits for its goroutines.
+// Close stops the server permanently and waits for its goroutines.
 func (s *Server) Close() {
 	s.stop()
 	s.Stop()
 	s.wg.Wait()
 }
 
-// sleep waits for d. It reports false, at once, when the server is closed.
+// sleep waits for d. It returns false immediately if the server is closed.
 func (s *Server) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -197,7 +197,7 @@
 	}
 }
 
-// accept serves the connections of a listener until it is closed.
+// accept accepts and serves connections until the listener is closed.
 func (s *Server) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -211,7 +211,7 @@
 	}
 }
 
-// admit starts to serve a connection, unless its caller has too many or the server is closed.
+// admit starts to serve a connection. It reports false if the caller has too many connections or the server is closed.
 func (s *Server) admit(nc net.Conn, caller string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,8 +225,8 @@
 		return false
 	}
 	s.conns[nc] = caller
-	s.lastID++
-	c := &conn{server: s, nc: nc, caller: caller, id: s.lastID}
+	s.lastConnID++
+	c := &conn{server: s, nc: nc, caller: caller, id: s.lastConnID}
 	s.wg.Go(func() {
 		c.serve()
 		nc.Close()
@@ -237,32 +237,32 @@
 	return true
 }
 
-// apply carries out a call and returns its reply. It fills in rec if the call took effect.
+// apply executes a call and returns the reply. It fills in rec if the call takes effect.
 func (s *Server) apply(text string, rec *Record) []byte {
-	args := strings.Fields(text) // tally NAME AMOUNT EXPIRY-MS
+	args := strings.Fields(text) // tally NAME AMOUNT EXPIRY_MS
 	if len(args) != 4 || args[0] != "tally" || len(args[1]) > maxNameLength {
 		return []byte("error\r\n")
 	}
 	name := args[1]
 	amount, amountErr := strconv.ParseFloat(args[2], 64)
 	ms, expiryErr := strconv.ParseInt(args[3], 10, 64)
-	if amountErr != nil || expiryErr != nil || ms < 1 || !(math.Abs(amount) <= maxAmount) { // NaN is not
+	if amountErr != nil || expiryErr != nil || ms < 1 || !(math.Abs(amount) <= maxAmount) { // also rejects NaN
 		return []byte("error\r\n")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	n := s.numbers[name]
+	n := s.counters[name]
 	if n == nil || !now.Before(n.expires) {
-		n = &number{expires: now.Add(min(time.Duration(ms)*time.Millisecond, maxExpiry))}
-		s.numbers[name] = n
+		n = &counter{expires: now.Add(min(time.Duration(ms)*time.Millisecond, maxExpiry))}
+		s.counters[name] = n
 	}
 	n.total += amount
 	rec.Name, rec.Amount, rec.Applied, rec.Total = name, amount, true, n.total
 	return append(strconv.AppendFloat([]byte("ok "), n.total, 'f', -1, 64), "\r\n"...)
 }
 
-// addRecord keeps the record of a call that has ended.
+// addRecord stores the record of a completed call, up to maxRecords.
 func (s *Server) addRecord(rec Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
