--- a/internal/standin/scripted/backend.go
+++ b/internal/standin/scripted/backend.go
@@ -11,25 +11,25 @@
 	"github.com/tidwall/redcon"
 )
 
-// Served is a backend's reply with a value and nothing else.
+// Served is the reply of a backend that has served a request: an array of a value and two nulls.
 const Served = "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-// Reply returns the reply to the nth command of a backend, counted from 1, as the bytes to write; an empty reply writes
-// nothing. It may do something to the connection.
+// Reply returns the raw reply to the nth command that a backend received, counted from 1. An empty reply is not
+// written. The function may also act on the connection nc, for example close it.
 type Reply func(n int, args []string, nc net.Conn) string
 
-// Backend replies to commands by their order.
+// Backend is a stand-in backend whose replies come from a Reply function.
 type Backend struct {
-	// Addr is the host and port where it listens.
+	// Addr is the listen address, a host and port.
 	Addr string
-	// Conns is the number of connections that were opened.
+	// Conns is the number of connections accepted so far.
 	Conns atomic.Int32
 
 	mu       sync.Mutex // guards commands
 	commands [][]string
 }
 
-// NewBackend starts a backend. With a nil reply it never replies.
+// NewBackend starts a backend. If reply is nil, it never replies.
 func NewBackend(t testing.TB, reply Reply) *Backend {
 	t.Helper()
 	b := &Backend{}
@@ -37,7 +37,7 @@
 	return b
 }
 
-// serve reads commands from a connection, and replies to them, until it ends.
+// serve reads commands from a connection and replies to them until the connection is closed.
 func (b *Backend) serve(nc net.Conn, reply Reply) {
 	b.Conns.Add(1)
 	in := redcon.NewReader(nc)
@@ -58,12 +58,12 @@
 			continue
 		}
 		if text := reply(n, args, nc); text != "" {
-			_, _ = io.WriteString(nc, text) // the next read tells if the connection has ended
+			_, _ = io.WriteString(nc, text) // if the connection is closed, the next read fails
 		}
 	}
 }
 
-// Seen returns the commands received so far.
+// Seen returns the commands that the backend has received so far.
 func (b *Backend) Seen() [][]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/scripted/late.go
+++ b/internal/standin/scripted/late.go
@@ -11,20 +11,20 @@
 	"testing"
 )
 
-// Late is a backend to which connections come up late. Until Hold it accepts all connections. From Hold on the kernel
-// does not answer a SYN any more; a connection begun then comes up when the client's kernel sends its SYN again, a
-// second later, if Open was called by then.
+// Late is a backend that can delay the establishment of connections. It accepts all connections until Hold is called.
+// After that its listen queue is full and the kernel drops every SYN. Such a connection is established when the
+// client's kernel retransmits its SYN, one second later, if Open has been called by then.
 type Late struct {
 	*Backend
-	t       testing.TB
-	ln      net.Listener
-	holding atomic.Bool   // between Hold and Open
-	caught  chan struct{} // receives when the first connection after Hold has been accepted
-	open    chan struct{} // closed by Open
-	once    sync.Once     // closes open
+	t           testing.TB
+	ln          net.Listener
+	blocking    atomic.Bool   // true between Hold and Open
+	accepted    chan struct{} // signals that the first connection after Hold has been accepted
+	unblocked   chan struct{} // closed by Open
+	unblockOnce sync.Once     // closes unblocked
 }
 
-// NewLate starts such a backend; reply is as for NewBackend.
+// NewLate starts a Late backend. reply has the same meaning as for NewBackend.
 func NewLate(t testing.TB, reply Reply) *Late {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
@@ -32,7 +32,7 @@
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err == nil {
-		err = syscall.Listen(fd, 0) // a queue of one connection
+		err = syscall.Listen(fd, 0) // with a backlog of 0, the queue holds one connection
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -44,22 +44,22 @@
 		t.Fatal(err)
 	}
 	l := &Late{
-		Backend: &Backend{Addr: ln.Addr().String()},
-		t:       t,
-		ln:      ln,
-		caught:  make(chan struct{}),
-		open:    make(chan struct{}),
+		Backend:   &Backend{Addr: ln.Addr().String()},
+		t:         t,
+		ln:        ln,
+		accepted:  make(chan struct{}),
+		unblocked: make(chan struct{}),
 	}
 	accept(t, l, func(nc net.Conn) { l.serve(nc, reply) })
 	return l
 }
 
-// Accept implements net.Listener. A connection accepted between Hold and Open is returned only after Open.
+// Accept implements net.Listener. It withholds a connection accepted between Hold and Open until Open is called.
 func (l *Late) Accept() (net.Conn, error) {
 	nc, err := l.ln.Accept()
-	if err == nil && l.holding.Load() {
-		l.caught <- struct{}{}
-		<-l.open
+	if err == nil && l.blocking.Load() {
+		l.accepted <- struct{}{}
+		<-l.unblocked
 	}
 	return nc, err
 }
@@ -70,11 +70,11 @@
 	return l.ln.Close()
 }
 
-// Hold stops new connections from coming up, by filling the listen queue. It may be called once.
+// Hold prevents new connections from being established, by filling the listen queue. It may be called only once.
 func (l *Late) Hold() {
 	l.t.Helper()
-	l.holding.Store(true)
-	for i := range 2 { // one that Accept retains, one that fills the queue
+	l.blocking.Store(true)
+	for i := range 2 { // the first is withheld by Accept, the second fills the listen queue
 		nc, err := net.Dial("tcp", l.Addr)
 		if err != nil {
 			l.t.Error(err)
@@ -82,23 +82,23 @@
 		}
 		l.t.Cleanup(func() { nc.Close() })
 		if i == 0 {
-			<-l.caught
+			<-l.accepted
 		}
 	}
 }
 
-// Open lets connections come up again.
+// Open lets connections be established again.
 func (l *Late) Open() {
-	l.once.Do(func() {
-		l.holding.Store(false)
-		close(l.open)
+	l.unblockOnce.Do(func() {
+		l.blocking.Store(false)
+		close(l.unblocked)
 	})
 }
 
-// synSent is the state of a connection in /proc/net/tcp whose SYN is not answered yet.
+// synSent is the TCP state SYN_SENT in /proc/net/tcp: the SYN has not been answered yet.
 const synSent = "02"
 
-// Begun reports whether a connection to it has been begun and has not come up.
+// Begun reports whether a client has started to connect to the backend and the connection is not established yet.
 func (l *Late) Begun() bool {
 	l.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
--- a/internal/standin/scripted/registry.go
+++ b/internal/standin/scripted/registry.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Registry starts a discovery agent and returns its host and port. It answers each poll with list, and each watch with
-// what it receives from changes.
+// Registry starts a discovery agent and returns its host and port. It answers each poll with list, and sends to watches
+// the lists that it receives from changes.
 func Registry[T any](t testing.TB, list T, changes <-chan T) (addr string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/scripted/scripted.go
+++ b/internal/standin/scripted/scripted.go
@@ -1,7 +1,7 @@
-// Package scripted has the smallest stand-in servers for tests: a listener, a backend whose replies a test writes one
-// by one, a backend to which connections come up late, and a discovery agent with one endpoint list. Each takes the
-// test that uses it, listens on an ephemeral loopback port, and ends with that test. None of them checks what it
-// receives: the test does, with Seen.
+// Package scripted provides minimal stand-in servers for tests: a listener, a backend whose replies the test supplies,
+// a backend that can delay the establishment of connections, and a discovery agent with one endpoint list. Each server
+// listens on an ephemeral loopback port and is stopped when its test ends. The servers don't check the commands that
+// they receive; a test can do so with Backend.Seen.
 package scripted
 
 import (
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// Listen opens an ephemeral port on the loopback address and hands every connection to serve.
+// Listen listens on an ephemeral loopback port and calls serve for every connection.
 func Listen(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	Close() error
 }
 
-// accept hands every connection to serve, each in a goroutine of its own. When the test ends it closes the listener and
+// accept calls serve for every connection, each in a separate goroutine. When the test ends, it closes the listener and
 // all connections, and waits for these goroutines.
 func accept(t testing.TB, ln listener, serve func(net.Conn)) {
 	var wg sync.WaitGroup
