--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,7 +1,7 @@
-// Package fault holds the scripted faults of the stand-in servers. A rule picks calls by name, caller, count, time and
-// seeded chance, and names the kind of fault that hits them; Parse reads a rule from one line of text. A Script holds
-// the rules in force and decides which of them hits a call. The package does no I/O: each stand-in carries the faults
-// out itself.
+// Package fault implements fault scripts for the stand-in servers. A rule selects calls by name, caller, count, time
+// and seeded probability, and specifies the kind of fault that hits them. Parse parses a rule from a line of text. A
+// Script holds the active rules and decides which of them hits a call. The package does no I/O: each stand-in applies
+// the faults itself.
 package fault
 
 import (
@@ -13,45 +13,45 @@
 	"time"
 )
 
-// Kind is the kind of fault that hits a call. A stand-in rejects the kinds that it cannot carry out.
+// Kind is the kind of fault that hits a call. Stand-ins need not support every kind.
 type Kind string
 
-// The kinds of fault that concern one call.
+// The kinds of fault. Each affects a single call.
 const (
 	Delay      Kind = "delay"       // the call takes effect after By
-	Hold       Kind = "hold"        // the call takes effect, and its reply is sent after By
-	Stall      Kind = "stall"       // the call takes effect at the end of the rule's window
-	Ignore     Kind = "ignore"      // no effect, no reply
-	Swallow    Kind = "swallow"     // the call takes effect and gets no reply
-	Late       Kind = "late"        // the call takes effect after By and gets no reply; later calls are not delayed
+	Hold       Kind = "hold"        // the call takes effect immediately, but its reply is sent after By
+	Stall      Kind = "stall"       // the call takes effect when the rule expires
+	Ignore     Kind = "ignore"      // the call takes no effect and gets no reply
+	Swallow    Kind = "swallow"     // the call takes effect but gets no reply
+	Late       Kind = "late"        // the call takes effect after By but gets no reply; later calls are not delayed
 	DropBefore Kind = "drop-before" // the connection is reset before the call takes effect
 	DropAfter  Kind = "drop-after"  // the connection is reset after the call has taken effect
 	Repeat     Kind = "repeat"      // the reply is sent twice
 	RepeatLate Kind = "repeat-late" // the reply is sent again By after the first; later calls are not delayed
 	Swap       Kind = "swap"        // the reply is sent after that of the next call
-	Cut        Kind = "cut"         // half of the reply is sent, then the connection ends
+	Cut        Kind = "cut"         // only a part of the reply is sent, then the connection is closed
 	Fail       Kind = "fail"        // the call takes no effect, and its reply is Text
 )
 
-// Rule says which calls are hit by a fault, and by which.
+// Rule specifies a fault and the calls that it hits.
 type Rule struct {
 	// Kind is the kind of fault.
 	Kind Kind
-	// On is the name of the calls that match, in any case; empty matches all.
+	// On is the name of the calls to match, ignoring case; empty matches all calls.
 	On string
-	// Caller is the caller whose calls match; empty matches all.
+	// Caller is the caller whose calls match; empty matches all callers.
 	Caller string
-	// After is the number of matching calls that pass before the rule hits any.
+	// After is the number of matching calls that are skipped before the rule can hit one.
 	After int
-	// Times is the number of calls that the rule hits; 0 means no limit.
+	// Times is the maximum number of calls that the rule hits; 0 means no limit.
 	Times int
-	// By is the length of the delay of Delay, Hold, Late and RepeatLate.
+	// By is the delay of Delay, Hold, Late and RepeatLate.
 	By time.Duration
-	// For is how long the rule is in force, from when it was added; 0 means for good.
+	// For is how long the rule is active after it was added; 0 means no limit.
 	For time.Duration
-	// Share is the probability that a matching call is hit; 0 means that all are.
+	// Share is the probability that a matching call is hit; 0 means that every matching call is hit.
 	Share float64
-	// Text is the reply of Fail.
+	// Text is the error reply of Fail.
 	Text string
 }
 
@@ -60,28 +60,28 @@
 	Delay, Hold, Stall, Ignore, Swallow, Late, DropBefore, DropAfter, Repeat, RepeatLate, Swap, Cut, Fail,
 }
 
-// delayingKinds lists the kinds whose first duration is By; that of all others is For.
+// delayingKinds lists the kinds for which the duration after the kind sets By; for other kinds it sets For.
 var delayingKinds = []Kind{Delay, Hold, Late, RepeatLate}
 
-// Parse reads a rule in the form
+// Parse parses a rule of the form
 //
 //	KIND [DURATION] [for DURATION] [on NAME] [caller NAME] [after N] [times N] [share P] [text REST OF THE LINE]
 //
-// where the first duration is By if the kind delays, and For otherwise. Its errors begin with "fault" and the quoted
-// line.
+// where the first duration sets By for the delaying kinds (Delay, Hold, Late, RepeatLate) and For for all others. Error
+// messages begin with "fault" and the quoted line.
 func Parse(line string) (Rule, error) {
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
-		return Rule{}, fmt.Errorf("fault %q: no kind", line)
+		return Rule{}, fmt.Errorf("fault %q: missing fault kind", line)
 	}
 	rule := Rule{Kind: Kind(fields[0])}
 	if !slices.Contains(kinds, rule.Kind) {
-		return Rule{}, fmt.Errorf("fault %q: there is no kind %q", line, fields[0])
+		return Rule{}, fmt.Errorf("fault %q: unknown fault kind %q", line, fields[0])
 	}
 	options := rule.parseDuration(fields[1:])
 	for len(options) > 0 {
 		if len(options) < 2 {
-			return Rule{}, fmt.Errorf("fault %q: %s has no value", line, options[0])
+			return Rule{}, fmt.Errorf("fault %q: missing value of option %s", line, options[0])
 		}
 		if options[0] == "text" {
 			rule.Text = strings.Join(options[1:], " ")
@@ -95,12 +95,12 @@
 		options = options[2:]
 	}
 	if !rule.inRange() {
-		return Rule{}, fmt.Errorf("fault %q: a figure is out of range", line)
+		return Rule{}, fmt.Errorf("fault %q: number or duration out of range", line)
 	}
 	return rule, nil
 }
 
-// parseDuration takes the duration that may follow the kind, and returns the remaining arguments.
+// parseDuration parses the optional duration after the kind, and returns the remaining arguments.
 func (r *Rule) parseDuration(args []string) (rest []string) {
 	if len(args) == 0 {
 		return args
@@ -117,10 +117,10 @@
 	return args[1:]
 }
 
-// errUnknownOption is the error of an option that no rule has.
-var errUnknownOption = errors.New("unknown word")
+// errUnknownOption is returned for an option that does not exist.
+var errUnknownOption = errors.New("unknown option")
 
-// setOption sets the field of an option from its value.
+// setOption sets the rule field of an option.
 func (r *Rule) setOption(option, value string) (err error) {
 	switch option {
 	case "for":
@@ -141,7 +141,7 @@
 	return err
 }
 
-// inRange reports whether no figure is negative and Share is a probability, which NaN is not.
+// inRange reports whether no number or duration is negative and Share is between 0 and 1. NaN is out of range.
 func (r *Rule) inRange() bool {
 	if r.By < 0 || r.For < 0 || r.After < 0 || r.Times < 0 {
 		return false
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A rule hits the calls that it names, so many of them, and only in its time.
+// A rule hits only the calls that it matches, up to its maximum number, and only until it expires.
 func TestScript(t *testing.T) {
 	s := New(1)
 	s.Add(0, Rule{Kind: Cut, On: "get", After: 1, Times: 2})
@@ -51,7 +51,7 @@
 			got += "- "
 		}
 		if r.Kind == Stall && left != 300*time.Millisecond {
-			t.Errorf("left of the window: got %v, want 300ms", left)
+			t.Errorf("time until the rule expires: got %v, want 300ms", left)
 		}
 	}
 	if want := "- - cut cut - stall - "; got != want {
--- a/internal/standin/fault/script.go
+++ b/internal/standin/fault/script.go
@@ -8,47 +8,48 @@
 	"time"
 )
 
-// Script holds the rules in force. It is safe for concurrent use.
+// Script holds the active rules. It is safe for concurrent use.
 type Script struct {
-	mu    sync.Mutex // guards all below
+	mu    sync.Mutex // guards the fields below
 	rng   *rand.Rand
 	rules []*activeRule
 }
 
-// activeRule is a rule in force.
+// activeRule is a rule with its state.
 type activeRule struct {
 	Rule
-	until   time.Duration // on the stand-in's clock; 0: for good
-	matched int           // calls that matched so far
-	hits    int           // calls that were hit so far
+	expiresAt time.Duration // expiry on the stand-in's clock; 0: never
+	matched   int           // number of calls matched so far
+	hits      int           // number of calls hit so far
 }
 
-// New returns an empty script whose random draws come from the seed.
+// New returns an empty script. The seed determines which calls are hit by rules with a probability.
 func New(seed uint64) *Script { return &Script{rng: rand.New(rand.NewPCG(seed, 1))} }
 
-// Add puts a rule in force from now on, a time on the stand-in's clock.
+// Add activates a rule at time now on the stand-in's clock.
 func (s *Script) Add(now time.Duration, r Rule) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := &activeRule{Rule: r}
 	if r.For > 0 {
-		a.until = now + r.For
+		a.expiresAt = now + r.For
 	}
 	s.rules = append(s.rules, a)
 }
 
-// Clear ends all rules.
+// Clear removes all rules.
 func (s *Script) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rules = nil
 }
 
-// Next returns the first rule that hits a call, and how much of its window is left.
+// Next returns the first rule that hits a call, and the time left until the rule expires. hit is false if no rule hits
+// the call.
 func (s *Script) Next(now time.Duration, name, caller string) (r Rule, left time.Duration, hit bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rules = slices.DeleteFunc(s.rules, func(a *activeRule) bool { return a.ended(now) })
+	s.rules = slices.DeleteFunc(s.rules, func(a *activeRule) bool { return a.expired(now) })
 	for _, a := range s.rules {
 		if !a.matches(name, caller) {
 			continue
@@ -58,17 +59,17 @@
 			continue
 		}
 		a.hits++
-		return a.Rule, max(0, a.until-now), true
+		return a.Rule, max(0, a.expiresAt-now), true
 	}
 	return Rule{}, 0, false
 }
 
-// ended reports whether the rule's window has passed or it has hit as many calls as it may.
-func (a *activeRule) ended(now time.Duration) bool {
-	return a.until > 0 && now >= a.until || a.Times > 0 && a.hits >= a.Times
+// expired reports whether the rule has expired or has hit its maximum number of calls.
+func (a *activeRule) expired(now time.Duration) bool {
+	return a.expiresAt > 0 && now >= a.expiresAt || a.Times > 0 && a.hits >= a.Times
 }
 
-// matches reports whether the rule concerns a call.
+// matches reports whether the rule matches a call by name and caller.
 func (a *activeRule) matches(name, caller string) bool {
 	return (a.On == "" || strings.EqualFold(a.On, name)) && (a.Caller == "" || a.Caller == caller)
 }
