--- a/internal/standin/backend/command.go
+++ b/internal/standin/backend/command.go
@@ -15,9 +15,9 @@
 	idLength = 16 // length of a tenant ID and of a command ID
 )
 
-// command executes one command and returns its reply when the reply is due. An empty reply is not written. If keep is
-// false, the caller must reset the connection.
-func (c *conn) command(args [][]byte) (reply string, keep bool) {
+// command executes one command and returns its reply when the reply is due. An empty reply is not written. If keepOpen
+// is false, the caller must reset the connection.
+func (c *conn) command(args [][]byte) (reply string, keepOpen bool) {
 	switch name := string(args[0]); name {
 	case "PING":
 		return "+PONG\r\n", true
@@ -34,7 +34,7 @@
 }
 
 // request parses, records and executes a request.
-func (c *conn) request(args [][]byte) (reply string, keep bool) {
+func (c *conn) request(args [][]byte) (reply string, keepOpen bool) {
 	rec, valid := parseCommand(args)
 	if !valid {
 		return "-SYNTAX\r\n", true
--- a/internal/standin/backend/conn.go
+++ b/internal/standin/backend/conn.go
@@ -107,7 +107,7 @@
 		if err != nil {
 			return
 		}
-		reply, keep := c.command(cmd.Args)
+		reply, keepOpen := c.command(cmd.Args)
 		if reply != "" {
 			if c.awaitPartitionEnd() {
 				resetConn(c.Conn)
@@ -118,7 +118,7 @@
 			}
 			c.repeat(reply)
 		}
-		if !keep {
+		if !keepOpen {
 			resetConn(c.Conn)
 			return
 		}
--- a/internal/standin/discovery/agent.go
+++ b/internal/standin/discovery/agent.go
@@ -77,7 +77,7 @@
 	r := a.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.polls = append(r.polls, Poll{At: r.clock(), Agent: a.index, Watch: watch, Since: since, Mute: silent})
+	r.polls = append(r.polls, Poll{At: r.clock(), Agent: a.index, Watch: watch, Since: since, Silent: silent})
 }
 
 // recordWritten records the changes between two lists after the second was written in a write that started at began.
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -63,8 +63,8 @@
 	Watch bool
 	// Since is the value of the request's since parameter: the revision that the instance already has.
 	Since string
-	// Mute reports whether the agent was silent at that time.
-	Mute bool
+	// Silent reports whether the agent was silent at that time.
+	Silent bool
 }
 
 // Registry is the endpoint registry with its agents. It runs one HTTP server per agent, and one goroutine per change
--- a/internal/standin/redis/accept.go
+++ b/internal/standin/redis/accept.go
@@ -96,7 +96,7 @@
 	}()
 	in := bufio.NewReaderSize(c.nc, 16<<10)
 	for {
-		if d := c.server.options.Idle; d > 0 && c.messages == nil {
+		if d := c.server.options.IdleTimeout; d > 0 && c.messages == nil {
 			c.nc.SetReadDeadline(time.Now().Add(d))
 		}
 		args, err := readCommand(in)
--- a/internal/standin/redis/faults_test.go
+++ b/internal/standin/redis/faults_test.go
@@ -68,7 +68,7 @@
 // documented effect on go-redis.
 func TestStates(t *testing.T) {
 	ctx := t.Context()
-	s := startServer(t, Options{Idle: 300 * time.Millisecond})
+	s := startServer(t, Options{IdleTimeout: 300 * time.Millisecond})
 	c := goredis.NewClient(&goredis.Options{Addr: s.Addr(), MaxRetries: -1, PoolSize: 1})
 	defer c.Close()
 	checkSet(t, "at first", c, "")
--- a/internal/standin/redis/replication.go
+++ b/internal/standin/redis/replication.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// logTrimThreshold is how many effects that all replicas have applied the log may hold before it is trimmed.
+// logTrimThreshold is the number of effects applied by all replicas above which the log is trimmed.
 const logTrimThreshold = 1024
 
 // effect is a replicated write: a command that the primary sends to its replicas.
--- a/internal/standin/scripted/registry.go
+++ b/internal/standin/scripted/registry.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("follow") == "" {
-			_ = json.NewEncoder(w).Encode(list) // fails only if the client has gone
+			_ = json.NewEncoder(w).Encode(list) // fails only if the client has disconnected
 			return
 		}
 		for {
@@ -23,7 +23,7 @@
 			case <-r.Context().Done():
 				return
 			case change := <-changes:
-				_ = json.NewEncoder(w).Encode(change) // fails only if the client has gone
+				_ = json.NewEncoder(w).Encode(change) // fails only if the client has disconnected
 			}
 		}
 	}))
--- a/internal/standin/tally/tally.go
+++ b/internal/standin/tally/tally.go
@@ -1,6 +1,6 @@
 // Package tally is a stand-in for the platform's shared counter service, written from its protocol specification: calls
 // are lines of text over TCP, answered in order, that add to named counters with an expiry. Faults come from a fault
-// script or from the control port (see Server.Do). The server records every call with its result. Counters are kept in
+// script or from the control port (see Server.Do). The server records every call with its result. Counters are held in
 // memory only, so a restart loses them.
 package tally
 
