--- a/cmd/lab/cost.go
+++ b/cmd/lab/cost.go
@@ -55,8 +55,8 @@
 	cfg.Backends = c.Backends
 	cfg.Connections = c.Connections
 	if c.SecondDelay > 0 {
-		cfg.SecondLate = c.SecondDelay
-		cfg.SecondShare = c.SecondShare
+		cfg.SecondAnswerDelay = c.SecondDelay
+		cfg.SecondAnswerFraction = c.SecondShare
 	}
 	return cfg, cfg.Check()
 }
--- a/cmd/lab/experiment.go
+++ b/cmd/lab/experiment.go
@@ -37,7 +37,7 @@
 // returns the results and the exit status.
 func runExperiment(
 	ctx context.Context, spec *experiment.Spec, dir string, jobs int, out io.Writer,
-) ([]experiment.Line, int, error) {
+) ([]experiment.RunResult, int, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, failed, err
 	}
@@ -64,7 +64,7 @@
 }
 
 // writePage writes the HTML page with the results of an experiment.
-func writePage(spec *experiment.Spec, path string, lines []experiment.Line) error {
+func writePage(spec *experiment.Spec, path string, lines []experiment.RunResult) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/lab/overlapping_faults.go
+++ b/cmd/lab/overlapping_faults.go
@@ -38,7 +38,7 @@
 	for i := range c.Seeds {
 		cfg := soak.Config{Program: program, Seed: c.Seed + uint64(i), Instances: c.Instances, Length: c.For}
 		if c.Logs != "" {
-			cfg.Logs = filepath.Join(c.Logs, fmt.Sprint(cfg.Seed))
+			cfg.LogDir = filepath.Join(c.Logs, fmt.Sprint(cfg.Seed))
 		}
 		report, err := soak.Run(ctx, cfg)
 		if err != nil {
@@ -49,7 +49,7 @@
 		switch {
 		case report.Certain() > 0:
 			broken++
-		case len(report.Findings) > 0:
+		case len(report.Violations) > 0:
 			doubtful++
 		}
 	}
--- a/cmd/lab/trial.go
+++ b/cmd/lab/trial.go
@@ -27,7 +27,7 @@
 // run runs the trial, or lists the trials if none is named.
 func (c *trialCmd) run(ctx context.Context, out io.Writer) (int, error) {
 	if c.Name == "" {
-		for _, line := range trial.Names() {
+		for _, line := range trial.Descriptions() {
 			fmt.Fprintln(out, line)
 		}
 		return lab.Clean, nil
@@ -44,7 +44,7 @@
 	}
 	_, err := trial.Run(ctx, cfg, out)
 	switch {
-	case errors.Is(err, trial.ErrBroken):
+	case errors.Is(err, trial.ErrViolations):
 		return lab.Broken, nil
 	case err != nil:
 		return failed, err
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -299,7 +299,7 @@
 	attempt := waitingAttempt(owner, "s0")
 	owner.pool.assign(attempt)
 	owner.pool.Handle(<-owner.events)
-	for len(server.Seen()) < 1 || attempt.conn.lastWritten.Load() != attempt {
+	for len(server.Commands()) < 1 || attempt.conn.lastWritten.Load() != attempt {
 		time.Sleep(time.Millisecond)
 	}
 	owner.pool.Abort(attempt, policy.TimedOut)
--- a/internal/discovery/sockets_test.go
+++ b/internal/discovery/sockets_test.go
@@ -54,14 +54,14 @@
 	for name, failure := range map[string]standin.Failure{
 		"silent":    standin.Silent,
 		"resetting": standin.Resetting,
-		"rejecting": standin.TurningAway,
+		"rejecting": standin.Rejecting,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
 			r := standin.New(1, func() time.Duration { return time.Since(began) }, 0, time.Millisecond)
 			t.Cleanup(r.Close)
-			addr, err := r.Agent()
+			addr, err := r.AddAgent()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,7 +81,7 @@
 			reachableAt := time.Now()
 			r.Fail(0, standin.Answering)
 			last := awaitUpdates(t, updated, n, reachableAt)
-			t.Logf("last update after %.2f s; %d calls in the busiest second", last.Seconds(), r.Busiest(0))
+			t.Logf("last update after %.2f s; %d calls in the busiest second", last.Seconds(), r.MaxCallsPerSecond(0))
 			if last > updateBound {
 				t.Errorf("got the last update after %v, want at most %v", last, updateBound)
 			}
--- a/internal/front/resp/connection_test.go
+++ b/internal/front/resp/connection_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// UnackedBytes bytes of a connection are no longer counted after its end, even if the client
+// Unsent bytes of a connection are no longer counted after its end, even if the client
 // disconnects before they are written.
 func TestUnsentBytesAreReleased(t *testing.T) {
 	fake := &fakeCore{}
--- a/internal/ingress/descriptors_test.go
+++ b/internal/ingress/descriptors_test.go
@@ -419,7 +419,7 @@
 	f.discovery.recover(both)
 	returnedAt := time.Now()
 	eventually(t, maxListDelay, "the new backend gets commands", func() bool {
-		return len(f.second.Seen()) > 0
+		return len(f.second.Commands()) > 0
 	})
 	t.Logf("the new backend got its first command %v after the end of discovery's outage",
 		time.Since(returnedAt).Round(time.Millisecond))
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -217,11 +217,11 @@
 
 func testDisconnectBeforeConnection(t *testing.T, clients int, reset bool) {
 	disconnects := newDisconnectLog()
-	backend := scripted.NewLate(t, func(_ int, args []string, _ net.Conn) string {
+	backend := scripted.NewDelayedBackend(t, func(_ int, args []string, _ net.Conn) string {
 		disconnects.noteAttempt(args)
 		return scripted.Served
 	})
-	backend.Hold()
+	backend.BlockConnections()
 	list := endpointList(backend.Addr)
 	cfg := testConfig(scripted.Registry(t, list, nil), list)
 	addr, instance := startInstance(t, cfg)
@@ -236,7 +236,7 @@
 	remaining, in := dial(t, addr)
 	io.WriteString(remaining, encodeRead(99, strings.Replace(readFields, "d=50000", "d=20000", 1)))
 	time.Sleep(sendGrace)
-	backend.Open()
+	backend.UnblockConnections()
 	requireValue(t, in)
 	disconnects.check(t)
 }
--- a/internal/ingress/ending_test.go
+++ b/internal/ingress/ending_test.go
@@ -86,7 +86,7 @@
 		io.WriteString(first, encodeRead(i+1, readFields))
 	}
 	eventually(t, 10*time.Second, "the window is full", func() bool {
-		return len(backend.Seen()) == window
+		return len(backend.Commands()) == window
 	})
 	n := 100
 	disconnect := leave(t, addr, func() int {
@@ -112,7 +112,7 @@
 	for range window {
 		requireValue(t, firstIn)
 	}
-	for _, args := range backend.Seen() {
+	for _, args := range backend.Commands() {
 		if disconnected[args[2]] {
 			t.Errorf("%s was sent %v or more after its client had disconnected", args[2], disconnectGrace)
 		}
@@ -148,7 +148,7 @@
 		return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id), unsafe)
 	}
 	send(4, true, write) // fill the window
-	eventually(t, 10*time.Second, "the window is full", func() bool { return len(backend.Seen()) == 4 })
+	eventually(t, 10*time.Second, "the window is full", func() bool { return len(backend.Commands()) == 4 })
 	began := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- stop() }()
@@ -170,7 +170,7 @@
 			t.Errorf("client %d: %v", i, err)
 		}
 	}
-	if n := len(backend.Seen()); n > 4+6 {
+	if n := len(backend.Commands()); n > 4+6 {
 		t.Errorf("the backend was sent %d commands", n)
 	}
 }
@@ -273,13 +273,13 @@
 // window, so the retry must not be sent.
 func TestRetryIsNotSentAfterRepeatWindow(t *testing.T) {
 	t.Parallel()
-	var backend *scripted.Late
+	var backend *scripted.DelayedBackend
 	reset := make(chan struct{})
-	backend = scripted.NewLate(t, func(n int, _ []string, nc net.Conn) string {
+	backend = scripted.NewDelayedBackend(t, func(n int, _ []string, nc net.Conn) string {
 		if n > 1 {
 			return servedReply
 		}
-		backend.Hold() // before the retry needs a connection
+		backend.BlockConnections() // before the retry needs a connection
 		close(reset)
 		nc.Close()
 		return ""
@@ -296,14 +296,14 @@
 	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
 		"c=keyed,t=p,d=50000,k=1,units=1,spread=1,first=0"))
 	<-reset
-	eventually(t, 10*time.Second, "the retry's connection is begun", backend.Begun)
-	backend.Open()
+	eventually(t, 10*time.Second, "the retry's connection is begun", backend.HasPendingConnection)
+	backend.UnblockConnections()
 	if got := readLine(t, in); !strings.HasPrefix(got, "-ERR") { // the first attempt may have run
 		t.Errorf("answered %q, want a failure", got)
 	}
 	io.WriteString(nc, encodeRead(7, readFields)) // uses the connection that the retry waited for
 	requireValue(t, in)
-	for _, args := range backend.Seen()[1:] {
+	for _, args := range backend.Commands()[1:] {
 		if args[0] == "Q.DO" {
 			t.Errorf("retried after the repeat window: %q", args)
 		}
@@ -318,33 +318,33 @@
 	later := encodeRead(9, readFields)
 	t.Run("its client has disconnected", func(t *testing.T) {
 		t.Parallel()
-		backend := scripted.NewLate(t, func(int, []string, net.Conn) string { return servedReply })
-		backend.Hold()
+		backend := scripted.NewDelayedBackend(t, func(int, []string, net.Conn) string { return servedReply })
+		backend.BlockConnections()
 		list := endpointList(backend.Addr)
 		cfg := testConfig(scripted.Registry(t, list, nil), list)
 		cfg.Settings.MayCancel = false
 		addr, instance := startInstance(t, cfg)
 		nc, _ := dial(t, addr)
 		io.WriteString(nc, encodeRead(1, readFields))
-		eventually(t, 10*time.Second, "a connection to the backend is begun", backend.Begun)
+		eventually(t, 10*time.Second, "a connection to the backend is begun", backend.HasPendingConnection)
 		nc.Close()
 		eventually(t, 10*time.Second, "the ingress has noticed the disconnect", func() bool {
 			return instance.core.Metrics().OpenRequests() == 0
 		})
-		backend.Open()
+		backend.UnblockConnections()
 		nc, in := dial(t, addr)
 		io.WriteString(nc, later)
 		requireValue(t, in)
-		if seen := backend.Seen(); len(seen) != 1 {
+		if seen := backend.Commands(); len(seen) != 1 {
 			t.Errorf("the backend was sent %q", seen)
 		}
 	})
 	t.Run("another attempt was served", func(t *testing.T) {
 		t.Parallel()
-		late := scripted.NewLate(t, func(int, []string, net.Conn) string { return servedReply })
-		late.Hold()
+		late := scripted.NewDelayedBackend(t, func(int, []string, net.Conn) string { return servedReply })
+		late.BlockConnections()
 		backend := scripted.NewBackend(t, func(n int, _ []string, _ net.Conn) string {
-			for n == 2 && !late.Begun() { // answers only when the hedged request waits for a connection
+			for n == 2 && !late.HasPendingConnection() { // answers only when the hedged request waits for a connection
 				runtime.Gosched()
 			}
 			return servedReply
@@ -364,11 +364,11 @@
 		requireValue(t, in)
 		both.Rev, both.Targets[0].State = 3, "DRAINING"
 		changes <- both
-		late.Open()
+		late.UnblockConnections()
 		eventually(t, 10*time.Second, "the connection is established", func() bool { return late.Conns.Load() == 3 })
 		io.WriteString(nc, later)
 		requireValue(t, in)
-		if seen := late.Seen(); len(seen) != 1 || seen[0][2] != "0000000000000009" {
+		if seen := late.Commands(); len(seen) != 1 || seen[0][2] != "0000000000000009" {
 			t.Errorf("the backend was sent %q", seen)
 		}
 	})
@@ -395,17 +395,17 @@
 		requireValue(t, in)
 	}
 	eventually(t, 10*time.Second, "the drain is applied", func() bool {
-		n := len(first.Seen())
+		n := len(first.Commands())
 		for range 8 { // without a drain all go to the other backend with probability 1/256
 			request()
 		}
-		return len(first.Seen()) == n
+		return len(first.Commands()) == n
 	})
-	n := len(first.Seen())
+	n := len(first.Commands())
 	for range 40 {
 		request()
 	}
-	if got := len(first.Seen()); got > n {
+	if got := len(first.Commands()); got > n {
 		t.Errorf("%d more were sent to the draining backend", got-n)
 	}
 }
--- a/internal/ingress/forwardauth_test.go
+++ b/internal/ingress/forwardauth_test.go
@@ -351,12 +351,12 @@
 	io.WriteString(conn, encodeCommand("Q.DO", "00000000000003e9", "00000000000000aa",
 		"c=keyed,t=p,d=20000,k=x,units=1,spread=1,first=0"))
 	time.Sleep(100 * time.Millisecond) // the request is queued, since the window is full
-	if n := len(backend.Seen()); n > 0 || len(granted) > 0 {
+	if n := len(backend.Commands()); n > 0 || len(granted) > 0 {
 		t.Fatalf("%d sent and %d granted beyond the window", n, len(granted))
 	}
 	c.report(inFlight[0].lease, "served")
 	requireValue(t, in)
-	if n := len(backend.Seen()); n != 1 {
+	if n := len(backend.Commands()); n != 1 {
 		t.Fatalf("the backend got %d commands, want 1", n)
 	}
 	requireStop(t, stop)
--- a/internal/ingress/handover_test.go
+++ b/internal/ingress/handover_test.go
@@ -374,7 +374,7 @@
 	instance, stop := runIngress(t, adminConfig(scripted.Registry(t, list, nil), list))
 	nc, in := dial(t, instance.Addr().String())
 	io.WriteString(nc, encodeRead(1, readFields))
-	eventually(t, time.Second, "the request is in flight", func() bool { return len(backend.Seen()) == 1 })
+	eventually(t, time.Second, "the request is in flight", func() bool { return len(backend.Commands()) == 1 })
 	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	requireAdminCall(t, instance, "PUT", "/v1/ingress/drain", 200)
 	ended := make(chan error, 1)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -71,7 +71,7 @@
 	io.WriteString(nc, encodeCommand("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d41",
 		"c=keyed,t=p,d=9000,k=5c0f,units=2,spread=1,first=0,r=1", "BODY\r\n"))
 	requireValue(t, in)
-	got := backend.Seen()[0]
+	got := backend.Commands()[0]
 	var left int
 	if _, err := fmt.Sscanf(got[3], "c=keyed,t=p,d=%d,k=5c0f,units=2,spread=1,first=0,r=1", &left); err != nil {
 		t.Fatalf("fields %q: %v", got[3], err)
@@ -155,7 +155,7 @@
 			}
 		})
 	}
-	if got := backend.Seen(); len(got) > 0 {
+	if got := backend.Commands(); len(got) > 0 {
 		t.Fatalf("sent to a backend: %q", got)
 	}
 }
@@ -200,7 +200,7 @@
 			if got := readLine(t, in); !strings.HasPrefix(got, c.want) {
 				t.Fatalf("answer %q, want %s", got, c.want)
 			}
-			if n := len(backend.Seen()); n > 1 {
+			if n := len(backend.Commands()); n > 1 {
 				t.Fatalf("sent %d times", n)
 			}
 		})
@@ -376,7 +376,7 @@
 	addr, _ := startIngress(t, cfg)
 	first, _ := dial(t, addr)
 	io.WriteString(first, encodeRead(1, readFields)+encodeRead(2, readFields))
-	for len(backend.Seen()) < 2 {
+	for len(backend.Commands()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	nc, in := dial(t, addr)
@@ -401,7 +401,7 @@
 	addr, _ := startIngress(t, testConfig(scripted.Registry(t, list, nil), list))
 	nc, _ := dial(t, addr)
 	io.WriteString(nc, encodeRead(1, readFields))
-	for len(backend.Seen()) < 1 {
+	for len(backend.Commands()) < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	nc.Close()
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -131,8 +131,8 @@
 		work[k.name] = k.work
 	}
 	return backend.Rules{
-		Work: work, KeyMemory: idempotencyWindow, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, MaxConnections: 1500, ConnWork: ms, Knee: 8,
-		LossBeyond: 0.03,
+		Work: work, KeyRetention: idempotencyWindow, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, MaxConnections: 1500, ConnWork: ms, Knee: 8,
+		LossAboveKnee: 0.03,
 	}
 }
 
--- a/internal/lab/cost/backends.go
+++ b/internal/lab/cost/backends.go
@@ -44,7 +44,7 @@
 	if b.counter, err = tally.Start("", seed); err != nil {
 		return nil, err
 	}
-	if b.agent, err = b.registry.Agent(); err != nil {
+	if b.agent, err = b.registry.AddAgent(); err != nil {
 		return nil, err
 	}
 	for i := range c.Backends {
@@ -88,11 +88,11 @@
 
 // injectSecondAnswers makes the backends answer a fraction of the requests twice.
 func (b *backends) injectSecondAnswers(c *Config) {
-	if c.SecondShare == 0 {
+	if c.SecondAnswerFraction == 0 {
 		return
 	}
-	rule := fault.Rule{Kind: fault.RepeatLate, By: c.SecondLate, Share: c.SecondShare}
-	if c.SecondLate == 0 {
+	rule := fault.Rule{Kind: fault.RepeatLate, DelayTime: c.SecondAnswerDelay, Probability: c.SecondAnswerFraction}
+	if c.SecondAnswerDelay == 0 {
 		rule.Kind = fault.Repeat
 	}
 	for _, standIn := range b.backends {
--- a/internal/lab/cost/config.go
+++ b/internal/lab/cost/config.go
@@ -55,17 +55,17 @@
 
 // Config describes a measurement. Its JSON keys are part of the published report.
 type Config struct {
-	Builds      []Build       `json:"Builds"`  // measured in addition to the bare proxy
-	Proxy       []string      `json:"Proxy"`   // command that runs ServeProxy; --listen and --backend are added
-	Rates       []int         `json:"Rates"`   // requests per second
-	WarmUp      time.Duration `json:"Warm"`    // duration of the load before each measurement
-	Length      time.Duration `json:"Length"`  // duration of each measurement
-	Repeats     int           `json:"Repeats"` // rounds; each measures every build once at every rate
-	Backends    int           `json:"Backends"`
-	Connections int           `json:"Connections"` // client connections
-	Work        time.Duration `json:"Work"`        // service time of the backends
-	SecondLate  time.Duration `json:"SecondLate"`  // delay between a backend's first and second answer
-	SecondShare float64       `json:"SecondShare"` // fraction of requests that are answered twice
+	Builds               []Build       `json:"Builds"`  // measured in addition to the bare proxy
+	Proxy                []string      `json:"Proxy"`   // command for ServeProxy; --listen and --backend are added
+	Rates                []int         `json:"Rates"`   // requests per second
+	WarmUp               time.Duration `json:"Warm"`    // duration of the load before each measurement
+	Length               time.Duration `json:"Length"`  // duration of each measurement
+	Repeats              int           `json:"Repeats"` // rounds; each measures every build once at every rate
+	Backends             int           `json:"Backends"`
+	Connections          int           `json:"Connections"` // client connections
+	Work                 time.Duration `json:"Work"`        // service time of the backends
+	SecondAnswerDelay    time.Duration `json:"SecondLate"`  // delay between a backend's first and second answer
+	SecondAnswerFraction float64       `json:"SecondShare"` // fraction of requests that are answered twice
 }
 
 // Default returns the default configuration. The caller must set Builds and Proxy.
@@ -138,10 +138,10 @@
 		return fmt.Errorf("connections: %d is out of range, 1 to %d", c.Connections, maxConnections)
 	case c.Work <= 0 || c.Work > maxBackendDelay:
 		return fmt.Errorf("work: %v is out of range, up to %v", c.Work, maxBackendDelay)
-	case c.SecondLate < 0 || c.SecondLate > maxBackendDelay:
-		return fmt.Errorf("second-answers: %v is out of range, up to %v", c.SecondLate, maxBackendDelay)
-	case !(c.SecondShare >= 0 && c.SecondShare <= 1):
-		return fmt.Errorf("second-share: %v is no share, 0 to 1", c.SecondShare)
+	case c.SecondAnswerDelay < 0 || c.SecondAnswerDelay > maxBackendDelay:
+		return fmt.Errorf("second-answers: %v is out of range, up to %v", c.SecondAnswerDelay, maxBackendDelay)
+	case !(c.SecondAnswerFraction >= 0 && c.SecondAnswerFraction <= 1):
+		return fmt.Errorf("second-share: %v is no share, 0 to 1", c.SecondAnswerFraction)
 	}
 	return nil
 }
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -68,8 +68,8 @@
 		"backends: 301 is out of range":      func(c *Config) { c.Backends = 301 },
 		"connections: 0 is out of range":     func(c *Config) { c.Connections = 0 },
 		"work: 2s is out of range":           func(c *Config) { c.Work = 2 * time.Second },
-		"second-answers: -1ns is out of ran": func(c *Config) { c.SecondLate = -1 },
-		"second-share: 1.5 is no share":      func(c *Config) { c.SecondShare = 1.5 },
+		"second-answers: -1ns is out of ran": func(c *Config) { c.SecondAnswerDelay = -1 },
+		"second-share: 1.5 is no share":      func(c *Config) { c.SecondAnswerFraction = 1.5 },
 	} {
 		c := testConfig()
 		change(&c)
--- a/internal/lab/cost/proxy_test.go
+++ b/internal/lab/cost/proxy_test.go
@@ -144,7 +144,7 @@
 // Backends answer twice for builds, but not for the bare proxy, which cannot tell a second answer from the next one.
 func TestSecondAnswers(t *testing.T) {
 	c := testConfig()
-	c.SecondLate, c.SecondShare = 0, 1
+	c.SecondAnswerDelay, c.SecondAnswerFraction = 0, 1
 	for name, want := range map[string]int{BareProxy: 1, "new": 2} {
 		b, err := startBackends(&c, Build{Name: name}, 1)
 		if err != nil {
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -14,16 +14,16 @@
 	for _, r := range tb.fleet.Records(0) {
 		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
 			ArrivedAt: r.ArrivedAt, EndedAt: r.EndedAt, ID: r.ID, Backend: r.Backend, Instance: fmt.Sprint("n", r.Instance), Tenant: r.Tenant,
-			Plan: r.Plan, Class: r.Class, Rack: r.Rack, Units: r.Units, Busy: r.Fate == backend.Busy, WarmingUp: r.WarmingUp,
+			Plan: r.Plan, Class: r.Class, Rack: r.Rack, Units: r.Units, Busy: r.Outcome == backend.Busy, WarmingUp: r.WarmingUp,
 		})
 	}
 	for _, t := range tb.registry.Notifications() {
 		e.Notifications = append(e.Notifications, rulecheck.Notification{At: t.At, Instance: fmt.Sprint("n", t.Agent), Backend: t.UID, Serving: t.State == "SERVING"})
 	}
 	for _, n := range tb.fleet.Backends() {
-		why, at := n.Fell()
-		if n.Pushed() > 0 {
-			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FellAt: at, Reason: why, Pressure: n.Pushed()})
+		why, at := n.OverloadFailure()
+		if n.PeakLoad() > 0 {
+			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FailedAt: at, Reason: why, MaxLoad: n.PeakLoad()})
 		}
 	}
 	return e
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -13,7 +13,7 @@
 // The encoding of results must not change, because stored results are read by other versions of the program.
 func TestGoldenResults(t *testing.T) {
 	for name, v := range map[string]any{
-		"line": &Line{}, "cost": &cost.Report{}, "mutation": &mutation.Result{}, "trial": &trial.Result{},
+		"line": &RunResult{}, "cost": &cost.Report{}, "mutation": &mutation.Result{}, "trial": &trial.Result{},
 	} {
 		golden.RequireTags(t, "json", v)
 		golden.Fill(v)
--- a/internal/lab/experiment/load_charts.go
+++ b/internal/lab/experiment/load_charts.go
@@ -36,7 +36,7 @@
 const maxInFlightPerCore = 12 // requests per core at the upper end of the colour scale
 
 // backendLoadChart draws a heat map of the requests in flight at each backend over time, ordered by zone.
-func backendLoadChart(variant string, l Line) (chart, error) {
+func backendLoadChart(variant string, l RunResult) (chart, error) {
 	backends := slices.Clone(l.Report.Backends)
 	slices.SortStableFunc(backends, func(a, b lab.BackendTrack) int {
 		return cmp.Or(cmp.Compare(b.Zone, a.Zone), cmp.Compare(b.Backend, a.Backend))
@@ -80,7 +80,7 @@
 
 // zoneLoadChart draws the commands that each zone received during one run, with the zone's capacity as a dashed line.
 // The capacity is in seconds of work, and is scaled by the commands per second of work over the whole run.
-func zoneLoadChart(variant string, l Line) (chart, error) {
+func zoneLoadChart(variant string, l RunResult) (chart, error) {
 	p := newPlot("seconds", "commands a second")
 	p.Y.Min = 0
 	top := 0.0
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -34,7 +34,7 @@
 }
 
 // Page writes the comparison as a self-contained HTML page, which loads no scripts, fonts or images.
-func (s *Spec) Page(w io.Writer, lines []Line) error {
+func (s *Spec) Page(w io.Writer, lines []RunResult) error {
 	rows := s.Rows(lines)
 	data := struct {
 		Spec     *Spec
@@ -58,9 +58,9 @@
 }
 
 // section builds the part of the page about one scenario.
-func (s *Spec) section(scenario string, lines []Line, rows []Row) (section, error) {
+func (s *Spec) section(scenario string, lines []RunResult, rows []Row) (section, error) {
 	sec := section{Scenario: scenario}
-	byVariant := map[string][]Line{}
+	byVariant := map[string][]RunResult{}
 	for _, l := range lines {
 		if l.Scenario != scenario || len(l.Variants) != 1 {
 			continue
@@ -98,7 +98,7 @@
 }
 
 // addEvents adds a run's violations, and its faults if no earlier run had any.
-func (sec *section) addEvents(l Line) {
+func (sec *section) addEvents(l RunResult) {
 	if sec.Faults == nil {
 		for _, m := range l.Report.Events {
 			sec.Faults = append(sec.Faults, fmt.Sprintf("%.1f s %s", m.AtS, m.Description))
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -31,7 +31,7 @@
 
 // Run makes the runs whose results are not stored yet, and returns the results of all runs of the experiment. If it is
 // interrupted, the results so far are stored and returned.
-func (s *Spec) Run(ctx context.Context, cfg Config) ([]Line, error) {
+func (s *Spec) Run(ctx context.Context, cfg Config) ([]RunResult, error) {
 	if cfg.Build == nil {
 		cfg.Build = Build
 	}
@@ -57,7 +57,7 @@
 	}
 	defer file.Close()
 	cells := s.Cells()
-	out := make([]*Line, len(cells))
+	out := make([]*RunResult, len(cells))
 	progress := &recorder{file: file, out: cfg.Out, cells: len(cells), jobs: max(1, cfg.Jobs)}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, cfg.Jobs))
@@ -90,7 +90,7 @@
 }
 
 // completedLines returns the results that are not nil.
-func completedLines(lines []*Line) (out []Line) {
+func completedLines(lines []*RunResult) (out []RunResult) {
 	for _, line := range lines {
 		if line != nil {
 			out = append(out, *line)
@@ -135,7 +135,7 @@
 }
 
 // record stores the result of a run, and prints the progress with an estimate of the remaining time.
-func (r *recorder) record(line Line, began time.Time) error {
+func (r *recorder) record(line RunResult, began time.Time) error {
 	text, err := json.Marshal(line)
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 }
 
 // runCell runs one cell. The ingress processes of a paired run alternate between the two variants.
-func (s *Spec) runCell(ctx context.Context, cfg Config, c Cell, programs []string) (Line, error) {
+func (s *Spec) runCell(ctx context.Context, cfg Config, c Cell, programs []string) (RunResult, error) {
 	first := s.Variants[c.Variants[0]]
 	run := lab.Config{
 		Scenario:  c.Scenario,
@@ -171,7 +171,7 @@
 		Zones:     first.Zones,
 		ZoneLines: first.Lines,
 	}
-	l := Line{Scenario: c.Scenario, Seed: c.Seed}
+	l := RunResult{Scenario: c.Scenario, Seed: c.Seed}
 	for _, v := range c.Variants {
 		l.Variants = append(l.Variants, s.Variants[v].Name)
 	}
@@ -211,8 +211,8 @@
 
 // readResults returns the stored results by key. It skips lines that cannot be decoded, since an interrupted write
 // leaves an incomplete line.
-func readResults(file string) (map[string]Line, error) {
-	out := map[string]Line{}
+func readResults(file string) (map[string]RunResult, error) {
+	out := map[string]RunResult{}
 	f, err := os.Open(file)
 	if errors.Is(err, os.ErrNotExist) {
 		return out, nil
@@ -224,7 +224,7 @@
 	in := bufio.NewScanner(f)
 	in.Buffer(nil, maxLineBytes)
 	for n := 1; in.Scan(); n++ {
-		var l Line
+		var l RunResult
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil || l.Report == nil {
 			continue
 		}
--- a/internal/lab/experiment/service_charts.go
+++ b/internal/lab/experiment/service_charts.go
@@ -21,7 +21,7 @@
 }
 
 // timelineChart draws the mean of a metric over the seeds, with a line for each variant.
-func (s *Spec) timelineChart(byVariant map[string][]Line, metric timelineMetric) (chart, error) {
+func (s *Spec) timelineChart(byVariant map[string][]RunResult, metric timelineMetric) (chart, error) {
 	p := newPlot("seconds", metric.unit)
 	p.Y.Min = 0
 	drawn := false
@@ -61,7 +61,7 @@
 }
 
 // meanTimeline returns the mean of a metric over all runs for each second in which at least one run has a value.
-func meanTimeline(lines []Line, of func(lab.Second) float64) (out plotter.XYs) {
+func meanTimeline(lines []RunResult, of func(lab.Second) float64) (out plotter.XYs) {
 	var sums, counts []float64
 	for _, l := range lines {
 		for k, second := range l.Report.Timeline {
@@ -86,7 +86,7 @@
 type inTimeCounts struct{ requests, inTime int }
 
 // countInTime counts the requests of all runs by plan and by class.
-func countInTime(lines []Line) map[string]inTimeCounts {
+func countInTime(lines []RunResult) map[string]inTimeCounts {
 	out := map[string]inTimeCounts{}
 	for _, l := range lines {
 		for _, row := range l.Report.Rows {
@@ -102,7 +102,7 @@
 }
 
 // inTimeChart draws the fraction of requests answered in time for each plan and class, with a bar for each variant.
-func (s *Spec) inTimeChart(byVariant map[string][]Line) (chart, error) {
+func (s *Spec) inTimeChart(byVariant map[string][]RunResult) (chart, error) {
 	names := map[string]bool{}
 	counts := map[string]map[string]inTimeCounts{}
 	for variant, list := range byVariant {
--- a/internal/lab/experiment/spec.go
+++ b/internal/lab/experiment/spec.go
@@ -141,8 +141,8 @@
 	return out
 }
 
-// Line is the stored result of one run.
-type Line struct {
+// RunResult is the stored result of one run.
+type RunResult struct {
 	Key      string      `json:"Key"`
 	Scenario string      `json:"Day"`
 	Seed     uint64      `json:"Seed"`
--- a/internal/lab/experiment/stats.go
+++ b/internal/lab/experiment/stats.go
@@ -51,7 +51,7 @@
 }
 
 // Rows returns a row for each scenario and variant that has runs.
-func (s *Spec) Rows(lines []Line) (out []Row) {
+func (s *Spec) Rows(lines []RunResult) (out []Row) {
 	for _, scenario := range s.Scenarios {
 		var baseline map[uint64]float64 // service of the first variant by seed
 		for i, v := range s.Variants {
@@ -73,18 +73,18 @@
 }
 
 // linesOf returns the unpaired runs of a variant on a scenario, ordered by seed.
-func linesOf(lines []Line, scenario, variant string) (out []Line) {
+func linesOf(lines []RunResult, scenario, variant string) (out []RunResult) {
 	for _, l := range lines {
 		if l.Scenario == scenario && len(l.Variants) == 1 && l.Variants[0] == variant {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Line) int { return int(a.Seed) - int(b.Seed) })
+	slices.SortFunc(out, func(a, b RunResult) int { return int(a.Seed) - int(b.Seed) })
 	return out
 }
 
 // newRow summarizes the runs of one variant on one scenario. list must not be empty.
-func newRow(scenario, variant string, list []Line) Row {
+func newRow(scenario, variant string, list []RunResult) Row {
 	row := Row{Scenario: scenario, Variant: variant, Runs: len(list)}
 	for _, l := range list {
 		switch l.Code {
@@ -107,7 +107,7 @@
 }
 
 // serviceBySeed returns the service of each run by its seed.
-func serviceBySeed(list []Line) map[uint64]float64 {
+func serviceBySeed(list []RunResult) map[uint64]float64 {
 	out := map[uint64]float64{}
 	for _, l := range list {
 		out[l.Seed] = l.Report.Service
@@ -133,7 +133,7 @@
 }
 
 // Pairs compares the variants for each scenario over the runs in which they shared a testbed.
-func (s *Spec) Pairs(lines []Line) (out []Pair) {
+func (s *Spec) Pairs(lines []RunResult) (out []Pair) {
 	for _, d := range s.Scenarios {
 		var cpu, peak, more []float64
 		for _, l := range lines {
@@ -155,7 +155,7 @@
 
 // variantUsage returns the CPU time per attempt and the mean peak memory of one variant's processes in a paired run,
 // where the processes of the two variants alternate.
-func variantUsage(l Line, variant string) (cpuUS, peakMB float64) {
+func variantUsage(l RunResult, variant string) (cpuUS, peakMB float64) {
 	from := slices.Index(l.Variants, variant)
 	cpu, attempts, n := 0.0, 0, 0
 	for i := from; i < len(l.Report.Processes); i += 2 {
@@ -166,7 +166,7 @@
 }
 
 // Text returns the comparison as a table for the terminal.
-func (s *Spec) Text(lines []Line) string {
+func (s *Spec) Text(lines []RunResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n%-12s %-16s %5s %7s %10s %8s %9s %7s  %s\n",
 		"day", "variant", "runs", "broken", "no verdict", "service", "CPU us", "MB",
--- a/internal/lab/experiment/zone_table.go
+++ b/internal/lab/experiment/zone_table.go
@@ -29,7 +29,7 @@
 }
 
 // zoneMetricsOf collects the metrics of all runs of a variant on a scenario.
-func zoneMetricsOf(lines []Line, scenario, variant string) (m zoneMetrics) {
+func zoneMetricsOf(lines []RunResult, scenario, variant string) (m zoneMetrics) {
 	for _, l := range lines {
 		if l.Scenario != scenario || l.Variants[0] != variant {
 			continue
@@ -99,7 +99,7 @@
 
 // ZoneText returns a table of the zone metrics with a row for each scenario and variant. A column is the mean over the
 // runs, or the worst of them.
-func (s *Spec) ZoneText(lines []Line) string {
+func (s *Spec) ZoneText(lines []RunResult) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\t[halls]\truns\tbroken\tbefore\tduring\tworst\tafter\tworst\tnear best s\tworst\t"+
--- a/internal/lab/halls.go
+++ b/internal/lab/halls.go
@@ -147,12 +147,12 @@
 	startedAt := tb.load.startedAt
 	for _, rec := range tb.fleet.Records(0) {
 		inLostZone := slices.Contains(lost, strings.TrimPrefix(rec.Zone, "hall-"))
-		if rec.Fate == backend.CutOff && inLostZone && rec.ArrivedAt >= startedAt+from && rec.ArrivedAt < startedAt+to {
+		if rec.Outcome == backend.CutOff && inLostZone && rec.ArrivedAt >= startedAt+from && rec.ArrivedAt < startedAt+to {
 			out.LastSentS = max(out.LastSentS, (rec.ArrivedAt - startedAt - from).Seconds())
 		}
 	}
 	for _, n := range tb.fleet.Backends() {
-		out.SlowStartPush = max(out.SlowStartPush, n.Pushed())
+		out.SlowStartPush = max(out.SlowStartPush, n.PeakLoad())
 	}
 	out.LongestQueueS = tb.longestQueue()
 	return out
@@ -169,7 +169,7 @@
 	runs := map[string]*run{}
 	longest := time.Duration(0)
 	for _, rec := range tb.fleet.Records(0) {
-		if rec.Fate != backend.Ran {
+		if rec.Outcome != backend.Ran {
 			continue
 		}
 		x := runs[rec.Backend]
--- a/internal/lab/instance.go
+++ b/internal/lab/instance.go
@@ -40,7 +40,7 @@
 		tb.gates = append(tb.gates, gateStandIn)
 		tb.onClose(gateStandIn.Close)
 	}
-	agent, err := tb.registry.Agent()
+	agent, err := tb.registry.AddAgent()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -155,7 +155,7 @@
 	records := tb.fleet.Records(sentFrom)
 	units, allowed := 0.0, 0.0
 	for _, r := range records {
-		if r.Plan == "storby" && r.Fate == backend.Ran {
+		if r.Plan == "storby" && r.Outcome == backend.Ran {
 			units += r.Units
 		}
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -346,7 +346,7 @@
 	t.Answers = append(t.Answers, rulecheck.Answer{At: l.tb.clock(), Kind: res.Kind})
 	t.ForeignAnswer = res.Kind == "served" && res.Value != "value of "+id
 	t.Excused = res.Kind != "served" && inst.wasDown(t.SentAt, l.tb.clock())
-	return t, res.After
+	return t, res.RetryAfter
 }
 
 func (l *load) clientRequests() []rulecheck.ClientRequest {
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -77,7 +77,7 @@
 	r := &Report{
 		Scenario: tb.scenarioConfig.Name, Seed: tb.cfg.Seed, Store: tb.scenarioConfig.Store, Seconds: seconds, LoadStartS: tb.load.startedAt.Seconds(), Faults: tb.faultLog, Dropped: int(tb.load.dropped.Load()), Processes: procs,
 		Violations: checkResult.Violations, Rules: map[string]int{}, Fronts: map[string]QuotaShare{}, checkResult: checkResult, Margins: checkResult.Margins, Unmet: append(tb.scenarioConfig.Required.Unmet(checkResult.Margins), tb.unusedLinkFaults()...),
-		ObserverDelayMS: float64(checkResult.WorstDelay.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: tb.rules().Tolerance, droppedRecords: tb.fleet.Lost(),
+		ObserverDelayMS: float64(checkResult.MaxObserverDelay.Microseconds()) / 1000, LabCores: labCPU.Seconds() / seconds, tolerance: tb.rules().Tolerance, droppedRecords: tb.fleet.DroppedRecords(),
 	}
 	for _, rule := range rulecheck.RuleNames {
 		r.Rules[rule] = len(checkResult.ForRule(rule))
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -61,11 +61,11 @@
 	HotTenants     []HotTenants `toml:"hot"`
 	Faults         []string     `toml:"faults"` // each TARGET:WHAT at TIME, see ParseStep
 	RandomFaults   int          `toml:"random"` // number of faults drawn from the seed, besides Faults
-	// MaxBeyond is the maximum load forwarded beyond quotas, as a fraction of that forwarded within quotas. 0: no
+	// MaxBeyondQuota is the maximum load forwarded beyond quotas, as a fraction of that forwarded within quotas. 0: no
 	// maximum.
-	MaxBeyond float64   `toml:"most_beyond"`
-	Required  Required  `toml:"must"`
-	Loss      *ZoneLoss `toml:"loss"` // nil: no zone is lost
+	MaxBeyondQuota float64   `toml:"most_beyond"`
+	Required       Required  `toml:"must"`
+	Loss           *ZoneLoss `toml:"loss"` // nil: no zone is lost
 }
 
 // Names returns the names of the scenarios that are part of the program.
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -89,8 +89,8 @@
 		return s.fieldError("random", "%d is out of range, 0 to %d", s.RandomFaults, maxRandomFaults)
 	case s.WarmedBy < 0:
 		return s.fieldError("warm_by", "%d is below 0", s.WarmedBy)
-	case !(s.MaxBeyond >= 0):
-		return s.fieldError("most_beyond", "%v is below 0", s.MaxBeyond)
+	case !(s.MaxBeyondQuota >= 0):
+		return s.fieldError("most_beyond", "%v is below 0", s.MaxBeyondQuota)
 	}
 	return nil
 }
--- a/internal/lab/soak/deployment.go
+++ b/internal/lab/soak/deployment.go
@@ -133,7 +133,7 @@
 		work[c.name] = c.work
 	}
 	return backend.Rules{
-		Work: work, KeyMemory: d.keyMemory, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadSpan: time.Second,
+		Work: work, KeyRetention: d.keyMemory, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadSpan: time.Second,
 		OverloadSlack: 50 * time.Millisecond, MaxConnections: 1500,
 	}
 }
@@ -142,7 +142,7 @@
 func (d *deployment) checkerRules() rulecheck.Rules {
 	rules := rulecheck.DefaultRules()
 	rules.Tolerance = tolerance
-	rules.KeyMemory, rules.DrainGrace = d.keyMemory, drainGrace
+	rules.KeyRetention, rules.DrainGrace = d.keyMemory, drainGrace
 	rules.CeilingSlack, rules.MaxUnits = ceilingSlack, maxUnits
 	rules.Classes, rules.Ceilings = map[string]rulecheck.Effect{}, map[string]rulecheck.Ceiling{}
 	for _, c := range d.classes {
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -70,12 +70,12 @@
 	for _, rec := range records {
 		e.Attempts = append(e.Attempts, rulecheck.BackendAttempt{
 			ArrivedAt: rec.ArrivedAt, EndedAt: rec.EndedAt, ID: rec.ID, Backend: rec.Backend, Instance: fmt.Sprint("n", rec.Instance), Tenant: rec.Tenant,
-			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.Fate == backend.Busy, WarmingUp: rec.WarmingUp,
+			Plan: rec.Plan, Class: rec.Class, Rack: rec.Rack, Units: rec.Units, Busy: rec.Outcome == backend.Busy, WarmingUp: rec.WarmingUp,
 		})
 	}
 	for _, n := range r.fleet.Backends() {
-		if why, at := n.Fell(); n.Pushed() > 0 {
-			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FellAt: at, Reason: why, Pressure: n.Pushed()})
+		if why, at := n.OverloadFailure(); n.PeakLoad() > 0 {
+			e.Overloads = append(e.Overloads, rulecheck.Overload{Backend: n.ID, FailedAt: at, Reason: why, MaxLoad: n.PeakLoad()})
 		}
 	}
 	verdict := rulecheck.Check(r.deployment.checkerRules(), e)
@@ -157,7 +157,7 @@
 // where polls, reloads or failures of discovery delay it. A backend serves from the first agent's notification on, and
 // drains from the last one's on.
 func (r *run) instanceNotifications() []rulecheck.Notification {
-	notifications := r.registry.Versions()
+	notifications := r.registry.AppliedChanges()
 	slices.SortStableFunc(notifications, func(a, b agentNotification) int { return cmp.Compare(a.At, b.At) })
 	type pair struct {
 		instance int
@@ -271,7 +271,7 @@
 		}
 		v.Timeline = append(v.Timeline, line, fmt.Sprintf("%s: terms %v, kills %v, overrun %v, ends %v, starts %v", req.in.Name, req.in.terminatedAt, req.in.killedAt, req.in.timedOutAt, req.in.endedAt, req.in.startedAt))
 		for _, rec := range byID[req.id] {
-			v.Timeline = append(v.Timeline, fmt.Sprintf("%s from n%d: came %.3f, ended %.3f, %s, told %v, rack %d, connection %d", rec.Backend, rec.Instance, rec.ArrivedAt.Seconds(), rec.EndedAt.Seconds(), rec.Fate, rec.Allowed, rec.Rack, rec.Conn))
+			v.Timeline = append(v.Timeline, fmt.Sprintf("%s from n%d: came %.3f, ended %.3f, %s, told %v, rack %d, connection %d", rec.Backend, rec.Instance, rec.ArrivedAt.Seconds(), rec.EndedAt.Seconds(), rec.Outcome, rec.Allowed, rec.Rack, rec.Conn))
 		}
 		return
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -43,7 +43,7 @@
 	Seed      uint64
 	Instances int
 	Length    time.Duration // of the load
-	Logs      string        // directory of the instances' logs; empty: a temporary one
+	LogDir    string        // directory of the instances' logs; empty: a temporary one
 }
 
 // validate returns an error that names the first field that is out of range.
@@ -142,7 +142,7 @@
 		return err
 	}
 	r.onClose(func() { os.RemoveAll(r.tempDir) })
-	if r.logDir = r.cfg.Logs; r.logDir == "" {
+	if r.logDir = r.cfg.LogDir; r.logDir == "" {
 		r.logDir = r.tempDir
 	}
 	if err := os.MkdirAll(r.logDir, 0o755); err != nil {
@@ -185,7 +185,7 @@
 	}
 	for k := range 2 {
 		for _, in := range r.instances {
-			addr, err := r.registry.Agent()
+			addr, err := r.registry.AddAgent()
 			if err != nil {
 				return err
 			}
@@ -335,7 +335,7 @@
 	SlowestStart       time.Duration // of an instance
 	MaxObserverDelay   time.Duration
 	Faults             []string // what was injected, one line each
-	Findings           []Violation
+	Violations         []Violation
 	CeilingMargin      float64 // nearest tenant to its ceiling, see rulecheck.Margins
 	SlowStartLoad      float64 // highest of a backend warming up, see rulecheck.Margins
 }
@@ -343,7 +343,7 @@
 // report returns the report of the run from what was recorded and the result of the rule checker.
 func (r *run) report(v rulecheck.Result) *Report {
 	out := &Report{
-		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.clientRequests), Faults: r.faultLog.lines, Findings: r.violations, MaxObserverDelay: v.WorstDelay,
+		Seed: r.cfg.Seed, Instances: r.cfg.Instances, Requests: len(r.clientRequests), Faults: r.faultLog.lines, Violations: r.violations, MaxObserverDelay: v.MaxObserverDelay,
 		CeilingMargin: v.Margins.Ceiling, SlowStartLoad: v.Margins.SlowStartPush,
 	}
 	for i := range r.clientRequests {
@@ -379,7 +379,7 @@
 
 // Certain returns the number of violations that no delay of the observers explains.
 func (r *Report) Certain() (n int) {
-	for _, f := range r.Findings {
+	for _, f := range r.Violations {
 		if !f.Doubtful {
 			n++
 		}
@@ -392,14 +392,14 @@
 	return fmt.Sprintf("seed %d: %d requests at %d instances, served %d, refused %d, failed %d, not connected %d; %d starts, slowest %v, %d killed at the end of their time, nearest %v; %d signals and %d requests in shutdowns; ceiling %+.2f, cold %.2f, observers late by %v: %d breaks, %d certain",
 		r.Seed, r.Requests, r.Instances, r.Served, r.Refused, r.Failed, r.NoConnection, r.Starts, r.SlowestStart.Round(time.Millisecond), r.ShutdownTimeouts, r.MinTimeBeforeKill.Round(time.Millisecond), r.LateSignals, r.RequestsInShutdown,
 		r.CeilingMargin, r.SlowStartLoad,
-		r.MaxObserverDelay.Round(time.Millisecond), len(r.Findings), r.Certain())
+		r.MaxObserverDelay.Round(time.Millisecond), len(r.Violations), r.Certain())
 }
 
 // Text returns the details of the violations, up to maxPerRule of each rule, and the faults that were injected.
 func (r *Report) Text(maxPerRule int) string {
 	var b strings.Builder
 	seen := map[string]int{}
-	for _, f := range r.Findings {
+	for _, f := range r.Violations {
 		if seen[f.Rule]++; seen[f.Rule] > maxPerRule {
 			continue
 		}
@@ -415,7 +415,7 @@
 	for rule, n := range seen {
 		fmt.Fprintf(&b, "  %s: %d times\n", rule, n)
 	}
-	if len(r.Findings) > 0 {
+	if len(r.Violations) > 0 {
 		for _, faultLine := range r.Faults {
 			fmt.Fprintf(&b, "  trouble at %s\n", faultLine)
 		}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -54,10 +54,10 @@
 			t.Fatal(err)
 		}
 		t.Log(report.Line())
-		if len(report.Findings) > report.Certain() && attempt < maxRuns {
+		if len(report.Violations) > report.Certain() && attempt < maxRuns {
 			continue
 		}
-		if len(report.Findings) > 0 {
+		if len(report.Violations) > 0 {
 			t.Error(report.Text(5))
 		}
 		if report.Served < 100 || report.Refused == 0 || report.Starts <= report.Instances {
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -133,7 +133,7 @@
 	which, d := pickIndices(rng, r.cfg.Instances, 1, r.cfg.Instances), drawDuration(rng, 200*time.Millisecond, 4*time.Second)
 	kind, name := discovery.Resetting, "resets"
 	if rng.IntN(2) == 0 {
-		kind, name = discovery.TurningAway, "turns away"
+		kind, name = discovery.Rejecting, "turns away"
 	}
 	return scheduledFault{text: fmt.Sprintf("discovery %s for %v at %v", name, d, which), inject: func(ctx context.Context) {
 		r.failDiscovery(ctx, which, kind, d)
@@ -148,13 +148,13 @@
 	return scheduledFault{text: fmt.Sprintf("backends %v drain for %v, and turn away: %v", which, d, rejects), inject: func(ctx context.Context) {
 		for _, b := range which {
 			r.setBackendState(b, "DRAINING")
-			r.backend(b).Drain(rejects)
+			r.backend(b).SetDraining(rejects)
 		}
 		if !sleep(ctx, d) {
 			return
 		}
 		for _, b := range which {
-			r.backend(b).Drain(false)
+			r.backend(b).SetDraining(false)
 			r.setBackendState(b, "SERVING")
 		}
 	}}
@@ -196,7 +196,7 @@
 		if err != nil {
 			panic(err) // the rules above are valid
 		}
-		rule.For = d
+		rule.ActiveFor = d
 		for _, b := range which {
 			r.backend(b).Fault(rule)
 		}
@@ -218,7 +218,7 @@
 	return scheduledFault{text: fmt.Sprintf("backends %v are cut off from %v for %v", which, from, d), inject: func(context.Context) {
 		for _, b := range which {
 			for _, i := range from {
-				r.backend(b).Cut(i, d)
+				r.backend(b).Partition(i, d)
 			}
 		}
 	}}
@@ -258,7 +258,7 @@
 	return scheduledFault{text: fmt.Sprintf("backends %v close connections after %v without a command, for %v", which, after, d), inject: func(ctx context.Context) {
 		set := func(after time.Duration) {
 			for _, b := range which {
-				r.backend(b).CloseIdle(after)
+				r.backend(b).SetIdleTimeout(after)
 			}
 		}
 		set(after)
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -70,7 +70,7 @@
 		if fmt.Sprint("n", c.Instance) != x.Instance && x.OtherInstanceAt == 0 {
 			x.OtherInstanceAt = c.ArrivedAt
 		}
-		switch c.Fate {
+		switch c.Outcome {
 		case backend.Ran, backend.DroppedAfter, backend.Unanswered:
 			x.Effects++
 			r.History = append(r.History, Step{Key: c.Key, From: c.ArrivedAt, Until: c.EndedAt, Effect: true, ClientID: len(r.History)})
@@ -196,7 +196,7 @@
 		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	for _, rec := range tb.fleet.Records(0) {
-		if rec.Fate != backend.Busy {
+		if rec.Outcome != backend.Busy {
 			costs.WorkDone += rec.Work
 		}
 		if rec.Zone != "hall-"+string(rune('a'+rec.Instance%3)) {
@@ -223,7 +223,7 @@
 	if inside > 0 {
 		r.BeyondShare = beyond / inside
 	}
-	if maxValue := tb.scenarioConfig.MaxBeyond; maxValue > 0 && r.BeyondShare > maxValue {
+	if maxValue := tb.scenarioConfig.MaxBeyondQuota; maxValue > 0 && r.BeyondShare > maxValue {
 		r.Violations = append(r.Violations, rulecheck.Violation{Rule: RuleQuotas, At: tb.load.startedAt + time.Duration(tb.scenarioConfig.Length), Until: tb.load.startedAt + time.Duration(tb.scenarioConfig.Length), Detail: fmt.Sprintf("%.0f units were passed on beyond quotas, %.0f%% of those inside; the day allows %.0f%%", beyond, 100*r.BeyondShare, 100*maxValue)})
 		r.Rules[RuleQuotas] = 1
 	}
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -54,8 +54,8 @@
 	case "ingress":
 		return tb.injectInstanceFault(ctx, tb.instances[s.Index], s)
 	case "discovery":
-		tb.registry.Mute(s.Index, true)
-		tb.schedule(ctx, s.Duration(1), func() { tb.registry.Mute(s.Index, false) })
+		tb.registry.SetSilent(s.Index, true)
+		tb.schedule(ctx, s.Duration(1), func() { tb.registry.SetSilent(s.Index, false) })
 		return nil
 	case "lab":
 		return tb.pauseLab(s.Duration(1))
@@ -98,7 +98,7 @@
 		for _, i := range which {
 			n, _ := tb.backendAt(i)
 			for at := range tb.scenarioConfig.Ingresses {
-				n.Cut(at, s.Duration(1)+time.Second)
+				n.Partition(at, s.Duration(1)+time.Second)
 			}
 			tb.restartLater(ctx, s.Duration(1), i)
 		}
@@ -218,7 +218,7 @@
 		return tb.restartBackend(i)
 	case "cut":
 		if len(words) == 3 {
-			n.Cut(s.Number(1), s.Duration(2))
+			n.Partition(s.Number(1), s.Duration(2))
 			return nil
 		}
 		return addFaultRule(n, s.Action)
--- a/internal/lab/trial/results.go
+++ b/internal/lab/trial/results.go
@@ -53,7 +53,7 @@
 	return b.String()
 }
 
-// summarize prints the table and writes the results to cfg.Out. It returns ErrBroken if any run has a violation.
+// summarize prints the table and writes the results to cfg.Out. It returns ErrViolations if any run has a violation.
 func summarize(trial *definition, cfg Config, results []Result, out io.Writer) error {
 	var table bytes.Buffer
 	trial.table(&table, results)
@@ -75,7 +75,7 @@
 		}
 	}
 	if broken > 0 {
-		return ErrBroken
+		return ErrViolations
 	}
 	return nil
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -1,8 +1,8 @@
-// Package trial runs groups of real ingress processes under injected faults, with one feature off and on, and
-// compares the results. A Config names the trial, the seeds and the numbers of instances. Run prints a line for each
-// run and a summary table, optionally writes the results as JSON and a chart to a directory, and returns ErrBroken if
-// any run violated a rule or an expectation of the trial. Package lab starts the processes, records what backends,
-// clients and links observe, and checks the rules that hold for every run.
+// Package trial runs groups of real ingress processes under injected faults, with one feature off and on, and compares
+// the results. A Config names the trial, the seeds and the numbers of instances. Run prints a line for each run and a
+// summary table, optionally writes the results as JSON and a chart to a directory, and returns ErrViolations if any run
+// violated a rule or an expectation of the trial. Package lab starts the processes, records what backends, clients and
+// links observe, and checks the rules that hold for every run.
 package trial
 
 import (
@@ -75,8 +75,8 @@
 	chart        func(file string, results []Result) error // nil: the trial has no chart
 }
 
-// Names returns a sorted list of lines, each with the name and the description of a trial.
-func Names() (out []string) {
+// Descriptions returns a sorted list of lines, each with the name and the description of a trial.
+func Descriptions() (out []string) {
 	for name, trial := range trials {
 		out = append(out, fmt.Sprintf("%-12s %s", name, trial.description))
 	}
@@ -84,15 +84,15 @@
 	return out
 }
 
-// ErrBroken means that some run violated a rule of the lab or an expectation of the trial.
-var ErrBroken = errors.New("the trial found violations")
+// ErrViolations means that some run violated a rule of the lab or an expectation of the trial.
+var ErrViolations = errors.New("the trial found violations")
 
 // Run runs a trial and prints a line for each run, then the summary table. If any run has a violation, it returns the
-// results together with ErrBroken.
+// results together with ErrViolations.
 func Run(ctx context.Context, cfg Config, out io.Writer) ([]Result, error) {
 	trial := trials[cfg.Name]
 	if trial == nil {
-		return nil, fmt.Errorf("unknown trial %q; the trials are:\n%s", cfg.Name, strings.Join(Names(), "\n"))
+		return nil, fmt.Errorf("unknown trial %q; the trials are:\n%s", cfg.Name, strings.Join(Descriptions(), "\n"))
 	}
 	if len(cfg.Instances) == 0 {
 		cfg.Instances = trial.instances
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -165,8 +165,8 @@
 		work[c.name] = c.work
 	}
 	tb.fleet = backend.NewFleet(backend.Rules{
-		Work: work, KeyMemory: idempotencyWindow, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, SlowStartRequests: tb.scenarioConfig.WarmedBy,
-		OverloadMultiple: overloadMultiple, OverloadSpan: time.Second, OverloadSlack: 50 * ms, MaxConnections: 1500, ConnWork: ms, Knee: 8, LossBeyond: 0.03,
+		Work: work, KeyRetention: idempotencyWindow, SlowStartShare: slowStartShare, SlowStartWindow: slowStartWindow, SlowStartRequests: tb.scenarioConfig.WarmedBy,
+		OverloadMultiple: overloadMultiple, OverloadSpan: time.Second, OverloadSlack: 50 * ms, MaxConnections: 1500, ConnWork: ms, Knee: 8, LossAboveKnee: 0.03,
 	}, tb.cfg.Seed, tb.clock)
 	tb.onClose(tb.fleet.Close)
 	tb.registry = discovery.New(tb.cfg.Seed, tb.clock, 500*ms, 3500*ms)
--- a/internal/rulecheck/evidence.go
+++ b/internal/rulecheck/evidence.go
@@ -65,9 +65,9 @@
 // Overload is the record of a backend's slow start: its highest load, and whether the backend failed under it.
 type Overload struct {
 	Backend  string
-	FellAt   time.Duration // when the backend failed under its load; 0: it did not fail
+	FailedAt time.Duration // when the backend failed under its load; 0: it did not fail
 	Reason   string        // why the backend failed
-	Pressure float64       // maximum load, as a fraction of the load that makes the backend fail
+	MaxLoad  float64       // maximum load, as a fraction of the load that makes the backend fail
 }
 
 // ObserverDelay is a period in which the observers (clients, backends and discovery) were not scheduled to run, so that
--- a/internal/rulecheck/repeats.go
+++ b/internal/rulecheck/repeats.go
@@ -34,7 +34,7 @@
 			repeat.Class, repeat.ID, first.Backend, repeat.Backend)
 	case repeat.Rack != first.Rack:
 		report("%s %s went to rack %d and rack %d", repeat.Class, repeat.ID, first.Rack, repeat.Rack)
-	case elapsed > rules.KeyMemory+rules.Tolerance:
+	case elapsed > rules.KeyRetention+rules.Tolerance:
 		report("%s %s was repeated after %v", repeat.Class, repeat.ID, elapsed)
 	default:
 		r.Margins.Repeats++
--- a/internal/rulecheck/rulecheck.go
+++ b/internal/rulecheck/rulecheck.go
@@ -56,8 +56,8 @@
 	// Checked counts, by rule, the requests or attempts that the rule was checked on.
 	Checked map[string]int
 	Margins Margins
-	// WorstDelay is the longest ObserverDelay.
-	WorstDelay time.Duration
+	// MaxObserverDelay is the longest ObserverDelay.
+	MaxObserverDelay time.Duration
 }
 
 // Clean reports whether there is no violation.
@@ -109,7 +109,7 @@
 // markDoubtful marks the violations whose period overlaps an observer delay that is longer than the tolerance.
 func (r *Result) markDoubtful(tolerance time.Duration, delays []ObserverDelay) {
 	for _, delay := range delays {
-		r.WorstDelay = max(r.WorstDelay, delay.Delay)
+		r.MaxObserverDelay = max(r.MaxObserverDelay, delay.Delay)
 		if delay.Delay <= tolerance {
 			continue
 		}
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -140,7 +140,7 @@
 		t.Errorf("got the text %s, want BROKEN in it if and only if there is a violation", text)
 	}
 	evidence.ObserverDelays = []ObserverDelay{{At: 10 * s, Delay: 2 * s}, {At: 1500 * ms, Delay: 2 * s}}
-	if result := Check(testRules(), evidence); result.CountCertain() > 0 || result.WorstDelay != 2*s {
+	if result := Check(testRules(), evidence); result.CountCertain() > 0 || result.MaxObserverDelay != 2*s {
 		t.Errorf("got certain violations though the observers were delayed: %v", result.Violations)
 	}
 	evidence.ObserverDelays = []ObserverDelay{{At: time.Hour, Delay: 2 * s}, {At: 10 * s, Delay: 40 * ms}}
@@ -330,10 +330,10 @@
 func TestCheckLoadLimits(t *testing.T) {
 	checkCases(t, map[string]evidenceCase{
 		"failed under load": {
-			evidence: Evidence{Overloads: []Overload{{Backend: "n1", FellAt: s, Reason: "too much", Pressure: 1.1}}},
+			evidence: Evidence{Overloads: []Overload{{Backend: "n1", FailedAt: s, Reason: "too much", MaxLoad: 1.1}}},
 			want:     SlowStart,
 		},
-		"withstood its load": {Evidence{Overloads: []Overload{{Backend: "n1", Pressure: 0.9}}}, ""},
+		"withstood its load": {Evidence{Overloads: []Overload{{Backend: "n1", MaxLoad: 0.9}}}, ""},
 		"under its ceiling":  {attemptsUnderCeiling(10, 2, ms), ""},
 		"within slack":       {attemptsUnderCeiling(13, 2, ms), ""}, // 26 units: burst 20, slack 6 + 1.5
 		"two together":       {attemptsUnderCeiling(14, 2, ms), Ceilings},
@@ -360,7 +360,7 @@
 			attempt("d", "read", "n2", 1, 10*s),
 		},
 		Notifications: []Notification{{At: 7 * s, Instance: "i0", Backend: "n9"}},
-		Overloads:     []Overload{{Backend: "n3", Pressure: 0.6}},
+		Overloads:     []Overload{{Backend: "n3", MaxLoad: 0.6}},
 	}
 	want := Margins{
 		Refused:        1,
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -38,8 +38,8 @@
 	Classes map[string]Effect
 	// MinAttempts holds, by class, the shortest time in which any backend can serve an attempt.
 	MinAttempts map[string]time.Duration
-	// KeyMemory is how long a rack retains an idempotency key.
-	KeyMemory time.Duration
+	// KeyRetention is how long a rack retains an idempotency key.
+	KeyRetention time.Duration
 	// DrainGrace is how long an instance may still send to a backend after it was notified that the backend drains.
 	DrainGrace time.Duration
 	// Ceilings holds the ceilings by plan; a plan without an entry has no ceiling.
@@ -57,7 +57,7 @@
 // DefaultRules returns the platform's parameters, without those of classes (Classes, MinAttempts) and plans (Ceilings).
 func DefaultRules() Rules {
 	return Rules{
-		KeyMemory:    3 * time.Second,
+		KeyRetention: 3 * time.Second,
 		DrainGrace:   2 * time.Second,
 		CeilingSlack: 0.1,
 		MaxUnits:     6,
--- a/internal/rulecheck/slow_start.go
+++ b/internal/rulecheck/slow_start.go
@@ -9,9 +9,9 @@
 	}
 	r.Checked[SlowStart] = r.Margins.SlowStartSends
 	for _, overload := range overloads {
-		r.Margins.SlowStartPush = max(r.Margins.SlowStartPush, overload.Pressure)
-		if overload.FellAt > 0 {
-			r.addViolation(SlowStart, overload.FellAt, overload.FellAt,
+		r.Margins.SlowStartPush = max(r.Margins.SlowStartPush, overload.MaxLoad)
+		if overload.FailedAt > 0 {
+			r.addViolation(SlowStart, overload.FailedAt, overload.FailedAt,
 				"node %s fell over: %s", overload.Backend, overload.Reason)
 		}
 	}
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -128,16 +128,17 @@
 	return capacity
 }
 
-// Fell returns why and when the backend failed from overload during slow start. why is empty if it has not failed.
-func (b *Backend) Fell() (why string, at time.Duration) {
+// OverloadFailure returns why and when the backend failed from overload during slow start. why is empty if it has not
+// failed.
+func (b *Backend) OverloadFailure() (why string, at time.Duration) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	return b.machine.failure, b.machine.failedAt
 }
 
-// Pushed returns the largest load that the backend received during slow start, as a share of the overload limit. It is
-// 0 for a backend without slow start or without requests.
-func (b *Backend) Pushed() float64 {
+// PeakLoad returns the largest load that the backend received during slow start, as a share of the overload limit. It
+// is 0 for a backend without slow start or without requests.
+func (b *Backend) PeakLoad() float64 {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	return b.machine.peakLoad
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -19,7 +19,7 @@
 	began := time.Now()
 	f := NewFleet(Rules{
 		Work:             map[string]Work{"read": {time.Millisecond, time.Millisecond}},
-		KeyMemory:        time.Hour,
+		KeyRetention:     time.Hour,
 		SlowStartShare:   0.25,
 		SlowStartWindow:  time.Hour,
 		OverloadMultiple: 4,
@@ -94,9 +94,9 @@
 
 // fates returns the fates of all commands so far.
 func fates(f *Fleet) string {
-	var list []Fate
+	var list []Outcome
 	for _, r := range f.Records(0) {
-		list = append(list, r.Fate)
+		list = append(list, r.Outcome)
 	}
 	return fmt.Sprint(list)
 }
@@ -105,11 +105,11 @@
 func TestRejects(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
-	b.Drain(true)
+	b.SetDraining(true)
 	if got := sendCommand(t, b, readCommand(idA, "")...); got != "-BUSY" {
 		t.Fatalf("reply: got %q, want %s", got, "-BUSY")
 	}
-	b.Drain(false)
+	b.SetDraining(false)
 	if got := sendCommand(t, b, readCommand(idB, "")...); got != "*3" {
 		t.Fatalf("reply: got %q, want %s", got, "*3")
 	}
@@ -130,7 +130,7 @@
 
 // A command is recorded with its arrival time and its fate, whichever fault hits it.
 func TestEveryCommandLeavesARecord(t *testing.T) {
-	for rule, want := range map[string]Fate{
+	for rule, want := range map[string]Outcome{
 		"delay 80ms": Ran, "hold 80ms": Ran, "drop-before": DroppedBefore, "drop-after": DroppedAfter, "fail": Failed,
 		"cut": DroppedAfter, "repeat": Ran,
 	} {
@@ -145,12 +145,12 @@
 		sendCommand(t, b, readCommand(idA, "")...)
 		f.Close()
 		rec := f.Records(0)
-		if len(rec) != 1 || rec[0].Fate != want || rec[0].ArrivedAt < sent || rec[0].EndedAt < rec[0].ArrivedAt {
+		if len(rec) != 1 || rec[0].Outcome != want || rec[0].ArrivedAt < sent || rec[0].EndedAt < rec[0].ArrivedAt {
 			t.Errorf("%s: got records %+v, want one with fate %q", rule, rec, want)
 		}
-		if r.By > 0 && rec[0].EndedAt-rec[0].ArrivedAt < r.By {
+		if r.DelayTime > 0 && rec[0].EndedAt-rec[0].ArrivedAt < r.DelayTime {
 			t.Errorf("%s: got %v from arrival to end, want %v: the fault acted before the record",
-				rule, rec[0].EndedAt-rec[0].ArrivedAt, r.By)
+				rule, rec[0].EndedAt-rec[0].ArrivedAt, r.DelayTime)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 func TestCut(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
-	b.Cut(1, 100*time.Millisecond)
+	b.Partition(1, 100*time.Millisecond)
 	began := f.clock()
 	got := sendCommand(t, b, readCommand(idA, "")...)
 	if took := f.clock() - began; got != "reset" && got != "" || took < 90*time.Millisecond {
@@ -210,7 +210,7 @@
 	const half = 500 * time.Millisecond
 	slowStartRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour}
 	servedRules := Rules{SlowStartShare: 0.25, SlowStartWindow: time.Hour, SlowStartRequests: 10}
-	kneeRules := Rules{Knee: 10, LossBeyond: 0.1}
+	kneeRules := Rules{Knee: 10, LossAboveKnee: 0.1}
 	neighbourFor := func(on time.Duration) func(*machine) {
 		return func(m *machine) { m.neighbour = neighbour{0.5, on, time.Second, m.now, m.now + time.Minute} }
 	}
@@ -292,7 +292,7 @@
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
 	rule, err := fault.Parse("repeat-late 60ms times 1")
-	if err != nil || rule.By != 60*time.Millisecond {
+	if err != nil || rule.DelayTime != 60*time.Millisecond {
 		t.Fatal(rule, err)
 	}
 	b.Fault(rule)
@@ -332,7 +332,7 @@
 func TestCloseDuringRepeatLate(t *testing.T) {
 	f := newTestFleet(t)
 	b := addBackend(t, f, "one", 1)
-	b.Fault(fault.Rule{Kind: fault.RepeatLate, By: time.Hour})
+	b.Fault(fault.Rule{Kind: fault.RepeatLate, DelayTime: time.Hour})
 	if got := sendCommand(t, b, readCommand(idA, "")...); got != "*3" {
 		t.Fatalf("reply: got %q, want %s", got, "*3")
 	}
--- a/internal/standin/backend/command.go
+++ b/internal/standin/backend/command.go
@@ -47,7 +47,7 @@
 }
 
 // keepsConn reports whether the connection stays open after a command with this fate.
-func (f Fate) keepsConn() bool {
+func (f Outcome) keepsConn() bool {
 	switch f {
 	case CutOff, DroppedBefore, DroppedAfter, Died:
 		return false
@@ -57,7 +57,7 @@
 }
 
 // execute executes a recorded request, applying the fault that hits it, if any. It returns the reply when it is due.
-func (c *conn) execute(rec Record, index int) (reply string, fate Fate) {
+func (c *conn) execute(rec Record, index int) (reply string, fate Outcome) {
 	b := c.backend
 	if c.awaitPartitionEnd() {
 		return "", CutOff
@@ -65,7 +65,7 @@
 	rule, left, _ := b.faults.Next(b.fleet.clock(), rec.Class, fmt.Sprint("n", c.instance))
 	switch rule.Kind {
 	case fault.Delay:
-		b.sleep(rule.By)
+		b.sleep(rule.DelayTime)
 	case fault.Stall:
 		b.sleep(left)
 	case fault.DropBefore:
@@ -97,7 +97,7 @@
 }
 
 // deliver returns the reply with a value and the fate of the command, both as modified by the fault.
-func (c *conn) deliver(rule fault.Rule, value string, fate Fate) (reply string, faultyFate Fate) {
+func (c *conn) deliver(rule fault.Rule, value string, fate Outcome) (reply string, faultyFate Outcome) {
 	reply = fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 	switch rule.Kind {
 	case fault.DropAfter:
@@ -107,11 +107,11 @@
 	case fault.Cut:
 		return "*3\r\n$20\r\nval", DroppedAfter
 	case fault.Hold:
-		c.backend.sleep(rule.By)
+		c.backend.sleep(rule.DelayTime)
 	case fault.Repeat:
 		reply += reply
 	case fault.RepeatLate:
-		c.repeatAfter = rule.By
+		c.repeatAfter = rule.DelayTime
 	default: // the other kinds took effect before the command ran, or are not supported
 	}
 	return reply, fate
@@ -127,7 +127,7 @@
 
 // submit queues the work of a recorded command, unless the backend rejects it or the rack has already seen its key. The
 // fate is Busy, Died, Ran, or Remembered with the job of the first command of the key.
-func (b *Backend) submit(index int) (work *job, fate Fate) {
+func (b *Backend) submit(index int) (work *job, fate Outcome) {
 	b.update(func(now time.Duration) {
 		rec := &b.fleet.records[index]
 		switch {
@@ -144,7 +144,7 @@
 			rack = map[string]*keyEntry{}
 			b.fleet.racks[b.Rack] = rack
 		}
-		if entry := rack[rec.Key]; rec.Key != "" && entry != nil && now-entry.at < b.fleet.rules.KeyMemory {
+		if entry := rack[rec.Key]; rec.Key != "" && entry != nil && now-entry.at < b.fleet.rules.KeyRetention {
 			work, fate = entry.job, Remembered
 			rec.Work = 0
 			return
--- a/internal/standin/backend/control.go
+++ b/internal/standin/backend/control.go
@@ -21,11 +21,11 @@
 	})
 }
 
-// Drain sets whether the backend is draining, which means that it rejects new requests with BUSY.
-func (b *Backend) Drain(on bool) { b.update(func(time.Duration) { b.draining = on }) }
+// SetDraining sets whether the backend is draining, which means that it rejects new requests with BUSY.
+func (b *Backend) SetDraining(on bool) { b.update(func(time.Duration) { b.draining = on }) }
 
-// CloseIdle sets the idle timeout after which the backend closes a connection; 0 means none.
-func (b *Backend) CloseIdle(after time.Duration) { b.idleTimeout.Store(int64(after)) }
+// SetIdleTimeout sets the idle timeout after which the backend closes a connection; 0 means none.
+func (b *Backend) SetIdleTimeout(after time.Duration) { b.idleTimeout.Store(int64(after)) }
 
 // Slow slows the backend down by a factor for d. This includes work in progress.
 func (b *Backend) Slow(factor float64, d time.Duration) {
@@ -43,8 +43,8 @@
 	b.update(func(now time.Duration) { b.machine.neighbour = neighbour{share, on, off, now, now + d} })
 }
 
-// Cut partitions the backend from one instance for d: commands take no effect and get no reply, and their connections
-// are reset when the partition ends.
-func (b *Backend) Cut(instance int, d time.Duration) {
+// Partition partitions the backend from one instance for d: commands take no effect and get no reply, and their
+// connections are reset when the partition ends.
+func (b *Backend) Partition(instance int, d time.Duration) {
 	b.update(func(now time.Duration) { b.partitionedUntil[instance] = now + d })
 }
--- a/internal/standin/backend/fleet.go
+++ b/internal/standin/backend/fleet.go
@@ -129,15 +129,15 @@
 	f.wg.Wait()
 }
 
-// sweep removes expired idempotency keys and old completions, once every KeyMemory and at most once a second.
+// sweep removes expired idempotency keys and old completions, once every KeyRetention and at most once a second.
 func (f *Fleet) sweep(now time.Duration) {
-	if now-f.sweptAt < max(f.rules.KeyMemory, time.Second) {
+	if now-f.sweptAt < max(f.rules.KeyRetention, time.Second) {
 		return
 	}
 	f.sweptAt = now
 	for _, rack := range f.racks {
 		for key, entry := range rack {
-			if now-entry.at >= f.rules.KeyMemory {
+			if now-entry.at >= f.rules.KeyRetention {
 				delete(rack, key)
 			}
 		}
--- a/internal/standin/backend/machine.go
+++ b/internal/standin/backend/machine.go
@@ -76,8 +76,8 @@
 			r /= s.factor
 		}
 	}
-	if beyond := float64(m.inFlight)/float64(m.Cores) - m.rules.Knee; m.rules.LossBeyond > 0 && beyond > 0 {
-		r /= 1 + m.rules.LossBeyond*beyond
+	if beyond := float64(m.inFlight)/float64(m.Cores) - m.rules.Knee; m.rules.LossAboveKnee > 0 && beyond > 0 {
+		r /= 1 + m.rules.LossAboveKnee*beyond
 	}
 	return r
 }
--- a/internal/standin/backend/record.go
+++ b/internal/standin/backend/record.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Fate is the outcome of a command at its backend.
-type Fate string
+// Outcome is the outcome of a command at its backend.
+type Outcome string
 
 // The fates of a command.
 const (
-	Open          Fate = ""               // in progress
-	Ran           Fate = "ran"            // took effect, and the reply was written
-	Remembered    Fate = "remembered"     // repeated a key that the rack had seen; answered like the first command
-	Busy          Fate = "busy"           // rejected with BUSY, without effect
-	Failed        Fate = "failed"         // answered with an error by a fault, without effect
-	DroppedBefore Fate = "dropped before" // the connection was reset before the command took effect
-	DroppedAfter  Fate = "dropped after"  // the connection was reset after the command took effect
-	Unanswered    Fate = "unanswered"     // got no reply
-	CutOff        Fate = "cut off"        // arrived during a network partition, without effect
-	Died          Fate = "died"           // the backend stopped before the reply
+	Open          Outcome = ""               // in progress
+	Ran           Outcome = "ran"            // took effect, and the reply was written
+	Remembered    Outcome = "remembered"     // repeated a key that the rack had seen; answered like the first command
+	Busy          Outcome = "busy"           // rejected with BUSY, without effect
+	Failed        Outcome = "failed"         // answered with an error by a fault, without effect
+	DroppedBefore Outcome = "dropped before" // the connection was reset before the command took effect
+	DroppedAfter  Outcome = "dropped after"  // the connection was reset after the command took effect
+	Unanswered    Outcome = "unanswered"     // got no reply
+	CutOff        Outcome = "cut off"        // arrived during a network partition, without effect
+	Died          Outcome = "died"           // the backend stopped before the reply
 )
 
 // maxRecords is the maximum number of records of a fleet.
@@ -51,7 +51,7 @@
 	Units float64
 	// Allowed is how long the sender waits for the reply, according to the command.
 	Allowed time.Duration
-	Fate    Fate
+	Outcome Outcome
 	// WarmingUp reports whether the backend was in slow start when the command arrived.
 	WarmingUp bool
 	// Work is the command's service time on a core of speed 1; 0 if its key was a repeat.
@@ -65,9 +65,9 @@
 	return slices.Clone(f.records[min(from, len(f.records)):])
 }
 
-// Lost returns the number of commands that were not recorded because the records were full. If there are any, checks
-// based on the records are not conclusive.
-func (f *Fleet) Lost() int {
+// DroppedRecords returns the number of commands that were not recorded because the records were full. If there are any,
+// checks based on the records are not conclusive.
+func (f *Fleet) DroppedRecords() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.droppedRecords
@@ -98,11 +98,11 @@
 }
 
 // endRecord records the fate of a command, and counts it as served if it took effect or repeated one that did.
-func (b *Backend) endRecord(at int, fate Fate) {
+func (b *Backend) endRecord(at int, fate Outcome) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	rec := &b.fleet.records[at]
-	rec.EndedAt, rec.Fate = b.fleet.clock(), fate
+	rec.EndedAt, rec.Outcome = b.fleet.clock(), fate
 	if fate == Ran || fate == DroppedAfter || fate == Remembered || fate == Unanswered {
 		b.completions = append(b.completions, rec.EndedAt)
 		b.machine.served++
--- a/internal/standin/backend/rules.go
+++ b/internal/standin/backend/rules.go
@@ -15,8 +15,8 @@
 type Rules struct {
 	// Work is the work of a request by class; a class that is not listed takes 20 to 40 ms.
 	Work map[string]Work
-	// KeyMemory is how long a rack deduplicates commands with the same idempotency key.
-	KeyMemory time.Duration
+	// KeyRetention is how long a rack deduplicates commands with the same idempotency key.
+	KeyRetention time.Duration
 	// SlowStartShare is the share of its full capacity that a backend has at the beginning of slow start.
 	SlowStartShare float64
 	// SlowStartWindow is the time that slow start takes to reach full capacity.
@@ -34,8 +34,8 @@
 	ConnWork time.Duration
 	// Knee is the number of requests in flight per core above which efficiency decreases.
 	Knee float64
-	// LossBeyond is the relative increase in service time for each request in flight per core above Knee.
-	LossBeyond float64
+	// LossAboveKnee is the relative increase in service time for each request in flight per core above Knee.
+	LossAboveKnee float64
 }
 
 // Spec describes one backend.
--- a/internal/standin/discovery/capacity.go
+++ b/internal/standin/discovery/capacity.go
@@ -27,8 +27,8 @@
 	limit.serviceTime, limit.maxWait = service, maxWait
 }
 
-// Busiest returns the maximum number of calls that an agent received within one second.
-func (r *Registry) Busiest(agent int) int {
+// MaxCallsPerSecond returns the maximum number of calls that an agent received within one second.
+func (r *Registry) MaxCallsPerSecond(agent int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.agents[agent].limit.maxCalls
@@ -43,7 +43,7 @@
 	switch failure {
 	case Resetting:
 		panic(http.ErrAbortHandler)
-	case TurningAway:
+	case Rejecting:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
 	case Answering, Silent: // calls received before the agent became silent are still answered
@@ -73,7 +73,7 @@
 	}
 	wait = l.idleAt.Sub(now) + l.serviceTime
 	if wait > l.maxWait {
-		return 0, TurningAway
+		return 0, Rejecting
 	}
 	l.idleAt = l.idleAt.Add(l.serviceTime)
 	return wait, Answering
--- a/internal/standin/discovery/discovery.go
+++ b/internal/standin/discovery/discovery.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// Agent starts another agent and returns its host and port. The agent begins with a copy of the first agent's list, and
-// receives later changes.
-func (r *Registry) Agent() (addr string, err error) {
+// AddAgent starts another agent and returns its host and port. The agent begins with a copy of the first agent's list,
+// and receives later changes.
+func (r *Registry) AddAgent() (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("discovery stand-in: %w", err)
@@ -195,8 +195,8 @@
 	return slices.Clone(r.notifications)
 }
 
-// Versions returns the changes that have reached agents so far, whether or not they were written to an instance.
-func (r *Registry) Versions() []Notification {
+// AppliedChanges returns the changes that have reached agents so far, whether or not they were written to an instance.
+func (r *Registry) AppliedChanges() []Notification {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.appliedChanges)
--- a/internal/standin/discovery/discovery_test.go
+++ b/internal/standin/discovery/discovery_test.go
@@ -58,7 +58,7 @@
 	began := time.Now()
 	r := New(1, func() time.Duration { return time.Since(began) }, 50*time.Millisecond, 60*time.Millisecond)
 	t.Cleanup(r.Close)
-	addr, err := r.Agent()
+	addr, err := r.AddAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 func TestFailAndLimit(t *testing.T) {
 	r := New(1, func() time.Duration { return 0 }, 0, time.Millisecond)
 	t.Cleanup(r.Close)
-	addr, err := r.Agent()
+	addr, err := r.AddAgent()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	defer watch.Body.Close()
-	for failure, want := range map[Failure]int{TurningAway: 503, Resetting: 0, Answering: 200} {
+	for failure, want := range map[Failure]int{Rejecting: 503, Resetting: 0, Answering: 200} {
 		r.Fail(0, failure)
 		if got := status(); got != want {
 			t.Errorf("agent %v: got status %d, want %d", failure, got, want)
@@ -124,7 +124,7 @@
 	if got := status(); got != 503 {
 		t.Errorf("call that would wait for a minute: got status %d, want 503", got)
 	}
-	if r.Busiest(0) == 0 {
+	if r.MaxCallsPerSecond(0) == 0 {
 		t.Error("calls within a second: got 0, want more")
 	}
 }
--- a/internal/standin/discovery/failure.go
+++ b/internal/standin/discovery/failure.go
@@ -12,8 +12,8 @@
 	Silent
 	// Resetting means that the agent aborts open watches, and the connection of each new request.
 	Resetting
-	// TurningAway means that the agent aborts open watches and answers each new request with 503.
-	TurningAway
+	// Rejecting means that the agent aborts open watches and answers each new request with 503.
+	Rejecting
 )
 
 // String returns the name of the failure mode.
@@ -25,7 +25,7 @@
 		return "silent"
 	case Resetting:
 		return "resetting"
-	case TurningAway:
+	case Rejecting:
 		return "rejecting"
 	default:
 		return "unknown"
@@ -42,8 +42,8 @@
 	a.wakeWatches()
 }
 
-// Mute sets whether an agent is silent.
-func (r *Registry) Mute(agent int, on bool) {
+// SetSilent sets whether an agent is silent.
+func (r *Registry) SetSilent(agent int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.agents[agent].silent = on
@@ -61,7 +61,7 @@
 	a.registry.mu.Lock()
 	failure := a.limit.failure
 	a.registry.mu.Unlock()
-	if failure == Resetting || failure == TurningAway {
+	if failure == Resetting || failure == Rejecting {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -37,20 +37,20 @@
 type Rule struct {
 	// Kind is the kind of fault.
 	Kind Kind
-	// On is the name of the calls to match, ignoring case; empty matches all calls.
-	On string
+	// CallName is the name of the calls to match, ignoring case; empty matches all calls.
+	CallName string
 	// Caller is the caller whose calls match; empty matches all callers.
 	Caller string
-	// After is the number of matching calls that are skipped before the rule can hit one.
-	After int
-	// Times is the maximum number of calls that the rule hits; 0 means no limit.
-	Times int
-	// By is the delay of Delay, Hold, Late and RepeatLate.
-	By time.Duration
-	// For is how long the rule is active after it was added; 0 means no limit.
-	For time.Duration
-	// Share is the probability that a matching call is hit; 0 means that every matching call is hit.
-	Share float64
+	// SkipFirst is the number of matching calls that are skipped before the rule can hit one.
+	SkipFirst int
+	// MaxHits is the maximum number of calls that the rule hits; 0 means no limit.
+	MaxHits int
+	// DelayTime is the delay of Delay, Hold, Late and RepeatLate.
+	DelayTime time.Duration
+	// ActiveFor is how long the rule is active after it was added; 0 means no limit.
+	ActiveFor time.Duration
+	// Probability is the probability that a matching call is hit; 0 means that every matching call is hit.
+	Probability float64
 	// Text is the error reply of Fail.
 	Text string
 }
@@ -110,9 +110,9 @@
 		return args
 	}
 	if slices.Contains(delayingKinds, r.Kind) {
-		r.By = duration
+		r.DelayTime = duration
 	} else {
-		r.For = duration
+		r.ActiveFor = duration
 	}
 	return args[1:]
 }
@@ -124,17 +124,17 @@
 func (r *Rule) setOption(option, value string) (err error) {
 	switch option {
 	case "for":
-		r.For, err = time.ParseDuration(value)
+		r.ActiveFor, err = time.ParseDuration(value)
 	case "on":
-		r.On = value
+		r.CallName = value
 	case "caller":
 		r.Caller = value
 	case "after":
-		r.After, err = strconv.Atoi(value)
+		r.SkipFirst, err = strconv.Atoi(value)
 	case "times":
-		r.Times, err = strconv.Atoi(value)
+		r.MaxHits, err = strconv.Atoi(value)
 	case "share":
-		r.Share, err = strconv.ParseFloat(value, 64)
+		r.Probability, err = strconv.ParseFloat(value, 64)
 	default:
 		return errUnknownOption
 	}
@@ -143,8 +143,8 @@
 
 // inRange reports whether no number or duration is negative and Share is between 0 and 1. NaN is out of range.
 func (r *Rule) inRange() bool {
-	if r.By < 0 || r.For < 0 || r.After < 0 || r.Times < 0 {
+	if r.DelayTime < 0 || r.ActiveFor < 0 || r.SkipFirst < 0 || r.MaxHits < 0 {
 		return false
 	}
-	return r.Share >= 0 && r.Share <= 1
+	return r.Probability >= 0 && r.Probability <= 1
 }
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -8,12 +8,12 @@
 
 func TestParse(t *testing.T) {
 	for line, want := range map[string]Rule{
-		"stall 2s": {Kind: Stall, For: 2 * time.Second},
+		"stall 2s": {Kind: Stall, ActiveFor: 2 * time.Second},
 		"delay 50ms for 3s caller a share 0.25": {
-			Kind: Delay, By: 50 * time.Millisecond, For: 3 * time.Second, Caller: "a", Share: 0.25,
+			Kind: Delay, DelayTime: 50 * time.Millisecond, ActiveFor: 3 * time.Second, Caller: "a", Probability: 0.25,
 		},
-		"drop-after on EVALSHA after 37 times 1": {Kind: DropAfter, On: "EVALSHA", After: 37, Times: 1},
-		"fail 1s text OOM command not allowed":   {Kind: Fail, For: time.Second, Text: "OOM command not allowed"},
+		"drop-after on EVALSHA after 37 times 1": {Kind: DropAfter, CallName: "EVALSHA", SkipFirst: 37, MaxHits: 1},
+		"fail 1s text OOM command not allowed":   {Kind: Fail, ActiveFor: time.Second, Text: "OOM command not allowed"},
 	} {
 		if got, err := Parse(line); err != nil || got != want {
 			t.Errorf("Parse(%q): got %+v, %v, want %+v", line, got, err, want)
@@ -29,8 +29,8 @@
 // A rule hits only the calls that it matches, up to its maximum number, and only until it expires.
 func TestScript(t *testing.T) {
 	s := New(1)
-	s.Add(0, Rule{Kind: Cut, On: "get", After: 1, Times: 2})
-	s.Add(0, Rule{Kind: Stall, Caller: "b", For: time.Second})
+	s.Add(0, Rule{Kind: Cut, CallName: "get", SkipFirst: 1, MaxHits: 2})
+	s.Add(0, Rule{Kind: Stall, Caller: "b", ActiveFor: time.Second})
 	got := ""
 	for _, c := range []struct {
 		at           time.Duration
@@ -62,7 +62,8 @@
 func FuzzParse(f *testing.F) {
 	f.Add("delay 50ms for 3s caller a share 0.25")
 	f.Fuzz(func(t *testing.T, line string) {
-		if r, err := Parse(line); err == nil && (r.By < 0 || r.For < 0 || r.Times < 0 || r.After < 0) {
+		if r, err := Parse(line); err == nil &&
+			(r.DelayTime < 0 || r.ActiveFor < 0 || r.MaxHits < 0 || r.SkipFirst < 0) {
 			t.Fatalf("%q: %+v", line, r)
 		}
 	})
--- a/internal/standin/fault/script.go
+++ b/internal/standin/fault/script.go
@@ -31,8 +31,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := &activeRule{Rule: r}
-	if r.For > 0 {
-		a.expiresAt = now + r.For
+	if r.ActiveFor > 0 {
+		a.expiresAt = now + r.ActiveFor
 	}
 	s.rules = append(s.rules, a)
 }
@@ -55,7 +55,7 @@
 			continue
 		}
 		a.matched++
-		if a.matched <= a.After || a.Share > 0 && s.rng.Float64() >= a.Share {
+		if a.matched <= a.SkipFirst || a.Probability > 0 && s.rng.Float64() >= a.Probability {
 			continue
 		}
 		a.hits++
@@ -66,10 +66,10 @@
 
 // expired reports whether the rule has expired or has hit its maximum number of calls.
 func (a *activeRule) expired(now time.Duration) bool {
-	return a.expiresAt > 0 && now >= a.expiresAt || a.Times > 0 && a.hits >= a.Times
+	return a.expiresAt > 0 && now >= a.expiresAt || a.MaxHits > 0 && a.hits >= a.MaxHits
 }
 
 // matches reports whether the rule matches a call by name and caller.
 func (a *activeRule) matches(name, caller string) bool {
-	return (a.On == "" || strings.EqualFold(a.On, name)) && (a.Caller == "" || a.Caller == caller)
+	return (a.CallName == "" || strings.EqualFold(a.CallName, name)) && (a.Caller == "" || a.Caller == caller)
 }
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -56,8 +56,8 @@
 	Kind string
 	// Value is the backend's reply; set if Kind is served.
 	Value string
-	// After is the time after which the client may retry; set if Kind is refused.
-	After time.Duration
+	// RetryAfter is the time after which the client may retry; set if Kind is refused.
+	RetryAfter time.Duration
 }
 
 // Gate forwards requests to backends as one ingress grants. It is safe for concurrent use. It runs one goroutine per
@@ -137,7 +137,7 @@
 			result.Kind = outcomeRefused
 			return result
 		case fault.Delay:
-			sleep(ctx, rule.By)
+			sleep(ctx, rule.DelayTime)
 		default: // the other kinds affect calls to the ingress only
 		}
 		if time.Now().After(granted.startBy) {
--- a/internal/standin/gate/gate_test.go
+++ b/internal/standin/gate/gate_test.go
@@ -107,9 +107,9 @@
 		"hangs up, again": {"drop-before", alone, second, 0, "served", "lease0 served", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before := len(good.Seen())
+			before := len(good.Commands())
 			checkFault(t, c)
-			if got := len(good.Seen()) - before; got != c.sentCommands {
+			if got := len(good.Commands()) - before; got != c.sentCommands {
 				t.Errorf("commands sent: got %d, want %d", got, c.sentCommands)
 			}
 		})
@@ -138,8 +138,8 @@
 	if result.Kind != c.kind || c.kind == "served" && result.Value != "value" {
 		t.Errorf("result: got %+v, want %s", result, c.kind)
 	}
-	if c.status == 429 && result.After != 70*time.Millisecond {
-		t.Errorf("retry after: got %v, want 70ms", result.After)
+	if c.status == 429 && result.RetryAfter != 70*time.Millisecond {
+		t.Errorf("retry after: got %v, want 70ms", result.RetryAfter)
 	}
 	if got := strings.Join(s.reports, ","); got != c.reports {
 		t.Errorf("reports: got %q, want %q", got, c.reports)
--- a/internal/standin/gate/http.go
+++ b/internal/standin/gate/http.go
@@ -47,7 +47,7 @@
 	case outcomeServed:
 		fmt.Fprintln(w, result.Value)
 	case outcomeRefused:
-		w.Header().Set("Retry-After", strconv.Itoa(int(result.After.Seconds())+1))
+		w.Header().Set("Retry-After", strconv.Itoa(int(result.RetryAfter.Seconds())+1))
 		http.Error(w, "refused", http.StatusTooManyRequests)
 	default:
 		http.Error(w, "failed", http.StatusServiceUnavailable)
--- a/internal/standin/gate/ingress.go
+++ b/internal/standin/gate/ingress.go
@@ -63,7 +63,7 @@
 	case http.StatusTooManyRequests:
 		result.Kind = outcomeRefused
 		ms, _ := strconv.ParseInt(resp.Header.Get(headerPrefix+"-Retry-After-Ms"), 10, 64) // 0 if invalid or missing
-		result.After = time.Duration(ms) * time.Millisecond
+		result.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	return grant{}, true
 }
@@ -96,7 +96,7 @@
 		return grant{}, false
 	case fault.Late:
 		g.wg.Go(func() {
-			sleep(g.ctx, rule.By)
+			sleep(g.ctx, rule.DelayTime)
 			if g.ctx.Err() == nil {
 				g.postReport(g.ctx, lease, outcome)
 			}
--- a/internal/standin/redis/control.go
+++ b/internal/standin/redis/control.go
@@ -54,7 +54,7 @@
 	case "forget-scripts":
 		s.ForgetScripts()
 	case "kick":
-		s.Kick()
+		s.DisconnectAll()
 	case "failover":
 		return s.doFailover(line, len(args) == 2 && args[1] == "split")
 	default:
@@ -79,13 +79,13 @@
 	case "restart":
 		s.Restart(duration)
 	case "silent":
-		s.enableFor(duration, s.Silent)
+		s.enableFor(duration, s.SetSilent)
 	case "full":
-		s.enableFor(duration, s.Full)
+		s.enableFor(duration, s.SetOutOfMemory)
 	case "readonly":
-		s.enableFor(duration, s.ReadOnly)
+		s.enableFor(duration, s.SetReadOnly)
 	case "load":
-		s.Load(duration)
+		s.SetLoading(duration)
 	case "lag":
 		s.group.SetLag(duration)
 	}
@@ -123,7 +123,7 @@
 	}
 	s.group.Failover(replica, split)
 	if !split {
-		old.Kick()
+		old.DisconnectAll()
 	}
 	return nil
 }
--- a/internal/standin/redis/control_test.go
+++ b/internal/standin/redis/control_test.go
@@ -75,10 +75,10 @@
 	}
 	do("full 1h")
 	fails("OOM")
-	s.Full(false)
+	s.SetOutOfMemory(false)
 	do("readonly 1h")
 	fails("READONLY")
-	s.ReadOnly(false)
+	s.SetReadOnly(false)
 	do("load 1h")
 	fails("LOADING")
 	do("load 0s")
--- a/internal/standin/redis/faults.go
+++ b/internal/standin/redis/faults.go
@@ -38,7 +38,7 @@
 	}
 	e := &faultedCommand{client: c, name: name, args: args, record: record}
 	if rule.Kind == fault.Late {
-		e.runLate(rule.By)
+		e.runLate(rule.DelayTime)
 		return true
 	}
 	state := e.applyFault(rule, left)
@@ -80,7 +80,7 @@
 		reset(c.nc)
 		return connClosing
 	case fault.Delay:
-		if !c.flushAndSleep(rule.By) {
+		if !c.flushAndSleep(rule.DelayTime) {
 			return serverClosed
 		}
 	case fault.Stall:
@@ -99,7 +99,7 @@
 	c := e.client
 	switch rule.Kind {
 	case fault.Hold:
-		if !c.server.sleep(rule.By) {
+		if !c.server.sleep(rule.DelayTime) {
 			return serverClosed
 		}
 		e.reply(reply)
--- a/internal/standin/redis/lifecycle.go
+++ b/internal/standin/redis/lifecycle.go
@@ -98,8 +98,8 @@
 
 // serveOn starts to accept connections from a listener. The caller must hold group.mu.
 func (s *Server) serveOn(ln net.Listener) {
-	if s.options.Wrap != nil {
-		ln = s.options.Wrap(ln)
+	if s.options.WrapListener != nil {
+		ln = s.options.WrapListener(ln)
 	}
 	s.ln, s.stopped = ln, false
 	s.wg.Go(func() { s.accept(ln) })
--- a/internal/standin/redis/server.go
+++ b/internal/standin/redis/server.go
@@ -29,14 +29,14 @@
 
 // Options configures a server. The zero value listens on an ephemeral loopback port.
 type Options struct {
-	Listen      string                          // host:port; empty: an ephemeral port of 127.0.0.1
-	User        string                          // user name for AUTH; empty: "default"
-	Password    string                          // empty: no authentication
-	MaxClients  int                             // 0: 10,000
-	IdleTimeout time.Duration                   // idle connections are closed after this time; 0: never
-	Seed        uint64                          // seed of the fault script's probabilities
-	Now         func() time.Time                // clock for key expiry; nil: the system clock
-	Wrap        func(net.Listener) net.Listener // wraps the listener, for example in TLS; nil: not wrapped
+	Listen       string                          // host:port; empty: an ephemeral port of 127.0.0.1
+	User         string                          // user name for AUTH; empty: "default"
+	Password     string                          // empty: no authentication
+	MaxClients   int                             // 0: 10,000
+	IdleTimeout  time.Duration                   // idle connections are closed after this time; 0: never
+	Seed         uint64                          // seed of the fault script's probabilities
+	Now          func() time.Time                // clock for key expiry; nil: the system clock
+	WrapListener func(net.Listener) net.Listener // wraps the listener, for example in TLS; nil: not wrapped
 }
 
 // Record describes one command that the server received.
--- a/internal/standin/redis/switches.go
+++ b/internal/standin/redis/switches.go
@@ -12,17 +12,17 @@
 	change()
 }
 
-// Load makes the server answer commands with LOADING for d.
-func (s *Server) Load(d time.Duration) { s.update(func() { s.loadingUntil = time.Now().Add(d) }) }
+// SetLoading makes the server answer commands with LOADING for d.
+func (s *Server) SetLoading(d time.Duration) { s.update(func() { s.loadingUntil = time.Now().Add(d) }) }
 
-// Silent sets whether the server accepts connections and commands without ever replying.
-func (s *Server) Silent(on bool) { s.update(func() { s.silent = on }) }
+// SetSilent sets whether the server accepts connections and commands without ever replying.
+func (s *Server) SetSilent(on bool) { s.update(func() { s.silent = on }) }
 
-// Full sets whether the server answers writes with OOM.
-func (s *Server) Full(on bool) { s.update(func() { s.outOfMemory = on }) }
+// SetOutOfMemory sets whether the server answers writes with OOM.
+func (s *Server) SetOutOfMemory(on bool) { s.update(func() { s.outOfMemory = on }) }
 
-// ReadOnly sets whether the server answers writes with READONLY.
-func (s *Server) ReadOnly(on bool) { s.update(func() { s.readOnly = on }) }
+// SetReadOnly sets whether the server answers writes with READONLY.
+func (s *Server) SetReadOnly(on bool) { s.update(func() { s.readOnly = on }) }
 
 // MaxClients sets the connection limit. Connections beyond it receive an error and are closed.
 func (s *Server) MaxClients(n int) { s.update(func() { s.options.MaxClients = n }) }
@@ -30,14 +30,14 @@
 // ForgetScripts empties the script cache.
 func (s *Server) ForgetScripts() { s.update(func() { s.scripts.flush() }) }
 
-// Kick resets all connections.
-func (s *Server) Kick() { s.update(s.dropClients) }
+// DisconnectAll resets all connections.
+func (s *Server) DisconnectAll() { s.update(s.dropClients) }
 
 // Flush deletes all keys but leaves connections open, like a failover behind a proxy.
 func (s *Server) Flush() { s.update(func() { clear(s.dbs) }) }
 
-// NextConnections sets a filter for new connections: those for which it returns false are reset. With a nil filter all
+// SetAcceptFilter sets a filter for new connections: those for which it returns false are reset. With a nil filter all
 // are served.
-func (s *Server) NextConnections(serves func(net.Conn) bool) {
+func (s *Server) SetAcceptFilter(serves func(net.Conn) bool) {
 	s.update(func() { s.acceptFilter = serves })
 }
--- a/internal/standin/scripted/backend.go
+++ b/internal/standin/scripted/backend.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Seen returns the commands that the backend has received so far.
-func (b *Backend) Seen() [][]string {
+// Commands returns the commands that the backend has received so far.
+func (b *Backend) Commands() [][]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.commands)
--- a/internal/standin/scripted/late.go
+++ b/internal/standin/scripted/late.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// Late is a backend that can delay the establishment of connections. It accepts all connections until Hold is called.
-// After that its listen queue is full and the kernel drops every SYN. Such a connection is established when the
+// DelayedBackend is a backend that can delay the establishment of connections. It accepts all connections until Hold is
+// called. After that its listen queue is full and the kernel drops every SYN. Such a connection is established when the
 // client's kernel retransmits its SYN, one second later, if Open has been called by then.
-type Late struct {
+type DelayedBackend struct {
 	*Backend
 	t           testing.TB
 	ln          net.Listener
@@ -24,8 +24,8 @@
 	unblockOnce sync.Once     // closes unblocked
 }
 
-// NewLate starts a Late backend. reply has the same meaning as for NewBackend.
-func NewLate(t testing.TB, reply Reply) *Late {
+// NewDelayedBackend starts a Late backend. reply has the same meaning as for NewBackend.
+func NewDelayedBackend(t testing.TB, reply Reply) *DelayedBackend {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err == nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Late{
+	l := &DelayedBackend{
 		Backend:   &Backend{Addr: ln.Addr().String()},
 		t:         t,
 		ln:        ln,
@@ -55,7 +55,7 @@
 }
 
 // Accept implements net.Listener. It withholds a connection accepted between Hold and Open until Open is called.
-func (l *Late) Accept() (net.Conn, error) {
+func (l *DelayedBackend) Accept() (net.Conn, error) {
 	nc, err := l.ln.Accept()
 	if err == nil && l.blocking.Load() {
 		l.accepted <- struct{}{}
@@ -65,13 +65,14 @@
 }
 
 // Close implements net.Listener.
-func (l *Late) Close() error {
-	l.Open()
+func (l *DelayedBackend) Close() error {
+	l.UnblockConnections()
 	return l.ln.Close()
 }
 
-// Hold prevents new connections from being established, by filling the listen queue. It may be called only once.
-func (l *Late) Hold() {
+// BlockConnections prevents new connections from being established, by filling the listen queue. It may be called only
+// once.
+func (l *DelayedBackend) BlockConnections() {
 	l.t.Helper()
 	l.blocking.Store(true)
 	for i := range 2 { // the first is withheld by Accept, the second fills the listen queue
@@ -87,8 +88,8 @@
 	}
 }
 
-// Open lets connections be established again.
-func (l *Late) Open() {
+// UnblockConnections lets connections be established again.
+func (l *DelayedBackend) UnblockConnections() {
 	l.unblockOnce.Do(func() {
 		l.blocking.Store(false)
 		close(l.unblocked)
@@ -98,8 +99,9 @@
 // synSent is the TCP state SYN_SENT in /proc/net/tcp: the SYN has not been answered yet.
 const synSent = "02"
 
-// Begun reports whether a client has started to connect to the backend and the connection is not established yet.
-func (l *Late) Begun() bool {
+// HasPendingConnection reports whether a client has started to connect to the backend and the connection is not
+// established yet.
+func (l *DelayedBackend) HasPendingConnection() bool {
 	l.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
--- a/internal/standin/tally/conn.go
+++ b/internal/standin/tally/conn.go
@@ -68,7 +68,7 @@
 		c.flush()
 		return nil, false
 	case fault.Delay:
-		if !c.flushAndSleep(rule.By) {
+		if !c.flushAndSleep(rule.DelayTime) {
 			return nil, false
 		}
 	case fault.Stall:
@@ -84,7 +84,7 @@
 func (c *conn) deliver(rule fault.Rule, reply []byte) (sent []byte, ok bool) {
 	switch rule.Kind {
 	case fault.Hold:
-		if !c.flushAndSleep(rule.By) {
+		if !c.flushAndSleep(rule.DelayTime) {
 			return nil, false
 		}
 	case fault.Swallow:
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -48,7 +48,7 @@
 		}
 		addr = s.Addr()
 		if slow {
-			s.Fault(fault.Rule{Kind: fault.Delay, On: "EVALSHA", By: time.Millisecond})
+			s.Fault(fault.Rule{Kind: fault.Delay, CallName: "EVALSHA", DelayTime: time.Millisecond})
 		}
 	case "tally":
 		s, err := standtally.Start("", 1)
@@ -57,7 +57,7 @@
 		}
 		addr = s.Addr()
 		if slow {
-			s.Fault(fault.Rule{Kind: fault.Delay, By: time.Millisecond})
+			s.Fault(fault.Rule{Kind: fault.Delay, DelayTime: time.Millisecond})
 		}
 	}
 	fmt.Println(addr)
--- a/internal/store/redis/failover_test.go
+++ b/internal/store/redis/failover_test.go
@@ -16,7 +16,7 @@
 func TestServerStates(t *testing.T) {
 	failFor := func(text string) func(testing.TB, *standin.Server) {
 		return func(_ testing.TB, s *standin.Server) {
-			s.Fault(fault.Rule{Kind: fault.Fail, On: "EVALSHA", For: 300 * time.Millisecond, Text: text})
+			s.Fault(fault.Rule{Kind: fault.Fail, CallName: "EVALSHA", ActiveFor: 300 * time.Millisecond, Text: text})
 		}
 	}
 	type change = func(testing.TB, *standin.Server)
@@ -25,25 +25,25 @@
 		begin change
 		end   change // nil: the state ends by itself
 	}{
-		"loading": {on(func(s *standin.Server) { s.Load(400 * time.Millisecond) }), nil},
+		"loading": {on(func(s *standin.Server) { s.SetLoading(400 * time.Millisecond) }), nil},
 		"out of memory": {
-			on(func(s *standin.Server) { s.Full(true) }),
-			on(func(s *standin.Server) { s.Full(false) }),
+			on(func(s *standin.Server) { s.SetOutOfMemory(true) }),
+			on(func(s *standin.Server) { s.SetOutOfMemory(false) }),
 		},
 		"read only": {
-			on(func(s *standin.Server) { s.ReadOnly(true) }),
-			on(func(s *standin.Server) { s.ReadOnly(false) }),
+			on(func(s *standin.Server) { s.SetReadOnly(true) }),
+			on(func(s *standin.Server) { s.SetReadOnly(false) }),
 		},
 		"max clients": {
 			on(func(s *standin.Server) {
 				s.MaxClients(0)
-				s.Kick()
+				s.DisconnectAll()
 			}),
 			on(func(s *standin.Server) { s.MaxClients(10) }),
 		},
 		"silent": {
-			on(func(s *standin.Server) { s.Silent(true) }),
-			on(func(s *standin.Server) { s.Silent(false) }),
+			on(func(s *standin.Server) { s.SetSilent(true) }),
+			on(func(s *standin.Server) { s.SetSilent(false) }),
 		},
 		"stopped":      {on(func(s *standin.Server) { s.Stop() }), resumeListening},
 		"empty":        {on(func(s *standin.Server) { s.Restart(200 * time.Millisecond) }), nil},
@@ -143,7 +143,7 @@
 		t.Fatal("the failover lost no writes")
 	}
 	if bySentinel {
-		primary.Kick()
+		primary.DisconnectAll()
 	} else {
 		x.SetAddress(replica.Addr())
 		y.SetAddress(replica.Addr())
--- a/internal/store/redis/faults_test.go
+++ b/internal/store/redis/faults_test.go
@@ -19,14 +19,14 @@
 
 // faultOnce returns a rule that applies a fault to the next add only.
 func faultOnce(kind fault.Kind) fault.Rule {
-	return fault.Rule{Kind: kind, On: "EVALSHA", Times: 1}
+	return fault.Rule{Kind: kind, CallName: "EVALSHA", MaxHits: 1}
 }
 
 // An add without a reply is resent. It must count once, whether the first copy was applied, was not applied or is
 // applied only after the retry.
 func TestTimedOutAddCountsOnce(t *testing.T) {
 	late := faultOnce(fault.Late)
-	late.By = 600 * time.Millisecond
+	late.DelayTime = 600 * time.Millisecond
 	for name, c := range map[string]struct {
 		rule           fault.Rule
 		alreadyApplied bool
@@ -83,7 +83,7 @@
 // addDelayed sends an add whose reply the server delays, so that further calls become pending behind it.
 func addDelayed(s *standin.Server, instance *storetest.Instance, name string) {
 	delay := faultOnce(fault.Delay)
-	delay.By = 100 * time.Millisecond
+	delay.DelayTime = 100 * time.Millisecond
 	s.Fault(delay)
 	instance.Add(&store.Call{Name: name, TTL: time.Minute})
 }
@@ -137,7 +137,7 @@
 		instance.AddAndWait(t, "z", 0)
 		addDelayed(s, instance, "z")
 		rule := faultOnce(fault.DropAfter)
-		rule.After = applied - 1
+		rule.SkipFirst = applied - 1
 		s.Fault(rule)
 		for j := range adds {
 			instance.Add(&store.Call{Name: names[j%len(names)], Amount: 1, TTL: time.Minute})
@@ -163,7 +163,7 @@
 		s := startServer(t, standin.Options{})
 		instance := startCounter(t, testOptions(s.Addr()))
 		instance.AddAndWait(t, "z", 0) // connects
-		s.NextConnections(func(net.Conn) bool { return false })
+		s.SetAcceptFilter(func(net.Conn) bool { return false })
 		count := run(t, s, instance)
 		added, maybe := count[store.Added], count[store.Maybe]
 		if added > applied || added+maybe+count[store.NotAdded] != adds || maybe == 0 {
@@ -172,7 +172,7 @@
 		if stored := stored(s); stored < float64(added) || stored > float64(added+maybe) || stored != applied {
 			t.Fatalf("%v, but the server holds %v", count, stored)
 		}
-		s.NextConnections(nil)
+		s.SetAcceptFilter(nil)
 		storetest.Eventually(t, "the adds reported as maybe to be added", func() bool {
 			return stored(s) == float64(added+maybe)
 		})
@@ -193,7 +193,7 @@
 			instance := startCounter(t, opt)
 			instance.AddAndWait(t, "a", 0)
 			delay := faultOnce(fault.Delay)
-			delay.By = 100 * time.Millisecond
+			delay.DelayTime = 100 * time.Millisecond
 			s.Fault(delay)
 			s.Fault(rule)
 			for range 11 {
@@ -224,17 +224,17 @@
 	instance := startCounter(t, opt)
 	instance.AddAndWait(t, "a", 0)
 	delay := faultOnce(fault.Delay)
-	delay.By = 100 * time.Millisecond
+	delay.DelayTime = 100 * time.Millisecond
 	s.Fault(delay)
 	rule := faultOnce(fault.Repeat)
-	s.Full(true)
+	s.SetOutOfMemory(true)
 	instance.Add(&store.Call{Name: "z", TTL: time.Minute})
 	s.Fault(rule)
 	for range 5 {
 		instance.Add(&store.Call{Name: "a", Amount: 1, TTL: time.Minute})
 	}
 	storetest.Eventually(t, "the add with the repeated error", func() bool { return appliedAdds(s) >= 3 })
-	s.Full(false)
+	s.SetOutOfMemory(false)
 	want := 0.0
 	for range 6 {
 		if a := instance.NextAnswer(t); a.Result.Certainty != store.NotAdded {
@@ -280,7 +280,7 @@
 		randomAdds(t, rng, want, x, y)
 	}
 	s.Faults().Clear()
-	s.Kick() // closes all connections, as a restart would
+	s.DisconnectAll() // closes all connections, as a restart would
 	for name := range want {
 		storetest.Eventually(t, "both instances to reconnect", func() bool {
 			return x.AddAndWait(t, name, 0).Certainty == store.Added &&
@@ -307,16 +307,16 @@
 		fault.Late, fault.Delay, fault.Fail,
 	}
 	s.Fault(fault.Rule{
-		Kind:  kinds[rng.IntN(len(kinds))],
-		On:    "EVALSHA",
-		Times: 1,
-		After: rng.IntN(20),
-		By:    time.Duration(rng.IntN(60)) * time.Millisecond,
-		Text:  outOfMemory,
+		Kind:      kinds[rng.IntN(len(kinds))],
+		CallName:  "EVALSHA",
+		MaxHits:   1,
+		SkipFirst: rng.IntN(20),
+		DelayTime: time.Duration(rng.IntN(60)) * time.Millisecond,
+		Text:      outOfMemory,
 	})
 	switch rng.IntN(12) {
 	case 0:
-		s.Kick()
+		s.DisconnectAll()
 	case 1:
 		s.Flush()
 	case 2:
--- a/internal/store/redis/redis_test.go
+++ b/internal/store/redis/redis_test.go
@@ -105,7 +105,7 @@
 	cert, pool := testCertificate(t)
 	s := startServer(t, standin.Options{
 		User: "ingress", Password: "s3cret",
-		Wrap: func(ln net.Listener) net.Listener {
+		WrapListener: func(ln net.Listener) net.Listener {
 			return tls.NewListener(ln, &tls.Config{Certificates: []tls.Certificate{cert}})
 		},
 	})
@@ -141,7 +141,7 @@
 func TestWrongCertificate(t *testing.T) {
 	cert, _ := testCertificate(t)
 	_, other := testCertificate(t)
-	s := startServer(t, standin.Options{Wrap: func(ln net.Listener) net.Listener {
+	s := startServer(t, standin.Options{WrapListener: func(ln net.Listener) net.Listener {
 		return tls.NewListener(ln, &tls.Config{Certificates: []tls.Certificate{cert}})
 	}})
 	opt := testOptions(s.Addr())
@@ -168,7 +168,7 @@
 // Run must return at once when its context ends, even with calls pending.
 func TestRunReturnsAtOnce(t *testing.T) {
 	s := startServer(t, standin.Options{})
-	s.Silent(true)
+	s.SetSilent(true)
 	c, err := New(testOptions(s.Addr()), storetest.DiscardLogger, func(*store.Call, store.Result) {})
 	if err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 	x.AddAndWait(t, "a", 1)
 	y.AddAndWait(t, "a", 1)
 	holdReply := faultOnce(fault.Hold)
-	holdReply.By = 200 * time.Millisecond
+	holdReply.DelayTime = 200 * time.Millisecond
 	s.Fault(holdReply)
 	call := &store.Call{Name: "a", Amount: 10, TTL: time.Minute}
 	x.Add(call)
