--- a/internal/core/escrow.go
+++ b/internal/core/escrow.go
@@ -72,7 +72,7 @@
 	f.at = now
 }
 
-// updateMembers sets the members and tells the allocator which incarnations are confirmed to have ended.
+// updateMembers sets the members and notifies the allocator which incarnations are confirmed to have ended.
 func (e *escrowState) updateMembers(ev membersChanged) {
 	e.members = e.members[:0]
 	for _, member := range ev.members {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Certainty tells whether an add took effect, as far as the store knows.
+// Certainty states whether an add took effect, as far as the store knows.
 type Certainty uint8
 
 // The values of Certainty. The zero value is the one that guarantees nothing.
--- a/internal/zones/spill.go
+++ b/internal/zones/spill.go
@@ -61,7 +61,7 @@
 	return z.capacity * z.rampShare / total
 }
 
-// zonesChanged returns the event that tells the policy module the state of all zones.
+// zonesChanged returns the event that gives the policy module the state of all zones.
 func (t *Tracker) zonesChanged() policy.ZonesChanged {
 	event := policy.ZonesChanged{AvailableShare: t.availableShare}
 	reduction := t.totalPreferenceReduction()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -98,7 +98,7 @@
 		e.longestObjective = max(e.longestObjective, c.LatencyObjective)
 	}
 	for _, p := range settings.Plans {
-		p.Burst = max(p.Burst, settings.MaxUnits, 1) // a burst below the units of one request would admit nothing
+		p.Burst = max(p.Burst, settings.MaxUnits, 1) // a smaller burst would admit no request
 		e.plans[p.Name] = &p
 	}
 	e.settings.CounterTimeout = max(settings.CounterTimeout, time.Millisecond)
