--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -76,7 +76,7 @@
 	}
 	if rate == 0 {
 		e.slowStartTokens = -1
-	} else if e.slowStartTokens < 0 { // the first one: begin at a random phase
+	} else if e.slowStartTokens < 0 { // first one: begin at a random phase, unlike others
 		e.slowStartTokens = e.rng.Float64()
 	}
 	rate *= largeFleetRateFactor * e.expectedBackendRate()
