--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -76,7 +76,7 @@
 	}
 	rule := Rule{Kind: Kind(fields[0])}
 	if !slices.Contains(kinds, rule.Kind) {
-		return Rule{}, fmt.Errorf("fault %q: unknown fault kind %q", line, fields[0])
+		return Rule{}, fmt.Errorf("fault %q: there is no kind %q", line, fields[0])
 	}
 	options := rule.parseDuration(fields[1:])
 	for len(options) > 0 {
