--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -18,7 +18,7 @@
 	minStreamChunkSize = 1 << 10 // if the memory budget is exhausted
 	// streamStallTimeout is how long a backend may send nothing within a value.
 	streamStallTimeout = 5 * time.Second
-	// overdueStallTimeout is the same after the client's deadline: a client that still reads must soon see the end of
+	// overdueStallTimeout applies after the client's deadline: a client that still reads must soon see the end of
 	// the value or an error.
 	overdueStallTimeout = 250 * time.Millisecond
 	// trailerFrames is the number of frames after a value: the usage and the load report.
--- a/internal/lab/soak/instance.go
+++ b/internal/lab/soak/instance.go
@@ -21,7 +21,7 @@
 // killGrace is how long after SIGTERM the platform sends SIGKILL, in addition to the longest deadline (3 s at most).
 const killGrace = 700 * time.Millisecond
 
-// instance is one ingress, which runs as a process of its own, with what was done to it. Its times are those of the
+// instance is one ingress process, with the signals and faults that were applied to it. Its times are those of the
 // run's clock.
 type instance struct {
 	proc.Process
